--- a/cmd/troutwarden/main.go
+++ b/cmd/controller/main.go
@@ -1,4 +1,4 @@
-// Command troutwarden holds duties of the fleet: work that one process alone may
+// Command controller holds duties of the fleet: work that one process alone may
 // do at a time.
 package main
 
@@ -8,11 +8,11 @@
 	"os/signal"
 	"syscall"
 
-	"troutusher/internal/duty/command"
+	"plovershore/internal/controller"
 )
 
 func main() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
-	os.Exit(command.Warden(ctx, os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(controller.Warden(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/troutlab/main.go
+++ b/cmd/faultlab/main.go
@@ -1,4 +1,4 @@
-// Command troutlab runs many relays on this machine, breaks things between
+// Command faultlab runs many relays on this machine, breaks things between
 // them, and judges what they did.
 package main
 
@@ -8,7 +8,7 @@
 	"os/signal"
 	"syscall"
 
-	"troutusher/internal/lab/command"
+	"plovershore/internal/faultlab/command"
 )
 
 func main() {
--- a/cmd/troutregistry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Command troutregistry is the list of endpoints of a fleet: a node of its group, or the agent on a relay's machine.
+// Command registry is the list of endpoints of a fleet: a node of its group, or the agent on a relay's machine.
 package main
 
 import (
@@ -7,7 +7,7 @@
 	"os/signal"
 	"syscall"
 
-	"troutusher/internal/registry/command"
+	"plovershore/internal/registry/command"
 )
 
 func main() {
--- a/cmd/troutusher/disk.go
+++ b/cmd/relay/disk.go
@@ -2,7 +2,7 @@
 
 package main
 
-import "troutusher/internal/relay"
+import "plovershore/internal/relay"
 
 // disk leaves the log on the machine's own file system.
 func disk(*relay.Config) error { return nil }
--- a/cmd/troutusher/disk_cut.go
+++ b/cmd/relay/disk_cut.go
@@ -3,12 +3,12 @@
 package main
 
 import (
-	"troutusher/internal/relay"
-	"troutusher/internal/wal/cutfs"
+	"plovershore/internal/relay"
+	"plovershore/internal/wal/cutfs"
 )
 
 // disk has a kill of this process cost its log what a loss of power would. For
-// the lab alone: bin/troutusher-cut is built with the tag cutfs.
+// the lab alone: bin/relay-cut is built with the tag cutfs.
 func disk(cfg *relay.Config) error {
 	d, err := cutfs.OnDisk(cfg.State, cfg.Seed)
 	if err != nil {
--- a/cmd/troutusher/main.go
+++ b/cmd/relay/main.go
@@ -1,4 +1,4 @@
-// Command troutusher is a relay: it takes messages from clients and owes each
+// Command relay is a relay: it takes messages from clients and owes each
 // of them its end. What it is told stands in the environment and in the file
 // that ROUTER_CONFIG names.
 package main
@@ -15,7 +15,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"troutusher/internal/relay"
+	"plovershore/internal/relay"
 )
 
 // Exit codes.
--- a/cmd/benchlink/host.go
+++ b/cmd/sim-adapter/host.go
@@ -5,25 +5,25 @@
 	"io"
 	"math"
 
-	"troutusher/decide"
-	"troutusher/internal/settings"
-	"troutusher/internal/wire"
+	"plovershore/internal/settings"
+	"plovershore/internal/wire"
+	"plovershore/policy"
 )
 
 // relay is one hosted instance.
 type relay struct {
-	policy   *decide.Policy
+	policy   *policy.Policy
 	left, to int // places of the load values in a report; -1 when absent
-	events   []decide.Event
+	events   []policy.Event
 	queued   bool
 }
 
 // host keeps the instances of one process apart and the lists they share.
 type host struct {
 	relays  map[uint16]*relay
-	lists   [16][]decide.Entry
+	lists   [16][]policy.Entry
 	order   []uint16 // relays with events in this turn, by first event
-	acts    []decide.Action
+	acts    []policy.Action
 	reply   []wire.Action
 	scratch []byte
 }
@@ -39,7 +39,7 @@
 	if clock > math.MaxInt64 {
 		return nil, fmt.Errorf("batch header: clock %d is out of range", clock)
 	}
-	now := decide.Time(clock)
+	now := policy.Time(clock)
 	h.reply, h.order = h.reply[:0], h.order[:0]
 	for i := range events {
 		if err := h.take(now, &events[i]); err != nil {
@@ -55,7 +55,7 @@
 	return h.scratch, err
 }
 
-func (h *host) step(now decide.Time, id uint16, r *relay) {
+func (h *host) step(now policy.Time, id uint16, r *relay) {
 	h.acts = r.policy.Step(now, r.events, h.acts[:0])
 	r.events, r.queued = r.events[:0], false
 	for i := range h.acts {
@@ -64,13 +64,13 @@
 }
 
 // take hands an event to its instance, or changes the host's own tables.
-func (h *host) take(now decide.Time, e *wire.Event) error {
+func (h *host) take(now policy.Time, e *wire.Event) error {
 	switch e.Code {
 	case wire.EvTable:
-		list := make([]decide.Entry, len(e.Entries))
+		list := make([]policy.Entry, len(e.Entries))
 		for i, x := range e.Entries {
-			list[i] = decide.Entry{Endpoint: decide.Endpoint(x.Endpoint), Zone: int(x.Zone), Kind: int(x.Kind),
-				Dest: int(x.Dest), State: decide.Readiness(x.State), Rate: float64(x.Nominal)}
+			list[i] = policy.Entry{Endpoint: policy.Endpoint(x.Endpoint), Zone: int(x.Zone), Kind: int(x.Kind),
+				Dest: int(x.Dest), State: policy.Readiness(x.State), Rate: float64(x.Nominal)}
 		}
 		h.lists[e.Sheet] = list
 		return nil
@@ -103,48 +103,48 @@
 	return nil
 }
 
-var outcomes = map[uint8]decide.Outcome{wire.StatusOK: decide.Delivered, wire.StatusError: decide.Errored,
-	wire.StatusFull: decide.Full, wire.StatusLate: decide.TimedOut, wire.StatusNoConn: decide.NoConnect,
-	wire.StatusReset: decide.Reset, wire.StatusCancel: decide.Cancelled, wire.StatusMoot: decide.NotSent}
+var outcomes = map[uint8]policy.Outcome{wire.StatusOK: policy.Delivered, wire.StatusError: policy.Errored,
+	wire.StatusFull: policy.Full, wire.StatusLate: policy.TimedOut, wire.StatusNoConn: policy.NoConnect,
+	wire.StatusReset: policy.Reset, wire.StatusCancel: policy.Cancelled, wire.StatusMoot: policy.NotSent}
 
-var listNews = map[uint8]decide.ListNews{wire.SyncDelta: decide.ListChange, wire.SyncFull: decide.ListFull,
-	wire.SyncCached: decide.ListCached, wire.SyncFailed: decide.ListFailed}
+var listNews = map[uint8]policy.ListNews{wire.SyncDelta: policy.ListChange, wire.SyncFull: policy.ListFull,
+	wire.SyncCached: policy.ListCached, wire.SyncFailed: policy.ListFailed}
 
 // event maps a record to the interface's words.
-func (h *host) event(r *relay, e *wire.Event) (decide.Event, bool) {
-	ev := decide.Event{Message: e.Ticket, Endpoint: decide.Endpoint(e.Endpoint), Attempt: int(e.Attempt),
-		Took: decide.Time(e.Took), Outcome: outcomes[e.Status]}
+func (h *host) event(r *relay, e *wire.Event) (policy.Event, bool) {
+	ev := policy.Event{Message: e.Ticket, Endpoint: policy.Endpoint(e.Endpoint), Attempt: int(e.Attempt),
+		Took: policy.Time(e.Took), Outcome: outcomes[e.Status]}
 	if e.Reports > 0 {
-		ev.Load = decide.Load{Left: value(e, r.left), Limit: value(e, r.to), Told: e.Reports > 0}
+		ev.Load = policy.Load{Left: value(e, r.left), Limit: value(e, r.to), Told: e.Reports > 0}
 	}
 	switch e.Code {
 	case wire.EvSync:
-		ev.Kind, ev.List = decide.EvList, listNews[e.Kind]
-		if ev.List != decide.ListFailed {
+		ev.Kind, ev.List = policy.EvList, listNews[e.Kind]
+		if ev.List != policy.ListFailed {
 			ev.Entries = h.lists[e.Sheet]
 		}
 	case wire.EvCall:
-		ev.Kind, ev.Key, ev.Left, ev.Class = decide.EvMessage, e.Subject, decide.Time(e.Grace), int(e.Class)
+		ev.Kind, ev.Key, ev.Left, ev.Class = policy.EvMessage, e.Subject, policy.Time(e.Grace), int(e.Class)
 		ev.Dest, ev.Tenant = int(e.Dest), int(e.Tenant)
 		if e.Flags&1 != 0 {
-			ev.Work = decide.Time(e.Estimate)
+			ev.Work = policy.Time(e.Estimate)
 		}
 	case wire.EvBegun:
-		ev.Kind = decide.EvBegun
+		ev.Kind = policy.EvBegun
 	case wire.EvResolved:
-		ev.Kind, ev.Settled = decide.EvOutcome, e.Settled
+		ev.Kind, ev.Settled = policy.EvOutcome, e.Settled
 		switch ev.Outcome {
-		case decide.Full:
-			ev.Wait = decide.Time(e.Note) * 1000
-		case decide.NotSent:
+		case policy.Full:
+			ev.Wait = policy.Time(e.Note) * 1000
+		case policy.NotSent:
 			ev.Slots = e.Note == 1
 		}
 	case wire.EvLapsed:
-		ev.Kind = decide.EvWithdraw
+		ev.Kind = policy.EvWithdraw
 	case wire.EvAlarm:
-		ev.Kind, ev.Token = decide.EvTimer, e.Token
+		ev.Kind, ev.Token = policy.EvTimer, e.Token
 	case wire.EvHealth:
-		ev.Kind = decide.EvProbed
+		ev.Kind = policy.EvProbed
 	default:
 		return ev, false
 	}
@@ -159,30 +159,30 @@
 }
 
 // action maps the interface's words to a record.
-func action(id uint16, a *decide.Action) wire.Action {
+func action(id uint16, a *policy.Action) wire.Action {
 	w := wire.Action{Relay: id, Ticket: a.Message, Endpoint: uint64(a.Endpoint), Attempt: uint8(a.Attempt),
 		At: uint64(a.At), Token: a.Token, Text: a.Text}
 	w.After = uint32(min(max(a.After, 0), math.MaxUint32))
 	switch a.Kind {
-	case decide.ActSend:
+	case policy.ActSend:
 		w.Code = wire.ActDeliver
-	case decide.ActRefuse:
+	case policy.ActRefuse:
 		w.Code = wire.ActRefuse
-	case decide.ActFail:
+	case policy.ActFail:
 		w.Code = wire.ActLose
-	case decide.ActCancel:
+	case policy.ActCancel:
 		w.Code = wire.ActCancel
-	case decide.ActTimer:
+	case policy.ActTimer:
 		w.Code = wire.ActRemind
-	case decide.ActProbe:
+	case policy.ActProbe:
 		w.Code = wire.ActProbe
-	case decide.ActClose:
+	case policy.ActClose:
 		w.Code = wire.ActClose
-	case decide.ActWatch:
+	case policy.ActWatch:
 		w.Code, w.On = wire.ActListen, true
-	case decide.ActFetch:
+	case policy.ActFetch:
 		w.Code = wire.ActRead
-	case decide.ActLog:
+	case policy.ActLog:
 		w.Code = wire.ActLog
 	}
 	return w
@@ -198,7 +198,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := decide.New(set, e.Token)
+	p, err := policy.New(set, e.Token)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink hosts one policy for each relay and carries frames on
+// Command sim-adapter hosts one policy for each relay and carries frames on
 // standard input and output to it and back. It decides nothing.
 package main
 
@@ -12,7 +12,7 @@
 
 func main() {
 	log.SetFlags(0)
-	log.SetPrefix("benchlink: ")
+	log.SetPrefix("sim-adapter: ")
 	in := bufio.NewReaderSize(os.Stdin, 1<<20)
 	out := bufio.NewWriterSize(os.Stdout, 1<<20)
 	if err := serve(in, out); err != nil {
--- a/internal/listener/listener.go
+++ b/internal/acceptretry/listener.go
@@ -1,7 +1,7 @@
-// Package listener has servers go on accepting after errors that pass. net/http ends a
+// Package acceptretry has servers go on accepting after errors that pass. net/http ends a
 // server at the first error of accept that does not call itself temporary, and Linux has
 // many of those that are of one connection, or of a moment (accept(2)).
-package listener
+package acceptretry
 
 import (
 	"errors"
--- a/internal/listener/listener_test.go
+++ b/internal/acceptretry/listener_test.go
@@ -1,4 +1,4 @@
-package listener
+package acceptretry
 
 import (
 	"context"
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/clock/wallclock"
+	"plovershore/internal/clock/wallclock"
 )
 
 // Wall is a wall clock that a test steps.
--- a/internal/duty/command/command.go
+++ b/internal/controller/command.go
@@ -1,7 +1,7 @@
-// Package command is troutwarden's command line and `troutctl duties`. It
+// Package controller is controller's command line and `relayctl duties`. It
 // promises the exit codes that their help names; what a duty is, is package
 // duty's.
-package command
+package controller
 
 import (
 	"context"
@@ -16,13 +16,13 @@
 
 	"github.com/spf13/cobra"
 
-	"troutusher/internal/clock"
-	"troutusher/internal/duty"
-	"troutusher/internal/listener"
-	"troutusher/internal/registry/client"
-	"troutusher/internal/rollout"
-	"troutusher/internal/salvage"
-	"troutusher/internal/zones"
+	"plovershore/internal/acceptretry"
+	"plovershore/internal/clock"
+	"plovershore/internal/failover"
+	"plovershore/internal/leader"
+	"plovershore/internal/registry/client"
+	"plovershore/internal/rollout"
+	"plovershore/internal/zones"
 )
 
 // Exit codes.
@@ -34,12 +34,12 @@
 
 var errUsage = errors.New("usage")
 
-// Warden is troutwarden's main. ctx ends it.
+// Warden is controller's main. ctx ends it.
 func Warden(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var nodes, duties []string
 	var name, form, operator, platform, drill string
 	var ttl time.Duration
-	c := &cobra.Command{Use: "troutwarden", Short: "Hold duties of the fleet, one process at a time for each",
+	c := &cobra.Command{Use: "controller", Short: "Hold duties of the fleet, one process at a time for each",
 		Long: "Hold duties of the fleet, one process at a time for each.\n\n" +
 			"Exit codes: 0 ended when asked to, all duties given up; 1 it could not go on; 2 bad usage.",
 		SilenceErrors: true, SilenceUsage: true,
@@ -71,8 +71,8 @@
 				}
 				defer told.Close()
 			}
-			all := map[string]duty.Work{duty.ListKeeper: duty.KeepList, duty.Counter: duty.Count(log), salvage.Duty: salvage.Work(g, told), rollout.Duty: rollout.Work(g), zones.Duty: zones.Work(g)}
-			work := map[string]duty.Work{}
+			all := map[string]leader.Work{leader.ListKeeper: leader.KeepList, leader.Counter: leader.Count(log), failover.Duty: failover.Work(g, told), rollout.Duty: rollout.Work(g), zones.Duty: zones.Work(g)}
+			work := map[string]leader.Work{}
 			for _, d := range duties {
 				w, ok := all[d]
 				if !ok {
@@ -84,7 +84,7 @@
 			if err != nil {
 				return fmt.Errorf("%w: --drill-clock: %w", errUsage, err)
 			}
-			figures := duty.NewFigures()
+			figures := leader.NewFigures()
 			if operator != "" {
 				ln, err := net.Listen("tcp", operator)
 				if err != nil {
@@ -93,16 +93,16 @@
 				mux := http.NewServeMux()
 				mux.Handle("GET /v1/metrics", figures.Handler())
 				s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-				go s.Serve(listener.Patient(ln)) // ends by Close
+				go s.Serve(acceptretry.Patient(ln)) // ends by Close
 				defer s.Close()
 			}
-			return duty.Run(c.Context(), duty.Options{Client: g, Warden: name, TTL: ttl, Duties: work, Log: log, Figures: figures, Clock: own})
+			return leader.Run(c.Context(), leader.Options{Client: g, Warden: name, TTL: ttl, Duties: work, Log: log, Figures: figures, Clock: own})
 		}}
 	host, _ := os.Hostname() // a default alone
 	c.Flags().StringSliceVar(&nodes, "nodes", []string{"127.0.0.1:7800"}, "nodes of the list service")
 	c.Flags().StringVar(&name, "name", host, "this warden, for people")
 	c.Flags().DurationVar(&ttl, "ttl", 3*time.Second, "time to live of its session: another takes over so long after it was last heard of")
-	c.Flags().StringSliceVar(&duties, "duties", []string{duty.ListKeeper, salvage.Duty, rollout.Duty, zones.Duty}, "what it may hold")
+	c.Flags().StringSliceVar(&duties, "duties", []string{leader.ListKeeper, failover.Duty, rollout.Duty, zones.Duty}, "what it may hold")
 	c.Flags().StringVar(&operator, "operator", "", "where /v1/metrics is served; empty for nowhere")
 	c.Flags().StringVar(&platform, "platform", "", "where salvage tells how messages ended (POST /reports); empty for the list service, which counts them")
 	c.Flags().StringVar(&form, "log", "text", "text or json, on standard error")
@@ -116,10 +116,10 @@
 	case err == nil:
 		return OK
 	case errors.Is(err, errUsage):
-		fmt.Fprintf(errOut, "troutwarden: %v\n", err)
+		fmt.Fprintf(errOut, "controller: %v\n", err)
 		return Usage
 	default:
-		fmt.Fprintf(errOut, "troutwarden: %v\n", err)
+		fmt.Fprintf(errOut, "controller: %v\n", err)
 		return Failed
 	}
 }
@@ -157,7 +157,7 @@
 			defer l.Stop()
 			log := slog.New(slog.NewTextHandler(errOut, nil))
 			s := &http.Server{Handler: (&rollout.Runner{Folder: folder, Program: l, Log: log}).Handler(), ReadHeaderTimeout: 5 * time.Second}
-			go s.Serve(listener.Patient(ln)) // ends by Close
+			go s.Serve(acceptretry.Patient(ln)) // ends by Close
 			defer s.Close()
 			log.Info("runner serves", "listen", ln.Addr().String())
 			<-c.Context().Done()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
 )
 
 // watchList runs discovery and hands on what it hears.
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 // WaitFor waits for a condition, never for a time.
--- a/internal/discovery/listsize_test.go
+++ b/internal/discovery/listsize_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
 )
 
 // longNames gives members as many and with names as long as are planned for.
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -11,7 +11,7 @@
 	"net/http"
 	"time"
 
-	"troutusher/internal/mailbox"
+	"plovershore/internal/mailbox"
 )
 
 // Outcomes that a notice tells.
--- a/internal/salvage/salvage.go
+++ b/internal/failover/salvage.go
@@ -1,10 +1,10 @@
-// Package salvage is the duty that sees what a relay owed to its end, where that
+// Package failover is the duty that sees what a relay owed to its end, where that
 // relay will not come back and its folder lasts. It promises that each message of
 // the folder gets one end, the same however often a holder of the duty dies on
 // the way, and that none is sent: what never ran is handed back, and so is what
 // may run again; what may have run and may not again is given up. A relay that comes back late finds its folder fenced, and
 // begins empty. Which folder is lost is the operators' to say.
-package salvage
+package failover
 
 import (
 	"bytes"
@@ -18,11 +18,11 @@
 	"slices"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/duty"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/leader"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
+	"plovershore/internal/wal"
 )
 
 // Duty is its name, and the kind of its orders.
@@ -55,21 +55,21 @@
 
 // Work is the duty's. Orders come from and go to the list service by c; how
 // messages end is told by platform.
-func Work(c, platform *client.Client) duty.Work {
-	return func(ctx context.Context, g *duty.Grant) error {
+func Work(c, platform *client.Client) leader.Work {
+	return func(ctx context.Context, g *leader.Grant) error {
 		t := time.NewTicker(lookEvery)
 		defer t.Stop()
 		for {
 			var all []registry.Order
 			if _, err := c.Do(ctx, http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
-				return duty.Ended(ctx, err)
+				return leader.Ended(ctx, err)
 			}
 			for _, o := range all {
 				if o.Kind != Duty || o.Done || o.Wish == registry.WishPause {
 					continue
 				}
 				if err := one(ctx, g, platform, o); err != nil {
-					return duty.Ended(ctx, err)
+					return leader.Ended(ctx, err)
 				}
 			}
 			select {
@@ -83,7 +83,7 @@
 
 // one brings an order on. What keeps it from that is told in the order, and
 // tried again.
-func one(ctx context.Context, g *duty.Grant, platform *client.Client, o registry.Order) error {
+func one(ctx context.Context, g *leader.Grant, platform *client.Client, o registry.Order) error {
 	var spec Spec
 	var p Progress
 	err := json.Unmarshal(o.Spec, &spec)
@@ -103,7 +103,7 @@
 	if !p.Moved {
 		owed, err := move(g, spec, file)
 		if err != nil {
-			if errors.Is(err, duty.ErrFenced) {
+			if errors.Is(err, leader.ErrFenced) {
 				return err
 			}
 			if says := "waits: " + err.Error(); says != o.Says {
@@ -157,7 +157,7 @@
 // fence, and gives how much it owes. A file of that name is the work of a holder
 // before, whose folder was fenced first: it is gone on with, though the relay may
 // have come back since and begun empty.
-func move(g *duty.Grant, spec Spec, file string) (owed int, err error) {
+func move(g *leader.Grant, spec Spec, file string) (owed int, err error) {
 	recs, err := wal.ReadExport(file)
 	if err == nil {
 		if release, err := wal.Own(spec.Folder); err == nil {
@@ -175,7 +175,7 @@
 		return 0, err
 	}
 	defer release()
-	if err := duty.Fence(spec.Folder, Duty, g.Token); err != nil {
+	if err := leader.Fence(spec.Folder, Duty, g.Token); err != nil {
 		return 0, err
 	}
 	report, err := wal.Export(spec.Folder, file, int64(max(spec.DiskMB, 3))<<20)
@@ -197,7 +197,7 @@
 	return discovery.Notice{Message: r.ID, Outcome: discovery.HandedBack, RetryMS: retryMS}
 }
 
-func tell(ctx context.Context, g *duty.Grant, o registry.Order, p Progress, says string, done bool) error {
+func tell(ctx context.Context, g *leader.Grant, o registry.Order, p Progress, says string, done bool) error {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return fmt.Errorf("salvage: %w", err)
--- a/internal/salvage/salvage_test.go
+++ b/internal/failover/salvage_test.go
@@ -1,4 +1,4 @@
-package salvage
+package failover
 
 import (
 	"bytes"
@@ -18,12 +18,12 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/duty"
-	"troutusher/internal/loopback"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/leader"
+	"plovershore/internal/loopback"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
+	"plovershore/internal/wal"
 )
 
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
@@ -139,7 +139,7 @@
 	c := s.client()
 	go func() {
 		defer close(done)
-		if err := duty.Run(ctx, duty.Options{Client: c, Warden: name, TTL: 3 * time.Second, Duties: map[string]duty.Work{Duty: Work(c, c)}, Log: quiet()}); err != nil {
+		if err := leader.Run(ctx, leader.Options{Client: c, Warden: name, TTL: 3 * time.Second, Duties: map[string]leader.Work{Duty: Work(c, c)}, Log: quiet()}); err != nil {
 			s.t.Error(err)
 		}
 	}()
@@ -278,10 +278,10 @@
 // A holder before, whose token is older, does not move the folder any more.
 func TestAnOlderTokenMovesNothing(t *testing.T) {
 	folder, _ := lost(t, 5)
-	if err := duty.Fence(folder, Duty, 9); err != nil {
+	if err := leader.Fence(folder, Duty, 9); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := move(&duty.Grant{Token: 8}, Spec{Folder: folder}, folder+".salvage"); err == nil {
+	if _, err := move(&leader.Grant{Token: 8}, Spec{Folder: folder}, folder+".salvage"); err == nil {
 		t.Fatal("moved")
 	}
 	if report, err := wal.Inspect(nil, folder); err != nil || report.Owed != 5 {
--- a/internal/lab/bench.go
+++ b/internal/faultlab/bench.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"bufio"
@@ -21,12 +21,12 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/agent"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/agent"
+	"plovershore/internal/registry/client"
 )
 
 // BenchOptions say what of the list service is measured.
--- a/internal/lab/bench_duty.go
+++ b/internal/faultlab/bench_duty.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"troutusher/internal/duty"
-	"troutusher/internal/lab/link"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/faultlab/link"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/leader"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 // DutyBenchOptions say what of the duties is measured.
@@ -137,7 +137,7 @@
 		}
 		revision = l.Revision
 		for _, d := range l.Duties {
-			if d.Name == duty.ListKeeper && d.Holder != "" && d.Token > after && len(l.Sessions) >= sessions {
+			if d.Name == leader.ListKeeper && d.Holder != "" && d.Token > after && len(l.Sessions) >= sessions {
 				return d, nil
 			}
 		}
@@ -280,9 +280,9 @@
 
 // load measures what so many duties cost the store while all are held.
 func (b *benchGroup) load(ctx context.Context, n int, add func(string, []float64)) error {
-	work := map[string]duty.Work{}
+	work := map[string]leader.Work{}
 	for i := range n {
-		work[fmt.Sprint("d-", i)] = func(ctx context.Context, _ *duty.Grant) error { <-ctx.Done(); return nil }
+		work[fmt.Sprint("d-", i)] = func(ctx context.Context, _ *leader.Grant) error { <-ctx.Done(); return nil }
 	}
 	run, stop := context.WithCancel(ctx)
 	var g errgroup.Group
@@ -302,7 +302,7 @@
 		}
 		defer own.Close()
 		g.Go(func() error {
-			return duty.Run(run, duty.Options{Client: own, Warden: fmt.Sprint("w-", i), TTL: 3 * time.Second, Duties: work, Log: slog.New(slog.DiscardHandler)})
+			return leader.Run(run, leader.Options{Client: own, Warden: fmt.Sprint("w-", i), TTL: 3 * time.Second, Duties: work, Log: slog.New(slog.DiscardHandler)})
 		})
 	}
 	for held := 0; held < n; {
--- a/internal/lab/bench_wal.go
+++ b/internal/faultlab/bench_wal.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/wal"
-	"troutusher/internal/wal/baseline"
+	"plovershore/internal/wal"
+	"plovershore/internal/wal/baseline"
 )
 
 // WALBenchOptions say what of the log is measured, beside the one before it.
--- a/internal/lab/capacity/agent.go
+++ b/internal/faultlab/capacity/agent.go
@@ -14,10 +14,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/loopback"
-	"troutusher/internal/registry/agent"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/loopback"
+	"plovershore/internal/registry/agent"
 )
 
 func agentJobs() []job {
--- a/internal/lab/capacity/list.go
+++ b/internal/faultlab/capacity/list.go
@@ -7,7 +7,7 @@
 	"runtime"
 	"time"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 // Figures of the target.
--- a/internal/lab/capacity/main_test.go
+++ b/internal/faultlab/capacity/main_test.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"testing"
 
-	dutycommand "troutusher/internal/duty/command"
-	registrycommand "troutusher/internal/registry/command"
-	"troutusher/internal/relay"
+	dutycommand "plovershore/internal/controller"
+	registrycommand "plovershore/internal/registry/command"
+	"plovershore/internal/relay"
 )
 
 // programEnv makes the test's own program a relay, a node, an agent or a warden:
--- a/internal/lab/capacity/policy.go
+++ b/internal/faultlab/capacity/policy.go
@@ -7,16 +7,16 @@
 	"runtime"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/settings"
-	"troutusher/internal/wire"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/settings"
+	"plovershore/internal/wire"
+	"plovershore/policy"
 )
 
 const (
 	policySlots  = 100
-	policyWait   = decide.Time(3600e6) // of a destination that told the relay to wait
-	policyMoment = decide.Time(10_000) // between steps: a call a step, by the policy's own pace
+	policyWait   = policy.Time(3600e6) // of a destination that told the relay to wait
+	policyMoment = policy.Time(10_000) // between steps: a call a step, by the policy's own pace
 	safeClass    = 0
 	unsafeClass  = 1
 	classTime    = 100 * policyWait // so that nothing runs out of time while it is measured
@@ -35,14 +35,14 @@
 	return s
 }
 
-func policySettings(held int) (decide.Settings, error) {
+func policySettings(held int) (policy.Settings, error) {
 	text, err := json.Marshal(relaySettings(policySlots, 340))
 	if err != nil {
-		return decide.Settings{}, fmt.Errorf("settings: %w", err)
+		return policy.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s, err := wire.ParseSettings(text)
 	if err != nil {
-		return decide.Settings{}, err
+		return policy.Settings{}, err
 	}
 	d, err := settings.Policy(s)
 	d.MaxHeld, d.Streams = held, 1
@@ -53,15 +53,15 @@
 type flight struct {
 	message  uint32
 	attempt  int
-	endpoint decide.Endpoint
+	endpoint policy.Endpoint
 }
 
 // driver is the relay round a policy, as far as the policy can tell: it hands in
 // messages and ends attempts at moments of its own clock.
 type driver struct {
-	policy  *decide.Policy
-	now     decide.Time
-	actions []decide.Action
+	policy  *policy.Policy
+	now     policy.Time
+	actions []policy.Action
 	out     []flight
 	tries   map[uint32]int
 	last    uint32
@@ -74,39 +74,39 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := decide.New(s, 1)
+	p, err := policy.New(s, 1)
 	if err != nil {
 		return nil, err
 	}
 	d := &driver{policy: p, now: policyWait, tries: map[uint32]int{}}
-	d.step(decide.Event{Kind: decide.EvList, List: decide.ListFull, Entries: entries(destinations)})
+	d.step(policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: entries(destinations)})
 	return d, nil
 }
 
-func entries(destinations int) []decide.Entry {
-	all := make([]decide.Entry, destinations)
+func entries(destinations int) []policy.Entry {
+	all := make([]policy.Entry, destinations)
 	for i := range all {
-		all[i] = entry(i, decide.Ready)
+		all[i] = entry(i, policy.Ready)
 	}
 	return all
 }
 
 // entry is the only endpoint of a destination; its number is one above it.
-func entry(destination int, state decide.Readiness) decide.Entry {
-	return decide.Entry{Endpoint: decide.Endpoint(destination + 1), Zone: destination % targetZones, Kind: 1, Dest: destination, State: state, Rate: 1}
+func entry(destination int, state policy.Readiness) policy.Entry {
+	return policy.Entry{Endpoint: policy.Endpoint(destination + 1), Zone: destination % targetZones, Kind: 1, Dest: destination, State: state, Rate: 1}
 }
 
 // step has the policy take events, and gives how long that took.
-func (d *driver) step(events ...decide.Event) time.Duration {
+func (d *driver) step(events ...policy.Event) time.Duration {
 	began := time.Now()
 	d.actions = d.policy.Step(d.now, events, d.actions[:0])
 	took := time.Since(began)
 	for i := range d.actions {
 		switch a := &d.actions[i]; a.Kind {
-		case decide.ActSend:
+		case policy.ActSend:
 			d.out = append(d.out, flight{a.Message, d.tries[a.Message], a.Endpoint})
 			d.tries[a.Message]++
-		case decide.ActRefuse, decide.ActFail:
+		case policy.ActRefuse, policy.ActFail:
 			d.ended++
 			delete(d.tries, a.Message)
 		}
@@ -115,30 +115,30 @@
 }
 
 // message is a new one for a destination.
-func (d *driver) message(destination, class int) decide.Event {
+func (d *driver) message(destination, class int) policy.Event {
 	d.last++
-	return decide.Event{Kind: decide.EvMessage, Message: d.last, Class: class, Dest: destination, Tenant: -1, Left: classTime}
+	return policy.Event{Kind: policy.EvMessage, Message: d.last, Class: class, Dest: destination, Tenant: -1, Left: classTime}
 }
 
 // outcome ends the oldest attempt that is out.
-func (d *driver) outcome(o decide.Outcome, wait decide.Time) (decide.Event, error) {
+func (d *driver) outcome(o policy.Outcome, wait policy.Time) (policy.Event, error) {
 	if len(d.out) == 0 {
-		return decide.Event{}, errors.New("policy: no attempt is out")
+		return policy.Event{}, errors.New("policy: no attempt is out")
 	}
 	f := d.out[0]
 	d.out = d.out[1:]
-	if o == decide.Delivered {
+	if o == policy.Delivered {
 		delete(d.tries, f.message)
 	}
-	return decide.Event{Kind: decide.EvOutcome, Message: f.message, Attempt: f.attempt, Endpoint: f.endpoint, Outcome: o, Wait: wait,
-		Took: 200_000, Settled: o == decide.Delivered}, nil
+	return policy.Event{Kind: policy.EvOutcome, Message: f.message, Attempt: f.attempt, Endpoint: f.endpoint, Outcome: o, Wait: wait,
+		Took: 200_000, Settled: o == policy.Delivered}, nil
 }
 
 // shut has a destination tell the relay to wait for longer than is measured; the
 // message for it waits there.
 func (d *driver) shut(destination int) error {
 	d.step(d.message(destination, safeClass))
-	e, err := d.outcome(decide.Full, policyWait)
+	e, err := d.outcome(policy.Full, policyWait)
 	if err != nil {
 		return fmt.Errorf("destination %d: %w", destination, err)
 	}
@@ -154,7 +154,7 @@
 			return took, nil
 		}
 		d.now += policyMoment
-		took += d.step(decide.Event{Kind: decide.EvTimer})
+		took += d.step(policy.Event{Kind: policy.EvTimer})
 	}
 	return took, errors.New("policy: nothing is sent")
 }
@@ -166,7 +166,7 @@
 		return took, err
 	}
 	d.now += policyMoment
-	e, err := d.outcome(decide.Delivered, 0)
+	e, err := d.outcome(policy.Delivered, 0)
 	if err != nil {
 		return took, err
 	}
--- a/internal/lab/capacity/policy_jobs.go
+++ b/internal/faultlab/capacity/policy_jobs.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"time"
 
-	"troutusher/decide"
+	"plovershore/policy"
 )
 
 const (
@@ -69,21 +69,21 @@
 	}
 	all := entries(size)
 	before := heapBytes()
-	p, err := decide.New(s, 1)
+	p, err := policy.New(s, 1)
 	if err != nil {
 		return nil, err
 	}
 	d := &driver{policy: p, now: policyWait, tries: map[uint32]int{}}
-	whole := decide.Event{Kind: decide.EvList, List: decide.ListFull, Entries: all}
+	whole := policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: all}
 	first := d.step(whole)
 	memory := heapBytes() - before
 	again := d.step(whole)
 	changed := d.changes(size)
-	told, err := d.deliveries(0, min(size/4, 20), decide.Load{Left: 0.5, Limit: 100, Told: true})
+	told, err := d.deliveries(0, min(size/4, 20), policy.Load{Left: 0.5, Limit: 100, Told: true})
 	if err != nil {
 		return nil, err
 	}
-	untold, err := d.deliveries(size/4, min(size/4, 20), decide.Load{})
+	untold, err := d.deliveries(size/4, min(size/4, 20), policy.Load{})
 	if err != nil {
 		return nil, err
 	}
@@ -99,11 +99,11 @@
 	var took time.Duration
 	for i := range changes {
 		d.now += policyMoment
-		state := decide.Draining
+		state := policy.Draining
 		if i%2 == 1 {
-			state = decide.Ready
+			state = policy.Ready
 		}
-		took += d.step(decide.Event{Kind: decide.EvList, List: decide.ListChange, Entries: []decide.Entry{entry(i/2%members, state)}})
+		took += d.step(policy.Event{Kind: policy.EvList, List: policy.ListChange, Entries: []policy.Entry{entry(i/2%members, state)}})
 	}
 	return micros(took, changes)
 }
@@ -118,9 +118,9 @@
 	var took time.Duration
 	trials := 0
 	for end := d.now + policyWait/6; d.now < end && trials < most; d.now += policyMoment * 10 {
-		d.step(decide.Event{Kind: decide.EvTimer})
+		d.step(policy.Event{Kind: policy.EvTimer})
 		for len(d.out) > 0 {
-			e, err := d.outcome(decide.NoConnect, 0)
+			e, err := d.outcome(policy.NoConnect, 0)
 			if err != nil {
 				return 0, err
 			}
@@ -137,7 +137,7 @@
 
 // deliveries gives the mean time of a message handed in and its answer with a
 // load report, over some destinations that are up.
-func (d *driver) deliveries(first, destinations int, load decide.Load) (float64, error) {
+func (d *driver) deliveries(first, destinations int, load policy.Load) (float64, error) {
 	const each = 25
 	var took time.Duration
 	for round := range each + 1 {
@@ -145,7 +145,7 @@
 			d.now += policyMoment * 100
 			span := d.step(d.message(first+i, safeClass))
 			for len(d.out) > 0 {
-				e, err := d.outcome(decide.Delivered, 0)
+				e, err := d.outcome(policy.Delivered, 0)
 				if err != nil {
 					return 0, err
 				}
@@ -168,7 +168,7 @@
 		return nil, err
 	}
 	const slice = 2000 // as the relay reads
-	var owed []decide.Event
+	var owed []policy.Event
 	for i := range slice {
 		e := d.message(i%min(size, destinationsDown), safeClass)
 		e.Kept = true
@@ -179,7 +179,7 @@
 	calls := 0
 	for limit := time.Now().Add(failedLimit); len(d.out) > 0 && time.Now().Before(limit); calls++ {
 		d.now += policyMoment / 10
-		e, err := d.outcome(decide.NoConnect, 0)
+		e, err := d.outcome(policy.NoConnect, 0)
 		if err != nil {
 			return nil, err
 		}
@@ -288,7 +288,7 @@
 		d.now += policyMoment
 		took += d.step(d.message(i%destinationsUp, class))
 		for len(d.out) > 0 {
-			e, err := d.outcome(decide.Delivered, 0)
+			e, err := d.outcome(policy.Delivered, 0)
 			if err != nil {
 				return 0, err
 			}
@@ -309,7 +309,7 @@
 	n := 0
 	for ; n < timedRounds && len(d.out) > 0; n++ {
 		d.now += policyMoment
-		e, err := d.outcome(decide.Delivered, 0)
+		e, err := d.outcome(policy.Delivered, 0)
 		if err != nil {
 			return 0, err
 		}
--- a/internal/lab/capacity/registry.go
+++ b/internal/faultlab/capacity/registry.go
@@ -16,10 +16,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"troutusher/internal/lab/process"
-	"troutusher/internal/loopback"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/loopback"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 const (
--- a/internal/lab/capacity/registry_jobs.go
+++ b/internal/faultlab/capacity/registry_jobs.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/discovery"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 const (
--- a/internal/lab/capacity/relay.go
+++ b/internal/faultlab/capacity/relay.go
@@ -15,9 +15,9 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/loopback"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/loopback"
 )
 
 const (
--- a/internal/lab/capacity/relay_jobs.go
+++ b/internal/faultlab/capacity/relay_jobs.go
@@ -11,9 +11,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/wal"
 )
 
 const (
--- a/internal/lab/capacity/standin.go
+++ b/internal/faultlab/capacity/standin.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 const standinQuiet = 2 * time.Second // an empty line of a watch, as agents send
--- a/internal/lab/capacity/usage.go
+++ b/internal/faultlab/capacity/usage.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/lab/process"
+	"plovershore/internal/faultlab/process"
 )
 
 // usage is what one process or several use.
--- a/internal/lab/capacity/warden.go
+++ b/internal/faultlab/capacity/warden.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/lab/process"
-	"troutusher/internal/registry"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/registry"
 )
 
 const targetWardens = 4 // one on each control machine
--- a/internal/lab/capacity/watchers.go
+++ b/internal/faultlab/capacity/watchers.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 const (
--- a/internal/lab/judge/duty.go
+++ b/internal/faultlab/checker/duty.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"troutusher/internal/lab/history"
+	"plovershore/internal/faultlab/history"
 )
 
 // duties judges what the holders of a duty counted: each step is an effect. By
--- a/internal/lab/judge/judge.go
+++ b/internal/faultlab/checker/judge.go
@@ -1,17 +1,17 @@
-// Package judge reads a history and says which promises of the protocol were
+// Package checker reads a history and says which promises of the protocol were
 // broken. Each checker knows one rule and names, for each break, the message or
 // process, the two events that contradict each other, and the file to read. It
 // judges by what the stand-ins saw alone; where a cut or a kill hides whether a
 // call ran, it says that it may have, and never guesses.
-package judge
+package checker
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/model"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/model"
 )
 
 // Limits of a relay's machine, in bytes and descriptors.
--- a/internal/lab/judge/judge_test.go
+++ b/internal/faultlab/checker/judge_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/model"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/model"
 )
 
 const ms = 1000 // µs
--- a/internal/lab/judge/list.go
+++ b/internal/faultlab/checker/list.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"troutusher/internal/lab/history"
+	"plovershore/internal/faultlab/history"
 )
 
 // listed is what the watchers of a list service have heard.
--- a/internal/lab/judge/process.go
+++ b/internal/faultlab/checker/process.go
@@ -1,10 +1,10 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"syscall"
 
-	"troutusher/internal/lab/history"
+	"plovershore/internal/faultlab/history"
 )
 
 // process judges what a relay's process does and holds.
--- a/internal/lab/command/command.go
+++ b/internal/faultlab/command/command.go
@@ -18,9 +18,9 @@
 
 	"github.com/spf13/cobra"
 
-	"troutusher/internal/lab"
-	"troutusher/internal/lab/report"
-	"troutusher/internal/lab/scenario"
+	"plovershore/internal/faultlab"
+	"plovershore/internal/faultlab/report"
+	"plovershore/internal/faultlab/scenario"
 )
 
 // Exit codes.
@@ -41,7 +41,7 @@
 // Main runs the command line and gives the exit code. ctx ends the load of a
 // run early.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
-	root := &cobra.Command{Use: "troutlab", Short: "Run many relays, break things between them, and judge what they did",
+	root := &cobra.Command{Use: "faultlab", Short: "Run many relays, break things between them, and judge what they did",
 		Long: "Run many relays, break things between them, and judge what they did.\n\nExit codes: 0 every promise was kept; 1 a promise was broken; 2 bad usage or scenario;\n" +
 			"3 it could not be run (a port taken, a process that does not start, the lab itself late).",
 		SilenceErrors: true, SilenceUsage: true}
@@ -59,10 +59,10 @@
 	case errors.Is(err, errBroken):
 		return Broken
 	case errors.As(err, &bad), errors.As(err, &usage), strings.HasPrefix(err.Error(), "unknown command"):
-		fmt.Fprintln(errOut, "troutlab:", err)
+		fmt.Fprintln(errOut, "faultlab:", err)
 		return Usage
 	}
-	fmt.Fprintln(errOut, "troutlab:", err)
+	fmt.Fprintln(errOut, "faultlab:", err)
 	return NotRun
 }
 
@@ -93,12 +93,12 @@
 	c.Flags().Uint64Var(&f.seed, "seed", 1, "of everything that is drawn; the same seed plays the same schedule")
 	c.Flags().StringVar(&f.out, "out", "", "folder of the report (default: lab-out/NAME-SEED-TIME)")
 	c.Flags().StringVar(&f.json, "json", "", "file to which the run's summary is added, for compare")
-	c.Flags().DurationVar(&f.late, "late", lab.LateMost, "p99 of the lab's own lateness beyond which a run is void")
+	c.Flags().DurationVar(&f.late, "late", faultlab.LateMost, "p99 of the lab's own lateness beyond which a run is void")
 	c.Flags().BoolVar(&f.keep, "keep", false, "keep the relays' folders as well")
-	c.Flags().StringVar(&f.program, "relay", "", "the relay's program (default: troutusher beside this one)")
+	c.Flags().StringVar(&f.program, "relay", "", "the relay's program (default: relay beside this one)")
 	c.Flags().StringVar(&f.first, "first", "", "a program that each relay runs first, such as an older one")
-	c.Flags().StringVar(&f.warden, "warden", "", "the wardens' program (default: troutwarden beside this one)")
-	c.Flags().StringVar(&f.registry, "registry", "", "the list service's program (default: troutregistry beside this one)")
+	c.Flags().StringVar(&f.warden, "warden", "", "the wardens' program (default: controller beside this one)")
+	c.Flags().StringVar(&f.registry, "registry", "", "the list service's program (default: registry beside this one)")
 }
 
 // find gives the path of a program: as it is named, or beside this one.
@@ -119,24 +119,24 @@
 
 // Summary is one run as summary.json and compare have it.
 type Summary struct {
-	*lab.Result
+	*faultlab.Result
 	Void  string        `json:"void,omitempty"` // why the run proves nothing
 	Stats *report.Stats `json:"stats"`
 }
 
 // play runs one scenario, writes its report, and says how it went.
-func (f *running) play(c *cobra.Command, s *scenario.Scenario, watch func(*lab.Status)) (*Summary, error) {
-	program, err := find(f.program, "troutusher", "relay")
+func (f *running) play(c *cobra.Command, s *scenario.Scenario, watch func(*faultlab.Status)) (*Summary, error) {
+	program, err := find(f.program, "relay", "relay")
 	if err != nil {
 		return nil, err
 	}
 	registry, warden := "", ""
 	if s.Registry.Nodes > 0 {
-		if registry, err = find(f.registry, "troutregistry", "registry"); err != nil {
+		if registry, err = find(f.registry, "registry", "registry"); err != nil {
 			return nil, err
 		}
 		if s.Registry.Wardens > 0 {
-			if warden, err = find(f.warden, "troutwarden", "warden"); err != nil {
+			if warden, err = find(f.warden, "controller", "warden"); err != nil {
 				return nil, err
 			}
 		}
@@ -151,7 +151,7 @@
 	if out == "" {
 		out = filepath.Join("lab-out", fmt.Sprintf("%s-%d-%s", s.Name, f.seed, time.Now().Format("20060102T150405.000")))
 	}
-	res, err := lab.Run(c.Context(), lab.Options{Scenario: s, Seed: f.seed, Out: out, Program: program, First: f.first, Registry: registry, Warden: warden, Hollow: self, Keep: f.keep, Late: f.late, Watch: watch})
+	res, err := faultlab.Run(c.Context(), faultlab.Options{Scenario: s, Seed: f.seed, Out: out, Program: program, First: f.first, Registry: registry, Warden: warden, Hollow: self, Keep: f.keep, Late: f.late, Watch: watch})
 	if res == nil {
 		return nil, err
 	}
@@ -236,8 +236,8 @@
 	return nil
 }
 
-func statusLine(w io.Writer) func(*lab.Status) {
-	return func(s *lab.Status) {
+func statusLine(w io.Writer) func(*faultlab.Status) {
+	return func(s *faultlab.Status) {
 		fmt.Fprintf(w, "%5.0f s  served %d  waiting %d  refused %d  given up %d  p50 %.0f ms  p99 %.0f ms  relays %d/%d  faults %d\n", s.Elapsed.Seconds(),
 			s.Served, s.Waiting, s.Refused, s.GivenUp, s.P50.Seconds()*1e3, s.P99.Seconds()*1e3, s.Up, s.Fleet, s.Faults)
 	}
@@ -309,7 +309,7 @@
 			if err != nil {
 				return err
 			}
-			for _, step := range lab.Plan(s, seed) {
+			for _, step := range faultlab.Plan(s, seed) {
 				fmt.Fprintln(c.OutOrStdout(), step)
 			}
 			fmt.Fprintln(c.OutOrStdout(), args[0]+": can be run")
@@ -555,21 +555,21 @@
 
 func benchCommand() *cobra.Command {
 	c := &cobra.Command{Use: "bench", Short: "Measure a part of the fleet"}
-	o := lab.BenchOptions{}
+	o := faultlab.BenchOptions{}
 	var program string
 	r := &cobra.Command{Use: "registry", Short: "The list service: fan-out, memory, writes, elections, beside a poll and a single node", Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
-			if o.Registry, err = find(program, "troutregistry", "registry"); err != nil {
+			if o.Registry, err = find(program, "registry", "registry"); err != nil {
 				return err
 			}
 			o.Out, o.Say = benchOut(c, o.Out, "registry")
-			rows, err := lab.BenchRegistry(c.Context(), o)
+			rows, err := faultlab.BenchRegistry(c.Context(), o)
 			if err != nil {
 				return err
 			}
 			return keepRows(o.Out, rows)
 		}}
-	r.Flags().StringVar(&program, "registry", "", "its program (default: troutregistry beside this one)")
+	r.Flags().StringVar(&program, "registry", "", "its program (default: registry beside this one)")
 	r.Flags().StringVar(&o.Out, "out", "", "folder (default: lab-out/bench-registry-TIME)")
 	r.Flags().IntSliceVar(&o.Watchers, "watchers", []int{300, 10000}, "watchers of one write")
 	r.Flags().IntSliceVar(&o.Members, "members", []int{300, 3000}, "members of the list, with 300 watchers")
@@ -584,25 +584,25 @@
 }
 
 func benchDuty() *cobra.Command {
-	o := lab.DutyBenchOptions{}
+	o := faultlab.DutyBenchOptions{}
 	var program, warden string
 	d := &cobra.Command{Use: "duty", Short: "Duties: how long nobody holds one, and what they cost the store", Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
-			if o.Registry, err = find(program, "troutregistry", "registry"); err != nil {
+			if o.Registry, err = find(program, "registry", "registry"); err != nil {
 				return err
 			}
-			if o.Warden, err = find(warden, "troutwarden", "warden"); err != nil {
+			if o.Warden, err = find(warden, "controller", "warden"); err != nil {
 				return err
 			}
 			o.Out, o.Say = benchOut(c, o.Out, "duty")
-			rows, err := lab.BenchDuty(c.Context(), o)
+			rows, err := faultlab.BenchDuty(c.Context(), o)
 			if err != nil {
 				return err
 			}
 			return keepRows(o.Out, rows)
 		}}
-	d.Flags().StringVar(&program, "registry", "", "the list service's program (default: troutregistry beside this one)")
-	d.Flags().StringVar(&warden, "warden", "", "the wardens' program (default: troutwarden beside this one)")
+	d.Flags().StringVar(&program, "registry", "", "the list service's program (default: registry beside this one)")
+	d.Flags().StringVar(&warden, "warden", "", "the wardens' program (default: controller beside this one)")
 	d.Flags().StringVar(&o.Out, "out", "", "folder (default: lab-out/bench-duty-TIME)")
 	d.Flags().DurationSliceVar(&o.TTL, "ttl", []time.Duration{time.Second, 2 * time.Second, 5 * time.Second}, "times to live")
 	d.Flags().IntSliceVar(&o.Kills, "kills", []int{100, 100, 100}, "kills of the holder, for each time to live")
@@ -613,11 +613,11 @@
 }
 
 func benchWAL() *cobra.Command {
-	o := lab.WALBenchOptions{}
+	o := faultlab.WALBenchOptions{}
 	w := &cobra.Command{Use: "wal", Short: "The relay's log: starts, writes, stalls, beside the log before it", Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			o.Out, o.Say = benchOut(c, o.Out, "wal")
-			rows, err := lab.BenchWAL(c.Context(), o)
+			rows, err := faultlab.BenchWAL(c.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -639,7 +639,7 @@
 	return out, func(format string, args ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", args...) }
 }
 
-func keepRows(out string, rows []lab.Spread) error {
+func keepRows(out string, rows []faultlab.Spread) error {
 	text, err := json.MarshalIndent(rows, "", " ")
 	if err != nil {
 		return fmt.Errorf("bench: %w", err)
--- a/internal/lab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -7,16 +7,16 @@
 	"strings"
 	"testing"
 
-	"troutusher/internal/lab/standin"
+	"plovershore/internal/faultlab/stub"
 )
 
 // standinEnv makes the test's own program a stand-in relay: what the lab starts
 // has the lab's environment.
-const standinEnv = "TROUTLAB_TEST_STANDIN"
+const standinEnv = "FAULTLAB_TEST_STANDIN"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(standinEnv) != "" {
-		os.Exit(standin.Main(os.Getenv))
+		os.Exit(stub.Main(os.Getenv))
 	}
 	os.Exit(m.Run())
 }
@@ -26,7 +26,7 @@
 func command(t *testing.T, defect string, args ...string) (code int, out string) {
 	t.Helper()
 	t.Setenv(standinEnv, "1")
-	t.Setenv(standin.DefectEnv, defect)
+	t.Setenv(stub.DefectEnv, defect)
 	var b bytes.Buffer
 	code = Main(t.Context(), args, &b, &b)
 	return code, b.String()
@@ -54,7 +54,7 @@
 	}{
 		{"kept", "", run("--json", filepath.Join(dir, "a.json")), Kept, "KEPT"},
 		{"kept again", "", run("--json", filepath.Join(dir, "a.json"), "--seed", "2"), Kept, "KEPT"},
-		{"broken", standin.SlowTerm, run("--json", filepath.Join(dir, "b.json")), Broken, "BROKEN: term"},
+		{"broken", stub.SlowTerm, run("--json", filepath.Join(dir, "b.json")), Broken, "BROKEN: term"},
 		{"late", "", run("--late", "1ns"), NotRun, "VOID"},
 		{"does not start", "", run("--relay", "/bin/false"), NotRun, "did not start"},
 		{"no relay", "", run("--relay", filepath.Join(dir, "none")), Usage, "none"},
--- a/internal/lab/command/hollow.go
+++ b/internal/faultlab/command/hollow.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/spf13/cobra"
 
-	"troutusher/internal/lab/hollow/relays"
+	"plovershore/internal/faultlab/simrelay/relays"
 )
 
 // hollowCommand runs a process of hollow relays; run starts it in a scale scenario.
--- a/internal/lab/command/scale.go
+++ b/internal/faultlab/command/scale.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"troutusher/internal/lab/capacity"
+	"plovershore/internal/faultlab/capacity"
 )
 
 // benchScale measures what each role costs at several sizes.
@@ -39,9 +39,9 @@
 	c.Flags().BoolVar(&o.Smoke, "smoke", false, "small sizes, one play: whether it works, not what it costs")
 	c.Flags().StringVar(&file, "json", "", "file of the measurements, for compare (default: bench.json in the folder)")
 	c.Flags().StringVar(&o.Out, "out", "", "folder, on the disk that is measured (default: lab-out/bench-scale-TIME)")
-	c.Flags().StringVar(&o.Relay, "relay", "", "the relay's program (default: troutusher beside this one)")
-	c.Flags().StringVar(&o.Registry, "registry", "", "the list service's program (default: troutregistry beside this one)")
-	c.Flags().StringVar(&o.Warden, "warden", "", "the wardens' program (default: troutwarden beside this one)")
+	c.Flags().StringVar(&o.Relay, "relay", "", "the relay's program (default: relay beside this one)")
+	c.Flags().StringVar(&o.Registry, "registry", "", "the list service's program (default: registry beside this one)")
+	c.Flags().StringVar(&o.Warden, "warden", "", "the wardens' program (default: controller beside this one)")
 	return c
 }
 
@@ -51,7 +51,7 @@
 		path   *string
 		beside string
 		flag   string
-	}{{&o.Relay, "troutusher", "relay"}, {&o.Registry, "troutregistry", "registry"}, {&o.Warden, "troutwarden", "warden"}} {
+	}{{&o.Relay, "relay", "relay"}, {&o.Registry, "registry", "registry"}, {&o.Warden, "controller", "warden"}} {
 		path, err := find(*x.path, x.beside, x.flag)
 		if err != nil {
 			return err
--- a/internal/lab/evacuate.go
+++ b/internal/faultlab/evacuate.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"cmp"
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/registry"
-	"troutusher/internal/zones"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/registry"
+	"plovershore/internal/zones"
 )
 
 // strikeEvacuate has the wardens drain a zone, one endpoint after the other, and
--- a/internal/lab/faults.go
+++ b/internal/faultlab/faults.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/link"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/scenario"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/link"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/scenario"
 )
 
 const restartAfter = 600 * time.Millisecond // of a relay whose process is gone
--- a/internal/lab/group.go
+++ b/internal/faultlab/group.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -18,13 +18,13 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/link"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/lab/scenario"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/link"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/faultlab/scenario"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 const (
--- a/internal/lab/lab.go
+++ b/internal/faultlab/lab.go
@@ -1,10 +1,10 @@
-// Package lab runs many processes of the relay on this machine, with partners,
+// Package faultlab runs many processes of the relay on this machine, with partners,
 // discovery, clients and links of its own around them, breaks what the
 // scenario's schedule says, and has the judge say which promises were kept. It
 // promises that a schedule is a function of scenario and seed, that a run in
 // which the lab itself was late is void, and that no process outlives it. It
 // knows the protocol alone: nothing of the relay's code is linked in.
-package lab
+package faultlab
 
 import (
 	"context"
@@ -22,14 +22,14 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/clock/wallclock"
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/judge"
-	"troutusher/internal/lab/link"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/lab/scenario"
+	"plovershore/internal/clock/wallclock"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/checker"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/link"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/faultlab/scenario"
 )
 
 // Options say how a scenario is run.
@@ -67,17 +67,17 @@
 
 // Result is what a run came to.
 type Result struct {
-	Name    string        `json:"name"`
-	Seed    uint64        `json:"seed"`
-	Out     string        `json:"-"`
-	Plan    []string      `json:"plan"`
-	Verdict judge.Verdict `json:"verdict"`
-	LateP99 time.Duration `json:"late_p99_ns"`
-	LateMax time.Duration `json:"late_max_ns"`
-	LabCPU  time.Duration `json:"lab_cpu_ns"`
-	LabRSS  int64         `json:"lab_rss_bytes"`
-	Took    time.Duration `json:"took_ns"`
-	Scale   *ScaleReport  `json:"scale,omitempty"` // of a scale scenario
+	Name    string          `json:"name"`
+	Seed    uint64          `json:"seed"`
+	Out     string          `json:"-"`
+	Plan    []string        `json:"plan"`
+	Verdict checker.Verdict `json:"verdict"`
+	LateP99 time.Duration   `json:"late_p99_ns"`
+	LateMax time.Duration   `json:"late_max_ns"`
+	LabCPU  time.Duration   `json:"lab_cpu_ns"`
+	LabRSS  int64           `json:"lab_rss_bytes"`
+	Took    time.Duration   `json:"took_ns"`
+	Scale   *ScaleReport    `json:"scale,omitempty"` // of a scale scenario
 }
 
 // run is one scenario while it runs.
@@ -169,7 +169,7 @@
 }
 
 // judge reads the history back and judges it.
-func (r *run) judge() (judge.Verdict, error) {
+func (r *run) judge() (checker.Verdict, error) {
 	path := filepath.Join(r.opts.Out, "history.jsonl")
 	s := r.scen
 	longest := 0.0
@@ -178,12 +178,12 @@
 			longest = max(longest, f.MS)
 		}
 	}
-	j := judge.New(judge.Setting{Rules: r.world.Rules, File: path,
+	j := checker.New(checker.Setting{Rules: r.world.Rules, File: path,
 		Links:  time.Duration((max(s.Part.DelayMS, s.Part.CrossMS) + s.Part.JitterMS + longest) * float64(time.Millisecond)),
-		Limits: judge.Limits{Memory: int64(s.Fleet.MemoryMB) << 20, Disk: int64(s.Fleet.DiskMB) << 20, FDs: s.Fleet.Sockets},
+		Limits: checker.Limits{Memory: int64(s.Fleet.MemoryMB) << 20, Disk: int64(s.Fleet.DiskMB) << 20, FDs: s.Fleet.Sockets},
 		LogOf:  func(relay string) string { return filepath.Join(r.opts.Out, "logs", relay+".log") }})
 	if err := history.Read(path, j.Feed); err != nil {
-		return judge.Verdict{}, err
+		return checker.Verdict{}, err
 	}
 	return j.Finish(), nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -16,16 +16,16 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/hollow/relays"
-	"troutusher/internal/lab/scenario"
-	"troutusher/internal/lab/standin"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/scenario"
+	"plovershore/internal/faultlab/simrelay/relays"
+	"plovershore/internal/faultlab/stub"
 )
 
 // standinEnv makes the test's own program a stand-in relay, and labEnv a lab.
 const (
-	standinEnv = "TROUTLAB_TEST_STANDIN"
-	labEnv     = "TROUTLAB_TEST_LAB"
+	standinEnv = "FAULTLAB_TEST_STANDIN"
+	labEnv     = "FAULTLAB_TEST_LAB"
 )
 
 func TestMain(m *testing.M) {
@@ -37,7 +37,7 @@
 		}
 		os.Exit(0)
 	case os.Getenv(standinEnv) != "":
-		os.Exit(standin.Main(os.Getenv))
+		os.Exit(stub.Main(os.Getenv))
 	case os.Getenv(labEnv) != "":
 		s := scenario.Default()
 		s.Seconds = 600
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return play(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{standinEnv + "=1", standin.DefectEnv + "=" + defect}})
+	return play(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{standinEnv + "=1", stub.DefectEnv + "=" + defect}})
 }
 
 // TestEachDefectIsCaughtByItsChecker breaks one promise at a time on purpose,
@@ -109,26 +109,26 @@
 		rules        []string // that only it may break; the first must be
 	}{
 		{"", "[bad_peers]\nevery = 0.3\n[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.3\n[[fault]]\nkind = \"hup\"\nat = 2\n", nil},
-		{standin.Drop, "", []string{"end"}},
-		{standin.Late, tight, []string{"end"}},
-		{standin.Repeat, "", []string{"repeat", "effect"}},
-		{standin.HandBack, failing, []string{"repeat"}},
-		{standin.SecondCopy, "", []string{"one-out"}},
-		{standin.Thirteen, losing, []string{"attempts"}},
-		{standin.IgnoreWait, tight, []string{"wait"}},
-		{standin.IgnoreDrain, drain, []string{"drain"}},
-		{standin.AfterEnd, "", []string{"after-end"}},
-		{standin.BusySent, "", []string{"refused"}},
-		{standin.AnswerTwice, "", []string{"answer"}},
-		{standin.WrongPlace, "", []string{"form"}},
-		{standin.Altered, "", []string{"form"}},
-		{standin.Leak, "", []string{"limits"}},
-		{standin.LeakFiles, "", []string{"limits"}},
-		{standin.FillDisk, "", []string{"limits"}},
-		{standin.SlowTerm, "", []string{"term"}},
-		{standin.HangUpExit, "[[fault]]\nkind = \"hup\"\nat = 2\n", []string{"crash", "end"}},
-		{standin.KeepPeers, peers, []string{"peer"}},
-		{standin.Topple, outage, []string{"topple"}},
+		{stub.Drop, "", []string{"end"}},
+		{stub.Late, tight, []string{"end"}},
+		{stub.Repeat, "", []string{"repeat", "effect"}},
+		{stub.HandBack, failing, []string{"repeat"}},
+		{stub.SecondCopy, "", []string{"one-out"}},
+		{stub.Thirteen, losing, []string{"attempts"}},
+		{stub.IgnoreWait, tight, []string{"wait"}},
+		{stub.IgnoreDrain, drain, []string{"drain"}},
+		{stub.AfterEnd, "", []string{"after-end"}},
+		{stub.BusySent, "", []string{"refused"}},
+		{stub.AnswerTwice, "", []string{"answer"}},
+		{stub.WrongPlace, "", []string{"form"}},
+		{stub.Altered, "", []string{"form"}},
+		{stub.Leak, "", []string{"limits"}},
+		{stub.LeakFiles, "", []string{"limits"}},
+		{stub.FillDisk, "", []string{"limits"}},
+		{stub.SlowTerm, "", []string{"term"}},
+		{stub.HangUpExit, "[[fault]]\nkind = \"hup\"\nat = 2\n", []string{"crash", "end"}},
+		{stub.KeepPeers, peers, []string{"peer"}},
+		{stub.Topple, outage, []string{"topple"}},
 	} {
 		t.Run("defect "+x.defect, func(t *testing.T) {
 			t.Parallel()
@@ -157,11 +157,11 @@
 
 // programs builds what the lab runs, into one folder.
 var programs = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "troutlab")
+	dir, err := os.MkdirTemp("", "faultlab")
 	if err != nil {
 		return "", err
 	}
-	out, err := exec.Command("go", "build", "-o", dir, "troutusher/cmd/troutusher", "troutusher/cmd/troutregistry").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir, "plovershore/cmd/relay", "plovershore/cmd/registry").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -184,7 +184,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "troutusher"), Registry: filepath.Join(dir, "troutregistry")})
+			res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry")})
 			for _, b := range res.Verdict.Broken {
 				t.Errorf("seed 1: %v", b)
 			}
--- a/internal/lab/model/clients.go
+++ b/internal/faultlab/model/clients.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/lab/history"
+	"plovershore/internal/faultlab/history"
 )
 
 // Load is what clients hand in.
--- a/internal/lab/model/discovery.go
+++ b/internal/faultlab/model/discovery.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/history"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/history"
 )
 
 // The words of the list, as relay and list service have them too.
--- a/internal/lab/model/endpoint.go
+++ b/internal/faultlab/model/endpoint.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/link"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/link"
 )
 
 const (
--- a/internal/lab/model/partner.go
+++ b/internal/faultlab/model/partner.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/lab/history"
+	"plovershore/internal/faultlab/history"
 )
 
 // Limit is what a destination takes from all relays together.
--- a/internal/lab/plan.go
+++ b/internal/faultlab/plan.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/lab/scenario"
+	"plovershore/internal/faultlab/scenario"
 )
 
 // Step is one fault at one moment, with what it strikes. A plan is a function
--- a/internal/lab/relay.go
+++ b/internal/faultlab/relay.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"bufio"
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/clock/wallclock"
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/link"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/process"
+	"plovershore/internal/clock/wallclock"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/link"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/process"
 )
 
 // relay is one relay under test, over all of its processes.
--- a/internal/lab/report/page.go
+++ b/internal/faultlab/report/page.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"troutusher/internal/lab/judge"
+	"plovershore/internal/faultlab/checker"
 )
 
 const (
@@ -94,7 +94,7 @@
 	Title   string
 	Seed    uint64
 	Late    string
-	Verdict judge.Verdict
+	Verdict checker.Verdict
 	Plan    []string
 	Stats   *Stats
 	Rows    []Row
--- a/internal/lab/report/stats.go
+++ b/internal/faultlab/report/stats.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/model"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/model"
 )
 
 // Stats are the figures of one run. Shares are of worth asked for, latencies
--- a/internal/lab/rollout.go
+++ b/internal/faultlab/rollout.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/registry"
-	"troutusher/internal/rollout"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/registry"
+	"plovershore/internal/rollout"
 )
 
 // runners are the lab's runners, one beside each relay, and the plan that is
--- a/internal/lab/salvage.go
+++ b/internal/faultlab/salvage.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"net/http"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/registry"
-	"troutusher/internal/salvage"
+	"plovershore/internal/discovery"
+	"plovershore/internal/failover"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/registry"
 )
 
 // platform is where notices go that come from no relay's own agent.
@@ -55,12 +55,12 @@
 			safe = append(safe, c.Name)
 		}
 	}
-	spec, err := json.Marshal(salvage.Spec{Folder: x.state(), DiskMB: r.scen.Fleet.DiskMB, Safe: safe})
+	spec, err := json.Marshal(failover.Spec{Folder: x.state(), DiskMB: r.scen.Fleet.DiskMB, Safe: safe})
 	if err != nil {
 		return fmt.Errorf("lab: salvage: %w", err)
 	}
 	name := fmt.Sprintf("%s-%d", x.name, s.At.Milliseconds())
-	if _, err := r.group.client.Do(ctx, http.MethodPut, registry.OrdersPath+"/"+salvage.Duty+"/"+name, registry.Order{Spec: spec, Wish: registry.WishRun}, nil); err != nil {
+	if _, err := r.group.client.Do(ctx, http.MethodPut, registry.OrdersPath+"/"+failover.Duty+"/"+name, registry.Order{Spec: spec, Wish: registry.WishRun}, nil); err != nil {
 		return fmt.Errorf("lab: salvage: %w", err)
 	}
 	last := registry.Order{Says: "not begun"}
@@ -68,7 +68,7 @@
 		var all []registry.Order
 		if _, err := r.group.client.Do(ctx, http.MethodGet, registry.OrdersPath, nil, &all); err == nil {
 			for _, o := range all {
-				if o.Kind == salvage.Duty && o.Name == name {
+				if o.Kind == failover.Duty && o.Name == name {
 					last = o
 				}
 			}
--- a/internal/lab/scale.go
+++ b/internal/faultlab/scale.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/hollow"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/lab/scenario"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/faultlab/scenario"
+	"plovershore/internal/faultlab/simrelay"
+	"plovershore/internal/registry/client"
 )
 
 const (
@@ -42,7 +42,7 @@
 	ip      string
 	port    atomic.Int64
 	began   time.Time
-	down    hollow.Down
+	down    simrelay.Down
 	far     *farSide
 	group   *benchGroup
 	members *scaleMembers
@@ -170,7 +170,7 @@
 // registered and its plain watchers open.
 func (r *scaleRun) startService(ctx context.Context) (err error) {
 	c := &r.scen.Scale
-	r.down = hollow.Down{Seed: r.opts.Seed, Share: c.Down, For: scenario.Secs(c.DownFor), Origin: r.began.UnixMicro()}
+	r.down = simrelay.Down{Seed: r.opts.Seed, Share: c.Down, For: scenario.Secs(c.DownFor), Origin: r.began.UnixMicro()}
 	r.down.Prepare(c.Members)
 	if r.far, err = newFarSide(r.ctx); err != nil {
 		return err
--- a/internal/lab/scale_clients.go
+++ b/internal/faultlab/scale_clients.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/scenario"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/scenario"
 )
 
 const (
--- a/internal/lab/scale_endpoints.go
+++ b/internal/faultlab/scale_endpoints.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/lab/hollow"
-	"troutusher/internal/lab/model"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/simrelay"
 )
 
 const (
@@ -32,7 +32,7 @@
 // connection through.
 type farSide struct {
 	port      int
-	classes   map[byte]hollow.StreamClass
+	classes   map[byte]simrelay.StreamClass
 	server    *http.Server
 	delivered atomic.Int64
 
@@ -76,9 +76,9 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &farSide{port: ln.Addr().(*net.TCPAddr).Port, down: map[int]*closedDoor{}, classes: map[byte]hollow.StreamClass{}}
+	f := &farSide{port: ln.Addr().(*net.TCPAddr).Port, down: map[int]*closedDoor{}, classes: map[byte]simrelay.StreamClass{}}
 	for i, c := range model.Classes() {
-		f.classes[byte('0'+i)] = hollow.StreamClass{Name: c.Name, Share: c.Share, Took: c.Took}
+		f.classes[byte('0'+i)] = simrelay.StreamClass{Name: c.Name, Share: c.Share, Took: c.Took}
 	}
 	f.server = &http.Server{Handler: http.HandlerFunc(f.serve), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 10 * time.Second}
 	go f.server.Serve(ln)
@@ -107,7 +107,7 @@
 }
 
 // keepDown has the destinations that are down answer no connection, until ctx ends.
-func (f *farSide) keepDown(ctx context.Context, down *hollow.Down, destinations int, fail func(error)) {
+func (f *farSide) keepDown(ctx context.Context, down *simrelay.Down, destinations int, fail func(error)) {
 	for model.Pause(ctx, downEvery) {
 		now := time.Now().UnixMicro()
 		for i := range destinations {
--- a/internal/lab/scale_figures.go
+++ b/internal/faultlab/scale_figures.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 	"time"
 
-	"troutusher/internal/lab/process"
-	"troutusher/internal/lab/report"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/faultlab/report"
 )
 
 // What the control of a relay may cost, and how soon a change is to be in force.
--- a/internal/lab/scale_judge.go
+++ b/internal/faultlab/scale_judge.go
@@ -1,12 +1,12 @@
-package lab
+package faultlab
 
 import (
 	"fmt"
 	"path/filepath"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/hollow"
-	"troutusher/internal/lab/judge"
+	"plovershore/internal/faultlab/checker"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/simrelay"
 )
 
 // scaleJudge holds a scale run to the rules that its hollow relays can be held to:
@@ -18,11 +18,11 @@
 type scaleJudge struct {
 	dir     string
 	began   int64 // Unix µs
-	verdict judge.Verdict
+	verdict checker.Verdict
 }
 
 func newScaleJudge(dir string, began int64) *scaleJudge {
-	return &scaleJudge{dir: dir, began: began, verdict: judge.Verdict{Counts: map[string]int{}, Judged: map[string]int{}, Excused: map[string]int{}}}
+	return &scaleJudge{dir: dir, began: began, verdict: checker.Verdict{Counts: map[string]int{}, Judged: map[string]int{}, Excused: map[string]int{}}}
 }
 
 const brokenShown = 5 // of one rule, told one by one
@@ -39,7 +39,7 @@
 		}
 		return history.Event{T: at - j.began, Kind: history.Watched, Relay: subject}
 	}
-	j.verdict.Broken = append(j.verdict.Broken, judge.Broken{Rule: rule, Subject: subject, Text: text, A: event(a), B: event(b), File: filepath.Join(j.dir, "logs")})
+	j.verdict.Broken = append(j.verdict.Broken, checker.Broken{Rule: rule, Subject: subject, Text: text, A: event(a), B: event(b), File: filepath.Join(j.dir, "logs")})
 }
 
 func (j *scaleJudge) judged(rule string) { j.verdict.Judged[rule]++ }
@@ -53,7 +53,7 @@
 
 // changes judges what one relay heard of the changes, in the order in which they
 // were made.
-func (j *scaleJudge) changes(r *hollow.RelayResult, made []scaleChange) {
+func (j *scaleJudge) changes(r *simrelay.RelayResult, made []scaleChange) {
 	for _, text := range r.Wrong {
 		j.broken("change", r.Name, text, 0, 0)
 	}
@@ -81,7 +81,7 @@
 }
 
 // ends judges the messages of one relay.
-func (j *scaleJudge) ends(r *hollow.RelayResult) {
+func (j *scaleJudge) ends(r *simrelay.RelayResult) {
 	c := &r.Counts
 	j.verdict.Judged["end"] += int(c.Taken)
 	if r.LogErr != "" {
--- a/internal/lab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"sync/atomic"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/hollow"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/scenario"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/scenario"
+	"plovershore/internal/faultlab/simrelay"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 const (
@@ -204,7 +204,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.changes = append(m.changes, scaleChange{Key: hollow.ChangeKey(memberID(member), phase, size), Asked: asked, Answered: time.Now().UnixMicro(), Phase: part})
+	m.changes = append(m.changes, scaleChange{Key: simrelay.ChangeKey(memberID(member), phase, size), Asked: asked, Answered: time.Now().UnixMicro(), Phase: part})
 	return nil
 }
 
@@ -268,7 +268,7 @@
 		if m.zone(i) == len(m.zones)-1 {
 			zone = append(zone, i)
 			m.state[i].muted = true
-			m.gone = append(m.gone, scaleChange{Key: hollow.ChangeKey(memberID(i), discovery.Removed, 0), Asked: stopped, Answered: stopped})
+			m.gone = append(m.gone, scaleChange{Key: simrelay.ChangeKey(memberID(i), discovery.Removed, 0), Asked: stopped, Answered: stopped})
 		}
 	}
 	m.mu.Unlock()
@@ -279,7 +279,7 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.state[member].muted = false
-		m.back = append(m.back, scaleChange{Key: hollow.ChangeKey(memberID(member), discovery.Up, 1), Asked: asked, Answered: answered})
+		m.back = append(m.back, scaleChange{Key: simrelay.ChangeKey(memberID(member), discovery.Up, 1), Asked: asked, Answered: answered})
 	})
 	if ctx.Err() != nil {
 		return nil
--- a/internal/lab/scale_meter.go
+++ b/internal/faultlab/scale_meter.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"fmt"
--- a/internal/lab/scale_play.go
+++ b/internal/faultlab/scale_play.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"cmp"
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"troutusher/internal/lab/hollow"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/lab/scenario"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/faultlab/scenario"
+	"plovershore/internal/faultlab/simrelay"
 )
 
 // playParts runs the parts one after the other, and measures each.
@@ -59,12 +59,12 @@
 		r.clients = append(r.clients, k)
 		go func() { k.run(arriving, i); done <- struct{}{} }()
 	}
-	r.signal(func(h *scaleHollow) error { return h.proc.Signal(hollow.Begin) })
+	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.Begin) })
 	before := r.hollowStatus().Counts.Taken
 	r.measured(partLoad, scenario.Secs(r.scen.Seconds))
 	r.report.Rate = float64(r.hollowStatus().Counts.Taken-before) / r.scen.Seconds
 	cancel()
-	r.signal(func(h *scaleHollow) error { return h.proc.Signal(hollow.Pause) })
+	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.Pause) })
 	for range r.reals {
 		<-done
 	}
@@ -146,7 +146,7 @@
 		r.fail(err)
 		return
 	}
-	hash := fmt.Sprintf("%016x", hollow.ListHash(list.Members))
+	hash := fmt.Sprintf("%016x", simrelay.ListHash(list.Members))
 	wait, cancel := context.WithTimeout(r.ctx, scenario.Secs(r.scen.Scale.Settle))
 	defer cancel()
 	for {
@@ -161,7 +161,7 @@
 		}
 	}
 	r.report.Settle = time.Since(began).Seconds()
-	r.hash = hollow.ListHash(list.Members)
+	r.hash = simrelay.ListHash(list.Members)
 	for _, x := range r.reals {
 		if x.operator == "" {
 			continue
@@ -179,15 +179,15 @@
 		return errors.Join(r.failed(), err)
 	}
 	r.ending.Store(true)
-	r.signal(func(h *scaleHollow) error { return h.proc.Signal(hollow.End) })
+	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.End) })
 	ended, cancel := context.WithTimeout(r.ctx, scaleEnd)
 	defer cancel()
-	var relays []hollow.RelayResult
+	var relays []simrelay.RelayResult
 	for _, h := range r.hollows {
 		if !h.proc.Wait(ended) {
 			return fmt.Errorf("lab: %s wrote no result in %v", h.proc.Name, scaleEnd)
 		}
-		result, err := hollow.ReadResult(h.result)
+		result, err := simrelay.ReadResult(h.result)
 		if err != nil {
 			return err
 		}
@@ -204,7 +204,7 @@
 }
 
 // count makes the figures of a run that has ended.
-func (r *scaleRun) count(relays []hollow.RelayResult) {
+func (r *scaleRun) count(relays []simrelay.RelayResult) {
 	for _, x := range r.roles {
 		r.report.Roles = append(r.report.Roles, x.finish(r.scen.Scale.Speed))
 	}
@@ -223,7 +223,7 @@
 		r.force(fmt.Sprintf("a zone gone (of it %.0f s to live)", r.scen.Registry.TTL), relays, r.members.gone)
 		r.force("a zone back", relays, r.members.back)
 	}
-	all, whole := hollow.Counts{}, 0
+	all, whole := simrelay.Counts{}, 0
 	for i := range relays {
 		all.Add(relays[i].Counts)
 		whole += relays[i].Whole
@@ -249,7 +249,7 @@
 
 // force books how long changes took until the relays had them: each in each
 // relay, and each until the last relay had it.
-func (r *scaleRun) force(name string, relays []hollow.RelayResult, changes []scaleChange) {
+func (r *scaleRun) force(name string, relays []simrelay.RelayResult, changes []scaleChange) {
 	if len(changes) == 0 {
 		return
 	}
--- a/internal/lab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"bufio"
@@ -14,11 +14,11 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/lab/hollow"
-	"troutusher/internal/lab/model"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/lab/scenario"
-	"troutusher/internal/registry/agent"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/faultlab/scenario"
+	"plovershore/internal/faultlab/simrelay"
+	"plovershore/internal/registry/agent"
 )
 
 const (
@@ -61,7 +61,7 @@
 
 	mu   sync.Mutex
 	rest []byte
-	last hollow.Status
+	last simrelay.Status
 }
 
 // Write takes lines of status; all else goes to the log.
@@ -74,7 +74,7 @@
 		if !whole {
 			return len(text), nil
 		}
-		var status hollow.Status
+		var status simrelay.Status
 		if bytes.HasPrefix(line, []byte("{")) && json.Unmarshal(line, &status) == nil {
 			s.last = status
 		} else {
@@ -84,7 +84,7 @@
 	}
 }
 
-func (s *statusReader) status() hollow.Status {
+func (s *statusReader) status() simrelay.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last
@@ -112,7 +112,7 @@
 	}
 	folder := filepath.Join(r.dir, name)
 	if r.scen.Scale.AgentsInMemory {
-		if folder, err = os.MkdirTemp(memoryFolder, "troutlab-"+name+"-"); err != nil {
+		if folder, err = os.MkdirTemp(memoryFolder, "faultlab-"+name+"-"); err != nil {
 			return nil, fmt.Errorf("lab: %w", err)
 		}
 		r.folders = append(r.folders, folder)
@@ -228,12 +228,12 @@
 // startHollow runs one process of hollow relays.
 func (r *scaleRun) startHollow(number, first, relays int, doors []string) (*scaleHollow, error) {
 	name := fmt.Sprintf("hollow-%d", number+1)
-	c := hollow.Config{Folder: filepath.Join(r.dir, name), First: first, Discovery: doors, Fleet: r.scen.Scale.Fleet, Seed: r.opts.Seed,
+	c := simrelay.Config{Folder: filepath.Join(r.dir, name), First: first, Discovery: doors, Fleet: r.scen.Scale.Fleet, Seed: r.opts.Seed,
 		Zones: r.scen.Fleet.Zones, Flavors: []string{model.Telco, model.Newsagent}, DiskMB: scaleDiskMB, Result: filepath.Join(r.dir, name+".result"),
-		Stream: hollow.Stream{Rate: r.scen.Scale.Rate, Deadline: scenario.Secs(r.scen.Scale.Deadline), Body: scaleBody, Connect: connectTimeout,
+		Stream: simrelay.Stream{Rate: r.scen.Scale.Rate, Deadline: scenario.Secs(r.scen.Scale.Deadline), Body: scaleBody, Connect: connectTimeout,
 			Down: r.down, Destinations: r.scen.Scale.Members}}
 	for _, k := range model.Classes() {
-		c.Stream.Classes = append(c.Stream.Classes, hollow.StreamClass{Name: k.Name, Share: k.Share, Took: k.Took})
+		c.Stream.Classes = append(c.Stream.Classes, simrelay.StreamClass{Name: k.Name, Share: k.Share, Took: k.Took})
 	}
 	for i := range relays {
 		text, err := json.Marshal(r.settings(first + i))
@@ -263,8 +263,8 @@
 }
 
 // hollowStatus adds up what all processes of hollow relays said last.
-func (r *scaleRun) hollowStatus() hollow.Status {
-	all := hollow.Status{Hashes: map[string]int{}, Members: map[int]int{}}
+func (r *scaleRun) hollowStatus() simrelay.Status {
+	all := simrelay.Status{Hashes: map[string]int{}, Members: map[int]int{}}
 	for _, h := range r.hollows {
 		s := h.status.status()
 		for hash, n := range s.Hashes {
--- a/internal/lab/scale_test.go
+++ b/internal/faultlab/scale_test.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/hollow"
-	"troutusher/internal/lab/scenario"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/scenario"
+	"plovershore/internal/faultlab/simrelay"
 )
 
 // TestScaleSmoke plays the scale scenario at a small size, with real processes of
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	// Nothing is measured here: that the machine is busy voids no rule.
-	res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "troutusher"), Registry: filepath.Join(dir, "troutregistry"),
+	res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry"),
 		Hollow: os.Args[0], Late: 10 * time.Second})
 	if !res.Verdict.Kept() {
 		t.Errorf("seed 1: %v", res.Verdict.Broken)
@@ -61,25 +61,25 @@
 // TestScaleJudgeCatchesEachBreak breaks one promise of a hollow relay at a time.
 func TestScaleJudgeCatchesEachBreak(t *testing.T) {
 	made := []scaleChange{{Key: 1, Asked: 10}, {Key: 2, Asked: 20}}
-	sound := func() *hollow.RelayResult {
-		return &hollow.RelayResult{Name: "h1", Hash: 7, Members: 3, Whole: 1, Heard: []hollow.Heard{{Key: 1, At: 11}, {Key: 2, At: 21}},
-			Counts: hollow.Counts{Taken: 4, Delivered: 2, HandedBack: 1, GivenUp: 1}}
+	sound := func() *simrelay.RelayResult {
+		return &simrelay.RelayResult{Name: "h1", Hash: 7, Members: 3, Whole: 1, Heard: []simrelay.Heard{{Key: 1, At: 11}, {Key: 2, At: 21}},
+			Counts: simrelay.Counts{Taken: 4, Delivered: 2, HandedBack: 1, GivenUp: 1}}
 	}
 	for _, x := range []struct {
 		name, rule string
-		spoil      func(*hollow.RelayResult)
+		spoil      func(*simrelay.RelayResult)
 	}{
-		{"sound", "", func(*hollow.RelayResult) {}},
-		{"another list", "list", func(r *hollow.RelayResult) { r.Hash = 8 }},
-		{"never heard", "change", func(r *hollow.RelayResult) { r.Heard = r.Heard[:1] }},
-		{"heard twice", "change", func(r *hollow.RelayResult) { r.Heard = append(r.Heard, r.Heard[1]) }},
-		{"out of order", "change", func(r *hollow.RelayResult) { r.Heard[0], r.Heard[1] = r.Heard[1], r.Heard[0] }},
-		{"back in revisions", "change", func(r *hollow.RelayResult) { r.Wrong = []string{"a change to revision 3 after 4"} }},
-		{"no end", "end", func(r *hollow.RelayResult) { r.Counts.Delivered, r.Counts.Held = 1, 1 }},
-		{"an end too few", "end", func(r *hollow.RelayResult) { r.Counts.Delivered = 1 }},
-		{"two ends", "end", func(r *hollow.RelayResult) { r.Counts.Twice = 1 }},
-		{"owed", "end", func(r *hollow.RelayResult) { r.Owed = 1 }},
-		{"a log that cannot be read", "end", func(r *hollow.RelayResult) { r.LogErr = "no such file" }},
+		{"sound", "", func(*simrelay.RelayResult) {}},
+		{"another list", "list", func(r *simrelay.RelayResult) { r.Hash = 8 }},
+		{"never heard", "change", func(r *simrelay.RelayResult) { r.Heard = r.Heard[:1] }},
+		{"heard twice", "change", func(r *simrelay.RelayResult) { r.Heard = append(r.Heard, r.Heard[1]) }},
+		{"out of order", "change", func(r *simrelay.RelayResult) { r.Heard[0], r.Heard[1] = r.Heard[1], r.Heard[0] }},
+		{"back in revisions", "change", func(r *simrelay.RelayResult) { r.Wrong = []string{"a change to revision 3 after 4"} }},
+		{"no end", "end", func(r *simrelay.RelayResult) { r.Counts.Delivered, r.Counts.Held = 1, 1 }},
+		{"an end too few", "end", func(r *simrelay.RelayResult) { r.Counts.Delivered = 1 }},
+		{"two ends", "end", func(r *simrelay.RelayResult) { r.Counts.Twice = 1 }},
+		{"owed", "end", func(r *simrelay.RelayResult) { r.Owed = 1 }},
+		{"a log that cannot be read", "end", func(r *simrelay.RelayResult) { r.LogErr = "no such file" }},
 	} {
 		j, r := newScaleJudge("", 0), sound()
 		x.spoil(r)
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = Run(t.Context(), Options{Scenario: s, Seed: 1, Out: t.TempDir(), Program: "/bin/false", Registry: filepath.Join(dir, "troutregistry"), Hollow: os.Args[0]})
+	_, err = Run(t.Context(), Options{Scenario: s, Seed: 1, Out: t.TempDir(), Program: "/bin/false", Registry: filepath.Join(dir, "registry"), Hollow: os.Args[0]})
 	if err == nil || !strings.Contains(err.Error(), "n1") {
 		t.Errorf("got %v, want an error that names the relay n1", err)
 	}
@@ -138,10 +138,10 @@
 	a := discovery.Member{ID: "a", HostPort: "127.0.0.1:1", Phase: discovery.Up, Size: 1}
 	b := discovery.Member{ID: "b", HostPort: "127.0.0.1:2", Phase: discovery.Draining, Size: 1.5}
 	gone := discovery.Member{ID: "c", Phase: discovery.Removed}
-	if hollow.ListHash([]discovery.Member{a, b, gone}) != hollow.MemberHash(&b)+hollow.MemberHash(&a) {
+	if simrelay.ListHash([]discovery.Member{a, b, gone}) != simrelay.MemberHash(&b)+simrelay.MemberHash(&a) {
 		t.Error("the hash of a list is not the sum of its members'")
 	}
-	if hollow.MemberHash(&a) == hollow.MemberHash(&b) {
+	if simrelay.MemberHash(&a) == simrelay.MemberHash(&b) {
 		t.Error("two members of one hash")
 	}
 }
--- a/internal/lab/scenario/scale.go
+++ b/internal/faultlab/scenario/scale.go
@@ -9,7 +9,7 @@
 type Scale struct {
 	Relays     int     `toml:"relays"`    // hollow ones; 0 for an ordinary scenario
 	Processes  int     `toml:"processes"` // that hold them
-	Real       int     `toml:"real"`      // relays that are processes of troutusher; every second has an operator address
+	Real       int     `toml:"real"`      // relays that are processes of relay; every second has an operator address
 	Agents     int     `toml:"agents"`    // that the hollow relays share; each real relay has one of its own
 	Watchers   int     `toml:"watchers"`  // plain watches on the list service, in place of the agents that are not run
 	Fleet      int     `toml:"fleet"`     // relays that each relay and agent believes in: their retries are spread over so many
--- a/internal/lab/scenario/scenario.go
+++ b/internal/faultlab/scenario/scenario.go
@@ -18,7 +18,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"troutusher/internal/clock"
+	"plovershore/internal/clock"
 )
 
 // Scenario is one file. Spans are seconds.
--- a/internal/lab/hollow/hollow.go
+++ b/internal/faultlab/simrelay/hollow.go
@@ -1,10 +1,10 @@
-// Package hollow is what the lab and a process of hollow relays tell each other.
+// Package simrelay is what the lab and a process of hollow relays tell each other.
 // A hollow relay (package relays) is a relay without sockets for messages, many of
 // them in one process. It promises that every message that one took on is counted
 // with one end, that each change of the list is booked with the moment at which
 // the policy had it, and that a process tells how late its own stream was. What
 // the figures mean is left to the lab.
-package hollow
+package simrelay
 
 import (
 	"encoding/binary"
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 // Config is what a process of hollow relays is told.
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/faultlab/simrelay/hollow_test.go
@@ -1,4 +1,4 @@
-package hollow
+package simrelay
 
 import (
 	"os"
--- a/internal/lab/hollow/relays/list.go
+++ b/internal/faultlab/simrelay/relays/list.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/hollow"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/simrelay"
+	"plovershore/policy"
 )
 
 // endpoint is what a hollow relay keeps of a member, as a real one does.
 type endpoint struct {
-	number   decide.Endpoint
+	number   policy.Endpoint
 	id       string
 	hostPort string
 	cell     int
@@ -24,20 +24,20 @@
 type list struct {
 	zones, flavors map[string]int
 	byID           map[string]*endpoint
-	byNumber       map[decide.Endpoint]*endpoint
-	last           decide.Endpoint
+	byNumber       map[policy.Endpoint]*endpoint
+	last           policy.Endpoint
 	hash           uint64
 	members        int
 	revision       int64
 	whole          int // whole lists that were taken
-	heard          []hollow.Heard
+	heard          []simrelay.Heard
 	news           bool     // some was taken that the policy does not have yet
 	pending        []uint64 // changes that are in the policy's next step
 	wrong          []string
 }
 
 func newList(zones, flavors []string) *list {
-	return &list{zones: places(zones), flavors: places(flavors), byID: map[string]*endpoint{}, byNumber: map[decide.Endpoint]*endpoint{}}
+	return &list{zones: places(zones), flavors: places(flavors), byID: map[string]*endpoint{}, byNumber: map[policy.Endpoint]*endpoint{}}
 }
 
 func places(names []string) map[string]int {
@@ -56,27 +56,27 @@
 }
 
 // take makes an event for the policy of news of the list.
-func (l *list) take(news *discovery.List) decide.Event {
-	e := decide.Event{Kind: decide.EvList, List: decide.ListChange}
+func (l *list) take(news *discovery.List) policy.Event {
+	e := policy.Event{Kind: policy.EvList, List: policy.ListChange}
 	first := l.whole == 0
 	if !news.Complete && (first || news.Revision <= l.revision) {
 		l.wrong = append(l.wrong, fmt.Sprintf("a change to revision %d after %d, %d whole lists", news.Revision, l.revision, l.whole))
 	}
 	l.revision, l.news = news.Revision, true
-	e.Entries = make([]decide.Entry, 0, len(news.Members))
+	e.Entries = make([]policy.Entry, 0, len(news.Members))
 	for i := range news.Members {
 		e.Entries = append(e.Entries, l.member(&news.Members[i], !first))
 	}
 	if news.Complete {
 		l.whole++
-		e.List = decide.ListFull
+		e.List = policy.ListFull
 		l.dropUnlisted(news)
 	}
 	return e
 }
 
 // member books one line of the list; noted has a change of it counted as heard.
-func (l *list) member(m *discovery.Member, noted bool) decide.Entry {
+func (l *list) member(m *discovery.Member, noted bool) policy.Entry {
 	x := l.byID[m.ID]
 	if x == nil {
 		l.last++
@@ -84,20 +84,20 @@
 		l.byID[m.ID], l.byNumber[x.number] = x, x
 	}
 	if noted && (x.phase != m.Phase || x.size != m.Size) {
-		l.pending = append(l.pending, hollow.ChangeKey(m.ID, m.Phase, m.Size))
+		l.pending = append(l.pending, simrelay.ChangeKey(m.ID, m.Phase, m.Size))
 	}
 	l.forget(x)
 	x.phase, x.size = m.Phase, m.Size
-	entry := decide.Entry{Endpoint: x.number, Zone: place(l.zones, m.Locality), Kind: place(l.flavors, m.Flavor), Dest: m.Cell,
-		State: decide.Ready, Rate: m.Size}
+	entry := policy.Entry{Endpoint: x.number, Zone: place(l.zones, m.Locality), Kind: place(l.flavors, m.Flavor), Dest: m.Cell,
+		State: policy.Ready, Rate: m.Size}
 	switch m.Phase {
 	case discovery.Draining:
-		entry.State = decide.Draining
+		entry.State = policy.Draining
 	case discovery.Removed:
-		entry.State, entry.Dest = decide.Gone, x.cell
+		entry.State, entry.Dest = policy.Gone, x.cell
 		return entry
 	}
-	x.hostPort, x.cell, x.hash = m.HostPort, m.Cell, hollow.MemberHash(m)
+	x.hostPort, x.cell, x.hash = m.HostPort, m.Cell, simrelay.MemberHash(m)
 	l.hash += x.hash
 	l.members++
 	return entry
@@ -121,7 +121,7 @@
 		if !listed[id] && x.phase != discovery.Removed {
 			l.forget(x)
 			x.phase = discovery.Removed
-			l.pending = append(l.pending, hollow.ChangeKey(id, discovery.Removed, 0))
+			l.pending = append(l.pending, simrelay.ChangeKey(id, discovery.Removed, 0))
 		}
 	}
 }
@@ -129,7 +129,7 @@
 // inForce books that the policy has all news that was taken.
 func (l *list) inForce(now time.Time) {
 	for _, key := range l.pending {
-		l.heard = append(l.heard, hollow.Heard{Key: key, At: now.UnixMicro()})
+		l.heard = append(l.heard, simrelay.Heard{Key: key, At: now.UnixMicro()})
 	}
 	l.pending, l.news = l.pending[:0], false
 }
--- a/internal/lab/hollow/relays/process.go
+++ b/internal/faultlab/simrelay/relays/process.go
@@ -18,7 +18,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/lab/hollow"
+	"plovershore/internal/faultlab/simrelay"
 )
 
 const latestMost = 60_000_000 // µs that lateness is told up to
@@ -45,9 +45,9 @@
 // Lines of hollow.Status go to out, and what goes wrong to errOut.
 func Main(ctx context.Context, path string, out, errOut io.Writer) error {
 	signals := make(chan os.Signal, 8) // before anything else: unhandled, they would end the process
-	signal.Notify(signals, hollow.Begin, hollow.Pause, hollow.End)
+	signal.Notify(signals, simrelay.Begin, simrelay.Pause, simrelay.End)
 	defer signal.Stop(signals)
-	c, err := hollow.LoadConfig(path)
+	c, err := simrelay.LoadConfig(path)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 		all.Add(1)
 		go func() { defer all.Done(); r.run() }()
 	}
-	tick := time.NewTicker(hollow.StatusEvery)
+	tick := time.NewTicker(simrelay.StatusEvery)
 	defer tick.Stop()
 	lines := json.NewEncoder(out)
 	for ended := false; !ended; {
@@ -74,7 +74,7 @@
 		case <-ctx.Done():
 			ended = true
 		case s := <-signals:
-			ended = s == hollow.End
+			ended = s == simrelay.End
 			tell(relays, s)
 		case <-tick.C:
 			if err := lines.Encode(status(relays, late)); err != nil {
@@ -82,7 +82,7 @@
 			}
 		}
 	}
-	tell(relays, hollow.End)
+	tell(relays, simrelay.End)
 	all.Wait()
 	return write(c.Result, relays, late)
 }
@@ -90,12 +90,12 @@
 // tell passes a signal on to all relays.
 func tell(relays []*relay, s os.Signal) {
 	for _, r := range relays {
-		r.in.Put(event{order: map[os.Signal]order{hollow.Begin: orderBegin, hollow.Pause: orderPause, hollow.End: orderEnd}[s]})
+		r.in.Put(event{order: map[os.Signal]order{simrelay.Begin: orderBegin, simrelay.Pause: orderPause, simrelay.End: orderEnd}[s]})
 	}
 }
 
-func status(relays []*relay, late *lateness) hollow.Status {
-	s := hollow.Status{Relays: len(relays), Hashes: map[string]int{}, Members: map[int]int{}}
+func status(relays []*relay, late *lateness) simrelay.Status {
+	s := simrelay.Status{Relays: len(relays), Hashes: map[string]int{}, Members: map[int]int{}}
 	for _, r := range relays {
 		r.status(&s)
 	}
@@ -105,7 +105,7 @@
 
 // write keeps the result of a process.
 func write(path string, relays []*relay, late *lateness) (err error) {
-	var result hollow.Result
+	var result simrelay.Result
 	for _, r := range relays {
 		result.Relays = append(result.Relays, r.result())
 	}
--- a/internal/lab/hollow/relays/relay.go
+++ b/internal/faultlab/simrelay/relays/relay.go
@@ -13,16 +13,16 @@
 	"sync"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/hollow"
-	"troutusher/internal/mailbox"
-	"troutusher/internal/settings"
-	"troutusher/internal/wal"
-	"troutusher/internal/wire"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/simrelay"
+	"plovershore/internal/mailbox"
+	"plovershore/internal/settings"
+	"plovershore/internal/wal"
+	"plovershore/internal/wire"
+	"plovershore/policy"
 )
 
-const clockStart = decide.Time(3600e6) // of the policy's clock, as in a real relay
+const clockStart = policy.Time(3600e6) // of the policy's clock, as in a real relay
 
 // message is one that the relay holds, or whose notice is under way.
 type message struct {
@@ -34,7 +34,7 @@
 	over    bool
 	tries   int
 	out     *attempt
-	pending *decide.Action // a send that waits until the log has the message
+	pending *policy.Action // a send that waits until the log has the message
 }
 
 // event is something that the relay's loop is told.
@@ -62,7 +62,7 @@
 	name     string
 	folder   string
 	log      *slog.Logger
-	policy   *decide.Policy
+	policy   *policy.Policy
 	in       *mailbox.Mailbox[event]
 	wal      *wal.Log
 	lock     *wal.Lock
@@ -76,13 +76,13 @@
 	numbers  uint32
 	messages map[uint32]*message
 	out      attempts
-	timers   []decide.Time
-	events   []decide.Event
-	actions  []decide.Action
+	timers   []policy.Time
+	events   []policy.Event
+	actions  []policy.Action
 	body     []byte
 
 	mu     sync.Mutex // of what status reads
-	counts hollow.Counts
+	counts simrelay.Counts
 	shown  shown
 }
 
@@ -94,7 +94,7 @@
 }
 
 // newRelay opens the log of one relay and makes its policy; run starts it.
-func newRelay(c *hollow.Config, i int, log *slog.Logger, late func(time.Duration)) (*relay, error) {
+func newRelay(c *simrelay.Config, i int, log *slog.Logger, late func(time.Duration)) (*relay, error) {
 	s, err := wire.ParseSettings(c.Settings[i])
 	if err != nil {
 		return nil, fmt.Errorf("hollow: settings: %w", err)
@@ -106,7 +106,7 @@
 	terms.Streams = 1 // as a real relay has it
 	name := fmt.Sprintf("h%d", c.First+i)
 	seed := c.Seed + uint64(c.First+i)
-	policy, err := decide.New(terms, seed)
+	policy, err := policy.New(terms, seed)
 	if err != nil {
 		return nil, fmt.Errorf("hollow: settings: %w", err)
 	}
@@ -140,7 +140,7 @@
 	return nil
 }
 
-func (r *relay) now() decide.Time { return clockStart + time.Since(r.began).Microseconds() }
+func (r *relay) now() policy.Time { return clockStart + time.Since(r.began).Microseconds() }
 
 // run serves until it is told orderEnd.
 func (r *relay) run() {
@@ -201,7 +201,7 @@
 	case e.send != nil:
 		r.call(e.send)
 	case e.noticed != "":
-		r.count(func(c *hollow.Counts) { c.Notices++ })
+		r.count(func(c *simrelay.Counts) { c.Notices++ })
 		r.wal.Submit(&wal.Record{Kind: wal.End, ID: e.noticed}, nil)
 	case e.order == orderBegin:
 		r.arrivals.begin(time.Now())
@@ -213,7 +213,7 @@
 	return false
 }
 
-func (r *relay) count(f func(*hollow.Counts)) {
+func (r *relay) count(f func(*simrelay.Counts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.counts)
@@ -230,8 +230,8 @@
 		m.record = &wal.Record{Kind: wal.Taken, ID: fmt.Sprintf("%s-%08x", r.name, m.number), Class: a.stream.Classes[m.class].Name,
 			Dest: a.random.IntN(a.stream.Destinations), Deadline: now.Add(a.stream.Deadline).UnixMicro(), Body: r.body}
 		r.messages[m.number] = m
-		r.count(func(c *hollow.Counts) { c.Offered++ })
-		r.events = append(r.events, decide.Event{Kind: decide.EvMessage, Message: m.number, Class: m.class, Dest: m.record.Dest, Tenant: -1,
+		r.count(func(c *simrelay.Counts) { c.Offered++ })
+		r.events = append(r.events, policy.Event{Kind: policy.EvMessage, Message: m.number, Class: m.class, Dest: m.record.Dest, Tenant: -1,
 			Left: a.stream.Deadline.Microseconds()})
 	}
 }
@@ -251,7 +251,7 @@
 	}
 	if n > 0 {
 		r.timers = slices.Delete(r.timers, 0, n)
-		r.events = append(r.events, decide.Event{Kind: decide.EvTimer})
+		r.events = append(r.events, policy.Event{Kind: policy.EvTimer})
 	}
 }
 
@@ -262,7 +262,7 @@
 	r.events = nil
 	var fresh []*message
 	for i := range events {
-		if events[i].Kind == decide.EvMessage {
+		if events[i].Kind == policy.EvMessage {
 			fresh = append(fresh, r.messages[events[i].Message])
 		}
 	}
@@ -273,9 +273,9 @@
 	}
 	for i := range r.actions {
 		switch a := &r.actions[i]; a.Kind {
-		case decide.ActRefuse:
+		case policy.ActRefuse:
 			r.ended(a, discovery.HandedBack)
-		case decide.ActFail:
+		case policy.ActFail:
 			r.ended(a, discovery.GivenUp)
 		}
 	}
@@ -299,7 +299,7 @@
 // takeOn logs a message.
 func (r *relay) takeOn(m *message) {
 	m.logged = true
-	r.count(func(c *hollow.Counts) { c.Taken++; c.Held++ })
+	r.count(func(c *simrelay.Counts) { c.Taken++; c.Held++ })
 	r.wal.Submit(m.record, func(err error) {
 		if err != nil {
 			r.log.Error("message not logged", "message", m.record.ID, "err", err)
@@ -318,9 +318,9 @@
 }
 
 // act carries out what is no final answer.
-func (r *relay) act(a *decide.Action) {
+func (r *relay) act(a *policy.Action) {
 	switch a.Kind {
-	case decide.ActSend:
+	case policy.ActSend:
 		m := r.messages[a.Message]
 		if m == nil || m.over {
 			return
@@ -331,13 +331,13 @@
 			return
 		}
 		r.send(m, a)
-	case decide.ActCancel:
+	case policy.ActCancel:
 		if m := r.messages[a.Message]; m != nil && m.out != nil && m.out.number == a.Attempt {
 			r.out.remove(m.out)
-			m.out.outcome = decide.Cancelled
+			m.out.outcome = policy.Cancelled
 			r.attempted(m.out, time.Now())
 		}
-	case decide.ActTimer:
+	case policy.ActTimer:
 		due := r.now() + a.After
 		if at, set := slices.BinarySearch(r.timers, due); !set {
 			r.timers = slices.Insert(r.timers, at, due)
@@ -346,11 +346,11 @@
 }
 
 // send logs an attempt; the call begins once the log has it.
-func (r *relay) send(m *message, a *decide.Action) {
+func (r *relay) send(m *message, a *policy.Action) {
 	x := r.list.byNumber[a.Endpoint]
 	one := &attempt{message: m, number: m.tries - 1, at: a.Endpoint, place: -1, due: r.began.Add(time.Duration(a.At-clockStart) * time.Microsecond)}
 	if m.over || x == nil || x.phase != discovery.Up || x.cell != m.record.Dest || a.At <= r.now() || a.By != 0 && a.By <= r.now() {
-		one.outcome = decide.NotSent
+		one.outcome = policy.NotSent
 		r.attempted(one, time.Now())
 		return
 	}
@@ -363,7 +363,7 @@
 	if one.message.out != one {
 		return // called off meanwhile
 	}
-	r.count(func(c *hollow.Counts) { c.Calls++ })
+	r.count(func(c *simrelay.Counts) { c.Calls++ })
 	one.began = time.Now()
 	r.arrivals.call(one, one.due.Sub(one.began))
 	heap.Push(&r.out, one)
@@ -373,25 +373,25 @@
 func (r *relay) attempted(one *attempt, now time.Time) {
 	m := one.message
 	m.out = nil
-	settled := m.over || one.outcome == decide.Delivered
-	e := decide.Event{Kind: decide.EvOutcome, Message: m.number, Attempt: one.number, Endpoint: one.at, Outcome: one.outcome, Settled: settled, Fresh: true}
+	settled := m.over || one.outcome == policy.Delivered
+	e := policy.Event{Kind: policy.EvOutcome, Message: m.number, Attempt: one.number, Endpoint: one.at, Outcome: one.outcome, Settled: settled, Fresh: true}
 	if !one.began.IsZero() {
 		e.Took = now.Sub(one.began).Microseconds()
 	}
-	if one.outcome == decide.Delivered {
-		e.Load = decide.Load{Left: 1, Told: true}
+	if one.outcome == policy.Delivered {
+		e.Load = policy.Load{Left: 1, Told: true}
 	}
 	r.events = append(r.events, e)
 	record := &wal.Record{Kind: wal.Outcome, ID: m.record.ID, Ran: !one.outcome.NeverRan()}
-	if one.outcome == decide.Delivered {
+	if one.outcome == policy.Delivered {
 		record.Kind = wal.End
 	}
 	r.wal.Submit(record, nil)
 	switch {
-	case one.outcome == decide.Delivered && m.over:
+	case one.outcome == policy.Delivered && m.over:
 		delete(r.messages, m.number) // its notice is under way: the call ran on
-	case one.outcome == decide.Delivered:
-		r.over(m, func(c *hollow.Counts) { c.Delivered++ })
+	case one.outcome == policy.Delivered:
+		r.over(m, func(c *simrelay.Counts) { c.Delivered++ })
 		delete(r.messages, m.number)
 	case m.over:
 		delete(r.messages, m.number)
@@ -399,8 +399,8 @@
 }
 
 // over books the end of a message that was taken on.
-func (r *relay) over(m *message, f func(*hollow.Counts)) {
-	r.count(func(c *hollow.Counts) {
+func (r *relay) over(m *message, f func(*simrelay.Counts)) {
+	r.count(func(c *simrelay.Counts) {
 		if m.over {
 			c.Twice++
 			return
@@ -412,7 +412,7 @@
 }
 
 // ended carries out a final answer.
-func (r *relay) ended(a *decide.Action, word string) {
+func (r *relay) ended(a *policy.Action, word string) {
 	m := r.messages[a.Message]
 	if m == nil {
 		return
@@ -420,10 +420,10 @@
 	if !m.logged { // not taken on: its client hears it at once
 		m.over = true
 		delete(r.messages, m.number)
-		r.count(func(c *hollow.Counts) { c.Refused++ })
+		r.count(func(c *simrelay.Counts) { c.Refused++ })
 		return
 	}
-	r.over(m, func(c *hollow.Counts) {
+	r.over(m, func(c *simrelay.Counts) {
 		if word == discovery.GivenUp {
 			c.GivenUp++
 		} else {
@@ -441,7 +441,7 @@
 }
 
 // status adds what the relay has to show to a process's.
-func (r *relay) status(s *hollow.Status) {
+func (r *relay) status(s *simrelay.Status) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.Counts.Add(r.counts)
@@ -452,8 +452,8 @@
 }
 
 // result is what came of the relay. After run.
-func (r *relay) result() hollow.RelayResult {
-	out := hollow.RelayResult{Name: r.name, Hash: r.list.hash, Members: r.list.members, Whole: r.list.whole, Heard: r.list.heard, Wrong: r.list.wrong, Counts: r.counts}
+func (r *relay) result() simrelay.RelayResult {
+	out := simrelay.RelayResult{Name: r.name, Hash: r.list.hash, Members: r.list.members, Whole: r.list.whole, Heard: r.list.heard, Wrong: r.list.wrong, Counts: r.counts}
 	report, err := wal.Inspect(nil, r.folder)
 	if err != nil {
 		out.LogErr = err.Error()
--- a/internal/lab/hollow/relays/relay_test.go
+++ b/internal/faultlab/simrelay/relays/relay_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/lab/hollow"
-	"troutusher/internal/lab/model"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/simrelay"
 )
 
 const testMembers = 40
@@ -22,12 +22,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &hollow.Config{Folder: t.TempDir(), Discovery: []string{strings.TrimPrefix(d.URL, "http://")}, Fleet: 1, Seed: 5,
+	c := &simrelay.Config{Folder: t.TempDir(), Discovery: []string{strings.TrimPrefix(d.URL, "http://")}, Fleet: 1, Seed: 5,
 		Settings: []json.RawMessage{text}, Zones: []string{"a"}, Flavors: []string{model.Telco, model.Newsagent}, DiskMB: 16,
-		Stream: hollow.Stream{Rate: rate, Deadline: time.Second, Body: 50, Connect: 100 * time.Millisecond, Destinations: testMembers,
-			Down: hollow.Down{Seed: 5, Share: 0.25, For: time.Minute, Origin: time.Now().UnixMicro()}}}
+		Stream: simrelay.Stream{Rate: rate, Deadline: time.Second, Body: 50, Connect: 100 * time.Millisecond, Destinations: testMembers,
+			Down: simrelay.Down{Seed: 5, Share: 0.25, For: time.Minute, Origin: time.Now().UnixMicro()}}}
 	for _, k := range model.Classes() {
-		c.Stream.Classes = append(c.Stream.Classes, hollow.StreamClass{Name: k.Name, Share: k.Share,
+		c.Stream.Classes = append(c.Stream.Classes, simrelay.StreamClass{Name: k.Name, Share: k.Share,
 			Took: [2]time.Duration{5 * time.Millisecond, 50 * time.Millisecond}})
 	}
 	c.Stream.Down.Prepare(testMembers)
@@ -53,7 +53,7 @@
 	r := testRelay(t, d, 200)
 	over := make(chan struct{})
 	go func() { defer close(over); r.run() }()
-	now := func() (c hollow.Counts) { r.mu.Lock(); defer r.mu.Unlock(); return r.counts }
+	now := func() (c simrelay.Counts) { r.mu.Lock(); defer r.mu.Unlock(); return r.counts }
 	discoverytest.WaitFor(t, "the list", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.shown.members == testMembers })
 	r.in.Put(event{order: orderBegin})
 	discoverytest.WaitFor(t, "messages, and some that cannot be delivered", func() bool { c := now(); return c.Delivered >= 100 && c.HandedBack+c.GivenUp >= 10 })
@@ -81,8 +81,8 @@
 		r.step()
 	}
 	take(discovery.List{Revision: 1, Complete: true, Members: list})
-	if len(r.list.heard) != 0 || r.shown.hash != hollow.ListHash(list) {
-		t.Fatalf("after the first list: %d changes, hash %x, want %x", len(r.list.heard), r.shown.hash, hollow.ListHash(list))
+	if len(r.list.heard) != 0 || r.shown.hash != simrelay.ListHash(list) {
+		t.Fatalf("after the first list: %d changes, hash %x, want %x", len(r.list.heard), r.shown.hash, simrelay.ListHash(list))
 	}
 	drained, heavier, gone := list[1], list[2], list[3]
 	drained.Phase, heavier.Size, gone.Phase = discovery.Draining, 2, discovery.Removed
@@ -92,8 +92,8 @@
 	list[1], list[2] = drained, heavier
 	left := append(append([]discovery.Member{}, list[:3]...), list[5:]...) // the whole list lacks one more
 	take(discovery.List{Revision: 5, Complete: true, Members: left})
-	want := []uint64{hollow.ChangeKey("s1", discovery.Draining, 1), hollow.ChangeKey("s2", discovery.Up, 2),
-		hollow.ChangeKey("s3", discovery.Removed, 0), hollow.ChangeKey("s4", discovery.Removed, 0)}
+	want := []uint64{simrelay.ChangeKey("s1", discovery.Draining, 1), simrelay.ChangeKey("s2", discovery.Up, 2),
+		simrelay.ChangeKey("s3", discovery.Removed, 0), simrelay.ChangeKey("s4", discovery.Removed, 0)}
 	if len(r.list.heard) != len(want) {
 		t.Fatalf("%d changes, want %d", len(r.list.heard), len(want))
 	}
@@ -102,8 +102,8 @@
 			t.Errorf("change %d: %+v, want key %x", i, h, want[i])
 		}
 	}
-	if r.shown.hash != hollow.ListHash(left) || r.shown.members != len(left) || len(r.list.wrong) != 0 {
-		t.Errorf("%+v, want hash %x of %d members; wrong: %v", r.shown, hollow.ListHash(left), len(left), r.list.wrong)
+	if r.shown.hash != simrelay.ListHash(left) || r.shown.members != len(left) || len(r.list.wrong) != 0 {
+		t.Errorf("%+v, want hash %x of %d members; wrong: %v", r.shown, simrelay.ListHash(left), len(left), r.list.wrong)
 	}
 	take(discovery.List{Revision: 4, Members: []discovery.Member{drained}})
 	if len(r.list.wrong) != 1 {
--- a/internal/lab/hollow/relays/stream.go
+++ b/internal/faultlab/simrelay/relays/stream.go
@@ -5,18 +5,18 @@
 	"math/rand/v2"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/lab/hollow"
+	"plovershore/internal/faultlab/simrelay"
+	"plovershore/policy"
 )
 
 // attempt is one that is out: its end is settled when it begins.
 type attempt struct {
 	message *message
 	number  int
-	at      decide.Endpoint
+	at      policy.Endpoint
 	due     time.Time
 	began   time.Time
-	outcome decide.Outcome
+	outcome policy.Outcome
 	place   int // in the heap; -1 once it is out of it
 }
 
@@ -54,7 +54,7 @@
 
 // arrivals is the open loop by which messages come to one relay.
 type arrivals struct {
-	stream *hollow.Stream
+	stream *simrelay.Stream
 	random *rand.Rand
 	next   time.Time // zero while nothing comes
 }
@@ -89,14 +89,14 @@
 	stream := a.stream
 	took := stream.Classes[one.message.class].Took
 	span := took[0] + time.Duration(a.random.Float64()*float64(took[1]-took[0]))
-	one.outcome = decide.Delivered
+	one.outcome = policy.Delivered
 	if stream.Down.At(one.message.record.Dest, one.began.UnixMicro()) {
-		one.outcome, span = decide.NoConnect, stream.Connect
+		one.outcome, span = policy.NoConnect, stream.Connect
 	}
 	if span > limit {
 		span = max(limit, 0)
-		if one.outcome == decide.Delivered {
-			one.outcome = decide.TimedOut
+		if one.outcome == policy.Delivered {
+			one.outcome = policy.TimedOut
 		}
 	}
 	one.due = one.began.Add(span)
--- a/internal/lab/status.go
+++ b/internal/faultlab/status.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/model"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/model"
 )
 
 // Status is how a run goes at one moment.
--- a/internal/lab/standin/standin.go
+++ b/internal/faultlab/stub/standin.go
@@ -1,8 +1,8 @@
-// Package standin is a small relay that keeps the protocol's promises, unless
+// Package stub is a small relay that keeps the protocol's promises, unless
 // it is told to break one: the judge's tests run it as a process of its own and
 // want each defect caught by the checker that is meant for it. It keeps no log,
 // so it promises nothing over a restart, and throttles nothing.
-package standin
+package stub
 
 import (
 	"bufio"
@@ -28,7 +28,7 @@
 )
 
 // DefectEnv names the variable that tells the defect; empty for none.
-const DefectEnv = "TROUTLAB_DEFECT"
+const DefectEnv = "FAULTLAB_DEFECT"
 
 // The defects.
 const (
--- a/internal/lab/tap.go
+++ b/internal/faultlab/tap.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/model"
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/model"
 )
 
 // lister is discovery on one relay's machine, as the lab sees it.
--- a/internal/lab/wardens.go
+++ b/internal/faultlab/wardens.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"bufio"
@@ -16,15 +16,15 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/duty"
-	"troutusher/internal/lab/history"
-	"troutusher/internal/lab/link"
-	"troutusher/internal/lab/process"
-	"troutusher/internal/lab/scenario"
-	"troutusher/internal/registry"
-	"troutusher/internal/rollout"
-	"troutusher/internal/salvage"
-	"troutusher/internal/zones"
+	"plovershore/internal/failover"
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/link"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/faultlab/scenario"
+	"plovershore/internal/leader"
+	"plovershore/internal/registry"
+	"plovershore/internal/rollout"
+	"plovershore/internal/zones"
 )
 
 // warden is one warden, over all of its processes. It asks each node through a
@@ -78,7 +78,7 @@
 	}
 	p, err := process.Start(w.name, r.opts.Warden, []string{"--nodes", strings.Join(nodes, ","), "--name", w.name,
 		"--drill-clock", scenario.Turn(r.scen.Registry.WardenClocks, w.num), "--platform", w.group.platform.Addr(),
-		"--ttl", scenario.Secs(r.scen.Registry.WardenTTL).String(), "--duties", strings.Join([]string{duty.ListKeeper, duty.Counter, rollout.Duty, salvage.Duty, zones.Duty}, ",")}, nil, w.log)
+		"--ttl", scenario.Secs(r.scen.Registry.WardenTTL).String(), "--duties", strings.Join([]string{leader.ListKeeper, leader.Counter, rollout.Duty, failover.Duty, zones.Duty}, ",")}, nil, w.log)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 		}
 		for _, d := range l.Duties {
 			for i, w := range g.wardens {
-				if d.Name == cmp.Or(s.Fault.Duty, duty.Counter) && d.Holder != "" && d.Warden == w.name {
+				if d.Name == cmp.Or(s.Fault.Duty, leader.Counter) && d.Holder != "" && d.Warden == w.name {
 					targets = []int{i}
 				}
 			}
@@ -203,7 +203,7 @@
 				continue
 			}
 			tell(history.Unanswered, 0)
-			asked = &history.Event{Kind: history.Effect, Relay: w.name, Text: duty.Counter, Status: count, For: token, From: at.UnixMicro()}
+			asked = &history.Event{Kind: history.Effect, Relay: w.name, Text: leader.Counter, Status: count, For: token, From: at.UnixMicro()}
 		}
 		tell(history.Unanswered, 0)
 		errs = append(errs, lines.Err(), f.Close())
--- a/internal/duty/duty_test.go
+++ b/internal/leader/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package leader
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/clock"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
-	"troutusher/internal/registry/registrytest"
+	"plovershore/internal/clock"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
+	"plovershore/internal/registry/registrytest"
 )
 
 var quiet, waitFor = registrytest.Quiet, registrytest.WaitFor
--- a/internal/duty/explore_test.go
+++ b/internal/leader/explore_test.go
@@ -1,4 +1,4 @@
-package duty
+package leader
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/registry"
+	"plovershore/internal/registry"
 )
 
 // The model: two holders, one duty, a store that may change its leader, messages
--- a/internal/duty/figures.go
+++ b/internal/leader/figures.go
@@ -1,4 +1,4 @@
-package duty
+package leader
 
 import (
 	"net/http"
--- a/internal/duty/group_test.go
+++ b/internal/leader/group_test.go
@@ -1,4 +1,4 @@
-package duty
+package leader
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/registry/registrytest"
+	"plovershore/internal/registry/registrytest"
 )
 
 // steps are the effects that holders heard to have counted.
--- a/internal/duty/holder.go
+++ b/internal/leader/holder.go
@@ -1,4 +1,4 @@
-package duty
+package leader
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/clock"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/clock"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 // Errors of a grant.
--- a/internal/duty/keeper.go
+++ b/internal/leader/keeper.go
@@ -1,11 +1,11 @@
-package duty
+package leader
 
 import (
 	"context"
 	"net/http"
 	"time"
 
-	"troutusher/internal/registry"
+	"plovershore/internal/registry"
 )
 
 // ListKeeper is the duty that ends registrations which were not heard of, within
--- a/internal/duty/lease.go
+++ b/internal/leader/lease.go
@@ -1,4 +1,4 @@
-// Package duty has processes hold duties that the list service grants. It
+// Package leader has processes hold duties that the list service grants. It
 // promises that work runs only while its holder may believe itself the holder,
 // that every effect carries the grant's token, and that a duty is given up in
 // order where there is time for it. That an older token is refused is promised by
@@ -7,7 +7,7 @@
 //
 // Sources: Burrows, "The Chubby lock service" (2006), for sequencers and sessions;
 // Gray and Cheriton, "Leases" (1989), for counting a lease from before it is asked.
-package duty
+package leader
 
 import "time"
 
--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -21,10 +21,10 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/listener"
-	"troutusher/internal/mailbox"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/acceptretry"
+	"plovershore/internal/discovery"
+	"plovershore/internal/mailbox"
+	"plovershore/internal/registry/client"
 )
 
 const (
@@ -104,7 +104,7 @@
 	a.http = &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, ErrorLog: slog.NewLogLogger(o.Log.Handler(), slog.LevelDebug)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.wg.Add(4)
-	go func() { defer a.wg.Done(); a.http.Serve(listener.Patient(a.ln)) }()
+	go func() { defer a.wg.Done(); a.http.Serve(acceptretry.Patient(a.ln)) }()
 	go func() {
 		defer a.wg.Done()
 		a.mu.Lock()
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/loopback"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/discovery"
+	"plovershore/internal/loopback"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/registry/agent/disk.go
+++ b/internal/registry/agent/disk.go
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/discovery"
+	"plovershore/internal/registry/client"
 )
 
 const (
--- a/internal/registry/agent/journal.go
+++ b/internal/registry/agent/journal.go
@@ -11,8 +11,8 @@
 	"path/filepath"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/discovery"
+	"plovershore/internal/registry/client"
 )
 
 // The list on disk is a whole list and a journal of what has changed since. A
--- a/internal/registry/agent/journal_test.go
+++ b/internal/registry/agent/journal_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/loopback"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/discovery"
+	"plovershore/internal/loopback"
+	"plovershore/internal/registry/client"
 )
 
 // The size that the fleet is planned for.
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -13,7 +13,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 // Paths beside those of the protocol.
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -22,8 +22,8 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/registry"
+	"plovershore/internal/discovery"
+	"plovershore/internal/registry"
 )
 
 const (
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -14,8 +14,8 @@
 
 	"pgregory.net/rapid"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/registry"
+	"plovershore/internal/discovery"
+	"plovershore/internal/registry"
 )
 
 // TestNeverBackInAnEpoch draws news from nodes that are ahead and behind.
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -13,8 +13,8 @@
 	"github.com/hashicorp/raft"
 	"github.com/pelletier/go-toml/v2"
 
-	"troutusher/internal/clock"
-	"troutusher/internal/discovery"
+	"plovershore/internal/clock"
+	"plovershore/internal/discovery"
 )
 
 // Span is a duration as a configuration has it, such as 15s.
--- a/internal/registry/group_test.go
+++ b/internal/registry/group_test.go
@@ -19,8 +19,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/loopback"
+	"plovershore/internal/discovery"
+	"plovershore/internal/loopback"
 )
 
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
@@ -326,7 +326,7 @@
 // example starts as it stands.
 func TestConfigErrorsNameFileAndKey(t *testing.T) {
 	none := func(string) string { return "" }
-	if _, err := LoadConfig(filepath.Join("..", "..", "deploy", "troutregistry.toml"), none); err != nil {
+	if _, err := LoadConfig(filepath.Join("..", "..", "deploy", "registry.toml"), none); err != nil {
 		t.Error(err)
 	}
 	path := filepath.Join(t.TempDir(), "r.toml")
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -21,7 +21,7 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"troutusher/internal/listener"
+	"plovershore/internal/acceptretry"
 )
 
 // Figures of the group. A leader that died is followed by another well within
@@ -117,7 +117,7 @@
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		s.Serve(listener.Patient(ln)) // ends by Close
+		s.Serve(acceptretry.Patient(ln)) // ends by Close
 	}()
 }
 
--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/loopback"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/loopback"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 const waitMost = 30 * time.Second
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 // targetMembers is the list that is planned for.
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 const (
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 func endpoint(id, addr string) Member {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
 )
 
 // store is the state of one node, as the group's log drives it, with what is
--- a/internal/registry/tenure_test.go
+++ b/internal/registry/tenure_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/clock"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
-	"troutusher/internal/registry/registrytest"
+	"plovershore/internal/clock"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
+	"plovershore/internal/registry/registrytest"
 )
 
 const tenureTTL = 400 * time.Millisecond
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -4,9 +4,9 @@
 	"errors"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // How messages come to be held, and how the loop lets go of them.
@@ -38,7 +38,7 @@
 	m.req, m.taken = q, q.at
 	m.due = r.overdue.add(end)
 	r.waiting[q] = m
-	r.events = append(r.events, decide.Event{Kind: decide.EvMessage, Message: m.num, Class: q.class,
+	r.events = append(r.events, policy.Event{Kind: policy.EvMessage, Message: m.num, Class: q.class,
 		Dest: q.rec.Dest, Tenant: q.tenant, Left: end - r.now()})
 }
 
@@ -96,7 +96,7 @@
 	if !m.over {
 		m.over = true
 		r.drop(m)
-		r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Message: m.num, Spilled: m.spill != nil, Dest: m.rec.Dest})
+		r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: m.num, Spilled: m.spill != nil, Dest: m.rec.Dest})
 	}
 	r.takeBack(m)
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/wal"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // Attempts: from what the policy wants sent to the outcomes that it hears.
@@ -24,7 +24,7 @@
 // gather puts a send with those that the policy makes in the same call, as many
 // as a call there may carry. Two calls of one step stay two: each has an end of
 // its own, and the messages of one must not wait for those of the other.
-func (r *Relay) gather(m *message, a *decide.Action) {
+func (r *Relay) gather(m *message, a *policy.Action) {
 	ep := r.byNum[a.Endpoint]
 	if ep == nil {
 		r.notSent(m, nil)
@@ -56,7 +56,7 @@
 	keep := keepIdle(&r.cfg.Policy)
 	ep.reuse(r.cfg, r.idleConns, min(ep.idle.limit(keep, now), r.idle.limit(keep, now)))
 	c := &call{ep: ep, conns: ep.conns, ctx: ctx, stop: stop}
-	limit := decide.Time(0)
+	limit := policy.Time(0)
 	for _, s := range slices.Clone(b.sends) {
 		m := s.m
 		if r.shelve(m) {
@@ -111,7 +111,7 @@
 		rec := c.parts[i].m.rec
 		r.wal.Submit(&wal.Record{Kind: wal.Attempt, ID: rec.ID, At: at, Zone: c.ep.zone, To: c.ep.id, By: r.owner.by, Sync: r.unsafe(rec)}, func(err error) {
 			if err != nil {
-				results[i] = outcome{what: decide.NotSent, err: err, unsaved: true, unmade: true}
+				results[i] = outcome{what: policy.NotSent, err: err, unsaved: true, unmade: true}
 			} else {
 				recs, place = append(recs, rec), append(place, i)
 			}
@@ -130,7 +130,7 @@
 		return
 	}
 	o, now := &results[0], r.now()
-	if reset := o.what == decide.Reset; reset || o.status != 0 {
+	if reset := o.what == policy.Reset; reset || o.status != 0 {
 		c.ep.idle.book(o.idle, reset, now)
 		r.idle.book(o.idle, reset, now)
 	}
@@ -152,7 +152,7 @@
 
 // attempted books the end of an attempt.
 func (r *Relay) attempted(m *message, ep *endpoint, attempt int, o *outcome) {
-	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: attempt, Outcome: o.what, Wait: o.wait,
+	e := policy.Event{Kind: policy.EvOutcome, Message: m.num, Attempt: attempt, Outcome: o.what, Wait: o.wait,
 		Slots: o.slots, Unmade: o.unmade, Settled: o.settled || m.over, Took: o.took, Load: o.load, Fresh: o.fresh}
 	if ep != nil {
 		e.Endpoint = ep.num
@@ -161,11 +161,11 @@
 		m.tries--
 		r.fig.unmade.Add(1)
 	}
-	if o.what != decide.Delivered || o.wait > 0 {
+	if o.what != policy.Delivered || o.wait > 0 {
 		r.doubtCell(m.rec.Dest)
 	}
 	r.events = append(r.events, e)
-	if o.what != decide.Delivered {
+	if o.what != policy.Delivered {
 		r.log.Info("attempt", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
 			"attempt", attempt, "outcome", int(o.what), "status", o.status, "took_ms", o.took/1000,
 			"idle_ms", o.idle.Milliseconds(), "age_ms", time.Since(m.taken).Milliseconds(), "err", o.err)
@@ -184,7 +184,7 @@
 		r.wal.Submit(rec, nil)
 	}
 	if o.settled && !m.over {
-		if o.what == decide.Delivered {
+		if o.what == policy.Delivered {
 			r.fig.delivered(m.class)
 		}
 		m.over = true
@@ -217,5 +217,5 @@
 // unsafe reports whether a message may not have its effect twice.
 func (r *Relay) unsafe(rec *wal.Record) bool {
 	i, ok := r.cfg.classes[rec.Class]
-	return ok && r.cfg.Policy.Classes[i].Repeat == decide.Unsafe
+	return ok && r.cfg.Policy.Classes[i].Repeat == policy.Unsafe
 }
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/backlog"
-	"troutusher/internal/discovery"
-	"troutusher/internal/wal"
+	"plovershore/internal/backlog"
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // This file carries out what the policy says of its backlog: which messages the
@@ -14,7 +14,7 @@
 
 const (
 	loadMost  = 2000             // messages that are read at a time: the loop goes on in between
-	loadRetry = decide.Time(1e6) // after a message could not be read
+	loadRetry = policy.Time(1e6) // after a message could not be read
 )
 
 // spills is what the loop has of spilled messages.
@@ -37,7 +37,7 @@
 func (s *spills) count() int { return s.store.Len() + len(s.reading) + len(s.failed) }
 
 // wait is how long the loop may wait for the next message that has to be back.
-func (s *spills) wait(now decide.Time) time.Duration {
+func (s *spills) wait(now policy.Time) time.Duration {
 	wait := time.Hour
 	if at, ok := s.store.Next(); ok && len(s.reading) == 0 {
 		wait = min(wait, time.Duration(at-now+1)*time.Microsecond)
@@ -50,17 +50,17 @@
 
 // spill has a message be in the log alone, as soon as it is there and its client
 // has heard of it.
-func (r *Relay) spill(a *decide.Action) {
+func (r *Relay) spill(a *policy.Action) {
 	m := r.msgs[a.Message]
 	if m == nil || m.over { // it was withdrawn in the turn that spilled it
-		r.in.Put(happening{forgone: &decide.Event{Kind: decide.EvWithdraw, Message: a.Message, Spilled: true, Dest: a.Dest}})
+		r.in.Put(happening{forgone: &policy.Event{Kind: policy.EvWithdraw, Message: a.Message, Spilled: true, Dest: a.Dest}})
 		return
 	}
 	m.spill = &backlog.Entry{At: a.At, Flags: flagsOf(a)}
 	r.letGo(m)
 }
 
-func flagsOf(a *decide.Action) (f backlog.Flags) {
+func flagsOf(a *policy.Action) (f backlog.Flags) {
 	if a.Kept {
 		f |= backlog.Kept
 	}
@@ -83,7 +83,7 @@
 		r.fig.ended(m.class, discovery.GivenUp)
 		r.drop(m)
 		r.end(m, discovery.GivenUp, 0)
-		r.in.Put(happening{forgone: &decide.Event{Kind: decide.EvWithdraw, Message: m.num, Spilled: true, Dest: m.rec.Dest}})
+		r.in.Put(happening{forgone: &policy.Event{Kind: policy.EvWithdraw, Message: m.num, Spilled: true, Dest: m.rec.Dest}})
 		return
 	}
 	if !r.spills.told {
@@ -99,7 +99,7 @@
 }
 
 // ask books that the policy wants spilled messages back.
-func (r *Relay) ask(a *decide.Action) {
+func (r *Relay) ask(a *policy.Action) {
 	if r.spills.asked == nil {
 		r.spills.asked = map[int]int{}
 	}
@@ -147,7 +147,7 @@
 }
 
 // retry takes up again what could not be read some time ago.
-func (s *spills) retry(now decide.Time) {
+func (s *spills) retry(now policy.Time) {
 	left := s.failed[:0]
 	for _, x := range s.failed {
 		if x.At > now {
@@ -171,13 +171,13 @@
 		if rec != nil && rec.ID == "" { // another one instead, and this one again later
 			item.At = r.now() + loadRetry
 			s.failed = append(s.failed, item)
-			r.ask(&decide.Action{Dest: item.Dest, Count: 1})
+			r.ask(&policy.Action{Dest: item.Dest, Count: 1})
 			continue
 		}
 		r.held-- // it is counted anew, or over
 		if rec == nil {
 			r.log.Error("a spilled message is owed no longer", "dest", item.Dest)
-			r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Spilled: true, Dest: item.Dest})
+			r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Spilled: true, Dest: item.Dest})
 			continue
 		}
 		r.takeBackIn(rec, item)
@@ -195,7 +195,7 @@
 		r.drop(m)
 		r.end(m, discovery.GivenUp, 0)
 		r.log.Error("lost", "message", rec.ID)
-		r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Message: m.num, Spilled: true, Dest: item.Dest})
+		r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: m.num, Spilled: true, Dest: item.Dest})
 		return
 	}
 	if rec.Out != 0 { // its outcome could not be logged: it may have run
--- a/internal/relay/backlog_slope_test.go
+++ b/internal/relay/backlog_slope_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
 )
 
 // slopeSizes are the messages held at which TestBacklogSlope measures: few where
@@ -133,8 +133,8 @@
 //
 //	go test ./internal/relay -run TestBacklogSlope -v -args -slope 1000,10000,100000,300000
 func TestBacklogSlope(t *testing.T) {
-	bin := filepath.Join(t.TempDir(), "troutusher")
-	if out, err := exec.Command("go", "build", "-o", bin, "troutusher/cmd/troutusher").CombinedOutput(); err != nil {
+	bin := filepath.Join(t.TempDir(), "relay")
+	if out, err := exec.Command("go", "build", "-o", bin, "plovershore/cmd/relay").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	t.Logf("%-7s %8s %10s %14s %12s %12s %12s %10s", "", "held", "RSS MB", "RSS B/message", "µs admitted", "µs worked", "µs took", "ready ms")
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/backlog"
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/loopback"
-	"troutusher/internal/wal"
+	"plovershore/internal/backlog"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/loopback"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // backlogEnv is a configuration with so many messages in memory at most, and
@@ -402,7 +402,7 @@
 }
 
 // handIn takes a message on as the loop and its client do together.
-func handIn(t *testing.T, r *Relay, id string, dest int, left decide.Time) *request {
+func handIn(t *testing.T, r *Relay, id string, dest int, left policy.Time) *request {
 	q := &request{class: 0, tenant: 0, rec: &wal.Record{Kind: wal.Taken, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, at: time.Now(), left: time.Duration(left) * time.Microsecond, reply: make(chan string, 1)}
 	r.in.Put(happening{put: q})
 	return q
@@ -412,7 +412,7 @@
 func boundRelay(t *testing.T, resident int) *Relay {
 	r := newTestRelay(t)
 	r.cfg.Policy.MaxHeld, r.cfg.Policy.MaxResident = 0, resident
-	policy, err := decide.New(r.cfg.Policy, 1)
+	decider, err := policy.New(r.cfg.Policy, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -423,7 +423,7 @@
 	stop := make(chan struct{})
 	go w.Run(stop)
 	t.Cleanup(func() { close(stop); <-w.Done() })
-	r.policy, r.wal = policy, w
+	r.policy, r.wal = decider, w
 	return r
 }
 
@@ -492,9 +492,9 @@
 		t.Fatalf("%d in memory, %d spilled, %d held", len(r.msgs), r.spills.count(), r.held)
 	}
 	// The policy knows of that, too: once nothing is spilled it asks for nothing.
-	r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Message: 1})
+	r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: 1})
 	waitFor(t, "the one that is left", func() bool { r.turn(); return r.ids["m1"] != nil })
-	r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Message: r.ids["m1"].num})
+	r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: r.ids["m1"].num})
 	if r.turn(); len(r.spills.asked) != 0 || r.spills.count() != 0 {
 		t.Errorf("%d spilled, asked for %v", r.spills.count(), r.spills.asked)
 	}
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/wal"
+	"plovershore/internal/wal"
 )
 
 // RESP2, as far as clients speak it here: commands are arrays of bulk strings.
--- a/internal/relay/clockstep_test.go
+++ b/internal/relay/clockstep_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/clock/clocktest"
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
+	"plovershore/internal/clock/clocktest"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
 )
 
 // endSlack is what an end may come after a message's time by the protocol (300 ms),
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -11,11 +11,11 @@
 	"strconv"
 	"syscall"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/settings"
-	"troutusher/internal/wal"
-	"troutusher/internal/wire"
+	"plovershore/internal/discovery"
+	"plovershore/internal/settings"
+	"plovershore/internal/wal"
+	"plovershore/internal/wire"
+	"plovershore/policy"
 )
 
 // Limits are those of the relay's machine.
@@ -39,7 +39,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     *discovery.List // the list as this relay last had it, maybe old
-	Policy    decide.Settings
+	Policy    policy.Settings
 	Promise   wal.Promise // what a message that was taken on outlives
 	FS        wal.FS      // of the log; nil for the machine's own
 	Connect   ConnectHook // nil for none
@@ -283,4 +283,4 @@
 	return min(operatorConns, c.Limits.Sockets/8)
 }
 
-func (c *Config) keyed(class int) bool { return c.Policy.Classes[class].Repeat == decide.Keyed }
+func (c *Config) keyed(class int) bool { return c.Policy.Classes[class].Repeat == policy.Keyed }
--- a/internal/relay/connectfault_test.go
+++ b/internal/relay/connectfault_test.go
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/loopback"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/loopback"
 )
 
 // connectFaultEnv names a file to a child relay: as long as that is there, connects to
 // endpoints fail with the error whose number stands in it.
-const connectFaultEnv = "TROUTUSHER_TEST_CONNECT_FAULT"
+const connectFaultEnv = "RELAY_TEST_CONNECT_FAULT"
 
 func faultyConnect(path string) ConnectHook {
 	fault := faultIn(path)
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/loopback"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/loopback"
+	"plovershore/internal/wal"
 )
 
 // gate stands before a server at an address of its own, at which connections are refused while it is shut.
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
 )
 
 // Guards the start against silent discovery: the relay answers with the list
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -12,14 +12,14 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/wal"
 )
 
 // diskFaultEnv names a file to a child relay: as long as that is there, all that the
 // log writes fails with the error whose number stands in it.
-const diskFaultEnv = "TROUTUSHER_TEST_DISK_FAULT"
+const diskFaultEnv = "RELAY_TEST_DISK_FAULT"
 
 // faultyDisk is the machine's file system, with failures of what writes.
 type faultyDisk struct {
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -4,9 +4,9 @@
 	"errors"
 	"sync/atomic"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // ending is the end of a message that the platform is to be told of. Where the log does
@@ -15,7 +15,7 @@
 // process sends it.
 type ending struct {
 	notice discovery.Notice
-	by     decide.Time // when it is told in any case
+	by     policy.Time // when it is told in any case
 	told   atomic.Bool
 }
 
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -18,8 +18,8 @@
 	"sync/atomic"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/wal"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 const (
@@ -42,16 +42,16 @@
 // The loop owns it; calls use its address as it was when they began.
 type endpoint struct {
 	id       string
-	num      decide.Endpoint
+	num      policy.Endpoint
 	cell     int
 	zone     int
 	batch    int // messages that one call there may carry
 	hostPort string
 	listed   bool // discovery names it
 	gone     bool // drained or removed: nothing new goes there
-	goneAt   decide.Time
-	answerAt decide.Time // when it last answered at all
-	waitOver decide.Time // of what it, or one that shares its limit, told to wait
+	goneAt   policy.Time
+	answerAt policy.Time // when it last answered at all
+	waitOver policy.Time // of what it, or one that shares its limit, told to wait
 	conns    *http.Transport
 	idle     idleWatch
 	counted  *http.Transport // these of its connections are in the pool's count
@@ -59,7 +59,7 @@
 	lastUse  int             // calls begun so far
 	seenUse  int             // the same when its place in pool.used was last given
 	calls    map[*call]bool
-	entry    decide.Entry // as the policy was last told
+	entry    policy.Entry // as the policy was last told
 }
 
 // reuse has the endpoint's connections stand idle for no longer than this.
@@ -76,7 +76,7 @@
 // keepIdle is how long a connection may stand idle by the settings. A request
 // written to a connection that the endpoint is closing ends as a reset: ours
 // close first.
-func keepIdle(set *decide.Settings) time.Duration {
+func keepIdle(set *policy.Settings) time.Duration {
 	keep := time.Duration(set.KeepAlive) * time.Microsecond
 	return keep - keep/idleMargin
 }
@@ -84,11 +84,11 @@
 // suspect books how a call went and reports whether the endpoint's idle
 // connections are to be given up. After a machine was silent or died, each of
 // them would hang or be reset under a call that may then have run.
-func (ep *endpoint) suspect(o *outcome, now decide.Time) bool {
+func (ep *endpoint) suspect(o *outcome, now policy.Time) bool {
 	switch o.what {
-	case decide.Reset, decide.NoConnect:
+	case policy.Reset, policy.NoConnect:
 		return true
-	case decide.TimedOut, decide.Cancelled:
+	case policy.TimedOut, policy.Cancelled:
 		return ep.answerAt < now-o.took // others that were sent later were answered: one slow call
 	}
 	if o.status != 0 {
@@ -278,12 +278,12 @@
 
 // outcome is what became of a call or a probe.
 type outcome struct {
-	what    decide.Outcome
-	wait    decide.Time
+	what    policy.Outcome
+	wait    policy.Time
 	slots   bool // not sent, since all slots were taken
 	settled bool // the message is over
-	took    decide.Time
-	load    decide.Load
+	took    policy.Time
+	load    policy.Load
 	status  int
 	err     error
 	idle    time.Duration // for which its connection had been idle; 0 for one in use or new
@@ -424,18 +424,18 @@
 	all := func(o outcome) []outcome { return slices.Repeat([]outcome{o}, len(recs)) }
 	req, err := newCallRequest(ctx, hostPort, recs, limit)
 	if err != nil {
-		return all(outcome{what: decide.NotSent, err: err})
+		return all(outcome{what: policy.NotSent, err: err})
 	}
 	resp, err := conns.RoundTrip(req)
 	o := outcome{took: time.Since(began).Microseconds(), idle: time.Duration(idle.Load()), fresh: fresh.Load()}
 	if err != nil {
 		conn := line.Load()
 		o.what, o.err = c.failure(ctx, err, conn), err
-		if o.what == decide.NoConnect && c.stage.Load() == callWaiting && isLocal(err) {
-			o.what, o.unmade = decide.NotSent, true
+		if o.what == policy.NoConnect && c.stage.Load() == callWaiting && isLocal(err) {
+			o.what, o.unmade = policy.NotSent, true
 		}
 		if len(recs) == 1 && conn != nil && c.stage.Load() == callWritten && conn.said200() {
-			o.what, o.settled, o.status = decide.Delivered, true, http.StatusOK
+			o.what, o.settled, o.status = policy.Delivered, true, http.StatusOK
 		}
 		return all(o)
 	}
@@ -452,7 +452,7 @@
 // readBatch tells the messages of a batch apart by the body of its answer.
 // What that does not tell, or what cannot be read, may have run.
 func (c *call) readBatch(ctx context.Context, resp *http.Response, whole outcome, recs []*wal.Record, conn *lineConn) []outcome {
-	whole.what, whole.settled = decide.Errored, false
+	whole.what, whole.settled = policy.Errored, false
 	out := slices.Repeat([]outcome{whole}, len(recs))
 	text, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
 	var items []struct {
@@ -476,13 +476,13 @@
 		}
 		switch states[rec.ID] {
 		case "accepted":
-			o.what, o.settled = decide.Delivered, true
+			o.what, o.settled = policy.Delivered, true
 		case "deferred":
-			o.what = decide.Full
+			o.what = policy.Full
 		case "expired":
-			o.what, o.settled = decide.NotSent, true
+			o.what, o.settled = policy.NotSent, true
 		case "no_more":
-			o.what = decide.NotSent
+			o.what = policy.NotSent
 		}
 	}
 	return out
@@ -490,24 +490,24 @@
 
 // failure maps a call without an answer, or without a whole one. What never ran is claimed only where
 // it is certain: no connection, or one that broke before the last byte.
-func (c *call) failure(ctx context.Context, err error, conn *lineConn) decide.Outcome {
+func (c *call) failure(ctx context.Context, err error, conn *lineConn) policy.Outcome {
 	switch stage := c.stage.Load(); {
 	case stage == callStopped && !errors.Is(context.Cause(ctx), errCancelled):
-		return decide.NotSent
+		return policy.NotSent
 	case stage == callStopped || stage == callWaiting: // none came up while it was waited for
-		return decide.NoConnect
+		return policy.NoConnect
 	case stage == callSending && c.broken.Load() && ctx.Err() == nil:
-		return decide.NoConnect
+		return policy.NoConnect
 	}
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
-		return decide.Cancelled
+		return policy.Cancelled
 	case ctx.Err() != nil:
-		return decide.TimedOut
+		return policy.TimedOut
 	case conn != nil && conn.unreadable():
-		return decide.Errored // the endpoint is there, and its other connections are sound
+		return policy.Errored // the endpoint is there, and its other connections are sound
 	}
-	return decide.Reset
+	return policy.Reset
 }
 
 // readAnswer maps an answer to an outcome.
@@ -516,33 +516,33 @@
 	o.wait = retryAfter(resp.Header.Get("Retry-After"))
 	switch resp.StatusCode {
 	case http.StatusOK:
-		o.what, o.settled = decide.Delivered, true
+		o.what, o.settled = policy.Delivered, true
 	case http.StatusTooManyRequests:
-		o.what = decide.Full
+		o.what = policy.Full
 	case http.StatusServiceUnavailable:
-		if o.what = decide.Full; resp.Header.Get("Slots-Taken") == "1" {
-			o.what, o.slots = decide.NotSent, true
+		if o.what = policy.Full; resp.Header.Get("Slots-Taken") == "1" {
+			o.what, o.slots = policy.NotSent, true
 		}
 	case http.StatusGatewayTimeout: // has had all its attempts
-		o.what = decide.NotSent
+		o.what = policy.NotSent
 	case http.StatusGone:
-		o.what, o.settled = decide.NotSent, true
+		o.what, o.settled = policy.NotSent, true
 	default: // 500, and what no page names: it may have run
-		o.what = decide.Errored
+		o.what = policy.Errored
 	}
 }
 
 // retryAfter reads seconds with decimals.
-func retryAfter(s string) decide.Time {
+func retryAfter(s string) policy.Time {
 	v, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
 	if err != nil || !(v > 0) {
 		return 0
 	}
-	return decide.Time(min(v, longestWait.Seconds()) * 1e6)
+	return policy.Time(min(v, longestWait.Seconds()) * 1e6)
 }
 
 // readLoad reads a report such as x0=0.4,x1=25.
-func readLoad(s string, fields []string) (l decide.Load) {
+func readLoad(s string, fields []string) (l policy.Load) {
 	if len(fields) == 0 {
 		return l
 	}
@@ -569,14 +569,14 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+hostPort+probePath, nil)
 	if err != nil {
-		return outcome{what: decide.NotSent, err: err}
+		return outcome{what: policy.NotSent, err: err}
 	}
 	resp, err := conns.RoundTrip(req)
 	o := outcome{took: time.Since(began).Microseconds()}
 	if err != nil {
-		o.err, o.what = err, decide.Reset
+		o.err, o.what = err, policy.Reset
 		if ctx.Err() != nil {
-			o.what = decide.TimedOut
+			o.what = policy.TimedOut
 		}
 		return o
 	}
@@ -584,11 +584,11 @@
 	o.status = resp.StatusCode
 	switch resp.StatusCode {
 	case http.StatusOK:
-		o.what = decide.Delivered
+		o.what = policy.Delivered
 	case http.StatusServiceUnavailable:
-		o.what = decide.Full
+		o.what = policy.Full
 	default:
-		o.what = decide.Errored
+		o.what = policy.Errored
 	}
 	io.Copy(io.Discard, io.LimitReader(resp.Body, answerMost))
 	return o
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 func testSet(t *testing.T) *Config {
@@ -86,30 +86,30 @@
 	}
 	for name, x := range map[string]struct {
 		serve   func(net.Conn)
-		what    decide.Outcome
-		wait    decide.Time
+		what    policy.Outcome
+		wait    policy.Time
 		slots   bool
 		settled bool
 	}{
-		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: decide.Delivered, settled: true},
-		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: decide.Delivered, settled: true},
-		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: decide.Full, wait: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: decide.Full},
-		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, slots: true},
-		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent},
-		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, settled: true},
-		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"broken after":       {serve: say(""), what: decide.Reset},
-		"nonsense":           {serve: say("what?\r\n\r\n"), what: decide.Errored},
-		"garbled status":     {serve: say("HTTP/1.1 2x0 OK\r\n\r\n"), what: decide.Errored},
-		"200, head cut":      {serve: say("HTTP/1.1 200 OK\r\nContent-Le"), what: decide.Delivered, settled: true},
-		"200, head garbled":  {serve: say("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"), what: decide.Delivered, settled: true},
-		"500, head cut":      {serve: say("HTTP/1.1 500 E\r\nContent-Le"), what: decide.Reset},
-		"half a first line":  {serve: say("HTTP/1.1 200 O"), what: decide.Reset},
-		"half an answer":     {serve: say("HTTP/1.1 20"), what: decide.Reset},
-		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: decide.Delivered, settled: true},
+		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: policy.Delivered, settled: true},
+		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: policy.Delivered, settled: true},
+		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
+		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: policy.Full, wait: 750000},
+		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: policy.Full},
+		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, slots: true},
+		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent},
+		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, settled: true},
+		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
+		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
+		"broken after":       {serve: say(""), what: policy.Reset},
+		"nonsense":           {serve: say("what?\r\n\r\n"), what: policy.Errored},
+		"garbled status":     {serve: say("HTTP/1.1 2x0 OK\r\n\r\n"), what: policy.Errored},
+		"200, head cut":      {serve: say("HTTP/1.1 200 OK\r\nContent-Le"), what: policy.Delivered, settled: true},
+		"200, head garbled":  {serve: say("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"), what: policy.Delivered, settled: true},
+		"500, head cut":      {serve: say("HTTP/1.1 500 E\r\nContent-Le"), what: policy.Reset},
+		"half a first line":  {serve: say("HTTP/1.1 200 O"), what: policy.Reset},
+		"half an answer":     {serve: say("HTTP/1.1 20"), what: policy.Reset},
+		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: policy.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := testConns(t, 2)
@@ -129,20 +129,20 @@
 	body := func(head, text string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(text), text)
 	}
-	same := func(o decide.Outcome) []decide.Outcome { return slices.Repeat([]decide.Outcome{o}, 6) }
+	same := func(o policy.Outcome) []policy.Outcome { return slices.Repeat([]policy.Outcome{o}, 6) }
 	for name, x := range map[string]struct {
 		answer string
-		what   []decide.Outcome
-		wait   decide.Time
+		what   []policy.Outcome
+		wait   policy.Time
 	}{
-		"told apart": {answer: body("200 OK\r\nRetry-After: 0.5", ok), wait: 500000, what: []decide.Outcome{decide.Delivered,
-			decide.Errored, decide.Full, decide.NotSent, decide.NotSent, decide.Errored}},
-		"turned away":    {answer: body("429 W\r\nRetry-After: 2", ""), wait: 2000000, what: same(decide.Full)},
-		"full":           {answer: body("503 F", ""), what: same(decide.Full)},
-		"error":          {answer: body("500 E", ""), what: same(decide.Errored)},
-		"cannot be read": {answer: body("200 OK", `[{"id":"a","state":"acc`), what: same(decide.Errored)},
-		"chunks garbled": {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", what: same(decide.Errored)},
-		"cut":            {answer: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + ok, what: same(decide.Reset)},
+		"told apart": {answer: body("200 OK\r\nRetry-After: 0.5", ok), wait: 500000, what: []policy.Outcome{policy.Delivered,
+			policy.Errored, policy.Full, policy.NotSent, policy.NotSent, policy.Errored}},
+		"turned away":    {answer: body("429 W\r\nRetry-After: 2", ""), wait: 2000000, what: same(policy.Full)},
+		"full":           {answer: body("503 F", ""), what: same(policy.Full)},
+		"error":          {answer: body("500 E", ""), what: same(policy.Errored)},
+		"cannot be read": {answer: body("200 OK", `[{"id":"a","state":"acc`), what: same(policy.Errored)},
+		"chunks garbled": {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", what: same(policy.Errored)},
+		"cut":            {answer: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + ok, what: same(policy.Reset)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := make(chan string, 1)
@@ -160,7 +160,7 @@
 			recs := []*wal.Record{{ID: "a", Key: "k", Body: []byte("hello")}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}, {ID: "f"}}
 			out := newTestCall().run(conns, addr, recs, testLimit, nil)
 			for i, o := range out {
-				settled := x.what[i] == decide.Delivered || name == "told apart" && recs[i].ID == "d"
+				settled := x.what[i] == policy.Delivered || name == "told apart" && recs[i].ID == "d"
 				if o.what != x.what[i] || o.settled != settled || o.wait != x.wait {
 					t.Errorf("%s: got %+v, want %v", recs[i].ID, o, x.what[i])
 				}
@@ -197,7 +197,7 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := runOne(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testLimit); o.what != decide.NoConnect {
+	if o := runOne(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testLimit); o.what != policy.NoConnect {
 		t.Errorf("refused: %+v", o)
 	}
 	gone := make(chan struct{}, 2)
@@ -209,14 +209,14 @@
 		in.ReadByte() // until the caller closes
 		gone <- struct{}{}
 	})
-	if o := runOne(newTestCall(), conns, silent, &wal.Record{ID: "m"}, 50*time.Millisecond); o.what != decide.TimedOut {
+	if o := runOne(newTestCall(), conns, silent, &wal.Record{ID: "m"}, 50*time.Millisecond); o.what != policy.TimedOut {
 		t.Errorf("silent: %+v", o)
 	}
 	<-entered
 	<-gone // giving up closes the connection
 	c := newTestCall()
 	go func() { <-entered; c.stop(errCancelled) }()
-	if o := runOne(c, conns, silent, &wal.Record{ID: "m"}, testLimit); o.what != decide.Cancelled {
+	if o := runOne(c, conns, silent, &wal.Record{ID: "m"}, testLimit); o.what != policy.Cancelled {
 		t.Errorf("cancelled: %+v", o)
 	}
 	<-gone
@@ -235,7 +235,7 @@
 		waitFor(t, "the end of the window", func() bool { return !time.Now().Before(c.by) })
 		return &lineConn{Conn: conn}, err
 	}
-	if o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit); o.what != decide.NotSent {
+	if o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit); o.what != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
 	conns.CloseIdleConnections()
@@ -268,7 +268,7 @@
 			done := make(chan outcome, 1)
 			go func() { done <- runOne(c, conns, addr, &wal.Record{ID: "m"}, limit) }()
 			waitFor(t, "the outcome", func() bool { return len(done) > 0 })
-			if o := <-done; o.what != decide.Delivered || !o.settled {
+			if o := <-done; o.what != policy.Delivered || !o.settled {
 				t.Errorf("got %+v", o)
 			}
 			waitFor(t, "the end of the connection", func() bool {
@@ -302,10 +302,10 @@
 			conns := testConns(t, 2)
 			defer conns.CloseIdleConnections()
 			rec := &wal.Record{ID: "m", Key: "k", Body: body}
-			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.what != decide.Delivered {
+			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.what != policy.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
-			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.what != decide.Reset {
+			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.what != policy.Reset {
 				t.Errorf("second: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
@@ -335,7 +335,7 @@
 	c := newTestCall()
 	go func() { <-dialing; c.holdBack(errDrained) }()
 	o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit)
-	if o.what != decide.NotSent || o.took > testLimit.Microseconds()/2 {
+	if o.what != policy.NotSent || o.took > testLimit.Microseconds()/2 {
 		t.Errorf("got %+v", o)
 	}
 	close(release)
@@ -349,7 +349,7 @@
 	late.stage.Store(callStopped)
 	tr := testConns(t, 2)
 	defer tr.CloseIdleConnections()
-	if o := runOne(late, tr, ep.addr(), &wal.Record{ID: "late"}, testLimit); o.what != decide.NotSent || ep.count("late") != 0 {
+	if o := runOne(late, tr, ep.addr(), &wal.Record{ID: "late"}, testLimit); o.what != policy.NotSent || ep.count("late") != 0 {
 		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
 	}
 	// What is under way already is not stopped.
@@ -377,7 +377,7 @@
 	c.parts = []part{{m: over}, {m: &message{}}}
 	go func() { <-dialing; c.drop(over) }()
 	for _, o := range c.run(conns, ep.addr(), []*wal.Record{{ID: "over"}, {ID: "other"}}, testLimit, nil) {
-		if o.what != decide.NoConnect || o.took > testLimit.Microseconds()/2 {
+		if o.what != policy.NoConnect || o.took > testLimit.Microseconds()/2 {
 			t.Errorf("got %+v", o)
 		}
 	}
@@ -420,9 +420,9 @@
 	told := begin(one, callWritten)
 	calls := map[*call]bool{begin(one, callWaiting): true, begin(twin, callWaiting): true,
 		begin(one, callSending): false, begin(other, callWaiting): false}
-	r.finished(told, []outcome{{what: decide.Full, status: http.StatusTooManyRequests, wait: 600e6}})
+	r.finished(told, []outcome{{what: policy.Full, status: http.StatusTooManyRequests, wait: 600e6}})
 	for c, stopped := range calls {
-		if got := c.ctx.Err() != nil; got != stopped || got && c.failure(c.ctx, c.ctx.Err(), nil) != decide.NotSent {
+		if got := c.ctx.Err() != nil; got != stopped || got && c.failure(c.ctx, c.ctx.Err(), nil) != policy.NotSent {
 			t.Errorf("%s, stage %d: stopped %v", c.ep.id, c.stage.Load(), got)
 		}
 	}
@@ -442,16 +442,16 @@
 	ep := &endpoint{}
 	for i, x := range []struct {
 		o    outcome
-		now  decide.Time
+		now  policy.Time
 		want bool
 	}{
-		{outcome{what: decide.Delivered, status: 200, took: 10}, 1000, false},
-		{outcome{what: decide.TimedOut, took: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
-		{outcome{what: decide.TimedOut, took: 500}, 2000, true},
-		{outcome{what: decide.Reset}, 2100, true},
-		{outcome{what: decide.NoConnect}, 2200, true},
-		{outcome{what: decide.Full, status: 503}, 2300, false},
-		{outcome{what: decide.Cancelled, took: 50}, 2320, false},
+		{outcome{what: policy.Delivered, status: 200, took: 10}, 1000, false},
+		{outcome{what: policy.TimedOut, took: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
+		{outcome{what: policy.TimedOut, took: 500}, 2000, true},
+		{outcome{what: policy.Reset}, 2100, true},
+		{outcome{what: policy.NoConnect}, 2200, true},
+		{outcome{what: policy.Full, status: 503}, 2300, false},
+		{outcome{what: policy.Cancelled, took: 50}, 2320, false},
 	} {
 		if got := ep.suspect(&x.o, x.now); got != x.want {
 			t.Errorf("%d: %v", i, got)
@@ -484,7 +484,7 @@
 			go func() { done <- runOne(newTestCall(), tr, addr, &wal.Record{ID: "m"}, testLimit) }()
 		}
 		for range burst {
-			if o := <-done; o.what != decide.Delivered {
+			if o := <-done; o.what != policy.Delivered {
 				t.Fatalf("round %d: %+v", round, o)
 			}
 		}
@@ -498,7 +498,7 @@
 }
 
 func TestReadRetryAfter(t *testing.T) {
-	for s, want := range map[string]decide.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e99": 600e6} {
+	for s, want := range map[string]policy.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e99": 600e6} {
 		if got := retryAfter(s); got != want {
 			t.Errorf("%q: %d, want %d", s, got, want)
 		}
@@ -507,18 +507,18 @@
 
 func TestReadLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
-	for s, want := range map[string]decide.Load{"x0=0.4,x1=25": {Left: 0.4, Limit: 25, Told: true}, "x1=3": {Limit: 3, Told: true}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}} {
+	for s, want := range map[string]policy.Load{"x0=0.4,x1=25": {Left: 0.4, Limit: 25, Told: true}, "x1=3": {Limit: 3, Told: true}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}} {
 		if got := readLoad(s, fields); got != want {
 			t.Errorf("%q: %+v", s, got)
 		}
 	}
-	if got := readLoad("x0=1", nil); got != (decide.Load{}) {
+	if got := readLoad("x0=1", nil); got != (policy.Load{}) {
 		t.Errorf("a report where none is due: %+v", got)
 	}
 }
 
 func TestProbe(t *testing.T) {
-	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Full, 404: decide.Errored} {
+	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Full, 404: policy.Errored} {
 		ep := newFakeEndpoint(t, status(code))
 		if o := probe(context.Background(), testConns(t, 2), ep.addr()); o.what != want {
 			t.Errorf("%d: %+v", code, o)
@@ -537,7 +537,7 @@
 	conns := testConns(t, 4)
 	defer conns.CloseIdleConnections()
 	for i, want := range []bool{true, false} {
-		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.fresh != want || o.what != decide.Full {
+		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.fresh != want || o.what != policy.Full {
 			t.Errorf("call %d: fresh %v, %+v", i, o.fresh, o)
 		}
 	}
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -21,16 +21,16 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/loopback"
-	"troutusher/internal/mailbox"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/loopback"
+	"plovershore/internal/mailbox"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // childEnv makes the test's own program a relay, so that a test can kill one.
-const childEnv = "TROUTUSHER_TEST_CHILD"
+const childEnv = "RELAY_TEST_CHILD"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(childEnv) == "" {
@@ -223,7 +223,7 @@
 func newTestRelayOn(t *testing.T, fs wal.FS) *Relay {
 	t.Helper()
 	cfg := testSet(t)
-	policy, err := decide.New(cfg.Policy, 1)
+	decider, err := policy.New(cfg.Policy, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -233,9 +233,9 @@
 	}
 	stop := make(chan struct{})
 	go w.Run(stop)
-	r := &Relay{cfg: cfg, log: quietLog(), policy: policy, in: mailbox.New[happening](), began: time.Now(), clocks: newClockWatch(), wal: w,
+	r := &Relay{cfg: cfg, log: quietLog(), policy: decider, in: mailbox.New[happening](), began: time.Now(), clocks: newClockWatch(), wal: w,
 		ctx: t.Context(), msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*request]*message{},
-		endpoints: map[string]*endpoint{}, byNum: map[decide.Endpoint]*endpoint{}, idleConns: 2, fig: newFigures(cfg.Policy.Classes)}
+		endpoints: map[string]*endpoint{}, byNum: map[policy.Endpoint]*endpoint{}, idleConns: 2, fig: newFigures(cfg.Policy.Classes)}
 	r.alignLogTime()
 	t.Cleanup(func() { close(stop); <-w.Done() })
 	return r
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"sync/atomic"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
+	"plovershore/policy"
 )
 
 // figures are what the operators are shown. Counts start at 0 with the process
@@ -50,7 +50,7 @@
 	completed, rejected, failed, upstream atomic.Int64
 }
 
-func newFigures(classes []decide.Class) *figures {
+func newFigures(classes []policy.Class) *figures {
 	f := &figures{lanes: make([]laneFigures, len(classes)), refused: map[refusal]*atomic.Int64{}}
 	for _, why := range refusals {
 		f.refused[why] = &atomic.Int64{}
--- a/internal/relay/idle.go
+++ b/internal/relay/idle.go
@@ -5,7 +5,7 @@
 	"math/bits"
 	"time"
 
-	"troutusher/decide"
+	"plovershore/policy"
 )
 
 // Something between a relay and an endpoint may let an idle connection die
@@ -25,7 +25,7 @@
 // connection had stood idle before. The loop owns it.
 type idleWatch struct {
 	shares [idleSteps]float64
-	at     [idleSteps]decide.Time
+	at     [idleSteps]policy.Time
 }
 
 // step is the place of an idle time, or -1 for one too short to matter.
@@ -34,13 +34,13 @@
 }
 
 // share is the share of a step, less what time has taken from it.
-func (w *idleWatch) share(i int, now decide.Time) float64 {
+func (w *idleWatch) share(i int, now policy.Time) float64 {
 	age := time.Duration(now-w.at[i]) * time.Microsecond
 	return w.shares[i] * math.Exp2(-age.Seconds()/idleHalving.Seconds())
 }
 
 // book takes in how a call went on a connection that had been idle so long.
-func (w *idleWatch) book(idle time.Duration, reset bool, now decide.Time) {
+func (w *idleWatch) book(idle time.Duration, reset bool, now policy.Time) {
 	i := w.step(idle)
 	if i < 0 {
 		return
@@ -54,7 +54,7 @@
 
 // limit is how long a connection may stand idle and still be used, at most so
 // long as the settings have it.
-func (w *idleWatch) limit(most time.Duration, now decide.Time) time.Duration {
+func (w *idleWatch) limit(most time.Duration, now policy.Time) time.Duration {
 	for i := range idleSteps {
 		if w.share(i, now) > idleBad {
 			return min(most, idleLeast<<i)
--- a/internal/relay/idle_test.go
+++ b/internal/relay/idle_test.go
@@ -4,16 +4,16 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // Guards against idle connections that die in silence: where calls on
 // connections idle for long are reset, none so old is used, others still are,
 // and after a while it is tried again.
 func TestIdleLimit(t *testing.T) {
-	const keep, second = 9 * time.Second, decide.Time(1e6)
+	const keep, second = 9 * time.Second, policy.Time(1e6)
 	w := &idleWatch{}
 	now := 100 * second
 	for range 20 {
@@ -43,7 +43,7 @@
 func TestResetShortensReuse(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	r := newTestRelay(t)
-	r.list(&discovery.List{Complete: true, Members: []discovery.Member{ep.member("s-1", 7)}}, decide.ListFull)
+	r.list(&discovery.List{Complete: true, Members: []discovery.Member{ep.member("s-1", 7)}}, policy.ListFull)
 	at := r.endpoints["s-1"]
 	send1 := func(id string) {
 		m := r.newMessage(&wal.Record{Kind: wal.Taken, ID: id, Dest: 7, Class: "plain"})
@@ -57,7 +57,7 @@
 	}
 	<-r.in.Ready()
 	for _, h := range r.in.TakeAll(nil) {
-		r.finished(h.call, []outcome{{what: decide.Reset, idle: 300 * time.Millisecond}})
+		r.finished(h.call, []outcome{{what: policy.Reset, idle: 300 * time.Millisecond}})
 	}
 	send1("b")
 	if got, want := at.conns.IdleConnTimeout, 256*time.Millisecond; got != want {
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -1,15 +1,15 @@
 package relay
 
 import (
-	"troutusher/decide"
-	"troutusher/internal/discovery"
+	"plovershore/internal/discovery"
+	"plovershore/policy"
 )
 
 // The list of endpoints, as the loop keeps it.
 
 // list books news of the list.
-func (r *Relay) list(l *discovery.List, kind decide.ListNews) {
-	e := decide.Event{Kind: decide.EvList, List: kind}
+func (r *Relay) list(l *discovery.List, kind policy.ListNews) {
+	e := policy.Event{Kind: policy.EvList, List: kind}
 	seen := map[string]bool{}
 	for i := range l.Members {
 		x := &l.Members[i]
@@ -19,7 +19,7 @@
 		seen[x.ID] = true
 		e.Entries = append(e.Entries, r.member(x))
 	}
-	if kind != decide.ListChange {
+	if kind != policy.ListChange {
 		for id, ep := range r.endpoints {
 			if !seen[id] {
 				r.setListed(ep, false)
@@ -31,7 +31,7 @@
 	r.forgetGone()
 }
 
-func (r *Relay) member(x *discovery.Member) decide.Entry {
+func (r *Relay) member(x *discovery.Member) policy.Entry {
 	ep := r.endpoints[x.ID]
 	if ep == nil {
 		r.lastEnd++
@@ -47,8 +47,8 @@
 	}
 	r.setListed(ep, x.Phase != discovery.Removed)
 	r.doubt(ep)
-	entry := decide.Entry{Endpoint: ep.num, Zone: place(r.cfg.zones, x.Locality), Kind: place(r.cfg.kinds, x.Flavor),
-		Dest: x.Cell, State: decide.Ready, Rate: x.Size}
+	entry := policy.Entry{Endpoint: ep.num, Zone: place(r.cfg.zones, x.Locality), Kind: place(r.cfg.kinds, x.Flavor),
+		Dest: x.Cell, State: policy.Ready, Rate: x.Size}
 	ep.zone, ep.batch = entry.Zone, 1
 	if entry.Kind >= 0 {
 		ep.batch = max(r.cfg.Policy.Kinds[entry.Kind].Batch, 1)
@@ -58,10 +58,10 @@
 	case discovery.Up:
 		ep.gone = false
 	case discovery.Draining:
-		entry.State = decide.Draining
+		entry.State = policy.Draining
 		r.leave(ep)
 	case discovery.Removed:
-		entry.State, entry.Dest = decide.Gone, ep.cell
+		entry.State, entry.Dest = policy.Gone, ep.cell
 		r.leave(ep)
 	}
 	return entry
@@ -84,7 +84,7 @@
 // toldWait lets nothing new go to an endpoint, and to those that share its
 // limit, before a wait is over. The policy begins no call in that time, but one
 // that it began before may still wait for its connection or its clients.
-func (r *Relay) toldWait(ep *endpoint, wait decide.Time) {
+func (r *Relay) toldWait(ep *endpoint, wait policy.Time) {
 	kinds, kind := r.cfg.Policy.Kinds, ep.entry.Kind
 	sharing := r.members.byCell[ep.cell]
 	if kind >= 0 && kind < len(kinds) && kinds[kind].Apart {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/backlog"
-	"troutusher/internal/discovery"
-	"troutusher/internal/mailbox"
-	"troutusher/internal/wal"
+	"plovershore/internal/backlog"
+	"plovershore/internal/discovery"
+	"plovershore/internal/mailbox"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // Figures of a planned end. A relay has 3.7 s from SIGTERM until it is killed.
@@ -28,10 +28,10 @@
 	stopRetry  = 400                     // ms after which a client may come again, to another relay
 	firstList  = 1500 * time.Millisecond // how long the start waits for discovery
 	showEvery  = 250 * time.Millisecond  // gauges are this old at most
-	showLeast  = decide.Time(100e3)      // and are worked out no more often than this
-	goneMemory = decide.Time(600e6)      // how long an endpoint that left is remembered at least
-	goneSweep  = decide.Time(60e6)       // between two looks for those: a change must not cost a walk over the list
-	clockStart = decide.Time(3600e6)     // of the policy's clock: sends of an earlier process lie before it
+	showLeast  = policy.Time(100e3)      // and are worked out no more often than this
+	goneMemory = policy.Time(600e6)      // how long an endpoint that left is remembered at least
+	goneSweep  = policy.Time(60e6)       // between two looks for those: a change must not cost a walk over the list
+	clockStart = policy.Time(3600e6)     // of the policy's clock: sends of an earlier process lie before it
 )
 
 // message is what the loop knows of a message from when it is handed in until
@@ -52,7 +52,7 @@
 	spill   *backlog.Entry // the log alone is to have it, likewise
 	call    *call
 	taken   time.Time   // when its request came, or when this process took it up
-	due     decide.Time // its place among what may be overdue; 0 for none
+	due     policy.Time // its place among what may be overdue; 0 for none
 }
 
 // batch is what one step sends to one endpoint as one call. It goes out once
@@ -66,8 +66,8 @@
 
 type send struct {
 	m  *message
-	at decide.Time // the moment it times out
-	by decide.Time // no byte of it may go out later; 0 for any time
+	at policy.Time // the moment it times out
+	by policy.Time // no byte of it may go out later; 0 for any time
 }
 
 func (b *batch) remove(m *message) {
@@ -83,11 +83,11 @@
 	call    *call // with results, one for each of its parts
 	results []outcome
 	unsent  *unsent
-	probed  decide.Endpoint
+	probed  policy.Endpoint
 	result  *outcome
 	ok      bool
 	stop    bool
-	ask     decide.EventKind // of the operators: EvDrain, EvActivate
+	ask     policy.EventKind // of the operators: EvDrain, EvActivate
 	refused bool             // discovery turned a call away
 	noticed string           // the message whose notice was taken
 	unkept  *message         // taken over from the side log, but the log has no room for it
@@ -95,7 +95,7 @@
 	resumed *resumed         // messages that were owed at the start
 	looked  bool             // put: the log was asked whether it is owed already
 	loaded  *loaded          // messages that were spilled
-	forgone *decide.Event    // a spilled message is over
+	forgone *policy.Event    // a spilled message is over
 	failed  error            // of the log, for good
 }
 
@@ -109,14 +109,14 @@
 // unsent is an attempt that never left.
 type unsent struct {
 	m  *message
-	ep decide.Endpoint
+	ep policy.Endpoint
 }
 
 // Relay is one running relay.
 type Relay struct {
 	cfg        *Config
 	log        *slog.Logger
-	policy     *decide.Policy
+	policy     *policy.Policy
 	in         *mailbox.Mailbox[happening]
 	wal        *wal.Log
 	spills     spills
@@ -128,17 +128,17 @@
 	endings    []*ending // that the log may not have yet
 	began      time.Time
 	lastNum    uint32
-	lastEnd    decide.Endpoint
+	lastEnd    policy.Endpoint
 	msgs       map[uint32]*message
 	ids        map[string]*message
 	waiting    map[*request]*message // whose clients have no answer yet
 	endpoints  map[string]*endpoint
-	byNum      map[decide.Endpoint]*endpoint
+	byNum      map[policy.Endpoint]*endpoint
 	members    members
-	events     []decide.Event
-	actions    []decide.Action
+	events     []policy.Event
+	actions    []policy.Action
 	batches    []*batch      // of the step that is being carried out
-	timers     []decide.Time // that the policy asked for, earliest first: each one comes, as it counts on
+	timers     []policy.Time // that the policy asked for, earliest first: each one comes, as it counts on
 	held       int
 	calls      int
 	stopAt     time.Time
@@ -152,7 +152,7 @@
 	ready      *atomic.Bool // as readyz says
 	fig        *figures
 	saysNo     bool        // the policy has this process refuse clients
-	shownAt    decide.Time // when the gauges were last published
+	shownAt    policy.Time // when the gauges were last published
 	clocks     clockWatch
 	overdue    overdue
 	lateNow    int // messages overdue when the gauges were last published
@@ -250,7 +250,7 @@
 	}
 	if n > 0 {
 		r.timers = slices.Delete(r.timers, 0, n)
-		r.events = append(r.events, decide.Event{Kind: decide.EvTimer})
+		r.events = append(r.events, policy.Event{Kind: policy.EvTimer})
 	}
 }
 
@@ -280,22 +280,22 @@
 	case h.passed:
 		r.hasPassed(h.ok)
 	case h.news != nil:
-		kind := decide.ListChange
+		kind := policy.ListChange
 		if h.news.Complete {
-			kind = decide.ListFull
+			kind = policy.ListFull
 		}
 		r.list(h.news, kind)
 	case h.unsent != nil && r.owner.passed: // the next process has it
 	case h.unsent != nil:
 		m := h.unsent.m
-		r.attempted(m, r.byNum[h.unsent.ep], m.tries-1, &outcome{what: decide.NotSent, unsaved: true})
+		r.attempted(m, r.byNum[h.unsent.ep], m.tries-1, &outcome{what: policy.NotSent, unsaved: true})
 	case h.call != nil:
 		r.finished(h.call, h.results)
 	case h.ask != 0 && r.stopAt.IsZero(): // a relay that ends is not taken into service again
-		r.log.Info("asked by the operators", "drain", h.ask == decide.EvDrain)
-		r.events = append(r.events, decide.Event{Kind: h.ask})
+		r.log.Info("asked by the operators", "drain", h.ask == policy.EvDrain)
+		r.events = append(r.events, policy.Event{Kind: h.ask})
 	case h.probed != 0:
-		r.events = append(r.events, decide.Event{Kind: decide.EvProbed, Endpoint: h.probed,
+		r.events = append(r.events, policy.Event{Kind: policy.EvProbed, Endpoint: h.probed,
 			Outcome: h.result.what, Took: h.result.took, Load: h.result.load})
 	}
 }
@@ -327,7 +327,7 @@
 	r.events = nil
 	fresh := make([]*message, 0, len(events))
 	for i := range events {
-		if events[i].Kind == decide.EvMessage {
+		if events[i].Kind == policy.EvMessage {
 			if m := r.msgs[events[i].Message]; m != nil && m.req != nil {
 				fresh = append(fresh, m)
 			}
@@ -339,9 +339,9 @@
 	// log, so that no send comes before it.
 	for i := range r.actions {
 		switch a := &r.actions[i]; a.Kind {
-		case decide.ActRefuse:
+		case policy.ActRefuse:
 			r.ended(a, discovery.HandedBack)
-		case decide.ActFail:
+		case policy.ActFail:
 			r.ended(a, discovery.GivenUp)
 		}
 	}
@@ -361,7 +361,7 @@
 }
 
 // ended carries out a final answer.
-func (r *Relay) ended(a *decide.Action, word string) {
+func (r *Relay) ended(a *policy.Action, word string) {
 	m := r.msgs[a.Message]
 	if m == nil || m.over {
 		return
@@ -393,14 +393,14 @@
 }
 
 // act carries out what is no final answer.
-func (r *Relay) act(now decide.Time, a *decide.Action) {
+func (r *Relay) act(now policy.Time, a *policy.Action) {
 	switch a.Kind {
-	case decide.ActSend:
+	case policy.ActSend:
 		if m := r.msgs[a.Message]; m != nil {
 			m.tries++
 			r.gather(m, a)
 		}
-	case decide.ActCancel:
+	case policy.ActCancel:
 		if m := r.msgs[a.Message]; m != nil && a.Attempt == m.tries-1 {
 			if m.call != nil {
 				m.call.drop(m)
@@ -408,11 +408,11 @@
 				r.takeBack(m)
 			}
 		}
-	case decide.ActTimer:
+	case policy.ActTimer:
 		if at, set := slices.BinarySearch(r.timers, now+a.After); !set {
 			r.timers = slices.Insert(r.timers, at, now+a.After)
 		}
-	case decide.ActProbe:
+	case policy.ActProbe:
 		if ep := r.byNum[a.Endpoint]; ep != nil && !ep.gone {
 			conns, addr := ep.conns, ep.hostPort
 			go func() {
@@ -420,27 +420,27 @@
 				r.in.Put(happening{probed: a.Endpoint, result: &o})
 			}()
 		}
-	case decide.ActClose:
+	case policy.ActClose:
 		if ep := r.byNum[a.Endpoint]; ep != nil && ep.conns != nil {
 			ep.conns.CloseIdleConnections()
 		}
-	case decide.ActSayNo:
+	case policy.ActSayNo:
 		r.saysNo = true
 		r.ready.Store(false)
 		r.cl.refuse(true)
-	case decide.ActRelease:
+	case policy.ActRelease:
 		r.cl.closeIdle()
-	case decide.ActSayYes:
+	case policy.ActSayYes:
 		r.cl.refuse(false)
 		r.saysNo = false
 		if !r.resuming {
 			r.setReady()
 		}
-	case decide.ActSpill:
+	case policy.ActSpill:
 		r.spill(a)
-	case decide.ActLoad:
+	case policy.ActLoad:
 		r.ask(a)
-	case decide.ActLog:
+	case policy.ActLog:
 		r.log.Info("policy", "says", a.Text)
 	}
 }
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"troutusher/decide"
+	"plovershore/policy"
 )
 
 // members is what the loop keeps of its endpoints beside the map of all, so that
@@ -15,7 +15,7 @@
 	// policy begins to avoid one with news of the list or of a call there, or to a
 	// sibling; by time alone it only ceases to.
 	doubtful map[*endpoint]bool
-	sweptAt  decide.Time // when endpoints that left long ago were last looked for
+	sweptAt  policy.Time // when endpoints that left long ago were last looked for
 }
 
 // setListed books whether discovery names an endpoint.
@@ -98,7 +98,7 @@
 
 // avoided counts the endpoints on the list that get nothing now but trial calls
 // at most, and drops from the doubtful ones those that do.
-func (r *Relay) avoided(now decide.Time) int {
+func (r *Relay) avoided(now policy.Time) int {
 	n := 0
 	for ep := range r.members.doubtful {
 		switch {
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // walked counts the gauges of the list the plain way.
-func (r *Relay) walked(now decide.Time) (members, avoided int64) {
+func (r *Relay) walked(now policy.Time) (members, avoided int64) {
 	for _, ep := range r.endpoints {
 		if !ep.listed {
 			continue
@@ -69,11 +69,11 @@
 	if m.call == nil {
 		return
 	}
-	o := outcome{what: []decide.Outcome{decide.Delivered, decide.Errored, decide.Errored, decide.TimedOut, decide.NoConnect,
-		decide.Full, decide.Reset}[d.rng.IntN(7)], took: 1000}
-	o.settled = o.what == decide.Delivered
+	o := outcome{what: []policy.Outcome{policy.Delivered, policy.Errored, policy.Errored, policy.TimedOut, policy.NoConnect,
+		policy.Full, policy.Reset}[d.rng.IntN(7)], took: 1000}
+	o.settled = o.what == policy.Delivered
 	if d.rng.IntN(4) == 0 {
-		o.status, o.wait = 200, 1000*decide.Time(d.rng.IntN(20))
+		o.status, o.wait = 200, 1000*policy.Time(d.rng.IntN(20))
 	}
 	d.r.finished(m.call, []outcome{o})
 }
@@ -92,7 +92,7 @@
 				m := r.newMessage(&wal.Record{ID: fmt.Sprintf("%d-%d", seed, step), Class: "plain", Dest: d.rng.IntN(8),
 					Deadline: r.logTime(r.now() + 20e6)})
 				m.heard = true
-				r.events = append(r.events, decide.Event{Kind: decide.EvMessage, Message: m.num, Dest: m.rec.Dest, Tenant: -1, Left: 20e6})
+				r.events = append(r.events, policy.Event{Kind: policy.EvMessage, Message: m.num, Dest: m.rec.Dest, Tenant: -1, Left: 20e6})
 			case 3:
 				d.end()
 			case 4:
@@ -122,7 +122,7 @@
 	for _, a := range r.policy.Step(r.now(), events, nil) {
 		m := r.msgs[a.Message]
 		switch {
-		case a.Kind == decide.ActSend && m != nil:
+		case a.Kind == policy.ActSend && m != nil:
 			m.tries++
 			ep := r.byNum[a.Endpoint]
 			c := newTestCall()
@@ -130,10 +130,10 @@
 			m.call, ep.calls[c] = c, true
 			r.calls++
 			d.out = append(d.out, m)
-		case (a.Kind == decide.ActRefuse || a.Kind == decide.ActFail) && m != nil:
+		case (a.Kind == policy.ActRefuse || a.Kind == policy.ActFail) && m != nil:
 			m.over = true
 			r.drop(m)
-		case a.Kind == decide.ActTimer:
+		case a.Kind == policy.ActTimer:
 			r.timers = append(r.timers, r.now()+a.After)
 		}
 	}
@@ -173,7 +173,7 @@
 		r.take(happening{news: &discovery.List{Members: []discovery.Member{
 			{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: 1, Phase: phase, Size: 1}}}})
 	}
-	pass := func(span decide.Time) { r.began = r.began.Add(-time.Duration(span) * time.Microsecond) }
+	pass := func(span policy.Time) { r.began = r.began.Add(-time.Duration(span) * time.Microsecond) }
 	change("gone", discovery.Up)
 	change("gone", discovery.Removed)
 	pass(goneMemory - goneSweep)
--- a/internal/relay/operator.go
+++ b/internal/relay/operator.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/listener"
+	"plovershore/internal/acceptretry"
+	"plovershore/policy"
 )
 
 // The operator address: what the staff, or their tools, ask of one relay. It is
@@ -31,7 +31,7 @@
 	log   *slog.Logger
 	fig   *figures
 	ready *atomic.Bool // this process can serve, and is not drained
-	ask   func(decide.EventKind)
+	ask   func(policy.EventKind)
 	most  int // connections at once
 	srv   *http.Server
 
@@ -45,7 +45,7 @@
 }
 
 // startOperator listens at addr. The caller closes it.
-func startOperator(cfg *Config, log *slog.Logger, fig *figures, ready *atomic.Bool, ask func(decide.EventKind)) (*operator, error) {
+func startOperator(cfg *Config, log *slog.Logger, fig *figures, ready *atomic.Bool, ask func(policy.EventKind)) (*operator, error) {
 	ln, _, err := listenPatiently(log, nil, func() (net.Listener, error) { return net.Listen("tcp", cfg.Operator) })
 	if err != nil {
 		return nil, fmt.Errorf("operator: %w", err)
@@ -59,7 +59,7 @@
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	o.srv.SetKeepAlivesEnabled(false) // one call a connection
 	go func() {
-		if err := o.srv.Serve(listener.Patient(ln)); err != http.ErrServerClosed {
+		if err := o.srv.Serve(acceptretry.Patient(ln)); err != http.ErrServerClosed {
 			log.Error("operator: no longer served", "err", err)
 		}
 	}()
@@ -92,11 +92,11 @@
 	}))
 	// Both are handed over as events and come to the same when they are repeated.
 	mux.HandleFunc("POST /v1/relay/drain", o.whole(func(w http.ResponseWriter) {
-		o.ask(decide.EvDrain)
+		o.ask(policy.EvDrain)
 		io.WriteString(w, "draining\n")
 	}))
 	mux.HandleFunc("POST /v1/relay/activate", o.whole(func(w http.ResponseWriter) {
-		o.ask(decide.EvActivate)
+		o.ask(policy.EvActivate)
 		io.WriteString(w, "active\n")
 	}))
 	return mux
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"testing"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/loopback"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/loopback"
+	"plovershore/policy"
 )
 
 // serveOperator runs the operator address alone.
@@ -22,7 +22,7 @@
 	t.Helper()
 	ready := &atomic.Bool{}
 	o, err := startOperator(&Config{Operator: "127.0.0.1:0", Limits: Limits{Sockets: 1024}}, quietLog(),
-		newFigures([]decide.Class{{Name: "plain"}, {Name: "once"}}), ready, func(decide.EventKind) {})
+		newFigures([]policy.Class{{Name: "plain"}, {Name: "once"}}), ready, func(policy.EventKind) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 
 // Guards the form of the figures, and that every class is there from the start.
 func TestFiguresText(t *testing.T) {
-	f := newFigures([]decide.Class{{Name: "plain"}, {Name: "once"}})
+	f := newFigures([]policy.Class{{Name: "plain"}, {Name: "once"}})
 	f.delivered(1)
 	f.written(1)
 	f.ended(0, discovery.HandedBack)
--- a/internal/relay/orders_test.go
+++ b/internal/relay/orders_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery/discoverytest"
+	"plovershore/internal/discovery/discoverytest"
 )
 
 // orders is the world of a property test over orders: one destination that
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -1,24 +1,24 @@
 package relay
 
-import "troutusher/decide"
+import "plovershore/policy"
 
 const (
-	overdueSpan  = decide.Time(250e3) // messages whose times end within one such span are counted together
-	overdueGrace = decide.Time(500e3) // after its time a message may take so long to end
+	overdueSpan  = policy.Time(250e3) // messages whose times end within one such span are counted together
+	overdueGrace = policy.Time(500e3) // after its time a message may take so long to end
 )
 
 // overdue counts the messages that are held past their time. It goes by what the
 // client said and by the moment at which the request came, not by the deadline
 // that the log and the policy have, so that a fault there shows.
 type overdue struct {
-	ends map[decide.Time]int // messages held, by the span in which their time ends
+	ends map[policy.Time]int // messages held, by the span in which their time ends
 }
 
 // add books a message whose time ends at a moment of the policy's clock; remove
 // needs what it returns.
-func (o *overdue) add(end decide.Time) (span decide.Time) {
+func (o *overdue) add(end policy.Time) (span policy.Time) {
 	if o.ends == nil {
-		o.ends = map[decide.Time]int{}
+		o.ends = map[policy.Time]int{}
 	}
 	span = max(end/overdueSpan, 1)
 	o.ends[span]++
@@ -26,7 +26,7 @@
 }
 
 // remove books that a message is held no longer; span 0 was never booked.
-func (o *overdue) remove(span decide.Time) {
+func (o *overdue) remove(span policy.Time) {
 	switch n := o.ends[span]; {
 	case n > 1:
 		o.ends[span] = n - 1
@@ -36,7 +36,7 @@
 }
 
 // count is how many are held past their time and the grace.
-func (o *overdue) count(now decide.Time) (n int) {
+func (o *overdue) count(now policy.Time) (n int) {
 	for span, held := range o.ends {
 		if (span+1)*overdueSpan+overdueGrace <= now {
 			n += held
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"troutusher/decide"
+	"plovershore/policy"
 )
 
 // The count agrees with a walk over all that is held, but for the width of a span.
@@ -12,9 +12,9 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		var o overdue
-		type held struct{ end, span decide.Time }
+		type held struct{ end, span policy.Time }
 		var all []held
-		for now := decide.Time(1e9); now < 1030e6; now += 1 + rng.Int64N(60e3) {
+		for now := policy.Time(1e9); now < 1030e6; now += 1 + rng.Int64N(60e3) {
 			if n := len(all); n > 0 && rng.IntN(2) == 0 {
 				i := rng.IntN(n)
 				o.remove(all[i].span)
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"troutusher/internal/discovery/discoverytest"
+	"plovershore/internal/discovery/discoverytest"
 )
 
 // Guards the descriptors against a long list: a call to each of many endpoints, within the time for which a connection
--- a/internal/relay/ready_test.go
+++ b/internal/relay/ready_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/loopback"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/loopback"
+	"plovershore/internal/wal"
 )
 
 // readyIn is how long a restarted process may take until it can be used, where the day does not end sooner.
@@ -92,7 +92,7 @@
 // serves, is silent or refuses. The relay is used once it answers PING, and says that it is ready to its operators.
 func TestReadyInTime(t *testing.T) {
 	owed := 100000
-	if s := os.Getenv("TROUTUSHER_READY_OWED"); s != "" { // for a measurement
+	if s := os.Getenv("RELAY_READY_OWED"); s != "" { // for a measurement
 		owed, _ = strconv.Atoi(s)
 	}
 	members := 31000
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -17,12 +17,12 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/clock"
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/loopback"
-	"troutusher/internal/wal"
+	"plovershore/internal/clock"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/loopback"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // Id, key and body go on as they came, whatever bytes they hold.
@@ -600,12 +600,12 @@
 func TestEachTimerComes(t *testing.T) {
 	r := newTestRelay(t)
 	due := r.now() // the loop has looked a moment ago: it was not due
-	r.timers = []decide.Time{due}
+	r.timers = []policy.Time{due}
 	r.admit(&request{class: 0, tenant: 0, rec: &wal.Record{ID: "m", Class: "plain", Dest: 7}, at: time.Now(), left: 20 * time.Second, reply: make(chan string, 1)})
 	r.step()
-	r.act(due, &decide.Action{Kind: decide.ActTimer, After: 10e6})
-	r.act(due+5e6, &decide.Action{Kind: decide.ActTimer, After: 5e6}) // that one again is no third
-	r.act(due, &decide.Action{Kind: decide.ActTimer, After: 5e6})     // the policy goes by this one; the other comes all the same
+	r.act(due, &policy.Action{Kind: policy.ActTimer, After: 10e6})
+	r.act(due+5e6, &policy.Action{Kind: policy.ActTimer, After: 5e6}) // that one again is no third
+	r.act(due, &policy.Action{Kind: policy.ActTimer, After: 5e6})     // the policy goes by this one; the other comes all the same
 	for range 3 {                                                     // as the loop goes on, with no event but the timer's
 		if r.ring(); len(r.events) > 0 {
 			r.step()
@@ -651,7 +651,7 @@
 			t.Fatal(err)
 		}
 		defer r.closeLog()
-		near := func(what string, left decide.Time) {
+		near := func(what string, left policy.Time) {
 			if left < 15e6 || left > 21e6 {
 				t.Errorf("booted %v: %s: %d µs left", boots, what, left)
 			}
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // What an earlier process left owed, as the log reads it.
@@ -52,9 +52,9 @@
 
 // owedEvent tells the policy of a message that the log has had for a while, with
 // its state.
-func (r *Relay) owedEvent(m *message) decide.Event {
+func (r *Relay) owedEvent(m *message) policy.Event {
 	rec := m.rec
-	e := decide.Event{Kind: decide.EvMessage, Message: m.num, Class: m.class, Dest: rec.Dest, Tenant: -1,
+	e := policy.Event{Kind: policy.EvMessage, Message: m.num, Class: m.class, Dest: rec.Dest, Tenant: -1,
 		Left: r.fromLogTime(rec.Deadline) - r.now(), Tries: rec.Tries, DoubtIn: rec.DoubtIn}
 	if t, ok := r.cfg.tenants[rec.Tenant]; ok {
 		e.Tenant = t
@@ -114,7 +114,7 @@
 }
 
 // number gives the policy's number of an endpoint by its id, listed or not.
-func (r *Relay) number(id string) decide.Endpoint {
+func (r *Relay) number(id string) policy.Endpoint {
 	if ep := r.endpoints[id]; ep != nil {
 		return ep.num
 	}
