--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/mailbox"
+	"plovershore/internal/discovery"
+	"plovershore/internal/mailbox"
+	"plovershore/policy"
 )
 
 // Starting a relay: its list, the log, the listener, and the loop.
@@ -18,20 +18,20 @@
 // Run serves until stop is closed and the end is made, or something fails that
 // a relay cannot go on without. What moved gives is discovery's new address.
 func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, moved <-chan string) error {
-	policy, err := decide.New(cfg.Policy, cfg.Seed)
+	decider, err := policy.New(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &Relay{cfg: cfg, log: log, policy: policy, in: mailbox.New[happening](), began: time.Now(), clocks: newClockWatch(), ctx: ctx,
+	r := &Relay{cfg: cfg, log: log, policy: decider, in: mailbox.New[happening](), began: time.Now(), clocks: newClockWatch(), ctx: ctx,
 		msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*request]*message{},
-		endpoints: map[string]*endpoint{}, byNum: map[decide.Endpoint]*endpoint{}}
+		endpoints: map[string]*endpoint{}, byNum: map[policy.Endpoint]*endpoint{}}
 	r.fig = newFigures(cfg.Policy.Classes)
 	r.fig.waits.Store("waits for the list of endpoints")
 	r.ready = &atomic.Bool{}
 	if cfg.Operator != "" {
-		op, err := startOperator(cfg, log, r.fig, r.ready, func(k decide.EventKind) { r.in.Put(happening{ask: k}) })
+		op, err := startOperator(cfg, log, r.fig, r.ready, func(k policy.EventKind) { r.in.Put(happening{ask: k}) })
 		if err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 	limit := time.NewTimer(most)
 	defer limit.Stop()
 	if r.cfg.Known != nil {
-		r.list(r.cfg.Known, decide.ListCached)
+		r.list(r.cfg.Known, policy.ListCached)
 	}
 	for told := false; !told; {
 		select {
--- a/internal/relay/time.go
+++ b/internal/relay/time.go
@@ -3,29 +3,29 @@
 import (
 	"time"
 
-	"troutusher/decide"
+	"plovershore/policy"
 )
 
 // The policy's clock, the process's, and the log's time.
 
-func (r *Relay) now() decide.Time { return clockStart + time.Since(r.began).Microseconds() }
+func (r *Relay) now() policy.Time { return clockStart + time.Since(r.began).Microseconds() }
 
 // at turns a moment of the process's into one of the policy's clock.
-func (r *Relay) at(t time.Time) decide.Time { return clockStart + t.Sub(r.began).Microseconds() }
+func (r *Relay) at(t time.Time) policy.Time { return clockStart + t.Sub(r.began).Microseconds() }
 
 // moment turns a moment of the policy's clock into one of the process's.
-func (r *Relay) moment(t decide.Time) time.Time {
+func (r *Relay) moment(t policy.Time) time.Time {
 	return r.began.Add(time.Duration(t-clockStart) * time.Microsecond)
 }
 
 // logTime turns a moment of the policy's clock into one of the log's time, which
 // outlives the process.
-func (r *Relay) logTime(t decide.Time) int64 { return t + r.logOffset }
+func (r *Relay) logTime(t policy.Time) int64 { return t + r.logOffset }
 
-func (r *Relay) fromLogTime(us int64) decide.Time { return us - r.logOffset }
+func (r *Relay) fromLogTime(us int64) policy.Time { return us - r.logOffset }
 
 const (
-	alignWithin = decide.Time(1e3) // between two readings of the policy's clock round one of the log's
+	alignWithin = policy.Time(1e3) // between two readings of the policy's clock round one of the log's
 	alignTries  = 100
 )
 
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -6,9 +6,9 @@
 	"runtime/debug"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // During an upgrade two processes of one relay run over one state folder. At
@@ -149,10 +149,10 @@
 
 // legacy is the body of the record that passes the log on.
 type legacy struct {
-	Now    decide.Time                // of the policy's clock
+	Now    policy.Time                // of the policy's clock
 	Wall   int64                      // the same moment by the log's time
-	IDs    map[decide.Endpoint]string // by the numbers in the memory
-	Memory decide.Memory
+	IDs    map[policy.Endpoint]string // by the numbers in the memory
+	Memory policy.Memory
 }
 
 // recall gives the policy what that of the process before had learned.
@@ -165,7 +165,7 @@
 	for i := range l.Memory.Lanes {
 		eps := l.Memory.Lanes[i].Endpoints
 		for j := range eps {
-			num := decide.Endpoint(0) // of none
+			num := policy.Endpoint(0) // of none
 			if ep := r.endpoints[l.IDs[eps[j].Endpoint]]; ep != nil {
 				num = ep.num
 			}
@@ -252,7 +252,7 @@
 }
 
 func (r *Relay) legacy() legacy {
-	l := legacy{Now: r.now(), IDs: map[decide.Endpoint]string{}, Memory: r.policy.Memory()}
+	l := legacy{Now: r.now(), IDs: map[policy.Endpoint]string{}, Memory: r.policy.Memory()}
 	l.Wall = r.logTime(l.Now)
 	for id, ep := range r.endpoints {
 		l.IDs[ep.num] = id
@@ -295,7 +295,7 @@
 	}
 	r.log.Info("the process before is gone", "calls", len(r.far))
 	for _, m := range r.far { // nobody saw how these ended
-		r.cameBack(m, &wal.Record{Kind: wal.Outcome, ID: m.rec.ID, Ran: true, What: uint8(decide.Cancelled)})
+		r.cameBack(m, &wal.Record{Kind: wal.Outcome, ID: m.rec.ID, Ran: true, What: uint8(policy.Cancelled)})
 	}
 	w := r.wal
 	w.Submit(&wal.Record{Kind: wal.Mark, ID: wal.NoMessage, By: r.owner.by, Side: s.At()}, func(error) { w.SideDone(s) })
@@ -327,7 +327,7 @@
 	case m != nil && rec.Kind == wal.End: // its client left before it heard
 		m.over = true
 		r.drop(m)
-		r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Message: m.num})
+		r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: m.num})
 		r.wal.Submit(rec, nil)
 	}
 }
@@ -337,7 +337,7 @@
 	delete(r.far, m.rec.ID)
 	m.far = false
 	settled := rec.Kind == wal.End
-	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: m.tries - 1, Outcome: decide.Outcome(rec.What), Slots: rec.Slots,
+	e := policy.Event{Kind: policy.EvOutcome, Message: m.num, Attempt: m.tries - 1, Outcome: policy.Outcome(rec.What), Slots: rec.Slots,
 		Settled: settled || m.over, Took: rec.Took}
 	if rec.Wait != 0 {
 		e.Wait = max(r.fromLogTime(rec.Wait)-r.now(), 1)
@@ -362,7 +362,7 @@
 	m.over = true
 	r.drop(m)
 	r.fig.ended(m.class, discovery.HandedBack)
-	r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Message: m.num})
+	r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: m.num})
 	r.notices.Put(discovery.Notice{Message: m.rec.ID, Outcome: discovery.HandedBack, RetryMS: stopRetry})
 }
 
@@ -378,22 +378,22 @@
 			c.stop(errCancelled)
 		}
 	}
-	policy, err := decide.New(r.cfg.Policy, r.cfg.Seed+1)
+	decider, err := policy.New(r.cfg.Policy, r.cfg.Seed+1)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
-	r.policy = policy
+	r.policy = decider
 	r.msgs, r.ids, r.waiting = map[uint32]*message{}, map[string]*message{}, map[*request]*message{}
 	r.forgetSpilled()
 	r.held, r.overdue, r.endings = 0, overdue{}, nil
 	r.owner.passed, r.owner.freed = false, false
-	e := decide.Event{Kind: decide.EvList, List: decide.ListFull}
+	e := policy.Event{Kind: policy.EvList, List: policy.ListFull}
 	for _, ep := range r.endpoints {
 		if ep.listed {
 			e.Entries = append(e.Entries, ep.entry)
 		}
 	}
-	r.events, r.timers = []decide.Event{e}, nil
+	r.events, r.timers = []policy.Event{e}, nil
 	r.step()
 	r.policy.Recall(old.Memory, 0)
 	r.doubtAll()
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -17,11 +17,11 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
-	"troutusher/internal/loopback"
-	"troutusher/internal/wal"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
+	"plovershore/internal/loopback"
+	"plovershore/internal/wal"
+	"plovershore/policy"
 )
 
 // says reports whether a relay's own address says that it can serve.
@@ -349,10 +349,10 @@
 		t.Fatal("the first list")
 	}
 	m.Phase = discovery.Draining
-	r.in.Put(happening{ask: decide.EvDrain})
+	r.in.Put(happening{ask: policy.EvDrain})
 	r.in.Put(happening{news: &discovery.List{Members: []discovery.Member{m}}})
 	r.takeNews()
-	if !r.endpoints["s-1"].gone || len(r.early) != 1 || r.early[0].ask != decide.EvDrain {
+	if !r.endpoints["s-1"].gone || len(r.early) != 1 || r.early[0].ask != policy.EvDrain {
 		t.Errorf("gone %v, kept %d", r.endpoints["s-1"].gone, len(r.early))
 	}
 }
--- a/internal/relay/window_test.go
+++ b/internal/relay/window_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/discovery/discoverytest"
+	"plovershore/internal/discovery"
+	"plovershore/internal/discovery/discoverytest"
 )
 
 // callTimes keeps when the calls of each message came.
--- a/internal/registry/command/ctl.go
+++ b/internal/relayctl/relayctl.go
@@ -1,4 +1,7 @@
-package command
+// Package relayctl is the operators' command line: it reads and changes the
+// endpoint list, the leases and the orders of a fleet by the list service, and
+// shows and moves relays' logs.
+package relayctl
 
 import (
 	"context"
@@ -15,39 +18,40 @@
 
 	"github.com/spf13/cobra"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
-	"troutusher/internal/rollout"
-	"troutusher/internal/zones"
+	"plovershore/internal/cli"
+	"plovershore/internal/discovery"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
+	"plovershore/internal/rollout"
+	"plovershore/internal/zones"
 )
 
-// ctl is what all commands of troutctl share.
+// ctl is what all commands of relayctl share.
 type ctl struct {
 	nodes []string
 	json  bool
 	wait  time.Duration
 }
 
-// Ctl is troutctl's main. more are commands of other packages; an error of theirs
-// that has an exit code ends the process with it.
-func Ctl(ctx context.Context, args []string, out, errOut io.Writer, more ...*cobra.Command) int {
+// Main is the main function of relayctl. more are commands of other packages; an
+// error of theirs that has an exit code ends the process with it.
+func Main(ctx context.Context, args []string, out, errOut io.Writer, more ...*cobra.Command) int {
 	x := &ctl{}
-	root := &cobra.Command{Use: "troutctl", Short: "Look at a fleet's list and at relays' logs, and change them",
+	root := &cobra.Command{Use: "relayctl", Short: "Look at a fleet's list and at relays' logs, and change them",
 		Long: "Look at a fleet's list and at relays' logs, and change them.\n\nExit codes: 0 done; 1 refused; 2 bad usage; 3 no node of the group answered in time."}
 	root.PersistentFlags().StringSliceVar(&x.nodes, "nodes", []string{"127.0.0.1:7800"}, "nodes of the group")
 	root.PersistentFlags().BoolVar(&x.json, "json", false, "JSON in place of a table")
 	root.PersistentFlags().DurationVar(&x.wait, "wait", 10*time.Second, "for an answer")
 	root.AddCommand(x.members(), x.status(), x.snapshot(), x.lapses(), x.zones(), x.duties(), x.salvage(), x.rollout())
 	root.AddCommand(more...)
-	return run(ctx, root, args, out, errOut)
+	return cli.Run(ctx, root, args, out, errOut)
 }
 
 // ask asks the group once, for as long as the caller waits.
 func (x *ctl) ask(c *cobra.Command, method, path string, body, out any) (http.Header, error) {
 	g, err := client.New(x.nodes, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
-		return nil, usageError{err}
+		return nil, cli.UsageError{Err: err}
 	}
 	defer g.Close()
 	ctx, cancel := context.WithTimeout(c.Context(), x.wait)
@@ -69,7 +73,7 @@
 func (x *ctl) members() *cobra.Command {
 	c := &cobra.Command{Use: "members", Short: "The endpoints that the fleet may send to"}
 	var consistent bool
-	list := &cobra.Command{Use: "list", Short: "List them", Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
+	list := &cobra.Command{Use: "list", Short: "List them", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
 		var all []registry.Member
 		path := registry.MembersPath
 		if consistent {
@@ -92,7 +96,7 @@
 	list.Flags().BoolVar(&consistent, "consistent", false, "as a leader has it, with every change that was answered before")
 	var r registry.Registration
 	var ttl time.Duration
-	add := &cobra.Command{Use: "add", Short: "Add one, or change it", Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
+	add := &cobra.Command{Use: "add", Short: "Add one, or change it", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
 		r.TTLMS = ttl.Milliseconds()
 		return x.change(c, http.MethodPost, registry.MembersPath, r)
 	}}
@@ -104,13 +108,13 @@
 	add.Flags().DurationVar(&ttl, "ttl", 0, "lapses when not heard of for so long; 0 for never")
 	add.Flags().StringVar(&r.Holder, "holder", "", "who alone may renew it")
 	add.Flags().Int64Var(&r.If, "if", 0, "only where its last change is this")
-	drain := &cobra.Command{Use: "drain ID", Short: "Send it nothing new", Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+	drain := &cobra.Command{Use: "drain ID", Short: "Send it nothing new", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		return x.change(c, http.MethodPost, registry.MembersPath+"/"+url.PathEscape(args[0])+"/phase", map[string]string{"phase": discovery.Draining})
 	}}
-	undrain := &cobra.Command{Use: "undrain ID", Short: "Take a drain back", Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+	undrain := &cobra.Command{Use: "undrain ID", Short: "Take a drain back", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		return x.change(c, http.MethodPost, registry.MembersPath+"/"+url.PathEscape(args[0])+"/phase", map[string]string{"phase": discovery.Up})
 	}}
-	remove := &cobra.Command{Use: "remove ID", Short: "Take it off the list", Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+	remove := &cobra.Command{Use: "remove ID", Short: "Take it off the list", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		return x.change(c, http.MethodDelete, registry.MembersPath+"/"+url.PathEscape(args[0]), nil)
 	}}
 	c.AddCommand(list, add, drain, undrain, remove)
@@ -126,7 +130,7 @@
 }
 
 func (x *ctl) status() *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "How each node stands", Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
+	return &cobra.Command{Use: "status", Short: "How each node stands", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
 		var all []registry.Status
 		down := map[string]error{}
 		for _, node := range x.nodes {
@@ -155,7 +159,7 @@
 
 func (x *ctl) snapshot() *cobra.Command {
 	c := &cobra.Command{Use: "snapshot", Short: "Keep the state as a backup, or go on from one"}
-	save := &cobra.Command{Use: "save FILE", Short: "Keep it", Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+	save := &cobra.Command{Use: "save FILE", Short: "Keep it", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		var text []byte
 		if _, err := x.ask(c, http.MethodGet, registry.SnapshotPath, nil, &text); err != nil {
 			return err
@@ -169,10 +173,10 @@
 		}
 		return x.show(c, map[string]any{"file": args[0], "bytes": len(text)}, func(w io.Writer) { fmt.Fprintf(w, "%d bytes in %s\n", len(text), filepath.Clean(args[0])) })
 	}}
-	restore := &cobra.Command{Use: "restore FILE", Short: "Go on from it, in a new epoch", Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+	restore := &cobra.Command{Use: "restore FILE", Short: "Go on from it, in a new epoch", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		text, err := os.ReadFile(args[0])
 		if err != nil {
-			return usageError{err}
+			return cli.UsageError{Err: err}
 		}
 		return x.change(c, http.MethodPut, registry.SnapshotPath, text)
 	}}
@@ -186,7 +190,7 @@
 		_, err = x.ask(c, http.MethodGet, registry.DutiesPath, nil, &l)
 		return l, err
 	}
-	list := &cobra.Command{Use: "list", Short: "List them, and the wardens", Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
+	list := &cobra.Command{Use: "list", Short: "List them, and the wardens", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
 		l, err := get(c)
 		if err != nil {
 			return err
@@ -205,7 +209,7 @@
 			}
 		})
 	}}
-	show := &cobra.Command{Use: "show DUTY", Short: "All of one, with where its work stands", Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+	show := &cobra.Command{Use: "show DUTY", Short: "All of one, with where its work stands", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		l, err := get(c)
 		if err != nil {
 			return err
@@ -220,7 +224,7 @@
 		return fmt.Errorf("duty %s is unknown", args[0])
 	}}
 	hold := func(use, short string, steps ...bool) *cobra.Command {
-		return &cobra.Command{Use: use + " DUTY", Short: short, Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+		return &cobra.Command{Use: use + " DUTY", Short: short, Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			for i, off := range steps {
 				var a registry.Answer
 				if _, err := x.ask(c, http.MethodPost, registry.DutiesPath+"/"+url.PathEscape(args[0])+"/hold", registry.DutyRequest{Off: off}, &a); err != nil {
@@ -247,9 +251,9 @@
 		DiskMB int      `json:"disk_mb"`
 		Safe   []string `json:"safe,omitempty"`
 	}
-	start := &cobra.Command{Use: "start NAME", Short: "Have the folder of a relay that will not come back seen to", Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+	start := &cobra.Command{Use: "start NAME", Short: "Have the folder of a relay that will not come back seen to", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		if !filepath.IsAbs(spec.Folder) {
-			return usageError{fmt.Errorf("--folder: %q; an absolute path is wanted", spec.Folder)}
+			return cli.UsageError{Err: fmt.Errorf("--folder: %q; an absolute path is wanted", spec.Folder)}
 		}
 		text, err := json.Marshal(spec)
 		if err != nil {
@@ -269,14 +273,14 @@
 func (x *ctl) rollout() *cobra.Command {
 	const kind = "rollout"
 	c := &cobra.Command{Use: kind, Short: "Restart a fleet's relays in waves"}
-	start := &cobra.Command{Use: "start NAME PLAN.toml", Short: "Begin a plan; deploy/rollout.toml documents each key", Args: exactly(2), RunE: func(c *cobra.Command, args []string) error {
+	start := &cobra.Command{Use: "start NAME PLAN.toml", Short: "Begin a plan; deploy/rollout.toml documents each key", Args: cli.ExactArgs(2), RunE: func(c *cobra.Command, args []string) error {
 		text, err := os.ReadFile(args[1])
 		if err != nil {
-			return usageError{err}
+			return cli.UsageError{Err: err}
 		}
 		plan, err := rollout.ParsePlan(text)
 		if err != nil {
-			return usageError{fmt.Errorf("%s: %w", args[1], err)}
+			return cli.UsageError{Err: fmt.Errorf("%s: %w", args[1], err)}
 		}
 		spec, err := json.Marshal(plan)
 		if err != nil {
@@ -294,7 +298,7 @@
 }
 
 func (x *ctl) wish(kind, use, short, wish string) *cobra.Command {
-	return &cobra.Command{Use: use + " NAME", Short: short, Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+	return &cobra.Command{Use: use + " NAME", Short: short, Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		return x.order(c, kind, args[0], registry.Order{Wish: wish})
 	}}
 }
@@ -303,7 +307,7 @@
 // are done.
 func (x *ctl) orders(kind string) *cobra.Command {
 	var follow bool
-	c := &cobra.Command{Use: "status", Short: "How far each has come", Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
+	c := &cobra.Command{Use: "status", Short: "How far each has come", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
 		for said := ""; ; {
 			var all, mine []registry.Order
 			if _, err := x.ask(c, http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
@@ -339,7 +343,7 @@
 
 func (x *ctl) zones() *cobra.Command {
 	c := &cobra.Command{Use: "zones", Short: "The zones that endpoints stand in, and their regions"}
-	list := &cobra.Command{Use: "list", Short: "List them", Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
+	list := &cobra.Command{Use: "list", Short: "List them", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
 		var all []registry.ZoneStatus
 		if _, err := x.ask(c, http.MethodGet, registry.ZonesPath, nil, &all); err != nil {
 			return err
@@ -351,15 +355,15 @@
 			}
 		})
 	}}
-	set := &cobra.Command{Use: "set ZONE REGION", Short: "Put a zone into a region; \"\" for none", Args: exactly(2), RunE: func(c *cobra.Command, args []string) error {
+	set := &cobra.Command{Use: "set ZONE REGION", Short: "Put a zone into a region; \"\" for none", Args: cli.ExactArgs(2), RunE: func(c *cobra.Command, args []string) error {
 		return x.change(c, http.MethodPost, registry.ZonesPath, registry.Zone{Name: args[0], Region: args[1]})
 	}}
 	spec := zones.Spec{}
 	var dry bool
-	evacuate := &cobra.Command{Use: "evacuate ZONE", Short: "Drain its endpoints one by one, if the other zones keep enough", Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+	evacuate := &cobra.Command{Use: "evacuate ZONE", Short: "Drain its endpoints one by one, if the other zones keep enough", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		spec.Zone = args[0]
 		if err := spec.Check(); err != nil {
-			return usageError{fmt.Errorf("--%w", err)}
+			return cli.UsageError{Err: fmt.Errorf("--%w", err)}
 		}
 		if dry {
 			return x.wouldEvacuate(c, &spec)
@@ -380,7 +384,7 @@
 	evacuate.Flags().BoolVar(&spec.Force, "force", false, "whatever would be left, and whichever zone is out already")
 	evacuate.Flags().BoolVar(&dry, "dry-run", false, "tell what each destination would keep, and do nothing")
 	wish := func(use, short, wish string) *cobra.Command {
-		return &cobra.Command{Use: use + " ZONE", Short: short, Args: exactly(1), RunE: func(c *cobra.Command, args []string) error {
+		return &cobra.Command{Use: use + " ZONE", Short: short, Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			o, err := x.evacuation(c, args[0])
 			if err != nil {
 				return err
@@ -434,7 +438,7 @@
 
 func (x *ctl) lapses() *cobra.Command {
 	c := &cobra.Command{Use: "lapses", Short: "Lapses that are held back, since too many came at once"}
-	confirm := &cobra.Command{Use: "confirm", Short: "Let them lapse", Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
+	confirm := &cobra.Command{Use: "confirm", Short: "Let them lapse", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
 		var a map[string]int
 		if _, err := x.ask(c, http.MethodPost, registry.ConfirmPath, nil, &a); err != nil {
 			return err
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -16,9 +16,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"troutusher/internal/duty"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/leader"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 const (
@@ -44,18 +44,18 @@
 }
 
 // Work is the duty's.
-func Work(c *client.Client) duty.Work {
+func Work(c *client.Client) leader.Work {
 	w := &worker{c: c, http: &http.Client{Timeout: askMost}}
-	return func(ctx context.Context, g *duty.Grant) error {
+	return func(ctx context.Context, g *leader.Grant) error {
 		for {
 			var all []registry.Order
 			if _, err := c.Do(ctx, http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
-				return duty.Ended(ctx, err)
+				return leader.Ended(ctx, err)
 			}
 			for _, o := range all {
 				if o.Kind == Duty && !o.Done && o.Wish != registry.WishPause {
 					if err := w.one(ctx, g, o); err != nil {
-						return duty.Ended(ctx, err)
+						return leader.Ended(ctx, err)
 					}
 					break // one plan at a time
 				}
@@ -73,7 +73,7 @@
 }
 
 // one brings a plan on by a wave.
-func (w *worker) one(ctx context.Context, g *duty.Grant, o registry.Order) error {
+func (w *worker) one(ctx context.Context, g *leader.Grant, o registry.Order) error {
 	var plan Plan
 	p := Progress{Done: map[string]bool{}}
 	err := json.Unmarshal(o.Spec, &plan)
@@ -117,7 +117,7 @@
 			}
 		}
 		if err := steps.Wait(); err != nil {
-			if errors.Is(err, duty.ErrLost) || ctx.Err() != nil {
+			if errors.Is(err, leader.ErrLost) || ctx.Err() != nil {
 				return err
 			}
 			return w.wait(ctx, g, o, p, fmt.Sprintf("wave %d: %v", p.Wave+1, err))
@@ -137,7 +137,7 @@
 }
 
 // step restarts one relay and waits until it says yes.
-func (w *worker) step(ctx context.Context, g *duty.Grant, o registry.Order, r Relay, ready time.Duration) error {
+func (w *worker) step(ctx context.Context, g *leader.Grant, o registry.Order, r Relay, ready time.Duration) error {
 	text, err := json.Marshal(Step{ID: o.Name + "/" + r.Name, Token: g.Token})
 	if err != nil {
 		return fmt.Errorf("rollout: %w", err)
@@ -149,7 +149,7 @@
 		if err == nil {
 			break
 		}
-		if errors.Is(err, duty.ErrLost) || !sleep(long, lookEvery) {
+		if errors.Is(err, leader.ErrLost) || !sleep(long, lookEvery) {
 			return fmt.Errorf("%s is not restarted: %w", r.Name, err)
 		}
 	}
@@ -217,14 +217,14 @@
 }
 
 // wait tells why a plan does not go on; it is tried again.
-func (w *worker) wait(ctx context.Context, g *duty.Grant, o registry.Order, p Progress, says string) error {
+func (w *worker) wait(ctx context.Context, g *leader.Grant, o registry.Order, p Progress, says string) error {
 	if says == o.Says {
 		return nil
 	}
 	return w.tell(ctx, g, o, p, says, false)
 }
 
-func (w *worker) tell(ctx context.Context, g *duty.Grant, o registry.Order, p Progress, says string, done bool) error {
+func (w *worker) tell(ctx context.Context, g *leader.Grant, o registry.Order, p Progress, says string, done bool) error {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return fmt.Errorf("rollout: %w", err)
@@ -248,7 +248,7 @@
 	case err != nil:
 		return fmt.Errorf("rollout: %w", err)
 	case resp.StatusCode == http.StatusPreconditionFailed:
-		return fmt.Errorf("%w: %s", duty.ErrLost, bytes.TrimSpace(text))
+		return fmt.Errorf("%w: %s", leader.ErrLost, bytes.TrimSpace(text))
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("rollout: %s: %s", resp.Status, bytes.TrimSpace(text))
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/duty"
-	"troutusher/internal/loopback"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/leader"
+	"plovershore/internal/loopback"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithCancel(f.t.Context())
 	c := f.client()
 	done := make(chan struct{})
-	work := func(ctx context.Context, g *duty.Grant) error {
+	work := func(ctx context.Context, g *leader.Grant) error {
 		inner, stop := context.WithCancel(ctx)
 		defer stop()
 		go func() {
@@ -175,7 +175,7 @@
 	}
 	go func() {
 		defer close(done)
-		if err := duty.Run(ctx, duty.Options{Client: c, Warden: name, TTL: 3 * time.Second, Duties: map[string]duty.Work{Duty: work}, Log: quiet()}); err != nil {
+		if err := leader.Run(ctx, leader.Options{Client: c, Warden: name, TTL: 3 * time.Second, Duties: map[string]leader.Work{Duty: work}, Log: quiet()}); err != nil {
 			f.t.Error(err)
 		}
 	}()
@@ -253,7 +253,7 @@
 		step Step
 		want int
 		err  error
-	}{{Step{"a", 5}, 1, nil}, {Step{"a", 5}, 1, nil}, {Step{"a", 7}, 1, nil}, {Step{"b", 6}, 1, duty.ErrFenced}, {Step{"b", 7}, 2, nil}} {
+	}{{Step{"a", 5}, 1, nil}, {Step{"a", 5}, 1, nil}, {Step{"a", 7}, 1, nil}, {Step{"b", 6}, 1, leader.ErrFenced}, {Step{"b", 7}, 2, nil}} {
 		if _, err := r.restart(t.Context(), x.step); !errors.Is(err, x.err) || n != x.want {
 			t.Errorf("%+v: %v, %d restarts", x.step, err, n)
 		}
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/duty"
+	"plovershore/internal/leader"
 )
 
 // RunnerPath is where a runner is asked to restart its relay (POST with a Step),
@@ -88,7 +88,7 @@
 func (r *Runner) restart(ctx context.Context, s Step) (Did, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := duty.Fence(r.Folder, Duty, s.Token); err != nil {
+	if err := leader.Fence(r.Folder, Duty, s.Token); err != nil {
 		return Did{}, err
 	}
 	d, err := r.did()
@@ -111,7 +111,7 @@
 func (r *Runner) Handler() http.Handler {
 	say := func(w http.ResponseWriter, d Did, err error) {
 		switch {
-		case errors.Is(err, duty.ErrFenced):
+		case errors.Is(err, leader.ErrFenced):
 			http.Error(w, err.Error(), http.StatusPreconditionFailed)
 		case err != nil:
 			r.Log.Error("runner", "err", err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -5,16 +5,16 @@
 import (
 	"fmt"
 
-	"troutusher/decide"
-	"troutusher/internal/wire"
+	"plovershore/internal/wire"
+	"plovershore/policy"
 )
 
-var repeats = map[string]decide.Repeat{"retryable": decide.Safe, "dedup": decide.Keyed, "fragile": decide.Unsafe}
+var repeats = map[string]policy.Repeat{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
 
 // Policy maps the settings text to the interface's words.
-func Policy(s *wire.Settings) (decide.Settings, error) {
+func Policy(s *wire.Settings) (policy.Settings, error) {
 	l, f := &s.Limits, &s.Safety
-	d := decide.Settings{Relays: s.Balancers, Zone: s.Zone, Slots: s.Specifics.CallsOut, MaxHeld: l.MostHeld,
+	d := policy.Settings{Relays: s.Balancers, Zone: s.Zone, Slots: s.Specifics.CallsOut, MaxHeld: l.MostHeld,
 		MaxAttempts: l.MostTries, Halving: s.Specifics.Late == "halving", OverShareWorth: s.OverShareWorth,
 		WorthByWork: s.ValueBy == "work", RatesListed: s.Weights != "" && s.Weights != "none",
 		Reports: s.Report.How == "answers" && len(s.Report.Fields) > 0,
@@ -28,15 +28,15 @@
 		if !ok {
 			return d, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, c.Repeat)
 		}
-		d.Classes = append(d.Classes, decide.Class{Name: c.Name, Aim: c.Target, Deadline: c.Deadline,
+		d.Classes = append(d.Classes, policy.Class{Name: c.Name, Aim: c.Target, Deadline: c.Deadline,
 			Worth: c.Worth, LateWorth: c.LateWorth, Repeat: rep, DedupWindow: c.Window,
 			ZoneOnly: c.Group != "all" && c.Group != "", InOrder: c.Sequential})
 	}
 	for _, a := range s.Accounts {
-		d.Tenants = append(d.Tenants, decide.Tenant{Name: a.Name, Quota: a.Quota})
+		d.Tenants = append(d.Tenants, policy.Tenant{Name: a.Name, Quota: a.Quota})
 	}
 	for i := range s.Kinds {
-		k := decide.Kind{Batch: 1}
+		k := policy.Kind{Batch: 1}
 		if i < len(s.Specifics.OwnLimits) {
 			k.Apart = s.Specifics.OwnLimits[i]
 		}
--- a/internal/wal/baseline/baseline.go
+++ b/internal/wal/baseline/baseline.go
@@ -14,8 +14,8 @@
 	"path/filepath"
 	"slices"
 
-	"troutusher/internal/mailbox"
-	"troutusher/internal/wal"
+	"plovershore/internal/mailbox"
+	"plovershore/internal/wal"
 )
 
 const (
--- a/internal/wal/command/command.go
+++ b/internal/wal/command/command.go
@@ -1,4 +1,4 @@
-// Package command is `troutctl wal`: it looks at a relay's log and moves it. It
+// Package command is `relayctl wal`: it looks at a relay's log and moves it. It
 // promises its exit codes and that only repair, export and import change
 // anything; what is found damaged is package wal's to say.
 package command
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"troutusher/internal/wal"
+	"plovershore/internal/wal"
 )
 
 // Exit codes.
--- a/internal/wal/command/command_test.go
+++ b/internal/wal/command/command_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/internal/wal"
+	"plovershore/internal/wal"
 )
 
 func runWAL(args ...string) (code int, out string) {
--- a/internal/wal/core.go
+++ b/internal/wal/core.go
@@ -8,7 +8,7 @@
 	"os"
 	"path/filepath"
 
-	"troutusher/internal/clock"
+	"plovershore/internal/clock"
 )
 
 // Bounds of the folder.
--- a/internal/wal/cutfs/cutfs.go
+++ b/internal/wal/cutfs/cutfs.go
@@ -14,7 +14,7 @@
 	"strings"
 	"sync"
 
-	"troutusher/internal/wal"
+	"plovershore/internal/wal"
 )
 
 // Sector is what a disk writes whole or not at all, in bytes.
--- a/internal/wal/cutfs/disk.go
+++ b/internal/wal/cutfs/disk.go
@@ -9,7 +9,7 @@
 	"slices"
 	"sync"
 
-	"troutusher/internal/wal"
+	"plovershore/internal/wal"
 )
 
 // Disk is a file system over a real folder whose process may be killed in place
--- a/internal/wal/folder.go
+++ b/internal/wal/folder.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"troutusher/internal/clock"
+	"plovershore/internal/clock"
 )
 
 const (
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"unsafe"
 
-	"troutusher/internal/clock"
+	"plovershore/internal/clock"
 )
 
 // FS is the few calls that the log needs of a file system. Errors are those of
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"troutusher/internal/mailbox"
+	"plovershore/internal/mailbox"
 )
 
 // op is a record to write, and what to do once that is done or has failed; or a
--- a/internal/wal/power_test.go
+++ b/internal/wal/power_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
-	"troutusher/internal/wal"
-	"troutusher/internal/wal/cutfs"
+	"plovershore/internal/wal"
+	"plovershore/internal/wal/cutfs"
 )
 
 // promised is what a log has said so far, and what was asked of it last and may
--- a/internal/wal/timeline.go
+++ b/internal/wal/timeline.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"troutusher/internal/clock"
+	"plovershore/internal/clock"
 )
 
 // The log's time is what its records are stamped with: microseconds that run on with
--- a/internal/wal/timeline_test.go
+++ b/internal/wal/timeline_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/clock"
-	"troutusher/internal/wal"
+	"plovershore/internal/clock"
+	"plovershore/internal/wal"
 )
 
 // machineClock is the clocks of a machine that a test boots and whose wall clock it steps.
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -15,7 +15,7 @@
 	"errors"
 	"log/slog"
 
-	"troutusher/internal/clock"
+	"plovershore/internal/clock"
 )
 
 // Names in the state folder. Two processes may share it during an upgrade.
--- a/internal/zones/guard.go
+++ b/internal/zones/guard.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strings"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/registry"
+	"plovershore/internal/discovery"
+	"plovershore/internal/registry"
 )
 
 // Room is what a destination has to serve it: the sizes of its endpoints that are up.
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -19,10 +19,10 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/duty"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
+	"plovershore/internal/discovery"
+	"plovershore/internal/leader"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
 )
 
 // Duty is its name, and the kind of its orders. An order that is aborted puts back
@@ -65,21 +65,21 @@
 // worker is one holder's work.
 type worker struct {
 	c *client.Client
-	g *duty.Grant
+	g *leader.Grant
 	// When the next step of each order may be done. A new holder waits a whole
 	// interval first, since it cannot know when the last step was.
 	due map[string]time.Time
 }
 
 // Work is the duty's.
-func Work(c *client.Client) duty.Work {
-	return func(ctx context.Context, g *duty.Grant) error {
+func Work(c *client.Client) leader.Work {
+	return func(ctx context.Context, g *leader.Grant) error {
 		w := &worker{c: c, g: g, due: map[string]time.Time{}}
 		t := time.NewTicker(lookEvery)
 		defer t.Stop()
 		for {
 			if err := w.turn(ctx); err != nil {
-				return duty.Ended(ctx, err)
+				return leader.Ended(ctx, err)
 			}
 			select {
 			case <-t.C:
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/discovery"
-	"troutusher/internal/duty"
-	"troutusher/internal/registry"
-	"troutusher/internal/registry/client"
-	"troutusher/internal/registry/registrytest"
+	"plovershore/internal/discovery"
+	"plovershore/internal/leader"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
+	"plovershore/internal/registry/registrytest"
 )
 
 // fleet is a list service with endpoints in zones a, b and c.
@@ -93,7 +93,7 @@
 	done, c := make(chan struct{}), f.client()
 	go func() {
 		defer close(done)
-		if err := duty.Run(ctx, duty.Options{Client: c, Warden: name, TTL: 3 * time.Second, Duties: map[string]duty.Work{Duty: Work(c)}, Log: registrytest.Quiet()}); err != nil {
+		if err := leader.Run(ctx, leader.Options{Client: c, Warden: name, TTL: 3 * time.Second, Duties: map[string]leader.Work{Duty: Work(c)}, Log: registrytest.Quiet()}); err != nil {
 			f.t.Error(err)
 		}
 	}()
@@ -215,21 +215,21 @@
 	f := startFleet(t)
 	f.add("a", 1, 1)
 	f.add("b", 1, 1)
-	var old *duty.Grant
+	var old *leader.Grant
 	got := make(chan struct{})
-	stop := func(w duty.Work) func() {
+	stop := func(w leader.Work) func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		done, c := make(chan struct{}), f.client()
 		go func() {
 			defer close(done)
-			duty.Run(ctx, duty.Options{Client: c, Warden: "w", TTL: 3 * time.Second, Duties: map[string]duty.Work{Duty: w}, Log: registrytest.Quiet()}) // ends by its context
+			leader.Run(ctx, leader.Options{Client: c, Warden: "w", TTL: 3 * time.Second, Duties: map[string]leader.Work{Duty: w}, Log: registrytest.Quiet()}) // ends by its context
 		}()
 		return func() { cancel(); <-done }
-	}(func(ctx context.Context, g *duty.Grant) error { old = g; close(got); <-ctx.Done(); return nil })
+	}(func(ctx context.Context, g *leader.Grant) error { old = g; close(got); <-ctx.Done(); return nil })
 	<-got
 	stop()
 	w := &worker{c: f.c, g: old, due: map[string]time.Time{}}
-	if err := w.phase(context.Background(), "b-1-0", discovery.Draining); !errors.Is(err, duty.ErrLost) || len(f.drained()) != 0 {
+	if err := w.phase(context.Background(), "b-1-0", discovery.Draining); !errors.Is(err, leader.ErrLost) || len(f.drained()) != 0 {
 		t.Errorf("%v, drained %v", err, f.drained())
 	}
 }
--- a/decide/decide.go
+++ b/policy/decide.go
@@ -1,8 +1,8 @@
-// Package decide makes every decision of a relay; its interface (settings, events, actions) is api.go.
+// Package policy makes every decision of a relay; its interface (settings, events, actions) is api.go.
 // The ordinary path is adaptive throttling for each destination (requests against accepts, a capped drop
 // chance) with a window on calls in flight; what departs from it names its condition at its place. What is
 // remembered is in state.go.
-package decide
+package policy
 
 import (
 	"cmp"
--- a/decide/guards_test.go
+++ b/policy/guards_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"os"
--- a/decide/least_test.go
+++ b/policy/least_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"math/rand/v2"
--- a/decide/memory.go
+++ b/policy/memory.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // What one policy leaves to the next when another process of the same relay
 // takes over: a plain copy, for the host to carry. Nothing is decided here.
--- a/decide/unmade.go
+++ b/policy/unmade.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // A call that this machine could not make, since its log took no record or no connection
 // could be opened from here, says nothing of the endpoint and was no try of its messages.
