--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -14,5 +14,5 @@
 func main() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
-	os.Exit(controller.Warden(ctx, os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(controller.Main(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/relay/disk_cut.go
+++ b/cmd/relay/disk_cut.go
@@ -10,7 +10,7 @@
 // disk has a kill of this process cost its log what a loss of power would. For
 // the lab alone: bin/relay-cut is built with the tag cutfs.
 func disk(cfg *relay.Config) error {
-	d, err := cutfs.OnDisk(cfg.State, cfg.Seed)
+	d, err := cutfs.OnDisk(cfg.StateDir, cfg.Seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -56,7 +56,7 @@
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 / 10 * 7) // the rest is for files and stacks
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	if err := relay.Run(cfg, log, ctx.Done(), relay.Moves(hup, os.Getenv, log)); err != nil {
+	if err := relay.Run(cfg, log, ctx.Done(), relay.WatchDiscoveryAddress(hup, os.Getenv, log)); err != nil {
 		log.Error("ended", "err", err)
 		os.Exit(exitFailed)
 	}
--- a/cmd/sim-adapter/host.go
+++ b/cmd/sim-adapter/host.go
@@ -104,47 +104,47 @@
 }
 
 var outcomes = map[uint8]policy.Outcome{wire.StatusOK: policy.Delivered, wire.StatusError: policy.Errored,
-	wire.StatusFull: policy.Full, wire.StatusLate: policy.TimedOut, wire.StatusNoConn: policy.NoConnect,
-	wire.StatusReset: policy.Reset, wire.StatusCancel: policy.Cancelled, wire.StatusMoot: policy.NotSent}
+	wire.StatusFull: policy.Rejected, wire.StatusLate: policy.TimedOut, wire.StatusNoConn: policy.ConnectFailed,
+	wire.StatusReset: policy.ConnectionReset, wire.StatusCancel: policy.Cancelled, wire.StatusMoot: policy.NotSent}
 
-var listNews = map[uint8]policy.ListNews{wire.SyncDelta: policy.ListChange, wire.SyncFull: policy.ListFull,
+var listNews = map[uint8]policy.ListUpdateKind{wire.SyncDelta: policy.ListDelta, wire.SyncFull: policy.ListFull,
 	wire.SyncCached: policy.ListCached, wire.SyncFailed: policy.ListFailed}
 
 // event maps a record to the interface's words.
 func (h *host) event(r *relay, e *wire.Event) (policy.Event, bool) {
 	ev := policy.Event{Message: e.Ticket, Endpoint: policy.Endpoint(e.Endpoint), Attempt: int(e.Attempt),
-		Took: policy.Time(e.Took), Outcome: outcomes[e.Status]}
-	if e.Reports > 0 {
-		ev.Load = policy.Load{Left: value(e, r.left), Limit: value(e, r.to), Told: e.Reports > 0}
+		Latency: policy.Time(e.Took), Outcome: outcomes[e.Status]}
+	if e.ReportFields > 0 {
+		ev.Load = policy.LoadReport{Remaining: value(e, r.left), Limit: value(e, r.to), Present: e.ReportFields > 0}
 	}
 	switch e.Code {
 	case wire.EvSync:
-		ev.Kind, ev.List = policy.EvList, listNews[e.Kind]
-		if ev.List != policy.ListFailed {
+		ev.Kind, ev.ListUpdate = policy.EventListUpdate, listNews[e.Kind]
+		if ev.ListUpdate != policy.ListFailed {
 			ev.Entries = h.lists[e.Sheet]
 		}
 	case wire.EvCall:
-		ev.Kind, ev.Key, ev.Left, ev.Class = policy.EvMessage, e.Subject, policy.Time(e.Grace), int(e.Class)
+		ev.Kind, ev.Key, ev.TimeLeft, ev.Class = policy.EventMessage, e.Subject, policy.Time(e.Grace), int(e.Class)
 		ev.Dest, ev.Tenant = int(e.Dest), int(e.Tenant)
 		if e.Flags&1 != 0 {
-			ev.Work = policy.Time(e.Estimate)
+			ev.EstimatedCost = policy.Time(e.Estimate)
 		}
 	case wire.EvBegun:
-		ev.Kind = policy.EvBegun
+		ev.Kind = policy.EventResponseStarted
 	case wire.EvResolved:
-		ev.Kind, ev.Settled = policy.EvOutcome, e.Settled
+		ev.Kind, ev.Final = policy.EventAttemptDone, e.Settled
 		switch ev.Outcome {
-		case policy.Full:
-			ev.Wait = policy.Time(e.Note) * 1000
+		case policy.Rejected:
+			ev.RetryAfter = policy.Time(e.Note) * 1000
 		case policy.NotSent:
-			ev.Slots = e.Note == 1
+			ev.CallsExhausted = e.Note == 1
 		}
-	case wire.EvLapsed:
-		ev.Kind = policy.EvWithdraw
+	case wire.EvExpired:
+		ev.Kind = policy.EventWithdraw
 	case wire.EvAlarm:
-		ev.Kind, ev.Token = policy.EvTimer, e.Token
+		ev.Kind, ev.Token = policy.EventTimer, e.Token
 	case wire.EvHealth:
-		ev.Kind = policy.EvProbed
+		ev.Kind = policy.EventHealthChecked
 	default:
 		return ev, false
 	}
@@ -152,7 +152,7 @@
 }
 
 func value(e *wire.Event, at int) float64 {
-	if at < 0 || at >= e.Reports {
+	if at < 0 || at >= e.ReportFields {
 		return 0
 	}
 	return float64(e.Report[at])
@@ -161,28 +161,28 @@
 // action maps the interface's words to a record.
 func action(id uint16, a *policy.Action) wire.Action {
 	w := wire.Action{Relay: id, Ticket: a.Message, Endpoint: uint64(a.Endpoint), Attempt: uint8(a.Attempt),
-		At: uint64(a.At), Token: a.Token, Text: a.Text}
-	w.After = uint32(min(max(a.After, 0), math.MaxUint32))
+		At: uint64(a.Deadline), Token: a.Token, Text: a.Text}
+	w.After = uint32(min(max(a.Delay, 0), math.MaxUint32))
 	switch a.Kind {
-	case policy.ActSend:
+	case policy.ActionSend:
 		w.Code = wire.ActDeliver
-	case policy.ActRefuse:
-		w.Code = wire.ActRefuse
-	case policy.ActFail:
+	case policy.ActionReject:
+		w.Code = wire.ActReject
+	case policy.ActionFail:
 		w.Code = wire.ActLose
-	case policy.ActCancel:
+	case policy.ActionCancel:
 		w.Code = wire.ActCancel
-	case policy.ActTimer:
+	case policy.ActionTimer:
 		w.Code = wire.ActRemind
-	case policy.ActProbe:
-		w.Code = wire.ActProbe
-	case policy.ActClose:
+	case policy.ActionHealthCheck:
+		w.Code = wire.ActHealthCheck
+	case policy.ActionCloseIdle:
 		w.Code = wire.ActClose
-	case policy.ActWatch:
+	case policy.ActionWatchList:
 		w.Code, w.On = wire.ActListen, true
-	case policy.ActFetch:
+	case policy.ActionFetchList:
 		w.Code = wire.ActRead
-	case policy.ActLog:
+	case policy.ActionLog:
 		w.Code = wire.ActLog
 	}
 	return w
@@ -194,7 +194,7 @@
 	if err != nil {
 		return nil, err
 	}
-	set, err := settings.Policy(s)
+	set, err := settings.ToPolicy(s)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/acceptretry/listener.go
+++ b/internal/acceptretry/listener.go
@@ -18,9 +18,9 @@
 
 type patient struct{ net.Listener }
 
-// Patient gives a listener whose Accept fails only once it is closed, or its deadline is
+// NewListener gives a listener whose Accept fails only once it is closed, or its deadline is
 // over. Each other error is waited out.
-func Patient(ln net.Listener) net.Listener { return patient{ln} }
+func NewListener(ln net.Listener) net.Listener { return patient{ln} }
 
 func (p patient) Accept() (net.Conn, error) {
 	for pause := pauseLeast; ; pause = min(2*pause, pauseMost) {
--- a/internal/acceptretry/listener_test.go
+++ b/internal/acceptretry/listener_test.go
@@ -43,7 +43,7 @@
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })}
 		ended := make(chan error, 1)
 		go func() {
-			ended <- s.Serve(Patient(&failing{Listener: ln, faults: []syscall.Errno{fault, fault, fault}}))
+			ended <- s.Serve(NewListener(&failing{Listener: ln, faults: []syscall.Errno{fault, fault, fault}}))
 		}()
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+ln.Addr().String(), nil)
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -8,10 +8,10 @@
 
 // Entry is one message.
 type Entry struct {
-	At    int64  // the moment by which it has to be back
-	Place uint32 // where the log has it, and what tells that it is still this one's
-	Check uint16
-	Flags Flags
+	LoadBy     int64  // the moment by which it has to be back
+	Index      uint32 // where the log has it, and what tells that it is still this one's
+	Generation uint16
+	Flags      Flags
 }
 
 // Flags is what its host has to know again when it comes back.
@@ -19,9 +19,9 @@
 
 // Flags of an entry.
 const (
-	Kept      Flags = 1 << iota // found untried by a restart
-	OverShare                   // its tenant was over its share
-	InOrder                     // comes back first in, first out, among those of its destination with this flag
+	Recovered Flags = 1 << iota // found untried by a restart
+	OverQuota                   // its tenant was over its share
+	Ordered                     // comes back first in, first out, among those of its destination with this flag
 )
 
 // Item is an entry and the destination that it is for.
@@ -49,8 +49,8 @@
 // Len is how many messages there are.
 func (s *Store) Len() int { return s.count }
 
-// Of is how many there are of one destination.
-func (s *Store) Of(dest int) int {
+// CountFor is how many there are of one destination.
+func (s *Store) CountFor(dest int) int {
 	if q := s.queues[dest]; q != nil {
 		return len(q.heap) + len(q.line)
 	}
@@ -81,13 +81,13 @@
 	s.settle(q)
 }
 
-// Due takes out what has to be back by now, the earliest first, at most so many, with what was in order before
+// TakeDue takes out what has to be back by now, the earliest first, at most so many, with what was in order before
 // it.
-func (s *Store) Due(now int64, most int) (items []Item) {
+func (s *Store) TakeDue(now int64, most int) (items []Item) {
 	for len(items) < most && len(s.due) > 0 && s.due[0].next() <= now {
 		q := s.due[0]
 		var e Entry
-		if len(q.heap) > 0 && q.heap[0].At == q.next() {
+		if len(q.heap) > 0 && q.heap[0].LoadBy == q.next() {
 			e = q.pop()
 		} else {
 			e = q.shift()
@@ -103,7 +103,7 @@
 	q := s.queues[dest]
 	for q != nil && len(items) < most && len(q.heap)+len(q.line) > 0 {
 		var e Entry
-		if len(q.line) > 0 && (len(q.heap) == 0 || q.line[0].At <= q.heap[0].At) {
+		if len(q.line) > 0 && (len(q.heap) == 0 || q.line[0].LoadBy <= q.heap[0].LoadBy) {
 			e = q.shift()
 		} else {
 			e = q.pop()
@@ -155,7 +155,7 @@
 func (q *queue) next() int64 {
 	at := int64(math.MaxInt64)
 	if len(q.heap) > 0 {
-		at = q.heap[0].At
+		at = q.heap[0].LoadBy
 	}
 	if len(q.least) > 0 {
 		at = min(at, q.least[0])
@@ -164,21 +164,21 @@
 }
 
 func (q *queue) add(e Entry) {
-	if e.Flags&InOrder == 0 {
+	if e.Flags&Ordered == 0 {
 		q.push(e)
 		return
 	}
 	q.line = append(q.line, e)
-	for len(q.least) > 0 && q.least[len(q.least)-1] > e.At {
+	for len(q.least) > 0 && q.least[len(q.least)-1] > e.LoadBy {
 		q.least = q.least[:len(q.least)-1]
 	}
-	q.least = append(q.least, e.At)
+	q.least = append(q.least, e.LoadBy)
 }
 
 // shift takes the first out of the line.
 func (q *queue) shift() Entry {
 	e := q.line[0]
-	if q.least[0] == e.At {
+	if q.least[0] == e.LoadBy {
 		q.least = q.least[1:]
 	}
 	q.line = q.line[1:]
@@ -192,7 +192,7 @@
 	q.heap = append(q.heap, e)
 	for i := len(q.heap) - 1; i > 0; {
 		up := (i - 1) / 2
-		if q.heap[up].At <= q.heap[i].At {
+		if q.heap[up].LoadBy <= q.heap[i].LoadBy {
 			return
 		}
 		q.heap[up], q.heap[i] = q.heap[i], q.heap[up]
@@ -209,10 +209,10 @@
 	q.heap = q.heap[:last]
 	for i := 0; ; {
 		child := 2*i + 1
-		if child+1 < last && q.heap[child+1].At < q.heap[child].At {
+		if child+1 < last && q.heap[child+1].LoadBy < q.heap[child].LoadBy {
 			child++
 		}
-		if child >= last || q.heap[i].At <= q.heap[child].At {
+		if child >= last || q.heap[i].LoadBy <= q.heap[child].LoadBy {
 			break
 		}
 		q.heap[i], q.heap[child] = q.heap[child], q.heap[i]
--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -20,14 +20,14 @@
 
 // front is the first of those in order of a destination; -1 for none.
 func (m model) front(dest int) int {
-	return slices.IndexFunc(m, func(x Item) bool { return x.Dest == dest && x.Flags&InOrder != 0 })
+	return slices.IndexFunc(m, func(x Item) bool { return x.Dest == dest && x.Flags&Ordered != 0 })
 }
 
 // earliest is what may be taken next of a destination.
 func (m model) earliest(dest int) int {
 	best := -1
 	for i, x := range m {
-		if x.Dest == dest && (x.Flags&InOrder == 0 || i == m.front(dest)) && (best < 0 || x.At < m[best].At) {
+		if x.Dest == dest && (x.Flags&Ordered == 0 || i == m.front(dest)) && (best < 0 || x.LoadBy < m[best].LoadBy) {
 			best = i
 		}
 	}
@@ -36,8 +36,8 @@
 
 func (m model) next() (at int64, ok bool) {
 	for i, x := range m {
-		if i == 0 || x.At < at {
-			at = x.At
+		if i == 0 || x.LoadBy < at {
+			at = x.LoadBy
 		}
 	}
 	return at, len(m) > 0
@@ -55,7 +55,7 @@
 			if i < 0 {
 				t.Fatalf("%s gives %+v, which is not there", what, got)
 			}
-			if got.Flags&InOrder != 0 && i != m.front(got.Dest) {
+			if got.Flags&Ordered != 0 && i != m.front(got.Dest) {
 				t.Fatalf("%s gives %+v before %+v", what, got, m[m.front(got.Dest)])
 			}
 			m.remove(i)
@@ -63,20 +63,20 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
 				ref++
-				x := Item{Entry{At: rapid.Int64Range(0, 30).Draw(t, "at"), Place: ref, Flags: Flags(rapid.IntRange(0, 7).Draw(t, "flags"))},
+				x := Item{Entry{LoadBy: rapid.Int64Range(0, 30).Draw(t, "at"), Index: ref, Flags: Flags(rapid.IntRange(0, 7).Draw(t, "flags"))},
 					rapid.IntRange(0, 4).Draw(t, "dest")}
 				s.Add(x.Dest, x.Entry)
 				m = append(m, x)
 			},
 			"take": func(t *rapid.T) {
 				dest, n := rapid.IntRange(0, 4).Draw(t, "dest"), rapid.IntRange(0, 5).Draw(t, "n")
-				want := min(n, s.Of(dest))
+				want := min(n, s.CountFor(dest))
 				got := s.Take(dest, n)
 				if len(got) != want {
 					t.Fatalf("%d of %d", len(got), want)
 				}
 				for _, x := range got {
-					if i := m.earliest(dest); m[i].At != x.At {
+					if i := m.earliest(dest); m[i].LoadBy != x.LoadBy {
 						t.Fatalf("takes %+v before %+v", x, m[i])
 					}
 					same(x, "take")
@@ -84,13 +84,13 @@
 			},
 			"due": func(t *rapid.T) {
 				now, n := rapid.Int64Range(-1, 31).Draw(t, "now"), rapid.IntRange(0, 8).Draw(t, "n")
-				got := s.Due(now, n)
+				got := s.TakeDue(now, n)
 				for _, x := range got {
 					if at, _ := m.next(); at > now {
 						t.Fatalf("gives %+v at %d: the first is due at %d", x, now, at)
 					}
-					if x.At > now { // only where one in order behind it is due
-						if !slices.ContainsFunc(m, func(y Item) bool { return y.Dest == x.Dest && y.Flags&InOrder != 0 && y.At <= now }) || x.Flags&InOrder == 0 {
+					if x.LoadBy > now { // only where one in order behind it is due
+						if !slices.ContainsFunc(m, func(y Item) bool { return y.Dest == x.Dest && y.Flags&Ordered != 0 && y.LoadBy <= now }) || x.Flags&Ordered == 0 {
 							t.Fatalf("gives %+v at %d", x, now)
 						}
 					}
@@ -112,8 +112,8 @@
 							n++
 						}
 					}
-					if s.Of(dest) != n {
-						t.Fatalf("%d of destination %d, want %d", s.Of(dest), dest, n)
+					if s.CountFor(dest) != n {
+						t.Fatalf("%d of destination %d, want %d", s.CountFor(dest), dest, n)
 					}
 				}
 			},
@@ -134,7 +134,7 @@
 	var s Store
 	r := rand.New(rand.NewPCG(1, 2))
 	for i := range n {
-		s.Add(i%600, Entry{At: r.Int64N(1e12), Place: uint32(i)})
+		s.Add(i%600, Entry{LoadBy: r.Int64N(1e12), Index: uint32(i)})
 	}
 	if per := float64(heap()-before) / n; per > 26 {
 		t.Errorf("%.1f bytes a message", per)
@@ -142,11 +142,11 @@
 		t.Logf("%.1f bytes a message", per)
 	}
 	last := int64(-1)
-	for _, x := range s.Due(1e12, n) {
-		if x.At < last {
+	for _, x := range s.TakeDue(1e12, n) {
+		if x.LoadBy < last {
 			t.Fatal("out of order")
 		}
-		last = x.At
+		last = x.LoadBy
 	}
 	if left := heap() - before; left > 1<<20 || s.Len() != 0 {
 		t.Errorf("%d bytes and %d messages left", left, s.Len())
@@ -158,7 +158,7 @@
 	var s Store
 	r := rand.New(rand.NewPCG(1, 2))
 	for i := range 300_000 {
-		s.Add(7, Entry{At: r.Int64N(1e12), Place: uint32(i)})
+		s.Add(7, Entry{LoadBy: r.Int64N(1e12), Index: uint32(i)})
 	}
 	for b.Loop() {
 		s.Add(7, s.Take(7, 1)[0].Entry)
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -34,8 +34,8 @@
 
 var errUsage = errors.New("usage")
 
-// Warden is controller's main. ctx ends it.
-func Warden(ctx context.Context, args []string, out, errOut io.Writer) int {
+// Main is controller's main. ctx ends it.
+func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var nodes, duties []string
 	var name, form, operator, platform, drill string
 	var ttl time.Duration
@@ -71,7 +71,7 @@
 				}
 				defer told.Close()
 			}
-			all := map[string]leader.Work{leader.ListKeeper: leader.KeepList, leader.Counter: leader.Count(log), failover.Duty: failover.Work(g, told), rollout.Duty: rollout.Work(g), zones.Duty: zones.Work(g)}
+			all := map[string]leader.Work{leader.RegistrationExpiry: leader.ExpireRegistrations, leader.Counter: leader.Count(log), failover.Role: failover.Work(g, told), rollout.Role: rollout.Work(g), zones.Role: zones.Work(g)}
 			work := map[string]leader.Work{}
 			for _, d := range duties {
 				w, ok := all[d]
@@ -84,7 +84,7 @@
 			if err != nil {
 				return fmt.Errorf("%w: --drill-clock: %w", errUsage, err)
 			}
-			figures := leader.NewFigures()
+			figures := leader.NewMetrics()
 			if operator != "" {
 				ln, err := net.Listen("tcp", operator)
 				if err != nil {
@@ -93,16 +93,16 @@
 				mux := http.NewServeMux()
 				mux.Handle("GET /v1/metrics", figures.Handler())
 				s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-				go s.Serve(acceptretry.Patient(ln)) // ends by Close
+				go s.Serve(acceptretry.NewListener(ln)) // ends by Close
 				defer s.Close()
 			}
-			return leader.Run(c.Context(), leader.Options{Client: g, Warden: name, TTL: ttl, Duties: work, Log: log, Figures: figures, Clock: own})
+			return leader.Run(c.Context(), leader.Options{Client: g, Name: name, TTL: ttl, Roles: work, Log: log, Metrics: figures, Clock: own})
 		}}
 	host, _ := os.Hostname() // a default alone
 	c.Flags().StringSliceVar(&nodes, "nodes", []string{"127.0.0.1:7800"}, "nodes of the list service")
 	c.Flags().StringVar(&name, "name", host, "this warden, for people")
 	c.Flags().DurationVar(&ttl, "ttl", 3*time.Second, "time to live of its session: another takes over so long after it was last heard of")
-	c.Flags().StringSliceVar(&duties, "duties", []string{leader.ListKeeper, failover.Duty, rollout.Duty, zones.Duty}, "what it may hold")
+	c.Flags().StringSliceVar(&duties, "duties", []string{leader.RegistrationExpiry, failover.Role, rollout.Role, zones.Role}, "what it may hold")
 	c.Flags().StringVar(&operator, "operator", "", "where /v1/metrics is served; empty for nowhere")
 	c.Flags().StringVar(&platform, "platform", "", "where salvage tells how messages ended (POST /reports); empty for the list service, which counts them")
 	c.Flags().StringVar(&form, "log", "text", "text or json, on standard error")
@@ -129,7 +129,7 @@
 func runnerCommand(errOut io.Writer) *cobra.Command {
 	var listen, folder string
 	var operators []string
-	l := &rollout.Local{}
+	l := &rollout.LocalProcess{}
 	c := &cobra.Command{Use: "runner [flags] -- PROGRAM [ARGUMENTS]", Short: "Run one relay, and restart it once for each step of a rollout",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) == 0 {
@@ -149,7 +149,7 @@
 				ln.Close()
 				return fmt.Errorf("%w: --operators: two are wanted", errUsage)
 			}
-			l.Command, l.Addrs = args, [2]string{operators[0], operators[1]}
+			l.Command, l.OperatorAddresses = args, [2]string{operators[0], operators[1]}
 			if _, err := l.Restart(c.Context()); err != nil {
 				ln.Close()
 				return err
@@ -157,7 +157,7 @@
 			defer l.Stop()
 			log := slog.New(slog.NewTextHandler(errOut, nil))
 			s := &http.Server{Handler: (&rollout.Runner{Folder: folder, Program: l, Log: log}).Handler(), ReadHeaderTimeout: 5 * time.Second}
-			go s.Serve(acceptretry.Patient(ln)) // ends by Close
+			go s.Serve(acceptretry.NewListener(ln)) // ends by Close
 			defer s.Close()
 			log.Info("runner serves", "listen", ln.Addr().String())
 			<-c.Context().Done()
@@ -166,7 +166,7 @@
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:7900", "where the wardens ask")
 	c.Flags().StringVar(&folder, "folder", "runner-data", "folder that lasts: which step was done, and the highest token")
 	c.Flags().StringSliceVar(&operators, "operators", []string{"127.0.0.1:7700", "127.0.0.1:7701"}, "operator addresses of the relay's processes, by turns")
-	c.Flags().DurationVar(&l.Take, "take", 2*time.Second, "that the next process has to take over")
-	c.Flags().DurationVar(&l.Term, "term", 4*time.Second, "that the one before has to end")
+	c.Flags().DurationVar(&l.TakeoverTime, "take", 2*time.Second, "that the next process has to take over")
+	c.Flags().DurationVar(&l.TerminationTime, "term", 4*time.Second, "that the one before has to end")
 	return c
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -59,9 +59,9 @@
 	return ctx, cancel, a.addr
 }
 
-// Move has the next call go to addr, and ends the one that is under way. A move
+// SetAddress has the next call go to addr, and ends the one that is under way. A move
 // to the present address changes nothing.
-func (a *movableAddress) Move(addr string) {
+func (a *movableAddress) SetAddress(addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if addr == a.addr {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -51,7 +51,7 @@
 		t.Fatalf("first %+v", l)
 	}
 	m.Phase = discovery.Draining
-	d.Say(t, discoverytest.Change(2, m))
+	d.Send(t, discoverytest.Change(2, m))
 	if l := next(t, news); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
 		t.Fatalf("then %+v", l)
 	}
@@ -65,7 +65,7 @@
 	}
 	for i, bad := range []string{`{"revision":3,"members":[{"id":"s-1"`, `{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
 		`{"revision":3}`, `{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`} {
-		d.Say(t, bad)
+		d.Send(t, bad)
 		if l := next(t, news); !l.Complete {
 			t.Fatalf("after line %d: %+v", i, l)
 		}
@@ -87,12 +87,12 @@
 	if err := json.Indent(&text, []byte(discoverytest.Change(2, m)), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	d.Say(t, text.String())
+	d.Send(t, text.String())
 	if l := next(t, news); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
 		t.Fatalf("then %+v", l)
 	}
 	m.Phase = discovery.Up
-	d.Say(t, "\n"+text.String()+"\n"+discoverytest.Change(3, m))
+	d.Send(t, "\n"+text.String()+"\n"+discoverytest.Change(3, m))
 	next(t, news)
 	if l := next(t, news); l.Revision != 3 {
 		t.Fatalf("at last %+v", l)
@@ -111,11 +111,11 @@
 	d := discoverytest.New(t, m)
 	news := watchList(t, d, time.Minute)
 	next(t, news)
-	d.Say(t, discoverytest.Change(5, m))
+	d.Send(t, discoverytest.Change(5, m))
 	next(t, news)
 	gone := m
 	gone.Phase = discovery.Removed
-	d.Say(t, discoverytest.Change(3, gone))
+	d.Send(t, discoverytest.Change(3, gone))
 	if l := next(t, news); !l.Complete {
 		t.Fatalf("then %+v", l)
 	}
@@ -139,8 +139,8 @@
 	done := make(chan struct{})
 	go func() { defer close(done); n.Run(ctx) }()
 	defer func() { cancel(); <-done }()
-	n.Put(discovery.Notice{Message: "a", Outcome: discovery.GivenUp, RetryMS: 0})
-	n.Put(discovery.Notice{Message: "b", Outcome: discovery.HandedBack, RetryMS: 500})
+	n.Put(discovery.Notice{Message: "a", Outcome: discovery.Failed, RetryMS: 0})
+	n.Put(discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500})
 	select {
 	case id := <-taken:
 		t.Fatalf("%s held to be told", id)
@@ -150,11 +150,11 @@
 	for range 2 {
 		<-taken
 	}
-	if b, _ := d.Notice("b"); b != (discovery.Notice{Message: "b", Outcome: discovery.HandedBack, RetryMS: 500}) {
+	if b, _ := d.Notice("b"); b != (discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500}) {
 		t.Errorf("told %+v", b)
 	}
 	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusBadRequest })
-	n.Put(discovery.Notice{Message: "c", Outcome: discovery.GivenUp, RetryMS: 0})
+	n.Put(discovery.Notice{Message: "c", Outcome: discovery.Failed, RetryMS: 0})
 	if id := <-taken; id != "c" {
 		t.Errorf("%s in place of c", id)
 	}
@@ -184,7 +184,7 @@
 	go func() { defer close(done); n.Run(ctx) }()
 	defer func() { cancel(); <-done }()
 	for _, id := range []string{"a", "b"} {
-		n.Put(discovery.Notice{Message: id, Outcome: discovery.GivenUp, RetryMS: 0})
+		n.Put(discovery.Notice{Message: id, Outcome: discovery.Failed, RetryMS: 0})
 		if got := <-taken; got != id {
 			t.Fatalf("%s in place of %s", got, id)
 		}
@@ -201,17 +201,17 @@
 // not put off at the new one.
 func TestMoveEndsPause(t *testing.T) {
 	old, now := discoverytest.New(t), discoverytest.New(t)
-	old.Set(func(d *discoverytest.Server) { d.TurnAway = 1 })
+	old.Set(func(d *discoverytest.Server) { d.RejectCalls = 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	x := discovery.NewWatch(old.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
 	x.Known = &discovery.List{Revision: 7, Complete: true, Members: []discovery.Member{}}
 	x.Tune(0, 0, func() float64 { return 1000 }) // pauses outlast the test
 	pausing, done := make(chan bool, 4), make(chan struct{})
-	x.Refused = func() { pausing <- true }
+	x.OnRejected = func() { pausing <- true }
 	go func() { defer close(done); x.Run(ctx) }()
 	defer func() { cancel(); <-done }()
 	<-pausing
-	x.Move(now.Addr())
+	x.SetAddress(now.Addr())
 	discoverytest.WaitFor(t, "a watch at the new address", func() bool { now.Mu.Lock(); defer now.Mu.Unlock(); return len(now.Froms) == 1 })
 }
 
@@ -227,13 +227,13 @@
 		x.Known = known
 		x.Tune(0, time.Second, func() float64 { return 1 })
 		putOff, done := make(chan bool, 1), make(chan struct{})
-		x.Refused = func() { putOff <- true }
+		x.OnRejected = func() { putOff <- true }
 		go func() { defer close(done); x.Run(ctx) }()
 		<-putOff
 		discoverytest.WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 1 })
 		cancel()
 		<-done
-		if sound := known.Sound(); sound && (d.Fetches != 0 || d.Froms[0] != "7") || !sound && d.Fetches != 1 {
+		if sound := known.Valid(); sound && (d.Fetches != 0 || d.Froms[0] != "7") || !sound && d.Fetches != 1 {
 			t.Errorf("%+v: %d fetches, watch from %s", known, d.Fetches, d.Froms[0])
 		}
 	}
@@ -243,13 +243,13 @@
 // asked for again.
 func TestWatchTurnedAway(t *testing.T) {
 	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
-	d.Set(func(d *discoverytest.Server) { d.TurnAway = 2 })
+	d.Set(func(d *discoverytest.Server) { d.RejectCalls = 2 })
 	next(t, watchList(t, d, time.Minute))
 	discoverytest.WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 1 })
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
-	if d.Fetches != 1 || d.Froms[0] != "1" || d.TurnAway != 0 {
-		t.Errorf("%d fetches, then from %v; %d calls left to turn away", d.Fetches, d.Froms, d.TurnAway)
+	if d.Fetches != 1 || d.Froms[0] != "1" || d.RejectCalls != 0 {
+		t.Errorf("%d fetches, then from %v; %d calls left to turn away", d.Fetches, d.Froms, d.RejectCalls)
 	}
 }
 
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -28,17 +28,17 @@
 // Server is the agent on a relay's machine.
 type Server struct {
 	*httptest.Server
-	Mu       sync.Mutex // of what follows
-	List     discovery.List
-	Lines    []chan string // of the watches that are open
-	Froms    []string      // what watches asked for
-	Fetches  int
-	Notices  map[string]discovery.Notice
-	Answer   int // status of notices
-	Silent   bool
-	TurnAway int // so many watches more
-	Unheard  int // requests that came while silent
-	released chan struct{}
+	Mu          sync.Mutex // of what follows
+	List        discovery.List
+	Lines       []chan string // of the watches that are open
+	Froms       []string      // what watches asked for
+	Fetches     int
+	Notices     map[string]discovery.Notice
+	Answer      int // status of notices
+	Silent      bool
+	RejectCalls int // so many watches more
+	Unheard     int // requests that came while silent
+	released    chan struct{}
 }
 
 func New(t *testing.T, members ...discovery.Member) *Server {
@@ -69,8 +69,8 @@
 		d.Mu.Unlock()
 		return
 	}
-	if d.TurnAway > 0 {
-		d.TurnAway--
+	if d.RejectCalls > 0 {
+		d.RejectCalls--
 		d.Mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -135,8 +135,8 @@
 	f(d)
 }
 
-// Say sends a line on the newest watch.
-func (d *Server) Say(t *testing.T, line string) {
+// Send sends a line on the newest watch.
+func (d *Server) Send(t *testing.T, line string) {
 	t.Helper()
 	WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Lines) > 0 })
 	d.Mu.Lock()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -34,8 +34,8 @@
 	UpSince  int64   `json:"up_since_ms"` // Unix time at which it last started; 0 for long ago
 }
 
-// Check returns an error that says what keeps a member from being used, or nil.
-func (m *Member) Check() error {
+// Validate returns an error that says what keeps a member from being used, or nil.
+func (m *Member) Validate() error {
 	switch {
 	case m.ID == "":
 		return errors.New("member without id")
@@ -57,9 +57,9 @@
 	Members  []Member `json:"members"`
 }
 
-// Sound reports whether this is a whole list that can be used as it stands.
-func (l *List) Sound() bool {
-	return l != nil && l.Complete && !slices.ContainsFunc(l.Members, func(m Member) bool { return m.Check() != nil })
+// Valid reports whether this is a whole list that can be used as it stands.
+func (l *List) Valid() bool {
+	return l != nil && l.Complete && !slices.ContainsFunc(l.Members, func(m Member) bool { return m.Validate() != nil })
 }
 
 // Parse reads a list, or a line of a watch, and checks its members. Where the
@@ -77,7 +77,7 @@
 		return nil, errors.New("discovery: no members")
 	}
 	for i := range l.Members {
-		if err := l.Members[i].Check(); err != nil {
+		if err := l.Members[i].Validate(); err != nil {
 			return nil, fmt.Errorf("discovery: %w", err)
 		}
 	}
--- a/internal/discovery/listsize_test.go
+++ b/internal/discovery/listsize_test.go
@@ -45,7 +45,7 @@
 	if len(line) <= 4<<20 {
 		t.Fatalf("%d bytes are no test of the limit that was", len(line))
 	}
-	d.Say(t, string(line))
+	d.Send(t, string(line))
 	if l := next(t, news); l.Revision != 2 || len(l.Members) != count {
 		t.Fatalf("the line has revision %d, %d members", l.Revision, len(l.Members))
 	}
@@ -53,7 +53,7 @@
 	if err := json.Indent(&indented, line, "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	d.Say(t, strings.Replace(indented.String(), `"revision": 2`, `"revision": 3`, 1))
+	d.Send(t, strings.Replace(indented.String(), `"revision": 2`, `"revision": 3`, 1))
 	if l := next(t, news); l.Revision != 3 || len(l.Members) != count {
 		t.Fatalf("the indented list has revision %d, %d members", l.Revision, len(l.Members))
 	}
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -16,8 +16,8 @@
 
 // Outcomes that a notice tells.
 const (
-	GivenUp    = "given_up"    // it failed
-	HandedBack = "handed_back" // its client may come again
+	Failed   = "given_up"    // it failed
+	Returned = "handed_back" // its client may come again
 )
 
 // Notice tells the platform how a message ended, where it was not delivered.
@@ -151,7 +151,7 @@
 		if errors.Is(err, io.EOF) {
 			return all, nil
 		}
-		if err == nil && (x.Message == "" || x.Outcome != GivenUp && x.Outcome != HandedBack) {
+		if err == nil && (x.Message == "" || x.Outcome != Failed && x.Outcome != Returned) {
 			err = fmt.Errorf("outcome %q of message %q", x.Outcome, x.Message)
 		}
 		if err != nil {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -426,7 +426,7 @@
 			once.Do(func() { told[i] = time.Now(); all.Done() })
 		})
 		w.Known = &List{Revision: 1, Complete: true, Members: []Member{}}
-		w.Refused = func() {
+		w.OnRejected = func() {
 			select {
 			case refused <- true:
 			default:
@@ -442,7 +442,7 @@
 	}
 	moved := time.Now()
 	for _, w := range fleet {
-		w.Move(now.addr)
+		w.SetAddress(now.addr)
 	}
 	all.Wait()
 	latest := slices.MaxFunc(told, time.Time.Compare).Sub(moved)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,9 +19,9 @@
 type Watch struct {
 	// Known is the list that the first watch goes on from; nil for none.
 	Known *List
-	// Refused is called where a call was refused, and where the first is put off
+	// OnRejected is called where a call was refused, and where the first is put off
 	// for long. It may be nil.
-	Refused func()
+	OnRejected func()
 
 	movableAddress
 	log            *slog.Logger
@@ -62,7 +62,7 @@
 func (w *Watch) Run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	var state listState
-	if w.Known.Sound() { // a watch from there costs discovery one call, and only what has changed
+	if w.Known.Valid() { // a watch from there costs discovery one call, and only what has changed
 		state = listState{revision: w.Known.Revision, known: true}
 	}
 	w.waitToStart(ctx)
@@ -76,8 +76,8 @@
 	ctx, cancel, _ := w.beginCall(ctx)
 	defer cancel()
 	delay := w.startDelay()
-	if delay > reconnectDelay && w.Refused != nil {
-		w.Refused()
+	if delay > reconnectDelay && w.OnRejected != nil {
+		w.OnRejected()
 	}
 	sleep(ctx, delay)
 }
@@ -97,8 +97,8 @@
 	if ctx.Err() == nil {
 		delay := w.retryDelay(err)
 		w.log.Warn("discovery: watch over", "revision", state.revision, "whole", state.known, "pause_ms", delay.Milliseconds(), "err", err)
-		if isRefusal(err) && w.Refused != nil {
-			w.Refused()
+		if isRefusal(err) && w.OnRejected != nil {
+			w.OnRejected()
 		}
 		sleep(ctx, delay)
 	}
--- a/internal/failover/salvage.go
+++ b/internal/failover/salvage.go
@@ -25,8 +25,8 @@
 	"plovershore/internal/wal"
 )
 
-// Duty is its name, and the kind of its orders.
-const Duty = "salvage"
+// Role is its name, and the kind of its orders.
+const Role = "salvage"
 
 const (
 	lookEvery  = time.Second
@@ -38,19 +38,19 @@
 type Spec struct {
 	Folder string `json:"folder"`
 	DiskMB int    `json:"disk_mb"`
-	// Safe are the classes whose messages may take effect again. One that may have
+	// IdempotentClasses are the classes whose messages may take effect again. One that may have
 	// run is handed back then; of a class that is not named here, it is given up.
-	Safe []string `json:"safe,omitempty"`
+	IdempotentClasses []string `json:"safe,omitempty"`
 }
 
 // Progress is how far an order has come. Told only grows, in the order of the
 // exported log, so that the next holder goes on behind it.
 type Progress struct {
-	Moved      bool `json:"moved"` // the log was exported, and its folder fenced
-	Owed       int  `json:"owed"`
-	Told       int  `json:"told"`
-	HandedBack int  `json:"handed_back"`
-	GivenUp    int  `json:"given_up"`
+	Exported bool `json:"moved"` // the log was exported, and its folder fenced
+	Pending  int  `json:"owed"`
+	Notified int  `json:"told"`
+	Returned int  `json:"handed_back"`
+	Failed   int  `json:"given_up"`
 }
 
 // Work is the duty's. Orders come from and go to the list service by c; how
@@ -60,16 +60,16 @@
 		t := time.NewTicker(lookEvery)
 		defer t.Stop()
 		for {
-			var all []registry.Order
-			if _, err := c.Do(ctx, http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
-				return leader.Ended(ctx, err)
+			var all []registry.Operation
+			if _, err := c.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
+				return leader.IgnoreCancellation(ctx, err)
 			}
 			for _, o := range all {
-				if o.Kind != Duty || o.Done || o.Wish == registry.WishPause {
+				if o.Kind != Role || o.Done || o.DesiredState == registry.DesiredPause {
 					continue
 				}
 				if err := one(ctx, g, platform, o); err != nil {
-					return leader.Ended(ctx, err)
+					return leader.IgnoreCancellation(ctx, err)
 				}
 			}
 			select {
@@ -83,7 +83,7 @@
 
 // one brings an order on. What keeps it from that is told in the order, and
 // tried again.
-func one(ctx context.Context, g *leader.Grant, platform *client.Client, o registry.Order) error {
+func one(ctx context.Context, g *leader.Grant, platform *client.Client, o registry.Operation) error {
 	var spec Spec
 	var p Progress
 	err := json.Unmarshal(o.Spec, &spec)
@@ -96,49 +96,49 @@
 	if err != nil {
 		return tell(ctx, g, o, p, "cannot be used: "+err.Error(), true)
 	}
-	if o.Wish == registry.WishAbort && !p.Moved {
+	if o.DesiredState == registry.DesiredAbort && !p.Exported {
 		return tell(ctx, g, o, p, "called off", true)
 	}
 	file := filepath.Clean(spec.Folder) + ".salvage"
-	if !p.Moved {
+	if !p.Exported {
 		owed, err := move(g, spec, file)
 		if err != nil {
 			if errors.Is(err, leader.ErrFenced) {
 				return err
 			}
-			if says := "waits: " + err.Error(); says != o.Says {
+			if says := "waits: " + err.Error(); says != o.Message {
 				return tell(ctx, g, o, p, says, false)
 			}
 			return nil
 		}
-		p.Moved, p.Owed = true, owed
+		p.Exported, p.Pending = true, owed
 		if err := tell(ctx, g, o, p, "the log is moved, its folder fenced", false); err != nil {
 			return err
 		}
 	}
 	recs, err := wal.ReadExport(file)
-	if errors.Is(err, os.ErrNotExist) && p.Told == p.Owed {
+	if errors.Is(err, os.ErrNotExist) && p.Notified == p.Pending {
 		return tell(ctx, g, o, p, "done", true) // a holder before has ended in its last step
 	}
 	if err != nil {
 		return tell(ctx, g, o, p, "stuck: "+err.Error(), false)
 	}
-	for p.Told < len(recs) {
-		part := recs[p.Told:min(len(recs), p.Told+noticeMost)]
+	for p.Notified < len(recs) {
+		part := recs[p.Notified:min(len(recs), p.Notified+noticeMost)]
 		next := p
 		var lines bytes.Buffer
 		for _, r := range part {
-			n := End(r, spec.Safe)
-			if n.Outcome == discovery.HandedBack {
-				next.HandedBack++
+			n := FinalNotice(r, spec.IdempotentClasses)
+			if n.Outcome == discovery.Returned {
+				next.Returned++
 			} else {
-				next.GivenUp++
+				next.Failed++
 			}
 			if err := json.NewEncoder(&lines).Encode(n); err != nil {
 				return fmt.Errorf("salvage: %w", err)
 			}
 		}
-		next.Told += len(part)
+		next.Notified += len(part)
 		if _, err := platform.Do(ctx, http.MethodPost, discovery.NoticePath, lines.Bytes(), nil); err != nil {
 			return err
 		}
@@ -160,7 +160,7 @@
 func move(g *leader.Grant, spec Spec, file string) (owed int, err error) {
 	recs, err := wal.ReadExport(file)
 	if err == nil {
-		if release, err := wal.Own(spec.Folder); err == nil {
+		if release, err := wal.LockFolder(spec.Folder); err == nil {
 			_, err = wal.FinishExport(spec.Folder, file)
 			release()
 			return len(recs), err
@@ -170,37 +170,37 @@
 	if !errors.Is(err, os.ErrNotExist) {
 		return 0, err
 	}
-	release, err := wal.Own(spec.Folder)
+	release, err := wal.LockFolder(spec.Folder)
 	if err != nil {
 		return 0, err
 	}
 	defer release()
-	if err := leader.Fence(spec.Folder, Duty, g.Token); err != nil {
+	if err := leader.Fence(spec.Folder, Role, g.Token); err != nil {
 		return 0, err
 	}
 	report, err := wal.Export(spec.Folder, file, int64(max(spec.DiskMB, 3))<<20)
 	if err != nil {
 		return 0, err
 	}
-	return report.Owed, nil
+	return report.Pending, nil
 }
 
-// End is how a message ends that nobody will send. A message of which damage took
+// FinalNotice is how a message ends that nobody will send. A message of which damage took
 // all but its id may be of any class.
-func End(r *wal.Record, safe []string) discovery.Notice {
+func FinalNotice(r *wal.Record, safe []string) discovery.Notice {
 	switch {
 	case r.Notice != "": // it was over, and its platform may have heard
 		return discovery.Notice{Message: r.ID, Outcome: r.Notice, RetryMS: r.RetryMS}
-	case r.Lost || r.Doubt != 0 && !slices.Contains(safe, r.Class):
-		return discovery.Notice{Message: r.ID, Outcome: discovery.GivenUp}
+	case r.Corrupted || r.UnknownOutcomeAt != 0 && !slices.Contains(safe, r.Class):
+		return discovery.Notice{Message: r.ID, Outcome: discovery.Failed}
 	}
-	return discovery.Notice{Message: r.ID, Outcome: discovery.HandedBack, RetryMS: retryMS}
+	return discovery.Notice{Message: r.ID, Outcome: discovery.Returned, RetryMS: retryMS}
 }
 
-func tell(ctx context.Context, g *leader.Grant, o registry.Order, p Progress, says string, done bool) error {
+func tell(ctx context.Context, g *leader.Grant, o registry.Operation, p Progress, says string, done bool) error {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return fmt.Errorf("salvage: %w", err)
 	}
-	return g.Do(ctx, http.MethodPost, registry.OrdersPath+"/"+o.Kind+"/"+o.Name+"/progress", registry.Order{Progress: text, Says: says, Done: done}, nil)
+	return g.Do(ctx, http.MethodPost, registry.OperationsPath+"/"+o.Kind+"/"+o.Name+"/progress", registry.Operation{Progress: text, Message: says, Done: done}, nil)
 }
--- a/internal/failover/salvage_test.go
+++ b/internal/failover/salvage_test.go
@@ -54,7 +54,7 @@
 func startStore(t *testing.T) *store {
 	t.Helper()
 	c := registry.DefaultConfig()
-	c.Data, c.Listen, c.Raft = filepath.Join(t.TempDir(), "data"), loopback.Free(), loopback.Free()
+	c.DataDir, c.Listen, c.Raft = filepath.Join(t.TempDir(), "data"), loopback.Free(), loopback.Free()
 	c.Peers = []registry.Peer{{ID: c.ID, Raft: c.Raft, HTTP: c.Listen}}
 	n, err := registry.Start(&c, quiet())
 	if err != nil {
@@ -110,10 +110,10 @@
 	return c
 }
 
-func (s *store) order() (o registry.Order) {
+func (s *store) order() (o registry.Operation) {
 	s.t.Helper()
-	var all []registry.Order
-	if _, err := s.client().Do(context.Background(), http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
+	var all []registry.Operation
+	if _, err := s.client().Do(context.Background(), http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
 		s.t.Fatal(err)
 	}
 	if len(all) == 1 {
@@ -128,7 +128,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if _, err := s.client().Do(s.t.Context(), http.MethodPut, registry.OrdersPath+"/"+Duty+"/n3", registry.Order{Spec: spec, Wish: registry.WishRun}, nil); err != nil {
+	if _, err := s.client().Do(s.t.Context(), http.MethodPut, registry.OperationsPath+"/"+Role+"/n3", registry.Operation{Spec: spec, DesiredState: registry.DesiredRun}, nil); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -139,7 +139,7 @@
 	c := s.client()
 	go func() {
 		defer close(done)
-		if err := leader.Run(ctx, leader.Options{Client: c, Warden: name, TTL: 3 * time.Second, Duties: map[string]leader.Work{Duty: Work(c, c)}, Log: quiet()}); err != nil {
+		if err := leader.Run(ctx, leader.Options{Client: c, Name: name, TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: Work(c, c)}, Log: quiet()}); err != nil {
 			s.t.Error(err)
 		}
 	}()
@@ -165,18 +165,18 @@
 	go l.Run(stop)
 	for i := range n {
 		id := fmt.Sprint("message-", i)
-		l.Submit(&wal.Record{Kind: wal.Taken, ID: id, Class: "copy-order", Deadline: 1e15, Body: []byte("b")}, nil)
-		want[id] = discovery.GivenUp
+		l.Submit(&wal.Record{Kind: wal.KindAccepted, ID: id, Class: "copy-order", Deadline: 1e15, Body: []byte("b")}, nil)
+		want[id] = discovery.Failed
 		switch i % 5 {
 		case 0:
-			l.Submit(&wal.Record{Kind: wal.Attempt, ID: id, At: 7, By: l.By}, nil)
+			l.Submit(&wal.Record{Kind: wal.KindAttempt, ID: id, At: 7, Process: l.Process}, nil)
 		case 1:
-			l.Submit(&wal.Record{Kind: wal.Attempt, ID: id, At: 7, By: l.By}, nil)
-			l.Submit(&wal.Record{Kind: wal.Outcome, ID: id, Ran: true}, nil)
+			l.Submit(&wal.Record{Kind: wal.KindAttempt, ID: id, At: 7, Process: l.Process}, nil)
+			l.Submit(&wal.Record{Kind: wal.KindOutcome, ID: id, MayHaveRun: true}, nil)
 		case 2:
-			l.Submit(&wal.Record{Kind: wal.Ending, ID: id, Notice: discovery.GivenUp}, nil)
+			l.Submit(&wal.Record{Kind: wal.KindCompleting, ID: id, Notice: discovery.Failed}, nil)
 		default:
-			want[id] = discovery.HandedBack
+			want[id] = discovery.Returned
 		}
 	}
 	close(stop)
@@ -212,18 +212,18 @@
 	waitFor(t, "the order's end", func() bool { return s.order().Done })
 	s.ended(want)
 	var p Progress
-	if err := json.Unmarshal(s.order().Progress, &p); err != nil || p.Owed != 500 || p.Told != 500 || p.HandedBack != 200 || p.GivenUp != 300 {
+	if err := json.Unmarshal(s.order().Progress, &p); err != nil || p.Pending != 500 || p.Notified != 500 || p.Returned != 200 || p.Failed != 300 {
 		t.Errorf("%+v, %v", p, err)
 	}
 	if _, err := os.Stat(folder + ".salvage"); !os.IsNotExist(err) {
 		t.Errorf("the moved log is still there: %v", err)
 	}
-	f, err := wal.PassFence(folder)
+	f, err := wal.ClearFence(folder)
 	if err != nil || f == nil {
 		t.Fatalf("the late relay: fence %v, %v", f, err)
 	}
 	l, err := wal.Open(wal.Options{Dir: folder, Limit: 3 << 20})
-	if err != nil || l.Owed() != 0 {
+	if err != nil || l.PendingUnread() != 0 {
 		t.Fatalf("the late relay: %v", err)
 	}
 	quit := make(chan struct{})
@@ -238,13 +238,13 @@
 		r    wal.Record
 		want string
 	}{
-		{wal.Record{Class: "alert-update", Doubt: 7}, discovery.HandedBack},
-		{wal.Record{Class: "copy-order", Doubt: 7}, discovery.GivenUp},
-		{wal.Record{Class: "copy-order"}, discovery.HandedBack},
-		{wal.Record{Class: "alert-update", Doubt: 7, Notice: discovery.GivenUp}, discovery.GivenUp},
-		{wal.Record{Lost: true}, discovery.GivenUp},
+		{wal.Record{Class: "alert-update", UnknownOutcomeAt: 7}, discovery.Returned},
+		{wal.Record{Class: "copy-order", UnknownOutcomeAt: 7}, discovery.Failed},
+		{wal.Record{Class: "copy-order"}, discovery.Returned},
+		{wal.Record{Class: "alert-update", UnknownOutcomeAt: 7, Notice: discovery.Failed}, discovery.Failed},
+		{wal.Record{Corrupted: true}, discovery.Failed},
 	} {
-		if n := End(&x.r, []string{"alert-update"}); n.Outcome != x.want {
+		if n := FinalNotice(&x.r, []string{"alert-update"}); n.Outcome != x.want {
 			t.Errorf("%+v: %s", x.r, n.Outcome)
 		}
 	}
@@ -259,12 +259,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := lock.Try(); !got {
+	if got, err := lock.TryLock(); !got {
 		t.Fatal(err)
 	}
 	s.give(folder)
 	s.warden("a")
-	waitFor(t, "word of why it waits", func() bool { return strings.Contains(s.order().Says, "in use") })
+	waitFor(t, "word of why it waits", func() bool { return strings.Contains(s.order().Message, "in use") })
 	s.mu.Lock()
 	if len(s.ends) > 0 {
 		t.Errorf("ended while the relay runs: %v", s.ends)
@@ -278,13 +278,13 @@
 // A holder before, whose token is older, does not move the folder any more.
 func TestAnOlderTokenMovesNothing(t *testing.T) {
 	folder, _ := lost(t, 5)
-	if err := leader.Fence(folder, Duty, 9); err != nil {
+	if err := leader.Fence(folder, Role, 9); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := move(&leader.Grant{Token: 8}, Spec{Folder: folder}, folder+".salvage"); err == nil {
 		t.Fatal("moved")
 	}
-	if report, err := wal.Inspect(nil, folder); err != nil || report.Owed != 5 {
+	if report, err := wal.Inspect(nil, folder); err != nil || report.Pending != 5 {
 		t.Errorf("%+v, %v", report, err)
 	}
 }
@@ -295,7 +295,7 @@
 	s.give("relative")
 	s.warden("a")
 	waitFor(t, "the order's end", func() bool { return s.order().Done })
-	if says := s.order().Says; !strings.Contains(says, "absolute path") {
+	if says := s.order().Message; !strings.Contains(says, "absolute path") {
 		t.Errorf("says %q", says)
 	}
 }
@@ -308,7 +308,7 @@
 	if _, err := wal.Export(folder, folder+".salvage", 3<<20); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := wal.PassFence(folder); err != nil {
+	if _, err := wal.ClearFence(folder); err != nil {
 		t.Fatal(err)
 	}
 	lock, err := wal.OpenLock(folder, wal.LockName)
@@ -316,7 +316,7 @@
 		t.Fatal(err)
 	}
 	defer lock.Close()
-	if got, err := lock.Try(); !got {
+	if got, err := lock.TryLock(); !got {
 		t.Fatal(err)
 	}
 	s.give(folder)
--- a/internal/faultlab/bench.go
+++ b/internal/faultlab/bench.go
@@ -134,7 +134,7 @@
 		var s registry.Status
 		err = json.NewDecoder(resp.Body).Decode(&s)
 		resp.Body.Close()
-		if err == nil && s.Role == "Leader" {
+		if err == nil && s.RaftRole == "Leader" {
 			return i
 		}
 	}
@@ -440,7 +440,7 @@
 	}
 	var took []float64
 	for n := range o.Writes {
-		var a registry.Answer
+		var a registry.Result
 		// The revision that the write will have is not known before: the next one is waited for.
 		var list discovery.List
 		if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+"?consistent=1", nil, &list); err != nil {
@@ -542,7 +542,7 @@
 		}
 		var s registry.Status
 		if json.NewDecoder(resp.Body).Decode(&s) == nil {
-			term, led = max(term, s.Term), led || s.Role == "Leader"
+			term, led = max(term, s.Term), led || s.RaftRole == "Leader"
 		}
 		resp.Body.Close()
 	}
--- a/internal/faultlab/bench_duty.go
+++ b/internal/faultlab/bench_duty.go
@@ -102,14 +102,14 @@
 		}
 		model.Pause(ctx, w.ttl+200*time.Millisecond) // as in kills
 		began := time.Now()
-		w.cut(d.Warden, true)
+		w.cut(d.Controller, true)
 		_, err = w.held(ctx, d.Token, 0)
 		if err != nil {
 			return took, err
 		}
 		took = append(took, time.Since(began).Seconds()*1e3)
 		token = d.Token
-		w.cut(d.Warden, false)
+		w.cut(d.Controller, false)
 	}
 	return took, nil
 }
@@ -128,21 +128,21 @@
 }
 
 // held waits for a grant after a token, and for as many wardens as there are.
-func (w *wardens) held(ctx context.Context, after int64, sessions int) (registry.Duty, error) {
+func (w *wardens) held(ctx context.Context, after int64, sessions int) (registry.Role, error) {
 	revision := int64(0)
 	for ctx.Err() == nil {
-		var l registry.DutyList
-		if _, err := w.c.Do(ctx, http.MethodGet, fmt.Sprintf("%s?after=%d&wait_ms=1000", registry.DutiesPath, revision), nil, &l); err != nil {
-			return registry.Duty{}, fmt.Errorf("bench: %w", err)
+		var l registry.RoleList
+		if _, err := w.c.Do(ctx, http.MethodGet, fmt.Sprintf("%s?after=%d&wait_ms=1000", registry.RolesPath, revision), nil, &l); err != nil {
+			return registry.Role{}, fmt.Errorf("bench: %w", err)
 		}
 		revision = l.Revision
-		for _, d := range l.Duties {
-			if d.Name == leader.ListKeeper && d.Holder != "" && d.Token > after && len(l.Sessions) >= sessions {
+		for _, d := range l.Roles {
+			if d.Name == leader.RegistrationExpiry && d.Holder != "" && d.Token > after && len(l.Sessions) >= sessions {
 				return d, nil
 			}
 		}
 	}
-	return registry.Duty{}, ctx.Err()
+	return registry.Role{}, ctx.Err()
 }
 
 // BenchDuty measures how long a duty is nobody's, and what duties cost the store.
@@ -261,7 +261,7 @@
 			model.Pause(ctx, w.ttl+200*time.Millisecond)
 		}
 		began := time.Now()
-		if err := w.procs[d.Warden].Signal(s); err != nil {
+		if err := w.procs[d.Controller].Signal(s); err != nil {
 			return took, err
 		}
 		if _, err := w.held(ctx, d.Token, 0); err != nil {
@@ -269,11 +269,11 @@
 		}
 		took = append(took, time.Since(began).Seconds()*1e3)
 		token = d.Token
-		w.procs[d.Warden].Kill()
-		if err := w.start(fmt.Sprintf("%s.%d", strings.SplitN(d.Warden, ".", 2)[0], k)); err != nil {
+		w.procs[d.Controller].Kill()
+		if err := w.start(fmt.Sprintf("%s.%d", strings.SplitN(d.Controller, ".", 2)[0], k)); err != nil {
 			return took, err
 		}
-		delete(w.procs, d.Warden)
+		delete(w.procs, d.Controller)
 	}
 	return took, nil
 }
@@ -302,16 +302,16 @@
 		}
 		defer own.Close()
 		g.Go(func() error {
-			return leader.Run(run, leader.Options{Client: own, Warden: fmt.Sprint("w-", i), TTL: 3 * time.Second, Duties: work, Log: slog.New(slog.DiscardHandler)})
+			return leader.Run(run, leader.Options{Client: own, Name: fmt.Sprint("w-", i), TTL: 3 * time.Second, Roles: work, Log: slog.New(slog.DiscardHandler)})
 		})
 	}
 	for held := 0; held < n; {
-		var l registry.DutyList
-		if _, err := c.Do(ctx, http.MethodGet, registry.DutiesPath, nil, &l); err != nil {
+		var l registry.RoleList
+		if _, err := c.Do(ctx, http.MethodGet, registry.RolesPath, nil, &l); err != nil {
 			return fmt.Errorf("bench: %w", err)
 		}
 		held = 0
-		for _, d := range l.Duties {
+		for _, d := range l.Roles {
 			if d.Holder != "" {
 				held++
 			}
--- a/internal/faultlab/bench_wal.go
+++ b/internal/faultlab/bench_wal.go
@@ -66,7 +66,7 @@
 const benchLimit = 4 << 30
 
 func benchMessage(i int) *wal.Record {
-	return &wal.Record{Kind: wal.Taken, ID: fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), Class: "copy-order", Tenant: "acme", Key: "5c0f6e1a2b3d4c59",
+	return &wal.Record{Kind: wal.KindAccepted, ID: fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), Class: "copy-order", Tenant: "acme", Key: "5c0f6e1a2b3d4c59",
 		Dest: i % 80, Deadline: 1e15, Body: []byte(strings.Repeat("b", 200))}
 }
 
@@ -145,8 +145,8 @@
 		if err != nil {
 			return err
 		}
-		if l.Owed() != n {
-			return fmt.Errorf("bench: %d of %d owed", l.Owed(), n)
+		if l.PendingUnread() != n {
+			return fmt.Errorf("bench: %d of %d owed", l.PendingUnread(), n)
 		}
 		known = append(known, time.Since(began).Seconds()*1e3)
 		mem = append(mem, (heap()-before)/1e6)
@@ -201,7 +201,7 @@
 			case "process":
 				x, err = wal.Open(wal.Options{Dir: folder, Limit: benchLimit, FS: fs})
 			default:
-				x, err = wal.Open(wal.Options{Dir: folder, Limit: benchLimit, FS: fs, Promise: wal.Power})
+				x, err = wal.Open(wal.Options{Dir: folder, Limit: benchLimit, FS: fs, Durability: wal.SurvivesPowerLoss})
 			}
 			if err != nil {
 				return err
@@ -218,7 +218,7 @@
 					booked := make(chan error, 1)
 					for i := 0; time.Since(began) < o.Span; i++ {
 						m := benchMessage(c<<32 | i)
-						for _, r := range []*wal.Record{m, {Kind: wal.Attempt, ID: m.ID, At: 1e15, To: "s-12", By: 1, Sync: true}, {Kind: wal.End, ID: m.ID}} {
+						for _, r := range []*wal.Record{m, {Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1, Sync: true}, {Kind: wal.KindCompleted, ID: m.ID}} {
 							x.Submit(r, func(err error) { booked <- err })
 							<-booked
 						}
@@ -235,7 +235,7 @@
 			cost[name] = append(cost[name], float64(burnt.Microseconds())/float64(n.Load()))
 			written, out := fs.calls.Load(), fs.bytes.Load()
 			if old != nil {
-				written, out = old.Calls, old.Bytes
+				written, out = old.WriteCalls, old.Bytes
 			}
 			calls[name] = append(calls[name], float64(written)/float64(n.Load()))
 			bytes[name] = append(bytes[name], float64(out)/float64(n.Load()))
@@ -288,9 +288,9 @@
 					return ctx.Err()
 				}
 				m := benchMessage(i % owed)
-				kind := &wal.Record{Kind: wal.Attempt, ID: m.ID, At: 1e15, To: "s-12", By: 1}
+				kind := &wal.Record{Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1}
 				if i%2 == 1 {
-					kind = &wal.Record{Kind: wal.Outcome, ID: m.ID}
+					kind = &wal.Record{Kind: wal.KindOutcome, ID: m.ID}
 				}
 				began := time.Now()
 				x.Submit(kind, func(err error) { booked <- err })
--- a/internal/faultlab/capacity/agent.go
+++ b/internal/faultlab/capacity/agent.go
@@ -178,7 +178,7 @@
 	for range relayWriter {
 		group.Go(func() error {
 			for i := int(next.Add(1)); i <= size; i = int(next.Add(1)) {
-				text, err := json.Marshal(discovery.Notice{Message: messageID(i), Outcome: discovery.GivenUp})
+				text, err := json.Marshal(discovery.Notice{Message: messageID(i), Outcome: discovery.Failed})
 				if err != nil {
 					return fmt.Errorf("notice: %w", err)
 				}
--- a/internal/faultlab/capacity/main_test.go
+++ b/internal/faultlab/capacity/main_test.go
@@ -33,7 +33,7 @@
 	case len(args) == 0:
 		return runRelay(ctx)
 	case strings.HasPrefix(args[0], "-"):
-		return dutycommand.Warden(ctx, args, os.Stdout, os.Stderr)
+		return dutycommand.Main(ctx, args, os.Stdout, os.Stderr)
 	}
 	return registrycommand.Registry(ctx, args, os.Getenv, os.Stdout, os.Stderr)
 }
--- a/internal/faultlab/capacity/policy.go
+++ b/internal/faultlab/capacity/policy.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		return policy.Settings{}, err
 	}
-	d, err := settings.Policy(s)
-	d.MaxHeld, d.Streams = held, 1
+	d, err := settings.ToPolicy(s)
+	d.MaxMessages, d.StreamsPerConnection = held, 1
 	return d, err
 }
 
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	d := &driver{policy: p, now: policyWait, tries: map[uint32]int{}}
-	d.step(policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: entries(destinations)})
+	d.step(policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListFull, Entries: entries(destinations)})
 	return d, nil
 }
 
@@ -103,10 +103,10 @@
 	took := time.Since(began)
 	for i := range d.actions {
 		switch a := &d.actions[i]; a.Kind {
-		case policy.ActSend:
+		case policy.ActionSend:
 			d.out = append(d.out, flight{a.Message, d.tries[a.Message], a.Endpoint})
 			d.tries[a.Message]++
-		case policy.ActRefuse, policy.ActFail:
+		case policy.ActionReject, policy.ActionFail:
 			d.ended++
 			delete(d.tries, a.Message)
 		}
@@ -117,7 +117,7 @@
 // message is a new one for a destination.
 func (d *driver) message(destination, class int) policy.Event {
 	d.last++
-	return policy.Event{Kind: policy.EvMessage, Message: d.last, Class: class, Dest: destination, Tenant: -1, Left: classTime}
+	return policy.Event{Kind: policy.EventMessage, Message: d.last, Class: class, Dest: destination, Tenant: -1, TimeLeft: classTime}
 }
 
 // outcome ends the oldest attempt that is out.
@@ -130,15 +130,15 @@
 	if o == policy.Delivered {
 		delete(d.tries, f.message)
 	}
-	return policy.Event{Kind: policy.EvOutcome, Message: f.message, Attempt: f.attempt, Endpoint: f.endpoint, Outcome: o, Wait: wait,
-		Took: 200_000, Settled: o == policy.Delivered}, nil
+	return policy.Event{Kind: policy.EventAttemptDone, Message: f.message, Attempt: f.attempt, Endpoint: f.endpoint, Outcome: o, RetryAfter: wait,
+		Latency: 200_000, Final: o == policy.Delivered}, nil
 }
 
 // shut has a destination tell the relay to wait for longer than is measured; the
 // message for it waits there.
 func (d *driver) shut(destination int) error {
 	d.step(d.message(destination, safeClass))
-	e, err := d.outcome(policy.Full, policyWait)
+	e, err := d.outcome(policy.Rejected, policyWait)
 	if err != nil {
 		return fmt.Errorf("destination %d: %w", destination, err)
 	}
@@ -154,7 +154,7 @@
 			return took, nil
 		}
 		d.now += policyMoment
-		took += d.step(policy.Event{Kind: policy.EvTimer})
+		took += d.step(policy.Event{Kind: policy.EventTimer})
 	}
 	return took, errors.New("policy: nothing is sent")
 }
--- a/internal/faultlab/capacity/policy_jobs.go
+++ b/internal/faultlab/capacity/policy_jobs.go
@@ -74,16 +74,16 @@
 		return nil, err
 	}
 	d := &driver{policy: p, now: policyWait, tries: map[uint32]int{}}
-	whole := policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: all}
+	whole := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListFull, Entries: all}
 	first := d.step(whole)
 	memory := heapBytes() - before
 	again := d.step(whole)
 	changed := d.changes(size)
-	told, err := d.deliveries(0, min(size/4, 20), policy.Load{Left: 0.5, Limit: 100, Told: true})
+	told, err := d.deliveries(0, min(size/4, 20), policy.LoadReport{Remaining: 0.5, Limit: 100, Present: true})
 	if err != nil {
 		return nil, err
 	}
-	untold, err := d.deliveries(size/4, min(size/4, 20), policy.Load{})
+	untold, err := d.deliveries(size/4, min(size/4, 20), policy.LoadReport{})
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 		if i%2 == 1 {
 			state = policy.Ready
 		}
-		took += d.step(policy.Event{Kind: policy.EvList, List: policy.ListChange, Entries: []policy.Entry{entry(i/2%members, state)}})
+		took += d.step(policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListDelta, Entries: []policy.Entry{entry(i/2%members, state)}})
 	}
 	return micros(took, changes)
 }
@@ -118,9 +118,9 @@
 	var took time.Duration
 	trials := 0
 	for end := d.now + policyWait/6; d.now < end && trials < most; d.now += policyMoment * 10 {
-		d.step(policy.Event{Kind: policy.EvTimer})
+		d.step(policy.Event{Kind: policy.EventTimer})
 		for len(d.out) > 0 {
-			e, err := d.outcome(policy.NoConnect, 0)
+			e, err := d.outcome(policy.ConnectFailed, 0)
 			if err != nil {
 				return 0, err
 			}
@@ -137,7 +137,7 @@
 
 // deliveries gives the mean time of a message handed in and its answer with a
 // load report, over some destinations that are up.
-func (d *driver) deliveries(first, destinations int, load policy.Load) (float64, error) {
+func (d *driver) deliveries(first, destinations int, load policy.LoadReport) (float64, error) {
 	const each = 25
 	var took time.Duration
 	for round := range each + 1 {
@@ -171,7 +171,7 @@
 	var owed []policy.Event
 	for i := range slice {
 		e := d.message(i%min(size, destinationsDown), safeClass)
-		e.Kept = true
+		e.Recovered = true
 		owed = append(owed, e)
 	}
 	taken := d.step(owed...)
@@ -179,7 +179,7 @@
 	calls := 0
 	for limit := time.Now().Add(failedLimit); len(d.out) > 0 && time.Now().Before(limit); calls++ {
 		d.now += policyMoment / 10
-		e, err := d.outcome(policy.NoConnect, 0)
+		e, err := d.outcome(policy.ConnectFailed, 0)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/faultlab/capacity/registry.go
+++ b/internal/faultlab/capacity/registry.go
@@ -148,7 +148,7 @@
 // leader gives the place of the node that leads.
 func (g *group) leader(ctx context.Context) (int, error) {
 	for i, node := range g.nodes {
-		if s, err := statusOf(ctx, node); err == nil && s.Role == "Leader" {
+		if s, err := statusOf(ctx, node); err == nil && s.RaftRole == "Leader" {
 			return i, nil
 		}
 	}
@@ -222,9 +222,9 @@
 }
 
 // change moves a member to another zone, so that it is a change of the list.
-func change(ctx context.Context, c *client.Client, which, n int) (registry.Answer, error) {
+func change(ctx context.Context, c *client.Client, which, n int) (registry.Result, error) {
 	m := member(which, shortID)
-	var a registry.Answer
+	var a registry.Result
 	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: m.ID, Address: m.HostPort, Zone: fmt.Sprint("moved-", n),
 		Flavor: m.Flavor, Cell: m.Cell, TTLMS: (24 * time.Hour).Milliseconds(), Holder: memberOwner}, &a)
 	return a, err
--- a/internal/faultlab/capacity/registry_jobs.go
+++ b/internal/faultlab/capacity/registry_jobs.go
@@ -94,9 +94,9 @@
 			return 0, 0, err
 		}
 		calls, err = g.repeat(ctx, writers, span, func(ctx context.Context, c *client.Client, caller, n int) error {
-			var all []registry.Beat
+			var all []registry.Heartbeat
 			for i := range each {
-				all = append(all, registry.Beat{ID: member(((n*each+i)*writers+caller)%size, shortID).ID, Holder: memberOwner})
+				all = append(all, registry.Heartbeat{ID: member(((n*each+i)*writers+caller)%size, shortID).ID, Holder: memberOwner})
 			}
 			_, err := c.Do(ctx, http.MethodPost, registry.HeartbeatsPath, all, nil)
 			return err
--- a/internal/faultlab/capacity/relay_jobs.go
+++ b/internal/faultlab/capacity/relay_jobs.go
@@ -276,7 +276,7 @@
 	var mu sync.Mutex
 	var failed error
 	for i := range size {
-		w.Submit(&wal.Record{Kind: wal.Taken, ID: messageID(i), Class: "alert-update", Dest: i % destinations, Deadline: deadline, Body: []byte(messageBody)},
+		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: messageID(i), Class: "alert-update", Dest: i % destinations, Deadline: deadline, Body: []byte(messageBody)},
 			func(err error) {
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/faultlab/capacity/warden.go
+++ b/internal/faultlab/capacity/warden.go
@@ -64,8 +64,8 @@
 // sessions waits until so many wardens have a session.
 func (g *group) sessions(ctx context.Context, size int) error {
 	for limit := time.Now().Add(groupWait); time.Now().Before(limit) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		text, err := get(ctx, "http://"+g.nodes[0]+registry.DutiesPath)
-		var l registry.DutyList
+		text, err := get(ctx, "http://"+g.nodes[0]+registry.RolesPath)
+		var l registry.RoleList
 		if err == nil && json.Unmarshal(text, &l) == nil && len(l.Sessions) >= size {
 			return nil
 		}
--- a/internal/faultlab/evacuate.go
+++ b/internal/faultlab/evacuate.go
@@ -19,22 +19,22 @@
 // put it back from when the fault is to be undone. Both have to come to their end
 // before the run does, with every endpoint up again.
 func (r *run) strikeEvacuate(ctx context.Context, s Step) error {
-	spec, err := json.Marshal(zones.Spec{Zone: s.Fault.Zone, Rate: cmp.Or(s.Fault.Rate, 2), Keep: cmp.Or(s.Fault.Factor, 0.5)})
+	spec, err := json.Marshal(zones.Spec{Zone: s.Fault.Zone, Rate: cmp.Or(s.Fault.Rate, 2), MinFraction: cmp.Or(s.Fault.Factor, 0.5)})
 	if err != nil {
 		return fmt.Errorf("lab: evacuate: %w", err)
 	}
-	path := fmt.Sprintf("%s/%s/%s-%d", registry.OrdersPath, zones.Duty, s.Fault.Zone, s.At.Milliseconds())
-	wish := func(o registry.Order) error {
+	path := fmt.Sprintf("%s/%s/%s-%d", registry.OperationsPath, zones.Role, s.Fault.Zone, s.At.Milliseconds())
+	wish := func(o registry.Operation) error {
 		if _, err := r.group.client.Do(ctx, http.MethodPut, path, o, nil); err != nil {
 			return fmt.Errorf("lab: evacuate: %w", err)
 		}
 		return nil
 	}
-	var last registry.Order
+	var last registry.Operation
 	until := func(ok func() bool) error {
 		for {
-			var all []registry.Order
-			if _, err := r.group.client.Do(ctx, http.MethodGet, registry.OrdersPath, nil, &all); err == nil {
+			var all []registry.Operation
+			if _, err := r.group.client.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err == nil {
 				for _, o := range all {
 					if strings.HasSuffix(path, "/"+o.Kind+"/"+o.Name) {
 						last = o
@@ -45,21 +45,21 @@
 				return nil
 			}
 			if !model.Pause(ctx, 50*time.Millisecond) || last.Done {
-				return fmt.Errorf("lab: evacuation of %s: not at its end: %s, %s", s.Fault.Zone, last.Says, last.Progress)
+				return fmt.Errorf("lab: evacuation of %s: not at its end: %s, %s", s.Fault.Zone, last.Message, last.Progress)
 			}
 		}
 	}
-	if err := wish(registry.Order{Spec: spec, Wish: registry.WishRun}); err != nil {
+	if err := wish(registry.Operation{Spec: spec, DesiredState: registry.DesiredRun}); err != nil {
 		return err
 	}
-	if err := until(func() bool { return strings.HasPrefix(last.Says, "out: ") }); err != nil {
+	if err := until(func() bool { return strings.HasPrefix(last.Message, "out: ") }); err != nil {
 		return err
 	}
 	r.hold(ctx, s)
-	if err := wish(registry.Order{Wish: registry.WishAbort}); err != nil {
+	if err := wish(registry.Operation{DesiredState: registry.DesiredAbort}); err != nil {
 		return err
 	}
-	if err := until(func() bool { return last.Done && last.Says == "returned" }); err != nil {
+	if err := until(func() bool { return last.Done && last.Message == "returned" }); err != nil {
 		return err
 	}
 	var members []registry.Member
--- a/internal/faultlab/group.go
+++ b/internal/faultlab/group.go
@@ -214,7 +214,7 @@
 		var s registry.Status
 		err = json.NewDecoder(resp.Body).Decode(&s)
 		resp.Body.Close()
-		if err == nil && s.Role == "Leader" {
+		if err == nil && s.RaftRole == "Leader" {
 			return n
 		}
 	}
@@ -336,11 +336,11 @@
 		byID[e.ID] = e
 	}
 	for model.Pause(ctx, g.ttl()/3) {
-		var beats []registry.Beat
+		var beats []registry.Heartbeat
 		g.mu.Lock()
 		for id := range byID {
 			if !g.muted[id] && !g.drawn[id] {
-				beats = append(beats, registry.Beat{ID: id, Holder: id})
+				beats = append(beats, registry.Heartbeat{ID: id, Holder: id})
 			}
 		}
 		g.mu.Unlock()
@@ -373,7 +373,7 @@
 		return
 	}
 	defer c.Close()
-	c.Follow(ctx, client.Position{}, func(n client.News) {
+	c.Follow(ctx, client.Position{}, func(n client.Update) {
 		h := fnv.New64a()
 		for _, m := range n.Members {
 			fmt.Fprintln(h, m.ID, m.HostPort, m.Phase, m.Cell)
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -385,7 +385,7 @@
 
 // noticed hears of a message's end; its client may hand it in again.
 func (r *run) noticed(id, outcome string, retryMS int64) {
-	if r.world.Ledger.Over(id) && outcome == discovery.HandedBack {
+	if r.world.Ledger.Over(id) && outcome == discovery.Returned {
 		r.clients.HandedBack(r.ctx, id, retryMS)
 	}
 }
--- a/internal/faultlab/rollout.go
+++ b/internal/faultlab/rollout.go
@@ -71,7 +71,7 @@
 // its end, which has to come before the run's.
 func (r *run) strikeRollout(ctx context.Context) error {
 	n := len(r.relays)
-	rs := &runners{run: r, open: map[int]int{}, plan: rollout.Plan{Waves: []int{1, max(1, n/4)}, AtOnce: 2, Ready: 10, Settle: 0.5, Within: 8, Refused: 0.9, Pending: 1000}}
+	rs := &runners{run: r, open: map[int]int{}, plan: rollout.Plan{Waves: []int{1, max(1, n/4)}, Parallelism: 2, ReadyTimeout: 10, SettleTime: 0.5, SettleTimeout: 8, MaxRejected: 0.9, MaxPending: 1000}}
 	for i, x := range r.relays {
 		wave := 0
 		if i >= 1 {
@@ -92,19 +92,19 @@
 	if err != nil {
 		return fmt.Errorf("lab: rollout: %w", err)
 	}
-	if _, err := r.group.client.Do(ctx, http.MethodPut, registry.OrdersPath+"/"+rollout.Duty+"/all", registry.Order{Spec: spec, Wish: registry.WishRun}, nil); err != nil {
+	if _, err := r.group.client.Do(ctx, http.MethodPut, registry.OperationsPath+"/"+rollout.Role+"/all", registry.Operation{Spec: spec, DesiredState: registry.DesiredRun}, nil); err != nil {
 		return fmt.Errorf("lab: rollout: %w", err)
 	}
-	last := registry.Order{}
+	last := registry.Operation{}
 	for {
-		var all []registry.Order
-		if _, err := r.group.client.Do(ctx, http.MethodGet, registry.OrdersPath, nil, &all); err == nil && len(all) == 1 {
+		var all []registry.Operation
+		if _, err := r.group.client.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err == nil && len(all) == 1 {
 			if last = all[0]; last.Done {
 				return nil
 			}
 		}
 		if !model.Pause(ctx, 100*time.Millisecond) {
-			return fmt.Errorf("lab: rollout: not at its end: %s, %s", last.Says, last.Progress)
+			return fmt.Errorf("lab: rollout: not at its end: %s, %s", last.Message, last.Progress)
 		}
 	}
 }
--- a/internal/faultlab/salvage.go
+++ b/internal/faultlab/salvage.go
@@ -55,26 +55,26 @@
 			safe = append(safe, c.Name)
 		}
 	}
-	spec, err := json.Marshal(failover.Spec{Folder: x.state(), DiskMB: r.scen.Fleet.DiskMB, Safe: safe})
+	spec, err := json.Marshal(failover.Spec{Folder: x.state(), DiskMB: r.scen.Fleet.DiskMB, IdempotentClasses: safe})
 	if err != nil {
 		return fmt.Errorf("lab: salvage: %w", err)
 	}
 	name := fmt.Sprintf("%s-%d", x.name, s.At.Milliseconds())
-	if _, err := r.group.client.Do(ctx, http.MethodPut, registry.OrdersPath+"/"+failover.Duty+"/"+name, registry.Order{Spec: spec, Wish: registry.WishRun}, nil); err != nil {
+	if _, err := r.group.client.Do(ctx, http.MethodPut, registry.OperationsPath+"/"+failover.Role+"/"+name, registry.Operation{Spec: spec, DesiredState: registry.DesiredRun}, nil); err != nil {
 		return fmt.Errorf("lab: salvage: %w", err)
 	}
-	last := registry.Order{Says: "not begun"}
+	last := registry.Operation{Message: "not begun"}
 	for !last.Done {
-		var all []registry.Order
-		if _, err := r.group.client.Do(ctx, http.MethodGet, registry.OrdersPath, nil, &all); err == nil {
+		var all []registry.Operation
+		if _, err := r.group.client.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err == nil {
 			for _, o := range all {
-				if o.Kind == failover.Duty && o.Name == name {
+				if o.Kind == failover.Role && o.Name == name {
 					last = o
 				}
 			}
 		}
 		if !model.Pause(ctx, 50*time.Millisecond) {
-			return fmt.Errorf("lab: salvage of %s: not at its end: %s, %s", x.name, last.Says, last.Progress)
+			return fmt.Errorf("lab: salvage of %s: not at its end: %s, %s", x.name, last.Message, last.Progress)
 		}
 	}
 	r.rec.Put(history.Event{Kind: history.Salvaged, Relay: x.name, Text: string(last.Progress)})
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -160,11 +160,11 @@
 // beatSome sends the heartbeats of a range, and registers those anew that the
 // service does not know.
 func (m *scaleMembers) beatSome(ctx context.Context, from, to int) {
-	var beats []registry.Beat
+	var beats []registry.Heartbeat
 	m.mu.Lock()
 	for i := from; i < to; i++ {
 		if m.state[i].registered && !m.state[i].muted {
-			beats = append(beats, registry.Beat{ID: memberID(i), Holder: holder})
+			beats = append(beats, registry.Heartbeat{ID: memberID(i), Holder: holder})
 		}
 	}
 	m.mu.Unlock()
--- a/internal/faultlab/simrelay/relays/list.go
+++ b/internal/faultlab/simrelay/relays/list.go
@@ -57,7 +57,7 @@
 
 // take makes an event for the policy of news of the list.
 func (l *list) take(news *discovery.List) policy.Event {
-	e := policy.Event{Kind: policy.EvList, List: policy.ListChange}
+	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListDelta}
 	first := l.whole == 0
 	if !news.Complete && (first || news.Revision <= l.revision) {
 		l.wrong = append(l.wrong, fmt.Sprintf("a change to revision %d after %d, %d whole lists", news.Revision, l.revision, l.whole))
@@ -69,7 +69,7 @@
 	}
 	if news.Complete {
 		l.whole++
-		e.List = policy.ListFull
+		e.ListUpdate = policy.ListFull
 		l.dropUnlisted(news)
 	}
 	return e
@@ -94,7 +94,7 @@
 	case discovery.Draining:
 		entry.State = policy.Draining
 	case discovery.Removed:
-		entry.State, entry.Dest = policy.Gone, x.cell
+		entry.State, entry.Dest = policy.Removed, x.cell
 		return entry
 	}
 	x.hostPort, x.cell, x.hash = m.HostPort, m.Cell, simrelay.MemberHash(m)
--- a/internal/faultlab/simrelay/relays/relay.go
+++ b/internal/faultlab/simrelay/relays/relay.go
@@ -99,11 +99,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow: settings: %w", err)
 	}
-	terms, err := settings.Policy(s)
+	terms, err := settings.ToPolicy(s)
 	if err != nil {
 		return nil, fmt.Errorf("hollow: settings: %w", err)
 	}
-	terms.Streams = 1 // as a real relay has it
+	terms.StreamsPerConnection = 1 // as a real relay has it
 	name := fmt.Sprintf("h%d", c.First+i)
 	seed := c.Seed + uint64(c.First+i)
 	policy, err := policy.New(terms, seed)
@@ -129,11 +129,11 @@
 	if r.lock, err = wal.OpenLock(r.folder, wal.LockName); err != nil {
 		return fmt.Errorf("hollow: %w", err)
 	}
-	if ok, err := r.lock.Try(); err != nil || !ok {
+	if ok, err := r.lock.TryLock(); err != nil || !ok {
 		return errors.Join(fmt.Errorf("hollow: the log of %s is another's", r.name), err)
 	}
 	r.wal, err = wal.Open(wal.Options{Dir: r.folder, Limit: limit, Log: r.log,
-		Failed: func(err error) { r.log.Error("the log can keep nothing more", "relay", r.name, "err", err) }})
+		OnFailure: func(err error) { r.log.Error("the log can keep nothing more", "relay", r.name, "err", err) }})
 	if err != nil {
 		return fmt.Errorf("hollow: %w", err)
 	}
@@ -202,7 +202,7 @@
 		r.call(e.send)
 	case e.noticed != "":
 		r.count(func(c *simrelay.Counts) { c.Notices++ })
-		r.wal.Submit(&wal.Record{Kind: wal.End, ID: e.noticed}, nil)
+		r.wal.Submit(&wal.Record{Kind: wal.KindCompleted, ID: e.noticed}, nil)
 	case e.order == orderBegin:
 		r.arrivals.begin(time.Now())
 	case e.order == orderPause:
@@ -227,12 +227,12 @@
 		a.next = a.next.Add(a.gap())
 		r.numbers++
 		m := &message{number: r.numbers, class: a.class()}
-		m.record = &wal.Record{Kind: wal.Taken, ID: fmt.Sprintf("%s-%08x", r.name, m.number), Class: a.stream.Classes[m.class].Name,
+		m.record = &wal.Record{Kind: wal.KindAccepted, ID: fmt.Sprintf("%s-%08x", r.name, m.number), Class: a.stream.Classes[m.class].Name,
 			Dest: a.random.IntN(a.stream.Destinations), Deadline: now.Add(a.stream.Deadline).UnixMicro(), Body: r.body}
 		r.messages[m.number] = m
 		r.count(func(c *simrelay.Counts) { c.Offered++ })
-		r.events = append(r.events, policy.Event{Kind: policy.EvMessage, Message: m.number, Class: m.class, Dest: m.record.Dest, Tenant: -1,
-			Left: a.stream.Deadline.Microseconds()})
+		r.events = append(r.events, policy.Event{Kind: policy.EventMessage, Message: m.number, Class: m.class, Dest: m.record.Dest, Tenant: -1,
+			TimeLeft: a.stream.Deadline.Microseconds()})
 	}
 }
 
@@ -251,7 +251,7 @@
 	}
 	if n > 0 {
 		r.timers = slices.Delete(r.timers, 0, n)
-		r.events = append(r.events, policy.Event{Kind: policy.EvTimer})
+		r.events = append(r.events, policy.Event{Kind: policy.EventTimer})
 	}
 }
 
@@ -262,7 +262,7 @@
 	r.events = nil
 	var fresh []*message
 	for i := range events {
-		if events[i].Kind == policy.EvMessage {
+		if events[i].Kind == policy.EventMessage {
 			fresh = append(fresh, r.messages[events[i].Message])
 		}
 	}
@@ -273,10 +273,10 @@
 	}
 	for i := range r.actions {
 		switch a := &r.actions[i]; a.Kind {
-		case policy.ActRefuse:
-			r.ended(a, discovery.HandedBack)
-		case policy.ActFail:
-			r.ended(a, discovery.GivenUp)
+		case policy.ActionReject:
+			r.ended(a, discovery.Returned)
+		case policy.ActionFail:
+			r.ended(a, discovery.Failed)
 		}
 	}
 	for _, m := range fresh {
@@ -320,7 +320,7 @@
 // act carries out what is no final answer.
 func (r *relay) act(a *policy.Action) {
 	switch a.Kind {
-	case policy.ActSend:
+	case policy.ActionSend:
 		m := r.messages[a.Message]
 		if m == nil || m.over {
 			return
@@ -331,14 +331,14 @@
 			return
 		}
 		r.send(m, a)
-	case policy.ActCancel:
+	case policy.ActionCancel:
 		if m := r.messages[a.Message]; m != nil && m.out != nil && m.out.number == a.Attempt {
 			r.out.remove(m.out)
 			m.out.outcome = policy.Cancelled
 			r.attempted(m.out, time.Now())
 		}
-	case policy.ActTimer:
-		due := r.now() + a.After
+	case policy.ActionTimer:
+		due := r.now() + a.Delay
 		if at, set := slices.BinarySearch(r.timers, due); !set {
 			r.timers = slices.Insert(r.timers, at, due)
 		}
@@ -348,14 +348,14 @@
 // send logs an attempt; the call begins once the log has it.
 func (r *relay) send(m *message, a *policy.Action) {
 	x := r.list.byNumber[a.Endpoint]
-	one := &attempt{message: m, number: m.tries - 1, at: a.Endpoint, place: -1, due: r.began.Add(time.Duration(a.At-clockStart) * time.Microsecond)}
-	if m.over || x == nil || x.phase != discovery.Up || x.cell != m.record.Dest || a.At <= r.now() || a.By != 0 && a.By <= r.now() {
+	one := &attempt{message: m, number: m.tries - 1, at: a.Endpoint, place: -1, due: r.began.Add(time.Duration(a.Deadline-clockStart) * time.Microsecond)}
+	if m.over || x == nil || x.phase != discovery.Up || x.cell != m.record.Dest || a.Deadline <= r.now() || a.SendBy != 0 && a.SendBy <= r.now() {
 		one.outcome = policy.NotSent
 		r.attempted(one, time.Now())
 		return
 	}
 	m.out = one
-	r.wal.Submit(&wal.Record{Kind: wal.Attempt, ID: m.record.ID, At: time.Now().UnixMicro(), To: x.id, By: r.wal.By}, func(error) { r.in.Put(event{send: one}) })
+	r.wal.Submit(&wal.Record{Kind: wal.KindAttempt, ID: m.record.ID, At: time.Now().UnixMicro(), Endpoint: x.id, Process: r.wal.Process}, func(error) { r.in.Put(event{send: one}) })
 }
 
 // call begins an attempt that the log has.
@@ -374,17 +374,17 @@
 	m := one.message
 	m.out = nil
 	settled := m.over || one.outcome == policy.Delivered
-	e := policy.Event{Kind: policy.EvOutcome, Message: m.number, Attempt: one.number, Endpoint: one.at, Outcome: one.outcome, Settled: settled, Fresh: true}
+	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.number, Attempt: one.number, Endpoint: one.at, Outcome: one.outcome, Final: settled, NewConnection: true}
 	if !one.began.IsZero() {
-		e.Took = now.Sub(one.began).Microseconds()
+		e.Latency = now.Sub(one.began).Microseconds()
 	}
 	if one.outcome == policy.Delivered {
-		e.Load = policy.Load{Left: 1, Told: true}
+		e.Load = policy.LoadReport{Remaining: 1, Present: true}
 	}
 	r.events = append(r.events, e)
-	record := &wal.Record{Kind: wal.Outcome, ID: m.record.ID, Ran: !one.outcome.NeverRan()}
+	record := &wal.Record{Kind: wal.KindOutcome, ID: m.record.ID, MayHaveRun: !one.outcome.NeverRan()}
 	if one.outcome == policy.Delivered {
-		record.Kind = wal.End
+		record.Kind = wal.KindCompleted
 	}
 	r.wal.Submit(record, nil)
 	switch {
@@ -424,7 +424,7 @@
 		return
 	}
 	r.over(m, func(c *simrelay.Counts) {
-		if word == discovery.GivenUp {
+		if word == discovery.Failed {
 			c.GivenUp++
 		} else {
 			c.HandedBack++
@@ -433,11 +433,11 @@
 	if m.out == nil && m.pending == nil {
 		delete(r.messages, m.number)
 	}
-	notice := discovery.Notice{Message: m.record.ID, Outcome: word, RetryMS: (a.After + 999) / 1000}
-	if word == discovery.GivenUp {
+	notice := discovery.Notice{Message: m.record.ID, Outcome: word, RetryMS: (a.Delay + 999) / 1000}
+	if word == discovery.Failed {
 		notice.RetryMS = 0
 	}
-	r.wal.Submit(&wal.Record{Kind: wal.Ending, ID: m.record.ID, Notice: word, RetryMS: notice.RetryMS}, func(error) { r.notices.Put(notice) })
+	r.wal.Submit(&wal.Record{Kind: wal.KindCompleting, ID: m.record.ID, Notice: word, RetryMS: notice.RetryMS}, func(error) { r.notices.Put(notice) })
 }
 
 // status adds what the relay has to show to a process's.
@@ -459,6 +459,6 @@
 		out.LogErr = err.Error()
 		return out
 	}
-	out.Owed = report.Owed
+	out.Owed = report.Pending
 	return out
 }
--- a/internal/faultlab/simrelay/relays/stream.go
+++ b/internal/faultlab/simrelay/relays/stream.go
@@ -91,7 +91,7 @@
 	span := took[0] + time.Duration(a.random.Float64()*float64(took[1]-took[0]))
 	one.outcome = policy.Delivered
 	if stream.Down.At(one.message.record.Dest, one.began.UnixMicro()) {
-		one.outcome, span = policy.NoConnect, stream.Connect
+		one.outcome, span = policy.ConnectFailed, stream.Connect
 	}
 	if span > limit {
 		span = max(limit, 0)
--- a/internal/faultlab/wardens.go
+++ b/internal/faultlab/wardens.go
@@ -78,7 +78,7 @@
 	}
 	p, err := process.Start(w.name, r.opts.Warden, []string{"--nodes", strings.Join(nodes, ","), "--name", w.name,
 		"--drill-clock", scenario.Turn(r.scen.Registry.WardenClocks, w.num), "--platform", w.group.platform.Addr(),
-		"--ttl", scenario.Secs(r.scen.Registry.WardenTTL).String(), "--duties", strings.Join([]string{leader.ListKeeper, leader.Counter, rollout.Duty, failover.Duty, zones.Duty}, ",")}, nil, w.log)
+		"--ttl", scenario.Secs(r.scen.Registry.WardenTTL).String(), "--duties", strings.Join([]string{leader.RegistrationExpiry, leader.Counter, rollout.Role, failover.Role, zones.Role}, ",")}, nil, w.log)
 	if err != nil {
 		return err
 	}
@@ -124,13 +124,13 @@
 	targets := s.Targets
 	if s.Fault.Node == "holder" {
 		targets = nil
-		var l registry.DutyList
-		if _, err := g.client.Do(ctx, http.MethodGet, registry.DutiesPath, nil, &l); err != nil {
+		var l registry.RoleList
+		if _, err := g.client.Do(ctx, http.MethodGet, registry.RolesPath, nil, &l); err != nil {
 			return nil // the load is over
 		}
-		for _, d := range l.Duties {
+		for _, d := range l.Roles {
 			for i, w := range g.wardens {
-				if d.Name == cmp.Or(s.Fault.Duty, leader.Counter) && d.Holder != "" && d.Warden == w.name {
+				if d.Name == cmp.Or(s.Fault.Duty, leader.Counter) && d.Holder != "" && d.Controller == w.name {
 					targets = []int{i}
 				}
 			}
--- a/internal/leader/count.go
+++ b/internal/leader/count.go
@@ -34,7 +34,7 @@
 			switch {
 			case err == nil:
 				log.Info("counted", "count", n, "token", g.Token)
-			case errors.Is(err, ErrLost):
+			case errors.Is(err, ErrLeaseLost):
 				log.Info("not counted", "count", n, "token", g.Token)
 				return nil
 			case ctx.Err() != nil:
--- a/internal/leader/duty_test.go
+++ b/internal/leader/duty_test.go
@@ -44,7 +44,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := Run(ctx, Options{Client: c, Warden: name, TTL: ttl, Duties: duties, Log: quiet()}); err != nil {
+		if err := Run(ctx, Options{Client: c, Name: name, TTL: ttl, Roles: duties, Log: quiet()}); err != nil {
 			t.Error(err)
 		}
 	}()
@@ -53,24 +53,24 @@
 	return stop
 }
 
-func duties(t *testing.T, addr string) registry.DutyList {
+func duties(t *testing.T, addr string) registry.RoleList {
 	t.Helper()
-	var l registry.DutyList
+	var l registry.RoleList
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	if _, err := newClient(t, addr).Do(ctx, http.MethodGet, registry.DutiesPath, nil, &l); err != nil {
+	if _, err := newClient(t, addr).Do(ctx, http.MethodGet, registry.RolesPath, nil, &l); err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-func dutyOf(t *testing.T, addr, name string) registry.Duty {
-	for _, d := range duties(t, addr).Duties {
+func dutyOf(t *testing.T, addr, name string) registry.Role {
+	for _, d := range duties(t, addr).Roles {
 		if d.Name == name {
 			return d
 		}
 	}
-	return registry.Duty{}
+	return registry.Role{}
 }
 
 // until works until its context ends, and says who began.
@@ -121,14 +121,14 @@
 	_, addr := startNode(t, nil)
 	steps, saved := make(chan string, 100), make(chan string, 100)
 	work := func(ctx context.Context, g *Grant) error {
-		steps <- fmt.Sprintf("%s after %q", g.Warden, g.Note)
-		if err := g.Save(ctx, g.Warden+" was here"); err != nil {
+		steps <- fmt.Sprintf("%s after %q", g.Controller, g.Note)
+		if err := g.Save(ctx, g.Controller+" was here"); err != nil {
 			return err
 		}
-		saved <- g.Warden // a stop before Save has its answer ends the work without a word of who is next
+		saved <- g.Controller // a stop before Save has its answer ends the work without a word of who is next
 		<-ctx.Done()
-		if context.Cause(ctx) == ErrStopped {
-			g.Leave("b")
+		if context.Cause(ctx) == ErrStopping {
+			g.SetSuccessor("b")
 		}
 		return nil
 	}
@@ -158,16 +158,16 @@
 	var refused error
 	work := func(ctx context.Context, g *Grant) error {
 		mu.Lock()
-		working = append(working, g.Warden)
+		working = append(working, g.Controller)
 		most = max(most, len(working))
 		mu.Unlock()
 		<-ctx.Done()
 		mu.Lock()
-		working = slices.DeleteFunc(working, func(s string) bool { return s == g.Warden })
+		working = slices.DeleteFunc(working, func(s string) bool { return s == g.Controller })
 		mu.Unlock()
-		if context.Cause(ctx) == ErrLost && g.Warden == "a" {
+		if context.Cause(ctx) == ErrLeaseLost && g.Controller == "a" {
 			refused = errors.New("asked for in vain")
-			for refused != nil && !errors.Is(refused, ErrLost) { // until the cut is over
+			for refused != nil && !errors.Is(refused, ErrLeaseLost) { // until the cut is over
 				short, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				refused = g.Save(short, "too late")
 				cancel()
@@ -179,11 +179,11 @@
 		return nil
 	}
 	warden(t, p.addr, "a", ttl, map[string]Work{"d": work})
-	waitFor(t, "a holds it", func() bool { return dutyOf(t, addr, "d").Warden == "a" })
+	waitFor(t, "a holds it", func() bool { return dutyOf(t, addr, "d").Controller == "a" })
 	warden(t, addr, "b", ttl, map[string]Work{"d": work})
 	first := dutyOf(t, addr, "d").Token
 	p.cutAll.Store(true)
-	waitFor(t, "b holds it", func() bool { d := dutyOf(t, addr, "d"); return d.Warden == "b" && d.Token > first })
+	waitFor(t, "b holds it", func() bool { d := dutyOf(t, addr, "d"); return d.Controller == "b" && d.Token > first })
 	p.cutAll.Store(false)
 	waitFor(t, "a is told", func() bool {
 		mu.Lock()
@@ -192,7 +192,7 @@
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	if most != 1 || !errors.Is(refused, ErrLost) {
+	if most != 1 || !errors.Is(refused, ErrLeaseLost) {
 		t.Errorf("%d worked at once; a's effect: %v", most, refused)
 	}
 	if d := dutyOf(t, addr, "d"); d.Note == "too late" {
@@ -226,7 +226,7 @@
 			short, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 			err := g.Save(short, fmt.Sprint("a ", i))
 			cancel()
-			refused.Store(errors.Is(err, ErrLost))
+			refused.Store(errors.Is(err, ErrLeaseLost))
 		}
 		return nil
 	}
@@ -235,7 +235,7 @@
 	run := func(to, name, time string, w Work) {
 		c := newClient(t, to)
 		go func() {
-			if err := Run(ctx, Options{Client: c, Warden: name, TTL: ttl, Duties: map[string]Work{"d": w}, Log: quiet(), Clock: drill(time)}); err != nil {
+			if err := Run(ctx, Options{Client: c, Name: name, TTL: ttl, Roles: map[string]Work{"d": w}, Log: quiet(), Clock: drill(time)}); err != nil {
 				t.Error(err)
 			}
 		}()
@@ -257,7 +257,7 @@
 	}
 	p.cutAll.Store(false)
 	waitFor(t, "an effect of a is refused", refused.Load)
-	if d := dutyOf(t, addr, "d"); d.Note != "b" || d.Warden != "b" {
+	if d := dutyOf(t, addr, "d"); d.Note != "b" || d.Controller != "b" {
 		t.Errorf("an older token counted: %+v", d)
 	}
 }
@@ -354,8 +354,8 @@
 		t.Fatal(err)
 	}
 	s.Apply(registry.Command{Op: registry.OpEpoch, Epoch: "later", At: time.Now().Add(time.Second).UnixMilli()})
-	s.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: "x", Warden: "x", TTL: time.Second}})
-	if a := s.Apply(registry.Command{Op: registry.OpGrant, Duty: "d", Session: registry.Session{ID: "x"}}); a.Token <= before {
+	s.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: "x", Controller: "x", TTL: time.Second}})
+	if a := s.Apply(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: "x"}}); a.Token <= before {
 		t.Errorf("a new group's token %d after %d", a.Token, before)
 	}
 }
@@ -364,35 +364,35 @@
 // as failing, too; work that lasts clears the count.
 func TestFailuresBackOff(t *testing.T) {
 	s := registry.NewState()
-	do := func(c registry.Command) registry.Answer { return s.Apply(c) }
+	do := func(c registry.Command) registry.Result { return s.Apply(c) }
 	for i := range 3 {
 		id := fmt.Sprint(i)
-		do(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Warden: id, TTL: time.Second}})
-		do(registry.Command{Op: registry.OpGrant, Duty: "d", Session: registry.Session{ID: id}})
-		do(registry.Command{Op: registry.OpSessionEnd, Ended: []string{id}, Failed: true}) // killed
+		do(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Controller: id, TTL: time.Second}})
+		do(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: id}})
+		do(registry.Command{Op: registry.OpSessionEnd, EndedSessions: []string{id}, Failed: true}) // killed
 	}
-	if d := s.Duties["d"]; d.Fails != 3 {
+	if d := s.Roles["d"]; d.Failures != 3 {
 		t.Fatalf("%+v", d)
 	}
-	h := &Holder{o: Options{Warden: "w", Duties: map[string]Work{"d": nil}, TTL: time.Second}, began: time.Now(), grants: map[string]*Grant{},
+	h := &Candidate{o: Options{Name: "w", Roles: map[string]Work{"d": nil}, TTL: time.Second}, began: time.Now(), grants: map[string]*Grant{},
 		stuck: map[string]bool{}, tokens: map[string]int64{}, away: map[string]time.Time{}, seen: map[string]time.Time{}, news: make(chan struct{}, 1)}
 	h.lease = Lease{TTL: time.Minute}
-	h.lease.Renewed(time.Minute)
-	h.see(registry.DutyList{Revision: 1, Duties: []registry.Duty{s.Duties["d"]}, Sessions: []registry.Session{{ID: "x", Warden: "w"}}})
+	h.lease.Renew(time.Minute)
+	h.see(registry.RoleList{Revision: 1, Roles: []registry.Role{s.Roles["d"]}, Sessions: []registry.Session{{ID: "x", Controller: "w"}}})
 	wait := time.Hour
 	if names := h.wanted(&wait); len(names) != 0 || wait < failWait || wait > 3*failWait {
 		t.Errorf("asks for %v, waits %v", names, wait)
 	}
-	do(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: "l", Warden: "l", TTL: time.Second}})
-	do(registry.Command{Op: registry.OpGrant, Duty: "d", Session: registry.Session{ID: "l"}, At: 1000})
-	if do(registry.Command{Op: registry.OpSessionEnd, Ended: []string{"l"}, Failed: true, At: 9000}); s.Duties["d"].Fails != 1 {
-		t.Errorf("a holder that died after it had lasted: %+v", s.Duties["d"])
+	do(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: "l", Controller: "l", TTL: time.Second}})
+	do(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: "l"}, At: 1000})
+	if do(registry.Command{Op: registry.OpSessionEnd, EndedSessions: []string{"l"}, Failed: true, At: 9000}); s.Roles["d"].Failures != 1 {
+		t.Errorf("a holder that died after it had lasted: %+v", s.Roles["d"])
 	}
-	do(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: "g", Warden: "g", TTL: time.Second}})
-	a := do(registry.Command{Op: registry.OpGrant, Duty: "d", Session: registry.Session{ID: "g"}})
-	do(registry.Command{Op: registry.OpNote, Duty: "d", Token: a.Token, Note: "7"})
-	if a = do(registry.Command{Op: registry.OpNote, Duty: "d", Token: a.Token, Good: true}); a.Status != 200 || s.Duties["d"].Fails != 0 || s.Duties["d"].Note != "7" {
-		t.Errorf("%+v, %+v", a, s.Duties["d"])
+	do(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: "g", Controller: "g", TTL: time.Second}})
+	a := do(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: "g"}})
+	do(registry.Command{Op: registry.OpNote, Role: "d", Token: a.Token, Note: "7"})
+	if a = do(registry.Command{Op: registry.OpNote, Role: "d", Token: a.Token, Healthy: true}); a.Status != 200 || s.Roles["d"].Failures != 0 || s.Roles["d"].Note != "7" {
+		t.Errorf("%+v, %+v", a, s.Roles["d"])
 	}
 }
 
@@ -407,20 +407,20 @@
 			t.Fatal(err)
 		}
 	}
-	post(registry.SessionsPath, registry.SessionRequest{ID: "x", Warden: "x", TTLMS: 60000}, nil)
-	var a registry.Answer
-	post(registry.DutiesPath+"/d/grant", registry.DutyRequest{Session: "x"}, &a)
-	post(registry.DutiesPath+"/d/note", registry.DutyRequest{Token: a.Token, Note: "new"}, nil)
-	post(registry.DutiesPath+"/d/release", registry.DutyRequest{Token: a.Token}, nil)
+	post(registry.SessionsPath, registry.SessionRequest{ID: "x", Controller: "x", TTLMS: 60000}, nil)
+	var a registry.Result
+	post(registry.RolesPath+"/d/grant", registry.RoleRequest{Session: "x"}, &a)
+	post(registry.RolesPath+"/d/note", registry.RoleRequest{Token: a.Token, Note: "new"}, nil)
+	post(registry.RolesPath+"/d/release", registry.RoleRequest{Token: a.Token}, nil)
 	notes := make(chan string, 1)
-	h := &Holder{o: Options{Client: c, Warden: "w", TTL: time.Minute, Log: quiet(), Figures: NewFigures(), Duties: map[string]Work{"d": func(_ context.Context, g *Grant) error {
+	h := &Candidate{o: Options{Client: c, Name: "w", TTL: time.Minute, Log: quiet(), Metrics: NewMetrics(), Roles: map[string]Work{"d": func(_ context.Context, g *Grant) error {
 		notes <- g.Note
 		return nil
 	}}}, began: time.Now(), session: "x", grants: map[string]*Grant{}, stuck: map[string]bool{}, tokens: map[string]int64{}, away: map[string]time.Time{},
 		seen: map[string]time.Time{}, news: make(chan struct{}, 1)}
 	h.lease = Lease{TTL: time.Minute}
-	h.lease.Renewed(time.Minute)
-	h.see(registry.DutyList{Revision: 1, Duties: []registry.Duty{{Name: "d", Note: "old"}}})
+	h.lease.Renew(time.Minute)
+	h.see(registry.RoleList{Revision: 1, Roles: []registry.Role{{Name: "d", Note: "old"}}})
 	h.ask(t.Context(), "d")
 	if note := <-notes; note != "new" {
 		t.Errorf("begins at %q", note)
@@ -444,15 +444,15 @@
 	warden(t, addr, "a", time.Second, map[string]Work{"d": work})
 	waitFor(t, "it works", func() bool { return count(&began) == 1 })
 	hold := func(off bool) {
-		if _, err := c.Do(t.Context(), http.MethodPost, registry.DutiesPath+"/d/hold", registry.DutyRequest{Off: off}, nil); err != nil {
+		if _, err := c.Do(t.Context(), http.MethodPost, registry.RolesPath+"/d/hold", registry.RoleRequest{Disabled: off}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	hold(true)
-	if cause := <-ended; !errors.Is(cause, ErrAway) {
+	if cause := <-ended; !errors.Is(cause, ErrRoleDisabled) {
 		t.Errorf("ended by %v", cause)
 	}
-	if d := dutyOf(t, addr, "d"); d.Holder != "" || !d.Off {
+	if d := dutyOf(t, addr, "d"); d.Holder != "" || !d.Disabled {
 		t.Errorf("%+v", d)
 	}
 	hold(false)
@@ -461,7 +461,7 @@
 
 // list-keeper ends what was not heard of, and nobody does while no warden is there.
 func TestListKeeper(t *testing.T) {
-	_, addr := startNode(t, func(c *registry.Config) { c.Lapse.By = "duty" })
+	_, addr := startNode(t, func(c *registry.Config) { c.ExpiryGuard.ExpiredBy = "duty" })
 	c := newClient(t, addr)
 	reg := registry.Registration{ID: "s-1", Address: "127.0.0.1:9", Zone: "a", Flavor: "agent", TTLMS: 500}
 	if _, err := c.Do(t.Context(), http.MethodPost, registry.MembersPath, reg, nil); err != nil {
@@ -474,10 +474,10 @@
 		}
 		return len(all)
 	}
-	if err := (&Grant{Duty: ListKeeper, Token: 7, h: &Holder{o: Options{Client: c, Figures: NewFigures()}}, cancel: func(error) {}}).Do(t.Context(), http.MethodPost, registry.LapsePath, struct{}{}, nil); !errors.Is(err, ErrLost) {
+	if err := (&Grant{Role: RegistrationExpiry, Token: 7, h: &Candidate{o: Options{Client: c, Metrics: NewMetrics()}}, cancel: func(error) {}}).Do(t.Context(), http.MethodPost, registry.ExpirePath, struct{}{}, nil); !errors.Is(err, ErrLeaseLost) {
 		t.Errorf("a token that nobody was granted: %v", err)
 	}
-	warden(t, addr, "a", time.Second, map[string]Work{ListKeeper: KeepList})
+	warden(t, addr, "a", time.Second, map[string]Work{RegistrationExpiry: ExpireRegistrations})
 	waitFor(t, "the lapse", func() bool { return members() == 0 })
 }
 
@@ -489,7 +489,7 @@
 	c := newClient(t, addr)
 	hold := func(off bool) {
 		for name := range work {
-			if _, err := c.Do(t.Context(), http.MethodPost, registry.DutiesPath+"/"+name+"/hold", registry.DutyRequest{Off: off}, nil); err != nil {
+			if _, err := c.Do(t.Context(), http.MethodPost, registry.RolesPath+"/"+name+"/hold", registry.RoleRequest{Disabled: off}, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -505,11 +505,11 @@
 	hold(false)
 	waitFor(t, "all are held", func() bool {
 		l := duties(t, addr)
-		return len(l.Duties) == 30 && !slices.ContainsFunc(l.Duties, func(d registry.Duty) bool { return d.Holder == "" })
+		return len(l.Roles) == 30 && !slices.ContainsFunc(l.Roles, func(d registry.Role) bool { return d.Holder == "" })
 	})
 	per := map[string]int{}
-	for _, d := range duties(t, addr).Duties {
-		per[d.Warden]++
+	for _, d := range duties(t, addr).Roles {
+		per[d.Controller]++
 	}
 	if len(per) < 2 {
 		t.Errorf("held by %v", per)
--- a/internal/leader/explore_test.go
+++ b/internal/leader/explore_test.go
@@ -16,7 +16,7 @@
 
 // The model: two holders, one duty, a store that may change its leader, messages
 // that are delayed or lost, holders that stand still. The store is
-// registry.State and registry.SessionBeats, the holders count by Lease: the
+// registry.State and registry.SessionHeartbeats, the holders count by Lease: the
 // transitions are the program's own. All that can happen within the bounds is
 // gone through.
 
@@ -37,7 +37,7 @@
 
 type model struct {
 	st       *registry.State
-	beats    registry.SessionBeats
+	beats    registry.SessionHeartbeats
 	now      int
 	changes  int // of leader
 	holders  [2]modelHolder
@@ -74,14 +74,14 @@
 func (m *model) clone(what string) *model {
 	c := *m
 	st := *m.st
-	st.Sessions, st.Duties = maps.Clone(m.st.Sessions), maps.Clone(m.st.Duties)
+	st.Sessions, st.Roles = maps.Clone(m.st.Sessions), maps.Clone(m.st.Roles)
 	c.st, c.beats, c.msgs = &st, maps.Clone(m.beats), slices.Clone(m.msgs)
 	c.path = &step{m.path, what}
 	return &c
 }
 
 func (m *model) key() string {
-	d := m.st.Duties["d"]
+	d := m.st.Roles["d"]
 	b := make([]byte, 0, 128)
 	put := func(v ...int64) {
 		for _, x := range v {
@@ -130,16 +130,16 @@
 		add("tick", func(c *model) { // the leader looks at once: later is safer
 			c.now++
 			if ids := c.beats.Overdue(c.st.Sessions, tick(c.now)); len(ids) > 0 {
-				c.st.Apply(registry.Command{Op: registry.OpSessionEnd, Ended: ids, Failed: true})
+				c.st.Apply(registry.Command{Op: registry.OpSessionEnd, EndedSessions: ids, Failed: true})
 			}
 		})
 	}
 	if m.changes < 1 {
-		add("new leader", func(c *model) { c.changes++; c.beats = registry.SessionBeats{} })
+		add("new leader", func(c *model) { c.changes++; c.beats = registry.SessionHeartbeats{} })
 	}
 	for i := range m.holders {
 		h := &m.holders[i]
-		believes := h.lease.Left(tick(m.now)) > 0
+		believes := h.lease.Remaining(tick(m.now)) > 0
 		if len(m.msgs) < modelMsgs {
 			if h.renews < modelRenews && !h.lease.lost {
 				add("%d asks to be renewed", func(c *model) {
@@ -175,17 +175,17 @@
 			m.msgs = append(m.msgs, msg{"unknown", x.who, 0, x.asked})
 			return
 		}
-		m.beats.Heard(id, tick(m.now))
+		m.beats.Record(id, tick(m.now))
 		m.msgs = append(m.msgs, msg{"renewed", x.who, 0, x.asked})
 	case "grant":
-		a := m.st.Apply(registry.Command{Op: registry.OpGrant, Duty: "d", Session: registry.Session{ID: id}})
+		a := m.st.Apply(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: id}})
 		if a.Status == 200 {
 			m.msgs = append(m.msgs, msg{"granted", x.who, a.Token, x.asked})
 		}
 	case "effect":
 		ok := true
 		if fenced {
-			ok = m.st.Apply(registry.Command{Op: registry.OpNote, Duty: "d", Token: x.token, Note: "done"}).Status == 200
+			ok = m.st.Apply(registry.Command{Op: registry.OpNote, Role: "d", Token: x.token, Note: "done"}).Status == 200
 		}
 		if ok && x.token < m.accepted {
 			m.wrong = fmt.Sprintf("an effect of token %d counted after one of token %d", x.token, m.accepted)
@@ -194,13 +194,13 @@
 			m.accepted = max(m.accepted, x.token)
 		}
 	case "renewed":
-		h.lease.Renewed(tick(x.asked))
+		h.lease.Renew(tick(x.asked))
 	case "granted":
-		if h.lease.Left(tick(m.now)) > 0 {
+		if h.lease.Remaining(tick(m.now)) > 0 {
 			h.token = x.token
 		}
 	case "unknown":
-		h.lease.Lose()
+		h.lease.Invalidate()
 	}
 }
 
@@ -209,7 +209,7 @@
 	n := 0
 	for i := range m.holders {
 		h := &m.holders[i]
-		if h.lease.Left(tick(m.now)) <= 0 {
+		if h.lease.Remaining(tick(m.now)) <= 0 {
 			h.token = 0 // the watchdog
 		} else if h.token != 0 {
 			n++
@@ -222,13 +222,13 @@
 
 // explore goes through all states and gives the first that is wrong.
 func explore(fenced bool, spoil func(*model)) (states int, wrong *model) {
-	first := &model{st: registry.NewState(), beats: registry.SessionBeats{}}
+	first := &model{st: registry.NewState(), beats: registry.SessionHeartbeats{}}
 	for i := range first.holders {
 		id := fmt.Sprint(i)
-		first.st.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Warden: id, TTL: tick(modelTTL)}})
-		first.beats.Heard(id, 0)
+		first.st.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Controller: id, TTL: tick(modelTTL)}})
+		first.beats.Record(id, 0)
 		first.holders[i].lease = Lease{TTL: tick(modelTTL)}
-		first.holders[i].lease.Renewed(0)
+		first.holders[i].lease.Renew(0)
 	}
 	seed := maphash.MakeSeed()
 	seen := map[uint64]bool{maphash.String(seed, first.key()): true}
--- a/internal/leader/figures.go
+++ b/internal/leader/figures.go
@@ -8,8 +8,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Figures are a warden's metrics, in a registry of their own.
-type Figures struct {
+// Metrics are a warden's metrics, in a registry of their own.
+type Metrics struct {
 	reg     *prometheus.Registry
 	held    *prometheus.GaugeVec
 	term    *prometheus.GaugeVec
@@ -18,9 +18,9 @@
 	since   *prometheus.GaugeVec
 }
 
-// NewFigures makes them.
-func NewFigures() *Figures {
-	f := &Figures{reg: prometheus.NewRegistry(),
+// NewMetrics makes them.
+func NewMetrics() *Metrics {
+	f := &Metrics{reg: prometheus.NewRegistry(),
 		held:    prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "duty_token", Help: "Token of each duty that this warden holds."}, []string{"duty"}),
 		term:    prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "duty_term", Help: "Term of each duty that this warden holds: grants of it so far."}, []string{"duty"}),
 		grants:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "duty_grants_total", Help: "Duties granted to this warden."}, []string{"duty"}),
@@ -30,29 +30,29 @@
 	return f
 }
 
-func (f *Figures) watch(h *Holder) {
+func (f *Metrics) watch(h *Candidate) {
 	f.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "duty_lease_seconds", Help: "How long the lease of this warden's session is still believed in."},
 		func() float64 {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			return h.lease.Left(h.now()).Seconds()
+			return h.lease.Remaining(h.now()).Seconds()
 		}))
 }
 
-func (f *Figures) granted(g *Grant) {
-	f.held.WithLabelValues(g.Duty).Set(float64(g.Token))
-	f.term.WithLabelValues(g.Duty).Set(float64(g.Term))
-	f.grants.WithLabelValues(g.Duty).Inc()
-	f.since.WithLabelValues(g.Duty).Set(float64(time.Now().Unix()))
+func (f *Metrics) granted(g *Grant) {
+	f.held.WithLabelValues(g.Role).Set(float64(g.Token))
+	f.term.WithLabelValues(g.Role).Set(float64(g.Term))
+	f.grants.WithLabelValues(g.Role).Inc()
+	f.since.WithLabelValues(g.Role).Set(float64(time.Now().Unix()))
 }
 
-func (f *Figures) gone(g *Grant) {
-	f.held.DeleteLabelValues(g.Duty)
-	f.term.DeleteLabelValues(g.Duty)
-	f.since.WithLabelValues(g.Duty).Set(float64(time.Now().Unix()))
+func (f *Metrics) gone(g *Grant) {
+	f.held.DeleteLabelValues(g.Role)
+	f.term.DeleteLabelValues(g.Role)
+	f.since.WithLabelValues(g.Role).Set(float64(time.Now().Unix()))
 }
 
-func (f *Figures) refused(g *Grant) { f.refuses.WithLabelValues(g.Duty).Inc() }
+func (f *Metrics) refused(g *Grant) { f.refuses.WithLabelValues(g.Role).Inc() }
 
 // Handler serves them.
-func (f *Figures) Handler() http.Handler { return promhttp.HandlerFor(f.reg, promhttp.HandlerOpts{}) }
+func (f *Metrics) Handler() http.Handler { return promhttp.HandlerFor(f.reg, promhttp.HandlerOpts{}) }
--- a/internal/leader/group_test.go
+++ b/internal/leader/group_test.go
@@ -37,7 +37,7 @@
 		for range most {
 			n++
 			if err := g.Save(ctx, strconv.Itoa(n)); err != nil {
-				if ctx.Err() != nil || errors.Is(err, ErrLost) {
+				if ctx.Err() != nil || errors.Is(err, ErrLeaseLost) {
 					return nil
 				}
 				return err
@@ -139,13 +139,13 @@
 	waitFor(t, "the store has ended all sessions", func() bool { return len(duties(t, addr).Sessions) == 0 })
 	d := dutyOf(t, addr, "d")
 	if d.Holder != "" {
-		t.Errorf("held by %s", d.Warden)
+		t.Errorf("held by %s", d.Controller)
 	}
 	stood, _ := strconv.Atoi(d.Note)
 	warden(t, addr, "back", ttl, map[string]Work{"d": all.work(1 << 30)})
 	waitFor(t, "steps of the one that is back", func() bool { n, _ := strconv.Atoi(dutyOf(t, addr, "d").Note); return n > stood+5 })
-	if d := dutyOf(t, addr, "d"); d.Warden != "back" {
-		t.Errorf("held by %s", d.Warden)
+	if d := dutyOf(t, addr, "d"); d.Controller != "back" {
+		t.Errorf("held by %s", d.Controller)
 	}
 	all.sound(t)
 }
--- a/internal/leader/keeper.go
+++ b/internal/leader/keeper.go
@@ -8,17 +8,17 @@
 	"plovershore/internal/registry"
 )
 
-// ListKeeper is the duty that ends registrations which were not heard of, within
+// RegistrationExpiry is the duty that ends registrations which were not heard of, within
 // the list service's guard against many at once.
-const ListKeeper = "list-keeper"
+const RegistrationExpiry = "list-keeper"
 
 const keepEvery = 200 * time.Millisecond
 
-// KeepList is its work. A registration ends once, whoever asks: the command names
+// ExpireRegistrations is its work. A registration ends once, whoever asks: the command names
 // the registration that it ends.
-func KeepList(ctx context.Context, g *Grant) error {
+func ExpireRegistrations(ctx context.Context, g *Grant) error {
 	for sleep(ctx, keepEvery) {
-		if err := g.Do(ctx, http.MethodPost, registry.LapsePath, struct{}{}, nil); err != nil && ctx.Err() == nil {
+		if err := g.Do(ctx, http.MethodPost, registry.ExpirePath, struct{}{}, nil); err != nil && ctx.Err() == nil {
 			return err
 		}
 	}
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -24,16 +24,16 @@
 	lost  bool
 }
 
-// Renewed books that the store has answered a renewal that was asked at a moment.
-func (l *Lease) Renewed(asked time.Duration) {
+// Renew books that the store has answered a renewal that was asked at a moment.
+func (l *Lease) Renew(asked time.Duration) {
 	l.until = max(l.until, asked+time.Duration(float64(l.TTL)*(1-drift)))
 }
 
-// Lose ends it: the store does not know the session any more.
-func (l *Lease) Lose() { l.lost = true }
+// Invalidate ends it: the store does not know the session any more.
+func (l *Lease) Invalidate() { l.lost = true }
 
-// Left is how long it is still believed in; nothing where it is not.
-func (l *Lease) Left(now time.Duration) time.Duration {
+// Remaining is how long it is still believed in; nothing where it is not.
+func (l *Lease) Remaining(now time.Duration) time.Duration {
 	if l.lost {
 		return 0
 	}
--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -63,7 +63,7 @@
 	ctx    context.Context
 	wg     sync.WaitGroup
 
-	in *mailbox.Mailbox[client.News]
+	in *mailbox.Mailbox[client.Update]
 
 	mu      sync.Mutex
 	kept    kept
@@ -85,7 +85,7 @@
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	a := &Agent{o: o, client: c, in: mailbox.New[client.News](), news: make(chan struct{}),
+	a := &Agent{o: o, client: c, in: mailbox.New[client.Update](), news: make(chan struct{}),
 		kept: kept{Members: map[string]discovery.Member{}}, journal: journal{path: filepath.Join(o.Folder, journalName)}}
 	if err := a.load(); err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	a.http = &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, ErrorLog: slog.NewLogLogger(o.Log.Handler(), slog.LevelDebug)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.wg.Add(4)
-	go func() { defer a.wg.Done(); a.http.Serve(acceptretry.Patient(a.ln)) }()
+	go func() { defer a.wg.Done(); a.http.Serve(acceptretry.NewListener(a.ln)) }()
 	go func() {
 		defer a.wg.Done()
 		a.mu.Lock()
@@ -140,7 +140,7 @@
 // takeAll books what the group has told and hands it on, until ctx ends. What
 // came while the disk was busy is booked together.
 func (a *Agent) takeAll(ctx context.Context) {
-	var news []client.News
+	var news []client.Update
 	for {
 		select {
 		case <-ctx.Done():
@@ -157,7 +157,7 @@
 // takeSome books the first of the news, as many as go together: on disk first,
 // then for whoever watches. A whole list becomes what changed by it, so a watch
 // goes on.
-func (a *Agent) takeSome(news []client.News) (n int) {
+func (a *Agent) takeSome(news []client.Update) (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.heard = time.Now()
@@ -180,7 +180,7 @@
 }
 
 // changes is what news changes in the list; a.mu is held.
-func (a *Agent) changes(n *client.News) []discovery.Member {
+func (a *Agent) changes(n *client.Update) []discovery.Member {
 	if !n.Complete {
 		return n.Members
 	}
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -45,7 +45,7 @@
 
 func nodeConfig(t *testing.T) *registry.Config {
 	c := registry.DefaultConfig()
-	c.Data, c.Listen, c.Raft = filepath.Join(t.TempDir(), "data"), loopback.Free(), loopback.Free()
+	c.DataDir, c.Listen, c.Raft = filepath.Join(t.TempDir(), "data"), loopback.Free(), loopback.Free()
 	c.Peers = []registry.Peer{{ID: c.ID, Raft: c.Raft, HTTP: c.Listen}}
 	return &c
 }
@@ -257,7 +257,7 @@
 	var addrs []string
 	for _, p := range peers {
 		c := registry.DefaultConfig()
-		c.ID, c.Data, c.Listen, c.Raft, c.Peers = p.ID, filepath.Join(t.TempDir(), "data"), p.HTTP, p.Raft, peers
+		c.ID, c.DataDir, c.Listen, c.Raft, c.Peers = p.ID, filepath.Join(t.TempDir(), "data"), p.HTTP, p.Raft, peers
 		cfgs, addrs = append(cfgs, &c), append(addrs, p.HTTP)
 	}
 	var nodes []*registry.Node
@@ -302,7 +302,7 @@
 			}
 			var s registry.Status
 			if json.NewDecoder(resp.Body).Decode(&s) == nil {
-				highest, led = max(highest, s.Term), led || s.Role == "Leader"
+				highest, led = max(highest, s.Term), led || s.RaftRole == "Leader"
 			}
 			resp.Body.Close()
 		}
--- a/internal/registry/agent/disk.go
+++ b/internal/registry/agent/disk.go
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("list: %w", err)
 	}
 	for id, m := range k.Members {
-		if err := m.Check(); err != nil || id != m.ID {
+		if err := m.Validate(); err != nil || id != m.ID {
 			return nil, fmt.Errorf("list: member %q: %w", id, errors.Join(err, errors.New("cannot be used")))
 		}
 	}
--- a/internal/registry/agent/journal.go
+++ b/internal/registry/agent/journal.go
@@ -74,7 +74,7 @@
 		return nil, fmt.Errorf("list: %w", err)
 	}
 	for i := range entry.Members {
-		if err := entry.Members[i].Check(); err != nil {
+		if err := entry.Members[i].Validate(); err != nil {
 			return nil, fmt.Errorf("list: %w", err)
 		}
 	}
--- a/internal/registry/agent/journal_test.go
+++ b/internal/registry/agent/journal_test.go
@@ -29,8 +29,8 @@
 		Cell: i, Phase: discovery.Up, Size: 1}
 }
 
-func wholeList(members int) client.News {
-	n := client.News{List: discovery.List{Revision: int64(members), Complete: true}, Epoch: "e"}
+func wholeList(members int) client.Update {
+	n := client.Update{List: discovery.List{Revision: int64(members), Complete: true}, Epoch: "e"}
 	for i := range members {
 		n.Members = append(n.Members, listMember(i))
 	}
@@ -38,15 +38,15 @@
 }
 
 // removal is the change by which the list loses member i.
-func removal(i, revision int) client.News {
+func removal(i, revision int) client.Update {
 	m := listMember(i)
 	m.Phase = discovery.Removed
-	return client.News{List: discovery.List{Revision: int64(revision), Members: []discovery.Member{m}}, Epoch: "e"}
+	return client.Update{List: discovery.List{Revision: int64(revision), Members: []discovery.Member{m}}, Epoch: "e"}
 }
 
 // startGroup is a list service that tells one watch some news, the rest of it
 // once more is closed.
-func startGroup(t *testing.T, first client.News, more <-chan struct{}, rest []client.News) string {
+func startGroup(t *testing.T, first client.Update, more <-chan struct{}, rest []client.Update) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		out, flush := json.NewEncoder(w), http.NewResponseController(w)
@@ -76,7 +76,7 @@
 // by member. With the whole list on disk anew for each, its relay would hear of
 // the last one minutes later.
 func TestZoneLapseIsInForceInTime(t *testing.T) {
-	var lapse []client.News
+	var lapse []client.Update
 	for i := range targetZoneMembers {
 		lapse = append(lapse, removal(i, targetMembers+i+1))
 	}
@@ -104,9 +104,9 @@
 	folder := t.TempDir()
 	a := startAgent(t, folder, loopback.Free())
 	defer a.Close()
-	a.takeSome([]client.News{wholeList(members)})
+	a.takeSome([]client.Update{wholeList(members)})
 	for i := range removed {
-		a.takeSome([]client.News{removal(i, members+i+1)})
+		a.takeSome([]client.Update{removal(i, members+i+1)})
 	}
 	if s := a.State(); s.Members != members-removed || s.Revision != int64(1+removed) || s.Error != "" {
 		t.Fatalf("%+v", s)
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	a := startAgent(t, folder, loopback.Free())
-	a.takeSome([]client.News{removal(3, 9), removal(4, 10)})
+	a.takeSome([]client.Update{removal(3, 9), removal(4, 10)})
 	a.Close()
 	a = startAgent(t, folder, loopback.Free())
 	defer a.Close()
@@ -201,7 +201,7 @@
 		t.Fatal(err)
 	}
 	a := startAgent(t, folder, loopback.Free())
-	a.takeSome([]client.News{removal(4, 7)})
+	a.takeSome([]client.Update{removal(4, 7)})
 	a.Close()
 	a = startAgent(t, folder, loopback.Free())
 	defer a.Close()
@@ -215,10 +215,10 @@
 func TestJournalIsBegunAnew(t *testing.T) {
 	folder := t.TempDir()
 	a := startAgent(t, folder, loopback.Free())
-	a.takeSome([]client.News{wholeList(3000)})
+	a.takeSome([]client.Update{wholeList(3000)})
 	revision := 3000
 	for round := 0; round < 12; round++ {
-		var news []client.News
+		var news []client.Update
 		for i := range 1000 {
 			revision++
 			n := removal(i, revision)
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -18,12 +18,12 @@
 
 // Paths beside those of the protocol.
 const (
-	MembersPath    = "/v1/members"
-	HeartbeatsPath = "/v1/heartbeats"
-	StatusPath     = "/v1/status"
-	SnapshotPath   = "/v1/snapshot"
-	ConfirmPath    = "/v1/lapse/confirm"
-	ZonesPath      = "/v1/zones"
+	MembersPath       = "/v1/members"
+	HeartbeatsPath    = "/v1/heartbeats"
+	StatusPath        = "/v1/status"
+	SnapshotPath      = "/v1/snapshot"
+	ConfirmExpiryPath = "/v1/lapse/confirm"
+	ZonesPath         = "/v1/zones"
 )
 
 // Headers of answers.
@@ -43,15 +43,15 @@
 
 // Registration is what a member hands in.
 type Registration struct {
-	ID      string  `json:"id"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Flavor  string  `json:"flavor"`
-	Cell    int     `json:"cell"`
-	Size    float64 `json:"size,omitempty"`
-	TTLMS   int64   `json:"ttl_ms,omitempty"`
-	Holder  string  `json:"holder,omitempty"`
-	If      int64   `json:"if,omitempty"` // only where the member's last change is this
+	ID        string  `json:"id"`
+	Address   string  `json:"address"`
+	Zone      string  `json:"zone"`
+	Flavor    string  `json:"flavor"`
+	Cell      int     `json:"cell"`
+	Size      float64 `json:"size,omitempty"`
+	TTLMS     int64   `json:"ttl_ms,omitempty"`
+	Holder    string  `json:"holder,omitempty"`
+	IfChanged int64   `json:"if,omitempty"` // only where the member's last change is this
 }
 
 // ZoneStatus is a zone, its region (empty for none) and its members.
@@ -61,26 +61,26 @@
 	Draining int `json:"draining"`
 }
 
-// Beat is a heartbeat of one registration.
-type Beat struct {
+// Heartbeat is a heartbeat of one registration.
+type Heartbeat struct {
 	ID     string `json:"id"`
 	Holder string `json:"holder"`
 }
 
 // Status is what a node says of itself and its group.
 type Status struct {
-	ID       string    `json:"id"`
-	Role     string    `json:"role"`
-	Leader   string    `json:"leader"` // its address; empty for none
-	Term     uint64    `json:"term"`
-	Epoch    string    `json:"epoch"`
-	Revision int64     `json:"revision"`
-	Members  int       `json:"members"`
-	Watchers int64     `json:"watchers"`
-	Stale    bool      `json:"stale"`
-	Applied  uint64    `json:"applied"`
-	Held     int       `json:"lapses_held"`
-	HeldFrom time.Time `json:"lapses_held_since,omitzero"`
+	ID                   string    `json:"id"`
+	RaftRole             string    `json:"role"`
+	Leader               string    `json:"leader"` // its address; empty for none
+	Term                 uint64    `json:"term"`
+	Epoch                string    `json:"epoch"`
+	Revision             int64     `json:"revision"`
+	Members              int       `json:"members"`
+	Watchers             int64     `json:"watchers"`
+	Stale                bool      `json:"stale"`
+	Applied              uint64    `json:"applied"`
+	SuspendedExpirations int       `json:"lapses_held"`
+	SuspendedSince       time.Time `json:"lapses_held_since,omitzero"`
 }
 
 // problem is an answer other than 2xx.
@@ -99,7 +99,7 @@
 	mux.HandleFunc("POST "+MembersPath+"/{id}/phase", n.leaderOnly(n.postPhase))
 	mux.HandleFunc("DELETE "+MembersPath+"/{id}", n.leaderOnly(n.deleteMember))
 	mux.HandleFunc("POST "+HeartbeatsPath, n.leaderOnly(n.postBeats))
-	mux.HandleFunc("POST "+ConfirmPath, n.leaderOnly(n.postConfirm))
+	mux.HandleFunc("POST "+ConfirmExpiryPath, n.leaderOnly(n.postConfirm))
 	mux.HandleFunc("GET "+ZonesPath, n.getZones)
 	mux.HandleFunc("POST "+ZonesPath, n.leaderOnly(n.postZone))
 	n.dutyRoutes(mux)
@@ -172,14 +172,14 @@
 }
 
 // settle has a command applied and answers as it came out.
-func (n *Node) settle(w http.ResponseWriter, r *http.Request, c Command) (Answer, bool) {
+func (n *Node) settle(w http.ResponseWriter, r *http.Request, c Command) (Result, bool) {
 	if c.Request = r.Header.Get(RequestHeader); len(c.Request) > idMost {
 		refuse(w, http.StatusBadRequest, "%s: over %d bytes", RequestHeader, idMost)
-		return Answer{}, false
+		return Result{}, false
 	}
 	if err := fence(r, &c); err != nil {
 		refuse(w, http.StatusBadRequest, "%v", err)
-		return Answer{}, false
+		return Result{}, false
 	}
 	a, err := n.apply(c)
 	if err != nil {
@@ -204,7 +204,7 @@
 		x.Size = 1
 	}
 	m := discovery.Member{ID: x.ID, HostPort: x.Address, Locality: x.Zone, Flavor: x.Flavor, Cell: x.Cell, Phase: discovery.Up, Size: x.Size}
-	switch err := m.Check(); {
+	switch err := m.Validate(); {
 	case x.ID == "" || len(x.ID) > idMost:
 		refuse(w, http.StatusBadRequest, "id: 1 to %d bytes are wanted", idMost)
 		return
@@ -219,7 +219,7 @@
 		return
 	}
 	ttl := time.Duration(x.TTLMS) * time.Millisecond
-	if _, ok := n.settle(w, r, Command{Op: OpAdd, If: x.If, Member: Member{Member: m, TTL: ttl, Holder: x.Holder}}); ok {
+	if _, ok := n.settle(w, r, Command{Op: OpAdd, IfChanged: x.IfChanged, Member: Member{Member: m, TTL: ttl, Holder: x.Holder}}); ok {
 		n.hearts.beat(x.ID)
 	}
 }
@@ -237,7 +237,7 @@
 		refuse(w, http.StatusBadRequest, "phase: %q; %s and %s are allowed", x.Phase, discovery.Up, discovery.Draining)
 		return
 	}
-	n.settle(w, r, Command{Op: OpPhase, ID: r.PathValue("id"), Phase: x.Phase, Holder: x.Holder, If: x.If})
+	n.settle(w, r, Command{Op: OpPhase, ID: r.PathValue("id"), Phase: x.Phase, Holder: x.Holder, IfChanged: x.If})
 }
 
 func (n *Node) deleteMember(w http.ResponseWriter, r *http.Request) {
@@ -246,13 +246,13 @@
 		refuse(w, http.StatusBadRequest, "if: a revision is wanted")
 		return
 	}
-	n.settle(w, r, Command{Op: OpRemove, ID: r.PathValue("id"), Holder: r.URL.Query().Get("holder"), If: at})
+	n.settle(w, r, Command{Op: OpRemove, ID: r.PathValue("id"), Holder: r.URL.Query().Get("holder"), IfChanged: at})
 }
 
 // postBeats hears several registrations at once, and names those that it does
 // not know as theirs: these have to register again.
 func (n *Node) postBeats(w http.ResponseWriter, r *http.Request) {
-	var all []Beat
+	var all []Heartbeat
 	if !read(w, r, &all) {
 		return
 	}
@@ -361,8 +361,8 @@
 	epoch, revision, members := n.store.position()
 	leader, _ := n.leader()
 	held, since := n.hearts.holding()
-	say(w, http.StatusOK, Status{ID: n.cfg.ID, Role: n.raft.State().String(), Leader: leader, Term: n.raft.CurrentTerm(), Epoch: epoch,
-		Revision: revision, Members: members, Watchers: n.watchers.Load(), Stale: n.stale(), Applied: n.raft.AppliedIndex(), Held: held, HeldFrom: since})
+	say(w, http.StatusOK, Status{ID: n.cfg.ID, RaftRole: n.raft.State().String(), Leader: leader, Term: n.raft.CurrentTerm(), Epoch: epoch,
+		Revision: revision, Members: members, Watchers: n.watchers.Load(), Stale: n.stale(), Applied: n.raft.AppliedIndex(), SuspendedExpirations: held, SuspendedSince: since})
 }
 
 // getSnapshot gives the state as a leader has it, to be kept as a backup.
@@ -391,7 +391,7 @@
 	_, revision, _ := n.store.position()
 	state.Revision = max(state.Revision, revision)
 	tokens, dutyRev := n.store.tokens() // nor do these go back
-	state.Tokens, state.DutyRev = max(state.Tokens, tokens), max(state.DutyRev, dutyRev)
+	state.LastToken, state.RoleRevision = max(state.LastToken, tokens), max(state.RoleRevision, dutyRev)
 	text, err := json.Marshal(state)
 	if err != nil {
 		refuse(w, http.StatusInternalServerError, "%v", err)
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -102,14 +102,14 @@
 	}
 }
 
-// Refused is an answer that asking again does not change.
-type Refused struct {
+// RejectedError is an answer that asking again does not change.
+type RejectedError struct {
 	Status  int
 	Text    string
 	Changed int64 // 409: the member's last change, as it holds
 }
 
-func (r *Refused) Error() string { return r.Text }
+func (r *RejectedError) Error() string { return r.Text }
 
 // Do asks until it is answered or ctx ends. A write carries one request id over
 // all of its tries, so the group takes it once. out may be nil.
@@ -133,7 +133,7 @@
 	for n := 0; ; n++ {
 		node := c.node()
 		h, err := c.once(ctx, method, "http://"+node+path, request, head, text, out)
-		var refused *Refused
+		var refused *RejectedError
 		if err == nil || errors.As(err, &refused) {
 			return h, err
 		}
@@ -179,7 +179,7 @@
 		if json.Unmarshal(text, &p) != nil || p.Error == "" {
 			p.Error = string(bytes.TrimSpace(text))
 		}
-		return nil, &Refused{resp.StatusCode, fmt.Sprintf("%s: %s", resp.Status, p.Error), p.Changed}
+		return nil, &RejectedError{resp.StatusCode, fmt.Sprintf("%s: %s", resp.Status, p.Error), p.Changed}
 	}
 	switch o := out.(type) {
 	case nil:
@@ -199,16 +199,16 @@
 	Revision int64  `json:"revision"`
 }
 
-// News is one piece of what a follower hears: a change, or the whole list.
-type News struct {
+// Update is one piece of what a follower hears: a change, or the whole list.
+type Update struct {
 	discovery.List
 	Epoch string `json:"epoch"`
 }
 
-// Take tells whether news goes on from a position, and where that leads. What
+// Advance tells whether news goes on from a position, and where that leads. What
 // is older than the position in its epoch is not taken: a node that is behind
 // told it. News of another epoch has to be a whole list.
-func (p Position) Take(n *News) (Position, bool) {
+func (p Position) Advance(n *Update) (Position, bool) {
 	next := Position{n.Epoch, n.Revision}
 	switch {
 	case n.Epoch != p.Epoch:
@@ -225,7 +225,7 @@
 
 // Follow hears all that changes after a position, until ctx ends. up hears
 // whether a watch is open; either may block, and the watch waits meanwhile.
-func (c *Client) Follow(ctx context.Context, from Position, news func(News), up func(bool)) error {
+func (c *Client) Follow(ctx context.Context, from Position, news func(Update), up func(bool)) error {
 	for n := 0; ctx.Err() == nil; n++ {
 		node := c.node()
 		was := from
@@ -246,7 +246,7 @@
 	return ctx.Err()
 }
 
-func (c *Client) follow(ctx context.Context, node string, at *Position, news func(News), open func()) error {
+func (c *Client) follow(ctx context.Context, node string, at *Position, news func(Update), open func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	quiet := time.AfterFunc(silence, func() { cancel(errors.New("silent")) })
@@ -278,11 +278,11 @@
 		if len(text) == 0 {
 			continue
 		}
-		x, err := ReadNews(text)
+		x, err := ReadUpdate(text)
 		if err != nil {
 			return err
 		}
-		next, ok := at.Take(x)
+		next, ok := at.Advance(x)
 		if !ok {
 			return fmt.Errorf("watch: revision %d after %d: %w", x.Revision, at.Revision, errBehind)
 		}
@@ -298,8 +298,8 @@
 	return io.EOF
 }
 
-// ReadNews reads a line of a watch.
-func ReadNews(text []byte) (*News, error) {
+// ReadUpdate reads a line of a watch.
+func ReadUpdate(text []byte) (*Update, error) {
 	l, err := discovery.Parse(text)
 	if err != nil {
 		return nil, err
@@ -310,5 +310,5 @@
 	if err := json.Unmarshal(text, &e); err != nil {
 		return nil, fmt.Errorf("watch: %w", err)
 	}
-	return &News{*l, e.Epoch}, nil
+	return &Update{*l, e.Epoch}, nil
 }
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -23,9 +23,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := Position{}
 		for range rapid.IntRange(1, 50).Draw(t, "news") {
-			n := &News{Epoch: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "epoch")}
+			n := &Update{Epoch: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "epoch")}
 			n.Revision, n.Complete = int64(rapid.IntRange(0, 9).Draw(t, "revision")), rapid.Bool().Draw(t, "whole")
-			next, ok := p.Take(n)
+			next, ok := p.Advance(n)
 			switch {
 			case !ok:
 				continue
@@ -64,7 +64,7 @@
 	defer c.Close()
 	c.at = 0
 	_, err = c.Do(t.Context(), http.MethodPost, "/x", map[string]int{}, nil)
-	var refused *Refused
+	var refused *RejectedError
 	if !errors.As(err, &refused) || refused.Status != 409 || refused.Changed != 7 {
 		t.Errorf("%v", err)
 	}
@@ -108,7 +108,7 @@
 	c.at = 0
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	c.Follow(ctx, Position{"e", 7}, func(n News) {
+	c.Follow(ctx, Position{"e", 7}, func(n Update) {
 		if n.Revision != 9 {
 			t.Errorf("took revision %d", n.Revision)
 		}
@@ -122,12 +122,12 @@
 func FuzzReadNews(f *testing.F) {
 	f.Add([]byte(`{"revision":1,"complete":true,"members":[],"epoch":"e"}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		n, err := ReadNews(text)
+		n, err := ReadUpdate(text)
 		if err != nil {
 			return
 		}
 		for i := range n.Members {
-			if m := &n.Members[i]; m.Check() != nil || m.Phase != discovery.Removed && m.HostPort == "" {
+			if m := &n.Members[i]; m.Validate() != nil || m.Phase != discovery.Removed && m.HostPort == "" {
 				t.Fatalf("%+v", m)
 			}
 		}
--- a/internal/registry/command/serve.go
+++ b/internal/registry/command/serve.go
@@ -45,8 +45,8 @@
 			if cfg.Clock, err = clock.Parse(drill); err != nil {
 				return cli.UsageError{Err: fmt.Errorf("--drill-clock: %w", err)}
 			}
-			n, err := registry.Start(cfg, cli.NewLogger(cfg.LogForm, c.ErrOrStderr()).With("node", cfg.ID))
-			if errors.Is(err, registry.ErrDamaged) {
+			n, err := registry.Start(cfg, cli.NewLogger(cfg.LogFormat, c.ErrOrStderr()).With("node", cfg.ID))
+			if errors.Is(err, registry.ErrCorrupt) {
 				return corruptStoreError{err}
 			}
 			if err != nil {
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -17,16 +17,16 @@
 	"plovershore/internal/discovery"
 )
 
-// Span is a duration as a configuration has it, such as 15s.
-type Span time.Duration
+// Duration is a duration as a configuration has it, such as 15s.
+type Duration time.Duration
 
 // UnmarshalText reads 15s, 2m, 500ms.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err == nil && d < 0 {
 		err = errors.New("less than nothing")
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return err
 }
 
@@ -37,8 +37,8 @@
 	HTTP string `toml:"http"` // where all others ask
 }
 
-// Static is a member that never registers by itself.
-type Static struct {
+// StaticMember is a member that never registers by itself.
+type StaticMember struct {
 	ID      string  `toml:"id"`
 	Address string  `toml:"address"`
 	Zone    string  `toml:"zone"`
@@ -55,17 +55,17 @@
 
 // Config is what a node is told.
 type Config struct {
-	ID       string   `toml:"id"`
-	Data     string   `toml:"data"`
-	Listen   string   `toml:"listen"`
-	Raft     string   `toml:"raft"`
-	Operator string   `toml:"operator"`
-	LogForm  string   `toml:"log"`
-	Peers    []Peer   `toml:"peers"`
-	Lapse    Lapse    `toml:"lapse"`
-	Members  []Static `toml:"members"`
-	Zones    []Zone   `toml:"zones"`
-	Watchers int      `toml:"watchers"`
+	ID          string         `toml:"id"`
+	DataDir     string         `toml:"data"`
+	Listen      string         `toml:"listen"`
+	Raft        string         `toml:"raft"`
+	Operator    string         `toml:"operator"`
+	LogFormat   string         `toml:"log"`
+	Peers       []Peer         `toml:"peers"`
+	ExpiryGuard ExpiryGuard    `toml:"lapse"`
+	Members     []StaticMember `toml:"members"`
+	Zones       []Zone         `toml:"zones"`
+	Watchers    int            `toml:"watchers"`
 
 	Clock *clock.Clock `toml:"-"` // nil for the machine's
 
@@ -73,18 +73,18 @@
 	logs func(raft.LogStore) raft.LogStore // tests alone
 }
 
-// Lapse bounds how much the list may lose at once.
-type Lapse struct {
-	Share float64 `toml:"share"`
-	Least int     `toml:"least"`
-	Hold  Span    `toml:"hold"`
-	By    string  `toml:"by"` // leader, or duty: the duty list-keeper
+// ExpiryGuard bounds how much the list may lose at once.
+type ExpiryGuard struct {
+	Fraction   float64  `toml:"share"`
+	Minimum    int      `toml:"least"`
+	SuspendFor Duration `toml:"hold"`
+	ExpiredBy  string   `toml:"by"` // leader, or duty: the duty list-keeper
 }
 
 // DefaultConfig is one node that needs nothing but a folder.
 func DefaultConfig() Config {
-	return Config{ID: "r1", Data: "registry-data", Listen: "127.0.0.1:7800", Raft: "127.0.0.1:7801", LogForm: "text",
-		Lapse: Lapse{Share: 0.25, Least: 3, Hold: Span(10 * time.Minute), By: "leader"}, Watchers: 20000}
+	return Config{ID: "r1", DataDir: "registry-data", Listen: "127.0.0.1:7800", Raft: "127.0.0.1:7801", LogFormat: "text",
+		ExpiryGuard: ExpiryGuard{Fraction: 0.25, Minimum: 3, SuspendFor: Duration(10 * time.Minute), ExpiredBy: "leader"}, Watchers: 20000}
 }
 
 // LoadConfig reads a file, or the defaults where path is empty. The environment
@@ -105,7 +105,7 @@
 	for _, v := range []struct {
 		name string
 		to   *string
-	}{{"ID", &c.ID}, {"DATA", &c.Data}, {"LISTEN", &c.Listen}, {"RAFT", &c.Raft}, {"OPERATOR", &c.Operator}, {"LOG", &c.LogForm}} {
+	}{{"ID", &c.ID}, {"DATA", &c.DataDir}, {"LISTEN", &c.Listen}, {"RAFT", &c.Raft}, {"OPERATOR", &c.Operator}, {"LOG", &c.LogFormat}} {
 		if s := getenv("TROUTREGISTRY_" + v.name); s != "" {
 			*v.to = s
 		}
@@ -138,11 +138,11 @@
 	if c.ID == "" {
 		return errors.New("id: missing")
 	}
-	if c.Data == "" {
+	if c.DataDir == "" {
 		return errors.New("data: missing")
 	}
-	if c.LogForm != "text" && c.LogForm != "json" {
-		return fmt.Errorf("log: %q; text and json are allowed", c.LogForm)
+	if c.LogFormat != "text" && c.LogFormat != "json" {
+		return fmt.Errorf("log: %q; text and json are allowed", c.LogFormat)
 	}
 	for key, addr := range map[string]string{"listen": c.Listen, "raft": c.Raft, "operator": c.Operator} {
 		if key == "operator" && addr == "" {
@@ -152,13 +152,13 @@
 			return fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	if !(c.Lapse.Share > 0 && c.Lapse.Share <= 1) {
-		return fmt.Errorf("lapse.share: %v; more than 0, 1 at most", c.Lapse.Share)
+	if !(c.ExpiryGuard.Fraction > 0 && c.ExpiryGuard.Fraction <= 1) {
+		return fmt.Errorf("lapse.share: %v; more than 0, 1 at most", c.ExpiryGuard.Fraction)
 	}
-	if c.Lapse.By != "leader" && c.Lapse.By != "duty" {
-		return fmt.Errorf("lapse.by: %q; leader and duty are allowed", c.Lapse.By)
+	if c.ExpiryGuard.ExpiredBy != "leader" && c.ExpiryGuard.ExpiredBy != "duty" {
+		return fmt.Errorf("lapse.by: %q; leader and duty are allowed", c.ExpiryGuard.ExpiredBy)
 	}
-	if c.Lapse.Least < 0 || c.Watchers < 1 {
+	if c.ExpiryGuard.Minimum < 0 || c.Watchers < 1 {
 		return errors.New("lapse.least, watchers: 0 and 1 at least")
 	}
 	if len(c.Peers) == 0 {
@@ -192,14 +192,14 @@
 	}
 	for i, m := range c.Members {
 		d := m.member()
-		if err := d.Check(); err != nil {
+		if err := d.Validate(); err != nil {
 			return fmt.Errorf("members[%d]: %w", i, err)
 		}
 	}
 	return nil
 }
 
-func (m *Static) member() discovery.Member {
+func (m *StaticMember) member() discovery.Member {
 	size := m.Size
 	if size == 0 {
 		size = 1
--- a/internal/registry/duties.go
+++ b/internal/registry/duties.go
@@ -11,24 +11,24 @@
 // Session is what a warden holds its duties by. It ends when the leader has not
 // heard of it for its time to live.
 type Session struct {
-	ID     string        `json:"id"`     // drawn by the warden's process
-	Warden string        `json:"warden"` // for people; two may have one
-	TTL    time.Duration `json:"ttl"`
+	ID         string        `json:"id"`     // drawn by the warden's process
+	Controller string        `json:"warden"` // for people; two may have one
+	TTL        time.Duration `json:"ttl"`
 }
 
-// Duty is work that one warden does at a time.
-type Duty struct {
-	Name   string `json:"name"`
-	Holder string `json:"holder"` // its session; empty for nobody
-	Warden string `json:"warden"` // of the present or the last holder
-	Token  int64  `json:"token"`  // of the last grant; every effect carries it
-	Term   int64  `json:"term"`   // grants so far
-	Note   string `json:"note"`   // where its work stands
-	Next   string `json:"next,omitempty"`
-	Fails  int    `json:"fails,omitempty"` // in a row, deaths of holders among them
-	Off    bool   `json:"off,omitempty"`   // operators: nobody may hold it
-	Since  int64  `json:"since"`           // of the last grant, Unix ms
-	Left   int64  `json:"left"`            // when it was last given up or its holder ended, Unix ms
+// Role is work that one warden does at a time.
+type Role struct {
+	Name       string `json:"name"`
+	Holder     string `json:"holder"` // its session; empty for nobody
+	Controller string `json:"warden"` // of the present or the last holder
+	Token      int64  `json:"token"`  // of the last grant; every effect carries it
+	Term       int64  `json:"term"`   // grants so far
+	Note       string `json:"note"`   // where its work stands
+	Successor  string `json:"next,omitempty"`
+	Failures   int    `json:"fails,omitempty"` // in a row, deaths of holders among them
+	Disabled   bool   `json:"off,omitempty"`   // operators: nobody may hold it
+	GrantedAt  int64  `json:"since"`           // of the last grant, Unix ms
+	ReleasedAt int64  `json:"left"`            // when it was last given up or its holder ended, Unix ms
 }
 
 const (
@@ -41,61 +41,61 @@
 
 // applyDuty takes a command of sessions and duties, and refuses any other whose
 // fence is not the present holder's.
-func (s *State) applyDuty(c *Command) (a Answer, done bool) {
-	ok := Answer{Status: http.StatusOK}
+func (s *State) applyDuty(c *Command) (a Result, done bool) {
+	ok := Result{Status: http.StatusOK}
 	switch c.Op {
 	case OpSession:
 		if old, known := s.Sessions[c.Session.ID]; !known || old != c.Session {
 			s.Sessions[c.Session.ID] = c.Session
-			s.DutyRev++
+			s.RoleRevision++
 		}
 		return ok, true
 	case OpSessionEnd:
-		for _, id := range c.Ended {
+		for _, id := range c.EndedSessions {
 			s.endSession(id, c)
 		}
 		return ok, true
 	case OpGrant:
 		return s.grant(c), true
-	case OpHold:
-		d, known := s.Duties[c.Duty]
-		if !known && len(s.Duties) >= dutiesMost {
-			return Answer{Status: http.StatusConflict, Error: fmt.Sprintf("duties: %d at most", dutiesMost)}, true
+	case OpDisable:
+		d, known := s.Roles[c.Role]
+		if !known && len(s.Roles) >= dutiesMost {
+			return Result{Status: http.StatusConflict, Error: fmt.Sprintf("duties: %d at most", dutiesMost)}, true
 		}
-		d.Name, d.Off = c.Duty, c.Off
-		if c.Off && d.Holder != "" {
-			d.Holder, d.Left = "", c.At
+		d.Name, d.Disabled = c.Role, c.Disabled
+		if c.Disabled && d.Holder != "" {
+			d.Holder, d.ReleasedAt = "", c.At
 		}
 		s.setDuty(d)
 		return ok, true
 	}
-	if c.Duty == "" {
-		return Answer{}, false
+	if c.Role == "" {
+		return Result{}, false
 	}
-	d := s.Duties[c.Duty]
+	d := s.Roles[c.Role]
 	if d.Holder == "" || d.Token != c.Token {
-		return Answer{Status: http.StatusPreconditionFailed, Error: fmt.Sprintf("duty %s: token %d is not the present one", c.Duty, c.Token), Token: d.Token}, true
+		return Result{Status: http.StatusPreconditionFailed, Error: fmt.Sprintf("duty %s: token %d is not the present one", c.Role, c.Token), Token: d.Token}, true
 	}
 	switch c.Op {
 	case OpNote:
-		if c.Good { // the work's own goroutine alone says where it stands
-			d.Fails = 0
+		if c.Healthy { // the work's own goroutine alone says where it stands
+			d.Failures = 0
 		} else {
 			d.Note = c.Note
 		}
 	case OpRelease:
-		d.Holder, d.Next, d.Left = "", c.Next, c.At
+		d.Holder, d.Successor, d.ReleasedAt = "", c.Successor, c.At
 		if c.Note != "" {
 			d.Note = c.Note
 		}
 		switch {
 		case c.Failed:
-			d.Fails++
-		case !c.Lost: // a lease that ended says nothing of the work
-			d.Fails = 0
+			d.Failures++
+		case !c.LeaseLost: // a lease that ended says nothing of the work
+			d.Failures = 0
 		}
 	default:
-		return Answer{}, false // its fence holds
+		return Result{}, false // its fence holds
 	}
 	s.setDuty(d)
 	ok.Token = d.Token
@@ -110,100 +110,100 @@
 		return
 	}
 	delete(s.Sessions, id)
-	s.DutyRev++
-	for name, d := range s.Duties {
+	s.RoleRevision++
+	for name, d := range s.Roles {
 		if d.Holder != id {
 			continue
 		}
-		d.Holder, d.Left = "", c.At
+		d.Holder, d.ReleasedAt = "", c.At
 		if c.Failed && c.lasted(&d) > 2*x.TTL {
-			d.Fails = 1 // it had gone well until a time to live ago
+			d.Failures = 1 // it had gone well until a time to live ago
 		} else if c.Failed {
-			d.Fails++
+			d.Failures++
 		}
-		s.Duties[name] = d
+		s.Roles[name] = d
 	}
 }
 
 // lasted is how long a duty was held by a session that ends. The dates of an older
 // leader's commands are all that tells it there, and may have been set meanwhile.
-func (c *Command) lasted(d *Duty) time.Duration {
-	ms := c.At - d.Since
-	if c.Lasted != nil {
-		ms = c.Lasted[d.Name]
+func (c *Command) lasted(d *Role) time.Duration {
+	ms := c.At - d.GrantedAt
+	if c.LeaseDurations != nil {
+		ms = c.LeaseDurations[d.Name]
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-func (s *State) setDuty(d Duty) {
-	s.DutyRev++
-	s.Duties[d.Name] = d
+func (s *State) setDuty(d Role) {
+	s.RoleRevision++
+	s.Roles[d.Name] = d
 }
 
 // grant gives a duty to a session, with a token that no grant had before.
-func (s *State) grant(c *Command) Answer {
+func (s *State) grant(c *Command) Result {
 	holder, ok := s.Sessions[c.Session.ID]
-	d, known := s.Duties[c.Duty]
-	refuse := func(status int, format string, args ...any) Answer {
-		return Answer{Status: status, Error: fmt.Sprintf(format, args...), Token: d.Token}
+	d, known := s.Roles[c.Role]
+	refuse := func(status int, format string, args ...any) Result {
+		return Result{Status: status, Error: fmt.Sprintf(format, args...), Token: d.Token}
 	}
 	switch {
 	case !ok:
 		return refuse(http.StatusNotFound, "session %s is unknown", c.Session.ID)
-	case !known && len(s.Duties) >= dutiesMost:
+	case !known && len(s.Roles) >= dutiesMost:
 		return refuse(http.StatusConflict, "duties: %d at most", dutiesMost)
-	case d.Off:
-		return refuse(http.StatusConflict, "duty %s is held by the operators", c.Duty)
+	case d.Disabled:
+		return refuse(http.StatusConflict, "duty %s is held by the operators", c.Role)
 	case d.Holder != "":
-		return refuse(http.StatusConflict, "duty %s is held by %s", c.Duty, d.Warden)
-	case d.Next != "" && d.Next != holder.Warden && s.hasWarden(d.Next):
-		return refuse(http.StatusConflict, "duty %s is left to %s", c.Duty, d.Next)
+		return refuse(http.StatusConflict, "duty %s is held by %s", c.Role, d.Controller)
+	case d.Successor != "" && d.Successor != holder.Controller && s.hasWarden(d.Successor):
+		return refuse(http.StatusConflict, "duty %s is left to %s", c.Role, d.Successor)
 	}
-	s.Tokens++
-	d.Name, d.Holder, d.Warden, d.Token, d.Term, d.Next, d.Since = c.Duty, holder.ID, holder.Warden, s.Tokens, d.Term+1, "", c.At
+	s.LastToken++
+	d.Name, d.Holder, d.Controller, d.Token, d.Term, d.Successor, d.GrantedAt = c.Role, holder.ID, holder.Controller, s.LastToken, d.Term+1, "", c.At
 	s.setDuty(d)
-	return Answer{Status: http.StatusOK, Token: d.Token, Note: d.Note, Term: d.Term}
+	return Result{Status: http.StatusOK, Token: d.Token, Note: d.Note, Term: d.Term}
 }
 
 func (s *State) hasWarden(name string) bool {
 	for _, x := range s.Sessions {
-		if x.Warden == name {
+		if x.Controller == name {
 			return true
 		}
 	}
 	return false
 }
 
-// DutyList is what wardens and operators see of all duties.
-type DutyList struct {
+// RoleList is what wardens and operators see of all duties.
+type RoleList struct {
 	Revision int64     `json:"revision"`
-	Duties   []Duty    `json:"duties"`
+	Roles    []Role    `json:"duties"`
 	Sessions []Session `json:"sessions"`
 }
 
-func (s *State) dutyList() DutyList {
-	l := DutyList{Revision: s.DutyRev, Duties: []Duty{}, Sessions: []Session{}}
-	for _, d := range s.Duties {
-		l.Duties = append(l.Duties, d)
+func (s *State) dutyList() RoleList {
+	l := RoleList{Revision: s.RoleRevision, Roles: []Role{}, Sessions: []Session{}}
+	for _, d := range s.Roles {
+		l.Roles = append(l.Roles, d)
 	}
 	for _, x := range s.Sessions {
 		l.Sessions = append(l.Sessions, x)
 	}
-	slices.SortFunc(l.Duties, func(a, b Duty) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(l.Roles, func(a, b Role) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(l.Sessions, func(a, b Session) int { return strings.Compare(a.ID, b.ID) })
 	return l
 }
 
-// SessionBeats is what a leader has heard of sessions. It reads no clock: now is
+// SessionHeartbeats is what a leader has heard of sessions. It reads no clock: now is
 // any that only goes forward.
-type SessionBeats map[string]time.Duration
+type SessionHeartbeats map[string]time.Duration
 
-// Heard books that a session was heard of.
-func (b SessionBeats) Heard(id string, now time.Duration) { b[id] = now }
+// Record books that a session was heard of.
+func (b SessionHeartbeats) Record(id string, now time.Duration) { b[id] = now }
 
 // Overdue gives the sessions that were not heard of for a whole time to live. One
 // that this leader never heard of counts as heard of now.
-func (b SessionBeats) Overdue(sessions map[string]Session, now time.Duration) (ids []string) {
+func (b SessionHeartbeats) Overdue(sessions map[string]Session, now time.Duration) (ids []string) {
 	for id, x := range sessions {
 		at, ok := b[id]
 		if !ok {
--- a/internal/registry/duties_api.go
+++ b/internal/registry/duties_api.go
@@ -13,8 +13,8 @@
 // Paths of sessions and duties.
 const (
 	SessionsPath = "/v1/sessions"
-	DutiesPath   = "/v1/duties"
-	LapsePath    = "/v1/lapse" // the effect of list-keeper
+	RolesPath    = "/v1/duties"
+	ExpirePath   = "/v1/lapse" // the effect of list-keeper
 )
 
 // FenceHeader goes with a write that is a duty's effect: its name, an equals sign
@@ -29,31 +29,31 @@
 
 // SessionRequest opens a session.
 type SessionRequest struct {
-	ID     string `json:"id"`
-	Warden string `json:"warden"`
-	TTLMS  int64  `json:"ttl_ms"`
+	ID         string `json:"id"`
+	Controller string `json:"warden"`
+	TTLMS      int64  `json:"ttl_ms"`
 }
 
-// DutyRequest is the body of a grant, a note, a release or a hold.
-type DutyRequest struct {
-	Session string `json:"session,omitempty"` // grant
-	Token   int64  `json:"token,omitempty"`   // note, release
-	Note    string `json:"note,omitempty"`
-	Next    string `json:"next,omitempty"`
-	Good    bool   `json:"good,omitempty"`
-	Failed  bool   `json:"failed,omitempty"`
-	Lost    bool   `json:"lost,omitempty"` // release: the lease ended under the work
-	Off     bool   `json:"off,omitempty"`  // hold
+// RoleRequest is the body of a grant, a note, a release or a hold.
+type RoleRequest struct {
+	Session   string `json:"session,omitempty"` // grant
+	Token     int64  `json:"token,omitempty"`   // note, release
+	Note      string `json:"note,omitempty"`
+	Successor string `json:"next,omitempty"`
+	Healthy   bool   `json:"good,omitempty"`
+	Failed    bool   `json:"failed,omitempty"`
+	LeaseLost bool   `json:"lost,omitempty"` // release: the lease ended under the work
+	Disabled  bool   `json:"off,omitempty"`  // hold
 }
 
 func (n *Node) dutyRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+SessionsPath, n.leaderOnly(n.postSession))
 	mux.HandleFunc("POST "+SessionsPath+"/{id}/renew", n.leaderOnly(n.postRenew))
 	mux.HandleFunc("DELETE "+SessionsPath+"/{id}", n.leaderOnly(n.deleteSession))
-	mux.HandleFunc("GET "+DutiesPath, n.getDuties)
-	mux.HandleFunc("POST "+LapsePath, n.leaderOnly(n.postLapse))
-	for op, path := range map[Op]string{OpGrant: "grant", OpNote: "note", OpRelease: "release", OpHold: "hold"} {
-		mux.HandleFunc("POST "+DutiesPath+"/{name}/"+path, n.leaderOnly(func(w http.ResponseWriter, r *http.Request) { n.postDuty(w, r, op) }))
+	mux.HandleFunc("GET "+RolesPath, n.getDuties)
+	mux.HandleFunc("POST "+ExpirePath, n.leaderOnly(n.postLapse))
+	for op, path := range map[Op]string{OpGrant: "grant", OpNote: "note", OpRelease: "release", OpDisable: "hold"} {
+		mux.HandleFunc("POST "+RolesPath+"/{name}/"+path, n.leaderOnly(func(w http.ResponseWriter, r *http.Request) { n.postDuty(w, r, op) }))
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 	ttl := time.Duration(x.TTLMS) * time.Millisecond
 	switch {
-	case x.ID == "" || len(x.ID) > idMost || x.Warden == "" || len(x.Warden) > idMost:
+	case x.ID == "" || len(x.ID) > idMost || x.Controller == "" || len(x.Controller) > idMost:
 		refuse(w, http.StatusBadRequest, "id, warden: 1 to %d bytes are wanted", idMost)
 		return
 	case ttl < sessionLeast || ttl > sessionMost:
@@ -72,7 +72,7 @@
 		return
 	}
 	n.hearts.session(x.ID)
-	n.settle(w, r, Command{Op: OpSession, Session: Session{x.ID, x.Warden, ttl}})
+	n.settle(w, r, Command{Op: OpSession, Session: Session{x.ID, x.Controller, ttl}})
 }
 
 // postRenew keeps a session. Only a leader that a majority still follows may say
@@ -90,11 +90,11 @@
 		refuse(w, http.StatusNotFound, "session %s is unknown", id)
 		return
 	}
-	say(w, http.StatusOK, Answer{Status: http.StatusOK})
+	say(w, http.StatusOK, Result{Status: http.StatusOK})
 }
 
 func (n *Node) deleteSession(w http.ResponseWriter, r *http.Request) {
-	n.settle(w, r, Command{Op: OpSessionEnd, Ended: []string{r.PathValue("id")}})
+	n.settle(w, r, Command{Op: OpSessionEnd, EndedSessions: []string{r.PathValue("id")}})
 }
 
 // getDuties gives all duties; with after, once they are of another revision, or
@@ -125,22 +125,22 @@
 }
 
 func (n *Node) postDuty(w http.ResponseWriter, r *http.Request, op Op) {
-	var x DutyRequest
+	var x RoleRequest
 	if !read(w, r, &x) {
 		return
 	}
 	name := r.PathValue("name")
-	if len(name) > idMost || len(x.Note) > noteMost || len(x.Next) > idMost {
+	if len(name) > idMost || len(x.Note) > noteMost || len(x.Successor) > idMost {
 		refuse(w, http.StatusBadRequest, "name, next: %d bytes at most; note: %d", idMost, noteMost)
 		return
 	}
-	n.settle(w, r, Command{Op: op, Duty: name, Session: Session{ID: x.Session}, Token: x.Token, Note: x.Note, Next: x.Next, Good: x.Good, Failed: x.Failed, Lost: x.Lost, Off: x.Off})
+	n.settle(w, r, Command{Op: op, Role: name, Session: Session{ID: x.Session}, Token: x.Token, Note: x.Note, Successor: x.Successor, Healthy: x.Healthy, Failed: x.Failed, LeaseLost: x.LeaseLost, Disabled: x.Disabled})
 }
 
 // postLapse ends the registrations that are due, as an effect of a duty.
 func (n *Node) postLapse(w http.ResponseWriter, r *http.Request) {
 	var c Command
-	if err := fence(r, &c); err != nil || c.Duty == "" {
+	if err := fence(r, &c); err != nil || c.Role == "" {
 		refuse(w, http.StatusBadRequest, "%s: NAME=TOKEN is wanted", FenceHeader)
 		return
 	}
@@ -158,12 +158,12 @@
 // fence reads the header of a duty's effect into a command.
 func fence(r *http.Request, c *Command) error {
 	text := r.Header.Get(FenceHeader)
-	if text == "" || c.Duty != "" {
+	if text == "" || c.Role != "" {
 		return nil
 	}
 	name, token, ok := strings.Cut(text, "=")
 	var err error
-	if c.Duty = name; ok {
+	if c.Role = name; ok {
 		c.Token, err = strconv.ParseInt(token, 10, 64)
 	}
 	if !ok || err != nil || name == "" {
--- a/internal/registry/figures.go
+++ b/internal/registry/figures.go
@@ -40,7 +40,7 @@
 	return f
 }
 
-func (f *figures) apply(c Command, a Answer) {
+func (f *figures) apply(c Command, a Result) {
 	f.commands.WithLabelValues(string(c.Op), http.StatusText(a.Status)).Inc()
 }
 
--- a/internal/registry/group_test.go
+++ b/internal/registry/group_test.go
@@ -53,7 +53,7 @@
 	}
 	for _, p := range peers {
 		c := DefaultConfig()
-		c.ID, c.Data, c.Listen, c.Raft, c.Peers = p.ID, filepath.Join(t.TempDir(), "data"), p.HTTP, p.Raft, peers
+		c.ID, c.DataDir, c.Listen, c.Raft, c.Peers = p.ID, filepath.Join(t.TempDir(), "data"), p.HTTP, p.Raft, peers
 		if err := c.check(); err != nil {
 			t.Fatal(err)
 		}
@@ -238,10 +238,10 @@
 	at := g.leader()
 	behind := (at + 1) % 3
 	g.stop(behind)
-	if err := os.WriteFile(filepath.Join(g.cfgs[behind].Data, "raft.db"), []byte(strings.Repeat("damage", 4096)), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(g.cfgs[behind].DataDir, "raft.db"), []byte(strings.Repeat("damage", 4096)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Start(g.cfgs[behind], quiet()); !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), "raft.db") {
+	if _, err := Start(g.cfgs[behind], quiet()); !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), "raft.db") {
 		t.Fatalf("a damaged store: %v", err)
 	}
 	for i := range 50 {
@@ -252,7 +252,7 @@
 	if err := g.nodes[g.leader()].raft.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.RemoveAll(g.cfgs[behind].Data); err != nil {
+	if err := os.RemoveAll(g.cfgs[behind].DataDir); err != nil {
 		t.Fatal(err)
 	}
 	g.start(behind)
--- a/internal/registry/lapse.go
+++ b/internal/registry/lapse.go
@@ -23,8 +23,8 @@
 
 	mu        sync.Mutex
 	heard     map[string]time.Time
-	sessions  SessionBeats
-	tenures   Tenures
+	sessions  SessionHeartbeats
+	tenures   LeaseDurations
 	ending    []string    // of them, not committed yet
 	lapsed    []time.Time // of the last largest time to live
 	heldSince time.Time   // zero for not held
@@ -33,7 +33,7 @@
 }
 
 func newHearts(n *Node) *hearts {
-	return &hearts{node: n, heard: map[string]time.Time{}, sessions: SessionBeats{}, tenures: Tenures{}}
+	return &hearts{node: n, heard: map[string]time.Time{}, sessions: SessionHeartbeats{}, tenures: LeaseDurations{}}
 }
 
 // reset forgets everything: a new leader gives each registration a whole time
@@ -62,7 +62,7 @@
 	if slices.Contains(h.ending, id) {
 		return false
 	}
-	h.sessions.Heard(id, h.node.uptime())
+	h.sessions.Record(id, h.node.uptime())
 	return true
 }
 
@@ -70,9 +70,9 @@
 func (h *hearts) lookSessions() {
 	h.mu.Lock()
 	now, duties := h.node.uptime(), h.node.store.eachDuty()
-	h.tenures.Look(duties, now)
+	h.tenures.Observe(duties, now)
 	ids := h.sessions.Overdue(h.node.store.sessions(), now)
-	lasted := h.tenures.Lasted(duties, ids, now)
+	lasted := h.tenures.OfSessions(duties, ids, now)
 	h.ending = ids
 	h.mu.Unlock()
 	if len(ids) == 0 {
@@ -83,7 +83,7 @@
 		h.ending = nil
 		h.mu.Unlock()
 	}()
-	if _, err := h.node.apply(Command{Request: NewID(), Op: OpSessionEnd, Ended: ids, Lasted: lasted, Failed: true}); err != nil {
+	if _, err := h.node.apply(Command{Request: NewID(), Op: OpSessionEnd, EndedSessions: ids, LeaseDurations: lasted, Failed: true}); err != nil {
 		h.node.log.Warn("sessions not ended", "count", len(ids), "err", err)
 		return
 	}
@@ -106,12 +106,12 @@
 }
 
 // look lapses what is due, under the fence of the duty that asks for it, if any.
-func (h *hearts) look(now time.Time, fence Command) (n int, a Answer, err error) {
+func (h *hearts) look(now time.Time, fence Command) (n int, a Result, err error) {
 	due := h.due(h.node.store.eachMember(), now)
-	if len(due) == 0 && fence.Duty == "" {
-		return 0, Answer{Status: http.StatusOK}, nil
+	if len(due) == 0 && fence.Role == "" {
+		return 0, Result{Status: http.StatusOK}, nil
 	}
-	a, err = h.node.apply(Command{Request: NewID(), Op: OpLapse, Lapsed: due, Duty: fence.Duty, Token: fence.Token})
+	a, err = h.node.apply(Command{Request: NewID(), Op: OpExpire, Expired: due, Role: fence.Role, Token: fence.Token})
 	if err != nil || a.Status != http.StatusOK || len(due) == 0 {
 		return 0, a, err
 	}
@@ -153,9 +153,9 @@
 	for len(h.lapsed) > 0 && now.Sub(h.lapsed[0]) > longest {
 		h.lapsed = h.lapsed[1:]
 	}
-	cfg := &h.node.cfg.Lapse
+	cfg := &h.node.cfg.ExpiryGuard
 	lost, all := silent+len(h.lapsed), living+len(h.lapsed)
-	if lost <= max(cfg.Least, int(cfg.Share*float64(all))) {
+	if lost <= max(cfg.Minimum, int(cfg.Fraction*float64(all))) {
 		if h.held > 0 {
 			h.node.log.Info("lapses are no longer held back")
 		}
@@ -165,10 +165,10 @@
 	if h.heldSince.IsZero() {
 		h.heldSince = now
 		h.node.log.Error("too many registrations fall silent at once: their lapse is held back", "silent", silent, "of", living,
-			"until", now.Add(time.Duration(cfg.Hold)))
+			"until", now.Add(time.Duration(cfg.SuspendFor)))
 	}
 	h.held = len(due)
-	if h.confirmed || now.Sub(h.heldSince) >= time.Duration(cfg.Hold) {
+	if h.confirmed || now.Sub(h.heldSince) >= time.Duration(cfg.SuspendFor) {
 		return due
 	}
 	return nil
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -42,7 +42,7 @@
 // Errors of a node.
 var (
 	ErrNoLeader = errors.New("no leader: the group has no majority, or is electing")
-	ErrDamaged  = errors.New("the store is damaged")
+	ErrCorrupt  = errors.New("the store is damaged")
 )
 
 // Node is one node of a group. Close ends it.
@@ -87,7 +87,7 @@
 			n.Close()
 		}
 	}()
-	if err := os.MkdirAll(cfg.Data, 0o700); err != nil {
+	if err := os.MkdirAll(cfg.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("data: %w", err)
 	}
 	// The address first: a second process over one folder ends here, not in the store's lock.
@@ -117,7 +117,7 @@
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		s.Serve(acceptretry.Patient(ln)) // ends by Close
+		s.Serve(acceptretry.NewListener(ln)) // ends by Close
 	}()
 }
 
@@ -126,13 +126,13 @@
 
 // open begins or takes up the node's part in the group.
 func (n *Node) open() error {
-	path := filepath.Join(n.cfg.Data, "raft.db")
+	path := filepath.Join(n.cfg.DataDir, "raft.db")
 	bolt, err := openBolt(path)
 	if err != nil {
 		return err
 	}
 	n.bolt = bolt
-	snaps, err := raft.NewFileSnapshotStore(n.cfg.Data, snapshotKept, io.Discard)
+	snaps, err := raft.NewFileSnapshotStore(n.cfg.DataDir, snapshotKept, io.Discard)
 	if err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
@@ -165,7 +165,7 @@
 	}
 	known, err := raft.HasExistingState(cache, bolt, snaps)
 	if err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrDamaged, path, err)
+		return fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
 	}
 	if !known {
 		// Every node begins with the same configuration, so it does not matter which is first.
@@ -179,7 +179,7 @@
 	}
 	if n.raft, err = raft.NewRaft(c, n.store, cache, bolt, snaps, transport); err != nil {
 		transport.Close()
-		return fmt.Errorf("%w: %s: %w", ErrDamaged, n.cfg.Data, err)
+		return fmt.Errorf("%w: %s: %w", ErrCorrupt, n.cfg.DataDir, err)
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 func openBolt(path string) (b *raftboltdb.BoltStore, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %s: %v", ErrDamaged, path, p)
+			err = fmt.Errorf("%w: %s: %v", ErrCorrupt, path, p)
 		}
 	}()
 	opt := raftboltdb.Options{Path: path}
@@ -209,7 +209,7 @@
 		if errors.Is(err, errBoltInUse) {
 			return nil, fmt.Errorf("%s: in use by another process", path)
 		}
-		return nil, fmt.Errorf("%w: %s: %w; move it away, and this node is rebuilt from the others", ErrDamaged, path, err)
+		return nil, fmt.Errorf("%w: %s: %w; move it away, and this node is rebuilt from the others", ErrCorrupt, path, err)
 	}
 	return b, nil
 }
@@ -299,19 +299,19 @@
 
 // apply has the group take a command. An error means that it may or may not
 // have been taken: with the same request it may be asked again.
-func (n *Node) apply(c Command) (Answer, error) {
+func (n *Node) apply(c Command) (Result, error) {
 	c.At = n.cfg.Clock.Date().UnixMilli()
 	text, err := json.Marshal(c)
 	if err != nil {
-		return Answer{}, fmt.Errorf("command: %w", err)
+		return Result{}, fmt.Errorf("command: %w", err)
 	}
 	f := n.raft.Apply(text, applyWait)
 	if err := n.await(f); err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
+		return Result{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
-	a, ok := f.Response().(Answer)
+	a, ok := f.Response().(Result)
 	if !ok {
-		return Answer{}, fmt.Errorf("command: answered by %T", f.Response())
+		return Result{}, fmt.Errorf("command: answered by %T", f.Response())
 	}
 	return a, nil
 }
@@ -339,7 +339,7 @@
 			n.hearts.lookSessions()
 			if now := n.cfg.Clock.Mono(); now.Sub(looked) >= lapseEvery {
 				looked = now
-				if n.cfg.Lapse.By == "duty" {
+				if n.cfg.ExpiryGuard.ExpiredBy == "duty" {
 					continue
 				}
 				if _, _, err := n.hearts.look(now, Command{}); err != nil {
--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -51,7 +51,7 @@
 	}
 	for _, p := range peers {
 		c := registry.DefaultConfig()
-		c.ID, c.Data, c.Listen, c.Raft, c.Peers = p.ID, filepath.Join(t.TempDir(), "data"), p.HTTP, p.Raft, peers
+		c.ID, c.DataDir, c.Listen, c.Raft, c.Peers = p.ID, filepath.Join(t.TempDir(), "data"), p.HTTP, p.Raft, peers
 		if tune != nil {
 			tune(&c)
 		}
@@ -116,7 +116,7 @@
 			var x registry.Status
 			_, err := one.Do(ctx, http.MethodGet, registry.StatusPath, nil, &x)
 			cancel()
-			if err == nil && x.Role == "Leader" {
+			if err == nil && x.RaftRole == "Leader" {
 				at = i
 				return true
 			}
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -40,7 +40,7 @@
 	OpAdd    Op = "add"    // a registration, new or as it stands
 	OpPhase  Op = "phase"  // up or draining
 	OpRemove Op = "remove" // leaves, or was removed by an operator
-	OpLapse  Op = "lapse"  // several at once that were not heard of
+	OpExpire Op = "lapse"  // several at once that were not heard of
 	OpEpoch  Op = "epoch"  // the group begins, or was restored
 	OpZone   Op = "zone"   // a zone is put into a region, or out of any
 
@@ -49,41 +49,41 @@
 	OpGrant      Op = "grant"       // a duty that nobody holds
 	OpNote       Op = "note"        // where its work stands
 	OpRelease    Op = "release"     // it is given up
-	OpHold       Op = "hold"        // operators: nobody may hold it; or anybody may again
-	OpOrder      Op = "order"       // operators: something to be done by a duty
+	OpDisable    Op = "hold"        // operators: nobody may hold it; or anybody may again
+	OpOperation  Op = "order"       // operators: something to be done by a duty
 	OpProgress   Op = "progress"    // of it, by the duty's holder
 )
 
 // Command is one change, as it stands in the log.
 type Command struct {
-	Request string           `json:"request"` // drawn by the client; a second command with it changes nothing
-	Op      Op               `json:"op"`
-	Member  Member           `json:"member,omitzero"`
-	ID      string           `json:"id,omitempty"`
-	Phase   string           `json:"phase,omitempty"`
-	Holder  string           `json:"holder,omitempty"` // where told, it has to be the member's
-	If      int64            `json:"if,omitempty"`     // where told, the member's Changed has to be this
-	Lapsed  map[string]int64 `json:"lapsed,omitempty"` // by id, the Since of each
-	Epoch   string           `json:"epoch,omitempty"`
-	Zone    string           `json:"zone,omitempty"`
-	Region  string           `json:"region,omitempty"` // empty: the zone is of none
-	Session Session          `json:"session,omitzero"`
-	Ended   []string         `json:"ended,omitempty"`  // sessions
-	Lasted  map[string]int64 `json:"lasted,omitempty"` // by duty, the ms for which an ended session has held it; nil from an older leader
-	Duty    string           `json:"duty,omitempty"`   // of the duty's own; on any other, with Token, its fence
-	Token   int64            `json:"token,omitempty"`
-	Note    string           `json:"note,omitempty"`
-	Next    string           `json:"next,omitempty"`
-	Good    bool             `json:"good,omitempty"` // the work goes well
-	Failed  bool             `json:"failed,omitempty"`
-	Lost    bool             `json:"lost,omitempty"` // release: the lease ended under the work
-	Off     bool             `json:"off,omitempty"`
-	Order   Order            `json:"order,omitzero"`
-	At      int64            `json:"at,omitempty"` // Unix ms, drawn by the leader: replicas read no clock
+	Request        string           `json:"request"` // drawn by the client; a second command with it changes nothing
+	Op             Op               `json:"op"`
+	Member         Member           `json:"member,omitzero"`
+	ID             string           `json:"id,omitempty"`
+	Phase          string           `json:"phase,omitempty"`
+	Holder         string           `json:"holder,omitempty"` // where told, it has to be the member's
+	IfChanged      int64            `json:"if,omitempty"`     // where told, the member's Changed has to be this
+	Expired        map[string]int64 `json:"lapsed,omitempty"` // by id, the Since of each
+	Epoch          string           `json:"epoch,omitempty"`
+	Zone           string           `json:"zone,omitempty"`
+	Region         string           `json:"region,omitempty"` // empty: the zone is of none
+	Session        Session          `json:"session,omitzero"`
+	EndedSessions  []string         `json:"ended,omitempty"`  // sessions
+	LeaseDurations map[string]int64 `json:"lasted,omitempty"` // by duty, the ms for which an ended session has held it; nil from an older leader
+	Role           string           `json:"duty,omitempty"`   // of the duty's own; on any other, with Token, its fence
+	Token          int64            `json:"token,omitempty"`
+	Note           string           `json:"note,omitempty"`
+	Successor      string           `json:"next,omitempty"`
+	Healthy        bool             `json:"good,omitempty"` // the work goes well
+	Failed         bool             `json:"failed,omitempty"`
+	LeaseLost      bool             `json:"lost,omitempty"` // release: the lease ended under the work
+	Disabled       bool             `json:"off,omitempty"`
+	Operation      Operation        `json:"order,omitzero"`
+	At             int64            `json:"at,omitempty"` // Unix ms, drawn by the leader: replicas read no clock
 }
 
-// Answer is what a command came to.
-type Answer struct {
+// Result is what a command came to.
+type Result struct {
 	Revision int64  `json:"revision"`
 	Status   int    `json:"status"` // as HTTP has it: 200, 404, 409
 	Error    string `json:"error,omitempty"`
@@ -102,49 +102,49 @@
 // State is the replicated state. It is plain data and code: no clock, no draw,
 // no goroutine; its user keeps calls apart.
 type State struct {
-	Epoch    string            `json:"epoch"`
-	Revision int64             `json:"revision"`
-	Members  map[string]Member `json:"members"`
-	History  []Change          `json:"history"`
-	Answers  map[string]Answer `json:"answers"`
-	Order    []string          `json:"order"`           // of Answers, oldest first
-	Zones    map[string]string `json:"zones,omitempty"` // the region of each that is in one
+	Epoch       string            `json:"epoch"`
+	Revision    int64             `json:"revision"`
+	Members     map[string]Member `json:"members"`
+	History     []Change          `json:"history"`
+	Results     map[string]Result `json:"answers"`
+	ResultOrder []string          `json:"order"`           // of Answers, oldest first
+	Zones       map[string]string `json:"zones,omitempty"` // the region of each that is in one
 
-	Sessions map[string]Session `json:"sessions,omitempty"`
-	Duties   map[string]Duty    `json:"duties,omitempty"`
-	Tokens   int64              `json:"tokens,omitempty"`   // the last that was granted
-	DutyRev  int64              `json:"duty_rev,omitempty"` // of sessions and duties; only grows
-	Orders   map[string]Order   `json:"orders,omitempty"`
+	Sessions     map[string]Session   `json:"sessions,omitempty"`
+	Roles        map[string]Role      `json:"duties,omitempty"`
+	LastToken    int64                `json:"tokens,omitempty"`   // the last that was granted
+	RoleRevision int64                `json:"duty_rev,omitempty"` // of sessions and duties; only grows
+	Operations   map[string]Operation `json:"orders,omitempty"`
 
 	at map[string]string // the member at each address; made anew where it is nil
 }
 
 // NewState makes that of a group which has just begun.
 func NewState() *State {
-	return &State{Members: map[string]Member{}, Answers: map[string]Answer{}, Zones: map[string]string{},
-		Sessions: map[string]Session{}, Duties: map[string]Duty{}, Orders: map[string]Order{}}
+	return &State{Members: map[string]Member{}, Results: map[string]Result{}, Zones: map[string]string{},
+		Sessions: map[string]Session{}, Roles: map[string]Role{}, Operations: map[string]Operation{}}
 }
 
 // Apply takes one command. The same commands in the same order give the same
 // state and answers everywhere.
-func (s *State) Apply(c Command) Answer {
-	if a, ok := s.Answers[c.Request]; ok && c.Request != "" {
+func (s *State) Apply(c Command) Result {
+	if a, ok := s.Results[c.Request]; ok && c.Request != "" {
 		return a
 	}
 	a := s.apply(&c)
 	a.Revision = s.Revision
 	if c.Request != "" {
-		s.Answers[c.Request] = a
-		s.Order = append(s.Order, c.Request)
-		for len(s.Order) > answersMost {
-			delete(s.Answers, s.Order[0])
-			s.Order = s.Order[1:]
+		s.Results[c.Request] = a
+		s.ResultOrder = append(s.ResultOrder, c.Request)
+		for len(s.ResultOrder) > answersMost {
+			delete(s.Results, s.ResultOrder[0])
+			s.ResultOrder = s.ResultOrder[1:]
 		}
 	}
 	return a
 }
 
-func (s *State) apply(c *Command) Answer {
+func (s *State) apply(c *Command) Result {
 	if a, done := s.applyDuty(c); done {
 		return a
 	}
@@ -165,9 +165,9 @@
 			s.change(&m)
 		}
 		return a
-	case OpLapse:
+	case OpExpire:
 		gone := Change{Revision: s.Revision + 1}
-		for id, since := range c.Lapsed {
+		for id, since := range c.Expired {
 			if m, ok := s.Members[id]; ok && m.Since == since && m.TTL > 0 {
 				m.Phase = discovery.Removed
 				gone.Members = append(gone.Members, m.Member)
@@ -178,8 +178,8 @@
 			slices.SortFunc(gone.Members, func(a, b discovery.Member) int { return strings.Compare(a.ID, b.ID) })
 			s.log(gone)
 		}
-		return Answer{Status: 200}
-	case OpOrder:
+		return Result{Status: 200}
+	case OpOperation:
 		return s.order(c)
 	case OpProgress:
 		return s.progress(c)
@@ -189,28 +189,28 @@
 		} else {
 			s.Zones[c.Zone] = c.Region
 		}
-		return Answer{Status: 200}
+		return Result{Status: 200}
 	case OpEpoch:
 		s.Epoch, s.History = c.Epoch, nil // whoever watches from before gets the whole list
-		s.Tokens = max(s.Tokens, c.At/1000*tokensASecond)
-		s.DutyRev++
+		s.LastToken = max(s.LastToken, c.At/1000*tokensASecond)
+		s.RoleRevision++
 		s.Revision++
-		return Answer{Status: 200}
+		return Result{Status: 200}
 	}
-	return Answer{Status: 400, Error: fmt.Sprintf("op: %q is unknown", c.Op)}
+	return Result{Status: 400, Error: fmt.Sprintf("op: %q is unknown", c.Op)}
 }
 
 // add registers a member. One that registers again as it stands changes
 // nothing; its address belongs to the id that registered it last, so an older
 // one that still claims it is gone.
-func (s *State) add(c *Command) Answer {
+func (s *State) add(c *Command) Result {
 	m := c.Member
 	old, known := s.Members[m.ID]
 	switch {
-	case c.If > 0 && (!known || old.Changed != c.If):
-		return Answer{Status: 409, Error: "the member has changed since", Changed: old.Changed}
-	case known && old.Holder != m.Holder && old.Phase != discovery.Removed && old.HostPort != m.HostPort && c.If == 0:
-		return Answer{Status: 409, Error: fmt.Sprintf("member %s is registered by another, at %s", m.ID, old.HostPort), Changed: old.Changed}
+	case c.IfChanged > 0 && (!known || old.Changed != c.IfChanged):
+		return Result{Status: 409, Error: "the member has changed since", Changed: old.Changed}
+	case known && old.Holder != m.Holder && old.Phase != discovery.Removed && old.HostPort != m.HostPort && c.IfChanged == 0:
+		return Result{Status: 409, Error: fmt.Sprintf("member %s is registered by another, at %s", m.ID, old.HostPort), Changed: old.Changed}
 	}
 	if id, ok := s.addresses()[m.HostPort]; ok && id != m.ID {
 		s.remove(s.Members[id])
@@ -224,28 +224,28 @@
 		m.UpSince = old.UpSince
 	}
 	if known && old.Member == m.Member && old.TTL == m.TTL && old.Holder == m.Holder && old.Static == m.Static {
-		return Answer{Status: 200, Changed: old.Changed}
+		return Result{Status: 200, Changed: old.Changed}
 	}
 	m.Since = s.Revision + 1
 	if again {
 		m.Since = old.Since
 	}
 	s.change(&m)
-	return Answer{Status: 200, Changed: m.Changed}
+	return Result{Status: 200, Changed: m.Changed}
 }
 
 // find gives the member of a command that names one, or why not.
-func (s *State) find(c *Command) (Member, Answer) {
+func (s *State) find(c *Command) (Member, Result) {
 	m, ok := s.Members[c.ID]
 	switch {
 	case !ok:
-		return m, Answer{Status: 404, Error: fmt.Sprintf("member %s is unknown", c.ID)}
-	case c.If > 0 && m.Changed != c.If:
-		return m, Answer{Status: 409, Error: "the member has changed since", Changed: m.Changed}
+		return m, Result{Status: 404, Error: fmt.Sprintf("member %s is unknown", c.ID)}
+	case c.IfChanged > 0 && m.Changed != c.IfChanged:
+		return m, Result{Status: 409, Error: "the member has changed since", Changed: m.Changed}
 	case c.Holder != "" && m.Holder != c.Holder:
-		return m, Answer{Status: 409, Error: fmt.Sprintf("member %s is registered by another", c.ID), Changed: m.Changed}
+		return m, Result{Status: 409, Error: fmt.Sprintf("member %s is registered by another", c.ID), Changed: m.Changed}
 	}
-	return m, Answer{Status: 200, Changed: m.Changed}
+	return m, Result{Status: 200, Changed: m.Changed}
 }
 
 func (s *State) ids() []string {
@@ -351,29 +351,29 @@
 	if s.Sessions == nil {
 		s.Sessions = map[string]Session{}
 	}
-	if s.Orders == nil {
-		s.Orders = map[string]Order{}
+	if s.Operations == nil {
+		s.Operations = map[string]Operation{}
 	}
-	if s.Duties == nil {
-		s.Duties = map[string]Duty{}
+	if s.Roles == nil {
+		s.Roles = map[string]Role{}
 	}
-	for name, d := range s.Duties {
-		if d.Token > s.Tokens {
-			return nil, fmt.Errorf("snapshot: duties.%s.token: %d is beyond the last, %d", name, d.Token, s.Tokens)
+	for name, d := range s.Roles {
+		if d.Token > s.LastToken {
+			return nil, fmt.Errorf("snapshot: duties.%s.token: %d is beyond the last, %d", name, d.Token, s.LastToken)
 		}
 	}
 	for id, m := range s.Members {
 		if m.ID != id || m.Phase == discovery.Removed {
 			return nil, fmt.Errorf("snapshot: members.%s: not a member that can be held", id)
 		}
-		if err := m.Check(); err != nil {
+		if err := m.Validate(); err != nil {
 			return nil, fmt.Errorf("snapshot: %w", err)
 		}
 	}
-	if len(s.Order) != len(s.Answers) {
-		return nil, fmt.Errorf("snapshot: order: %d of %d answers", len(s.Order), len(s.Answers))
+	if len(s.ResultOrder) != len(s.Results) {
+		return nil, fmt.Errorf("snapshot: order: %d of %d answers", len(s.ResultOrder), len(s.Results))
 	}
-	if s.Members == nil || s.Answers == nil {
+	if s.Members == nil || s.Results == nil {
 		return nil, fmt.Errorf("snapshot: members or answers: missing")
 	}
 	return s, nil
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -22,14 +22,14 @@
 // drawCommand draws a command over few ids and addresses, so that they meet.
 func drawCommand(t *rapid.T, n int) Command {
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
-	c := Command{Request: fmt.Sprint(n), Op: rapid.SampledFrom([]Op{OpAdd, OpAdd, OpPhase, OpRemove, OpLapse, OpEpoch}).Draw(t, "op"), ID: id, At: int64(n)}
+	c := Command{Request: fmt.Sprint(n), Op: rapid.SampledFrom([]Op{OpAdd, OpAdd, OpPhase, OpRemove, OpExpire, OpEpoch}).Draw(t, "op"), ID: id, At: int64(n)}
 	switch c.Op {
 	case OpAdd:
 		c.Member = endpoint(id, fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 3).Draw(t, "port")))
 	case OpPhase:
 		c.Phase = rapid.SampledFrom([]string{discovery.Up, discovery.Draining}).Draw(t, "phase")
-	case OpLapse:
-		c.Lapsed = map[string]int64{id: int64(rapid.IntRange(0, n).Draw(t, "since"))}
+	case OpExpire:
+		c.Expired = map[string]int64{id: int64(rapid.IntRange(0, n).Draw(t, "since"))}
 	case OpEpoch:
 		c.Epoch = fmt.Sprint("e", n)
 	}
@@ -130,7 +130,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		var done []Command
-		var answers []Answer
+		var answers []Result
 		for n := range rapid.IntRange(1, 40).Draw(t, "commands") {
 			c := drawCommand(t, n)
 			done, answers = append(done, c), append(answers, s.Apply(c))
@@ -150,7 +150,7 @@
 func TestAddressesAndIDsThatComeAgain(t *testing.T) {
 	s := NewState()
 	n := 0
-	do := func(c Command) Answer { n++; c.Request = fmt.Sprint(n); return s.Apply(c) }
+	do := func(c Command) Result { n++; c.Request = fmt.Sprint(n); return s.Apply(c) }
 	do(Command{Op: OpAdd, Member: endpoint("a", "127.0.0.1:1")})
 	if do(Command{Op: OpAdd, Member: endpoint("b", "127.0.0.1:1")}); len(s.Members) != 1 || s.Members["b"].HostPort != "127.0.0.1:1" {
 		t.Errorf("an address belongs to the id that took it last: %v", s.Members)
@@ -170,7 +170,7 @@
 	if do(Command{Op: OpAdd, Member: endpoint("b", "127.0.0.1:2")}); s.Revision != before {
 		t.Error("one that registers as it stands is a change")
 	}
-	if a := do(Command{Op: OpPhase, ID: "b", Phase: discovery.Draining, If: 1}); a.Status != 409 || a.Changed != s.Members["b"].Changed {
+	if a := do(Command{Op: OpPhase, ID: "b", Phase: discovery.Draining, IfChanged: 1}); a.Status != 409 || a.Changed != s.Members["b"].Changed {
 		t.Errorf("a stale compare-and-set: %+v", a)
 	}
 	if a := do(Command{Op: OpPhase, ID: "x", Phase: discovery.Draining}); a.Status != 404 {
@@ -208,7 +208,7 @@
 	since := s.Members["a"].Since
 	s.Apply(Command{Request: "2", Op: OpRemove, ID: "a"})
 	s.Apply(Command{Request: "3", Op: OpAdd, Member: endpoint("a", "127.0.0.1:1")})
-	if s.Apply(Command{Request: "4", Op: OpLapse, Lapsed: map[string]int64{"a": since}}); len(s.Members) != 1 {
+	if s.Apply(Command{Request: "4", Op: OpExpire, Expired: map[string]int64{"a": since}}); len(s.Members) != 1 {
 		t.Error("ended")
 	}
 }
@@ -266,7 +266,7 @@
 			t.Errorf("%s: not lapsed once confirmed", name)
 		}
 		h.confirmed = false
-		if len(h.due(slices.Values(members), at.Add(time.Duration(cfg.Lapse.Hold)))) == 0 {
+		if len(h.due(slices.Values(members), at.Add(time.Duration(cfg.ExpiryGuard.SuspendFor)))) == 0 {
 			t.Errorf("%s: held back for ever", name)
 		}
 	}
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -25,26 +25,26 @@
 	wholeAt int64
 	changed chan struct{}
 	stirred chan struct{} // closed when a session or a duty has changed
-	applied func(Command, Answer)
+	applied func(Command, Result)
 }
 
 func newStore() *store {
-	return &store{state: NewState(), lines: map[int64][]byte{}, changed: make(chan struct{}), stirred: make(chan struct{}), applied: func(Command, Answer) {}}
+	return &store{state: NewState(), lines: map[int64][]byte{}, changed: make(chan struct{}), stirred: make(chan struct{}), applied: func(Command, Result) {}}
 }
 
 // Apply is raft.FSM's: one committed command.
 func (s *store) Apply(l *raft.Log) any {
 	var c Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return Answer{Status: 400, Error: err.Error()} // the same on every node
+		return Result{Status: 400, Error: err.Error()} // the same on every node
 	}
 	s.mu.Lock()
-	before, duties := s.state.Revision, s.state.DutyRev
+	before, duties := s.state.Revision, s.state.RoleRevision
 	a := s.state.Apply(c)
 	if s.state.Revision != before {
 		s.wake()
 	}
-	if s.state.DutyRev != duties {
+	if s.state.RoleRevision != duties {
 		s.stir()
 	}
 	s.mu.Unlock()
@@ -182,7 +182,7 @@
 }
 
 // duties gives all duties, and what is closed at their next change.
-func (s *store) duties() (DutyList, <-chan struct{}) {
+func (s *store) duties() (RoleList, <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.dutyList(), s.stirred
@@ -201,16 +201,16 @@
 	return maps.Clone(s.state.Sessions)
 }
 
-func (s *store) eachDuty() map[string]Duty {
+func (s *store) eachDuty() map[string]Role {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return maps.Clone(s.state.Duties)
+	return maps.Clone(s.state.Roles)
 }
 
 func (s *store) tokens() (last, dutyRev int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.state.Tokens, s.state.DutyRev
+	return s.state.LastToken, s.state.RoleRevision
 }
 
 // position tells which list this is, and how many members it has.
@@ -222,7 +222,7 @@
 
 // sortBeats tells which heartbeats are of members that are registered by whoever
 // sends them. Its cost is that of the heartbeats, however long the list is.
-func (s *store) sortBeats(beats []Beat) (known, unknown []string) {
+func (s *store) sortBeats(beats []Heartbeat) (known, unknown []string) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, b := range beats {
--- a/internal/registry/tenure_test.go
+++ b/internal/registry/tenure_test.go
@@ -43,18 +43,18 @@
 		}
 	}
 	ask(http.MethodPost, registry.SessionsPath, fmt.Sprintf(`{"id":%q,"warden":%q,"ttl_ms":%d}`, warden, warden, tenureTTL.Milliseconds()), nil)
-	ask(http.MethodPost, registry.DutiesPath+"/d/grant", fmt.Sprintf(`{"session":%q}`, warden), nil)
+	ask(http.MethodPost, registry.RolesPath+"/d/grant", fmt.Sprintf(`{"session":%q}`, warden), nil)
 	for began := time.Now(); time.Since(began) < held; time.Sleep(tenureTTL / 8) {
 		ask(http.MethodPost, registry.SessionsPath+"/"+warden+"/renew", "", nil)
 	}
 	fails := 0
 	registrytest.WaitFor(t, "the end of the session", func() bool {
-		var l registry.DutyList
-		ask(http.MethodGet, registry.DutiesPath, "", &l)
-		if len(l.Sessions) > 0 || len(l.Duties) != 1 || l.Duties[0].Holder != "" {
+		var l registry.RoleList
+		ask(http.MethodGet, registry.RolesPath, "", &l)
+		if len(l.Sessions) > 0 || len(l.Roles) != 1 || l.Roles[0].Holder != "" {
 			return false
 		}
-		fails = l.Duties[0].Fails
+		fails = l.Roles[0].Failures
 		return true
 	})
 	return fails
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -30,7 +30,7 @@
 		r.refused(q, refusedTwice)
 		q.answer(fault(errors.New("id is being handed in already")))
 		return
-	case r.cfg.Policy.MaxHeld > 0 && r.held >= r.cfg.Policy.MaxHeld:
+	case r.cfg.Policy.MaxMessages > 0 && r.held >= r.cfg.Policy.MaxMessages:
 		r.turnAway(q, 0, refusedFull)
 		return
 	}
@@ -38,8 +38,8 @@
 	m.req, m.taken = q, q.at
 	m.due = r.overdue.add(end)
 	r.waiting[q] = m
-	r.events = append(r.events, policy.Event{Kind: policy.EvMessage, Message: m.num, Class: q.class,
-		Dest: q.rec.Dest, Tenant: q.tenant, Left: end - r.now()})
+	r.events = append(r.events, policy.Event{Kind: policy.EventMessage, Message: m.num, Class: q.class,
+		Dest: q.rec.Dest, Tenant: q.tenant, TimeLeft: end - r.now()})
 }
 
 // said: the client has its answer, or left before it.
@@ -76,7 +76,7 @@
 // turnAway refuses what was never taken on.
 func (r *Relay) turnAway(q *request, ms int64, why refusal) {
 	r.refused(q, why)
-	r.fig.ended(q.class, discovery.HandedBack)
+	r.fig.ended(q.class, discovery.Returned)
 	q.answer(busy(ms))
 }
 
@@ -90,13 +90,13 @@
 func (r *Relay) withdraw(m *message) {
 	r.log.Debug("withdrawn", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest)
 	if m.logged {
-		r.wal.Submit(&wal.Record{Kind: wal.End, ID: m.rec.ID}, nil)
+		r.wal.Submit(&wal.Record{Kind: wal.KindCompleted, ID: m.rec.ID}, nil)
 	}
 	m.ending = nil
 	if !m.over {
 		m.over = true
 		r.drop(m)
-		r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: m.num, Spilled: m.spill != nil, Dest: m.rec.Dest})
+		r.events = append(r.events, policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: m.spill != nil, Dest: m.rec.Dest})
 	}
 	r.takeBack(m)
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -33,12 +33,12 @@
 	size := framed(m.rec)
 	for _, b := range r.batches {
 		if b.ep == ep && b.num == a.Call && len(b.sends) < ep.batch && b.bytes+size <= bodyMost {
-			b.sends, b.bytes = append(b.sends, send{m, a.At, a.By}), b.bytes+size
+			b.sends, b.bytes = append(b.sends, send{m, a.Deadline, a.SendBy}), b.bytes+size
 			m.pending = b
 			return
 		}
 	}
-	b := &batch{ep: ep, num: a.Call, sends: []send{{m, a.At, a.By}}, bytes: size}
+	b := &batch{ep: ep, num: a.Call, sends: []send{{m, a.Deadline, a.SendBy}}, bytes: size}
 	m.pending = b
 	r.batches = append(r.batches, b)
 }
@@ -109,7 +109,7 @@
 	last := len(c.parts) - 1
 	for i := range c.parts {
 		rec := c.parts[i].m.rec
-		r.wal.Submit(&wal.Record{Kind: wal.Attempt, ID: rec.ID, At: at, Zone: c.ep.zone, To: c.ep.id, By: r.owner.by, Sync: r.unsafe(rec)}, func(err error) {
+		r.wal.Submit(&wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.ep.zone, Endpoint: c.ep.id, Process: r.owner.by, Sync: r.unsafe(rec)}, func(err error) {
 			if err != nil {
 				results[i] = outcome{what: policy.NotSent, err: err, unsaved: true, unmade: true}
 			} else {
@@ -130,7 +130,7 @@
 		return
 	}
 	o, now := &results[0], r.now()
-	if reset := o.what == policy.Reset; reset || o.status != 0 {
+	if reset := o.what == policy.ConnectionReset; reset || o.status != 0 {
 		c.ep.idle.book(o.idle, reset, now)
 		r.idle.book(o.idle, reset, now)
 	}
@@ -152,8 +152,8 @@
 
 // attempted books the end of an attempt.
 func (r *Relay) attempted(m *message, ep *endpoint, attempt int, o *outcome) {
-	e := policy.Event{Kind: policy.EvOutcome, Message: m.num, Attempt: attempt, Outcome: o.what, Wait: o.wait,
-		Slots: o.slots, Unmade: o.unmade, Settled: o.settled || m.over, Took: o.took, Load: o.load, Fresh: o.fresh}
+	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: attempt, Outcome: o.what, RetryAfter: o.wait,
+		CallsExhausted: o.slots, LocalFailure: o.unmade, Final: o.settled || m.over, Latency: o.took, Load: o.load, NewConnection: o.fresh}
 	if ep != nil {
 		e.Endpoint = ep.num
 	}
@@ -170,14 +170,14 @@
 			"attempt", attempt, "outcome", int(o.what), "status", o.status, "took_ms", o.took/1000,
 			"idle_ms", o.idle.Milliseconds(), "age_ms", time.Since(m.taken).Milliseconds(), "err", o.err)
 	}
-	rec := &wal.Record{Kind: wal.Outcome, ID: m.rec.ID, Ran: !o.what.NeverRan(), Unmade: o.unmade}
+	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: !o.what.NeverRan(), LocalFailure: o.unmade}
 	if o.settled {
-		rec.Kind = wal.End
+		rec.Kind = wal.KindCompleted
 	}
 	if r.owner.passed { // the policy that is to know is another's
-		rec.What, rec.Took, rec.Slots = uint8(o.what), o.took, o.slots
+		rec.OutcomeCode, rec.Latency, rec.CallsExhausted = uint8(o.what), o.took, o.slots
 		if o.wait > 0 {
-			rec.Wait = r.logTime(r.now() + o.wait)
+			rec.RetryAt = r.logTime(r.now() + o.wait)
 		}
 	}
 	if !o.unsaved {
@@ -217,5 +217,5 @@
 // unsafe reports whether a message may not have its effect twice.
 func (r *Relay) unsafe(rec *wal.Record) bool {
 	i, ok := r.cfg.classes[rec.Class]
-	return ok && r.cfg.Policy.Classes[i].Repeat == policy.Unsafe
+	return ok && r.cfg.Policy.Classes[i].Idempotency == policy.NonIdempotent
 }
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -43,7 +43,7 @@
 		wait = min(wait, time.Duration(at-now+1)*time.Microsecond)
 	}
 	for _, x := range s.failed {
-		wait = min(wait, time.Duration(x.At-now+1)*time.Microsecond)
+		wait = min(wait, time.Duration(x.LoadBy-now+1)*time.Microsecond)
 	}
 	return wait
 }
@@ -53,22 +53,22 @@
 func (r *Relay) spill(a *policy.Action) {
 	m := r.msgs[a.Message]
 	if m == nil || m.over { // it was withdrawn in the turn that spilled it
-		r.in.Put(happening{forgone: &policy.Event{Kind: policy.EvWithdraw, Message: a.Message, Spilled: true, Dest: a.Dest}})
+		r.in.Put(happening{forgone: &policy.Event{Kind: policy.EventWithdraw, Message: a.Message, Spilled: true, Dest: a.Dest}})
 		return
 	}
-	m.spill = &backlog.Entry{At: a.At, Flags: flagsOf(a)}
+	m.spill = &backlog.Entry{LoadBy: a.Deadline, Flags: flagsOf(a)}
 	r.letGo(m)
 }
 
 func flagsOf(a *policy.Action) (f backlog.Flags) {
-	if a.Kept {
-		f |= backlog.Kept
+	if a.Recovered {
+		f |= backlog.Recovered
 	}
-	if a.OverShare {
-		f |= backlog.OverShare
+	if a.OverQuota {
+		f |= backlog.OverQuota
 	}
-	if a.InOrder {
-		f |= backlog.InOrder
+	if a.Ordered {
+		f |= backlog.Ordered
 	}
 	return f
 }
@@ -80,17 +80,17 @@
 		return
 	case m.rec.Ref == 0: // its id is that of one whose end is still being told: it can have no record
 		m.over = true
-		r.fig.ended(m.class, discovery.GivenUp)
+		r.fig.ended(m.class, discovery.Failed)
 		r.drop(m)
-		r.end(m, discovery.GivenUp, 0)
-		r.in.Put(happening{forgone: &policy.Event{Kind: policy.EvWithdraw, Message: m.num, Spilled: true, Dest: m.rec.Dest}})
+		r.end(m, discovery.Failed, 0)
+		r.in.Put(happening{forgone: &policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: true, Dest: m.rec.Dest}})
 		return
 	}
 	if !r.spills.told {
 		r.spills.told = true
 		r.log.Info("spilling: more is held than memory is to have", "held", r.held, "in_memory", len(r.msgs))
 	}
-	m.spill.Place, m.spill.Check = uint32(m.rec.Ref), uint16(m.rec.Ref>>32)
+	m.spill.Index, m.spill.Generation = uint32(m.rec.Ref), uint16(m.rec.Ref>>32)
 	r.spills.store.Add(m.rec.Dest, *m.spill)
 	r.forgetDue(m)
 	delete(r.ids, m.rec.ID)
@@ -113,7 +113,7 @@
 		return
 	}
 	s.retry(now)
-	items := s.store.Due(now, loadMost)
+	items := s.store.TakeDue(now, loadMost)
 	for _, x := range items {
 		s.answered(x.Dest)
 	}
@@ -131,7 +131,7 @@
 	s.reading = items
 	refs := make([]wal.Ref, len(items))
 	for i := range items {
-		refs[i] = wal.Ref(items[i].Check)<<32 | wal.Ref(items[i].Place)
+		refs[i] = wal.Ref(items[i].Generation)<<32 | wal.Ref(items[i].Index)
 	}
 	w := r.wal
 	w.Do(func() { r.in.Put(happening{loaded: &loaded{w, items, w.Read(refs)}}) })
@@ -150,7 +150,7 @@
 func (s *spills) retry(now policy.Time) {
 	left := s.failed[:0]
 	for _, x := range s.failed {
-		if x.At > now {
+		if x.LoadBy > now {
 			left = append(left, x)
 		} else {
 			s.store.Add(x.Dest, x.Entry)
@@ -169,7 +169,7 @@
 	for i, rec := range x.recs {
 		item := x.items[i]
 		if rec != nil && rec.ID == "" { // another one instead, and this one again later
-			item.At = r.now() + loadRetry
+			item.LoadBy = r.now() + loadRetry
 			s.failed = append(s.failed, item)
 			r.ask(&policy.Action{Dest: item.Dest, Count: 1})
 			continue
@@ -177,7 +177,7 @@
 		r.held-- // it is counted anew, or over
 		if rec == nil {
 			r.log.Error("a spilled message is owed no longer", "dest", item.Dest)
-			r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Spilled: true, Dest: item.Dest})
+			r.events = append(r.events, policy.Event{Kind: policy.EventWithdraw, Spilled: true, Dest: item.Dest})
 			continue
 		}
 		r.takeBackIn(rec, item)
@@ -188,25 +188,25 @@
 // takeBackIn hands a loaded message to the policy, with its past.
 func (r *Relay) takeBackIn(rec *wal.Record, item backlog.Item) {
 	m := r.newMessage(rec)
-	m.heard, m.logged, m.tries = true, true, rec.Tries
+	m.heard, m.logged, m.tries = true, true, rec.Attempts
 	r.fig.loaded.Add(1)
-	if rec.Lost {
+	if rec.Corrupted {
 		m.over = true
 		r.drop(m)
-		r.end(m, discovery.GivenUp, 0)
+		r.end(m, discovery.Failed, 0)
 		r.log.Error("lost", "message", rec.ID)
-		r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: m.num, Spilled: true, Dest: item.Dest})
+		r.events = append(r.events, policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: true, Dest: item.Dest})
 		return
 	}
-	if rec.Out != 0 { // its outcome could not be logged: it may have run
-		if rec.Doubt == 0 {
-			rec.Doubt, rec.DoubtIn = rec.Out, rec.OutIn
+	if rec.InFlightSince != 0 { // its outcome could not be logged: it may have run
+		if rec.UnknownOutcomeAt == 0 {
+			rec.UnknownOutcomeAt, rec.UnknownOutcomeZone = rec.InFlightSince, rec.InFlightZone
 		}
-		rec.Out = 0
-		r.wal.Submit(&wal.Record{Kind: wal.Outcome, ID: rec.ID, Ran: true}, nil)
+		rec.InFlightSince = 0
+		r.wal.Submit(&wal.Record{Kind: wal.KindOutcome, ID: rec.ID, MayHaveRun: true}, nil)
 	}
 	e := r.owedEvent(m)
-	e.Spilled, e.Kept, e.OverShare = true, item.Flags&backlog.Kept != 0, item.Flags&backlog.OverShare != 0
+	e.Spilled, e.Recovered, e.OverQuota = true, item.Flags&backlog.Recovered != 0, item.Flags&backlog.OverQuota != 0
 	r.events = append(r.events, e)
 }
 
@@ -228,7 +228,7 @@
 	w.Do(func() {
 		rec := w.Fetch(id)
 		found <- rec
-		owed <- rec != nil || w.Owes(id)
+		owed <- rec != nil || w.IsPending(id)
 	})
 	if rec := <-found; rec != nil {
 		r.restore([]*wal.Record{rec}, false)
--- a/internal/relay/backlog_slope_test.go
+++ b/internal/relay/backlog_slope_test.go
@@ -111,7 +111,7 @@
 	}
 	before, _ := s.use()
 	began := time.Now()
-	s.disc.Say(s.t, string(text))
+	s.disc.Send(s.t, string(text))
 	for end := began.Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		s.ep.mu.Lock()
 		done := len(s.ep.calls)
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -105,8 +105,8 @@
 	disc.Set(func(d *discoverytest.Server) {
 		d.List.Members = append(d.List.Members, ep.member("s-7", 7), ep.member("s-8", 8))
 	})
-	disc.Say(t, discoverytest.Change(2, ep.member("s-7", 7)))
-	disc.Say(t, discoverytest.Change(3, ep.member("s-8", 8)))
+	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
+	disc.Send(t, discoverytest.Change(3, ep.member("s-8", 8)))
 	for _, n := range []int{60, 200} { // calls by which it is killed
 		waitFor(t, "some calls", func() bool { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.calls) >= n })
 		c.kill()
@@ -128,13 +128,13 @@
 			ids := putAll(t, dialClient(t, env["ROUTER_LISTEN"]), "m", 300, 7, 25000)
 			c.spilledAtLeast(t, 300-resident)
 			m := ep.member("s-7", 7)
-			disc.Say(t, discoverytest.Change(2, m))
+			disc.Send(t, discoverytest.Change(2, m))
 			waitFor(t, "some calls", func() bool { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.calls) >= 40 })
 			gone := m
 			gone.Phase = discovery.Removed
-			disc.Say(t, discoverytest.Change(3, gone))
+			disc.Send(t, discoverytest.Change(3, gone))
 			waitFor(t, "its going", func() bool { return c.figure(t, "app_members") == 1 })
-			disc.Say(t, discoverytest.Change(4, m))
+			disc.Send(t, discoverytest.Change(4, m))
 			endedOnce(t, disc, ids, false, ep)
 			waitFor(t, "an empty backlog", func() bool { return c.figure(t, "app_pending") == 0 && c.figure(t, "app_spilled") == 0 })
 			if n := c.figure(t, "app_loaded"); n < 300-resident {
@@ -172,7 +172,7 @@
 		for id, at := range due {
 			n, ended := disc.Notice(id)
 			switch {
-			case ended && n.Outcome != discovery.HandedBack:
+			case ended && n.Outcome != discovery.Returned:
 				t.Fatalf("%s: %+v", id, n)
 			case ended && now.Before(at.Add(-100*time.Millisecond)):
 				t.Fatalf("%s: ended %v before its time", id, at.Sub(now))
@@ -217,7 +217,7 @@
 	if n := c.figure(t, "app_pending"); n != len(ids) {
 		t.Errorf("%d pending of %d", n, len(ids))
 	}
-	disc.Say(t, discoverytest.Change(2, ep.member("s-7", 7)))
+	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
 	endedOnce(t, disc, ids, false, ep)
 }
 
@@ -236,7 +236,7 @@
 			env := backlogEnv(t, disc, 64, 1)
 			editConfig(t, env, `"dedup_window_us":20000000`, `"dedup_window_us":6000000`)
 			c := startChild(t, env)
-			disc.Say(t, discoverytest.Change(2, m))
+			disc.Send(t, discoverytest.Change(2, m))
 			cl := dialClient(t, env["ROUTER_LISTEN"])
 			put := func(id, class string, ms int) {
 				t.Helper()
@@ -249,17 +249,17 @@
 			first := time.Now()
 			gone := m
 			gone.Phase = discovery.Removed
-			disc.Say(t, discoverytest.Change(3, gone))
+			disc.Send(t, discoverytest.Change(3, gone))
 			waitFor(t, "its going", func() bool { return c.figure(t, "app_members") == 1 })
 			close(answer)
-			waitFor(t, "the outcome in the log", func() bool { return logged(env["ROUTER_STATE"], wal.Outcome, "keyed") })
+			waitFor(t, "the outcome in the log", func() bool { return logged(env["ROUTER_STATE"], wal.KindOutcome, "keyed") })
 			for i := range 5 { // they have less time, so the keyed one is spilled
 				put(fmt.Sprint("m", i), "plain", 15000+i)
 			}
 			c.spilledAtLeast(t, 5)
 			ep.then(nil)
 			if back {
-				disc.Say(t, discoverytest.Change(4, m))
+				disc.Send(t, discoverytest.Change(4, m))
 				endedOnce(t, disc, []string{"keyed"}, true, ep)
 				if n, took := ep.count("keyed"), time.Since(first); n != 2 || took > 6*time.Second {
 					t.Errorf("%d calls, the last after %v; its window is 6 s", n, took)
@@ -270,7 +270,7 @@
 			if took := time.Since(first); took > 7*time.Second || took < 5*time.Second {
 				t.Errorf("ended after %v, its window is 6 s", took)
 			}
-			disc.Say(t, discoverytest.Change(4, m))
+			disc.Send(t, discoverytest.Change(4, m))
 			for i := range 5 { // a drop may have ended one
 				id := fmt.Sprint("m", i)
 				waitFor(t, "the end of "+id, func() bool { _, ended := disc.Notice(id); return ended || ep.answered(id) })
@@ -307,7 +307,7 @@
 		t.Fatalf("%d taken on, %d refused", len(ids), refused)
 	}
 	c.spilledAtLeast(t, len(ids)-2)
-	disc.Say(t, discoverytest.Change(2, ep.member("s-7", 7)))
+	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
 	endedOnce(t, disc, ids, false, ep)
 }
 
@@ -359,7 +359,7 @@
 	if err := old.cmd.Wait(); err != nil {
 		t.Errorf("exit of the old process: %v", err)
 	}
-	disc.Say(t, discoverytest.Change(2, ep.member("s-7", 7)))
+	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
 	endedOnce(t, disc, ids, false, ep)
 }
 
@@ -386,7 +386,7 @@
 	editConfig(t, env, `"resident":3,`, ``)
 	c = startChild(t, env)
 	waitFor(t, "what is owed", func() bool { return c.figure(t, "app_pending") == len(ids) })
-	disc.Say(t, discoverytest.Change(2, ep.member("s-7", 7)))
+	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
 	endedOnce(t, disc, ids, false, ep)
 }
 
@@ -403,7 +403,7 @@
 
 // handIn takes a message on as the loop and its client do together.
 func handIn(t *testing.T, r *Relay, id string, dest int, left policy.Time) *request {
-	q := &request{class: 0, tenant: 0, rec: &wal.Record{Kind: wal.Taken, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, at: time.Now(), left: time.Duration(left) * time.Microsecond, reply: make(chan string, 1)}
+	q := &request{class: 0, tenant: 0, rec: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, at: time.Now(), left: time.Duration(left) * time.Microsecond, reply: make(chan string, 1)}
 	r.in.Put(happening{put: q})
 	return q
 }
@@ -411,7 +411,7 @@
 // boundRelay is a test relay with so many messages in memory at most.
 func boundRelay(t *testing.T, resident int) *Relay {
 	r := newTestRelay(t)
-	r.cfg.Policy.MaxHeld, r.cfg.Policy.MaxResident = 0, resident
+	r.cfg.Policy.MaxMessages, r.cfg.Policy.MaxResidentMessages = 0, resident
 	decider, err := policy.New(r.cfg.Policy, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -492,9 +492,9 @@
 		t.Fatalf("%d in memory, %d spilled, %d held", len(r.msgs), r.spills.count(), r.held)
 	}
 	// The policy knows of that, too: once nothing is spilled it asks for nothing.
-	r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: 1})
+	r.events = append(r.events, policy.Event{Kind: policy.EventWithdraw, Message: 1})
 	waitFor(t, "the one that is left", func() bool { r.turn(); return r.ids["m1"] != nil })
-	r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: r.ids["m1"].num})
+	r.events = append(r.events, policy.Event{Kind: policy.EventWithdraw, Message: r.ids["m1"].num})
 	if r.turn(); len(r.spills.asked) != 0 || r.spills.count() != 0 {
 		t.Errorf("%d spilled, asked for %v", r.spills.count(), r.spills.asked)
 	}
@@ -506,8 +506,8 @@
 	r := boundRelay(t, 1)
 	r.notices = discovery.NewNotices(discoverytest.New(t).Addr(), quietLog(), func(string) {})
 	r.held = 2
-	item := backlog.Item{Entry: backlog.Entry{At: 1, Place: 9}, Dest: 7}
-	r.back(&loaded{r.wal, []backlog.Item{item, item}, []*wal.Record{{}, {ID: "m", Class: "plain", Dest: 7, Lost: true}}})
+	item := backlog.Item{Entry: backlog.Entry{LoadBy: 1, Index: 9}, Dest: 7}
+	r.back(&loaded{r.wal, []backlog.Item{item, item}, []*wal.Record{{}, {ID: "m", Class: "plain", Dest: 7, Corrupted: true}}})
 	if len(r.spills.failed) != 1 || r.spills.asked[7] != 1 || r.held != 1 {
 		t.Errorf("%d to be tried again, asked for %v, %d held", len(r.spills.failed), r.spills.asked, r.held)
 	}
@@ -518,13 +518,13 @@
 		t.Errorf("%d in the store", r.spills.store.Len())
 	}
 	// One whose outcome could not be logged may have run.
-	r.takeBackIn(&wal.Record{ID: "x", Class: "once", Dest: 7, Tries: 1, Out: r.logTime(r.now()), OutIn: 1}, item)
-	if e := r.events[len(r.events)-1]; e.DoubtAt == 0 || e.DoubtIn != 1 || e.Out != 0 || e.Tries != 1 || !e.Spilled {
+	r.takeBackIn(&wal.Record{ID: "x", Class: "once", Dest: 7, Attempts: 1, InFlightSince: r.logTime(r.now()), InFlightZone: 1}, item)
+	if e := r.events[len(r.events)-1]; e.UnknownOutcomeAt == 0 || e.UnknownOutcomeZone != 1 || e.InFlightEndpoint != 0 || e.Attempts != 1 || !e.Spilled {
 		t.Errorf("the policy is told %+v", e)
 	}
 	waitFor(t, "an end in the log", func() bool {
 		owed := make(chan bool)
-		r.wal.Do(func() { owed <- r.wal.Owes("m") })
+		r.wal.Do(func() { owed <- r.wal.IsPending("m") })
 		return !<-owed
 	})
 }
