--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -169,7 +169,7 @@
 	if !token(id) {
 		return nil, errors.New("id: empty, too long or not plain")
 	}
-	q := &request{rec: &wal.Record{Kind: wal.Taken, ID: id, Body: args[4]}, reply: make(chan string, 1)}
+	q := &request{rec: &wal.Record{Kind: wal.KindAccepted, ID: id, Body: args[4]}, reply: make(chan string, 1)}
 	have := map[string]string{}
 	for part := range strings.SplitSeq(string(args[3]), ",") {
 		name, value, ok := strings.Cut(part, "=")
--- a/internal/relay/clockstep_test.go
+++ b/internal/relay/clockstep_test.go
@@ -207,7 +207,7 @@
 	s.start()
 	s.put("mark", "plain", 20*time.Second, 1)
 	s.delivered(s.quick, "mark")
-	if n, ended := s.disc.Notice("keyed"); !ended || n.Outcome != discovery.GivenUp || s.hung.count("keyed") != 1 {
+	if n, ended := s.disc.Notice("keyed"); !ended || n.Outcome != discovery.Failed || s.hung.count("keyed") != 1 {
 		t.Errorf("%d calls, ended %v by %q", s.hung.count("keyed"), ended, n.Outcome)
 	}
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -31,23 +31,23 @@
 
 // Config is everything that a relay is told before it starts.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	State     string // the folder that outlasts the process
-	Operator  string // where the staff's calls come in; empty for nowhere
-	Seed      uint64
-	Limits    Limits
-	Known     *discovery.List // the list as this relay last had it, maybe old
-	Policy    policy.Settings
-	Promise   wal.Promise // what a message that was taken on outlives
-	FS        wal.FS      // of the log; nil for the machine's own
-	Connect   ConnectHook // nil for none
-	zones     map[string]int
-	kinds     map[string]int
-	classes   map[string]int
-	tenants   map[string]int
-	loads     []string // fields of a load report
+	Name       string
+	Listen     string
+	Discovery  string
+	StateDir   string // the folder that outlasts the process
+	Operator   string // where the staff's calls come in; empty for nowhere
+	Seed       uint64
+	Limits     Limits
+	KnownList  *discovery.List // the list as this relay last had it, maybe old
+	Policy     policy.Settings
+	Durability wal.Durability // what a message that was taken on outlives
+	FS         wal.FS         // of the log; nil for the machine's own
+	Connect    ConnectHook    // nil for none
+	zones      map[string]int
+	kinds      map[string]int
+	classes    map[string]int
+	tenants    map[string]int
+	loads      []string // fields of a load report
 }
 
 // LoadConfig reads the file that ROUTER_CONFIG names. What the environment
@@ -64,10 +64,10 @@
 	return parseConfig(text, getenv)
 }
 
-// Moves reads the file that ROUTER_CONFIG names again at each signal, and gives
+// WatchDiscoveryAddress reads the file that ROUTER_CONFIG names again at each signal, and gives
 // discovery's address as it stands there: the environment is as old as the
 // process. A file that cannot be used leaves everything as it was.
-func Moves(signals <-chan os.Signal, getenv func(string) string, log *slog.Logger) <-chan string {
+func WatchDiscoveryAddress(signals <-chan os.Signal, getenv func(string) string, log *slog.Logger) <-chan string {
 	moved := make(chan string)
 	go func() {
 		for range signals {
@@ -120,12 +120,12 @@
 		}
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, State: f.State, Limits: f.Limits, Known: f.Known}
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, StateDir: f.State, Limits: f.Limits, KnownList: f.Known}
 	for _, v := range []struct {
 		env, key string
 		to       *string
 	}{{"ROUTER_NAME", "name", &c.Name}, {"ROUTER_LISTEN", "listen", &c.Listen},
-		{"ROUTER_DISCOVERY", "discovery", &c.Discovery}, {"ROUTER_STATE", "state", &c.State}} {
+		{"ROUTER_DISCOVERY", "discovery", &c.Discovery}, {"ROUTER_STATE", "state", &c.StateDir}} {
 		if s := getenv(v.env); s != "" {
 			*v.to = s
 		}
@@ -147,7 +147,7 @@
 	switch f.Promise {
 	case "", "process":
 	case "power":
-		c.Promise = wal.Power
+		c.Durability = wal.SurvivesPowerLoss
 	default:
 		return nil, fmt.Errorf("config: promise: %q; process and power are allowed", f.Promise)
 	}
@@ -167,8 +167,8 @@
 	if err := c.read(f.Settings); err != nil {
 		return nil, err
 	}
-	if c.Policy.MaxResident = residentOf(c.Limits.MemoryMB); f.Resident != nil {
-		c.Policy.MaxResident = *f.Resident
+	if c.Policy.MaxResidentMessages = residentOf(c.Limits.MemoryMB); f.Resident != nil {
+		c.Policy.MaxResidentMessages = *f.Resident
 	}
 	return c, nil
 }
@@ -185,7 +185,7 @@
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if c.Policy, err = settings.Policy(s); err != nil {
+	if c.Policy, err = settings.ToPolicy(s); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
 	if err := c.Policy.Validate(); err != nil {
@@ -193,7 +193,7 @@
 	}
 	// On sockets a connection carries one call at a time, whatever the
 	// simulator's connections carry.
-	c.Policy.Streams = 1
+	c.Policy.StreamsPerConnection = 1
 	var names struct {
 		Localities []string `json:"localities"`
 	}
@@ -271,7 +271,7 @@
 // the clients keep half.
 func (c *Config) budget() (clients, endpoints int) {
 	free := c.Limits.Sockets - ownSockets - c.operatorConns()
-	endpoints = min(max(free/4, c.Policy.Slots+8), free/2)
+	endpoints = min(max(free/4, c.Policy.MaxCalls+8), free/2)
 	return free - endpoints, endpoints
 }
 
@@ -283,4 +283,6 @@
 	return min(operatorConns, c.Limits.Sockets/8)
 }
 
-func (c *Config) keyed(class int) bool { return c.Policy.Classes[class].Repeat == policy.Keyed }
+func (c *Config) keyed(class int) bool {
+	return c.Policy.Classes[class].Idempotency == policy.IdempotentByKey
+}
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -19,7 +19,7 @@
 		"sockets":       {`"sockets":256`, `"sockets":3`, "limits.sockets"},
 		"memory":        {`"memory_mb":64`, `"memory_mb":"much"`, "memory_mb"},
 		"disk":          {`"disk_mb":2`, `"disk_mb":-2`, "limits.disk_mb"},
-		"slots":         {`"calls_out":16`, `"calls_out":0`, "Slots"},
+		"slots":         {`"calls_out":16`, `"calls_out":0`, "MaxCalls"},
 		"class repeat":  {`"repeat":"fragile"`, `"repeat":"maybe"`, "classes[2].repeat"},
 		"class time":    {`"deadline_us":20000000,"dedup_window_us":20000000`, `"deadline_us":0`, "Classes[1].Deadline"},
 		"type":          {`"balancers":1`, `"balancers":"one"`, "balancers"},
@@ -42,7 +42,7 @@
 		})
 	}
 	c, err := parseConfig([]byte(good), func(k string) string { return map[string]string{"ROUTER_STATE": "/y"}[k] })
-	if err != nil || c.State != "/y" || c.Seed != 0x1f || c.Policy.Slots != 16 || c.Policy.Streams != 1 || c.zones["b"] != 1 || c.classes["once"] != 2 {
+	if err != nil || c.StateDir != "/y" || c.Seed != 0x1f || c.Policy.MaxCalls != 16 || c.Policy.StreamsPerConnection != 1 || c.zones["b"] != 1 || c.classes["once"] != 2 {
 		t.Errorf("got %+v, %v", c, err)
 	}
 	for _, x := range []struct {
@@ -54,12 +54,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c.Policy.MaxResident != x.want {
-			t.Errorf("%s MB%s: %d in memory, want %d", x.memory, x.key, c.Policy.MaxResident, x.want)
+		if c.Policy.MaxResidentMessages != x.want {
+			t.Errorf("%s MB%s: %d in memory, want %d", x.memory, x.key, c.Policy.MaxResidentMessages, x.want)
 		}
 	}
 	clients, endpoints := c.budget()
-	if clients+endpoints+ownSockets > 256 || endpoints < c.Policy.Slots {
+	if clients+endpoints+ownSockets > 256 || endpoints < c.Policy.MaxCalls {
 		t.Errorf("budget %d and %d of 256", clients, endpoints)
 	}
 }
@@ -73,8 +73,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c.Policy.Reports != want {
-			t.Errorf("%s: %v", how, c.Policy.Reports)
+		if c.Policy.LoadReports != want {
+			t.Errorf("%s: %v", how, c.Policy.LoadReports)
 		}
 	}
 }
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -192,7 +192,7 @@
 // logFiles names the files of a relay's log.
 func logFiles(t *testing.T, env map[string]string) string {
 	t.Helper()
-	all, err := os.ReadDir(filepath.Join(env["ROUTER_STATE"], wal.Name))
+	all, err := os.ReadDir(filepath.Join(env["ROUTER_STATE"], wal.FolderName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -273,7 +273,7 @@
 	back := time.Now()
 	waitFor(t, "the watch", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) > before })
 	heard := time.Since(back)
-	waitFor(t, "the notice", func() bool { n, ok := disc.Notice("failed"); return ok && n.Outcome == discovery.GivenUp })
+	waitFor(t, "the notice", func() bool { n, ok := disc.Notice("failed"); return ok && n.Outcome == discovery.Failed })
 	t.Logf("%d connections came, %d of %d tries taken on, up to %d descriptors of %d; heard after %v, told after %v",
 		cr.came.Load(), taken, tries, most.Load(), descriptors, heard, time.Since(back))
 	if early {
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -26,7 +26,7 @@
 // configuration serves, with no wait for a better one.
 func TestStartTurnedAway(t *testing.T) {
 	r := newTestRelay(t)
-	r.cfg.Known = &discovery.List{Complete: true, Members: []discovery.Member{{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
+	r.cfg.KnownList = &discovery.List{Complete: true, Members: []discovery.Member{{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
 	r.in.Put(happening{refused: true})
 	done := make(chan struct{})
 	go func() { r.firstList(time.Hour); close(done) }()
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -46,7 +46,7 @@
 }
 
 func (d faultyDisk) Open(name string, how wal.Mode) (wal.File, error) {
-	if how == wal.Create {
+	if how == wal.ModeCreate {
 		if err := d.fault(); err != nil {
 			return nil, &os.PathError{Op: "open", Path: name, Err: err}
 		}
@@ -179,7 +179,7 @@
 			if took := time.Since(refused); took > lateWait {
 				t.Errorf("refused after %v", took)
 			}
-			disc.Say(t, discoverytest.Change(2, later.member("s-5", 5)))
+			disc.Send(t, discoverytest.Change(2, later.member("s-5", 5)))
 			close(release)
 			waitFor(t, "the end of the call", func() bool { return slow.answered("out") })
 			time.Sleep(1500 * time.Millisecond) // the disk is away for that long
@@ -202,7 +202,7 @@
 			waitFor(t, "after", func() bool { return quick.answered("after") })
 			waitFor(t, "the log is up to date", func() bool {
 				r, err := wal.Inspect(nil, env["ROUTER_STATE"])
-				return err == nil && r.Owed == 0
+				return err == nil && r.Pending == 0
 			})
 			c.kill()
 			c = spawnTo(t, env, io.Discard)
@@ -270,7 +270,7 @@
 				t.Fatal(s)
 			}
 			waitFor(t, "new", func() bool { return ep.answered("new") })
-			if r, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || r.Owed < 1 || !r.Sound() {
+			if r, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || r.Pending < 1 || !r.Sound() {
 				t.Errorf("%+v, %v", r, err)
 			}
 		})
@@ -297,7 +297,7 @@
 		if id == "timely" {
 			left = time.Second
 		}
-		q := &request{class: 0, tenant: 0, rec: &wal.Record{Kind: wal.Taken, ID: id, Class: "plain", Dest: 7}, at: time.Now(), left: left, reply: make(chan string, 1)}
+		q := &request{class: 0, tenant: 0, rec: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, at: time.Now(), left: left, reply: make(chan string, 1)}
 		r.admit(q)
 		taken[id] = r.ids[id]
 		r.step()
@@ -310,7 +310,7 @@
 	due := taken["timely"].rec.Deadline
 	for _, m := range taken {
 		m.over = true
-		r.end(m, discovery.HandedBack, 5)
+		r.end(m, discovery.Returned, 5)
 	}
 	for r.logTime(r.now()) < due-50e3 {
 		r.sweepEndings()
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -28,13 +28,13 @@
 
 // end logs how a message ended and has the platform told.
 func (r *Relay) end(m *message, word string, ms int64) {
-	if word == discovery.GivenUp {
+	if word == discovery.Failed {
 		ms = 0
 	}
 	e := &ending{notice: discovery.Notice{Message: m.rec.ID, Outcome: word, RetryMS: ms}, by: r.fromLogTime(m.rec.Deadline)}
 	r.endings = append(r.endings, e)
-	r.wal.Submit(&wal.Record{Kind: wal.Ending, ID: m.rec.ID, Notice: word, RetryMS: ms}, func(err error) {
-		if err == nil || errors.Is(err, wal.ErrNotOwed) {
+	r.wal.Submit(&wal.Record{Kind: wal.KindCompleting, ID: m.rec.ID, Notice: word, RetryMS: ms}, func(err error) {
+		if err == nil || errors.Is(err, wal.ErrNotPending) {
 			e.tell(r.notices)
 		}
 	})
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -86,7 +86,7 @@
 // them would hang or be reset under a call that may then have run.
 func (ep *endpoint) suspect(o *outcome, now policy.Time) bool {
 	switch o.what {
-	case policy.Reset, policy.NoConnect:
+	case policy.ConnectionReset, policy.ConnectFailed:
 		return true
 	case policy.TimedOut, policy.Cancelled:
 		return ep.answerAt < now-o.took // others that were sent later were answered: one slow call
@@ -283,7 +283,7 @@
 	slots   bool // not sent, since all slots were taken
 	settled bool // the message is over
 	took    policy.Time
-	load    policy.Load
+	load    policy.LoadReport
 	status  int
 	err     error
 	idle    time.Duration // for which its connection had been idle; 0 for one in use or new
@@ -431,7 +431,7 @@
 	if err != nil {
 		conn := line.Load()
 		o.what, o.err = c.failure(ctx, err, conn), err
-		if o.what == policy.NoConnect && c.stage.Load() == callWaiting && isLocal(err) {
+		if o.what == policy.ConnectFailed && c.stage.Load() == callWaiting && isLocal(err) {
 			o.what, o.unmade = policy.NotSent, true
 		}
 		if len(recs) == 1 && conn != nil && c.stage.Load() == callWritten && conn.said200() {
@@ -478,7 +478,7 @@
 		case "accepted":
 			o.what, o.settled = policy.Delivered, true
 		case "deferred":
-			o.what = policy.Full
+			o.what = policy.Rejected
 		case "expired":
 			o.what, o.settled = policy.NotSent, true
 		case "no_more":
@@ -495,9 +495,9 @@
 	case stage == callStopped && !errors.Is(context.Cause(ctx), errCancelled):
 		return policy.NotSent
 	case stage == callStopped || stage == callWaiting: // none came up while it was waited for
-		return policy.NoConnect
+		return policy.ConnectFailed
 	case stage == callSending && c.broken.Load() && ctx.Err() == nil:
-		return policy.NoConnect
+		return policy.ConnectFailed
 	}
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
@@ -507,7 +507,7 @@
 	case conn != nil && conn.unreadable():
 		return policy.Errored // the endpoint is there, and its other connections are sound
 	}
-	return policy.Reset
+	return policy.ConnectionReset
 }
 
 // readAnswer maps an answer to an outcome.
@@ -518,9 +518,9 @@
 	case http.StatusOK:
 		o.what, o.settled = policy.Delivered, true
 	case http.StatusTooManyRequests:
-		o.what = policy.Full
+		o.what = policy.Rejected
 	case http.StatusServiceUnavailable:
-		if o.what = policy.Full; resp.Header.Get("Slots-Taken") == "1" {
+		if o.what = policy.Rejected; resp.Header.Get("Slots-Taken") == "1" {
 			o.what, o.slots = policy.NotSent, true
 		}
 	case http.StatusGatewayTimeout: // has had all its attempts
@@ -542,7 +542,7 @@
 }
 
 // readLoad reads a report such as x0=0.4,x1=25.
-func readLoad(s string, fields []string) (l policy.Load) {
+func readLoad(s string, fields []string) (l policy.LoadReport) {
 	if len(fields) == 0 {
 		return l
 	}
@@ -554,9 +554,9 @@
 		}
 		switch name {
 		case "x0":
-			l.Left, l.Told = v, true
+			l.Remaining, l.Present = v, true
 		case "x1":
-			l.Limit, l.Told = v, true
+			l.Limit, l.Present = v, true
 		}
 	}
 	return l
@@ -574,7 +574,7 @@
 	resp, err := conns.RoundTrip(req)
 	o := outcome{took: time.Since(began).Microseconds()}
 	if err != nil {
-		o.err, o.what = err, policy.Reset
+		o.err, o.what = err, policy.ConnectionReset
 		if ctx.Err() != nil {
 			o.what = policy.TimedOut
 		}
@@ -586,7 +586,7 @@
 	case http.StatusOK:
 		o.what = policy.Delivered
 	case http.StatusServiceUnavailable:
-		o.what = policy.Full
+		o.what = policy.Rejected
 	default:
 		o.what = policy.Errored
 	}
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -94,21 +94,21 @@
 		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: policy.Delivered, settled: true},
 		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: policy.Delivered, settled: true},
 		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: policy.Full, wait: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: policy.Full},
+		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected, wait: 750000},
+		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected},
 		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, slots: true},
 		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent},
 		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, settled: true},
 		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
 		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"broken after":       {serve: say(""), what: policy.Reset},
+		"broken after":       {serve: say(""), what: policy.ConnectionReset},
 		"nonsense":           {serve: say("what?\r\n\r\n"), what: policy.Errored},
 		"garbled status":     {serve: say("HTTP/1.1 2x0 OK\r\n\r\n"), what: policy.Errored},
 		"200, head cut":      {serve: say("HTTP/1.1 200 OK\r\nContent-Le"), what: policy.Delivered, settled: true},
 		"200, head garbled":  {serve: say("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"), what: policy.Delivered, settled: true},
-		"500, head cut":      {serve: say("HTTP/1.1 500 E\r\nContent-Le"), what: policy.Reset},
-		"half a first line":  {serve: say("HTTP/1.1 200 O"), what: policy.Reset},
-		"half an answer":     {serve: say("HTTP/1.1 20"), what: policy.Reset},
+		"500, head cut":      {serve: say("HTTP/1.1 500 E\r\nContent-Le"), what: policy.ConnectionReset},
+		"half a first line":  {serve: say("HTTP/1.1 200 O"), what: policy.ConnectionReset},
+		"half an answer":     {serve: say("HTTP/1.1 20"), what: policy.ConnectionReset},
 		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: policy.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -136,13 +136,13 @@
 		wait   policy.Time
 	}{
 		"told apart": {answer: body("200 OK\r\nRetry-After: 0.5", ok), wait: 500000, what: []policy.Outcome{policy.Delivered,
-			policy.Errored, policy.Full, policy.NotSent, policy.NotSent, policy.Errored}},
-		"turned away":    {answer: body("429 W\r\nRetry-After: 2", ""), wait: 2000000, what: same(policy.Full)},
-		"full":           {answer: body("503 F", ""), what: same(policy.Full)},
+			policy.Errored, policy.Rejected, policy.NotSent, policy.NotSent, policy.Errored}},
+		"turned away":    {answer: body("429 W\r\nRetry-After: 2", ""), wait: 2000000, what: same(policy.Rejected)},
+		"full":           {answer: body("503 F", ""), what: same(policy.Rejected)},
 		"error":          {answer: body("500 E", ""), what: same(policy.Errored)},
 		"cannot be read": {answer: body("200 OK", `[{"id":"a","state":"acc`), what: same(policy.Errored)},
 		"chunks garbled": {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", what: same(policy.Errored)},
-		"cut":            {answer: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + ok, what: same(policy.Reset)},
+		"cut":            {answer: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + ok, what: same(policy.ConnectionReset)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := make(chan string, 1)
@@ -197,7 +197,7 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := runOne(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testLimit); o.what != policy.NoConnect {
+	if o := runOne(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testLimit); o.what != policy.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	gone := make(chan struct{}, 2)
@@ -305,7 +305,7 @@
 			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.what != policy.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
-			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.what != policy.Reset {
+			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.what != policy.ConnectionReset {
 				t.Errorf("second: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
@@ -377,7 +377,7 @@
 	c.parts = []part{{m: over}, {m: &message{}}}
 	go func() { <-dialing; c.drop(over) }()
 	for _, o := range c.run(conns, ep.addr(), []*wal.Record{{ID: "over"}, {ID: "other"}}, testLimit, nil) {
-		if o.what != policy.NoConnect || o.took > testLimit.Microseconds()/2 {
+		if o.what != policy.ConnectFailed || o.took > testLimit.Microseconds()/2 {
 			t.Errorf("got %+v", o)
 		}
 	}
@@ -420,7 +420,7 @@
 	told := begin(one, callWritten)
 	calls := map[*call]bool{begin(one, callWaiting): true, begin(twin, callWaiting): true,
 		begin(one, callSending): false, begin(other, callWaiting): false}
-	r.finished(told, []outcome{{what: policy.Full, status: http.StatusTooManyRequests, wait: 600e6}})
+	r.finished(told, []outcome{{what: policy.Rejected, status: http.StatusTooManyRequests, wait: 600e6}})
 	for c, stopped := range calls {
 		if got := c.ctx.Err() != nil; got != stopped || got && c.failure(c.ctx, c.ctx.Err(), nil) != policy.NotSent {
 			t.Errorf("%s, stage %d: stopped %v", c.ep.id, c.stage.Load(), got)
@@ -448,9 +448,9 @@
 		{outcome{what: policy.Delivered, status: 200, took: 10}, 1000, false},
 		{outcome{what: policy.TimedOut, took: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
 		{outcome{what: policy.TimedOut, took: 500}, 2000, true},
-		{outcome{what: policy.Reset}, 2100, true},
-		{outcome{what: policy.NoConnect}, 2200, true},
-		{outcome{what: policy.Full, status: 503}, 2300, false},
+		{outcome{what: policy.ConnectionReset}, 2100, true},
+		{outcome{what: policy.ConnectFailed}, 2200, true},
+		{outcome{what: policy.Rejected, status: 503}, 2300, false},
 		{outcome{what: policy.Cancelled, took: 50}, 2320, false},
 	} {
 		if got := ep.suspect(&x.o, x.now); got != x.want {
@@ -507,18 +507,18 @@
 
 func TestReadLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
-	for s, want := range map[string]policy.Load{"x0=0.4,x1=25": {Left: 0.4, Limit: 25, Told: true}, "x1=3": {Limit: 3, Told: true}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}} {
+	for s, want := range map[string]policy.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25, Present: true}, "x1=3": {Limit: 3, Present: true}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}} {
 		if got := readLoad(s, fields); got != want {
 			t.Errorf("%q: %+v", s, got)
 		}
 	}
-	if got := readLoad("x0=1", nil); got != (policy.Load{}) {
+	if got := readLoad("x0=1", nil); got != (policy.LoadReport{}) {
 		t.Errorf("a report where none is due: %+v", got)
 	}
 }
 
 func TestProbe(t *testing.T) {
-	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Full, 404: policy.Errored} {
+	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Errored} {
 		ep := newFakeEndpoint(t, status(code))
 		if o := probe(context.Background(), testConns(t, 2), ep.addr()); o.what != want {
 			t.Errorf("%d: %+v", code, o)
@@ -537,7 +537,7 @@
 	conns := testConns(t, 4)
 	defer conns.CloseIdleConnections()
 	for i, want := range []bool{true, false} {
-		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.fresh != want || o.what != policy.Full {
+		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.fresh != want || o.what != policy.Rejected {
 			t.Errorf("call %d: fresh %v, %+v", i, o.fresh, o)
 		}
 	}
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -51,7 +51,7 @@
 		cfg.Connect = faultyConnect(path)
 	}
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-	if err := Run(cfg, log, ctx.Done(), Moves(hup, os.Getenv, log)); err != nil {
+	if err := Run(cfg, log, ctx.Done(), WatchDiscoveryAddress(hup, os.Getenv, log)); err != nil {
 		log.Error("child", "err", err)
 		os.Exit(1)
 	}
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -67,7 +67,7 @@
 	if class < 0 {
 		return
 	}
-	if word == discovery.HandedBack {
+	if word == discovery.Returned {
 		f.lanes[class].rejected.Add(1)
 	} else {
 		f.lanes[class].failed.Add(1)
--- a/internal/relay/idle_test.go
+++ b/internal/relay/idle_test.go
@@ -46,7 +46,7 @@
 	r.list(&discovery.List{Complete: true, Members: []discovery.Member{ep.member("s-1", 7)}}, policy.ListFull)
 	at := r.endpoints["s-1"]
 	send1 := func(id string) {
-		m := r.newMessage(&wal.Record{Kind: wal.Taken, ID: id, Dest: 7, Class: "plain"})
+		m := r.newMessage(&wal.Record{Kind: wal.KindAccepted, ID: id, Dest: 7, Class: "plain"})
 		m.heard, m.logged, m.tries = true, true, 1
 		r.wal.Submit(m.rec, nil)
 		r.launch(&batch{ep: at, sends: []send{{m: m, at: r.now() + 20e6}}})
@@ -57,7 +57,7 @@
 	}
 	<-r.in.Ready()
 	for _, h := range r.in.TakeAll(nil) {
-		r.finished(h.call, []outcome{{what: policy.Reset, idle: 300 * time.Millisecond}})
+		r.finished(h.call, []outcome{{what: policy.ConnectionReset, idle: 300 * time.Millisecond}})
 	}
 	send1("b")
 	if got, want := at.conns.IdleConnTimeout, 256*time.Millisecond; got != want {
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -8,18 +8,18 @@
 // The list of endpoints, as the loop keeps it.
 
 // list books news of the list.
-func (r *Relay) list(l *discovery.List, kind policy.ListNews) {
-	e := policy.Event{Kind: policy.EvList, List: kind}
+func (r *Relay) list(l *discovery.List, kind policy.ListUpdateKind) {
+	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: kind}
 	seen := map[string]bool{}
 	for i := range l.Members {
 		x := &l.Members[i]
-		if x.Check() != nil {
+		if x.Validate() != nil {
 			continue // in the configuration's list; discovery's is checked already
 		}
 		seen[x.ID] = true
 		e.Entries = append(e.Entries, r.member(x))
 	}
-	if kind != policy.ListChange {
+	if kind != policy.ListDelta {
 		for id, ep := range r.endpoints {
 			if !seen[id] {
 				r.setListed(ep, false)
@@ -51,7 +51,7 @@
 		Dest: x.Cell, State: policy.Ready, Rate: x.Size}
 	ep.zone, ep.batch = entry.Zone, 1
 	if entry.Kind >= 0 {
-		ep.batch = max(r.cfg.Policy.Kinds[entry.Kind].Batch, 1)
+		ep.batch = max(r.cfg.Policy.Kinds[entry.Kind].MaxBatch, 1)
 	}
 	defer func() { ep.entry = entry }()
 	switch x.Phase {
@@ -61,7 +61,7 @@
 		entry.State = policy.Draining
 		r.leave(ep)
 	case discovery.Removed:
-		entry.State, entry.Dest = policy.Gone, ep.cell
+		entry.State, entry.Dest = policy.Removed, ep.cell
 		r.leave(ep)
 	}
 	return entry
@@ -87,7 +87,7 @@
 func (r *Relay) toldWait(ep *endpoint, wait policy.Time) {
 	kinds, kind := r.cfg.Policy.Kinds, ep.entry.Kind
 	sharing := r.members.byCell[ep.cell]
-	if kind >= 0 && kind < len(kinds) && kinds[kind].Apart {
+	if kind >= 0 && kind < len(kinds) && kinds[kind].SeparateRoutes {
 		sharing = []*endpoint{ep}
 	}
 	for _, x := range sharing {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -250,7 +250,7 @@
 	}
 	if n > 0 {
 		r.timers = slices.Delete(r.timers, 0, n)
-		r.events = append(r.events, policy.Event{Kind: policy.EvTimer})
+		r.events = append(r.events, policy.Event{Kind: policy.EventTimer})
 	}
 }
 
@@ -274,13 +274,13 @@
 	case h.lost != nil:
 		r.lost(h.lost)
 	case h.noticed != "":
-		r.wal.Submit(&wal.Record{Kind: wal.End, ID: h.noticed}, nil)
+		r.wal.Submit(&wal.Record{Kind: wal.KindCompleted, ID: h.noticed}, nil)
 	case h.unkept != nil:
 		r.unkept(h.unkept)
 	case h.passed:
 		r.hasPassed(h.ok)
 	case h.news != nil:
-		kind := policy.ListChange
+		kind := policy.ListDelta
 		if h.news.Complete {
 			kind = policy.ListFull
 		}
@@ -292,11 +292,11 @@
 	case h.call != nil:
 		r.finished(h.call, h.results)
 	case h.ask != 0 && r.stopAt.IsZero(): // a relay that ends is not taken into service again
-		r.log.Info("asked by the operators", "drain", h.ask == policy.EvDrain)
+		r.log.Info("asked by the operators", "drain", h.ask == policy.EventDrain)
 		r.events = append(r.events, policy.Event{Kind: h.ask})
 	case h.probed != 0:
-		r.events = append(r.events, policy.Event{Kind: policy.EvProbed, Endpoint: h.probed,
-			Outcome: h.result.what, Took: h.result.took, Load: h.result.load})
+		r.events = append(r.events, policy.Event{Kind: policy.EventHealthChecked, Endpoint: h.probed,
+			Outcome: h.result.what, Latency: h.result.took, Load: h.result.load})
 	}
 }
 
@@ -306,7 +306,7 @@
 	r.fig.members.Store(int64(r.members.listed))
 	r.fig.unavailable.Store(int64(r.avoided(r.shownAt)))
 	r.fig.pending.Store(int64(r.held - len(r.far))) // those are the other process's until their calls are over
-	r.fig.logWaits.Store(r.wal.Waiting())
+	r.fig.logWaits.Store(r.wal.UnwrittenRecords())
 	r.showOverdue()
 }
 
@@ -327,7 +327,7 @@
 	r.events = nil
 	fresh := make([]*message, 0, len(events))
 	for i := range events {
-		if events[i].Kind == policy.EvMessage {
+		if events[i].Kind == policy.EventMessage {
 			if m := r.msgs[events[i].Message]; m != nil && m.req != nil {
 				fresh = append(fresh, m)
 			}
@@ -339,10 +339,10 @@
 	// log, so that no send comes before it.
 	for i := range r.actions {
 		switch a := &r.actions[i]; a.Kind {
-		case policy.ActRefuse:
-			r.ended(a, discovery.HandedBack)
-		case policy.ActFail:
-			r.ended(a, discovery.GivenUp)
+		case policy.ActionReject:
+			r.ended(a, discovery.Returned)
+		case policy.ActionFail:
+			r.ended(a, discovery.Failed)
 		}
 	}
 	for _, m := range fresh {
@@ -368,11 +368,11 @@
 	}
 	m.over = true
 	r.fig.ended(m.class, word)
-	ms := (a.After + 999) / 1000
+	ms := (a.Delay + 999) / 1000
 	if q := m.req; q != nil { // not taken on: the client hears it at once
 		m.req = nil
 		delete(r.waiting, q)
-		if word == discovery.HandedBack {
+		if word == discovery.Returned {
 			r.refused(q, refusedPolicy)
 			q.answer(busy(ms))
 		} else {
@@ -395,12 +395,12 @@
 // act carries out what is no final answer.
 func (r *Relay) act(now policy.Time, a *policy.Action) {
 	switch a.Kind {
-	case policy.ActSend:
+	case policy.ActionSend:
 		if m := r.msgs[a.Message]; m != nil {
 			m.tries++
 			r.gather(m, a)
 		}
-	case policy.ActCancel:
+	case policy.ActionCancel:
 		if m := r.msgs[a.Message]; m != nil && a.Attempt == m.tries-1 {
 			if m.call != nil {
 				m.call.drop(m)
@@ -408,11 +408,11 @@
 				r.takeBack(m)
 			}
 		}
-	case policy.ActTimer:
-		if at, set := slices.BinarySearch(r.timers, now+a.After); !set {
-			r.timers = slices.Insert(r.timers, at, now+a.After)
+	case policy.ActionTimer:
+		if at, set := slices.BinarySearch(r.timers, now+a.Delay); !set {
+			r.timers = slices.Insert(r.timers, at, now+a.Delay)
 		}
-	case policy.ActProbe:
+	case policy.ActionHealthCheck:
 		if ep := r.byNum[a.Endpoint]; ep != nil && !ep.gone {
 			conns, addr := ep.conns, ep.hostPort
 			go func() {
@@ -420,27 +420,27 @@
 				r.in.Put(happening{probed: a.Endpoint, result: &o})
 			}()
 		}
-	case policy.ActClose:
+	case policy.ActionCloseIdle:
 		if ep := r.byNum[a.Endpoint]; ep != nil && ep.conns != nil {
 			ep.conns.CloseIdleConnections()
 		}
-	case policy.ActSayNo:
+	case policy.ActionStopAccepting:
 		r.saysNo = true
 		r.ready.Store(false)
 		r.cl.refuse(true)
-	case policy.ActRelease:
+	case policy.ActionReleaseClients:
 		r.cl.closeIdle()
-	case policy.ActSayYes:
+	case policy.ActionAcceptClients:
 		r.cl.refuse(false)
 		r.saysNo = false
 		if !r.resuming {
 			r.setReady()
 		}
-	case policy.ActSpill:
+	case policy.ActionSpill:
 		r.spill(a)
-	case policy.ActLoad:
+	case policy.ActionLoad:
 		r.ask(a)
-	case policy.ActLog:
+	case policy.ActionLog:
 		r.log.Info("policy", "says", a.Text)
 	}
 }
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -104,7 +104,7 @@
 		switch {
 		case !ep.listed:
 			delete(r.members.doubtful, ep)
-		case ep.gone || r.policy.Avoided(ep.num, now):
+		case ep.gone || r.policy.Unavailable(ep.num, now):
 			n++
 		default:
 			delete(r.members.doubtful, ep)
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		members++
-		if ep.gone || r.policy.Avoided(ep.num, now) {
+		if ep.gone || r.policy.Unavailable(ep.num, now) {
 			avoided++
 		}
 	}
@@ -69,8 +69,8 @@
 	if m.call == nil {
 		return
 	}
-	o := outcome{what: []policy.Outcome{policy.Delivered, policy.Errored, policy.Errored, policy.TimedOut, policy.NoConnect,
-		policy.Full, policy.Reset}[d.rng.IntN(7)], took: 1000}
+	o := outcome{what: []policy.Outcome{policy.Delivered, policy.Errored, policy.Errored, policy.TimedOut, policy.ConnectFailed,
+		policy.Rejected, policy.ConnectionReset}[d.rng.IntN(7)], took: 1000}
 	o.settled = o.what == policy.Delivered
 	if d.rng.IntN(4) == 0 {
 		o.status, o.wait = 200, 1000*policy.Time(d.rng.IntN(20))
@@ -92,7 +92,7 @@
 				m := r.newMessage(&wal.Record{ID: fmt.Sprintf("%d-%d", seed, step), Class: "plain", Dest: d.rng.IntN(8),
 					Deadline: r.logTime(r.now() + 20e6)})
 				m.heard = true
-				r.events = append(r.events, policy.Event{Kind: policy.EvMessage, Message: m.num, Dest: m.rec.Dest, Tenant: -1, Left: 20e6})
+				r.events = append(r.events, policy.Event{Kind: policy.EventMessage, Message: m.num, Dest: m.rec.Dest, Tenant: -1, TimeLeft: 20e6})
 			case 3:
 				d.end()
 			case 4:
@@ -122,7 +122,7 @@
 	for _, a := range r.policy.Step(r.now(), events, nil) {
 		m := r.msgs[a.Message]
 		switch {
-		case a.Kind == policy.ActSend && m != nil:
+		case a.Kind == policy.ActionSend && m != nil:
 			m.tries++
 			ep := r.byNum[a.Endpoint]
 			c := newTestCall()
@@ -130,11 +130,11 @@
 			m.call, ep.calls[c] = c, true
 			r.calls++
 			d.out = append(d.out, m)
-		case (a.Kind == policy.ActRefuse || a.Kind == policy.ActFail) && m != nil:
+		case (a.Kind == policy.ActionReject || a.Kind == policy.ActionFail) && m != nil:
 			m.over = true
 			r.drop(m)
-		case a.Kind == policy.ActTimer:
-			r.timers = append(r.timers, r.now()+a.After)
+		case a.Kind == policy.ActionTimer:
+			r.timers = append(r.timers, r.now()+a.Delay)
 		}
 	}
 }
--- a/internal/relay/operator.go
+++ b/internal/relay/operator.go
@@ -59,7 +59,7 @@
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	o.srv.SetKeepAlivesEnabled(false) // one call a connection
 	go func() {
-		if err := o.srv.Serve(acceptretry.Patient(ln)); err != http.ErrServerClosed {
+		if err := o.srv.Serve(acceptretry.NewListener(ln)); err != http.ErrServerClosed {
 			log.Error("operator: no longer served", "err", err)
 		}
 	}()
@@ -92,11 +92,11 @@
 	}))
 	// Both are handed over as events and come to the same when they are repeated.
 	mux.HandleFunc("POST /v1/relay/drain", o.whole(func(w http.ResponseWriter) {
-		o.ask(policy.EvDrain)
+		o.ask(policy.EventDrain)
 		io.WriteString(w, "draining\n")
 	}))
 	mux.HandleFunc("POST /v1/relay/activate", o.whole(func(w http.ResponseWriter) {
-		o.ask(policy.EvActivate)
+		o.ask(policy.EventActivate)
 		io.WriteString(w, "active\n")
 	}))
 	return mux
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -94,9 +94,9 @@
 	f := newFigures([]policy.Class{{Name: "plain"}, {Name: "once"}})
 	f.delivered(1)
 	f.written(1)
-	f.ended(0, discovery.HandedBack)
-	f.ended(1, discovery.GivenUp)
-	f.ended(-1, discovery.GivenUp) // of a class that is no more
+	f.ended(0, discovery.Returned)
+	f.ended(1, discovery.Failed)
+	f.ended(-1, discovery.Failed) // of a class that is no more
 	f.pending.Store(14)
 	text := string(f.text())
 	for _, want := range []string{`app_completed{lane="plain"} 0`, `app_completed{lane="once"} 1`, `app_rejected{lane="plain"} 1`,
@@ -190,7 +190,7 @@
 		}
 	}
 	other := newFakeEndpoint(t, nil)
-	disc.Say(t, discoverytest.Change(2, other.member("s-5", 5)))
+	disc.Send(t, discoverytest.Change(2, other.member("s-5", 5)))
 	waitFor(t, "what is held", func() bool { return ep.count("late") == 1 && other.count("held") == 1 })
 	ask("/v1/relay/activate")
 	c.ready(t)
--- a/internal/relay/patience.go
+++ b/internal/relay/patience.go
@@ -40,7 +40,7 @@
 	held := false
 	ok, err = patiently(r.log, "lock", stop, 0, isDiskTrouble, func() error {
 		var err error
-		held, err = r.owner.wait(r.cfg.State, stop)
+		held, err = r.owner.wait(r.cfg.StateDir, stop)
 		return err
 	})
 	return ok && held, err
--- a/internal/relay/ready_test.go
+++ b/internal/relay/ready_test.go
@@ -51,7 +51,7 @@
 				}
 			}
 		}
-		w.Submit(&wal.Record{Kind: wal.Taken, ID: fmt.Sprintf("%016x", i), Class: "plain", Tenant: "acme", Dest: i % dests,
+		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: fmt.Sprintf("%016x", i), Class: "plain", Tenant: "acme", Dest: i % dests,
 			Deadline: late, Body: body}, then)
 	}
 	if err := <-booked; err != nil {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -128,7 +128,7 @@
 	}
 	close(first)
 	for _, id := range []string{"short", "long"} {
-		waitFor(t, "the end of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.GivenUp })
+		waitFor(t, "the end of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.Failed })
 	}
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
@@ -170,7 +170,7 @@
 		defer moved.Mu.Unlock()
 		return len(moved.Froms) > 0
 	})
-	moved.Say(t, discoverytest.Change(2, ep.member("s-2", 2)))
+	moved.Send(t, discoverytest.Change(2, ep.member("s-2", 2)))
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for id, f := range map[string]string{"sent": fields("once", 20000, 2), "failed": fields("once", 20000, 1)} {
 		if s := cl.put(id, f, nil); s != "+OK" {
@@ -203,14 +203,14 @@
 		return done.count("done") == 1 && stuck.count("stuck") == 1 && full.count("full") >= 1 && keyed.count("keyed") == 1
 	})
 	waitFor(t, "the outcomes in the log", func() bool {
-		return logged(env["ROUTER_STATE"], wal.End, "done") && logged(env["ROUTER_STATE"], wal.Outcome, "full")
+		return logged(env["ROUTER_STATE"], wal.KindCompleted, "done") && logged(env["ROUTER_STATE"], wal.KindOutcome, "full")
 	})
 	c.kill()
 	for _, e := range []*fakeEndpoint{stuck, full, keyed} {
 		e.then(nil)
 	}
 	startChild(t, env)
-	waitFor(t, "notice of the unsafe one", func() bool { n, ok := disc.Notice("stuck"); return ok && n.Outcome == discovery.GivenUp })
+	waitFor(t, "notice of the unsafe one", func() bool { n, ok := disc.Notice("stuck"); return ok && n.Outcome == discovery.Failed })
 	waitFor(t, "the others", func() bool { return full.count("full") >= 2 && keyed.count("keyed") == 2 })
 	if n := stuck.count("stuck"); n != 1 {
 		t.Errorf("the unsafe message went out %d times", n)
@@ -278,16 +278,16 @@
 		}
 	}
 	waitFor(t, "an ending in the log", func() bool {
-		return logged(env["ROUTER_STATE"], wal.Ending, "short")
+		return logged(env["ROUTER_STATE"], wal.KindCompleting, "short")
 	})
 	c.kill()
 	disc.Set(func(d *discoverytest.Server) { d.Answer = http.StatusNoContent })
 	startChild(t, env)
 	for _, id := range []string{"short", "later"} {
-		waitFor(t, "notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.HandedBack })
+		waitFor(t, "notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.Returned })
 	}
 	waitFor(t, "ends in the log", func() bool {
-		return logged(env["ROUTER_STATE"], wal.End, "short") && logged(env["ROUTER_STATE"], wal.End, "later")
+		return logged(env["ROUTER_STATE"], wal.KindCompleted, "short") && logged(env["ROUTER_STATE"], wal.KindCompleted, "later")
 	})
 }
 
@@ -418,7 +418,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		disc.Say(t, string(text))
+		disc.Send(t, string(text))
 	}
 	say(2, gone, back)
 	n := 0
@@ -494,7 +494,7 @@
 	put("old", 1)
 	waitFor(t, "old", func() bool { return before.count("old") == 1 })
 	m.HostPort = after.addr()
-	disc.Say(t, discoverytest.Change(2, m))
+	disc.Send(t, discoverytest.Change(2, m))
 	// The change and the message come by different ways: what is sent before
 	// the change may still go to the old place, so wait for the new one.
 	waitFor(t, "the new address", func() bool {
@@ -504,14 +504,14 @@
 		return len(after.calls) > 0
 	})
 	moved := after.member("s-1", 2)
-	disc.Say(t, discoverytest.Change(3, moved))
+	disc.Send(t, discoverytest.Change(3, moved))
 	put("two", 2)
 	waitFor(t, "the new destination", func() bool { return after.count("two") == 1 })
 	put("one", 1) // nobody serves it any more
 	moved.Phase = discovery.Draining
-	disc.Say(t, discoverytest.Change(4, moved))
+	disc.Send(t, discoverytest.Change(4, moved))
 	fresh := before.member("s-2", 2)
-	disc.Say(t, discoverytest.Change(5, fresh))
+	disc.Send(t, discoverytest.Change(5, fresh))
 	put("marker", 2)
 	waitFor(t, "the marker", func() bool { return before.count("marker")+after.count("marker") == 1 })
 	waitFor(t, "the drain", func() bool {
@@ -557,7 +557,7 @@
 		defer disc.Mu.Unlock()
 		return refused+len(disc.Notices) >= 50
 	})
-	if logged(env["ROUTER_STATE"], wal.Taken, "late") {
+	if logged(env["ROUTER_STATE"], wal.KindAccepted, "late") {
 		t.Error("logged")
 	}
 	if _, ok := disc.Notice("late"); ok {
@@ -603,10 +603,10 @@
 	r.timers = []policy.Time{due}
 	r.admit(&request{class: 0, tenant: 0, rec: &wal.Record{ID: "m", Class: "plain", Dest: 7}, at: time.Now(), left: 20 * time.Second, reply: make(chan string, 1)})
 	r.step()
-	r.act(due, &policy.Action{Kind: policy.ActTimer, After: 10e6})
-	r.act(due+5e6, &policy.Action{Kind: policy.ActTimer, After: 5e6}) // that one again is no third
-	r.act(due, &policy.Action{Kind: policy.ActTimer, After: 5e6})     // the policy goes by this one; the other comes all the same
-	for range 3 {                                                     // as the loop goes on, with no event but the timer's
+	r.act(due, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
+	r.act(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // that one again is no third
+	r.act(due, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // the policy goes by this one; the other comes all the same
+	for range 3 {                                                        // as the loop goes on, with no event but the timer's
 		if r.ring(); len(r.events) > 0 {
 			r.step()
 		}
@@ -634,14 +634,14 @@
 func TestClockSetBack(t *testing.T) {
 	for _, boots := range []bool{false, true} {
 		r := newTestRelay(t)
-		r.cfg.State = t.TempDir()
-		w, err := wal.Open(wal.Options{Dir: r.cfg.State, Limit: 3 << 20, Clock: aheadBy(time.Hour, boots)})
+		r.cfg.StateDir = t.TempDir()
+		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: aheadBy(time.Hour, boots)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		stop, booked := make(chan struct{}), make(chan error)
 		go w.Run(stop)
-		w.Submit(&wal.Record{Kind: wal.Taken, ID: "m", Class: "plain", Dest: 7, Deadline: w.Time() + 20e6}, func(err error) { booked <- err })
+		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: "m", Class: "plain", Dest: 7, Deadline: w.Time() + 20e6}, func(err error) { booked <- err })
 		if err := <-booked; err != nil {
 			t.Fatal(err)
 		}
@@ -656,9 +656,9 @@
 				t.Errorf("booted %v: %s: %d µs left", boots, what, left)
 			}
 		}
-		near("owed", r.events[len(r.events)-1].Left)
+		near("owed", r.events[len(r.events)-1].TimeLeft)
 		r.admit(&request{class: 0, tenant: 0, rec: &wal.Record{ID: "new", Class: "plain", Dest: 7}, at: time.Now(), left: 20 * time.Second, reply: make(chan string, 1)})
-		near("new", r.events[len(r.events)-1].Left)
+		near("new", r.events[len(r.events)-1].TimeLeft)
 		near("new, by the log", r.fromLogTime(r.ids["new"].rec.Deadline)-r.now())
 	}
 }
@@ -672,15 +672,15 @@
 		boots bool
 	}{{0, false}, {0, true}, {time.Hour, false}, {time.Hour, true}} {
 		r := newTestRelay(t)
-		r.cfg.State = t.TempDir()
-		w, err := wal.Open(wal.Options{Dir: r.cfg.State, Limit: 3 << 20, Clock: aheadBy(x.by, x.boots)})
+		r.cfg.StateDir = t.TempDir()
+		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: aheadBy(x.by, x.boots)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		stop, booked := make(chan struct{}), make(chan error)
 		go w.Run(stop)
-		w.Submit(&wal.Record{Kind: wal.Taken, ID: "m", Class: "keyed", Key: "k", Dest: 7, Deadline: w.Time() + 20e6}, nil)
-		w.Submit(&wal.Record{Kind: wal.Attempt, ID: "m", At: w.Time(), To: "s-1", By: w.By}, func(err error) { booked <- err })
+		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: "m", Class: "keyed", Key: "k", Dest: 7, Deadline: w.Time() + 20e6}, nil)
+		w.Submit(&wal.Record{Kind: wal.KindAttempt, ID: "m", At: w.Time(), Endpoint: "s-1", Process: w.Process}, func(err error) { booked <- err })
 		if err := <-booked; err != nil {
 			t.Fatal(err)
 		}
@@ -691,9 +691,9 @@
 		}
 		defer r.closeLog()
 		e := &r.events[len(r.events)-1]
-		over := r.now()-e.DoubtAt > r.cfg.Policy.Classes[e.Class].DedupWindow
-		if e.DoubtAt == 0 || over != (x.by > 0 && x.boots) {
-			t.Errorf("set back by %v, booted %v: may have run %d µs ago, in a window of %d", x.by, x.boots, r.now()-e.DoubtAt, r.cfg.Policy.Classes[e.Class].DedupWindow)
+		over := r.now()-e.UnknownOutcomeAt > r.cfg.Policy.Classes[e.Class].DedupWindow
+		if e.UnknownOutcomeAt == 0 || over != (x.by > 0 && x.boots) {
+			t.Errorf("set back by %v, booted %v: may have run %d µs ago, in a window of %d", x.by, x.boots, r.now()-e.UnknownOutcomeAt, r.cfg.Policy.Classes[e.Class].DedupWindow)
 		}
 	}
 }
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -15,38 +15,38 @@
 func (r *Relay) restore(owed []*wal.Record, stays bool) {
 	for _, rec := range owed {
 		m := r.newMessage(rec)
-		m.heard, m.logged, m.tries = true, true, rec.Tries
+		m.heard, m.logged, m.tries = true, true, rec.Attempts
 		if rec.Notice != "" {
 			m.over = true
 			r.drop(m)
 			r.notices.Put(discovery.Notice{Message: rec.ID, Outcome: rec.Notice, RetryMS: rec.RetryMS})
 			continue
 		}
-		if rec.Lost { // damage took it: whoever handed it in is told
+		if rec.Corrupted { // damage took it: whoever handed it in is told
 			m.over = true
 			r.drop(m)
-			r.end(m, discovery.GivenUp, 0)
+			r.end(m, discovery.Failed, 0)
 			r.log.Error("lost", "message", rec.ID)
 			continue
 		}
 		if m.class < 0 { // the settings have changed: nothing is promised of its effect
 			m.over = true
 			r.drop(m)
-			r.end(m, discovery.GivenUp, 0)
+			r.end(m, discovery.Failed, 0)
 			continue
 		}
 		e := r.owedEvent(m)
-		e.Kept, e.Stays = true, stays
-		if r.gapUnknown && rec.Doubt != 0 {
-			e.DoubtAt = 1 // nobody knows how long ago: its window counts as over
+		e.Recovered, e.NeverSpill = true, stays
+		if r.gapUnknown && rec.UnknownOutcomeAt != 0 {
+			e.UnknownOutcomeAt = 1 // nobody knows how long ago: its window counts as over
 		}
-		if rec.Out != 0 {
+		if rec.InFlightSince != 0 {
 			m.far, r.far[rec.ID] = true, m
-			e.Out, e.OutAt = r.number(rec.OutTo), r.fromLogTime(rec.Out)
+			e.InFlightEndpoint, e.InFlightSince = r.number(rec.InFlightEndpoint), r.fromLogTime(rec.InFlightSince)
 		}
 		r.events = append(r.events, e)
-		r.log.Info("resumed", "message", rec.ID, "class", rec.Class, "tries", rec.Tries,
-			"may_have_run", rec.Doubt != 0, "left", time.Duration(e.Left)*time.Microsecond)
+		r.log.Info("resumed", "message", rec.ID, "class", rec.Class, "tries", rec.Attempts,
+			"may_have_run", rec.UnknownOutcomeAt != 0, "left", time.Duration(e.TimeLeft)*time.Microsecond)
 	}
 }
 
@@ -54,15 +54,15 @@
 // its state.
 func (r *Relay) owedEvent(m *message) policy.Event {
 	rec := m.rec
-	e := policy.Event{Kind: policy.EvMessage, Message: m.num, Class: m.class, Dest: rec.Dest, Tenant: -1,
-		Left: r.fromLogTime(rec.Deadline) - r.now(), Tries: rec.Tries, DoubtIn: rec.DoubtIn}
+	e := policy.Event{Kind: policy.EventMessage, Message: m.num, Class: m.class, Dest: rec.Dest, Tenant: -1,
+		TimeLeft: r.fromLogTime(rec.Deadline) - r.now(), Attempts: rec.Attempts, UnknownOutcomeZone: rec.UnknownOutcomeZone}
 	if t, ok := r.cfg.tenants[rec.Tenant]; ok {
 		e.Tenant = t
 	}
-	if rec.Doubt != 0 {
-		e.DoubtAt = max(r.fromLogTime(rec.Doubt), 1)
+	if rec.UnknownOutcomeAt != 0 {
+		e.UnknownOutcomeAt = max(r.fromLogTime(rec.UnknownOutcomeAt), 1)
 	}
-	m.due = r.overdue.add(r.now() + e.Left)
+	m.due = r.overdue.add(r.now() + e.TimeLeft)
 	return e
 }
 
@@ -75,7 +75,7 @@
 	w := r.wal
 	w.Do(func() {
 		recs := w.Next(resumeMost)
-		r.in.Put(happening{resumed: &resumed{w, recs, w.Owed()}})
+		r.in.Put(happening{resumed: &resumed{w, recs, w.PendingUnread()}})
 	})
 }
 
@@ -108,7 +108,7 @@
 		if rec := w.Fetch(q.rec.ID); rec != nil {
 			r.in.Put(happening{resumed: &resumed{w, []*wal.Record{rec}, -1}})
 		}
-		q.owed = w.Owes(q.rec.ID)
+		q.owed = w.IsPending(q.rec.ID)
 		r.in.Put(happening{put: q, looked: true})
 	})
 }
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -38,13 +38,13 @@
 		defer op.close()
 	}
 	_, conns := cfg.budget()
-	r.idleConns = max(2, (conns-cfg.Policy.Slots)/40)
+	r.idleConns = max(2, (conns-cfg.Policy.MaxCalls)/40)
 	r.pool.most = conns
 	r.notices = discovery.NewNotices(cfg.Discovery, log, func(id string) { r.in.Put(happening{noticed: id}) })
 	go r.notices.Run(ctx)
 	disc := discovery.NewWatch(cfg.Discovery, cfg.Policy.Relays, log, func(l *discovery.List) { r.in.Put(happening{news: l}) })
-	disc.Known = cfg.Known
-	disc.Refused = func() { r.in.Put(happening{refused: true}) }
+	disc.Known = cfg.KnownList
+	disc.OnRejected = func() { r.in.Put(happening{refused: true}) }
 	go disc.Run(ctx)
 	go func() {
 		for {
@@ -53,8 +53,8 @@
 				return
 			case addr := <-moved:
 				log.Info("discovery has moved", "to", addr)
-				disc.Move(addr)
-				r.notices.Move(addr)
+				disc.SetAddress(addr)
+				r.notices.SetAddress(addr)
 			}
 		}
 	}()
@@ -106,8 +106,8 @@
 func (r *Relay) firstList(most time.Duration) {
 	limit := time.NewTimer(most)
 	defer limit.Stop()
-	if r.cfg.Known != nil {
-		r.list(r.cfg.Known, policy.ListCached)
+	if r.cfg.KnownList != nil {
+		r.list(r.cfg.KnownList, policy.ListCached)
 	}
 	for told := false; !told; {
 		select {
@@ -129,7 +129,7 @@
 			r.take(h)
 			told = true
 		case h.refused:
-			told = told || r.cfg.Known != nil
+			told = told || r.cfg.KnownList != nil
 		default:
 			r.early = append(r.early, h)
 		}
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -26,9 +26,9 @@
 // owner is what a process knows of who owns the relay.
 type owner struct {
 	lock, next *wal.Lock
-	passed     bool      // the other process owns it, or is just taking over
-	freed      bool      // the lock has been let go
-	side       *wal.Side // of the process that owned it before, while that lives
+	passed     bool            // the other process owns it, or is just taking over
+	freed      bool            // the lock has been let go
+	side       *wal.HandoffLog // of the process that owned it before, while that lives
 	lookAt     time.Time
 	by         int   // this process, as in the log
 	shared     bool  // what may be used is split with another process
@@ -42,22 +42,22 @@
 	if o.lock, err = wal.OpenLock(dir, wal.LockName); err != nil {
 		return false, err
 	}
-	if o.next, err = wal.OpenLock(dir, wal.NextName); err != nil {
+	if o.next, err = wal.OpenLock(dir, wal.SuccessorLockName); err != nil {
 		o.lock.Close()
 		return false, err
 	}
 	tick := time.NewTicker(ownerWait)
 	defer tick.Stop()
 	for wish := false; ; {
-		got, err := o.lock.Try()
+		got, err := o.lock.TryLock()
 		if got && wish {
-			err = o.next.Free()
+			err = o.next.Unlock()
 		}
 		if got || err != nil {
 			return err == nil, err
 		}
 		if !wish {
-			if wish, err = o.next.Try(); err != nil {
+			if wish, err = o.next.TryLock(); err != nil {
 				return false, err
 			}
 		}
@@ -86,35 +86,35 @@
 // openLog takes up the log: what is owed, what the process before left of its
 // policy's memory, and its calls, if it lives.
 func (r *Relay) openLog() (owed int, err error) {
-	if f, err := wal.PassFence(r.cfg.State); err != nil {
+	if f, err := wal.ClearFence(r.cfg.StateDir); err != nil {
 		return 0, err
 	} else if f != nil {
 		r.log.Warn("what this folder held was moved: beginning empty", "to", f.To, "at", f.At)
 	}
-	w, err := wal.Open(wal.Options{Dir: r.cfg.State, Limit: int64(r.cfg.Limits.DiskMB) << 20, Promise: r.cfg.Promise, FS: r.cfg.FS, Log: r.log,
-		Failed: func(err error) { r.in.Put(happening{failed: err}) }})
+	w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: int64(r.cfg.Limits.DiskMB) << 20, Durability: r.cfg.Durability, FS: r.cfg.FS, Log: r.log,
+		OnFailure: func(err error) { r.in.Put(happening{failed: err}) }})
 	if err != nil {
 		return 0, err
 	}
-	r.wal, r.owner.side, r.owner.by, r.owner.walStop = w, w.Side, w.By, make(chan struct{})
+	r.wal, r.owner.side, r.owner.by, r.owner.walStop = w, w.Handoff, w.Process, make(chan struct{})
 	r.far = map[string]*message{}
 	r.alignLogTime()
-	r.gapUnknown = w.Behind > 0 && w.Side == nil // where the process before lives on no time has passed unseen
-	if w.Behind > 0 {
-		r.log.Warn("the clock was set back while no process ran: how long that was is not known", "by", w.Behind)
+	r.gapUnknown = w.ClockSetBack > 0 && w.Handoff == nil // where the process before lives on no time has passed unseen
+	if w.ClockSetBack > 0 {
+		r.log.Warn("the clock was set back while no process ran: how long that was is not known", "by", w.ClockSetBack)
 	}
-	if w.Memory != nil {
-		r.recall(w.Memory)
+	if w.PolicySnapshot != nil {
+		r.recall(w.PolicySnapshot)
 	}
-	owed = w.Owed()
-	for _, d := range w.Found.Damage {
+	owed = w.PendingUnread()
+	for _, d := range w.Recovery.Corruptions {
 		r.fig.damaged.Add(1)
-		r.fig.concerned.Add(int64(d.Concerned))
+		r.fig.concerned.Add(int64(d.Affected))
 	}
-	r.fig.lost.Add(int64(len(w.Found.Lost)))
+	r.fig.lost.Add(int64(len(w.Recovery.LostIDs)))
 	recs := w.Next(resumeMost)
-	r.resuming = w.Owed() > 0
-	r.fig.unread.Store(int64(w.Owed()))
+	r.resuming = w.PendingUnread() > 0
+	r.fig.unread.Store(int64(w.PendingUnread()))
 	go w.Run(r.owner.walStop)
 	r.restore(recs, false)
 	if r.resuming {
@@ -149,10 +149,10 @@
 
 // legacy is the body of the record that passes the log on.
 type legacy struct {
-	Now    policy.Time                // of the policy's clock
-	Wall   int64                      // the same moment by the log's time
-	IDs    map[policy.Endpoint]string // by the numbers in the memory
-	Memory policy.Memory
+	Now    policy.Time                `json:"Now"`  // of the policy's clock
+	Wall   int64                      `json:"Wall"` // the same moment by the log's time
+	IDs    map[policy.Endpoint]string `json:"IDs"`  // by the numbers in the memory
+	Memory policy.Snapshot            `json:"Memory"`
 }
 
 // recall gives the policy what that of the process before had learned.
@@ -162,8 +162,8 @@
 		r.log.Error("the policy's memory cannot be read", "err", err)
 		return
 	}
-	for i := range l.Memory.Lanes {
-		eps := l.Memory.Lanes[i].Endpoints
+	for i := range l.Memory.Routes {
+		eps := l.Memory.Routes[i].Endpoints
 		for j := range eps {
 			num := policy.Endpoint(0) // of none
 			if ep := r.endpoints[l.IDs[eps[j].Endpoint]]; ep != nil {
@@ -172,7 +172,7 @@
 			eps[j].Endpoint = num
 		}
 	}
-	r.policy.Recall(l.Memory, r.fromLogTime(l.Wall)-l.Now)
+	r.policy.Restore(l.Memory, r.fromLogTime(l.Wall)-l.Now)
 	r.doubtAll()
 }
 
@@ -186,7 +186,7 @@
 		return nil
 	}
 	r.owner.lookAt = time.Now().Add(ownerLook)
-	wished, err := r.owner.next.Held()
+	wished, err := r.owner.next.HeldByOther()
 	if err != nil {
 		r.log.Error("upgrade", "err", err)
 		return nil
@@ -196,7 +196,7 @@
 		r.passOn()
 	case r.owner.freed && !wished:
 		// The next process lets go of that lock only once it holds the other.
-		got, err := r.owner.lock.Try()
+		got, err := r.owner.lock.TryLock()
 		if got {
 			r.log.Warn("the next process is gone")
 			return r.takeOver()
@@ -240,9 +240,9 @@
 	}
 	r.share()
 	lock := r.owner.lock
-	r.wal.Submit(&wal.Record{Kind: wal.Pass, ID: wal.NoMessage, Body: text}, func(err error) {
+	r.wal.Submit(&wal.Record{Kind: wal.KindHandoff, ID: wal.NoMessage, Body: text}, func(err error) {
 		if err == nil {
-			err = lock.Free()
+			err = lock.Unlock()
 		}
 		if err != nil {
 			r.log.Error("not passed on", "err", err)
@@ -252,7 +252,7 @@
 }
 
 func (r *Relay) legacy() legacy {
-	l := legacy{Now: r.now(), IDs: map[policy.Endpoint]string{}, Memory: r.policy.Memory()}
+	l := legacy{Now: r.now(), IDs: map[policy.Endpoint]string{}, Memory: r.policy.Snapshot()}
 	l.Wall = r.logTime(l.Now)
 	for id, ep := range r.endpoints {
 		l.IDs[ep.num] = id
@@ -286,7 +286,7 @@
 // follow reads what the process before tells in its side log.
 func (r *Relay) follow() {
 	s := r.owner.side
-	dead := s.Dead() // first: nothing can come after it
+	dead := s.OwnerExited() // first: nothing can come after it
 	for _, rec := range s.Read() {
 		r.heard(rec)
 	}
@@ -295,10 +295,10 @@
 	}
 	r.log.Info("the process before is gone", "calls", len(r.far))
 	for _, m := range r.far { // nobody saw how these ended
-		r.cameBack(m, &wal.Record{Kind: wal.Outcome, ID: m.rec.ID, Ran: true, What: uint8(policy.Cancelled)})
+		r.cameBack(m, &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: true, OutcomeCode: uint8(policy.Cancelled)})
 	}
 	w := r.wal
-	w.Submit(&wal.Record{Kind: wal.Mark, ID: wal.NoMessage, By: r.owner.by, Side: s.At()}, func(error) { w.SideDone(s) })
+	w.Submit(&wal.Record{Kind: wal.KindOwner, ID: wal.NoMessage, Process: r.owner.by, HandoffOffset: s.Offset()}, func(error) { w.FinishHandoff(s) })
 	r.owner.side = nil
 	r.share()
 }
@@ -307,11 +307,11 @@
 func (r *Relay) heard(rec *wal.Record) {
 	m := r.ids[rec.ID]
 	switch far := r.far[rec.ID]; {
-	case rec.Kind == wal.Taken && m == nil && r.isOurs(rec.ID): // its client handed it in again
+	case rec.Kind == wal.KindAccepted && m == nil && r.isOurs(rec.ID): // its client handed it in again
 		r.wal.Submit(rec, nil)
-	case rec.Kind == wal.Taken && m == nil:
+	case rec.Kind == wal.KindAccepted && m == nil:
 		side := *rec
-		rec.Side = 0
+		rec.HandoffOffset = 0
 		r.restore([]*wal.Record{rec}, true)
 		m = r.ids[rec.ID]
 		if m == nil { // ended in the same breath
@@ -322,12 +322,12 @@
 				r.in.Put(happening{unkept: m})
 			}
 		})
-	case far != nil && (rec.Kind == wal.Outcome || rec.Kind == wal.End):
+	case far != nil && (rec.Kind == wal.KindOutcome || rec.Kind == wal.KindCompleted):
 		r.cameBack(far, rec)
-	case m != nil && rec.Kind == wal.End: // its client left before it heard
+	case m != nil && rec.Kind == wal.KindCompleted: // its client left before it heard
 		m.over = true
 		r.drop(m)
-		r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: m.num})
+		r.events = append(r.events, policy.Event{Kind: policy.EventWithdraw, Message: m.num})
 		r.wal.Submit(rec, nil)
 	}
 }
@@ -336,11 +336,11 @@
 func (r *Relay) cameBack(m *message, rec *wal.Record) {
 	delete(r.far, m.rec.ID)
 	m.far = false
-	settled := rec.Kind == wal.End
-	e := policy.Event{Kind: policy.EvOutcome, Message: m.num, Attempt: m.tries - 1, Outcome: policy.Outcome(rec.What), Slots: rec.Slots,
-		Settled: settled || m.over, Took: rec.Took}
-	if rec.Wait != 0 {
-		e.Wait = max(r.fromLogTime(rec.Wait)-r.now(), 1)
+	settled := rec.Kind == wal.KindCompleted
+	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: m.tries - 1, Outcome: policy.Outcome(rec.OutcomeCode), CallsExhausted: rec.CallsExhausted,
+		Final: settled || m.over, Latency: rec.Latency}
+	if rec.RetryAt != 0 {
+		e.RetryAfter = max(r.fromLogTime(rec.RetryAt)-r.now(), 1)
 	}
 	r.events = append(r.events, e)
 	r.doubtCell(m.rec.Dest)
@@ -361,9 +361,9 @@
 	}
 	m.over = true
 	r.drop(m)
-	r.fig.ended(m.class, discovery.HandedBack)
-	r.events = append(r.events, policy.Event{Kind: policy.EvWithdraw, Message: m.num})
-	r.notices.Put(discovery.Notice{Message: m.rec.ID, Outcome: discovery.HandedBack, RetryMS: stopRetry})
+	r.fig.ended(m.class, discovery.Returned)
+	r.events = append(r.events, policy.Event{Kind: policy.EventWithdraw, Message: m.num})
+	r.notices.Put(discovery.Notice{Message: m.rec.ID, Outcome: discovery.Returned, RetryMS: stopRetry})
 }
 
 // takeOver takes the ownership back as at a start, with this process's calls
@@ -387,7 +387,7 @@
 	r.forgetSpilled()
 	r.held, r.overdue, r.endings = 0, overdue{}, nil
 	r.owner.passed, r.owner.freed = false, false
-	e := policy.Event{Kind: policy.EvList, List: policy.ListFull}
+	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListFull}
 	for _, ep := range r.endpoints {
 		if ep.listed {
 			e.Entries = append(e.Entries, ep.entry)
@@ -395,7 +395,7 @@
 	}
 	r.events, r.timers = []policy.Event{e}, nil
 	r.step()
-	r.policy.Recall(old.Memory, 0)
+	r.policy.Restore(old.Memory, 0)
 	r.doubtAll()
 	var owed int
 	if _, err := patiently(r.log, "log", nil, reopenPatience, isDiskTrouble, func() (err error) {
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -101,7 +101,7 @@
 		u.put(u.kept, id, f)
 	}
 	waitFor(t, "the calls", func() bool { return u.entered.Load() == 2 && u.waits.count("waits") == 1 })
-	waitFor(t, "the outcome in the log", func() bool { return logged(u.env["ROUTER_STATE"], wal.Outcome, "waits") })
+	waitFor(t, "the outcome in the log", func() bool { return logged(u.env["ROUTER_STATE"], wal.KindOutcome, "waits") })
 	return u
 }
 
@@ -186,7 +186,7 @@
 	u.put(cl, "after", fields("once", 20000, 1))
 	u.delivered(u.quick, "after")
 	waitFor(t, "the end of the side log", func() bool {
-		_, err := os.Stat(filepath.Join(u.env["ROUTER_STATE"], wal.SideName))
+		_, err := os.Stat(filepath.Join(u.env["ROUTER_STATE"], wal.HandoffName))
 		return errors.Is(err, os.ErrNotExist)
 	})
 	u.once("out", "keyed", "late", "held", "late5", "after")
@@ -226,7 +226,7 @@
 	u.put(u.kept, "late", fields("once", 20000, 5))
 	u.old.kill()
 	u.slow.then(nil)
-	waitFor(t, "notice of the unsafe one", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.GivenUp })
+	waitFor(t, "notice of the unsafe one", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.Failed })
 	waitFor(t, "the keyed one", func() bool { return u.slow.count("keyed") == 2 })
 	u.show5()
 	u.delivered(u.later, "held", "late")
@@ -244,7 +244,7 @@
 	u.put(u.kept, "late", fields("once", 20000, 5))
 	u.new.kill()
 	u.slow.then(nil)
-	waitFor(t, "notice of the unsafe one", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.GivenUp })
+	waitFor(t, "notice of the unsafe one", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.Failed })
 	u.show5()
 	u.delivered(u.later, "held", "late")
 	u.put(u.kept, "more", fields("once", 20000, 1))
@@ -281,17 +281,17 @@
 		t.Fatal(err)
 	}
 	defer lock.Close()
-	if got, err := lock.Try(); !got {
+	if got, err := lock.TryLock(); !got {
 		t.Fatal(err)
 	}
-	next, err := wal.OpenLock(env["ROUTER_STATE"], wal.NextName)
+	next, err := wal.OpenLock(env["ROUTER_STATE"], wal.SuccessorLockName)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.Close()
 	wished := func(want bool) func() bool {
 		return func() bool {
-			got, err := next.Held()
+			got, err := next.HeldByOther()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -349,10 +349,10 @@
 		t.Fatal("the first list")
 	}
 	m.Phase = discovery.Draining
-	r.in.Put(happening{ask: policy.EvDrain})
+	r.in.Put(happening{ask: policy.EventDrain})
 	r.in.Put(happening{news: &discovery.List{Members: []discovery.Member{m}}})
 	r.takeNews()
-	if !r.endpoints["s-1"].gone || len(r.early) != 1 || r.early[0].ask != policy.EvDrain {
+	if !r.endpoints["s-1"].gone || len(r.early) != 1 || r.early[0].ask != policy.EventDrain {
 		t.Errorf("gone %v, kept %d", r.endpoints["s-1"].gone, len(r.early))
 	}
 }
@@ -371,12 +371,12 @@
 	owner.cmd.Process.Signal(syscall.SIGSTOP)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	next := spawn(t, env)
-	wish, err := wal.OpenLock(env["ROUTER_STATE"], wal.NextName)
+	wish, err := wal.OpenLock(env["ROUTER_STATE"], wal.SuccessorLockName)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer wish.Close()
-	waitFor(t, "the wish", func() bool { held, err := wish.Held(); return held && err == nil })
+	waitFor(t, "the wish", func() bool { held, err := wish.HeldByOther(); return held && err == nil })
 	before, err := wal.Inspect(nil, env["ROUTER_STATE"])
 	if err != nil {
 		t.Fatal(err)
@@ -384,7 +384,7 @@
 	if !next.says(false) {
 		t.Error("the next process says yes while the owner stands still")
 	}
-	if after, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || after.Seq != before.Seq || after.By != before.By {
+	if after, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || after.Seq != before.Seq || after.Process != before.Process {
 		t.Errorf("written by another: %+v, then %+v, %v", before, after, err)
 	}
 	owner.cmd.Process.Signal(syscall.SIGCONT)
@@ -393,7 +393,7 @@
 	next.kill()
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	startChild(t, env)
-	if r, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || r.Owed != 1 || !r.Sound() {
+	if r, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || r.Pending != 1 || !r.Sound() {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
--- a/internal/relay/window_test.go
+++ b/internal/relay/window_test.go
@@ -158,7 +158,7 @@
 		if !ended {
 			continue
 		}
-		if age := told.Sub(sent[0]); n.Outcome != discovery.GivenUp && age > window+slack {
+		if age := told.Sub(sent[0]); n.Outcome != discovery.Failed && age > window+slack {
 			t.Errorf("%s, which may have run, was %s %v after its first call", id, n.Outcome, age)
 		}
 		givenUp++
--- a/internal/relayctl/relayctl.go
+++ b/internal/relayctl/relayctl.go
@@ -107,7 +107,7 @@
 	add.Flags().IntVar(&r.Cell, "cell", 0, "its destination")
 	add.Flags().DurationVar(&ttl, "ttl", 0, "lapses when not heard of for so long; 0 for never")
 	add.Flags().StringVar(&r.Holder, "holder", "", "who alone may renew it")
-	add.Flags().Int64Var(&r.If, "if", 0, "only where its last change is this")
+	add.Flags().Int64Var(&r.IfChanged, "if", 0, "only where its last change is this")
 	drain := &cobra.Command{Use: "drain ID", Short: "Send it nothing new", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		return x.change(c, http.MethodPost, registry.MembersPath+"/"+url.PathEscape(args[0])+"/phase", map[string]string{"phase": discovery.Draining})
 	}}
@@ -122,7 +122,7 @@
 }
 
 func (x *ctl) change(c *cobra.Command, method, path string, body any) error {
-	var a registry.Answer
+	var a registry.Result
 	if _, err := x.ask(c, method, path, body, &a); err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 		return x.show(c, all, func(w io.Writer) {
 			fmt.Fprintln(w, "ID\tROLE\tLEADER\tTERM\tREVISION\tMEMBERS\tWATCHERS\tSTALE\tLAPSES HELD")
 			for _, s := range all {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\t%d\n", s.ID, s.Role, s.Leader, s.Term, s.Revision, s.Members, s.Watchers, s.Stale, s.Held)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\t%d\n", s.ID, s.RaftRole, s.Leader, s.Term, s.Revision, s.Members, s.Watchers, s.Stale, s.SuspendedExpirations)
 			}
 			for node := range down {
 				fmt.Fprintf(w, "%s\tdoes not answer\n", node)
@@ -186,8 +186,8 @@
 
 func (x *ctl) duties() *cobra.Command {
 	c := &cobra.Command{Use: "duties", Short: "Work that one warden does at a time"}
-	get := func(c *cobra.Command) (l registry.DutyList, err error) {
-		_, err = x.ask(c, http.MethodGet, registry.DutiesPath, nil, &l)
+	get := func(c *cobra.Command) (l registry.RoleList, err error) {
+		_, err = x.ask(c, http.MethodGet, registry.RolesPath, nil, &l)
 		return l, err
 	}
 	list := &cobra.Command{Use: "list", Short: "List them, and the wardens", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
@@ -197,15 +197,15 @@
 		}
 		return x.show(c, l, func(w io.Writer) {
 			fmt.Fprintln(w, "DUTY\tHOLDER\tTOKEN\tTERM\tFAILS\tHELD BACK\tSINCE")
-			for _, d := range l.Duties {
-				holder := d.Warden
+			for _, d := range l.Roles {
+				holder := d.Controller
 				if d.Holder == "" {
 					holder = "-"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\n", d.Name, holder, d.Token, d.Term, d.Fails, d.Off, time.UnixMilli(max(d.Since, d.Left)).UTC().Format(time.RFC3339))
+				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\n", d.Name, holder, d.Token, d.Term, d.Failures, d.Disabled, time.UnixMilli(max(d.GrantedAt, d.ReleasedAt)).UTC().Format(time.RFC3339))
 			}
 			for _, s := range l.Sessions {
-				fmt.Fprintf(w, "warden %s: session %s, time to live %v\n", s.Warden, s.ID, s.TTL)
+				fmt.Fprintf(w, "warden %s: session %s, time to live %v\n", s.Controller, s.ID, s.TTL)
 			}
 		})
 	}}
@@ -214,10 +214,10 @@
 		if err != nil {
 			return err
 		}
-		for _, d := range l.Duties {
+		for _, d := range l.Roles {
 			if d.Name == args[0] {
 				return x.show(c, d, func(w io.Writer) {
-					fmt.Fprintf(w, "duty\t%s\nholder\t%s\t%s\ntoken\t%d\nterm\t%d\nfails\t%d\nheld back\t%v\nnext\t%s\nnote\t%s\n", d.Name, d.Warden, d.Holder, d.Token, d.Term, d.Fails, d.Off, d.Next, d.Note)
+					fmt.Fprintf(w, "duty\t%s\nholder\t%s\t%s\ntoken\t%d\nterm\t%d\nfails\t%d\nheld back\t%v\nnext\t%s\nnote\t%s\n", d.Name, d.Controller, d.Holder, d.Token, d.Term, d.Failures, d.Disabled, d.Successor, d.Note)
 				})
 			}
 		}
@@ -226,8 +226,8 @@
 	hold := func(use, short string, steps ...bool) *cobra.Command {
 		return &cobra.Command{Use: use + " DUTY", Short: short, Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			for i, off := range steps {
-				var a registry.Answer
-				if _, err := x.ask(c, http.MethodPost, registry.DutiesPath+"/"+url.PathEscape(args[0])+"/hold", registry.DutyRequest{Off: off}, &a); err != nil {
+				var a registry.Result
+				if _, err := x.ask(c, http.MethodPost, registry.RolesPath+"/"+url.PathEscape(args[0])+"/hold", registry.RoleRequest{Disabled: off}, &a); err != nil {
 					return err
 				}
 				if i == len(steps)-1 {
@@ -259,13 +259,13 @@
 		if err != nil {
 			return err
 		}
-		return x.order(c, kind, args[0], registry.Order{Spec: text, Wish: registry.WishRun})
+		return x.order(c, kind, args[0], registry.Operation{Spec: text, DesiredState: registry.DesiredRun})
 	}}
 	start.Flags().StringVar(&spec.Folder, "folder", "", "its state folder, on the machine of the wardens")
 	start.Flags().IntVar(&spec.DiskMB, "disk-mb", 3, "its disk_mb")
 	start.Flags().StringSliceVar(&spec.Safe, "safe", nil, "classes that may take effect again: handed back where they may have run, others are given up")
-	c.AddCommand(start, x.orders(kind), x.wish(kind, "pause", "Leave it as it is for now", registry.WishPause), x.wish(kind, "resume", "Go on", registry.WishRun),
-		x.wish(kind, "abort", "Call it off, if its folder was not moved yet", registry.WishAbort))
+	c.AddCommand(start, x.orders(kind), x.wish(kind, "pause", "Leave it as it is for now", registry.DesiredPause), x.wish(kind, "resume", "Go on", registry.DesiredRun),
+		x.wish(kind, "abort", "Call it off, if its folder was not moved yet", registry.DesiredAbort))
 	return c
 }
 
@@ -286,20 +286,20 @@
 		if err != nil {
 			return err
 		}
-		return x.order(c, kind, args[0], registry.Order{Spec: spec, Wish: registry.WishRun})
+		return x.order(c, kind, args[0], registry.Operation{Spec: spec, DesiredState: registry.DesiredRun})
 	}}
-	c.AddCommand(start, x.orders(kind), x.wish(kind, "pause", "Rest after the step that is being done", registry.WishPause), x.wish(kind, "resume", "Go on", registry.WishRun),
-		x.wish(kind, "abort", "End it after the step that is being done", registry.WishAbort))
+	c.AddCommand(start, x.orders(kind), x.wish(kind, "pause", "Rest after the step that is being done", registry.DesiredPause), x.wish(kind, "resume", "Go on", registry.DesiredRun),
+		x.wish(kind, "abort", "End it after the step that is being done", registry.DesiredAbort))
 	return c
 }
 
-func (x *ctl) order(c *cobra.Command, kind, name string, o registry.Order) error {
-	return x.change(c, http.MethodPut, registry.OrdersPath+"/"+kind+"/"+url.PathEscape(name), o)
+func (x *ctl) order(c *cobra.Command, kind, name string, o registry.Operation) error {
+	return x.change(c, http.MethodPut, registry.OperationsPath+"/"+kind+"/"+url.PathEscape(name), o)
 }
 
 func (x *ctl) wish(kind, use, short, wish string) *cobra.Command {
 	return &cobra.Command{Use: use + " NAME", Short: short, Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-		return x.order(c, kind, args[0], registry.Order{Wish: wish})
+		return x.order(c, kind, args[0], registry.Operation{DesiredState: wish})
 	}}
 }
 
@@ -309,8 +309,8 @@
 	var follow bool
 	c := &cobra.Command{Use: "status", Short: "How far each has come", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
 		for said := ""; ; {
-			var all, mine []registry.Order
-			if _, err := x.ask(c, http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
+			var all, mine []registry.Operation
+			if _, err := x.ask(c, http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
 				return err
 			}
 			done, now := true, ""
@@ -318,7 +318,7 @@
 				if o.Kind == kind {
 					mine = append(mine, o)
 					done = done && o.Done
-					now += fmt.Sprintf("%s\t%s\t%v\t%s\t%s\n", o.Name, o.Wish, o.Done, o.Says, o.Progress)
+					now += fmt.Sprintf("%s\t%s\t%v\t%s\t%s\n", o.Name, o.DesiredState, o.Done, o.Message, o.Progress)
 				}
 			}
 			if now != said || said == "" {
@@ -362,7 +362,7 @@
 	var dry bool
 	evacuate := &cobra.Command{Use: "evacuate ZONE", Short: "Drain its endpoints one by one, if the other zones keep enough", Args: cli.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		spec.Zone = args[0]
-		if err := spec.Check(); err != nil {
+		if err := spec.Validate(); err != nil {
 			return cli.UsageError{Err: fmt.Errorf("--%w", err)}
 		}
 		if dry {
@@ -377,10 +377,10 @@
 		if err != nil {
 			return err
 		}
-		return x.order(c, zones.Duty, fmt.Sprintf("%s-%s", spec.Zone, time.Now().UTC().Format("20060102T150405")), registry.Order{Spec: text, Wish: registry.WishRun})
+		return x.order(c, zones.Role, fmt.Sprintf("%s-%s", spec.Zone, time.Now().UTC().Format("20060102T150405")), registry.Operation{Spec: text, DesiredState: registry.DesiredRun})
 	}}
 	evacuate.Flags().Float64Var(&spec.Rate, "rate", 0.2, "endpoints a second")
-	evacuate.Flags().Float64Var(&spec.Keep, "keep", 0.5, "share of its endpoints, by size, that each destination has to keep")
+	evacuate.Flags().Float64Var(&spec.MinFraction, "keep", 0.5, "share of its endpoints, by size, that each destination has to keep")
 	evacuate.Flags().BoolVar(&spec.Force, "force", false, "whatever would be left, and whichever zone is out already")
 	evacuate.Flags().BoolVar(&dry, "dry-run", false, "tell what each destination would keep, and do nothing")
 	wish := func(use, short, wish string) *cobra.Command {
@@ -392,23 +392,23 @@
 			if o == nil {
 				return fmt.Errorf("zone %s is not being evacuated", args[0])
 			}
-			return x.order(c, zones.Duty, o.Name, registry.Order{Wish: wish})
+			return x.order(c, zones.Role, o.Name, registry.Operation{DesiredState: wish})
 		}}
 	}
-	c.AddCommand(list, set, evacuate, x.orders(zones.Duty), wish("return", "Put back, one by one, what its evacuation has drained", registry.WishAbort),
-		wish("hold", "Leave its evacuation as it stands for now", registry.WishPause), wish("resume", "Drain on, after a hold or in place of a return", registry.WishRun))
+	c.AddCommand(list, set, evacuate, x.orders(zones.Role), wish("return", "Put back, one by one, what its evacuation has drained", registry.DesiredAbort),
+		wish("hold", "Leave its evacuation as it stands for now", registry.DesiredPause), wish("resume", "Drain on, after a hold or in place of a return", registry.DesiredRun))
 	return c
 }
 
 // evacuation is the order under way for a zone; nil for none.
-func (x *ctl) evacuation(c *cobra.Command, zone string) (*registry.Order, error) {
-	var all []registry.Order
-	if _, err := x.ask(c, http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
+func (x *ctl) evacuation(c *cobra.Command, zone string) (*registry.Operation, error) {
+	var all []registry.Operation
+	if _, err := x.ask(c, http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
 		return nil, err
 	}
 	for _, o := range all {
 		var s zones.Spec
-		if o.Kind == zones.Duty && !o.Done && json.Unmarshal(o.Spec, &s) == nil && s.Zone == zone {
+		if o.Kind == zones.Role && !o.Done && json.Unmarshal(o.Spec, &s) == nil && s.Zone == zone {
 			return &o, nil
 		}
 	}
@@ -421,17 +421,17 @@
 	if _, err := x.ask(c, http.MethodGet, registry.MembersPath+"?consistent=1", nil, &members); err != nil {
 		return err
 	}
-	rooms := zones.Rooms(members, s.Zone)
+	rooms := zones.CapacitiesWithout(members, s.Zone)
 	if err := x.show(c, rooms, func(w io.Writer) {
 		fmt.Fprintln(w, "DESTINATION\tNOW\tLEFT\tENOUGH")
 		for _, r := range rooms {
-			fmt.Fprintf(w, "%d\t%.3g\t%.3g\t%v\n", r.Cell, r.Now, r.Left, r.Keeps(s.Keep))
+			fmt.Fprintf(w, "%d\t%.3g\t%.3g\t%v\n", r.Cell, r.Now, r.Remaining, r.Retains(s.MinFraction))
 		}
 	}); err != nil {
 		return err
 	}
-	if short := zones.Short(rooms, s.Keep); len(short) > 0 && !s.Force {
-		return fmt.Errorf("%d destinations would not keep %.3g of their endpoints", len(short), s.Keep)
+	if short := zones.Insufficient(rooms, s.MinFraction); len(short) > 0 && !s.Force {
+		return fmt.Errorf("%d destinations would not keep %.3g of their endpoints", len(short), s.MinFraction)
 	}
 	return nil
 }
@@ -440,7 +440,7 @@
 	c := &cobra.Command{Use: "lapses", Short: "Lapses that are held back, since too many came at once"}
 	confirm := &cobra.Command{Use: "confirm", Short: "Let them lapse", Args: cli.ExactArgs(0), RunE: func(c *cobra.Command, _ []string) error {
 		var a map[string]int
-		if _, err := x.ask(c, http.MethodPost, registry.ConfirmPath, nil, &a); err != nil {
+		if _, err := x.ask(c, http.MethodPost, registry.ConfirmExpiryPath, nil, &a); err != nil {
 			return err
 		}
 		return x.show(c, a, func(w io.Writer) { fmt.Fprintf(w, "%d lapse\n", a["lapses"]) })
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -16,21 +16,21 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duty is its name, and the kind of its orders.
-const Duty = "rollout"
+// Role is its name, and the kind of its orders.
+const Role = "rollout"
 
 // Plan is what operators want. It is written in TOML and kept as JSON in the order.
 type Plan struct {
-	Waves  []int   `toml:"waves" json:"waves"`     // relays of each; the rest is the last
-	AtOnce int     `toml:"at_once" json:"at_once"` // of a wave
-	Ready  float64 `toml:"ready" json:"ready"`     // seconds within which a relay has to say yes
-	Settle float64 `toml:"settle" json:"settle"`   // seconds for which all has to hold after a wave
-	Within float64 `toml:"within" json:"within"`   // seconds within which it has to; the plan pauses otherwise
-	// Refused is the share of what ended since the wave began that may have been
+	Waves         []int   `toml:"waves" json:"waves"`     // relays of each; the rest is the last
+	Parallelism   int     `toml:"at_once" json:"at_once"` // of a wave
+	ReadyTimeout  float64 `toml:"ready" json:"ready"`     // seconds within which a relay has to say yes
+	SettleTime    float64 `toml:"settle" json:"settle"`   // seconds for which all has to hold after a wave
+	SettleTimeout float64 `toml:"within" json:"within"`   // seconds within which it has to; the plan pauses otherwise
+	// MaxRejected is the share of what ended since the wave began that may have been
 	// refused; Pending is how many messages more than before the wave a relay may hold.
-	Refused float64 `toml:"refused" json:"refused"`
-	Pending int     `toml:"pending" json:"pending"`
-	Relays  []Relay `toml:"relays" json:"relays"`
+	MaxRejected float64 `toml:"refused" json:"refused"`
+	MaxPending  int     `toml:"pending" json:"pending"`
+	Relays      []Relay `toml:"relays" json:"relays"`
 }
 
 // Relay is one of the plan's.
@@ -42,7 +42,7 @@
 
 // ParsePlan reads a plan; what it leaves out is as below. Errors name line and key.
 func ParsePlan(text []byte) (*Plan, error) {
-	p := &Plan{AtOnce: 1, Ready: 30, Settle: 2, Within: 60, Refused: 0.05, Pending: 50}
+	p := &Plan{Parallelism: 1, ReadyTimeout: 30, SettleTime: 2, SettleTimeout: 60, MaxRejected: 0.05, MaxPending: 50}
 	dec := toml.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(p); err != nil {
@@ -62,15 +62,15 @@
 }
 
 func (p *Plan) check() error {
-	for key, v := range map[string]float64{"ready": p.Ready, "within": p.Within} {
+	for key, v := range map[string]float64{"ready": p.ReadyTimeout, "within": p.SettleTimeout} {
 		if !(v > 0 && v <= 3600) {
 			return fmt.Errorf("plan: %s: %v; more than 0, 3600 at most", key, v)
 		}
 	}
-	if !(p.Settle >= 0 && p.Settle <= p.Within) {
-		return fmt.Errorf("plan: settle: %v; from 0 to within, %v", p.Settle, p.Within)
+	if !(p.SettleTime >= 0 && p.SettleTime <= p.SettleTimeout) {
+		return fmt.Errorf("plan: settle: %v; from 0 to within, %v", p.SettleTime, p.SettleTimeout)
 	}
-	if !(p.Refused >= 0 && p.Refused <= 1) || p.Pending < 0 || p.AtOnce < 1 {
+	if !(p.MaxRejected >= 0 && p.MaxRejected <= 1) || p.MaxPending < 0 || p.Parallelism < 1 {
 		return errors.New("plan: refused, pending, at_once: from 0 to 1, 0 and 1 at least are allowed")
 	}
 	left := len(p.Relays)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -29,18 +29,18 @@
 // Progress is how far a plan has come. It is told before and after each step, so
 // that the next holder knows what may have been done.
 type Progress struct {
-	Wave   int             `json:"wave"`
-	Open   bool            `json:"open"` // the wave is: nothing of another may be begun
-	Done   map[string]bool `json:"done"` // relays that were restarted and said yes
-	Before map[string]View `json:"before,omitempty"`
+	Wave   int                    `json:"wave"`
+	Open   bool                   `json:"open"` // the wave is: nothing of another may be begun
+	Done   map[string]bool        `json:"done"` // relays that were restarted and said yes
+	Before map[string]RelayStatus `json:"before,omitempty"`
 }
 
-// View is what a relay's operator address tells of it.
-type View struct {
-	Ready   bool  `json:"ready"`
-	Pending int64 `json:"pending"`
-	Ended   int64 `json:"ended"`
-	Refused int64 `json:"refused"`
+// RelayStatus is what a relay's operator address tells of it.
+type RelayStatus struct {
+	Ready     bool  `json:"ready"`
+	Pending   int64 `json:"pending"`
+	Completed int64 `json:"ended"`
+	Rejected  int64 `json:"refused"`
 }
 
 // Work is the duty's.
@@ -48,14 +48,14 @@
 	w := &worker{c: c, http: &http.Client{Timeout: askMost}}
 	return func(ctx context.Context, g *leader.Grant) error {
 		for {
-			var all []registry.Order
-			if _, err := c.Do(ctx, http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
-				return leader.Ended(ctx, err)
+			var all []registry.Operation
+			if _, err := c.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
+				return leader.IgnoreCancellation(ctx, err)
 			}
 			for _, o := range all {
-				if o.Kind == Duty && !o.Done && o.Wish != registry.WishPause {
+				if o.Kind == Role && !o.Done && o.DesiredState != registry.DesiredPause {
 					if err := w.one(ctx, g, o); err != nil {
-						return leader.Ended(ctx, err)
+						return leader.IgnoreCancellation(ctx, err)
 					}
 					break // one plan at a time
 				}
@@ -73,7 +73,7 @@
 }
 
 // one brings a plan on by a wave.
-func (w *worker) one(ctx context.Context, g *leader.Grant, o registry.Order) error {
+func (w *worker) one(ctx context.Context, g *leader.Grant, o registry.Operation) error {
 	var plan Plan
 	p := Progress{Done: map[string]bool{}}
 	err := json.Unmarshal(o.Spec, &plan)
@@ -86,7 +86,7 @@
 	if err != nil {
 		return w.tell(ctx, g, o, p, "cannot be used: "+err.Error(), true)
 	}
-	if o.Wish == registry.WishAbort {
+	if o.DesiredState == registry.DesiredAbort {
 		return w.tell(ctx, g, o, p, fmt.Sprintf("called off after %d of %d relays", len(p.Done), len(plan.Relays)), true)
 	}
 	from, to := plan.wave(p.Wave)
@@ -95,7 +95,7 @@
 	}
 	wave := plan.Relays[from:to]
 	if !p.Open {
-		p.Open, p.Before = true, map[string]View{}
+		p.Open, p.Before = true, map[string]RelayStatus{}
 		for _, r := range wave {
 			if p.Before[r.Name], err = w.view(ctx, r); err != nil {
 				return w.wait(ctx, g, o, p, fmt.Sprintf("wave %d waits: %s cannot be looked at: %v", p.Wave+1, r.Name, err))
@@ -105,19 +105,19 @@
 			return err
 		}
 	}
-	for at := 0; at < len(wave); at += plan.AtOnce {
-		if wish, err := w.wish(ctx, o); err != nil || wish != registry.WishRun {
+	for at := 0; at < len(wave); at += plan.Parallelism {
+		if wish, err := w.wish(ctx, o); err != nil || wish != registry.DesiredRun {
 			return err // paused or called off between two steps
 		}
-		part := wave[at:min(len(wave), at+plan.AtOnce)]
+		part := wave[at:min(len(wave), at+plan.Parallelism)]
 		var steps errgroup.Group
 		for _, r := range part {
 			if !p.Done[r.Name] {
-				steps.Go(func() error { return w.step(ctx, g, o, r, secs(plan.Ready)) })
+				steps.Go(func() error { return w.step(ctx, g, o, r, secs(plan.ReadyTimeout)) })
 			}
 		}
 		if err := steps.Wait(); err != nil {
-			if errors.Is(err, leader.ErrLost) || ctx.Err() != nil {
+			if errors.Is(err, leader.ErrLeaseLost) || ctx.Err() != nil {
 				return err
 			}
 			return w.wait(ctx, g, o, p, fmt.Sprintf("wave %d: %v", p.Wave+1, err))
@@ -137,7 +137,7 @@
 }
 
 // step restarts one relay and waits until it says yes.
-func (w *worker) step(ctx context.Context, g *leader.Grant, o registry.Order, r Relay, ready time.Duration) error {
+func (w *worker) step(ctx context.Context, g *leader.Grant, o registry.Operation, r Relay, ready time.Duration) error {
 	text, err := json.Marshal(Step{ID: o.Name + "/" + r.Name, Token: g.Token})
 	if err != nil {
 		return fmt.Errorf("rollout: %w", err)
@@ -149,7 +149,7 @@
 		if err == nil {
 			break
 		}
-		if errors.Is(err, leader.ErrLost) || !sleep(long, lookEvery) {
+		if errors.Is(err, leader.ErrLeaseLost) || !sleep(long, lookEvery) {
 			return fmt.Errorf("%s is not restarted: %w", r.Name, err)
 		}
 	}
@@ -166,8 +166,8 @@
 
 // settle waits until all that the plan asks for has held for long enough. Figures
 // of a relay begin anew with its process: what was refused counts from there.
-func (w *worker) settle(ctx context.Context, plan *Plan, wave []Relay, before map[string]View) (why string) {
-	within := time.Now().Add(secs(plan.Within))
+func (w *worker) settle(ctx context.Context, plan *Plan, wave []Relay, before map[string]RelayStatus) (why string) {
+	within := time.Now().Add(secs(plan.SettleTimeout))
 	for since := time.Now(); ; {
 		why = ""
 		for _, r := range wave {
@@ -177,10 +177,10 @@
 				why = fmt.Sprintf("%s: %v", r.Name, err)
 			case !v.Ready:
 				why = r.Name + " is not ready"
-			case v.Pending > before[r.Name].Pending+int64(plan.Pending):
+			case v.Pending > before[r.Name].Pending+int64(plan.MaxPending):
 				why = fmt.Sprintf("%s holds %d messages, %d before", r.Name, v.Pending, before[r.Name].Pending)
-			case v.Ended >= 20 && float64(v.Refused) > plan.Refused*float64(v.Ended):
-				why = fmt.Sprintf("%s refused %d of %d", r.Name, v.Refused, v.Ended)
+			case v.Completed >= 20 && float64(v.Rejected) > plan.MaxRejected*float64(v.Completed):
+				why = fmt.Sprintf("%s refused %d of %d", r.Name, v.Rejected, v.Completed)
 			}
 			if why != "" {
 				break
@@ -190,7 +190,7 @@
 		switch {
 		case why != "":
 			since = now
-		case now.Sub(since) >= secs(plan.Settle):
+		case now.Sub(since) >= secs(plan.SettleTime):
 			return ""
 		}
 		if now.After(within) || !sleep(ctx, lookEvery) {
@@ -203,33 +203,33 @@
 }
 
 // wish gives what the operators want of an order now.
-func (w *worker) wish(ctx context.Context, o registry.Order) (string, error) {
-	var all []registry.Order
-	if _, err := w.c.Do(ctx, http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
+func (w *worker) wish(ctx context.Context, o registry.Operation) (string, error) {
+	var all []registry.Operation
+	if _, err := w.c.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
 		return "", err
 	}
 	for _, x := range all {
 		if x.Kind == o.Kind && x.Name == o.Name {
-			return x.Wish, nil
+			return x.DesiredState, nil
 		}
 	}
-	return registry.WishAbort, nil
+	return registry.DesiredAbort, nil
 }
 
 // wait tells why a plan does not go on; it is tried again.
-func (w *worker) wait(ctx context.Context, g *leader.Grant, o registry.Order, p Progress, says string) error {
-	if says == o.Says {
+func (w *worker) wait(ctx context.Context, g *leader.Grant, o registry.Operation, p Progress, says string) error {
+	if says == o.Message {
 		return nil
 	}
 	return w.tell(ctx, g, o, p, says, false)
 }
 
-func (w *worker) tell(ctx context.Context, g *leader.Grant, o registry.Order, p Progress, says string, done bool) error {
+func (w *worker) tell(ctx context.Context, g *leader.Grant, o registry.Operation, p Progress, says string, done bool) error {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return fmt.Errorf("rollout: %w", err)
 	}
-	return g.Do(ctx, http.MethodPost, registry.OrdersPath+"/"+o.Kind+"/"+o.Name+"/progress", registry.Order{Progress: text, Says: says, Done: done}, nil)
+	return g.Do(ctx, http.MethodPost, registry.OperationsPath+"/"+o.Kind+"/"+o.Name+"/progress", registry.Operation{Progress: text, Message: says, Done: done}, nil)
 }
 
 // ask asks a runner or a relay. A runner that has seen a newer token is ErrLost.
@@ -248,7 +248,7 @@
 	case err != nil:
 		return fmt.Errorf("rollout: %w", err)
 	case resp.StatusCode == http.StatusPreconditionFailed:
-		return fmt.Errorf("%w: %s", leader.ErrLost, bytes.TrimSpace(text))
+		return fmt.Errorf("%w: %s", leader.ErrLeaseLost, bytes.TrimSpace(text))
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("rollout: %s: %s", resp.Status, bytes.TrimSpace(text))
 	}
@@ -259,7 +259,7 @@
 }
 
 // view reads readiness and figures of a relay.
-func (w *worker) view(ctx context.Context, r Relay) (v View, err error) {
+func (w *worker) view(ctx context.Context, r Relay) (v RelayStatus, err error) {
 	at := cmp.Or(r.Operator, r.Runner)
 	v.Ready = w.ask(ctx, http.MethodGet, "http://"+at+"/v1/readyz", nil, nil) == nil
 	var text []byte
@@ -277,10 +277,10 @@
 		case "app_pending":
 			v.Pending += int64(n)
 		case "app_completed", "app_failed":
-			v.Ended += int64(n)
+			v.Completed += int64(n)
 		case "app_rejected":
-			v.Ended += int64(n)
-			v.Refused += int64(n)
+			v.Completed += int64(n)
+			v.Rejected += int64(n)
 		}
 	}
 	return v, lines.Err()
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -70,7 +70,7 @@
 func newFleet(t *testing.T, relays int, waves ...int) *fleet {
 	t.Helper()
 	c := registry.DefaultConfig()
-	c.Data, c.Listen, c.Raft = filepath.Join(t.TempDir(), "data"), loopback.Free(), loopback.Free()
+	c.DataDir, c.Listen, c.Raft = filepath.Join(t.TempDir(), "data"), loopback.Free(), loopback.Free()
 	c.Peers = []registry.Peer{{ID: c.ID, Raft: c.Raft, HTTP: c.Listen}}
 	n, err := registry.Start(&c, quiet())
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	t.Cleanup(n.Close)
 	f := &fleet{t: t, addr: c.Listen, restarts: map[string]int{}, open: map[int]bool{}, sick: map[string]bool{}, slow: 20 * time.Millisecond,
-		plan: Plan{Waves: waves, AtOnce: 2, Ready: 5, Settle: 0.3, Within: 3, Refused: 0.1, Pending: 10}}
+		plan: Plan{Waves: waves, Parallelism: 2, ReadyTimeout: 5, SettleTime: 0.3, SettleTimeout: 3, MaxRejected: 0.1, MaxPending: 10}}
 	for i := range relays {
 		name := fmt.Sprint("n", i)
 		wave, end := 0, 0
@@ -118,7 +118,7 @@
 
 func (f *fleet) want(wish string, spec bool) {
 	f.t.Helper()
-	o := registry.Order{Wish: wish}
+	o := registry.Operation{DesiredState: wish}
 	if spec {
 		text, err := json.Marshal(f.plan)
 		if err != nil {
@@ -126,15 +126,15 @@
 		}
 		o.Spec = text
 	}
-	if _, err := f.client().Do(f.t.Context(), http.MethodPut, registry.OrdersPath+"/"+Duty+"/all", o, nil); err != nil {
+	if _, err := f.client().Do(f.t.Context(), http.MethodPut, registry.OperationsPath+"/"+Role+"/all", o, nil); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fleet) order() (o registry.Order, p Progress) {
+func (f *fleet) order() (o registry.Operation, p Progress) {
 	f.t.Helper()
-	var all []registry.Order
-	if _, err := f.client().Do(context.Background(), http.MethodGet, registry.OrdersPath, nil, &all); err != nil {
+	var all []registry.Operation
+	if _, err := f.client().Do(context.Background(), http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
 		f.t.Fatal(err)
 	}
 	if len(all) == 0 {
@@ -175,7 +175,7 @@
 	}
 	go func() {
 		defer close(done)
-		if err := leader.Run(ctx, leader.Options{Client: c, Warden: name, TTL: 3 * time.Second, Duties: map[string]leader.Work{Duty: work}, Log: quiet()}); err != nil {
+		if err := leader.Run(ctx, leader.Options{Client: c, Name: name, TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: work}, Log: quiet()}); err != nil {
 			f.t.Error(err)
 		}
 	}()
@@ -201,7 +201,7 @@
 func TestEachOnceThoughHoldersDie(t *testing.T) {
 	f := newFleet(t, 12, 1, 3, 4)
 	f.slow = 60 * time.Millisecond
-	f.want(registry.WishRun, true)
+	f.want(registry.DesiredRun, true)
 	for k := range 4 {
 		cut := f.warden(fmt.Sprint("w-", k))
 		_, before := f.order()
@@ -217,9 +217,9 @@
 func TestAWaveThatDoesNotSettle(t *testing.T) {
 	f := newFleet(t, 5, 2)
 	f.sick["n1"] = true
-	f.want(registry.WishRun, true)
+	f.want(registry.DesiredRun, true)
 	f.warden("w")
-	waitFor(t, "word of it", func() bool { o, _ := f.order(); return strings.Contains(o.Says, "does not settle: n1 refused") })
+	waitFor(t, "word of it", func() bool { o, _ := f.order(); return strings.Contains(o.Message, "does not settle: n1 refused") })
 	f.once(2)
 	f.mu.Lock()
 	f.sick["n1"] = false
@@ -232,15 +232,15 @@
 func TestPauseAndAbort(t *testing.T) {
 	f := newFleet(t, 6, 2)
 	f.slow = 200 * time.Millisecond
-	f.want(registry.WishRun, true)
+	f.want(registry.DesiredRun, true)
 	f.warden("w")
 	waitFor(t, "the first wave", func() bool { _, p := f.order(); return len(p.Done) >= 2 })
-	f.want(registry.WishPause, false)
+	f.want(registry.DesiredPause, false)
 	waitFor(t, "rest", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.open) == 0 })
 	_, at := f.order()
-	f.want(registry.WishAbort, false)
-	waitFor(t, "the end", func() bool { o, _ := f.order(); return o.Done && strings.Contains(o.Says, "called off") })
-	if _, p := f.order(); len(p.Done) > len(at.Done)+f.plan.AtOnce || len(p.Done) == 6 {
+	f.want(registry.DesiredAbort, false)
+	waitFor(t, "the end", func() bool { o, _ := f.order(); return o.Done && strings.Contains(o.Message, "called off") })
+	if _, p := f.order(); len(p.Done) > len(at.Done)+f.plan.Parallelism || len(p.Done) == 6 {
 		t.Errorf("went on to %d relays", len(p.Done))
 	}
 }
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -29,8 +29,8 @@
 	Token int64  `json:"token"` // of the duty: an older one than was seen is refused with 412
 }
 
-// Did is what a runner last did.
-type Did struct {
+// StepStatus is what a runner last did.
+type StepStatus struct {
 	Step string `json:"step"` // done, or begun
 	Done bool   `json:"done"`
 	PID  int    `json:"pid"`
@@ -54,7 +54,7 @@
 
 const didFile = "restart.json"
 
-func (r *Runner) did() (d Did, err error) {
+func (r *Runner) did() (d StepStatus, err error) {
 	text, err := os.ReadFile(filepath.Join(r.Folder, didFile))
 	if errors.Is(err, os.ErrNotExist) {
 		return d, nil
@@ -68,7 +68,7 @@
 	return d, nil
 }
 
-func (r *Runner) keep(d Did) error {
+func (r *Runner) keep(d StepStatus) error {
 	text, err := json.Marshal(d)
 	if err != nil {
 		return fmt.Errorf("runner: %w", err)
@@ -85,17 +85,17 @@
 
 // restart does a step. One that was begun by a runner that died on the way is
 // done again: the relay's folder lets two of its processes follow each other.
-func (r *Runner) restart(ctx context.Context, s Step) (Did, error) {
+func (r *Runner) restart(ctx context.Context, s Step) (StepStatus, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := leader.Fence(r.Folder, Duty, s.Token); err != nil {
-		return Did{}, err
+	if err := leader.Fence(r.Folder, Role, s.Token); err != nil {
+		return StepStatus{}, err
 	}
 	d, err := r.did()
 	if err != nil || d.Step == s.ID && d.Done {
 		return d, err
 	}
-	if err := r.keep(Did{Step: s.ID, PID: d.PID}); err != nil {
+	if err := r.keep(StepStatus{Step: s.ID, PID: d.PID}); err != nil {
 		return d, err
 	}
 	pid, err := r.Program.Restart(ctx)
@@ -103,13 +103,13 @@
 		return d, err
 	}
 	r.Log.Info("relay restarted", "step", s.ID, "token", s.Token, "pid", pid)
-	d = Did{Step: s.ID, Done: true, PID: pid}
+	d = StepStatus{Step: s.ID, Done: true, PID: pid}
 	return d, r.keep(d)
 }
 
 // Handler serves a runner.
 func (r *Runner) Handler() http.Handler {
-	say := func(w http.ResponseWriter, d Did, err error) {
+	say := func(w http.ResponseWriter, d StepStatus, err error) {
 		switch {
 		case errors.Is(err, leader.ErrFenced):
 			http.Error(w, err.Error(), http.StatusPreconditionFailed)
@@ -145,14 +145,14 @@
 	return mux
 }
 
-// Local is a relay as a process of this machine: the next one is started beside
+// LocalProcess is a relay as a process of this machine: the next one is started beside
 // it, and it is told to end once that has had time to take over.
-type Local struct {
-	Command []string
-	Env     []string
-	Take    time.Duration // that the next process has to take over
-	Term    time.Duration // that the old one has to end
-	Addrs   [2]string     // operator addresses, by turns: ROUTER_OPERATOR of each process
+type LocalProcess struct {
+	Command           []string
+	Env               []string
+	TakeoverTime      time.Duration // that the next process has to take over
+	TerminationTime   time.Duration // that the old one has to end
+	OperatorAddresses [2]string     // operator addresses, by turns: ROUTER_OPERATOR of each process
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
@@ -161,10 +161,10 @@
 }
 
 // Operator is Program's.
-func (l *Local) Operator() string { return l.Addrs[l.at.Load()] }
+func (l *LocalProcess) Operator() string { return l.OperatorAddresses[l.at.Load()] }
 
 // Restart starts the next process and ends the one before.
-func (l *Local) Restart(ctx context.Context) (int, error) {
+func (l *LocalProcess) Restart(ctx context.Context) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.Command) == 0 {
@@ -173,7 +173,7 @@
 	old, oldEnd := l.cmd, l.end
 	cmd := exec.Command(l.Command[0], l.Command[1:]...)
 	next := 1 - l.at.Load()
-	cmd.Env = append(append(os.Environ(), l.Env...), "ROUTER_OPERATOR="+l.Addrs[next])
+	cmd.Env = append(append(os.Environ(), l.Env...), "ROUTER_OPERATOR="+l.OperatorAddresses[next])
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 	if err := cmd.Start(); err != nil {
 		return 0, fmt.Errorf("runner: %w", err)
@@ -188,7 +188,7 @@
 	if old == nil {
 		return cmd.Process.Pid, nil
 	}
-	t := time.NewTimer(l.Take)
+	t := time.NewTimer(l.TakeoverTime)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -199,7 +199,7 @@
 	case <-ctx.Done():
 	}
 	old.Process.Signal(syscall.SIGTERM)
-	t.Reset(l.Term)
+	t.Reset(l.TerminationTime)
 	select {
 	case <-oldEnd:
 	case <-t.C:
@@ -210,14 +210,14 @@
 }
 
 // Stop ends the relay.
-func (l *Local) Stop() {
+func (l *LocalProcess) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cmd == nil {
 		return
 	}
 	l.cmd.Process.Signal(syscall.SIGTERM)
-	t := time.NewTimer(l.Term)
+	t := time.NewTimer(l.TerminationTime)
 	defer t.Stop()
 	select {
 	case <-l.end:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,39 +9,39 @@
 	"plovershore/policy"
 )
 
-var repeats = map[string]policy.Repeat{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
+var repeats = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NonIdempotent}
 
-// Policy maps the settings text to the interface's words.
-func Policy(s *wire.Settings) (policy.Settings, error) {
+// ToPolicy maps the settings text to the interface's words.
+func ToPolicy(s *wire.Settings) (policy.Settings, error) {
 	l, f := &s.Limits, &s.Safety
-	d := policy.Settings{Relays: s.Balancers, Zone: s.Zone, Slots: s.Specifics.CallsOut, MaxHeld: l.MostHeld,
-		MaxAttempts: l.MostTries, Halving: s.Specifics.Late == "halving", OverShareWorth: s.OverShareWorth,
-		WorthByWork: s.ValueBy == "work", RatesListed: s.Weights != "" && s.Weights != "none",
-		Reports: s.Report.How == "answers" && len(s.Report.Fields) > 0,
-		Probes:  l.Probing, Cancels: l.MayCancel, RetryAfter: l.RetryAfter, MaxRetryAfter: l.MaxRetryAfter,
-		AskForList: s.Discovery == "on_request", AskEvery: f.AskEvery, ConnectTimeout: l.ConnectTimeout,
-		KeepAlive: l.KeepAlive, Streams: l.StreamsPerConn, Tick: s.Tick, AnswerSlack: f.AnswerSlack,
-		DrainGrace: f.DrainGrace, StartCapacity: f.StartCapacity, RampTime: f.RampTime,
-		OverloadFactor: f.OverloadFactor, FallTime: f.FallTime, KeyRest: f.KeyRest}
+	d := policy.Settings{Relays: s.Balancers, Zone: s.Zone, MaxCalls: s.Specifics.CallsOut, MaxMessages: l.MaxMessages,
+		MaxAttempts: l.MaxAttempts, HalvingWeight: s.Specifics.Late == "halving", OverQuotaWeight: s.OverQuotaWeight,
+		WeightByCost: s.ValueBy == "work", ListedRates: s.Weights != "" && s.Weights != "none",
+		LoadReports:  s.Report.How == "answers" && len(s.Report.Fields) > 0,
+		HealthChecks: l.Probing, Cancellation: l.MayCancel, RetryAfter: l.RetryAfter, MaxRetryAfter: l.MaxRetryAfter,
+		PollList: s.Discovery == "on_request", PollInterval: f.PollInterval, ConnectTimeout: l.ConnectTimeout,
+		KeepAlive: l.KeepAlive, StreamsPerConnection: l.StreamsPerConn, Tick: s.Tick, ResponseSlack: f.ResponseSlack,
+		DrainGrace: f.DrainGrace, SlowStartCapacity: f.SlowStartCapacity, SlowStartTime: f.SlowStartTime,
+		OverloadFactor: f.OverloadFactor, OverloadWindow: f.OverloadWindow, KeyCooldown: f.KeyCooldown}
 	for i, c := range s.Classes {
-		rep, ok := repeats[c.Repeat]
+		rep, ok := repeats[c.Idempotency]
 		if !ok {
-			return d, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, c.Repeat)
+			return d, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, c.Idempotency)
 		}
-		d.Classes = append(d.Classes, policy.Class{Name: c.Name, Aim: c.Target, Deadline: c.Deadline,
-			Worth: c.Worth, LateWorth: c.LateWorth, Repeat: rep, DedupWindow: c.Window,
-			ZoneOnly: c.Group != "all" && c.Group != "", InOrder: c.Sequential})
+		d.Classes = append(d.Classes, policy.Class{Name: c.Name, LatencyObjective: c.Target, Deadline: c.Deadline,
+			Weight: c.Weight, LateWeight: c.LateWeight, Idempotency: rep, DedupWindow: c.Window,
+			DedupPerZone: c.Group != "all" && c.Group != "", Ordered: c.Sequential})
 	}
 	for _, a := range s.Accounts {
 		d.Tenants = append(d.Tenants, policy.Tenant{Name: a.Name, Quota: a.Quota})
 	}
 	for i := range s.Kinds {
-		k := policy.Kind{Batch: 1}
+		k := policy.DestinationKind{MaxBatch: 1}
 		if i < len(s.Specifics.OwnLimits) {
-			k.Apart = s.Specifics.OwnLimits[i]
+			k.SeparateRoutes = s.Specifics.OwnLimits[i]
 		}
 		if i < len(s.Specifics.KindBatch) {
-			k.Batch = s.Specifics.KindBatch[i]
+			k.MaxBatch = s.Specifics.KindBatch[i]
 		}
 		d.Kinds = append(d.Kinds, k)
 	}
--- a/internal/wal/baseline/baseline.go
+++ b/internal/wal/baseline/baseline.go
@@ -40,18 +40,18 @@
 
 // Log is an open one.
 type Log struct {
-	path   string
-	limit  int64
-	file   *os.File
-	size   int64
-	live   map[string]*live
-	owed   int64
-	taken  int
-	in     *mailbox.Mailbox[op]
-	done   chan struct{}
-	buffer []byte
-	Calls  int64 // of the file system, to write
-	Bytes  int64 // written
+	path       string
+	limit      int64
+	file       *os.File
+	size       int64
+	live       map[string]*live
+	owed       int64
+	taken      int
+	in         *mailbox.Mailbox[op]
+	done       chan struct{}
+	buffer     []byte
+	WriteCalls int64 // of the file system, to write
+	Bytes      int64 // written
 }
 
 func encode(r *wal.Record, to []byte) []byte {
@@ -117,23 +117,23 @@
 func (l *Log) apply(r *wal.Record) {
 	x := l.live[r.ID]
 	switch {
-	case r.Kind == wal.Taken && x == nil:
+	case r.Kind == wal.KindAccepted && x == nil:
 		l.taken++
 		x = &live{r, l.taken, int64(head + len(r.Body) + len(r.ID) + len(r.Key) + len(r.Class) + len(r.Tenant) + 160 + room)}
 		l.live[r.ID] = x
 		l.owed += x.size
 	case x == nil:
-	case r.Kind == wal.End:
+	case r.Kind == wal.KindCompleted:
 		l.owed -= x.size
 		delete(l.live, r.ID)
-	case r.Kind == wal.Attempt:
-		x.rec.Tries++
-		x.rec.Out, x.rec.OutTo = r.At, r.To
-	case r.Kind == wal.Outcome:
-		if r.Ran && x.rec.Doubt == 0 {
-			x.rec.Doubt = x.rec.Out
+	case r.Kind == wal.KindAttempt:
+		x.rec.Attempts++
+		x.rec.InFlightSince, x.rec.InFlightEndpoint = r.At, r.Endpoint
+	case r.Kind == wal.KindOutcome:
+		if r.MayHaveRun && x.rec.UnknownOutcomeAt == 0 {
+			x.rec.UnknownOutcomeAt = x.rec.InFlightSince
 		}
-		x.rec.Out, x.rec.OutTo = 0, ""
+		x.rec.InFlightSince, x.rec.InFlightEndpoint = 0, ""
 	}
 }
 
@@ -150,14 +150,14 @@
 	var text []byte
 	for _, x := range l.inOrder() {
 		c := *x.rec
-		c.Kind = wal.Taken
+		c.Kind = wal.KindAccepted
 		text = encode(&c, text)
 	}
 	f, err := os.OpenFile(l.path+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("baseline: %w", err)
 	}
-	l.Calls, l.Bytes = l.Calls+1, l.Bytes+int64(len(text))
+	l.WriteCalls, l.Bytes = l.WriteCalls+1, l.Bytes+int64(len(text))
 	if _, err = f.Write(text); err == nil {
 		err = os.Rename(l.path+".new", l.path)
 	}
@@ -208,7 +208,7 @@
 func (l *Log) append(r *wal.Record) error {
 	l.buffer = encode(r, l.buffer[:0])
 	n, owed, free := int64(len(l.buffer)), l.owed, l.limit-slack
-	if r.Kind == wal.Taken {
+	if r.Kind == wal.KindAccepted {
 		free -= spare
 		if 2*owed > free {
 			return wal.ErrFull
@@ -222,7 +222,7 @@
 			return wal.ErrFull
 		}
 	}
-	l.Calls, l.Bytes = l.Calls+1, l.Bytes+n
+	l.WriteCalls, l.Bytes = l.WriteCalls+1, l.Bytes+n
 	if _, err := l.file.WriteAt(l.buffer, l.size); err != nil {
 		return fmt.Errorf("baseline: %w", err)
 	}
--- a/internal/wal/checkpoint.go
+++ b/internal/wal/checkpoint.go
@@ -40,13 +40,13 @@
 	}
 	j := &job{num: c.cur.num, until: c.idx.used}
 	j.path = filepath.Join(c.dir, ckpName(j.num)+newSuffix)
-	src, err := c.create(j.path, header{kind: checkpointFile, power: c.o.Promise == Power, num: j.num, first: c.seq + 1, by: uint32(c.by)})
+	src, err := c.create(j.path, header{kind: checkpointFile, power: c.o.Durability == SurvivesPowerLoss, num: j.num, first: c.seq + 1, by: uint32(c.by)})
 	if err != nil {
 		return c.abort(err)
 	}
 	j.src = c.addSource(src)
 	c.job = j
-	return c.jobRecord(&Record{Kind: Mark, ID: NoMessage, By: c.by, Side: c.state.side}, nil)
+	return c.jobRecord(&Record{Kind: KindOwner, ID: NoMessage, Process: c.by, HandoffOffset: c.state.side}, nil)
 }
 
 func (c *core) abort(err error) error {
@@ -114,9 +114,9 @@
 			c.owed -= c.room(i)
 			c.idx.more(i).lost = r.ID
 			c.owed += c.room(i)
-			r.Lost = true
+			r.Corrupted = true
 		}
-		r.Kind, r.At, r.Took = held, int64(e.seq), int64(e.seq+uint64(e.asof))
+		r.Kind, r.At, r.Latency = held, int64(e.seq), int64(e.seq+uint64(e.asof))
 		start := len(j.buf)
 		if err := c.jobRecord(&r, raw); err != nil {
 			return err
@@ -134,7 +134,7 @@
 	}
 	j.src.size += int64(len(j.buf))
 	c.resize(j.path, j.src.size)
-	if c.o.Promise == Power {
+	if c.o.Durability == SurvivesPowerLoss {
 		if err := c.syncFile(j.src); err != nil {
 			return err
 		}
@@ -177,7 +177,7 @@
 	size := j.src.size
 	c.resize(j.path, 0)
 	c.resize(path, size)
-	if c.o.Promise == Power {
+	if c.o.Durability == SurvivesPowerLoss {
 		if err := c.syncDir(); err != nil {
 			return err
 		}
@@ -243,7 +243,7 @@
 // whoever looks at the folder: its file makes room for the log's folder, which
 // that program cannot mistake for its own.
 func (c *core) carryOver() error {
-	dir := filepath.Join(c.o.Dir, Name)
+	dir := filepath.Join(c.o.Dir, FolderName)
 	c.dir = dir + newSuffix
 	step := func(err error) error {
 		if err != nil {
@@ -261,7 +261,7 @@
 		return err
 	}
 	c.dir = dir
-	if c.o.Promise == Power {
+	if c.o.Durability == SurvivesPowerLoss {
 		if err := step(c.fs.SyncDir(dir + newSuffix)); err != nil {
 			return err
 		}
@@ -278,7 +278,7 @@
 	if err := step(c.fs.Rename(dir+newSuffix, dir)); err != nil {
 		return err
 	}
-	if c.o.Promise == Power {
+	if c.o.Durability == SurvivesPowerLoss {
 		if err := step(c.fs.SyncDir(c.o.Dir)); err != nil {
 			return err
 		}
--- a/internal/wal/command/command.go
+++ b/internal/wal/command/command.go
@@ -68,7 +68,7 @@
 			"FOLDER is the relay's state folder. Read only unless it is repair, export or import.\n" +
 			"Exit codes: 0 sound or done; 1 damaged, or it could not be done; 2 bad usage; 3 in use by a running relay."}
 	root.PersistentFlags().BoolVar(&asJSON, "json", false, "JSON in place of a table")
-	show := func(c *cobra.Command, r *wal.Report) error {
+	show := func(c *cobra.Command, r *wal.RecoveryReport) error {
 		if asJSON {
 			e := json.NewEncoder(c.OutOrStdout())
 			e.SetIndent("", " ")
@@ -76,7 +76,7 @@
 		}
 		return table(c.OutOrStdout(), r)
 	}
-	judge := func(c *cobra.Command, r *wal.Report) error {
+	judge := func(c *cobra.Command, r *wal.RecoveryReport) error {
 		if err := show(c, r); err != nil {
 			return err
 		}
@@ -87,7 +87,7 @@
 	}
 	owned := func(f func(c *cobra.Command, a []string) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, a []string) error {
-			release, err := wal.Own(a[0])
+			release, err := wal.LockFolder(a[0])
 			if err != nil {
 				return coded(err)
 			}
@@ -159,7 +159,7 @@
 	}
 	imp := &cobra.Command{Use: "import FILE FOLDER", Short: "Put an exported log into a folder that holds none; the file is used up", Args: args("FILE", "FOLDER"),
 		RunE: func(c *cobra.Command, a []string) error {
-			release, err := wal.Own(a[1])
+			release, err := wal.LockFolder(a[1])
 			if err != nil {
 				return coded(err)
 			}
@@ -174,23 +174,23 @@
 	return root
 }
 
-func table(out io.Writer, r *wal.Report) error {
+func table(out io.Writer, r *wal.RecoveryReport) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FILE\tKIND\tBYTES\tRECORDS\tFIRST")
 	for _, f := range r.Files {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\n", f.Name, f.Kind, f.Bytes, f.Records, f.First)
 	}
 	w.Flush() // its error is the last line's
-	fmt.Fprintf(out, "owed %d, records %d, last number %d, %d bytes on disk\n", r.Owed, r.Records, r.Seq, r.Bytes)
+	fmt.Fprintf(out, "owed %d, records %d, last number %d, %d bytes on disk\n", r.Pending, r.Records, r.Seq, r.Bytes)
 	for _, d := range r.Torn {
-		fmt.Fprintf(out, "never booked: %s at %d: %d bytes: %s %s\n", d.File, d.At, d.Bytes, d.What, strings.Join(d.IDs, " "))
+		fmt.Fprintf(out, "never booked: %s at %d: %d bytes: %s %s\n", d.File, d.Offset, d.Bytes, d.Reason, strings.Join(d.IDs, " "))
 	}
-	for _, d := range r.Damage {
-		fmt.Fprintf(out, "DAMAGED: %s at %d: %d bytes: %s; %d messages held to have been sent %s\n", d.File, d.At, d.Bytes, d.What, d.Concerned, strings.Join(d.IDs, " "))
+	for _, d := range r.Corruptions {
+		fmt.Fprintf(out, "DAMAGED: %s at %d: %d bytes: %s; %d messages held to have been sent %s\n", d.File, d.Offset, d.Bytes, d.Reason, d.Affected, strings.Join(d.IDs, " "))
 	}
 	var err error
-	if len(r.Lost) > 0 {
-		_, err = fmt.Fprintf(out, "LOST: %s\n", strings.Join(r.Lost, " "))
+	if len(r.LostIDs) > 0 {
+		_, err = fmt.Fprintf(out, "LOST: %s\n", strings.Join(r.LostIDs, " "))
 	}
 	return err
 }
--- a/internal/wal/command/command_test.go
+++ b/internal/wal/command/command_test.go
@@ -38,7 +38,7 @@
 	stop := make(chan struct{})
 	go l.Run(stop)
 	for _, id := range ids {
-		l.Submit(&wal.Record{Kind: wal.Taken, ID: id, Class: "once", Deadline: 1e15, Body: []byte("body of " + id)}, nil)
+		l.Submit(&wal.Record{Kind: wal.KindAccepted, ID: id, Class: "once", Deadline: 1e15, Body: []byte("body of " + id)}, nil)
 	}
 	close(stop)
 	<-l.Done()
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := lock.Try(); !got {
+	if got, err := lock.TryLock(); !got {
 		t.Fatal(err)
 	}
 	if code, out := runWAL("verify", dir); code != InUse {
@@ -87,7 +87,7 @@
 		t.Errorf("stats of one in use: %d, %s", code, out)
 	}
 	lock.Close()
-	seg := filepath.Join(dir, wal.Name, "00000001.seg")
+	seg := filepath.Join(dir, wal.FolderName, "00000001.seg")
 	b, err := os.ReadFile(seg)
 	if err != nil {
 		t.Fatal(err)
@@ -96,12 +96,12 @@
 	if err := os.WriteFile(seg, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	before, _ := os.ReadDir(filepath.Join(dir, wal.Name))
+	before, _ := os.ReadDir(filepath.Join(dir, wal.FolderName))
 	code, out := runWAL("verify", dir)
 	if code != Damaged || !strings.Contains(out, "LOST: one-message") || !strings.Contains(out, "00000001.seg") {
 		t.Errorf("damaged: %d, %s", code, out)
 	}
-	if after, _ := os.ReadDir(filepath.Join(dir, wal.Name)); len(after) != len(before) {
+	if after, _ := os.ReadDir(filepath.Join(dir, wal.FolderName)); len(after) != len(before) {
 		t.Error("verify has changed the folder")
 	}
 	if code, out := runWAL("repair", dir); code != Sound {
@@ -120,10 +120,10 @@
 	if code, out := runWAL("export", from, file); code != 0 {
 		t.Fatalf("export: %d, %s", code, out)
 	}
-	if _, err := os.Stat(filepath.Join(from, wal.Name)); !os.IsNotExist(err) {
+	if _, err := os.Stat(filepath.Join(from, wal.FolderName)); !os.IsNotExist(err) {
 		t.Error("the log is still there")
 	}
-	if f, err := wal.PassFence(from); f == nil || err != nil {
+	if f, err := wal.ClearFence(from); f == nil || err != nil {
 		t.Errorf("fence: %v, %v", f, err)
 	}
 	if ids := owed(t, from); len(ids) != 0 {
@@ -146,7 +146,7 @@
 	if err := os.WriteFile(filepath.Join(to, wal.FenceName), []byte(`{"token":"x"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := wal.PassFence(to); !errors.Is(err, wal.ErrMoving) {
+	if _, err := wal.ClearFence(to); !errors.Is(err, wal.ErrMigrating) {
 		t.Errorf("in the middle of a move: %v", err)
 	}
 	if code, out := runWAL("export", to, file); code != 0 {
@@ -168,22 +168,22 @@
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.CopyFS(filepath.Join(dir, "kept"), os.DirFS(filepath.Join(dir, wal.Name))); err != nil {
+	if err := os.CopyFS(filepath.Join(dir, "kept"), os.DirFS(filepath.Join(dir, wal.FolderName))); err != nil {
 		t.Fatal(err)
 	}
 	if code, out := runWAL("export", dir, file); code != 0 {
 		t.Fatalf("export: %d, %s", code, out)
 	}
-	if err := os.Rename(filepath.Join(dir, "kept"), filepath.Join(dir, wal.Name)); err != nil { // as if it had not gone yet
+	if err := os.Rename(filepath.Join(dir, "kept"), filepath.Join(dir, wal.FolderName)); err != nil { // as if it had not gone yet
 		t.Fatal(err)
 	}
-	if _, err := wal.PassFence(dir); !errors.Is(err, wal.ErrMoving) {
+	if _, err := wal.ClearFence(dir); !errors.Is(err, wal.ErrMigrating) {
 		t.Errorf("in the middle: %v", err)
 	}
 	if code, out := runWAL("export", dir, file); code != 0 || !strings.Contains(out, "owed 2") {
 		t.Errorf("again: %d, %s", code, out)
 	}
-	if f, err := wal.PassFence(dir); f == nil || err != nil {
+	if f, err := wal.ClearFence(dir); f == nil || err != nil {
 		t.Errorf("after it: %v, %v", f, err)
 	}
 }
--- a/internal/wal/core.go
+++ b/internal/wal/core.go
@@ -35,7 +35,7 @@
 	at     int64 // in cur: where the next record goes
 	sizes  map[string]int64
 	bytes  int64 // of all files, in whole blocks
-	mark   Marker
+	mark   StampFile
 	time   timeline
 	job    *job
 	begin  *Record // to be written before all else: this process's mark
@@ -63,7 +63,7 @@
 }
 
 func newCore(o Options) *core {
-	c := &core{o: o, fs: o.FS, log: o.Log, dir: filepath.Join(o.Dir, Name), limit: o.Limit, sizes: map[string]int64{}, fresh: map[string]bool{}}
+	c := &core{o: o, fs: o.FS, log: o.Log, dir: filepath.Join(o.Dir, FolderName), limit: o.Limit, sizes: map[string]int64{}, fresh: map[string]bool{}}
 	if c.fs == nil {
 		c.fs = OS{}
 	}
@@ -79,7 +79,7 @@
 // open recovers what the folder holds and makes it ready. The caller holds the
 // lock. Where the process before still lives, its side log comes too, and the
 // calls that it has out are left as they are.
-func (c *core) open() (side *Side, err error) {
+func (c *core) open() (side *HandoffLog, err error) {
 	if err := c.recover(); err != nil {
 		return nil, err
 	}
@@ -97,18 +97,18 @@
 	}
 	living := 0
 	if side != nil {
-		living = side.By
+		living = side.Process
 	}
 	if c.owner == ([16]byte{}) {
 		rand.Read(c.owner[:]) // never fails
 		c.salt = saltOf(c.owner)
 	}
-	if c.state.report.Older {
+	if c.state.report.OlderFormat {
 		if err := c.carryOver(); err != nil {
 			return nil, err
 		}
 	}
-	if c.mark, err = c.fs.Mark(filepath.Join(c.dir, markName)); err != nil {
+	if c.mark, err = c.fs.OpenStampFile(filepath.Join(c.dir, markName)); err != nil {
 		c.log.Warn("log: no mark: a lost end will not be noticed", "err", err)
 		c.mark = noMark{}
 	}
@@ -123,12 +123,12 @@
 	}
 	c.settle(func(by int) bool { return by != living }, c.seq+1)
 	c.by++
-	c.begin = &Record{Kind: Mark, ID: NoMessage, By: c.by, Side: c.state.side, living: living}
+	c.begin = &Record{Kind: KindOwner, ID: NoMessage, Process: c.by, HandoffOffset: c.state.side, living: living}
 	for _, name := range c.spent {
 		c.drop(name)
 	}
 	c.spent = nil
-	if len(c.report.Damage) > 0 { // what it came to is fixed before anything is built on it
+	if len(c.report.Corruptions) > 0 { // what it came to is fixed before anything is built on it
 		if err := c.finishCheckpoint(); err != nil {
 			c.log.Error("log: no checkpoint", "err", err)
 		}
@@ -143,7 +143,7 @@
 // settleFiles ends what a process before may have left half done: a carrying
 // over, and, where power counts, writes that were read here but never synced.
 func (c *core) settleFiles() error {
-	if c.report.Older {
+	if c.report.OlderFormat {
 		return nil
 	}
 	for _, suffix := range []string{newSuffix, oldSuffix, olderSuffix} {
@@ -151,7 +151,7 @@
 			return fmt.Errorf("log: %w", err)
 		}
 	}
-	if c.o.Promise != Power {
+	if c.o.Durability != SurvivesPowerLoss {
 		return nil
 	}
 	for _, src := range c.sources {
@@ -179,12 +179,12 @@
 		s.close()
 		return fmt.Errorf("log: %w", err)
 	}
-	if !s.report.Older {
+	if !s.report.OlderFormat {
 		if err := c.fs.MakeDir(c.dir); err != nil {
 			s.close()
 			return fmt.Errorf("log: %w", err)
 		}
-		if c.o.Promise == Power {
+		if c.o.Durability == SurvivesPowerLoss {
 			if err := c.fs.SyncDir(c.o.Dir); err != nil {
 				s.close()
 				return fmt.Errorf("log: %w", err)
@@ -197,35 +197,35 @@
 
 // readState books whatever stands in a state folder, and changes nothing.
 func readState(fs FS, dir string) (*state, error) {
-	_, isDir, err := fs.Stat(filepath.Join(dir, Name))
-	_, _, oldErr := fs.Stat(filepath.Join(dir, Name+oldSuffix))
+	_, isDir, err := fs.Stat(filepath.Join(dir, FolderName))
+	_, _, oldErr := fs.Stat(filepath.Join(dir, FolderName+oldSuffix))
 	if oldErr != nil {
-		_, _, oldErr = fs.Stat(filepath.Join(dir, Name+olderSuffix))
+		_, _, oldErr = fs.Stat(filepath.Join(dir, FolderName+olderSuffix))
 	}
 	switch {
 	case err == nil && isDir: // what an older program left beside it was carried over
-		return readFolder(fs, filepath.Join(dir, Name))
+		return readFolder(fs, filepath.Join(dir, FolderName))
 	case err == nil || oldErr == nil:
 		// A carrying over that was cut between its steps; where the older program
 		// has run again since, its new file comes after.
-		return readOldFile(fs, dir, Name+oldSuffix, Name+olderSuffix, Name)
+		return readOldFile(fs, dir, FolderName+oldSuffix, FolderName+olderSuffix, FolderName)
 	case errors.Is(err, os.ErrNotExist):
-		return readFolder(fs, filepath.Join(dir, Name))
+		return readFolder(fs, filepath.Join(dir, FolderName))
 	}
 	return nil, fmt.Errorf("log: %w", err)
 }
 
 // tell names what was found damaged.
 func (c *core) tell() {
-	for _, d := range c.report.Damage {
-		c.log.Error("log: damaged: what it may have concerned is held to have been sent", "file", d.File, "at", d.At, "bytes", d.Bytes,
-			"what", d.What, "concerned", d.Concerned, "ids", d.IDs)
+	for _, d := range c.report.Corruptions {
+		c.log.Error("log: damaged: what it may have concerned is held to have been sent", "file", d.File, "at", d.Offset, "bytes", d.Bytes,
+			"what", d.Reason, "concerned", d.Affected, "ids", d.IDs)
 	}
 	for _, d := range c.report.Torn {
-		c.log.Warn("log: never booked", "file", d.File, "at", d.At, "bytes", d.Bytes, "what", d.What, "ids", d.IDs)
+		c.log.Warn("log: never booked", "file", d.File, "at", d.Offset, "bytes", d.Bytes, "what", d.Reason, "ids", d.IDs)
 	}
-	if len(c.report.Lost) > 0 {
-		c.log.Error("log: messages are lost", "ids", c.report.Lost)
+	if len(c.report.LostIDs) > 0 {
+		c.log.Error("log: messages are lost", "ids", c.report.LostIDs)
 	}
 }
 
@@ -240,7 +240,7 @@
 		for _, name := range names {
 			path := filepath.Join(dir, name)
 			size, isDir, err := c.fs.Stat(path)
-			if err != nil || isDir || dir == c.o.Dir && name == SideName {
+			if err != nil || isDir || dir == c.o.Dir && name == HandoffName {
 				continue
 			}
 			c.resize(path, size)
@@ -278,7 +278,7 @@
 func (c *core) drop(name string) {
 	path := filepath.Join(c.dir, name)
 	size := c.sizes[path]
-	for _, d := range c.report.Damage {
+	for _, d := range c.report.Corruptions {
 		if d.File == name && d.Bytes > 0 && c.aside+blocks(size) <= c.limit/8 {
 			to := filepath.Join(c.dir, asidePrefix+"-"+name)
 			if _, _, err := c.fs.Stat(to); err == nil {
@@ -307,7 +307,7 @@
 	if err := c.mendEnd(); err != nil {
 		return err
 	}
-	if c.cur != nil && c.o.Promise == Power {
+	if c.cur != nil && c.o.Durability == SurvivesPowerLoss {
 		if err := c.sync(); err != nil {
 			return err
 		}
@@ -315,11 +315,11 @@
 	num := c.nextNum
 	name := segmentName(num)
 	path := filepath.Join(c.dir, name)
-	src, err := c.create(path, header{kind: segmentFile, power: c.o.Promise == Power, num: num, first: c.seq + 1, by: uint32(c.by)})
+	src, err := c.create(path, header{kind: segmentFile, power: c.o.Durability == SurvivesPowerLoss, num: num, first: c.seq + 1, by: uint32(c.by)})
 	if err != nil {
 		return err
 	}
-	if c.o.Promise == Power {
+	if c.o.Durability == SurvivesPowerLoss {
 		if err := c.syncDir(); err != nil {
 			src.f.Close()
 			return err
@@ -330,7 +330,7 @@
 		if err := c.writeOne(&Record{Kind: seal, ID: NoMessage, At: int64(num)}); err != nil {
 			c.log.Warn("log: segment not sealed", "file", c.cur.name, "err", err)
 		}
-		if c.o.Promise == Power {
+		if c.o.Durability == SurvivesPowerLoss {
 			if err := c.sync(); err != nil {
 				src.f.Close()
 				return err
@@ -358,12 +358,12 @@
 
 // create makes a file and writes its header.
 func (c *core) create(path string, h header) (*source, error) {
-	f, err := c.fs.Open(path, Create)
+	f, err := c.fs.Open(path, ModeCreate)
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
 	src := &source{name: filepath.Base(path), f: f, header: h, salt: c.salt, sound: 2, size: headerSize}
-	if _, err = f.WriteAt(c.headerOf(src), 0); err == nil && c.o.Promise == Power {
+	if _, err = f.WriteAt(c.headerOf(src), 0); err == nil && c.o.Durability == SurvivesPowerLoss {
 		err = c.syncFile(src)
 	}
 	if err != nil {
@@ -404,10 +404,10 @@
 }
 
 func (c *core) fail(err error) {
-	c.failed = fmt.Errorf("%w: %w", ErrFailed, err)
+	c.failed = fmt.Errorf("%w: %w", ErrSyncFailed, err)
 	c.log.Error("log: sync failed", "err", err)
-	if c.o.Failed != nil {
-		c.o.Failed(c.failed)
+	if c.o.OnFailure != nil {
+		c.o.OnFailure(c.failed)
 	}
 }
 
@@ -517,7 +517,7 @@
 	}
 	c.buf = c.buf[:0]
 	seq, sync := c.seq, false
-	if c.o.Promise == Power {
+	if c.o.Durability == SurvivesPowerLoss {
 		seq++
 		c.buf, _ = appendRecord(c.buf, &Record{Kind: batch, ID: NoMessage, At: int64(c.synced)}, seq, c.salt, nil)
 	}
@@ -542,7 +542,7 @@
 		if ends[n] = err; err == nil {
 			seq++
 			c.put = append(c.put, placed{r, n, start, len(c.buf) - start, seq})
-			sync = sync || r.Kind != Outcome && r.Kind != Attempt || r.Kind == Attempt && r.Sync
+			sync = sync || r.Kind != KindOutcome && r.Kind != KindAttempt || r.Kind == KindAttempt && r.Sync
 		}
 		n++
 	}
@@ -556,7 +556,7 @@
 	for _, p := range c.put {
 		k := c.keyFor(p.r)
 		c.book(k, nil, p.seq, p.r, c.cur, c.at+int64(p.off), int64(p.size), false)
-		if p.r.Kind == Taken { // one of an id that is owed already names nothing
+		if p.r.Kind == KindAccepted { // one of an id that is owed already names nothing
 			if i, ok := c.idx.find(k); ok && c.idx.at(i).seq == p.seq {
 				p.r.Ref = c.idx.ref(i)
 			}
@@ -564,7 +564,7 @@
 	}
 	c.seq = seq
 	c.written(len(c.buf))
-	if c.o.Promise == Power {
+	if c.o.Durability == SurvivesPowerLoss {
 		if !sync {
 			return n
 		}
@@ -599,7 +599,7 @@
 	}
 	missed := false // one that has to come before all later ones
 	for _, p := range put {
-		if p.r.Kind == Taken || missed {
+		if p.r.Kind == KindAccepted || missed {
 			ends[p.n] = err
 			continue
 		}
@@ -613,13 +613,13 @@
 // check refuses a record that is of no message owed, or for which there is no
 // room. before are the bytes of the batch that come ahead of it.
 func (c *core) check(r *Record, before int64, more *int64) error {
-	if r.ID != NoMessage && r.Kind != Taken {
+	if r.ID != NoMessage && r.Kind != KindAccepted {
 		taken, known := c.fresh[r.ID]
 		if !known {
 			_, taken = c.idx.find(c.idx.keyOf(r.ID))
 		}
 		if !taken {
-			return ErrNotOwed
+			return ErrNotPending
 		}
 	}
 	if c.hopeless(r, *more) || !c.fits(r, before, *more) {
@@ -627,9 +627,9 @@
 	}
 	*more += needs(r)
 	switch r.Kind {
-	case Taken:
+	case KindAccepted:
 		c.fresh[r.ID] = true
-	case End:
+	case KindCompleted:
 		c.fresh[r.ID] = false
 	}
 	return nil
@@ -637,12 +637,12 @@
 
 // sizeOf is what a record takes up at most.
 func sizeOf(r *Record) int64 {
-	return int64(headSize+len(r.ID)+len(r.Class)+len(r.Tenant)+len(r.Key)+len(r.To)+len(r.Notice)+len(r.Body)) + 64
+	return int64(headSize+len(r.ID)+len(r.Class)+len(r.Tenant)+len(r.Key)+len(r.Endpoint)+len(r.Notice)+len(r.Body)) + 64
 }
 
 // needs is what a record adds to the next checkpoint at most.
 func needs(r *Record) int64 {
-	if r.Kind == Taken {
+	if r.Kind == KindAccepted {
 		return sizeOf(r) + stateRoom
 	}
 	return 0
@@ -655,7 +655,7 @@
 		return true
 	}
 	free := c.limit - slack
-	if r.Kind == Taken {
+	if r.Kind == KindAccepted {
 		free -= spare
 	}
 	return c.bytes+before+sizeOf(r)+c.owed+more+needs(r) <= free
@@ -664,5 +664,5 @@
 // hopeless: a checkpoint would not make room for a new message, so that it is
 // not tried for each.
 func (c *core) hopeless(r *Record, more int64) bool {
-	return r.Kind == Taken && !c.forced && 2*(c.owed+more+needs(r)) > c.limit-c.aside-slack-spare
+	return r.Kind == KindAccepted && !c.forced && 2*(c.owed+more+needs(r)) > c.limit-c.aside-slack-spare
 }
--- a/internal/wal/cutfs/cutfs.go
+++ b/internal/wal/cutfs/cutfs.go
@@ -88,7 +88,7 @@
 	f.mu.Lock()
 	ino := f.names[name]
 	f.mu.Unlock()
-	if how != wal.Create {
+	if how != wal.ModeCreate {
 		if ino == nil {
 			return nil, notThere("open", name)
 		}
@@ -230,11 +230,11 @@
 	return nil
 }
 
-// Mark is wal.FS's. The page may reach the disk at any time, or never.
-func (f *FS) Mark(name string) (wal.Marker, error) {
-	x, err := f.Open(name, wal.Write)
+// OpenStampFile is wal.FS's. The page may reach the disk at any time, or never.
+func (f *FS) OpenStampFile(name string) (wal.StampFile, error) {
+	x, err := f.Open(name, wal.ModeWrite)
 	if err != nil {
-		if x, err = f.Open(name, wal.Create); err != nil {
+		if x, err = f.Open(name, wal.ModeCreate); err != nil {
 			return nil, err
 		}
 		if _, err := x.WriteAt(wal.Stamp{}.Bytes(), 0); err != nil {
--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -26,12 +26,12 @@
 	}
 	l.c.shut()
 	text = map[string][]byte{}
-	entries, err := os.ReadDir(filepath.Join(dir, Name))
+	entries, err := os.ReadDir(filepath.Join(dir, FolderName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range entries {
-		b, err := os.ReadFile(filepath.Join(dir, Name, e.Name()))
+		b, err := os.ReadFile(filepath.Join(dir, FolderName, e.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,11 +43,11 @@
 func put(t *testing.T, text map[string][]byte) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
-	if err := os.Mkdir(filepath.Join(dir, Name), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(dir, FolderName), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	for name, b := range text {
-		if err := os.WriteFile(filepath.Join(dir, Name, name), b, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, FolderName, name), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -63,23 +63,23 @@
 	have := map[string]*Record{}
 	for _, r := range owed {
 		have[r.ID] = r
-		fit := !r.Lost && r.Doubt == 0 && r.Notice == ""
+		fit := !r.Corrupted && r.UnknownOutcomeAt == 0 && r.Notice == ""
 		switch r.ID {
 		case "a": // its one attempt never ran; where damage took that it did not, it may have
 		case "b", "c", "d":
 			if fit {
-				t.Fatalf("%s: %s comes back as never sent: %+v; found %+v", what, r.ID, r, l.Found)
+				t.Fatalf("%s: %s comes back as never sent: %+v; found %+v", what, r.ID, r, l.Recovery)
 			}
 		case "e":
 			if fit {
-				t.Fatalf("%s: e was over, and comes back as fit to be sent; found %+v", what, l.Found)
+				t.Fatalf("%s: e was over, and comes back as fit to be sent; found %+v", what, l.Recovery)
 			}
 		default:
 			t.Fatalf("%s: %q was never taken on", what, r.ID)
 		}
 	}
 	for _, id := range []string{"a", "b", "c", "e"} {
-		if have[id] == nil && l.Found.Sound() {
+		if have[id] == nil && l.Recovery.Sound() {
 			t.Fatalf("%s: %s is gone, and nobody was told", what, id)
 		}
 	}
@@ -142,14 +142,14 @@
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
 	whole := l.c.at
 	for _, torn := range [][]byte{{0xf7}, []byte(recordMark + "\x00\x00"), func() []byte {
-		b, _ := appendRecord(nil, &Record{Kind: Attempt, ID: "b", At: 5, To: "s"}, l.c.seq+1, l.c.salt, nil)
+		b, _ := appendRecord(nil, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, l.c.seq+1, l.c.salt, nil)
 		return b[:len(b)-3]
 	}()} {
 		if _, err := l.c.cur.f.WriteAt(torn, whole); err != nil {
 			t.Fatal(err)
 		}
 		report, err := Inspect(nil, dir)
-		if err != nil || !report.Sound() || len(report.Torn) != 1 || report.Owed != 2 {
+		if err != nil || !report.Sound() || len(report.Torn) != 1 || report.Pending != 2 {
 			t.Fatalf("%v, %+v", err, report)
 		}
 		if err := l.c.cur.f.Truncate(whole); err != nil {
@@ -165,18 +165,18 @@
 	l, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
 	whole := l.c.at
-	mustAppend(t, l, &Record{Kind: Attempt, ID: "b", At: 5, To: "s"}, &Record{Kind: Outcome, ID: "b"})
+	mustAppend(t, l, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, &Record{Kind: KindOutcome, ID: "b"})
 	if err := l.c.cur.f.Truncate(whole); err != nil {
 		t.Fatal(err)
 	}
 	l.c.shut()
 	l, owed := openTest(t, dir, 1<<20)
-	if len(owed) != 2 || owed[1].Doubt == 0 || l.Found.Sound() {
-		t.Fatalf("%q, found %+v", describe(owed), l.Found)
+	if len(owed) != 2 || owed[1].UnknownOutcomeAt == 0 || l.Recovery.Sound() {
+		t.Fatalf("%q, found %+v", describe(owed), l.Recovery)
 	}
 	mustAppend(t, l, taken("c", "C"))
 	l.c.shut()
-	if _, owed = openTest(t, dir, 1<<20); len(owed) != 3 || owed[2].Doubt != 0 {
+	if _, owed = openTest(t, dir, 1<<20); len(owed) != 3 || owed[2].UnknownOutcomeAt != 0 {
 		t.Errorf("then %q", describe(owed))
 	}
 }
@@ -196,7 +196,7 @@
 	}
 	l.c.shut()
 	text = map[string][]byte{}
-	for _, path := range append(files(t, dir, segmentSuffix), filepath.Join(dir, Name, markName)) {
+	for _, path := range append(files(t, dir, segmentSuffix), filepath.Join(dir, FolderName, markName)) {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -263,25 +263,25 @@
 		t.Fatal(err)
 	}
 	l, owed := openTest(t, dir, 1<<20)
-	if len(owed) != 3 || owed[0].Doubt != 0 || owed[2].Doubt != 0 || !owed[1].Lost || owed[1].ID != "second-one" {
+	if len(owed) != 3 || owed[0].UnknownOutcomeAt != 0 || owed[2].UnknownOutcomeAt != 0 || !owed[1].Corrupted || owed[1].ID != "second-one" {
 		t.Fatalf("%q", describe(owed))
 	}
-	if !slices.Equal(l.Found.Lost, []string{"second-one"}) {
-		t.Errorf("lost %v", l.Found.Lost)
+	if !slices.Equal(l.Recovery.LostIDs, []string{"second-one"}) {
+		t.Errorf("lost %v", l.Recovery.LostIDs)
 	}
 	// The damaged file is kept, and the loss is known until its notice is out.
 	if err := l.c.finishCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
-	if kept, _ := filepath.Glob(filepath.Join(dir, Name, asidePrefix+"-*")); len(kept) != 1 {
+	if kept, _ := filepath.Glob(filepath.Join(dir, FolderName, asidePrefix+"-*")); len(kept) != 1 {
 		t.Errorf("kept aside: %v", kept)
 	}
 	l.c.shut()
 	l, owed = openTest(t, dir, 1<<20)
-	if len(owed) != 3 || !owed[1].Lost || !slices.Equal(l.Found.Lost, []string{"second-one"}) || len(l.Found.Damage) > 0 {
-		t.Fatalf("then %q, found %+v", describe(owed), l.Found)
+	if len(owed) != 3 || !owed[1].Corrupted || !slices.Equal(l.Recovery.LostIDs, []string{"second-one"}) || len(l.Recovery.Corruptions) > 0 {
+		t.Fatalf("then %q, found %+v", describe(owed), l.Recovery)
 	}
-	mustAppend(t, l, &Record{Kind: Ending, ID: "second-one", Notice: "given-up"}, &Record{Kind: End, ID: "second-one"})
+	mustAppend(t, l, &Record{Kind: KindCompleting, ID: "second-one", Notice: "given-up"}, &Record{Kind: KindCompleted, ID: "second-one"})
 	l.c.shut()
 	if _, owed = openTest(t, dir, 1<<20); len(owed) != 2 {
 		t.Errorf("at last %q", describe(owed))
@@ -299,10 +299,10 @@
 	}
 	copy(text[segmentName(1)], b)
 	dir := put(t, text)
-	if _, err := Open(Options{Dir: dir, Limit: 1 << 20}); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), segmentName(1)) {
+	if _, err := Open(Options{Dir: dir, Limit: 1 << 20}); !errors.Is(err, ErrNewerVersion) || !strings.Contains(err.Error(), segmentName(1)) {
 		t.Fatalf("got %v", err)
 	}
-	if got, err := os.ReadFile(filepath.Join(dir, Name, segmentName(1))); err != nil || !slices.Equal(got, text[segmentName(1)]) {
+	if got, err := os.ReadFile(filepath.Join(dir, FolderName, segmentName(1))); err != nil || !slices.Equal(got, text[segmentName(1)]) {
 		t.Error("changed")
 	}
 }
@@ -311,7 +311,7 @@
 func TestABodyIsNoRecord(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	forged, err := appendRecord(nil, &Record{Kind: End, ID: "victim"}, 3, 0, nil) // it does not know the salt
+	forged, err := appendRecord(nil, &Record{Kind: KindCompleted, ID: "victim"}, 3, 0, nil) // it does not know the salt
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -326,7 +326,7 @@
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, owed := openTest(t, dir, 1<<20); !slices.ContainsFunc(owed, func(r *Record) bool { return r.ID == "victim" && !r.Lost }) {
+	if _, owed := openTest(t, dir, 1<<20); !slices.ContainsFunc(owed, func(r *Record) bool { return r.ID == "victim" && !r.Corrupted }) {
 		t.Errorf("%q", describe(owed))
 	}
 }
@@ -341,7 +341,7 @@
 		l.c.append([]*Record{r})
 	}
 	l.c.shut()
-	good, err := os.ReadFile(filepath.Join(dir, Name, segmentName(1)))
+	good, err := os.ReadFile(filepath.Join(dir, FolderName, segmentName(1)))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -385,7 +385,7 @@
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		s := &Side{salt: 7}
+		s := &HandoffLog{salt: 7}
 		if r, n := s.decode(b); n > len(b) || (r == nil) != (n == 0) {
 			t.Fatalf("%d bytes of %d: %+v", n, len(b), r)
 		}
--- a/internal/wal/folder.go
+++ b/internal/wal/folder.go
@@ -42,7 +42,7 @@
 	src.header, src.sound = decodeHeader(b[:n])
 	if src.sound > 0 && src.version > formVersion {
 		f.Close()
-		return nil, fmt.Errorf("%w: %s has version %d of the form; %d is known here", ErrNewer, name, src.version, formVersion)
+		return nil, fmt.Errorf("%w: %s has version %d of the form; %d is known here", ErrNewerVersion, name, src.version, formVersion)
 	}
 	return src, nil
 }
@@ -78,7 +78,7 @@
 			continue
 		}
 		top = max(top, num, n)
-		src, err := openSource(fs, dir, name, Read)
+		src, err := openSource(fs, dir, name, ModeRead)
 		if err != nil {
 			close(segs)
 			close(ckps)
@@ -98,7 +98,7 @@
 	}
 	mark := readMark(fs, filepath.Join(dir, markName))
 	owner, known := vote(append(slices.Clone(segs), ckps...), uint32(mark.ID))
-	var odd []Damage
+	var odd []Corruption
 	if !known && mark.ID>>32 == 1 { // no header can be read: the mark tells whose records these are
 		binary.BigEndian.PutUint32(owner[:4], uint32(mark.ID))
 		known = true
@@ -107,7 +107,7 @@
 	ours := func(all []*source) []*source {
 		return slices.DeleteFunc(all, func(src *source) bool {
 			if src.sound > 0 && saltOf(src.owner) != salt {
-				odd = append(odd, Damage{File: src.name, Bytes: src.size, What: "of another relay"})
+				odd = append(odd, Corruption{File: src.name, Bytes: src.size, Reason: "of another relay"})
 				src.f.Close()
 				return true
 			}
@@ -130,8 +130,8 @@
 	var s *state
 	for _, base := range bases {
 		x, whole := bookFolder(fs, base, segs, owner, mark.Seq)
-		x.report.Damage = append(x.report.Damage, odd...)
-		if s == nil || len(x.report.Damage) < len(s.report.Damage) {
+		x.report.Corruptions = append(x.report.Corruptions, odd...)
+		if s == nil || len(x.report.Corruptions) < len(s.report.Corruptions) {
 			s = x
 		}
 		if whole {
@@ -149,7 +149,7 @@
 			src.f.Close()
 			s.spent = append(s.spent, src.name)
 			if src.damaged {
-				s.report.Damage = append(s.report.Damage, Damage{File: src.name, Bytes: src.size, What: "unreadable in part, and not needed"})
+				s.report.Corruptions = append(s.report.Corruptions, Corruption{File: src.name, Bytes: src.size, Reason: "unreadable in part, and not needed"})
 			}
 		}
 	}
@@ -217,24 +217,24 @@
 			}
 		}
 		if last != nil && last.num == src.num {
-			s.report.Torn = append(s.report.Torn, Damage{File: src.name, Bytes: src.size, What: "a second copy of a segment"})
+			s.report.Torn = append(s.report.Torn, Corruption{File: src.name, Bytes: src.size, Reason: "a second copy of a segment"})
 			continue
 		}
 		if end.st == torn && end.bytes > 0 && src.sound > 0 && end.rec.seq == s.seq+1 && src.first == s.seq+2 {
-			d := Damage{File: last.name, At: end.at, Bytes: end.bytes} // the one record that is missed by number
+			d := Corruption{File: last.name, Offset: end.at, Bytes: end.bytes} // the one record that is missed by number
 			s.badRecord(&end.rec, &d, false)
-			s.report.Damage = append(s.report.Damage, d)
+			s.report.Corruptions = append(s.report.Corruptions, d)
 			s.seq++
 		} else if end.bytes > 0 { // what was torn there was written again here, or is missed by number
-			s.report.Torn = append(s.report.Torn, Damage{File: last.name, At: end.at, Bytes: end.bytes, What: "torn end", IDs: end.names})
+			s.report.Torn = append(s.report.Torn, Corruption{File: last.name, Offset: end.at, Bytes: end.bytes, Reason: "torn end", IDs: end.names})
 		}
 		if src.sound > 0 && src.first > s.seq+1 {
 			src.damaged = true
-			s.holes = append(s.holes, hole{Damage: Damage{File: src.name, What: fmt.Sprintf("%d records missing before it", src.first-s.seq-1)},
+			s.holes = append(s.holes, hole{Corruption: Corruption{File: src.name, Reason: fmt.Sprintf("%d records missing before it", src.first-s.seq-1)},
 				from: s.seq + 1, to: src.first - 1})
 			s.seq = src.first - 1
 		} else if s.sealed != 0 && src.num > s.sealed { // what it held, nobody can tell
-			s.holes = append(s.holes, hole{Damage: Damage{File: segmentName(s.sealed), What: "segment missing"}, from: s.seq + 1, to: s.seq})
+			s.holes = append(s.holes, hole{Corruption: Corruption{File: segmentName(s.sealed), Reason: "segment missing"}, from: s.seq + 1, to: s.seq})
 		}
 		s.began, s.sealed = s.sealed, 0
 		s.addSource(src)
@@ -247,7 +247,7 @@
 		}
 	}
 	if base != nil && last == nil { // the segment was there before the checkpoint was begun
-		s.holes = append(s.holes, hole{Damage: Damage{File: segmentName(first), What: "segment missing"}, from: s.seq + 1, to: s.seq + 1})
+		s.holes = append(s.holes, hole{Corruption: Corruption{File: segmentName(first), Reason: "segment missing"}, from: s.seq + 1, to: s.seq + 1})
 	}
 	s.finish(last, end, mark)
 	return s, whole
@@ -257,7 +257,7 @@
 func readOldFile(fs FS, dir string, names ...string) (*state, error) {
 	s := newState(fs)
 	for _, name := range names {
-		f, err := fs.Open(filepath.Join(dir, name), Read)
+		f, err := fs.Open(filepath.Join(dir, name), ModeRead)
 		if errors.Is(err, os.ErrNotExist) {
 			continue
 		}
@@ -272,7 +272,7 @@
 		}
 		s.report.Files = append(s.report.Files, s.replayOld(src, FileReport{Name: name, Kind: "older log", Bytes: src.size}))
 	}
-	s.report.Older = true
+	s.report.OlderFormat = true
 	s.summarize()
 	return s, nil
 }
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -24,7 +24,7 @@
 	Stat(name string) (size int64, dir bool, err error)
 	List(dir string) ([]string, error)
 	SyncDir(dir string) error
-	Mark(name string) (Marker, error) // made where it is missing
+	OpenStampFile(name string) (StampFile, error) // made where it is missing
 }
 
 // Mode is how a file is opened.
@@ -32,9 +32,9 @@
 
 // Modes.
 const (
-	Read   Mode = iota
-	Write       // and read; it has to be there
-	Create      // and read; emptied where it is there
+	ModeRead   Mode = iota
+	ModeWrite       // and read; it has to be there
+	ModeCreate      // and read; emptied where it is there
 )
 
 // File is an open file. Its calls are those of os.File.
@@ -48,8 +48,8 @@
 	Close() error
 }
 
-// Marker keeps a stamp over the end of the process, at no cost to speak of.
-type Marker interface {
+// StampFile keeps a stamp over the end of the process, at no cost to speak of.
+type StampFile interface {
 	Store(Stamp)
 	Close() error
 }
@@ -135,7 +135,7 @@
 
 // Open is os.OpenFile.
 func (OS) Open(name string, how Mode) (File, error) {
-	flag := map[Mode]int{Read: os.O_RDONLY, Write: os.O_RDWR, Create: os.O_RDWR | os.O_CREATE | os.O_TRUNC}[how]
+	flag := map[Mode]int{ModeRead: os.O_RDONLY, ModeWrite: os.O_RDWR, ModeCreate: os.O_RDWR | os.O_CREATE | os.O_TRUNC}[how]
 	f, err := os.OpenFile(name, flag, 0o600)
 	if err != nil {
 		return nil, err
@@ -189,9 +189,9 @@
 // osMark is a page that the kernel keeps: a store costs no call.
 type osMark struct{ page []byte }
 
-// Mark maps the file. Its bytes are written first: a store into a hole of a
+// OpenStampFile maps the file. Its bytes are written first: a store into a hole of a
 // full disk would end the process.
-func (OS) Mark(name string) (Marker, error) {
+func (OS) OpenStampFile(name string) (StampFile, error) {
 	f, err := os.OpenFile(filepath.Clean(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -224,7 +224,7 @@
 
 // readMark is a mark as it stands, without making or mapping it.
 func readMark(fs FS, name string) Stamp {
-	f, err := fs.Open(name, Read)
+	f, err := fs.Open(name, ModeRead)
 	if err != nil {
 		return Stamp{}
 	}
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -11,7 +11,7 @@
 // Inspect tells what opening a state folder would find, and changes nothing. fs
 // is nil for the machine's own. The folder may be in use: then the end of the log
 // may be in the middle of a write.
-func Inspect(fs FS, dir string) (*Report, error) {
+func Inspect(fs FS, dir string) (*RecoveryReport, error) {
 	if fs == nil {
 		fs = OS{}
 	}
@@ -29,7 +29,7 @@
 	if fs == nil {
 		fs = OS{}
 	}
-	folder := filepath.Join(dir, Name)
+	folder := filepath.Join(dir, FolderName)
 	_, isDir, err := fs.Stat(folder)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("log: %w", err)
@@ -44,15 +44,15 @@
 		for _, suffix := range []string{ckpSuffix, segmentSuffix} {
 			for _, name := range names {
 				if _, ok := numOf(name, suffix); ok {
-					paths = append(paths, filepath.Join(Name, name))
+					paths = append(paths, filepath.Join(FolderName, name))
 				}
 			}
 		}
 	} else if err == nil {
-		paths = append(paths, Name)
+		paths = append(paths, FolderName)
 	}
-	for _, name := range append(paths, SideName) {
-		src, err := openSource(fs, dir, name, Read)
+	for _, name := range append(paths, HandoffName) {
+		src, err := openSource(fs, dir, name, ModeRead)
 		if errors.Is(err, os.ErrNotExist) {
 			continue // gone meanwhile: a checkpoint covers it
 		}
@@ -69,7 +69,7 @@
 }
 
 func dumpFile(src *source, each func(file string, at int64, seq uint64, r *Record) bool) bool {
-	s := &Side{f: src.f, old: src.sound == 0, salt: saltOf(src.owner)}
+	s := &HandoffLog{f: src.f, old: src.sound == 0, salt: saltOf(src.owner)}
 	if !s.old {
 		s.at = headerSize
 	}
--- a/internal/wal/legacy.go
+++ b/internal/wal/legacy.go
@@ -63,17 +63,17 @@
 		for _, m := range oldNames.FindAllSubmatch(b, -1) {
 			ids = append(ids, string(m[1]))
 		}
-		d := Damage{File: src.name, At: at, Bytes: end - at, What: "unreadable", IDs: ids}
+		d := Corruption{File: src.name, Offset: at, Bytes: end - at, Reason: "unreadable", IDs: ids}
 		cut := len(b) >= oldHead && string(b[:4]) == oldMark && oldHead+int64(binary.BigEndian.Uint32(b[4:])) > end-at
 		if cut && len(ids) == 1 {
 			if i, ok := s.idx.find(s.idx.keyOf(ids[0])); ok {
 				s.concern(i)
-				d.Concerned = 1
+				d.Affected = 1
 			}
 		} else {
-			d.Concerned = s.concernAll(s.seq + 1)
+			d.Affected = s.concernAll(s.seq + 1)
 		}
-		s.report.Damage = append(s.report.Damage, d)
+		s.report.Corruptions = append(s.report.Corruptions, d)
 		at = end
 	}
 	return file
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -11,8 +11,8 @@
 // Names of locks in the state folder. They are advisory ones on open files, so
 // that the kernel frees them when their process dies, however it dies.
 const (
-	LockName = "relay.lock" // its holder alone sends calls, ends messages and writes the log
-	NextName = "relay.next" // held by a process that is ready to take over
+	LockName          = "relay.lock" // its holder alone sends calls, ends messages and writes the log
+	SuccessorLockName = "relay.next" // held by a process that is ready to take over
 )
 
 // Lock is a lock on a file of its own; it may be tried again and again.
@@ -27,11 +27,11 @@
 	return &Lock{f}, nil
 }
 
-// Try takes the lock if nobody holds it.
-func (l *Lock) Try() (bool, error) { return tryLock(l.f) }
+// TryLock takes the lock if nobody holds it.
+func (l *Lock) TryLock() (bool, error) { return tryLock(l.f) }
 
-// Free lets go of it.
-func (l *Lock) Free() error {
+// Unlock lets go of it.
+func (l *Lock) Unlock() error {
 	if err := syscall.Flock(int(l.f.Fd()), syscall.LOCK_UN); err != nil {
 		return fmt.Errorf("lock: %w", err)
 	}
@@ -41,11 +41,11 @@
 // Close lets go of it for good.
 func (l *Lock) Close() { l.f.Close() }
 
-// Held reports whether another holds the lock.
-func (l *Lock) Held() (bool, error) {
-	got, err := l.Try()
+// HeldByOther reports whether another holds the lock.
+func (l *Lock) HeldByOther() (bool, error) {
+	got, err := l.TryLock()
 	if got {
-		err = l.Free()
+		err = l.Unlock()
 	}
 	return !got && err == nil, err
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -22,27 +22,27 @@
 // run on it, in the order in which their records were handed over, and may not
 // wait. After a Pass, the log belongs to the next process.
 type Log struct {
-	c       *core
-	in      *mailbox.Mailbox[op]
-	done    chan struct{}
-	order   []uint32 // entries that were not read yet, what was owed longest first
-	read    reader
-	load    reader // of Read
-	kept    []op   // what has happened and could not be written yet, in order
-	lastErr error  // why
-	waiting atomic.Int64
-	Side    *Side  // of the process before, where that lives
-	By      int    // this process, among those that opened the log
-	Memory  []byte // of the policy of the process that passed the log on; nil where none did
-	Found   Report
-	// Behind is by how much the wall clock lay behind the log at the start, where
+	c              *core
+	in             *mailbox.Mailbox[op]
+	done           chan struct{}
+	order          []uint32 // entries that were not read yet, what was owed longest first
+	read           reader
+	load           reader // of Read
+	kept           []op   // what has happened and could not be written yet, in order
+	lastErr        error  // why
+	waiting        atomic.Int64
+	Handoff        *HandoffLog // of the process before, where that lives
+	Process        int         // this process, among those that opened the log
+	PolicySnapshot []byte      // of the policy of the process that passed the log on; nil where none did
+	Recovery       RecoveryReport
+	// ClockSetBack is by how much the wall clock lay behind the log at the start, where
 	// nothing but that clock could tell how long no process ran: it was set back, and
 	// how long that was is not known. Else 0.
-	Behind time.Duration
+	ClockSetBack time.Duration
 }
 
 // Open recovers what a folder holds and makes it ready. The caller holds the
-// lock, then runs Run on a goroutine of its own. Errors: ErrNewer, and those of
+// lock, then runs Run on a goroutine of its own. Errors: ErrNewerVersion, and those of
 // the file system.
 func Open(o Options) (*Log, error) {
 	c := newCore(o)
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{c: c, in: mailbox.New[op](), done: make(chan struct{}), Side: side, By: c.by, Memory: c.known, Found: c.report, Behind: c.time.behind}
+	l := &Log{c: c, in: mailbox.New[op](), done: make(chan struct{}), Handoff: side, Process: c.by, PolicySnapshot: c.known, Recovery: c.report, ClockSetBack: c.time.behind}
 	l.order = make([]uint32, 0, c.idx.live)
 	for i := range c.idx.used {
 		if c.idx.at(i).flags&entryLive != 0 {
@@ -72,13 +72,13 @@
 // may ask, also after a Pass.
 func (l *Log) Time() int64 { return l.c.time.now() }
 
-// Waiting is how many records of what has happened could not be written yet. Any
+// UnwrittenRecords is how many records of what has happened could not be written yet. Any
 // goroutine may ask.
-func (l *Log) Waiting() int64 { return l.waiting.Load() }
+func (l *Log) UnwrittenRecords() int64 { return l.waiting.Load() }
 
-// Owed is how many messages were owed at the start and were not read yet. Before
+// PendingUnread is how many messages were owed at the start and were not read yet. Before
 // Run, and on the log's goroutine.
-func (l *Log) Owed() int { return len(l.order) }
+func (l *Log) PendingUnread() int { return len(l.order) }
 
 // Next reads up to most messages that were owed at the start, what was owed
 // longest first; none once all are read. Before Run, and on the log's goroutine.
@@ -104,7 +104,7 @@
 	r, err := l.c.message(i, &l.read)
 	if err != nil {
 		l.c.log.Error("log: message is lost", "id", r.ID, "err", err)
-		r.Lost = true
+		r.Corrupted = true
 	}
 	r.Ref = l.c.idx.ref(i)
 	l.c.idx.at(i).flags |= entryRead
@@ -121,9 +121,9 @@
 	return l.hand(i)
 }
 
-// Owes reports whether a message is owed and its end is not settled yet. On the
+// IsPending reports whether a message is owed and its end is not settled yet. On the
 // log's goroutine.
-func (l *Log) Owes(id string) bool {
+func (l *Log) IsPending(id string) bool {
 	i, ok := l.c.idx.find(l.c.idx.keyOf(id))
 	if !ok || l.c.after != nil {
 		return false
@@ -144,7 +144,7 @@
 		r, err := l.c.message(i, &l.load)
 		if err != nil {
 			l.c.log.Error("log: message cannot be read", "id", r.ID, "err", err)
-			r.Lost = r.ID != ""
+			r.Corrupted = r.ID != ""
 		}
 		r.Ref = ref
 		recs[n] = r
@@ -181,9 +181,9 @@
 // Do has f run on the log's goroutine, after what was handed over before.
 func (l *Log) Do(f func()) { l.in.Put(op{do: f}) }
 
-// SideDone has the log do without the side log, all of which is in here and
+// FinishHandoff has the log do without the side log, all of which is in here and
 // whose process is dead. On the log's goroutine.
-func (l *Log) SideDone(s *Side) { l.c.sideDone(s) }
+func (l *Log) FinishHandoff(s *HandoffLog) { l.c.sideDone(s) }
 
 // Done is closed once Run is over.
 func (l *Log) Done() <-chan struct{} { return l.done }
@@ -240,7 +240,7 @@
 // some carries out the first of ops, as many as go together.
 func (l *Log) some(ops []op, recs *[]*Record) (n int) {
 	*recs = (*recs)[:0]
-	for n < min(len(ops), opsMost) && ops[n].rec != nil && ops[n].rec.Kind != Pass {
+	for n < min(len(ops), opsMost) && ops[n].rec != nil && ops[n].rec.Kind != KindHandoff {
 		*recs = append(*recs, ops[n].rec)
 		n++
 	}
@@ -281,7 +281,7 @@
 
 // booked tells what became of a record, or keeps it.
 func (l *Log) booked(x op, err error) {
-	if err != nil && err != ErrNotOwed && x.rec.Kind.settles() && !errors.Is(err, ErrFailed) {
+	if err != nil && err != ErrNotPending && x.rec.Kind.settles() && !errors.Is(err, ErrSyncFailed) {
 		if len(l.kept) == 0 {
 			l.c.log.Error("log: cannot be written: what has happened is kept until it can", "kind", x.rec.Kind, "message", x.rec.ID, "err", err)
 		}
@@ -289,7 +289,7 @@
 		l.waiting.Store(int64(len(l.kept)))
 		return
 	}
-	if err != nil && err != ErrNotOwed {
+	if err != nil && err != ErrNotPending {
 		l.c.log.Error("log: record not written", "kind", x.rec.Kind, "message", x.rec.ID, "err", err)
 	}
 	if x.then != nil {
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -35,13 +35,13 @@
 }
 
 func taken(id string, body string) *Record {
-	return &Record{Kind: Taken, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
+	return &Record{Kind: KindAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
 }
 
 func describe(recs []*Record) (all []string) {
 	for _, r := range recs {
-		s := fmt.Sprintf("%s %s %d %d %s", r.ID, r.Body, r.Tries, r.Doubt, r.Notice)
-		if r.Lost {
+		s := fmt.Sprintf("%s %s %d %d %s", r.ID, r.Body, r.Attempts, r.UnknownOutcomeAt, r.Notice)
+		if r.Corrupted {
 			s += "lost"
 		}
 		all = append(all, s)
@@ -52,14 +52,14 @@
 // script is a history that has every kind of record.
 func script() []*Record {
 	return []*Record{taken("a", "A\n\x00"), taken("b", ""), taken("c", "C"), taken("d", "D"), taken("e", "E"),
-		{Kind: Attempt, ID: "a", At: 100, Zone: 1, To: "s-1", By: 1},
-		{Kind: Outcome, ID: "a", Ran: false},
-		{Kind: Attempt, ID: "b", At: 200, Zone: 1, To: "s-1", By: 1},
-		{Kind: Outcome, ID: "b", Ran: true},
-		{Kind: Attempt, ID: "b", At: 300, Zone: 0, To: "s-2", By: 1},
-		{Kind: Attempt, ID: "c", At: 400, Zone: 1, To: "s-1", By: 1}, // no outcome: it may have run
-		{Kind: End, ID: "d"},
-		{Kind: Ending, ID: "e", Notice: "handed-back", RetryMS: 20}}
+		{Kind: KindAttempt, ID: "a", At: 100, Zone: 1, Endpoint: "s-1", Process: 1},
+		{Kind: KindOutcome, ID: "a", MayHaveRun: false},
+		{Kind: KindAttempt, ID: "b", At: 200, Zone: 1, Endpoint: "s-1", Process: 1},
+		{Kind: KindOutcome, ID: "b", MayHaveRun: true},
+		{Kind: KindAttempt, ID: "b", At: 300, Zone: 0, Endpoint: "s-2", Process: 1},
+		{Kind: KindAttempt, ID: "c", At: 400, Zone: 1, Endpoint: "s-1", Process: 1}, // no outcome: it may have run
+		{Kind: KindCompleted, ID: "d"},
+		{Kind: KindCompleting, ID: "e", Notice: "handed-back", RetryMS: 20}}
 }
 
 // What is owed comes back with its state, in order, from segments and from a
@@ -74,11 +74,11 @@
 		if got := describe(owed); !slices.Equal(got, want) {
 			t.Fatalf("opened %d times: got %q", n+1, got)
 		}
-		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.DoubtIn != 1 {
+		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.UnknownOutcomeZone != 1 {
 			t.Errorf("got %+v", r)
 		}
-		if !l.Found.Sound() || len(l.Found.Torn) > 0 {
-			t.Fatalf("found %+v", l.Found)
+		if !l.Recovery.Sound() || len(l.Recovery.Torn) > 0 {
+			t.Fatalf("found %+v", l.Recovery)
 		}
 		if n == 1 {
 			if err := l.c.finishCheckpoint(); err != nil {
@@ -106,13 +106,13 @@
 			id := strconv.Itoa(i % n)
 			switch i % 4 {
 			case 0:
-				mustAppend(t, l, &Record{Kind: Attempt, ID: id, At: int64(i + 1), By: l.By})
+				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process})
 			case 1:
-				mustAppend(t, l, &Record{Kind: End, ID: id}, taken(id, "again")) // an id that comes again
+				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, taken(id, "again")) // an id that comes again
 			case 2:
 				mustAppend(t, l, taken("new"+strconv.Itoa(i), "n"))
 			case 3:
-				mustAppend(t, l, &Record{Kind: Attempt, ID: id, At: int64(i + 1), By: l.By}, &Record{Kind: Outcome, ID: id, Ran: true})
+				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 			}
 			if i%every == 0 {
 				steps++
@@ -157,21 +157,21 @@
 
 // settle reads an attempt whose outcome nobody saw as one that may have run.
 func (t *Record) settle() {
-	if t.Out != 0 {
-		t.fold(&Record{Kind: Outcome, Ran: true})
+	if t.InFlightSince != 0 {
+		t.fold(&Record{Kind: KindOutcome, MayHaveRun: true})
 	}
 }
 
 // files gives the names of the log's own files, segments first.
 func files(t *testing.T, dir, suffix string) (names []string) {
 	t.Helper()
-	all, err := os.ReadDir(filepath.Join(dir, Name))
+	all, err := os.ReadDir(filepath.Join(dir, FolderName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range all {
 		if strings.HasSuffix(e.Name(), suffix) && !strings.HasPrefix(e.Name(), asidePrefix) {
-			names = append(names, filepath.Join(dir, Name, e.Name()))
+			names = append(names, filepath.Join(dir, FolderName, e.Name()))
 		}
 	}
 	return names
@@ -212,7 +212,7 @@
 	}
 	for round := range 9000 { // far more than fits without a checkpoint
 		id := strconv.Itoa(round % n)
-		mustAppend(t, l, &Record{Kind: Attempt, ID: id, At: int64(round) + 1, To: "endpoint"}, &Record{Kind: Outcome, ID: id, Ran: true})
+		mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(round) + 1, Endpoint: "endpoint"}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 		l.c.tidy()
 		if round%64 == 0 {
 			if size := diskSize(t, dir); size > limit || size != l.c.bytes {
@@ -221,7 +221,7 @@
 		}
 	}
 	for i := range n {
-		mustAppend(t, l, &Record{Kind: End, ID: strconv.Itoa(i)})
+		mustAppend(t, l, &Record{Kind: KindCompleted, ID: strconv.Itoa(i)})
 	}
 	if l.c.owed != 0 {
 		t.Errorf("%d bytes owed by nobody", l.c.owed)
--- a/internal/wal/move.go
+++ b/internal/wal/move.go
@@ -21,9 +21,9 @@
 
 // Errors of moving a log, and of looking at one.
 var (
-	ErrInUse  = errors.New("log: in use by a running relay")
-	ErrMoving = errors.New("log: is being moved: its export was cut short, and has to be made again")
-	ErrOwing  = errors.New("log: the folder holds a log already")
+	ErrInUse     = errors.New("log: in use by a running relay")
+	ErrMigrating = errors.New("log: is being moved: its export was cut short, and has to be made again")
+	ErrNotEmpty  = errors.New("log: the folder holds a log already")
 )
 
 // Fence is what the file says.
@@ -49,16 +49,16 @@
 	return f, nil
 }
 
-// PassFence lets a relay into a folder that was fenced: it begins empty, and the
+// ClearFence lets a relay into a folder that was fenced: it begins empty, and the
 // fence has done its work. The caller holds the lock. A log that is still there
-// is in the middle of its move and is nobody's yet: ErrMoving.
-func PassFence(dir string) (*Fence, error) {
+// is in the middle of its move and is nobody's yet: ErrMigrating.
+func ClearFence(dir string) (*Fence, error) {
 	f, err := ReadFence(dir)
 	if f == nil || err != nil {
 		return nil, err
 	}
-	if _, err := os.Stat(filepath.Join(dir, Name)); err == nil {
-		return f, fmt.Errorf("%w: %s", ErrMoving, dir)
+	if _, err := os.Stat(filepath.Join(dir, FolderName)); err == nil {
+		return f, fmt.Errorf("%w: %s", ErrMigrating, dir)
 	}
 	if err := os.Remove(filepath.Join(dir, FenceName)); err != nil {
 		return f, fmt.Errorf("fence: %w", err)
@@ -66,9 +66,9 @@
 	return f, nil
 }
 
-// Own takes a folder's lock for a tool, without making anything there. ErrInUse
+// LockFolder takes a folder's lock for a tool, without making anything there. ErrInUse
 // where a relay has it, or an old process of one still tells in a side log.
-func Own(dir string) (release func(), err error) {
+func LockFolder(dir string) (release func(), err error) {
 	if info, err := os.Stat(dir); err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	} else if !info.IsDir() {
@@ -80,7 +80,7 @@
 			f.Close()
 		}
 	}
-	for _, name := range []string{LockName, SideName} {
+	for _, name := range []string{LockName, HandoffName} {
 		f, err := os.Open(filepath.Join(dir, name))
 		if errors.Is(err, os.ErrNotExist) {
 			continue
@@ -104,8 +104,8 @@
 // Repair opens a folder as a relay would, so that what is damaged is judged and a
 // sound checkpoint holds the rest; damaged files are kept aside within limit
 // bytes. The caller owns the folder.
-func Repair(dir string, limit int64) (*Report, error) {
-	c := newCore(Options{Dir: dir, Limit: limit, Promise: Power})
+func Repair(dir string, limit int64) (*RecoveryReport, error) {
+	c := newCore(Options{Dir: dir, Limit: limit, Durability: SurvivesPowerLoss})
 	side, err := c.open()
 	if err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 // synced, then the folder is fenced, then the file gets its name and the log goes.
 // Cut anywhere, it can be made again, and at no moment are there two logs that a
 // relay would serve from. The caller owns the folder.
-func Export(dir, to string, limit int64) (*Report, error) {
+func Export(dir, to string, limit int64) (*RecoveryReport, error) {
 	if _, err := os.Stat(to); err == nil {
 		moved, err := FinishExport(dir, to)
 		if err != nil {
@@ -136,13 +136,13 @@
 			return nil, fmt.Errorf("export: %s: %w", to, os.ErrExist)
 		}
 		recs, err := ReadExport(to)
-		return &Report{Owed: len(recs)}, err
+		return &RecoveryReport{Pending: len(recs)}, err
 	}
 	report, err := Repair(dir, limit)
 	if err != nil {
 		return nil, err
 	}
-	ckps, err := filepath.Glob(filepath.Join(dir, Name, "*"+ckpSuffix))
+	ckps, err := filepath.Glob(filepath.Join(dir, FolderName, "*"+ckpSuffix))
 	if err != nil || len(ckps) != 1 {
 		return nil, fmt.Errorf("export: %d checkpoints in %s: %w", len(ckps), dir, err)
 	}
@@ -177,7 +177,7 @@
 	if err != nil || f == nil || f.To != to {
 		return false, err
 	}
-	for _, name := range []string{Name, SideName} {
+	for _, name := range []string{FolderName, HandoffName} {
 		if err := os.RemoveAll(filepath.Join(dir, name)); err != nil {
 			return true, fmt.Errorf("export: %w", err)
 		}
@@ -191,24 +191,24 @@
 // Import puts an exported log into a folder that holds none, and consumes the
 // file: a second import of it finds nothing. One that was cut short is made again
 // from FILE.importing. The caller owns the folder.
-func Import(from, dir string) (*Report, error) {
+func Import(from, dir string) (*RecoveryReport, error) {
 	claimed := from
 	if !strings.HasSuffix(from, importing) {
 		claimed = from + importing
 	}
 	if f, err := ReadFence(dir); err != nil || f != nil {
-		return nil, errors.Join(fmt.Errorf("import: %s is fenced: %w", dir, ErrOwing), err)
+		return nil, errors.Join(fmt.Errorf("import: %s is fenced: %w", dir, ErrNotEmpty), err)
 	}
-	if _, err := os.Stat(filepath.Join(dir, Name)); err == nil {
+	if _, err := os.Stat(filepath.Join(dir, FolderName)); err == nil {
 		report, err := Inspect(nil, dir)
 		if err != nil {
 			return nil, err
 		}
-		if report.Owed > 0 || !report.Sound() {
-			return nil, fmt.Errorf("import: %s: %w", dir, ErrOwing)
+		if report.Pending > 0 || !report.Sound() {
+			return nil, fmt.Errorf("import: %s: %w", dir, ErrNotEmpty)
 		}
 	}
-	src, err := openSource(OS{}, filepath.Dir(from), filepath.Base(from), Read)
+	src, err := openSource(OS{}, filepath.Dir(from), filepath.Base(from), ModeRead)
 	if err != nil {
 		return nil, err
 	}
@@ -217,7 +217,7 @@
 	if src.sound == 0 || src.kind != checkpointFile {
 		return nil, fmt.Errorf("import: %s: not an exported log", from)
 	}
-	if src, err = openSource(OS{}, filepath.Dir(from), filepath.Base(from), Read); err != nil {
+	if src, err = openSource(OS{}, filepath.Dir(from), filepath.Base(from), ModeRead); err != nil {
 		return nil, err
 	}
 	src.salt = saltOf(src.owner)
@@ -233,7 +233,7 @@
 			return nil, fmt.Errorf("import: %w", err)
 		}
 	}
-	folder := filepath.Join(dir, Name)
+	folder := filepath.Join(dir, FolderName)
 	h := src.header
 	h.kind = segmentFile
 	for _, step := range []func() error{
@@ -257,7 +257,7 @@
 // ReadExport gives what an exported log owes, what was owed longest first. An
 // attempt whose outcome nobody saw may have run.
 func ReadExport(file string) ([]*Record, error) {
-	src, err := openSource(OS{}, filepath.Dir(file), filepath.Base(file), Read)
+	src, err := openSource(OS{}, filepath.Dir(file), filepath.Base(file), ModeRead)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wal/power_test.go
+++ b/internal/wal/power_test.go
@@ -31,16 +31,16 @@
 
 func (p *promised) book(r *wal.Record) {
 	switch r.Kind {
-	case wal.Taken:
+	case wal.KindAccepted:
 		p.owed[r.ID] = string(r.Body)
 		delete(p.over, r.ID)
-	case wal.Attempt:
+	case wal.KindAttempt:
 		p.doubt[r.ID] = true
-	case wal.Outcome:
-		if !r.Ran {
+	case wal.KindOutcome:
+		if !r.MayHaveRun {
 			delete(p.doubt, r.ID)
 		}
-	case wal.End:
+	case wal.KindCompleted:
 		delete(p.owed, r.ID)
 		delete(p.doubt, r.ID)
 		p.over[r.ID] = true
@@ -61,16 +61,16 @@
 	}
 	for id, body := range p.owed {
 		switch r := have[id]; {
-		case r == nil && !asking(id, wal.End):
+		case r == nil && !asking(id, wal.KindCompleted):
 			return fmt.Errorf("%s was taken on, and is not there", id)
-		case r != nil && (string(r.Body) != body && !asking(id, wal.Taken) || r.Lost):
-			return fmt.Errorf("%s came back with %d bytes, lost %v", id, len(r.Body), r.Lost)
-		case r != nil && p.doubt[id] && r.Doubt == 0 && r.Out == 0 && !asking(id, wal.Outcome, wal.Taken):
+		case r != nil && (string(r.Body) != body && !asking(id, wal.KindAccepted) || r.Corrupted):
+			return fmt.Errorf("%s came back with %d bytes, lost %v", id, len(r.Body), r.Corrupted)
+		case r != nil && p.doubt[id] && r.UnknownOutcomeAt == 0 && r.InFlightSince == 0 && !asking(id, wal.KindOutcome, wal.KindAccepted):
 			return fmt.Errorf("%s was sent, and comes back as one that was not", id)
 		}
 	}
 	for id := range have {
-		if p.over[id] && !asking(id, wal.Taken) {
+		if p.over[id] && !asking(id, wal.KindAccepted) {
 			return fmt.Errorf("%s was over, and is there again", id)
 		}
 	}
@@ -79,8 +79,8 @@
 
 const cutDir = "/state"
 
-func openCut(fs *cutfs.FS, promise wal.Promise) (*wal.Log, []*wal.Record, error) {
-	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Promise: promise, FS: fs})
+func openCut(fs *cutfs.FS, promise wal.Durability) (*wal.Log, []*wal.Record, error) {
+	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: promise, FS: fs})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -109,25 +109,25 @@
 		if len(live) == 0 || r.IntN(3) == 0 {
 			id := fmt.Sprintf("m-%d", i)
 			live = append(live, id)
-			recs = append(recs, &wal.Record{Kind: wal.Taken, ID: id, Class: "once", Dest: 1, Deadline: 1e15, Body: []byte(strings.Repeat(string(rune('a'+i%26)), r.IntN(1200)))})
+			recs = append(recs, &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "once", Dest: 1, Deadline: 1e15, Body: []byte(strings.Repeat(string(rune('a'+i%26)), r.IntN(1200)))})
 			continue
 		}
 		at := r.IntN(len(live))
 		id := live[at]
 		switch {
 		case out[id] && r.IntN(2) == 0:
-			recs = append(recs, &wal.Record{Kind: wal.Outcome, ID: id, Ran: r.IntN(2) == 0})
+			recs = append(recs, &wal.Record{Kind: wal.KindOutcome, ID: id, MayHaveRun: r.IntN(2) == 0})
 			out[id] = false
 		case out[id] || r.IntN(4) == 0:
-			recs = append(recs, &wal.Record{Kind: wal.End, ID: id})
+			recs = append(recs, &wal.Record{Kind: wal.KindCompleted, ID: id})
 			live = slices.Delete(live, at, at+1)
 			out[id] = false
 			if r.IntN(4) == 0 { // an id that comes again
 				live = append(live, id)
-				recs = append(recs, &wal.Record{Kind: wal.Taken, ID: id, Class: "once", Dest: 1, Deadline: 1e15, Body: []byte("again")})
+				recs = append(recs, &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "once", Dest: 1, Deadline: 1e15, Body: []byte("again")})
 			}
 		default:
-			recs = append(recs, &wal.Record{Kind: wal.Attempt, ID: id, At: int64(i + 1), By: 1, To: "s-1", Sync: true})
+			recs = append(recs, &wal.Record{Kind: wal.KindAttempt, ID: id, At: int64(i + 1), Process: 1, Endpoint: "s-1", Sync: true})
 			out[id] = true
 		}
 	}
@@ -137,18 +137,18 @@
 // checkCut opens what a cut left, twice, and compares it with the promises.
 func checkCut(fs *cutfs.FS, p *promised, keep func(int) bool) error {
 	after := fs.Cut(keep)
-	l, recs, err := openCut(after, wal.Power)
+	l, recs, err := openCut(after, wal.SurvivesPowerLoss)
 	if err != nil {
 		return fmt.Errorf("not opened: %w", err)
 	}
-	if !l.Found.Sound() {
-		return fmt.Errorf("a cut alone is told as damage: %+v, lost %v", l.Found.Damage, l.Found.Lost)
+	if !l.Recovery.Sound() {
+		return fmt.Errorf("a cut alone is told as damage: %+v, lost %v", l.Recovery.Corruptions, l.Recovery.LostIDs)
 	}
 	if err := p.holds(recs); err != nil {
 		return err
 	}
 	l.Shut()
-	l, again, err := openCut(after, wal.Power)
+	l, again, err := openCut(after, wal.SurvivesPowerLoss)
 	if err != nil {
 		return fmt.Errorf("not opened again: %w", err)
 	}
@@ -161,7 +161,7 @@
 
 func ids(recs []*wal.Record) (all []string) {
 	for _, r := range recs {
-		all = append(all, fmt.Sprint(r.ID, len(r.Body), r.Tries, r.Doubt, r.Notice))
+		all = append(all, fmt.Sprint(r.ID, len(r.Body), r.Attempts, r.UnknownOutcomeAt, r.Notice))
 	}
 	return all
 }
@@ -226,7 +226,7 @@
 					}
 					return nil
 				}
-				l, _, err := openCut(again, wal.Power)
+				l, _, err := openCut(again, wal.SurvivesPowerLoss)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -234,7 +234,7 @@
 			}
 			return nil
 		}
-		l, _, err := openCut(fs, wal.Power)
+		l, _, err := openCut(fs, wal.SurvivesPowerLoss)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -259,21 +259,21 @@
 		fs := cutfs.New(cutDir)
 		p := newPromised()
 		for life := range rapid.IntRange(1, 4).Draw(t, "lives") {
-			l, recs, err := openCut(fs, wal.Power)
+			l, recs, err := openCut(fs, wal.SurvivesPowerLoss)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if err := p.holds(recs); err != nil {
 				t.Fatalf("life %d: %v", life, err)
 			}
-			if !l.Found.Sound() {
-				t.Fatalf("life %d: %+v", life, l.Found)
+			if !l.Recovery.Sound() {
+				t.Fatalf("life %d: %+v", life, l.Recovery)
 			}
 			// What was asked and not answered has come out one way or the other.
 			q := newPromised()
 			for _, x := range recs {
 				q.owed[x.ID] = string(x.Body)
-				q.doubt[x.ID] = x.Doubt != 0
+				q.doubt[x.ID] = x.UnknownOutcomeAt != 0
 			}
 			maps.Copy(q.over, p.over)
 			for id := range p.owed {
@@ -332,7 +332,7 @@
 	r := rand.New(rand.NewPCG(1, 4))
 	fs := cutfs.New(cutDir)
 	p := newPromised()
-	l, _, err := openCut(fs, wal.Process) // the defect: nothing is synced
+	l, _, err := openCut(fs, wal.SurvivesCrash) // the defect: nothing is synced
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -348,7 +348,7 @@
 func TestAFailedSyncIsFinal(t *testing.T) {
 	fs := cutfs.New(cutDir)
 	var told error
-	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Promise: wal.Power, FS: fs, Failed: func(err error) { told = err }})
+	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: wal.SurvivesPowerLoss, FS: fs, OnFailure: func(err error) { told = err }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -361,7 +361,7 @@
 		}
 		return nil
 	}
-	if errs := drive(l, p, []*wal.Record{{Kind: wal.Taken, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(told, wal.ErrFailed) {
+	if errs := drive(l, p, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(told, wal.ErrSyncFailed) {
 		t.Fatalf("%d refused, told %v", errs, told)
 	}
 	fs.Before = nil // it would work again
@@ -384,7 +384,7 @@
 				fs := cutfs.New(cutDir)
 				fs.Short = short
 				p := newPromised()
-				l, _, err := openCut(fs, wal.Process)
+				l, _, err := openCut(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -397,7 +397,7 @@
 				}
 				refused := 0
 				for i, x := range recs {
-					if _, owed := p.owed[x.ID]; owed && x.Kind == wal.Taken {
+					if _, owed := p.owed[x.ID]; owed && x.Kind == wal.KindAccepted {
 						continue // its end was refused: it is owed still, and not handed in
 					}
 					if err := l.AppendNow(x); err == nil {
@@ -414,17 +414,17 @@
 				}
 				fs.Before = nil
 				p.asking = nil
-				if err := l.AppendNow(&wal.Record{Kind: wal.Taken, ID: "last", Class: "once", Body: []byte("z")}); err != nil {
+				if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: "last", Class: "once", Body: []byte("z")}); err != nil {
 					t.Fatalf("with room again: %v", err)
 				}
-				p.book(&wal.Record{Kind: wal.Taken, ID: "last", Body: []byte("z")})
+				p.book(&wal.Record{Kind: wal.KindAccepted, ID: "last", Body: []byte("z")})
 				l.Shut()
-				back, got, err := openCut(fs, wal.Process)
+				back, got, err := openCut(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := p.holds(got); err != nil || !back.Found.Sound() || refused == 0 {
-					t.Fatalf("%v, short %v, seed %d: %v; %d refused; found %+v", errno, short, seed, err, refused, back.Found)
+				if err := p.holds(got); err != nil || !back.Recovery.Sound() || refused == 0 {
+					t.Fatalf("%v, short %v, seed %d: %v; %d refused; found %+v", errno, short, seed, err, refused, back.Recovery)
 				}
 				back.Shut()
 			}
--- a/internal/wal/read_test.go
+++ b/internal/wal/read_test.go
@@ -26,7 +26,7 @@
 	if again.Ref != 0 {
 		t.Error("a second record of one message has a reference")
 	}
-	mustAppend(t, l, &Record{Kind: Attempt, ID: "m5", At: 100, Zone: 1, To: "s-1", By: l.By}, &Record{Kind: Outcome, ID: "m5", Ran: true})
+	mustAppend(t, l, &Record{Kind: KindAttempt, ID: "m5", At: 100, Zone: 1, Endpoint: "s-1", Process: l.Process}, &Record{Kind: KindOutcome, ID: "m5", MayHaveRun: true})
 	check := func(when string) {
 		t.Helper()
 		order := rand.New(rand.NewPCG(1, 2)).Perm(n)
@@ -39,7 +39,7 @@
 				t.Fatalf("%s: reference of m%d gives %+v", when, i, r)
 			}
 		}
-		if r := l.Read([]Ref{recs[5].Ref})[0]; r.Tries != 1 || r.Doubt != 100 || r.DoubtIn != 1 {
+		if r := l.Read([]Ref{recs[5].Ref})[0]; r.Attempts != 1 || r.UnknownOutcomeAt != 100 || r.UnknownOutcomeZone != 1 {
 			t.Fatalf("%s: state %+v", when, r)
 		}
 	}
@@ -54,7 +54,7 @@
 		check("beside a checkpoint")
 	}
 	check("in the checkpoint")
-	mustAppend(t, l, &Record{Kind: End, ID: "m9"})
+	mustAppend(t, l, &Record{Kind: KindCompleted, ID: "m9"})
 	if r := l.Read([]Ref{recs[9].Ref, 0, 1 << 30}); !slices.Equal(r, []*Record{nil, nil, nil}) {
 		t.Errorf("references to nothing give %+v", r)
 	}
@@ -68,10 +68,10 @@
 func TestOwes(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, taken("held", ""), taken("over", ""), taken("ending", ""), &Record{Kind: End, ID: "over"},
-		&Record{Kind: Ending, ID: "ending", Notice: "handed-back"})
+	mustAppend(t, l, taken("held", ""), taken("over", ""), taken("ending", ""), &Record{Kind: KindCompleted, ID: "over"},
+		&Record{Kind: KindCompleting, ID: "ending", Notice: "handed-back"})
 	for id, want := range map[string]bool{"held": true, "over": false, "ending": false, "never": false} {
-		if l.Owes(id) != want {
+		if l.IsPending(id) != want {
 			t.Errorf("%s: owed %v", id, !want)
 		}
 	}
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -95,7 +95,7 @@
 // saltOf is the part of an owner that its records and the mark carry.
 func saltOf(owner [16]byte) uint32 { return binary.BigEndian.Uint32(owner[:4]) }
 
-var kinds = []Kind{"", Taken, Attempt, Outcome, Ending, End, Mark, Pass, held, batch, seal, total}
+var kinds = []Kind{"", KindAccepted, KindAttempt, KindOutcome, KindCompleting, KindCompleted, KindOwner, KindHandoff, held, batch, seal, total}
 
 var kindNumber = func() map[Kind]byte {
 	m := map[Kind]byte{}
@@ -148,47 +148,47 @@
 }
 
 func appendRest(to []byte, r *Record, raw []byte) []byte {
-	to = binary.AppendUvarint(to, uint64(r.Side))
+	to = binary.AppendUvarint(to, uint64(r.HandoffOffset))
 	switch r.Kind {
-	case Taken:
+	case KindAccepted:
 		return appendMessage(to, r)
 	case held:
 		to = binary.AppendUvarint(to, uint64(r.At)) // the sequence number of its taken record
-		to = binary.AppendUvarint(to, uint64(r.Took))
-		to = binary.AppendUvarint(to, uint64(r.Tries))
-		to = binary.AppendVarint(to, r.Doubt)
-		to = binary.AppendVarint(to, int64(r.DoubtIn))
-		to = binary.AppendVarint(to, r.Out)
-		to = binary.AppendVarint(to, int64(r.OutIn))
-		to = binary.AppendUvarint(to, uint64(r.OutBy))
-		to = appendString(to, r.OutTo)
+		to = binary.AppendUvarint(to, uint64(r.Latency))
+		to = binary.AppendUvarint(to, uint64(r.Attempts))
+		to = binary.AppendVarint(to, r.UnknownOutcomeAt)
+		to = binary.AppendVarint(to, int64(r.UnknownOutcomeZone))
+		to = binary.AppendVarint(to, r.InFlightSince)
+		to = binary.AppendVarint(to, int64(r.InFlightZone))
+		to = binary.AppendUvarint(to, uint64(r.InFlightProcess))
+		to = appendString(to, r.InFlightEndpoint)
 		to = appendString(to, r.Notice)
 		to = binary.AppendVarint(to, r.RetryMS)
-		to = appendBool(to, r.Lost)
+		to = appendBool(to, r.Corrupted)
 		return append(to, raw...)
-	case Attempt:
+	case KindAttempt:
 		to = binary.AppendVarint(to, r.At)
 		to = binary.AppendVarint(to, int64(r.Zone))
-		to = binary.AppendUvarint(to, uint64(r.By))
-		return appendString(to, r.To)
-	case Outcome, End:
-		to = appendBool(to, r.Ran)
-		to = append(to, r.What)
-		to = binary.AppendVarint(to, r.Wait)
-		to = binary.AppendVarint(to, r.Took)
-		to = appendBool(to, r.Slots)
-		if r.Unmade { // older programs neither write nor read it
+		to = binary.AppendUvarint(to, uint64(r.Process))
+		return appendString(to, r.Endpoint)
+	case KindOutcome, KindCompleted:
+		to = appendBool(to, r.MayHaveRun)
+		to = append(to, r.OutcomeCode)
+		to = binary.AppendVarint(to, r.RetryAt)
+		to = binary.AppendVarint(to, r.Latency)
+		to = appendBool(to, r.CallsExhausted)
+		if r.LocalFailure { // older programs neither write nor read it
 			to = appendBool(to, true)
 		}
 		return to
-	case Ending:
+	case KindCompleting:
 		to = appendString(to, r.Notice)
 		return binary.AppendVarint(to, r.RetryMS)
-	case Mark:
-		to = binary.AppendUvarint(to, uint64(r.By))
-		to = binary.AppendVarint(to, r.Room)
+	case KindOwner:
+		to = binary.AppendUvarint(to, uint64(r.Process))
+		to = binary.AppendVarint(to, r.HandoffCapacity)
 		return binary.AppendUvarint(to, uint64(r.living))
-	case Pass:
+	case KindHandoff:
 		return append(to, r.Body...)
 	case batch, seal, total:
 		return binary.AppendUvarint(to, uint64(r.At))
@@ -257,29 +257,29 @@
 // that is given back.
 func decodeRest(r *Record, rest []byte) (raw []byte, ok bool) {
 	c := cursor{b: rest}
-	r.Side = int64(c.uint())
+	r.HandoffOffset = int64(c.uint())
 	switch r.Kind {
-	case Taken:
+	case KindAccepted:
 		return c.b, !c.bad
 	case held:
-		r.Side = 0
-		r.At, r.Took, r.Tries = int64(c.uint()), int64(c.uint()), int(c.uint())
-		r.Doubt, r.DoubtIn = c.int(), int(c.int())
-		r.Out, r.OutIn, r.OutBy, r.OutTo = c.int(), int(c.int()), int(c.uint()), c.string()
+		r.HandoffOffset = 0
+		r.At, r.Latency, r.Attempts = int64(c.uint()), int64(c.uint()), int(c.uint())
+		r.UnknownOutcomeAt, r.UnknownOutcomeZone = c.int(), int(c.int())
+		r.InFlightSince, r.InFlightZone, r.InFlightProcess, r.InFlightEndpoint = c.int(), int(c.int()), int(c.uint()), c.string()
 		r.Notice, r.RetryMS = c.string(), c.int()
-		r.Lost = c.byte() == 1
+		r.Corrupted = c.byte() == 1
 		return c.b, !c.bad
-	case Attempt:
-		r.At, r.Zone, r.By, r.To = c.int(), int(c.int()), int(c.uint()), c.string()
-	case Outcome, End:
-		r.Ran, r.What, r.Wait, r.Took = c.byte() == 1, c.byte(), c.int(), c.int()
-		r.Slots = c.byte() == 1
-		r.Unmade = len(c.b) > 0 && c.byte() == 1
-	case Ending:
+	case KindAttempt:
+		r.At, r.Zone, r.Process, r.Endpoint = c.int(), int(c.int()), int(c.uint()), c.string()
+	case KindOutcome, KindCompleted:
+		r.MayHaveRun, r.OutcomeCode, r.RetryAt, r.Latency = c.byte() == 1, c.byte(), c.int(), c.int()
+		r.CallsExhausted = c.byte() == 1
+		r.LocalFailure = len(c.b) > 0 && c.byte() == 1
+	case KindCompleting:
 		r.Notice, r.RetryMS = c.string(), c.int()
-	case Mark:
-		r.By, r.Room, r.living = int(c.uint()), c.int(), int(c.uint())
-	case Pass:
+	case KindOwner:
+		r.Process, r.HandoffCapacity, r.living = int(c.uint()), c.int(), int(c.uint())
+	case KindHandoff:
 		r.Body = bytes.Clone(c.b)
 	case batch, seal, total:
 		r.At = int64(c.uint())
--- a/internal/wal/side.go
+++ b/internal/wal/side.go
@@ -38,8 +38,8 @@
 	// The next process makes checkpoints, too: what it needs for that is not given away.
 	limit := c.limit - c.aside
 	room := max(min(limit/4, limit-2*c.owed-slack-spare), 2*sideTaken)
-	path := filepath.Join(c.o.Dir, SideName)
-	f, err := c.fs.Open(path, Create)
+	path := filepath.Join(c.o.Dir, HandoffName)
+	f, err := c.fs.Open(path, ModeCreate)
 	if err != nil {
 		return fmt.Errorf("side log: %w", err)
 	}
@@ -63,7 +63,7 @@
 	if _, err := f.WriteAt(h.encode(), 0); err != nil {
 		return err
 	}
-	if err := w.append(&Record{Kind: Mark, ID: NoMessage, By: c.by, Room: room}); err != nil {
+	if err := w.append(&Record{Kind: KindOwner, ID: NoMessage, Process: c.by, HandoffCapacity: room}); err != nil {
 		return err
 	}
 	if err := c.append([]*Record{r})[0]; err != nil {
@@ -81,7 +81,7 @@
 		return err
 	}
 	free := w.room
-	if r.Kind == Taken {
+	if r.Kind == KindAccepted {
 		free -= sideTaken
 	}
 	if w.size+int64(len(w.buf)) > free {
@@ -95,19 +95,19 @@
 	return nil
 }
 
-// Side is the side log of another process, as it is followed.
-type Side struct {
-	By   int   // its process
-	Room int64 // bytes that it may take up
-	f    File
-	at   int64 // read up to here
-	old  bool  // of an older program
-	salt uint32
-	text []byte
+// HandoffLog is the side log of another process, as it is followed.
+type HandoffLog struct {
+	Process  int   // its process
+	Capacity int64 // bytes that it may take up
+	f        File
+	at       int64 // read up to here
+	old      bool  // of an older program
+	salt     uint32
+	text     []byte
 }
 
 // Read gives what has come since, each record with its place.
-func (s *Side) Read() []*Record {
+func (s *HandoffLog) Read() []*Record {
 	if s.text == nil {
 		s.text = make([]byte, sideChunk)
 	}
@@ -121,7 +121,7 @@
 				break
 			}
 			at += size
-			r.Side = s.at + int64(at)
+			r.HandoffOffset = s.at + int64(at)
 			all = append(all, r)
 		}
 		if s.at += int64(at); at == 0 {
@@ -131,7 +131,7 @@
 }
 
 // decode reads the record at the start of b. size is 0 where there is none yet.
-func (s *Side) decode(b []byte) (r *Record, size int) {
+func (s *HandoffLog) decode(b []byte) (r *Record, size int) {
 	if s.old {
 		return decodeOld(b)
 	}
@@ -142,35 +142,35 @@
 	}
 	r = &Record{Kind: rec.kind, ID: string(rec.id)}
 	raw, ok := decodeRest(r, rec.rest)
-	if !ok || (rec.kind == Taken || rec.kind == held && !r.Lost) && !decodeMessage(r, raw) {
+	if !ok || (rec.kind == KindAccepted || rec.kind == held && !r.Corrupted) && !decodeMessage(r, raw) {
 		return nil, 0
 	}
 	return r, int(rec.size)
 }
 
-// Dead reports whether the other process is gone: nothing more will come.
-func (s *Side) Dead() bool {
+// OwnerExited reports whether the other process is gone: nothing more will come.
+func (s *HandoffLog) OwnerExited() bool {
 	got, err := s.f.TryLock()
 	return got && err == nil
 }
 
-// At is the place up to which it was read.
-func (s *Side) At() int64 { return s.at }
+// Offset is the place up to which it was read.
+func (s *HandoffLog) Offset() int64 { return s.at }
 
 // Close lets go of it; its process may live on.
-func (s *Side) Close() { s.f.Close() }
+func (s *HandoffLog) Close() { s.f.Close() }
 
 // openSide looks for a side log. That of a dead process is given as records,
 // to be taken in; that of a living one is given back, to be followed.
-func (c *core) openSide() (*Side, []*Record, error) {
-	f, err := c.fs.Open(filepath.Join(c.o.Dir, SideName), Write)
+func (c *core) openSide() (*HandoffLog, []*Record, error) {
+	f, err := c.fs.Open(filepath.Join(c.o.Dir, HandoffName), ModeWrite)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil, nil
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("side log: %w", err)
 	}
-	s := &Side{f: f}
+	s := &HandoffLog{f: f}
 	size, err := f.Size()
 	if err == nil {
 		var dead bool
@@ -183,12 +183,12 @@
 	if err == nil {
 		s.begin()
 		for _, r := range s.Read() {
-			if r.Kind == Mark {
-				s.By, s.Room = r.By, r.Room
+			if r.Kind == KindOwner {
+				s.Process, s.Capacity = r.Process, r.HandoffCapacity
 				break
 			}
 		}
-		if s.By == 0 {
+		if s.Process == 0 {
 			err = errors.New("its head cannot be read")
 		}
 	}
@@ -196,13 +196,13 @@
 		f.Close()
 		return nil, nil, fmt.Errorf("side log: %w", err)
 	}
-	c.limit -= s.Room
+	c.limit -= s.Capacity
 	s.at = max(c.state.side, s.start())
 	return s, nil, nil
 }
 
 // begin reads the header.
-func (s *Side) begin() (sound int) {
+func (s *HandoffLog) begin() (sound int) {
 	b := make([]byte, headerSize)
 	n, _ := s.f.ReadAt(b, 0)
 	h, sound := decodeHeader(b[:n])
@@ -211,7 +211,7 @@
 	return sound
 }
 
-func (s *Side) start() int64 {
+func (s *HandoffLog) start() int64 {
 	if s.old {
 		return 0
 	}
@@ -220,7 +220,7 @@
 
 // readDead gives what a dead process told and is not in here yet. Damage there
 // concerns whatever is owed.
-func (c *core) readDead(s *Side, size int64) (late []*Record) {
+func (c *core) readDead(s *HandoffLog, size int64) (late []*Record) {
 	if s.begin() == 0 && !s.old {
 		s.salt = c.salt
 	}
@@ -241,13 +241,13 @@
 		}
 		if next == size && s.tornAt(scan) {
 			// It was never booked.
-			c.report.Torn = append(c.report.Torn, Damage{File: SideName, At: s.at, Bytes: size - s.at, What: "torn end", IDs: names})
+			c.report.Torn = append(c.report.Torn, Corruption{File: HandoffName, Offset: s.at, Bytes: size - s.at, Reason: "torn end", IDs: names})
 			break
 		}
-		d := Damage{File: SideName, At: s.at, Bytes: next - s.at, What: "unreadable", IDs: names}
-		d.Concerned = c.concernAll(c.seq + 1)
-		c.report.Damage = append(c.report.Damage, d)
-		c.log.Error("log: damaged: what it may have concerned is held to have been sent", "file", d.File, "at", d.At, "bytes", d.Bytes, "ids", names)
+		d := Corruption{File: HandoffName, Offset: s.at, Bytes: next - s.at, Reason: "unreadable", IDs: names}
+		d.Affected = c.concernAll(c.seq + 1)
+		c.report.Corruptions = append(c.report.Corruptions, d)
+		c.log.Error("log: damaged: what it may have concerned is held to have been sent", "file", d.File, "at", d.Offset, "bytes", d.Bytes, "ids", names)
 		s.at = next
 	}
 	return late
@@ -255,7 +255,7 @@
 
 // tornAt reports whether what stands at the end is the beginning of a record, as
 // a kill in the middle of its write leaves it, or nothing at all.
-func (s *Side) tornAt(scan *scanner) bool {
+func (s *HandoffLog) tornAt(scan *scanner) bool {
 	b := scan.window(s.at, headMost)
 	if scan.zeros(s.at, scan.size) {
 		return true
@@ -269,21 +269,21 @@
 
 // takeIn books what a dead process told, and does without its side log.
 func (c *core) takeIn(late []*Record) error {
-	path := filepath.Join(c.o.Dir, SideName)
+	path := filepath.Join(c.o.Dir, HandoffName)
 	if _, _, err := c.fs.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	c.forced = true // it has taken up as much already
 	defer func() { c.forced = false }()
 	for _, r := range late {
-		if r.Kind == Mark || r.Kind == Pass {
+		if r.Kind == KindOwner || r.Kind == KindHandoff {
 			continue
 		}
-		if err := c.append([]*Record{r})[0]; err != nil && err != ErrNotOwed {
+		if err := c.append([]*Record{r})[0]; err != nil && err != ErrNotPending {
 			return fmt.Errorf("side log: not taken in: %w", err)
 		}
 	}
-	if len(c.report.Damage) > 0 { // what is held since stands nowhere else
+	if len(c.report.Corruptions) > 0 { // what is held since stands nowhere else
 		if err := c.finishCheckpoint(); err != nil {
 			return err
 		}
@@ -296,9 +296,9 @@
 
 // sideDone has the log do without the side log of a process that has died since,
 // all of which is in here.
-func (c *core) sideDone(s *Side) {
-	c.limit += s.Room
-	if err := c.fs.Remove(filepath.Join(c.o.Dir, SideName)); err != nil {
+func (c *core) sideDone(s *HandoffLog) {
+	c.limit += s.Capacity
+	if err := c.fs.Remove(filepath.Join(c.o.Dir, HandoffName)); err != nil {
 		c.log.Error("side log: not removed", "err", err)
 	}
 	s.Close()
