--- a/internal/wal/side_test.go
+++ b/internal/wal/side_test.go
@@ -46,11 +46,11 @@
 func TestPassedLogCut(t *testing.T) {
 	whole := t.TempDir()
 	l, _ := openTest(t, whole, 1<<20)
-	mustAppend(t, l, taken("a", "A"), taken("b", "B"), &Record{Kind: Attempt, ID: "b", At: 5, To: "s-1", By: l.By})
-	if err := l.c.pass(&Record{Kind: Pass, ID: NoMessage, Body: []byte("memory")}); err != nil {
+	mustAppend(t, l, taken("a", "A"), taken("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
+	if err := l.c.pass(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, l, taken("c", "C"), &Record{Kind: Outcome, ID: "b"})
+	mustAppend(t, l, taken("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
 	l.c.shut() // killed
 	sizes := map[string]int{}
 	copyFolder(t, whole, func(name string, b []byte) []byte { sizes[name] = len(b); return b })
@@ -72,16 +72,16 @@
 			if !slices.Equal(describe(first), describe(second)) {
 				t.Fatalf("%s cut at %d: %v, then %v", name, cut, describe(first), describe(second))
 			}
-			if name == SideName && (len(first) < 2 || first[0].ID != "a" || first[1].ID != "b" || first[1].Tries < 1) {
+			if name == HandoffName && (len(first) < 2 || first[0].ID != "a" || first[1].ID != "b" || first[1].Attempts < 1) {
 				t.Fatalf("%s cut at %d: %v", name, cut, describe(first))
 			}
 		}
 	}
 	l, owed := openTest(t, whole, 1<<20)
-	if len(owed) != 3 || owed[1].Doubt != 0 || string(l.Memory) != "memory" {
-		t.Errorf("whole: %v, memory %q", describe(owed), l.Memory)
+	if len(owed) != 3 || owed[1].UnknownOutcomeAt != 0 || string(l.PolicySnapshot) != "memory" {
+		t.Errorf("whole: %v, memory %q", describe(owed), l.PolicySnapshot)
 	}
-	if _, err := os.Stat(filepath.Join(whole, SideName)); !errors.Is(err, os.ErrNotExist) {
+	if _, err := os.Stat(filepath.Join(whole, HandoffName)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the side log of a dead process is still there: %v", err)
 	}
 }
@@ -91,21 +91,21 @@
 func TestSideLogBookedOnce(t *testing.T) {
 	dir := t.TempDir()
 	old, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, old, taken("a", "A"), &Record{Kind: Attempt, ID: "a", At: 5, To: "s-1", By: old.By})
-	if err := old.c.pass(&Record{Kind: Pass, ID: NoMessage}); err != nil {
+	mustAppend(t, old, taken("a", "A"), &Record{Kind: KindAttempt, ID: "a", At: 5, Endpoint: "s-1", Process: old.Process})
+	if err := old.c.pass(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, old, &Record{Kind: Outcome, ID: "a"}, taken("b", "B"))
+	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, taken("b", "B"))
 	next, owed := openTest(t, dir, 1<<20)
-	if next.Side == nil || len(owed) != 1 || owed[0].OutTo != "s-1" {
-		t.Fatalf("%v, side log %v", describe(owed), next.Side)
+	if next.Handoff == nil || len(owed) != 1 || owed[0].InFlightEndpoint != "s-1" {
+		t.Fatalf("%v, side log %v", describe(owed), next.Handoff)
 	}
-	mustAppend(t, next, next.Side.Read()[1:]...) // its head is its own
-	mustAppend(t, next, &Record{Kind: Attempt, ID: "a", At: 9, To: "s-1", By: next.By}, &Record{Kind: End, ID: "b"})
+	mustAppend(t, next, next.Handoff.Read()[1:]...) // its head is its own
+	mustAppend(t, next, &Record{Kind: KindAttempt, ID: "a", At: 9, Endpoint: "s-1", Process: next.Process}, &Record{Kind: KindCompleted, ID: "b"})
 	next.c.shut() // killed, and the old one, too
 	old.c.shut()
-	next.Side.Close()
-	if _, owed := openTest(t, dir, 1<<20); len(owed) != 1 || owed[0].ID != "a" || owed[0].Tries != 2 || owed[0].Doubt != 9 {
+	next.Handoff.Close()
+	if _, owed := openTest(t, dir, 1<<20); len(owed) != 1 || owed[0].ID != "a" || owed[0].Attempts != 2 || owed[0].UnknownOutcomeAt != 9 {
 		t.Errorf("%v", describe(owed))
 	}
 }
@@ -122,7 +122,7 @@
 				break
 			}
 		}
-		if err := old.c.pass(&Record{Kind: Pass, ID: NoMessage, Body: []byte(strings.Repeat("m", 8<<10))}); err != nil {
+		if err := old.c.pass(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte(strings.Repeat("m", 8<<10))}); err != nil {
 			t.Fatal(err)
 		}
 		next, _ := openTest(t, dir, limit)
@@ -134,11 +134,11 @@
 			}
 		}
 		for i := range 50 { // how its calls ended still fits
-			mustAppend(t, old, &Record{Kind: End, ID: "o" + strconv.Itoa(i)})
+			mustAppend(t, old, &Record{Kind: KindCompleted, ID: "o" + strconv.Itoa(i)})
 		}
 		old.c.shut()
 		next.c.shut()
-		next.Side.Close()
+		next.Handoff.Close()
 	}
 }
 
@@ -148,14 +148,14 @@
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
-	if err := l.c.pass(&Record{Kind: Pass, ID: NoMessage}); err != nil {
+	if err := l.c.pass(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
 	mustAppend(t, l, taken("c", "C"), taken("d", "D"))
 	l.c.shut()
 	at := -1
 	spoilt := copyFolder(t, dir, func(name string, b []byte) []byte {
-		if name == SideName {
+		if name == HandoffName {
 			at = strings.Index(string(b), recordMark+"\x00\x00\x00") + 40
 			at = strings.Index(string(b[at:]), recordMark) + at + 6
 			b[at] ^= 1
@@ -164,11 +164,11 @@
 	})
 	l, owed := openTest(t, spoilt, 1<<20)
 	for _, r := range owed {
-		if (r.ID == "a" || r.ID == "b") && r.Doubt == 0 { // c was only taken on there
+		if (r.ID == "a" || r.ID == "b") && r.UnknownOutcomeAt == 0 { // c was only taken on there
 			t.Errorf("byte %d of the side log: %v", at, describe(owed))
 		}
 	}
-	if l.Found.Sound() {
+	if l.Recovery.Sound() {
 		t.Error("nobody was told")
 	}
 }
@@ -195,16 +195,16 @@
 func TestCarriedOver(t *testing.T) {
 	for _, living := range []bool{false, true} {
 		dir := t.TempDir()
-		b := oldLog(append([]*Record{{Kind: Mark, ID: NoMessage, By: 1}}, script()...)...)
-		b = append(b, oldLog(&Record{Kind: Pass, ID: NoMessage, Body: []byte("memory")})...)
-		if err := os.WriteFile(filepath.Join(dir, Name), b, 0o600); err != nil {
+		b := oldLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, script()...)...)
+		b = append(b, oldLog(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")})...)
+		if err := os.WriteFile(filepath.Join(dir, FolderName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		side := oldLog(&Record{Kind: Mark, ID: NoMessage, By: 1, Room: 32 << 10}, taken("f", "F"))
-		if err := os.WriteFile(filepath.Join(dir, SideName), side, 0o600); err != nil {
+		side := oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1, HandoffCapacity: 32 << 10}, taken("f", "F"))
+		if err := os.WriteFile(filepath.Join(dir, HandoffName), side, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f, err := OS{}.Open(filepath.Join(dir, SideName), Write)
+		f, err := OS{}.Open(filepath.Join(dir, HandoffName), ModeWrite)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -217,23 +217,23 @@
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 handed-back"}
 		if living { // its calls are left as they are
 			want = []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 0 ", "e E 0 0 handed-back"}
-			if l.Side == nil || l.Side.By != 1 || len(l.Side.Read()) != 2 {
-				t.Fatalf("side log %+v", l.Side)
+			if l.Handoff == nil || l.Handoff.Process != 1 || len(l.Handoff.Read()) != 2 {
+				t.Fatalf("side log %+v", l.Handoff)
 			}
 		} else {
 			want = append(want, "f F 0 0 ")
 		}
-		if got := describe(owed); !slices.Equal(got, want) || string(l.Memory) != "memory" || l.By != 2 {
-			t.Fatalf("living %v: got %q, memory %q, by %d", living, got, l.Memory, l.By)
+		if got := describe(owed); !slices.Equal(got, want) || string(l.PolicySnapshot) != "memory" || l.Process != 2 {
+			t.Fatalf("living %v: got %q, memory %q, by %d", living, got, l.PolicySnapshot, l.Process)
 		}
-		if info, err := os.Stat(filepath.Join(dir, Name)); err != nil || !info.IsDir() {
+		if info, err := os.Stat(filepath.Join(dir, FolderName)); err != nil || !info.IsDir() {
 			t.Fatalf("an older program would take the log for its own: %v", err)
 		}
-		mustAppend(t, l, &Record{Kind: End, ID: "e"})
+		mustAppend(t, l, &Record{Kind: KindCompleted, ID: "e"})
 		l.c.shut()
 		f.Close()
-		if l, owed = openTest(t, dir, 1<<20); living && len(owed) != len(want) || !living && len(owed) != len(want)-1 || !l.Found.Sound() {
-			t.Errorf("living %v, opened again: %q, found %+v", living, describe(owed), l.Found)
+		if l, owed = openTest(t, dir, 1<<20); living && len(owed) != len(want) || !living && len(owed) != len(want)-1 || !l.Recovery.Sound() {
+			t.Errorf("living %v, opened again: %q, found %+v", living, describe(owed), l.Recovery)
 		}
 		l.c.shut()
 	}
@@ -242,13 +242,13 @@
 // Hard case 3: a kill between any two steps of the carrying over loses nothing,
 // though the older program ran in between.
 func TestCarryingOverCut(t *testing.T) {
-	old := oldLog(&Record{Kind: Mark, ID: NoMessage, By: 1}, taken("a", "A"), taken("b", "B"), &Record{Kind: End, ID: "b"})
-	later := oldLog(&Record{Kind: Mark, ID: NoMessage, By: 1}, taken("z", "Z"))
+	old := oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, taken("a", "A"), taken("b", "B"), &Record{Kind: KindCompleted, ID: "b"})
+	later := oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, taken("z", "Z"))
 	for what, files := range map[string]map[string][]byte{
-		"before the first":       {Name: old, Name + newSuffix + "/x": []byte("half")},
-		"between":                {Name + oldSuffix: old, Name + newSuffix + "/x": []byte("half")},
-		"and the older one ran":  {Name + oldSuffix: old, Name: later},
-		"and that was cut again": {Name + oldSuffix: old, Name + olderSuffix: later},
+		"before the first":       {FolderName: old, FolderName + newSuffix + "/x": []byte("half")},
+		"between":                {FolderName + oldSuffix: old, FolderName + newSuffix + "/x": []byte("half")},
+		"and the older one ran":  {FolderName + oldSuffix: old, FolderName: later},
+		"and that was cut again": {FolderName + oldSuffix: old, FolderName + olderSuffix: later},
 	} {
 		dir := t.TempDir()
 		for name, b := range files {
@@ -260,7 +260,7 @@
 			}
 		}
 		want := []string{"a A 0 0 "}
-		if len(files) == 2 && files[Name+newSuffix+"/x"] == nil {
+		if len(files) == 2 && files[FolderName+newSuffix+"/x"] == nil {
 			want = append(want, "z Z 0 0 ")
 		}
 		for n := range 2 {
@@ -279,13 +279,13 @@
 
 // A flipped bit in an older log never hides an attempt either.
 func TestFlippedBitInAnOlderLog(t *testing.T) {
-	sound := oldLog(append([]*Record{{Kind: Mark, ID: NoMessage, By: 1}}, script()...)...)
-	head := len(oldLog(&Record{Kind: Mark, ID: NoMessage, By: 1}))
+	sound := oldLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, script()...)...)
+	head := len(oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}))
 	for at := head; at < len(sound); at++ {
 		b := slices.Clone(sound)
 		b[at] ^= 1 << (at % 8)
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, Name), b, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, FolderName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		safe(t, dir, fmt.Sprintf("byte %d", at))
@@ -305,14 +305,14 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	if got, err := a.Try(); !got {
+	if got, err := a.TryLock(); !got {
 		t.Fatal(err)
 	}
-	if got, _ := b.Try(); got {
+	if got, _ := b.TryLock(); got {
 		t.Fatal("two owners")
 	}
 	a.Close()
-	if got, err := b.Try(); !got {
+	if got, err := b.TryLock(); !got {
 		t.Errorf("the dead one's lock: %v", err)
 	}
 }
--- a/internal/wal/state.go
+++ b/internal/wal/state.go
@@ -45,12 +45,12 @@
 	began   uint32 // the segment that the last of the one before named, if it has no record itself
 	marked  uint64 // the last record's number as the mark has it; 0 where that is unknown
 	ahead   uint64 // the first record's number of the next file; 0 for none
-	report  Report
+	report  RecoveryReport
 }
 
 // hole is a row of records that are not there.
 type hole struct {
-	Damage
+	Corruption
 	from, to uint64
 }
 
@@ -84,13 +84,13 @@
 
 // book takes in a record that stands at a place of a file.
 func (s *state) book(k key, id []byte, seq uint64, r *Record, src *source, off, size int64, side bool) {
-	s.side = max(s.side, r.Side)
+	s.side = max(s.side, r.HandoffOffset)
 	switch r.Kind {
-	case Mark:
-		s.by, s.memory = max(s.by, r.By), nil
-		s.settle(func(by int) bool { return by != r.By && by != r.living }, seq)
+	case KindOwner:
+		s.by, s.memory = max(s.by, r.Process), nil
+		s.settle(func(by int) bool { return by != r.Process && by != r.living }, seq)
 		return
-	case Pass: // a new side log begins
+	case KindHandoff: // a new side log begins
 		s.memory, s.side = r.Body, 0
 		return
 	case batch:
@@ -109,7 +109,7 @@
 		}
 	}
 	switch {
-	case r.Kind == Taken || r.Kind == held:
+	case r.Kind == KindAccepted || r.Kind == held:
 		if known {
 			return
 		}
@@ -117,19 +117,19 @@
 		i, e = s.idx.add(k)
 		e.seq, e.src, e.off, e.size = seq, src.ref, uint32(off), uint32(size)
 		if r.Kind == held {
-			e.seq, e.asof = uint64(r.At), uint32(min(uint64(r.Took)-uint64(r.At), math.MaxUint32))
+			e.seq, e.asof = uint64(r.At), uint32(min(uint64(r.Latency)-uint64(r.At), math.MaxUint32))
 		}
-		e.tries, e.doubt, e.in = uint8(min(r.Tries, 255)), r.Doubt, int16(r.DoubtIn)
-		if r.Out != 0 || r.Notice != "" || r.Lost {
+		e.tries, e.doubt, e.in = uint8(min(r.Attempts, 255)), r.UnknownOutcomeAt, int16(r.UnknownOutcomeZone)
+		if r.InFlightSince != 0 || r.Notice != "" || r.Corrupted {
 			x := s.idx.more(i)
-			x.out, x.outIn, x.outBy, x.outTo, x.notice, x.retryMS = r.Out, r.OutIn, r.OutBy, r.OutTo, r.Notice, r.RetryMS
-			if r.Lost {
+			x.out, x.outIn, x.outBy, x.outTo, x.notice, x.retryMS = r.InFlightSince, r.InFlightZone, r.InFlightProcess, r.InFlightEndpoint, r.Notice, r.RetryMS
+			if r.Corrupted {
 				x.lost, e.src = string(id), 0
 			}
 		}
 		s.owed += s.room(i)
 		return
-	case r.Kind == End:
+	case r.Kind == KindCompleted:
 		if known {
 			s.owed -= s.room(i)
 			s.idx.remove(i)
@@ -140,7 +140,7 @@
 	case !known: // damage took its first record
 		i = s.lose(k, id, seq-1)
 	}
-	if r.Kind == Attempt {
+	if r.Kind == KindAttempt {
 		s.last = max(s.last, r.At)
 	}
 	s.owed -= s.room(i)
@@ -162,22 +162,22 @@
 func (s *state) fold(i uint32, r *Record) {
 	e := s.idx.at(i)
 	switch r.Kind {
-	case Attempt:
+	case KindAttempt:
 		e.tries = uint8(min(int(e.tries)+1, 255))
 		x := s.idx.more(i)
-		x.out, x.outIn, x.outBy, x.outTo = r.At, r.Zone, r.By, r.To
-	case Outcome:
+		x.out, x.outIn, x.outBy, x.outTo = r.At, r.Zone, r.Process, r.Endpoint
+	case KindOutcome:
 		if x := s.idx.extras[i]; x != nil {
-			if r.Ran && e.doubt == 0 {
+			if r.MayHaveRun && e.doubt == 0 {
 				e.doubt, e.in = x.out, int16(x.outIn)
 			}
-			if r.Unmade && x.out != 0 && e.tries > 0 {
+			if r.LocalFailure && x.out != 0 && e.tries > 0 {
 				e.tries--
 			}
 			x.out, x.outIn, x.outBy, x.outTo = 0, 0, 0, ""
 			s.idx.lessen(i)
 		}
-	case Ending:
+	case KindCompleting:
 		x := s.idx.more(i)
 		x.notice, x.retryMS = r.Notice, r.RetryMS
 	}
@@ -190,7 +190,7 @@
 		e := s.idx.at(i)
 		if x.out != 0 && gone(x.outBy) && seq > e.seq+uint64(e.asof) {
 			s.owed -= s.room(i)
-			s.fold(i, &Record{Kind: Outcome, Ran: true})
+			s.fold(i, &Record{Kind: KindOutcome, MayHaveRun: true})
 			s.owed += s.room(i)
 		}
 	}
@@ -221,21 +221,21 @@
 }
 
 // badRecord books a record of which only the head is certain.
-func (s *state) badRecord(r *raw, d *Damage, side bool) {
+func (s *state) badRecord(r *raw, d *Corruption, side bool) {
 	k := s.idx.key(r.id)
-	d.What, d.IDs = fmt.Sprintf("damaged record: %s", r.kind), []string{string(r.id)}
+	d.Reason, d.IDs = fmt.Sprintf("damaged record: %s", r.kind), []string{string(r.id)}
 	i, known := s.idx.find(k)
 	switch r.kind {
-	case Taken, held:
+	case KindAccepted, held:
 		if !known {
 			s.lose(k, r.id, r.seq)
 		}
-	case End:
+	case KindCompleted:
 		if known {
 			s.owed -= s.room(i)
 			s.idx.remove(i)
 		}
-	case Attempt, Outcome, Ending:
+	case KindAttempt, KindOutcome, KindCompleting:
 		if !known {
 			if side {
 				return
@@ -243,13 +243,13 @@
 			i = s.lose(k, r.id, r.seq-1)
 		}
 		s.concern(i)
-		d.Concerned = 1
-		if r.kind == Ending { // it was over, by which word nobody knows: it is not sent again
+		d.Affected = 1
+		if r.kind == KindCompleting { // it was over, by which word nobody knows: it is not sent again
 			s.owed -= s.room(i)
 			s.idx.more(i).notice = lostNotice
 			s.owed += s.room(i)
 		}
-	case Mark:
+	case KindOwner:
 		s.settle(func(int) bool { return true }, r.seq)
 	}
 }
@@ -271,18 +271,18 @@
 func (s *state) replay(src *source, seq *uint64, side bool, from int64) (FileReport, tail) {
 	file := FileReport{Name: src.name, Kind: src.kind.String(), Bytes: src.size, First: src.first}
 	scan := scanner{f: src.f, size: src.size, salt: src.salt}
-	var spoilt Damage // the stretch before the record at off
+	var spoilt Corruption // the stretch before the record at off
 	off := from
 	if src.sound == 0 {
 		off = scan.resync(0, *seq+1)
-		spoilt = Damage{File: src.name, Bytes: off, What: "header unreadable"}
+		spoilt = Corruption{File: src.name, Bytes: off, Reason: "header unreadable"}
 	}
 	if src.size < headerSize { // it was made, and never begun
 		return file, tail{bytes: src.size, st: unsound, zero: true}
 	}
 	if src.sound == 1 {
 		src.damaged = true
-		s.report.Damage = append(s.report.Damage, Damage{File: src.name, Bytes: headerSize, What: "one copy of the header unreadable"})
+		s.report.Corruptions = append(s.report.Corruptions, Corruption{File: src.name, Bytes: headerSize, Reason: "one copy of the header unreadable"})
 	}
 	var r Record
 	for off < src.size {
@@ -301,7 +301,7 @@
 				}
 				return file, t
 			}
-			spoilt = Damage{File: src.name, At: off, Bytes: end - off, What: "unreadable", IDs: names}
+			spoilt = Corruption{File: src.name, Offset: off, Bytes: end - off, Reason: "unreadable", IDs: names}
 			off = end
 			continue
 		}
@@ -311,29 +311,29 @@
 		}
 		if lost := rec.seq - *seq - 1; lost > 0 {
 			if spoilt.Bytes == 0 {
-				spoilt = Damage{File: src.name, At: off, What: fmt.Sprintf("%d records missing", lost)}
+				spoilt = Corruption{File: src.name, Offset: off, Reason: fmt.Sprintf("%d records missing", lost)}
 			}
 			src.damaged = true
-			s.holes = append(s.holes, hole{Damage: spoilt, from: *seq + 1, to: rec.seq - 1})
-		} else if src.sound == 0 && spoilt.Bytes > 0 && spoilt.At == 0 {
+			s.holes = append(s.holes, hole{Corruption: spoilt, from: *seq + 1, to: rec.seq - 1})
+		} else if src.sound == 0 && spoilt.Bytes > 0 && spoilt.Offset == 0 {
 			src.damaged = true
-			s.report.Damage = append(s.report.Damage, spoilt)
+			s.report.Corruptions = append(s.report.Corruptions, spoilt)
 		} else if spoilt.Bytes > 0 { // a write that failed, and was made again
 			s.report.Torn = append(s.report.Torn, spoilt)
 		}
-		spoilt = Damage{}
+		spoilt = Corruption{}
 		*seq = rec.seq
 		if st == badRest {
-			d := Damage{File: src.name, At: off, Bytes: rec.size}
+			d := Corruption{File: src.name, Offset: off, Bytes: rec.size}
 			src.damaged = true
 			s.badRecord(&rec, &d, side)
-			s.report.Damage = append(s.report.Damage, d)
+			s.report.Corruptions = append(s.report.Corruptions, d)
 		} else {
 			r = Record{Kind: rec.kind}
 			if _, ok := decodeRest(&r, rec.rest); !ok {
-				d := Damage{File: src.name, At: off, Bytes: rec.size}
+				d := Corruption{File: src.name, Offset: off, Bytes: rec.size}
 				s.badRecord(&rec, &d, side)
-				s.report.Damage = append(s.report.Damage, d)
+				s.report.Corruptions = append(s.report.Corruptions, d)
 			} else {
 				s.book(s.idx.key(rec.id), rec.id, rec.seq, &r, src, off, rec.size, side)
 			}
@@ -342,7 +342,7 @@
 		off += rec.size
 	}
 	if spoilt.Bytes > 0 {
-		return file, tail{at: spoilt.At, bytes: spoilt.Bytes, st: unsound, names: spoilt.IDs, zero: scan.zeros(spoilt.At, spoilt.At+spoilt.Bytes)}
+		return file, tail{at: spoilt.Offset, bytes: spoilt.Bytes, st: unsound, names: spoilt.IDs, zero: scan.zeros(spoilt.Offset, spoilt.Offset+spoilt.Bytes)}
 	}
 	return file, tail{}
 }
@@ -377,17 +377,17 @@
 // checkpoint books a checkpoint. whole is false where it is not all there.
 func (s *state) checkpoint(src *source) (whole bool) {
 	n := uint64(0)
-	before := len(s.report.Damage)
+	before := len(s.report.Corruptions)
 	file, t := s.replay(src, &n, false, headerSize)
 	s.report.Files = append(s.report.Files, file)
-	whole = len(s.report.Damage) == before && len(s.holes) == 0 && t.bytes == 0 && file.Records > 0
+	whole = len(s.report.Corruptions) == before && len(s.holes) == 0 && t.bytes == 0 && file.Records > 0
 	for _, h := range s.holes { // of a checkpoint: messages that are gone, and concern no other
-		h.What = fmt.Sprintf("%d records of the checkpoint unreadable", h.to-h.from+1)
-		s.report.Damage = append(s.report.Damage, h.Damage)
+		h.Reason = fmt.Sprintf("%d records of the checkpoint unreadable", h.to-h.from+1)
+		s.report.Corruptions = append(s.report.Corruptions, h.Corruption)
 	}
 	s.holes = nil
 	if t.bytes > 0 || file.Records == 0 {
-		s.report.Damage = append(s.report.Damage, Damage{File: src.name, At: t.at, Bytes: t.bytes, What: "the checkpoint's end is missing", IDs: t.names})
+		s.report.Corruptions = append(s.report.Corruptions, Corruption{File: src.name, Offset: t.at, Bytes: t.bytes, Reason: "the checkpoint's end is missing", IDs: t.names})
 	}
 	if !whole {
 		src.damaged = true
@@ -399,20 +399,20 @@
 // finish judges what the files left open, once all of them are booked. mark is
 // the last record's number as it was kept beside the log; 0 where that is unknown.
 func (s *state) finish(last *source, t tail, mark uint64) {
-	lost := func(d Damage, before uint64) {
-		d.Concerned = s.concernAll(before)
-		s.report.Damage = append(s.report.Damage, d)
+	lost := func(d Corruption, before uint64) {
+		d.Affected = s.concernAll(before)
+		s.report.Corruptions = append(s.report.Corruptions, d)
 	}
 	for _, h := range s.holes {
-		lost(h.Damage, h.to+1)
+		lost(h.Corruption, h.to+1)
 	}
 	s.holes = nil
-	d := Damage{At: t.at, Bytes: t.bytes, IDs: t.names, What: "unreadable end"}
+	d := Corruption{Offset: t.at, Bytes: t.bytes, IDs: t.names, Reason: "unreadable end"}
 	if last != nil {
 		d.File = last.name
 	}
 	if t.unsynced {
-		d.What = "written, but not synced when power went"
+		d.Reason = "written, but not synced when power went"
 	}
 	certain := t.bytes > 0 && t.st == torn
 	if certain {
@@ -425,13 +425,13 @@
 	switch {
 	case missing == 1 && certain, mark == 0 && certain:
 		s.badRecord(&t.rec, &d, false)
-		s.report.Damage = append(s.report.Damage, d)
+		s.report.Corruptions = append(s.report.Corruptions, d)
 		s.seq = max(s.seq, t.rec.seq)
 	case missing > 0:
 		if last != nil {
 			last.damaged = true
 		}
-		d.What = fmt.Sprintf("the last %d records missing", missing)
+		d.Reason = fmt.Sprintf("the last %d records missing", missing)
 		lost(d, mark+1)
 		s.seq = mark
 	case mark == 0 && t.bytes > 0 && !t.zero && !t.unsynced:
@@ -441,23 +441,23 @@
 	}
 	if mark == 0 && last != nil && last.sound == 0 && last.num == s.began { // its header was there before the seal
 		last.damaged = true
-		lost(Damage{File: last.name, Bytes: last.size, What: "segment emptied"}, s.seq+1)
+		lost(Corruption{File: last.name, Bytes: last.size, Reason: "segment emptied"}, s.seq+1)
 	}
 	if mark == 0 && s.sealed != 0 && (last == nil || last.num < s.sealed) {
-		lost(Damage{File: segmentName(s.sealed), What: "segment missing"}, s.seq+1)
+		lost(Corruption{File: segmentName(s.sealed), Reason: "segment missing"}, s.seq+1)
 		s.nextNum = s.sealed + 1 // that it is missing shows later, too
 	}
 }
 
 // summarize fills in the report, once all is booked.
 func (s *state) summarize() {
-	s.report.Owed, s.report.Seq, s.report.By = s.idx.live, s.seq, s.by
+	s.report.Pending, s.report.Seq, s.report.Process = s.idx.live, s.seq, s.by
 	for _, x := range s.idx.extras {
 		if x.lost != "" {
-			s.report.Lost = append(s.report.Lost, x.lost)
+			s.report.LostIDs = append(s.report.LostIDs, x.lost)
 		}
 	}
-	slices.Sort(s.report.Lost)
+	slices.Sort(s.report.LostIDs)
 	for _, f := range s.report.Files {
 		s.report.Records += f.Records
 		s.report.Bytes += blocks(f.Bytes)
@@ -485,11 +485,11 @@
 // good until the reader's next call.
 func (s *state) load(i uint32, from *reader, r *Record) (body []byte, err error) {
 	e := s.idx.at(i)
-	*r = Record{Kind: Taken, Tries: int(e.tries), Doubt: e.doubt, DoubtIn: int(e.in)}
+	*r = Record{Kind: KindAccepted, Attempts: int(e.tries), UnknownOutcomeAt: e.doubt, UnknownOutcomeZone: int(e.in)}
 	if x := s.idx.extras[i]; e.flags&entryExtra != 0 {
-		r.Out, r.OutIn, r.OutBy, r.OutTo, r.Notice, r.RetryMS = x.out, x.outIn, x.outBy, x.outTo, x.notice, x.retryMS
+		r.InFlightSince, r.InFlightZone, r.InFlightProcess, r.InFlightEndpoint, r.Notice, r.RetryMS = x.out, x.outIn, x.outBy, x.outTo, x.notice, x.retryMS
 		if x.lost != "" {
-			r.ID, r.Lost = x.lost, true
+			r.ID, r.Corrupted = x.lost, true
 			return nil, nil
 		}
 	}
@@ -529,11 +529,11 @@
 func (s *state) message(i uint32, from *reader) (*Record, error) {
 	r := &Record{}
 	raw, err := s.load(i, from, r)
-	if err == nil && !r.Lost && !decodeMessage(r, raw) {
+	if err == nil && !r.Corrupted && !decodeMessage(r, raw) {
 		err = errMoved
 	}
 	if r.Notice == lostNotice {
-		r.Lost, r.Notice = true, ""
+		r.Corrupted, r.Notice = true, ""
 	}
 	return r, err
 }
--- a/internal/wal/timeline_test.go
+++ b/internal/wal/timeline_test.go
@@ -36,10 +36,10 @@
 	}
 	defer l.Shut()
 	began = l.Time()
-	if err := l.AppendNow(&wal.Record{Kind: wal.Taken, ID: id, Class: "plain", Deadline: began + 20e6}); err != nil {
+	if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Deadline: began + 20e6}); err != nil {
 		t.Fatal(err)
 	}
-	return began, l.Time(), l.Behind
+	return began, l.Time(), l.ClockSetBack
 }
 
 // The log's time runs on with real time over the ends of processes and over boots,
@@ -95,7 +95,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.AppendNow(&wal.Record{Kind: wal.Taken, ID: "m", Class: "plain", Deadline: l.Time() + 20e6}); err != nil {
+		if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: "m", Class: "plain", Deadline: l.Time() + 20e6}); err != nil {
 			t.Fatal(err)
 		}
 		l.Shut()
@@ -126,7 +126,7 @@
 	for _, cut := range []bool{true, false} {
 		dir, m := t.TempDir(), &machineClock{boot: 1}
 		_, ended, _ := lived(t, dir, "first", m)
-		path := filepath.Join(dir, wal.Name, "mark")
+		path := filepath.Join(dir, wal.FolderName, "mark")
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -20,8 +20,8 @@
 
 // Names in the state folder. Two processes may share it during an upgrade.
 const (
-	Name     = "relay.wal"  // the folder of the log; a file where an older program wrote it
-	SideName = "relay.side" // what an old process still has to tell; locked as long as it lives
+	FolderName  = "relay.wal"  // the folder of the log; a file where an older program wrote it
+	HandoffName = "relay.side" // what an old process still has to tell; locked as long as it lives
 )
 
 // NoMessage stands for the message in a record that is of none.
@@ -29,10 +29,10 @@
 
 // Errors of a log.
 var (
-	ErrFull    = errors.New("log: no room")
-	ErrNotOwed = errors.New("log: message is not owed")
-	ErrFailed  = errors.New("log: a sync has failed: nothing more is written") // final: what the page holds is not known
-	ErrNewer   = errors.New("log: written by a newer program")
+	ErrFull         = errors.New("log: no room")
+	ErrNotPending   = errors.New("log: message is not owed")
+	ErrSyncFailed   = errors.New("log: a sync has failed: nothing more is written") // final: what the page holds is not known
+	ErrNewerVersion = errors.New("log: written by a newer program")
 )
 
 // Kind says what a record tells of its message.
@@ -40,13 +40,13 @@
 
 // Kinds of records.
 const (
-	Taken   Kind = "taken"   // all of the message, and its state where it comes from a checkpoint
-	Attempt Kind = "attempt" // is about to go out
-	Outcome Kind = "outcome" // of the attempt that is out
-	Ending  Kind = "ending"  // its notice is to be sent
-	End     Kind = "end"     // nothing is owed any more
-	Mark    Kind = "mark"    // who writes from here on, and how much of a side log is in here
-	Pass    Kind = "pass"    // the last record of a process that lives on: what its policy knows
+	KindAccepted   Kind = "taken"   // all of the message, and its state where it comes from a checkpoint
+	KindAttempt    Kind = "attempt" // is about to go out
+	KindOutcome    Kind = "outcome" // of the attempt that is out
+	KindCompleting Kind = "ending"  // its notice is to be sent
+	KindCompleted  Kind = "end"     // nothing is owed any more
+	KindOwner      Kind = "mark"    // who writes from here on, and how much of a side log is in here
+	KindHandoff    Kind = "pass"    // the last record of a process that lives on: what its policy knows
 
 	held  Kind = "held"  // in a checkpoint: a message and its state
 	batch Kind = "batch" // begins what is synced together
@@ -56,41 +56,43 @@
 
 // settles reports whether a record tells of something that has happened already, so
 // that it is kept where it cannot be written, and written before all later ones.
-func (k Kind) settles() bool { return k == Outcome || k == Ending || k == End || k == Mark }
+func (k Kind) settles() bool {
+	return k == KindOutcome || k == KindCompleting || k == KindCompleted || k == KindOwner
+}
 
 // Record is one entry of the log. Times are the log's, in microseconds: see Log.Time.
 type Record struct {
-	Kind     Kind   `json:"kind"`
-	ID       string `json:"id"`
-	Class    string `json:"class,omitempty"`
-	Tenant   string `json:"tenant,omitempty"`
-	Key      string `json:"key,omitempty"`
-	Dest     int    `json:"dest,omitempty"`
-	Deadline int64  `json:"deadline,omitempty"`
-	At       int64  `json:"at,omitempty"`     // attempt: when it goes out
-	Zone     int    `json:"zone,omitempty"`   // attempt: of its endpoint
-	To       string `json:"to,omitempty"`     // attempt: its endpoint
-	By       int    `json:"by,omitempty"`     // attempt, mark: the process, counted over those that opened the log
-	Ran      bool   `json:"ran,omitempty"`    // outcome: it may have run
-	Unmade   bool   `json:"unmade,omitempty"` // outcome: this machine could not make the call; it was no try
-	Notice   string `json:"notice,omitempty"` // ending: the word for it
-	RetryMS  int64  `json:"retry_ms,omitempty"`
+	Kind         Kind   `json:"kind"`
+	ID           string `json:"id"`
+	Class        string `json:"class,omitempty"`
+	Tenant       string `json:"tenant,omitempty"`
+	Key          string `json:"key,omitempty"`
+	Dest         int    `json:"dest,omitempty"`
+	Deadline     int64  `json:"deadline,omitempty"`
+	At           int64  `json:"at,omitempty"`     // attempt: when it goes out
+	Zone         int    `json:"zone,omitempty"`   // attempt: of its endpoint
+	Endpoint     string `json:"to,omitempty"`     // attempt: its endpoint
+	Process      int    `json:"by,omitempty"`     // attempt, mark: the process, counted over those that opened the log
+	MayHaveRun   bool   `json:"ran,omitempty"`    // outcome: it may have run
+	LocalFailure bool   `json:"unmade,omitempty"` // outcome: this machine could not make the call; it was no try
+	Notice       string `json:"notice,omitempty"` // ending: the word for it
+	RetryMS      int64  `json:"retry_ms,omitempty"`
 	// The state of a message, as earlier records left it.
-	Tries   int    `json:"tries,omitempty"`
-	Doubt   int64  `json:"doubt,omitempty"` // send of the first attempt that may have run
-	DoubtIn int    `json:"doubt_in,omitempty"`
-	Out     int64  `json:"out,omitempty"` // send of an attempt with no outcome yet
-	OutIn   int    `json:"out_in,omitempty"`
-	OutTo   string `json:"out_to,omitempty"`
-	OutBy   int    `json:"out_by,omitempty"`
-	Lost    bool   `json:"lost,omitempty"` // damage took all but its id
+	Attempts           int    `json:"tries,omitempty"`
+	UnknownOutcomeAt   int64  `json:"doubt,omitempty"` // send of the first attempt that may have run
+	UnknownOutcomeZone int    `json:"doubt_in,omitempty"`
+	InFlightSince      int64  `json:"out,omitempty"` // send of an attempt with no outcome yet
+	InFlightZone       int    `json:"out_in,omitempty"`
+	InFlightEndpoint   string `json:"out_to,omitempty"`
+	InFlightProcess    int    `json:"out_by,omitempty"`
+	Corrupted          bool   `json:"lost,omitempty"` // damage took all but its id
 	// Of the side log. Side is the place there up to which, with this record, this log is up to date.
-	Side  int64 `json:"side,omitempty"`
-	Room  int64 `json:"room,omitempty"` // mark: bytes that the side log may take up
-	What  uint8 `json:"what,omitempty"` // outcome, end: of the attempt, as the policy numbers them
-	Wait  int64 `json:"wait,omitempty"` // until when its endpoint told to wait
-	Took  int64 `json:"took,omitempty"`
-	Slots bool  `json:"slots,omitempty"`
+	HandoffOffset   int64 `json:"side,omitempty"`
+	HandoffCapacity int64 `json:"room,omitempty"` // mark: bytes that the side log may take up
+	OutcomeCode     uint8 `json:"what,omitempty"` // outcome, end: of the attempt, as the policy numbers them
+	RetryAt         int64 `json:"wait,omitempty"` // until when its endpoint told to wait
+	Latency         int64 `json:"took,omitempty"`
+	CallsExhausted  bool  `json:"slots,omitempty"`
 
 	Body []byte `json:"-"`
 	Ref  Ref    `json:"-"` // taken: where the log has it, once it is booked or was read
@@ -109,64 +111,64 @@
 // fold brings a taken record up to date with a later one.
 func (t *Record) fold(r *Record) {
 	switch r.Kind {
-	case Attempt:
-		t.Tries++
-		t.Out, t.OutIn, t.OutTo, t.OutBy = r.At, r.Zone, r.To, r.By
-	case Outcome:
-		if r.Ran && t.Doubt == 0 {
-			t.Doubt, t.DoubtIn = t.Out, t.OutIn
+	case KindAttempt:
+		t.Attempts++
+		t.InFlightSince, t.InFlightZone, t.InFlightEndpoint, t.InFlightProcess = r.At, r.Zone, r.Endpoint, r.Process
+	case KindOutcome:
+		if r.MayHaveRun && t.UnknownOutcomeAt == 0 {
+			t.UnknownOutcomeAt, t.UnknownOutcomeZone = t.InFlightSince, t.InFlightZone
 		}
-		if r.Unmade && t.Tries > 0 {
-			t.Tries--
+		if r.LocalFailure && t.Attempts > 0 {
+			t.Attempts--
 		}
-		t.Out, t.OutIn, t.OutTo, t.OutBy = 0, 0, "", 0
-	case Ending:
+		t.InFlightSince, t.InFlightZone, t.InFlightEndpoint, t.InFlightProcess = 0, 0, "", 0
+	case KindCompleting:
 		t.Notice, t.RetryMS = r.Notice, r.RetryMS
 	}
 }
 
-// Promise is what a record that was booked outlives.
-type Promise int
+// Durability is what a record that was booked outlives.
+type Durability int
 
 // Promises.
 const (
-	Process Promise = iota // the end of the process, however it comes
-	Power                  // a loss of power, too: booked means synced
+	SurvivesCrash     Durability = iota // the end of the process, however it comes
+	SurvivesPowerLoss                   // a loss of power, too: booked means synced
 )
 
 // Options say where a log is and what it promises.
 type Options struct {
-	Dir     string // the state folder; the caller holds its lock
-	Limit   int64  // bytes of the folder, each file counted in whole 512
-	Promise Promise
-	FS      FS // nil for the machine's own
-	Log     *slog.Logger
-	Clock   func() clock.Reading // nil for the machine's clocks
-	Failed  func(error)          // told once, on the log's goroutine, that nothing more can be written
+	Dir        string // the state folder; the caller holds its lock
+	Limit      int64  // bytes of the folder, each file counted in whole 512
+	Durability Durability
+	FS         FS // nil for the machine's own
+	Log        *slog.Logger
+	Clock      func() clock.Reading // nil for the machine's clocks
+	OnFailure  func(error)          // told once, on the log's goroutine, that nothing more can be written
 }
 
-// Damage is a stretch that could not be read, and what came of it.
-type Damage struct {
-	File      string   `json:"file"`
-	At        int64    `json:"at"`
-	Bytes     int64    `json:"bytes"`
-	What      string   `json:"what"`
-	Concerned int      `json:"concerned"` // messages held to have been sent
-	IDs       []string `json:"ids,omitempty"`
+// Corruption is a stretch that could not be read, and what came of it.
+type Corruption struct {
+	File     string   `json:"file"`
+	Offset   int64    `json:"at"`
+	Bytes    int64    `json:"bytes"`
+	Reason   string   `json:"what"`
+	Affected int      `json:"concerned"` // messages held to have been sent
+	IDs      []string `json:"ids,omitempty"`
 }
 
-// Report is what opening or inspecting a folder found.
-type Report struct {
-	Files   []FileReport `json:"files"`
-	Records int          `json:"records"`
-	Owed    int          `json:"owed"`
-	Bytes   int64        `json:"bytes"`
-	Seq     uint64       `json:"seq"` // of the last record
-	By      int          `json:"by"`
-	Damage  []Damage     `json:"damage,omitempty"`
-	Torn    []Damage     `json:"torn,omitempty"` // ends that were never booked
-	Lost    []string     `json:"lost,omitempty"` // ids of messages that damage took
-	Older   bool         `json:"older,omitempty"`
+// RecoveryReport is what opening or inspecting a folder found.
+type RecoveryReport struct {
+	Files       []FileReport `json:"files"`
+	Records     int          `json:"records"`
+	Pending     int          `json:"owed"`
+	Bytes       int64        `json:"bytes"`
+	Seq         uint64       `json:"seq"` // of the last record
+	Process     int          `json:"by"`
+	Corruptions []Corruption `json:"damage,omitempty"`
+	Torn        []Corruption `json:"torn,omitempty"` // ends that were never booked
+	LostIDs     []string     `json:"lost,omitempty"` // ids of messages that damage took
+	OlderFormat bool         `json:"older,omitempty"`
 }
 
 // FileReport is one file of the log.
@@ -179,4 +181,4 @@
 }
 
 // Sound reports whether nothing was damaged.
-func (r *Report) Sound() bool { return len(r.Damage) == 0 && len(r.Lost) == 0 }
+func (r *RecoveryReport) Sound() bool { return len(r.Corruptions) == 0 && len(r.LostIDs) == 0 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -29,7 +29,7 @@
 	EvCall       = 30
 	EvBegun      = 40
 	EvResolved   = 50
-	EvLapsed     = 60
+	EvExpired    = 60
 	EvAlarm      = 70
 	EvHealth     = 80
 	EvDatagram   = 90
@@ -51,17 +51,17 @@
 
 // Codes of actions.
 const (
-	ActDeliver = 20
-	ActRefuse  = 30
-	ActLog     = 40
-	ActListen  = 50
-	ActRemind  = 60
-	ActLose    = 70
-	ActProbe   = 80
-	ActRead    = 90
-	ActBug     = 100
-	ActClose   = 110
-	ActCancel  = 120
+	ActDeliver     = 20
+	ActReject      = 30
+	ActLog         = 40
+	ActListen      = 50
+	ActRemind      = 60
+	ActLose        = 70
+	ActHealthCheck = 80
+	ActRead        = 90
+	ActBug         = 100
+	ActClose       = 110
+	ActCancel      = 120
 )
 
 // Entry is a line of a list.
@@ -77,29 +77,29 @@
 
 // Event is one decoded record.
 type Event struct {
-	Code     uint8
-	Relay    uint16
-	Kind     uint8
-	Sheet    uint8
-	Status   uint8
-	Attempt  uint8
-	Settled  bool
-	Class    uint16
-	Flags    uint16
-	Dest     uint16
-	Ticket   uint32
-	Tenant   uint32
-	Grace    uint32
-	Estimate uint32
-	Note     uint32
-	Took     uint32
-	Endpoint uint64
-	Subject  uint64
-	Token    uint64 // the seed of an EvUp, the version of an EvSync
-	Reports  int
-	Report   [4]float32
-	Text     []byte
-	Entries  []Entry
+	Code         uint8
+	Relay        uint16
+	Kind         uint8
+	Sheet        uint8
+	Status       uint8
+	Attempt      uint8
+	Settled      bool
+	Class        uint16
+	Flags        uint16
+	Dest         uint16
+	Ticket       uint32
+	Tenant       uint32
+	Grace        uint32
+	Estimate     uint32
+	Note         uint32
+	Took         uint32
+	Endpoint     uint64
+	Subject      uint64
+	Token        uint64 // the seed of an EvUp, the version of an EvSync
+	ReportFields int
+	Report       [4]float32
+	Text         []byte
+	Entries      []Entry
 }
 
 // Action is one record to encode.
@@ -173,9 +173,9 @@
 }
 
 func (e *Event) report(b []byte) error {
-	e.Reports = int(b[0])
-	if e.Reports > len(e.Report) {
-		return fmt.Errorf("report of %d values, at most %d", e.Reports, len(e.Report))
+	e.ReportFields = int(b[0])
+	if e.ReportFields > len(e.Report) {
+		return fmt.Errorf("report of %d values, at most %d", e.ReportFields, len(e.Report))
 	}
 	for i := range e.Report {
 		e.Report[i] = math.Float32frombits(be.Uint32(b[1+4*i:]))
@@ -233,7 +233,7 @@
 		if err := e.report(b[24:]); err != nil {
 			return fmt.Errorf("resolved: %w", err)
 		}
-	case EvLapsed:
+	case EvExpired:
 		e.Ticket = be.Uint32(b[3:])
 	case EvAlarm:
 		e.Token = be.Uint64(b[3:])
@@ -284,7 +284,7 @@
 			be.PutUint32(b[3:], a.Ticket)
 			putEndpoint(b[7:], a.Endpoint)
 			be.PutUint64(b[13:], a.At)
-		case ActRefuse:
+		case ActReject:
 			be.PutUint32(b[3:], a.Ticket)
 			be.PutUint32(b[7:], a.After)
 		case ActLose:
@@ -295,7 +295,7 @@
 		case ActRemind:
 			be.PutUint32(b[3:], a.After)
 			be.PutUint64(b[7:], a.Token)
-		case ActProbe, ActClose:
+		case ActHealthCheck, ActClose:
 			putEndpoint(b[3:], a.Endpoint)
 		case ActListen:
 			if a.On {
@@ -323,21 +323,21 @@
 // Settings is the settings text as it comes. Unknown keys are ignored.
 type Settings struct {
 	Accounts []struct {
-		Name  string  `json:"name"`
-		Quota float64 `json:"quota_per_s"`
-		Share float64 `json:"share"`
+		Name          string  `json:"name"`
+		Quota         float64 `json:"quota_per_s"`
+		QuotaFraction float64 `json:"share"`
 	} `json:"accounts"`
 	Balancers int `json:"balancers"`
 	Classes   []struct {
-		Deadline   int64   `json:"deadline_us"`
-		Window     int64   `json:"dedup_window_us"`
-		Group      string  `json:"group"`
-		LateWorth  float64 `json:"late_worth"`
-		Name       string  `json:"name"`
-		Repeat     string  `json:"repeat"`
-		Sequential bool    `json:"sequential"`
-		Target     int64   `json:"target_us"`
-		Worth      float64 `json:"worth"`
+		Deadline    int64   `json:"deadline_us"`
+		Window      int64   `json:"dedup_window_us"`
+		Group       string  `json:"group"`
+		LateWeight  float64 `json:"late_worth"`
+		Name        string  `json:"name"`
+		Idempotency string  `json:"repeat"`
+		Sequential  bool    `json:"sequential"`
+		Target      int64   `json:"target_us"`
+		Weight      float64 `json:"worth"`
 	} `json:"classes"`
 	Discovery string   `json:"discovery"`
 	Kinds     []string `json:"kinds"`
@@ -346,26 +346,26 @@
 		KeepAlive      int64 `json:"keepalive_us"`
 		MaxRetryAfter  int64 `json:"max_retry_after_us"`
 		MayCancel      bool  `json:"may_cancel"`
-		MostHeld       int   `json:"most_held"`
-		MostTries      int   `json:"most_tries"`
+		MaxMessages    int   `json:"most_held"`
+		MaxAttempts    int   `json:"most_tries"`
 		Probing        bool  `json:"probing"`
 		RetryAfter     bool  `json:"retry_after"`
 		StreamsPerConn int   `json:"streams_per_conn"`
 	} `json:"limits"`
-	OverShareWorth float64 `json:"over_share_worth"`
-	Report         struct {
+	OverQuotaWeight float64 `json:"over_share_worth"`
+	Report          struct {
 		How    string   `json:"how"`
 		Fields []string `json:"fields"`
 	} `json:"report"`
 	Safety struct {
-		AnswerSlack    int64   `json:"answer_slack_us"`
-		AskEvery       int64   `json:"ask_every_us"`
-		DrainGrace     int64   `json:"drain_grace_us"`
-		FallTime       int64   `json:"fall_us"`
-		OverloadFactor float64 `json:"overload_factor"`
-		RampTime       int64   `json:"ramp_time_us"`
-		StartCapacity  float64 `json:"start_capacity"`
-		KeyRest        int64   `json:"settle_after_doubt_us"`
+		ResponseSlack     int64   `json:"answer_slack_us"`
+		PollInterval      int64   `json:"ask_every_us"`
+		DrainGrace        int64   `json:"drain_grace_us"`
+		OverloadWindow    int64   `json:"fall_us"`
+		OverloadFactor    float64 `json:"overload_factor"`
+		SlowStartTime     int64   `json:"ramp_time_us"`
+		SlowStartCapacity float64 `json:"start_capacity"`
+		KeyCooldown       int64   `json:"settle_after_doubt_us"`
 	} `json:"safety"`
 	Specifics struct {
 		CallsOut  int    `json:"calls_out"`
@@ -381,7 +381,7 @@
 
 // ParseSettings decodes the settings text.
 func ParseSettings(text []byte) (*Settings, error) {
-	s := &Settings{OverShareWorth: 1}
+	s := &Settings{OverQuotaWeight: 1}
 	if err := json.Unmarshal(text, s); err != nil {
 		var te *json.UnmarshalTypeError
 		if errors.As(err, &te) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	e := ev[0]
-	if e.Attempt != 7 || e.Note != 25 || e.Took != 0x4844 || e.Status != StatusFull || !e.Settled || e.Reports != 2 ||
+	if e.Attempt != 7 || e.Note != 25 || e.Took != 0x4844 || e.Status != StatusFull || !e.Settled || e.ReportFields != 2 ||
 		e.Report[1] != 1.25 || e.Endpoint != 0x0a124a071f43 {
 		t.Errorf("outcome %+v", e)
 	}
@@ -108,10 +108,10 @@
 		a    Action
 		want string
 	}{
-		{Action{Code: ActRefuse, Relay: 3, Ticket: 0x0e6f2b19, After: 250000}, "1e 0003 0e6f2b19 0003d090"},
+		{Action{Code: ActReject, Relay: 3, Ticket: 0x0e6f2b19, After: 250000}, "1e 0003 0e6f2b19 0003d090"},
 		{Action{Code: ActLose, Relay: 3, Ticket: 0x0e6f2b19}, "46 0003 0e6f2b19"},
 		{Action{Code: ActCancel, Relay: 3, Ticket: 0x5d3a91c4, Attempt: 2}, "78 0003 5d3a91c4 02"},
-		{Action{Code: ActProbe, Relay: 3, Endpoint: 0x0a9011f21f6c}, "50 0003 0a9011f2 1f6c"},
+		{Action{Code: ActHealthCheck, Relay: 3, Endpoint: 0x0a9011f21f6c}, "50 0003 0a9011f2 1f6c"},
 		{Action{Code: ActClose, Relay: 3, Endpoint: 0x0a9011f21f6c}, "6e 0003 0a9011f2 1f6c"},
 		{Action{Code: ActListen, Relay: 3, On: true}, "32 0003 01"},
 		{Action{Code: ActRead, Relay: 3}, "5a 0003"},
@@ -166,8 +166,8 @@
 func TestSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"balancers":2,"unknown":[1],"classes":[{"repeat":"dedup","dedup_window_us":5}],
 		"limits":{"most_held":7},"specifics":{"calls_out":9,"own_limits":[true]},"safety":{"fall_us":3}}`))
-	if err != nil || s.Balancers != 2 || s.Classes[0].Window != 5 || s.Limits.MostHeld != 7 || s.Specifics.CallsOut != 9 ||
-		!s.Specifics.OwnLimits[0] || s.Safety.FallTime != 3 || s.OverShareWorth != 1 {
+	if err != nil || s.Balancers != 2 || s.Classes[0].Window != 5 || s.Limits.MaxMessages != 7 || s.Specifics.CallsOut != 9 ||
+		!s.Specifics.OwnLimits[0] || s.Safety.OverloadWindow != 3 || s.OverQuotaWeight != 1 {
 		t.Errorf("settings %+v, error %v", s, err)
 	}
 	for _, bad := range []string{"", "[]", `{"balancers":"two"}`, "{"} {
--- a/internal/zones/guard.go
+++ b/internal/zones/guard.go
@@ -9,36 +9,36 @@
 	"plovershore/internal/registry"
 )
 
-// Room is what a destination has to serve it: the sizes of its endpoints that are up.
-type Room struct {
-	Cell int     `json:"cell"`
-	Now  float64 `json:"now"`
-	Left float64 `json:"left"` // without those in question
+// Capacity is what a destination has to serve it: the sizes of its endpoints that are up.
+type Capacity struct {
+	Cell      int     `json:"cell"`
+	Now       float64 `json:"now"`
+	Remaining float64 `json:"left"` // without those in question
 }
 
-// Keeps tells whether enough is left, as a share of what there was.
-func (r Room) Keeps(share float64) bool { return r.Left >= share*r.Now }
+// Retains tells whether enough is left, as a share of what there was.
+func (r Capacity) Retains(share float64) bool { return r.Remaining >= share*r.Now }
 
-func (r Room) String() string {
-	return fmt.Sprintf("destination %d would keep %.3g of %.3g", r.Cell, r.Left, r.Now)
+func (r Capacity) String() string {
+	return fmt.Sprintf("destination %d would keep %.3g of %.3g", r.Cell, r.Remaining, r.Now)
 }
 
-// Rooms gives, by destination, what would be left of each that has endpoints in a
+// CapacitiesWithout gives, by destination, what would be left of each that has endpoints in a
 // zone, were that zone's all drained.
-func Rooms(members []registry.Member, zone string) (all []Room) {
-	by := map[int]*Room{}
+func CapacitiesWithout(members []registry.Member, zone string) (all []Capacity) {
+	by := map[int]*Capacity{}
 	for _, m := range members {
 		if m.Phase != discovery.Up {
 			continue
 		}
 		r := by[m.Cell]
 		if r == nil {
-			r = &Room{Cell: m.Cell}
+			r = &Capacity{Cell: m.Cell}
 			by[m.Cell] = r
 		}
 		r.Now += size(m)
 		if m.Locality != zone {
-			r.Left += size(m)
+			r.Remaining += size(m)
 		}
 	}
 	for _, m := range members {
@@ -47,14 +47,14 @@
 			delete(by, m.Cell)
 		}
 	}
-	slices.SortFunc(all, func(a, b Room) int { return a.Cell - b.Cell })
+	slices.SortFunc(all, func(a, b Capacity) int { return a.Cell - b.Cell })
 	return all
 }
 
-// Short are those of which less than a share would be left.
-func Short(all []Room, share float64) (short []Room) {
+// Insufficient are those of which less than a share would be left.
+func Insufficient(all []Capacity, share float64) (short []Capacity) {
 	for _, r := range all {
-		if !r.Keeps(share) {
+		if !r.Retains(share) {
 			short = append(short, r)
 		}
 	}
@@ -68,7 +68,7 @@
 	return 1
 }
 
-func join(all []Room) string {
+func join(all []Capacity) string {
 	var text []string
 	for _, r := range all {
 		text = append(text, r.String())
--- a/policy/backlog.go
+++ b/policy/backlog.go
@@ -39,8 +39,8 @@
 
 // spill hands a queued message over to the log alone, and forgets it.
 func (p *Policy) spill(m *message) {
-	ordered := m.class.InOrder && m.key != 0
-	p.act(Action{Kind: ActSpill, Message: m.id, Dest: m.dest.id, At: p.loadBy(m), Kept: m.kept, OverShare: m.overShare, InOrder: ordered})
+	ordered := m.class.Ordered && m.key != 0
+	p.act(Action{Kind: ActionSpill, Message: m.id, Dest: m.dest.id, Deadline: p.loadBy(m), Recovered: m.kept, OverQuota: m.overShare, Ordered: ordered})
 	p.began = true
 	p.spilled++
 	m.dest.spilled++
@@ -62,8 +62,8 @@
 		d.asked--
 		p.loading--
 	}
-	if l := p.lines[e.Key]; l != nil && l.spilled > 0 && p.set.Classes[e.Class].InOrder {
-		if l.spilled--; e.Kind == EvWithdraw {
+	if l := p.lines[e.Key]; l != nil && l.spilled > 0 && p.set.Classes[e.Class].Ordered {
+		if l.spilled--; e.Kind == EventWithdraw {
 			p.next(e.Key, l)
 		}
 	}
--- a/policy/backlog_bench_test.go
+++ b/policy/backlog_bench_test.go
@@ -16,7 +16,7 @@
 
 func newHost(b *testing.B, resident, held int) *host {
 	set := one()
-	set.MaxHeld, set.MaxResident, set.Slots, set.Cancels = 0, resident, 100, false
+	set.MaxMessages, set.MaxResidentMessages, set.MaxCalls, set.Cancellation = 0, resident, 100, false
 	set.Classes[0].Deadline = 36000 * second
 	p, err := New(set, 1)
 	if err != nil {
@@ -31,16 +31,16 @@
 
 func (h *host) message() Event {
 	h.next++
-	return Event{Kind: EvMessage, Message: h.next, Left: 36000*second - Time(h.next)}
+	return Event{Kind: EventMessage, Message: h.next, TimeLeft: 36000*second - Time(h.next)}
 }
 
 func (h *host) step(events ...Event) {
 	h.now += 100
 	for _, a := range h.p.Step(h.now, events, nil) {
 		switch a.Kind {
-		case ActSend:
+		case ActionSend:
 			h.sends = append(h.sends, a)
-		case ActLoad:
+		case ActionLoad:
 			for range a.Count {
 				e := h.message()
 				e.Spilled = true
@@ -73,14 +73,14 @@
 		for _, name := range []string{"all", "bounded"} {
 			b.Run(fmt.Sprintf("%s/held=%d", name, held), func(b *testing.B) {
 				h := newHost(b, benchBounds[name], held)
-				h.step(Event{Kind: EvList, List: ListFull, Entries: []Entry{{Endpoint: 1, State: Ready, Rate: 1e6}}})
+				h.step(Event{Kind: EventListUpdate, ListUpdate: ListFull, Entries: []Entry{{Endpoint: 1, State: Ready, Rate: 1e6}}})
 				b.ResetTimer()
 				for n := 0; n < b.N; {
 					var events []Event
 					if len(h.sends) > 0 {
 						a := h.sends[0]
 						h.sends = h.sends[1:]
-						events = append(events, Event{Kind: EvOutcome, Message: a.Message, Endpoint: 1, Outcome: Delivered, Settled: true, Took: second / 10})
+						events = append(events, Event{Kind: EventAttemptDone, Message: a.Message, Endpoint: 1, Outcome: Delivered, Final: true, Latency: second / 10})
 						events = append(events, h.message()) // so that as many are held all the time
 						n++
 					}
--- a/policy/backlog_test.go
+++ b/policy/backlog_test.go
@@ -28,14 +28,14 @@
 		l.entries = slices.Delete(l.entries, i, i+1)
 	}
 	first := func(dest int) int { // of those in order
-		return slices.IndexFunc(l.entries, func(a Action) bool { return a.InOrder && a.Dest == dest })
+		return slices.IndexFunc(l.entries, func(a Action) bool { return a.Ordered && a.Dest == dest })
 	}
 	for {
-		i := slices.IndexFunc(l.entries, func(a Action) bool { return a.At <= now })
+		i := slices.IndexFunc(l.entries, func(a Action) bool { return a.Deadline <= now })
 		if i < 0 {
 			break
 		}
-		if l.entries[i].InOrder {
+		if l.entries[i].Ordered {
 			i = first(l.entries[i].Dest)
 		}
 		take(i)
@@ -44,7 +44,7 @@
 		for l.asked[dest] > 0 {
 			best, line := -1, first(dest)
 			for i, a := range l.entries {
-				if a.Dest == dest && (!a.InOrder || i == line) && (best < 0 || a.At < l.entries[best].At) {
+				if a.Dest == dest && (!a.Ordered || i == line) && (best < 0 || a.Deadline < l.entries[best].Deadline) {
 					best = i
 				}
 			}
@@ -72,10 +72,10 @@
 		m := c.msgs[a.Message]
 		m.spilled = false
 		c.loads++
-		e := Event{Kind: EvMessage, Message: a.Message, Class: m.class, Dest: m.dest, Tenant: m.tenant, Key: m.key,
-			Left: m.deadline - now, Tries: m.tries, Spilled: true, Kept: a.Kept, OverShare: a.OverShare}
+		e := Event{Kind: EventMessage, Message: a.Message, Class: m.class, Dest: m.dest, Tenant: m.tenant, Key: m.key,
+			TimeLeft: m.deadline - now, Attempts: m.tries, Spilled: true, Recovered: a.Recovered, OverQuota: a.OverQuota}
 		if m.doubt {
-			e.DoubtAt, e.DoubtIn = m.firstDoubt, m.zone
+			e.UnknownOutcomeAt, e.UnknownOutcomeZone = m.firstDoubt, m.zone
 		}
 		if len(c.log.asked) == 0 && before[a.Dest] > 0 {
 			before[a.Dest]--
@@ -148,11 +148,11 @@
 // backlogRig is a policy with so many in memory, and a destination that is not there.
 func backlogRig(t *testing.T, resident int) *rig {
 	set := one()
-	set.MaxHeld, set.MaxResident = 0, resident
+	set.MaxMessages, set.MaxResidentMessages = 0, resident
 	set.Classes = append(set.Classes,
-		Class{Name: "keyed", Aim: 2 * second, Deadline: 3600 * second, Worth: 1, Repeat: Keyed, DedupWindow: 60 * second},
-		Class{Name: "unsafe", Aim: 2 * second, Deadline: 3600 * second, Worth: 1, Repeat: Unsafe},
-		Class{Name: "ordered", Aim: 2 * second, Deadline: 3600 * second, Worth: 1, InOrder: true})
+		Class{Name: "keyed", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Idempotency: IdempotentByKey, DedupWindow: 60 * second},
+		Class{Name: "unsafe", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Idempotency: NonIdempotent},
+		Class{Name: "ordered", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Ordered: true})
 	set.Classes[0].Deadline = 3600 * second
 	return newRig(t, set)
 }
@@ -182,7 +182,7 @@
 	r := backlogRig(t, 3)
 	for _, left := range []Time{50, 10, 90, 20, 70, 30, 60} {
 		e := r.message(0, 7)
-		e.Left = left * second
+		e.TimeLeft = left * second
 		r.step(e)
 	}
 	var left []Time
@@ -201,17 +201,17 @@
 	for range 100 {
 		r.step(r.message(0, 7))
 	}
-	acts := r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{{Endpoint: 1, Dest: 7, State: Ready, Rate: 1000}}})
+	acts := r.step(Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: []Entry{{Endpoint: 1, Dest: 7, State: Ready, Rate: 1000}}})
 	asked, next := 0, []Action{}
 	for range 2000 {
 		for _, a := range acts {
 			switch a.Kind {
-			case ActLoad:
+			case ActionLoad:
 				asked += a.Count
 				if n := len(r.p.live) + asked; n > 20 {
 					t.Fatalf("%d in memory and asked for", n)
 				}
-			case ActSend:
+			case ActionSend:
 				next = append(next, a)
 			}
 		}
@@ -229,7 +229,7 @@
 			events = append(events, e)
 		}
 		r.now += second / 10
-		acts = r.step(append(events, Event{Kind: EvTimer})...)
+		acts = r.step(append(events, Event{Kind: EventTimer})...)
 	}
 	if r.p.spilled != 0 || r.p.loading != 0 || len(r.sentAt) < 95 { // the formula may drop one here and there
 		t.Errorf("%d spilled, %d asked for, %d sent of 100", r.p.spilled, r.p.loading, len(r.sentAt))
@@ -241,30 +241,30 @@
 func TestSpilledState(t *testing.T) {
 	r := backlogRig(t, 1)
 	e := r.message(2, 7)
-	e.Kept = true
+	e.Recovered = true
 	keyed := r.message(1, 7)
-	keyed.Tries, keyed.DoubtAt = 1, r.now-second
+	keyed.Attempts, keyed.UnknownOutcomeAt = 1, r.now-second
 	acts := r.step(r.message(0, 7), e, keyed)
 	var kept, window bool
 	for _, a := range acts {
-		if a.Kind == ActSpill && a.Message == e.Message {
-			kept = a.Kept
+		if a.Kind == ActionSpill && a.Message == e.Message {
+			kept = a.Recovered
 		}
-		if a.Kind == ActSpill && a.Message == keyed.Message {
-			window = a.At < r.now+59*second
+		if a.Kind == ActionSpill && a.Message == keyed.Message {
+			window = a.Deadline < r.now+59*second
 		}
 	}
 	if !kept || !window {
 		t.Errorf("kept %v, back before its window ends %v: %+v", kept, window, acts)
 	}
-	e.Spilled, e.OverShare = true, true
+	e.Spilled, e.OverQuota = true, true
 	r.step(e)
 	if m := r.p.msgs[e.Message]; m != nil && (!m.kept || !m.overShare || m.worth >= 1) {
 		t.Errorf("came back as %+v", m)
 	}
 	doubt := r.message(2, 7)
-	doubt.Tries, doubt.DoubtAt = 1, r.now-second
-	if acts = r.step(doubt); count(acts, ActFail) != 1 || strings.Contains(fmt.Sprint(acts), fmt.Sprintf("Kind:%d", ActSpill)) {
+	doubt.Attempts, doubt.UnknownOutcomeAt = 1, r.now-second
+	if acts = r.step(doubt); count(acts, ActionFail) != 1 || strings.Contains(fmt.Sprint(acts), fmt.Sprintf("Kind:%d", ActionSpill)) {
 		t.Errorf("an unsafe message in doubt: %+v", acts)
 	}
 }
@@ -274,7 +274,7 @@
 	r := backlogRig(t, 1)
 	msg := func(left Time) Event {
 		e := r.message(3, 7)
-		e.Key, e.Left = 9, left
+		e.Key, e.TimeLeft = 9, left
 		return e
 	}
 	first, second2, third := msg(500*second), msg(400*second), msg(3*second/2)
@@ -282,9 +282,9 @@
 	acts = append(acts, r.step(third)...)
 	var spilled []uint32
 	for _, a := range acts {
-		if a.Kind == ActSpill {
+		if a.Kind == ActionSpill {
 			spilled = append(spilled, a.Message)
-			if !a.InOrder {
+			if !a.Ordered {
 				t.Error("not told to keep its order")
 			}
 		}
--- a/policy/decide.go
+++ b/policy/decide.go
@@ -57,7 +57,7 @@
 	p.tight = make([]float64, max(len(s.Kinds), 1))
 	p.leastLimits = make([]leastLimit, max(len(s.Kinds), 1))
 	p.set.Classes = slices.Clone(s.Classes)
-	p.set.Streams = max(s.Streams, 1)
+	p.set.StreamsPerConnection = max(s.StreamsPerConnection, 1)
 	p.set.Tick = max(s.Tick, second/1000)
 	return p, nil
 }
@@ -65,28 +65,28 @@
 // Step takes what has happened by now and appends what to do about it.
 func (p *Policy) Step(now Time, events []Event, actions []Action) []Action {
 	p.now, p.out = max(now, p.now), actions
-	if p.set.AskForList && (p.asked == 0 || p.now-p.asked >= p.set.AskEvery/2) {
+	if p.set.PollList && (p.asked == 0 || p.now-p.asked >= p.set.PollInterval/2) {
 		p.asked = p.now
-		p.act(Action{Kind: ActWatch})
+		p.act(Action{Kind: ActionWatchList})
 	}
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
-		case EvList:
+		case EventListUpdate:
 			p.members(e)
-		case EvMessage:
+		case EventMessage:
 			p.admit(e)
-		case EvOutcome:
+		case EventAttemptDone:
 			p.outcome(e)
-		case EvDrain:
+		case EventDrain:
 			p.drainOff()
-		case EvActivate:
+		case EventActivate:
 			p.activate()
-		case EvBegun, EvWithdraw:
+		case EventResponseStarted, EventWithdraw:
 			m := p.msgs[e.Message]
 			if e.Spilled {
 				p.back(e)
-			} else if m != nil && (e.Kind == EvWithdraw || m.call != nil && e.Attempt == m.tries-1) {
+			} else if m != nil && (e.Kind == EventWithdraw || m.call != nil && e.Attempt == m.tries-1) {
 				p.finish(m)
 			}
 		}
@@ -105,7 +105,7 @@
 
 // members takes news of the list. What is draining or gone gets nothing new from this moment on.
 func (p *Policy) members(e *Event) {
-	if e.List == ListFailed {
+	if e.ListUpdate == ListFailed {
 		return // asked again by the clock
 	}
 	seen := map[Endpoint]bool{}
@@ -118,7 +118,7 @@
 			ep = nil
 		}
 		switch {
-		case x.State == Gone:
+		case x.State == Removed:
 			if ep != nil {
 				p.leave(ep)
 			}
@@ -127,12 +127,12 @@
 			ep = p.join(x)
 		}
 		ep.state, ep.zone = x.State, x.Zone
-		if p.set.RatesListed && x.Rate > 0 {
+		if p.set.ListedRates && x.Rate > 0 {
 			ep.lane.nominal = x.Rate
 		}
 		p.touch(ep.lane.dest)
 	}
-	if e.List == ListFull || e.List == ListCached {
+	if e.ListUpdate == ListFull || e.ListUpdate == ListCached {
 		for id, ep := range p.eps { // each leaves by itself: the order does not matter
 			if !seen[id] {
 				p.leave(ep)
@@ -144,13 +144,13 @@
 // leave lets go of an endpoint, sick or not; calls still out there keep their place in the books. A route
 // with a wait in force stays, so that the wait binds it if it comes back.
 func (p *Policy) leave(ep *endpoint) {
-	ep.state = Gone
+	ep.state = Removed
 	l := ep.lane
-	if p.eps[ep.id] == ep && (!l.dest.kind.Apart || l.waitUntil <= p.now) {
+	if p.eps[ep.id] == ep && (!l.dest.kind.SeparateRoutes || l.waitUntil <= p.now) {
 		delete(p.eps, ep.id)
 	}
 	l.eps = slices.DeleteFunc(l.eps, func(x *endpoint) bool { return x == ep })
-	if l.dest.kind.Apart {
+	if l.dest.kind.SeparateRoutes {
 		p.leastLimits[l.dest.kindAt].stale = true
 		l.dest.lanes = slices.DeleteFunc(l.dest.lanes, func(x *lane) bool { return x == l })
 	}
@@ -164,13 +164,13 @@
 		}
 		d.kind, d.kindAt = p.set.Kinds[x.Kind], x.Kind
 	}
-	d.kind.Batch = max(d.kind.Batch, 1)
-	if len(d.lanes) == 0 || d.kind.Apart {
+	d.kind.MaxBatch = max(d.kind.MaxBatch, 1)
+	if len(d.lanes) == 0 || d.kind.SeparateRoutes {
 		d.lanes = append(d.lanes, &lane{dest: d, window: 1, boost: 1,
 			hist: newCounter(historySpan, historyBins)})
 	}
 	l := d.lanes[len(d.lanes)-1]
-	if old := p.eps[x.Endpoint]; old != nil && d.kind.Apart {
+	if old := p.eps[x.Endpoint]; old != nil && d.kind.SeparateRoutes {
 		l.waitUntil = old.lane.waitUntil
 	}
 	ep := &endpoint{id: x.Endpoint, lane: l}
@@ -187,20 +187,20 @@
 		return
 	}
 	if e.Class < 0 || e.Class >= len(p.set.Classes) {
-		p.act(Action{Kind: ActRefuse, Message: e.Message}) // nothing is known of it, and nothing has run
+		p.act(Action{Kind: ActionReject, Message: e.Message}) // nothing is known of it, and nothing has run
 		return
 	}
 	c := &p.set.Classes[e.Class]
-	m := &message{id: e.Message, key: e.Key, class: c, dest: p.dest(e.Dest), worth: c.Worth,
-		kept: e.Kept && e.DoubtAt == 0, stays: e.Stays}
-	m.deadline = p.now + max(e.Left, 0)
-	m.aimAt = m.deadline - c.Deadline + c.Aim
-	if p.set.WorthByWork && e.Work > 0 {
-		m.worth *= float64(e.Work)
+	m := &message{id: e.Message, key: e.Key, class: c, dest: p.dest(e.Dest), worth: c.Weight,
+		kept: e.Recovered && e.UnknownOutcomeAt == 0, stays: e.NeverSpill}
+	m.deadline = p.now + max(e.TimeLeft, 0)
+	m.aimAt = m.deadline - c.Deadline + c.LatencyObjective
+	if p.set.WeightByCost && e.EstimatedCost > 0 {
+		m.worth *= float64(e.EstimatedCost)
 	}
 	if e.Spilled {
 		p.back(e)
-		m.overShare = e.OverShare // as found when it was taken on
+		m.overShare = e.OverQuota // as found when it was taken on
 	} else if e.Tenant >= 0 && e.Tenant < len(p.tenants) && p.set.Tenants[e.Tenant].Quota > 0 {
 		// Tenants over their share come last. The share is judged by this relay's part alone.
 		part := p.set.Tenants[e.Tenant].Quota / float64(p.set.Relays)
@@ -208,7 +208,7 @@
 		m.overShare = !b.take(p.now, 1, part, max(part, 1))
 	}
 	if m.overShare {
-		m.worth *= p.set.OverShareWorth
+		m.worth *= p.set.OverQuotaWeight
 	}
 	p.msgs[m.id] = m
 	m.place = len(p.live)
@@ -218,7 +218,7 @@
 		m.dest.queue = append(m.dest.queue, m)
 	}
 	p.touch(m.dest)
-	if c.InOrder && m.key != 0 {
+	if c.Ordered && m.key != 0 {
 		l := p.lines[m.key]
 		if l == nil {
 			l = &line{}
@@ -240,12 +240,12 @@
 		return m.worth
 	case then > m.deadline:
 		return 0
-	case p.set.Halving:
-		half := math.Exp2(-float64(then-m.aimAt) / float64(max(m.class.Aim, 1)))
-		return m.worth * max(m.class.LateWorth, half)
+	case p.set.HalvingWeight:
+		half := math.Exp2(-float64(then-m.aimAt) / float64(max(m.class.LatencyObjective, 1)))
+		return m.worth * max(m.class.LateWeight, half)
 	}
 	gone := float64(then-m.aimAt) / float64(max(m.deadline-m.aimAt, 1))
-	return m.worth * (1 - (1-m.class.LateWorth)*gone)
+	return m.worth * (1 - (1-m.class.LateWeight)*gone)
 }
 
 // drain is how long the destination takes for what waits there, as far as this relay can tell.
@@ -254,7 +254,7 @@
 	for _, l := range d.lanes {
 		rate += p.pace(l)
 	}
-	wait := float64(len(d.queue)+d.spilled) / max(rate*float64(d.kind.Batch), 0.1)
+	wait := float64(len(d.queue)+d.spilled) / max(rate*float64(d.kind.MaxBatch), 0.1)
 	return Time(min(wait, 60)*1e6) + p.usual(d)
 }
 
@@ -265,13 +265,14 @@
 	if p.lat.n > 0 {
 		return Time(p.lat.mean)
 	}
-	return p.set.Classes[0].Aim / 4
+	return p.set.Classes[0].LatencyObjective / 4
 }
 
 // shed keeps a little room: a message turned away unseen may be worth more than the least one held, and those
 // whose destination is out or resting for long must not take the room of the others.
 func (p *Policy) shed() {
-	for p.set.MaxHeld > 0 && len(p.live)+p.spilled > p.set.MaxHeld-max(1, p.set.MaxHeld/heldReserve) {
+	reserve := max(1, p.set.MaxMessages/heldReserve)
+	for p.set.MaxMessages > 0 && len(p.live)+p.spilled > p.set.MaxMessages-reserve {
 		var least *message
 		low := math.Inf(1)
 		p.shedLooks++
@@ -305,10 +306,11 @@
 
 // refusable: only what cannot have run, or may run again, may be handed back.
 func (p *Policy) refusable(m *message) bool {
-	if m.call != nil || m.doubtAt == 0 || m.class.Repeat == Safe {
+	if m.call != nil || m.doubtAt == 0 || m.class.Idempotency == Idempotent {
 		return m.call == nil
 	}
-	return m.class.Repeat == Keyed && !m.class.ZoneOnly && p.now-m.doubtAt < m.class.DedupWindow
+	return m.class.Idempotency == IdempotentByKey && !m.class.DedupPerZone &&
+		p.now-m.doubtAt < m.class.DedupWindow
 }
 
 // end gives the one final answer of a message that was not delivered. Nothing else does.
@@ -317,13 +319,13 @@
 		return
 	}
 	if p.refusable(m) {
-		a := Action{Kind: ActRefuse, Message: m.id}
+		a := Action{Kind: ActionReject, Message: m.id}
 		if p.set.RetryAfter {
-			a.After = min(p.drain(m.dest), p.set.MaxRetryAfter)
+			a.Delay = min(p.drain(m.dest), p.set.MaxRetryAfter)
 		}
 		p.act(a)
 	} else {
-		p.act(Action{Kind: ActFail, Message: m.id})
+		p.act(Action{Kind: ActionFail, Message: m.id})
 	}
 	p.finish(m)
 }
@@ -351,7 +353,7 @@
 // forget drops the last trace of an ended message and gives its turn away.
 func (p *Policy) forget(m *message) {
 	delete(p.msgs, m.id)
-	if l := p.lines[m.key]; l != nil && m.class.InOrder {
+	if l := p.lines[m.key]; l != nil && m.class.Ordered {
 		l.part(m)
 		p.next(m.key, l)
 	}
@@ -387,8 +389,8 @@
 	if m.over || p.now < m.deadline-p.margin() && (m.call != nil || !p.spent(m)) {
 		return
 	}
-	if m.call != nil && p.set.Cancels {
-		p.act(Action{Kind: ActCancel, Message: m.id, Attempt: m.tries - 1})
+	if m.call != nil && p.set.Cancellation {
+		p.act(Action{Kind: ActionCancel, Message: m.id, Attempt: m.tries - 1})
 	}
 	p.end(m)
 }
@@ -400,7 +402,7 @@
 		p.put(p.now+min(left, p.set.KeepAlive/8+1), func() { p.giveBack(ep) }) // keep may have changed
 	} else if ep.flying == 0 {
 		ep.conns = 0
-		p.act(Action{Kind: ActClose, Endpoint: ep.id})
+		p.act(Action{Kind: ActionCloseIdle, Endpoint: ep.id})
 	}
 }
 
@@ -411,16 +413,16 @@
 	if m.tries >= 255 || p.set.MaxAttempts > 0 && m.tries >= p.set.MaxAttempts {
 		return true
 	}
-	if m.doubtAt == 0 || m.class.Repeat == Safe {
+	if m.doubtAt == 0 || m.class.Idempotency == Idempotent {
 		return false
 	}
-	return m.class.Repeat == Unsafe || p.now > p.repeatBy(m)
+	return m.class.Idempotency == NonIdempotent || p.now > p.repeatBy(m)
 }
 
 // repeatBy is the last moment at which a message that may have run can be sent again and still be known as
 // the same; 0 where there is none. Waiting for a connection may take a call beyond it.
 func (p *Policy) repeatBy(m *message) Time {
-	if m.doubtAt == 0 || m.class.Repeat != Keyed {
+	if m.doubtAt == 0 || m.class.Idempotency != IdempotentByKey {
 		return 0
 	}
 	return m.doubtAt + m.class.DedupWindow - 2*p.set.Tick
@@ -429,7 +431,7 @@
 // outcome books the end of an attempt, for the message, its call, its endpoint and its lane.
 func (p *Policy) outcome(e *Event) {
 	m := p.msgs[e.Message]
-	if m == nil || m.call == nil || e.Attempt != m.tries-1 || e.Outcome >= numOutcome {
+	if m == nil || m.call == nil || e.Attempt != m.tries-1 || e.Outcome >= outcomeCount {
 		return
 	}
 	c := m.call
@@ -448,33 +450,33 @@
 		}
 	}
 	p.touch(c.ep.lane.dest)
-	if e.Unmade {
+	if e.LocalFailure {
 		p.unmade(m, c)
 	} else if !c.noted { // the messages of a call share one fate, and count once
 		c.noted = true
 		p.observe(c, e)
 	}
-	if e.Wait > 0 { // with whatever outcome: the answer to a batch may tell one too
-		c.ep.lane.waitUntil = max(c.ep.lane.waitUntil, p.now+e.Wait)
+	if e.RetryAfter > 0 { // with whatever outcome: the answer to a batch may tell one too
+		c.ep.lane.waitUntil = max(c.ep.lane.waitUntil, p.now+e.RetryAfter)
 		for _, x := range c.ep.lane.eps { // what is saved up while it is closed would go at once
 			x.budget.tokens, x.budget.at = 0, c.ep.lane.waitUntil
 		}
 	}
-	doubtful := e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Cancelled
-	if l := p.lines[m.key]; l != nil && m.class.InOrder && doubtful {
-		l.rest = max(l.rest, p.now+p.set.KeyRest)
+	doubtful := e.Outcome == TimedOut || e.Outcome == ConnectionReset || e.Outcome == Cancelled
+	if l := p.lines[m.key]; l != nil && m.class.Ordered && doubtful {
+		l.rest = max(l.rest, p.now+p.set.KeyCooldown)
 	}
 	if !e.Outcome.NeverRan() && e.Outcome != Delivered && m.doubtAt == 0 {
 		p.doubt(m, c.sent, c.ep.zone)
 	}
-	if !e.Unmade {
+	if !e.LocalFailure {
 		m.failedAt = c.ep
 	}
-	m.kept = m.kept && (e.Outcome == NotSent || e.Outcome == NoConnect)
+	m.kept = m.kept && (e.Outcome == NotSent || e.Outcome == ConnectFailed)
 	switch {
 	case m.over:
 		p.forget(m)
-	case e.Outcome == Delivered || e.Settled:
+	case e.Outcome == Delivered || e.Final:
 		p.finish(m)
 	default:
 		m.dest.queue = append(m.dest.queue, m)
@@ -493,7 +495,7 @@
 		}
 		l.limit = e.Load.Limit
 	}
-	if t := &p.tight[l.dest.kindAt]; e.Outcome == NoConnect || p.noRoom(e) {
+	if t := &p.tight[l.dest.kindAt]; e.Outcome == ConnectFailed || p.noRoom(e) {
 		*t += (1 - *t) * tightRise
 	} else {
 		*t -= *t / tightSpan
@@ -506,17 +508,17 @@
 	switch e.Outcome {
 	case Delivered:
 		l.hist.accept(p.now)
-		l.window = min(l.window+1, float64(p.set.Slots))
+		l.window = min(l.window+1, float64(p.set.MaxCalls))
 		l.fullRun = 0
-		l.lat.add(float64(e.Took))
-		ep.lat.add(float64(e.Took))
-		p.lat.add(float64(e.Took))
+		l.lat.add(float64(e.Latency))
+		ep.lat.add(float64(e.Latency))
+		p.lat.add(float64(e.Latency))
 		if l.bound {
 			p.quicken(l, e.Load)
 		}
 		ep.crowd = 0
 		p.healthy(ep, c.sent)
-	case Full:
+	case Rejected:
 		if p.noRoom(e) {
 			p.crowded(c)
 			break
@@ -531,14 +533,15 @@
 		}
 		rate, _ := p.budgetRate(ep)
 		age := float64(p.now-l.fullAt) / float64(second)
-		turn := min(float64(p.set.Relays)/p.capacity(l), float64(c.msgs[0].class.Aim)/float64(second))
+		objective := float64(c.msgs[0].class.LatencyObjective) / float64(second)
+		turn := min(float64(p.set.Relays)/p.capacity(l), objective)
 		gap := float64(second) * max(turn, 1/p.depth(l), min(1/rate, p.growth(l)*age))
 		l.pauseUntil = p.now + Time(gap*(0.5+p.rng.Float64()))
-		if e.Wait > 0 { // all who were told wake together: each comes at a moment of its own
-			l.pauseUntil = max(l.pauseUntil, p.now+e.Wait+Time(turn*float64(second)*p.rng.Float64()))
+		if e.RetryAfter > 0 { // all who were told wake together: each comes at a moment of its own
+			l.pauseUntil = max(l.pauseUntil, p.now+e.RetryAfter+Time(turn*float64(second)*p.rng.Float64()))
 		}
-		long := l.fullRun >= fullRunSick && p.now-l.fullAt >= p.set.FallTime/2
-		if e.Wait >= p.set.FallTime || long && !e.Load.Told { // a limit reports its state
+		long := l.fullRun >= fullRunSick && p.now-l.fullAt >= p.set.OverloadWindow/2
+		if e.RetryAfter >= p.set.OverloadWindow || long && !e.Load.Present { // a limit reports its state
 			ep.score = 1 // shut, however seldom it was asked
 			p.failed(ep, c.sent, false)
 		}
@@ -549,11 +552,11 @@
 	case TimedOut:
 		l.window = max(l.window/2, 1)
 		p.failed(ep, c.sent, true)
-	case NoConnect:
+	case ConnectFailed:
 		ep.conns = ep.flying
 		l.tokens.tokens++ // it took nothing of the limit
 		p.failed(ep, c.sent, true)
-	case Errored, Reset:
+	case Errored, ConnectionReset:
 		p.failed(ep, c.sent, false)
 	}
 }
@@ -566,11 +569,11 @@
 // since the last: a refusal brings a seldom caller down to where all relays together keep to the limit, and a
 // success lets it grow by the share of the allowance that is left, which is none where others have used it.
 
-func (p *Policy) quicken(l *lane, told Load) {
+func (p *Policy) quicken(l *lane, told LoadReport) {
 	seldom := p.seldom(l)
 	rise := boostRise
-	if told.Told {
-		rise = math.Pow(boostRise, 1-seldom) * math.Pow(1+min(told.Left, 1), seldom)
+	if told.Present {
+		rise = math.Pow(boostRise, 1-seldom) * math.Pow(1+min(told.Remaining, 1), seldom)
 	}
 	l.boost = min(l.boost*rise, float64(p.set.Relays))
 }
@@ -583,7 +586,7 @@
 
 // seldom is 0 to 1: how far the steps of a lane's pace are a fall time apart. It counts as a step.
 func (p *Policy) seldom(l *lane) float64 {
-	age := min(1, float64(p.now-l.boostAt)/float64(p.set.FallTime))
+	age := min(1, float64(p.now-l.boostAt)/float64(p.set.OverloadWindow))
 	l.boostAt = p.now
 	return age
 }
@@ -591,7 +594,8 @@
 // noRoom: the endpoint holds as many connections as it can, and turned a new one away with its call. That
 // answer comes before its limit is looked at: it holds no report where others do.
 func (p *Policy) noRoom(e *Event) bool {
-	return e.Outcome == Full && e.Fresh && e.Wait == 0 && p.set.Reports && !e.Load.Told
+	return e.Outcome == Rejected && e.NewConnection && e.RetryAfter == 0 &&
+		p.set.LoadReports && !e.Load.Present
 }
 
 // crowded has an endpoint with no room for a connection rest for about as long as others hold theirs, then
@@ -602,9 +606,9 @@
 	if ep.crowd++; ep.crowd == 1 {
 		ep.crowdAt = p.now
 	}
-	gap := min(p.usual(ep.lane.dest)<<min(ep.crowd-1, 8), c.msgs[0].class.Aim)
+	gap := min(p.usual(ep.lane.dest)<<min(ep.crowd-1, 8), c.msgs[0].class.LatencyObjective)
 	ep.restUntil = p.now + Time(float64(gap)*(0.5+p.rng.Float64()))
-	if ep.crowd >= crowdSick && p.now-ep.crowdAt >= p.set.FallTime/2 {
+	if ep.crowd >= crowdSick && p.now-ep.crowdAt >= p.set.OverloadWindow/2 {
 		ep.score = 1
 		p.failed(ep, c.sent, false)
 	}
@@ -634,7 +638,7 @@
 	if ep.goodAt == 0 || ep.score >= scoreSick { // where most calls pass, a failure does not undo the ramp
 		ep.badAt, ep.goodAt, ep.mute = p.now, 0, mute
 	}
-	apart := p.now-ep.firstBad >= p.set.FallTime/2 // two in a row tell a seldom caller enough
+	apart := p.now-ep.firstBad >= p.set.OverloadWindow/2 // two in a row tell a seldom caller enough
 	if ep.sick || ep.score < scoreSick && !apart {
 		ep.restUntil = p.now + Time(p.growth(ep.lane)*float64(p.now-ep.firstBad)) // until the verdict is in
 		return
@@ -651,9 +655,9 @@
 
 // ramped is the share of its capacity that an endpoint is held to have.
 func (p *Policy) ramped(ep *endpoint) float64 {
-	s := p.set.StartCapacity
+	s := p.set.SlowStartCapacity
 	if ep.goodAt > 0 {
-		s += (1 - s) * float64(p.now-ep.goodAt) / float64(max(p.set.RampTime, 1))
+		s += (1 - s) * float64(p.now-ep.goodAt) / float64(max(p.set.SlowStartTime, 1))
 	}
 	if s >= 1 && ep.goodAt > 0 {
 		ep.sick, ep.score = false, 0
@@ -668,11 +672,11 @@
 func (p *Policy) budgetRate(ep *endpoint) (rate, depth float64) {
 	n := 0
 	for _, x := range ep.lane.eps {
-		if x.state != Gone {
+		if x.state != Removed {
 			n++
 		}
 	}
-	fall := float64(max(p.set.FallTime, second)) / float64(second)
+	fall := float64(max(p.set.OverloadWindow, second)) / float64(second)
 	whole := p.capacity(ep.lane)
 	if ep.lane.limit == 0 && ep.lane.nominal == 0 { // a small guess would be shared out to next to nothing
 		whole = min(max(whole, p.leastLimit(ep.lane.dest)), max(whole, float64(p.set.Relays)))
@@ -716,8 +720,8 @@
 	worn := p.patience(c.ep) + 1
 	again := p.now + worn // a later call may have been answered by then
 	at := max(c.sent, cmp.Or(p.pressed, p.now))
-	if slices.ContainsFunc(c.msgs, func(m *message) bool { return m.class.Repeat == Unsafe }) {
-		if worn *= unsafeWait; p.overdue() >= max(2, int(overduePart*float64(p.set.Slots))) {
+	if slices.ContainsFunc(c.msgs, func(m *message) bool { return m.class.Idempotency == NonIdempotent }) {
+		if worn *= unsafeWait; p.overdue() >= max(2, int(overduePart*float64(p.set.MaxCalls))) {
 			worn /= 2 // too many slots hang for all of them to be given so long
 		}
 		if c.ep.okSent > c.sent+worn { // a pause or a slow spell holds up what was sent later, too
@@ -730,14 +734,14 @@
 	}
 	for _, m := range c.msgs {
 		if m.call == c {
-			p.act(Action{Kind: ActCancel, Message: m.id, Attempt: m.tries - 1})
+			p.act(Action{Kind: ActionCancel, Message: m.id, Attempt: m.tries - 1})
 		}
 	}
 }
 
-// Avoided reports whether an endpoint on the list gets nothing now but trial calls at most: it drains, fails,
-// rests after a failure, or told this relay to wait.
-func (p *Policy) Avoided(id Endpoint, now Time) bool {
+// Unavailable reports whether an endpoint on the list gets nothing now but trial calls at most: it drains,
+// fails, rests after a failure, or told this relay to wait.
+func (p *Policy) Unavailable(id Endpoint, now Time) bool {
 	ep := p.eps[id]
 	if ep == nil || ep.lane.waitUntil > now || ep.state != Ready {
 		return true
@@ -791,14 +795,14 @@
 
 // growth is a rest to the age of a run of failures: less where few relays send there much each.
 func (p *Policy) growth(l *lane) float64 {
-	whole := sharerPart * p.capacity(l) * float64(p.set.FallTime) / float64(second)
+	whole := sharerPart * p.capacity(l) * float64(p.set.OverloadWindow) / float64(second)
 	return restGrowth * min(1, float64(p.set.Relays)/max(whole, 1))
 }
 
 // pace is the calls a second that this relay sends there at most.
 func (p *Policy) pace(l *lane) float64 {
 	if l.limit == 0 && l.nominal == 0 {
-		return float64(p.set.Slots) * 2
+		return float64(p.set.MaxCalls) * 2
 	}
 	whole := p.capacity(l)
 	return whole / math.Pow(float64(p.set.Relays), shareRoot) * l.boost
@@ -830,7 +834,7 @@
 	if p.failing(l) {
 		part = failShare
 	}
-	most := max(1, int(part*float64(p.set.Slots)))
+	most := max(1, int(part*float64(p.set.MaxCalls)))
 	return l.dest.flying < most && l.flying < max(1, int(l.window))
 }
 
@@ -870,14 +874,14 @@
 				lat = float64(p.usual(m.dest))
 			}
 			cost := lat * float64(1+ep.flying)
-			if ep.flying >= ep.conns*p.set.Streams { // a connection must be opened
+			if ep.flying >= ep.conns*p.set.StreamsPerConnection { // a connection must be opened
 				cost += lat
 			}
 			if ep.zone != p.set.Zone {
 				cost *= 1.5
 			}
 			if m.failedAt == ep { // another may do better, whatever the cause
-				cost += float64(m.class.Aim)
+				cost += float64(m.class.LatencyObjective)
 			}
 			if ep.sick {
 				cost += float64(m.class.Deadline)
@@ -913,22 +917,23 @@
 		return false
 	}
 	l := p.lines[m.key]
-	if m.class.InOrder && m.key != 0 {
+	if m.class.Ordered && m.key != 0 {
 		if l == nil || l.turns[0] != m || l.ahead() || m.tries == 0 && l.rest > p.now {
 			return false
 		}
 	}
-	if m.doubtAt > 0 && m.class.Repeat == Keyed && m.class.ZoneOnly && ep.zone != m.doubtIn {
+	perZone := m.class.Idempotency == IdempotentByKey && m.class.DedupPerZone
+	if m.doubtAt > 0 && perZone && ep.zone != m.doubtIn {
 		return false
 	}
 	// An unsafe message has one try that may run: not where calls fail, but for one that is late already.
-	return m.class.Repeat != Unsafe || !ep.sick || ep.goodAt > 0 || p.now > m.aimAt
+	return m.class.Idempotency != NonIdempotent || !ep.sick || ep.goodAt > 0 || p.now > m.aimAt
 }
 
 // dispatch sends what loses most by waiting, over the destinations that an event or the time has touched and
 // those that wait for nothing but a slot.
 func (p *Policy) dispatch() {
-	if p.calls < p.set.Slots { // what waited for a slot is chosen anew
+	if p.calls < p.set.MaxCalls { // what waited for a slot is chosen anew
 		for _, d := range p.ready {
 			d.waits = false
 			p.touch(d)
@@ -944,7 +949,7 @@
 		}
 	}
 	p.touched = p.touched[:0]
-	for p.calls < p.set.Slots && len(p.ready) > 0 {
+	for p.calls < p.set.MaxCalls && len(p.ready) > 0 {
 		at := 0
 		for i, d := range p.ready {
 			if d.pickVal > p.ready[at].pickVal {
@@ -958,7 +963,7 @@
 			p.ready = slices.Delete(p.ready, at, at+1)
 		}
 	}
-	if p.calls < p.set.Slots || len(p.live) <= p.aloft {
+	if p.calls < p.set.MaxCalls || len(p.live) <= p.aloft {
 		p.pressed = 0
 	} else if p.pressed == 0 {
 		p.pressed = p.now
@@ -1016,12 +1021,12 @@
 		}
 	}
 	for _, m := range d.queue {
-		if m.class.InOrder {
+		if m.class.Ordered {
 			if l := p.lines[m.key]; l != nil && l.rest > p.now {
 				next = min(next, l.rest)
 			}
 		}
-		if m.class.Repeat == Unsafe && m.aimAt >= p.now { // may then try what is out
+		if m.class.Idempotency == NonIdempotent && m.aimAt >= p.now { // may then try what is out
 			next = min(next, m.aimAt+1)
 		}
 	}
@@ -1054,7 +1059,7 @@
 	}
 	c := &call{ep: ep, sent: p.now, last: math.MaxInt64}
 	for _, m := range slices.Clone(d.queue) {
-		if c.left >= d.kind.Batch {
+		if c.left >= d.kind.MaxBatch {
 			break
 		}
 		if m == d.pick || c.left > 0 && !trial && p.mayShare(m, c) {
@@ -1066,11 +1071,11 @@
 	}
 	p.lastCall++
 	for _, m := range c.msgs {
-		p.act(Action{Kind: ActSend, Message: m.id, Endpoint: ep.id, Call: p.lastCall, At: p.cutAt(m, c),
-			By: p.repeatBy(m)})
+		p.act(Action{Kind: ActionSend, Message: m.id, Endpoint: ep.id, Call: p.lastCall,
+			Deadline: p.cutAt(m, c), SendBy: p.repeatBy(m)})
 	}
 	p.spend(ep)
-	if p.set.Cancels {
+	if p.set.Cancellation {
 		p.review(c)
 	}
 	l.bound = false
@@ -1078,7 +1083,7 @@
 	d.flying++
 	l.flying++
 	ep.flying++
-	ep.conns = max(ep.conns, (ep.flying+p.set.Streams-1)/p.set.Streams)
+	ep.conns = max(ep.conns, (ep.flying+p.set.StreamsPerConnection-1)/p.set.StreamsPerConnection)
 }
 
 // mayShare: a call ends with the time of the first of its messages, so that those share one which then still
@@ -1089,7 +1094,8 @@
 	if min(c.last, p.last(m)) < max(c.enough, p.enough(m, c.ep)) {
 		return false
 	}
-	return p.silent < silentMany || (m.class.Repeat == Unsafe) == (c.msgs[0].class.Repeat == Unsafe)
+	unsafe := m.class.Idempotency == NonIdempotent
+	return p.silent < silentMany || unsafe == (c.msgs[0].class.Idempotency == NonIdempotent)
 }
 
 // send puts a message into a call: nothing else does.
@@ -1117,10 +1123,10 @@
 // cutAt is when an attempt times out. The messages of a call share one fate: what answers it once the time of
 // one of them is up tells nothing of the others.
 func (p *Policy) cutAt(m *message, c *call) Time {
-	if m.class.Repeat == Unsafe {
+	if m.class.Idempotency == NonIdempotent {
 		return c.last // it cannot be tried again
 	}
-	span := float64(m.class.Aim)
+	span := float64(m.class.LatencyObjective)
 	if l := &c.ep.lane.lat; l.n > 0 {
 		span = max(4*l.mean+4*l.dev, span)
 	}
@@ -1131,7 +1137,7 @@
 
 // trim spills what a queue holds beyond the head that memory has of it, the latest deadline first.
 func (p *Policy) trim(d *dest) {
-	for most := p.set.MaxResident; most > 0; {
+	for most := p.set.MaxResidentMessages; most > 0; {
 		if len(d.queue) <= p.head() && (len(p.live) <= most || len(d.queue) <= p.least()) {
 			return
 		}
@@ -1150,8 +1156,8 @@
 
 // head is how many messages of one destination memory holds at most, and least how many of each it has room
 // for where all have a backlog.
-func (p *Policy) head() int  { return min(headMost, p.set.MaxResident) }
-func (p *Policy) least() int { return min(leastMost, max(1, p.set.MaxResident/len(p.dests))) }
+func (p *Policy) head() int  { return min(headMost, p.set.MaxResidentMessages) }
+func (p *Policy) least() int { return min(leastMost, max(1, p.set.MaxResidentMessages/len(p.dests))) }
 
 // mayLeave reports whether a queued message may be spilled: not one that would have to be loaded at once or
 // only waits for its end, and of a key in order the last one alone, none of which has left yet.
@@ -1159,7 +1165,7 @@
 	if m.stays || p.loadBy(m) <= p.now || p.spent(m) {
 		return false
 	}
-	if !m.class.InOrder || m.key == 0 {
+	if !m.class.Ordered || m.key == 0 {
 		return true
 	}
 	l := p.lines[m.key]
@@ -1180,12 +1186,12 @@
 		d.lacking = false
 		have, n := len(d.queue)+d.asked, 0
 		if have < p.head()/2 {
-			n = min(p.head()*3/4-have, p.set.MaxResident-len(p.live)-p.loading)
+			n = min(p.head()*3/4-have, p.set.MaxResidentMessages-len(p.live)-p.loading)
 		}
 		if n = min(max(n, p.least()-have), d.spilled-d.asked); n > 0 {
 			d.asked += n
 			p.loading += n
-			p.act(Action{Kind: ActLoad, Dest: d.id, Count: n})
+			p.act(Action{Kind: ActionLoad, Dest: d.id, Count: n})
 		}
 	}
 	p.lacking = p.lacking[:0]
@@ -1201,10 +1207,10 @@
 	}
 	since := p.now
 	p.drained = since
-	p.act(Action{Kind: ActSayNo})
+	p.act(Action{Kind: ActionStopAccepting})
 	p.put(since+drainHeed, func() {
 		if p.drained == since { // not undone meanwhile
-			p.act(Action{Kind: ActRelease})
+			p.act(Action{Kind: ActionReleaseClients})
 		}
 	})
 }
@@ -1212,7 +1218,7 @@
 func (p *Policy) activate() {
 	if p.drained > 0 {
 		p.drained = 0
-		p.act(Action{Kind: ActSayYes})
+		p.act(Action{Kind: ActionAcceptClients})
 	}
 }
 
@@ -1221,12 +1227,12 @@
 // arm asks for one timer at the next moment at which something may change by itself.
 func (p *Policy) arm() {
 	next := p.later.next()
-	if p.set.AskForList {
-		next = min(next, p.asked+max(p.set.AskEvery/2, second))
+	if p.set.PollList {
+		next = min(next, p.asked+max(p.set.PollInterval/2, second))
 	}
 	if next == math.MaxInt64 || p.armed > p.now && p.armed <= next {
 		return
 	}
 	p.armed = max(next, p.now+p.set.Tick)
-	p.act(Action{Kind: ActTimer, After: p.armed - p.now})
+	p.act(Action{Kind: ActionTimer, Delay: p.armed - p.now})
 }
--- a/policy/decide_test.go
+++ b/policy/decide_test.go
@@ -12,11 +12,11 @@
 
 // one returns settings for a relay with one safe class and one kind of destination.
 func one() Settings {
-	return Settings{Relays: 2, Slots: 8, MaxHeld: 100, MaxAttempts: 9, Halving: true, OverShareWorth: 0.1,
-		Reports: true, RatesListed: true, Probes: true, Cancels: true, RetryAfter: true, MaxRetryAfter: 2 * second, Tick: 5000,
-		AnswerSlack: 20000, DrainGrace: second, StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2,
-		FallTime: 3 * second, KeepAlive: 10 * second, ConnectTimeout: second, Kinds: []Kind{{Batch: 1}},
-		Classes: []Class{{Name: "m", Aim: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.3}}}
+	return Settings{Relays: 2, MaxCalls: 8, MaxMessages: 100, MaxAttempts: 9, HalvingWeight: true, OverQuotaWeight: 0.1,
+		LoadReports: true, ListedRates: true, HealthChecks: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * second, Tick: 5000,
+		ResponseSlack: 20000, DrainGrace: second, SlowStartCapacity: 0.2, SlowStartTime: 10 * second, OverloadFactor: 2,
+		OverloadWindow: 3 * second, KeepAlive: 10 * second, ConnectTimeout: second, Kinds: []DestinationKind{{MaxBatch: 1}},
+		Classes: []Class{{Name: "m", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, LateWeight: 0.3}}}
 }
 
 // rig drives a policy by hand: a steady host that answers as told.
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, p: p, now: 1000 * second, next: 1}
-	r.step(Event{Kind: EvList, List: ListCached, Entries: entries})
+	r.step(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: entries})
 	return r
 }
 
@@ -50,7 +50,7 @@
 	r.acts = r.p.Step(r.now, events, nil)
 	r.sends = nil
 	for _, a := range r.acts {
-		if a.Kind == ActSend {
+		if a.Kind == ActionSend {
 			r.sends = append(r.sends, a)
 			r.sentAt = append(r.sentAt, r.now)
 		}
@@ -60,7 +60,7 @@
 
 func (r *rig) message(class, dest int) Event {
 	r.next++
-	return Event{Kind: EvMessage, Message: r.next - 1, Class: class, Dest: dest, Left: r.p.set.Classes[class].Deadline}
+	return Event{Kind: EventMessage, Message: r.next - 1, Class: class, Dest: dest, TimeLeft: r.p.set.Classes[class].Deadline}
 }
 
 func count(acts []Action, k ActionKind) int {
@@ -76,8 +76,8 @@
 func ready(id Endpoint, rate float64) Entry { return Entry{Endpoint: id, State: Ready, Rate: rate} }
 
 func answer(a Action, o Outcome) Event {
-	return Event{Kind: EvOutcome, Message: a.Message, Endpoint: a.Endpoint, Attempt: a.Attempt, Outcome: o,
-		Took: second / 10, Settled: o == Delivered}
+	return Event{Kind: EventAttemptDone, Message: a.Message, Endpoint: a.Endpoint, Attempt: a.Attempt, Outcome: o,
+		Latency: second / 10, Final: o == Delivered}
 }
 
 func TestDropChance(t *testing.T) {
@@ -137,9 +137,9 @@
 		r.now += second / 100
 		r.step(r.message(0, 0))
 		for _, a := range r.acts {
-			if a.Kind == ActRefuse {
+			if a.Kind == ActionReject {
 				refused++
-				if a.After <= 0 {
+				if a.Delay <= 0 {
 					t.Fatalf("refused with no time to come again: %+v", a)
 				}
 			}
@@ -173,10 +173,10 @@
 	if len(r.sends) != 2 || l.window != 2 {
 		t.Fatalf("%d calls after a success, window %v, want 2 and 2", len(r.sends), l.window)
 	}
-	for _, o := range []Outcome{Full, TimedOut} {
+	for _, o := range []Outcome{Rejected, TimedOut} {
 		l.window = 6
 		r.now += second / 10
-		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: o})
+		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: o})
 		if l.window != 3 {
 			t.Errorf("window after outcome %d: %v, want 3", o, l.window)
 		}
@@ -230,14 +230,14 @@
 		r.step(events...)
 		for _, a := range r.acts {
 			switch a.Kind {
-			case ActSend:
+			case ActionSend:
 				a.Attempt = tries[a.Message]
 				tries[a.Message]++
 				f := out{a, r.now + second/5, Delivered}
 				if at := r.now - start; at > second && at < 12*second {
 					f.o = o
 					if o == TimedOut {
-						f.due = a.At
+						f.due = a.Deadline
 					}
 				}
 				flights = append(flights, f)
@@ -251,7 +251,7 @@
 // TestFailBackBudget: after an outage seen, this relay's part of the budget holds in any window of the fall
 // time, from the return on, with the capacity at its slowest ramp.
 func TestFailBackBudget(t *testing.T) {
-	for _, o := range []Outcome{Errored, TimedOut, NoConnect, Reset, Full} {
+	for _, o := range []Outcome{Errored, TimedOut, ConnectFailed, ConnectionReset, Rejected} {
 		s := one()
 		r := outage(t, s, 20, o)
 		start, back := 1000*second, 1012*second
@@ -264,14 +264,14 @@
 				late++
 			}
 		}
-		for from := back; from < back+s.RampTime; from += second / 4 {
+		for from := back; from < back+s.SlowStartTime; from += second / 4 {
 			n := 0
 			for _, at := range r.sentAt {
-				if at >= from && at < from+s.FallTime {
+				if at >= from && at < from+s.OverloadWindow {
 					n++
 				}
 			}
-			share := s.StartCapacity + (1-s.StartCapacity)*float64(from-back)/float64(s.RampTime)
+			share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(from-back)/float64(s.SlowStartTime)
 			most := s.OverloadFactor * share * 20 * 3 / float64(s.Relays)
 			if float64(n) > most+2 { // a trial at each endpoint is the allowance for chance
 				t.Errorf("outcome %d: %d calls in the 3 s from %d ms after the return, want at most %.1f", o, n,
@@ -333,11 +333,11 @@
 	r := newRig(t, one(), ready(1, 1000))
 	r.step(r.message(0, 0))
 	e := answer(r.sends[0], Delivered)
-	e.Took = 1000
+	e.Latency = 1000
 	r.now += 1000
 	r.step(e)
 	r.step(r.message(0, 0))
-	if len(r.sends) != 1 || r.sends[0].At-r.now < 2*second {
+	if len(r.sends) != 1 || r.sends[0].Deadline-r.now < 2*second {
 		t.Fatalf("sends %+v at %d: time-out under the aim", r.sends, r.now)
 	}
 }
@@ -366,7 +366,7 @@
 		ep := r.p.eps[1]
 		for range 100 {
 			r.p.observe(&call{ep: ep, sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}},
-				&Event{Kind: EvOutcome, Outcome: Full, Load: Load{Limit: 20, Told: true}})
+				&Event{Kind: EventAttemptDone, Outcome: Rejected, Load: LoadReport{Limit: 20, Present: true}})
 		}
 		if all := r.p.pace(ep.lane) * float64(n); all > 20 || all < 5 {
 			t.Errorf("%d relays send %v a second together, limit 20", n, all)
@@ -387,21 +387,21 @@
 			r.step()
 			l.bound, before = true, r.p.pace(l)
 			r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}},
-				&Event{Kind: EvOutcome, Outcome: o, Load: Load{Left: left, Limit: 20, Told: true}})
+				&Event{Kind: EventAttemptDone, Outcome: o, Load: LoadReport{Remaining: left, Limit: 20, Present: true}})
 			return before, r.p.pace(l)
 		}
-		if _, each := book(Full, 0, s.FallTime); each*float64(n) > 20.001 {
+		if _, each := book(Rejected, 0, s.OverloadWindow); each*float64(n) > 20.001 {
 			t.Errorf("%d relays: after one refusal each they send %v a second together, limit 20", n, each*float64(n))
 		}
 		for _, left := range []float64{0, 0.2, 0.4} {
-			if was, now := book(Delivered, left, s.FallTime); math.Abs(now/was-1-left) > 0.001 {
+			if was, now := book(Delivered, left, s.OverloadWindow); math.Abs(now/was-1-left) > 0.001 {
 				t.Errorf("%d relays: with %v of the allowance left the pace goes from %v to %v", n, left, was, now)
 			}
 		}
 		if was, now := book(Delivered, 0, s.Tick); now < was*1.07 {
 			t.Errorf("%d relays: a frequent caller goes from %v to %v with a success", n, was, now)
 		}
-		if was, now := book(Full, 0, s.Tick); now < was*0.72 {
+		if was, now := book(Rejected, 0, s.Tick); now < was*0.72 {
 			t.Errorf("%d relays: a frequent caller goes from %v to %v with a refusal", n, was, now)
 		}
 	}
@@ -414,7 +414,7 @@
 	r := newRig(t, s, ready(1, 20))
 	r.untilSend()
 	began := r.now
-	r.step(answer(r.sends[0], NoConnect))
+	r.step(answer(r.sends[0], ConnectFailed))
 	if len(r.sends) == 0 {
 		r.untilSend()
 	}
@@ -428,7 +428,7 @@
 	for _, unsafe := range []bool{false, true} {
 		s := one()
 		if unsafe {
-			s.Classes[0].Repeat = Unsafe
+			s.Classes[0].Idempotency = NonIdempotent
 		}
 		r := newRig(t, s, ready(1, 10))
 		for range 3 {
@@ -440,7 +440,7 @@
 			r.now += second / 20
 			r.step()
 		}
-		if len(r.sends) != 1 || unsafe && r.now <= start+s.Classes[0].Aim {
+		if len(r.sends) != 1 || unsafe && r.now <= start+s.Classes[0].LatencyObjective {
 			t.Errorf("unsafe %v: %d sends after %d ms", unsafe, len(r.sends), (r.now-start)/1000)
 		}
 	}
@@ -449,7 +449,7 @@
 // TestBatchOfOneTurn: what waits for one endpoint shares a call and a slot, and the call counts once.
 func TestBatchOfOneTurn(t *testing.T) {
 	s := one()
-	s.Kinds[0].Batch = 3
+	s.Kinds[0].MaxBatch = 3
 	r := newRig(t, s, ready(1, 10))
 	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
 	if len(r.sends) != 3 || r.p.calls != 1 {
@@ -466,9 +466,9 @@
 // of another, whichever leads the call.
 func TestCallEndsInTime(t *testing.T) {
 	s := one()
-	s.Kinds[0].Batch = 3
+	s.Kinds[0].MaxBatch = 3
 	unsafe := s.Classes[0]
-	unsafe.Repeat = Unsafe
+	unsafe.Idempotency = NonIdempotent
 	s.Classes = append(s.Classes, unsafe)
 	for seed := range 200 {
 		rng := rand.New(rand.NewPCG(uint64(seed), 1))
@@ -477,8 +477,8 @@
 		first := Time(math.MaxInt64)
 		for range 3 {
 			e := r.message(rng.IntN(2), 0)
-			e.Left = 3*second + Time(rng.Int64N(20*second)) // each leaves the others their time
-			first = min(first, r.now+e.Left)
+			e.TimeLeft = 3*second + Time(rng.Int64N(20*second)) // each leaves the others their time
+			first = min(first, r.now+e.TimeLeft)
 			events = append(events, e)
 		}
 		r.step(events...)
@@ -486,9 +486,9 @@
 			t.Fatalf("seed %d: %d sends in %d calls, want 3 in 1", seed, len(r.sends), r.p.calls)
 		}
 		for _, a := range r.sends {
-			if a.Call != r.sends[0].Call || a.At >= first || a.At <= r.now {
+			if a.Call != r.sends[0].Call || a.Deadline >= first || a.Deadline <= r.now {
 				t.Errorf("seed %d: message %d of call %d is waited for until %d, the first deadline of call %d is at %d",
-					seed, a.Message, a.Call, a.At, r.sends[0].Call, first)
+					seed, a.Message, a.Call, a.Deadline, r.sends[0].Call, first)
 			}
 		}
 	}
@@ -498,15 +498,15 @@
 // be that of others, which have more time and may not be sent again.
 func TestCallCutsNobodyShort(t *testing.T) {
 	s := one()
-	s.Kinds[0].Batch = 3
+	s.Kinds[0].MaxBatch = 3
 	unsafe := s.Classes[0]
-	unsafe.Repeat = Unsafe
+	unsafe.Idempotency = NonIdempotent
 	s.Classes = append(s.Classes, unsafe)
 	for _, class := range []int{0, 1} {
 		for _, nearFirst := range []bool{false, true} {
 			r := newRig(t, s, ready(1, 1000))
 			near, far := r.message(0, 0), r.message(class, 0)
-			near.Left = second / 5
+			near.TimeLeft = second / 5
 			events := []Event{far, near}
 			if nearFirst {
 				events = []Event{near, far}
@@ -522,8 +522,8 @@
 				r.step(events...)
 			}
 			for _, a := range sends {
-				if a.Message == far.Message && a.At < 1000*second+s.Classes[0].Aim {
-					t.Errorf("class %d, near first %v: the far one is waited for %d ms", class, nearFirst, (a.At-1000*second)/1000)
+				if a.Message == far.Message && a.Deadline < 1000*second+s.Classes[0].LatencyObjective {
+					t.Errorf("class %d, near first %v: the far one is waited for %d ms", class, nearFirst, (a.Deadline-1000*second)/1000)
 				}
 			}
 			if len(sends) != 2 {
@@ -538,17 +538,17 @@
 func TestRepeatInItsWindow(t *testing.T) {
 	s := one()
 	keyed := s.Classes[0]
-	keyed.Repeat, keyed.DedupWindow = Keyed, 5*second
+	keyed.Idempotency, keyed.DedupWindow = IdempotentByKey, 5*second
 	s.Classes = append(s.Classes, keyed)
 	for _, c := range []struct {
 		class int
 		first Outcome
 		bound bool
-	}{{1, Reset, true}, {1, TimedOut, true}, {1, Full, false}, {0, Reset, false}} {
+	}{{1, ConnectionReset, true}, {1, TimedOut, true}, {1, Rejected, false}, {0, ConnectionReset, false}} {
 		r := newRig(t, s, ready(1, 1000))
 		r.step(r.message(c.class, 0))
 		sent := r.now
-		if by := r.sends[0].By; by != 0 {
+		if by := r.sends[0].SendBy; by != 0 {
 			t.Errorf("class %d: the first try goes out by %d", c.class, by)
 		}
 		r.now += second / 10
@@ -558,7 +558,7 @@
 				t.Fatalf("class %d after %d: never sent again", c.class, c.first)
 			}
 		}
-		if by := r.sends[0].By; (by != 0) != c.bound || by > sent+keyed.DedupWindow || c.bound && by < r.now {
+		if by := r.sends[0].SendBy; (by != 0) != c.bound || by > sent+keyed.DedupWindow || c.bound && by < r.now {
 			t.Errorf("class %d after %d: sent again by %d, the window ends at %d", c.class, c.first, by, sent+keyed.DedupWindow)
 		}
 	}
@@ -568,21 +568,21 @@
 // room: it is tried, or waits until its time is up. It may go on to refuse what is new.
 func TestKeptIsTried(t *testing.T) {
 	s := one()
-	s.MaxHeld = 30
+	s.MaxMessages = 30
 	for seed := range uint64(20) {
 		p, err := New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		r := &rig{t: t, p: p, now: 1000 * second, next: 1}
-		r.step(Event{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, 5)}})
+		r.step(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: []Entry{ready(1, 5)}})
 		deadline, kept, sent := map[uint32]Time{}, map[uint32]bool{}, map[uint32]bool{}
 		var events []Event
 		for range 40 {
 			e := r.message(0, 0)
-			e.Kept, e.Left = true, 10*second
-			e.Tries = int(e.Message) % 3 // turned away before the restart
-			kept[e.Message], deadline[e.Message] = true, r.now+e.Left
+			e.Recovered, e.TimeLeft = true, 10*second
+			e.Attempts = int(e.Message) % 3 // turned away before the restart
+			kept[e.Message], deadline[e.Message] = true, r.now+e.TimeLeft
 			events = append(events, e)
 		}
 		refused := 0
@@ -594,16 +594,16 @@
 			events = nil
 			for _, a := range r.acts {
 				switch a.Kind {
-				case ActSend:
+				case ActionSend:
 					e := answer(a, Errored) // the draw drops nine in ten
 					if p.msgs[a.Message].tries%4 == 1 {
-						e.Outcome = NoConnect // nobody has seen this one
+						e.Outcome = ConnectFailed // nobody has seen this one
 					} else {
 						sent[a.Message] = true
 					}
 					e.Attempt = p.msgs[a.Message].tries - 1
 					events = append(events, e)
-				case ActRefuse, ActFail:
+				case ActionReject, ActionFail:
 					if !kept[a.Message] {
 						refused++
 					} else if !sent[a.Message] && r.now < deadline[a.Message]-4*s.Tick {
@@ -621,7 +621,7 @@
 // TestWorthOrder: what loses most by waiting goes first; what is over its tenant's share goes last.
 func TestWorthOrder(t *testing.T) {
 	s := one()
-	s.Classes = append(s.Classes, Class{Name: "dear", Aim: 2 * second, Deadline: 20 * second, Worth: 3, LateWorth: 0.3})
+	s.Classes = append(s.Classes, Class{Name: "dear", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 3, LateWeight: 0.3})
 	s.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 100}}
 	r := newRig(t, s, ready(1, 2))
 	r.step(r.message(0, 0)) // takes the window of one
@@ -666,11 +666,11 @@
 func TestNoEndpoint(t *testing.T) {
 	r := newRig(t, one())
 	r.step(r.message(0, 7))
-	if count(r.acts, ActTimer) != 1 || count(r.acts, ActRefuse) != 0 {
+	if count(r.acts, ActionTimer) != 1 || count(r.acts, ActionReject) != 0 {
 		t.Fatalf("actions %+v", r.acts)
 	}
 	r.now += 20*second - 5000
-	if r.step(); count(r.acts, ActRefuse) != 1 {
+	if r.step(); count(r.acts, ActionReject) != 1 {
 		t.Fatalf("no answer before the deadline: %+v", r.acts)
 	}
 }
@@ -680,7 +680,7 @@
 	r := newRig(t, one(), ready(1, 10))
 	e := r.message(0, 0)
 	e.Class = 9
-	if r.step(e); count(r.acts, ActRefuse) != 1 || len(r.sends) != 0 {
+	if r.step(e); count(r.acts, ActionReject) != 1 || len(r.sends) != 0 {
 		t.Fatalf("actions %+v", r.acts)
 	}
 }
@@ -690,15 +690,15 @@
 		key    string
 		change func(*Settings)
 	}{
-		{"Slots", func(s *Settings) { s.Slots = 0 }},
+		{"MaxCalls", func(s *Settings) { s.MaxCalls = 0 }},
 		{"Relays", func(s *Settings) { s.Relays = 0 }},
-		{"FallTime", func(s *Settings) { s.FallTime = -1 }},
-		{"Classes[0].Repeat", func(s *Settings) { s.Classes[0].Repeat = 9 }},
+		{"OverloadWindow", func(s *Settings) { s.OverloadWindow = -1 }},
+		{"Classes[0].Idempotency", func(s *Settings) { s.Classes[0].Idempotency = 9 }},
 		{"Classes[0].Deadline", func(s *Settings) { s.Classes[0].Deadline = 0 }},
 		{"Classes[0].DedupWindow", func(s *Settings) { s.Classes[0].DedupWindow = -5 }},
 		{"Classes", func(s *Settings) { s.Classes = nil }},
-		{"StartCapacity", func(s *Settings) { s.StartCapacity = math.NaN() }},
-		{"Kinds[0].Batch", func(s *Settings) { s.Kinds[0].Batch = -1 }},
+		{"SlowStartCapacity", func(s *Settings) { s.SlowStartCapacity = math.NaN() }},
+		{"Kinds[0].MaxBatch", func(s *Settings) { s.Kinds[0].MaxBatch = -1 }},
 	} {
 		s := one()
 		c.change(&s)
@@ -739,7 +739,7 @@
 // endpoint that has answered others since does not count against it.
 func TestReclaim(t *testing.T) {
 	s := one()
-	s.Slots = 2
+	s.MaxCalls = 2
 	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 1000}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 1000})
 	for dest := range 2 { // both have answered once, so what is usual is known
 		r.step(r.message(0, dest))
@@ -755,7 +755,7 @@
 	for range 400 {
 		r.now += 5000
 		r.step()
-		cancels += count(r.acts, ActCancel)
+		cancels += count(r.acts, ActionCancel)
 		if cancels > 0 {
 			break
 		}
@@ -766,7 +766,7 @@
 	ep := r.p.eps[1]
 	ep.okAt = r.now
 	before := ep.score
-	r.p.observe(&call{ep: ep, sent: r.now - second}, &Event{Kind: EvOutcome, Outcome: Cancelled})
+	r.p.observe(&call{ep: ep, sent: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: Cancelled})
 	if ep.score != before {
 		t.Error("a call called off counted against an endpoint that has answered since")
 	}
@@ -776,10 +776,10 @@
 // message leads it: called off, the unsafe one has had its only try.
 func TestReclaimMixedBatch(t *testing.T) {
 	s := one()
-	s.Slots = 1
-	s.Kinds[0].Batch = 2
+	s.MaxCalls = 1
+	s.Kinds[0].MaxBatch = 2
 	unsafe := s.Classes[0]
-	unsafe.Repeat, unsafe.Worth = Unsafe, 0.5
+	unsafe.Idempotency, unsafe.Weight = NonIdempotent, 0.5
 	s.Classes = append(s.Classes, unsafe)
 	calledOff := func(class int) Time {
 		r := newRig(t, s, ready(1, 1000))
@@ -788,11 +788,11 @@
 		r.step(answer(r.sends[0], Delivered))
 		r.now += second
 		r.step(r.message(0, 0), r.message(class, 0), r.message(0, 0))
-		if len(r.sends) != 2 || r.p.calls != 1 || r.p.msgs[r.sends[0].Message].class.Repeat != Safe {
+		if len(r.sends) != 2 || r.p.calls != 1 || r.p.msgs[r.sends[0].Message].class.Idempotency != Idempotent {
 			t.Fatalf("%d sends in %d calls, want 2 in 1 led by a safe one", len(r.sends), r.p.calls)
 		}
 		for start := r.now; ; r.step() {
-			if count(r.acts, ActCancel) > 0 {
+			if count(r.acts, ActionCancel) > 0 {
 				return r.now - start
 			}
 			r.now += 5000
@@ -805,11 +805,11 @@
 
 // TestWaitWithAnyOutcome: a wait binds whatever became of the message whose answer told it.
 func TestWaitWithAnyOutcome(t *testing.T) {
-	for _, o := range []Outcome{Delivered, Full, Errored} {
+	for _, o := range []Outcome{Delivered, Rejected, Errored} {
 		r := newRig(t, one(), ready(1, 1000))
 		r.step(r.message(0, 0))
 		e := answer(r.sends[0], o)
-		e.Wait = second
+		e.RetryAfter = second
 		r.now += second / 10
 		told := r.now
 		r.step(e, r.message(0, 0))
@@ -827,7 +827,7 @@
 // before its deadline; where nothing sent later was answered, or only just later, it is waited for.
 func TestHungUnsafeCall(t *testing.T) {
 	s := one()
-	s.Classes[0].Repeat = Unsafe
+	s.Classes[0].Idempotency = NonIdempotent
 	for later, want := range map[Time]bool{0: false, second / 10: false, 5 * second: true} {
 		r := newRig(t, s, ready(1, 1000))
 		r.step(r.message(0, 0)) // what is usual is known, and the window has room for two
@@ -846,7 +846,7 @@
 		var off Time
 		for start := r.now; r.now < start+10*second && off == 0; r.step() {
 			for _, a := range r.acts {
-				if a.Kind == ActCancel && a.Message == hung.Message {
+				if a.Kind == ActionCancel && a.Message == hung.Message {
 					off = r.now - start
 				}
 			}
@@ -894,7 +894,7 @@
 		s.Relays = n
 		r := newRig(t, s, ready(1, 4))
 		l := r.p.eps[1].lane
-		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: Full})
+		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: Rejected})
 		turn := min(Time(n)*second/4, 2*second)
 		if rest := l.pauseUntil - r.now; rest < turn/2 || rest > turn*3/2 {
 			t.Errorf("%d relays: a rest of %d ms at 4 calls a second", n, rest/1000)
@@ -905,7 +905,7 @@
 // TestShedLatest: with the room nearly full the message that opens latest is handed back, not the next arrival.
 func TestShedLatest(t *testing.T) {
 	s := one()
-	s.MaxHeld = 16
+	s.MaxMessages = 16
 	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 4}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 4})
 	r.p.eps[1].lane.pauseUntil = r.now + 15*second
 	r.p.eps[2].lane.pauseUntil = r.now + second
@@ -919,7 +919,7 @@
 	r.step(events...)
 	refused := 0
 	for _, a := range r.acts {
-		if a.Kind == ActRefuse {
+		if a.Kind == ActionReject {
 			refused++
 			if dest[a.Message] != 0 {
 				t.Errorf("message %d of the destination that opens soon was shed", a.Message)
@@ -936,7 +936,7 @@
 func TestFleetBudget(t *testing.T) {
 	for _, n := range []int{2, 50, 400} {
 		s := one()
-		s.Relays, s.MaxHeld = n, 1000
+		s.Relays, s.MaxMessages = n, 1000
 		const rate = 20.0
 		back := 1012 * second
 		calls := make([]float64, 40) // by half seconds from the return on
@@ -946,20 +946,20 @@
 				t.Fatal(err)
 			}
 			now := 1000*second + Time(k)*1000
-			events := []Event{{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, rate)}}}
+			events := []Event{{Kind: EventListUpdate, ListUpdate: ListCached, Entries: []Entry{ready(1, rate)}}}
 			for i := range max(1, 240/n) { // twelve seconds of traffic, spread over the relays
-				events = append(events, Event{Kind: EvMessage, Message: uint32(i + 1), Left: 30 * second})
+				events = append(events, Event{Kind: EventMessage, Message: uint32(i + 1), TimeLeft: 30 * second})
 			}
 			tries := map[uint32]int{}
 			for now < back+10*second {
 				acts := p.Step(now, events, nil)
 				events = nil
 				for _, a := range acts {
-					if a.Kind == ActSend {
+					if a.Kind == ActionSend {
 						if at := (now - back) * 2 / second; now >= back {
 							calls[at]++
 						}
-						e := answer(a, NoConnect)
+						e := answer(a, ConnectFailed)
 						e.Attempt = tries[a.Message]
 						tries[a.Message]++
 						events = append(events, e)
@@ -973,7 +973,7 @@
 			for _, c := range calls[from : from+6] {
 				sum += c
 			}
-			if most := s.OverloadFactor * s.StartCapacity * rate * 3; sum > most*1.25 {
+			if most := s.OverloadFactor * s.SlowStartCapacity * rate * 3; sum > most*1.25 {
 				t.Errorf("%d relays: %v calls in 3 s from %d ms after the return, budget %v", n, sum, from*500, most)
 			}
 		}
@@ -993,7 +993,7 @@
 		r.step(answer(r.sends[0], Delivered))
 		for range 40 { // two seconds, of ten that connections live
 			r.now += second / 20
-			closes += count(r.step(), ActClose)
+			closes += count(r.step(), ActionCloseIdle)
 		}
 		if closes != int(tight) {
 			t.Errorf("share without connection %v: %d times given back", tight, closes)
@@ -1015,11 +1015,11 @@
 		s := one()
 		s.Relays = c.relays
 		r := newRig(t, s, ready(1, 1000))
-		for _, o := range []Event{{Outcome: Delivered, Settled: true, Load: Load{Left: 1, Limit: 1000, Told: true}},
-			{Outcome: Full, Fresh: c.fresh, Wait: c.wait, Load: Load{Told: c.told}}} {
+		for _, o := range []Event{{Outcome: Delivered, Final: true, Load: LoadReport{Remaining: 1, Limit: 1000, Present: true}},
+			{Outcome: Rejected, NewConnection: c.fresh, RetryAfter: c.wait, Load: LoadReport{Present: c.told}}} {
 			r.step(r.message(0, 0))
 			e := answer(r.sends[0], o.Outcome)
-			e.Settled, e.Fresh, e.Wait, e.Load = o.Settled, o.Fresh, o.Wait, o.Load
+			e.Final, e.NewConnection, e.RetryAfter, e.Load = o.Final, o.NewConnection, o.RetryAfter, o.Load
 			r.step(e)
 			r.now += second
 		}
@@ -1055,14 +1055,14 @@
 	r := newRig(t, s, ready(1, 1000))
 	r.untilSend()
 	e := answer(r.sends[0], Delivered)
-	e.Load = Load{Left: 1, Limit: 1000, Told: true}
+	e.Load = LoadReport{Remaining: 1, Limit: 1000, Present: true}
 	r.step(e)
 	for range times {
 		if len(r.sends) == 0 { // a trial call may follow at once
 			r.untilSend()
 		}
-		e = answer(r.sends[0], Full)
-		e.Attempt, e.Fresh = r.p.msgs[e.Message].tries-1, true
+		e = answer(r.sends[0], Rejected)
+		e.Attempt, e.NewConnection = r.p.msgs[e.Message].tries-1, true
 		r.step(e)
 	}
 	return r
@@ -1115,10 +1115,10 @@
 		r := newRig(t, s, ready(1, 1000))
 		for range 2 {
 			r.untilSend()
-			e := answer(r.sends[0], Full)
-			e.Attempt, e.Load = r.p.msgs[e.Message].tries-1, Load{Limit: 1000, Told: told}
+			e := answer(r.sends[0], Rejected)
+			e.Attempt, e.Load = r.p.msgs[e.Message].tries-1, LoadReport{Limit: 1000, Present: told}
 			r.step(e)
-			r.now += s.FallTime
+			r.now += s.OverloadWindow
 		}
 		if sick := r.p.eps[1].sick; sick == told {
 			t.Errorf("report %v: held to be out %v", told, sick)
@@ -1130,7 +1130,7 @@
 // the lowest limit that others of the kind reported, not by one call a second for all relays together.
 func TestTrialsWhereNothingWasHeard(t *testing.T) {
 	s := one()
-	s.Relays, s.RatesListed, s.Kinds = 80, false, []Kind{{Batch: 1}, {Batch: 1}}
+	s.Relays, s.ListedRates, s.Kinds = 80, false, []DestinationKind{{MaxBatch: 1}, {MaxBatch: 1}}
 	entry := func(id Endpoint, dest, kind int) Entry {
 		return Entry{Endpoint: id, Dest: dest, Kind: kind, State: Ready}
 	}
@@ -1138,7 +1138,7 @@
 	for dest, limit := range []float64{30, 90} {
 		r.step(r.message(0, dest))
 		e := answer(r.sends[0], Delivered)
-		e.Load = Load{Left: 1, Limit: limit, Told: true}
+		e.Load = LoadReport{Remaining: 1, Limit: limit, Present: true}
 		r.step(e)
 	}
 	if r.p.capacity(r.p.eps[3].lane) != 1 || r.p.leastLimit(r.p.eps[4].lane.dest) != 0 {
@@ -1152,7 +1152,7 @@
 			r.step()
 		}
 		for len(r.sends) > 0 {
-			e := answer(r.sends[0], NoConnect)
+			e := answer(r.sends[0], ConnectFailed)
 			e.Attempt = r.p.msgs[e.Message].tries - 1
 			r.step(e)
 			tries++
@@ -1167,7 +1167,7 @@
 	r := newRig(t, one(), ready(1, 10), ready(2, 10))
 	r.p.failed(r.p.eps[1], r.now, true)
 	r.p.eps[1].sick = true
-	r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{{Endpoint: 1, State: Gone}, {Endpoint: 2, State: Ready, Dest: 5}}})
+	r.step(Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: []Entry{{Endpoint: 1, State: Removed}, {Endpoint: 2, State: Ready, Dest: 5}}})
 	if len(r.p.eps) != 1 || len(r.p.dest(0).lanes[0].eps) != 0 {
 		t.Fatalf("%d endpoints kept, %d at the old place", len(r.p.eps), len(r.p.dest(0).lanes[0].eps))
 	}
@@ -1189,13 +1189,13 @@
 				list = append(list, Entry{Endpoint: Endpoint(i + 1), State: Ready, Dest: i, Rate: 1e6})
 			}
 			now := second
-			p.Step(now, []Event{{Kind: EvList, List: ListCached, Entries: list}}, nil)
+			p.Step(now, []Event{{Kind: EventListUpdate, ListUpdate: ListCached, Entries: list}}, nil)
 			var acts []Action
 			for i := range b.N {
 				now += 5000
 				id := uint32(i + 1)
-				acts = p.Step(now, []Event{{Kind: EvMessage, Message: id, Dest: i % n, Left: 20 * second}}, acts[:0])
-				acts = p.Step(now, []Event{{Kind: EvOutcome, Message: id, Settled: true, Took: 1000}}, acts[:0])
+				acts = p.Step(now, []Event{{Kind: EventMessage, Message: id, Dest: i % n, TimeLeft: 20 * second}}, acts[:0])
+				acts = p.Step(now, []Event{{Kind: EventAttemptDone, Message: id, Final: true, Latency: 1000}}, acts[:0])
 			}
 		})
 	}
@@ -1226,12 +1226,12 @@
 func TestAvoided(t *testing.T) {
 	s := one()
 	r := newRig(t, s, ready(1, 1000), Entry{Endpoint: 2, Dest: 1, State: Draining})
-	if r.p.Avoided(1, r.now) || !r.p.Avoided(2, r.now) || !r.p.Avoided(3, r.now) {
-		t.Errorf("at the start: ready %v, draining %v, unknown %v", r.p.Avoided(1, r.now), r.p.Avoided(2, r.now), r.p.Avoided(3, r.now))
+	if r.p.Unavailable(1, r.now) || !r.p.Unavailable(2, r.now) || !r.p.Unavailable(3, r.now) {
+		t.Errorf("at the start: ready %v, draining %v, unknown %v", r.p.Unavailable(1, r.now), r.p.Unavailable(2, r.now), r.p.Unavailable(3, r.now))
 	}
 	r.step(r.message(0, 0))
-	r.step(Event{Kind: EvOutcome, Message: r.sends[0].Message, Endpoint: 1, Outcome: Full, Wait: second})
-	if !r.p.Avoided(1, r.now) || r.p.Avoided(1, r.now+2*second) {
+	r.step(Event{Kind: EventAttemptDone, Message: r.sends[0].Message, Endpoint: 1, Outcome: Rejected, RetryAfter: second})
+	if !r.p.Unavailable(1, r.now) || r.p.Unavailable(1, r.now+2*second) {
 		t.Error("a told wait")
 	}
 	r = newRig(t, s, ready(1, 1000))
@@ -1239,7 +1239,7 @@
 	for range 10 { // its one message goes out again and again
 		for len(r.sends) == 0 {
 			r.now += second / 4
-			r.step(Event{Kind: EvTimer})
+			r.step(Event{Kind: EventTimer})
 		}
 		a := r.sends[0]
 		a.Attempt = r.p.msgs[a.Message].tries - 1
@@ -1247,7 +1247,7 @@
 			break
 		}
 	}
-	if !r.p.Avoided(1, r.now) {
+	if !r.p.Unavailable(1, r.now) {
 		t.Error("seen failing")
 	}
 }
@@ -1256,24 +1256,24 @@
 // before the release calls it off, and what is held goes out all the while.
 func TestDrain(t *testing.T) {
 	r := newRig(t, one(), ready(1, 1000))
-	if a := r.step(Event{Kind: EvDrain}, Event{Kind: EvDrain}); count(a, ActSayNo) != 1 || count(a, ActRelease) != 0 {
+	if a := r.step(Event{Kind: EventDrain}, Event{Kind: EventDrain}); count(a, ActionStopAccepting) != 1 || count(a, ActionReleaseClients) != 0 {
 		t.Errorf("at once: %+v", a)
 	}
 	r.now += drainHeed / 2
-	if a := r.step(r.message(0, 0)); count(a, ActSend) != 1 || count(a, ActRelease) != 0 {
+	if a := r.step(r.message(0, 0)); count(a, ActionSend) != 1 || count(a, ActionReleaseClients) != 0 {
 		t.Errorf("before the release: %+v", a)
 	}
 	r.now += drainHeed/2 + 1
-	if a := r.step(Event{Kind: EvTimer}); count(a, ActRelease) != 1 {
+	if a := r.step(Event{Kind: EventTimer}); count(a, ActionReleaseClients) != 1 {
 		t.Errorf("then: %+v", a)
 	}
-	if a := r.step(Event{Kind: EvActivate}, Event{Kind: EvActivate}); count(a, ActSayYes) != 1 {
+	if a := r.step(Event{Kind: EventActivate}, Event{Kind: EventActivate}); count(a, ActionAcceptClients) != 1 {
 		t.Errorf("taken back: %+v", a)
 	}
-	r.step(Event{Kind: EvDrain})
-	r.step(Event{Kind: EvActivate})
+	r.step(Event{Kind: EventDrain})
+	r.step(Event{Kind: EventActivate})
 	r.now += 2 * drainHeed
-	if a := r.step(Event{Kind: EvTimer}); count(a, ActRelease) != 0 {
+	if a := r.step(Event{Kind: EventTimer}); count(a, ActionReleaseClients) != 0 {
 		t.Errorf("a release that was called off: %+v", a)
 	}
 }
@@ -1282,9 +1282,9 @@
 // for far longer, does not hold up others in it; where few do, it shares its call as ever.
 func TestHangingCallsAreNotShared(t *testing.T) {
 	s := one()
-	s.Kinds[0].Batch = 4
+	s.Kinds[0].MaxBatch = 4
 	unsafe := s.Classes[0]
-	unsafe.Repeat = Unsafe
+	unsafe.Idempotency = NonIdempotent
 	s.Classes = append(s.Classes, unsafe)
 	for _, hang := range []bool{false, true} {
 		r := newRig(t, s, ready(1, 1000))
@@ -1294,13 +1294,13 @@
 			if hang && i%5 == 0 {
 				o, ep.okAt = Cancelled, r.now // others were answered since
 			}
-			r.p.observe(&call{ep: ep, sent: r.now - second}, &Event{Kind: EvOutcome, Outcome: o, Took: second / 10})
+			r.p.observe(&call{ep: ep, sent: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: o, Latency: second / 10})
 		}
 		r.p.eps[1].lane.window = 1 // one call with all, or none
 		r.step(r.message(0, 0), r.message(1, 0), r.message(0, 0), r.message(1, 0))
-		kinds := map[Repeat]int{}
+		kinds := map[Idempotency]int{}
 		for _, a := range r.sends {
-			kinds[r.p.msgs[a.Message].class.Repeat]++
+			kinds[r.p.msgs[a.Message].class.Idempotency]++
 		}
 		if len(r.sends) < 2 || (len(kinds) == 1) != hang {
 			t.Errorf("hanging %v: sent %v of each kind", hang, kinds)
@@ -1312,7 +1312,7 @@
 // no slot was wanted when the hung call was last looked at.
 func TestHungCallIsLookedAtAgain(t *testing.T) {
 	s := one()
-	s.Classes[0].Repeat = Unsafe
+	s.Classes[0].Idempotency = NonIdempotent
 	r := newRig(t, s, ready(1, 1000))
 	r.step(r.message(0, 0))
 	r.now += second / 10
@@ -1327,7 +1327,7 @@
 	r.now += second / 100
 	r.step(answer(other, Delivered))
 	for end := r.now + 2*patience; r.now < end; r.now += 5000 {
-		if r.step(); count(r.acts, ActCancel) == 1 && r.acts[0].Message == hung.Message {
+		if r.step(); count(r.acts, ActionCancel) == 1 && r.acts[0].Message == hung.Message {
 			return
 		}
 	}
@@ -1338,8 +1338,8 @@
 // waited for as long as a single one is (TestReclaimMixedBatch), they would leave no slot to what can be delivered.
 func TestManyOverdue(t *testing.T) {
 	s := one()
-	s.Slots = 4
-	s.Classes[0].Repeat = Unsafe
+	s.MaxCalls = 4
+	s.Classes[0].Idempotency = NonIdempotent
 	r := newRig(t, s, ready(1, 1000), Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 1000})
 	for dest := range 2 { // what is usual is known, and the windows have room
 		r.step(r.message(0, dest))
@@ -1352,7 +1352,7 @@
 		t.Fatalf("%d calls out, %d overdue", r.p.calls, r.p.overdue())
 	}
 	start, patience := r.now, r.p.patience(r.p.eps[1])
-	for r.step(); count(r.acts, ActCancel) == 0 && r.now < start+10*second; r.step() {
+	for r.step(); count(r.acts, ActionCancel) == 0 && r.now < start+10*second; r.step() {
 		r.now += 5000
 	}
 	if after := r.now - start; after < 2*patience || after > 3*patience {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -33,13 +33,13 @@
 
 func fleetSettings(d fleetDay) Settings {
 	s := one()
-	s.Relays, s.Slots, s.MaxHeld, s.MaxAttempts = d.relays, 40, 400, 12
-	s.RatesListed, s.Reports, s.Probes = !d.reports, d.reports, false
-	s.StartCapacity, s.RampTime, s.OverloadFactor, s.FallTime = 0.19, 13*second, 2.5, 3*second
+	s.Relays, s.MaxCalls, s.MaxMessages, s.MaxAttempts = d.relays, 40, 400, 12
+	s.ListedRates, s.LoadReports, s.HealthChecks = !d.reports, d.reports, false
+	s.SlowStartCapacity, s.SlowStartTime, s.OverloadFactor, s.OverloadWindow = 0.19, 13*second, 2.5, 3*second
 	s.Classes = []Class{
-		{Name: "safe", Aim: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.3},
-		{Name: "keyed", Aim: 3 * second, Deadline: 15 * second, Worth: 1, LateWorth: 0.3, Repeat: Keyed, DedupWindow: 6 * second},
-		{Name: "once", Aim: 3 * second, Deadline: 12 * second, Worth: 2, LateWorth: 0.3, Repeat: Unsafe},
+		{Name: "safe", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, LateWeight: 0.3},
+		{Name: "keyed", LatencyObjective: 3 * second, Deadline: 15 * second, Weight: 1, LateWeight: 0.3, Idempotency: IdempotentByKey, DedupWindow: 6 * second},
+		{Name: "once", LatencyObjective: 3 * second, Deadline: 12 * second, Weight: 2, LateWeight: 0.3, Idempotency: NonIdempotent},
 	}
 	return s
 }
@@ -100,21 +100,21 @@
 	if at < fleetBack {
 		return 1
 	}
-	s := w.set.StartCapacity
-	return min(1, s+(1-s)*float64(at-fleetBack)/float64(w.set.RampTime))
+	s := w.set.SlowStartCapacity
+	return min(1, s+(1-s)*float64(at-fleetBack)/float64(w.set.SlowStartTime))
 }
 
 // answer is what becomes of a call, and when its relay hears of it.
 func (w *fleetWorld) answer(r *fleetRelay, now Time, a Action) fleetCall {
-	e := Event{Kind: EvOutcome, Message: a.Message, Endpoint: a.Endpoint, Attempt: r.tries[a.Message], Outcome: w.day.outage}
+	e := Event{Kind: EventAttemptDone, Message: a.Message, Endpoint: a.Endpoint, Attempt: r.tries[a.Message], Outcome: w.day.outage}
 	r.tries[a.Message]++
 	took := second/20 + w.rng.Int64N(second/10)
 	switch {
 	case now >= fleetDown && now < fleetBack:
 		switch e.Outcome {
 		case TimedOut:
-			took = a.At - now
-		case NoConnect, Full:
+			took = a.Deadline - now
+		case ConnectFailed, Rejected:
 			took = fleetTick
 		}
 	default:
@@ -122,16 +122,16 @@
 			w.arrivals = append(w.arrivals, fleetArrival{now, r.told})
 		}
 		rate := w.day.capacity * w.present(now)
-		e.Outcome = Full
+		e.Outcome = Rejected
 		if left := w.served.level(now, rate, max(1, rate)); left >= 1 {
 			w.served.tokens--
-			e.Outcome, e.Settled = Delivered, true
+			e.Outcome, e.Final = Delivered, true
 		}
 		if w.day.reports {
-			e.Load = Load{Left: w.served.tokens / max(1, rate), Limit: w.day.capacity, Told: true}
+			e.Load = LoadReport{Remaining: w.served.tokens / max(1, rate), Limit: w.day.capacity, Present: true}
 		}
 	}
-	e.Took = took
+	e.Latency = took
 	return fleetCall{e, now + took}
 }
 
@@ -166,7 +166,7 @@
 		}
 	}
 	if r.timers = timers; due {
-		events = append(events, Event{Kind: EvTimer})
+		events = append(events, Event{Kind: EventTimer})
 	}
 	if len(events) == 0 {
 		return
@@ -174,11 +174,11 @@
 	r.now = now
 	for _, a := range r.step(events...) {
 		switch a.Kind {
-		case ActSend:
+		case ActionSend:
 			r.flights = append(r.flights, w.answer(r, now, a))
-		case ActTimer:
-			r.timers = append(r.timers, now+a.After)
-		case ActCancel:
+		case ActionTimer:
+			r.timers = append(r.timers, now+a.Delay)
+		case ActionCancel:
 			r.cancel(now, a)
 		}
 	}
@@ -188,14 +188,14 @@
 func (r *fleetRelay) cancel(now Time, a Action) {
 	for i := range r.flights {
 		if f := &r.flights[i]; f.event.Message == a.Message && f.event.Attempt == a.Attempt {
-			f.event.Outcome, f.event.Settled, f.due = Cancelled, false, now+fleetTick
+			f.event.Outcome, f.event.Final, f.due = Cancelled, false, now+fleetTick
 		}
 	}
 }
 
 // run plays the day.
 func (w *fleetWorld) run() {
-	for now := fleetStart; now < fleetBack+w.set.RampTime; now += fleetTick {
+	for now := fleetStart; now < fleetBack+w.set.SlowStartTime; now += fleetTick {
 		fresh := map[*fleetRelay]int{}
 		mean := w.day.load * w.day.capacity * float64(fleetTick) / float64(second)
 		for gap := w.rng.ExpFloat64(); gap < mean; gap += w.rng.ExpFloat64() {
@@ -229,12 +229,12 @@
 // chance. The budget goes by the capacity in the middle of that time, as a sum over it would. Where more is asked for
 // than the destination can do at all, chance comes on top of a queue at each relay: there it goes by the present one.
 func (w *fleetWorld) bound(to Time) float64 {
-	from := max(to-w.set.FallTime, fleetBack)
+	from := max(to-w.set.OverloadWindow, fleetBack)
 	at := from + (to-from)/2
 	if w.day.load > 1 {
 		at = to
 	}
-	budget := w.set.OverloadFactor * w.present(at) * w.day.capacity * float64(w.set.FallTime) / float64(second)
+	budget := w.set.OverloadFactor * w.present(at) * w.day.capacity * float64(w.set.OverloadWindow) / float64(second)
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
@@ -245,13 +245,13 @@
 		if a.told {
 			told++
 		}
-		for w.arrivals[first].at <= a.at-w.set.FallTime {
+		for w.arrivals[first].at <= a.at-w.set.OverloadWindow {
 			if w.arrivals[first].told {
 				told--
 			}
 			first++
 		}
-		x := fleetWindow{max(a.at-w.set.FallTime, fleetBack), a.at, i + 1 - first, told, w.bound(a.at)}
+		x := fleetWindow{max(a.at-w.set.OverloadWindow, fleetBack), a.at, i + 1 - first, told, w.bound(a.at)}
 		if worst.all == 0 || float64(x.all)/x.bound > float64(worst.all)/worst.bound {
 			worst = x
 		}
@@ -269,7 +269,7 @@
 func TestFleetStaysUnderTheFall(t *testing.T) {
 	for _, relays := range []int{20, 30, 300} {
 		for _, capacity := range []float64{3, 8, 25, 120} {
-			for i, outage := range []Outcome{Errored, TimedOut, NoConnect, Full} {
+			for i, outage := range []Outcome{Errored, TimedOut, ConnectFailed, Rejected} {
 				for k := range uint64(6) {
 					d := fleetDay{relays: relays, capacity: capacity, endpoints: 1 + (i+int(k))%2, load: []float64{0.5, 0.9, 1.3}[k/2],
 						reports: k%2 == 0, outage: outage, seed: 100 + k/2}
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -11,7 +11,7 @@
 // TestGuardsMatter takes one guard at a time out of a copy of the module and expects TestRules, or the named
 // test, to fail: the checker can tell, and no second path hides the loss.
 func TestGuardsMatter(t *testing.T) {
-	if os.Getenv("YEWSPAN_MUTANT") != "" {
+	if os.Getenv("POLICY_MUTANT") != "" {
 		t.Skip("a mutant does not mutate")
 	}
 	goTool, err := exec.LookPath("go")
@@ -22,14 +22,14 @@
 		{"none", "", "", ""},
 		{"drain", "ep.state != Ready || ep.lane", "ep.lane", "TestRules"},
 		{"wait", " || ep.lane.waitUntil > p.now || ", " || ", "TestRules"},
-		{"unsafe", "if m.doubtAt == 0 || m.class.Repeat == Safe {", "if m.doubtAt == 0 || m.class.Repeat != Keyed {", "TestRules"},
+		{"unsafe", "if m.doubtAt == 0 || m.class.Idempotency == Idempotent {", "if m.doubtAt == 0 || m.class.Idempotency != IdempotentByKey {", "TestRules"},
 		{"dedup window", " || p.now > p.repeatBy(m)", "", "TestRules"},
-		{"dedup zone", "m.class.ZoneOnly && ep.zone != m.doubtIn", "false", "TestRules"},
+		{"dedup zone", "perZone && ep.zone != m.doubtIn", "perZone && false", "TestRules"},
 		{"order", "l.turns[0] != m || ", "", "TestRules"},
 		{"rest of a key", "m.tries == 0 && l.rest > p.now", "false", "TestRules"},
 		{"answer in time", "p.now < m.deadline-p.margin() && (m.call", "(m.call", "TestRules"},
 		{"attempts", "p.set.MaxAttempts > 0 && m.tries >= p.set.MaxAttempts", "false", "TestRules"},
-		{"refusal", "return m.class.Repeat == Keyed && !m.class.ZoneOnly", "return m.class.Repeat == Keyed", "TestRules"},
+		{"refusal", "return m.class.Idempotency == IdempotentByKey && !m.class.DedupPerZone &&", "return m.class.Idempotency == IdempotentByKey &&", "TestRules"},
 		{"budget", "return ep.budget.level(p.now, rate, max(depth, ep.need)) >= ep.need", "return ep.budget.level(p.now, rate, max(depth, ep.need)) >= -99", "TestFailBackBudget"},
 		{"outage", "ep.sick || ep.score < scoreSick", "true", "TestPartialSuccessKeepsTheBudget"},
 		{"order behind spilled", "l.ahead() || ", "", "TestRulesWithBacklog"},
@@ -69,7 +69,7 @@
 			}
 			cmd := exec.Command(goTool, "test", "-vet=off", "-run", "^("+run+")$", ".")
 			cmd.Dir = dir
-			cmd.Env = append(os.Environ(), "YEWSPAN_MUTANT=1", "GOFLAGS=", "GOWORK=off")
+			cmd.Env = append(os.Environ(), "POLICY_MUTANT=1", "GOFLAGS=", "GOWORK=off")
 			out, err := cmd.CombinedOutput()
 			switch {
 			case m.old == "" && err != nil:
--- a/policy/least_test.go
+++ b/policy/least_test.go
@@ -24,8 +24,8 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		s := one()
-		s.Kinds = []Kind{{Batch: 1}, {Batch: 2, Apart: true}}
-		s.Slots, s.MaxHeld = 64, 0
+		s.Kinds = []DestinationKind{{MaxBatch: 1}, {MaxBatch: 2, SeparateRoutes: true}}
+		s.MaxCalls, s.MaxMessages = 64, 0
 		r := newSeededRig(t, s, seed)
 		var out []Action // sends that are not answered
 		for range 300 {
@@ -37,10 +37,10 @@
 				if rng.IntN(10) == 0 {
 					x.Kind = rng.IntN(2)
 				}
-				events = append(events, Event{Kind: EvList, List: ListChange, Entries: []Entry{x}})
+				events = append(events, Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: []Entry{x}})
 			case 1:
 				r.next++
-				events = append(events, Event{Kind: EvMessage, Message: r.next, Dest: rng.IntN(6), Left: 10 * second, Tenant: -1})
+				events = append(events, Event{Kind: EventMessage, Message: r.next, Dest: rng.IntN(6), TimeLeft: 10 * second, Tenant: -1})
 			default:
 				if len(out) == 0 {
 					break
@@ -50,8 +50,8 @@
 				out[at] = out[len(out)-1]
 				out = out[:len(out)-1]
 				if m := r.p.msgs[send.Message]; m != nil && m.call != nil {
-					events = append(events, Event{Kind: EvOutcome, Message: send.Message, Attempt: m.tries - 1, Endpoint: send.Endpoint,
-						Outcome: []Outcome{Delivered, Full, Errored}[rng.IntN(3)], Took: 1000, Load: Load{Told: true, Limit: float64(rng.IntN(4))}})
+					events = append(events, Event{Kind: EventAttemptDone, Message: send.Message, Attempt: m.tries - 1, Endpoint: send.Endpoint,
+						Outcome: []Outcome{Delivered, Rejected, Errored}[rng.IntN(3)], Latency: 1000, Load: LoadReport{Present: true, Limit: float64(rng.IntN(4))}})
 				}
 			}
 			r.now += Time(rng.IntN(200_000))
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -5,28 +5,28 @@
 // A message that an earlier process took on keeps its past: what may have run
 // goes out again only as its class allows, and its attempts count on.
 func TestResume(t *testing.T) {
-	set := Settings{Relays: 1, Slots: 8, MaxAttempts: 3, Tick: 5000, RatesListed: true, RetryAfter: true,
-		StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2, FallTime: 3 * second, Kinds: []Kind{{Batch: 1}},
+	set := Settings{Relays: 1, MaxCalls: 8, MaxAttempts: 3, Tick: 5000, ListedRates: true, RetryAfter: true,
+		SlowStartCapacity: 0.2, SlowStartTime: 10 * second, OverloadFactor: 2, OverloadWindow: 3 * second, Kinds: []DestinationKind{{MaxBatch: 1}},
 		Classes: []Class{
-			{Name: "safe", Aim: 2 * second, Deadline: 20 * second, Worth: 1, Repeat: Safe},
-			{Name: "keyed", Aim: 2 * second, Deadline: 20 * second, Worth: 1, Repeat: Keyed, DedupWindow: 5 * second},
-			{Name: "unsafe", Aim: 2 * second, Deadline: 20 * second, Worth: 1, Repeat: Unsafe}}}
+			{Name: "safe", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: Idempotent},
+			{Name: "keyed", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: IdempotentByKey, DedupWindow: 5 * second},
+			{Name: "unsafe", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent}}}
 	now := 100 * second
 	for name, x := range map[string]struct {
 		class, tries int
 		doubt, left  Time
 		want         ActionKind
 	}{
-		"new":                       {class: 2, left: 9 * second, want: ActSend},
-		"unsafe, may have run":      {class: 2, tries: 1, doubt: now - second, left: 9 * second, want: ActFail},
-		"unsafe, never ran":         {class: 2, tries: 2, left: 9 * second, want: ActSend},
-		"unsafe, never ran, used":   {class: 2, tries: 3, left: 9 * second, want: ActRefuse},
-		"keyed, in its window":      {class: 1, tries: 1, doubt: now - 2*second, left: 9 * second, want: ActSend},
-		"keyed, window over":        {class: 1, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActFail},
-		"safe, may have run":        {class: 0, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActSend},
-		"overdue":                   {class: 0, tries: 1, left: -second, want: ActRefuse},
-		"unsafe, overdue, in doubt": {class: 2, tries: 1, doubt: now - 6*second, left: -second, want: ActFail},
-		"overdue, never tried":      {class: 2, left: 0, want: ActRefuse},
+		"new":                       {class: 2, left: 9 * second, want: ActionSend},
+		"unsafe, may have run":      {class: 2, tries: 1, doubt: now - second, left: 9 * second, want: ActionFail},
+		"unsafe, never ran":         {class: 2, tries: 2, left: 9 * second, want: ActionSend},
+		"unsafe, never ran, used":   {class: 2, tries: 3, left: 9 * second, want: ActionReject},
+		"keyed, in its window":      {class: 1, tries: 1, doubt: now - 2*second, left: 9 * second, want: ActionSend},
+		"keyed, window over":        {class: 1, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActionFail},
+		"safe, may have run":        {class: 0, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActionSend},
+		"overdue":                   {class: 0, tries: 1, left: -second, want: ActionReject},
+		"unsafe, overdue, in doubt": {class: 2, tries: 1, doubt: now - 6*second, left: -second, want: ActionFail},
+		"overdue, never tried":      {class: 2, left: 0, want: ActionReject},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, err := New(set, 42)
@@ -34,26 +34,26 @@
 				t.Fatal(err)
 			}
 			actions := p.Step(now, []Event{
-				{Kind: EvList, List: ListFull, Entries: []Entry{{Endpoint: 7, Dest: 1, State: Ready, Rate: 20}}},
-				{Kind: EvMessage, Message: 1, Class: x.class, Dest: 1, Left: x.left, Tries: x.tries, DoubtAt: x.doubt},
+				{Kind: EventListUpdate, ListUpdate: ListFull, Entries: []Entry{{Endpoint: 7, Dest: 1, State: Ready, Rate: 20}}},
+				{Kind: EventMessage, Message: 1, Class: x.class, Dest: 1, TimeLeft: x.left, Attempts: x.tries, UnknownOutcomeAt: x.doubt},
 			}, nil)
 			var got []ActionKind
 			for _, a := range actions {
-				if a.Kind != ActTimer && a.Kind != ActLog {
+				if a.Kind != ActionTimer && a.Kind != ActionLog {
 					got = append(got, a.Kind)
 				}
 			}
 			if len(got) != 1 || got[0] != x.want {
 				t.Fatalf("actions %v, want %v", got, x.want)
 			}
-			if x.want != ActSend {
+			if x.want != ActionSend {
 				return
 			}
 			// The attempt counts on from those before: its outcome bears their number.
-			after := p.Step(now+second/10, []Event{{Kind: EvOutcome, Message: 1, Attempt: x.tries, Endpoint: 7,
-				Outcome: Delivered, Settled: true, Took: second / 10}}, nil)
+			after := p.Step(now+second/10, []Event{{Kind: EventAttemptDone, Message: 1, Attempt: x.tries, Endpoint: 7,
+				Outcome: Delivered, Final: true, Latency: second / 10}}, nil)
 			for _, a := range after {
-				if a.Kind != ActTimer && a.Kind != ActLog {
+				if a.Kind != ActionTimer && a.Kind != ActionLog {
 					t.Errorf("still to do: %v", a.Kind)
 				}
 			}
@@ -65,15 +65,15 @@
 // what then becomes of it goes by the outcome, as with a call of one's own.
 func TestResumeOut(t *testing.T) {
 	set := one()
-	set.Slots = 3
-	set.Classes = append(set.Classes, Class{Name: "once", Aim: 2 * second, Deadline: 20 * second, Worth: 1, Repeat: Unsafe})
+	set.MaxCalls = 3
+	set.Classes = append(set.Classes, Class{Name: "once", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent})
 	out := func(id uint32, at Time) Event {
-		return Event{Kind: EvMessage, Message: id, Class: 1, Left: 9 * second, Tries: 1, Out: 1, OutAt: at}
+		return Event{Kind: EventMessage, Message: id, Class: 1, TimeLeft: 9 * second, Attempts: 1, InFlightEndpoint: 1, InFlightSince: at}
 	}
 	for name, x := range map[string]struct {
 		outcome Outcome
 		want    ActionKind
-	}{"turned away": {Full, ActSend}, "may have run": {Cancelled, ActFail}} {
+	}{"turned away": {Rejected, ActionSend}, "may have run": {Cancelled, ActionFail}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, set, ready(1, 1000))
 			r.p.eps[1].lane.window = 8
@@ -82,15 +82,15 @@
 				t.Fatalf("%d calls, %d there: %+v", r.p.calls, r.p.eps[1].flying, acts)
 			}
 			for _, id := range []uint32{90, 91} {
-				r.step(Event{Kind: EvOutcome, Message: id, Endpoint: 1, Outcome: Delivered, Settled: true})
+				r.step(Event{Kind: EventAttemptDone, Message: id, Endpoint: 1, Outcome: Delivered, Final: true})
 			}
-			acts = r.step(Event{Kind: EvOutcome, Message: 92, Endpoint: 1, Outcome: x.outcome})
+			acts = r.step(Event{Kind: EventAttemptDone, Message: 92, Endpoint: 1, Outcome: x.outcome})
 			for range 40 {
 				if count(acts, x.want) > 0 {
 					break
 				}
 				r.now += second / 10
-				acts = r.step(Event{Kind: EvTimer})
+				acts = r.step(Event{Kind: EventTimer})
 			}
 			if count(acts, x.want) != 1 {
 				t.Errorf("want %v: %+v", x.want, acts)
@@ -104,7 +104,7 @@
 func TestRecall(t *testing.T) {
 	old := newRig(t, one(), ready(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10}, Entry{Endpoint: 3, Dest: 2, State: Ready})
 	old.step(old.message(0, 0))
-	old.step(Event{Kind: EvOutcome, Message: old.sends[0].Message, Endpoint: 1, Outcome: Full, Wait: 3 * second})
+	old.step(Event{Kind: EventAttemptDone, Message: old.sends[0].Message, Endpoint: 1, Outcome: Rejected, RetryAfter: 3 * second})
 	l := old.p.eps[2].lane
 	l.window, old.p.eps[2].sick, old.p.eps[2].badAt = 5, true, old.now-second
 	for range 6 {
@@ -114,7 +114,7 @@
 	const shift = 77 * second
 	r := newRig(t, one(), ready(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10})
 	r.now = old.now + shift
-	r.p.Recall(old.p.Memory(), shift)
+	r.p.Restore(old.p.Snapshot(), shift)
 	if got, want := r.p.eps[1].lane.waitUntil, old.p.eps[1].lane.waitUntil+shift; got != want {
 		t.Errorf("wait until %d, want %d", got, want)
 	}
@@ -129,7 +129,7 @@
 	if len(r.sends) != 0 {
 		t.Error("sent against a told wait")
 	}
-	if r.now = old.p.eps[1].lane.pauseUntil + shift + second; len(r.step(Event{Kind: EvTimer})) == 0 || len(r.sends) != 1 {
+	if r.now = old.p.eps[1].lane.pauseUntil + shift + second; len(r.step(Event{Kind: EventTimer})) == 0 || len(r.sends) != 1 {
 		t.Error("not sent after the wait")
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -41,7 +41,7 @@
 // dest is a destination: a queue, and a lane for each thing that limits it.
 type dest struct {
 	id      int
-	kind    Kind
+	kind    DestinationKind
 	kindAt  int // its place in the settings
 	lanes   []*lane
 	queue   []*message
@@ -174,20 +174,20 @@
 func (p *Policy) dest(id int) *dest {
 	at, ok := slices.BinarySearchFunc(p.dests, id, func(d *dest, id int) int { return d.id - id })
 	if !ok {
-		p.dests = slices.Insert(p.dests, at, &dest{id: id, kind: Kind{Batch: 1}})
+		p.dests = slices.Insert(p.dests, at, &dest{id: id, kind: DestinationKind{MaxBatch: 1}})
 	}
 	return p.dests[at]
 }
 
 // resume gives a message that an earlier process took on its past back. It may have nothing left but its end.
 func (p *Policy) resume(m *message, e *Event) {
-	if m.tries = e.Tries; m.tries > 0 {
+	if m.tries = e.Attempts; m.tries > 0 {
 		p.lookAt(p.now, m)
 	}
-	if e.DoubtAt > 0 {
-		p.doubt(m, e.DoubtAt, e.DoubtIn)
+	if e.UnknownOutcomeAt > 0 {
+		p.doubt(m, e.UnknownOutcomeAt, e.UnknownOutcomeZone)
 	}
-	if e.Out != 0 {
+	if e.InFlightEndpoint != 0 {
 		p.rejoin(m, e)
 	}
 }
@@ -196,16 +196,16 @@
 // were sent there at one moment share one. An endpoint that has left the list since has books of its own.
 func (p *Policy) rejoin(m *message, e *Event) {
 	for _, x := range p.live {
-		if c := x.call; c != nil && c.ep.id == e.Out && c.sent == e.OutAt {
+		if c := x.call; c != nil && c.ep.id == e.InFlightEndpoint && c.sent == e.InFlightSince {
 			m.call = c
 		}
 	}
 	if m.call == nil {
-		ep := p.eps[e.Out]
+		ep := p.eps[e.InFlightEndpoint]
 		if ep == nil {
-			ep = &endpoint{id: e.Out, lane: &lane{dest: m.dest, window: 1, boost: 1, hist: newCounter(historySpan, historyBins)}}
+			ep = &endpoint{id: e.InFlightEndpoint, lane: &lane{dest: m.dest, window: 1, boost: 1, hist: newCounter(historySpan, historyBins)}}
 		}
-		m.call = &call{ep: ep, sent: e.OutAt}
+		m.call = &call{ep: ep, sent: e.InFlightSince}
 		p.calls++
 		ep.flying++
 		ep.conns = max(ep.conns, ep.flying)
@@ -224,5 +224,5 @@
 }
 
 func (p *Policy) logf(format string, args ...any) {
-	p.act(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
+	p.act(Action{Kind: ActionLog, Text: fmt.Sprintf(format, args...)})
 }
--- a/policy/unmade_test.go
+++ b/policy/unmade_test.go
@@ -6,21 +6,21 @@
 // and blames nobody: however many there are, the message is sent once calls can be made,
 // soon, and meanwhile they come no closer than a moment apart.
 func TestUnmadeCalls(t *testing.T) {
-	for _, repeat := range []Repeat{Safe, Keyed, Unsafe} {
+	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
 		s := one()
 		s.MaxAttempts = 4
-		s.Classes[0].Repeat = repeat
+		s.Classes[0].Idempotency = repeat
 		r := newRig(t, s, ready(1, 10))
 		r.step(r.message(0, 0))
 		tries := 0
 		for until := r.now + 3*second; r.now < until; {
 			if len(r.sends) == 0 {
 				r.now += second / 100
-				r.step(Event{Kind: EvTimer})
+				r.step(Event{Kind: EventTimer})
 				continue
 			}
 			e := answer(r.sends[0], NotSent)
-			e.Unmade = true
+			e.LocalFailure = true
 			tries++
 			r.step(e)
 			if len(r.sends) > 0 {
@@ -39,7 +39,7 @@
 		cleared := r.now
 		for len(r.sends) == 0 && r.now < cleared+second {
 			r.now += second / 100
-			r.step(Event{Kind: EvTimer})
+			r.step(Event{Kind: EventTimer})
 		}
 		if len(r.sends) != 1 {
 			t.Fatalf("repeat %v: %d sends within a second", repeat, len(r.sends))
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -60,14 +60,14 @@
 
 func (c *checker) route(e Endpoint) string {
 	x := c.eps[e]
-	if c.set.Kinds[x.Kind].Apart {
+	if c.set.Kinds[x.Kind].SeparateRoutes {
 		return fmt.Sprintf("e%d", e)
 	}
 	return fmt.Sprintf("d%d", x.Dest)
 }
 
 func (c *checker) list(now Time, e Event) {
-	if e.List == ListFailed {
+	if e.ListUpdate == ListFailed {
 		return
 	}
 	seen := map[Endpoint]bool{}
@@ -80,7 +80,7 @@
 		}
 		c.eps[x.Endpoint] = x
 	}
-	if e.List == ListFull || e.List == ListCached {
+	if e.ListUpdate == ListFull || e.ListUpdate == ListCached {
 		for id := range c.eps {
 			if _, bad := c.badSince[id]; !seen[id] && !bad {
 				c.badSince[id] = now
@@ -90,9 +90,9 @@
 }
 
 func (c *checker) arrive(now Time, e Event, seq int) {
-	m := &heldMsg{class: e.Class, dest: e.Dest, key: e.Key, seq: seq, deadline: now + e.Left}
+	m := &heldMsg{class: e.Class, dest: e.Dest, key: e.Key, seq: seq, deadline: now + e.TimeLeft}
 	c.msgs[e.Message] = m
-	if c.set.Classes[e.Class].InOrder && e.Key != 0 {
+	if c.set.Classes[e.Class].Ordered && e.Key != 0 {
 		c.order[e.Key] = append(c.order[e.Key], e.Message)
 	}
 }
@@ -103,7 +103,7 @@
 	switch e.Outcome {
 	case Delivered:
 		m.done = true
-	case Errored, TimedOut, Reset, Cancelled:
+	case Errored, TimedOut, ConnectionReset, Cancelled:
 		if !m.doubt {
 			m.doubt = true
 			m.zone = c.eps[e.Endpoint].Zone
@@ -112,19 +112,19 @@
 	if !m.doubt {
 		m.firstDoubt = 0
 	}
-	if e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Cancelled {
-		c.rest[m.key] = max(c.rest[m.key], now+c.set.KeyRest)
+	if e.Outcome == TimedOut || e.Outcome == ConnectionReset || e.Outcome == Cancelled {
+		c.rest[m.key] = max(c.rest[m.key], now+c.set.KeyCooldown)
 	}
-	if e.Outcome == Full && e.Wait > 0 {
+	if e.Outcome == Rejected && e.RetryAfter > 0 {
 		r := c.route(e.Endpoint)
-		c.waits[r] = max(c.waits[r], now+e.Wait)
+		c.waits[r] = max(c.waits[r], now+e.RetryAfter)
 	}
 }
 
 func (c *checker) action(now Time, a Action) {
 	m := c.msgs[a.Message]
 	switch a.Kind {
-	case ActSend:
+	case ActionSend:
 		c.sends++
 		x, known := c.eps[a.Endpoint]
 		switch {
@@ -139,7 +139,7 @@
 			c.fault(now, "two attempts of %d at once", a.Message)
 		case !known || x.Dest != m.dest:
 			c.fault(now, "send of %d to an endpoint of another destination", a.Message)
-		case a.At > m.deadline:
+		case a.Deadline > m.deadline:
 			c.fault(now, "attempt of %d outlives its deadline", a.Message)
 		case c.set.MaxAttempts > 0 && m.tries >= c.set.MaxAttempts:
 			c.fault(now, "attempt %d of %d", m.tries, a.Message)
@@ -151,18 +151,18 @@
 			c.fault(now, "wait: send of %d to %d", a.Message, a.Endpoint)
 		}
 		cl := &c.set.Classes[m.class]
-		if m.doubt && cl.Repeat == Unsafe {
+		if m.doubt && cl.Idempotency == NonIdempotent {
 			c.fault(now, "unsafe %d sent again", a.Message)
 		}
-		if m.doubt && cl.Repeat == Keyed {
+		if m.doubt && cl.Idempotency == IdempotentByKey {
 			if now > m.firstDoubt+cl.DedupWindow {
 				c.fault(now, "keyed %d sent outside its window", a.Message)
 			}
-			if cl.ZoneOnly && x.Zone != m.zone {
+			if cl.DedupPerZone && x.Zone != m.zone {
 				c.fault(now, "keyed %d left its zone", a.Message)
 			}
 		}
-		if cl.InOrder && m.key != 0 {
+		if cl.Ordered && m.key != 0 {
 			for _, id := range c.order[m.key] {
 				o := c.msgs[id]
 				if o.seq < m.seq && (!o.done || o.out) {
@@ -178,29 +178,29 @@
 		}
 		m.tries++
 		m.out, m.at = true, a.Endpoint
-		c.flights = append(c.flights, flight{msg: a.Message, attempt: m.tries - 1, at: a.Endpoint, cut: a.At})
-	case ActRefuse, ActFail:
+		c.flights = append(c.flights, flight{msg: a.Message, attempt: m.tries - 1, at: a.Endpoint, cut: a.Deadline})
+	case ActionReject, ActionFail:
 		if m == nil || m.done || m.spilled {
 			c.fault(now, "second answer for %d", a.Message)
 			return
 		}
 		m.done = true
-		if now > m.deadline+c.set.AnswerSlack {
+		if now > m.deadline+c.set.ResponseSlack {
 			c.fault(now, "late answer for %d", a.Message)
 		}
-		if a.Kind == ActFail {
+		if a.Kind == ActionFail {
 			c.failed++
 			return
 		}
 		c.refused++
 		cl := &c.set.Classes[m.class]
 		open := m.doubt || m.out
-		if open && (cl.Repeat == Unsafe || cl.Repeat == Keyed && cl.ZoneOnly) {
+		if open && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.DedupPerZone) {
 			c.fault(now, "refused %d which may have run", a.Message)
 		}
-	case ActSpill:
+	case ActionSpill:
 		if m != nil && m.done && m.withdrawn { // in the same turn, after it was spilled
-			c.log.gone = append(c.log.gone, Event{Kind: EvWithdraw, Message: a.Message, Spilled: true, Dest: m.dest, Class: m.class, Key: m.key})
+			c.log.gone = append(c.log.gone, Event{Kind: EventWithdraw, Message: a.Message, Spilled: true, Dest: m.dest, Class: m.class, Key: m.key})
 			return
 		}
 		if m == nil || m.done || m.spilled || m.out {
@@ -209,11 +209,11 @@
 		}
 		m.spilled = true
 		c.log.spill(a)
-	case ActLoad:
+	case ActionLoad:
 		c.log.asked[a.Dest] += a.Count
-	case ActTimer:
-		c.timers = append(c.timers, flight{due: now + a.After})
-	case ActProbe:
+	case ActionTimer:
+		c.timers = append(c.timers, flight{due: now + a.Delay})
+	case ActionHealthCheck:
 		if now < c.waits[c.route(a.Endpoint)] {
 			c.fault(now, "wait: probe to %d", a.Endpoint)
 		}
@@ -226,13 +226,13 @@
 
 func (c *checker) finish(now Time) {
 	for id, m := range c.msgs {
-		if !m.done && now > m.deadline+c.set.AnswerSlack {
+		if !m.done && now > m.deadline+c.set.ResponseSlack {
 			c.fault(now, "no answer for %d", id)
 			m.done = true
 		}
 	}
 	n := len(c.flights)
-	if most := c.set.Slots; n > most*maxBatch(c.set) {
+	if most := c.set.MaxCalls; n > most*maxBatch(c.set) {
 		c.fault(now, "%d attempts out with %d slots", n, most)
 	}
 }
@@ -240,28 +240,28 @@
 func maxBatch(s Settings) int {
 	b := 1
 	for _, k := range s.Kinds {
-		b = max(b, k.Batch)
+		b = max(b, k.MaxBatch)
 	}
 	return b
 }
 
 // testSettings draws legal settings; every kind of class is among them.
 func testSettings(r *rand.Rand) Settings {
-	s := Settings{Relays: 1 + r.IntN(4), Slots: 1 + r.IntN(12), MaxHeld: r.IntN(80), MaxAttempts: r.IntN(9),
-		Halving: r.IntN(2) == 0, OverShareWorth: 0.2, RatesListed: r.IntN(2) == 0, Probes: r.IntN(2) == 0,
-		Cancels: r.IntN(2) == 0, RetryAfter: true, MaxRetryAfter: 2 * second, KeepAlive: 5 * second,
-		ConnectTimeout: second, Tick: 5000, AnswerSlack: 20000, DrainGrace: 0, StartCapacity: 0.2,
-		RampTime: 8 * second, OverloadFactor: 2, FallTime: 3 * second, KeyRest: second / 2,
-		Kinds:   []Kind{{Batch: 1 + r.IntN(4)}, {Apart: true, Batch: 1}},
+	s := Settings{Relays: 1 + r.IntN(4), MaxCalls: 1 + r.IntN(12), MaxMessages: r.IntN(80), MaxAttempts: r.IntN(9),
+		HalvingWeight: r.IntN(2) == 0, OverQuotaWeight: 0.2, ListedRates: r.IntN(2) == 0, HealthChecks: r.IntN(2) == 0,
+		Cancellation: r.IntN(2) == 0, RetryAfter: true, MaxRetryAfter: 2 * second, KeepAlive: 5 * second,
+		ConnectTimeout: second, Tick: 5000, ResponseSlack: 20000, DrainGrace: 0, SlowStartCapacity: 0.2,
+		SlowStartTime: 8 * second, OverloadFactor: 2, OverloadWindow: 3 * second, KeyCooldown: second / 2,
+		Kinds:   []DestinationKind{{MaxBatch: 1 + r.IntN(4)}, {SeparateRoutes: true, MaxBatch: 1}},
 		Tenants: []Tenant{{Name: "a", Quota: 3}, {Name: "b"}},
 		Classes: []Class{
-			{Name: "safe", Aim: second, Deadline: 6 * second, Worth: 1, LateWorth: 0.2},
-			{Name: "keyed", Aim: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3, Repeat: Keyed,
+			{Name: "safe", LatencyObjective: second, Deadline: 6 * second, Weight: 1, LateWeight: 0.2},
+			{Name: "keyed", LatencyObjective: 2 * second, Deadline: 9 * second, Weight: 2, LateWeight: 0.3, Idempotency: IdempotentByKey,
 				DedupWindow: 3 * second / 2},
-			{Name: "zoned", Aim: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3, Repeat: Keyed,
-				DedupWindow: 3 * second, ZoneOnly: true},
-			{Name: "unsafe", Aim: 2 * second, Deadline: 7 * second, Worth: 3, LateWorth: 0.3, Repeat: Unsafe},
-			{Name: "ordered", Aim: second, Deadline: 8 * second, Worth: 1, LateWorth: 0.3, InOrder: true},
+			{Name: "zoned", LatencyObjective: 2 * second, Deadline: 9 * second, Weight: 2, LateWeight: 0.3, Idempotency: IdempotentByKey,
+				DedupWindow: 3 * second, DedupPerZone: true},
+			{Name: "unsafe", LatencyObjective: 2 * second, Deadline: 7 * second, Weight: 3, LateWeight: 0.3, Idempotency: NonIdempotent},
+			{Name: "ordered", LatencyObjective: second, Deadline: 8 * second, Weight: 1, LateWeight: 0.3, Ordered: true},
 		}}
 	return s
 }
@@ -277,7 +277,7 @@
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 7))
 	set := testSettings(r)
-	set.MaxResident = resident
+	set.MaxResidentMessages = resident
 	p, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -293,7 +293,7 @@
 			Rate: 1 + 9*r.Float64()})
 	}
 	var events []Event
-	first := Event{Kind: EvList, List: ListCached, Entries: entries}
+	first := Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: entries}
 	c.list(now, first)
 	events = append(events, first)
 	bad := map[int]Outcome{} // destinations out at present
@@ -313,7 +313,7 @@
 			errs, s, re, f, n := c.errs, c.sends, c.refused, c.failed, c.loads
 			c = newChecker(set)
 			c.errs, c.sends, c.refused, c.failed, c.loads = errs, s, re, f, n
-			e := Event{Kind: EvList, List: ListCached, Entries: entries}
+			e := Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: entries}
 			c.list(now, e)
 			events = append(events, e)
 		}
@@ -321,33 +321,33 @@
 			i := r.IntN(len(entries))
 			entries = append([]Entry(nil), entries...)
 			entries[i].State = Readiness(r.IntN(3))
-			e := Event{Kind: EvList, List: ListChange, Entries: entries[i : i+1]}
+			e := Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: entries[i : i+1]}
 			switch r.IntN(4) {
 			case 0:
-				e = Event{Kind: EvList, List: ListFull}
+				e = Event{Kind: EventListUpdate, ListUpdate: ListFull}
 				for _, x := range entries {
-					if x.State != Gone {
+					if x.State != Removed {
 						e.Entries = append(e.Entries, x)
 					}
 				}
 			case 1:
-				e = Event{Kind: EvList, List: ListFailed}
+				e = Event{Kind: EventListUpdate, ListUpdate: ListFailed}
 			}
-			if e.List == ListFailed {
+			if e.ListUpdate == ListFailed {
 				entries[i].State = c.stateOf(entries[i].Endpoint)
 			}
 			c.list(now, e)
 			events = append(events, e)
 		}
 		if r.IntN(40) == 0 {
-			bad[r.IntN(4)] = []Outcome{Errored, TimedOut, NoConnect, Full, Delivered}[r.IntN(5)]
+			bad[r.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[r.IntN(5)]
 		}
 		for range r.IntN(4) {
-			e := Event{Kind: EvMessage, Message: next, Class: r.IntN(len(set.Classes)), Dest: r.IntN(5), Tenant: r.IntN(3)}
-			if set.Classes[e.Class].InOrder {
+			e := Event{Kind: EventMessage, Message: next, Class: r.IntN(len(set.Classes)), Dest: r.IntN(5), Tenant: r.IntN(3)}
+			if set.Classes[e.Class].Ordered {
 				e.Key = uint64(r.IntN(3))
 			}
-			e.Left = Time(float64(set.Classes[e.Class].Deadline) * (0.05 + 0.95*r.Float64()))
+			e.TimeLeft = Time(float64(set.Classes[e.Class].Deadline) * (0.05 + 0.95*r.Float64()))
 			seq++
 			next++
 			c.arrive(now, e, seq)
@@ -360,44 +360,44 @@
 				still = append(still, f)
 				continue
 			}
-			e := Event{Kind: EvOutcome, Message: f.msg, Attempt: f.attempt, Endpoint: f.at, Took: second / 5}
+			e := Event{Kind: EventAttemptDone, Message: f.msg, Attempt: f.attempt, Endpoint: f.at, Latency: second / 5}
 			switch {
 			case f.cut <= now:
 				e.Outcome = TimedOut
 			case r.IntN(5) == 0:
-				e.Outcome = Outcome(r.IntN(int(numOutcome)))
+				e.Outcome = Outcome(r.IntN(int(outcomeCount)))
 			default:
 				e.Outcome = bad[c.msgs[f.msg].dest]
 			}
-			if e.Outcome == Full && r.IntN(2) == 0 {
-				e.Wait = Time(r.Int64N(int64(3 * second)))
+			if e.Outcome == Rejected && r.IntN(2) == 0 {
+				e.RetryAfter = Time(r.Int64N(int64(3 * second)))
 			}
-			e.Settled = c.msgs[f.msg].done || e.Outcome == Delivered
+			e.Final = c.msgs[f.msg].done || e.Outcome == Delivered
 			if r.IntN(2) == 0 {
-				e.Load = Load{Left: r.Float64(), Limit: 10 * r.Float64()}
+				e.Load = LoadReport{Remaining: r.Float64(), Limit: 10 * r.Float64()}
 			}
 			c.resolved(now, e)
 			events = append(events, e)
 			if r.IntN(20) == 0 { // repeated, and about what was never sent
-				events = append(events, e, Event{Kind: EvOutcome, Message: next + 9, Endpoint: 5})
+				events = append(events, e, Event{Kind: EventAttemptDone, Message: next + 9, Endpoint: 5})
 			}
 		}
 		c.flights = still
 		for _, ep := range c.probes {
-			events = append(events, Event{Kind: EvProbed, Endpoint: ep, Outcome: Outcome(r.IntN(int(numOutcome)))})
+			events = append(events, Event{Kind: EventHealthChecked, Endpoint: ep, Outcome: Outcome(r.IntN(int(outcomeCount)))})
 		}
 		c.probes = nil
 		if r.IntN(50) == 0 && next > 1 {
 			id := next - 1
 			if m := c.msgs[id]; m != nil && !m.done && !m.spilled {
 				m.done, m.withdrawn = true, true
-				events = append(events, Event{Kind: EvWithdraw, Message: id})
+				events = append(events, Event{Kind: EventWithdraw, Message: id})
 			}
 		}
 		var later []flight
 		for _, tm := range c.timers {
 			if tm.due <= now {
-				events = append(events, Event{Kind: EvTimer})
+				events = append(events, Event{Kind: EventTimer})
 			} else {
 				later = append(later, tm)
 			}
@@ -416,7 +416,7 @@
 		then = min(then, max(f.cut, now+1))
 	}
 	for _, a := range c.log.entries {
-		then = min(then, max(a.At, now+1))
+		then = min(then, max(a.Deadline, now+1))
 	}
 	return then
 }
