--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -39,11 +39,11 @@
 
 // queue is the backlog of one destination.
 type queue struct {
-	dest  int
-	place int     // in Store.due
-	heap  []Entry // by At
-	line  []Entry // those in order, first in, first out
-	least []int64 // At of each of line that is less than all behind it
+	dest       int
+	heapIndex  int     // in Store.due
+	heap       []Entry // by At
+	fifo       []Entry // those in order, first in, first out
+	fifoMinima []int64 // At of each of line that is less than all behind it
 }
 
 // Len is how many messages there are.
@@ -52,7 +52,7 @@
 // CountFor is how many there are of one destination.
 func (s *Store) CountFor(dest int) int {
 	if q := s.queues[dest]; q != nil {
-		return len(q.heap) + len(q.line)
+		return len(q.heap) + len(q.fifo)
 	}
 	return 0
 }
@@ -62,7 +62,7 @@
 	if len(s.due) == 0 {
 		return 0, false
 	}
-	return s.due[0].next(), true
+	return s.due[0].nextDue(), true
 }
 
 // Add takes an entry in.
@@ -72,123 +72,123 @@
 		if s.queues == nil {
 			s.queues = map[int]*queue{}
 		}
-		q = &queue{dest: dest, place: len(s.due)}
+		q = &queue{dest: dest, heapIndex: len(s.due)}
 		s.queues[dest] = q
 		s.due = append(s.due, q)
 	}
 	q.add(e)
 	s.count++
-	s.settle(q)
+	s.fixHeap(q)
 }
 
 // TakeDue takes out what has to be back by now, the earliest first, at most so many, with what was in order before
 // it.
-func (s *Store) TakeDue(now int64, most int) (items []Item) {
-	for len(items) < most && len(s.due) > 0 && s.due[0].next() <= now {
+func (s *Store) TakeDue(now int64, limit int) (items []Item) {
+	for len(items) < limit && len(s.due) > 0 && s.due[0].nextDue() <= now {
 		q := s.due[0]
 		var e Entry
-		if len(q.heap) > 0 && q.heap[0].LoadBy == q.next() {
-			e = q.pop()
+		if len(q.heap) > 0 && q.heap[0].LoadBy == q.nextDue() {
+			e = q.popHeap()
 		} else {
-			e = q.shift()
+			e = q.popFIFO()
 		}
 		items = append(items, Item{e, q.dest})
-		s.took(q)
+		s.afterRemove(q)
 	}
 	return items
 }
 
 // Take takes out the earliest of a destination, at most so many.
-func (s *Store) Take(dest, most int) (items []Item) {
+func (s *Store) Take(dest, limit int) (items []Item) {
 	q := s.queues[dest]
-	for q != nil && len(items) < most && len(q.heap)+len(q.line) > 0 {
+	for q != nil && len(items) < limit && len(q.heap)+len(q.fifo) > 0 {
 		var e Entry
-		if len(q.line) > 0 && (len(q.heap) == 0 || q.line[0].LoadBy <= q.heap[0].LoadBy) {
-			e = q.shift()
+		if len(q.fifo) > 0 && (len(q.heap) == 0 || q.fifo[0].LoadBy <= q.heap[0].LoadBy) {
+			e = q.popFIFO()
 		} else {
-			e = q.pop()
+			e = q.popHeap()
 		}
 		items = append(items, Item{e, dest})
-		s.took(q)
+		s.afterRemove(q)
 	}
 	return items
 }
 
-// took books that a queue has one less.
-func (s *Store) took(q *queue) {
+// afterRemove books that a queue has one less.
+func (s *Store) afterRemove(q *queue) {
 	s.count--
-	s.settle(q)
-	if len(q.heap)+len(q.line) > 0 {
+	s.fixHeap(q)
+	if len(q.heap)+len(q.fifo) > 0 {
 		return
 	}
-	hole, last := q.place, len(s.due)-1
-	s.swap(hole, last)
+	index, last := q.heapIndex, len(s.due)-1
+	s.swap(index, last)
 	s.due[last] = nil
-	if s.due = s.due[:last]; hole < last {
-		s.settle(s.due[hole])
+	if s.due = s.due[:last]; index < last {
+		s.fixHeap(s.due[index])
 	}
 	delete(s.queues, q.dest)
 }
 
-// settle moves a queue to its place among all.
-func (s *Store) settle(q *queue) {
-	for q.place > 0 && q.next() < s.due[(q.place-1)/2].next() {
-		s.swap(q.place, (q.place-1)/2)
+// fixHeap moves a queue to its place among all.
+func (s *Store) fixHeap(q *queue) {
+	for q.heapIndex > 0 && q.nextDue() < s.due[(q.heapIndex-1)/2].nextDue() {
+		s.swap(q.heapIndex, (q.heapIndex-1)/2)
 	}
 	for {
-		child := 2*q.place + 1
-		if child+1 < len(s.due) && s.due[child+1].next() < s.due[child].next() {
+		child := 2*q.heapIndex + 1
+		if child+1 < len(s.due) && s.due[child+1].nextDue() < s.due[child].nextDue() {
 			child++
 		}
-		if child >= len(s.due) || s.due[child].next() >= q.next() {
+		if child >= len(s.due) || s.due[child].nextDue() >= q.nextDue() {
 			return
 		}
-		s.swap(q.place, child)
+		s.swap(q.heapIndex, child)
 	}
 }
 
 func (s *Store) swap(a, b int) {
 	s.due[a], s.due[b] = s.due[b], s.due[a]
-	s.due[a].place, s.due[b].place = a, b
+	s.due[a].heapIndex, s.due[b].heapIndex = a, b
 }
 
-func (q *queue) next() int64 {
+func (q *queue) nextDue() int64 {
 	at := int64(math.MaxInt64)
 	if len(q.heap) > 0 {
 		at = q.heap[0].LoadBy
 	}
-	if len(q.least) > 0 {
-		at = min(at, q.least[0])
+	if len(q.fifoMinima) > 0 {
+		at = min(at, q.fifoMinima[0])
 	}
 	return at
 }
 
 func (q *queue) add(e Entry) {
 	if e.Flags&Ordered == 0 {
-		q.push(e)
+		q.pushHeap(e)
 		return
 	}
-	q.line = append(q.line, e)
-	for len(q.least) > 0 && q.least[len(q.least)-1] > e.LoadBy {
-		q.least = q.least[:len(q.least)-1]
+	q.fifo = append(q.fifo, e)
+	for len(q.fifoMinima) > 0 && q.fifoMinima[len(q.fifoMinima)-1] > e.LoadBy {
+		q.fifoMinima = q.fifoMinima[:len(q.fifoMinima)-1]
 	}
-	q.least = append(q.least, e.LoadBy)
+	q.fifoMinima = append(q.fifoMinima, e.LoadBy)
 }
 
-// shift takes the first out of the line.
-func (q *queue) shift() Entry {
-	e := q.line[0]
-	if q.least[0] == e.LoadBy {
-		q.least = q.least[1:]
+// popFIFO takes the first out of the line.
+func (q *queue) popFIFO() Entry {
+	e := q.fifo[0]
+	if q.fifoMinima[0] == e.LoadBy {
+		q.fifoMinima = q.fifoMinima[1:]
 	}
-	q.line = q.line[1:]
-	if len(q.line) == 0 {
-		q.line, q.least = nil, nil
+	q.fifo = q.fifo[1:]
+	if len(q.fifo) == 0 {
+		q.fifo, q.fifoMinima = nil, nil
 	}
 	return e
 }
 
-func (q *queue) push(e Entry) {
+func (q *queue) pushHeap(e Entry) {
 	q.heap = append(q.heap, e)
 	for i := len(q.heap) - 1; i > 0; {
 		up := (i - 1) / 2
@@ -200,9 +200,9 @@
 	}
 }
 
-const spareLeast = 1024 // entries of a slice that are not worth giving back
+const minShrinkCapacity = 1024 // entries of a slice that are not worth giving back
 
-func (q *queue) pop() Entry {
+func (q *queue) popHeap() Entry {
 	e := q.heap[0]
 	last := len(q.heap) - 1
 	q.heap[0] = q.heap[last]
@@ -218,7 +218,7 @@
 		q.heap[i], q.heap[child] = q.heap[child], q.heap[i]
 		i = child
 	}
-	if cap(q.heap) > spareLeast && 4*len(q.heap) < cap(q.heap) {
+	if cap(q.heap) > minShrinkCapacity && 4*len(q.heap) < cap(q.heap) {
 		q.heap = append(make([]Entry, 0, 2*len(q.heap)), q.heap...)
 	}
 	return e
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -11,43 +11,43 @@
 
 // Attempts: from what the policy wants sent to the outcomes that it hears.
 
-// notSent tells the policy of an attempt that never left. The loop comes by
+// reportNotSent tells the policy of an attempt that never left. The loop comes by
 // again for it.
-func (r *Relay) notSent(m *message, ep *endpoint) {
+func (r *Relay) reportNotSent(m *message, ep *endpoint) {
 	u := &unsent{m: m}
 	if ep != nil {
 		u.ep = ep.num
 	}
-	r.in.Put(happening{unsent: u})
+	r.mailbox.Put(happening{unsent: u})
 }
 
-// gather puts a send with those that the policy makes in the same call, as many
+// addToBatch puts a send with those that the policy makes in the same call, as many
 // as a call there may carry. Two calls of one step stay two: each has an end of
 // its own, and the messages of one must not wait for those of the other.
-func (r *Relay) gather(m *message, a *policy.Action) {
-	ep := r.byNum[a.Endpoint]
+func (r *Relay) addToBatch(m *message, a *policy.Action) {
+	ep := r.endpointsByNumber[a.Endpoint]
 	if ep == nil {
-		r.notSent(m, nil)
+		r.reportNotSent(m, nil)
 		return
 	}
 	size := framed(m.rec)
 	for _, b := range r.batches {
 		if b.ep == ep && b.num == a.Call && len(b.sends) < ep.batch && b.bytes+size <= bodyMost {
 			b.sends, b.bytes = append(b.sends, send{m, a.Deadline, a.SendBy}), b.bytes+size
-			m.pending = b
+			m.pendingBatch = b
 			return
 		}
 	}
 	b := &batch{ep: ep, num: a.Call, sends: []send{{m, a.Deadline, a.SendBy}}, bytes: size}
-	m.pending = b
+	m.pendingBatch = b
 	r.batches = append(r.batches, b)
 }
 
-// launch logs the attempts of a batch and then makes its call, unless a client
+// startBatch logs the attempts of a batch and then makes its call, unless a client
 // has yet to hear of its message: what was not taken on must not go out.
-func (r *Relay) launch(b *batch) {
+func (r *Relay) startBatch(b *batch) {
 	for _, s := range b.sends {
-		if !s.m.heard {
+		if !s.m.isAcknowledged {
 			return
 		}
 	}
@@ -59,20 +59,20 @@
 	limit := policy.Time(0)
 	for _, s := range slices.Clone(b.sends) {
 		m := s.m
-		if r.shelve(m) {
+		if r.isTooLateToSend(m) {
 			continue // it stays pending
 		}
-		m.pending = nil
+		m.pendingBatch = nil
 		b.remove(m)
-		if ep.gone || ep.cell != m.rec.Dest || ep.waitOver > now || s.at <= now || s.by != 0 && s.by <= now || m.over {
-			r.notSent(m, ep)
+		if ep.gone || ep.cell != m.rec.Dest || ep.waitOver > now || s.timeoutAt <= now || s.sendBy != 0 && s.sendBy <= now || m.isCompleted {
+			r.reportNotSent(m, ep)
 			continue
 		}
-		c.parts = append(c.parts, part{m: m, attempt: m.tries - 1})
-		if by := r.moment(s.by); s.by != 0 && (c.by.IsZero() || by.Before(c.by)) {
+		c.parts = append(c.parts, part{m: m, attempt: m.attempts - 1})
+		if by := r.processTime(s.sendBy); s.sendBy != 0 && (c.by.IsZero() || by.Before(c.by)) {
 			c.by = by
 		}
-		limit = max(limit, s.at-now) // one connection: it stands until the last of them gives up
+		limit = max(limit, s.timeoutAt-now) // one connection: it stands until the last of them gives up
 		m.call = c
 	}
 	if len(c.parts) == 0 {
@@ -80,14 +80,14 @@
 		return
 	}
 	ep.calls[c] = true
-	r.calls++
+	r.callsInFlight++
 	r.pool.use(ep)
-	r.sendOff(c, time.Duration(limit)*time.Microsecond)
+	r.logAndRun(c, time.Duration(limit)*time.Microsecond)
 }
 
-// sendOff has the attempts of a call logged. On the log's goroutine, once the
+// logAndRun has the attempts of a call logged. On the log's goroutine, once the
 // last of them is, the call is begun with those that could be.
-func (r *Relay) sendOff(c *call, limit time.Duration) {
+func (r *Relay) logAndRun(c *call, limit time.Duration) {
 	addr, at := c.ep.hostPort, r.logTime(r.now())
 	results := make([]outcome, len(c.parts))
 	var recs []*wal.Record // what could be logged, and so goes out
@@ -96,20 +96,20 @@
 		if len(recs) > 0 {
 			c.wrote = func() {
 				for _, i := range place {
-					r.fig.written(c.parts[i].m.class)
+					r.metrics.countWritten(c.parts[i].m.class)
 				}
 			}
-			for i, o := range c.run(c.conns, addr, recs, limit, r.cfg.loads) {
+			for i, o := range c.run(c.conns, addr, recs, limit, r.cfg.loadFields) {
 				results[place[i]] = o
 			}
 		}
 		c.stop(nil)
-		r.in.Put(happening{call: c, results: results})
+		r.mailbox.Put(happening{call: c, results: results})
 	}
 	last := len(c.parts) - 1
 	for i := range c.parts {
 		rec := c.parts[i].m.rec
-		r.wal.Submit(&wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.ep.zone, Endpoint: c.ep.id, Process: r.owner.by, Sync: r.unsafe(rec)}, func(err error) {
+		r.wal.Submit(&wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.ep.zone, Endpoint: c.ep.id, Process: r.ownership.process, Sync: r.isNonIdempotent(rec)}, func(err error) {
 			if err != nil {
 				results[i] = outcome{what: policy.NotSent, err: err, unsaved: true, unmade: true}
 			} else {
@@ -122,10 +122,10 @@
 	}
 }
 
-// finished books the end of a call.
-func (r *Relay) finished(c *call, results []outcome) {
+// finishCall books the end of a call.
+func (r *Relay) finishCall(c *call, results []outcome) {
 	delete(c.ep.calls, c)
-	r.calls--
+	r.callsInFlight--
 	if c.stale {
 		return
 	}
@@ -135,7 +135,7 @@
 		r.idle.book(o.idle, reset, now)
 	}
 	if o.wait > 0 {
-		r.toldWait(c.ep, o.wait)
+		r.applyRetryAfter(c.ep, o.wait)
 	}
 	if c.ep.suspect(o, now) {
 		c.ep.conns.CloseIdleConnections()
@@ -146,35 +146,35 @@
 	for i := range c.parts {
 		p := &c.parts[i]
 		p.m.call = nil
-		r.attempted(p.m, c.ep, p.attempt, &results[i])
+		r.finishAttempt(p.m, c.ep, p.attempt, &results[i])
 	}
 }
 
-// attempted books the end of an attempt.
-func (r *Relay) attempted(m *message, ep *endpoint, attempt int, o *outcome) {
+// finishAttempt books the end of an attempt.
+func (r *Relay) finishAttempt(m *message, ep *endpoint, attempt int, o *outcome) {
 	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: attempt, Outcome: o.what, RetryAfter: o.wait,
-		CallsExhausted: o.slots, LocalFailure: o.unmade, Final: o.settled || m.over, Latency: o.took, Load: o.load, NewConnection: o.fresh}
+		CallsExhausted: o.slots, LocalFailure: o.unmade, Final: o.settled || m.isCompleted, Latency: o.took, Load: o.load, NewConnection: o.fresh}
 	if ep != nil {
 		e.Endpoint = ep.num
 	}
 	if o.unmade {
-		m.tries--
-		r.fig.unmade.Add(1)
+		m.attempts--
+		r.metrics.localFailures.Add(1)
 	}
 	if o.what != policy.Delivered || o.wait > 0 {
-		r.doubtCell(m.rec.Dest)
+		r.checkAvailabilityOfCell(m.rec.Dest)
 	}
-	r.events = append(r.events, e)
+	r.policyEvents = append(r.policyEvents, e)
 	if o.what != policy.Delivered {
 		r.log.Info("attempt", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
 			"attempt", attempt, "outcome", int(o.what), "status", o.status, "took_ms", o.took/1000,
-			"idle_ms", o.idle.Milliseconds(), "age_ms", time.Since(m.taken).Milliseconds(), "err", o.err)
+			"idle_ms", o.idle.Milliseconds(), "age_ms", time.Since(m.receivedAt).Milliseconds(), "err", o.err)
 	}
 	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: !o.what.NeverRan(), LocalFailure: o.unmade}
 	if o.settled {
 		rec.Kind = wal.KindCompleted
 	}
-	if r.owner.passed { // the policy that is to know is another's
+	if r.ownership.isTransferred { // the policy that is to know is another's
 		rec.OutcomeCode, rec.Latency, rec.CallsExhausted = uint8(o.what), o.took, o.slots
 		if o.wait > 0 {
 			rec.RetryAt = r.logTime(r.now() + o.wait)
@@ -183,39 +183,39 @@
 	if !o.unsaved {
 		r.wal.Submit(rec, nil)
 	}
-	if o.settled && !m.over {
+	if o.settled && !m.isCompleted {
 		if o.what == policy.Delivered {
-			r.fig.delivered(m.class)
+			r.metrics.countDelivered(m.class)
 		}
-		m.over = true
-		r.drop(m)
+		m.isCompleted = true
+		r.forgetMessage(m)
 		return
 	}
-	if m.over {
-		delete(r.msgs, m.num)
-	} else if r.owner.passed && !m.away {
-		m.away = true
-		r.held--
-		r.forgetDue(m)
+	if m.isCompleted {
+		delete(r.messages, m.num)
+	} else if r.ownership.isTransferred && !m.isTransferred {
+		m.isTransferred = true
+		r.pending--
+		r.clearDeadline(m)
 	}
 }
 
-// shelve reports whether a call of a message is no longer begun, since the
+// isTooLateToSend reports whether a call of a message is no longer begun, since the
 // process will not be there for its end. The policy goes on to hold it to be
 // out; the next process takes the message up from the log.
-func (r *Relay) shelve(m *message) bool {
-	if r.stopAt.IsZero() {
+func (r *Relay) isTooLateToSend(m *message) bool {
+	if r.stoppedAt.IsZero() {
 		return false
 	}
-	last := stopSends
-	if r.unsafe(m.rec) {
-		last = stopUnsafe
+	last := stopCallsAfter
+	if r.isNonIdempotent(m.rec) {
+		last = stopUnsafeCallsAfter
 	}
-	return time.Since(r.stopAt) >= last
+	return time.Since(r.stoppedAt) >= last
 }
 
-// unsafe reports whether a message may not have its effect twice.
-func (r *Relay) unsafe(rec *wal.Record) bool {
+// isNonIdempotent reports whether a message may not have its effect twice.
+func (r *Relay) isNonIdempotent(rec *wal.Record) bool {
 	i, ok := r.cfg.classes[rec.Class]
 	return ok && r.cfg.Policy.Classes[i].Idempotency == policy.NonIdempotent
 }
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -392,19 +392,19 @@
 
 // turn carries out what has happened to a relay without a loop.
 func (r *Relay) turn() {
-	for _, h := range r.in.TakeAll(nil) {
+	for _, h := range r.mailbox.TakeAll(nil) {
 		r.take(h)
 	}
-	if r.ring(); len(r.events) > 0 {
-		r.step()
+	if r.fireTimers(); len(r.policyEvents) > 0 {
+		r.stepPolicy()
 	}
-	r.load()
+	r.loadSpilled()
 }
 
 // handIn takes a message on as the loop and its client do together.
 func handIn(t *testing.T, r *Relay, id string, dest int, left policy.Time) *request {
 	q := &request{class: 0, tenant: 0, rec: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, at: time.Now(), left: time.Duration(left) * time.Microsecond, reply: make(chan string, 1)}
-	r.in.Put(happening{put: q})
+	r.mailbox.Put(happening{put: q})
 	return q
 }
 
@@ -452,7 +452,7 @@
 					if s != replyOK {
 						t.Fatal(s)
 					}
-					r.in.Put(happening{said: q, ok: true})
+					r.mailbox.Put(happening{said: q, ok: true})
 					return true
 				default:
 					return false
@@ -460,11 +460,11 @@
 			})
 		}
 	}
-	waitFor(t, "the backlog", func() bool { r.turn(); return len(r.msgs) <= 1000 })
+	waitFor(t, "the backlog", func() bool { r.turn(); return len(r.messages) <= 1000 })
 	per := float64(heap()-before) / n
-	t.Logf("%.0f bytes a message held, %d of %d in memory", per, len(r.msgs), n)
-	if per > 130 || r.held != n || len(r.msgs)+r.spills.count() != n || len(r.ids) > 1000 {
-		t.Errorf("%.0f bytes a message; %d held, %d known, %d spilled", per, r.held, len(r.msgs), r.spills.count())
+	t.Logf("%.0f bytes a message held, %d of %d in memory", per, len(r.messages), n)
+	if per > 130 || r.pending != n || len(r.messages)+r.spilled.count() != n || len(r.messagesByID) > 1000 {
+		t.Errorf("%.0f bytes a message; %d held, %d known, %d spilled", per, r.pending, len(r.messages), r.spilled.count())
 	}
 	runtime.KeepAlive(r)
 }
@@ -483,20 +483,20 @@
 			t.Fatal(s)
 		}
 	}
-	if r.turn(); len(r.msgs) != 3 || r.spills.count() != 0 {
-		t.Fatalf("%d in memory, %d spilled before any client has heard", len(r.msgs), r.spills.count())
+	if r.turn(); len(r.messages) != 3 || r.spilled.count() != 0 {
+		t.Fatalf("%d in memory, %d spilled before any client has heard", len(r.messages), r.spilled.count())
 	}
-	r.in.Put(happening{said: qs[1], ok: true})
-	r.in.Put(happening{said: qs[2]})
-	if r.turn(); len(r.msgs) != 1 || r.spills.count() != 1 || r.held != 2 || r.ids["m1"] != nil || r.ids["m2"] != nil {
-		t.Fatalf("%d in memory, %d spilled, %d held", len(r.msgs), r.spills.count(), r.held)
+	r.mailbox.Put(happening{said: qs[1], ok: true})
+	r.mailbox.Put(happening{said: qs[2]})
+	if r.turn(); len(r.messages) != 1 || r.spilled.count() != 1 || r.pending != 2 || r.messagesByID["m1"] != nil || r.messagesByID["m2"] != nil {
+		t.Fatalf("%d in memory, %d spilled, %d held", len(r.messages), r.spilled.count(), r.pending)
 	}
 	// The policy knows of that, too: once nothing is spilled it asks for nothing.
-	r.events = append(r.events, policy.Event{Kind: policy.EventWithdraw, Message: 1})
-	waitFor(t, "the one that is left", func() bool { r.turn(); return r.ids["m1"] != nil })
-	r.events = append(r.events, policy.Event{Kind: policy.EventWithdraw, Message: r.ids["m1"].num})
-	if r.turn(); len(r.spills.asked) != 0 || r.spills.count() != 0 {
-		t.Errorf("%d spilled, asked for %v", r.spills.count(), r.spills.asked)
+	r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventWithdraw, Message: 1})
+	waitFor(t, "the one that is left", func() bool { r.turn(); return r.messagesByID["m1"] != nil })
+	r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventWithdraw, Message: r.messagesByID["m1"].num})
+	if r.turn(); len(r.spilled.requested) != 0 || r.spilled.count() != 0 {
+		t.Errorf("%d spilled, asked for %v", r.spilled.count(), r.spilled.requested)
 	}
 }
 
@@ -505,21 +505,21 @@
 func TestBacklogUnreadable(t *testing.T) {
 	r := boundRelay(t, 1)
 	r.notices = discovery.NewNotices(discoverytest.New(t).Addr(), quietLog(), func(string) {})
-	r.held = 2
+	r.pending = 2
 	item := backlog.Item{Entry: backlog.Entry{LoadBy: 1, Index: 9}, Dest: 7}
-	r.back(&loaded{r.wal, []backlog.Item{item, item}, []*wal.Record{{}, {ID: "m", Class: "plain", Dest: 7, Corrupted: true}}})
-	if len(r.spills.failed) != 1 || r.spills.asked[7] != 1 || r.held != 1 {
-		t.Errorf("%d to be tried again, asked for %v, %d held", len(r.spills.failed), r.spills.asked, r.held)
+	r.readmitLoaded(&spilledLoadedEvent{r.wal, []backlog.Item{item, item}, []*wal.Record{{}, {ID: "m", Class: "plain", Dest: 7, Corrupted: true}}})
+	if len(r.spilled.unreadable) != 1 || r.spilled.requested[7] != 1 || r.pending != 1 {
+		t.Errorf("%d to be tried again, asked for %v, %d held", len(r.spilled.unreadable), r.spilled.requested, r.pending)
 	}
-	if wait := r.spills.wait(r.now()); wait > time.Second || wait < 500*time.Millisecond {
+	if wait := r.spilled.untilNext(r.now()); wait > time.Second || wait < 500*time.Millisecond {
 		t.Errorf("tried again in %v", wait)
 	}
-	if r.retryAll(); r.spills.store.Len() != 1 {
-		t.Errorf("%d in the store", r.spills.store.Len())
+	if r.retryAll(); r.spilled.store.Len() != 1 {
+		t.Errorf("%d in the store", r.spilled.store.Len())
 	}
 	// One whose outcome could not be logged may have run.
-	r.takeBackIn(&wal.Record{ID: "x", Class: "once", Dest: 7, Attempts: 1, InFlightSince: r.logTime(r.now()), InFlightZone: 1}, item)
-	if e := r.events[len(r.events)-1]; e.UnknownOutcomeAt == 0 || e.UnknownOutcomeZone != 1 || e.InFlightEndpoint != 0 || e.Attempts != 1 || !e.Spilled {
+	r.readmit(&wal.Record{ID: "x", Class: "once", Dest: 7, Attempts: 1, InFlightSince: r.logTime(r.now()), InFlightZone: 1}, item)
+	if e := r.policyEvents[len(r.policyEvents)-1]; e.UnknownOutcomeAt == 0 || e.UnknownOutcomeZone != 1 || e.InFlightEndpoint != 0 || e.Attempts != 1 || !e.Spilled {
 		t.Errorf("the policy is told %+v", e)
 	}
 	waitFor(t, "an end in the log", func() bool {
@@ -529,4 +529,4 @@
 	})
 }
 
-func (r *Relay) retryAll() { r.spills.retry(r.now() + 2*loadRetry) }
+func (r *Relay) retryAll() { r.spilled.retryUnreadable(r.now() + 2*loadRetryDelay) }
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -201,7 +201,7 @@
 	if q.rec.Key = have["k"]; q.rec.Key != "" && !token(q.rec.Key) {
 		return nil, errors.New("k: too long or not plain")
 	}
-	if q.rec.Key == "" && c.keyed(q.class) {
+	if q.rec.Key == "" && c.isKeyed(q.class) {
 		return nil, errors.New("k: missing in a keyed class")
 	}
 	return q, nil
@@ -272,7 +272,7 @@
 }
 
 func newClients(cfg *Config, log *slog.Logger, put func(*request), said func(*request, bool)) *clients {
-	most, _ := cfg.budget()
+	most, _ := cfg.socketBudget()
 	return &clients{cfg: cfg, log: log, put: put, said: said, most: most, patience: wholeWait, givenUp: lateWait, accept4: syscall.Accept4, conns: map[*clientConn]bool{},
 		freed: make(chan struct{}, 1)}
 }
@@ -542,7 +542,7 @@
 
 // share has this process make do with one part in so many of the connections.
 func (c *clients) share(parts int) {
-	most, _ := c.cfg.budget()
+	most, _ := c.cfg.socketBudget()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.most = most / parts
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -47,7 +47,7 @@
 	kinds      map[string]int
 	classes    map[string]int
 	tenants    map[string]int
-	loads      []string // fields of a load report
+	loadFields []string // fields of a load report
 }
 
 // LoadConfig reads the file that ROUTER_CONFIG names. What the environment
@@ -71,7 +71,7 @@
 	moved := make(chan string)
 	go func() {
 		for range signals {
-			addr, err := discoveryNow(getenv("ROUTER_CONFIG"))
+			addr, err := readDiscoveryAddress(getenv("ROUTER_CONFIG"))
 			if err != nil {
 				log.Error("not reconfigured", "err", err)
 				continue
@@ -82,7 +82,7 @@
 	return moved
 }
 
-func discoveryNow(path string) (string, error) {
+func readDiscoveryAddress(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", fmt.Errorf("ROUTER_CONFIG: %w", err)
@@ -155,7 +155,7 @@
 	if c.Seed, err = parseSeed(f.Seed); err != nil {
 		return nil, fmt.Errorf("config: seed: %w", err)
 	}
-	if err := c.Limits.fill(); err != nil {
+	if err := c.Limits.applyDefaults(); err != nil {
 		return nil, fmt.Errorf("config: limits.%w", err)
 	}
 	if f.Resident != nil && *f.Resident < 0 {
@@ -164,23 +164,23 @@
 	if len(f.Settings) == 0 {
 		return nil, errors.New("config: settings: missing")
 	}
-	if err := c.read(f.Settings); err != nil {
+	if err := c.parseSettings(f.Settings); err != nil {
 		return nil, err
 	}
-	if c.Policy.MaxResidentMessages = residentOf(c.Limits.MemoryMB); f.Resident != nil {
+	if c.Policy.MaxResidentMessages = defaultMaxResident(c.Limits.MemoryMB); f.Resident != nil {
 		c.Policy.MaxResidentMessages = *f.Resident
 	}
 	return c, nil
 }
 
-// residentOf is how many messages may be in memory where nothing else is told: a
+// defaultMaxResident is how many messages may be in memory where nothing else is told: a
 // quarter of the memory at 2 KB each, and not so few that a busy hour meets it.
-func residentOf(memoryMB int) int { return max(memoryMB<<20/4/(2<<10), residentLeast) }
+func defaultMaxResident(memoryMB int) int { return max(memoryMB<<20/4/(2<<10), minMaxResident) }
 
-const residentLeast = 1000
+const minMaxResident = 1000
 
-// read maps the settings object and the names in it.
-func (c *Config) read(text []byte) error {
+// parseSettings maps the settings object and the names in it.
+func (c *Config) parseSettings(text []byte) error {
 	s, err := wire.ParseSettings(text)
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
@@ -200,8 +200,8 @@
 	if err := json.Unmarshal(text, &names); err != nil {
 		return fmt.Errorf("config: settings: localities: %w", err)
 	}
-	c.loads = s.Report.Fields
-	c.zones, c.kinds = places(names.Localities), places(s.Kinds)
+	c.loadFields = s.Report.Fields
+	c.zones, c.kinds = indexByName(names.Localities), indexByName(s.Kinds)
 	c.classes, c.tenants = map[string]int{}, map[string]int{}
 	for i, x := range s.Classes {
 		c.classes[x.Name] = i
@@ -212,7 +212,7 @@
 	return nil
 }
 
-func places(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, n := range names {
 		m[n] = i
@@ -232,8 +232,8 @@
 	return strconv.ParseUint(string(raw), 10, 64)
 }
 
-// fill puts in what is left out, and tells of limits that cannot be.
-func (l *Limits) fill() error {
+// applyDefaults puts in what is left out, and tells of limits that cannot be.
+func (l *Limits) applyDefaults() error {
 	switch {
 	case l.Cores < 0:
 		return fmt.Errorf("cores: %v, want 0 or more", l.Cores)
@@ -262,27 +262,27 @@
 // Descriptors: what the runtime, the log, the listener and discovery hold, and
 // the least that a relay can work with.
 const (
-	ownSockets = 32
-	minSockets = 64
+	reservedSockets = 32
+	minSockets      = 64
 )
 
-// budget splits the descriptors between clients and endpoints. A call out
+// socketBudget splits the descriptors between clients and endpoints. A call out
 // needs one each, so the endpoints' part is never under the slots as long as
 // the clients keep half.
-func (c *Config) budget() (clients, endpoints int) {
-	free := c.Limits.Sockets - ownSockets - c.operatorConns()
+func (c *Config) socketBudget() (clients, endpoints int) {
+	free := c.Limits.Sockets - reservedSockets - c.maxOperatorConns()
 	endpoints = min(max(free/4, c.Policy.MaxCalls+8), free/2)
 	return free - endpoints, endpoints
 }
 
-// operatorConns is how many connections the operator address may hold.
-func (c *Config) operatorConns() int {
+// maxOperatorConns is how many connections the operator address may hold.
+func (c *Config) maxOperatorConns() int {
 	if c.Operator == "" {
 		return 0
 	}
-	return min(operatorConns, c.Limits.Sockets/8)
+	return min(maxOperatorConns, c.Limits.Sockets/8)
 }
 
-func (c *Config) keyed(class int) bool {
+func (c *Config) isKeyed(class int) bool {
 	return c.Policy.Classes[class].Idempotency == policy.IdempotentByKey
 }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -48,7 +48,7 @@
 	for _, x := range []struct {
 		memory, key string
 		want        int
-	}{{"64", "", 8192}, {"4", "", residentLeast}, {"64", `,"resident":3`, 3}, {"64", `,"resident":0`, 0}} {
+	}{{"64", "", 8192}, {"4", "", minMaxResident}, {"64", `,"resident":3`, 3}, {"64", `,"resident":0`, 0}} {
 		text := strings.Replace(strings.Replace(good, `"memory_mb":64`, `"memory_mb":`+x.memory, 1), `"seed":"1f"`, `"seed":"1f"`+x.key, 1)
 		c, err := parseConfig([]byte(text), func(string) string { return "" })
 		if err != nil {
@@ -58,8 +58,8 @@
 			t.Errorf("%s MB%s: %d in memory, want %d", x.memory, x.key, c.Policy.MaxResidentMessages, x.want)
 		}
 	}
-	clients, endpoints := c.budget()
-	if clients+endpoints+ownSockets > 256 || endpoints < c.Policy.MaxCalls {
+	clients, endpoints := c.socketBudget()
+	if clients+endpoints+reservedSockets > 256 || endpoints < c.Policy.MaxCalls {
 		t.Errorf("budget %d and %d of 256", clients, endpoints)
 	}
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -27,9 +27,9 @@
 func TestStartTurnedAway(t *testing.T) {
 	r := newTestRelay(t)
 	r.cfg.KnownList = &discovery.List{Complete: true, Members: []discovery.Member{{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
-	r.in.Put(happening{refused: true})
+	r.mailbox.Put(happening{refused: true})
 	done := make(chan struct{})
-	go func() { r.firstList(time.Hour); close(done) }()
+	go func() { r.awaitFirstList(time.Hour); close(done) }()
 	<-done
 	if len(r.endpoints) != 1 {
 		t.Errorf("%d endpoints", len(r.endpoints))
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -299,21 +299,21 @@
 		}
 		q := &request{class: 0, tenant: 0, rec: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, at: time.Now(), left: left, reply: make(chan string, 1)}
 		r.admit(q)
-		taken[id] = r.ids[id]
-		r.step()
+		taken[id] = r.messagesByID[id]
+		r.stepPolicy()
 		if s := <-q.reply; s != replyOK {
 			t.Fatal(s)
 		}
-		r.said(q, true)
+		r.acknowledge(q, true)
 	}
 	failing.Store(true)
 	due := taken["timely"].rec.Deadline
 	for _, m := range taken {
-		m.over = true
-		r.end(m, discovery.Returned, 5)
+		m.isCompleted = true
+		r.logCompletion(m, discovery.Returned, 5)
 	}
 	for r.logTime(r.now()) < due-50e3 {
-		r.sweepEndings()
+		r.sendDueNotices()
 		for id := range taken {
 			if _, told := disc.Notice(id); told {
 				t.Fatalf("%s was told with no record in the log", id)
@@ -321,10 +321,10 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	waitFor(t, "the notice whose time is up", func() bool { r.sweepEndings(); _, told := disc.Notice("timely"); return told })
+	waitFor(t, "the notice whose time is up", func() bool { r.sendDueNotices(); _, told := disc.Notice("timely"); return told })
 	if _, told := disc.Notice("early"); told {
 		t.Error("early was told with no record in the log")
 	}
 	failing.Store(false)
-	waitFor(t, "the other", func() bool { r.sweepEndings(); _, told := disc.Notice("early"); return told })
+	waitFor(t, "the other", func() bool { r.sendDueNotices(); _, told := disc.Notice("early"); return told })
 }
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -405,12 +405,12 @@
 func TestToldWaitStopsWaitingCalls(t *testing.T) {
 	r := newTestRelay(t)
 	add := func(id string, cell int) *endpoint {
-		r.member(&discovery.Member{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: cell, Phase: discovery.Up})
+		r.updateMember(&discovery.Member{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: cell, Phase: discovery.Up})
 		return r.endpoints[id]
 	}
 	one, twin, other := add("one", 1), add("twin", 1), add("other", 2)
 	begin := func(ep *endpoint, stage int32) *call {
-		m := r.newMessage(&wal.Record{ID: fmt.Sprint(len(r.msgs)), Class: "plain", Dest: ep.cell})
+		m := r.newMessage(&wal.Record{ID: fmt.Sprint(len(r.messages)), Class: "plain", Dest: ep.cell})
 		c := newTestCall()
 		c.ep, c.conns, c.parts = ep, ep.conns, []part{{m: m}}
 		c.stage.Store(stage)
@@ -420,7 +420,7 @@
 	told := begin(one, callWritten)
 	calls := map[*call]bool{begin(one, callWaiting): true, begin(twin, callWaiting): true,
 		begin(one, callSending): false, begin(other, callWaiting): false}
-	r.finished(told, []outcome{{what: policy.Rejected, status: http.StatusTooManyRequests, wait: 600e6}})
+	r.finishCall(told, []outcome{{what: policy.Rejected, status: http.StatusTooManyRequests, wait: 600e6}})
 	for c, stopped := range calls {
 		if got := c.ctx.Err() != nil; got != stopped || got && c.failure(c.ctx, c.ctx.Err(), nil) != policy.NotSent {
 			t.Errorf("%s, stage %d: stopped %v", c.ep.id, c.stage.Load(), got)
@@ -428,10 +428,10 @@
 	}
 	// A batch that the policy let go before the word, and whose client hears only now.
 	late := r.newMessage(&wal.Record{ID: "late", Class: "plain", Dest: 1})
-	late.heard = true
-	b := &batch{ep: twin, sends: []send{{m: late, at: r.now() + 900e6}}}
-	late.pending = b
-	if r.launch(b); late.call != nil || len(twin.calls) != 1 {
+	late.isAcknowledged = true
+	b := &batch{ep: twin, sends: []send{{m: late, timeoutAt: r.now() + 900e6}}}
+	late.pendingBatch = b
+	if r.startBatch(b); late.call != nil || len(twin.calls) != 1 {
 		t.Error("a call begins under the wait")
 	}
 }
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -233,9 +233,9 @@
 	}
 	stop := make(chan struct{})
 	go w.Run(stop)
-	r := &Relay{cfg: cfg, log: quietLog(), policy: decider, in: mailbox.New[happening](), began: time.Now(), clocks: newClockWatch(), wal: w,
-		ctx: t.Context(), msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*request]*message{},
-		endpoints: map[string]*endpoint{}, byNum: map[policy.Endpoint]*endpoint{}, idleConns: 2, fig: newFigures(cfg.Policy.Classes)}
+	r := &Relay{cfg: cfg, log: quietLog(), policy: decider, mailbox: mailbox.New[happening](), startedAt: time.Now(), wallClock: newClockWatch(), wal: w,
+		ctx: t.Context(), messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*request]*message{},
+		endpoints: map[string]*endpoint{}, endpointsByNumber: map[policy.Endpoint]*endpoint{}, idleConns: 2, metrics: newMetrics(cfg.Policy.Classes)}
 	r.alignLogTime()
 	t.Cleanup(func() { close(stop); <-w.Done() })
 	return r
--- a/internal/relay/idle_test.go
+++ b/internal/relay/idle_test.go
@@ -43,27 +43,27 @@
 func TestResetShortensReuse(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	r := newTestRelay(t)
-	r.list(&discovery.List{Complete: true, Members: []discovery.Member{ep.member("s-1", 7)}}, policy.ListFull)
+	r.updateList(&discovery.List{Complete: true, Members: []discovery.Member{ep.member("s-1", 7)}}, policy.ListFull)
 	at := r.endpoints["s-1"]
 	send1 := func(id string) {
 		m := r.newMessage(&wal.Record{Kind: wal.KindAccepted, ID: id, Dest: 7, Class: "plain"})
-		m.heard, m.logged, m.tries = true, true, 1
+		m.isAcknowledged, m.isLogged, m.attempts = true, true, 1
 		r.wal.Submit(m.rec, nil)
-		r.launch(&batch{ep: at, sends: []send{{m: m, at: r.now() + 20e6}}})
+		r.startBatch(&batch{ep: at, sends: []send{{m: m, timeoutAt: r.now() + 20e6}}})
 	}
 	send1("a")
 	if got, want := at.conns.IdleConnTimeout, 9*time.Second; got != want {
 		t.Fatalf("at first idle for %v at most, want %v", got, want)
 	}
-	<-r.in.Ready()
-	for _, h := range r.in.TakeAll(nil) {
-		r.finished(h.call, []outcome{{what: policy.ConnectionReset, idle: 300 * time.Millisecond}})
+	<-r.mailbox.Ready()
+	for _, h := range r.mailbox.TakeAll(nil) {
+		r.finishCall(h.call, []outcome{{what: policy.ConnectionReset, idle: 300 * time.Millisecond}})
 	}
 	send1("b")
 	if got, want := at.conns.IdleConnTimeout, 256*time.Millisecond; got != want {
 		t.Errorf("after a reset idle for %v at most, want %v", got, want)
 	}
-	<-r.in.Ready()
+	<-r.mailbox.Ready()
 }
 
 // Guards that the limit reaches the connections, and that what it closes is
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -7,8 +7,8 @@
 
 // The list of endpoints, as the loop keeps it.
 
-// list books news of the list.
-func (r *Relay) list(l *discovery.List, kind policy.ListUpdateKind) {
+// updateList books news of the list.
+func (r *Relay) updateList(l *discovery.List, kind policy.ListUpdateKind) {
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: kind}
 	seen := map[string]bool{}
 	for i := range l.Members {
@@ -17,37 +17,37 @@
 			continue // in the configuration's list; discovery's is checked already
 		}
 		seen[x.ID] = true
-		e.Entries = append(e.Entries, r.member(x))
+		e.Entries = append(e.Entries, r.updateMember(x))
 	}
 	if kind != policy.ListDelta {
 		for id, ep := range r.endpoints {
 			if !seen[id] {
 				r.setListed(ep, false)
-				r.leave(ep)
+				r.stopSending(ep)
 			}
 		}
 	}
-	r.events = append(r.events, e)
-	r.forgetGone()
+	r.policyEvents = append(r.policyEvents, e)
+	r.forgetRemoved()
 }
 
-func (r *Relay) member(x *discovery.Member) policy.Entry {
+func (r *Relay) updateMember(x *discovery.Member) policy.Entry {
 	ep := r.endpoints[x.ID]
 	if ep == nil {
-		r.lastEnd++
-		ep = &endpoint{id: x.ID, num: r.lastEnd, calls: map[*call]bool{}}
-		r.endpoints[x.ID], r.byNum[ep.num] = ep, ep
+		r.lastEndpoint++
+		ep = &endpoint{id: x.ID, num: r.lastEndpoint, calls: map[*call]bool{}}
+		r.endpoints[x.ID], r.endpointsByNumber[ep.num] = ep, ep
 	}
 	if x.Phase != discovery.Removed && (ep.hostPort != x.HostPort || ep.cell != x.Cell) {
 		// It moved under its old name: nothing more goes to the old place.
-		r.leave(ep)
+		r.stopSending(ep)
 		ep.conns = newConns(r.cfg, r.idleConns, keepIdle(&r.cfg.Policy))
 		ep.hostPort = x.HostPort
 		r.setCell(ep, x.Cell)
 	}
 	r.setListed(ep, x.Phase != discovery.Removed)
-	r.doubt(ep)
-	entry := policy.Entry{Endpoint: ep.num, Zone: place(r.cfg.zones, x.Locality), Kind: place(r.cfg.kinds, x.Flavor),
+	r.checkAvailability(ep)
+	entry := policy.Entry{Endpoint: ep.num, Zone: indexOf(r.cfg.zones, x.Locality), Kind: indexOf(r.cfg.kinds, x.Flavor),
 		Dest: x.Cell, State: policy.Ready, Rate: x.Size}
 	ep.zone, ep.batch = entry.Zone, 1
 	if entry.Kind >= 0 {
@@ -59,17 +59,17 @@
 		ep.gone = false
 	case discovery.Draining:
 		entry.State = policy.Draining
-		r.leave(ep)
+		r.stopSending(ep)
 	case discovery.Removed:
 		entry.State, entry.Dest = policy.Removed, ep.cell
-		r.leave(ep)
+		r.stopSending(ep)
 	}
 	return entry
 }
 
-// leave lets nothing new go to an endpoint; a call that still waits for a
+// stopSending lets nothing new go to an endpoint; a call that still waits for a
 // connection there would begin it too late.
-func (r *Relay) leave(ep *endpoint) {
+func (r *Relay) stopSending(ep *endpoint) {
 	if !ep.gone {
 		ep.gone, ep.goneAt = true, r.now()
 	}
@@ -81,10 +81,10 @@
 	}
 }
 
-// toldWait lets nothing new go to an endpoint, and to those that share its
+// applyRetryAfter lets nothing new go to an endpoint, and to those that share its
 // limit, before a wait is over. The policy begins no call in that time, but one
 // that it began before may still wait for its connection or its clients.
-func (r *Relay) toldWait(ep *endpoint, wait policy.Time) {
+func (r *Relay) applyRetryAfter(ep *endpoint, wait policy.Time) {
 	kinds, kind := r.cfg.Policy.Kinds, ep.entry.Kind
 	sharing := r.members.byCell[ep.cell]
 	if kind >= 0 && kind < len(kinds) && kinds[kind].SeparateRoutes {
@@ -98,7 +98,7 @@
 	}
 }
 
-func place(at map[string]int, name string) int {
+func indexOf(at map[string]int, name string) int {
 	if i, ok := at[name]; ok {
 		return i
 	}
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -11,11 +11,11 @@
 type members struct {
 	listed int                 // that discovery names
 	byCell map[int][]*endpoint // all that are known, by destination
-	// doubtful holds each endpoint that may be avoided now: all others are not. The
+	// maybeUnavailable holds each endpoint that may be avoided now: all others are not. The
 	// policy begins to avoid one with news of the list or of a call there, or to a
 	// sibling; by time alone it only ceases to.
-	doubtful map[*endpoint]bool
-	sweptAt  policy.Time // when endpoints that left long ago were last looked for
+	maybeUnavailable map[*endpoint]bool
+	sweptAt          policy.Time // when endpoints that left long ago were last looked for
 }
 
 // setListed books whether discovery names an endpoint.
@@ -49,65 +49,65 @@
 	}
 }
 
-// doubt has an endpoint looked at when the gauges are published next.
-func (r *Relay) doubt(ep *endpoint) {
-	if r.members.doubtful == nil {
-		r.members.doubtful = map[*endpoint]bool{}
+// checkAvailability has an endpoint looked at when the gauges are published next.
+func (r *Relay) checkAvailability(ep *endpoint) {
+	if r.members.maybeUnavailable == nil {
+		r.members.maybeUnavailable = map[*endpoint]bool{}
 	}
-	r.members.doubtful[ep] = true
+	r.members.maybeUnavailable[ep] = true
 }
 
-// doubtCell does so for all that serve a destination.
-func (r *Relay) doubtCell(cell int) {
+// checkAvailabilityOfCell does so for all that serve a destination.
+func (r *Relay) checkAvailabilityOfCell(cell int) {
 	for _, ep := range r.members.byCell[cell] {
-		r.doubt(ep)
+		r.checkAvailability(ep)
 	}
 }
 
-// doubtAll does so for all, where what the policy knows comes from another.
-func (r *Relay) doubtAll() {
+// checkAvailabilityOfAll does so for all, where what the policy knows comes from another.
+func (r *Relay) checkAvailabilityOfAll() {
 	for _, ep := range r.endpoints {
-		r.doubt(ep)
+		r.checkAvailability(ep)
 	}
 }
 
-// forgetGone drops the endpoints that left long ago: the list's comings and
+// forgetRemoved drops the endpoints that left long ago: the list's comings and
 // goings must not fill the memory.
-func (r *Relay) forgetGone() {
+func (r *Relay) forgetRemoved() {
 	now := r.now()
-	if now-r.members.sweptAt < goneSweep {
+	if now-r.members.sweptAt < removedEndpointSweepInterval {
 		return
 	}
 	r.members.sweptAt = now
 	for _, ep := range r.endpoints {
-		if ep.gone && len(ep.calls) == 0 && now-ep.goneAt > goneMemory {
-			r.forget(ep)
+		if ep.gone && len(ep.calls) == 0 && now-ep.goneAt > removedEndpointRetention {
+			r.forgetEndpoint(ep)
 		}
 	}
 }
 
-// forget drops an endpoint that left long ago.
-func (r *Relay) forget(ep *endpoint) {
+// forgetEndpoint drops an endpoint that left long ago.
+func (r *Relay) forgetEndpoint(ep *endpoint) {
 	r.setListed(ep, false)
 	r.removeFromCell(ep)
-	delete(r.members.doubtful, ep)
+	delete(r.members.maybeUnavailable, ep)
 	r.pool.used = slices.DeleteFunc(r.pool.used, func(x *endpoint) bool { return x == ep })
 	delete(r.endpoints, ep.id)
-	delete(r.byNum, ep.num)
+	delete(r.endpointsByNumber, ep.num)
 }
 
-// avoided counts the endpoints on the list that get nothing now but trial calls
+// countUnavailable counts the endpoints on the list that get nothing now but trial calls
 // at most, and drops from the doubtful ones those that do.
-func (r *Relay) avoided(now policy.Time) int {
+func (r *Relay) countUnavailable(now policy.Time) int {
 	n := 0
-	for ep := range r.members.doubtful {
+	for ep := range r.members.maybeUnavailable {
 		switch {
 		case !ep.listed:
-			delete(r.members.doubtful, ep)
+			delete(r.members.maybeUnavailable, ep)
 		case ep.gone || r.policy.Unavailable(ep.num, now):
 			n++
 		default:
-			delete(r.members.doubtful, ep)
+			delete(r.members.maybeUnavailable, ep)
 		}
 	}
 	return n
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -75,7 +75,7 @@
 	if d.rng.IntN(4) == 0 {
 		o.status, o.wait = 200, 1000*policy.Time(d.rng.IntN(20))
 	}
-	d.r.finished(m.call, []outcome{o})
+	d.r.finishCall(m.call, []outcome{o})
 }
 
 // Guards the gauges of the list, which follow its changes and those of the policy: after any of them, and as time passes,
@@ -91,17 +91,17 @@
 			case 1, 2:
 				m := r.newMessage(&wal.Record{ID: fmt.Sprintf("%d-%d", seed, step), Class: "plain", Dest: d.rng.IntN(8),
 					Deadline: r.logTime(r.now() + 20e6)})
-				m.heard = true
-				r.events = append(r.events, policy.Event{Kind: policy.EventMessage, Message: m.num, Dest: m.rec.Dest, Tenant: -1, TimeLeft: 20e6})
+				m.isAcknowledged = true
+				r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventMessage, Message: m.num, Dest: m.rec.Dest, Tenant: -1, TimeLeft: 20e6})
 			case 3:
 				d.end()
 			case 4:
 				time.Sleep(time.Duration(d.rng.IntN(2000)) * time.Microsecond) // waits and rests pass
 			}
 			d.step()
-			r.show()
-			members, avoided := r.walked(r.shownAt)
-			if got, was := r.fig.members.Load(), r.fig.unavailable.Load(); got != members || was != avoided {
+			r.publishMetrics()
+			members, avoided := r.walked(r.metricsPublishedAt)
+			if got, was := r.metrics.members.Load(), r.metrics.unavailable.Load(); got != members || was != avoided {
 				t.Fatalf("seed %d, step %d: %d members, %d avoided; a walk says %d and %d", seed, step, got, was, members, avoided)
 			}
 			d.most = max(d.most, avoided)
@@ -116,23 +116,23 @@
 // step has the policy decide; its calls stay out until end ends them.
 func (d *memberDay) step() {
 	r := d.r
-	r.ring()
-	events := r.events
-	r.events = nil
+	r.fireTimers()
+	events := r.policyEvents
+	r.policyEvents = nil
 	for _, a := range r.policy.Step(r.now(), events, nil) {
-		m := r.msgs[a.Message]
+		m := r.messages[a.Message]
 		switch {
 		case a.Kind == policy.ActionSend && m != nil:
-			m.tries++
-			ep := r.byNum[a.Endpoint]
+			m.attempts++
+			ep := r.endpointsByNumber[a.Endpoint]
 			c := newTestCall()
-			c.ep, c.conns, c.parts = ep, ep.conns, []part{{m: m, attempt: m.tries - 1}}
+			c.ep, c.conns, c.parts = ep, ep.conns, []part{{m: m, attempt: m.attempts - 1}}
 			m.call, ep.calls[c] = c, true
-			r.calls++
+			r.callsInFlight++
 			d.out = append(d.out, m)
 		case (a.Kind == policy.ActionReject || a.Kind == policy.ActionFail) && m != nil:
-			m.over = true
-			r.drop(m)
+			m.isCompleted = true
+			r.forgetMessage(m)
 		case a.Kind == policy.ActionTimer:
 			r.timers = append(r.timers, r.now()+a.Delay)
 		}
@@ -158,10 +158,10 @@
 func TestGaugesOfAHealthyList(t *testing.T) {
 	r := newTestRelay(t)
 	r.take(happening{news: largeList(3000, "127.0.0.1:1")})
-	r.step()
-	r.show()
-	if n := len(r.members.doubtful); n != 0 || r.fig.members.Load() != 3000 || r.fig.unavailable.Load() != 0 {
-		t.Errorf("%d looked at again; %d members, %d avoided", n, r.fig.members.Load(), r.fig.unavailable.Load())
+	r.stepPolicy()
+	r.publishMetrics()
+	if n := len(r.members.maybeUnavailable); n != 0 || r.metrics.members.Load() != 3000 || r.metrics.unavailable.Load() != 0 {
+		t.Errorf("%d looked at again; %d members, %d avoided", n, r.metrics.members.Load(), r.metrics.unavailable.Load())
 	}
 }
 
@@ -173,23 +173,23 @@
 		r.take(happening{news: &discovery.List{Members: []discovery.Member{
 			{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: 1, Phase: phase, Size: 1}}}})
 	}
-	pass := func(span policy.Time) { r.began = r.began.Add(-time.Duration(span) * time.Microsecond) }
+	pass := func(span policy.Time) { r.startedAt = r.startedAt.Add(-time.Duration(span) * time.Microsecond) }
 	change("gone", discovery.Up)
 	change("gone", discovery.Removed)
-	pass(goneMemory - goneSweep)
+	pass(removedEndpointRetention - removedEndpointSweepInterval)
 	change("other", discovery.Up)
 	if r.endpoints["gone"] == nil {
 		t.Fatal("an endpoint was forgotten before its time")
 	}
 	swept := r.members.sweptAt
-	pass(goneSweep / 2)
+	pass(removedEndpointSweepInterval / 2)
 	change("other", discovery.Draining)
 	if r.members.sweptAt != swept {
 		t.Error("a change walked over all endpoints")
 	}
-	pass(2 * goneSweep)
+	pass(2 * removedEndpointSweepInterval)
 	change("other", discovery.Up)
-	if r.endpoints["gone"] != nil || len(r.byNum) != 1 || len(r.members.byCell[1]) != 1 {
-		t.Errorf("%d endpoints are known, %d by number, %d by destination", len(r.endpoints), len(r.byNum), len(r.members.byCell[1]))
+	if r.endpoints["gone"] != nil || len(r.endpointsByNumber) != 1 || len(r.members.byCell[1]) != 1 {
+		t.Errorf("%d endpoints are known, %d by number, %d by destination", len(r.endpoints), len(r.endpointsByNumber), len(r.members.byCell[1]))
 	}
 }
--- a/internal/relay/operator.go
+++ b/internal/relay/operator.go
@@ -20,39 +20,39 @@
 // published, so that it answers at once whatever the relay is busy with.
 
 const (
-	operatorConns = 32      // at once, where there are descriptors enough
-	operatorBody  = 4 << 10 // bytes of a body that are read past; no call has one
-	operatorWait  = 2 * time.Second
+	maxOperatorConns = 32      // at once, where there are descriptors enough
+	maxOperatorBody  = 4 << 10 // bytes of a body that are read past; no call has one
+	operatorTimeout  = 2 * time.Second
 )
 
 // operator serves the operator address.
 type operator struct {
-	addr  string // where it listens
-	log   *slog.Logger
-	fig   *figures
-	ready *atomic.Bool // this process can serve, and is not drained
-	ask   func(policy.EventKind)
-	most  int // connections at once
-	srv   *http.Server
+	addr     string // where it listens
+	log      *slog.Logger
+	metrics  *metrics
+	ready    *atomic.Bool // this process can serve, and is not drained
+	request  func(policy.EventKind)
+	maxConns int // connections at once
+	srv      *http.Server
 
 	mu    sync.Mutex
 	conns map[net.Conn]*operatorConn
 }
 
 type operatorConn struct {
-	at    time.Time
-	whole bool // its call has come
+	openedAt   time.Time
+	isComplete bool // its call has come
 }
 
 // startOperator listens at addr. The caller closes it.
-func startOperator(cfg *Config, log *slog.Logger, fig *figures, ready *atomic.Bool, ask func(policy.EventKind)) (*operator, error) {
-	ln, _, err := listenPatiently(log, nil, func() (net.Listener, error) { return net.Listen("tcp", cfg.Operator) })
+func startOperator(cfg *Config, log *slog.Logger, figures *metrics, ready *atomic.Bool, request func(policy.EventKind)) (*operator, error) {
+	ln, _, err := listenWithRetry(log, nil, func() (net.Listener, error) { return net.Listen("tcp", cfg.Operator) })
 	if err != nil {
 		return nil, fmt.Errorf("operator: %w", err)
 	}
-	o := &operator{addr: ln.Addr().String(), log: log, fig: fig, ready: ready, ask: ask, most: cfg.operatorConns(), conns: map[net.Conn]*operatorConn{}}
-	o.srv = &http.Server{Handler: o.routes(), ReadHeaderTimeout: operatorWait, ReadTimeout: operatorWait,
-		WriteTimeout: operatorWait, IdleTimeout: operatorWait, MaxHeaderBytes: 8 << 10, ConnState: o.track,
+	o := &operator{addr: ln.Addr().String(), log: log, metrics: figures, ready: ready, request: request, maxConns: cfg.maxOperatorConns(), conns: map[net.Conn]*operatorConn{}}
+	o.srv = &http.Server{Handler: o.routes(), ReadHeaderTimeout: operatorTimeout, ReadTimeout: operatorTimeout,
+		WriteTimeout: operatorTimeout, IdleTimeout: operatorTimeout, MaxHeaderBytes: 8 << 10, ConnState: o.track,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, operatorConnKey{}, c)
 		},
@@ -72,13 +72,13 @@
 // routes are the calls; ServeMux answers 404 and 405 to all others.
 func (o *operator) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/readyz", o.whole(func(w http.ResponseWriter) {
+	mux.HandleFunc("GET /v1/readyz", o.onceComplete(func(w http.ResponseWriter) {
 		if !o.ready.Load() {
 			text := "not ready"
-			if why, ok := o.fig.waits.Load().(string); ok && why != "" {
+			if why, ok := o.metrics.waitingFor.Load().(string); ok && why != "" {
 				text += ": " + why
 			}
-			if n := o.fig.unread.Load(); n > 0 {
+			if n := o.metrics.logUnread.Load(); n > 0 {
 				text += fmt.Sprintf(": %d owed messages are still to be read", n)
 			}
 			http.Error(w, text, http.StatusServiceUnavailable)
@@ -86,17 +86,17 @@
 		}
 		io.WriteString(w, "ready\n")
 	}))
-	mux.HandleFunc("GET /v1/metrics", o.whole(func(w http.ResponseWriter) {
+	mux.HandleFunc("GET /v1/metrics", o.onceComplete(func(w http.ResponseWriter) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		w.Write(o.fig.text())
+		w.Write(o.metrics.text())
 	}))
 	// Both are handed over as events and come to the same when they are repeated.
-	mux.HandleFunc("POST /v1/relay/drain", o.whole(func(w http.ResponseWriter) {
-		o.ask(policy.EventDrain)
+	mux.HandleFunc("POST /v1/relay/drain", o.onceComplete(func(w http.ResponseWriter) {
+		o.request(policy.EventDrain)
 		io.WriteString(w, "draining\n")
 	}))
-	mux.HandleFunc("POST /v1/relay/activate", o.whole(func(w http.ResponseWriter) {
-		o.ask(policy.EventActivate)
+	mux.HandleFunc("POST /v1/relay/activate", o.onceComplete(func(w http.ResponseWriter) {
+		o.request(policy.EventActivate)
 		io.WriteString(w, "active\n")
 	}))
 	return mux
@@ -104,18 +104,18 @@
 
 type operatorConnKey struct{}
 
-// whole has a call act only once all of it has come: one that breaks off in
+// onceComplete has a call act only once all of it has come: one that breaks off in
 // its body must not drain a relay.
-func (o *operator) whole(do func(http.ResponseWriter)) http.HandlerFunc {
+func (o *operator) onceComplete(do func(http.ResponseWriter)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, operatorBody)); err != nil {
+		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxOperatorBody)); err != nil {
 			http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 		if conn, ok := r.Context().Value(operatorConnKey{}).(net.Conn); ok {
 			o.mu.Lock()
 			if c := o.conns[conn]; c != nil {
-				c.whole = true
+				c.isComplete = true
 			}
 			o.mu.Unlock()
 		}
@@ -131,18 +131,18 @@
 	defer o.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		if len(o.conns) >= o.most {
+		if len(o.conns) >= o.maxConns {
 			var oldest net.Conn
 			for c, x := range o.conns {
 				y := o.conns[oldest]
-				if y == nil || y.whole && !x.whole || y.whole == x.whole && x.at.Before(y.at) {
+				if y == nil || y.isComplete && !x.isComplete || y.isComplete == x.isComplete && x.openedAt.Before(y.openedAt) {
 					oldest = c
 				}
 			}
 			delete(o.conns, oldest)
 			oldest.Close()
 		}
-		o.conns[conn] = &operatorConn{at: time.Now()}
+		o.conns[conn] = &operatorConn{openedAt: time.Now()}
 	case http.StateClosed:
 		delete(o.conns, conn)
 	}
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	ready := &atomic.Bool{}
 	o, err := startOperator(&Config{Operator: "127.0.0.1:0", Limits: Limits{Sockets: 1024}}, quietLog(),
-		newFigures([]policy.Class{{Name: "plain"}, {Name: "once"}}), ready, func(policy.EventKind) {})
+		newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}}), ready, func(policy.EventKind) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 // not keep a whole call from its answer.
 func TestOperatorSlowCallers(t *testing.T) {
 	o, _ := serveOperator(t)
-	for i := range 2 * operatorConns {
+	for i := range 2 * maxOperatorConns {
 		conn, err := net.Dial("tcp", o.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -84,19 +84,19 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.conns) > operatorConns {
+	if len(o.conns) > maxOperatorConns {
 		t.Errorf("%d connections are held", len(o.conns))
 	}
 }
 
 // Guards the form of the figures, and that every class is there from the start.
 func TestFiguresText(t *testing.T) {
-	f := newFigures([]policy.Class{{Name: "plain"}, {Name: "once"}})
-	f.delivered(1)
-	f.written(1)
-	f.ended(0, discovery.Returned)
-	f.ended(1, discovery.Failed)
-	f.ended(-1, discovery.Failed) // of a class that is no more
+	f := newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}})
+	f.countDelivered(1)
+	f.countWritten(1)
+	f.countUndelivered(0, discovery.Returned)
+	f.countUndelivered(1, discovery.Failed)
+	f.countUndelivered(-1, discovery.Failed) // of a class that is no more
 	f.pending.Store(14)
 	text := string(f.text())
 	for _, want := range []string{`app_completed{lane="plain"} 0`, `app_completed{lane="once"} 1`, `app_rejected{lane="plain"} 1`,
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -11,7 +11,7 @@
 func TestOverdueCount(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		var o overdue
+		var o overdueCounter
 		type held struct{ end, span policy.Time }
 		var all []held
 		for now := policy.Time(1e9); now < 1030e6; now += 1 + rng.Int64N(60e3) {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -602,13 +602,13 @@
 	due := r.now() // the loop has looked a moment ago: it was not due
 	r.timers = []policy.Time{due}
 	r.admit(&request{class: 0, tenant: 0, rec: &wal.Record{ID: "m", Class: "plain", Dest: 7}, at: time.Now(), left: 20 * time.Second, reply: make(chan string, 1)})
-	r.step()
-	r.act(due, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
-	r.act(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // that one again is no third
-	r.act(due, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // the policy goes by this one; the other comes all the same
-	for range 3 {                                                        // as the loop goes on, with no event but the timer's
-		if r.ring(); len(r.events) > 0 {
-			r.step()
+	r.stepPolicy()
+	r.apply(due, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
+	r.apply(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // that one again is no third
+	r.apply(due, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // the policy goes by this one; the other comes all the same
+	for range 3 {                                                          // as the loop goes on, with no event but the timer's
+		if r.fireTimers(); len(r.policyEvents) > 0 {
+			r.stepPolicy()
 		}
 	}
 	if !slices.IsSorted(r.timers) || len(r.timers) != 3 || r.timers[0] != due+5e6 || r.timers[1] != due+10e6 || r.timers[2] <= due+19e6 {
@@ -656,10 +656,10 @@
 				t.Errorf("booted %v: %s: %d µs left", boots, what, left)
 			}
 		}
-		near("owed", r.events[len(r.events)-1].TimeLeft)
+		near("owed", r.policyEvents[len(r.policyEvents)-1].TimeLeft)
 		r.admit(&request{class: 0, tenant: 0, rec: &wal.Record{ID: "new", Class: "plain", Dest: 7}, at: time.Now(), left: 20 * time.Second, reply: make(chan string, 1)})
-		near("new", r.events[len(r.events)-1].TimeLeft)
-		near("new, by the log", r.fromLogTime(r.ids["new"].rec.Deadline)-r.now())
+		near("new", r.policyEvents[len(r.policyEvents)-1].TimeLeft)
+		near("new, by the log", r.fromLogTime(r.messagesByID["new"].rec.Deadline)-r.now())
 	}
 }
 
@@ -690,7 +690,7 @@
 			t.Fatal(err)
 		}
 		defer r.closeLog()
-		e := &r.events[len(r.events)-1]
+		e := &r.policyEvents[len(r.policyEvents)-1]
 		over := r.now()-e.UnknownOutcomeAt > r.cfg.Policy.Classes[e.Class].DedupWindow
 		if e.UnknownOutcomeAt == 0 || over != (x.by > 0 && x.boots) {
 			t.Errorf("set back by %v, booted %v: may have run %d µs ago, in a window of %d", x.by, x.boots, r.now()-e.UnknownOutcomeAt, r.cfg.Policy.Classes[e.Class].DedupWindow)
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -344,16 +344,16 @@
 func TestNewsWhileWaiting(t *testing.T) {
 	r := newTestRelay(t)
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
-	r.in.Put(happening{news: &discovery.List{Complete: true, Members: []discovery.Member{m}}})
-	if !r.takeNews() || r.endpoints["s-1"].gone {
+	r.mailbox.Put(happening{news: &discovery.List{Complete: true, Members: []discovery.Member{m}}})
+	if !r.takeListUpdates() || r.endpoints["s-1"].gone {
 		t.Fatal("the first list")
 	}
 	m.Phase = discovery.Draining
-	r.in.Put(happening{ask: policy.EventDrain})
-	r.in.Put(happening{news: &discovery.List{Members: []discovery.Member{m}}})
-	r.takeNews()
-	if !r.endpoints["s-1"].gone || len(r.early) != 1 || r.early[0].ask != policy.EventDrain {
-		t.Errorf("gone %v, kept %d", r.endpoints["s-1"].gone, len(r.early))
+	r.mailbox.Put(happening{ask: policy.EventDrain})
+	r.mailbox.Put(happening{news: &discovery.List{Members: []discovery.Member{m}}})
+	r.takeListUpdates()
+	if !r.endpoints["s-1"].gone || len(r.deferredEvents) != 1 || r.deferredEvents[0].ask != policy.EventDrain {
+		t.Errorf("gone %v, kept %d", r.endpoints["s-1"].gone, len(r.deferredEvents))
 	}
 }
 
