--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -13,37 +13,37 @@
 
 // admit shows a message to the policy. Whether it is taken on shows in the
 // step: what the policy ends there is refused with no further ado.
-func (r *Relay) admit(q *request) {
-	end := r.policyTime(q.at.Add(q.left))
-	q.rec.Deadline = r.logTime(end)
-	switch old := r.messagesByID[q.rec.ID]; {
-	case r.ownership.isTransferred && old == nil && !q.owed:
+func (r *Relay) admit(q *putRequest) {
+	end := r.policyTime(q.receivedAt.Add(q.timeLeft))
+	q.record.Deadline = r.logTime(end)
+	switch old := r.messagesByID[q.record.ID]; {
+	case r.ownership.isTransferred && old == nil && !q.isPending:
 		r.acceptForSuccessor(q)
 		return
 	case !r.stoppedAt.IsZero() && !r.ownership.isTransferred:
 		r.rejectBusy(q, shutdownRetryMS, rejectedStopping)
 		return
-	case old != nil && old.isAcknowledged, old == nil && q.owed: // it is ours already
-		q.answer(replyOK)
+	case old != nil && old.isAcknowledged, old == nil && q.isPending: // it is ours already
+		q.respond(responseOK)
 		return
 	case old != nil:
 		r.recordRejection(q, rejectedDuplicate)
-		q.answer(fault(errors.New("id is being handed in already")))
+		q.respond(errorResponse(errors.New("id is being handed in already")))
 		return
 	case r.cfg.Policy.MaxMessages > 0 && r.pending >= r.cfg.Policy.MaxMessages:
 		r.rejectBusy(q, 0, rejectedFull)
 		return
 	}
-	m := r.newMessage(q.rec)
-	m.req, m.receivedAt = q, q.at
+	m := r.newMessage(q.record)
+	m.req, m.receivedAt = q, q.receivedAt
 	m.deadlineSpan = r.overdue.add(end)
 	r.unanswered[q] = m
 	r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventMessage, Message: m.num, Class: q.class,
-		Dest: q.rec.Dest, Tenant: q.tenant, TimeLeft: end - r.now()})
+		Dest: q.record.Dest, Tenant: q.tenant, TimeLeft: end - r.now()})
 }
 
 // acknowledge: the client has its answer, or left before it.
-func (r *Relay) acknowledge(q *request, ok bool) {
+func (r *Relay) acknowledge(q *putRequest, ok bool) {
 	m := r.unanswered[q]
 	if m == nil {
 		return
@@ -65,7 +65,7 @@
 }
 
 // rejectUnlogged: the log has no room for the message, so it is not taken on.
-func (r *Relay) rejectUnlogged(q *request) {
+func (r *Relay) rejectUnlogged(q *putRequest) {
 	if m := r.unanswered[q]; m != nil {
 		delete(r.unanswered, q)
 		r.withdraw(m)
@@ -74,16 +74,16 @@
 }
 
 // rejectBusy refuses what was never taken on.
-func (r *Relay) rejectBusy(q *request, ms int64, why rejection) {
+func (r *Relay) rejectBusy(q *putRequest, ms int64, why rejection) {
 	r.recordRejection(q, why)
 	r.metrics.countUndelivered(q.class, discovery.Returned)
-	q.answer(busy(ms))
+	q.respond(busyResponse(ms))
 }
 
 // recordRejection logs and counts why a request was not taken on.
-func (r *Relay) recordRejection(q *request, why rejection) {
+func (r *Relay) recordRejection(q *putRequest, why rejection) {
 	r.metrics.rejections[why].Add(1)
-	r.log.Debug("refused", "message", q.rec.ID, "class", q.rec.Class, "dest", q.rec.Dest, "why", why, "left_ms", q.left.Milliseconds(), "held", r.pending)
+	r.log.Debug("refused", "message", q.record.ID, "class", q.record.Class, "dest", q.record.Dest, "why", why, "left_ms", q.timeLeft.Milliseconds(), "held", r.pending)
 }
 
 // withdraw: nobody wants the message any more, and nobody was told it is ours.
@@ -123,7 +123,7 @@
 			r.mailbox.Put(happening{lost: q})
 			return
 		}
-		q.answer(replyOK)
+		q.respond(responseOK)
 	})
 }
 
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -16,7 +16,7 @@
 func (r *Relay) reportNotSent(m *message, ep *endpoint) {
 	u := &unsent{m: m}
 	if ep != nil {
-		u.ep = ep.num
+		u.ep = ep.number
 	}
 	r.mailbox.Put(happening{unsent: u})
 }
@@ -30,9 +30,9 @@
 		r.reportNotSent(m, nil)
 		return
 	}
-	size := framed(m.rec)
+	size := batchItemSize(m.rec)
 	for _, b := range r.batches {
-		if b.ep == ep && b.num == a.Call && len(b.sends) < ep.batch && b.bytes+size <= bodyMost {
+		if b.ep == ep && b.num == a.Call && len(b.sends) < ep.maxBatch && b.bytes+size <= maxBodyBytes {
 			b.sends, b.bytes = append(b.sends, send{m, a.Deadline, a.SendBy}), b.bytes+size
 			m.pendingBatch = b
 			return
@@ -53,9 +53,9 @@
 	}
 	ep, now := b.ep, r.now()
 	ctx, stop := context.WithCancelCause(r.ctx)
-	keep := keepIdle(&r.cfg.Policy)
-	ep.reuse(r.cfg, r.idleConns, min(ep.idle.limit(keep, now), r.idle.limit(keep, now)))
-	c := &call{ep: ep, conns: ep.conns, ctx: ctx, stop: stop}
+	keep := maxIdleTime(&r.cfg.Policy)
+	ep.setIdleTimeout(r.cfg, r.idleConns, min(ep.idleResets.maxIdle(keep, now), r.idle.maxIdle(keep, now)))
+	c := &call{endpoint: ep, transport: ep.transport, ctx: ctx, cancel: stop}
 	limit := policy.Time(0)
 	for _, s := range slices.Clone(b.sends) {
 		m := s.m
@@ -64,54 +64,54 @@
 		}
 		m.pendingBatch = nil
 		b.remove(m)
-		if ep.gone || ep.cell != m.rec.Dest || ep.waitOver > now || s.timeoutAt <= now || s.sendBy != 0 && s.sendBy <= now || m.isCompleted {
+		if ep.isStopped || ep.cell != m.rec.Dest || ep.retryAfterUntil > now || s.timeoutAt <= now || s.sendBy != 0 && s.sendBy <= now || m.isCompleted {
 			r.reportNotSent(m, ep)
 			continue
 		}
-		c.parts = append(c.parts, part{m: m, attempt: m.attempts - 1})
-		if by := r.processTime(s.sendBy); s.sendBy != 0 && (c.by.IsZero() || by.Before(c.by)) {
-			c.by = by
+		c.messages = append(c.messages, callMessage{message: m, attempt: m.attempts - 1})
+		if by := r.processTime(s.sendBy); s.sendBy != 0 && (c.sendBy.IsZero() || by.Before(c.sendBy)) {
+			c.sendBy = by
 		}
 		limit = max(limit, s.timeoutAt-now) // one connection: it stands until the last of them gives up
 		m.call = c
 	}
-	if len(c.parts) == 0 {
+	if len(c.messages) == 0 {
 		stop(nil)
 		return
 	}
 	ep.calls[c] = true
 	r.callsInFlight++
-	r.pool.use(ep)
+	r.pool.prepareCall(ep)
 	r.logAndRun(c, time.Duration(limit)*time.Microsecond)
 }
 
 // logAndRun has the attempts of a call logged. On the log's goroutine, once the
 // last of them is, the call is begun with those that could be.
 func (r *Relay) logAndRun(c *call, limit time.Duration) {
-	addr, at := c.ep.hostPort, r.logTime(r.now())
-	results := make([]outcome, len(c.parts))
+	addr, at := c.endpoint.hostPort, r.logTime(r.now())
+	results := make([]outcome, len(c.messages))
 	var recs []*wal.Record // what could be logged, and so goes out
 	var place []int        // its place in the call
 	begin := func() {
 		if len(recs) > 0 {
-			c.wrote = func() {
+			c.onWritten = func() {
 				for _, i := range place {
-					r.metrics.countWritten(c.parts[i].m.class)
+					r.metrics.countWritten(c.messages[i].message.class)
 				}
 			}
-			for i, o := range c.run(c.conns, addr, recs, limit, r.cfg.loadFields) {
+			for i, o := range c.run(c.transport, addr, recs, limit, r.cfg.loadFields) {
 				results[place[i]] = o
 			}
 		}
-		c.stop(nil)
+		c.cancel(nil)
 		r.mailbox.Put(happening{call: c, results: results})
 	}
-	last := len(c.parts) - 1
-	for i := range c.parts {
-		rec := c.parts[i].m.rec
-		r.wal.Submit(&wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.ep.zone, Endpoint: c.ep.id, Process: r.ownership.process, Sync: r.isNonIdempotent(rec)}, func(err error) {
+	last := len(c.messages) - 1
+	for i := range c.messages {
+		rec := c.messages[i].message.rec
+		r.wal.Submit(&wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.endpoint.zone, Endpoint: c.endpoint.id, Process: r.ownership.process, Sync: r.isNonIdempotent(rec)}, func(err error) {
 			if err != nil {
-				results[i] = outcome{what: policy.NotSent, err: err, unsaved: true, unmade: true}
+				results[i] = outcome{kind: policy.NotSent, err: err, isUnlogged: true, isLocalFailure: true}
 			} else {
 				recs, place = append(recs, rec), append(place, i)
 			}
@@ -124,67 +124,67 @@
 
 // finishCall books the end of a call.
 func (r *Relay) finishCall(c *call, results []outcome) {
-	delete(c.ep.calls, c)
+	delete(c.endpoint.calls, c)
 	r.callsInFlight--
-	if c.stale {
+	if c.isAbandoned {
 		return
 	}
 	o, now := &results[0], r.now()
-	if reset := o.what == policy.ConnectionReset; reset || o.status != 0 {
-		c.ep.idle.book(o.idle, reset, now)
-		r.idle.book(o.idle, reset, now)
+	if reset := o.kind == policy.ConnectionReset; reset || o.status != 0 {
+		c.endpoint.idleResets.record(o.idleTime, reset, now)
+		r.idle.record(o.idleTime, reset, now)
 	}
-	if o.wait > 0 {
-		r.applyRetryAfter(c.ep, o.wait)
+	if o.retryAfter > 0 {
+		r.applyRetryAfter(c.endpoint, o.retryAfter)
 	}
-	if c.ep.suspect(o, now) {
-		c.ep.conns.CloseIdleConnections()
+	if c.endpoint.updateLiveness(o, now) {
+		c.endpoint.transport.CloseIdleConnections()
 	}
-	if c.conns != c.ep.conns { // replaced meanwhile: its connection is of no more use
-		c.conns.CloseIdleConnections()
+	if c.transport != c.endpoint.transport { // replaced meanwhile: its connection is of no more use
+		c.transport.CloseIdleConnections()
 	}
-	for i := range c.parts {
-		p := &c.parts[i]
-		p.m.call = nil
-		r.finishAttempt(p.m, c.ep, p.attempt, &results[i])
+	for i := range c.messages {
+		p := &c.messages[i]
+		p.message.call = nil
+		r.finishAttempt(p.message, c.endpoint, p.attempt, &results[i])
 	}
 }
 
 // finishAttempt books the end of an attempt.
 func (r *Relay) finishAttempt(m *message, ep *endpoint, attempt int, o *outcome) {
-	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: attempt, Outcome: o.what, RetryAfter: o.wait,
-		CallsExhausted: o.slots, LocalFailure: o.unmade, Final: o.settled || m.isCompleted, Latency: o.took, Load: o.load, NewConnection: o.fresh}
+	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: attempt, Outcome: o.kind, RetryAfter: o.retryAfter,
+		CallsExhausted: o.callsExhausted, LocalFailure: o.isLocalFailure, Final: o.isFinal || m.isCompleted, Latency: o.latency, Load: o.load, NewConnection: o.isNewConnection}
 	if ep != nil {
-		e.Endpoint = ep.num
+		e.Endpoint = ep.number
 	}
-	if o.unmade {
+	if o.isLocalFailure {
 		m.attempts--
 		r.metrics.localFailures.Add(1)
 	}
-	if o.what != policy.Delivered || o.wait > 0 {
+	if o.kind != policy.Delivered || o.retryAfter > 0 {
 		r.checkAvailabilityOfCell(m.rec.Dest)
 	}
 	r.policyEvents = append(r.policyEvents, e)
-	if o.what != policy.Delivered {
+	if o.kind != policy.Delivered {
 		r.log.Info("attempt", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
-			"attempt", attempt, "outcome", int(o.what), "status", o.status, "took_ms", o.took/1000,
-			"idle_ms", o.idle.Milliseconds(), "age_ms", time.Since(m.receivedAt).Milliseconds(), "err", o.err)
+			"attempt", attempt, "outcome", int(o.kind), "status", o.status, "took_ms", o.latency/1000,
+			"idle_ms", o.idleTime.Milliseconds(), "age_ms", time.Since(m.receivedAt).Milliseconds(), "err", o.err)
 	}
-	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: !o.what.NeverRan(), LocalFailure: o.unmade}
-	if o.settled {
+	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: !o.kind.NeverRan(), LocalFailure: o.isLocalFailure}
+	if o.isFinal {
 		rec.Kind = wal.KindCompleted
 	}
 	if r.ownership.isTransferred { // the policy that is to know is another's
-		rec.OutcomeCode, rec.Latency, rec.CallsExhausted = uint8(o.what), o.took, o.slots
-		if o.wait > 0 {
-			rec.RetryAt = r.logTime(r.now() + o.wait)
+		rec.OutcomeCode, rec.Latency, rec.CallsExhausted = uint8(o.kind), o.latency, o.callsExhausted
+		if o.retryAfter > 0 {
+			rec.RetryAt = r.logTime(r.now() + o.retryAfter)
 		}
 	}
-	if !o.unsaved {
+	if !o.isUnlogged {
 		r.wal.Submit(rec, nil)
 	}
-	if o.settled && !m.isCompleted {
-		if o.what == policy.Delivered {
+	if o.isFinal && !m.isCompleted {
+		if o.kind == policy.Delivered {
 			r.metrics.countDelivered(m.class)
 		}
 		m.isCompleted = true
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -401,9 +401,9 @@
 	r.loadSpilled()
 }
 
-// handIn takes a message on as the loop and its client do together.
-func handIn(t *testing.T, r *Relay, id string, dest int, left policy.Time) *request {
-	q := &request{class: 0, tenant: 0, rec: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, at: time.Now(), left: time.Duration(left) * time.Microsecond, reply: make(chan string, 1)}
+// executePut takes a message on as the loop and its client do together.
+func handIn(t *testing.T, r *Relay, id string, dest int, left policy.Time) *putRequest {
+	q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, receivedAt: time.Now(), timeLeft: time.Duration(left) * time.Microsecond, responses: make(chan string, 1)}
 	r.mailbox.Put(happening{put: q})
 	return q
 }
@@ -440,7 +440,7 @@
 	r := boundRelay(t, 1000)
 	before := heap()
 	for from := 0; from < n; from += batch {
-		var qs []*request
+		var qs []*putRequest
 		for i := range batch {
 			qs = append(qs, handIn(t, r, fmt.Sprint("m", from+i), i%50, 3600e6))
 		}
@@ -448,8 +448,8 @@
 			waitFor(t, "an answer", func() bool {
 				r.turn()
 				select {
-				case s := <-q.reply:
-					if s != replyOK {
+				case s := <-q.responses:
+					if s != responseOK {
 						t.Fatal(s)
 					}
 					r.mailbox.Put(happening{said: q, ok: true})
@@ -473,13 +473,13 @@
 // all where its client leaves instead.
 func TestBacklogUnheard(t *testing.T) {
 	r := boundRelay(t, 1)
-	var qs []*request
+	var qs []*putRequest
 	for i := range 3 {
 		qs = append(qs, handIn(t, r, fmt.Sprint("m", i), 7, 3600e6))
 		r.turn()
 	}
 	for _, q := range qs {
-		if s := <-q.reply; s != replyOK {
+		if s := <-q.responses; s != responseOK {
 			t.Fatal(s)
 		}
 	}
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -24,34 +24,34 @@
 // The reader is our own since it must bound sizes before memory is spent.
 
 const (
-	bodyMost  = 64 << 10
-	argMost   = 4 << 10 // any argument but the body
-	argsMost  = 16
-	skipMost  = 1 << 20 // a body this long is still read past, so that the connection can go on
-	lineMost  = 32
-	writeWait = 2 * time.Second
-	wholeWait = 2500 * time.Millisecond // for a whole command: such peers are owed a close within 3 s
-	lateWait  = 400 * time.Millisecond  // clients themselves wait no longer for an answer
-	roomWait  = 100 * time.Millisecond  // for one that makes room for another
-	shortStay = 20 * time.Millisecond   // before a connection makes room: its request may be under way
-	shortWait = 50 * time.Millisecond   // for the rest of what had begun to come on one that makes room
-	leaving   = 8                       // one part in so many of the places is for connections on their way out
-	spare     = 4                       // and so many more
+	maxBodyBytes        = 64 << 10
+	maxArgumentBytes    = 4 << 10 // any argument but the body
+	maxArguments        = 16
+	maxSkippedBytes     = 1 << 20 // a body this long is still read past, so that the connection can go on
+	maxLengthLineBytes  = 32
+	clientWriteTimeout  = 2 * time.Second
+	commandTimeout      = 2500 * time.Millisecond // for a whole command: such peers are owed a close within 3 s
+	clientTimeout       = 400 * time.Millisecond  // clients themselves wait no longer for an answer
+	maxSlotWait         = 100 * time.Millisecond  // for one that makes room for another
+	evictionGrace       = 20 * time.Millisecond   // before a connection makes room: its request may be under way
+	evictedReadTimeout  = 50 * time.Millisecond   // for the rest of what had begun to come on one that makes room
+	closingSlotsDivisor = 8                       // one part in so many of the places is for connections on their way out
+	spareSlots          = 4                       // and so many more
 )
 
-// errTooLong is a command that was read past: the connection is still in step.
-var errTooLong = errors.New("argument too long")
+// errArgumentTooLong is a command that was read past: the connection is still in step.
+var errArgumentTooLong = errors.New("argument too long")
 
 var errDraining = errors.New("draining")
 
-// readCommand reads one command. An error other than errTooLong means that
+// readCommand reads one command. An error other than errArgumentTooLong means that
 // the connection is of no more use.
 func readCommand(r *bufio.Reader) ([][]byte, error) {
 	n, err := readLength(r, '*')
 	if err != nil {
 		return nil, err
 	}
-	if n < 1 || n > argsMost {
+	if n < 1 || n > maxArguments {
 		return nil, fmt.Errorf("command of %d arguments", n)
 	}
 	args := make([][]byte, 0, n)
@@ -59,43 +59,43 @@
 	for i := range n {
 		size, err := readLength(r, '$')
 		if err != nil {
-			return nil, midway(err)
+			return nil, unexpectedEOF(err)
 		}
-		most := argMost
+		most := maxArgumentBytes
 		if i == n-1 {
-			most = bodyMost
+			most = maxBodyBytes
 		}
-		if size < 0 || size > skipMost {
+		if size < 0 || size > maxSkippedBytes {
 			return nil, fmt.Errorf("argument of %d bytes", size)
 		}
 		if size > most {
 			long = true
 			if _, err := io.CopyN(io.Discard, r, int64(size)); err != nil {
-				return nil, midway(err)
+				return nil, unexpectedEOF(err)
 			}
 		} else {
 			arg := make([]byte, size)
 			if _, err := io.ReadFull(r, arg); err != nil {
-				return nil, midway(err)
+				return nil, unexpectedEOF(err)
 			}
 			args = append(args, arg)
 		}
 		var end [2]byte
 		if _, err := io.ReadFull(r, end[:]); err != nil {
-			return nil, midway(err)
+			return nil, unexpectedEOF(err)
 		}
 		if end != [2]byte{'\r', '\n'} {
 			return nil, errors.New("argument without its end")
 		}
 	}
 	if long {
-		return nil, errTooLong
+		return nil, errArgumentTooLong
 	}
 	return args, nil
 }
 
-// midway: an end inside a command is not a clean one.
-func midway(err error) error {
+// unexpectedEOF: an end inside a command is not a clean one.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -103,12 +103,12 @@
 }
 
 func readLength(r *bufio.Reader, kind byte) (int, error) {
-	var line [lineMost]byte
+	var line [maxLengthLineBytes]byte
 	for n := range line {
 		b, err := r.ReadByte()
 		if err != nil {
 			if n > 0 {
-				err = midway(err)
+				err = unexpectedEOF(err)
 			}
 			return 0, err
 		}
@@ -127,29 +127,29 @@
 	return 0, fmt.Errorf("expected %q and a number", kind)
 }
 
-// request is a message that a client hands in; answer is called once.
-type request struct {
-	rec    *wal.Record
-	class  int
-	tenant int
-	at     time.Time     // when its last byte came
-	left   time.Duration // from then on
-	owed   bool          // it is in the log already
-	reply  chan string
+// putRequest is a message that a client hands in; answer is called once.
+type putRequest struct {
+	record     *wal.Record
+	class      int
+	tenant     int
+	receivedAt time.Time     // when its last byte came
+	timeLeft   time.Duration // from then on
+	isPending  bool          // it is in the log already
+	responses  chan string
 }
 
-func (q *request) answer(s string) { q.reply <- s }
+func (q *putRequest) respond(s string) { q.responses <- s }
 
-const replyOK = "+OK\r\n"
+const responseOK = "+OK\r\n"
 
-func busy(ms int64) string {
+func busyResponse(ms int64) string {
 	if ms <= 0 {
 		return "-BUSY\r\n"
 	}
 	return "-BUSY " + strconv.FormatInt(ms, 10) + "\r\n"
 }
 
-func fault(err error) string {
+func errorResponse(err error) string {
 	text := strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
 			return '?'
@@ -159,17 +159,17 @@
 	return "-ERR " + text + "\r\n"
 }
 
-// parsePut reads a handed-in message; what is wrong is named, and nothing is
+// parsePutRequest reads a handed-in message; what is wrong is named, and nothing is
 // taken.
-func (c *Config) parsePut(args [][]byte, now time.Time) (*request, error) {
+func (c *Config) parsePutRequest(args [][]byte, now time.Time) (*putRequest, error) {
 	if len(args) != 5 {
 		return nil, fmt.Errorf("MSG.PUT takes 4 arguments, %d came", len(args)-1)
 	}
 	id := string(args[2])
-	if !token(id) {
+	if !isToken(id) {
 		return nil, errors.New("id: empty, too long or not plain")
 	}
-	q := &request{rec: &wal.Record{Kind: wal.KindAccepted, ID: id, Body: args[4]}, reply: make(chan string, 1)}
+	q := &putRequest{record: &wal.Record{Kind: wal.KindAccepted, ID: id, Body: args[4]}, responses: make(chan string, 1)}
 	have := map[string]string{}
 	for part := range strings.SplitSeq(string(args[3]), ",") {
 		name, value, ok := strings.Cut(part, "=")
@@ -182,33 +182,33 @@
 	if q.class, ok = c.classes[have["c"]]; !ok {
 		return nil, fmt.Errorf("c: unknown class %q", have["c"])
 	}
-	q.rec.Class = have["c"]
+	q.record.Class = have["c"]
 	if q.tenant, ok = c.tenants[have["t"]]; !ok {
 		if len(c.tenants) > 0 {
 			return nil, fmt.Errorf("t: unknown tenant %q", have["t"])
 		}
 		q.tenant = -1
 	}
-	q.rec.Tenant = have["t"]
+	q.record.Tenant = have["t"]
 	ms, err := strconv.ParseFloat(have["d"], 64)
 	if err != nil || !(ms >= 0 && ms <= 1e9) {
 		return nil, fmt.Errorf("d: %q is no time in milliseconds", have["d"])
 	}
-	q.at, q.left = now, time.Duration(ms*float64(time.Millisecond))
-	if q.rec.Dest, err = strconv.Atoi(have["dest"]); err != nil || q.rec.Dest < 0 || q.rec.Dest > 1<<16 {
+	q.receivedAt, q.timeLeft = now, time.Duration(ms*float64(time.Millisecond))
+	if q.record.Dest, err = strconv.Atoi(have["dest"]); err != nil || q.record.Dest < 0 || q.record.Dest > 1<<16 {
 		return nil, fmt.Errorf("dest: %q is no destination", have["dest"])
 	}
-	if q.rec.Key = have["k"]; q.rec.Key != "" && !token(q.rec.Key) {
+	if q.record.Key = have["k"]; q.record.Key != "" && !isToken(q.record.Key) {
 		return nil, errors.New("k: too long or not plain")
 	}
-	if q.rec.Key == "" && c.isKeyed(q.class) {
+	if q.record.Key == "" && c.isKeyed(q.class) {
 		return nil, errors.New("k: missing in a keyed class")
 	}
 	return q, nil
 }
 
-// token reports whether s can stand in a header as it is.
-func token(s string) bool {
+// isToken reports whether s can stand in a header as it is.
+func isToken(s string) bool {
 	if s == "" || len(s) > 256 {
 		return false
 	}
@@ -220,67 +220,67 @@
 	return true
 }
 
-// clients serves those who hand messages in.
-type clients struct {
-	cfg  *Config
-	log  *slog.Logger
-	put  func(*request)            // hands it to the loop, which answers
-	said func(q *request, ok bool) // the answer was written, or its client is gone
-	most int
+// clientServer serves those who hand messages in.
+type clientServer struct {
+	cfg         *Config
+	log         *slog.Logger
+	submit      func(*putRequest)            // hands it to the loop, which answers
+	onResponded func(q *putRequest, ok bool) // the answer was written, or its client is gone
+	maxConns    int
 	// One that begins a command and does not end it must not hold its place
 	// for ever: it is not idle, and so never makes room for others.
 	// One that says nothing, or nothing but PING, would hold a descriptor just so:
 	// until it hands in a message the time counts from connecting or its last PING.
-	patience time.Duration
+	commandTimeout time.Duration
 	// A client that has waited for so long has given up and hands its message in
 	// elsewhere: the message is not taken on here.
-	givenUp time.Duration
-	accept4 func(fd, flags int) (int, syscall.Sockaddr, error) // the system call; tests have it fail
+	clientTimeout time.Duration
+	accept4       func(fd, flags int) (int, syscall.Sockaddr, error) // the system call; tests have it fail
 
-	mu      sync.Mutex
-	conns   map[*clientConn]bool
-	open    int // connections that hold a descriptor, those on their way out among them
-	closing bool
-	refused bool // PING says no
-	wg      sync.WaitGroup
-	freed   chan struct{} // holds something where a descriptor was given back since it was last looked at
+	mu         sync.Mutex
+	conns      map[*clientConn]bool
+	openConns  int // connections that hold a descriptor, those on their way out among them
+	isClosing  bool
+	isDraining bool // PING says no
+	wg         sync.WaitGroup
+	slotFreed  chan struct{} // holds something where a descriptor was given back since it was last looked at
 }
 
 type clientConn struct {
 	net.Conn
-	busy int       // requests begun and not answered
-	used bool      // a request has begun on it
-	by   time.Time // for its next proper command; zero where it may take its time
-	idle time.Time
-	left bool // released: it ends with the answer to what had begun by then
-	over bool // nothing more that comes on it is taken on
-	gone bool // its client has left, or ended its sending; its answer may still be wanted
+	pendingRequests    int       // requests begun and not answered
+	hasReceivedRequest bool      // a request has begun on it
+	commandDeadline    time.Time // for its next proper command; zero where it may take its time
+	idleSince          time.Time
+	isReleased         bool // released: it ends with the answer to what had begun by then
+	isEnding           bool // nothing more that comes on it is taken on
+	isPeerGone         bool // its client has left, or ended its sending; its answer may still be wanted
 }
 
 // release ends the wait for a next request. A connection is closed only so:
 // where a request's first byte has been read by then, it is answered first.
 func (cc *clientConn) release() {
-	cc.left = true
-	cc.readUntil(time.Unix(1, 0))
+	cc.isReleased = true
+	cc.limitReadUntil(time.Unix(1, 0))
 }
 
-// readUntil bounds the reader's waits, unless it has been told to end.
-func (cc *clientConn) readUntil(t time.Time) {
-	if !cc.over {
+// limitReadUntil bounds the reader's waits, unless it has been told to end.
+func (cc *clientConn) limitReadUntil(t time.Time) {
+	if !cc.isEnding {
 		cc.SetReadDeadline(t)
 	}
 }
 
-func newClients(cfg *Config, log *slog.Logger, put func(*request), said func(*request, bool)) *clients {
-	most, _ := cfg.socketBudget()
-	return &clients{cfg: cfg, log: log, put: put, said: said, most: most, patience: wholeWait, givenUp: lateWait, accept4: syscall.Accept4, conns: map[*clientConn]bool{},
-		freed: make(chan struct{}, 1)}
+func newClientServer(cfg *Config, log *slog.Logger, submit func(*putRequest), onResponded func(*putRequest, bool)) *clientServer {
+	maxConns, _ := cfg.socketBudget()
+	return &clientServer{cfg: cfg, log: log, submit: submit, onResponded: onResponded, maxConns: maxConns, commandTimeout: commandTimeout, clientTimeout: clientTimeout, accept4: syscall.Accept4, conns: map[*clientConn]bool{},
+		slotFreed: make(chan struct{}, 1)}
 }
 
 // reusePort lets the next process listen at the same address beside this one.
 const reusePort = 0xf // SO_REUSEPORT, which package syscall does not name on every port
 
-func listen(ctx context.Context, addr string) (*net.TCPListener, error) {
+func listenReusePort(ctx context.Context, addr string) (*net.TCPListener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		if cerr := raw.Control(func(fd uintptr) {
@@ -298,7 +298,7 @@
 }
 
 // serve accepts until the listener is closed, or is to be: see stopListening.
-func (c *clients) serve(ln net.Listener) error {
+func (c *clientServer) serve(ln net.Listener) error {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -306,7 +306,7 @@
 				return nil
 			}
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				c.sweep(ln.(*net.TCPListener))
+				c.acceptQueued(ln.(*net.TCPListener))
 				return ln.Close()
 			}
 			// Out of descriptors, or the client has left already: neither ends the relay.
@@ -314,23 +314,23 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		c.welcome(conn)
+		c.startConnection(conn)
 	}
 }
 
 // stopListening has serve close the listener, once it has taken in what waits
 // there: the kernel turns back what is never accepted.
-func (c *clients) stopListening(ln *net.TCPListener) { ln.SetDeadline(time.Unix(1, 0)) }
+func (c *clientServer) stopListening(ln *net.TCPListener) { ln.SetDeadline(time.Unix(1, 0)) }
 
 // Bounds of the sweep, whose listener closes behind it.
 const (
-	sweepPause = 5 * time.Millisecond   // while the machine is out of something
-	sweepMost  = 500 * time.Millisecond // that such pauses may add up to
-	sweepFails = 10000                  // errors of single connections: more than wait at any listener
+	shortageRetryDelay = 5 * time.Millisecond   // while the machine is out of something
+	maxShortageWait    = 500 * time.Millisecond // that such pauses may add up to
+	maxAcceptErrors    = 10000                  // errors of single connections: more than wait at any listener
 )
 
-// sweep accepts what waits, with no wait for more.
-func (c *clients) sweep(ln *net.TCPListener) {
+// acceptQueued accepts what waits, with no wait for more.
+func (c *clientServer) acceptQueued(ln *net.TCPListener) {
 	raw, err := ln.SyscallConn()
 	if err != nil {
 		c.log.Error("clients: sweep", "err", err)
@@ -338,16 +338,16 @@
 	}
 	raw.Control(func(fd uintptr) {
 		for paused, fails := time.Duration(0), 0; ; {
-			err := c.acceptOne(int(fd))
+			err := c.acceptNext(int(fd))
 			switch {
 			case err == nil:
-			case isAcceptError(err) && fails < sweepFails:
+			case isAcceptError(err) && fails < maxAcceptErrors:
 				fails++
 			case errors.Is(err, syscall.EAGAIN): // nothing waits any more
 				return
-			case isShortage(err) && paused < sweepMost:
-				paused += sweepPause
-				time.Sleep(sweepPause)
+			case isShortage(err) && paused < maxShortageWait:
+				paused += shortageRetryDelay
+				time.Sleep(shortageRetryDelay)
 			default:
 				c.log.Error("clients: sweep", "err", err)
 				return
@@ -356,8 +356,8 @@
 	})
 }
 
-// acceptOne takes in one connection that waits.
-func (c *clients) acceptOne(fd int) error {
+// acceptNext takes in one connection that waits.
+func (c *clientServer) acceptNext(fd int) error {
 	got, _, err := c.accept4(fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	if err != nil {
 		return err
@@ -365,64 +365,64 @@
 	f := os.NewFile(uintptr(got), "client")
 	defer f.Close()
 	conn, err := net.FileConn(f)
-	for tries := 0; err != nil && isShortage(err) && tries < int(sweepMost/sweepPause); tries++ { // it takes a second descriptor for a moment
-		time.Sleep(sweepPause)
+	for tries := 0; err != nil && isShortage(err) && tries < int(maxShortageWait/shortageRetryDelay); tries++ { // it takes a second descriptor for a moment
+		time.Sleep(shortageRetryDelay)
 		conn, err = net.FileConn(f)
 	}
 	if err != nil {
 		c.log.Warn("clients: sweep", "err", err)
 		return nil
 	}
-	c.welcome(conn)
+	c.startConnection(conn)
 	return nil
 }
 
-// welcome begins to talk on a new connection. One that there is no room for is
+// startConnection begins to talk on a new connection. One that there is no room for is
 // shut unread.
-func (c *clients) welcome(conn net.Conn) {
-	if !c.reserve() {
+func (c *clientServer) startConnection(conn net.Conn) {
+	if !c.reserveSlot() {
 		conn.Close()
 		return
 	}
-	cc := &clientConn{Conn: conn, idle: time.Now(), by: time.Now().Add(c.patience)}
+	cc := &clientConn{Conn: conn, idleSince: time.Now(), commandDeadline: time.Now().Add(c.commandTimeout)}
 	c.mu.Lock()
-	if c.closing { // as for those that were just opened when the closing began
-		cc.left, cc.by = true, time.Now().Add(lateWait)
+	if c.isClosing { // as for those that were just opened when the closing began
+		cc.isReleased, cc.commandDeadline = true, time.Now().Add(clientTimeout)
 	}
-	cc.readUntil(cc.by)
+	cc.limitReadUntil(cc.commandDeadline)
 	c.conns[cc] = true
 	c.wg.Add(1)
 	c.mu.Unlock()
 	go func() {
 		defer c.wg.Done()
-		c.talk(cc)
-		c.part(cc)
+		c.serveConnection(cc)
+		c.closeGracefully(cc)
 		cc.Close()
 		c.mu.Lock()
 		delete(c.conns, cc)
-		c.open--
+		c.openConns--
 		c.mu.Unlock()
 		select {
-		case c.freed <- struct{}{}:
+		case c.slotFreed <- struct{}{}:
 		default:
 		}
 	}()
 }
 
-// reserve counts a new connection in, once there is a descriptor for it: where
+// reserveSlot counts a new connection in, once there is a descriptor for it: where
 // all places are taken another makes room, and that takes it a moment. What comes
 // faster than others leave would else take the descriptors of calls, log and
 // discovery. It reports false where nobody makes room in time.
-func (c *clients) reserve() bool {
-	limit := time.NewTimer(roomWait)
+func (c *clientServer) reserveSlot() bool {
+	limit := time.NewTimer(maxSlotWait)
 	defer limit.Stop()
 	for {
-		free, later := c.tryReserve()
+		free, later := c.reserveSlotNow()
 		if free || later == 0 {
 			return free
 		}
 		select {
-		case <-c.freed:
+		case <-c.slotFreed:
 		case <-time.After(later):
 		case <-limit.C:
 			return false
@@ -430,30 +430,30 @@
 	}
 }
 
-// tryReserve is one try; later is when another may fare better, 0 for never.
-func (c *clients) tryReserve() (free bool, later time.Duration) {
+// reserveSlotNow is one try; later is when another may fare better, 0 for never.
+func (c *clientServer) reserveSlotNow() (free bool, later time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.most - c.most/leaving
+	kept := c.maxConns - c.maxConns/closingSlotsDivisor
 	if len(c.conns) >= kept {
-		if later = c.evict(); later == 0 && len(c.conns) >= kept && c.open <= len(c.conns) {
+		if later = c.evictConnection(); later == 0 && len(c.conns) >= kept && c.openConns <= len(c.conns) {
 			return false, 0
 		}
 	}
-	if len(c.conns) < kept && c.open < c.most+spare {
-		c.open++
+	if len(c.conns) < kept && c.openConns < c.maxConns+spareSlots {
+		c.openConns++
 		return true, 0
 	}
-	return false, cmp.Or(later, roomWait)
+	return false, cmp.Or(later, maxSlotWait)
 }
 
-// part ends a connection so that the peer gets all that was written to it: a
+// closeGracefully ends a connection so that the peer gets all that was written to it: a
 // close over bytes that were not read resets the connection, and an answer that
 // is still under way may go with it. So the peer hears of the end first. What it
 // sends until it has is read and dropped, for as long as a client would wait for
 // an answer and up to the length of one command. One that had to make room for
 // another holds its descriptor no longer than that takes.
-func (c *clients) part(cc *clientConn) {
+func (c *clientServer) closeGracefully(cc *clientConn) {
 	t, ok := cc.Conn.(interface{ CloseWrite() error })
 	if !ok || t.CloseWrite() != nil {
 		return
@@ -461,32 +461,32 @@
 	c.mu.Lock()
 	counted := c.conns[cc]
 	if counted {
-		cc.SetReadDeadline(time.Now().Add(lateWait))
+		cc.SetReadDeadline(time.Now().Add(clientTimeout))
 	}
 	c.mu.Unlock()
 	if counted {
-		io.CopyN(io.Discard, cc, skipMost)
+		io.CopyN(io.Discard, cc, maxSkippedBytes)
 	}
-	discard(cc.Conn)
+	discardUnread(cc.Conn)
 }
 
-// evict closes a connection to make room for a new one: one that has ended and
+// evictConnection closes a connection to make room for a new one: one that has ended and
 // only waits for its peer, else the one that has been idle for longest, since
 // clients open another when they need it, else the one whose peer has begun a
 // command and has handed in nothing before. One that has just come is given time
 // for its request; evict then returns how much of it is left. The caller holds mu.
-func (c *clients) evict() time.Duration {
+func (c *clientServer) evictConnection() time.Duration {
 	var out *clientConn
 	left := time.Duration(0)
 	for cc := range c.conns {
-		stay := shortStay - time.Since(cc.idle)
-		switch rank := cc.keepRank(); {
-		case rank == keepAlways:
-		case stay > 0 && rank != keepEnded:
+		stay := evictionGrace - time.Since(cc.idleSince)
+		switch rank := cc.evictionRank(); {
+		case rank == evictNever:
+		case stay > 0 && rank != evictEnding:
 			if left == 0 || stay < left {
 				left = stay
 			}
-		case out == nil || rank < out.keepRank() || rank == out.keepRank() && cc.idle.Before(out.idle):
+		case out == nil || rank < out.evictionRank() || rank == out.evictionRank() && cc.idleSince.Before(out.idleSince):
 			out = cc
 		}
 	}
@@ -494,7 +494,7 @@
 		return left
 	}
 	delete(c.conns, out)
-	if out.over {
+	if out.isEnding {
 		out.SetReadDeadline(time.Unix(1, 0))
 	} else {
 		out.release()
@@ -504,114 +504,114 @@
 
 // Ranks of connections, by how much they are worth keeping.
 const (
-	keepEnded = iota
-	keepIdleOne
-	keepHalf
-	keepAlways
+	evictEnding = iota
+	evictIdle
+	evictPartialCommand
+	evictNever
 )
 
-func (cc *clientConn) keepRank() int {
+func (cc *clientConn) evictionRank() int {
 	switch {
-	case cc.over:
-		return keepEnded
-	case cc.busy == 0:
-		return keepIdleOne
-	case !cc.by.IsZero():
-		return keepHalf
+	case cc.isEnding:
+		return evictEnding
+	case cc.pendingRequests == 0:
+		return evictIdle
+	case !cc.commandDeadline.IsZero():
+		return evictPartialCommand
 	}
-	return keepAlways
+	return evictNever
 }
 
-// closeIdle closes the connections that carry no request, and each of the
+// drainConnections closes the connections that carry no request, and each of the
 // others after its answer.
-func (c *clients) closeIdle() {
+func (c *clientServer) drainConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing = true
+	c.isClosing = true
 	for cc := range c.conns {
 		switch {
-		case cc.busy > 0:
-		case cc.used:
+		case cc.pendingRequests > 0:
+		case cc.hasReceivedRequest:
 			cc.release()
 		default: // just opened: its first request is under way
-			cc.left = true
-			cc.readUntil(time.Now().Add(lateWait))
+			cc.isReleased = true
+			cc.limitReadUntil(time.Now().Add(clientTimeout))
 		}
 	}
 }
 
-// share has this process make do with one part in so many of the connections.
-func (c *clients) share(parts int) {
-	most, _ := c.cfg.socketBudget()
+// divideCapacity has this process make do with one part in so many of the connections.
+func (c *clientServer) divideCapacity(processes int) {
+	maxConns, _ := c.cfg.socketBudget()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.most = most / parts
+	c.maxConns = maxConns / processes
 }
 
-func (c *clients) count() int {
+func (c *clientServer) connectionCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
 }
 
-// refuse has PING say no, or yes again. After a yes connections are kept as
+// setDraining has PING say no, or yes again. After a yes connections are kept as
 // before; those that were released by then still end.
-func (c *clients) refuse(no bool) {
+func (c *clientServer) setDraining(isDraining bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refused = no
-	if !no {
-		c.closing = false
+	c.isDraining = isDraining
+	if !isDraining {
+		c.isClosing = false
 	}
 }
 
-func (c *clients) refuses() bool {
+func (c *clientServer) reportsDraining() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refused
+	return c.isDraining
 }
 
-// ended books why the reader ends. That its wait is over says nothing of the client.
-func (c *clients) ended(cc *clientConn, err error) {
+// recordReadError books why the reader ends. That its wait is over says nothing of the client.
+func (c *clientServer) recordReadError(cc *clientConn, err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.gone = true
+	cc.isPeerGone = true
 }
 
-func (c *clients) isGone(cc *clientConn) bool {
+func (c *clientServer) isPeerGone(cc *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return cc.gone
+	return cc.isPeerGone
 }
 
-// begin marks a request whose first byte has come.
-func (c *clients) begin(cc *clientConn) {
+// beginRequest marks a request whose first byte has come.
+func (c *clientServer) beginRequest(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.busy++
-	cc.used = true
-	by := time.Now().Add(c.patience)
-	if !cc.by.IsZero() && cc.by.Before(by) {
-		by = cc.by
+	cc.pendingRequests++
+	cc.hasReceivedRequest = true
+	by := time.Now().Add(c.commandTimeout)
+	if !cc.commandDeadline.IsZero() && cc.commandDeadline.Before(by) {
+		by = cc.commandDeadline
 	}
-	cc.readUntil(by)
+	cc.limitReadUntil(by)
 }
 
-// unread reports whether something has come that was not read: the end of a
+// hasUnreadBytes reports whether something has come that was not read: the end of a
 // wait and the first byte of a request may fall together.
-func unread(conn net.Conn) bool {
+func hasUnreadBytes(conn net.Conn) bool {
 	var b [1]byte
-	return recvNow(conn, b[:], syscall.MSG_PEEK) > 0
+	return receiveNow(conn, b[:], syscall.MSG_PEEK) > 0
 }
 
-// discard drops what has come and was not read, with no wait for more.
-func discard(conn net.Conn) {
-	b := make([]byte, argMost)
-	for n := 0; n < skipMost; {
-		got := recvNow(conn, b, 0)
+// discardUnread drops what has come and was not read, with no wait for more.
+func discardUnread(conn net.Conn) {
+	b := make([]byte, maxArgumentBytes)
+	for n := 0; n < maxSkippedBytes; {
+		got := receiveNow(conn, b, 0)
 		if got <= 0 {
 			return
 		}
@@ -619,9 +619,9 @@
 	}
 }
 
-// recvNow receives into b without waiting; it returns 0 or less where there is
+// receiveNow receives into b without waiting; it returns 0 or less where there is
 // nothing.
-func recvNow(conn net.Conn, b []byte, flags int) (n int) {
+func receiveNow(conn net.Conn, b []byte, flags int) (n int) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -639,71 +639,71 @@
 	return n
 }
 
-// hear gives a connection whose wait is over a little time, so that what has
+// extendForUnread gives a connection whose wait is over a little time, so that what has
 // come is read.
-func (c *clients) hear(cc *clientConn) {
+func (c *clientServer) extendForUnread(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	late := time.Now().Add(lateWait)
+	late := time.Now().Add(clientTimeout)
 	if !c.conns[cc] { // it has made room and holds a descriptor all the same
-		late = time.Now().Add(shortWait)
+		late = time.Now().Add(evictedReadTimeout)
 	}
-	if !cc.by.IsZero() {
-		cc.by = late
+	if !cc.commandDeadline.IsZero() {
+		cc.commandDeadline = late
 	}
-	cc.readUntil(late)
+	cc.limitReadUntil(late)
 }
 
-// read marks a command read to its end, sound or not.
-func (c *clients) read(cc *clientConn) {
+// finishCommandRead marks a command read to its end, sound or not.
+func (c *clientServer) finishCommandRead(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.readUntil(cc.by)
+	cc.limitReadUntil(cc.commandDeadline)
 }
 
-// proper marks a connection that has carried a proper command. One that hands
+// recordValidCommand marks a connection that has carried a proper command. One that hands
 // messages in is a client's and may stand idle; a PING buys a little time.
-func (c *clients) proper(cc *clientConn, client bool) {
+func (c *clientServer) recordValidCommand(cc *clientConn, isPut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case client:
-		cc.by = time.Time{}
-	case !cc.by.IsZero():
-		cc.by = time.Now().Add(c.patience)
+	case isPut:
+		cc.commandDeadline = time.Time{}
+	case !cc.commandDeadline.IsZero():
+		cc.commandDeadline = time.Now().Add(c.commandTimeout)
 	}
-	if cc.busy == 1 && !c.closing { // else the next command is under way, under its own limit
-		cc.readUntil(cc.by)
+	if cc.pendingRequests == 1 && !c.isClosing { // else the next command is under way, under its own limit
+		cc.limitReadUntil(cc.commandDeadline)
 	}
 }
 
-// finish marks a request answered. Where that was the last on its connection, the
+// finishRequest marks a request answered. Where that was the last on its connection, the
 // reader ends once nothing more has come: what was sent ahead is answered too.
-func (c *clients) finish(cc *clientConn) {
+func (c *clientServer) finishRequest(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.busy--
-	cc.idle = time.Now()
-	if (c.closing || cc.left) && cc.busy == 0 {
+	cc.pendingRequests--
+	cc.idleSince = time.Now()
+	if (c.isClosing || cc.isReleased) && cc.pendingRequests == 0 {
 		cc.release()
 	}
 }
 
 type command struct {
-	args [][]byte
-	err  error
-	at   time.Time
+	args       [][]byte
+	err        error
+	receivedAt time.Time
 }
 
-// talk answers one client's commands in turn. A goroutine of its own reads, so
+// serveConnection answers one client's commands in turn. A goroutine of its own reads, so
 // that a client that leaves before its answer is noticed.
-func (c *clients) talk(cc *clientConn) {
+func (c *clientServer) serveConnection(cc *clientConn) {
 	commands := make(chan command)
 	quit := make(chan struct{})
 	defer func() { // what the reader has or gets from here on is taken on no more
 		close(quit)
 		c.mu.Lock()
-		cc.over = true
+		cc.isEnding = true
 		cc.SetReadDeadline(time.Unix(1, 0))
 		c.mu.Unlock()
 		for range commands {
@@ -714,18 +714,18 @@
 		in := bufio.NewReader(cc)
 		for {
 			if _, err := in.Peek(1); err != nil {
-				if errors.Is(err, os.ErrDeadlineExceeded) && unread(cc.Conn) {
-					c.hear(cc)
+				if errors.Is(err, os.ErrDeadlineExceeded) && hasUnreadBytes(cc.Conn) {
+					c.extendForUnread(cc)
 					continue
 				}
-				c.ended(cc, err)
+				c.recordReadError(cc, err)
 				return
 			}
-			c.begin(cc)
+			c.beginRequest(cc)
 			args, err := readCommand(in)
-			c.read(cc)
+			c.finishCommandRead(cc)
 			if err != nil && (errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, new(net.Error))) {
-				c.ended(cc, err)
+				c.recordReadError(cc, err)
 				return // nobody is there to be told
 			}
 			select {
@@ -733,7 +733,7 @@
 			case <-quit:
 				return
 			}
-			if err != nil && err != errTooLong {
+			if err != nil && err != errArgumentTooLong {
 				return
 			}
 		}
@@ -741,76 +741,76 @@
 	for cmd := range commands {
 		for more := &cmd; more != nil; {
 			cmd := *more
-			if cmd.err != nil && cmd.err != errTooLong {
-				c.write(cc, fault(cmd.err))
+			if cmd.err != nil && cmd.err != errArgumentTooLong {
+				c.writeResponse(cc, errorResponse(cmd.err))
 				return
 			}
 			ok := false
-			if ok, more = c.one(cc, cmd, commands); !ok {
+			if ok, more = c.execute(cc, cmd, commands); !ok {
 				return
 			}
-			c.finish(cc)
+			c.finishRequest(cc)
 		}
 	}
 }
 
-// one answers one command. It hands back what the client sent ahead of the
+// execute answers one command. It hands back what the client sent ahead of the
 // answer, and false where the connection is of no more use.
-func (c *clients) one(cc *clientConn, cmd command, commands chan command) (bool, *command) {
+func (c *clientServer) execute(cc *clientConn, cmd command, commands chan command) (bool, *command) {
 	if cmd.err != nil {
-		return c.write(cc, fault(cmd.err)), nil
+		return c.writeResponse(cc, errorResponse(cmd.err)), nil
 	}
 	switch name := string(bytes.ToUpper(cmd.args[0])); name {
 	case "PING":
-		c.proper(cc, false)
-		if c.refuses() {
-			return c.write(cc, fault(errDraining)), nil
+		c.recordValidCommand(cc, false)
+		if c.reportsDraining() {
+			return c.writeResponse(cc, errorResponse(errDraining)), nil
 		}
 		if len(cmd.args) > 1 {
 			p := cmd.args[1]
-			return c.write(cc, "$"+strconv.Itoa(len(p))+"\r\n"+string(p)+"\r\n"), nil
+			return c.writeResponse(cc, "$"+strconv.Itoa(len(p))+"\r\n"+string(p)+"\r\n"), nil
 		}
-		return c.write(cc, "+PONG\r\n"), nil
+		return c.writeResponse(cc, "+PONG\r\n"), nil
 	case "MSG.PUT":
-		return c.handIn(cc, cmd, commands)
+		return c.executePut(cc, cmd, commands)
 	default:
-		return c.write(cc, fault(fmt.Errorf("unknown command %.32q", name))), nil
+		return c.writeResponse(cc, errorResponse(fmt.Errorf("unknown command %.32q", name))), nil
 	}
 }
 
-// handIn hands a message to the loop and writes its answer.
-func (c *clients) handIn(cc *clientConn, cmd command, commands chan command) (bool, *command) {
-	q, err := c.cfg.parsePut(cmd.args, cmd.at)
+// executePut hands a message to the loop and writes its answer.
+func (c *clientServer) executePut(cc *clientConn, cmd command, commands chan command) (bool, *command) {
+	q, err := c.cfg.parsePutRequest(cmd.args, cmd.receivedAt)
 	if err != nil {
-		return c.write(cc, fault(err)), nil
+		return c.writeResponse(cc, errorResponse(err)), nil
 	}
-	c.proper(cc, true)
-	c.put(q)
+	c.recordValidCommand(cc, true)
+	c.submit(q)
 	var ahead *command
 	var reply string
 	select {
-	case reply = <-q.reply:
+	case reply = <-q.responses:
 	case next, open := <-commands:
 		switch {
 		case open:
 			ahead = &next
-		case c.isGone(cc): // before its answer: where it only ended its sending, it hears that this is harmless
-			c.said(q, false)
-			return c.write(cc, busy(0)), nil
+		case c.isPeerGone(cc): // before its answer: where it only ended its sending, it hears that this is harmless
+			c.onResponded(q, false)
+			return c.writeResponse(cc, busyResponse(0)), nil
 		}
-		reply = <-q.reply
+		reply = <-q.responses
 	}
-	if reply == replyOK && time.Since(cmd.at) >= c.givenUp {
-		c.said(q, false)
-		return c.write(cc, busy(0)), ahead // harmless, should it still be there
+	if reply == responseOK && time.Since(cmd.receivedAt) >= c.clientTimeout {
+		c.onResponded(q, false)
+		return c.writeResponse(cc, busyResponse(0)), ahead // harmless, should it still be there
 	}
-	ok := c.write(cc, reply)
-	c.said(q, ok)
+	ok := c.writeResponse(cc, reply)
+	c.onResponded(q, ok)
 	return ok, ahead
 }
 
-func (c *clients) write(cc *clientConn, s string) bool {
-	cc.SetWriteDeadline(time.Now().Add(writeWait))
+func (c *clientServer) writeResponse(cc *clientConn, s string) bool {
+	cc.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	_, err := io.WriteString(cc, s)
 	return err == nil
 }
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -15,10 +15,10 @@
 )
 
 // serveClients runs the client side alone; put stands for the loop.
-func serveClients(t *testing.T, put func(*request)) (*clients, string, chan bool) {
+func serveClients(t *testing.T, put func(*putRequest)) (*clientServer, string, chan bool) {
 	t.Helper()
 	said := make(chan bool, 16)
-	c := newClients(testSet(t), quietLog(), put, func(_ *request, ok bool) { said <- ok })
+	c := newClientServer(testSet(t), quietLog(), put, func(_ *putRequest, ok bool) { said <- ok })
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,12 +28,12 @@
 	return c, ln.Addr().String(), said
 }
 
-func accept(q *request) { q.answer(replyOK) }
+func accept(q *putRequest) { q.respond(responseOK) }
 
 // Guards against what no client should send: nothing is taken, the fault is
 // named, and a connection that is still in step goes on.
 func TestBadInput(t *testing.T) {
-	long := strings.Repeat("x", bodyMost+1)
+	long := strings.Repeat("x", maxBodyBytes+1)
 	for name, x := range map[string]struct {
 		text string
 		ends bool
@@ -66,7 +66,7 @@
 		"field alone":      {putText("m", "c", nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addr, _ := serveClients(t, func(q *request) { t.Error("taken"); accept(q) })
+			_, addr, _ := serveClients(t, func(q *putRequest) { t.Error("taken"); accept(q) })
 			cl := dialClient(t, addr)
 			io.WriteString(cl, x.text)
 			if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
@@ -88,22 +88,22 @@
 
 func TestParsePut(t *testing.T) {
 	now := time.UnixMicro(1e15)
-	q, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
+	q, err := testSet(t).parsePutRequest([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 		[]byte("c=keyed,t=acme,d=1500.5,k=k1,dest=12,r=1,again=1,new=x"), []byte("b")}, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if q.class != 1 || q.tenant != 0 || q.rec.Dest != 12 || q.rec.Key != "k1" || q.rec.ID != "id1" ||
-		!q.at.Equal(time.UnixMicro(1e15)) || q.left != 1500500*time.Microsecond || string(q.rec.Body) != "b" {
-		t.Errorf("got %+v, %+v", q, q.rec)
+	if q.class != 1 || q.tenant != 0 || q.record.Dest != 12 || q.record.Key != "k1" || q.record.ID != "id1" ||
+		!q.receivedAt.Equal(time.UnixMicro(1e15)) || q.timeLeft != 1500500*time.Microsecond || string(q.record.Body) != "b" {
+		t.Errorf("got %+v, %+v", q, q.record)
 	}
 }
 
 // Guards a client's give-up: one that leaves before its answer has not heard
 // that its message was taken on, and may hand it in elsewhere.
 func TestClientGoneBeforeAnswer(t *testing.T) {
-	got := make(chan *request, 1)
-	_, addr, said := serveClients(t, func(q *request) { got <- q })
+	got := make(chan *putRequest, 1)
+	_, addr, said := serveClients(t, func(q *putRequest) { got <- q })
 	cl := dialClient(t, addr)
 	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
 	q := <-got
@@ -111,14 +111,14 @@
 	if <-said {
 		t.Error("held to be heard")
 	}
-	q.answer(replyOK) // comes too late and blocks nobody
+	q.respond(responseOK) // comes too late and blocks nobody
 }
 
 // Guards against taking on too late: whoever has waited for as long as clients
 // wait hands the message in elsewhere, and is not told that it is taken on here.
 func TestTakenOnTooLate(t *testing.T) {
 	c, addr, said := serveClients(t, accept)
-	c.givenUp = 0
+	c.clientTimeout = 0
 	cl := dialClient(t, addr)
 	if s := cl.put("m", fields("plain", 8000, 1), nil); s != "-BUSY" {
 		t.Errorf("answer %q", s)
@@ -130,17 +130,17 @@
 
 // A client that sends ahead gets its answers in turn.
 func TestSentAhead(t *testing.T) {
-	first := make(chan *request, 1)
-	_, addr, said := serveClients(t, func(q *request) {
-		if q.rec.ID == "a" {
+	first := make(chan *putRequest, 1)
+	_, addr, said := serveClients(t, func(q *putRequest) {
+		if q.record.ID == "a" {
 			first <- q
 			return
 		}
-		q.answer(busy(7))
+		q.respond(busyResponse(7))
 	})
 	cl := dialClient(t, addr)
 	io.WriteString(cl, putText("a", fields("plain", 8000, 1), nil)+putText("b", fields("plain", 8000, 1), nil)+"*1\r\n$4\r\nPING\r\n")
-	(<-first).answer(replyOK)
+	(<-first).respond(responseOK)
 	if s := cl.line() + cl.line() + cl.line(); s != "+OK-BUSY 7+PONG" {
 		t.Errorf("answers %q", s)
 	}
@@ -152,18 +152,18 @@
 // Guards against losing a request to a close: a connection is closed only
 // between requests, one with a request under way after its answer.
 func TestCloseBetweenRequests(t *testing.T) {
-	got := make(chan *request, 1)
-	c, addr, _ := serveClients(t, func(q *request) { got <- q })
+	got := make(chan *putRequest, 1)
+	c, addr, _ := serveClients(t, func(q *putRequest) { got <- q })
 	idle, busyOne := dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
 	idle.line()
 	io.WriteString(busyOne, putText("m", fields("plain", 8000, 1), nil))
 	q := <-got
-	c.closeIdle()
+	c.drainConnections()
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("idle: %v", err)
 	}
-	q.answer(replyOK)
+	q.respond(responseOK)
 	if s := busyOne.line(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
@@ -177,7 +177,7 @@
 func TestConnectionsBounded(t *testing.T) {
 	c, addr, _ := serveClients(t, accept)
 	c.mu.Lock()
-	c.most = 2
+	c.maxConns = 2
 	c.mu.Unlock()
 	var all []*testClient
 	for i := range 3 {
@@ -199,16 +199,16 @@
 // do not go on, and peers that are let go and do not leave, make room like idle
 // ones. A client that comes meanwhile is served, one that waits for its answer kept.
 func TestFloodBounded(t *testing.T) {
-	got := make(chan *request, 1)
-	c, addr, _ := serveClients(t, func(q *request) {
-		if q.rec.ID == "waits" {
+	got := make(chan *putRequest, 1)
+	c, addr, _ := serveClients(t, func(q *putRequest) {
+		if q.record.ID == "waits" {
 			got <- q
 			return
 		}
 		accept(q)
 	})
 	c.mu.Lock()
-	c.most = 4
+	c.maxConns = 4
 	c.mu.Unlock()
 	waits := dialClient(t, addr)
 	io.WriteString(waits, putText("waits", fields("plain", 8000, 1), nil))
@@ -225,20 +225,20 @@
 				defer c.mu.Unlock()
 				for cc := range c.conns {
 					if cc.RemoteAddr().String() == peer.LocalAddr().String() {
-						return cc.busy > 0
+						return cc.pendingRequests > 0
 					}
 				}
 				return false
 			})
 		}
-		if n := c.count(); n > 4 {
+		if n := c.connectionCount(); n > 4 {
 			t.Fatalf("%d connections, 4 allowed", n)
 		}
 	}
 	if s := dialClient(t, addr).put("m", fields("plain", 8000, 1), nil); s != "+OK" {
 		t.Errorf("a client in the flood: %q", s)
 	}
-	if q.answer(replyOK); waits.line() != "+OK" {
+	if q.respond(responseOK); waits.line() != "+OK" {
 		t.Error("the one that waits for its answer has none")
 	}
 }
@@ -246,15 +246,15 @@
 // Guards the limit on descriptors: one that was let go just as a request began
 // is answered, and then closed, since it is counted no longer.
 func TestReleasedAsRequestBegins(t *testing.T) {
-	c := newClients(testSet(t), quietLog(), accept, func(*request, bool) {})
+	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
 	near, far := net.Pipe()
 	defer far.Close()
 	cc := &clientConn{Conn: near}
 	c.conns[cc] = true
-	c.evict()
-	c.begin(cc)
-	c.read(cc)
-	c.finish(cc)
+	c.evictConnection()
+	c.beginRequest(cc)
+	c.finishCommandRead(cc)
+	c.finishRequest(cc)
 	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("it stays open and is counted no longer: %v", err)
 	}
@@ -263,7 +263,7 @@
 // Guards against closing unheard: what has come when the wait for a next
 // request ends is answered first, and the connection is closed only then.
 func TestReleasedUnheard(t *testing.T) {
-	c := newClients(testSet(t), quietLog(), accept, func(*request, bool) {})
+	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -277,9 +277,9 @@
 	cc := &clientConn{Conn: conn}
 	c.conns[cc] = true
 	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
-	waitFor(t, "the request", func() bool { return unread(conn) })
-	c.closeIdle() // the reader has not begun
-	go func() { c.talk(cc); conn.Close() }()
+	waitFor(t, "the request", func() bool { return hasUnreadBytes(conn) })
+	c.drainConnections() // the reader has not begun
+	go func() { c.serveConnection(cc); conn.Close() }()
 	if s := cl.line(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
@@ -291,9 +291,9 @@
 // Guards the places of clients against those that begin a command and never
 // end it. One that waits between commands, or for its answer, is left alone.
 func TestHalfACommand(t *testing.T) {
-	got := make(chan *request, 1)
-	c := newClients(testSet(t), quietLog(), func(q *request) { got <- q }, func(*request, bool) {})
-	c.patience = 300 * time.Millisecond
+	got := make(chan *putRequest, 1)
+	c := newClientServer(testSet(t), quietLog(), func(q *putRequest) { got <- q }, func(*putRequest, bool) {})
+	c.commandTimeout = 300 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -307,7 +307,7 @@
 	if _, err := half.in.ReadByte(); err == nil {
 		t.Error("half a command is answered")
 	}
-	q.answer(replyOK) // later than the patience with the other
+	q.respond(responseOK) // later than the patience with the other
 	if s := waits.line(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
@@ -316,8 +316,8 @@
 // Guards the places of clients against peers that say nothing, nothing proper,
 // or nothing after a PING. One that has handed in a message may stand idle.
 func TestSilentPeer(t *testing.T) {
-	c := newClients(testSet(t), quietLog(), accept, func(*request, bool) {})
-	c.patience = 300 * time.Millisecond
+	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+	c.commandTimeout = 300 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -357,10 +357,10 @@
 		if err != nil {
 			return
 		}
-		if len(args) == 0 || len(args) > argsMost {
+		if len(args) == 0 || len(args) > maxArguments {
 			t.Fatalf("%d arguments", len(args))
 		}
-		cfg.parsePut(args, time.Now())
+		cfg.parsePutRequest(args, time.Now())
 	})
 }
 
@@ -383,9 +383,9 @@
 
 // serveCrossing talks on one connection whose client sends text just as the
 // relay lets go of it.
-func serveCrossing(t *testing.T, put func(*request), text string) (*clients, *testClient) {
+func serveCrossing(t *testing.T, put func(*putRequest), text string) (*clientServer, *testClient) {
 	t.Helper()
-	c := newClients(testSet(t), quietLog(), put, func(*request, bool) {})
+	c := newClientServer(testSet(t), quietLog(), put, func(*putRequest, bool) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -399,9 +399,9 @@
 	x := &crossing{TCPConn: conn.(*net.TCPConn)}
 	x.cross = sync.OnceFunc(func() {
 		io.WriteString(cl, text)
-		waitFor(t, "the crossing bytes", func() bool { return unread(x.TCPConn) })
+		waitFor(t, "the crossing bytes", func() bool { return hasUnreadBytes(x.TCPConn) })
 	})
-	c.welcome(x)
+	c.startConnection(x)
 	return c, cl
 }
 
@@ -409,13 +409,13 @@
 // client sends as the relay closes is dropped, and resets nothing.
 func TestAnswerOutlivesClose(t *testing.T) {
 	var taken atomic.Int32
-	got := make(chan *request, 2)
-	c, cl := serveCrossing(t, func(q *request) { taken.Add(1); got <- q },
-		putText("b", fields("plain", 8000, 1), nil)+putText("c", fields("plain", 8000, 1), make([]byte, bodyMost)))
+	got := make(chan *putRequest, 2)
+	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); got <- q },
+		putText("b", fields("plain", 8000, 1), nil)+putText("c", fields("plain", 8000, 1), make([]byte, maxBodyBytes)))
 	io.WriteString(cl, putText("a", fields("plain", 8000, 1), nil))
 	q := <-got
-	c.closeIdle()
-	q.answer(replyOK)
+	c.drainConnections()
+	q.respond(responseOK)
 	if s := cl.line(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
@@ -423,7 +423,7 @@
 		t.Errorf("after the answer: %v, want an end and no reset", err)
 	}
 	cl.Close()
-	waitFor(t, "the end of the connection", func() bool { return c.count() == 0 })
+	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
 	if n := taken.Load(); n != 1 {
 		t.Errorf("%d requests taken, want the first alone", n)
 	}
@@ -433,16 +433,16 @@
 // the close is dropped whole, and its client hears of the end, not of a reset.
 func TestRequestCrossesClose(t *testing.T) {
 	var taken atomic.Int32
-	c, cl := serveCrossing(t, func(q *request) { taken.Add(1); accept(q) }, putText("b", fields("plain", 8000, 1), nil))
+	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); accept(q) }, putText("b", fields("plain", 8000, 1), nil))
 	if s := cl.put("a", fields("plain", 8000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	c.closeIdle()
+	c.drainConnections()
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("%v, want an end and no reset", err)
 	}
 	cl.Close()
-	waitFor(t, "the end of the connection", func() bool { return c.count() == 0 })
+	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
 	if n := taken.Load(); n != 1 {
 		t.Errorf("%d requests taken, want the first alone", n)
 	}
@@ -458,14 +458,14 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for cc := range c.conns {
-			return cc.busy == 0
+			return cc.pendingRequests == 0
 		}
 		return false
 	})
 	waitFor(t, "room", func() bool { // one that has just had its answer rests a moment first
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.evict() == 0
+		return c.evictConnection() == 0
 	})
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("%v, want an end and no reset", err)
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -176,7 +176,7 @@
 			if s := cl.put("new", fields("plain", 8000, 1), nil); s != "-BUSY" {
 				t.Errorf("new, while the disk fails: %s", s)
 			}
-			if took := time.Since(refused); took > lateWait {
+			if took := time.Since(refused); took > clientTimeout {
 				t.Errorf("refused after %v", took)
 			}
 			disc.Send(t, discoverytest.Change(2, later.member("s-5", 5)))
@@ -297,11 +297,11 @@
 		if id == "timely" {
 			left = time.Second
 		}
-		q := &request{class: 0, tenant: 0, rec: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, at: time.Now(), left: left, reply: make(chan string, 1)}
+		q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: left, responses: make(chan string, 1)}
 		r.admit(q)
 		taken[id] = r.messagesByID[id]
 		r.stepPolicy()
-		if s := <-q.reply; s != replyOK {
+		if s := <-q.responses; s != responseOK {
 			t.Fatal(s)
 		}
 		r.acknowledge(q, true)
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -23,83 +23,83 @@
 )
 
 const (
-	callPath    = "/v1/messages"
-	batchPath   = "/v1/messages:batch"
-	bodyFrame   = 64 // bytes of a batch's body round each message: quotes, names, commas
-	probePath   = "/health/live"
-	answerMost  = 1 << 20         // bytes of an answer that are read
-	answerLine  = 256             // bytes of its first line
-	readMost    = 4 << 10         // bytes that are read at a time
-	probeWait   = 2 * time.Second // a probe that takes longer has failed
-	idleMargin  = 10              // one part in so many of the keep-alive is left unused
-	longestWait = 10 * time.Minute
+	messagePath            = "/v1/messages"
+	batchPath              = "/v1/messages:batch"
+	batchItemOverhead      = 64 // bytes of a batch's body round each message: quotes, names, commas
+	healthCheckPath        = "/health/live"
+	maxResponseBytes       = 1 << 20         // bytes of an answer that are read
+	maxStatusLineBytes     = 256             // bytes of its first line
+	readBufferBytes        = 4 << 10         // bytes that are read at a time
+	healthCheckTimeout     = 2 * time.Second // a probe that takes longer has failed
+	keepAliveMarginDivisor = 10              // one part in so many of the keep-alive is left unused
+	maxRetryAfter          = 10 * time.Minute
 	// What follows a first line with 200 means nothing. It comes with it, or is not worth the slot: to open
 	// another connection takes no longer.
-	restWait = 200 * time.Millisecond
+	responseRemainderTimeout = 200 * time.Millisecond
 )
 
 // endpoint is one address of a destination, with its kept-alive connections.
 // The loop owns it; calls use its address as it was when they began.
 type endpoint struct {
-	id       string
-	num      policy.Endpoint
-	cell     int
-	zone     int
-	batch    int // messages that one call there may carry
-	hostPort string
-	listed   bool // discovery names it
-	gone     bool // drained or removed: nothing new goes there
-	goneAt   policy.Time
-	answerAt policy.Time // when it last answered at all
-	waitOver policy.Time // of what it, or one that shares its limit, told to wait
-	conns    *http.Transport
-	idle     idleWatch
-	counted  *http.Transport // these of its connections are in the pool's count
-	pooled   bool            // is in pool.used
-	lastUse  int             // calls begun so far
-	seenUse  int             // the same when its place in pool.used was last given
-	calls    map[*call]bool
-	entry    policy.Entry // as the policy was last told
-}
-
-// reuse has the endpoint's connections stand idle for no longer than this.
-func (ep *endpoint) reuse(cfg *Config, idle int, limit time.Duration) {
-	if ep.conns != nil && ep.conns.IdleConnTimeout == limit {
+	id               string
+	number           policy.Endpoint
+	cell             int
+	zone             int
+	maxBatch         int // messages that one call there may carry
+	hostPort         string
+	isListed         bool // discovery names it
+	isStopped        bool // drained or removed: nothing new goes there
+	stoppedAt        policy.Time
+	lastResponseAt   policy.Time // when it last answered at all
+	retryAfterUntil  policy.Time // of what it, or one that shares its limit, told to wait
+	transport        *http.Transport
+	idleResets       idleResetTracker
+	countedTransport *http.Transport // these of its connections are in the pool's count
+	isPooled         bool            // is in pool.used
+	callsStarted     int             // calls begun so far
+	callsAtEnqueue   int             // the same when its place in pool.used was last given
+	calls            map[*call]bool
+	policyEntry      policy.Entry // as the policy was last told
+}
+
+// setIdleTimeout has the endpoint's connections stand idle for no longer than this.
+func (ep *endpoint) setIdleTimeout(cfg *Config, maxIdleConns int, timeout time.Duration) {
+	if ep.transport != nil && ep.transport.IdleConnTimeout == timeout {
 		return
 	}
-	if ep.conns != nil { // calls that are out on them go on
-		ep.conns.CloseIdleConnections()
+	if ep.transport != nil { // calls that are out on them go on
+		ep.transport.CloseIdleConnections()
 	}
-	ep.conns = newConns(cfg, idle, limit)
+	ep.transport = newTransport(cfg, maxIdleConns, timeout)
 }
 
-// keepIdle is how long a connection may stand idle by the settings. A request
+// maxIdleTime is how long a connection may stand idle by the settings. A request
 // written to a connection that the endpoint is closing ends as a reset: ours
 // close first.
-func keepIdle(set *policy.Settings) time.Duration {
-	keep := time.Duration(set.KeepAlive) * time.Microsecond
-	return keep - keep/idleMargin
+func maxIdleTime(set *policy.Settings) time.Duration {
+	keepAlive := time.Duration(set.KeepAlive) * time.Microsecond
+	return keepAlive - keepAlive/keepAliveMarginDivisor
 }
 
-// suspect books how a call went and reports whether the endpoint's idle
+// updateLiveness books how a call went and reports whether the endpoint's idle
 // connections are to be given up. After a machine was silent or died, each of
 // them would hang or be reset under a call that may then have run.
-func (ep *endpoint) suspect(o *outcome, now policy.Time) bool {
-	switch o.what {
+func (ep *endpoint) updateLiveness(o *outcome, now policy.Time) bool {
+	switch o.kind {
 	case policy.ConnectionReset, policy.ConnectFailed:
 		return true
 	case policy.TimedOut, policy.Cancelled:
-		return ep.answerAt < now-o.took // others that were sent later were answered: one slow call
+		return ep.lastResponseAt < now-o.latency // others that were sent later were answered: one slow call
 	}
 	if o.status != 0 {
-		ep.answerAt = now
+		ep.lastResponseAt = now
 	}
 	return false
 }
 
-// newConns makes the connections of one endpoint. Each endpoint has its own,
+// newTransport makes the connections of one endpoint. Each endpoint has its own,
 // so that its idle ones can be given back alone.
-func newConns(cfg *Config, idle int, limit time.Duration) *http.Transport {
+func newTransport(cfg *Config, maxIdleConns int, idleTimeout time.Duration) *http.Transport {
 	connect := time.Duration(cfg.Policy.ConnectTimeout) * time.Microsecond
 	dialer := &net.Dialer{Timeout: connect, KeepAlive: -1, Control: cfg.Connect}
 	return &http.Transport{
@@ -108,17 +108,17 @@
 			if err != nil {
 				return nil, err
 			}
-			return &lineConn{Conn: conn}, nil
+			return &endpointConn{Conn: conn}, nil
 		},
-		MaxIdleConnsPerHost:    idle, // the default of two would close the rest after each burst
-		IdleConnTimeout:        limit,
+		MaxIdleConnsPerHost:    maxIdleConns, // the default of two would close the rest after each burst
+		IdleConnTimeout:        idleTimeout,
 		MaxResponseHeaderBytes: 64 << 10,
 		DisableCompression:     true,
-		Protocols:              http1(),
+		Protocols:              http1Only(),
 	}
 }
 
-// lineConn stands between net/http and a connection to an endpoint, for what
+// endpointConn stands between net/http and a connection to an endpoint, for what
 // net/http does not tell or do.
 //
 // It keeps the first line of the newest answer: of one that it cannot read to the
@@ -129,113 +129,113 @@
 // a connection to a call that waits for one the moment an answer on it is over;
 // bytes that came behind that answer would be read as the answer to the next.
 // So it hands on a byte at a time, and keeps what has not been asked for.
-type lineConn struct {
+type endpointConn struct {
 	net.Conn
-	mu    sync.Mutex
-	buf   []byte // that is read into
-	came  []byte // of it, and not handed on
-	asked bool   // the newest call has begun to write its request
-	stale bool   // bytes have come that belong to no call: the connection carries no more
-	err   error  // that ends what came
-	line  []byte // as far as it has been handed on
-	ended bool   // nothing more can be read
-	is200 func() // called once a whole first line has come that says 200; may be nil
+	mu               sync.Mutex
+	readBuffer       []byte // that is read into
+	unread           []byte // of it, and not handed on
+	isRequestStarted bool   // the newest call has begun to write its request
+	isStale          bool   // bytes have come that belong to no call: the connection carries no more
+	readErr          error  // that ends what came
+	statusLine       []byte // as far as it has been handed on
+	isReadDone       bool   // nothing more can be read
+	onStatusOK       func() // called once a whole first line has come that says 200; may be nil
 
-	closed func() // called at a close, whether or not it is the first; may be nil
+	onClose func() // called at a close, whether or not it is the first; may be nil
 }
 
 // Close tells the pool of the descriptor that is free again.
-func (c *lineConn) Close() error {
+func (c *endpointConn) Close() error {
 	err := c.Conn.Close()
-	if c.closed != nil {
-		c.closed()
+	if c.onClose != nil {
+		c.onClose()
 	}
 	return err
 }
 
-var errStale = errors.New("bytes on the connection that answer nothing")
+var errUnexpectedBytes = errors.New("bytes on the connection that answer nothing")
 
-// take gives the connection to a call; f is called once the first line of its
+// assignCall gives the connection to a call; f is called once the first line of its
 // answer says 200 and may be nil. It reports false where the connection has
 // bytes on it already and can carry no call.
-func (c *lineConn) take(f func()) bool {
+func (c *endpointConn) assignCall(onStatusOK func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked, c.is200, c.line = false, f, c.line[:0]
-	c.stale = c.stale || len(c.came) > 0 || unread(c.Conn)
-	return !c.stale
+	c.isRequestStarted, c.onStatusOK, c.statusLine = false, onStatusOK, c.statusLine[:0]
+	c.isStale = c.isStale || len(c.unread) > 0 || hasUnreadBytes(c.Conn)
+	return !c.isStale
 }
 
-func (c *lineConn) Write(b []byte) (int, error) {
+func (c *endpointConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	stale := c.stale
-	c.asked = true
+	stale := c.isStale
+	c.isRequestStarted = true
 	c.mu.Unlock()
 	if stale {
-		return 0, errStale
+		return 0, errUnexpectedBytes
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *lineConn) Read(b []byte) (int, error) {
+func (c *endpointConn) Read(b []byte) (int, error) {
 	for len(b) > 0 {
-		if n, err := c.handOn(b); n > 0 || err != nil {
+		if n, err := c.nextByte(b); n > 0 || err != nil {
 			return n, err
 		}
-		if c.buf == nil {
-			c.buf = make([]byte, readMost)
+		if c.readBuffer == nil {
+			c.readBuffer = make([]byte, readBufferBytes)
 		}
-		n, err := c.Conn.Read(c.buf)
+		n, err := c.Conn.Read(c.readBuffer)
 		c.mu.Lock()
-		c.came, c.err = c.buf[:n], err
-		c.stale = c.stale || n > 0 && !c.asked
+		c.unread, c.readErr = c.readBuffer[:n], err
+		c.isStale = c.isStale || n > 0 && !c.isRequestStarted
 		c.mu.Unlock()
 	}
 	return 0, nil
 }
 
-// handOn gives the next byte that has come, if there is one.
-func (c *lineConn) handOn(b []byte) (int, error) {
+// nextByte gives the next byte that has come, if there is one.
+func (c *endpointConn) nextByte(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.stale:
-		c.ended = true
-		return 0, errStale
-	case len(c.came) == 0:
-		c.ended = c.ended || c.err != nil
-		return 0, c.err
-	}
-	b[0] = c.came[0]
-	c.came = c.came[1:]
-	if n := len(c.line); n < answerLine && (n == 0 || c.line[n-1] != '\n') {
-		c.line = append(c.line, b[0])
-		if b[0] == '\n' && c.is200 != nil && c.says200() {
-			c.is200()
-			c.is200 = nil
+	case c.isStale:
+		c.isReadDone = true
+		return 0, errUnexpectedBytes
+	case len(c.unread) == 0:
+		c.isReadDone = c.isReadDone || c.readErr != nil
+		return 0, c.readErr
+	}
+	b[0] = c.unread[0]
+	c.unread = c.unread[1:]
+	if n := len(c.statusLine); n < maxStatusLineBytes && (n == 0 || c.statusLine[n-1] != '\n') {
+		c.statusLine = append(c.statusLine, b[0])
+		if b[0] == '\n' && c.onStatusOK != nil && c.isStatusLineOK() {
+			c.onStatusOK()
+			c.onStatusOK = nil
 		}
 	}
 	return 1, nil
 }
 
-// unreadable reports whether an answer has come and its connection still stands:
+// hasMalformedResponse reports whether an answer has come and its connection still stands:
 // what was wrong with it is then what it said.
-func (c *lineConn) unreadable() bool {
+func (c *endpointConn) hasMalformedResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.line) > 0 && !c.ended
+	return len(c.statusLine) > 0 && !c.isReadDone
 }
 
-// said200 reports whether a whole first line has come, and it says 200.
-func (c *lineConn) said200() bool {
+// hasStatusOK reports whether a whole first line has come, and it says 200.
+func (c *endpointConn) hasStatusOK() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.says200()
+	return c.isStatusLineOK()
 }
 
-func (c *lineConn) says200() bool {
-	word := bytes.Fields(c.line)
-	return bytes.HasPrefix(c.line, []byte("HTTP/1.")) && bytes.HasSuffix(c.line, []byte("\n")) &&
+func (c *endpointConn) isStatusLineOK() bool {
+	word := bytes.Fields(c.statusLine)
+	return bytes.HasPrefix(c.statusLine, []byte("HTTP/1.")) && bytes.HasSuffix(c.statusLine, []byte("\n")) &&
 		len(word) > 1 && string(word[1]) == "200"
 }
 
@@ -248,91 +248,91 @@
 )
 
 var (
-	errCancelled = errors.New("cancelled")
-	errDrained   = errors.New("endpoint drained")
-	errToldWait  = errors.New("endpoint told to wait")
-	errTooLate   = errors.New("no connection before it could be sent no more")
+	errCancelled        = errors.New("cancelled")
+	errEndpointDraining = errors.New("endpoint drained")
+	errRetryAfter       = errors.New("endpoint told to wait")
+	errSendByPassed     = errors.New("no connection before it could be sent no more")
 )
 
-// part is one message's share in a call.
-type part struct {
-	m       *message
-	attempt int
-	dropped bool // the policy waits for it no longer
+// callMessage is one message's share in a call.
+type callMessage struct {
+	message   *message
+	attempt   int
+	isDropped bool // the policy waits for it no longer
 }
 
 // call is one call out, with the messages that travel in it. They share its
 // connection, its slot and, but for an answer that tells them apart, its fate.
 type call struct {
-	parts  []part
-	ep     *endpoint
-	conns  *http.Transport // of the endpoint, as they were when it began
-	by     time.Time       // its first byte may not go out later; zero for any time
-	stage  atomic.Int32
-	broken atomic.Bool // the connection broke before the last byte was written
-	ctx    context.Context
-	stop   context.CancelCauseFunc
-	wrote  func() // its last byte is out; may be nil
-	stale  bool   // of the time before the log was taken back: what comes of it is not booked
+	messages    []callMessage
+	endpoint    *endpoint
+	transport   *http.Transport // of the endpoint, as they were when it began
+	sendBy      time.Time       // its first byte may not go out later; zero for any time
+	stage       atomic.Int32
+	isBroken    atomic.Bool // the connection broke before the last byte was written
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	onWritten   func() // its last byte is out; may be nil
+	isAbandoned bool   // of the time before the log was taken back: what comes of it is not booked
 }
 
 // outcome is what became of a call or a probe.
 type outcome struct {
-	what    policy.Outcome
-	wait    policy.Time
-	slots   bool // not sent, since all slots were taken
-	settled bool // the message is over
-	took    policy.Time
-	load    policy.LoadReport
-	status  int
-	err     error
-	idle    time.Duration // for which its connection had been idle; 0 for one in use or new
-	fresh   bool          // its connection was opened for it
-	unsaved bool          // the attempt could not be logged, so it was not made
-	unmade  bool          // this machine could not make the call: it was no try
-}
-
-// drop gives up the wait for one message. The call itself goes on for as long
+	kind            policy.Outcome
+	retryAfter      policy.Time
+	callsExhausted  bool // not sent, since all slots were taken
+	isFinal         bool // the message is over
+	latency         policy.Time
+	load            policy.LoadReport
+	status          int
+	err             error
+	idleTime        time.Duration // for which its connection had been idle; 0 for one in use or new
+	isNewConnection bool          // its connection was opened for it
+	isUnlogged      bool          // the attempt could not be logged, so it was not made
+	isLocalFailure  bool          // this machine could not make the call: it was no try
+}
+
+// dropMessage gives up the wait for one message. The call itself goes on for as long
 // as another message waits for it: closing its connection would end them all.
 // But one with no byte written goes no further, since the message may be over.
-func (c *call) drop(m *message) {
+func (c *call) dropMessage(m *message) {
 	waiting := false
-	for i := range c.parts {
-		p := &c.parts[i]
-		p.dropped = p.dropped || p.m == m
-		waiting = waiting || !p.dropped
+	for i := range c.messages {
+		p := &c.messages[i]
+		p.isDropped = p.isDropped || p.message == m
+		waiting = waiting || !p.isDropped
 	}
 	if unsent := c.stage.CompareAndSwap(callWaiting, callStopped); unsent || !waiting {
-		c.stop(errCancelled)
+		c.cancel(errCancelled)
 	}
 }
 
-// holdBack stops the call if its first byte is not written yet.
-func (c *call) holdBack(why error) {
+// cancelUnsent stops the call if its first byte is not written yet.
+func (c *call) cancelUnsent(cause error) {
 	if c.stage.CompareAndSwap(callWaiting, callStopped) {
-		c.stop(why)
+		c.cancel(cause)
 	}
 }
 
-// payload is a request body that net/http cannot rewind and so never sends
+// requestBody is a request body that net/http cannot rewind and so never sends
 // twice by itself. An Idempotency-Key makes a POST replayable to it, where it
 // could get the body again or there is none.
 //
 // What is stopped just as its connection comes up is not written: net/http
 // itself no longer looks.
-type payload struct {
-	ctx  context.Context
-	text *bytes.Reader
+type requestBody struct {
+	ctx    context.Context
+	reader *bytes.Reader
 }
 
-func (p payload) Read(b []byte) (int, error) {
+func (p requestBody) Read(b []byte) (int, error) {
 	if err := p.ctx.Err(); err != nil {
 		return 0, err
 	}
-	return p.text.Read(b)
+	return p.reader.Read(b)
 }
 
-func (payload) Close() error { return nil }
+func (requestBody) Close() error { return nil }
 
 // batchItem is one message in the body of a batch call.
 type batchItem struct {
@@ -341,18 +341,18 @@
 	Body []byte `json:"body"` // in Base64 on the wire
 }
 
-// framed is at least what a message takes up in the body of a batch call.
-func framed(rec *wal.Record) int {
-	return base64.StdEncoding.EncodedLen(len(rec.Body)) + 2*(len(rec.ID)+len(rec.Key)) + bodyFrame
+// batchItemSize is at least what a message takes up in the body of a batch call.
+func batchItemSize(rec *wal.Record) int {
+	return base64.StdEncoding.EncodedLen(len(rec.Body)) + 2*(len(rec.ID)+len(rec.Key)) + batchItemOverhead
 }
 
 // newCallRequest makes the request of a call that carries these messages. Its
 // GetBody stays nil.
-func newCallRequest(ctx context.Context, hostPort string, recs []*wal.Record, timeout time.Duration) (*http.Request, error) {
-	path, body := callPath, recs[0].Body
-	if len(recs) > 1 {
-		items := make([]batchItem, 0, len(recs))
-		for _, rec := range recs {
+func newCallRequest(ctx context.Context, hostPort string, records []*wal.Record, timeout time.Duration) (*http.Request, error) {
+	path, body := messagePath, records[0].Body
+	if len(records) > 1 {
+		items := make([]batchItem, 0, len(records))
+		for _, rec := range records {
 			items = append(items, batchItem{rec.ID, rec.Key, append([]byte{}, rec.Body...)}) // never null
 		}
 		text, err := json.Marshal(items)
@@ -365,14 +365,14 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Body = payload{ctx, bytes.NewReader(body)} // also when empty: a missing body may be replayed
+	req.Body = requestBody{ctx, bytes.NewReader(body)} // also when empty: a missing body may be replayed
 	req.ContentLength = int64(len(body))
-	if len(recs) > 1 {
+	if len(records) > 1 {
 		req.Header.Set("Content-Type", "application/json")
 	} else {
-		req.Header.Set("X-Request-ID", recs[0].ID)
-		if recs[0].Key != "" {
-			req.Header.Set("Idempotency-Key", recs[0].Key)
+		req.Header.Set("X-Request-ID", records[0].ID)
+		if records[0].Key != "" {
+			req.Header.Set("Idempotency-Key", records[0].Key)
 		}
 	}
 	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
@@ -383,29 +383,29 @@
 // run makes the call and returns when its connection carries nothing of it any
 // more: after the whole answer, or with the connection closed. There is one
 // outcome for each record, in their order.
-func (c *call) run(conns *http.Transport, hostPort string, recs []*wal.Record, limit time.Duration, loads []string) []outcome {
+func (c *call) run(transport *http.Transport, hostPort string, records []*wal.Record, timeout time.Duration, loadFields []string) []outcome {
 	began := time.Now()
-	ctx, cancel := context.WithTimeoutCause(c.ctx, limit, context.DeadlineExceeded)
+	ctx, cancel := context.WithTimeoutCause(c.ctx, timeout, context.DeadlineExceeded)
 	defer cancel()
 	var idle atomic.Int64
 	var fresh atomic.Bool
-	var line atomic.Pointer[lineConn]
+	var line atomic.Pointer[endpointConn]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			idle.Store(int64(info.IdleTime))
 			fresh.Store(!info.Reused)
-			if conn, ok := info.Conn.(*lineConn); ok {
+			if conn, ok := info.Conn.(*endpointConn); ok {
 				line.Store(conn)
 				var told func()
-				if len(recs) == 1 {
-					told = func() { time.AfterFunc(restWait, cancel) }
+				if len(records) == 1 {
+					told = func() { time.AfterFunc(responseRemainderTimeout, cancel) }
 				}
-				if !conn.take(told) {
-					c.holdBack(errStale)
+				if !conn.assignCall(told) {
+					c.cancelUnsent(errUnexpectedBytes)
 				}
 			}
-			if !c.by.IsZero() && !time.Now().Before(c.by) {
-				c.holdBack(errTooLate)
+			if !c.sendBy.IsZero() && !time.Now().Before(c.sendBy) {
+				c.cancelUnsent(errSendByPassed)
 			}
 			if !c.stage.CompareAndSwap(callWaiting, callSending) && c.stage.Load() == callStopped {
 				cancel() // a drain, a wait, the end of its time or what answers nothing came first
@@ -413,48 +413,48 @@
 		},
 		WroteRequest: func(info httptrace.WroteRequestInfo) {
 			if info.Err != nil {
-				c.broken.Store(true)
+				c.isBroken.Store(true)
 				return
 			}
-			if c.stage.CompareAndSwap(callSending, callWritten) && c.wrote != nil {
-				c.wrote()
+			if c.stage.CompareAndSwap(callSending, callWritten) && c.onWritten != nil {
+				c.onWritten()
 			}
 		},
 	})
-	all := func(o outcome) []outcome { return slices.Repeat([]outcome{o}, len(recs)) }
-	req, err := newCallRequest(ctx, hostPort, recs, limit)
+	all := func(o outcome) []outcome { return slices.Repeat([]outcome{o}, len(records)) }
+	req, err := newCallRequest(ctx, hostPort, records, timeout)
 	if err != nil {
-		return all(outcome{what: policy.NotSent, err: err})
+		return all(outcome{kind: policy.NotSent, err: err})
 	}
-	resp, err := conns.RoundTrip(req)
-	o := outcome{took: time.Since(began).Microseconds(), idle: time.Duration(idle.Load()), fresh: fresh.Load()}
+	resp, err := transport.RoundTrip(req)
+	o := outcome{latency: time.Since(began).Microseconds(), idleTime: time.Duration(idle.Load()), isNewConnection: fresh.Load()}
 	if err != nil {
 		conn := line.Load()
-		o.what, o.err = c.failure(ctx, err, conn), err
-		if o.what == policy.ConnectFailed && c.stage.Load() == callWaiting && isLocal(err) {
-			o.what, o.unmade = policy.NotSent, true
+		o.kind, o.err = c.classifyError(ctx, err, conn), err
+		if o.kind == policy.ConnectFailed && c.stage.Load() == callWaiting && isLocal(err) {
+			o.kind, o.isLocalFailure = policy.NotSent, true
 		}
-		if len(recs) == 1 && conn != nil && c.stage.Load() == callWritten && conn.said200() {
-			o.what, o.settled, o.status = policy.Delivered, true, http.StatusOK
+		if len(records) == 1 && conn != nil && c.stage.Load() == callWritten && conn.hasStatusOK() {
+			o.kind, o.isFinal, o.status = policy.Delivered, true, http.StatusOK
 		}
 		return all(o)
 	}
 	defer resp.Body.Close()
 	o.status = resp.StatusCode
-	readAnswer(resp, &o, loads)
-	if len(recs) > 1 && o.status == http.StatusOK {
-		return c.readBatch(ctx, resp, o, recs, line.Load())
+	classifyResponse(resp, &o, loadFields)
+	if len(records) > 1 && o.status == http.StatusOK {
+		return c.readBatchResponse(ctx, resp, o, records, line.Load())
 	}
-	io.Copy(io.Discard, io.LimitReader(resp.Body, answerMost)) // read to the end, it can carry the next call
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)) // read to the end, it can carry the next call
 	return all(o)
 }
 
-// readBatch tells the messages of a batch apart by the body of its answer.
+// readBatchResponse tells the messages of a batch apart by the body of its answer.
 // What that does not tell, or what cannot be read, may have run.
-func (c *call) readBatch(ctx context.Context, resp *http.Response, whole outcome, recs []*wal.Record, conn *lineConn) []outcome {
-	whole.what, whole.settled = policy.Errored, false
-	out := slices.Repeat([]outcome{whole}, len(recs))
-	text, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+func (c *call) readBatchResponse(ctx context.Context, resp *http.Response, common outcome, records []*wal.Record, conn *endpointConn) []outcome {
+	common.kind, common.isFinal = policy.Errored, false
+	out := slices.Repeat([]outcome{common}, len(records))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	var items []struct {
 		ID    string `json:"id"`
 		State string `json:"state"`
@@ -462,41 +462,41 @@
 	if err == nil {
 		err = json.Unmarshal(text, &items)
 	} else {
-		whole.what = c.failure(ctx, err, conn)
+		common.kind = c.classifyError(ctx, err, conn)
 	}
 	states := map[string]string{}
 	for _, x := range items {
 		states[x.ID] = x.State
 	}
-	for i, rec := range recs {
+	for i, rec := range records {
 		o := &out[i]
 		if err != nil {
-			o.what, o.err = whole.what, fmt.Errorf("answer to a batch: %w", err)
+			o.kind, o.err = common.kind, fmt.Errorf("answer to a batch: %w", err)
 			continue
 		}
 		switch states[rec.ID] {
 		case "accepted":
-			o.what, o.settled = policy.Delivered, true
+			o.kind, o.isFinal = policy.Delivered, true
 		case "deferred":
-			o.what = policy.Rejected
+			o.kind = policy.Rejected
 		case "expired":
-			o.what, o.settled = policy.NotSent, true
+			o.kind, o.isFinal = policy.NotSent, true
 		case "no_more":
-			o.what = policy.NotSent
+			o.kind = policy.NotSent
 		}
 	}
 	return out
 }
 
-// failure maps a call without an answer, or without a whole one. What never ran is claimed only where
+// classifyError maps a call without an answer, or without a whole one. What never ran is claimed only where
 // it is certain: no connection, or one that broke before the last byte.
-func (c *call) failure(ctx context.Context, err error, conn *lineConn) policy.Outcome {
+func (c *call) classifyError(ctx context.Context, err error, conn *endpointConn) policy.Outcome {
 	switch stage := c.stage.Load(); {
 	case stage == callStopped && !errors.Is(context.Cause(ctx), errCancelled):
 		return policy.NotSent
 	case stage == callStopped || stage == callWaiting: // none came up while it was waited for
 		return policy.ConnectFailed
-	case stage == callSending && c.broken.Load() && ctx.Err() == nil:
+	case stage == callSending && c.isBroken.Load() && ctx.Err() == nil:
 		return policy.ConnectFailed
 	}
 	switch {
@@ -504,45 +504,45 @@
 		return policy.Cancelled
 	case ctx.Err() != nil:
 		return policy.TimedOut
-	case conn != nil && conn.unreadable():
+	case conn != nil && conn.hasMalformedResponse():
 		return policy.Errored // the endpoint is there, and its other connections are sound
 	}
 	return policy.ConnectionReset
 }
 
-// readAnswer maps an answer to an outcome.
-func readAnswer(resp *http.Response, o *outcome, loads []string) {
-	o.load = readLoad(resp.Header.Get("X-Server-Load"), loads)
-	o.wait = retryAfter(resp.Header.Get("Retry-After"))
+// classifyResponse maps an answer to an outcome.
+func classifyResponse(resp *http.Response, o *outcome, loadFields []string) {
+	o.load = parseLoadReport(resp.Header.Get("X-Server-Load"), loadFields)
+	o.retryAfter = parseRetryAfter(resp.Header.Get("Retry-After"))
 	switch resp.StatusCode {
 	case http.StatusOK:
-		o.what, o.settled = policy.Delivered, true
+		o.kind, o.isFinal = policy.Delivered, true
 	case http.StatusTooManyRequests:
-		o.what = policy.Rejected
+		o.kind = policy.Rejected
 	case http.StatusServiceUnavailable:
-		if o.what = policy.Rejected; resp.Header.Get("Slots-Taken") == "1" {
-			o.what, o.slots = policy.NotSent, true
+		if o.kind = policy.Rejected; resp.Header.Get("Slots-Taken") == "1" {
+			o.kind, o.callsExhausted = policy.NotSent, true
 		}
 	case http.StatusGatewayTimeout: // has had all its attempts
-		o.what = policy.NotSent
+		o.kind = policy.NotSent
 	case http.StatusGone:
-		o.what, o.settled = policy.NotSent, true
+		o.kind, o.isFinal = policy.NotSent, true
 	default: // 500, and what no page names: it may have run
-		o.what = policy.Errored
+		o.kind = policy.Errored
 	}
 }
 
-// retryAfter reads seconds with decimals.
-func retryAfter(s string) policy.Time {
+// parseRetryAfter reads seconds with decimals.
+func parseRetryAfter(s string) policy.Time {
 	v, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
 	if err != nil || !(v > 0) {
 		return 0
 	}
-	return policy.Time(min(v, longestWait.Seconds()) * 1e6)
+	return policy.Time(min(v, maxRetryAfter.Seconds()) * 1e6)
 }
 
-// readLoad reads a report such as x0=0.4,x1=25.
-func readLoad(s string, fields []string) (l policy.LoadReport) {
+// parseLoadReport reads a report such as x0=0.4,x1=25.
+func parseLoadReport(s string, fields []string) (l policy.LoadReport) {
 	if len(fields) == 0 {
 		return l
 	}
@@ -562,21 +562,21 @@
 	return l
 }
 
-// probe asks an endpoint whether it is alive.
-func probe(ctx context.Context, conns *http.Transport, hostPort string) outcome {
+// checkHealth asks an endpoint whether it is alive.
+func checkHealth(ctx context.Context, transport *http.Transport, hostPort string) outcome {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+hostPort+probePath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+hostPort+healthCheckPath, nil)
 	if err != nil {
-		return outcome{what: policy.NotSent, err: err}
+		return outcome{kind: policy.NotSent, err: err}
 	}
-	resp, err := conns.RoundTrip(req)
-	o := outcome{took: time.Since(began).Microseconds()}
+	resp, err := transport.RoundTrip(req)
+	o := outcome{latency: time.Since(began).Microseconds()}
 	if err != nil {
-		o.err, o.what = err, policy.ConnectionReset
+		o.err, o.kind = err, policy.ConnectionReset
 		if ctx.Err() != nil {
-			o.what = policy.TimedOut
+			o.kind = policy.TimedOut
 		}
 		return o
 	}
@@ -584,17 +584,17 @@
 	o.status = resp.StatusCode
 	switch resp.StatusCode {
 	case http.StatusOK:
-		o.what = policy.Delivered
+		o.kind = policy.Delivered
 	case http.StatusServiceUnavailable:
-		o.what = policy.Rejected
+		o.kind = policy.Rejected
 	default:
-		o.what = policy.Errored
+		o.kind = policy.Errored
 	}
-	io.Copy(io.Discard, io.LimitReader(resp.Body, answerMost))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 	return o
 }
 
-func http1() *http.Protocols {
+func http1Only() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
 	return p
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -31,7 +31,7 @@
 
 func newTestCall() *call {
 	ctx, stop := context.WithCancelCause(context.Background())
-	return &call{parts: []part{{m: &message{}}}, ctx: ctx, stop: stop}
+	return &call{messages: []callMessage{{message: &message{}}}, ctx: ctx, cancel: stop}
 }
 
 // runOne makes a call that carries one message.
@@ -41,7 +41,7 @@
 
 func testConns(t *testing.T, idle int) *http.Transport {
 	cfg := testSet(t)
-	return newConns(cfg, idle, keepIdle(&cfg.Policy))
+	return newTransport(cfg, idle, maxIdleTime(&cfg.Policy))
 }
 
 const testLimit = 20 * time.Second
@@ -115,7 +115,7 @@
 			conns := testConns(t, 2)
 			defer conns.CloseIdleConnections()
 			o := runOne(newTestCall(), conns, rawEndpoint(t, x.serve), &wal.Record{ID: "m", Key: "k", Body: []byte("b")}, testLimit)
-			if o.what != x.what || o.wait != x.wait || o.slots != x.slots || o.settled != x.settled {
+			if o.kind != x.what || o.retryAfter != x.wait || o.callsExhausted != x.slots || o.isFinal != x.settled {
 				t.Errorf("got %+v", o)
 			}
 		})
@@ -161,7 +161,7 @@
 			out := newTestCall().run(conns, addr, recs, testLimit, nil)
 			for i, o := range out {
 				settled := x.what[i] == policy.Delivered || name == "told apart" && recs[i].ID == "d"
-				if o.what != x.what[i] || o.settled != settled || o.wait != x.wait {
+				if o.kind != x.what[i] || o.isFinal != settled || o.retryAfter != x.wait {
 					t.Errorf("%s: got %+v, want %v", recs[i].ID, o, x.what[i])
 				}
 			}
@@ -177,12 +177,12 @@
 func TestDropFromBatch(t *testing.T) {
 	a, b := &message{}, &message{}
 	c := newTestCall()
-	c.parts = []part{{m: a}, {m: b}}
+	c.messages = []callMessage{{message: a}, {message: b}}
 	c.stage.Store(callWritten)
-	if c.drop(a); c.ctx.Err() != nil {
+	if c.dropMessage(a); c.ctx.Err() != nil {
 		t.Error("one message given up ended the call of another")
 	}
-	if c.drop(b); context.Cause(c.ctx) != errCancelled {
+	if c.dropMessage(b); context.Cause(c.ctx) != errCancelled {
 		t.Errorf("nobody waits, and the call goes on: %v", context.Cause(c.ctx))
 	}
 }
@@ -197,7 +197,7 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := runOne(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testLimit); o.what != policy.ConnectFailed {
+	if o := runOne(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testLimit); o.kind != policy.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	gone := make(chan struct{}, 2)
@@ -209,14 +209,14 @@
 		in.ReadByte() // until the caller closes
 		gone <- struct{}{}
 	})
-	if o := runOne(newTestCall(), conns, silent, &wal.Record{ID: "m"}, 50*time.Millisecond); o.what != policy.TimedOut {
+	if o := runOne(newTestCall(), conns, silent, &wal.Record{ID: "m"}, 50*time.Millisecond); o.kind != policy.TimedOut {
 		t.Errorf("silent: %+v", o)
 	}
 	<-entered
 	<-gone // giving up closes the connection
 	c := newTestCall()
-	go func() { <-entered; c.stop(errCancelled) }()
-	if o := runOne(c, conns, silent, &wal.Record{ID: "m"}, testLimit); o.what != policy.Cancelled {
+	go func() { <-entered; c.cancel(errCancelled) }()
+	if o := runOne(c, conns, silent, &wal.Record{ID: "m"}, testLimit); o.kind != policy.Cancelled {
 		t.Errorf("cancelled: %+v", o)
 	}
 	<-gone
@@ -229,13 +229,13 @@
 	conns := testConns(t, 2)
 	defer conns.CloseIdleConnections()
 	c := newTestCall()
-	c.by = time.Now().Add(50 * time.Millisecond)
+	c.sendBy = time.Now().Add(50 * time.Millisecond)
 	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := net.Dial(network, addr)
-		waitFor(t, "the end of the window", func() bool { return !time.Now().Before(c.by) })
-		return &lineConn{Conn: conn}, err
+		waitFor(t, "the end of the window", func() bool { return !time.Now().Before(c.sendBy) })
+		return &endpointConn{Conn: conn}, err
 	}
-	if o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit); o.what != policy.NotSent {
+	if o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit); o.kind != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
 	conns.CloseIdleConnections()
@@ -264,11 +264,11 @@
 			conns := testConns(t, 2)
 			defer conns.CloseIdleConnections()
 			c, limit := newTestCall(), time.Hour
-			defer c.stop(nil)
+			defer c.cancel(nil)
 			done := make(chan outcome, 1)
 			go func() { done <- runOne(c, conns, addr, &wal.Record{ID: "m"}, limit) }()
 			waitFor(t, "the outcome", func() bool { return len(done) > 0 })
-			if o := <-done; o.what != policy.Delivered || !o.settled {
+			if o := <-done; o.kind != policy.Delivered || !o.isFinal {
 				t.Errorf("got %+v", o)
 			}
 			waitFor(t, "the end of the connection", func() bool {
@@ -302,10 +302,10 @@
 			conns := testConns(t, 2)
 			defer conns.CloseIdleConnections()
 			rec := &wal.Record{ID: "m", Key: "k", Body: body}
-			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.what != policy.Delivered {
+			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.kind != policy.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
-			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.what != policy.ConnectionReset {
+			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.kind != policy.ConnectionReset {
 				t.Errorf("second: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
@@ -333,9 +333,9 @@
 	}
 	defer conns.CloseIdleConnections()
 	c := newTestCall()
-	go func() { <-dialing; c.holdBack(errDrained) }()
+	go func() { <-dialing; c.cancelUnsent(errEndpointDraining) }()
 	o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit)
-	if o.what != policy.NotSent || o.took > testLimit.Microseconds()/2 {
+	if o.kind != policy.NotSent || o.latency > testLimit.Microseconds()/2 {
 		t.Errorf("got %+v", o)
 	}
 	close(release)
@@ -349,13 +349,13 @@
 	late.stage.Store(callStopped)
 	tr := testConns(t, 2)
 	defer tr.CloseIdleConnections()
-	if o := runOne(late, tr, ep.addr(), &wal.Record{ID: "late"}, testLimit); o.what != policy.NotSent || ep.count("late") != 0 {
+	if o := runOne(late, tr, ep.addr(), &wal.Record{ID: "late"}, testLimit); o.kind != policy.NotSent || ep.count("late") != 0 {
 		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
 	}
 	// What is under way already is not stopped.
 	under := newTestCall()
 	under.stage.Store(callSending)
-	if under.holdBack(errDrained); under.ctx.Err() != nil {
+	if under.cancelUnsent(errEndpointDraining); under.ctx.Err() != nil {
 		t.Error("a call with bytes under way was stopped")
 	}
 }
@@ -374,10 +374,10 @@
 	}
 	c := newTestCall()
 	over := &message{}
-	c.parts = []part{{m: over}, {m: &message{}}}
-	go func() { <-dialing; c.drop(over) }()
+	c.messages = []callMessage{{message: over}, {message: &message{}}}
+	go func() { <-dialing; c.dropMessage(over) }()
 	for _, o := range c.run(conns, ep.addr(), []*wal.Record{{ID: "over"}, {ID: "other"}}, testLimit, nil) {
-		if o.what != policy.ConnectFailed || o.took > testLimit.Microseconds()/2 {
+		if o.kind != policy.ConnectFailed || o.latency > testLimit.Microseconds()/2 {
 			t.Errorf("got %+v", o)
 		}
 	}
@@ -412,7 +412,7 @@
 	begin := func(ep *endpoint, stage int32) *call {
 		m := r.newMessage(&wal.Record{ID: fmt.Sprint(len(r.messages)), Class: "plain", Dest: ep.cell})
 		c := newTestCall()
-		c.ep, c.conns, c.parts = ep, ep.conns, []part{{m: m}}
+		c.endpoint, c.transport, c.messages = ep, ep.transport, []callMessage{{message: m}}
 		c.stage.Store(stage)
 		ep.calls[c] = true
 		return c
@@ -420,10 +420,10 @@
 	told := begin(one, callWritten)
 	calls := map[*call]bool{begin(one, callWaiting): true, begin(twin, callWaiting): true,
 		begin(one, callSending): false, begin(other, callWaiting): false}
-	r.finishCall(told, []outcome{{what: policy.Rejected, status: http.StatusTooManyRequests, wait: 600e6}})
+	r.finishCall(told, []outcome{{kind: policy.Rejected, status: http.StatusTooManyRequests, retryAfter: 600e6}})
 	for c, stopped := range calls {
-		if got := c.ctx.Err() != nil; got != stopped || got && c.failure(c.ctx, c.ctx.Err(), nil) != policy.NotSent {
-			t.Errorf("%s, stage %d: stopped %v", c.ep.id, c.stage.Load(), got)
+		if got := c.ctx.Err() != nil; got != stopped || got && c.classifyError(c.ctx, c.ctx.Err(), nil) != policy.NotSent {
+			t.Errorf("%s, stage %d: stopped %v", c.endpoint.id, c.stage.Load(), got)
 		}
 	}
 	// A batch that the policy let go before the word, and whose client hears only now.
@@ -445,15 +445,15 @@
 		now  policy.Time
 		want bool
 	}{
-		{outcome{what: policy.Delivered, status: 200, took: 10}, 1000, false},
-		{outcome{what: policy.TimedOut, took: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
-		{outcome{what: policy.TimedOut, took: 500}, 2000, true},
-		{outcome{what: policy.ConnectionReset}, 2100, true},
-		{outcome{what: policy.ConnectFailed}, 2200, true},
-		{outcome{what: policy.Rejected, status: 503}, 2300, false},
-		{outcome{what: policy.Cancelled, took: 50}, 2320, false},
+		{outcome{kind: policy.Delivered, status: 200, latency: 10}, 1000, false},
+		{outcome{kind: policy.TimedOut, latency: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
+		{outcome{kind: policy.TimedOut, latency: 500}, 2000, true},
+		{outcome{kind: policy.ConnectionReset}, 2100, true},
+		{outcome{kind: policy.ConnectFailed}, 2200, true},
+		{outcome{kind: policy.Rejected, status: 503}, 2300, false},
+		{outcome{kind: policy.Cancelled, latency: 50}, 2320, false},
 	} {
-		if got := ep.suspect(&x.o, x.now); got != x.want {
+		if got := ep.updateLiveness(&x.o, x.now); got != x.want {
 			t.Errorf("%d: %v", i, got)
 		}
 	}
@@ -484,7 +484,7 @@
 			go func() { done <- runOne(newTestCall(), tr, addr, &wal.Record{ID: "m"}, testLimit) }()
 		}
 		for range burst {
-			if o := <-done; o.what != policy.Delivered {
+			if o := <-done; o.kind != policy.Delivered {
 				t.Fatalf("round %d: %+v", round, o)
 			}
 		}
@@ -499,7 +499,7 @@
 
 func TestReadRetryAfter(t *testing.T) {
 	for s, want := range map[string]policy.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e99": 600e6} {
-		if got := retryAfter(s); got != want {
+		if got := parseRetryAfter(s); got != want {
 			t.Errorf("%q: %d, want %d", s, got, want)
 		}
 	}
@@ -508,11 +508,11 @@
 func TestReadLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
 	for s, want := range map[string]policy.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25, Present: true}, "x1=3": {Limit: 3, Present: true}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}} {
-		if got := readLoad(s, fields); got != want {
+		if got := parseLoadReport(s, fields); got != want {
 			t.Errorf("%q: %+v", s, got)
 		}
 	}
-	if got := readLoad("x0=1", nil); got != (policy.LoadReport{}) {
+	if got := parseLoadReport("x0=1", nil); got != (policy.LoadReport{}) {
 		t.Errorf("a report where none is due: %+v", got)
 	}
 }
@@ -520,7 +520,7 @@
 func TestProbe(t *testing.T) {
 	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Errored} {
 		ep := newFakeEndpoint(t, status(code))
-		if o := probe(context.Background(), testConns(t, 2), ep.addr()); o.what != want {
+		if o := checkHealth(context.Background(), testConns(t, 2), ep.addr()); o.kind != want {
 			t.Errorf("%d: %+v", code, o)
 		}
 	}
@@ -537,8 +537,8 @@
 	conns := testConns(t, 4)
 	defer conns.CloseIdleConnections()
 	for i, want := range []bool{true, false} {
-		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.fresh != want || o.what != policy.Rejected {
-			t.Errorf("call %d: fresh %v, %+v", i, o.fresh, o)
+		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.isNewConnection != want || o.kind != policy.Rejected {
+			t.Errorf("call %d: fresh %v, %+v", i, o.isNewConnection, o)
 		}
 	}
 }
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -234,7 +234,7 @@
 	stop := make(chan struct{})
 	go w.Run(stop)
 	r := &Relay{cfg: cfg, log: quietLog(), policy: decider, mailbox: mailbox.New[happening](), startedAt: time.Now(), wallClock: newClockWatch(), wal: w,
-		ctx: t.Context(), messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*request]*message{},
+		ctx: t.Context(), messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*putRequest]*message{},
 		endpoints: map[string]*endpoint{}, endpointsByNumber: map[policy.Endpoint]*endpoint{}, idleConns: 2, metrics: newMetrics(cfg.Policy.Classes)}
 	r.alignLogTime()
 	t.Cleanup(func() { close(stop); <-w.Done() })
--- a/internal/relay/idle.go
+++ b/internal/relay/idle.go
@@ -14,51 +14,51 @@
 // connection may stand idle is therefore learned from the calls themselves.
 
 const (
-	idleLeast   = 64 * time.Millisecond // a connection idle for less is as good as one in use
-	idleSteps   = 12                    // each twice as long as the one before
-	idleWeight  = 0.25                  // of the newest call in the share of resets
-	idleBad     = 0.2                   // share of resets above which a connection so old is not used
-	idleHalving = 10 * time.Second      // of what was seen, so that it is tried again
+	minTrackedIdle    = 64 * time.Millisecond // a connection idle for less is as good as one in use
+	idleBucketCount   = 12                    // each twice as long as the one before
+	resetWeight       = 0.25                  // of the newest call in the share of resets
+	maxResetRate      = 0.2                   // share of resets above which a connection so old is not used
+	resetRateHalfLife = 10 * time.Second      // of what was seen, so that it is tried again
 )
 
-// idleWatch keeps the share of calls that were reset, by how long their
+// idleResetTracker keeps the share of calls that were reset, by how long their
 // connection had stood idle before. The loop owns it.
-type idleWatch struct {
-	shares [idleSteps]float64
-	at     [idleSteps]policy.Time
+type idleResetTracker struct {
+	resetRates [idleBucketCount]float64
+	updatedAt  [idleBucketCount]policy.Time
 }
 
-// step is the place of an idle time, or -1 for one too short to matter.
-func (w *idleWatch) step(idle time.Duration) int {
-	return min(bits.Len64(uint64(idle/idleLeast)), idleSteps) - 1
+// bucket is the place of an idle time, or -1 for one too short to matter.
+func (w *idleResetTracker) bucket(idle time.Duration) int {
+	return min(bits.Len64(uint64(idle/minTrackedIdle)), idleBucketCount) - 1
 }
 
-// share is the share of a step, less what time has taken from it.
-func (w *idleWatch) share(i int, now policy.Time) float64 {
-	age := time.Duration(now-w.at[i]) * time.Microsecond
-	return w.shares[i] * math.Exp2(-age.Seconds()/idleHalving.Seconds())
+// resetRate is the share of a step, less what time has taken from it.
+func (w *idleResetTracker) resetRate(i int, now policy.Time) float64 {
+	age := time.Duration(now-w.updatedAt[i]) * time.Microsecond
+	return w.resetRates[i] * math.Exp2(-age.Seconds()/resetRateHalfLife.Seconds())
 }
 
-// book takes in how a call went on a connection that had been idle so long.
-func (w *idleWatch) book(idle time.Duration, reset bool, now policy.Time) {
-	i := w.step(idle)
+// record takes in how a call went on a connection that had been idle so long.
+func (w *idleResetTracker) record(idle time.Duration, reset bool, now policy.Time) {
+	i := w.bucket(idle)
 	if i < 0 {
 		return
 	}
-	s := w.share(i, now) * (1 - idleWeight)
+	s := w.resetRate(i, now) * (1 - resetWeight)
 	if reset {
-		s += idleWeight
+		s += resetWeight
 	}
-	w.shares[i], w.at[i] = s, now
+	w.resetRates[i], w.updatedAt[i] = s, now
 }
 
-// limit is how long a connection may stand idle and still be used, at most so
+// maxIdle is how long a connection may stand idle and still be used, at most so
 // long as the settings have it.
-func (w *idleWatch) limit(most time.Duration, now policy.Time) time.Duration {
-	for i := range idleSteps {
-		if w.share(i, now) > idleBad {
-			return min(most, idleLeast<<i)
+func (w *idleResetTracker) maxIdle(configured time.Duration, now policy.Time) time.Duration {
+	for i := range idleBucketCount {
+		if w.resetRate(i, now) > maxResetRate {
+			return min(configured, minTrackedIdle<<i)
 		}
 	}
-	return most
+	return configured
 }
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -35,28 +35,28 @@
 	ep := r.endpoints[x.ID]
 	if ep == nil {
 		r.lastEndpoint++
-		ep = &endpoint{id: x.ID, num: r.lastEndpoint, calls: map[*call]bool{}}
-		r.endpoints[x.ID], r.endpointsByNumber[ep.num] = ep, ep
+		ep = &endpoint{id: x.ID, number: r.lastEndpoint, calls: map[*call]bool{}}
+		r.endpoints[x.ID], r.endpointsByNumber[ep.number] = ep, ep
 	}
 	if x.Phase != discovery.Removed && (ep.hostPort != x.HostPort || ep.cell != x.Cell) {
 		// It moved under its old name: nothing more goes to the old place.
 		r.stopSending(ep)
-		ep.conns = newConns(r.cfg, r.idleConns, keepIdle(&r.cfg.Policy))
+		ep.transport = newTransport(r.cfg, r.idleConns, maxIdleTime(&r.cfg.Policy))
 		ep.hostPort = x.HostPort
 		r.setCell(ep, x.Cell)
 	}
 	r.setListed(ep, x.Phase != discovery.Removed)
 	r.checkAvailability(ep)
-	entry := policy.Entry{Endpoint: ep.num, Zone: indexOf(r.cfg.zones, x.Locality), Kind: indexOf(r.cfg.kinds, x.Flavor),
+	entry := policy.Entry{Endpoint: ep.number, Zone: indexOf(r.cfg.zones, x.Locality), Kind: indexOf(r.cfg.kinds, x.Flavor),
 		Dest: x.Cell, State: policy.Ready, Rate: x.Size}
-	ep.zone, ep.batch = entry.Zone, 1
+	ep.zone, ep.maxBatch = entry.Zone, 1
 	if entry.Kind >= 0 {
-		ep.batch = max(r.cfg.Policy.Kinds[entry.Kind].MaxBatch, 1)
+		ep.maxBatch = max(r.cfg.Policy.Kinds[entry.Kind].MaxBatch, 1)
 	}
-	defer func() { ep.entry = entry }()
+	defer func() { ep.policyEntry = entry }()
 	switch x.Phase {
 	case discovery.Up:
-		ep.gone = false
+		ep.isStopped = false
 	case discovery.Draining:
 		entry.State = policy.Draining
 		r.stopSending(ep)
@@ -70,14 +70,14 @@
 // stopSending lets nothing new go to an endpoint; a call that still waits for a
 // connection there would begin it too late.
 func (r *Relay) stopSending(ep *endpoint) {
-	if !ep.gone {
-		ep.gone, ep.goneAt = true, r.now()
+	if !ep.isStopped {
+		ep.isStopped, ep.stoppedAt = true, r.now()
 	}
 	for c := range ep.calls {
-		c.holdBack(errDrained)
+		c.cancelUnsent(errEndpointDraining)
 	}
-	if ep.conns != nil {
-		ep.conns.CloseIdleConnections()
+	if ep.transport != nil {
+		ep.transport.CloseIdleConnections()
 	}
 }
 
@@ -85,15 +85,15 @@
 // limit, before a wait is over. The policy begins no call in that time, but one
 // that it began before may still wait for its connection or its clients.
 func (r *Relay) applyRetryAfter(ep *endpoint, wait policy.Time) {
-	kinds, kind := r.cfg.Policy.Kinds, ep.entry.Kind
+	kinds, kind := r.cfg.Policy.Kinds, ep.policyEntry.Kind
 	sharing := r.members.byCell[ep.cell]
 	if kind >= 0 && kind < len(kinds) && kinds[kind].SeparateRoutes {
 		sharing = []*endpoint{ep}
 	}
 	for _, x := range sharing {
-		x.waitOver = max(x.waitOver, r.now()+wait)
+		x.retryAfterUntil = max(x.retryAfterUntil, r.now()+wait)
 		for c := range x.calls {
-			c.holdBack(errToldWait)
+			c.cancelUnsent(errRetryAfter)
 		}
 	}
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -40,12 +40,12 @@
 	num               uint32
 	class             int // its place in the settings; -1 where they name it no longer
 	rec               *wal.Record
-	req               *request // until it is answered
-	isAcknowledged    bool     // its client knows that it is taken on
-	isLogged          bool     // the log has it, or will
-	isCompleted       bool     // the policy has ended it, or was told so
-	isTransferred     bool     // another process of this relay holds it
-	hasRemoteCall     bool     // another process of this relay has its call out
+	req               *putRequest // until it is answered
+	isAcknowledged    bool        // its client knows that it is taken on
+	isLogged          bool        // the log has it, or will
+	isCompleted       bool        // the policy has ended it, or was told so
+	isTransferred     bool        // another process of this relay holds it
+	hasRemoteCall     bool        // another process of this relay has its call out
 	attempts          int
 	pendingBatch      *batch         // a send that waits for clients to have heard
 	pendingCompletion *wal.Record    // its end, likewise
@@ -76,9 +76,9 @@
 
 // happening is something that the loop is told.
 type happening struct {
-	put     *request
-	said    *request // with ok
-	lost    *request // the log could not take it
+	put     *putRequest
+	said    *putRequest // with ok
+	lost    *putRequest // the log could not take it
 	news    *discovery.List
 	call    *call // with results, one for each of its parts
 	results []outcome
@@ -131,7 +131,7 @@
 	lastEndpoint       policy.Endpoint
 	messages           map[uint32]*message
 	messagesByID       map[string]*message
-	unanswered         map[*request]*message // whose clients have no answer yet
+	unanswered         map[*putRequest]*message // whose clients have no answer yet
 	endpoints          map[string]*endpoint
 	endpointsByNumber  map[policy.Endpoint]*endpoint
 	members            members
@@ -143,12 +143,12 @@
 	callsInFlight      int
 	stoppedAt          time.Time
 	idleConns          int
-	pool               pool      // the connections to all endpoints
-	idle               idleWatch // of all endpoints together
+	pool               connectionPool   // the connections to all endpoints
+	idle               idleResetTracker // of all endpoints together
 	ownership          ownership
 	remoteCalls        map[string]*message // whose calls another process has out
 	deferredEvents     []happening         // that came before the loop ran
-	clients            *clients
+	clients            *clientServer
 	ready              *atomic.Bool // as readyz says
 	metrics            *metrics
 	isDraining         bool        // the policy has this process refuse clients
@@ -206,7 +206,7 @@
 					listening = false
 					r.clients.stopListening(ln)
 				}
-				r.clients.closeIdle()
+				r.clients.drainConnections()
 			}
 			r.take(got[i])
 		}
@@ -234,7 +234,7 @@
 			r.clients.stopListening(ln)
 		}
 		// An end with a connection open would reset it, with the answer on it.
-		idle := len(r.unanswered) == 0 && r.callsInFlight == 0 && (r.pending == 0 || gone >= stopCallsAfter) && r.clients.count() == 0
+		idle := len(r.unanswered) == 0 && r.callsInFlight == 0 && (r.pending == 0 || gone >= stopCallsAfter) && r.clients.connectionCount() == 0
 		if !listening && idle || gone >= abandonCallsAfter {
 			r.log.Info("stopped", "held", r.pending, "calls", r.callsInFlight)
 			return r.logErr
@@ -257,7 +257,7 @@
 // take books one happening and says it in the policy's words.
 func (r *Relay) take(h happening) {
 	switch {
-	case h.put != nil && (r.isRecovering || r.spilled.count() > 0) && !h.looked && !r.ownership.isTransferred && r.messagesByID[h.put.rec.ID] == nil:
+	case h.put != nil && (r.isRecovering || r.spilled.count() > 0) && !h.looked && !r.ownership.isTransferred && r.messagesByID[h.put.record.ID] == nil:
 		r.lookUpPending(h.put)
 	case h.put != nil:
 		r.admit(h.put)
@@ -288,7 +288,7 @@
 	case h.unsent != nil && r.ownership.isTransferred: // the next process has it
 	case h.unsent != nil:
 		m := h.unsent.m
-		r.finishAttempt(m, r.endpointsByNumber[h.unsent.ep], m.attempts-1, &outcome{what: policy.NotSent, unsaved: true})
+		r.finishAttempt(m, r.endpointsByNumber[h.unsent.ep], m.attempts-1, &outcome{kind: policy.NotSent, isUnlogged: true})
 	case h.call != nil:
 		r.finishCall(h.call, h.results)
 	case h.ask != 0 && r.stoppedAt.IsZero(): // a relay that ends is not taken into service again
@@ -296,7 +296,7 @@
 		r.policyEvents = append(r.policyEvents, policy.Event{Kind: h.ask})
 	case h.probed != 0:
 		r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventHealthChecked, Endpoint: h.probed,
-			Outcome: h.result.what, Latency: h.result.took, Load: h.result.load})
+			Outcome: h.result.kind, Latency: h.result.latency, Load: h.result.load})
 	}
 }
 
@@ -374,10 +374,10 @@
 		delete(r.unanswered, q)
 		if outcome == discovery.Returned {
 			r.recordRejection(q, rejectedPolicy)
-			q.answer(busy(ms))
+			q.respond(busyResponse(ms))
 		} else {
 			r.recordRejection(q, rejectedExpired)
-			q.answer(fault(errors.New("given up")))
+			q.respond(errorResponse(errors.New("given up")))
 		}
 		r.forgetMessage(m)
 		return
@@ -403,7 +403,7 @@
 	case policy.ActionCancel:
 		if m := r.messages[a.Message]; m != nil && a.Attempt == m.attempts-1 {
 			if m.call != nil {
-				m.call.drop(m)
+				m.call.dropMessage(m)
 			} else {
 				r.removeFromBatch(m)
 			}
@@ -413,25 +413,25 @@
 			r.timers = slices.Insert(r.timers, at, now+a.Delay)
 		}
 	case policy.ActionHealthCheck:
-		if ep := r.endpointsByNumber[a.Endpoint]; ep != nil && !ep.gone {
-			conns, addr := ep.conns, ep.hostPort
+		if ep := r.endpointsByNumber[a.Endpoint]; ep != nil && !ep.isStopped {
+			conns, addr := ep.transport, ep.hostPort
 			go func() {
-				o := probe(r.ctx, conns, addr)
+				o := checkHealth(r.ctx, conns, addr)
 				r.mailbox.Put(happening{probed: a.Endpoint, result: &o})
 			}()
 		}
 	case policy.ActionCloseIdle:
-		if ep := r.endpointsByNumber[a.Endpoint]; ep != nil && ep.conns != nil {
-			ep.conns.CloseIdleConnections()
+		if ep := r.endpointsByNumber[a.Endpoint]; ep != nil && ep.transport != nil {
+			ep.transport.CloseIdleConnections()
 		}
 	case policy.ActionStopAccepting:
 		r.isDraining = true
 		r.ready.Store(false)
-		r.clients.refuse(true)
+		r.clients.setDraining(true)
 	case policy.ActionReleaseClients:
-		r.clients.closeIdle()
+		r.clients.drainConnections()
 	case policy.ActionAcceptClients:
-		r.clients.refuse(false)
+		r.clients.setDraining(false)
 		r.isDraining = false
 		if !r.isRecovering {
 			r.setReady()
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -20,10 +20,10 @@
 
 // setListed books whether discovery names an endpoint.
 func (r *Relay) setListed(ep *endpoint, listed bool) {
-	if ep.listed == listed {
+	if ep.isListed == listed {
 		return
 	}
-	if ep.listed = listed; listed {
+	if ep.isListed = listed; listed {
 		r.members.listed++
 	} else {
 		r.members.listed--
@@ -80,7 +80,7 @@
 	}
 	r.members.sweptAt = now
 	for _, ep := range r.endpoints {
-		if ep.gone && len(ep.calls) == 0 && now-ep.goneAt > removedEndpointRetention {
+		if ep.isStopped && len(ep.calls) == 0 && now-ep.stoppedAt > removedEndpointRetention {
 			r.forgetEndpoint(ep)
 		}
 	}
@@ -91,9 +91,9 @@
 	r.setListed(ep, false)
 	r.removeFromCell(ep)
 	delete(r.members.maybeUnavailable, ep)
-	r.pool.used = slices.DeleteFunc(r.pool.used, func(x *endpoint) bool { return x == ep })
+	r.pool.endpoints = slices.DeleteFunc(r.pool.endpoints, func(x *endpoint) bool { return x == ep })
 	delete(r.endpoints, ep.id)
-	delete(r.endpointsByNumber, ep.num)
+	delete(r.endpointsByNumber, ep.number)
 }
 
 // countUnavailable counts the endpoints on the list that get nothing now but trial calls
@@ -102,9 +102,9 @@
 	n := 0
 	for ep := range r.members.maybeUnavailable {
 		switch {
-		case !ep.listed:
+		case !ep.isListed:
 			delete(r.members.maybeUnavailable, ep)
-		case ep.gone || r.policy.Unavailable(ep.num, now):
+		case ep.isStopped || r.policy.Unavailable(ep.number, now):
 			n++
 		default:
 			delete(r.members.maybeUnavailable, ep)
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -14,11 +14,11 @@
 // walked counts the gauges of the list the plain way.
 func (r *Relay) walked(now policy.Time) (members, avoided int64) {
 	for _, ep := range r.endpoints {
-		if !ep.listed {
+		if !ep.isListed {
 			continue
 		}
 		members++
-		if ep.gone || r.policy.Unavailable(ep.num, now) {
+		if ep.isStopped || r.policy.Unavailable(ep.number, now) {
 			avoided++
 		}
 	}
@@ -69,11 +69,11 @@
 	if m.call == nil {
 		return
 	}
-	o := outcome{what: []policy.Outcome{policy.Delivered, policy.Errored, policy.Errored, policy.TimedOut, policy.ConnectFailed,
-		policy.Rejected, policy.ConnectionReset}[d.rng.IntN(7)], took: 1000}
-	o.settled = o.what == policy.Delivered
+	o := outcome{kind: []policy.Outcome{policy.Delivered, policy.Errored, policy.Errored, policy.TimedOut, policy.ConnectFailed,
+		policy.Rejected, policy.ConnectionReset}[d.rng.IntN(7)], latency: 1000}
+	o.isFinal = o.kind == policy.Delivered
 	if d.rng.IntN(4) == 0 {
-		o.status, o.wait = 200, 1000*policy.Time(d.rng.IntN(20))
+		o.status, o.retryAfter = 200, 1000*policy.Time(d.rng.IntN(20))
 	}
 	d.r.finishCall(m.call, []outcome{o})
 }
@@ -126,7 +126,7 @@
 			m.attempts++
 			ep := r.endpointsByNumber[a.Endpoint]
 			c := newTestCall()
-			c.ep, c.conns, c.parts = ep, ep.conns, []part{{m: m, attempt: m.attempts - 1}}
+			c.endpoint, c.transport, c.messages = ep, ep.transport, []callMessage{{message: m, attempt: m.attempts - 1}}
 			m.call, ep.calls[c] = c, true
 			r.callsInFlight++
 			d.out = append(d.out, m)
--- a/internal/relay/outcome_test.go
+++ b/internal/relay/outcome_test.go
@@ -93,13 +93,13 @@
 	switch {
 	case came > 1:
 		t.Errorf("seed %d: the request came %d times", seed, came)
-	case whole && o.what.NeverRan() && !refusal:
+	case whole && o.kind.NeverRan() && !refusal:
 		t.Errorf("seed %d: read whole, answered %q, and held never to have run: %+v", seed, said, o)
-	case o.what == policy.Delivered && !(lineWhole && strings.Contains(first, " 200 ")):
+	case o.kind == policy.Delivered && !(lineWhole && strings.Contains(first, " 200 ")):
 		t.Errorf("seed %d: answered %q, and held to be delivered", seed, said)
-	case whole && end != 1 && lineWhole && strings.Contains(first, " 200 ") && o.what != policy.Delivered:
+	case whole && end != 1 && lineWhole && strings.Contains(first, " 200 ") && o.kind != policy.Delivered:
 		t.Errorf("seed %d: answered %q, and not delivered: %+v", seed, said, o)
-	case o.what == policy.Delivered != o.settled:
+	case o.kind == policy.Delivered != o.isFinal:
 		t.Errorf("seed %d: %+v", seed, o)
 	}
 	mu.Unlock()
@@ -148,7 +148,7 @@
 		done := make(chan outcome, 1)
 		go func() { done <- runOne(newTestCall(), conns, addr, &wal.Record{ID: "a"}, testLimit) }()
 		if inTurn {
-			if o := <-done; o.what != policy.Delivered {
+			if o := <-done; o.kind != policy.Delivered {
 				t.Fatalf("play %d: the first: %+v", i, o)
 			}
 		} else {
@@ -158,7 +158,7 @@
 		close(release)
 		conns.CloseIdleConnections()
 		mu.Lock()
-		if o.what == policy.Delivered || read["b"] && o.what.NeverRan() {
+		if o.kind == policy.Delivered || read["b"] && o.kind.NeverRan() {
 			t.Errorf("play %d: the second, read %v: %+v", i, read["b"], o)
 		}
 		mu.Unlock()
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -102,13 +102,13 @@
 // lookUpPending asks the log whether a message that is handed in is owed already, but
 // was not read yet since the start, or is spilled. It is admitted once that is
 // known.
-func (r *Relay) lookUpPending(q *request) {
+func (r *Relay) lookUpPending(q *putRequest) {
 	w := r.wal
 	w.Do(func() {
-		if rec := w.Fetch(q.rec.ID); rec != nil {
+		if rec := w.Fetch(q.record.ID); rec != nil {
 			r.mailbox.Put(happening{resumed: &recoveredEvent{w, []*wal.Record{rec}, -1}})
 		}
-		q.owed = w.IsPending(q.rec.ID)
+		q.isPending = w.IsPending(q.record.ID)
 		r.mailbox.Put(happening{put: q, looked: true})
 	})
 }
@@ -116,7 +116,7 @@
 // endpointNumber gives the policy's number of an endpoint by its id, listed or not.
 func (r *Relay) endpointNumber(id string) policy.Endpoint {
 	if ep := r.endpoints[id]; ep != nil {
-		return ep.num
+		return ep.number
 	}
 	r.lastEndpoint++
 	return r.lastEndpoint
--- a/internal/relay/requestend_test.go
+++ b/internal/relay/requestend_test.go
@@ -12,17 +12,17 @@
 // Guards a request that comes just before the time of its connection is over, so that the
 // reader's wait ends while the request still waits for its answer: it gets that answer.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
-	got := make(chan *request, 1)
-	c, addr, said := serveClients(t, func(q *request) { got <- q })
-	c.closeIdle() // as on SIGTERM: connections are still taken in for a while, each for one request
-	c.givenUp = time.Minute
+	got := make(chan *putRequest, 1)
+	c, addr, said := serveClients(t, func(q *putRequest) { got <- q })
+	c.drainConnections() // as on SIGTERM: connections are still taken in for a while, each for one request
+	c.clientTimeout = time.Minute
 	cl := dialClient(t, addr)
 	began := time.Now()
-	time.Sleep(lateWait * 3 / 4)
+	time.Sleep(clientTimeout * 3 / 4)
 	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
 	q := <-got
-	time.Sleep(time.Until(began.Add(lateWait * 3 / 2)))
-	q.answer(replyOK)
+	time.Sleep(time.Until(began.Add(clientTimeout * 3 / 2)))
+	q.respond(responseOK)
 	if s := cl.line(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
@@ -37,8 +37,8 @@
 // Guards a client that ends its sending behind its request and waits for the answer: it is
 // answered. As one that has left looks the same, the message is not taken on.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
-	got := make(chan *request, 1)
-	_, addr, said := serveClients(t, func(q *request) { got <- q })
+	got := make(chan *putRequest, 1)
+	_, addr, said := serveClients(t, func(q *putRequest) { got <- q })
 	cl := dialClient(t, addr)
 	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
 	q := <-got
@@ -48,7 +48,7 @@
 	if <-said {
 		t.Error("held to be heard")
 	}
-	q.answer(replyOK)
+	q.respond(responseOK)
 	if s := cl.line(); s != "-BUSY" {
 		t.Errorf("answer %q", s)
 	}
@@ -57,11 +57,11 @@
 // Guards connections that wait to be accepted as the listener closes against errors that
 // accept gives for a moment: each is served.
 func TestSweepOverAcceptErrors(t *testing.T) {
-	ln, err := listen(t.Context(), "127.0.0.1:0")
+	ln, err := listenReusePort(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClients(testSet(t), quietLog(), accept, func(*request, bool) {})
+	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
 	faults := []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EINTR, syscall.ENETUNREACH, syscall.EMFILE, syscall.EHOSTUNREACH, syscall.ENOMEM}
 	calls := 0
 	c.accept4 = func(fd, flags int) (int, syscall.Sockaddr, error) {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -30,7 +30,7 @@
 	ep := newFakeEndpoint(t, nil)
 	c := startChild(t, testConfig(t, discoverytest.New(t, ep.member("s-1", 7)), 3))
 	cl := dialClient(t, c.env["ROUTER_LISTEN"])
-	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", bodyMost))}
+	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", maxBodyBytes))}
 	for i, body := range bodies {
 		id := fmt.Sprintf("m%d", i)
 		if s := cl.put(id, fields("keyed", 8000, 7), body); s != "+OK" {
@@ -76,7 +76,7 @@
 	defer ep.mu.Unlock()
 	together := false
 	for _, c := range ep.calls {
-		if len(c.body) > bodyMost {
+		if len(c.body) > maxBodyBytes {
 			t.Errorf("a body of %d bytes", len(c.body))
 		}
 		var items []batchItem
@@ -445,7 +445,7 @@
 	env := testConfig(t, discoverytest.New(t), 1)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	body := []byte(strings.Repeat("b", bodyMost))
+	body := []byte(strings.Repeat("b", maxBodyBytes))
 	taken, refused := 0, 0
 	for i := range 40 {
 		switch s := cl.put(fmt.Sprintf("m%d", i), fields("plain", 20000, 9), body); {
@@ -601,7 +601,7 @@
 	r := newTestRelay(t)
 	due := r.now() // the loop has looked a moment ago: it was not due
 	r.timers = []policy.Time{due}
-	r.admit(&request{class: 0, tenant: 0, rec: &wal.Record{ID: "m", Class: "plain", Dest: 7}, at: time.Now(), left: 20 * time.Second, reply: make(chan string, 1)})
+	r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "m", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan string, 1)})
 	r.stepPolicy()
 	r.apply(due, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
 	r.apply(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // that one again is no third
@@ -657,7 +657,7 @@
 			}
 		}
 		near("owed", r.policyEvents[len(r.policyEvents)-1].TimeLeft)
-		r.admit(&request{class: 0, tenant: 0, rec: &wal.Record{ID: "new", Class: "plain", Dest: 7}, at: time.Now(), left: 20 * time.Second, reply: make(chan string, 1)})
+		r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "new", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan string, 1)})
 		near("new", r.policyEvents[len(r.policyEvents)-1].TimeLeft)
 		near("new, by the log", r.fromLogTime(r.messagesByID["new"].rec.Deadline)-r.now())
 	}
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -25,7 +25,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := &Relay{cfg: cfg, log: log, policy: decider, mailbox: mailbox.New[happening](), startedAt: time.Now(), wallClock: newClockWatch(), ctx: ctx,
-		messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*request]*message{},
+		messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*putRequest]*message{},
 		endpoints: map[string]*endpoint{}, endpointsByNumber: map[policy.Endpoint]*endpoint{}}
 	r.metrics = newMetrics(cfg.Policy.Classes)
 	r.metrics.waitingFor.Store("waits for the list of endpoints")
@@ -39,7 +39,7 @@
 	}
 	_, conns := cfg.socketBudget()
 	r.idleConns = max(2, (conns-cfg.Policy.MaxCalls)/40)
-	r.pool.most = conns
+	r.pool.maxConns = conns
 	r.notices = discovery.NewNotices(cfg.Discovery, log, func(id string) { r.mailbox.Put(happening{noticed: id}) })
 	go r.notices.Run(ctx)
 	disc := discovery.NewWatch(cfg.Discovery, cfg.Policy.Relays, log, func(l *discovery.List) { r.mailbox.Put(happening{news: l}) })
@@ -61,8 +61,8 @@
 
 	r.awaitFirstList(firstListTimeout)
 	r.stepPolicy() // the list alone
-	r.clients = newClients(cfg, log, func(q *request) { r.mailbox.Put(happening{put: q}) },
-		func(q *request, ok bool) { r.mailbox.Put(happening{said: q, ok: ok}) })
+	r.clients = newClientServer(cfg, log, func(q *putRequest) { r.mailbox.Put(happening{put: q}) },
+		func(q *putRequest, ok bool) { r.mailbox.Put(happening{said: q, ok: ok}) })
 	r.metrics.waitingFor.Store("waits for the process that owns the log")
 	if ok, err := r.acquireOwnership(stop); err != nil || !ok {
 		return err
@@ -78,7 +78,7 @@
 	defer func() { r.closeLog() }()
 	r.splitLimits()
 	r.stepPolicy()
-	ln, ok, err := listenWithRetry(log, stop, func() (*net.TCPListener, error) { return listen(ctx, cfg.Listen) })
+	ln, ok, err := listenWithRetry(log, stop, func() (*net.TCPListener, error) { return listenReusePort(ctx, cfg.Listen) })
 	if err != nil || !ok {
 		return err
 	}
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -138,10 +138,10 @@
 		r.ownership.isSharing = two
 		limit := debug.SetMemoryLimit(-1)
 		if two {
-			r.clients.share(2)
+			r.clients.divideCapacity(2)
 			debug.SetMemoryLimit(limit / 2)
 		} else {
-			r.clients.share(1)
+			r.clients.divideCapacity(1)
 			debug.SetMemoryLimit(limit * 2)
 		}
 	}
@@ -167,7 +167,7 @@
 		for j := range eps {
 			num := policy.Endpoint(0) // of none
 			if ep := r.endpoints[l.IDs[eps[j].Endpoint]]; ep != nil {
-				num = ep.num
+				num = ep.number
 			}
 			eps[j].Endpoint = num
 		}
@@ -234,8 +234,8 @@
 		}
 	}
 	for _, ep := range r.endpoints {
-		if ep.conns != nil {
-			ep.conns.CloseIdleConnections()
+		if ep.transport != nil {
+			ep.transport.CloseIdleConnections()
 		}
 	}
 	r.splitLimits()
@@ -255,7 +255,7 @@
 	l := policyHandoff{Now: r.now(), IDs: map[policy.Endpoint]string{}, Memory: r.policy.Snapshot()}
 	l.Wall = r.logTime(l.Now)
 	for id, ep := range r.endpoints {
-		l.IDs[ep.num] = id
+		l.IDs[ep.number] = id
 	}
 	return l
 }
@@ -271,15 +271,15 @@
 
 // acceptForSuccessor takes a message on for the process that owns the relay now: once
 // it is in the side log, that one knows of it.
-func (r *Relay) acceptForSuccessor(q *request) {
-	m := &message{rec: q.rec, class: q.class, isLogged: true, isTransferred: true}
-	r.messagesByID[q.rec.ID], r.unanswered[q] = m, m
-	r.wal.Submit(q.rec, func(err error) {
+func (r *Relay) acceptForSuccessor(q *putRequest) {
+	m := &message{rec: q.record, class: q.class, isLogged: true, isTransferred: true}
+	r.messagesByID[q.record.ID], r.unanswered[q] = m, m
+	r.wal.Submit(q.record, func(err error) {
 		if err != nil {
 			r.mailbox.Put(happening{lost: q})
 			return
 		}
-		q.answer(replyOK)
+		q.respond(responseOK)
 	})
 }
 
@@ -374,8 +374,8 @@
 	r.closeLog() // and with it the side log, which is then folded in
 	for _, ep := range r.endpoints {
 		for c := range ep.calls {
-			c.stale = true
-			c.stop(errCancelled)
+			c.isAbandoned = true
+			c.cancel(errCancelled)
 		}
 	}
 	decider, err := policy.New(r.cfg.Policy, r.cfg.Seed+1)
@@ -383,14 +383,14 @@
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	r.policy = decider
-	r.messages, r.messagesByID, r.unanswered = map[uint32]*message{}, map[string]*message{}, map[*request]*message{}
+	r.messages, r.messagesByID, r.unanswered = map[uint32]*message{}, map[string]*message{}, map[*putRequest]*message{}
 	r.releaseSpilled()
 	r.pending, r.overdue, r.pendingNotices = 0, overdueCounter{}, nil
 	r.ownership.isTransferred, r.ownership.isUnlocked = false, false
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListFull}
 	for _, ep := range r.endpoints {
-		if ep.listed {
-			e.Entries = append(e.Entries, ep.entry)
+		if ep.isListed {
+			e.Entries = append(e.Entries, ep.policyEntry)
 		}
 	}
 	r.policyEvents, r.timers = []policy.Event{e}, nil
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -316,11 +316,11 @@
 
 // Guards the clients of a listener that closes: what waits there is taken in.
 func TestStopListening(t *testing.T) {
-	ln, err := listen(t.Context(), "127.0.0.1:0")
+	ln, err := listenReusePort(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClients(testSet(t), quietLog(), accept, func(*request, bool) {})
+	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
 	var waiting []*testClient
 	for range 20 { // nobody accepts yet
 		waiting = append(waiting, dialClient(t, ln.Addr().String()))
@@ -345,15 +345,15 @@
 	r := newTestRelay(t)
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
 	r.mailbox.Put(happening{news: &discovery.List{Complete: true, Members: []discovery.Member{m}}})
-	if !r.takeListUpdates() || r.endpoints["s-1"].gone {
+	if !r.takeListUpdates() || r.endpoints["s-1"].isStopped {
 		t.Fatal("the first list")
 	}
 	m.Phase = discovery.Draining
 	r.mailbox.Put(happening{ask: policy.EventDrain})
 	r.mailbox.Put(happening{news: &discovery.List{Members: []discovery.Member{m}}})
 	r.takeListUpdates()
-	if !r.endpoints["s-1"].gone || len(r.deferredEvents) != 1 || r.deferredEvents[0].ask != policy.EventDrain {
-		t.Errorf("gone %v, kept %d", r.endpoints["s-1"].gone, len(r.deferredEvents))
+	if !r.endpoints["s-1"].isStopped || len(r.deferredEvents) != 1 || r.deferredEvents[0].ask != policy.EventDrain {
+		t.Errorf("gone %v, kept %d", r.endpoints["s-1"].isStopped, len(r.deferredEvents))
 	}
 }
 
