--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -403,7 +403,7 @@
 
 // executePut takes a message on as the loop and its client do together.
 func handIn(t *testing.T, r *Relay, id string, dest int, left policy.Time) *putRequest {
-	q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, receivedAt: time.Now(), timeLeft: time.Duration(left) * time.Microsecond, responses: make(chan string, 1)}
+	q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, receivedAt: time.Now(), timeLeft: time.Duration(left) * time.Microsecond, responses: make(chan response, 1)}
 	r.mailbox.Put(happening{put: q})
 	return q
 }
--- /dev/null
+++ b/internal/relay/client_session.go
@@ -0,0 +1,180 @@
+package relay
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"time"
+)
+
+// command is one command as it was read, or the error instead.
+type command struct {
+	args       [][]byte
+	err        error
+	receivedAt time.Time
+}
+
+// clientSession answers the commands of one connection in order. A goroutine of
+// its own reads them, so that a client that leaves before its response is
+// noticed; run waits for its end.
+type clientSession struct {
+	server    *clientServer
+	conn      *clientConn
+	commands  chan command  // closed by the reader when it ends
+	done      chan struct{} // closed when no further command is executed
+	pipelined *command      // read before the previous response was ready; nil for none
+}
+
+// serveConnection answers a connection's commands until it is to be closed.
+func (c *clientServer) serveConnection(cc *clientConn) {
+	s := &clientSession{server: c, conn: cc, commands: make(chan command), done: make(chan struct{})}
+	s.run()
+}
+
+func (s *clientSession) run() {
+	go s.readCommands()
+	defer s.stopReader()
+	for {
+		cmd, ok := s.nextCommand()
+		if !ok || !s.execute(cmd) {
+			return
+		}
+		s.server.finishRequest(s.conn)
+	}
+}
+
+// stopReader ends the reader and drops what it has read.
+func (s *clientSession) stopReader() {
+	close(s.done)
+	s.server.stopReading(s.conn)
+	for range s.commands {
+	}
+}
+
+// readCommands reads commands until the connection, or its deadline, ends.
+func (s *clientSession) readCommands() {
+	defer close(s.commands)
+	in := bufio.NewReader(s.conn)
+	for s.awaitRequest(in) {
+		s.server.beginRequest(s.conn)
+		args, err := readCommand(in)
+		s.server.finishCommandRead(s.conn)
+		if errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, new(net.Error)) {
+			s.server.recordReadError(s.conn, err)
+			return // nobody would read a response
+		}
+		select {
+		case s.commands <- command{args, err, time.Now()}:
+		case <-s.done:
+			return
+		}
+		if err != nil && !errors.Is(err, errArgumentTooLong) {
+			return
+		}
+	}
+}
+
+// awaitRequest waits for the first byte of a request.
+func (s *clientSession) awaitRequest(in *bufio.Reader) bool {
+	for {
+		_, err := in.Peek(1)
+		if err == nil {
+			return true
+		}
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !hasUnreadBytes(s.conn.Conn) {
+			s.server.recordReadError(s.conn, err)
+			return false
+		}
+		s.server.extendForUnread(s.conn)
+	}
+}
+
+// nextCommand waits for a command; it reports false once the reader has ended.
+func (s *clientSession) nextCommand() (command, bool) {
+	if cmd := s.pipelined; cmd != nil {
+		s.pipelined = nil
+		return *cmd, true
+	}
+	cmd, ok := <-s.commands
+	return cmd, ok
+}
+
+// execute answers one command. It reports false where the connection is to be
+// closed.
+func (s *clientSession) execute(cmd command) bool {
+	switch {
+	case errors.Is(cmd.err, errArgumentTooLong):
+		return s.write(errorResponse(cmd.err))
+	case cmd.err != nil: // the position in the stream is lost
+		s.write(errorResponse(cmd.err))
+		return false
+	}
+	switch name := string(bytes.ToUpper(cmd.args[0])); name {
+	case "PING":
+		return s.executePing(cmd)
+	case "MSG.PUT":
+		return s.executePut(cmd)
+	default:
+		return s.write(errorResponse(fmt.Errorf("unknown command %.32q", name)))
+	}
+}
+
+// executePing answers a health check of the clients' front.
+func (s *clientSession) executePing(cmd command) bool {
+	s.server.recordValidCommand(s.conn, false)
+	switch {
+	case s.server.reportsDraining():
+		return s.write(errorResponse(errDraining))
+	case len(cmd.args) > 1:
+		return s.write(bulkStringResponse(cmd.args[1]))
+	}
+	return s.write(responsePong)
+}
+
+// executePut submits a message to the loop and writes its response.
+func (s *clientSession) executePut(cmd command) bool {
+	q, err := s.server.cfg.parsePutRequest(cmd.args, cmd.receivedAt)
+	if err != nil {
+		return s.write(errorResponse(err))
+	}
+	s.server.recordValidCommand(s.conn, true)
+	s.server.submit(q)
+	r, ok := s.awaitResponse(q)
+	isTooLate := r == responseOK && time.Since(cmd.receivedAt) >= s.server.clientTimeout
+	if !ok || isTooLate {
+		// The message is withdrawn before the client can know of it, should it
+		// still read: to submit it again is harmless.
+		s.server.onResponded(q, false)
+		return s.write(busyResponse(0))
+	}
+	isWritten := s.write(r)
+	s.server.onResponded(q, isWritten)
+	return isWritten
+}
+
+// awaitResponse waits for the response of the loop, or reports false where the
+// client leaves before it. A command that is read meanwhile is executed next.
+func (s *clientSession) awaitResponse(q *putRequest) (response, bool) {
+	select {
+	case r := <-q.responses:
+		return r, true
+	case next, isOpen := <-s.commands:
+		if isOpen {
+			s.pipelined = &next
+		} else if s.server.isPeerGone(s.conn) {
+			return "", false
+		}
+	}
+	return <-q.responses, true
+}
+
+// write sends a response; it reports false where that fails.
+func (s *clientSession) write(r response) bool {
+	s.conn.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+	_, err := io.WriteString(s.conn, string(r))
+	return err == nil
+}
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -297,7 +297,7 @@
 		if id == "timely" {
 			left = time.Second
 		}
-		q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: left, responses: make(chan string, 1)}
+		q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: left, responses: make(chan response, 1)}
 		r.admit(q)
 		taken[id] = r.messagesByID[id]
 		r.stepPolicy()
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -601,7 +601,7 @@
 	r := newTestRelay(t)
 	due := r.now() // the loop has looked a moment ago: it was not due
 	r.timers = []policy.Time{due}
-	r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "m", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan string, 1)})
+	r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "m", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
 	r.stepPolicy()
 	r.apply(due, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
 	r.apply(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // that one again is no third
@@ -657,7 +657,7 @@
 			}
 		}
 		near("owed", r.policyEvents[len(r.policyEvents)-1].TimeLeft)
-		r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "new", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan string, 1)})
+		r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "new", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
 		near("new", r.policyEvents[len(r.policyEvents)-1].TimeLeft)
 		near("new, by the log", r.fromLogTime(r.messagesByID["new"].rec.Deadline)-r.now())
 	}
