--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -1,6 +1,7 @@
-// Command relay is a relay: it takes messages from clients and owes each
-// of them its end. What it is told stands in the environment and in the file
-// that ROUTER_CONFIG names.
+// Command relay runs one message relay. Its configuration is the file that ROUTER_CONFIG
+// names; ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_OPERATOR
+// take precedence over it. SIGTERM and SIGINT begin a graceful shutdown, SIGHUP has it
+// read discovery's address again.
 package main
 
 import (
@@ -57,7 +58,7 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	if err := relay.Run(cfg, log, ctx.Done(), relay.WatchDiscoveryAddress(hup, os.Getenv, log)); err != nil {
-		log.Error("ended", "err", err)
+		log.Error("relay failed", "err", err)
 		os.Exit(exitFailed)
 	}
 }
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -9,47 +9,52 @@
 	"plovershore/policy"
 )
 
-// How messages come to be held, and how the loop lets go of them.
+// errDuplicateSubmission answers a submission of an id whose first one has no answer yet.
+var errDuplicateSubmission = errors.New("id is being handed in already")
 
-// admit shows a message to the policy. Whether it is taken on shows in the
-// step: what the policy ends there is refused with no further ado.
+// admit shows a submitted message to the policy, unless this process can answer it
+// alone. Whether the policy accepts it shows in its next step.
 func (r *Relay) admit(q *putRequest) {
-	end := r.policyTime(q.receivedAt.Add(q.timeLeft))
-	q.record.Deadline = r.logTime(end)
-	switch old := r.messagesByID[q.record.ID]; {
-	case r.ownership.isTransferred && old == nil && !q.isPending:
+	deadline := r.clock.policyTime(q.receivedAt.Add(q.timeLeft))
+	q.record.Deadline = r.clock.logTime(deadline)
+	known := r.messages.byID[q.record.ID]
+	isTransferred, limit := r.ownership.isTransferred, r.cfg.Policy.MaxMessages
+	switch {
+	case isTransferred && known == nil && !q.isPending:
 		r.acceptForSuccessor(q)
-		return
-	case !r.stoppedAt.IsZero() && !r.ownership.isTransferred:
+	case r.shutdown.isRunning() && !isTransferred:
 		r.rejectBusy(q, shutdownRetryMS, rejectedStopping)
-		return
-	case old != nil && old.isAcknowledged, old == nil && q.isPending: // it is ours already
+	case known != nil && known.isAcknowledged, known == nil && q.isPending: // accepted before
 		q.respond(responseOK)
-		return
-	case old != nil:
+	case known != nil:
 		r.recordRejection(q, rejectedDuplicate)
-		q.respond(errorResponse(errors.New("id is being handed in already")))
-		return
-	case r.cfg.Policy.MaxMessages > 0 && r.pending >= r.cfg.Policy.MaxMessages:
+		q.respond(errorResponse(errDuplicateSubmission))
+	case limit > 0 && r.messages.pending >= limit:
 		r.rejectBusy(q, 0, rejectedFull)
-		return
+	default:
+		r.submitToPolicy(q, deadline)
 	}
+}
+
+// submitToPolicy asks the policy in its next step whether a message is accepted.
+func (r *Relay) submitToPolicy(q *putRequest, deadline policy.Time) {
 	m := r.newMessage(q.record)
 	m.req, m.receivedAt = q, q.receivedAt
-	m.deadlineSpan = r.overdue.add(end)
-	r.unanswered[q] = m
-	r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventMessage, Message: m.num, Class: q.class,
-		Dest: q.record.Dest, Tenant: q.tenant, TimeLeft: end - r.now()})
+	m.deadlineSpan = r.overdue.add(deadline)
+	r.messages.unanswered[q] = m
+	r.step.add(policy.Event{Kind: policy.EventMessage, Message: m.num, Class: q.class,
+		Dest: q.record.Dest, Tenant: q.tenant, TimeLeft: deadline - r.clock.now()})
 }
 
-// acknowledge: the client has its answer, or left before it.
-func (r *Relay) acknowledge(q *putRequest, ok bool) {
-	m := r.unanswered[q]
+// acknowledge ends a client's wait for its answer. What waited for that goes on; a
+// message whose client left before its answer is withdrawn.
+func (r *Relay) acknowledge(q *putRequest, isSent bool) {
+	m := r.messages.unanswered[q]
 	if m == nil {
 		return
 	}
-	delete(r.unanswered, q)
-	if !ok {
+	delete(r.messages.unanswered, q)
+	if !isSent {
 		r.withdraw(m)
 		return
 	}
@@ -64,31 +69,33 @@
 	r.spillIfReady(m)
 }
 
-// rejectUnlogged: the log has no room for the message, so it is not taken on.
+// rejectUnlogged rejects a message that the log could not take.
 func (r *Relay) rejectUnlogged(q *putRequest) {
-	if m := r.unanswered[q]; m != nil {
-		delete(r.unanswered, q)
+	if m := r.messages.unanswered[q]; m != nil {
+		delete(r.messages.unanswered, q)
 		r.withdraw(m)
 	}
 	r.rejectBusy(q, 0, rejectedLog)
 }
 
-// rejectBusy refuses what was never taken on.
-func (r *Relay) rejectBusy(q *putRequest, ms int64, why rejection) {
+// rejectBusy rejects a message that was never accepted; its client may retry it after
+// so many ms, 0 for any time.
+func (r *Relay) rejectBusy(q *putRequest, retryMS int64, why rejection) {
 	r.recordRejection(q, why)
 	r.metrics.countUndelivered(q.class, discovery.Returned)
-	q.respond(busyResponse(ms))
+	q.respond(busyResponse(retryMS))
 }
 
-// recordRejection logs and counts why a request was not taken on.
+// recordRejection logs and counts why a message was not accepted.
 func (r *Relay) recordRejection(q *putRequest, why rejection) {
 	r.metrics.rejections[why].Add(1)
-	r.log.Debug("refused", "message", q.record.ID, "class", q.record.Class, "dest", q.record.Dest, "why", why, "left_ms", q.timeLeft.Milliseconds(), "held", r.pending)
+	r.log.Debug("message rejected", "reason", why, "message", q.record.ID, "class", q.record.Class, "dest", q.record.Dest,
+		"left_ms", q.timeLeft.Milliseconds(), "pending", r.messages.pending)
 }
 
-// withdraw: nobody wants the message any more, and nobody was told it is ours.
+// withdraw takes back a message whose client was not told that it is accepted.
 func (r *Relay) withdraw(m *message) {
-	r.log.Debug("withdrawn", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest)
+	r.log.Debug("message withdrawn", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest)
 	if m.isLogged {
 		r.wal.Submit(&wal.Record{Kind: wal.KindCompleted, ID: m.rec.ID}, nil)
 	}
@@ -96,12 +103,12 @@
 	if !m.isCompleted {
 		m.isCompleted = true
 		r.forgetMessage(m)
-		r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: m.pendingSpill != nil, Dest: m.rec.Dest})
+		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: m.pendingSpill != nil, Dest: m.rec.Dest})
 	}
 	r.removeFromBatch(m)
 }
 
-// removeFromBatch lets a message out of the batch that it waits in.
+// removeFromBatch cancels the send that a message waits for.
 func (r *Relay) removeFromBatch(m *message) {
 	b := m.pendingBatch
 	if b == nil {
@@ -110,44 +117,59 @@
 	m.pendingBatch = nil
 	b.remove(m)
 	r.reportNotSent(m, b.ep)
-	r.startBatch(b) // it may have been the last one waited for
+	r.startBatch(b) // it may have been the last one that the others waited for
 }
 
-// accept logs a message; its client hears of it once that is done.
+// accept logs a message; its client is answered once that is done.
 func (r *Relay) accept(m *message) {
 	q := m.req
 	m.req, m.isLogged = nil, true
-	r.log.Debug("taken on", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "left_ms", (r.fromLogTime(m.rec.Deadline)-r.now())/1000)
-	r.wal.Submit(m.rec, func(err error) {
+	r.log.Debug("message accepted", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest,
+		"left_ms", (r.clock.fromLogTime(m.rec.Deadline)-r.clock.now())/1000)
+	r.logAccepted(q)
+}
+
+// logAccepted logs a message and answers its client.
+func (r *Relay) logAccepted(q *putRequest) {
+	r.wal.Submit(q.record, func(err error) {
 		if err != nil {
-			r.mailbox.Put(happening{lost: q})
+			r.mailbox.Put(logRejectedEvent{q})
 			return
 		}
 		q.respond(responseOK)
 	})
 }
 
+// newMessage makes a message that is pending here.
 func (r *Relay) newMessage(rec *wal.Record) *message {
-	r.lastMessage++
-	m := &message{num: r.lastMessage, rec: rec, class: indexOf(r.cfg.classes, rec.Class), receivedAt: time.Now()}
-	r.messages[m.num], r.messagesByID[rec.ID] = m, m
-	r.pending++
+	t := &r.messages
+	t.lastNumber++
+	m := &message{num: t.lastNumber, rec: rec, class: indexOf(r.cfg.classes, rec.Class), receivedAt: time.Now()}
+	t.byNumber[m.num], t.byID[rec.ID] = m, m
+	t.pending++
 	return m
 }
 
-// forgetMessage: the policy holds the message no longer.
+// forgetMessage drops a message that the policy no longer has, once its call is over.
 func (r *Relay) forgetMessage(m *message) {
 	if !m.isTransferred {
-		r.pending--
+		r.messages.pending--
 	}
 	r.clearDeadline(m)
-	delete(r.messagesByID, m.rec.ID)
+	delete(r.messages.byID, m.rec.ID)
 	if m.call == nil && m.pendingBatch == nil && !m.hasRemoteCall {
-		delete(r.messages, m.num)
+		delete(r.messages.byNumber, m.num)
 	}
 }
 
-// clearDeadline takes a message out of the count of what may be overdue.
+// transferMessage leaves a message to the process that owns the relay now.
+func (r *Relay) transferMessage(m *message) {
+	m.isTransferred = true
+	r.messages.pending--
+	r.clearDeadline(m)
+}
+
+// clearDeadline takes a message out of the overdue counter.
 func (r *Relay) clearDeadline(m *message) {
 	r.overdue.remove(m.deadlineSpan)
 	m.deadlineSpan = 0
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -9,127 +9,161 @@
 	"plovershore/policy"
 )
 
-// Attempts: from what the policy wants sent to the outcomes that it hears.
-
-// reportNotSent tells the policy of an attempt that never left. The loop comes by
-// again for it.
+// reportNotSent tells the policy of an attempt that never left this process, in the
+// next round of the loop. The endpoint may be nil.
 func (r *Relay) reportNotSent(m *message, ep *endpoint) {
-	u := &unsent{m: m}
+	e := attemptNotSentEvent{message: m}
 	if ep != nil {
-		u.ep = ep.number
+		e.endpoint = ep.number
 	}
-	r.mailbox.Put(happening{unsent: u})
+	r.mailbox.Put(e)
 }
 
 // addToBatch puts a send with those that the policy makes in the same call, as many
-// as a call there may carry. Two calls of one step stay two: each has an end of
-// its own, and the messages of one must not wait for those of the other.
+// as one call to the endpoint may carry. Two calls of one step stay two: each has a
+// result of its own, and the messages of one must not wait for those of the other.
 func (r *Relay) addToBatch(m *message, a *policy.Action) {
-	ep := r.endpointsByNumber[a.Endpoint]
+	ep := r.endpoints.byNumber[a.Endpoint]
 	if ep == nil {
 		r.reportNotSent(m, nil)
 		return
 	}
 	size := batchItemSize(m.rec)
-	for _, b := range r.batches {
+	s := send{m: m, timeoutAt: a.Deadline, sendBy: a.SendBy}
+	for _, b := range r.step.batches {
 		if b.ep == ep && b.num == a.Call && len(b.sends) < ep.maxBatch && b.bytes+size <= maxBodyBytes {
-			b.sends, b.bytes = append(b.sends, send{m, a.Deadline, a.SendBy}), b.bytes+size
+			b.sends, b.bytes = append(b.sends, s), b.bytes+size
 			m.pendingBatch = b
 			return
 		}
 	}
-	b := &batch{ep: ep, num: a.Call, sends: []send{{m, a.Deadline, a.SendBy}}, bytes: size}
+	b := &batch{ep: ep, num: a.Call, sends: []send{s}, bytes: size}
 	m.pendingBatch = b
-	r.batches = append(r.batches, b)
+	r.step.batches = append(r.step.batches, b)
 }
 
-// startBatch logs the attempts of a batch and then makes its call, unless a client
-// has yet to hear of its message: what was not taken on must not go out.
+// startBatch logs the attempts of a batch and then makes its call, unless a client is
+// still to be acknowledged: a message that may yet be withdrawn must not go out.
 func (r *Relay) startBatch(b *batch) {
 	for _, s := range b.sends {
 		if !s.m.isAcknowledged {
 			return
 		}
 	}
-	ep, now := b.ep, r.now()
-	ctx, stop := context.WithCancelCause(r.ctx)
+	c := r.newCall(b.ep)
+	limit := r.moveToCall(b, c)
+	if len(c.messages) == 0 {
+		c.cancel(nil)
+		return
+	}
+	b.ep.calls[c] = true
+	r.callsInFlight++
+	r.pool.prepareCall(b.ep)
+	r.logAndRun(c, time.Duration(limit)*time.Microsecond)
+}
+
+// newCall makes an empty call to an endpoint, on connections that are not kept idle
+// for longer than calls there have shown to be safe.
+func (r *Relay) newCall(ep *endpoint) *call {
+	now := r.clock.now()
 	keep := maxIdleTime(&r.cfg.Policy)
 	ep.setIdleTimeout(r.cfg, r.idleConns, min(ep.idleResets.maxIdle(keep, now), r.idle.maxIdle(keep, now)))
-	c := &call{endpoint: ep, transport: ep.transport, ctx: ctx, cancel: stop}
-	limit := policy.Time(0)
+	ctx, stop := context.WithCancelCause(r.ctx)
+	return &call{endpoint: ep, transport: ep.transport, ctx: ctx, cancel: stop}
+}
+
+// moveToCall moves what may still be sent from a batch to its call. It returns when
+// the last of the attempts times out, in µs from now: one connection carries them all.
+func (r *Relay) moveToCall(b *batch, c *call) (limit policy.Time) {
+	now := r.clock.now()
 	for _, s := range slices.Clone(b.sends) {
 		m := s.m
 		if r.isTooLateToSend(m) {
-			continue // it stays pending
+			continue // it stays in the batch
 		}
 		m.pendingBatch = nil
 		b.remove(m)
-		if ep.isStopped || ep.cell != m.rec.Dest || ep.retryAfterUntil > now || s.timeoutAt <= now || s.sendBy != 0 && s.sendBy <= now || m.isCompleted {
-			r.reportNotSent(m, ep)
+		if !canSend(&s, b.ep, now) {
+			r.reportNotSent(m, b.ep)
 			continue
 		}
 		c.messages = append(c.messages, callMessage{message: m, attempt: m.attempts - 1})
-		if by := r.processTime(s.sendBy); s.sendBy != 0 && (c.sendBy.IsZero() || by.Before(c.sendBy)) {
+		if by := r.clock.processTime(s.sendBy); s.sendBy != 0 && (c.sendBy.IsZero() || by.Before(c.sendBy)) {
 			c.sendBy = by
 		}
-		limit = max(limit, s.timeoutAt-now) // one connection: it stands until the last of them gives up
+		limit = max(limit, s.timeoutAt-now)
 		m.call = c
 	}
-	if len(c.messages) == 0 {
-		stop(nil)
-		return
-	}
-	ep.calls[c] = true
-	r.callsInFlight++
-	r.pool.prepareCall(ep)
-	r.logAndRun(c, time.Duration(limit)*time.Microsecond)
+	return limit
+}
+
+// canSend reports whether nothing has happened since the policy's step that rules a
+// send out.
+func canSend(s *send, ep *endpoint, now policy.Time) bool {
+	isExpired := s.timeoutAt <= now || s.sendBy != 0 && s.sendBy <= now
+	isUsable := !ep.isStopped && ep.cell == s.m.rec.Dest && ep.retryAfterUntil <= now
+	return isUsable && !isExpired && !s.m.isCompleted
 }
 
-// logAndRun has the attempts of a call logged. On the log's goroutine, once the
-// last of them is, the call is begun with those that could be.
+// callRun is a call whose attempts are being logged. Its fields are the log
+// goroutine's until the call runs.
+type callRun struct {
+	call    *call
+	limit   time.Duration
+	results []outcome     // one for each part
+	records []*wal.Record // of the attempts that could be logged
+	parts   []int         // their places in the call
+}
+
+// logAndRun has the attempts of a call logged. Once the last of them is, the call runs
+// with those that could be, on a goroutine of its own.
 func (r *Relay) logAndRun(c *call, limit time.Duration) {
-	addr, at := c.endpoint.hostPort, r.logTime(r.now())
-	results := make([]outcome, len(c.messages))
-	var recs []*wal.Record // what could be logged, and so goes out
-	var place []int        // its place in the call
-	begin := func() {
-		if len(recs) > 0 {
-			c.onWritten = func() {
-				for _, i := range place {
-					r.metrics.countWritten(c.messages[i].message.class)
-				}
-			}
-			for i, o := range c.run(c.transport, addr, recs, limit, r.cfg.loadFields) {
-				results[place[i]] = o
-			}
-		}
-		c.cancel(nil)
-		r.mailbox.Put(happening{call: c, results: results})
-	}
+	at := r.clock.logTime(r.clock.now())
+	run := &callRun{call: c, limit: limit, results: make([]outcome, len(c.messages))}
 	last := len(c.messages) - 1
+	addr := c.endpoint.hostPort
 	for i := range c.messages {
 		rec := c.messages[i].message.rec
-		r.wal.Submit(&wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.endpoint.zone, Endpoint: c.endpoint.id, Process: r.ownership.process, Sync: r.isNonIdempotent(rec)}, func(err error) {
+		attempt := &wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.endpoint.zone, Endpoint: c.endpoint.id,
+			Process: r.ownership.process, Sync: r.cfg.isNonIdempotent(rec.Class)}
+		r.wal.Submit(attempt, func(err error) {
 			if err != nil {
-				results[i] = outcome{kind: policy.NotSent, err: err, isUnlogged: true, isLocalFailure: true}
+				run.results[i] = outcome{kind: policy.NotSent, err: err, isUnlogged: true, isLocalFailure: true}
 			} else {
-				recs, place = append(recs, rec), append(place, i)
+				run.records, run.parts = append(run.records, rec), append(run.parts, i)
 			}
 			if i == last {
-				go begin()
+				r.goBackground(func() { r.runCall(run, addr) })
 			}
 		})
 	}
 }
 
-// finishCall books the end of a call.
+// runCall makes a call and tells the loop of its results.
+func (r *Relay) runCall(run *callRun, addr string) {
+	c := run.call
+	if len(run.records) > 0 {
+		c.onWritten = func() {
+			for _, i := range run.parts {
+				r.metrics.countWritten(c.messages[i].message.class)
+			}
+		}
+		for i, o := range c.run(c.transport, addr, run.records, run.limit, r.cfg.loadFields) {
+			run.results[run.parts[i]] = o
+		}
+	}
+	c.cancel(nil)
+	r.mailbox.Put(callDoneEvent{call: c, results: run.results})
+}
+
+// finishCall handles the results of a call.
 func (r *Relay) finishCall(c *call, results []outcome) {
 	delete(c.endpoint.calls, c)
 	r.callsInFlight--
 	if c.isAbandoned {
 		return
 	}
-	o, now := &results[0], r.now()
+	o, now := &results[0], r.clock.now()
 	if reset := o.kind == policy.ConnectionReset; reset || o.status != 0 {
 		c.endpoint.idleResets.record(o.idleTime, reset, now)
 		r.idle.record(o.idleTime, reset, now)
@@ -150,72 +184,61 @@
 	}
 }
 
-// finishAttempt books the end of an attempt.
+// finishAttempt handles the outcome of an attempt: it tells the policy, logs it and,
+// where that settles the message, completes it. The endpoint may be nil.
 func (r *Relay) finishAttempt(m *message, ep *endpoint, attempt int, o *outcome) {
-	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: attempt, Outcome: o.kind, RetryAfter: o.retryAfter,
-		CallsExhausted: o.callsExhausted, LocalFailure: o.isLocalFailure, Final: o.isFinal || m.isCompleted, Latency: o.latency, Load: o.load, NewConnection: o.isNewConnection}
-	if ep != nil {
-		e.Endpoint = ep.number
-	}
+	e := attemptDoneEvent(m, ep, attempt, o)
 	if o.isLocalFailure {
 		m.attempts--
 		r.metrics.localFailures.Add(1)
 	}
 	if o.kind != policy.Delivered || o.retryAfter > 0 {
-		r.checkAvailabilityOfCell(m.rec.Dest)
+		r.endpoints.checkAvailabilityOfCell(m.rec.Dest)
 	}
-	r.policyEvents = append(r.policyEvents, e)
+	r.step.add(e)
 	if o.kind != policy.Delivered {
-		r.log.Info("attempt", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
+		r.log.Info("attempt failed", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
 			"attempt", attempt, "outcome", int(o.kind), "status", o.status, "took_ms", o.latency/1000,
 			"idle_ms", o.idleTime.Milliseconds(), "age_ms", time.Since(m.receivedAt).Milliseconds(), "err", o.err)
 	}
-	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: !o.kind.NeverRan(), LocalFailure: o.isLocalFailure}
-	if o.isFinal {
-		rec.Kind = wal.KindCompleted
-	}
-	if r.ownership.isTransferred { // the policy that is to know is another's
-		rec.OutcomeCode, rec.Latency, rec.CallsExhausted = uint8(o.kind), o.latency, o.callsExhausted
-		if o.retryAfter > 0 {
-			rec.RetryAt = r.logTime(r.now() + o.retryAfter)
-		}
-	}
 	if !o.isUnlogged {
-		r.wal.Submit(rec, nil)
+		r.wal.Submit(r.outcomeRecord(m, o), nil)
 	}
-	if o.isFinal && !m.isCompleted {
+	switch {
+	case o.isFinal && !m.isCompleted:
 		if o.kind == policy.Delivered {
 			r.metrics.countDelivered(m.class)
 		}
 		m.isCompleted = true
 		r.forgetMessage(m)
-		return
-	}
-	if m.isCompleted {
-		delete(r.messages, m.num)
-	} else if r.ownership.isTransferred && !m.isTransferred {
-		m.isTransferred = true
-		r.pending--
-		r.clearDeadline(m)
+	case m.isCompleted:
+		delete(r.messages.byNumber, m.num)
+	case r.ownership.isTransferred && !m.isTransferred:
+		r.transferMessage(m)
 	}
 }
 
-// isTooLateToSend reports whether a call of a message is no longer begun, since the
-// process will not be there for its end. The policy goes on to hold it to be
-// out; the next process takes the message up from the log.
-func (r *Relay) isTooLateToSend(m *message) bool {
-	if r.stoppedAt.IsZero() {
-		return false
-	}
-	last := stopCallsAfter
-	if r.isNonIdempotent(m.rec) {
-		last = stopUnsafeCallsAfter
-	}
-	return time.Since(r.stoppedAt) >= last
+func attemptDoneEvent(m *message, ep *endpoint, attempt int, o *outcome) policy.Event {
+	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: attempt, Outcome: o.kind, RetryAfter: o.retryAfter,
+		CallsExhausted: o.callsExhausted, LocalFailure: o.isLocalFailure, Final: o.isFinal || m.isCompleted, Latency: o.latency, Load: o.load, NewConnection: o.isNewConnection}
+	if ep != nil {
+		e.Endpoint = ep.number
+	}
+	return e
 }
 
-// isNonIdempotent reports whether a message may not have its effect twice.
-func (r *Relay) isNonIdempotent(rec *wal.Record) bool {
-	i, ok := r.cfg.classes[rec.Class]
-	return ok && r.cfg.Policy.Classes[i].Idempotency == policy.NonIdempotent
+// outcomeRecord is the log's record of an outcome. Where another process owns the
+// relay, it carries what that one's policy has to know.
+func (r *Relay) outcomeRecord(m *message, o *outcome) *wal.Record {
+	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: !o.kind.NeverRan(), LocalFailure: o.isLocalFailure}
+	if o.isFinal {
+		rec.Kind = wal.KindCompleted
+	}
+	if r.ownership.isTransferred {
+		rec.OutcomeCode, rec.Latency, rec.CallsExhausted = uint8(o.kind), o.latency, o.callsExhausted
+		if o.retryAfter > 0 {
+			rec.RetryAt = r.clock.logTime(r.clock.now() + o.retryAfter)
+		}
+	}
+	return rec
 }
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -9,51 +9,91 @@
 	"plovershore/policy"
 )
 
-// This file carries out what the policy says of its backlog: which messages the
-// log alone is to have, and which are to be loaded again.
-
 const (
 	loadBatchSize  = 2000             // messages that are read at a time: the loop goes on in between
 	loadRetryDelay = policy.Time(1e6) // after a message could not be read
 )
 
-// spillState is what the loop has of spilled messages.
+// spillState is what the loop knows of spilled messages: those that are in the log
+// alone, not in memory.
 type spillState struct {
 	store      backlog.Store
-	requested  map[int]int    // messages that the policy wants back, by destination
+	requested  map[int]int    // how many the policy wants loaded, by destination
 	reading    []backlog.Item // that are being read from the log
-	unreadable []backlog.Item // that could not be read; At is when they are tried again
+	unreadable []backlog.Item // that could not be read; LoadBy is when they are tried again
 	isLogged   bool           // this process has logged that it spills
 }
 
-// spilledLoadedEvent is what the log has read of spilled messages.
-type spilledLoadedEvent struct {
-	log     *wal.Log
-	items   []backlog.Item
-	records []*wal.Record
-}
-
-// count is how many messages the log alone has.
+// count is how many messages are spilled.
 func (s *spillState) count() int { return s.store.Len() + len(s.reading) + len(s.unreadable) }
 
-// untilNext is how long the loop may wait for the next message that has to be back.
+// untilNext is how long the loop may wait until the next message has to be loaded.
 func (s *spillState) untilNext(now policy.Time) time.Duration {
 	wait := time.Hour
 	if at, ok := s.store.Next(); ok && len(s.reading) == 0 {
 		wait = min(wait, time.Duration(at-now+1)*time.Microsecond)
 	}
-	for _, x := range s.unreadable {
-		wait = min(wait, time.Duration(x.LoadBy-now+1)*time.Microsecond)
+	for _, item := range s.unreadable {
+		wait = min(wait, time.Duration(item.LoadBy-now+1)*time.Microsecond)
 	}
 	return wait
 }
 
-// spill has a message be in the log alone, as soon as it is there and its client
-// has heard of it.
+// request records that the policy wants so many messages of a destination loaded.
+func (s *spillState) request(dest, count int) {
+	if s.requested == nil {
+		s.requested = map[int]int{}
+	}
+	s.requested[dest] += count
+}
+
+// loadStarted records that one requested message of a destination is being loaded.
+func (s *spillState) loadStarted(dest int) {
+	if n := s.requested[dest]; n > 1 {
+		s.requested[dest] = n - 1
+	} else {
+		delete(s.requested, dest)
+	}
+}
+
+// retryUnreadable puts back what could not be read some time ago.
+func (s *spillState) retryUnreadable(now policy.Time) {
+	left := s.unreadable[:0]
+	for _, item := range s.unreadable {
+		if item.LoadBy > now {
+			left = append(left, item)
+		} else {
+			s.store.Add(item.Dest, item.Entry)
+		}
+	}
+	s.unreadable = left
+}
+
+// take removes what is to be loaded next: what is due, then what is requested.
+func (s *spillState) take(now policy.Time) []backlog.Item {
+	s.retryUnreadable(now)
+	items := s.store.TakeDue(now, loadBatchSize)
+	for _, item := range items {
+		s.loadStarted(item.Dest)
+	}
+	for dest, count := range s.requested {
+		left := loadBatchSize - len(items)
+		if left <= 0 {
+			break
+		}
+		for _, item := range s.store.Take(dest, min(count, left)) {
+			items = append(items, item)
+			s.loadStarted(dest)
+		}
+	}
+	return items
+}
+
+// spill has a message kept in the log alone, as soon as it is logged and acknowledged.
 func (r *Relay) spill(a *policy.Action) {
-	m := r.messages[a.Message]
-	if m == nil || m.isCompleted { // it was withdrawn in the turn that spilled it
-		r.mailbox.Put(happening{forgone: &policy.Event{Kind: policy.EventWithdraw, Message: a.Message, Spilled: true, Dest: a.Dest}})
+	m := r.messages.byNumber[a.Message]
+	if m == nil || m.isCompleted { // it was withdrawn in the step that spilled it
+		r.mailbox.Put(spilledWithdrawnEvent{message: a.Message, dest: a.Dest})
 		return
 	}
 	m.pendingSpill = &backlog.Entry{LoadBy: a.Deadline, Flags: flagsOf(a)}
@@ -73,58 +113,36 @@
 	return f
 }
 
-// spillIfReady forgets a message that is to be in the log alone, if it can be by now.
+// spillIfReady drops a message that is to be spilled from memory, if it can be by now.
 func (r *Relay) spillIfReady(m *message) {
-	switch {
-	case m.pendingSpill == nil || !m.isAcknowledged || m.isCompleted || r.ownership.isTransferred:
+	if m.pendingSpill == nil || !m.isAcknowledged || m.isCompleted || r.ownership.isTransferred {
 		return
-	case m.rec.Ref == 0: // its id is that of one whose end is still being told: it can have no record
-		m.isCompleted = true
+	}
+	if m.rec.Ref == 0 { // an older message of this id is still being completed: it can have no record
 		r.metrics.countUndelivered(m.class, discovery.Failed)
-		r.forgetMessage(m)
-		r.logCompletion(m, discovery.Failed, 0)
-		r.mailbox.Put(happening{forgone: &policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: true, Dest: m.rec.Dest}})
+		r.failMessage(m)
+		r.mailbox.Put(spilledWithdrawnEvent{message: m.num, dest: m.rec.Dest})
 		return
 	}
 	if !r.spilled.isLogged {
 		r.spilled.isLogged = true
-		r.log.Info("spilling: more is held than memory is to have", "held", r.pending, "in_memory", len(r.messages))
+		r.log.Info("spilling to the log", "pending", r.messages.pending, "in_memory", len(r.messages.byNumber))
 	}
 	m.pendingSpill.Index, m.pendingSpill.Generation = uint32(m.rec.Ref), uint16(m.rec.Ref>>32)
 	r.spilled.store.Add(m.rec.Dest, *m.pendingSpill)
 	r.clearDeadline(m)
-	delete(r.messagesByID, m.rec.ID)
-	delete(r.messages, m.num)
+	delete(r.messages.byID, m.rec.ID)
+	delete(r.messages.byNumber, m.num)
 	r.metrics.spilled.Store(int64(r.spilled.count()))
 }
 
-// requestLoad books that the policy wants spilled messages back.
-func (r *Relay) requestLoad(a *policy.Action) {
-	if r.spilled.requested == nil {
-		r.spilled.requested = map[int]int{}
-	}
-	r.spilled.requested[a.Dest] += a.Count
-}
-
-// loadSpilled has the log read what is due and what is asked for, one slice at a time.
+// loadSpilled has the log read what is due and what is requested, one batch at a time.
 func (r *Relay) loadSpilled() {
-	s, now := &r.spilled, r.now()
+	s := &r.spilled
 	if r.ownership.isTransferred || len(s.reading) > 0 || s.count() == 0 {
 		return
 	}
-	s.retryUnreadable(now)
-	items := s.store.TakeDue(now, loadBatchSize)
-	for _, x := range items {
-		s.loadStarted(x.Dest)
-	}
-	for dest, n := range s.requested {
-		if room := loadBatchSize - len(items); room > 0 {
-			for _, x := range s.store.Take(dest, min(n, room)) {
-				items = append(items, x)
-				s.loadStarted(dest)
-			}
-		}
-	}
+	items := s.take(r.clock.now())
 	if len(items) == 0 {
 		return
 	}
@@ -134,50 +152,28 @@
 		refs[i] = wal.Ref(items[i].Generation)<<32 | wal.Ref(items[i].Index)
 	}
 	w := r.wal
-	w.Do(func() { r.mailbox.Put(happening{loaded: &spilledLoadedEvent{w, items, w.Read(refs)}}) })
-}
-
-// loadStarted books that a message of a destination is on its way back.
-func (s *spillState) loadStarted(dest int) {
-	if n := s.requested[dest]; n > 1 {
-		s.requested[dest] = n - 1
-	} else {
-		delete(s.requested, dest)
-	}
-}
-
-// retryUnreadable takes up again what could not be read some time ago.
-func (s *spillState) retryUnreadable(now policy.Time) {
-	left := s.unreadable[:0]
-	for _, x := range s.unreadable {
-		if x.LoadBy > now {
-			left = append(left, x)
-		} else {
-			s.store.Add(x.Dest, x.Entry)
-		}
-	}
-	s.unreadable = left
+	w.Do(func() { r.mailbox.Put(spilledLoadedEvent{log: w, items: items, records: w.Read(refs)}) })
 }
 
 // readmitLoaded takes up what the log has read.
-func (r *Relay) readmitLoaded(x *spilledLoadedEvent) {
-	if x.log != r.wal || r.ownership.isTransferred {
-		return // of a log that was passed on
+func (r *Relay) readmitLoaded(e spilledLoadedEvent) {
+	if e.log != r.wal || r.ownership.isTransferred {
+		return // of a log that was handed off
 	}
 	s := &r.spilled
 	s.reading = nil
-	for i, rec := range x.records {
-		item := x.items[i]
-		if rec != nil && rec.ID == "" { // another one instead, and this one again later
-			item.LoadBy = r.now() + loadRetryDelay
+	for i, rec := range e.records {
+		item := e.items[i]
+		if rec != nil && rec.ID == "" { // unreadable: another one instead, and this one again later
+			item.LoadBy = r.clock.now() + loadRetryDelay
 			s.unreadable = append(s.unreadable, item)
-			r.requestLoad(&policy.Action{Dest: item.Dest, Count: 1})
+			s.request(item.Dest, 1)
 			continue
 		}
-		r.pending-- // it is counted anew, or over
+		r.messages.pending-- // it is counted anew, or completed
 		if rec == nil {
-			r.log.Error("a spilled message is owed no longer", "dest", item.Dest)
-			r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventWithdraw, Spilled: true, Dest: item.Dest})
+			r.log.Error("spilled message is not pending", "dest", item.Dest)
+			r.step.add(policy.Event{Kind: policy.EventWithdraw, Spilled: true, Dest: item.Dest})
 			continue
 		}
 		r.readmit(rec, item)
@@ -185,17 +181,15 @@
 	r.metrics.spilled.Store(int64(s.count()))
 }
 
-// readmit hands a loaded message to the policy, with its past.
+// readmit gives a loaded message back to the policy, with its state.
 func (r *Relay) readmit(rec *wal.Record, item backlog.Item) {
 	m := r.newMessage(rec)
 	m.isAcknowledged, m.isLogged, m.attempts = true, true, rec.Attempts
 	r.metrics.loaded.Add(1)
 	if rec.Corrupted {
-		m.isCompleted = true
-		r.forgetMessage(m)
-		r.logCompletion(m, discovery.Failed, 0)
-		r.log.Error("lost", "message", rec.ID)
-		r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: true, Dest: item.Dest})
+		r.failMessage(m)
+		r.log.Error("message lost to log corruption", "message", rec.ID)
+		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: true, Dest: item.Dest})
 		return
 	}
 	if rec.InFlightSince != 0 { // its outcome could not be logged: it may have run
@@ -207,31 +201,12 @@
 	}
 	e := r.recoveredMessageEvent(m)
 	e.Spilled, e.Recovered, e.OverQuota = true, item.Flags&backlog.Recovered != 0, item.Flags&backlog.OverQuota != 0
-	r.policyEvents = append(r.policyEvents, e)
+	r.step.add(e)
 }
 
-// releaseSpilled leaves what is spilled to the next process.
+// releaseSpilled leaves the spilled messages to the next process.
 func (r *Relay) releaseSpilled() {
-	r.pending -= r.spilled.count()
+	r.messages.pending -= r.spilled.count()
 	r.spilled = spillState{}
 	r.metrics.spilled.Store(0)
 }
-
-// isPendingHere reports whether a message that the process before took on is owed here
-// already, out of sight of the loop. It waits for the log, which never waits for
-// the loop.
-func (r *Relay) isPendingHere(id string) bool {
-	if !r.isRecovering && r.spilled.count() == 0 {
-		return false
-	}
-	w, owed, found := r.wal, make(chan bool, 1), make(chan *wal.Record, 1)
-	w.Do(func() {
-		rec := w.Fetch(id)
-		found <- rec
-		owed <- rec != nil || w.IsPending(id)
-	})
-	if rec := <-found; rec != nil {
-		r.restore([]*wal.Record{rec}, false)
-	}
-	return <-owed
-}
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -392,10 +392,10 @@
 
 // turn carries out what has happened to a relay without a loop.
 func (r *Relay) turn() {
-	for _, h := range r.mailbox.TakeAll(nil) {
-		r.take(h)
+	for _, e := range r.mailbox.TakeAll(nil) {
+		e.handle(r)
 	}
-	if r.fireTimers(); len(r.policyEvents) > 0 {
+	if r.fireTimers(); len(r.step.events) > 0 {
 		r.stepPolicy()
 	}
 	r.loadSpilled()
@@ -404,7 +404,7 @@
 // executePut takes a message on as the loop and its client do together.
 func handIn(t *testing.T, r *Relay, id string, dest int, left policy.Time) *putRequest {
 	q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, receivedAt: time.Now(), timeLeft: time.Duration(left) * time.Microsecond, responses: make(chan response, 1)}
-	r.mailbox.Put(happening{put: q})
+	r.mailbox.Put(submitEvent{request: q})
 	return q
 }
 
@@ -452,7 +452,7 @@
 					if s != responseOK {
 						t.Fatal(s)
 					}
-					r.mailbox.Put(happening{said: q, ok: true})
+					r.mailbox.Put(acknowledgedEvent{request: q, isSent: true})
 					return true
 				default:
 					return false
@@ -460,11 +460,11 @@
 			})
 		}
 	}
-	waitFor(t, "the backlog", func() bool { r.turn(); return len(r.messages) <= 1000 })
+	waitFor(t, "the backlog", func() bool { r.turn(); return len(r.messages.byNumber) <= 1000 })
 	per := float64(heap()-before) / n
-	t.Logf("%.0f bytes a message held, %d of %d in memory", per, len(r.messages), n)
-	if per > 130 || r.pending != n || len(r.messages)+r.spilled.count() != n || len(r.messagesByID) > 1000 {
-		t.Errorf("%.0f bytes a message; %d held, %d known, %d spilled", per, r.pending, len(r.messages), r.spilled.count())
+	t.Logf("%.0f bytes a message held, %d of %d in memory", per, len(r.messages.byNumber), n)
+	if per > 130 || r.messages.pending != n || len(r.messages.byNumber)+r.spilled.count() != n || len(r.messages.byID) > 1000 {
+		t.Errorf("%.0f bytes a message; %d held, %d known, %d spilled", per, r.messages.pending, len(r.messages.byNumber), r.spilled.count())
 	}
 	runtime.KeepAlive(r)
 }
@@ -483,18 +483,18 @@
 			t.Fatal(s)
 		}
 	}
-	if r.turn(); len(r.messages) != 3 || r.spilled.count() != 0 {
-		t.Fatalf("%d in memory, %d spilled before any client has heard", len(r.messages), r.spilled.count())
+	if r.turn(); len(r.messages.byNumber) != 3 || r.spilled.count() != 0 {
+		t.Fatalf("%d in memory, %d spilled before any client has heard", len(r.messages.byNumber), r.spilled.count())
 	}
-	r.mailbox.Put(happening{said: qs[1], ok: true})
-	r.mailbox.Put(happening{said: qs[2]})
-	if r.turn(); len(r.messages) != 1 || r.spilled.count() != 1 || r.pending != 2 || r.messagesByID["m1"] != nil || r.messagesByID["m2"] != nil {
-		t.Fatalf("%d in memory, %d spilled, %d held", len(r.messages), r.spilled.count(), r.pending)
+	r.mailbox.Put(acknowledgedEvent{request: qs[1], isSent: true})
+	r.mailbox.Put(acknowledgedEvent{request: qs[2]})
+	if r.turn(); len(r.messages.byNumber) != 1 || r.spilled.count() != 1 || r.messages.pending != 2 || r.messages.byID["m1"] != nil || r.messages.byID["m2"] != nil {
+		t.Fatalf("%d in memory, %d spilled, %d held", len(r.messages.byNumber), r.spilled.count(), r.messages.pending)
 	}
 	// The policy knows of that, too: once nothing is spilled it asks for nothing.
-	r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventWithdraw, Message: 1})
-	waitFor(t, "the one that is left", func() bool { r.turn(); return r.messagesByID["m1"] != nil })
-	r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventWithdraw, Message: r.messagesByID["m1"].num})
+	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: 1})
+	waitFor(t, "the one that is left", func() bool { r.turn(); return r.messages.byID["m1"] != nil })
+	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: r.messages.byID["m1"].num})
 	if r.turn(); len(r.spilled.requested) != 0 || r.spilled.count() != 0 {
 		t.Errorf("%d spilled, asked for %v", r.spilled.count(), r.spilled.requested)
 	}
@@ -505,21 +505,21 @@
 func TestBacklogUnreadable(t *testing.T) {
 	r := boundRelay(t, 1)
 	r.notices = discovery.NewNotices(discoverytest.New(t).Addr(), quietLog(), func(string) {})
-	r.pending = 2
+	r.messages.pending = 2
 	item := backlog.Item{Entry: backlog.Entry{LoadBy: 1, Index: 9}, Dest: 7}
-	r.readmitLoaded(&spilledLoadedEvent{r.wal, []backlog.Item{item, item}, []*wal.Record{{}, {ID: "m", Class: "plain", Dest: 7, Corrupted: true}}})
-	if len(r.spilled.unreadable) != 1 || r.spilled.requested[7] != 1 || r.pending != 1 {
-		t.Errorf("%d to be tried again, asked for %v, %d held", len(r.spilled.unreadable), r.spilled.requested, r.pending)
+	r.readmitLoaded(spilledLoadedEvent{r.wal, []backlog.Item{item, item}, []*wal.Record{{}, {ID: "m", Class: "plain", Dest: 7, Corrupted: true}}})
+	if len(r.spilled.unreadable) != 1 || r.spilled.requested[7] != 1 || r.messages.pending != 1 {
+		t.Errorf("%d to be tried again, asked for %v, %d held", len(r.spilled.unreadable), r.spilled.requested, r.messages.pending)
 	}
-	if wait := r.spilled.untilNext(r.now()); wait > time.Second || wait < 500*time.Millisecond {
+	if wait := r.spilled.untilNext(r.clock.now()); wait > time.Second || wait < 500*time.Millisecond {
 		t.Errorf("tried again in %v", wait)
 	}
 	if r.retryAll(); r.spilled.store.Len() != 1 {
 		t.Errorf("%d in the store", r.spilled.store.Len())
 	}
 	// One whose outcome could not be logged may have run.
-	r.readmit(&wal.Record{ID: "x", Class: "once", Dest: 7, Attempts: 1, InFlightSince: r.logTime(r.now()), InFlightZone: 1}, item)
-	if e := r.policyEvents[len(r.policyEvents)-1]; e.UnknownOutcomeAt == 0 || e.UnknownOutcomeZone != 1 || e.InFlightEndpoint != 0 || e.Attempts != 1 || !e.Spilled {
+	r.readmit(&wal.Record{ID: "x", Class: "once", Dest: 7, Attempts: 1, InFlightSince: r.clock.logTime(r.clock.now()), InFlightZone: 1}, item)
+	if e := r.step.events[len(r.step.events)-1]; e.UnknownOutcomeAt == 0 || e.UnknownOutcomeZone != 1 || e.InFlightEndpoint != 0 || e.Attempts != 1 || !e.Spilled {
 		t.Errorf("the policy is told %+v", e)
 	}
 	waitFor(t, "an end in the log", func() bool {
@@ -529,4 +529,4 @@
 	})
 }
 
-func (r *Relay) retryAll() { r.spilled.retryUnreadable(r.now() + 2*loadRetryDelay) }
+func (r *Relay) retryAll() { r.spilled.retryUnreadable(r.clock.now() + 2*loadRetryDelay) }
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -3,40 +3,48 @@
 import (
 	"time"
 
+	"plovershore/internal/wal"
 	"plovershore/policy"
 )
 
-// The policy's clock, the process's, and the log's time.
+// policyClockOrigin is the policy's time at the start of the process, so that what an
+// earlier process did has a time above 0.
+const policyClockOrigin = policy.Time(3600e6)
 
-func (r *Relay) now() policy.Time { return policyClockOrigin + time.Since(r.startedAt).Microseconds() }
+const (
+	alignTolerance = policy.Time(1e3) // between the readings of the policy's clock around one of the log's
+	alignAttempts  = 100
+)
 
-// policyTime turns a moment of the process's into one of the policy's clock.
-func (r *Relay) policyTime(t time.Time) policy.Time {
-	return policyClockOrigin + t.Sub(r.startedAt).Microseconds()
+// relayClock converts between the policy's clock, which counts µs from the start of
+// the process, Go's time, and the log's time, which outlives the process.
+type relayClock struct {
+	startedAt time.Time
+	logOffset int64 // µs from the policy's clock to the log's time
 }
 
-// processTime turns a moment of the policy's clock into one of the process's.
-func (r *Relay) processTime(t policy.Time) time.Time {
-	return r.startedAt.Add(time.Duration(t-policyClockOrigin) * time.Microsecond)
+// now is the present by the policy's clock.
+func (c *relayClock) now() policy.Time { return c.policyTime(time.Now()) }
+
+func (c *relayClock) policyTime(t time.Time) policy.Time {
+	return policyClockOrigin + t.Sub(c.startedAt).Microseconds()
 }
 
-// logTime turns a moment of the policy's clock into one of the log's time, which
-// outlives the process.
-func (r *Relay) logTime(t policy.Time) int64 { return t + r.logOffset }
+func (c *relayClock) processTime(t policy.Time) time.Time {
+	return c.startedAt.Add(time.Duration(t-policyClockOrigin) * time.Microsecond)
+}
 
-func (r *Relay) fromLogTime(us int64) policy.Time { return us - r.logOffset }
+func (c *relayClock) logTime(t policy.Time) int64 { return t + c.logOffset }
 
-const (
-	alignTolerance = policy.Time(1e3) // between two readings of the policy's clock round one of the log's
-	alignAttempts  = 100
-)
+func (c *relayClock) fromLogTime(us int64) policy.Time { return us - c.logOffset }
 
-// alignLogTime fits the policy's clock to the log's. Both run with real time.
-func (r *Relay) alignLogTime() {
+// alignTo sets the offset to the log's time. Both clocks run with real time; a reading
+// that was interrupted is repeated.
+func (c *relayClock) alignTo(w *wal.Log) {
 	for range alignAttempts {
-		before, logged := r.now(), r.wal.Time()
-		r.logOffset = logged - before
-		if r.now()-before < alignTolerance {
+		before, logged := c.now(), w.Time()
+		c.logOffset = logged - before
+		if c.now()-before < alignTolerance {
 			return
 		}
 	}
--- a/internal/relay/clockstep_test.go
+++ b/internal/relay/clockstep_test.go
@@ -136,7 +136,7 @@
 			s.put("back", "plain", left, 5)
 			s.endsAt("late-after", 2*left, time.Time{})
 			s.endsAt("back", left, time.Time{})
-			if s.log.count("the wall clock was stepped") == 0 {
+			if s.log.count("wall clock stepped") == 0 {
 				t.Error("the log does not tell of the step")
 			}
 		})
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -18,40 +19,43 @@
 	"plovershore/policy"
 )
 
-// Limits are those of the relay's machine.
+// Limits are those of the relay's machine. In the configuration a limit of 0 stands for
+// its default.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-	DiskMB   int     `json:"disk_mb"`
+	Cores    float64 `json:"cores"`     // 1 by default
+	MemoryMB int     `json:"memory_mb"` // 192 MiB by default
+	Sockets  int     `json:"sockets"`   // descriptors; 1024 by default
+	DiskMB   int     `json:"disk_mb"`   // of the log, in MiB; 3 by default
 }
 
 // ConnectHook is called before each connect to an endpoint; its error is the connect's.
 type ConnectHook func(network, address string, conn syscall.RawConn) error
 
-// Config is everything that a relay is told before it starts.
+// Config is the configuration of a relay. LoadConfig makes it; it is not changed once
+// the relay runs.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	StateDir   string // the folder that outlasts the process
-	Operator   string // where the staff's calls come in; empty for nowhere
-	Seed       uint64
+	Name       string // of the relay, unique in its fleet
+	Listen     string // address for clients
+	Discovery  string // address of the discovery service
+	StateDir   string // holds the log and outlasts the process
+	Operator   string // address for operators; empty for none
+	Seed       uint64 // of the policy's random choices
 	Limits     Limits
-	KnownList  *discovery.List // the list as this relay last had it, maybe old
+	KnownList  *discovery.List // the endpoint list as this relay last had it; may be old or nil
 	Policy     policy.Settings
-	Durability wal.Durability // what a message that was taken on outlives
-	FS         wal.FS         // of the log; nil for the machine's own
+	Durability wal.Durability // what an accepted message survives
+	FS         wal.FS         // of the log; nil for the operating system's
 	Connect    ConnectHook    // nil for none
-	zones      map[string]int
-	kinds      map[string]int
-	classes    map[string]int
-	tenants    map[string]int
-	loadFields []string // fields of a load report
+
+	// Indexes in the policy's settings, by name.
+	zones, kinds, classes, tenants map[string]int
+
+	loadFields []string // of a load report
 }
 
-// LoadConfig reads the file that ROUTER_CONFIG names. What the environment
-// says of name, addresses and state folder comes before the file.
+// LoadConfig reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN,
+// ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_OPERATOR take precedence over it. An error
+// names the key that is wrong.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -64,22 +68,23 @@
 	return parseConfig(text, getenv)
 }
 
-// WatchDiscoveryAddress reads the file that ROUTER_CONFIG names again at each signal, and gives
-// discovery's address as it stands there: the environment is as old as the
-// process. A file that cannot be used leaves everything as it was.
+// WatchDiscoveryAddress reads the file that ROUTER_CONFIG names again at each signal and
+// sends discovery's address as it stands there: the environment is as old as the
+// process. An unusable file is logged and otherwise ignored. The goroutine that watches
+// ends when signals is closed; Run receives what it sends.
 func WatchDiscoveryAddress(signals <-chan os.Signal, getenv func(string) string, log *slog.Logger) <-chan string {
-	moved := make(chan string)
+	addresses := make(chan string)
 	go func() {
 		for range signals {
 			addr, err := readDiscoveryAddress(getenv("ROUTER_CONFIG"))
 			if err != nil {
-				log.Error("not reconfigured", "err", err)
+				log.Error("configuration not reloaded", "err", err)
 				continue
 			}
-			moved <- addr
+			addresses <- addr
 		}
 	}()
-	return moved
+	return addresses
 }
 
 func readDiscoveryAddress(path string) (string, error) {
@@ -87,99 +92,148 @@
 	if err != nil {
 		return "", fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	var f struct {
+	var file struct {
 		Discovery string `json:"discovery"`
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	if err := json.Unmarshal(text, &file); err != nil {
 		return "", fmt.Errorf("config: %w", err)
 	}
-	if _, _, err := net.SplitHostPort(f.Discovery); err != nil {
+	if _, _, err := net.SplitHostPort(file.Discovery); err != nil {
 		return "", fmt.Errorf("config: discovery: %w", err)
 	}
-	return f.Discovery, nil
+	return file.Discovery, nil
+}
+
+// configFile is the configuration file.
+type configFile struct {
+	Name        string          `json:"name"`
+	Listen      string          `json:"listen"`
+	Discovery   string          `json:"discovery"`
+	State       string          `json:"state"`
+	Operator    string          `json:"operator"`
+	Seed        json.RawMessage `json:"seed"`
+	Limits      Limits          `json:"limits"`
+	KnownList   *discovery.List `json:"known"`
+	Settings    json.RawMessage `json:"settings"`
+	Durability  string          `json:"promise"`
+	MaxResident *int            `json:"resident"`
 }
 
+// parseConfig reads a configuration file and what the environment sets instead.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
-	var f struct {
-		Name      string          `json:"name"`
-		Listen    string          `json:"listen"`
-		Discovery string          `json:"discovery"`
-		State     string          `json:"state"`
-		Operator  string          `json:"operator"`
-		Seed      json.RawMessage `json:"seed"`
-		Limits    Limits          `json:"limits"`
-		Known     *discovery.List `json:"known"`
-		Settings  json.RawMessage `json:"settings"`
-		Promise   string          `json:"promise"`
-		Resident  *int            `json:"resident"`
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, fmt.Errorf("config: %s: wrong type %s", te.Field, te.Value)
-		}
-		return nil, fmt.Errorf("config: %w", err)
-	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, StateDir: f.State, Limits: f.Limits, KnownList: f.Known}
-	for _, v := range []struct {
-		env, key string
-		to       *string
-	}{{"ROUTER_NAME", "name", &c.Name}, {"ROUTER_LISTEN", "listen", &c.Listen},
-		{"ROUTER_DISCOVERY", "discovery", &c.Discovery}, {"ROUTER_STATE", "state", &c.StateDir}} {
-		if s := getenv(v.env); s != "" {
-			*v.to = s
-		}
-		if *v.to == "" {
-			return nil, fmt.Errorf("config: %s: missing, and %s is not set", v.key, v.env)
-		}
+	file, err := parseConfigFile(text)
+	if err != nil {
+		return nil, err
 	}
-	if c.Operator = f.Operator; getenv("ROUTER_OPERATOR") != "" {
-		c.Operator = getenv("ROUTER_OPERATOR")
+	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, StateDir: file.State, Operator: file.Operator,
+		Limits: file.Limits, KnownList: file.KnownList}
+	if err := c.applyEnvironment(getenv); err != nil {
+		return nil, err
 	}
-	for key, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery, "operator": c.Operator} {
-		if key == "operator" && addr == "" {
-			continue
-		}
-		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return nil, fmt.Errorf("config: %s: %w", key, err)
-		}
+	if err := c.validateAddresses(); err != nil {
+		return nil, err
 	}
-	switch f.Promise {
-	case "", "process":
-	case "power":
-		c.Durability = wal.SurvivesPowerLoss
-	default:
-		return nil, fmt.Errorf("config: promise: %q; process and power are allowed", f.Promise)
+	if c.Durability, err = parseDurability(file.Durability); err != nil {
+		return nil, err
 	}
-	var err error
-	if c.Seed, err = parseSeed(f.Seed); err != nil {
+	if c.Seed, err = parseSeed(file.Seed); err != nil {
 		return nil, fmt.Errorf("config: seed: %w", err)
 	}
 	if err := c.Limits.applyDefaults(); err != nil {
 		return nil, fmt.Errorf("config: limits.%w", err)
 	}
-	if f.Resident != nil && *f.Resident < 0 {
-		return nil, fmt.Errorf("config: resident: %d, want 0 or more", *f.Resident)
+	if file.MaxResident != nil && *file.MaxResident < 0 {
+		return nil, fmt.Errorf("config: resident: %d, want 0 or more", *file.MaxResident)
 	}
-	if len(f.Settings) == 0 {
+	if len(file.Settings) == 0 {
 		return nil, errors.New("config: settings: missing")
 	}
-	if err := c.parseSettings(f.Settings); err != nil {
+	if err := c.parseSettings(file.Settings); err != nil {
 		return nil, err
 	}
-	if c.Policy.MaxResidentMessages = defaultMaxResident(c.Limits.MemoryMB); f.Resident != nil {
-		c.Policy.MaxResidentMessages = *f.Resident
+	c.Policy.MaxResidentMessages = defaultMaxResident(c.Limits.MemoryMB)
+	if file.MaxResident != nil {
+		c.Policy.MaxResidentMessages = *file.MaxResident
 	}
 	return c, nil
 }
 
-// defaultMaxResident is how many messages may be in memory where nothing else is told: a
-// quarter of the memory at 2 KB each, and not so few that a busy hour meets it.
-func defaultMaxResident(memoryMB int) int { return max(memoryMB<<20/4/(2<<10), minMaxResident) }
+func parseConfigFile(text []byte) (*configFile, error) {
+	file := &configFile{}
+	err := json.Unmarshal(text, file)
+	var wrongType *json.UnmarshalTypeError
+	switch {
+	case errors.As(err, &wrongType):
+		return nil, fmt.Errorf("config: %s: wrong type %s", wrongType.Field, wrongType.Value)
+	case err != nil:
+		return nil, fmt.Errorf("config: %w", err)
+	}
+	return file, nil
+}
+
+// applyEnvironment sets what the environment has and checks that nothing is missing.
+func (c *Config) applyEnvironment(getenv func(string) string) error {
+	for _, v := range []struct {
+		env, key string
+		value    *string
+	}{
+		{"ROUTER_NAME", "name", &c.Name},
+		{"ROUTER_LISTEN", "listen", &c.Listen},
+		{"ROUTER_DISCOVERY", "discovery", &c.Discovery},
+		{"ROUTER_STATE", "state", &c.StateDir},
+	} {
+		if s := getenv(v.env); s != "" {
+			*v.value = s
+		}
+		if *v.value == "" {
+			return fmt.Errorf("config: %s: missing, and %s is not set", v.key, v.env)
+		}
+	}
+	if s := getenv("ROUTER_OPERATOR"); s != "" {
+		c.Operator = s
+	}
+	return nil
+}
+
+func (c *Config) validateAddresses() error {
+	for _, v := range []struct {
+		key, addr string
+		optional  bool
+	}{{"listen", c.Listen, false}, {"discovery", c.Discovery, false}, {"operator", c.Operator, true}} {
+		if v.optional && v.addr == "" {
+			continue
+		}
+		if _, _, err := net.SplitHostPort(v.addr); err != nil {
+			return fmt.Errorf("config: %s: %w", v.key, err)
+		}
+	}
+	return nil
+}
 
-const minMaxResident = 1000
+// parseDurability reads what an accepted message survives: the end of the process, which
+// is the default, or a loss of power.
+func parseDurability(text string) (wal.Durability, error) {
+	switch text {
+	case "", "process":
+		return wal.SurvivesCrash, nil
+	case "power":
+		return wal.SurvivesPowerLoss, nil
+	}
+	return 0, fmt.Errorf("config: promise: %q; process and power are allowed", text)
+}
+
+const (
+	residentMessageBytes = 2 << 10 // estimate of a message in memory
+	minMaxResident       = 1000
+)
 
-// parseSettings maps the settings object and the names in it.
+// defaultMaxResident is how many messages may be in memory where the configuration says
+// nothing: as many as fill a quarter of it, and not so few that a busy hour meets it.
+func defaultMaxResident(memoryMB int) int {
+	return max(memoryMB<<20/4/residentMessageBytes, minMaxResident)
+}
+
+// parseSettings reads the settings object and the names in it.
 func (c *Config) parseSettings(text []byte) error {
 	s, err := wire.ParseSettings(text)
 	if err != nil {
@@ -203,21 +257,29 @@
 	c.loadFields = s.Report.Fields
 	c.zones, c.kinds = indexByName(names.Localities), indexByName(s.Kinds)
 	c.classes, c.tenants = map[string]int{}, map[string]int{}
-	for i, x := range s.Classes {
-		c.classes[x.Name] = i
+	for i, class := range s.Classes {
+		c.classes[class.Name] = i
 	}
-	for i, x := range s.Accounts {
-		c.tenants[x.Name] = i
+	for i, account := range s.Accounts {
+		c.tenants[account.Name] = i
 	}
 	return nil
 }
 
 func indexByName(names []string) map[string]int {
-	m := make(map[string]int, len(names))
-	for i, n := range names {
-		m[n] = i
+	index := make(map[string]int, len(names))
+	for i, name := range names {
+		index[name] = i
 	}
-	return m
+	return index
+}
+
+// indexOf is the index of a name, or -1 for one that the settings don't have.
+func indexOf(index map[string]int, name string) int {
+	if i, ok := index[name]; ok {
+		return i
+	}
+	return -1
 }
 
 // parseSeed takes 64 bits in hexadecimal, or a plain number.
@@ -232,7 +294,7 @@
 	return strconv.ParseUint(string(raw), 10, 64)
 }
 
-// applyDefaults puts in what is left out, and tells of limits that cannot be.
+// applyDefaults sets the limits that are left out and rejects impossible ones.
 func (l *Limits) applyDefaults() error {
 	switch {
 	case l.Cores < 0:
@@ -244,31 +306,21 @@
 	case l.DiskMB < 0:
 		return fmt.Errorf("disk_mb: %d, want 0 or more", l.DiskMB)
 	}
-	if l.Cores == 0 {
-		l.Cores = 1
-	}
-	if l.MemoryMB == 0 {
-		l.MemoryMB = 192
-	}
-	if l.Sockets == 0 {
-		l.Sockets = 1024
-	}
-	if l.DiskMB == 0 {
-		l.DiskMB = 3
-	}
+	l.Cores = cmp.Or(l.Cores, 1)
+	l.MemoryMB = cmp.Or(l.MemoryMB, 192)
+	l.Sockets = cmp.Or(l.Sockets, 1024)
+	l.DiskMB = cmp.Or(l.DiskMB, 3)
 	return nil
 }
 
-// Descriptors: what the runtime, the log, the listener and discovery hold, and
-// the least that a relay can work with.
 const (
-	reservedSockets = 32
-	minSockets      = 64
+	reservedSockets = 32 // descriptors of the runtime, the log, the listener and discovery
+	minSockets      = 64 // descriptors that a relay needs at least
 )
 
-// socketBudget splits the descriptors between clients and endpoints. A call out
-// needs one each, so the endpoints' part is never under the slots as long as
-// the clients keep half.
+// socketBudget splits the descriptors between clients and endpoints. A call in flight
+// needs one, so the endpoints get as many as there may be calls, as long as the clients
+// keep half.
 func (c *Config) socketBudget() (clients, endpoints int) {
 	free := c.Limits.Sockets - reservedSockets - c.maxOperatorConns()
 	endpoints = min(max(free/4, c.Policy.MaxCalls+8), free/2)
@@ -283,6 +335,13 @@
 	return min(maxOperatorConns, c.Limits.Sockets/8)
 }
 
+// isKeyed reports whether messages of a class carry an idempotency key.
 func (c *Config) isKeyed(class int) bool {
 	return c.Policy.Classes[class].Idempotency == policy.IdempotentByKey
 }
+
+// isNonIdempotent reports whether messages of a class may not have their effect twice.
+func (c *Config) isNonIdempotent(class string) bool {
+	i, ok := c.classes[class]
+	return ok && c.Policy.Classes[i].Idempotency == policy.NonIdempotent
+}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -27,11 +27,11 @@
 func TestStartTurnedAway(t *testing.T) {
 	r := newTestRelay(t)
 	r.cfg.KnownList = &discovery.List{Complete: true, Members: []discovery.Member{{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
-	r.mailbox.Put(happening{refused: true})
+	r.mailbox.Put(discoveryRejectedEvent{})
 	done := make(chan struct{})
 	go func() { r.awaitFirstList(time.Hour); close(done) }()
 	<-done
-	if len(r.endpoints) != 1 {
-		t.Errorf("%d endpoints", len(r.endpoints))
+	if len(r.endpoints.byID) != 1 {
+		t.Errorf("%d endpoints", len(r.endpoints.byID))
 	}
 }
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -299,7 +299,7 @@
 		}
 		q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: left, responses: make(chan response, 1)}
 		r.admit(q)
-		taken[id] = r.messagesByID[id]
+		taken[id] = r.messages.byID[id]
 		r.stepPolicy()
 		if s := <-q.responses; s != responseOK {
 			t.Fatal(s)
@@ -312,7 +312,7 @@
 		m.isCompleted = true
 		r.logCompletion(m, discovery.Returned, 5)
 	}
-	for r.logTime(r.now()) < due-50e3 {
+	for r.clock.logTime(r.clock.now()) < due-50e3 {
 		r.sendDueNotices()
 		for id := range taken {
 			if _, told := disc.Notice(id); told {
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -406,11 +406,11 @@
 	r := newTestRelay(t)
 	add := func(id string, cell int) *endpoint {
 		r.updateMember(&discovery.Member{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: cell, Phase: discovery.Up})
-		return r.endpoints[id]
+		return r.endpoints.byID[id]
 	}
 	one, twin, other := add("one", 1), add("twin", 1), add("other", 2)
 	begin := func(ep *endpoint, stage int32) *call {
-		m := r.newMessage(&wal.Record{ID: fmt.Sprint(len(r.messages)), Class: "plain", Dest: ep.cell})
+		m := r.newMessage(&wal.Record{ID: fmt.Sprint(len(r.messages.byNumber)), Class: "plain", Dest: ep.cell})
 		c := newTestCall()
 		c.endpoint, c.transport, c.messages = ep, ep.transport, []callMessage{{message: m}}
 		c.stage.Store(stage)
@@ -429,7 +429,7 @@
 	// A batch that the policy let go before the word, and whose client hears only now.
 	late := r.newMessage(&wal.Record{ID: "late", Class: "plain", Dest: 1})
 	late.isAcknowledged = true
-	b := &batch{ep: twin, sends: []send{{m: late, timeoutAt: r.now() + 900e6}}}
+	b := &batch{ep: twin, sends: []send{{m: late, timeoutAt: r.clock.now() + 900e6}}}
 	late.pendingBatch = b
 	if r.startBatch(b); late.call != nil || len(twin.calls) != 1 {
 		t.Error("a call begins under the wait")
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -24,7 +24,6 @@
 	"plovershore/internal/discovery"
 	"plovershore/internal/discovery/discoverytest"
 	"plovershore/internal/loopback"
-	"plovershore/internal/mailbox"
 	"plovershore/internal/wal"
 	"plovershore/policy"
 )
@@ -233,10 +232,9 @@
 	}
 	stop := make(chan struct{})
 	go w.Run(stop)
-	r := &Relay{cfg: cfg, log: quietLog(), policy: decider, mailbox: mailbox.New[happening](), startedAt: time.Now(), wallClock: newClockWatch(), wal: w,
-		ctx: t.Context(), messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*putRequest]*message{},
-		endpoints: map[string]*endpoint{}, endpointsByNumber: map[policy.Endpoint]*endpoint{}, idleConns: 2, metrics: newMetrics(cfg.Policy.Classes)}
-	r.alignLogTime()
+	r := newRelay(t.Context(), cfg, quietLog(), decider)
+	r.wal, r.idleConns = w, 2
+	r.clock.alignTo(r.wal)
 	t.Cleanup(func() { close(stop); <-w.Done() })
 	return r
 }
--- /dev/null
+++ b/internal/relay/handoff.go
@@ -0,0 +1,178 @@
+package relay
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"plovershore/internal/wal"
+	"plovershore/policy"
+)
+
+// policyHandoff is the body of the record that hands the log to the next process, which
+// may run another version of the program: the JSON names are fixed.
+type policyHandoff struct {
+	PolicyTime  policy.Time                `json:"Now"`  // by the policy's clock
+	LogTime     int64                      `json:"Wall"` // the same moment by the log's time
+	EndpointIDs map[policy.Endpoint]string `json:"IDs"`  // by the numbers in the snapshot
+	Snapshot    policy.Snapshot            `json:"Memory"`
+}
+
+// exportPolicy takes what the policy has learned, for another process.
+func (r *Relay) exportPolicy() policyHandoff {
+	now := r.clock.now()
+	h := policyHandoff{PolicyTime: now, LogTime: r.clock.logTime(now), EndpointIDs: map[policy.Endpoint]string{}, Snapshot: r.policy.Snapshot()}
+	for id, ep := range r.endpoints.byID {
+		h.EndpointIDs[ep.number] = id
+	}
+	return h
+}
+
+// importPolicy gives the policy what the previous process's has learned.
+func (r *Relay) importPolicy(text []byte) {
+	var h policyHandoff
+	if err := json.Unmarshal(text, &h); err != nil {
+		r.log.Error("policy snapshot unreadable", "err", err)
+		return
+	}
+	for i := range h.Snapshot.Routes {
+		endpoints := h.Snapshot.Routes[i].Endpoints
+		for j := range endpoints {
+			number := policy.Endpoint(0) // of none
+			if ep := r.endpoints.byID[h.EndpointIDs[endpoints[j].Endpoint]]; ep != nil {
+				number = ep.number
+			}
+			endpoints[j].Endpoint = number
+		}
+	}
+	r.policy.Restore(h.Snapshot, r.clock.fromLogTime(h.LogTime)-h.PolicyTime)
+	r.endpoints.checkAvailabilityOfAll()
+}
+
+// handOff ends this process's ownership. From here on it begins no call and decides
+// nothing. Messages whose calls are in flight stay here until those end; all others are
+// the next process's, which finds them in the log.
+func (r *Relay) handOff() {
+	r.log.Info("handing off", "pending", r.messages.pending, "calls", r.callsInFlight)
+	snapshot, err := json.Marshal(r.exportPolicy())
+	if err != nil {
+		r.log.Error("policy snapshot not handed off", "err", err)
+		snapshot = []byte("{}")
+	}
+	r.ownership.isTransferred, r.recovery.isRunning = true, false
+	r.metrics.logUnread.Store(0)
+	r.transferMessages()
+	for _, ep := range r.endpoints.byID {
+		if ep.transport != nil {
+			ep.transport.CloseIdleConnections()
+		}
+	}
+	r.splitLimits()
+	lock := r.ownership.lock
+	r.wal.Submit(&wal.Record{Kind: wal.KindHandoff, ID: wal.NoMessage, Body: snapshot}, func(err error) {
+		if err == nil {
+			err = lock.Unlock()
+		}
+		if err != nil {
+			r.log.Error("handoff failed", "err", err)
+		}
+		r.mailbox.Put(handoffDoneEvent{isTransferred: err == nil})
+	})
+}
+
+// transferMessages leaves all messages without a call in flight to the next process.
+func (r *Relay) transferMessages() {
+	r.releaseSpilled()
+	for _, m := range r.messages.byNumber {
+		if e := m.pendingCompletion; e != nil { // its acknowledgement is just being written
+			m.pendingCompletion = nil
+			r.logCompletion(m, e.Notice, e.RetryMS)
+		}
+		m.pendingBatch = nil
+		if m.call == nil && !m.isCompleted {
+			r.transferMessage(m)
+		}
+	}
+}
+
+// finishHandoff handles the end of a handoff. Where it failed, the ownership stays here.
+func (r *Relay) finishHandoff(isTransferred bool) {
+	r.ownership.isUnlocked = isTransferred
+	if isTransferred {
+		return
+	}
+	r.ownership.nextCheck = time.Now().Add(handoffRetryDelay)
+	r.ownership.err = r.reclaim()
+}
+
+// acceptForSuccessor accepts a message for the process that owns the relay now, which
+// learns of it from the handoff log.
+func (r *Relay) acceptForSuccessor(q *putRequest) {
+	m := &message{rec: q.record, class: q.class, isLogged: true, isTransferred: true}
+	r.messages.byID[q.record.ID], r.messages.unanswered[q] = m, m
+	r.logAccepted(q)
+}
+
+// reclaim takes the ownership back as at a start. The next process may have done
+// anything meanwhile: this process's calls are given up, and the log tells what is
+// pending.
+func (r *Relay) reclaim() error {
+	old := r.exportPolicy()
+	r.closeLog() // the handoff log with it, which the next opening folds in
+	r.abandonCalls()
+	decider, err := policy.New(r.cfg.Policy, r.cfg.Seed+1)
+	if err != nil {
+		return fmt.Errorf("config: settings: %w", err)
+	}
+	r.policy = decider
+	r.forgetAllMessages()
+	r.ownership.isTransferred, r.ownership.isUnlocked = false, false
+	r.step.events, r.timers = []policy.Event{r.completeListEvent()}, nil
+	r.stepPolicy()
+	r.policy.Restore(old.Snapshot, 0)
+	r.endpoints.checkAvailabilityOfAll()
+	var pending int
+	retry := transientRetry{log: r.log, operation: "open_log", timeout: reopenTimeout, isTransient: isDiskTrouble}
+	if _, err := retry.run(func() (err error) {
+		pending, err = r.openLog()
+		return err
+	}); err != nil {
+		return fmt.Errorf("ownership not reclaimed: %w", err)
+	}
+	r.splitLimits()
+	r.log.Info("ownership reclaimed", "pending", pending)
+	r.stepPolicy()
+	return nil
+}
+
+// abandonCalls cancels all calls; their results are ignored.
+func (r *Relay) abandonCalls() {
+	for _, ep := range r.endpoints.byID {
+		for c := range ep.calls {
+			c.isAbandoned = true
+			c.cancel(errCancelled)
+		}
+	}
+}
+
+// forgetAllMessages empties the memory of messages, before the log is read anew. Their
+// numbers are not used again.
+func (r *Relay) forgetAllMessages() {
+	last := r.messages.lastNumber
+	r.messages = newMessageTable()
+	r.messages.lastNumber = last
+	r.spilled = spillState{}
+	r.metrics.spilled.Store(0)
+	r.overdue, r.pendingNotices = overdueCounter{}, nil
+}
+
+// completeListEvent tells the policy of all listed endpoints, as it was told of them last.
+func (r *Relay) completeListEvent() policy.Event {
+	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListFull}
+	for _, ep := range r.endpoints.byID {
+		if ep.isListed {
+			e.Entries = append(e.Entries, ep.policyEntry)
+		}
+	}
+	return e
+}
--- a/internal/relay/idle_test.go
+++ b/internal/relay/idle_test.go
@@ -44,20 +44,20 @@
 	ep := newFakeEndpoint(t, nil)
 	r := newTestRelay(t)
 	r.updateList(&discovery.List{Complete: true, Members: []discovery.Member{ep.member("s-1", 7)}}, policy.ListFull)
-	at := r.endpoints["s-1"]
+	at := r.endpoints.byID["s-1"]
 	send1 := func(id string) {
 		m := r.newMessage(&wal.Record{Kind: wal.KindAccepted, ID: id, Dest: 7, Class: "plain"})
 		m.isAcknowledged, m.isLogged, m.attempts = true, true, 1
 		r.wal.Submit(m.rec, nil)
-		r.startBatch(&batch{ep: at, sends: []send{{m: m, timeoutAt: r.now() + 20e6}}})
+		r.startBatch(&batch{ep: at, sends: []send{{m: m, timeoutAt: r.clock.now() + 20e6}}})
 	}
 	send1("a")
 	if got, want := at.transport.IdleConnTimeout, 9*time.Second; got != want {
 		t.Fatalf("at first idle for %v at most, want %v", got, want)
 	}
 	<-r.mailbox.Ready()
-	for _, h := range r.mailbox.TakeAll(nil) {
-		r.finishCall(h.call, []outcome{{kind: policy.ConnectionReset, idleTime: 300 * time.Millisecond}})
+	for _, e := range r.mailbox.TakeAll(nil) {
+		r.finishCall(e.(callDoneEvent).call, []outcome{{kind: policy.ConnectionReset, idleTime: 300 * time.Millisecond}})
 	}
 	send1("b")
 	if got, want := at.transport.IdleConnTimeout, 256*time.Millisecond; got != want {
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -5,56 +5,50 @@
 	"plovershore/policy"
 )
 
-// The list of endpoints, as the loop keeps it.
-
-// updateList books news of the list.
+// updateList handles an update of the endpoint list.
 func (r *Relay) updateList(l *discovery.List, kind policy.ListUpdateKind) {
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: kind}
-	seen := map[string]bool{}
+	listed := map[string]bool{}
 	for i := range l.Members {
-		x := &l.Members[i]
-		if x.Validate() != nil {
+		m := &l.Members[i]
+		if m.Validate() != nil {
 			continue // in the configuration's list; discovery's is checked already
 		}
-		seen[x.ID] = true
-		e.Entries = append(e.Entries, r.updateMember(x))
+		listed[m.ID] = true
+		e.Entries = append(e.Entries, r.updateMember(m))
 	}
 	if kind != policy.ListDelta {
-		for id, ep := range r.endpoints {
-			if !seen[id] {
-				r.setListed(ep, false)
+		for id, ep := range r.endpoints.byID {
+			if !listed[id] {
+				r.endpoints.setListed(ep, false)
 				r.stopSending(ep)
 			}
 		}
 	}
-	r.policyEvents = append(r.policyEvents, e)
+	r.step.add(e)
 	r.forgetRemoved()
 }
 
-func (r *Relay) updateMember(x *discovery.Member) policy.Entry {
-	ep := r.endpoints[x.ID]
+// updateMember handles one entry of the list and returns it as the policy is told.
+func (r *Relay) updateMember(m *discovery.Member) policy.Entry {
+	ep := r.endpoints.byID[m.ID]
 	if ep == nil {
-		r.lastEndpoint++
-		ep = &endpoint{id: x.ID, number: r.lastEndpoint, calls: map[*call]bool{}}
-		r.endpoints[x.ID], r.endpointsByNumber[ep.number] = ep, ep
+		ep = &endpoint{id: m.ID, number: r.endpoints.nextNumber(), calls: map[*call]bool{}}
+		r.endpoints.byID[m.ID], r.endpoints.byNumber[ep.number] = ep, ep
 	}
-	if x.Phase != discovery.Removed && (ep.hostPort != x.HostPort || ep.cell != x.Cell) {
-		// It moved under its old name: nothing more goes to the old place.
-		r.stopSending(ep)
-		ep.transport = newTransport(r.cfg, r.idleConns, maxIdleTime(&r.cfg.Policy))
-		ep.hostPort = x.HostPort
-		r.setCell(ep, x.Cell)
+	isRemoved := m.Phase == discovery.Removed
+	if !isRemoved && (ep.hostPort != m.HostPort || ep.cell != m.Cell) {
+		r.moveEndpoint(ep, m)
 	}
-	r.setListed(ep, x.Phase != discovery.Removed)
-	r.checkAvailability(ep)
-	entry := policy.Entry{Endpoint: ep.number, Zone: indexOf(r.cfg.zones, x.Locality), Kind: indexOf(r.cfg.kinds, x.Flavor),
-		Dest: x.Cell, State: policy.Ready, Rate: x.Size}
+	r.endpoints.setListed(ep, !isRemoved)
+	r.endpoints.checkAvailability(ep)
+	entry := policy.Entry{Endpoint: ep.number, Zone: indexOf(r.cfg.zones, m.Locality), Kind: indexOf(r.cfg.kinds, m.Flavor),
+		Dest: m.Cell, State: policy.Ready, Rate: m.Size}
 	ep.zone, ep.maxBatch = entry.Zone, 1
 	if entry.Kind >= 0 {
 		ep.maxBatch = max(r.cfg.Policy.Kinds[entry.Kind].MaxBatch, 1)
 	}
-	defer func() { ep.policyEntry = entry }()
-	switch x.Phase {
+	switch m.Phase {
 	case discovery.Up:
 		ep.isStopped = false
 	case discovery.Draining:
@@ -64,14 +58,24 @@
 		entry.State, entry.Dest = policy.Removed, ep.cell
 		r.stopSending(ep)
 	}
+	ep.policyEntry = entry
 	return entry
 }
 
-// stopSending lets nothing new go to an endpoint; a call that still waits for a
-// connection there would begin it too late.
+// moveEndpoint gives an endpoint the address and destination of its entry. Nothing new
+// goes to the old address.
+func (r *Relay) moveEndpoint(ep *endpoint, m *discovery.Member) {
+	r.stopSending(ep)
+	ep.transport = newTransport(r.cfg, r.idleConns, maxIdleTime(&r.cfg.Policy))
+	ep.hostPort = m.HostPort
+	r.endpoints.setCell(ep, m.Cell)
+}
+
+// stopSending lets nothing new go to an endpoint. A call that still waits for a
+// connection there is stopped, since it would begin too late.
 func (r *Relay) stopSending(ep *endpoint) {
 	if !ep.isStopped {
-		ep.isStopped, ep.stoppedAt = true, r.now()
+		ep.isStopped, ep.stoppedAt = true, r.clock.now()
 	}
 	for c := range ep.calls {
 		c.cancelUnsent(errEndpointDraining)
@@ -81,26 +85,20 @@
 	}
 }
 
-// applyRetryAfter lets nothing new go to an endpoint, and to those that share its
-// limit, before a wait is over. The policy begins no call in that time, but one
-// that it began before may still wait for its connection or its clients.
+// applyRetryAfter lets nothing new go to an endpoint, and to those that share its limit,
+// before a Retry-After is over. The policy begins no call in that time, but one that it
+// began before may still wait for its connection or for acknowledgements.
 func (r *Relay) applyRetryAfter(ep *endpoint, wait policy.Time) {
 	kinds, kind := r.cfg.Policy.Kinds, ep.policyEntry.Kind
-	sharing := r.members.byCell[ep.cell]
+	affected := r.endpoints.byCell[ep.cell]
 	if kind >= 0 && kind < len(kinds) && kinds[kind].SeparateRoutes {
-		sharing = []*endpoint{ep}
+		affected = []*endpoint{ep}
 	}
-	for _, x := range sharing {
-		x.retryAfterUntil = max(x.retryAfterUntil, r.now()+wait)
-		for c := range x.calls {
+	until := r.clock.now() + wait
+	for _, ep := range affected {
+		ep.retryAfterUntil = max(ep.retryAfterUntil, until)
+		for c := range ep.calls {
 			c.cancelUnsent(errRetryAfter)
 		}
 	}
 }
-
-func indexOf(at map[string]int, name string) int {
-	if i, ok := at[name]; ok {
-		return i
-	}
-	return -1
-}
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -13,7 +13,7 @@
 
 // walked counts the gauges of the list the plain way.
 func (r *Relay) walked(now policy.Time) (members, avoided int64) {
-	for _, ep := range r.endpoints {
+	for _, ep := range r.endpoints.byID {
 		if !ep.isListed {
 			continue
 		}
@@ -56,7 +56,7 @@
 			}
 		}
 	}
-	d.r.take(happening{news: l})
+	listEvent{l}.handle(d.r)
 }
 
 // end has the oldest call end in some way.
@@ -90,9 +90,9 @@
 				d.news()
 			case 1, 2:
 				m := r.newMessage(&wal.Record{ID: fmt.Sprintf("%d-%d", seed, step), Class: "plain", Dest: d.rng.IntN(8),
-					Deadline: r.logTime(r.now() + 20e6)})
+					Deadline: r.clock.logTime(r.clock.now() + 20e6)})
 				m.isAcknowledged = true
-				r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EventMessage, Message: m.num, Dest: m.rec.Dest, Tenant: -1, TimeLeft: 20e6})
+				r.step.add(policy.Event{Kind: policy.EventMessage, Message: m.num, Dest: m.rec.Dest, Tenant: -1, TimeLeft: 20e6})
 			case 3:
 				d.end()
 			case 4:
@@ -100,7 +100,7 @@
 			}
 			d.step()
 			r.publishMetrics()
-			members, avoided := r.walked(r.metricsPublishedAt)
+			members, avoided := r.walked(r.published.at)
 			if got, was := r.metrics.members.Load(), r.metrics.unavailable.Load(); got != members || was != avoided {
 				t.Fatalf("seed %d, step %d: %d members, %d avoided; a walk says %d and %d", seed, step, got, was, members, avoided)
 			}
@@ -117,14 +117,14 @@
 func (d *memberDay) step() {
 	r := d.r
 	r.fireTimers()
-	events := r.policyEvents
-	r.policyEvents = nil
-	for _, a := range r.policy.Step(r.now(), events, nil) {
-		m := r.messages[a.Message]
+	events := r.step.events
+	r.step.events = nil
+	for _, a := range r.policy.Step(r.clock.now(), events, nil) {
+		m := r.messages.byNumber[a.Message]
 		switch {
 		case a.Kind == policy.ActionSend && m != nil:
 			m.attempts++
-			ep := r.endpointsByNumber[a.Endpoint]
+			ep := r.endpoints.byNumber[a.Endpoint]
 			c := newTestCall()
 			c.endpoint, c.transport, c.messages = ep, ep.transport, []callMessage{{message: m, attempt: m.attempts - 1}}
 			m.call, ep.calls[c] = c, true
@@ -134,7 +134,7 @@
 			m.isCompleted = true
 			r.forgetMessage(m)
 		case a.Kind == policy.ActionTimer:
-			r.timers = append(r.timers, r.now()+a.Delay)
+			r.timers = append(r.timers, r.clock.now()+a.Delay)
 		}
 	}
 }
@@ -142,13 +142,13 @@
 // cells compares the endpoints of each destination with those of all.
 func (d *memberDay) cells(step int) {
 	want := map[int]int{}
-	for _, ep := range d.r.endpoints {
+	for _, ep := range d.r.endpoints.byID {
 		if ep.hostPort != "" {
 			want[ep.cell]++
 		}
 	}
 	for cell := range 8 {
-		if got := len(d.r.members.byCell[cell]); got != want[cell] {
+		if got := len(d.r.endpoints.byCell[cell]); got != want[cell] {
 			d.t.Fatalf("step %d: %d endpoints of destination %d, want %d", step, got, cell, want[cell])
 		}
 	}
@@ -157,10 +157,10 @@
 // Guards the cost of an idle relay: where nothing happens, and all is well, the gauges look at no endpoint.
 func TestGaugesOfAHealthyList(t *testing.T) {
 	r := newTestRelay(t)
-	r.take(happening{news: largeList(3000, "127.0.0.1:1")})
+	listEvent{largeList(3000, "127.0.0.1:1")}.handle(r)
 	r.stepPolicy()
 	r.publishMetrics()
-	if n := len(r.members.maybeUnavailable); n != 0 || r.metrics.members.Load() != 3000 || r.metrics.unavailable.Load() != 0 {
+	if n := len(r.endpoints.maybeUnavailable); n != 0 || r.metrics.members.Load() != 3000 || r.metrics.unavailable.Load() != 0 {
 		t.Errorf("%d looked at again; %d members, %d avoided", n, r.metrics.members.Load(), r.metrics.unavailable.Load())
 	}
 }
@@ -170,26 +170,28 @@
 func TestGoneEndpointsForgotten(t *testing.T) {
 	r := newTestRelay(t)
 	change := func(id, phase string) {
-		r.take(happening{news: &discovery.List{Members: []discovery.Member{
-			{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: 1, Phase: phase, Size: 1}}}})
+		listEvent{&discovery.List{Members: []discovery.Member{
+			{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: 1, Phase: phase, Size: 1}}}}.handle(r)
+	}
+	pass := func(span policy.Time) {
+		r.clock.startedAt = r.clock.startedAt.Add(-time.Duration(span) * time.Microsecond)
 	}
-	pass := func(span policy.Time) { r.startedAt = r.startedAt.Add(-time.Duration(span) * time.Microsecond) }
 	change("gone", discovery.Up)
 	change("gone", discovery.Removed)
 	pass(removedEndpointRetention - removedEndpointSweepInterval)
 	change("other", discovery.Up)
-	if r.endpoints["gone"] == nil {
+	if r.endpoints.byID["gone"] == nil {
 		t.Fatal("an endpoint was forgotten before its time")
 	}
-	swept := r.members.sweptAt
+	swept := r.endpoints.sweptAt
 	pass(removedEndpointSweepInterval / 2)
 	change("other", discovery.Draining)
-	if r.members.sweptAt != swept {
+	if r.endpoints.sweptAt != swept {
 		t.Error("a change walked over all endpoints")
 	}
 	pass(2 * removedEndpointSweepInterval)
 	change("other", discovery.Up)
-	if r.endpoints["gone"] != nil || len(r.endpointsByNumber) != 1 || len(r.members.byCell[1]) != 1 {
-		t.Errorf("%d endpoints are known, %d by number, %d by destination", len(r.endpoints), len(r.endpointsByNumber), len(r.members.byCell[1]))
+	if r.endpoints.byID["gone"] != nil || len(r.endpoints.byNumber) != 1 || len(r.endpoints.byCell[1]) != 1 {
+		t.Errorf("%d endpoints are known, %d by number, %d by destination", len(r.endpoints.byID), len(r.endpoints.byNumber), len(r.endpoints.byCell[1]))
 	}
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -5,129 +5,183 @@
 	"fmt"
 	"strconv"
 	"sync/atomic"
+	"time"
 
 	"plovershore/internal/discovery"
 	"plovershore/policy"
 )
 
-// metrics are what the operators are shown. Counts start at 0 with the process
-// and are raised at the one place where the fact happens; gauges are as the
-// loop last published them. All may be read at any time, by anyone.
+const (
+	metricsMaxAge      = 250 * time.Millisecond // gauges are this old at most
+	metricsMinInterval = policy.Time(100e3)     // between two computations of the gauges
+)
+
+// metrics are the figures of the operator address. Counters start at 0 with the process;
+// gauges are as the loop last published them. All may be read at any time from any
+// goroutine.
 type metrics struct {
 	lanes []laneMetrics // by class, as in the settings
+
+	// Counters.
+	rejections    map[rejection]*atomic.Int64
+	clockSteps    atomic.Int64 // of the wall clock
+	localFailures atomic.Int64 // attempts that this machine could not make
+	loaded        atomic.Int64 // spilled messages that were read back
+
 	// Gauges.
-	pending         atomic.Int64
-	members         atomic.Int64
-	unavailable     atomic.Int64
-	spilled, loaded atomic.Int64 // messages that the log alone has, and how many came back so far
-	// Of the log.
-	logUnread, logDamaged, logLost, logAffected atomic.Int64
-	waitingFor                                  atomic.Value // what keeps the relay from being ready; a string
-	rejections                                  map[rejection]*atomic.Int64
-	overdue                                     atomic.Int64 // messages held past their time
-	clockSteps                                  atomic.Int64 // of the wall clock since the start
-	localFailures                               atomic.Int64 // calls that this machine could not make
-	logWaiting                                  atomic.Int64 // records that the log could not write yet
+	pending     atomic.Int64
+	members     atomic.Int64
+	unavailable atomic.Int64
+	spilled     atomic.Int64
+	overdue     atomic.Int64 // messages held past their deadline
+	logWaiting  atomic.Int64 // records that the log could not write yet
+	logUnread   atomic.Int64 // messages pending at the start that are still to be read
+	logDamaged  atomic.Int64
+	logLost     atomic.Int64
+	logAffected atomic.Int64
+
+	waitingFor atomic.Value // what keeps the relay from being ready; a string, empty for nothing
 }
 
-// rejection is why a request was not taken on, as log and figures name it.
+// rejection is why a message was not accepted. Its text stands in figures and log lines.
 type rejection string
 
-// Refusals.
 const (
-	rejectedStopping  rejection = "stopping" // the process ends
-	rejectedFull      rejection = "full"     // as many are held as may be
-	rejectedDuplicate rejection = "twice"    // its id is being handed in already
+	rejectedStopping  rejection = "stopping" // the process shuts down
+	rejectedFull      rejection = "full"     // as many messages are pending as the settings allow
+	rejectedDuplicate rejection = "twice"    // another submission of its id has no answer yet
 	rejectedLog       rejection = "log"      // the log could not take it
-	rejectedPolicy    rejection = "policy"   // shed, to come again
-	rejectedExpired   rejection = "hopeless" // given up before it was taken on
+	rejectedPolicy    rejection = "policy"   // shed, to be retried
+	rejectedExpired   rejection = "hopeless" // it can't be delivered in its time
 )
 
+// rejections lists all of them in the order of the figures.
 var rejections = []rejection{rejectedStopping, rejectedFull, rejectedDuplicate, rejectedLog, rejectedPolicy, rejectedExpired}
 
+// laneMetrics are the counters of one class of messages.
 type laneMetrics struct {
 	name                                  string
 	completed, rejected, failed, upstream atomic.Int64
 }
 
 func newMetrics(classes []policy.Class) *metrics {
-	f := &metrics{lanes: make([]laneMetrics, len(classes)), rejections: map[rejection]*atomic.Int64{}}
+	m := &metrics{lanes: make([]laneMetrics, len(classes)), rejections: map[rejection]*atomic.Int64{}}
 	for _, why := range rejections {
-		f.rejections[why] = &atomic.Int64{}
+		m.rejections[why] = &atomic.Int64{}
 	}
 	for i := range classes {
-		f.lanes[i].name = classes[i].Name
+		m.lanes[i].name = classes[i].Name
 	}
-	return f
+	return m
 }
 
-// countUndelivered counts the end of a message that was not delivered. One of a class that
-// the settings no longer name has no lane.
-func (f *metrics) countUndelivered(class int, outcome string) {
+// countUndelivered counts the completion of a message that was not delivered. A class
+// that the settings no longer name has no lane.
+func (m *metrics) countUndelivered(class int, outcome string) {
 	if class < 0 {
 		return
 	}
 	if outcome == discovery.Returned {
-		f.lanes[class].rejected.Add(1)
+		m.lanes[class].rejected.Add(1)
 	} else {
-		f.lanes[class].failed.Add(1)
+		m.lanes[class].failed.Add(1)
 	}
 }
 
-func (f *metrics) countDelivered(class int) {
+func (m *metrics) countDelivered(class int) {
 	if class >= 0 {
-		f.lanes[class].completed.Add(1)
+		m.lanes[class].completed.Add(1)
 	}
 }
 
-// countWritten counts a message whose call has gone out whole.
-func (f *metrics) countWritten(class int) {
+// countWritten counts a message whose call is written completely.
+func (m *metrics) countWritten(class int) {
 	if class >= 0 {
-		f.lanes[class].upstream.Add(1)
+		m.lanes[class].upstream.Add(1)
 	}
 }
 
-// text writes the figures in the Prometheus text format.
-func (f *metrics) text() []byte {
-	var b bytes.Buffer
-	counts := []struct {
-		name, help string
-		of         func(*laneMetrics) *atomic.Int64
-	}{
-		{"app_completed", "Messages delivered.", func(l *laneMetrics) *atomic.Int64 { return &l.completed }},
-		{"app_rejected", "Messages refused or handed back.", func(l *laneMetrics) *atomic.Int64 { return &l.rejected }},
-		{"app_failed", "Messages failed.", func(l *laneMetrics) *atomic.Int64 { return &l.failed }},
-		{"app_upstream_requests", "Messages written whole to endpoints.", func(l *laneMetrics) *atomic.Int64 { return &l.upstream }},
+// publishedGauges is what the loop remembers of the gauges.
+type publishedGauges struct {
+	at      policy.Time // when they were last published
+	overdue int         // overdue messages then
+}
+
+// publishDueMetrics publishes the gauges if somebody may read them and they are not new.
+func (r *Relay) publishDueMetrics() {
+	if r.cfg.Operator != "" && r.clock.now()-r.published.at >= metricsMinInterval {
+		r.publishMetrics()
 	}
-	for _, c := range counts {
-		fmt.Fprintf(&b, "# HELP %s %s\n# TYPE %s counter\n", c.name, c.help, c.name)
-		for i := range f.lanes {
-			l := &f.lanes[i]
-			fmt.Fprintf(&b, "%s{lane=%s} %d\n", c.name, strconv.Quote(l.name), c.of(l).Load())
-		}
+}
+
+// publishMetrics publishes the gauges.
+func (r *Relay) publishMetrics() {
+	r.published.at = r.clock.now()
+	r.metrics.members.Store(int64(r.endpoints.listed))
+	r.metrics.unavailable.Store(int64(r.countUnavailable(r.published.at)))
+	r.metrics.pending.Store(int64(r.messages.pending - len(r.messages.remoteCalls))) // the other process counts those
+	r.metrics.logWaiting.Store(r.wal.UnwrittenRecords())
+	r.publishOverdue()
+}
+
+// publishOverdue publishes how many messages are overdue, and logs when there are some
+// for the first time or none any more.
+func (r *Relay) publishOverdue() {
+	n := r.overdue.count(r.published.at)
+	if (n > 0) != (r.published.overdue > 0) {
+		r.log.Warn("overdue messages", "count", n, "pending", r.messages.pending)
 	}
-	for _, why := range rejections {
-		fmt.Fprintf(&b, "# HELP app_refused_%[1]s Requests that were not taken on: %[1]s.\n# TYPE app_refused_%[1]s counter\napp_refused_%[1]s %[2]d\n", why, f.rejections[why].Load())
+	r.published.overdue = n
+	r.metrics.overdue.Store(int64(n))
+}
+
+// metricsWriter writes the Prometheus text format.
+type metricsWriter struct{ bytes.Buffer }
+
+func (w *metricsWriter) header(name, kind, help string) {
+	fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s %s\n", name, help, name, kind)
+}
+
+func (w *metricsWriter) counter(name, help string, value *atomic.Int64) {
+	w.header(name, "counter", help)
+	fmt.Fprintf(w, "%s %d\n", name, value.Load())
+}
+
+func (w *metricsWriter) gauge(name, help string, value *atomic.Int64) {
+	w.header(name, "gauge", help)
+	fmt.Fprintf(w, "%s %d\n", name, value.Load())
+}
+
+// lanes writes a counter that each class of messages has.
+func (w *metricsWriter) lanes(lanes []laneMetrics, name, help string, value func(*laneMetrics) *atomic.Int64) {
+	w.header(name, "counter", help)
+	for i := range lanes {
+		fmt.Fprintf(w, "%s{lane=%s} %d\n", name, strconv.Quote(lanes[i].name), value(&lanes[i]).Load())
 	}
-	fmt.Fprintf(&b, "# HELP app_clock_steps Steps of the machine's wall clock since the start.\n# TYPE app_clock_steps counter\napp_clock_steps %d\n", f.clockSteps.Load())
-	fmt.Fprintf(&b, "# HELP app_unmade Attempts that this machine could not make: no record in the log, or no connection from here.\n# TYPE app_unmade counter\napp_unmade %d\n", f.localFailures.Load())
-	fmt.Fprintf(&b, "# HELP app_loaded Messages read back from the log after they were spilled.\n# TYPE app_loaded counter\napp_loaded %d\n", f.loaded.Load())
-	for _, g := range []struct {
-		name, help string
-		v          *atomic.Int64
-	}{
-		{"app_pending", "Messages taken and not ended.", &f.pending},
-		{"app_members", "Endpoints on the list.", &f.members},
-		{"app_members_unavailable", "Endpoints on the list that the relay avoids now.", &f.unavailable},
-		{"app_spilled", "Messages pending that are in the log alone, not in memory.", &f.spilled},
-		{"app_overdue", "Messages held past their time.", &f.overdue},
-		{"app_log_waiting", "Records of what has happened that the disk has not taken yet.", &f.logWaiting},
-		{"app_log_unread", "Messages owed at the start that are still to be read.", &f.logUnread},
-		{"app_log_damaged", "Damaged stretches found in the log at the start.", &f.logDamaged},
-		{"app_log_lost", "Messages that damage to the log took; each was given up.", &f.logLost},
-		{"app_log_concerned", "Messages held to have been sent, since damage may have concerned them.", &f.logAffected},
-	} {
-		fmt.Fprintf(&b, "# HELP %s %s\n# TYPE %s gauge\n%s %d\n", g.name, g.help, g.name, g.name, g.v.Load())
+}
+
+// text writes all figures in the Prometheus text format. docs/on-call.md explains them.
+func (m *metrics) text() []byte {
+	w := &metricsWriter{}
+	w.lanes(m.lanes, "app_completed", "Messages delivered.", func(l *laneMetrics) *atomic.Int64 { return &l.completed })
+	w.lanes(m.lanes, "app_rejected", "Messages refused or handed back.", func(l *laneMetrics) *atomic.Int64 { return &l.rejected })
+	w.lanes(m.lanes, "app_failed", "Messages failed.", func(l *laneMetrics) *atomic.Int64 { return &l.failed })
+	w.lanes(m.lanes, "app_upstream_requests", "Messages written whole to endpoints.", func(l *laneMetrics) *atomic.Int64 { return &l.upstream })
+	for _, why := range rejections {
+		w.counter("app_refused_"+string(why), "Requests that were not taken on: "+string(why)+".", m.rejections[why])
 	}
-	return b.Bytes()
+	w.counter("app_clock_steps", "Steps of the machine's wall clock since the start.", &m.clockSteps)
+	w.counter("app_unmade", "Attempts that this machine could not make: no record in the log, or no connection from here.", &m.localFailures)
+	w.counter("app_loaded", "Messages read back from the log after they were spilled.", &m.loaded)
+	w.gauge("app_pending", "Messages taken and not ended.", &m.pending)
+	w.gauge("app_members", "Endpoints on the list.", &m.members)
+	w.gauge("app_members_unavailable", "Endpoints on the list that the relay avoids now.", &m.unavailable)
+	w.gauge("app_spilled", "Messages pending that are in the log alone, not in memory.", &m.spilled)
+	w.gauge("app_overdue", "Messages held past their time.", &m.overdue)
+	w.gauge("app_log_waiting", "Records of what has happened that the disk has not taken yet.", &m.logWaiting)
+	w.gauge("app_log_unread", "Messages owed at the start that are still to be read.", &m.logUnread)
+	w.gauge("app_log_damaged", "Damaged stretches found in the log at the start.", &m.logDamaged)
+	w.gauge("app_log_lost", "Messages that damage to the log took; each was given up.", &m.logLost)
+	w.gauge("app_log_concerned", "Messages held to have been sent, since damage may have concerned them.", &m.logAffected)
+	return w.Bytes()
 }
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -9,48 +9,57 @@
 	"plovershore/policy"
 )
 
-// completionNotice is the end of a message that the platform is to be told of. Where the log does
-// not have it, the next process would go on with a message that is told to be over. So
-// the notice waits for the log, though no longer than the message's time: after that no
-// process sends it.
+// completionNotice is a notice to the platform that a message is completed. It is sent
+// once the log has the completion: otherwise the next process would go on with the
+// message. It waits no longer than the message's deadline, after which no process sends
+// the message.
 type completionNotice struct {
 	notice discovery.Notice
-	sendBy policy.Time // when it is told in any case
-	isSent atomic.Bool
+	sendBy policy.Time // when it is sent in any case
+	isSent atomic.Bool // set by the log's goroutine or the loop
 }
 
 // send sends the notice, once.
-func (e *completionNotice) send(to *discovery.Notices) {
-	if e.isSent.CompareAndSwap(false, true) {
-		to.Put(e.notice)
+func (n *completionNotice) send(to *discovery.Notices) {
+	if n.isSent.CompareAndSwap(false, true) {
+		to.Put(n.notice)
 	}
 }
 
-// logCompletion logs how a message ended and has the platform told.
-func (r *Relay) logCompletion(m *message, outcome string, ms int64) {
+// logCompletion logs how a message was completed and has the platform notified.
+func (r *Relay) logCompletion(m *message, outcome string, retryMS int64) {
 	if outcome == discovery.Failed {
-		ms = 0
+		retryMS = 0
 	}
-	e := &completionNotice{notice: discovery.Notice{Message: m.rec.ID, Outcome: outcome, RetryMS: ms}, sendBy: r.fromLogTime(m.rec.Deadline)}
-	r.pendingNotices = append(r.pendingNotices, e)
-	r.wal.Submit(&wal.Record{Kind: wal.KindCompleting, ID: m.rec.ID, Notice: outcome, RetryMS: ms}, func(err error) {
+	n := &completionNotice{notice: discovery.Notice{Message: m.rec.ID, Outcome: outcome, RetryMS: retryMS},
+		sendBy: r.clock.fromLogTime(m.rec.Deadline)}
+	r.pendingNotices = append(r.pendingNotices, n)
+	r.wal.Submit(&wal.Record{Kind: wal.KindCompleting, ID: m.rec.ID, Notice: outcome, RetryMS: retryMS}, func(err error) {
 		if err == nil || errors.Is(err, wal.ErrNotPending) {
-			e.send(r.notices)
+			n.send(r.notices)
 		}
 	})
 }
 
-// sendDueNotices tells what the log still does not have when its time is up.
+// failMessage completes a message as failed.
+func (r *Relay) failMessage(m *message) {
+	m.isCompleted = true
+	r.forgetMessage(m)
+	r.logCompletion(m, discovery.Failed, 0)
+}
+
+// sendDueNotices sends the notices whose completions the log doesn't have by their
+// messages' deadlines.
 func (r *Relay) sendDueNotices() {
-	now, left := r.now(), r.pendingNotices[:0]
-	for _, e := range r.pendingNotices {
-		if e.sendBy <= now {
-			e.send(r.notices)
+	now, unsent := r.clock.now(), r.pendingNotices[:0]
+	for _, n := range r.pendingNotices {
+		if n.sendBy <= now {
+			n.send(r.notices)
 		}
-		if !e.isSent.Load() {
-			left = append(left, e)
+		if !n.isSent.Load() {
+			unsent = append(unsent, n)
 		}
 	}
-	clear(r.pendingNotices[len(left):])
-	r.pendingNotices = left
+	clear(r.pendingNotices[len(unsent):])
+	r.pendingNotices = unsent
 }
--- /dev/null
+++ b/internal/relay/predecessor.go
@@ -0,0 +1,96 @@
+package relay
+
+import (
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
+)
+
+// readHandoffLog handles what the previous process has written to its handoff log.
+func (r *Relay) readHandoffLog() {
+	handoff := r.ownership.handoff
+	hasExited := handoff.OwnerExited() // first: nothing can be written after it
+	for _, rec := range handoff.Read() {
+		r.applyHandoffRecord(rec)
+	}
+	if !hasExited {
+		return
+	}
+	r.log.Info("previous process exited", "calls", len(r.messages.remoteCalls))
+	for _, m := range r.messages.remoteCalls { // their outcomes are unknown
+		r.finishRemoteAttempt(m, &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: true, OutcomeCode: uint8(policy.Cancelled)})
+	}
+	w := r.wal
+	owner := &wal.Record{Kind: wal.KindOwner, ID: wal.NoMessage, Process: r.ownership.process, HandoffOffset: handoff.Offset()}
+	w.Submit(owner, func(error) { w.FinishHandoff(handoff) })
+	r.ownership.handoff = nil
+	r.splitLimits()
+}
+
+// applyHandoffRecord handles one record of the handoff log.
+func (r *Relay) applyHandoffRecord(rec *wal.Record) {
+	m := r.messages.byID[rec.ID]
+	switch remote := r.messages.remoteCalls[rec.ID]; {
+	case rec.Kind == wal.KindAccepted && m == nil && r.recoverOutOfSight(rec.ID): // its client submitted it again
+		r.wal.Submit(rec, nil)
+	case rec.Kind == wal.KindAccepted && m == nil:
+		r.acceptFromPredecessor(rec)
+	case remote != nil && (rec.Kind == wal.KindOutcome || rec.Kind == wal.KindCompleted):
+		r.finishRemoteAttempt(remote, rec)
+	case m != nil && rec.Kind == wal.KindCompleted: // its client left before it was acknowledged
+		m.isCompleted = true
+		r.forgetMessage(m)
+		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.num})
+		r.wal.Submit(rec, nil)
+	}
+}
+
+// acceptFromPredecessor takes over a message that the previous process has accepted.
+func (r *Relay) acceptFromPredecessor(rec *wal.Record) {
+	logged := *rec
+	rec.HandoffOffset = 0
+	r.restore([]*wal.Record{rec}, true)
+	m := r.messages.byID[rec.ID]
+	if m == nil { // it was completed at once
+		return
+	}
+	r.wal.Submit(&logged, func(err error) {
+		if err != nil {
+			r.mailbox.Put(handoffRejectedEvent{m})
+		}
+	})
+}
+
+// finishRemoteAttempt handles the outcome of a call of the previous process.
+func (r *Relay) finishRemoteAttempt(m *message, rec *wal.Record) {
+	delete(r.messages.remoteCalls, m.rec.ID)
+	m.hasRemoteCall = false
+	isSettled := rec.Kind == wal.KindCompleted
+	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: m.attempts - 1, Outcome: policy.Outcome(rec.OutcomeCode),
+		CallsExhausted: rec.CallsExhausted, Final: isSettled || m.isCompleted, Latency: rec.Latency}
+	if rec.RetryAt != 0 {
+		e.RetryAfter = max(r.clock.fromLogTime(rec.RetryAt)-r.clock.now(), 1)
+	}
+	r.step.add(e)
+	r.endpoints.checkAvailabilityOfCell(m.rec.Dest)
+	r.wal.Submit(rec, nil)
+	if m.isCompleted {
+		delete(r.messages.byNumber, m.num)
+	} else if isSettled {
+		m.isCompleted = true
+		r.forgetMessage(m)
+	}
+}
+
+// returnUnlogged gives back a message that the previous process has accepted but that
+// the log has no room for: no attempt of it can be logged either. It was never sent.
+func (r *Relay) returnUnlogged(m *message) {
+	if m.isCompleted {
+		return
+	}
+	m.isCompleted = true
+	r.forgetMessage(m)
+	r.metrics.countUndelivered(m.class, discovery.Returned)
+	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.num})
+	r.notices.Put(discovery.Notice{Message: m.rec.ID, Outcome: discovery.Returned, RetryMS: shutdownRetryMS})
+}
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -8,116 +8,131 @@
 	"plovershore/policy"
 )
 
-// What an earlier process left owed, as the log reads it.
+// recoveryBatchSize is how many pending messages are read at a time after a start:
+// clients are served in between.
+const recoveryBatchSize = 2000
 
-// restore takes up what an earlier process left owed; that which may still be
-// withdrawn stays in memory.
+// restore recovers messages that an earlier process left pending. With neverSpill they
+// stay in memory, since they may still be withdrawn.
 func (r *Relay) restore(records []*wal.Record, neverSpill bool) {
 	for _, rec := range records {
 		m := r.newMessage(rec)
 		m.isAcknowledged, m.isLogged, m.attempts = true, true, rec.Attempts
-		if rec.Notice != "" {
-			m.isCompleted = true
-			r.forgetMessage(m)
-			r.notices.Put(discovery.Notice{Message: rec.ID, Outcome: rec.Notice, RetryMS: rec.RetryMS})
-			continue
-		}
-		if rec.Corrupted { // damage took it: whoever handed it in is told
-			m.isCompleted = true
-			r.forgetMessage(m)
-			r.logCompletion(m, discovery.Failed, 0)
-			r.log.Error("lost", "message", rec.ID)
-			continue
-		}
-		if m.class < 0 { // the settings have changed: nothing is promised of its effect
-			m.isCompleted = true
-			r.forgetMessage(m)
-			r.logCompletion(m, discovery.Failed, 0)
+		if r.completeRecovered(m) {
 			continue
 		}
 		e := r.recoveredMessageEvent(m)
 		e.Recovered, e.NeverSpill = true, neverSpill
-		if r.isGapUnknown && rec.UnknownOutcomeAt != 0 {
-			e.UnknownOutcomeAt = 1 // nobody knows how long ago: its window counts as over
+		if r.recovery.isGapUnknown && rec.UnknownOutcomeAt != 0 {
+			e.UnknownOutcomeAt = 1 // nobody knows how long ago: its deduplication window counts as over
 		}
 		if rec.InFlightSince != 0 {
-			m.hasRemoteCall, r.remoteCalls[rec.ID] = true, m
-			e.InFlightEndpoint, e.InFlightSince = r.endpointNumber(rec.InFlightEndpoint), r.fromLogTime(rec.InFlightSince)
+			m.hasRemoteCall, r.messages.remoteCalls[rec.ID] = true, m
+			e.InFlightEndpoint, e.InFlightSince = r.endpoints.numberOf(rec.InFlightEndpoint), r.clock.fromLogTime(rec.InFlightSince)
 		}
-		r.policyEvents = append(r.policyEvents, e)
-		r.log.Info("resumed", "message", rec.ID, "class", rec.Class, "tries", rec.Attempts,
+		r.step.add(e)
+		r.log.Info("message recovered", "message", rec.ID, "class", rec.Class, "attempts", rec.Attempts,
 			"may_have_run", rec.UnknownOutcomeAt != 0, "left", time.Duration(e.TimeLeft)*time.Microsecond)
 	}
 }
 
-// recoveredMessageEvent tells the policy of a message that the log has had for a while, with
-// its state.
+// completeRecovered completes a message that the policy is not to decide on, and
+// reports whether it is such a one.
+func (r *Relay) completeRecovered(m *message) bool {
+	rec := m.rec
+	switch {
+	case rec.Notice != "": // completed already, but the platform has not accepted the notice
+		m.isCompleted = true
+		r.forgetMessage(m)
+		r.notices.Put(discovery.Notice{Message: rec.ID, Outcome: rec.Notice, RetryMS: rec.RetryMS})
+	case rec.Corrupted: // its client is told
+		r.failMessage(m)
+		r.log.Error("message lost to log corruption", "message", rec.ID)
+	case m.class < 0: // the settings no longer say whether it may be repeated
+		r.failMessage(m)
+	default:
+		return false
+	}
+	return true
+}
+
+// recoveredMessageEvent tells the policy of a message that the log has had for a while,
+// with its state.
 func (r *Relay) recoveredMessageEvent(m *message) policy.Event {
 	rec := m.rec
 	e := policy.Event{Kind: policy.EventMessage, Message: m.num, Class: m.class, Dest: rec.Dest, Tenant: -1,
-		TimeLeft: r.fromLogTime(rec.Deadline) - r.now(), Attempts: rec.Attempts, UnknownOutcomeZone: rec.UnknownOutcomeZone}
+		TimeLeft: r.clock.fromLogTime(rec.Deadline) - r.clock.now(), Attempts: rec.Attempts, UnknownOutcomeZone: rec.UnknownOutcomeZone}
 	if t, ok := r.cfg.tenants[rec.Tenant]; ok {
 		e.Tenant = t
 	}
 	if rec.UnknownOutcomeAt != 0 {
-		e.UnknownOutcomeAt = max(r.fromLogTime(rec.UnknownOutcomeAt), 1)
+		e.UnknownOutcomeAt = max(r.clock.fromLogTime(rec.UnknownOutcomeAt), 1)
 	}
-	m.deadlineSpan = r.overdue.add(r.now() + e.TimeLeft)
+	m.deadlineSpan = r.overdue.add(r.clock.now() + e.TimeLeft)
 	return e
 }
 
-// recoveryBatchSize is how many messages are read at a time of those that were owed at
-// the start: clients are served in between.
-const recoveryBatchSize = 2000
-
-// readNextPending has the log read more of what was owed at the start.
+// readNextPending has the log read more of what was pending at the start.
 func (r *Relay) readNextPending() {
 	w := r.wal
 	w.Do(func() {
-		recs := w.Next(recoveryBatchSize)
-		r.mailbox.Put(happening{resumed: &recoveredEvent{w, recs, w.PendingUnread()}})
+		records := w.Next(recoveryBatchSize)
+		r.mailbox.Put(recoveredEvent{log: w, records: records, unread: w.PendingUnread()})
 	})
 }
 
-// restoreRead takes up what the log has read.
-func (r *Relay) restoreRead(x *recoveredEvent) {
-	if x.log != r.wal || r.ownership.isTransferred {
-		return // of a log that was passed on
+// restoreRead recovers what the log has read.
+func (r *Relay) restoreRead(e recoveredEvent) {
+	if e.log != r.wal || r.ownership.isTransferred {
+		return // of a log that was handed off
 	}
-	r.restore(x.records, false)
-	if x.unread < 0 { // one that a client asked for ahead of its turn
+	r.restore(e.records, false)
+	if e.unread < 0 { // it was read out of turn
 		return
 	}
-	r.metrics.logUnread.Store(int64(x.unread))
-	if x.unread > 0 {
+	r.metrics.logUnread.Store(int64(e.unread))
+	if e.unread > 0 {
 		r.readNextPending()
 		return
 	}
-	r.isRecovering = false
+	r.recovery.isRunning = false
 	if !r.isDraining {
 		r.setReady()
 	}
 }
 
-// lookUpPending asks the log whether a message that is handed in is owed already, but
-// was not read yet since the start, or is spilled. It is admitted once that is
-// known.
+// lookUpPending asks the log whether a submitted message is pending already but not in
+// memory: not read yet since the start, or spilled. It is admitted once that is known.
 func (r *Relay) lookUpPending(q *putRequest) {
 	w := r.wal
 	w.Do(func() {
 		if rec := w.Fetch(q.record.ID); rec != nil {
-			r.mailbox.Put(happening{resumed: &recoveredEvent{w, []*wal.Record{rec}, -1}})
+			r.mailbox.Put(recoveredEvent{log: w, records: []*wal.Record{rec}, unread: -1})
 		}
 		q.isPending = w.IsPending(q.record.ID)
-		r.mailbox.Put(happening{put: q, looked: true})
+		r.mailbox.Put(submitEvent{request: q, isLookedUp: true})
 	})
 }
 
-// endpointNumber gives the policy's number of an endpoint by its id, listed or not.
-func (r *Relay) endpointNumber(id string) policy.Endpoint {
-	if ep := r.endpoints[id]; ep != nil {
-		return ep.number
+// recoverOutOfSight reports whether a message that the previous process accepted is
+// pending here already but not in memory, and recovers it where it was not read yet. It
+// waits for the log, which never waits for the loop.
+func (r *Relay) recoverOutOfSight(id string) bool {
+	if !r.recovery.isRunning && r.spilled.count() == 0 {
+		return false
+	}
+	var rec *wal.Record
+	var isPending bool
+	done := make(chan struct{})
+	w := r.wal
+	w.Do(func() {
+		defer close(done)
+		rec = w.Fetch(id)
+		isPending = rec != nil || w.IsPending(id)
+	})
+	<-done
+	if rec != nil {
+		r.restore([]*wal.Record{rec}, false)
 	}
-	r.lastEndpoint++
-	return r.lastEndpoint
+	return isPending
 }
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -599,7 +599,7 @@
 // the policy for their deadlines.
 func TestEachTimerComes(t *testing.T) {
 	r := newTestRelay(t)
-	due := r.now() // the loop has looked a moment ago: it was not due
+	due := r.clock.now() // the loop has looked a moment ago: it was not due
 	r.timers = []policy.Time{due}
 	r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "m", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
 	r.stepPolicy()
@@ -607,7 +607,7 @@
 	r.apply(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // that one again is no third
 	r.apply(due, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // the policy goes by this one; the other comes all the same
 	for range 3 {                                                          // as the loop goes on, with no event but the timer's
-		if r.fireTimers(); len(r.policyEvents) > 0 {
+		if r.fireTimers(); len(r.step.events) > 0 {
 			r.stepPolicy()
 		}
 	}
@@ -656,10 +656,10 @@
 				t.Errorf("booted %v: %s: %d µs left", boots, what, left)
 			}
 		}
-		near("owed", r.policyEvents[len(r.policyEvents)-1].TimeLeft)
+		near("owed", r.step.events[len(r.step.events)-1].TimeLeft)
 		r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "new", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
-		near("new", r.policyEvents[len(r.policyEvents)-1].TimeLeft)
-		near("new, by the log", r.fromLogTime(r.messagesByID["new"].rec.Deadline)-r.now())
+		near("new", r.step.events[len(r.step.events)-1].TimeLeft)
+		near("new, by the log", r.clock.fromLogTime(r.messages.byID["new"].rec.Deadline)-r.clock.now())
 	}
 }
 
@@ -690,10 +690,10 @@
 			t.Fatal(err)
 		}
 		defer r.closeLog()
-		e := &r.policyEvents[len(r.policyEvents)-1]
-		over := r.now()-e.UnknownOutcomeAt > r.cfg.Policy.Classes[e.Class].DedupWindow
+		e := &r.step.events[len(r.step.events)-1]
+		over := r.clock.now()-e.UnknownOutcomeAt > r.cfg.Policy.Classes[e.Class].DedupWindow
 		if e.UnknownOutcomeAt == 0 || over != (x.by > 0 && x.boots) {
-			t.Errorf("set back by %v, booted %v: may have run %d µs ago, in a window of %d", x.by, x.boots, r.now()-e.UnknownOutcomeAt, r.cfg.Policy.Classes[e.Class].DedupWindow)
+			t.Errorf("set back by %v, booted %v: may have run %d µs ago, in a window of %d", x.by, x.boots, r.clock.now()-e.UnknownOutcomeAt, r.cfg.Policy.Classes[e.Class].DedupWindow)
 		}
 	}
 }
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -6,29 +6,38 @@
 	"time"
 )
 
-// A start goes on over trouble that may pass: a relay that ends for it would only be
-// started again, and what it owes would wait for longer.
-
 const (
-	startRetryInterval = 50 * time.Millisecond // between two tries
-	listenTimeout      = 5 * time.Second       // after which an address that is taken is a fault of the configuration
-	reopenTimeout      = time.Second           // the loop stands still meanwhile
+	startRetryInterval = 50 * time.Millisecond
+	listenTimeout      = 5 * time.Second // after which an address in use is a mistake in the configuration
+	reopenTimeout      = time.Second     // the loop stands still meanwhile
 )
 
-// retryWhile tries until try succeeds, or fails with another error than may pass, or most
-// is over (0 for no limit), or stop is closed: ok is false then. The first failure is
-// logged as what.
-func retryWhile(log *slog.Logger, operation string, stop <-chan struct{}, timeout time.Duration, isTransient func(error) bool, attempt func() error) (ok bool, err error) {
+// transientRetry repeats an operation of a start while it fails for a reason that may
+// pass. Ending the relay instead would only have it started again, with its pending
+// messages waiting for longer.
+type transientRetry struct {
+	log         *slog.Logger
+	operation   string // in the log
+	stop        <-chan struct{}
+	timeout     time.Duration // 0 for none
+	isTransient func(error) bool
+}
+
+// run calls attempt until it succeeds, fails with an error that is not transient, or
+// the timeout is over. It returns false without an error once stop is closed.
+func (t transientRetry) run(attempt func() error) (ok bool, err error) {
 	began := time.Now()
-	for first := true; ; first = false {
-		if err = attempt(); err == nil || !isTransient(err) || timeout > 0 && time.Since(began) >= timeout {
+	for isFirst := true; ; isFirst = false {
+		err = attempt()
+		isTimedOut := t.timeout > 0 && time.Since(began) >= t.timeout
+		if err == nil || !t.isTransient(err) || isTimedOut {
 			return err == nil, err
 		}
-		if first {
-			log.Warn(operation+": tried again until it works", "err", err)
+		if isFirst {
+			t.log.Warn("start operation failed, retrying", "operation", t.operation, "err", err)
 		}
 		select {
-		case <-stop:
+		case <-t.stop:
 			return false, nil
 		case <-time.After(startRetryInterval):
 		}
@@ -38,8 +47,8 @@
 // acquireOwnership waits for the lock of the state folder.
 func (r *Relay) acquireOwnership(stop <-chan struct{}) (ok bool, err error) {
 	isOwner := false
-	ok, err = retryWhile(r.log, "lock", stop, 0, isDiskTrouble, func() error {
-		var err error
+	retry := transientRetry{log: r.log, operation: "lock", stop: stop, isTransient: isDiskTrouble}
+	ok, err = retry.run(func() (err error) {
 		isOwner, err = r.ownership.acquire(r.cfg.StateDir, stop)
 		return err
 	})
@@ -48,8 +57,8 @@
 
 // openLogWithRetry opens the log once the disk lets it.
 func (r *Relay) openLogWithRetry(stop <-chan struct{}) (pending int, ok bool, err error) {
-	ok, err = retryWhile(r.log, "log", stop, 0, isDiskTrouble, func() error {
-		var err error
+	retry := transientRetry{log: r.log, operation: "open_log", stop: stop, isTransient: isDiskTrouble}
+	ok, err = retry.run(func() (err error) {
 		if pending, err = r.openLog(); err != nil {
 			r.metrics.waitingFor.Store("waits for the disk: " + err.Error())
 		}
@@ -60,8 +69,8 @@
 
 // listenWithRetry listens at an address that another process may still have.
 func listenWithRetry[L net.Listener](log *slog.Logger, stop <-chan struct{}, open func() (L, error)) (ln L, ok bool, err error) {
-	ok, err = retryWhile(log, "listen", stop, listenTimeout, isListenTrouble, func() error {
-		var err error
+	retry := transientRetry{log: log, operation: "listen", stop: stop, timeout: listenTimeout, isTransient: isListenTrouble}
+	ok, err = retry.run(func() (err error) {
 		ln, err = open()
 		return err
 	})
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -5,33 +5,30 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"sync/atomic"
 	"time"
 
 	"plovershore/internal/discovery"
-	"plovershore/internal/mailbox"
 	"plovershore/policy"
 )
 
-// Starting a relay: its list, the log, the listener, and the loop.
+// firstListTimeout is how long a start waits for discovery's list.
+const firstListTimeout = 1500 * time.Millisecond
 
-// Run serves until stop is closed and the end is made, or something fails that
-// a relay cannot go on without. What moved gives is discovery's new address.
+// Run serves until stop is closed and the shutdown is complete, or until something
+// fails that a relay can't go on without. discoveryMoves gives new addresses of
+// discovery.
 func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, discoveryMoves <-chan string) error {
 	decider, err := policy.New(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
+	r := newRelay(ctx, cfg, log, decider)
+	defer r.background.Wait()
 	defer cancel()
-	r := &Relay{cfg: cfg, log: log, policy: decider, mailbox: mailbox.New[happening](), startedAt: time.Now(), wallClock: newClockWatch(), ctx: ctx,
-		messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*putRequest]*message{},
-		endpoints: map[string]*endpoint{}, endpointsByNumber: map[policy.Endpoint]*endpoint{}}
-	r.metrics = newMetrics(cfg.Policy.Classes)
 	r.metrics.waitingFor.Store("waits for the list of endpoints")
-	r.ready = &atomic.Bool{}
 	if cfg.Operator != "" {
-		op, err := startOperator(cfg, log, r.metrics, r.ready, func(k policy.EventKind) { r.mailbox.Put(happening{ask: k}) })
+		op, err := startOperator(cfg, log, r.metrics, r.ready, func(k policy.EventKind) { r.mailbox.Put(operatorEvent{k}) })
 		if err != nil {
 			return err
 		}
@@ -40,69 +37,103 @@
 	_, conns := cfg.socketBudget()
 	r.idleConns = max(2, (conns-cfg.Policy.MaxCalls)/40)
 	r.pool.maxConns = conns
-	r.notices = discovery.NewNotices(cfg.Discovery, log, func(id string) { r.mailbox.Put(happening{noticed: id}) })
-	go r.notices.Run(ctx)
-	disc := discovery.NewWatch(cfg.Discovery, cfg.Policy.Relays, log, func(l *discovery.List) { r.mailbox.Put(happening{news: l}) })
-	disc.Known = cfg.KnownList
-	disc.OnRejected = func() { r.mailbox.Put(happening{refused: true}) }
-	go disc.Run(ctx)
+	r.startDiscovery(discoveryMoves)
+	r.awaitFirstList(firstListTimeout)
+	r.stepPolicy() // the list alone
+	r.clients = newClientServer(cfg, log, func(q *putRequest) { r.mailbox.Put(submitEvent{request: q}) },
+		func(q *putRequest, ok bool) { r.mailbox.Put(acknowledgedEvent{request: q, isSent: ok}) })
+
+	r.metrics.waitingFor.Store("waits for the process that owns the log")
+	if ok, err := r.acquireOwnership(stop); err != nil || !ok {
+		return err
+	}
+	defer r.ownership.close()
+	pending, ok, err := r.recoverPending(stop)
+	if err != nil || !ok {
+		return err
+	}
+	defer r.closeLog()
+	return r.serve(stop, pending)
+}
+
+// goBackground runs f on a goroutine that Run waits for. It has to return soon after
+// the relay's context ends.
+func (r *Relay) goBackground(f func()) {
+	r.background.Add(1)
 	go func() {
+		defer r.background.Done()
+		f()
+	}()
+}
+
+// startDiscovery follows discovery's list, sends it the completion notices, and
+// follows its address.
+func (r *Relay) startDiscovery(moves <-chan string) {
+	r.notices = discovery.NewNotices(r.cfg.Discovery, r.log, func(id string) { r.mailbox.Put(noticeAcceptedEvent{id}) })
+	r.goBackground(func() { r.notices.Run(r.ctx) })
+	watch := discovery.NewWatch(r.cfg.Discovery, r.cfg.Policy.Relays, r.log, func(l *discovery.List) { r.mailbox.Put(listEvent{l}) })
+	watch.Known = r.cfg.KnownList
+	watch.OnRejected = func() { r.mailbox.Put(discoveryRejectedEvent{}) }
+	r.goBackground(func() { watch.Run(r.ctx) })
+	r.goBackground(func() {
 		for {
 			select {
-			case <-ctx.Done():
+			case <-r.ctx.Done():
 				return
-			case addr := <-discoveryMoves:
-				log.Info("discovery has moved", "to", addr)
-				disc.SetAddress(addr)
+			case addr := <-moves:
+				r.log.Info("discovery address changed", "address", addr)
+				watch.SetAddress(addr)
 				r.notices.SetAddress(addr)
 			}
 		}
-	}()
+	})
+}
 
-	r.awaitFirstList(firstListTimeout)
-	r.stepPolicy() // the list alone
-	r.clients = newClientServer(cfg, log, func(q *putRequest) { r.mailbox.Put(happening{put: q}) },
-		func(q *putRequest, ok bool) { r.mailbox.Put(happening{said: q, ok: ok}) })
-	r.metrics.waitingFor.Store("waits for the process that owns the log")
-	if ok, err := r.acquireOwnership(stop); err != nil || !ok {
-		return err
-	}
-	defer r.ownership.close()
+// recoverPending opens the log and recovers what an earlier process left pending; ok
+// is false where stop was closed first.
+func (r *Relay) recoverPending(stop <-chan struct{}) (pending int, ok bool, err error) {
 	r.metrics.waitingFor.Store("reads what is owed")
-	r.takeListUpdates() // the wait may have been long: what drains since must not be sent to
+	r.takeListUpdates() // the wait may have been long: an endpoint that drained since gets nothing
 	r.stepPolicy()
-	pending, ok, err := r.openLogWithRetry(stop)
+	pending, ok, err = r.openLogWithRetry(stop)
 	if err != nil || !ok {
-		return err
+		return pending, ok, err
 	}
-	defer func() { r.closeLog() }()
 	r.splitLimits()
 	r.stepPolicy()
-	ln, ok, err := listenWithRetry(log, stop, func() (*net.TCPListener, error) { return listenReusePort(ctx, cfg.Listen) })
+	return pending, true, nil
+}
+
+// serve listens for clients and runs the loop.
+func (r *Relay) serve(stop <-chan struct{}, pending int) error {
+	ln, ok, err := listenWithRetry(r.log, stop, func() (*net.TCPListener, error) { return listenReusePort(r.ctx, r.cfg.Listen) })
 	if err != nil || !ok {
 		return err
 	}
 	defer ln.Close()
-	go r.clients.serve(ln)
-	for _, h := range r.deferredEvents {
-		r.mailbox.Put(h)
+	r.goBackground(func() { r.clients.serve(ln) })
+	for _, e := range r.deferredEvents {
+		r.mailbox.Put(e)
 	}
 	r.deferredEvents = nil
-	go func() {
-		<-stop
-		r.mailbox.Put(happening{stop: true})
-	}()
+	r.goBackground(func() {
+		select {
+		case <-stop:
+			r.mailbox.Put(stopEvent{})
+		case <-r.ctx.Done():
+		}
+	})
 	r.publishMetrics()
-	if !r.isRecovering {
+	if !r.recovery.isRunning {
 		r.setReady()
 	}
-	log.Info("ready", "name", cfg.Name, "listen", ln.Addr().String(), "endpoints", len(r.endpoints), "owed", pending)
+	r.log.Info("ready", "name", r.cfg.Name, "listen", ln.Addr().String(), "endpoints", len(r.endpoints.byID), "pending", pending)
 	return r.loop(ln)
 }
 
-// awaitFirstList waits a while for the whole list: the one in the configuration may
-// be old, and an endpoint that drained since must not be sent to. Where
-// discovery is silent, or turns calls away, the old one has to do.
+// awaitFirstList waits a while for the complete list: the one in the configuration may
+// be old, and an endpoint that drained since must not be sent to. Where discovery is
+// silent, or rejects calls, the old one has to do.
 func (r *Relay) awaitFirstList(timeout time.Duration) {
 	limit := time.NewTimer(timeout)
 	defer limit.Stop()
@@ -114,24 +145,24 @@
 		case <-r.mailbox.Ready():
 			isCurrent = r.takeListUpdates()
 		case <-limit.C:
-			r.log.Warn("discovery is silent: the list in the configuration is used")
+			r.log.Warn("no endpoint list from discovery, using the configured one")
 			return
 		}
 	}
 }
 
-// takeListUpdates takes in what discovery has said so far, and leaves all else for the
-// loop. It reports whether the list is as good as it can be had now.
+// takeListUpdates handles the list updates in the mailbox and leaves all else for the
+// loop. It reports whether the list is as current as it can be for now.
 func (r *Relay) takeListUpdates() (isCurrent bool) {
-	for _, h := range r.mailbox.TakeAll(nil) {
-		switch {
-		case h.news != nil:
-			r.take(h)
+	for _, e := range r.mailbox.TakeAll(nil) {
+		switch e := e.(type) {
+		case listEvent:
+			e.handle(r)
 			isCurrent = true
-		case h.refused:
+		case discoveryRejectedEvent:
 			isCurrent = isCurrent || r.cfg.KnownList != nil
 		default:
-			r.deferredEvents = append(r.deferredEvents, h)
+			r.deferredEvents = append(r.deferredEvents, e)
 		}
 	}
 	return isCurrent
--- /dev/null
+++ b/internal/relay/step.go
@@ -0,0 +1,172 @@
+package relay
+
+import (
+	"errors"
+	"time"
+
+	"plovershore/internal/discovery"
+	"plovershore/internal/wal"
+	"plovershore/policy"
+)
+
+// policyStep collects the input of the policy's next step and holds the output of the
+// one that is being carried out.
+type policyStep struct {
+	events  []policy.Event
+	actions []policy.Action
+	batches []*batch
+}
+
+// add appends an event to those of the next step.
+func (s *policyStep) add(e policy.Event) { s.events = append(s.events, e) }
+
+// stepPolicy lets the policy decide on the collected events and carries out its
+// actions: completions first, so that a rejected message is not logged; then the
+// accepted messages are logged, so that no send comes before; then all else.
+func (r *Relay) stepPolicy() {
+	events := r.step.events
+	r.step.events = nil
+	submitted := r.submittedMessages(events)
+	now := r.clock.now()
+	r.step.actions = r.policy.Step(now, events, r.step.actions[:0])
+	for i := range r.step.actions {
+		switch a := &r.step.actions[i]; a.Kind {
+		case policy.ActionReject:
+			r.complete(a, discovery.Returned)
+		case policy.ActionFail:
+			r.complete(a, discovery.Failed)
+		}
+	}
+	for _, m := range submitted {
+		if m.req != nil && !m.isCompleted {
+			r.accept(m)
+		}
+	}
+	for i := range r.step.actions {
+		r.apply(now, &r.step.actions[i])
+	}
+	batches := r.step.batches
+	r.step.batches = nil
+	for _, b := range batches {
+		r.startBatch(b)
+	}
+}
+
+// submittedMessages finds the messages of these events whose clients have no answer.
+func (r *Relay) submittedMessages(events []policy.Event) []*message {
+	submitted := make([]*message, 0, len(events))
+	for i := range events {
+		if events[i].Kind != policy.EventMessage {
+			continue
+		}
+		if m := r.messages.byNumber[events[i].Message]; m != nil && m.req != nil {
+			submitted = append(submitted, m)
+		}
+	}
+	return submitted
+}
+
+// complete carries out the policy's final response to a message.
+func (r *Relay) complete(a *policy.Action, result string) {
+	m := r.messages.byNumber[a.Message]
+	if m == nil || m.isCompleted {
+		return
+	}
+	m.isCompleted = true
+	r.metrics.countUndelivered(m.class, result)
+	retryMS := (a.Delay + 999) / 1000
+	if m.req != nil {
+		r.rejectSubmitted(m, result, retryMS)
+		return
+	}
+	r.forgetMessage(m)
+	r.log.Info("message completed", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "outcome", result, "attempts", m.attempts,
+		"left_ms", (r.clock.fromLogTime(m.rec.Deadline)-r.clock.now())/1000, "age_ms", time.Since(m.receivedAt).Milliseconds())
+	if !m.isAcknowledged {
+		m.pendingCompletion = &wal.Record{Notice: result, RetryMS: retryMS}
+		return
+	}
+	r.logCompletion(m, result, retryMS)
+}
+
+// rejectSubmitted answers the client of a message that was never accepted.
+func (r *Relay) rejectSubmitted(m *message, result string, retryMS int64) {
+	q := m.req
+	m.req = nil
+	delete(r.messages.unanswered, q)
+	if result == discovery.Returned {
+		r.recordRejection(q, rejectedPolicy)
+		q.respond(busyResponse(retryMS))
+	} else {
+		r.recordRejection(q, rejectedExpired)
+		q.respond(errorResponse(errGivenUp))
+	}
+	r.forgetMessage(m)
+}
+
+// errGivenUp answers a submission that can't be delivered in its time.
+var errGivenUp = errors.New("given up")
+
+// apply carries out an action that is no final response.
+func (r *Relay) apply(now policy.Time, a *policy.Action) {
+	switch a.Kind {
+	case policy.ActionSend:
+		if m := r.messages.byNumber[a.Message]; m != nil {
+			m.attempts++
+			r.addToBatch(m, a)
+		}
+	case policy.ActionCancel:
+		r.cancelAttempt(a)
+	case policy.ActionTimer:
+		r.timers.add(now + a.Delay)
+	case policy.ActionHealthCheck:
+		r.startHealthCheck(a.Endpoint)
+	case policy.ActionCloseIdle:
+		if ep := r.endpoints.byNumber[a.Endpoint]; ep != nil && ep.transport != nil {
+			ep.transport.CloseIdleConnections()
+		}
+	case policy.ActionStopAccepting:
+		r.isDraining = true
+		r.ready.Store(false)
+		r.clients.setDraining(true)
+	case policy.ActionReleaseClients:
+		r.clients.drainConnections()
+	case policy.ActionAcceptClients:
+		r.clients.setDraining(false)
+		r.isDraining = false
+		if !r.recovery.isRunning {
+			r.setReady()
+		}
+	case policy.ActionSpill:
+		r.spill(a)
+	case policy.ActionLoad:
+		r.spilled.request(a.Dest, a.Count)
+	case policy.ActionLog:
+		r.log.Info("policy", "text", a.Text)
+	}
+}
+
+// cancelAttempt gives up the newest attempt of a message; an older one has ended.
+func (r *Relay) cancelAttempt(a *policy.Action) {
+	m := r.messages.byNumber[a.Message]
+	switch {
+	case m == nil || a.Attempt != m.attempts-1:
+	case m.call != nil:
+		m.call.dropMessage(m)
+	default:
+		r.removeFromBatch(m)
+	}
+}
+
+// startHealthCheck checks an endpoint on a goroutine of its own, which ends with the
+// relay's context at the latest.
+func (r *Relay) startHealthCheck(number policy.Endpoint) {
+	ep := r.endpoints.byNumber[number]
+	if ep == nil || ep.isStopped {
+		return
+	}
+	conns, addr := ep.transport, ep.hostPort
+	go func() {
+		r.mailbox.Put(healthCheckDoneEvent{endpoint: number, result: checkHealth(r.ctx, conns, addr)})
+	}()
+}
--- /dev/null
+++ b/internal/relay/timers.go
@@ -0,0 +1,38 @@
+package relay
+
+import (
+	"slices"
+	"time"
+
+	"plovershore/policy"
+)
+
+// timerQueue holds the timers that the policy asked for, earliest first. Each
+// distinct moment fires once.
+type timerQueue []policy.Time
+
+func (q *timerQueue) add(at policy.Time) {
+	if i, found := slices.BinarySearch(*q, at); !found {
+		*q = slices.Insert(*q, i, at)
+	}
+}
+
+// untilNext is how long the loop may wait for the first timer.
+func (q timerQueue) untilNext(now policy.Time) time.Duration {
+	if len(q) == 0 {
+		return time.Hour
+	}
+	return time.Duration(q[0]-now+1) * time.Microsecond
+}
+
+// removeDue removes the timers that have expired and reports whether there were any.
+func (q *timerQueue) removeDue(now policy.Time) bool {
+	n := 0
+	for n < len(*q) && (*q)[n] <= now {
+		n++
+	}
+	if n > 0 {
+		*q = slices.Delete(*q, 0, n)
+	}
+	return n > 0
+}
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -344,16 +344,16 @@
 func TestNewsWhileWaiting(t *testing.T) {
 	r := newTestRelay(t)
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
-	r.mailbox.Put(happening{news: &discovery.List{Complete: true, Members: []discovery.Member{m}}})
-	if !r.takeListUpdates() || r.endpoints["s-1"].isStopped {
+	r.mailbox.Put(listEvent{&discovery.List{Complete: true, Members: []discovery.Member{m}}})
+	if !r.takeListUpdates() || r.endpoints.byID["s-1"].isStopped {
 		t.Fatal("the first list")
 	}
 	m.Phase = discovery.Draining
-	r.mailbox.Put(happening{ask: policy.EventDrain})
-	r.mailbox.Put(happening{news: &discovery.List{Members: []discovery.Member{m}}})
+	r.mailbox.Put(operatorEvent{policy.EventDrain})
+	r.mailbox.Put(listEvent{&discovery.List{Members: []discovery.Member{m}}})
 	r.takeListUpdates()
-	if !r.endpoints["s-1"].isStopped || len(r.deferredEvents) != 1 || r.deferredEvents[0].ask != policy.EventDrain {
-		t.Errorf("gone %v, kept %d", r.endpoints["s-1"].isStopped, len(r.deferredEvents))
+	if !r.endpoints.byID["s-1"].isStopped || len(r.deferredEvents) != 1 || r.deferredEvents[0] != event(operatorEvent{policy.EventDrain}) {
+		t.Errorf("gone %v, kept %d", r.endpoints.byID["s-1"].isStopped, len(r.deferredEvents))
 	}
 }
 
--- a/internal/relay/wallclock.go
+++ b/internal/relay/wallclock.go
@@ -14,12 +14,12 @@
 // it is there so that a log tells which times in it can be compared.
 type clockWatch struct {
 	startedAt time.Time     // with its monotonic reading
-	offset    time.Duration // of the wall clock by now, against the monotonic one since began
+	offset    time.Duration // of the wall clock by now, against the monotonic one since startedAt
 }
 
 func newClockWatch() clockWatch { return clockWatch{startedAt: time.Now()} }
 
-// detectStep compares the clocks and gives the step since the last look; 0 for none.
+// detectStep compares the clocks and returns the step since the last call; 0 for none.
 func (w *clockWatch) detectStep(now time.Time) time.Duration {
 	wall := now.Round(0).Sub(w.startedAt.Round(0)) // Round strips the monotonic reading
 	step := wall - now.Sub(w.startedAt) - w.offset
@@ -37,5 +37,5 @@
 		return
 	}
 	r.metrics.clockSteps.Add(1)
-	r.log.Warn("the wall clock was stepped", slog.Duration("by", step), slog.Duration("since_start", r.wallClock.offset), "held", r.pending)
+	r.log.Warn("wall clock stepped", slog.Duration("by", step), slog.Duration("since_start", r.wallClock.offset), "pending", r.messages.pending)
 }
