--- a/cmd/relay/disk_cut.go
+++ b/cmd/relay/logfs_cut.go
@@ -7,9 +7,9 @@
 	"plovershore/internal/wal/cutfs"
 )
 
-// disk has a kill of this process cost its log what a loss of power would. For
-// the lab alone: bin/relay-cut is built with the tag cutfs.
-func disk(cfg *relay.Config) error {
+// setLogFS has a kill of this process cost its log what a loss of power would. It is for
+// internal/faultlab alone: bin/relay-cut is built with the tag cutfs.
+func setLogFS(cfg *relay.Config) error {
 	d, err := cutfs.OnDisk(cfg.StateDir, cfg.Seed)
 	if err != nil {
 		return err
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -46,7 +46,7 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	cfg, err := relay.LoadConfig(os.Getenv)
 	if err == nil {
-		err = disk(cfg)
+		err = setLogFS(cfg)
 	}
 	err = errors.Join(levelErr, err)
 	if err != nil {
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -1,55 +1,56 @@
-// Package backlog remembers which messages the log alone has. It promises to give them back for each destination
-// in the order of the moments by which they have to be back, those of keys in order as they came in; to tell
-// what is due first over all destinations; and to spend 16 bytes a message, with no pointers, plus what a
-// growing slice has to spare. It holds no message and decides nothing. One goroutine at a time may use a Store.
+// Package backlog indexes the messages that were spilled from memory to the log. For each
+// destination it returns them in the order of the times by which they have to be loaded,
+// ordered ones first in, first out; and it knows what is due first over all destinations.
+// A message takes 16 bytes without pointers, and a growing slice's spare capacity.
 package backlog
 
 import "math"
 
-// Entry is one message.
+// Entry is one spilled message.
 type Entry struct {
-	LoadBy     int64  // the moment by which it has to be back
-	Index      uint32 // where the log has it, and what tells that it is still this one's
-	Generation uint16
+	LoadBy     int64  // when it has to be loaded at the latest, in µs of the caller's clock
+	Index      uint32 // its place in the log
+	Generation uint16 // tells whether that place still holds it
 	Flags      Flags
 }
 
-// Flags is what its host has to know again when it comes back.
+// Flags is what the caller has to know of a message when it is loaded.
 type Flags uint8
 
 // Flags of an entry.
 const (
-	Recovered Flags = 1 << iota // found untried by a restart
-	OverQuota                   // its tenant was over its share
-	Ordered                     // comes back first in, first out, among those of its destination with this flag
+	Recovered Flags = 1 << iota // a restart recovered it
+	OverQuota                   // its tenant was over its quota
+	Ordered                     // first in, first out among those of its destination with this flag
 )
 
-// Item is an entry and the destination that it is for.
+// Item is an entry with its destination.
 type Item struct {
 	Entry
 	Dest int
 }
 
-// Store is a backlog. The zero value is an empty one.
+// Store is an index of spilled messages. The zero value is empty. It is not safe for
+// concurrent use.
 type Store struct {
-	queues map[int]*queue
-	due    []*queue // a heap by what is due first
+	queues map[int]*queue // by destination; none is empty
+	due    []*queue       // a heap by nextDue
 	count  int
 }
 
-// queue is the backlog of one destination.
+// queue holds the entries of one destination.
 type queue struct {
 	dest       int
 	heapIndex  int     // in Store.due
-	heap       []Entry // by At
-	fifo       []Entry // those in order, first in, first out
-	fifoMinima []int64 // At of each of line that is less than all behind it
+	heap       []Entry // by LoadBy
+	fifo       []Entry // ordered entries
+	fifoMinima []int64 // LoadBy of each in fifo that is less than all behind it
 }
 
-// Len is how many messages there are.
+// Len is the number of entries.
 func (s *Store) Len() int { return s.count }
 
-// CountFor is how many there are of one destination.
+// CountFor is the number of entries of one destination.
 func (s *Store) CountFor(dest int) int {
 	if q := s.queues[dest]; q != nil {
 		return len(q.heap) + len(q.fifo)
@@ -57,7 +58,7 @@
 	return 0
 }
 
-// Next is the earliest moment by which one has to be back; ok is false where there is none.
+// Next is the earliest LoadBy; ok is false in an empty store.
 func (s *Store) Next() (at int64, ok bool) {
 	if len(s.due) == 0 {
 		return 0, false
@@ -65,7 +66,7 @@
 	return s.due[0].nextDue(), true
 }
 
-// Add takes an entry in.
+// Add adds an entry.
 func (s *Store) Add(dest int, e Entry) {
 	q := s.queues[dest]
 	if q == nil {
@@ -81,8 +82,8 @@
 	s.fixHeap(q)
 }
 
-// TakeDue takes out what has to be back by now, the earliest first, at most so many, with what was in order before
-// it.
+// TakeDue removes and returns up to limit entries that have to be loaded by now, the
+// earliest first, with the ordered ones before them.
 func (s *Store) TakeDue(now int64, limit int) (items []Item) {
 	for len(items) < limit && len(s.due) > 0 && s.due[0].nextDue() <= now {
 		q := s.due[0]
@@ -98,7 +99,7 @@
 	return items
 }
 
-// Take takes out the earliest of a destination, at most so many.
+// Take removes and returns up to limit entries of a destination, the earliest first.
 func (s *Store) Take(dest, limit int) (items []Item) {
 	q := s.queues[dest]
 	for q != nil && len(items) < limit && len(q.heap)+len(q.fifo) > 0 {
@@ -114,7 +115,7 @@
 	return items
 }
 
-// afterRemove books that a queue has one less.
+// afterRemove restores the index after an entry of a queue was removed.
 func (s *Store) afterRemove(q *queue) {
 	s.count--
 	s.fixHeap(q)
@@ -130,7 +131,7 @@
 	delete(s.queues, q.dest)
 }
 
-// fixHeap moves a queue to its place among all.
+// fixHeap moves a queue to its place in the heap of due queues.
 func (s *Store) fixHeap(q *queue) {
 	for q.heapIndex > 0 && q.nextDue() < s.due[(q.heapIndex-1)/2].nextDue() {
 		s.swap(q.heapIndex, (q.heapIndex-1)/2)
@@ -152,6 +153,7 @@
 	s.due[a].heapIndex, s.due[b].heapIndex = a, b
 }
 
+// nextDue is the earliest LoadBy of the queue.
 func (q *queue) nextDue() int64 {
 	at := int64(math.MaxInt64)
 	if len(q.heap) > 0 {
@@ -175,7 +177,7 @@
 	q.fifoMinima = append(q.fifoMinima, e.LoadBy)
 }
 
-// popFIFO takes the first out of the line.
+// popFIFO removes the first ordered entry.
 func (q *queue) popFIFO() Entry {
 	e := q.fifo[0]
 	if q.fifoMinima[0] == e.LoadBy {
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,25 +1,25 @@
-// Package mailbox is a queue between goroutines that never makes a sender wait.
-// What bounds it is left to its users.
+// Package mailbox is an unbounded queue between goroutines. Its users have to bound what
+// they put into it.
 package mailbox
 
 import "sync"
 
-// Mailbox is a queue between goroutines that never makes a sender wait, so
-// that the loop and the log, which send to each other, cannot lock each other
-// up. What bounds it is that each message and client has little in it at once.
+// Mailbox is a queue from any number of goroutines to one that never blocks a sender, so
+// that two goroutines which send to each other can't deadlock. Use New: the zero value
+// doesn't work. Nobody closes it.
 type Mailbox[T any] struct {
 	mu    sync.Mutex
 	items []T
 	ready chan struct{}
 }
 
-// New makes an empty one.
+// New makes an empty mailbox.
 func New[T any]() *Mailbox[T] { return &Mailbox[T]{ready: make(chan struct{}, 1)} }
 
-// Ready has something to receive where the mailbox may hold something.
+// Ready returns a channel that has a value while the mailbox may hold an item.
 func (m *Mailbox[T]) Ready() <-chan struct{} { return m.ready }
 
-// Put adds to the end; it never waits.
+// Put appends an item. It never blocks.
 func (m *Mailbox[T]) Put(v T) {
 	m.mu.Lock()
 	m.items = append(m.items, v)
@@ -30,7 +30,8 @@
 	}
 }
 
-// TakeAll empties the mailbox; into is reused as its next store.
+// TakeAll empties the mailbox and returns the items in the order of their Puts. The
+// mailbox keeps into, whose items are cleared, as its next buffer.
 func (m *Mailbox[T]) TakeAll(into []T) []T {
 	clear(into)
 	m.mu.Lock()
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -39,10 +39,10 @@
 // submitToPolicy asks the policy in its next step whether a message is accepted.
 func (r *Relay) submitToPolicy(q *putRequest, deadline policy.Time) {
 	m := r.newMessage(q.record)
-	m.req, m.receivedAt = q, q.receivedAt
+	m.request, m.receivedAt = q, q.receivedAt
 	m.deadlineSpan = r.overdue.add(deadline)
 	r.messages.unanswered[q] = m
-	r.step.add(policy.Event{Kind: policy.EventMessage, Message: m.num, Class: q.class,
+	r.step.add(policy.Event{Kind: policy.EventMessage, Message: m.number, Class: q.class,
 		Dest: q.record.Dest, Tenant: q.tenant, TimeLeft: deadline - r.clock.now()})
 }
 
@@ -95,15 +95,15 @@
 
 // withdraw takes back a message whose client was not told that it is accepted.
 func (r *Relay) withdraw(m *message) {
-	r.log.Debug("message withdrawn", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest)
+	r.log.Debug("message withdrawn", "message", m.record.ID, "class", m.record.Class, "dest", m.record.Dest)
 	if m.isLogged {
-		r.wal.Submit(&wal.Record{Kind: wal.KindCompleted, ID: m.rec.ID}, nil)
+		r.wal.Submit(&wal.Record{Kind: wal.KindCompleted, ID: m.record.ID}, nil)
 	}
 	m.pendingCompletion = nil
 	if !m.isCompleted {
 		m.isCompleted = true
 		r.forgetMessage(m)
-		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: m.pendingSpill != nil, Dest: m.rec.Dest})
+		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number, Spilled: m.pendingSpill != nil, Dest: m.record.Dest})
 	}
 	r.removeFromBatch(m)
 }
@@ -116,16 +116,16 @@
 	}
 	m.pendingBatch = nil
 	b.remove(m)
-	r.reportNotSent(m, b.ep)
+	r.queueNotSent(m, b.endpoint)
 	r.startBatch(b) // it may have been the last one that the others waited for
 }
 
 // accept logs a message; its client is answered once that is done.
 func (r *Relay) accept(m *message) {
-	q := m.req
-	m.req, m.isLogged = nil, true
-	r.log.Debug("message accepted", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest,
-		"left_ms", (r.clock.fromLogTime(m.rec.Deadline)-r.clock.now())/1000)
+	q := m.request
+	m.request, m.isLogged = nil, true
+	r.log.Debug("message accepted", "message", m.record.ID, "class", m.record.Class, "dest", m.record.Dest,
+		"left_ms", (r.clock.fromLogTime(m.record.Deadline)-r.clock.now())/1000)
 	r.logAccepted(q)
 }
 
@@ -144,8 +144,8 @@
 func (r *Relay) newMessage(rec *wal.Record) *message {
 	t := &r.messages
 	t.lastNumber++
-	m := &message{num: t.lastNumber, rec: rec, class: indexOf(r.cfg.classes, rec.Class), receivedAt: time.Now()}
-	t.byNumber[m.num], t.byID[rec.ID] = m, m
+	m := &message{number: t.lastNumber, record: rec, class: indexOf(r.cfg.classes, rec.Class), receivedAt: time.Now()}
+	t.byNumber[m.number], t.byID[rec.ID] = m, m
 	t.pending++
 	return m
 }
@@ -156,9 +156,9 @@
 		r.messages.pending--
 	}
 	r.clearDeadline(m)
-	delete(r.messages.byID, m.rec.ID)
+	delete(r.messages.byID, m.record.ID)
 	if m.call == nil && m.pendingBatch == nil && !m.hasRemoteCall {
-		delete(r.messages.byNumber, m.num)
+		delete(r.messages.byNumber, m.number)
 	}
 }
 
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -9,9 +9,9 @@
 	"plovershore/policy"
 )
 
-// reportNotSent tells the policy of an attempt that never left this process, in the
+// queueNotSent tells the policy of an attempt that never left this process, in the
 // next round of the loop. The endpoint may be nil.
-func (r *Relay) reportNotSent(m *message, ep *endpoint) {
+func (r *Relay) queueNotSent(m *message, ep *endpoint) {
 	e := attemptNotSentEvent{message: m}
 	if ep != nil {
 		e.endpoint = ep.number
@@ -25,19 +25,19 @@
 func (r *Relay) addToBatch(m *message, a *policy.Action) {
 	ep := r.endpoints.byNumber[a.Endpoint]
 	if ep == nil {
-		r.reportNotSent(m, nil)
+		r.queueNotSent(m, nil)
 		return
 	}
-	size := batchItemSize(m.rec)
-	s := send{m: m, timeoutAt: a.Deadline, sendBy: a.SendBy}
+	size := batchItemSize(m.record)
+	s := send{message: m, timeoutAt: a.Deadline, sendBy: a.SendBy}
 	for _, b := range r.step.batches {
-		if b.ep == ep && b.num == a.Call && len(b.sends) < ep.maxBatch && b.bytes+size <= maxBodyBytes {
-			b.sends, b.bytes = append(b.sends, s), b.bytes+size
+		if b.endpoint == ep && b.callNumber == a.Call && len(b.sends) < ep.maxBatch && b.bodyBytes+size <= maxBodyBytes {
+			b.sends, b.bodyBytes = append(b.sends, s), b.bodyBytes+size
 			m.pendingBatch = b
 			return
 		}
 	}
-	b := &batch{ep: ep, num: a.Call, sends: []send{s}, bytes: size}
+	b := &batch{endpoint: ep, callNumber: a.Call, sends: []send{s}, bodyBytes: size}
 	m.pendingBatch = b
 	r.step.batches = append(r.step.batches, b)
 }
@@ -46,19 +46,19 @@
 // still to be acknowledged: a message that may yet be withdrawn must not go out.
 func (r *Relay) startBatch(b *batch) {
 	for _, s := range b.sends {
-		if !s.m.isAcknowledged {
+		if !s.message.isAcknowledged {
 			return
 		}
 	}
-	c := r.newCall(b.ep)
-	limit := r.moveToCall(b, c)
+	c := r.newCall(b.endpoint)
+	limit := r.fillCall(b, c)
 	if len(c.messages) == 0 {
 		c.cancel(nil)
 		return
 	}
-	b.ep.calls[c] = true
+	b.endpoint.calls[c] = true
 	r.callsInFlight++
-	r.pool.prepareCall(b.ep)
+	r.pool.prepareCall(b.endpoint)
 	r.logAndRun(c, time.Duration(limit)*time.Microsecond)
 }
 
@@ -72,19 +72,19 @@
 	return &call{endpoint: ep, transport: ep.transport, ctx: ctx, cancel: stop}
 }
 
-// moveToCall moves what may still be sent from a batch to its call. It returns when
+// fillCall moves what may still be sent from a batch to its call. It returns when
 // the last of the attempts times out, in µs from now: one connection carries them all.
-func (r *Relay) moveToCall(b *batch, c *call) (limit policy.Time) {
+func (r *Relay) fillCall(b *batch, c *call) (limit policy.Time) {
 	now := r.clock.now()
 	for _, s := range slices.Clone(b.sends) {
-		m := s.m
+		m := s.message
 		if r.isTooLateToSend(m) {
 			continue // it stays in the batch
 		}
 		m.pendingBatch = nil
 		b.remove(m)
-		if !canSend(&s, b.ep, now) {
-			r.reportNotSent(m, b.ep)
+		if !canSend(&s, b.endpoint, now) {
+			r.queueNotSent(m, b.endpoint)
 			continue
 		}
 		c.messages = append(c.messages, callMessage{message: m, attempt: m.attempts - 1})
@@ -101,8 +101,8 @@
 // send out.
 func canSend(s *send, ep *endpoint, now policy.Time) bool {
 	isExpired := s.timeoutAt <= now || s.sendBy != 0 && s.sendBy <= now
-	isUsable := !ep.isStopped && ep.cell == s.m.rec.Dest && ep.retryAfterUntil <= now
-	return isUsable && !isExpired && !s.m.isCompleted
+	isUsable := !ep.isStopped && ep.cell == s.message.record.Dest && ep.retryAfterUntil <= now
+	return isUsable && !isExpired && !s.message.isCompleted
 }
 
 // callRun is a call whose attempts are being logged. Its fields are the log
@@ -123,7 +123,7 @@
 	last := len(c.messages) - 1
 	addr := c.endpoint.hostPort
 	for i := range c.messages {
-		rec := c.messages[i].message.rec
+		rec := c.messages[i].message.record
 		attempt := &wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.endpoint.zone, Endpoint: c.endpoint.id,
 			Process: r.ownership.process, Sync: r.cfg.isNonIdempotent(rec.Class)}
 		r.wal.Submit(attempt, func(err error) {
@@ -193,11 +193,11 @@
 		r.metrics.localFailures.Add(1)
 	}
 	if o.kind != policy.Delivered || o.retryAfter > 0 {
-		r.endpoints.checkAvailabilityOfCell(m.rec.Dest)
+		r.endpoints.checkAvailabilityOfCell(m.record.Dest)
 	}
 	r.step.add(e)
 	if o.kind != policy.Delivered {
-		r.log.Info("attempt failed", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
+		r.log.Info("attempt failed", "message", m.record.ID, "dest", m.record.Dest, "class", m.record.Class, "endpoint", e.Endpoint,
 			"attempt", attempt, "outcome", int(o.kind), "status", o.status, "took_ms", o.latency/1000,
 			"idle_ms", o.idleTime.Milliseconds(), "age_ms", time.Since(m.receivedAt).Milliseconds(), "err", o.err)
 	}
@@ -212,14 +212,14 @@
 		m.isCompleted = true
 		r.forgetMessage(m)
 	case m.isCompleted:
-		delete(r.messages.byNumber, m.num)
+		delete(r.messages.byNumber, m.number)
 	case r.ownership.isTransferred && !m.isTransferred:
 		r.transferMessage(m)
 	}
 }
 
 func attemptDoneEvent(m *message, ep *endpoint, attempt int, o *outcome) policy.Event {
-	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: attempt, Outcome: o.kind, RetryAfter: o.retryAfter,
+	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.number, Attempt: attempt, Outcome: o.kind, RetryAfter: o.retryAfter,
 		CallsExhausted: o.callsExhausted, LocalFailure: o.isLocalFailure, Final: o.isFinal || m.isCompleted, Latency: o.latency, Load: o.load, NewConnection: o.isNewConnection}
 	if ep != nil {
 		e.Endpoint = ep.number
@@ -230,7 +230,7 @@
 // outcomeRecord is the log's record of an outcome. Where another process owns the
 // relay, it carries what that one's policy has to know.
 func (r *Relay) outcomeRecord(m *message, o *outcome) *wal.Record {
-	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: !o.kind.NeverRan(), LocalFailure: o.isLocalFailure}
+	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.record.ID, MayHaveRun: !o.kind.NeverRan(), LocalFailure: o.isLocalFailure}
 	if o.isFinal {
 		rec.Kind = wal.KindCompleted
 	}
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -118,21 +118,21 @@
 	if m.pendingSpill == nil || !m.isAcknowledged || m.isCompleted || r.ownership.isTransferred {
 		return
 	}
-	if m.rec.Ref == 0 { // an older message of this id is still being completed: it can have no record
+	if m.record.Ref == 0 { // an older message of this id is still being completed: it can have no record
 		r.metrics.countUndelivered(m.class, discovery.Failed)
 		r.failMessage(m)
-		r.mailbox.Put(spilledWithdrawnEvent{message: m.num, dest: m.rec.Dest})
+		r.mailbox.Put(spilledWithdrawnEvent{message: m.number, dest: m.record.Dest})
 		return
 	}
 	if !r.spilled.isLogged {
 		r.spilled.isLogged = true
 		r.log.Info("spilling to the log", "pending", r.messages.pending, "in_memory", len(r.messages.byNumber))
 	}
-	m.pendingSpill.Index, m.pendingSpill.Generation = uint32(m.rec.Ref), uint16(m.rec.Ref>>32)
-	r.spilled.store.Add(m.rec.Dest, *m.pendingSpill)
+	m.pendingSpill.Index, m.pendingSpill.Generation = uint32(m.record.Ref), uint16(m.record.Ref>>32)
+	r.spilled.store.Add(m.record.Dest, *m.pendingSpill)
 	r.clearDeadline(m)
-	delete(r.messages.byID, m.rec.ID)
-	delete(r.messages.byNumber, m.num)
+	delete(r.messages.byID, m.record.ID)
+	delete(r.messages.byNumber, m.number)
 	r.metrics.spilled.Store(int64(r.spilled.count()))
 }
 
@@ -189,7 +189,7 @@
 	if rec.Corrupted {
 		r.failMessage(m)
 		r.log.Error("message lost to log corruption", "message", rec.ID)
-		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.num, Spilled: true, Dest: item.Dest})
+		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number, Spilled: true, Dest: item.Dest})
 		return
 	}
 	if rec.InFlightSince != 0 { // its outcome could not be logged: it may have run
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -494,7 +494,7 @@
 	// The policy knows of that, too: once nothing is spilled it asks for nothing.
 	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: 1})
 	waitFor(t, "the one that is left", func() bool { r.turn(); return r.messages.byID["m1"] != nil })
-	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: r.messages.byID["m1"].num})
+	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: r.messages.byID["m1"].number})
 	if r.turn(); len(r.spilled.requested) != 0 || r.spilled.count() != 0 {
 		t.Errorf("%d spilled, asked for %v", r.spilled.count(), r.spilled.requested)
 	}
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -307,7 +307,7 @@
 		r.acknowledge(q, true)
 	}
 	failing.Store(true)
-	due := taken["timely"].rec.Deadline
+	due := taken["timely"].record.Deadline
 	for _, m := range taken {
 		m.isCompleted = true
 		r.logCompletion(m, discovery.Returned, 5)
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -429,7 +429,7 @@
 	// A batch that the policy let go before the word, and whose client hears only now.
 	late := r.newMessage(&wal.Record{ID: "late", Class: "plain", Dest: 1})
 	late.isAcknowledged = true
-	b := &batch{ep: twin, sends: []send{{m: late, timeoutAt: r.clock.now() + 900e6}}}
+	b := &batch{endpoint: twin, sends: []send{{message: late, timeoutAt: r.clock.now() + 900e6}}}
 	late.pendingBatch = b
 	if r.startBatch(b); late.call != nil || len(twin.calls) != 1 {
 		t.Error("a call begins under the wait")
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -14,8 +14,8 @@
 
 // submitEvent is a message that a client submits.
 type submitEvent struct {
-	request    *putRequest
-	isLookedUp bool // the log was asked whether it is pending already
+	request      *putRequest
+	isLogChecked bool // the log was asked whether it is pending already
 }
 
 // acknowledgedEvent is the end of a client's wait for its answer.
@@ -92,8 +92,8 @@
 
 func (e submitEvent) handle(r *Relay) {
 	isUnread := r.recovery.isRunning || r.spilled.count() > 0
-	if isUnread && !e.isLookedUp && !r.ownership.isTransferred && r.messages.byID[e.request.record.ID] == nil {
-		r.lookUpPending(e.request)
+	if isUnread && !e.isLogChecked && !r.ownership.isTransferred && r.messages.byID[e.request.record.ID] == nil {
+		r.checkLogFor(e.request)
 		return
 	}
 	r.admit(e.request)
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -49,10 +49,10 @@
 	r.endpoints.checkAvailabilityOfAll()
 }
 
-// handOff ends this process's ownership. From here on it begins no call and decides
+// transferOwnership ends this process's ownership. From here on it begins no call and decides
 // nothing. Messages whose calls are in flight stay here until those end; all others are
 // the next process's, which finds them in the log.
-func (r *Relay) handOff() {
+func (r *Relay) transferOwnership() {
 	r.log.Info("handing off", "pending", r.messages.pending, "calls", r.callsInFlight)
 	snapshot, err := json.Marshal(r.exportPolicy())
 	if err != nil {
@@ -108,7 +108,7 @@
 // acceptForSuccessor accepts a message for the process that owns the relay now, which
 // learns of it from the handoff log.
 func (r *Relay) acceptForSuccessor(q *putRequest) {
-	m := &message{rec: q.record, class: q.class, isLogged: true, isTransferred: true}
+	m := &message{record: q.record, class: q.class, isLogged: true, isTransferred: true}
 	r.messages.byID[q.record.ID], r.messages.unanswered[q] = m, m
 	r.logAccepted(q)
 }
@@ -132,7 +132,7 @@
 	r.policy.Restore(old.Snapshot, 0)
 	r.endpoints.checkAvailabilityOfAll()
 	var pending int
-	retry := transientRetry{log: r.log, operation: "open_log", timeout: reopenTimeout, isTransient: isDiskTrouble}
+	retry := transientRetry{log: r.log, operation: "open_log", timeout: reopenTimeout, isTransient: isTransientDiskError}
 	if _, err := retry.run(func() (err error) {
 		pending, err = r.openLog()
 		return err
--- a/internal/relay/idle_test.go
+++ b/internal/relay/idle_test.go
@@ -48,8 +48,8 @@
 	send1 := func(id string) {
 		m := r.newMessage(&wal.Record{Kind: wal.KindAccepted, ID: id, Dest: 7, Class: "plain"})
 		m.isAcknowledged, m.isLogged, m.attempts = true, true, 1
-		r.wal.Submit(m.rec, nil)
-		r.startBatch(&batch{ep: at, sends: []send{{m: m, timeoutAt: r.clock.now() + 20e6}}})
+		r.wal.Submit(m.record, nil)
+		r.startBatch(&batch{endpoint: at, sends: []send{{message: m, timeoutAt: r.clock.now() + 20e6}}})
 	}
 	send1("a")
 	if got, want := at.transport.IdleConnTimeout, 9*time.Second; got != want {
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -38,7 +38,7 @@
 	}
 	isRemoved := m.Phase == discovery.Removed
 	if !isRemoved && (ep.hostPort != m.HostPort || ep.cell != m.Cell) {
-		r.moveEndpoint(ep, m)
+		r.setAddress(ep, m)
 	}
 	r.endpoints.setListed(ep, !isRemoved)
 	r.endpoints.checkAvailability(ep)
@@ -62,9 +62,9 @@
 	return entry
 }
 
-// moveEndpoint gives an endpoint the address and destination of its entry. Nothing new
+// setAddress gives an endpoint the address and destination of its entry. Nothing new
 // goes to the old address.
-func (r *Relay) moveEndpoint(ep *endpoint, m *discovery.Member) {
+func (r *Relay) setAddress(ep *endpoint, m *discovery.Member) {
 	r.stopSending(ep)
 	ep.transport = newTransport(r.cfg, r.idleConns, maxIdleTime(&r.cfg.Policy))
 	ep.hostPort = m.HostPort
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -22,7 +22,7 @@
 		case <-timer.C:
 		}
 		events = r.mailbox.TakeAll(events)
-		if err := r.handleTurn(events); err != nil {
+		if err := r.runOnce(events); err != nil {
 			return err
 		}
 		if r.continueShutdown() {
@@ -44,8 +44,8 @@
 	return max(wait, 0)
 }
 
-// handleTurn is one round of the loop.
-func (r *Relay) handleTurn(events []event) error {
+// runOnce is one round of the loop.
+func (r *Relay) runOnce(events []event) error {
 	r.checkWallClock()
 	if r.ownership.handoff != nil { // after the mailbox was emptied: what was accepted there before is known here
 		r.readHandoffLog()
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -92,7 +92,7 @@
 				m := r.newMessage(&wal.Record{ID: fmt.Sprintf("%d-%d", seed, step), Class: "plain", Dest: d.rng.IntN(8),
 					Deadline: r.clock.logTime(r.clock.now() + 20e6)})
 				m.isAcknowledged = true
-				r.step.add(policy.Event{Kind: policy.EventMessage, Message: m.num, Dest: m.rec.Dest, Tenant: -1, TimeLeft: 20e6})
+				r.step.add(policy.Event{Kind: policy.EventMessage, Message: m.number, Dest: m.record.Dest, Tenant: -1, TimeLeft: 20e6})
 			case 3:
 				d.end()
 			case 4:
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -31,10 +31,10 @@
 	if outcome == discovery.Failed {
 		retryMS = 0
 	}
-	n := &completionNotice{notice: discovery.Notice{Message: m.rec.ID, Outcome: outcome, RetryMS: retryMS},
-		sendBy: r.clock.fromLogTime(m.rec.Deadline)}
+	n := &completionNotice{notice: discovery.Notice{Message: m.record.ID, Outcome: outcome, RetryMS: retryMS},
+		sendBy: r.clock.fromLogTime(m.record.Deadline)}
 	r.pendingNotices = append(r.pendingNotices, n)
-	r.wal.Submit(&wal.Record{Kind: wal.KindCompleting, ID: m.rec.ID, Notice: outcome, RetryMS: retryMS}, func(err error) {
+	r.wal.Submit(&wal.Record{Kind: wal.KindCompleting, ID: m.record.ID, Notice: outcome, RetryMS: retryMS}, func(err error) {
 		if err == nil || errors.Is(err, wal.ErrNotPending) {
 			n.send(r.notices)
 		}
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -3,44 +3,43 @@
 import "plovershore/policy"
 
 const (
-	overdueSpan  = policy.Time(250e3) // messages whose times end within one such span are counted together
-	overdueGrace = policy.Time(500e3) // after its time a message may take so long to end
+	overdueSpan  = policy.Time(250e3) // messages with deadlines in one span are counted together
+	overdueGrace = policy.Time(500e3) // completing a message may take so long after its deadline
 )
 
-// overdueCounter counts the messages that are held past their time. It goes by what the
-// client said and by the moment at which the request came, not by the deadline
-// that the log and the policy have, so that a fault there shows.
+// overdueCounter counts the pending messages whose deadlines have passed. It works out
+// deadlines from the request alone, not from what the log and the policy have, so that a
+// fault there shows. The zero value is empty.
 type overdueCounter struct {
-	ends map[policy.Time]int // messages held, by the span in which their time ends
+	pending map[policy.Time]int // by the span of their deadlines
 }
 
-// add books a message whose time ends at a moment of the policy's clock; remove
-// needs what it returns.
-func (o *overdueCounter) add(end policy.Time) (span policy.Time) {
-	if o.ends == nil {
-		o.ends = map[policy.Time]int{}
+// add counts a message in and returns the span to remove it from; it is never 0.
+func (o *overdueCounter) add(deadline policy.Time) (span policy.Time) {
+	if o.pending == nil {
+		o.pending = map[policy.Time]int{}
 	}
-	span = max(end/overdueSpan, 1)
-	o.ends[span]++
+	span = max(deadline/overdueSpan, 1)
+	o.pending[span]++
 	return span
 }
 
-// remove books that a message is held no longer; span 0 was never booked.
+// remove counts a message out. Span 0 stands for one that was never counted.
 func (o *overdueCounter) remove(span policy.Time) {
-	switch n := o.ends[span]; {
+	switch n := o.pending[span]; {
 	case n > 1:
-		o.ends[span] = n - 1
+		o.pending[span] = n - 1
 	case n == 1:
-		delete(o.ends, span)
+		delete(o.pending, span)
 	}
 }
 
-// count is how many are held past their time and the grace.
-func (o *overdueCounter) count(now policy.Time) (n int) {
-	for span, held := range o.ends {
+// count is the number of messages whose deadlines and grace have passed.
+func (o *overdueCounter) count(now policy.Time) (total int) {
+	for span, n := range o.pending {
 		if (span+1)*overdueSpan+overdueGrace <= now {
-			n += held
+			total += n
 		}
 	}
-	return n
+	return total
 }
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -40,8 +40,8 @@
 		for _, x := range all {
 			o.remove(x.span)
 		}
-		if len(o.ends) > 0 {
-			t.Errorf("seed %d: %d spans are left", seed, len(o.ends))
+		if len(o.pending) > 0 {
+			t.Errorf("seed %d: %d spans are left", seed, len(o.pending))
 		}
 	}
 }
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case !o.isTransferred && o.handoff == nil && hasSuccessor:
-		r.handOff()
+		r.transferOwnership()
 	case o.isUnlocked && !hasSuccessor:
 		return r.reclaimIfExited()
 	}
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -18,7 +18,7 @@
 	}
 	r.log.Info("previous process exited", "calls", len(r.messages.remoteCalls))
 	for _, m := range r.messages.remoteCalls { // their outcomes are unknown
-		r.finishRemoteAttempt(m, &wal.Record{Kind: wal.KindOutcome, ID: m.rec.ID, MayHaveRun: true, OutcomeCode: uint8(policy.Cancelled)})
+		r.finishRemoteAttempt(m, &wal.Record{Kind: wal.KindOutcome, ID: m.record.ID, MayHaveRun: true, OutcomeCode: uint8(policy.Cancelled)})
 	}
 	w := r.wal
 	owner := &wal.Record{Kind: wal.KindOwner, ID: wal.NoMessage, Process: r.ownership.process, HandoffOffset: handoff.Offset()}
@@ -40,7 +40,7 @@
 	case m != nil && rec.Kind == wal.KindCompleted: // its client left before it was acknowledged
 		m.isCompleted = true
 		r.forgetMessage(m)
-		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.num})
+		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number})
 		r.wal.Submit(rec, nil)
 	}
 }
@@ -63,19 +63,19 @@
 
 // finishRemoteAttempt handles the outcome of a call of the previous process.
 func (r *Relay) finishRemoteAttempt(m *message, rec *wal.Record) {
-	delete(r.messages.remoteCalls, m.rec.ID)
+	delete(r.messages.remoteCalls, m.record.ID)
 	m.hasRemoteCall = false
 	isSettled := rec.Kind == wal.KindCompleted
-	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.num, Attempt: m.attempts - 1, Outcome: policy.Outcome(rec.OutcomeCode),
+	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.number, Attempt: m.attempts - 1, Outcome: policy.Outcome(rec.OutcomeCode),
 		CallsExhausted: rec.CallsExhausted, Final: isSettled || m.isCompleted, Latency: rec.Latency}
 	if rec.RetryAt != 0 {
 		e.RetryAfter = max(r.clock.fromLogTime(rec.RetryAt)-r.clock.now(), 1)
 	}
 	r.step.add(e)
-	r.endpoints.checkAvailabilityOfCell(m.rec.Dest)
+	r.endpoints.checkAvailabilityOfCell(m.record.Dest)
 	r.wal.Submit(rec, nil)
 	if m.isCompleted {
-		delete(r.messages.byNumber, m.num)
+		delete(r.messages.byNumber, m.number)
 	} else if isSettled {
 		m.isCompleted = true
 		r.forgetMessage(m)
@@ -91,6 +91,6 @@
 	m.isCompleted = true
 	r.forgetMessage(m)
 	r.metrics.countUndelivered(m.class, discovery.Returned)
-	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.num})
-	r.notices.Put(discovery.Notice{Message: m.rec.ID, Outcome: discovery.Returned, RetryMS: shutdownRetryMS})
+	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number})
+	r.notices.Put(discovery.Notice{Message: m.record.ID, Outcome: discovery.Returned, RetryMS: shutdownRetryMS})
 }
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -39,7 +39,7 @@
 // completeRecovered completes a message that the policy is not to decide on, and
 // reports whether it is such a one.
 func (r *Relay) completeRecovered(m *message) bool {
-	rec := m.rec
+	rec := m.record
 	switch {
 	case rec.Notice != "": // completed already, but the platform has not accepted the notice
 		m.isCompleted = true
@@ -59,8 +59,8 @@
 // recoveredMessageEvent tells the policy of a message that the log has had for a while,
 // with its state.
 func (r *Relay) recoveredMessageEvent(m *message) policy.Event {
-	rec := m.rec
-	e := policy.Event{Kind: policy.EventMessage, Message: m.num, Class: m.class, Dest: rec.Dest, Tenant: -1,
+	rec := m.record
+	e := policy.Event{Kind: policy.EventMessage, Message: m.number, Class: m.class, Dest: rec.Dest, Tenant: -1,
 		TimeLeft: r.clock.fromLogTime(rec.Deadline) - r.clock.now(), Attempts: rec.Attempts, UnknownOutcomeZone: rec.UnknownOutcomeZone}
 	if t, ok := r.cfg.tenants[rec.Tenant]; ok {
 		e.Tenant = t
@@ -101,16 +101,16 @@
 	}
 }
 
-// lookUpPending asks the log whether a submitted message is pending already but not in
+// checkLogFor asks the log whether a submitted message is pending already but not in
 // memory: not read yet since the start, or spilled. It is admitted once that is known.
-func (r *Relay) lookUpPending(q *putRequest) {
+func (r *Relay) checkLogFor(q *putRequest) {
 	w := r.wal
 	w.Do(func() {
 		if rec := w.Fetch(q.record.ID); rec != nil {
 			r.mailbox.Put(recoveredEvent{log: w, records: []*wal.Record{rec}, unread: -1})
 		}
 		q.isPending = w.IsPending(q.record.ID)
-		r.mailbox.Put(submitEvent{request: q, isLookedUp: true})
+		r.mailbox.Put(submitEvent{request: q, isLogChecked: true})
 	})
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,10 +23,10 @@
 // message is what the loop knows of a message, from its submission until it is
 // completed and its last call has returned.
 type message struct {
-	num               uint32 // the policy's number of it
+	number            uint32 // the policy's number of it
 	class             int    // index in the settings; -1 where they no longer name it
-	rec               *wal.Record
-	req               *putRequest // until it is answered
+	record            *wal.Record
+	request           *putRequest // until it is answered
 	isAcknowledged    bool        // its client knows that it is accepted
 	isLogged          bool        // it is submitted to the log
 	isCompleted       bool        // the policy completed it, or was told that it is
@@ -44,21 +44,21 @@
 // batch is what one policy step sends to one endpoint as one call. It goes out
 // once the clients of all its messages are acknowledged.
 type batch struct {
-	ep    *endpoint
-	num   uint32 // of the call, as the policy numbers it
-	sends []send
-	bytes int // upper bound of its body
+	endpoint   *endpoint
+	callNumber uint32 // of the call, as the policy numbers it
+	sends      []send
+	bodyBytes  int // upper bound of its body
 }
 
 // send is one message's place in a batch.
 type send struct {
-	m         *message
+	message   *message
 	timeoutAt policy.Time // when the attempt times out
 	sendBy    policy.Time // no byte of it may go out later; 0 for no limit
 }
 
 func (b *batch) remove(m *message) {
-	b.sends = slices.DeleteFunc(b.sends, func(s send) bool { return s.m == m })
+	b.sends = slices.DeleteFunc(b.sends, func(s send) bool { return s.message == m })
 }
 
 // Relay is one running relay. All fields belong to the goroutine of its loop
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -659,7 +659,7 @@
 		near("owed", r.step.events[len(r.step.events)-1].TimeLeft)
 		r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "new", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
 		near("new", r.step.events[len(r.step.events)-1].TimeLeft)
-		near("new, by the log", r.clock.fromLogTime(r.messages.byID["new"].rec.Deadline)-r.clock.now())
+		near("new, by the log", r.clock.fromLogTime(r.messages.byID["new"].record.Deadline)-r.clock.now())
 	}
 }
 
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -47,7 +47,7 @@
 // acquireOwnership waits for the lock of the state folder.
 func (r *Relay) acquireOwnership(stop <-chan struct{}) (ok bool, err error) {
 	isOwner := false
-	retry := transientRetry{log: r.log, operation: "lock", stop: stop, isTransient: isDiskTrouble}
+	retry := transientRetry{log: r.log, operation: "lock", stop: stop, isTransient: isTransientDiskError}
 	ok, err = retry.run(func() (err error) {
 		isOwner, err = r.ownership.acquire(r.cfg.StateDir, stop)
 		return err
@@ -57,7 +57,7 @@
 
 // openLogWithRetry opens the log once the disk lets it.
 func (r *Relay) openLogWithRetry(stop <-chan struct{}) (pending int, ok bool, err error) {
-	retry := transientRetry{log: r.log, operation: "open_log", stop: stop, isTransient: isDiskTrouble}
+	retry := transientRetry{log: r.log, operation: "open_log", stop: stop, isTransient: isTransientDiskError}
 	ok, err = retry.run(func() (err error) {
 		if pending, err = r.openLog(); err != nil {
 			r.metrics.waitingFor.Store("waits for the disk: " + err.Error())
@@ -69,7 +69,7 @@
 
 // listenWithRetry listens at an address that another process may still have.
 func listenWithRetry[L net.Listener](log *slog.Logger, stop <-chan struct{}, open func() (L, error)) (ln L, ok bool, err error) {
-	retry := transientRetry{log: log, operation: "listen", stop: stop, timeout: listenTimeout, isTransient: isListenTrouble}
+	retry := transientRetry{log: log, operation: "listen", stop: stop, timeout: listenTimeout, isTransient: isTransientListenError}
 	ok, err = retry.run(func() (err error) {
 		ln, err = open()
 		return err
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -104,7 +104,7 @@
 		return false
 	}
 	limit := stopCallsAfter
-	if r.cfg.isNonIdempotent(m.rec.Class) {
+	if r.cfg.isNonIdempotent(m.record.Class) {
 		limit = stopUnsafeCallsAfter
 	}
 	return r.shutdown.elapsed() >= limit
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -17,7 +17,7 @@
 // Run serves until stop is closed and the shutdown is complete, or until something
 // fails that a relay can't go on without. discoveryMoves gives new addresses of
 // discovery.
-func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, discoveryMoves <-chan string) error {
+func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, discoveryAddresses <-chan string) error {
 	decider, err := policy.New(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
@@ -37,7 +37,7 @@
 	_, conns := cfg.socketBudget()
 	r.idleConns = max(2, (conns-cfg.Policy.MaxCalls)/40)
 	r.pool.maxConns = conns
-	r.startDiscovery(discoveryMoves)
+	r.startDiscovery(discoveryAddresses)
 	r.awaitFirstList(firstListTimeout)
 	r.stepPolicy() // the list alone
 	r.clients = newClientServer(cfg, log, func(q *putRequest) { r.mailbox.Put(submitEvent{request: q}) },
@@ -68,7 +68,7 @@
 
 // startDiscovery follows discovery's list, sends it the completion notices, and
 // follows its address.
-func (r *Relay) startDiscovery(moves <-chan string) {
+func (r *Relay) startDiscovery(addresses <-chan string) {
 	r.notices = discovery.NewNotices(r.cfg.Discovery, r.log, func(id string) { r.mailbox.Put(noticeAcceptedEvent{id}) })
 	r.goBackground(func() { r.notices.Run(r.ctx) })
 	watch := discovery.NewWatch(r.cfg.Discovery, r.cfg.Policy.Relays, r.log, func(l *discovery.List) { r.mailbox.Put(listEvent{l}) })
@@ -80,7 +80,7 @@
 			select {
 			case <-r.ctx.Done():
 				return
-			case addr := <-moves:
+			case addr := <-addresses:
 				r.log.Info("discovery address changed", "address", addr)
 				watch.SetAddress(addr)
 				r.notices.SetAddress(addr)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -38,7 +38,7 @@
 		}
 	}
 	for _, m := range submitted {
-		if m.req != nil && !m.isCompleted {
+		if m.request != nil && !m.isCompleted {
 			r.accept(m)
 		}
 	}
@@ -59,7 +59,7 @@
 		if events[i].Kind != policy.EventMessage {
 			continue
 		}
-		if m := r.messages.byNumber[events[i].Message]; m != nil && m.req != nil {
+		if m := r.messages.byNumber[events[i].Message]; m != nil && m.request != nil {
 			submitted = append(submitted, m)
 		}
 	}
@@ -75,13 +75,13 @@
 	m.isCompleted = true
 	r.metrics.countUndelivered(m.class, result)
 	retryMS := (a.Delay + 999) / 1000
-	if m.req != nil {
+	if m.request != nil {
 		r.rejectSubmitted(m, result, retryMS)
 		return
 	}
 	r.forgetMessage(m)
-	r.log.Info("message completed", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "outcome", result, "attempts", m.attempts,
-		"left_ms", (r.clock.fromLogTime(m.rec.Deadline)-r.clock.now())/1000, "age_ms", time.Since(m.receivedAt).Milliseconds())
+	r.log.Info("message completed", "message", m.record.ID, "class", m.record.Class, "dest", m.record.Dest, "outcome", result, "attempts", m.attempts,
+		"left_ms", (r.clock.fromLogTime(m.record.Deadline)-r.clock.now())/1000, "age_ms", time.Since(m.receivedAt).Milliseconds())
 	if !m.isAcknowledged {
 		m.pendingCompletion = &wal.Record{Notice: result, RetryMS: retryMS}
 		return
@@ -91,8 +91,8 @@
 
 // rejectSubmitted answers the client of a message that was never accepted.
 func (r *Relay) rejectSubmitted(m *message, result string, retryMS int64) {
-	q := m.req
-	m.req = nil
+	q := m.request
+	m.request = nil
 	delete(r.messages.unanswered, q)
 	if result == discovery.Returned {
 		r.recordRejection(q, rejectedPolicy)
--- a/internal/relay/syserrors.go
+++ b/internal/relay/syserrors.go
@@ -6,42 +6,41 @@
 	"syscall"
 )
 
-// This file sorts errors of system calls by what they say, as Linux documents them
-// (accept(2), socket(2), connect(2), write(2)).
+// Errors of system calls, sorted by what Linux documents of them in accept(2), socket(2),
+// connect(2) and write(2).
 
-// shortages say that this machine is out of something, mostly for a moment.
-var shortages = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+// shortageErrors say that this machine is out of descriptors or memory, mostly for a moment.
+var shortageErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// locals are errors of socket and connect that say something of this machine and nothing
-// of the one that was to be reached.
-var locals = append([]error{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN}, shortages...)
+// localErrors are errors of socket and connect that concern this machine, not the peer.
+var localErrors = append([]error{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN}, shortageErrors...)
 
-// diskTroubles are errors of files that may pass.
-var diskTroubles = append([]error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EAGAIN}, shortages...)
+// transientDiskErrors are errors of files that may pass.
+var transientDiskErrors = append([]error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EAGAIN}, shortageErrors...)
 
-// listenTroubles are errors of a listener that may pass.
-var listenTroubles = append([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.ENETDOWN}, shortages...)
+// transientListenErrors are errors of a listener that may pass.
+var transientListenErrors = append([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.ENETDOWN}, shortageErrors...)
 
-// acceptErrors are of one connection that waited: the next may be had at once.
+// acceptErrors concern one connection that waited: the next may be accepted at once.
 var acceptErrors = []error{syscall.EINTR, syscall.ECONNABORTED, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.EPERM,
 	syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENONET, syscall.ETIMEDOUT}
 
-// isOneOf reports whether an error is, or wraps, one of these.
-func isOneOf(err error, all []error) bool {
-	return slices.ContainsFunc(all, func(x error) bool { return errors.Is(err, x) })
+// matchesAny reports whether an error is, or wraps, one of these.
+func matchesAny(err error, targets []error) bool {
+	return slices.ContainsFunc(targets, func(x error) bool { return errors.Is(err, x) })
 }
 
 // isShortage reports whether the machine was out of descriptors or memory.
-func isShortage(err error) bool { return isOneOf(err, shortages) }
+func isShortage(err error) bool { return matchesAny(err, shortageErrors) }
 
 // isAcceptError reports whether an error of accept is of that one connection.
-func isAcceptError(err error) bool { return isOneOf(err, acceptErrors) }
+func isAcceptError(err error) bool { return matchesAny(err, acceptErrors) }
 
 // isLocal reports whether a call could not be made for a reason of this machine.
-func isLocal(err error) bool { return isOneOf(err, locals) }
+func isLocal(err error) bool { return matchesAny(err, localErrors) }
 
-// isDiskTrouble reports whether a file system failed in a way that may pass.
-func isDiskTrouble(err error) bool { return isOneOf(err, diskTroubles) }
+// isTransientDiskError reports whether a file system failed in a way that may pass.
+func isTransientDiskError(err error) bool { return matchesAny(err, transientDiskErrors) }
 
-// isListenTrouble reports whether an address could not be listened at for now.
-func isListenTrouble(err error) bool { return isOneOf(err, listenTroubles) }
+// isTransientListenError reports whether an address could not be listened at for now.
+func isTransientListenError(err error) bool { return matchesAny(err, transientListenErrors) }
