--- /dev/null
+++ b/internal/relay/call_response.go
@@ -0,0 +1,137 @@
+package relay
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"plovershore/internal/wal"
+	"plovershore/policy"
+)
+
+const (
+	maxResponseBytes = 1 << 20          // of a response's body that are read
+	maxRetryAfter    = 10 * time.Minute // a longer Retry-After is cut to this
+)
+
+// States of a message in the response to a batch.
+const (
+	batchAccepted = "accepted"
+	batchDeferred = "deferred"
+	batchExpired  = "expired"
+	batchNoMore   = "no_more" // all its attempts are used
+)
+
+// classifyResponse sets the outcome of a call from the status and the headers of
+// its response.
+func classifyResponse(resp *http.Response, o *outcome, loadFields []string) {
+	o.load = parseLoadReport(resp.Header.Get("X-Server-Load"), loadFields)
+	o.retryAfter = parseRetryAfter(resp.Header.Get("Retry-After"))
+	switch resp.StatusCode {
+	case http.StatusOK:
+		o.kind, o.isFinal = policy.Delivered, true
+	case http.StatusTooManyRequests:
+		o.kind = policy.Rejected
+	case http.StatusServiceUnavailable:
+		o.kind = policy.Rejected
+		if resp.Header.Get("Slots-Taken") == "1" {
+			o.kind, o.callsExhausted = policy.NotSent, true
+		}
+	case http.StatusGatewayTimeout: // all attempts of the message are used
+		o.kind = policy.NotSent
+	case http.StatusGone:
+		o.kind, o.isFinal = policy.NotSent, true
+	default: // 500, and what the protocol does not name: it may have run
+		o.kind = policy.Errored
+	}
+}
+
+// readBatchResponse gives each message of a batch its outcome by the body of the
+// response; common is what they share. A message that the body does not name may
+// have run.
+func (c *call) readBatchResponse(ctx context.Context, resp *http.Response, common outcome, records []*wal.Record, conn *endpointConn) []outcome {
+	common.kind, common.isFinal = policy.Errored, false
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	if err != nil {
+		common.kind = c.classifyError(ctx, conn)
+		return failBatch(common, err, len(records))
+	}
+	states, err := parseBatchStates(text)
+	if err != nil {
+		return failBatch(common, err, len(records))
+	}
+	outcomes := slices.Repeat([]outcome{common}, len(records))
+	for i, rec := range records {
+		o := &outcomes[i]
+		switch states[rec.ID] {
+		case batchAccepted:
+			o.kind, o.isFinal = policy.Delivered, true
+		case batchDeferred:
+			o.kind = policy.Rejected
+		case batchExpired:
+			o.kind, o.isFinal = policy.NotSent, true
+		case batchNoMore:
+			o.kind = policy.NotSent
+		}
+	}
+	return outcomes
+}
+
+func failBatch(common outcome, err error, count int) []outcome {
+	common.err = fmt.Errorf("answer to a batch: %w", err)
+	return slices.Repeat([]outcome{common}, count)
+}
+
+// parseBatchStates returns the states that a batch's response gives, by message.
+func parseBatchStates(text []byte) (map[string]string, error) {
+	var items []struct {
+		ID    string `json:"id"`
+		State string `json:"state"`
+	}
+	if err := json.Unmarshal(text, &items); err != nil {
+		return nil, err
+	}
+	states := make(map[string]string, len(items))
+	for _, item := range items {
+		states[item.ID] = item.State
+	}
+	return states, nil
+}
+
+// parseRetryAfter parses seconds with decimals, up to maxRetryAfter. It returns 0
+// for what is no such number.
+func parseRetryAfter(s string) policy.Time {
+	seconds, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
+	if err != nil || !(seconds > 0) { // also true for NaN
+		return 0
+	}
+	return policy.Time(min(seconds, maxRetryAfter.Seconds()) * 1e6)
+}
+
+// parseLoadReport parses a load report such as x0=0.4,x1=25. It is empty where
+// the settings name no fields.
+func parseLoadReport(s string, fields []string) (report policy.LoadReport) {
+	if len(fields) == 0 {
+		return report
+	}
+	for field := range strings.SplitSeq(s, ",") {
+		name, text, _ := strings.Cut(strings.TrimSpace(field), "=")
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(value >= 0) { // also true for NaN
+			continue
+		}
+		switch name {
+		case "x0":
+			report.Remaining, report.Present = value, true
+		case "x1":
+			report.Limit, report.Present = value, true
+		}
+	}
+	return report
+}
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -422,7 +422,7 @@
 		begin(one, callSending): false, begin(other, callWaiting): false}
 	r.finishCall(told, []outcome{{kind: policy.Rejected, status: http.StatusTooManyRequests, retryAfter: 600e6}})
 	for c, stopped := range calls {
-		if got := c.ctx.Err() != nil; got != stopped || got && c.classifyError(c.ctx, c.ctx.Err(), nil) != policy.NotSent {
+		if got := c.ctx.Err() != nil; got != stopped || got && c.classifyError(c.ctx, nil) != policy.NotSent {
 			t.Errorf("%s, stage %d: stopped %v", c.endpoint.id, c.stage.Load(), got)
 		}
 	}
