--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -32,7 +32,7 @@
 	errCancelled        = errors.New("cancelled")
 	errEndpointDraining = errors.New("endpoint draining")
 	errRetryAfter       = errors.New("endpoint asked to retry later")
-	errSendByPassed     = errors.New("no connection before the latest time to send")
+	errSendByExceeded   = errors.New("no connection before the latest time to send")
 )
 
 // callMessage is one message in a call.
@@ -90,8 +90,8 @@
 	}
 }
 
-// cancelUnsent stops the call if its first byte is not written yet.
-func (c *call) cancelUnsent(cause error) {
+// cancelIfWaiting stops the call if its first byte is not written yet.
+func (c *call) cancelIfWaiting(cause error) {
 	if c.stage.CompareAndSwap(callWaiting, callStopped) {
 		c.cancel(cause)
 	}
@@ -175,11 +175,11 @@
 			onStatusOK = func() { time.AfterFunc(responseRemainderTimeout, x.cancel) }
 		}
 		if !conn.assignCall(onStatusOK) {
-			c.cancelUnsent(errUnexpectedBytes)
+			c.cancelIfWaiting(errUnexpectedBytes)
 		}
 	}
 	if !c.sendBy.IsZero() && !time.Now().Before(c.sendBy) {
-		c.cancelUnsent(errSendByPassed)
+		c.cancelIfWaiting(errSendByExceeded)
 	}
 	if !c.stage.CompareAndSwap(callWaiting, callSending) && c.stage.Load() == callStopped {
 		x.cancel()
--- a/internal/relay/call_response.go
+++ b/internal/relay/call_response.go
@@ -116,9 +116,9 @@
 
 // parseLoadReport parses a load report such as x0=0.4,x1=25. It is empty where
 // the settings name no fields.
-func parseLoadReport(s string, fields []string) (report policy.LoadReport) {
+func parseLoadReport(s string, fields []string) (load policy.LoadReport) {
 	if len(fields) == 0 {
-		return report
+		return load
 	}
 	for field := range strings.SplitSeq(s, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -128,10 +128,10 @@
 		}
 		switch name {
 		case "x0":
-			report.Remaining, report.Present = value, true
+			load.Remaining, load.Present = value, true
 		case "x1":
-			report.Limit, report.Present = value, true
+			load.Limit, load.Present = value, true
 		}
 	}
-	return report
+	return load
 }
--- a/internal/relay/client_connection.go
+++ b/internal/relay/client_connection.go
@@ -19,20 +19,20 @@
 	commandDeadline    time.Time // for its next valid command; zero for none
 	idleSince          time.Time // the connect or the last response
 	isReleased         bool      // it closes after the response to the last request begun
-	isEnding           bool      // no further command on it is executed
+	isStopped          bool      // no further command on it is executed
 	isPeerGone         bool      // the client has closed it, or its sending side, and may still read a response
 }
 
 // release ends the wait for a next request. The caller holds the mutex.
 func (cc *clientConn) release() {
 	cc.isReleased = true
-	cc.limitReadUntil(deadlinePassed)
+	cc.limitReadUntil(pastDeadline)
 }
 
 // limitReadUntil sets the reader's deadline unless the reader is to end
 // already. The caller holds the mutex.
 func (cc *clientConn) limitReadUntil(deadline time.Time) {
-	if !cc.isEnding {
+	if !cc.isStopped {
 		cc.SetReadDeadline(deadline)
 	}
 }
@@ -124,8 +124,8 @@
 func (c *clientServer) stopReading(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.isEnding = true
-	cc.SetReadDeadline(deadlinePassed)
+	cc.isStopped = true
+	cc.SetReadDeadline(pastDeadline)
 }
 
 // closeGracefully shuts down the sending side, so that the peer receives all
--- a/internal/relay/client_server.go
+++ b/internal/relay/client_server.go
@@ -21,8 +21,8 @@
 	clientWriteTimeout = 2 * time.Second
 )
 
-// deadlinePassed as a deadline ends a wait at once.
-var deadlinePassed = time.Unix(1, 0)
+// pastDeadline as a deadline ends a wait at once.
+var pastDeadline = time.Unix(1, 0)
 
 // clientServer accepts the connections of clients, submits the messages that
 // come on them and writes the responses. Create it with newClientServer. Its
@@ -133,8 +133,8 @@
 	}
 }
 
-// reportsDraining reports whether PING is to fail.
-func (c *clientServer) reportsDraining() bool {
+// pingFails reports whether PING is to fail.
+func (c *clientServer) pingFails() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.isDraining
--- a/internal/relay/client_session.go
+++ b/internal/relay/client_session.go
@@ -127,7 +127,7 @@
 func (s *clientSession) executePing(cmd command) bool {
 	s.server.recordValidCommand(s.conn, false)
 	switch {
-	case s.server.reportsDraining():
+	case s.server.pingFails():
 		return s.write(errorResponse(errDraining))
 	case len(cmd.args) > 1:
 		return s.write(bulkStringResponse(cmd.args[1]))
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -32,7 +32,7 @@
 
 // Guards against what no client should send: nothing is taken, the fault is
 // named, and a connection that is still in step goes on.
-func TestBadInput(t *testing.T) {
+func TestInvalidCommands(t *testing.T) {
 	long := strings.Repeat("x", maxBodyBytes+1)
 	for name, x := range map[string]struct {
 		text string
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestParsePut(t *testing.T) {
+func TestParsePutRequest(t *testing.T) {
 	now := time.UnixMicro(1e15)
 	q, err := testSet(t).parsePutRequest([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 		[]byte("c=keyed,t=acme,d=1500.5,k=k1,dest=12,r=1,again=1,new=x"), []byte("b")}, now)
@@ -245,7 +245,7 @@
 
 // Guards the limit on descriptors: one that was let go just as a request began
 // is answered, and then closed, since it is counted no longer.
-func TestReleasedAsRequestBegins(t *testing.T) {
+func TestReleaseAsRequestBegins(t *testing.T) {
 	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
 	near, far := net.Pipe()
 	defer far.Close()
--- a/internal/relay/connection_limit.go
+++ b/internal/relay/connection_limit.go
@@ -93,7 +93,7 @@
 type evictionRank int
 
 const (
-	evictEnding         evictionRank = iota // only waits for its peer to close
+	evictStopped        evictionRank = iota // only waits for its peer to close
 	evictIdle                               // clients open another when they need one
 	evictPartialCommand                     // within a command, and no message came on it before
 	evictNever                              // a request of a client is in progress
@@ -101,8 +101,8 @@
 
 func (cc *clientConn) evictionRank() evictionRank {
 	switch {
-	case cc.isEnding:
-		return evictEnding
+	case cc.isStopped:
+		return evictStopped
 	case cc.pendingRequests == 0:
 		return evictIdle
 	case !cc.commandDeadline.IsZero():
@@ -122,7 +122,7 @@
 		grace := evictionGrace - time.Since(cc.idleSince)
 		switch rank := cc.evictionRank(); {
 		case rank == evictNever:
-		case grace > 0 && rank != evictEnding:
+		case grace > 0 && rank != evictStopped:
 			if minGrace == 0 || grace < minGrace {
 				minGrace = grace
 			}
@@ -134,8 +134,8 @@
 		return minGrace
 	}
 	delete(c.conns, victim)
-	if victim.isEnding {
-		victim.SetReadDeadline(deadlinePassed) // ends the wait for its peer
+	if victim.isStopped {
+		victim.SetReadDeadline(pastDeadline) // ends the wait for its peer
 	} else {
 		victim.release()
 	}
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -333,7 +333,7 @@
 	}
 	defer conns.CloseIdleConnections()
 	c := newTestCall()
-	go func() { <-dialing; c.cancelUnsent(errEndpointDraining) }()
+	go func() { <-dialing; c.cancelIfWaiting(errEndpointDraining) }()
 	o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit)
 	if o.kind != policy.NotSent || o.latency > testLimit.Microseconds()/2 {
 		t.Errorf("got %+v", o)
@@ -355,7 +355,7 @@
 	// What is under way already is not stopped.
 	under := newTestCall()
 	under.stage.Store(callSending)
-	if under.cancelUnsent(errEndpointDraining); under.ctx.Err() != nil {
+	if under.cancelIfWaiting(errEndpointDraining); under.ctx.Err() != nil {
 		t.Error("a call with bytes under way was stopped")
 	}
 }
@@ -438,7 +438,7 @@
 
 // Guards against connections that died in silence: after a machine was away,
 // what is idle to it is given up; one slow call among others is no reason.
-func TestSuspect(t *testing.T) {
+func TestUpdateLiveness(t *testing.T) {
 	ep := &endpoint{}
 	for i, x := range []struct {
 		o    outcome
@@ -497,7 +497,7 @@
 	}
 }
 
-func TestReadRetryAfter(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	for s, want := range map[string]policy.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e99": 600e6} {
 		if got := parseRetryAfter(s); got != want {
 			t.Errorf("%q: %d, want %d", s, got, want)
@@ -505,7 +505,7 @@
 	}
 }
 
-func TestReadLoad(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	fields := []string{"x0", "x1"}
 	for s, want := range map[string]policy.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25, Present: true}, "x1=3": {Limit: 3, Present: true}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}} {
 		if got := parseLoadReport(s, fields); got != want {
@@ -517,7 +517,7 @@
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestCheckHealth(t *testing.T) {
 	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Errored} {
 		ep := newFakeEndpoint(t, status(code))
 		if o := checkHealth(context.Background(), testConns(t, 2), ep.addr()); o.kind != want {
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -78,7 +78,7 @@
 		ep.isStopped, ep.stoppedAt = true, r.clock.now()
 	}
 	for c := range ep.calls {
-		c.cancelUnsent(errEndpointDraining)
+		c.cancelIfWaiting(errEndpointDraining)
 	}
 	if ep.transport != nil {
 		ep.transport.CloseIdleConnections()
@@ -98,7 +98,7 @@
 	for _, ep := range affected {
 		ep.retryAfterUntil = max(ep.retryAfterUntil, until)
 		for c := range ep.calls {
-			c.cancelUnsent(errRetryAfter)
+			c.cancelIfWaiting(errRetryAfter)
 		}
 	}
 }
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -68,7 +68,7 @@
 
 // stopListening makes serve accept the connections that are queued now and then
 // close the listener. The kernel resets connections that are never accepted.
-func (c *clientServer) stopListening(ln *net.TCPListener) { ln.SetDeadline(deadlinePassed) }
+func (c *clientServer) stopListening(ln *net.TCPListener) { ln.SetDeadline(pastDeadline) }
 
 // acceptQueued accepts the connections in the listener's backlog without
 // waiting for more.
