--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -101,8 +101,7 @@
 	}
 	m.pendingCompletion = nil
 	if !m.isCompleted {
-		m.isCompleted = true
-		r.forgetMessage(m)
+		r.markCompleted(m)
 		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number, Spilled: m.pendingSpill != nil, Dest: m.record.Dest})
 	}
 	r.removeFromBatch(m)
@@ -150,6 +149,12 @@
 	return m
 }
 
+// markCompleted records that a message is completed, other than by the policy.
+func (r *Relay) markCompleted(m *message) {
+	m.isCompleted = true
+	r.forgetMessage(m)
+}
+
 // forgetMessage drops a message that the policy no longer has, once its call is over.
 func (r *Relay) forgetMessage(m *message) {
 	if !m.isTransferred {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -209,8 +209,7 @@
 		if o.kind == policy.Delivered {
 			r.metrics.countDelivered(m.class)
 		}
-		m.isCompleted = true
-		r.forgetMessage(m)
+		r.markCompleted(m)
 	case m.isCompleted:
 		delete(r.messages.byNumber, m.number)
 	case r.ownership.isTransferred && !m.isTransferred:
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -43,8 +43,7 @@
 
 // failMessage completes a message as failed.
 func (r *Relay) failMessage(m *message) {
-	m.isCompleted = true
-	r.forgetMessage(m)
+	r.markCompleted(m)
 	r.logCompletion(m, discovery.Failed, 0)
 }
 
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -38,8 +38,7 @@
 	case remote != nil && (rec.Kind == wal.KindOutcome || rec.Kind == wal.KindCompleted):
 		r.finishRemoteAttempt(remote, rec)
 	case m != nil && rec.Kind == wal.KindCompleted: // its client left before it was acknowledged
-		m.isCompleted = true
-		r.forgetMessage(m)
+		r.markCompleted(m)
 		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number})
 		r.wal.Submit(rec, nil)
 	}
@@ -77,8 +76,7 @@
 	if m.isCompleted {
 		delete(r.messages.byNumber, m.number)
 	} else if isSettled {
-		m.isCompleted = true
-		r.forgetMessage(m)
+		r.markCompleted(m)
 	}
 }
 
@@ -88,8 +86,7 @@
 	if m.isCompleted {
 		return
 	}
-	m.isCompleted = true
-	r.forgetMessage(m)
+	r.markCompleted(m)
 	r.metrics.countUndelivered(m.class, discovery.Returned)
 	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number})
 	r.notices.Put(discovery.Notice{Message: m.record.ID, Outcome: discovery.Returned, RetryMS: shutdownRetryMS})
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -42,8 +42,7 @@
 	rec := m.record
 	switch {
 	case rec.Notice != "": // completed already, but the platform has not accepted the notice
-		m.isCompleted = true
-		r.forgetMessage(m)
+		r.markCompleted(m)
 		r.notices.Put(discovery.Notice{Message: rec.ID, Outcome: rec.Notice, RetryMS: rec.RetryMS})
 	case rec.Corrupted: // its client is told
 		r.failMessage(m)
