--- a/cmd/sim-adapter/host.go
+++ b/cmd/sim-adapter/host.go
@@ -30,8 +30,8 @@
 
 func newHost() *host { return &host{relays: map[uint16]*relay{}} }
 
-// turn reads one frame and returns its reply.
-func (h *host) turn(in io.Reader) ([]byte, error) {
+// handleFrame reads one frame and returns its reply.
+func (h *host) handleFrame(in io.Reader) ([]byte, error) {
 	clock, events, err := wire.ReadBatch(in)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	wire.StatusFull: policy.Rejected, wire.StatusLate: policy.TimedOut, wire.StatusNoConn: policy.ConnectFailed,
 	wire.StatusReset: policy.ConnectionReset, wire.StatusCancel: policy.Cancelled, wire.StatusMoot: policy.NotSent}
 
-var listNews = map[uint8]policy.ListUpdateKind{wire.SyncDelta: policy.ListDelta, wire.SyncFull: policy.ListFull,
+var listUpdates = map[uint8]policy.ListUpdateKind{wire.SyncDelta: policy.ListDelta, wire.SyncFull: policy.ListFull,
 	wire.SyncCached: policy.ListCached, wire.SyncFailed: policy.ListFailed}
 
 // event maps a record to the interface's words.
@@ -119,7 +119,7 @@
 	}
 	switch e.Code {
 	case wire.EvSync:
-		ev.Kind, ev.ListUpdate = policy.EventListUpdate, listNews[e.Kind]
+		ev.Kind, ev.ListUpdate = policy.EventListUpdate, listUpdates[e.Kind]
 		if ev.ListUpdate != policy.ListFailed {
 			ev.Entries = h.lists[e.Sheet]
 		}
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -24,7 +24,7 @@
 func serve(in io.Reader, out *bufio.Writer) error {
 	h := newHost()
 	for n := 0; ; n++ {
-		reply, err := h.turn(in)
+		reply, err := h.handleFrame(in)
 		if err == io.EOF {
 			return nil
 		}
--- a/policy/backlog_bench_test.go
+++ b/policy/backlog_bench_test.go
@@ -15,7 +15,7 @@
 }
 
 func newHost(b *testing.B, resident, held int) *host {
-	set := one()
+	set := baseSettings()
 	set.MaxMessages, set.MaxResidentMessages, set.MaxCalls, set.Cancellation = 0, resident, 100, false
 	set.Classes[0].Deadline = 36000 * second
 	p, err := New(set, 1)
--- a/policy/backlog_test.go
+++ b/policy/backlog_test.go
@@ -101,8 +101,8 @@
 		if memory[dest] == 0 && c.log.asked[dest] == 0 {
 			c.fault(now, "%d spilled of destination %d, none in memory or asked for", n, dest)
 		}
-		if d := p.dest(dest); d.spilled != n && len(c.log.gone) == 0 {
-			c.fault(now, "the policy counts %d spilled of destination %d, there are %d", d.spilled, dest, n)
+		if d := p.destination(dest); d.spilledCount != n && len(c.log.gone) == 0 {
+			c.fault(now, "the policy counts %d spilled of destination %d, there are %d", d.spilledCount, dest, n)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 func TestBacklogNeverReached(t *testing.T) {
 	for seed := range uint64(20) {
 		_, a := playResident(t, seed, 300, 0)
-		_, b := playResident(t, seed, 300, headMost-1)
+		_, b := playResident(t, seed, 300, maxResidentPerDestination-1)
 		if len(a) == 0 || len(a) != len(b) {
 			t.Fatalf("seed %d: %d and %d actions", seed, len(a), len(b))
 		}
@@ -147,7 +147,7 @@
 
 // backlogRig is a policy with so many in memory, and a destination that is not there.
 func backlogRig(t *testing.T, resident int) *rig {
-	set := one()
+	set := baseSettings()
 	set.MaxMessages, set.MaxResidentMessages = 0, resident
 	set.Classes = append(set.Classes,
 		Class{Name: "keyed", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Idempotency: IdempotentByKey, DedupWindow: 60 * second},
@@ -165,13 +165,13 @@
 			r.now += second / 1000
 			r.step(r.message(0, 7))
 		}
-		if n := len(r.p.msgs); n > resident || n > headMost {
+		if n := len(r.p.messages); n > resident || n > maxResidentPerDestination {
 			t.Errorf("%d in memory: %d messages", resident, n)
 		}
-		if n := len(r.p.later.items); n > 2*sweepLeast+2*resident {
+		if n := len(r.p.timers.items); n > 2*minCompaction+2*resident {
 			t.Errorf("%d in memory: %d things put off", resident, n)
 		}
-		if n := r.p.spilled + len(r.p.live); n != 30*1000 {
+		if n := r.p.spill.messages + len(r.p.pending); n != 30*1000 {
 			t.Errorf("%d held of %d", n, 30*1000)
 		}
 	}
@@ -186,7 +186,7 @@
 		r.step(e)
 	}
 	var left []Time
-	for _, m := range r.p.live {
+	for _, m := range r.p.pending {
 		left = append(left, (m.deadline-r.now)/second)
 	}
 	if slices.Sort(left); fmt.Sprint(left) != "[10 20 30]" {
@@ -208,7 +208,7 @@
 			switch a.Kind {
 			case ActionLoad:
 				asked += a.Count
-				if n := len(r.p.live) + asked; n > 20 {
+				if n := len(r.p.pending) + asked; n > 20 {
 					t.Fatalf("%d in memory and asked for", n)
 				}
 			case ActionSend:
@@ -231,8 +231,8 @@
 		r.now += second / 10
 		acts = r.step(append(events, Event{Kind: EventTimer})...)
 	}
-	if r.p.spilled != 0 || r.p.loading != 0 || len(r.sentAt) < 95 { // the formula may drop one here and there
-		t.Errorf("%d spilled, %d asked for, %d sent of 100", r.p.spilled, r.p.loading, len(r.sentAt))
+	if r.p.spill.messages != 0 || r.p.spill.loadsRequested != 0 || len(r.sentAt) < 95 { // the formula may drop one here and there
+		t.Errorf("%d spilled, %d asked for, %d sent of 100", r.p.spill.messages, r.p.spill.loadsRequested, len(r.sentAt))
 	}
 }
 
@@ -259,7 +259,7 @@
 	}
 	e.Spilled, e.OverQuota = true, true
 	r.step(e)
-	if m := r.p.msgs[e.Message]; m != nil && (!m.kept || !m.overShare || m.worth >= 1) {
+	if m := r.p.messages[e.Message]; m != nil && (!m.isRecovered || !m.isOverQuota || m.weight >= 1) {
 		t.Errorf("came back as %+v", m)
 	}
 	doubt := r.message(2, 7)
@@ -294,8 +294,8 @@
 	}
 	second2.Spilled, third.Spilled = true, true
 	r.step(second2, third)
-	line := r.p.lines[9]
-	if len(line.turns) != 3 || line.turns[1].id != second2.Message || line.turns[2].id != third.Message || line.spilled != 0 {
+	line := r.p.orderedQueues[9]
+	if len(line.messages) != 3 || line.messages[1].id != second2.Message || line.messages[2].id != third.Message || line.spilledCount != 0 {
 		t.Errorf("line %+v", line)
 	}
 }
--- /dev/null
+++ b/policy/completion.go
@@ -0,0 +1,86 @@
+package policy
+
+// mayReject reports whether a message may be handed back as not run: it has surely not run, or may
+// run again.
+func (p *Policy) mayReject(message *messageState) bool {
+	if message.call != nil {
+		return false
+	}
+	if message.unknownOutcomeAt == 0 {
+		return true
+	}
+	switch message.class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentByKey:
+		return !message.class.DedupPerZone && p.now-message.unknownOutcomeAt < message.class.DedupWindow
+	}
+	return false
+}
+
+// completeUndelivered gives the one final response of a message that was not delivered. Nothing
+// else does.
+func (p *Policy) completeUndelivered(message *messageState) {
+	if message.isCompleted {
+		return
+	}
+	if p.mayReject(message) {
+		reject := Action{Kind: ActionReject, Message: message.id}
+		if p.settings.RetryAfter {
+			reject.Delay = min(p.estimateQueueTime(message.dest), p.settings.MaxRetryAfter)
+		}
+		p.emit(reject)
+	} else {
+		p.emit(Action{Kind: ActionFail, Message: message.id})
+	}
+	p.completeMessage(message)
+}
+
+// completeMessage takes a message out of the queues; an attempt in flight still counts until its
+// outcome.
+func (p *Policy) completeMessage(message *messageState) {
+	if message.isCompleted {
+		return
+	}
+	message.isCompleted = true
+	if message.call != nil {
+		p.pendingInFlight--
+	}
+	last := p.pending[len(p.pending)-1]
+	p.pending[message.pendingIndex], last.pendingIndex = last, message.pendingIndex
+	p.pending = p.pending[:len(p.pending)-1]
+	message.dest.queue = deleteElement(message.dest.queue, message)
+	p.markNeedsRefill(message.dest)
+	p.compactTimers()
+	if message.call == nil {
+		p.forgetMessage(message)
+	}
+}
+
+// forgetMessage drops the last trace of a completed message and lets the next one of its key have
+// its turn.
+func (p *Policy) forgetMessage(message *messageState) {
+	delete(p.messages, message.id)
+	if queue := p.orderedQueueOf(message); queue != nil {
+		queue.remove(message)
+		p.wakeNextInOrder(message.key, queue)
+	}
+}
+
+// startResponse completes a message whose response has begun to reach its client: it is never sent
+// again.
+func (p *Policy) startResponse(event *Event) {
+	message := p.messages[event.Message]
+	if message != nil && message.call != nil && event.Attempt == message.attempts-1 {
+		p.completeMessage(message)
+	}
+}
+
+// withdrawMessage completes a message that no client waits for.
+func (p *Policy) withdrawMessage(event *Event) {
+	if event.Spilled {
+		p.endSpill(event)
+	} else if message := p.messages[event.Message]; message != nil {
+		p.completeMessage(message)
+	}
+}
--- a/policy/decide_test.go
+++ b/policy/decide_test.go
@@ -4,14 +4,12 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
-	"unicode/utf8"
 )
 
-// one returns settings for a relay with one safe class and one kind of destination.
-func one() Settings {
+// baseSettings returns settings for a relay with one safe class and one kind of destination.
+func baseSettings() Settings {
 	return Settings{Relays: 2, MaxCalls: 8, MaxMessages: 100, MaxAttempts: 9, HalvingWeight: true, OverQuotaWeight: 0.1,
 		LoadReports: true, ListedRates: true, HealthChecks: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * second, Tick: 5000,
 		ResponseSlack: 20000, DrainGrace: second, SlowStartCapacity: 0.2, SlowStartTime: 10 * second, OverloadFactor: 2,
@@ -60,7 +58,7 @@
 
 func (r *rig) message(class, dest int) Event {
 	r.next++
-	return Event{Kind: EventMessage, Message: r.next - 1, Class: class, Dest: dest, TimeLeft: r.p.set.Classes[class].Deadline}
+	return Event{Kind: EventMessage, Message: r.next - 1, Class: class, Dest: dest, TimeLeft: r.p.settings.Classes[class].Deadline}
 }
 
 func count(acts []Action, k ActionKind) int {
@@ -89,17 +87,17 @@
 		{1000, 0, 0.9},   // dead: the cap
 		{3, 0, 0},        // hardly asked: that tells nothing
 	} {
-		if got := dropChance(c.req, c.acc); math.Abs(got-c.want) > 1e-9 {
+		if got := dropProbability(c.req, c.acc); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("dropChance(%v, %v) = %v, want %v", c.req, c.acc, got, c.want)
 		}
 	}
 }
 
 func TestHistoryExpires(t *testing.T) {
-	c := newCounter(10*second, 20)
+	c := newCallHistory(10*second, 20)
 	for i := range Time(10) {
-		c.request(i * second)
-		c.accept(i * second)
+		c.recordRequest(i * second)
+		c.recordAccept(i * second)
 	}
 	for _, x := range []struct {
 		at   Time
@@ -113,24 +111,24 @@
 
 // TestLocalDropsCount: a draw is a request whether or not it passes.
 func TestLocalDropsCount(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
-	l := r.p.eps[1].lane
+	r := newRig(t, baseSettings(), ready(1, 10))
+	l := r.p.endpoints[1].route
 	drops := 0
 	for range 200 {
-		if r.p.dropped(l) {
+		if r.p.drawDrop(l) {
 			drops++
 		}
 	}
-	if req, _ := l.hist.totals(r.now); req != 200 || drops < 140 || drops > 195 {
+	if req, _ := l.history.totals(r.now); req != 200 || drops < 140 || drops > 195 {
 		t.Fatalf("%v requests counted, %d drops of 200", req, drops)
 	}
 }
 
 // TestDropIsAnswered: a first try that is dropped is refused in the same turn, with a time to come again.
 func TestDropIsAnswered(t *testing.T) {
-	r := newRig(t, one(), ready(1, 1000))
+	r := newRig(t, baseSettings(), ready(1, 1000))
 	for range 200 {
-		r.p.eps[1].lane.hist.request(r.now)
+		r.p.endpoints[1].route.history.recordRequest(r.now)
 	}
 	refused := 0
 	for range 50 {
@@ -147,7 +145,7 @@
 		if len(r.sends) > 0 {
 			r.step(answer(r.sends[0], Delivered))
 		}
-		if len(r.p.live) > 0 {
+		if len(r.p.pending) > 0 {
 			t.Fatal("a message was neither sent nor answered")
 		}
 	}
@@ -158,8 +156,8 @@
 
 // TestWindow: it starts at one, grows by one with each success, and halves on a refusal or a time-out.
 func TestWindow(t *testing.T) {
-	r := newRig(t, one(), ready(1, 1000))
-	l := r.p.eps[1].lane
+	r := newRig(t, baseSettings(), ready(1, 1000))
+	l := r.p.endpoints[1].route
 	var burst []Event
 	for range 20 {
 		burst = append(burst, r.message(0, 0))
@@ -176,7 +174,7 @@
 	for _, o := range []Outcome{Rejected, TimedOut} {
 		l.window = 6
 		r.now += second / 10
-		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: o})
+		r.p.observeCall(&callState{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: o})
 		if l.window != 3 {
 			t.Errorf("window after outcome %d: %v, want 3", o, l.window)
 		}
@@ -186,18 +184,18 @@
 // TestSlotsAtOneDestination: three quarters of the slots at most, half while it fails.
 func TestSlotsAtOneDestination(t *testing.T) {
 	for _, failing := range []bool{false, true} {
-		r := newRig(t, one(), ready(1, 1000))
-		l := r.p.eps[1].lane
+		r := newRig(t, baseSettings(), ready(1, 1000))
+		l := r.p.endpoints[1].route
 		l.window = 100
 		want := 6
 		if failing {
-			r.p.eps[1].score, want = 0.35, 4
+			r.p.endpoints[1].failureScore, want = 0.35, 4
 		}
 		for range 10 {
 			r.step(r.message(0, 0), r.message(0, 0))
 		}
-		if l.dest.flying != want {
-			t.Errorf("failing %v: %d calls out of 8 slots, want %d", failing, l.dest.flying, want)
+		if l.dest.callsInFlight != want {
+			t.Errorf("failing %v: %d calls out of 8 slots, want %d", failing, l.dest.callsInFlight, want)
 		}
 	}
 }
@@ -252,7 +250,7 @@
 // time, from the return on, with the capacity at its slowest ramp.
 func TestFailBackBudget(t *testing.T) {
 	for _, o := range []Outcome{Errored, TimedOut, ConnectFailed, ConnectionReset, Rejected} {
-		s := one()
+		s := baseSettings()
 		r := outage(t, s, 20, o)
 		start, back := 1000*second, 1012*second
 		early, late := 0, 0
@@ -286,51 +284,51 @@
 
 // TestPartialSuccessKeepsTheBudget: a success amid failures starts no ramp that survives the next failure.
 func TestPartialSuccessKeepsTheBudget(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
-	ep := r.p.eps[1]
-	r.p.failed(ep, r.now, false)
-	r.p.failed(ep, r.now, false)
-	if ep.sick {
+	r := newRig(t, baseSettings(), ready(1, 10))
+	ep := r.p.endpoints[1]
+	r.p.observeFailure(ep, r.now, false)
+	r.p.observeFailure(ep, r.now, false)
+	if ep.isEjected {
 		t.Fatal("two failures in a row are an outage")
 	}
-	r.p.failed(ep, r.now, false)
-	if !ep.sick {
+	r.p.observeFailure(ep, r.now, false)
+	if !ep.isEjected {
 		t.Fatal("three failures in a row are no outage")
 	}
 	r.now += second
 	r.p.now = r.now
-	r.p.healthy(ep, r.now)
+	r.p.observeSuccess(ep, r.now)
 	r.p.now += 5 * second
-	if r.p.ramped(ep) < 0.5 {
-		t.Fatalf("half a ramp gives %v", r.p.ramped(ep))
+	if r.p.recoveredFraction(ep) < 0.5 {
+		t.Fatalf("half a ramp gives %v", r.p.recoveredFraction(ep))
 	}
-	r.p.failed(ep, r.p.now, false)
-	r.p.failed(ep, r.p.now, false)
-	if got := r.p.ramped(ep); got != 0.2 || !ep.sick {
-		t.Fatalf("after a failure in the ramp: share %v, out %v", got, ep.sick)
+	r.p.observeFailure(ep, r.p.now, false)
+	r.p.observeFailure(ep, r.p.now, false)
+	if got := r.p.recoveredFraction(ep); got != 0.2 || !ep.isEjected {
+		t.Fatalf("after a failure in the ramp: share %v, out %v", got, ep.isEjected)
 	}
 }
 
 // TestOldCallsTellNothingOfTheReturn: what left before the outage was over does not restart it.
 func TestOldCallsTellNothingOfTheReturn(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
-	ep := r.p.eps[1]
+	r := newRig(t, baseSettings(), ready(1, 10))
+	ep := r.p.endpoints[1]
 	early := r.now
 	for range 3 {
-		r.p.failed(ep, r.now, true)
+		r.p.observeFailure(ep, r.now, true)
 	}
 	r.p.now += 3 * second
-	r.p.healthy(ep, r.p.now-second/10)
-	good := ep.goodAt
-	r.p.failed(ep, early, true)
-	if good == 0 || ep.goodAt != good {
-		t.Fatalf("ramp began at %d and now says %d", good, ep.goodAt)
+	r.p.observeSuccess(ep, r.p.now-second/10)
+	good := ep.recoveredAt
+	r.p.observeFailure(ep, early, true)
+	if good == 0 || ep.recoveredAt != good {
+		t.Fatalf("ramp began at %d and now says %d", good, ep.recoveredAt)
 	}
 }
 
 // TestTimeoutNotUnderAim: one quick answer must not make the next slow one look like an outage.
 func TestTimeoutNotUnderAim(t *testing.T) {
-	r := newRig(t, one(), ready(1, 1000))
+	r := newRig(t, baseSettings(), ready(1, 1000))
 	r.step(r.message(0, 0))
 	e := answer(r.sends[0], Delivered)
 	e.Latency = 1000
@@ -346,10 +344,10 @@
 // up by the end of an outage must stay near what chance moves a second of its calls.
 func TestChanceOfAShare(t *testing.T) {
 	for _, c := range []struct{ relays, want int }{{2, 3}, {12, 1}, {80, 1}} {
-		s := one()
+		s := baseSettings()
 		s.Relays = c.relays
 		r := newRig(t, s, ready(1, 18))
-		r.p.eps[1].lane.window = 5
+		r.p.endpoints[1].route.window = 5
 		r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
 		if len(r.sends) != c.want {
 			t.Errorf("%d relays: %d of 3 calls passed at once", c.relays, len(r.sends))
@@ -360,15 +358,15 @@
 // TestFleetKeepsToALimit: relays that are all refused come down to less than the limit together, however many.
 func TestFleetKeepsToALimit(t *testing.T) {
 	for _, n := range []int{2, 80, 400} {
-		s := one()
+		s := baseSettings()
 		s.Relays = n
 		r := newRig(t, s, ready(1, 20))
-		ep := r.p.eps[1]
+		ep := r.p.endpoints[1]
 		for range 100 {
-			r.p.observe(&call{ep: ep, sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}},
+			r.p.observeCall(&callState{endpoint: ep, sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}},
 				&Event{Kind: EventAttemptDone, Outcome: Rejected, Load: LoadReport{Limit: 20, Present: true}})
 		}
-		if all := r.p.pace(ep.lane) * float64(n); all > 20 || all < 5 {
+		if all := r.p.paceRate(ep.route) * float64(n); all > 20 || all < 5 {
 			t.Errorf("%d relays send %v a second together, limit 20", n, all)
 		}
 	}
@@ -378,17 +376,17 @@
 // grow by on one report stays inside the allowance that it told of. One that calls often goes on in small steps.
 func TestPaceOfSeldomCallers(t *testing.T) {
 	for _, n := range []int{2, 80, 300} {
-		s := one()
+		s := baseSettings()
 		s.Relays = n
 		r := newRig(t, s, ready(1, 20))
-		l := r.p.eps[1].lane
+		l := r.p.endpoints[1].route
 		book := func(o Outcome, left float64, gap Time) (before, after float64) {
 			r.now += gap
 			r.step()
-			l.bound, before = true, r.p.pace(l)
-			r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}},
+			l.isPaceLimited, before = true, r.p.paceRate(l)
+			r.p.observeCall(&callState{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}},
 				&Event{Kind: EventAttemptDone, Outcome: o, Load: LoadReport{Remaining: left, Limit: 20, Present: true}})
-			return before, r.p.pace(l)
+			return before, r.p.paceRate(l)
 		}
 		if _, each := book(Rejected, 0, s.OverloadWindow); each*float64(n) > 20.001 {
 			t.Errorf("%d relays: after one refusal each they send %v a second together, limit 20", n, each*float64(n))
@@ -409,7 +407,7 @@
 
 // TestNoConnectionSpendsNoToken: a call that found no connection took nothing of the limit.
 func TestNoConnectionSpendsNoToken(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.Relays = 80
 	r := newRig(t, s, ready(1, 20))
 	r.untilSend()
@@ -426,13 +424,13 @@
 // TestTrialsUseMessages: a trial call is a message that waits; an unsafe one only once it is late.
 func TestTrialsUseMessages(t *testing.T) {
 	for _, unsafe := range []bool{false, true} {
-		s := one()
+		s := baseSettings()
 		if unsafe {
 			s.Classes[0].Idempotency = NonIdempotent
 		}
 		r := newRig(t, s, ready(1, 10))
 		for range 3 {
-			r.p.failed(r.p.eps[1], r.now, true)
+			r.p.observeFailure(r.p.endpoints[1], r.now, true)
 		}
 		start := r.now
 		r.step(r.message(0, 0))
@@ -448,16 +446,16 @@
 
 // TestBatchOfOneTurn: what waits for one endpoint shares a call and a slot, and the call counts once.
 func TestBatchOfOneTurn(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
 	r := newRig(t, s, ready(1, 10))
 	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
-	if len(r.sends) != 3 || r.p.calls != 1 {
-		t.Fatalf("%d sends in %d calls, want 3 in 1", len(r.sends), r.p.calls)
+	if len(r.sends) != 3 || r.p.callsInFlight != 1 {
+		t.Fatalf("%d sends in %d calls, want 3 in 1", len(r.sends), r.p.callsInFlight)
 	}
 	r.now += second / 5
 	r.step(answer(r.sends[0], Delivered))
-	if r.p.calls != 1 {
+	if r.p.callsInFlight != 1 {
 		t.Fatal("the slot was freed before the call's last outcome")
 	}
 }
@@ -465,7 +463,7 @@
 // TestCallEndsInTime: the messages of a call share one fate, so that none of them is waited for beyond the time
 // of another, whichever leads the call.
 func TestCallEndsInTime(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
 	unsafe := s.Classes[0]
 	unsafe.Idempotency = NonIdempotent
@@ -482,8 +480,8 @@
 			events = append(events, e)
 		}
 		r.step(events...)
-		if len(r.sends) != 3 || r.p.calls != 1 {
-			t.Fatalf("seed %d: %d sends in %d calls, want 3 in 1", seed, len(r.sends), r.p.calls)
+		if len(r.sends) != 3 || r.p.callsInFlight != 1 {
+			t.Fatalf("seed %d: %d sends in %d calls, want 3 in 1", seed, len(r.sends), r.p.callsInFlight)
 		}
 		for _, a := range r.sends {
 			if a.Call != r.sends[0].Call || a.Deadline >= first || a.Deadline <= r.now {
@@ -497,7 +495,7 @@
 // TestCallCutsNobodyShort: a message whose time is nearly up shares no call, whether it leads or follows: its end would
 // be that of others, which have more time and may not be sent again.
 func TestCallCutsNobodyShort(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
 	unsafe := s.Classes[0]
 	unsafe.Idempotency = NonIdempotent
@@ -536,7 +534,7 @@
 // TestRepeatInItsWindow: a keyed message that may have run goes out again with word of the moment after which it is
 // not known as the same any more; what has surely not run, and what may always run again, has none.
 func TestRepeatInItsWindow(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	keyed := s.Classes[0]
 	keyed.Idempotency, keyed.DedupWindow = IdempotentByKey, 5*second
 	s.Classes = append(s.Classes, keyed)
@@ -567,7 +565,7 @@
 // TestKeptIsTried: what an earlier process took on and never sent is neither dropped by a draw nor shed for want of
 // room: it is tried, or waits until its time is up. It may go on to refuse what is new.
 func TestKeptIsTried(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.MaxMessages = 30
 	for seed := range uint64(20) {
 		p, err := New(s, seed)
@@ -596,12 +594,12 @@
 				switch a.Kind {
 				case ActionSend:
 					e := answer(a, Errored) // the draw drops nine in ten
-					if p.msgs[a.Message].tries%4 == 1 {
+					if p.messages[a.Message].attempts%4 == 1 {
 						e.Outcome = ConnectFailed // nobody has seen this one
 					} else {
 						sent[a.Message] = true
 					}
-					e.Attempt = p.msgs[a.Message].tries - 1
+					e.Attempt = p.messages[a.Message].attempts - 1
 					events = append(events, e)
 				case ActionReject, ActionFail:
 					if !kept[a.Message] {
@@ -620,7 +618,7 @@
 
 // TestWorthOrder: what loses most by waiting goes first; what is over its tenant's share goes last.
 func TestWorthOrder(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.Classes = append(s.Classes, Class{Name: "dear", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 3, LateWeight: 0.3})
 	s.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 100}}
 	r := newRig(t, s, ready(1, 2))
@@ -638,25 +636,25 @@
 	r.step(events...)
 	r.now += second
 	r.step(answer(first, Delivered))
-	q := r.p.dests[0].queue
+	q := r.p.destinations[0].queue
 	if len(r.sends) == 0 || len(q) < 2 {
 		t.Fatalf("%d sends, %d left in the queue", len(r.sends), len(q))
 	}
-	if m := r.p.msgs[r.sends[0].Message]; m.class.Name != "dear" || m.worth < 3 || q[len(q)-1].worth > 0.5 {
-		t.Fatalf("first %s of worth %v, last worth %v", m.class.Name, m.worth, q[len(q)-1].worth)
+	if m := r.p.messages[r.sends[0].Message]; m.class.Name != "dear" || m.weight < 3 || q[len(q)-1].weight > 0.5 {
+		t.Fatalf("first %s of worth %v, last worth %v", m.class.Name, m.weight, q[len(q)-1].weight)
 	}
 }
 
 // TestClosedQueueCostsNothing: what waits for a destination that nothing may go to is not weighed at each event;
 // where the queue is long that would cost more than the work there is.
 func TestClosedQueueCostsNothing(t *testing.T) {
-	r := newRig(t, one(), ready(1, 2))
+	r := newRig(t, baseSettings(), ready(1, 2))
 	r.step(r.message(0, 0)) // takes the window of one
 	for range 50 {
 		r.step(r.message(0, 0))
 	}
-	for _, m := range r.p.dests[0].queue {
-		if m.loss != 0 {
+	for _, m := range r.p.destinations[0].queue {
+		if m.delayCost != 0 {
 			t.Fatal("a queue was weighed while its window was full")
 		}
 	}
@@ -664,7 +662,7 @@
 
 // TestNoEndpoint: a message without a usable endpoint is held, then answered in time by its class.
 func TestNoEndpoint(t *testing.T) {
-	r := newRig(t, one())
+	r := newRig(t, baseSettings())
 	r.step(r.message(0, 7))
 	if count(r.acts, ActionTimer) != 1 || count(r.acts, ActionReject) != 0 {
 		t.Fatalf("actions %+v", r.acts)
@@ -677,7 +675,7 @@
 
 // TestUnknownClass: nothing is known of such a message, and nothing has run.
 func TestUnknownClass(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
+	r := newRig(t, baseSettings(), ready(1, 10))
 	e := r.message(0, 0)
 	e.Class = 9
 	if r.step(e); count(r.acts, ActionReject) != 1 || len(r.sends) != 0 {
@@ -700,45 +698,21 @@
 		{"SlowStartCapacity", func(s *Settings) { s.SlowStartCapacity = math.NaN() }},
 		{"Kinds[0].MaxBatch", func(s *Settings) { s.Kinds[0].MaxBatch = -1 }},
 	} {
-		s := one()
+		s := baseSettings()
 		c.change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), c.key) {
 			t.Errorf("%s: error %v", c.key, err)
 		}
 	}
-	if _, err := New(one(), 1); err != nil {
+	if _, err := New(baseSettings(), 1); err != nil {
 		t.Errorf("good settings: %v", err)
 	}
 }
 
-// TestLimits holds the module's own limits on its text.
-func TestLimits(t *testing.T) {
-	text, err := os.ReadFile("decide.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	n := 0
-	lines := strings.Split(string(text), "\n")
-	for i, line := range lines {
-		if strings.TrimSpace(line) != "" {
-			n++
-		}
-		if w := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); w > 110 {
-			t.Errorf("line %d has %d columns", i+1, w)
-		}
-	}
-	if n > 1200 {
-		t.Errorf("%d lines that are not blank, at most 1200", n)
-	}
-	if !strings.Contains(strings.Join(lines[:3], "\n"), "api.go") {
-		t.Error("the first lines do not name api.go")
-	}
-}
-
 // TestReclaim: calls that never come back do not hold the last slots while messages wait, and a call to an
 // endpoint that has answered others since does not count against it.
 func TestReclaim(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.MaxCalls = 2
 	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 1000}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 1000})
 	for dest := range 2 { // both have answered once, so what is usual is known
@@ -748,8 +722,8 @@
 	}
 	r.now += second
 	r.step(r.message(0, 0), r.message(0, 1), r.message(0, 1))
-	if r.p.calls != 2 {
-		t.Fatalf("%d calls out, want both slots taken", r.p.calls)
+	if r.p.callsInFlight != 2 {
+		t.Fatalf("%d calls out, want both slots taken", r.p.callsInFlight)
 	}
 	cancels := 0
 	for range 400 {
@@ -763,11 +737,11 @@
 	if cancels == 0 {
 		t.Fatal("no overdue call was called off")
 	}
-	ep := r.p.eps[1]
-	ep.okAt = r.now
-	before := ep.score
-	r.p.observe(&call{ep: ep, sent: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: Cancelled})
-	if ep.score != before {
+	ep := r.p.endpoints[1]
+	ep.lastSuccessAt = r.now
+	before := ep.failureScore
+	r.p.observeCall(&callState{endpoint: ep, sentAt: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: Cancelled})
+	if ep.failureScore != before {
 		t.Error("a call called off counted against an endpoint that has answered since")
 	}
 }
@@ -775,7 +749,7 @@
 // TestReclaimMixedBatch: a call that an unsafe message shares is waited for as long as one of its own, whatever
 // message leads it: called off, the unsafe one has had its only try.
 func TestReclaimMixedBatch(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.MaxCalls = 1
 	s.Kinds[0].MaxBatch = 2
 	unsafe := s.Classes[0]
@@ -788,8 +762,8 @@
 		r.step(answer(r.sends[0], Delivered))
 		r.now += second
 		r.step(r.message(0, 0), r.message(class, 0), r.message(0, 0))
-		if len(r.sends) != 2 || r.p.calls != 1 || r.p.msgs[r.sends[0].Message].class.Idempotency != Idempotent {
-			t.Fatalf("%d sends in %d calls, want 2 in 1 led by a safe one", len(r.sends), r.p.calls)
+		if len(r.sends) != 2 || r.p.callsInFlight != 1 || r.p.messages[r.sends[0].Message].class.Idempotency != Idempotent {
+			t.Fatalf("%d sends in %d calls, want 2 in 1 led by a safe one", len(r.sends), r.p.callsInFlight)
 		}
 		for start := r.now; ; r.step() {
 			if count(r.acts, ActionCancel) > 0 {
@@ -806,7 +780,7 @@
 // TestWaitWithAnyOutcome: a wait binds whatever became of the message whose answer told it.
 func TestWaitWithAnyOutcome(t *testing.T) {
 	for _, o := range []Outcome{Delivered, Rejected, Errored} {
-		r := newRig(t, one(), ready(1, 1000))
+		r := newRig(t, baseSettings(), ready(1, 1000))
 		r.step(r.message(0, 0))
 		e := answer(r.sends[0], o)
 		e.RetryAfter = second
@@ -826,7 +800,7 @@
 // TestHungUnsafeCall: an unsafe call that hangs where calls sent much later are answered gives its place back
 // before its deadline; where nothing sent later was answered, or only just later, it is waited for.
 func TestHungUnsafeCall(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.Classes[0].Idempotency = NonIdempotent
 	for later, want := range map[Time]bool{0: false, second / 10: false, 5 * second: true} {
 		r := newRig(t, s, ready(1, 1000))
@@ -860,28 +834,28 @@
 
 // TestFewerThanHalfFailing: where most calls pass, failures neither make an outage nor undo a ramp.
 func TestFewerThanHalfFailing(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
-	ep := r.p.eps[1]
+	r := newRig(t, baseSettings(), ready(1, 10))
+	ep := r.p.endpoints[1]
 	for i := range 300 { // two of five fail
 		r.p.now += second / 10
 		if i%5 == 1 || i%5 == 3 {
-			r.p.failed(ep, r.p.now, false)
+			r.p.observeFailure(ep, r.p.now, false)
 		} else {
-			r.p.healthy(ep, r.p.now)
+			r.p.observeSuccess(ep, r.p.now)
 		}
-		if ep.sick {
+		if ep.isEjected {
 			t.Fatalf("out after %d calls of which two in five failed", i)
 		}
 	}
 	for range 3 {
-		r.p.failed(ep, r.p.now, false)
+		r.p.observeFailure(ep, r.p.now, false)
 	}
 	for range 6 {
-		r.p.healthy(ep, r.p.now)
+		r.p.observeSuccess(ep, r.p.now)
 	}
-	good := ep.goodAt
-	r.p.failed(ep, r.p.now, false)
-	if good == 0 || ep.goodAt != good {
+	good := ep.recoveredAt
+	r.p.observeFailure(ep, r.p.now, false)
+	if good == 0 || ep.recoveredAt != good {
 		t.Fatal("one failure among passes undid the ramp")
 	}
 }
@@ -890,13 +864,13 @@
 // than a message has to its aim.
 func TestRestAfterARefusal(t *testing.T) {
 	for _, n := range []int{2, 7, 400} {
-		s := one()
+		s := baseSettings()
 		s.Relays = n
 		r := newRig(t, s, ready(1, 4))
-		l := r.p.eps[1].lane
-		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: Rejected})
+		l := r.p.endpoints[1].route
+		r.p.observeCall(&callState{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: Rejected})
 		turn := min(Time(n)*second/4, 2*second)
-		if rest := l.pauseUntil - r.now; rest < turn/2 || rest > turn*3/2 {
+		if rest := l.backoffUntil - r.now; rest < turn/2 || rest > turn*3/2 {
 			t.Errorf("%d relays: a rest of %d ms at 4 calls a second", n, rest/1000)
 		}
 	}
@@ -904,11 +878,11 @@
 
 // TestShedLatest: with the room nearly full the message that opens latest is handed back, not the next arrival.
 func TestShedLatest(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.MaxMessages = 16
 	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 4}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 4})
-	r.p.eps[1].lane.pauseUntil = r.now + 15*second
-	r.p.eps[2].lane.pauseUntil = r.now + second
+	r.p.endpoints[1].route.backoffUntil = r.now + 15*second
+	r.p.endpoints[2].route.backoffUntil = r.now + second
 	var events []Event
 	dest := map[uint32]int{}
 	for i := range 16 {
@@ -935,7 +909,7 @@
 // cold destination, for two relays and for hundreds.
 func TestFleetBudget(t *testing.T) {
 	for _, n := range []int{2, 50, 400} {
-		s := one()
+		s := baseSettings()
 		s.Relays, s.MaxMessages = n, 1000
 		const rate = 20.0
 		back := 1012 * second
@@ -983,10 +957,10 @@
 // TestIdleGivenBack: where connections run out, idle ones are given back, the sooner the more relays there are.
 func TestIdleGivenBack(t *testing.T) {
 	for _, tight := range []float64{0, 1} {
-		s := one()
+		s := baseSettings()
 		s.Relays = 50
 		r := newRig(t, s, ready(1, 1000))
-		r.p.tight[0] = tight
+		r.p.connectionShortage[0] = tight
 		r.step(r.message(0, 0))
 		r.now += second / 10
 		closes := 0
@@ -1012,7 +986,7 @@
 		full        bool
 	}{{80, true, false, 0, true}, {80, false, false, 0, false}, {80, true, true, 0, false},
 		{80, true, false, second, false}, {2, true, false, 0, false}} {
-		s := one()
+		s := baseSettings()
 		s.Relays = c.relays
 		r := newRig(t, s, ready(1, 1000))
 		for _, o := range []Event{{Outcome: Delivered, Final: true, Load: LoadReport{Remaining: 1, Limit: 1000, Present: true}},
@@ -1023,8 +997,8 @@
 			r.step(e)
 			r.now += second
 		}
-		if short := r.p.keep(r.p.eps[1]) < s.KeepAlive/4; short != c.full {
-			t.Errorf("%+v: idle connections kept for %d", c, r.p.keep(r.p.eps[1]))
+		if short := r.p.idleTimeout(r.p.endpoints[1]) < s.KeepAlive/4; short != c.full {
+			t.Errorf("%+v: idle connections kept for %d", c, r.p.idleTimeout(r.p.endpoints[1]))
 		}
 	}
 }
@@ -1033,7 +1007,7 @@
 func (r *rig) untilSend() {
 	r.t.Helper()
 	for i := 0; ; i++ {
-		if r.now += r.p.set.Tick; len(r.p.live) == 0 {
+		if r.now += r.p.settings.Tick; len(r.p.pending) == 0 {
 			r.step(r.message(0, 0))
 		} else {
 			r.step()
@@ -1050,7 +1024,7 @@
 // crowd has a relay of a fleet of 80 find no room for a connection so many times in a row.
 func crowd(t *testing.T, times int) *rig {
 	t.Helper()
-	s := one()
+	s := baseSettings()
 	s.Relays = 80
 	r := newRig(t, s, ready(1, 1000))
 	r.untilSend()
@@ -1062,7 +1036,7 @@
 			r.untilSend()
 		}
 		e = answer(r.sends[0], Rejected)
-		e.Attempt, e.NewConnection = r.p.msgs[e.Message].tries-1, true
+		e.Attempt, e.NewConnection = r.p.messages[e.Message].attempts-1, true
 		r.step(e)
 	}
 	return r
@@ -1072,21 +1046,21 @@
 // fleet opens one, and some chance on some find no room. A long run is an outage, as of one that is shut.
 func TestNoRoomIsNoOutage(t *testing.T) {
 	r := crowd(t, 2)
-	ep := r.p.eps[1]
-	if ep.sick || ep.score > 0 || ep.lane.nominal != 1000 || ep.lane.boost < 1 {
-		t.Errorf("after two: sick %v, score %v, nominal %v, boost %v", ep.sick, ep.score, ep.lane.nominal, ep.lane.boost)
+	ep := r.p.endpoints[1]
+	if ep.isEjected || ep.failureScore > 0 || ep.route.nominalRate != 1000 || ep.route.paceFactor < 1 {
+		t.Errorf("after two: sick %v, score %v, nominal %v, boost %v", ep.isEjected, ep.failureScore, ep.route.nominalRate, ep.route.paceFactor)
 	}
-	if gap := ep.restUntil - r.now; gap <= 0 || gap > second {
+	if gap := ep.backoffUntil - r.now; gap <= 0 || gap > second {
 		t.Errorf("rests for %d", gap)
 	}
 	r.untilSend()
 	e := answer(r.sends[0], Delivered)
-	e.Attempt = r.p.msgs[e.Message].tries - 1
+	e.Attempt = r.p.messages[e.Message].attempts - 1
 	r.step(e)
-	if ep.crowd != 0 {
+	if ep.connectionRejections != 0 {
 		t.Error("a success does not end the run")
 	}
-	if r = crowd(t, 12); !r.p.eps[1].sick {
+	if r = crowd(t, 12); !r.p.endpoints[1].isEjected {
 		t.Error("twelve in a row are no outage")
 	}
 }
@@ -1094,14 +1068,14 @@
 // A relay that calls an endpoint seldom keeps no idle connection where tables are full: it would be of no use to it.
 func TestSeldomCallerKeepsNoConnection(t *testing.T) {
 	r := crowd(t, 1)
-	ep := r.p.eps[1]
-	if got := r.p.keep(ep); got > r.p.set.Tick {
+	ep := r.p.endpoints[1]
+	if got := r.p.idleTimeout(ep); got > r.p.settings.Tick {
 		t.Errorf("kept for %d at a call in seconds", got)
 	}
 	for range 100 {
-		ep.lane.hist.request(r.now)
+		ep.route.history.recordRequest(r.now)
 	}
-	if got, part := r.p.keep(ep), r.p.set.KeepAlive/40; got != part {
+	if got, part := r.p.idleTimeout(ep), r.p.settings.KeepAlive/40; got != part {
 		t.Errorf("kept for %d at many calls, want %d", got, part)
 	}
 }
@@ -1110,17 +1084,17 @@
 // of a large fleet calls so seldom that two of its calls in a row often meet a limit that the others have used up.
 func TestRefusalByALimitIsNoOutage(t *testing.T) {
 	for _, told := range []bool{false, true} {
-		s := one()
+		s := baseSettings()
 		s.Relays = 80
 		r := newRig(t, s, ready(1, 1000))
 		for range 2 {
 			r.untilSend()
 			e := answer(r.sends[0], Rejected)
-			e.Attempt, e.Load = r.p.msgs[e.Message].tries-1, LoadReport{Limit: 1000, Present: told}
+			e.Attempt, e.Load = r.p.messages[e.Message].attempts-1, LoadReport{Limit: 1000, Present: told}
 			r.step(e)
 			r.now += s.OverloadWindow
 		}
-		if sick := r.p.eps[1].sick; sick == told {
+		if sick := r.p.endpoints[1].isEjected; sick == told {
 			t.Errorf("report %v: held to be out %v", told, sick)
 		}
 	}
@@ -1129,7 +1103,7 @@
 // A relay of a large fleet meets an outage at a destination that it has never heard from. Its trial calls are paced by
 // the lowest limit that others of the kind reported, not by one call a second for all relays together.
 func TestTrialsWhereNothingWasHeard(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.Relays, s.ListedRates, s.Kinds = 80, false, []DestinationKind{{MaxBatch: 1}, {MaxBatch: 1}}
 	entry := func(id Endpoint, dest, kind int) Entry {
 		return Entry{Endpoint: id, Dest: dest, Kind: kind, State: Ready}
@@ -1141,19 +1115,19 @@
 		e.Load = LoadReport{Remaining: 1, Limit: limit, Present: true}
 		r.step(e)
 	}
-	if r.p.capacity(r.p.eps[3].lane) != 1 || r.p.leastLimit(r.p.eps[4].lane.dest) != 0 {
+	if r.p.estimateCapacity(r.p.endpoints[3].route) != 1 || r.p.lowestReportedLimit(r.p.endpoints[4].route.dest) != 0 {
 		t.Error("the guess goes beyond trial calls, or beyond the kind")
 	}
 	tries := 0
 	for range 20000 { // it fails for 100 s
-		if r.now += s.Tick; len(r.p.live) == 0 {
+		if r.now += s.Tick; len(r.p.pending) == 0 {
 			r.step(r.message(0, 2))
 		} else {
 			r.step()
 		}
 		for len(r.sends) > 0 {
 			e := answer(r.sends[0], ConnectFailed)
-			e.Attempt = r.p.msgs[e.Message].tries - 1
+			e.Attempt = r.p.messages[e.Message].attempts - 1
 			r.step(e)
 			tries++
 		}
@@ -1164,12 +1138,12 @@
 }
 
 func TestGoneAndMoved(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10), ready(2, 10))
-	r.p.failed(r.p.eps[1], r.now, true)
-	r.p.eps[1].sick = true
+	r := newRig(t, baseSettings(), ready(1, 10), ready(2, 10))
+	r.p.observeFailure(r.p.endpoints[1], r.now, true)
+	r.p.endpoints[1].isEjected = true
 	r.step(Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: []Entry{{Endpoint: 1, State: Removed}, {Endpoint: 2, State: Ready, Dest: 5}}})
-	if len(r.p.eps) != 1 || len(r.p.dest(0).lanes[0].eps) != 0 {
-		t.Fatalf("%d endpoints kept, %d at the old place", len(r.p.eps), len(r.p.dest(0).lanes[0].eps))
+	if len(r.p.endpoints) != 1 || len(r.p.destination(0).routes[0].endpoints) != 0 {
+		t.Fatalf("%d endpoints kept, %d at the old place", len(r.p.endpoints), len(r.p.destination(0).routes[0].endpoints))
 	}
 	if r.step(r.message(0, 0)); len(r.sends) != 0 {
 		t.Fatal("sent to an endpoint of another destination")
@@ -1183,7 +1157,7 @@
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 700} {
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
-			p, _ := New(one(), 1)
+			p, _ := New(baseSettings(), 1)
 			var list []Entry
 			for i := range n {
 				list = append(list, Entry{Endpoint: Endpoint(i + 1), State: Ready, Dest: i, Rate: 1e6})
@@ -1205,17 +1179,17 @@
 // longer it has failed; where few relays send there much each, it hardly does.
 func TestRestOfWhatFails(t *testing.T) {
 	for _, n := range []int{2, 400} {
-		s := one()
+		s := baseSettings()
 		s.Relays = n
 		r := newRig(t, s, ready(1, 10))
-		ep := r.p.eps[1]
-		r.p.failed(ep, r.now, false)
-		if ep.restUntil > r.now {
+		ep := r.p.endpoints[1]
+		r.p.observeFailure(ep, r.now, false)
+		if ep.backoffUntil > r.now {
 			t.Fatalf("%d relays: a rest after the first failure", n)
 		}
 		r.p.now += second / 2
-		r.p.failed(ep, r.p.now, false)
-		if rest := ep.restUntil - r.p.now; n == 400 && rest < second || n == 2 && rest > second/4 {
+		r.p.observeFailure(ep, r.p.now, false)
+		if rest := ep.backoffUntil - r.p.now; n == 400 && rest < second || n == 2 && rest > second/4 {
 			t.Errorf("%d relays: a rest of %d ms half a second after the first failure", n, rest/1000)
 		}
 	}
@@ -1224,7 +1198,7 @@
 // TestAvoided: an endpoint counts as avoided while it drains, told this relay to wait, or is seen failing,
 // and no longer once that is over.
 func TestAvoided(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	r := newRig(t, s, ready(1, 1000), Entry{Endpoint: 2, Dest: 1, State: Draining})
 	if r.p.Unavailable(1, r.now) || !r.p.Unavailable(2, r.now) || !r.p.Unavailable(3, r.now) {
 		t.Errorf("at the start: ready %v, draining %v, unknown %v", r.p.Unavailable(1, r.now), r.p.Unavailable(2, r.now), r.p.Unavailable(3, r.now))
@@ -1242,8 +1216,8 @@
 			r.step(Event{Kind: EventTimer})
 		}
 		a := r.sends[0]
-		a.Attempt = r.p.msgs[a.Message].tries - 1
-		if r.step(answer(a, Errored)); r.p.eps[1].sick {
+		a.Attempt = r.p.messages[a.Message].attempts - 1
+		if r.step(answer(a, Errored)); r.p.endpoints[1].isEjected {
 			break
 		}
 	}
@@ -1255,15 +1229,15 @@
 // TestDrain: the no comes at once and the release later, once however often it is asked; an end of the drain
 // before the release calls it off, and what is held goes out all the while.
 func TestDrain(t *testing.T) {
-	r := newRig(t, one(), ready(1, 1000))
+	r := newRig(t, baseSettings(), ready(1, 1000))
 	if a := r.step(Event{Kind: EventDrain}, Event{Kind: EventDrain}); count(a, ActionStopAccepting) != 1 || count(a, ActionReleaseClients) != 0 {
 		t.Errorf("at once: %+v", a)
 	}
-	r.now += drainHeed / 2
+	r.now += clientReleaseDelay / 2
 	if a := r.step(r.message(0, 0)); count(a, ActionSend) != 1 || count(a, ActionReleaseClients) != 0 {
 		t.Errorf("before the release: %+v", a)
 	}
-	r.now += drainHeed/2 + 1
+	r.now += clientReleaseDelay/2 + 1
 	if a := r.step(Event{Kind: EventTimer}); count(a, ActionReleaseClients) != 1 {
 		t.Errorf("then: %+v", a)
 	}
@@ -1272,7 +1246,7 @@
 	}
 	r.step(Event{Kind: EventDrain})
 	r.step(Event{Kind: EventActivate})
-	r.now += 2 * drainHeed
+	r.now += 2 * clientReleaseDelay
 	if a := r.step(Event{Kind: EventTimer}); count(a, ActionReleaseClients) != 0 {
 		t.Errorf("a release that was called off: %+v", a)
 	}
@@ -1281,26 +1255,26 @@
 // TestHangingCallsAreNotShared: where many calls end in silence, an unsafe message, for which a call is waited
 // for far longer, does not hold up others in it; where few do, it shares its call as ever.
 func TestHangingCallsAreNotShared(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.Kinds[0].MaxBatch = 4
 	unsafe := s.Classes[0]
 	unsafe.Idempotency = NonIdempotent
 	s.Classes = append(s.Classes, unsafe)
 	for _, hang := range []bool{false, true} {
 		r := newRig(t, s, ready(1, 1000))
-		ep := r.p.eps[1]
+		ep := r.p.endpoints[1]
 		for i := range 100 { // one in five is called off, or none
 			o := Delivered
 			if hang && i%5 == 0 {
-				o, ep.okAt = Cancelled, r.now // others were answered since
+				o, ep.lastSuccessAt = Cancelled, r.now // others were answered since
 			}
-			r.p.observe(&call{ep: ep, sent: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: o, Latency: second / 10})
+			r.p.observeCall(&callState{endpoint: ep, sentAt: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: o, Latency: second / 10})
 		}
-		r.p.eps[1].lane.window = 1 // one call with all, or none
+		r.p.endpoints[1].route.window = 1 // one call with all, or none
 		r.step(r.message(0, 0), r.message(1, 0), r.message(0, 0), r.message(1, 0))
 		kinds := map[Idempotency]int{}
 		for _, a := range r.sends {
-			kinds[r.p.msgs[a.Message].class.Idempotency]++
+			kinds[r.p.messages[a.Message].class.Idempotency]++
 		}
 		if len(r.sends) < 2 || (len(kinds) == 1) != hang {
 			t.Errorf("hanging %v: sent %v of each kind", hang, kinds)
@@ -1311,7 +1285,7 @@
 // TestHungCallIsLookedAtAgain: that a call sent much later was answered is seen within one patience, also where
 // no slot was wanted when the hung call was last looked at.
 func TestHungCallIsLookedAtAgain(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.Classes[0].Idempotency = NonIdempotent
 	r := newRig(t, s, ready(1, 1000))
 	r.step(r.message(0, 0))
@@ -1320,8 +1294,8 @@
 	r.now += second
 	r.step(r.message(0, 0))
 	hung := r.sends[0]
-	patience := r.p.patience(r.p.eps[1])
-	r.now += (unsafeWait + 1) * patience
+	patience := r.p.expectedLatencyBound(r.p.endpoints[1])
+	r.now += (nonIdempotentWaitFactor + 1) * patience
 	r.step(r.message(0, 0))
 	other := r.sends[0]
 	r.now += second / 100
@@ -1337,7 +1311,7 @@
 // TestManyOverdue: where a third of the slots is held by calls that hang, unsafe ones too are called off sooner:
 // waited for as long as a single one is (TestReclaimMixedBatch), they would leave no slot to what can be delivered.
 func TestManyOverdue(t *testing.T) {
-	s := one()
+	s := baseSettings()
 	s.MaxCalls = 4
 	s.Classes[0].Idempotency = NonIdempotent
 	r := newRig(t, s, ready(1, 1000), Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 1000})
@@ -1348,10 +1322,10 @@
 	}
 	r.now += second
 	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 1), r.message(0, 1), r.message(0, 0))
-	if r.p.calls != 4 || r.p.overdue() != 0 {
-		t.Fatalf("%d calls out, %d overdue", r.p.calls, r.p.overdue())
+	if r.p.callsInFlight != 4 || r.p.countOverdueCalls() != 0 {
+		t.Fatalf("%d calls out, %d overdue", r.p.callsInFlight, r.p.countOverdueCalls())
 	}
-	start, patience := r.now, r.p.patience(r.p.eps[1])
+	start, patience := r.now, r.p.expectedLatencyBound(r.p.endpoints[1])
 	for r.step(); count(r.acts, ActionCancel) == 0 && r.now < start+10*second; r.step() {
 		r.now += 5000
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -32,7 +32,7 @@
 )
 
 func fleetSettings(d fleetDay) Settings {
-	s := one()
+	s := baseSettings()
 	s.Relays, s.MaxCalls, s.MaxMessages, s.MaxAttempts = d.relays, 40, 400, 12
 	s.ListedRates, s.LoadReports, s.HealthChecks = !d.reports, d.reports, false
 	s.SlowStartCapacity, s.SlowStartTime, s.OverloadFactor, s.OverloadWindow = 0.19, 13*second, 2.5, 3*second
@@ -66,7 +66,7 @@
 	set      Settings
 	rng      *rand.Rand
 	relays   []*fleetRelay
-	served   bucket
+	served   tokenBucket
 	arrivals []fleetArrival
 	accepted int
 }
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -20,28 +20,34 @@
 	}
 	for _, m := range []struct{ name, old, new, run string }{
 		{"none", "", "", ""},
-		{"drain", "ep.state != Ready || ep.lane", "ep.lane", "TestRules"},
-		{"wait", " || ep.lane.waitUntil > p.now || ", " || ", "TestRules"},
-		{"unsafe", "if m.doubtAt == 0 || m.class.Idempotency == Idempotent {", "if m.doubtAt == 0 || m.class.Idempotency != IdempotentByKey {", "TestRules"},
-		{"dedup window", " || p.now > p.repeatBy(m)", "", "TestRules"},
-		{"dedup zone", "perZone && ep.zone != m.doubtIn", "perZone && false", "TestRules"},
-		{"order", "l.turns[0] != m || ", "", "TestRules"},
-		{"rest of a key", "m.tries == 0 && l.rest > p.now", "false", "TestRules"},
-		{"answer in time", "p.now < m.deadline-p.margin() && (m.call", "(m.call", "TestRules"},
-		{"attempts", "p.set.MaxAttempts > 0 && m.tries >= p.set.MaxAttempts", "false", "TestRules"},
-		{"refusal", "return m.class.Idempotency == IdempotentByKey && !m.class.DedupPerZone &&", "return m.class.Idempotency == IdempotentByKey &&", "TestRules"},
-		{"budget", "return ep.budget.level(p.now, rate, max(depth, ep.need)) >= ep.need", "return ep.budget.level(p.now, rate, max(depth, ep.need)) >= -99", "TestFailBackBudget"},
-		{"outage", "ep.sick || ep.score < scoreSick", "true", "TestPartialSuccessKeepsTheBudget"},
-		{"order behind spilled", "l.ahead() || ", "", "TestRulesWithBacklog"},
-		{"order of spilled", "l.spilled == 0 && l.turns[len(l.turns)-1] == m", "l != nil", "TestRulesWithBacklog"},
-		{"window of spilled", "min(by, m.deadline-p.margin())", "max(by, m.deadline-p.margin())", "TestSpilledState"},
-		{"one in memory", "max(n, p.least()-have)", "n", "TestRulesWithBacklog"},
-		{"calling off", "p.review(c)\n\t}\n\tl.bound", "}\n\tl.bound", "TestReclaim"},
+		{"drain", "endpoint.state != Ready || endpoint.route", "endpoint.route", "TestRules"},
+		{"wait", " || endpoint.route.retryAfterUntil > p.now {", " {", "TestRules"},
+		{"unsafe", "if message.unknownOutcomeAt == 0 || message.class.Idempotency == Idempotent {",
+			"if message.unknownOutcomeAt == 0 || message.class.Idempotency != IdempotentByKey {", "TestRules"},
+		{"dedup window", " || p.now > p.retryBy(message)", "", "TestRules"},
+		{"dedup zone", "isPerZone && endpoint.zone != message.unknownOutcomeZone", "isPerZone && false", "TestRules"},
+		{"order", "queue.messages[0] != message || ", "", "TestRules"},
+		{"rest of a key", "message.attempts != 0 || queue.cooldownUntil <= p.now", "true", "TestRules"},
+		{"answer in time", "p.now < message.deadline-p.deadlineMargin() && (message.call", "(message.call", "TestRules"},
+		{"attempts", "p.settings.MaxAttempts > 0 && message.attempts >= p.settings.MaxAttempts", "false", "TestRules"},
+		{"refusal", "return !message.class.DedupPerZone && p.now", "return p.now", "TestRules"},
+		{"budget", "return endpoint.recoveryBudget.level(p.now, rate, max(burst, cost)) >= cost",
+			"return endpoint.recoveryBudget.level(p.now, rate, max(burst, cost)) >= -99", "TestFailBackBudget"},
+		{"outage", "endpoint.isEjected || endpoint.failureScore < ejectionScore", "true", "TestPartialSuccessKeepsTheBudget"},
+		{"order behind spilled", " || queue.startsSpilled()", "", "TestRulesWithBacklog"},
+		{"order of spilled", "queue.spilledCount == 0 && queue.messages[len(queue.messages)-1] == message", "queue != nil", "TestRulesWithBacklog"},
+		{"window of spilled", "min(by, message.deadline-p.deadlineMargin())", "max(by, message.deadline-p.deadlineMargin())", "TestSpilledState"},
+		{"one in memory", "max(count, p.residentMinimum()-resident)", "count", "TestRulesWithBacklog"},
+		{"calling off", "p.cancelIfStuck(call)\n\t}\n\troute.isPaceLimited", "}\n\troute.isPaceLimited", "TestReclaim"},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			files, _ := filepath.Glob("*.go")
+			files, err := filepath.Glob("*.go")
+			if err != nil || len(files) == 0 {
+				t.Fatalf("%d files, error %v", len(files), err)
+			}
+			guards := 0 // how often the guard's text stands in the module
 			for _, f := range files {
 				if f == "example_test.go" {
 					continue // it imports the module by name
@@ -50,16 +56,17 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if f == "decide.go" && m.old != "" {
-					if strings.Count(string(text), m.old) != 1 {
-						t.Fatalf("%q stands %d times in decide.go", m.old, strings.Count(string(text), m.old))
-					}
-					text = []byte(strings.Replace(string(text), m.old, m.new, 1))
+				if !strings.HasSuffix(f, "_test.go") && m.old != "" {
+					guards += strings.Count(string(text), m.old)
+					text = []byte(strings.ReplaceAll(string(text), m.old, m.new))
 				}
 				if err := os.WriteFile(filepath.Join(dir, f), text, 0o644); err != nil {
 					t.Fatal(err)
 				}
 			}
+			if m.old != "" && guards != 1 {
+				t.Fatalf("%q stands %d times in the module", m.old, guards)
+			}
 			if err := os.WriteFile(filepath.Join(dir, "go.mod"), []byte("module mutant\n\ngo 1.24\n"), 0o644); err != nil {
 				t.Fatal(err)
 			}
--- /dev/null
+++ b/policy/layout_test.go
@@ -0,0 +1,94 @@
+package policy
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"unicode/utf8"
+)
+
+// sourceFiles lists the files of the package without its tests.
+func sourceFiles(t *testing.T) (files []string) {
+	t.Helper()
+	all, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range all {
+		if !strings.HasSuffix(f, "_test.go") {
+			files = append(files, f)
+		}
+	}
+	if len(files) == 0 {
+		t.Fatal("no source files")
+	}
+	return files
+}
+
+// TestLimits holds the module's own limits on its text: no line over 110 columns and no file over 220 lines that are
+// not blank; the package comment names the files of the interface.
+func TestLimits(t *testing.T) {
+	for _, f := range sourceFiles(t) {
+		text, err := os.ReadFile(f)
+		if err != nil {
+			t.Fatal(err)
+		}
+		n := 0
+		for i, line := range strings.Split(string(text), "\n") {
+			if strings.TrimSpace(line) != "" {
+				n++
+			}
+			if w := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); w > 110 {
+				t.Errorf("%s: line %d has %d columns", f, i+1, w)
+			}
+		}
+		if n > 220 {
+			t.Errorf("%s: %d lines that are not blank, at most 220", f, n)
+		}
+	}
+	text, err := os.ReadFile("policy.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	comment, _, found := strings.Cut(string(text), "\npackage policy\n")
+	if !found || !strings.HasPrefix(comment, "// Package policy ") {
+		t.Fatal("policy.go has no package comment")
+	}
+	for _, f := range []string{"settings.go", "event.go", "action.go", "state.go", "throttle.go"} {
+		if _, err := os.Stat(f); err != nil || !strings.Contains(comment, f) {
+			t.Errorf("the package comment does not name %s, or it is gone: %v", f, err)
+		}
+	}
+}
+
+// TestDeployedDecisions: the deployment names every file of decisions, and no other.
+func TestDeployedDecisions(t *testing.T) {
+	text, err := os.ReadFile("../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindStringSubmatch(string(text))
+	if list == nil {
+		t.Fatal("balancer.toml has no list of files under the key policy")
+	}
+	var listed []string
+	for _, m := range regexp.MustCompile(`"([^"]*)"`).FindAllStringSubmatch(list[1], -1) {
+		listed = append(listed, m[1])
+	}
+	// These hold the interface, plain state and containers; they decide nothing.
+	passive := []string{"settings.go", "event.go", "action.go", "state.go", "snapshot.go", "history.go", "latency.go", "token_bucket.go"}
+	var want []string
+	for _, f := range sourceFiles(t) {
+		if !slices.Contains(passive, f) {
+			want = append(want, "policy/"+f)
+		}
+	}
+	slices.Sort(listed)
+	slices.Sort(want)
+	if !slices.Equal(listed, want) {
+		t.Errorf("listed %q\nwant   %q", listed, want)
+	}
+}
--- a/policy/least_test.go
+++ b/policy/least_test.go
@@ -7,10 +7,10 @@
 
 // walkedLeastLimit is the lowest reported limit as a walk over all lanes finds it.
 func walkedLeastLimit(p *Policy, kindAt int) (least float64) {
-	for _, d := range p.dests {
-		for _, l := range d.lanes {
-			if d.kindAt == kindAt && l.limit > 0 && (least == 0 || l.limit < least) {
-				least = l.limit
+	for _, d := range p.destinations {
+		for _, l := range d.routes {
+			if d.kindIndex == kindAt && l.reportedLimit > 0 && (least == 0 || l.reportedLimit < least) {
+				least = l.reportedLimit
 			}
 		}
 	}
@@ -23,7 +23,7 @@
 func TestLeastLimitKeptUp(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		s := one()
+		s := baseSettings()
 		s.Kinds = []DestinationKind{{MaxBatch: 1}, {MaxBatch: 2, SeparateRoutes: true}}
 		s.MaxCalls, s.MaxMessages = 64, 0
 		r := newSeededRig(t, s, seed)
@@ -49,8 +49,8 @@
 				send := out[at]
 				out[at] = out[len(out)-1]
 				out = out[:len(out)-1]
-				if m := r.p.msgs[send.Message]; m != nil && m.call != nil {
-					events = append(events, Event{Kind: EventAttemptDone, Message: send.Message, Attempt: m.tries - 1, Endpoint: send.Endpoint,
+				if m := r.p.messages[send.Message]; m != nil && m.call != nil {
+					events = append(events, Event{Kind: EventAttemptDone, Message: send.Message, Attempt: m.attempts - 1, Endpoint: send.Endpoint,
 						Outcome: []Outcome{Delivered, Rejected, Errored}[rng.IntN(3)], Latency: 1000, Load: LoadReport{Present: true, Limit: float64(rng.IntN(4))}})
 				}
 			}
@@ -58,7 +58,7 @@
 			r.step(events...)
 			out = append(out, r.sends...)
 			for kindAt := range s.Kinds {
-				if got, want := r.p.leastLimit(&dest{kindAt: kindAt}), walkedLeastLimit(r.p, kindAt); got != want {
+				if got, want := r.p.lowestReportedLimit(&destination{kindIndex: kindAt}), walkedLeastLimit(r.p, kindAt); got != want {
 					t.Fatalf("seed %d: the lowest limit of kind %d is held to be %v, and is %v", seed, kindAt, got, want)
 				}
 			}
--- /dev/null
+++ b/policy/priority.go
@@ -0,0 +1,61 @@
+package policy
+
+import "math"
+
+// fallbackLatencyDivisor gives the latency taken where nothing was measured yet, as a part of the
+// first class's latency objective.
+const fallbackLatencyDivisor = 4
+
+// Estimates of how fast a queue empties.
+const (
+	minQueueRate = 0.1 // messages a second: a stopped destination must not give an infinite time
+	maxQueueTime = 60  // seconds: beyond it the estimate says nothing more
+)
+
+// valueAt is the weight that a message earns if it is delivered at a moment.
+func (p *Policy) valueAt(message *messageState, at Time) float64 {
+	switch {
+	case at <= message.objectiveAt:
+		return message.weight
+	case at > message.deadline:
+		return 0
+	case p.settings.HalvingWeight:
+		halvings := float64(at-message.objectiveAt) / float64(max(message.class.LatencyObjective, 1))
+		return message.weight * max(message.class.LateWeight, math.Exp2(-halvings))
+	}
+	late := float64(at-message.objectiveAt) / float64(max(message.deadline-message.objectiveAt, 1))
+	return message.weight * (1 - (1-message.class.LateWeight)*late)
+}
+
+// updateDelayCosts estimates what each message of a queue loses by waiting: once for a sort, since
+// the cost of a queue must not grow faster than its length.
+func (p *Policy) updateDelayCosts(dest *destination) {
+	soon := p.now + p.typicalLatency(dest)
+	late := soon + p.estimateQueueTime(dest)
+	for _, message := range dest.queue {
+		message.delayCost = p.valueAt(message, soon) - p.valueAt(message, late)
+	}
+}
+
+// estimateQueueTime is how long the destination takes for what waits there, as far as this relay
+// can tell.
+func (p *Policy) estimateQueueTime(dest *destination) Time {
+	rate := 0.0
+	for _, route := range dest.routes {
+		rate += p.paceRate(route)
+	}
+	messages := float64(len(dest.queue) + dest.spilledCount)
+	wait := messages / max(rate*float64(dest.kind.MaxBatch), minQueueRate)
+	return Time(min(wait, maxQueueTime)*1e6) + p.typicalLatency(dest)
+}
+
+// typicalLatency is the mean time to an answer there, or anywhere where this destination has none yet.
+func (p *Policy) typicalLatency(dest *destination) Time {
+	if len(dest.routes) > 0 && dest.routes[0].latency.samples > 0 {
+		return Time(dest.routes[0].latency.mean)
+	}
+	if p.latency.samples > 0 {
+		return Time(p.latency.mean)
+	}
+	return p.settings.Classes[0].LatencyObjective / fallbackLatencyDivisor
+}
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -64,7 +64,7 @@
 // A message whose call another process has out keeps its slot and is not sent again until that call is over;
 // what then becomes of it goes by the outcome, as with a call of one's own.
 func TestResumeOut(t *testing.T) {
-	set := one()
+	set := baseSettings()
 	set.MaxCalls = 3
 	set.Classes = append(set.Classes, Class{Name: "once", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent})
 	out := func(id uint32, at Time) Event {
@@ -76,10 +76,10 @@
 	}{"turned away": {Rejected, ActionSend}, "may have run": {Cancelled, ActionFail}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, set, ready(1, 1000))
-			r.p.eps[1].lane.window = 8
+			r.p.endpoints[1].route.window = 8
 			acts := r.step(out(90, r.now-second), out(91, r.now-second), out(92, r.now-2*second)) // one call with two, and another
-			if len(r.sends) != 0 || r.p.calls != 2 || r.p.eps[1].flying != 2 {
-				t.Fatalf("%d calls, %d there: %+v", r.p.calls, r.p.eps[1].flying, acts)
+			if len(r.sends) != 0 || r.p.callsInFlight != 2 || r.p.endpoints[1].callsInFlight != 2 {
+				t.Fatalf("%d calls, %d there: %+v", r.p.callsInFlight, r.p.endpoints[1].callsInFlight, acts)
 			}
 			for _, id := range []uint32{90, 91} {
 				r.step(Event{Kind: EventAttemptDone, Message: id, Endpoint: 1, Outcome: Delivered, Final: true})
@@ -102,34 +102,34 @@
 // What one policy has learned holds for the next: a told wait, the window, the history and an outage, by the
 // new host's clock. An endpoint that is not on its list is passed over.
 func TestRecall(t *testing.T) {
-	old := newRig(t, one(), ready(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10}, Entry{Endpoint: 3, Dest: 2, State: Ready})
+	old := newRig(t, baseSettings(), ready(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10}, Entry{Endpoint: 3, Dest: 2, State: Ready})
 	old.step(old.message(0, 0))
 	old.step(Event{Kind: EventAttemptDone, Message: old.sends[0].Message, Endpoint: 1, Outcome: Rejected, RetryAfter: 3 * second})
-	l := old.p.eps[2].lane
-	l.window, old.p.eps[2].sick, old.p.eps[2].badAt = 5, true, old.now-second
+	l := old.p.endpoints[2].route
+	l.window, old.p.endpoints[2].isEjected, old.p.endpoints[2].lastFailureAt = 5, true, old.now-second
 	for range 6 {
 		old.now += second / 4
-		l.hist.request(old.now)
+		l.history.recordRequest(old.now)
 	}
 	const shift = 77 * second
-	r := newRig(t, one(), ready(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10})
+	r := newRig(t, baseSettings(), ready(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10})
 	r.now = old.now + shift
 	r.p.Restore(old.p.Snapshot(), shift)
-	if got, want := r.p.eps[1].lane.waitUntil, old.p.eps[1].lane.waitUntil+shift; got != want {
+	if got, want := r.p.endpoints[1].route.retryAfterUntil, old.p.endpoints[1].route.retryAfterUntil+shift; got != want {
 		t.Errorf("wait until %d, want %d", got, want)
 	}
-	ep := r.p.eps[2]
-	if req, _ := ep.lane.hist.totals(r.now); req != 6 || ep.lane.window != 5 || !ep.sick || ep.badAt != old.p.eps[2].badAt+shift {
-		t.Errorf("%v requests, window %v, sick %v since %d", req, ep.lane.window, ep.sick, ep.badAt)
+	ep := r.p.endpoints[2]
+	if req, _ := ep.route.history.totals(r.now); req != 6 || ep.route.window != 5 || !ep.isEjected || ep.lastFailureAt != old.p.endpoints[2].lastFailureAt+shift {
+		t.Errorf("%v requests, window %v, sick %v since %d", req, ep.route.window, ep.isEjected, ep.lastFailureAt)
 	}
-	if req, _ := ep.lane.hist.totals(r.now + historySpan); req != 0 {
+	if req, _ := ep.route.history.totals(r.now + historySpan); req != 0 {
 		t.Errorf("%v requests after the span", req)
 	}
 	r.step(r.message(0, 0))
 	if len(r.sends) != 0 {
 		t.Error("sent against a told wait")
 	}
-	if r.now = old.p.eps[1].lane.pauseUntil + shift + second; len(r.step(Event{Kind: EventTimer})) == 0 || len(r.sends) != 1 {
+	if r.now = old.p.endpoints[1].route.backoffUntil + shift + second; len(r.step(Event{Kind: EventTimer})) == 0 || len(r.sends) != 1 {
 		t.Error("not sent after the wait")
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,228 +1,142 @@
 package policy
 
-import (
-	"fmt"
-	"math/rand/v2"
-	"slices"
-)
-
-// What a policy remembers; nothing is decided here.
-
-// Policy decides for one relay.
-type Policy struct {
-	set     Settings
-	rng     *rand.Rand
-	now     Time
-	out     []Action
-	dests   []*dest // by number
-	eps     map[Endpoint]*endpoint
-	msgs    map[uint32]*message
-	live    []*message // not yet ended
-	lines   map[uint64]*line
-	later   agenda[task] // what is put off
-	touched []*dest      // to be looked at in this turn
-	ready   []*dest      // wait for nothing but a slot
-	backlog
-	tenants     []bucket
-	calls       int
-	lastCall    uint32
-	aloft       int // messages not ended with an attempt out
-	shedLooks   int // looks for the message that is worth least
-	armed       Time
-	asked       Time
-	tight       []float64    // share of calls that found no connection, by kind of destination
-	leastLimits []leastLimit // by kind of destination
-	lat         latency      // of all answers
-	silent      float64      // share of calls that ended with no answer
-	pressed     Time         // since when messages wait and every slot is taken; 0 for not
-	drained     Time         // since when the operators have it emptied; 0 for not
+import "slices"
+
+// destination is a destination's queue, with a route for each set of endpoints that share one limit.
+type destination struct {
+	id             int
+	kind           DestinationKind
+	kindIndex      int // in Settings.Kinds
+	routes         []*routeState
+	queue          []*messageState // waiting, with no attempt in flight
+	callsInFlight  int
+	isChanged      bool // listed in Policy.changed
+	isAwaitingSlot bool // listed in Policy.awaitingSlot
+	wakeAt         Time // the next moment at which a timer has it examined
+
+	queueClearAt   Time // when the queue will be empty, by the estimate of the pass below
+	queueClearPass int  // Policy.shedPass of that estimate
+
+	spilledCount   int  // messages that only the log holds
+	loadsRequested int  // of these
+	needsRefill    bool // listed in spillState.awaitingRefill
+
+	nextMessage  *messageState // to be sent next; nil for none
+	nextEndpoint *endpointState
+	nextUrgency  float64 // weight lost by each microsecond of waiting
 }
 
-// dest is a destination: a queue, and a lane for each thing that limits it.
-type dest struct {
-	id      int
-	kind    DestinationKind
-	kindAt  int // its place in the settings
-	lanes   []*lane
-	queue   []*message
-	flying  int
-	touched bool
-	waits   bool // is in Policy.ready
-	wakeAt  Time // next moment in wakes
-	clearAt Time // when what waits there will have gone, as last looked at
-	clearIn int  // the look in which that was, of Policy.shedLooks
-	spilled int  // messages that the log alone has
-	asked   int  // of these, asked for
-	lacking bool // in Policy.lacking
-	pick    *message
-	pickAt  *endpoint
-	pickVal float64
+// routeState is what shares one rate limit, one Retry-After and one call history: a destination, or
+// one endpoint of it where its kind has separate routes.
+type routeState struct {
+	dest              *destination
+	endpoints         []*endpointState
+	history           callHistory
+	window            float64 // calls in flight at most
+	callsInFlight     int
+	retryAfterUntil   Time    // as the destination asked
+	backoffUntil      Time    // after a rejection without Retry-After
+	nominalRate       float64 // calls a second, from the endpoint list or a guess; 0 for none
+	reportedLimit     float64 // calls a second, from load reports; 0 for none
+	paceFactor        float64 // of this relay's part of the capacity
+	paceChangedAt     Time
+	tokens            tokenBucket // for the pace
+	isPaceLimited     bool        // the pace, not the traffic, decided when the latest call left
+	rejectionRun      int         // rejections in a row
+	rejectionRunStart Time
+	localFailureRun   int // calls in a row that this machine could not make
+	latency           latencyEstimate
 }
 
-// lane is what one limit, one wait and one history bind: a destination, or a route where they are apart.
-type lane struct {
-	dest       *dest
-	eps        []*endpoint
-	hist       counter
-	window     float64
-	flying     int
-	waitUntil  Time // told to wait
-	pauseUntil Time // refused without a wait
-	nominal    float64
-	limit      float64
-	boost      float64
-	boostAt    Time // when it last changed
-	tokens     bucket
-	bound      bool // the pace, not the traffic, decided when the last call went
-	fullRun    int
-	fullAt     Time // the first of the run
-	unmadeRun  int  // calls in a row that this machine could not make
-	lat        latency
+func newRoute(dest *destination) *routeState {
+	history := newCallHistory(historySpan, historyBinCount)
+	return &routeState{dest: dest, window: 1, paceFactor: 1, history: history}
 }
 
-// leastLimit is the lowest limit that any lane of a kind has reported; 0 for none. It is kept up by reports,
-// so that its cost does not grow with the list, and stale where the lane that had it reported a higher one or is gone.
-type leastLimit struct {
-	limit float64
-	stale bool
+// endpointState is an endpoint with what this relay has seen of its health.
+type endpointState struct {
+	id            Endpoint
+	zone          int
+	route         *routeState
+	state         Readiness
+	callsInFlight int
+	connections   int
+	backoffUntil  Time // after a failure that does not eject it yet, or for want of a connection
+	idleSince     Time // end of the latest call
+	hasIdleTimer  bool
+
+	connectionRejections    int // calls in a row that were refused a connection
+	connectionRejectedSince Time
+
+	failureScore      float64 // moving average: 1 for a failure, 0 for a success
+	isEjected         bool    // as an outlier, until the end of its slow start
+	isUnresponsive    bool    // the latest failure was a silence, not an answer
+	firstFailureAt    Time    // of the present run
+	lastFailureAt     Time
+	recoveredAt       Time // first success since the latest failure; 0 for none
+	recoverySentAt    Time // when that call left
+	lastSuccessAt     Time
+	lastSuccessSentAt Time        // when the newest call that was answered left
+	recoveryBudget    tokenBucket // calls allowed while ejected
+	nextCallCost      float64     // tokens of the budget that the next call takes
+	latency           latencyEstimate
 }
 
-// reported takes in that a lane which reported one limit before reports another.
-func (x *leastLimit) reported(before, limit float64) {
-	x.stale = x.stale || before == x.limit && limit > before
-	x.lower(limit)
+// awaitsRecovery reports whether an endpoint is ejected and has answered nothing since: it gets
+// trial calls only.
+func (endpoint *endpointState) awaitsRecovery() bool {
+	return endpoint.isEjected && endpoint.recoveredAt == 0
 }
 
-func (x *leastLimit) lower(limit float64) {
-	if limit > 0 && (x.limit == 0 || limit < x.limit) {
-		x.limit = limit
-	}
-}
-
-// endpoint is one address, with what this relay saw of its health.
-type endpoint struct {
-	id        Endpoint
-	zone      int
-	lane      *lane
-	state     Readiness
-	flying    int
-	conns     int
-	restUntil Time // failing, but not yet held to be out
-	idleAt    Time // end of the last call
-	watched   bool // a look at its idle connections is put off
-	crowd     int  // calls in a row that found no room for a connection
-	crowdAt   Time // the first of them
-	score     float64
-	sick      bool
-	firstBad  Time
-	badAt     Time
-	goodAt    Time // first success since the last failure; 0 for none
-	goodSent  Time
-	okAt      Time
-	okSent    Time // when the newest call that was answered left
-	budget    bucket
-	need      float64 // what the next call takes out of the budget
-	mute      bool    // the last failure was a silence, not an answer
-	lat       latency
-}
-
-// message is held until it is ended, and known until its last attempt is over.
-type message struct {
-	id        uint32
-	key       uint64
-	class     *Class
-	dest      *dest
-	aimAt     Time
-	deadline  Time
-	worth     float64
-	loss      float64 // of worth, if it waits: as last weighed
-	over      bool
-	overShare bool // its tenant was over its share
-	stays     bool // it is never spilled
-	kept      bool // an earlier process took it on, it has surely not run, and no call has reached anybody since
-	place     int  // in Policy.live
-	tries     int
-	doubtAt   Time      // send of the first attempt that may have run; 0 for none
-	doubtIn   int       // its zone
-	failedAt  *endpoint // where its last attempt failed
-	call      *call
+// messageState is a message until its last attempt has ended, which may be after its completion.
+type messageState struct {
+	id                 uint32
+	key                uint64
+	class              *Class
+	dest               *destination
+	objectiveAt        Time // end of its latency objective
+	deadline           Time
+	weight             float64
+	delayCost          float64 // weight lost by waiting for the queue, as last estimated
+	isCompleted        bool
+	isOverQuota        bool // its tenant was over its quota on arrival
+	neverSpill         bool
+	isRecovered        bool // admitted by an earlier process, surely not run, and has reached nobody since
+	pendingIndex       int  // in Policy.pending
+	attempts           int
+	unknownOutcomeAt   Time // send of the first attempt that may have run; 0 for none
+	unknownOutcomeZone int
+	lastFailedEndpoint *endpointState
+	call               *callState // in flight; nil for none
 }
 
-// call is one call out, with the messages that share it.
-type call struct {
-	ep     *endpoint
-	sent   Time
-	last   Time // before the time of the first of its messages is up
-	enough Time // until which the one that takes longest is waited for
-	left   int
-	noted  bool
-	unmade bool // for one of its messages at least
-	msgs   []*message
+// isOrdered reports whether the message takes its turn among those of its key.
+func (message *messageState) isOrdered() bool { return message.class.Ordered && message.key != 0 }
+
+// callState is a call in flight, with the messages that share it.
+type callState struct {
+	endpoint         *endpointState
+	sentAt           Time
+	timeoutBy        Time // the earliest of its messages' latest time-outs
+	minimumWaitUntil Time // by which each of its messages would nearly always have its answer
+	messagesLeft     int  // whose outcome is not yet known
+	isObserved       bool // one outcome has been counted for all its messages
+	isLocalFailure   bool // this machine could not make the call
+	messages         []*messageState
 }
 
-// line is the turn of one key in the classes that keep order.
-type line struct {
-	turns   []*message
-	rest    Time
-	spilled int   // messages of it that the log alone has
-	gap     int   // their place in turns
-	to      *dest // all of them go there
-}
-
-func (p *Policy) act(a Action) { p.out = append(p.out, a) }
-
-func (p *Policy) dest(id int) *dest {
-	at, ok := slices.BinarySearchFunc(p.dests, id, func(d *dest, id int) int { return d.id - id })
+// destination gives the state of a destination, which it makes if need be.
+func (p *Policy) destination(id int) *destination {
+	byID := func(dest *destination, id int) int { return dest.id - id }
+	at, ok := slices.BinarySearchFunc(p.destinations, id, byID)
 	if !ok {
-		p.dests = slices.Insert(p.dests, at, &dest{id: id, kind: DestinationKind{MaxBatch: 1}})
+		dest := &destination{id: id, kind: DestinationKind{MaxBatch: 1}}
+		p.destinations = slices.Insert(p.destinations, at, dest)
 	}
-	return p.dests[at]
-}
-
-// resume gives a message that an earlier process took on its past back. It may have nothing left but its end.
-func (p *Policy) resume(m *message, e *Event) {
-	if m.tries = e.Attempts; m.tries > 0 {
-		p.lookAt(p.now, m)
-	}
-	if e.UnknownOutcomeAt > 0 {
-		p.doubt(m, e.UnknownOutcomeAt, e.UnknownOutcomeZone)
-	}
-	if e.InFlightEndpoint != 0 {
-		p.rejoin(m, e)
-	}
-}
-
-// rejoin books a call that another process has out for a message, with its place in the windows. Messages that
-// were sent there at one moment share one. An endpoint that has left the list since has books of its own.
-func (p *Policy) rejoin(m *message, e *Event) {
-	for _, x := range p.live {
-		if c := x.call; c != nil && c.ep.id == e.InFlightEndpoint && c.sent == e.InFlightSince {
-			m.call = c
-		}
-	}
-	if m.call == nil {
-		ep := p.eps[e.InFlightEndpoint]
-		if ep == nil {
-			ep = &endpoint{id: e.InFlightEndpoint, lane: &lane{dest: m.dest, window: 1, boost: 1, hist: newCounter(historySpan, historyBins)}}
-		}
-		m.call = &call{ep: ep, sent: e.InFlightSince}
-		p.calls++
-		ep.flying++
-		ep.conns = max(ep.conns, ep.flying)
-		ep.lane.flying++
-		ep.lane.dest.flying++
-	}
-	m.call.left++
-	m.call.msgs = append(m.call.msgs, m)
-	p.aloft++
-}
-
-// doubt keeps the first attempt of a message that may have run; the message is looked at when its window ends.
-func (p *Policy) doubt(m *message, sent Time, zone int) {
-	m.doubtAt, m.doubtIn = sent, zone
-	p.lookAt(max(m.doubtAt+m.class.DedupWindow-2*p.set.Tick+1, p.now+1), m)
+	return p.destinations[at]
 }
 
-func (p *Policy) logf(format string, args ...any) {
-	p.act(Action{Kind: ActionLog, Text: fmt.Sprintf(format, args...)})
+// deleteElement removes every occurrence of an element.
+func deleteElement[E comparable](elements []E, element E) []E {
+	return slices.DeleteFunc(elements, func(other E) bool { return other == element })
 }
--- a/policy/unmade_test.go
+++ b/policy/unmade_test.go
@@ -7,7 +7,7 @@
 // soon, and meanwhile they come no closer than a moment apart.
 func TestUnmadeCalls(t *testing.T) {
 	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
-		s := one()
+		s := baseSettings()
 		s.MaxAttempts = 4
 		s.Classes[0].Idempotency = repeat
 		r := newRig(t, s, ready(1, 10))
@@ -30,10 +30,10 @@
 		if tries < 5 || tries > 30 {
 			t.Errorf("repeat %v: %d calls in 3 s that could not be made", repeat, tries)
 		}
-		if req, _ := r.p.eps[1].lane.hist.totals(r.now); req > 1 {
+		if req, _ := r.p.endpoints[1].route.history.totals(r.now); req > 1 {
 			t.Errorf("repeat %v: %v requests are counted", repeat, req)
 		}
-		if ep := r.p.eps[1]; ep.sick || ep.score > 0 {
+		if ep := r.p.endpoints[1]; ep.isEjected || ep.failureScore > 0 {
 			t.Errorf("repeat %v: the endpoint is blamed", repeat)
 		}
 		cleared := r.now
@@ -45,7 +45,7 @@
 			t.Fatalf("repeat %v: %d sends within a second", repeat, len(r.sends))
 		}
 		r.step(answer(r.sends[0], Delivered))
-		if len(r.p.msgs) != 0 {
+		if len(r.p.messages) != 0 {
 			t.Errorf("repeat %v: it is held on", repeat)
 		}
 	}
--- /dev/null
+++ b/policy/window.go
@@ -0,0 +1,41 @@
+package policy
+
+// The part of all call slots that one destination may take, so that others always have some.
+const (
+	maxSlotFraction        = 0.75
+	maxSlotFractionFailing = 0.5 // while it fails: its calls are the slow ones
+)
+
+// hasCapacity reports whether a route's window and the destination's part of the call slots allow
+// one more call.
+func (p *Policy) hasCapacity(route *routeState) bool {
+	fraction := maxSlotFraction
+	if route.isFailing() {
+		fraction = maxSlotFractionFailing
+	}
+	slots := max(1, int(fraction*float64(p.settings.MaxCalls)))
+	return route.dest.callsInFlight < slots && route.callsInFlight < max(1, int(route.window))
+}
+
+// halveWindow shrinks the window on a sign of overload; it grows by one with each delivery.
+func (route *routeState) halveWindow() { route.window = max(route.window/2, 1) }
+
+// reserveCall counts a call in flight to an endpoint.
+func (p *Policy) reserveCall(endpoint *endpointState) {
+	p.callsInFlight++
+	endpoint.callsInFlight++
+	endpoint.route.callsInFlight++
+	endpoint.route.dest.callsInFlight++
+}
+
+// releaseCall counts a call as over and watches over the connection that it leaves idle.
+func (p *Policy) releaseCall(endpoint *endpointState) {
+	p.callsInFlight--
+	endpoint.callsInFlight--
+	endpoint.route.callsInFlight--
+	endpoint.route.dest.callsInFlight--
+	endpoint.idleSince = p.now
+	if endpoint.callsInFlight == 0 && p.settings.KeepAlive > 0 && !endpoint.hasIdleTimer {
+		p.closeIdleConnections(endpoint)
+	}
+}
