--- /dev/null
+++ b/policy/load_shedding_test.go
@@ -0,0 +1,32 @@
+package policy
+
+import "testing"
+
+// TestShedLatest: with the room nearly full the message that opens latest is handed back, not the next arrival.
+func TestShedLatest(t *testing.T) {
+	s := baseSettings()
+	s.MaxMessages = 16
+	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 4}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 4})
+	r.p.endpoints[1].route.backoffUntil = r.now + 15*second
+	r.p.endpoints[2].route.backoffUntil = r.now + second
+	var events []Event
+	dest := map[uint32]int{}
+	for i := range 16 {
+		e := r.message(0, i%2)
+		dest[e.Message] = i % 2
+		events = append(events, e)
+	}
+	r.step(events...)
+	refused := 0
+	for _, a := range r.acts {
+		if a.Kind == ActionReject {
+			refused++
+			if dest[a.Message] != 0 {
+				t.Errorf("message %d of the destination that opens soon was shed", a.Message)
+			}
+		}
+	}
+	if refused != 1 {
+		t.Fatalf("%d refused, want 1", refused)
+	}
+}
--- /dev/null
+++ b/policy/rejection_test.go
@@ -0,0 +1,59 @@
+package policy
+
+import "testing"
+
+// TestRestAfterARefusal: the first rest after an untold refusal is this relay's turn at the limit, but no longer
+// than a message has to its aim.
+func TestRestAfterARefusal(t *testing.T) {
+	for _, n := range []int{2, 7, 400} {
+		s := baseSettings()
+		s.Relays = n
+		r := newRig(t, s, ready(1, 4))
+		l := r.p.endpoints[1].route
+		r.p.observeCall(&callState{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: Rejected})
+		turn := min(Time(n)*second/4, 2*second)
+		if rest := l.backoffUntil - r.now; rest < turn/2 || rest > turn*3/2 {
+			t.Errorf("%d relays: a rest of %d ms at 4 calls a second", n, rest/1000)
+		}
+	}
+}
+
+// Two refusals far apart with no success between are the word of one that is shut, unless they report a limit: a relay
+// of a large fleet calls so seldom that two of its calls in a row often meet a limit that the others have used up.
+func TestRefusalByALimitIsNoOutage(t *testing.T) {
+	for _, told := range []bool{false, true} {
+		s := baseSettings()
+		s.Relays = 80
+		r := newRig(t, s, ready(1, 1000))
+		for range 2 {
+			r.untilSend()
+			e := answer(r.sends[0], Rejected)
+			e.Attempt, e.Load = r.p.messages[e.Message].attempts-1, LoadReport{Limit: 1000, Present: told}
+			r.step(e)
+			r.now += s.OverloadWindow
+		}
+		if sick := r.p.endpoints[1].isEjected; sick == told {
+			t.Errorf("report %v: held to be out %v", told, sick)
+		}
+	}
+}
+
+// TestWaitWithAnyOutcome: a wait binds whatever became of the message whose answer told it.
+func TestWaitWithAnyOutcome(t *testing.T) {
+	for _, o := range []Outcome{Delivered, Rejected, Errored} {
+		r := newRig(t, baseSettings(), ready(1, 1000))
+		r.step(r.message(0, 0))
+		e := answer(r.sends[0], o)
+		e.RetryAfter = second
+		r.now += second / 10
+		told := r.now
+		r.step(e, r.message(0, 0))
+		for len(r.sends) == 0 && r.now < told+10*second {
+			r.now += second / 100
+			r.step()
+		}
+		if r.now < told+second || len(r.sends) == 0 {
+			t.Errorf("outcome %v: sent %d ms after the word of a wait of 1000", o, (r.now-told)/1000)
+		}
+	}
+}
--- /dev/null
+++ b/policy/slow_start_test.go
@@ -0,0 +1,194 @@
+package policy
+
+import "testing"
+
+// outage sends a message each 100 ms; the destination answers with o from the first second to the twelfth.
+func outage(t *testing.T, s Settings, rate float64, o Outcome) *rig {
+	r := newRig(t, s, ready(1, rate/2), ready(2, rate/2))
+	start := r.now
+	type out struct {
+		a   Action
+		due Time
+		o   Outcome
+	}
+	var flights []out
+	tries := map[uint32]int{}
+	for r.now < start+40*second {
+		var events []Event
+		var still []out
+		for _, f := range flights {
+			if f.due > r.now {
+				still = append(still, f)
+				continue
+			}
+			events = append(events, answer(f.a, f.o))
+		}
+		flights = still
+		if (r.now-start)%(second/10) == 0 {
+			events = append(events, r.message(0, 0))
+		}
+		r.step(events...)
+		for _, a := range r.acts {
+			switch a.Kind {
+			case ActionSend:
+				a.Attempt = tries[a.Message]
+				tries[a.Message]++
+				f := out{a, r.now + second/5, Delivered}
+				if at := r.now - start; at > second && at < 12*second {
+					f.o = o
+					if o == TimedOut {
+						f.due = a.Deadline
+					}
+				}
+				flights = append(flights, f)
+			}
+		}
+		r.now += 5000
+	}
+	return r
+}
+
+// TestFailBackBudget: after an outage seen, this relay's part of the budget holds in any window of the fall
+// time, from the return on, with the capacity at its slowest ramp.
+func TestFailBackBudget(t *testing.T) {
+	for _, o := range []Outcome{Errored, TimedOut, ConnectFailed, ConnectionReset, Rejected} {
+		s := baseSettings()
+		r := outage(t, s, 20, o)
+		start, back := 1000*second, 1012*second
+		early, late := 0, 0
+		for _, at := range r.sentAt {
+			if at > start+6*second && at < back {
+				early++
+			}
+			if at > back+15*second {
+				late++
+			}
+		}
+		for from := back; from < back+s.SlowStartTime; from += second / 4 {
+			n := 0
+			for _, at := range r.sentAt {
+				if at >= from && at < from+s.OverloadWindow {
+					n++
+				}
+			}
+			share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(from-back)/float64(s.SlowStartTime)
+			most := s.OverloadFactor * share * 20 * 3 / float64(s.Relays)
+			if float64(n) > most+2 { // a trial at each endpoint is the allowance for chance
+				t.Errorf("outcome %d: %d calls in the 3 s from %d ms after the return, want at most %.1f", o, n,
+					(from-back)/1000, most)
+			}
+		}
+		if early == 0 || early > 60 || late < 50 {
+			t.Errorf("outcome %d: %d calls in the outage and %d after it: trials or the return are missing", o, early, late)
+		}
+	}
+}
+
+// TestFleetBudget: after an outage that every relay has seen, all relays together stay inside the budget of a
+// cold destination, for two relays and for hundreds.
+func TestFleetBudget(t *testing.T) {
+	for _, n := range []int{2, 50, 400} {
+		s := baseSettings()
+		s.Relays, s.MaxMessages = n, 1000
+		const rate = 20.0
+		back := 1012 * second
+		calls := make([]float64, 40) // by half seconds from the return on
+		for k := range n {
+			p, err := New(s, uint64(k))
+			if err != nil {
+				t.Fatal(err)
+			}
+			now := 1000*second + Time(k)*1000
+			events := []Event{{Kind: EventListUpdate, ListUpdate: ListCached, Entries: []Entry{ready(1, rate)}}}
+			for i := range max(1, 240/n) { // twelve seconds of traffic, spread over the relays
+				events = append(events, Event{Kind: EventMessage, Message: uint32(i + 1), TimeLeft: 30 * second})
+			}
+			tries := map[uint32]int{}
+			for now < back+10*second {
+				acts := p.Step(now, events, nil)
+				events = nil
+				for _, a := range acts {
+					if a.Kind == ActionSend {
+						if at := (now - back) * 2 / second; now >= back {
+							calls[at]++
+						}
+						e := answer(a, ConnectFailed)
+						e.Attempt = tries[a.Message]
+						tries[a.Message]++
+						events = append(events, e)
+					}
+				}
+				now += second / 20
+			}
+		}
+		for from := 0; from+6 <= 20; from++ {
+			sum := 0.0
+			for _, c := range calls[from : from+6] {
+				sum += c
+			}
+			if most := s.OverloadFactor * s.SlowStartCapacity * rate * 3; sum > most*1.25 {
+				t.Errorf("%d relays: %v calls in 3 s from %d ms after the return, budget %v", n, sum, from*500, most)
+			}
+		}
+	}
+}
+
+// TestTrialsUseMessages: a trial call is a message that waits; an unsafe one only once it is late.
+func TestTrialsUseMessages(t *testing.T) {
+	for _, unsafe := range []bool{false, true} {
+		s := baseSettings()
+		if unsafe {
+			s.Classes[0].Idempotency = NonIdempotent
+		}
+		r := newRig(t, s, ready(1, 10))
+		for range 3 {
+			r.p.observeFailure(r.p.endpoints[1], r.now, true)
+		}
+		start := r.now
+		r.step(r.message(0, 0))
+		for len(r.sends) == 0 && r.now < start+19*second {
+			r.now += second / 20
+			r.step()
+		}
+		if len(r.sends) != 1 || unsafe && r.now <= start+s.Classes[0].LatencyObjective {
+			t.Errorf("unsafe %v: %d sends after %d ms", unsafe, len(r.sends), (r.now-start)/1000)
+		}
+	}
+}
+
+// A relay of a large fleet meets an outage at a destination that it has never heard from. Its trial calls are paced by
+// the lowest limit that others of the kind reported, not by one call a second for all relays together.
+func TestTrialsWhereNothingWasHeard(t *testing.T) {
+	s := baseSettings()
+	s.Relays, s.ListedRates, s.Kinds = 80, false, []DestinationKind{{MaxBatch: 1}, {MaxBatch: 1}}
+	entry := func(id Endpoint, dest, kind int) Entry {
+		return Entry{Endpoint: id, Dest: dest, Kind: kind, State: Ready}
+	}
+	r := newRig(t, s, entry(1, 0, 0), entry(2, 1, 0), entry(3, 2, 0), entry(4, 3, 1))
+	for dest, limit := range []float64{30, 90} {
+		r.step(r.message(0, dest))
+		e := answer(r.sends[0], Delivered)
+		e.Load = LoadReport{Remaining: 1, Limit: limit, Present: true}
+		r.step(e)
+	}
+	if r.p.estimateCapacity(r.p.endpoints[3].route) != 1 || r.p.lowestReportedLimit(r.p.endpoints[4].route.dest) != 0 {
+		t.Error("the guess goes beyond trial calls, or beyond the kind")
+	}
+	tries := 0
+	for range 20000 { // it fails for 100 s
+		if r.now += s.Tick; len(r.p.pending) == 0 {
+			r.step(r.message(0, 2))
+		} else {
+			r.step()
+		}
+		for len(r.sends) > 0 {
+			e := answer(r.sends[0], ConnectFailed)
+			e.Attempt = r.p.messages[e.Message].attempts - 1
+			r.step(e)
+			tries++
+		}
+	}
+	if tries < 10 || tries > 40 {
+		t.Errorf("%d tries in 100 s", tries)
+	}
+}
