--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -1,6 +1,99 @@
 package policy
 
-import "testing"
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+)
+
+// snapshotText is the JSON that earlier versions write, with every key, and that they have to be able to read.
+const snapshotText = `{
+	"Lanes": [
+		{
+			"Endpoints": [
+				{
+					"Endpoint": 6,
+					"Score": 0.25,
+					"Need": 0.75,
+					"Sick": true,
+					"Mute": true,
+					"RestUntil": 7,
+					"FirstBad": 8,
+					"BadAt": 9,
+					"GoodAt": 10,
+					"GoodSent": 11,
+					"OkAt": 12,
+					"OkSent": 13,
+					"Budget": {"At": 1, "Tokens": 2.5, "Used": true},
+					"Latency": {"Mean": 3.5, "Dev": 4.5, "N": 5}
+				}
+			],
+			"History": [{"At": 14, "Requests": 15, "Accepts": 16}],
+			"Window": 17,
+			"Nominal": 18,
+			"Limit": 19,
+			"Boost": 20.5,
+			"WaitUntil": 21,
+			"PauseUntil": 22,
+			"FullAt": 23,
+			"FullRun": 24,
+			"Tokens": {"At": 1, "Tokens": 2.5, "Used": true},
+			"Latency": {"Mean": 3.5, "Dev": 4.5, "N": 5}
+		}
+	],
+	"Latency": {"Mean": 3.5, "Dev": 4.5, "N": 5},
+	"Tight": [0.125]
+}`
+
+// fullSnapshot is what snapshotText says.
+func fullSnapshot() Snapshot {
+	bucket := TokenBucketSnapshot{RefilledAt: 1, Tokens: 2.5, IsStarted: true}
+	latency := LatencySnapshot{Mean: 3.5, Deviation: 4.5, Samples: 5}
+	endpoint := EndpointSnapshot{Endpoint: 6, FailureScore: 0.25, NextCallCost: 0.75, IsEjected: true, IsUnresponsive: true,
+		BackoffUntil: 7, FirstFailureAt: 8, LastFailureAt: 9, RecoveredAt: 10, RecoverySentAt: 11, LastSuccessAt: 12,
+		LastSuccessSentAt: 13, RecoveryBudget: bucket, Latency: latency}
+	route := RouteSnapshot{Endpoints: []EndpointSnapshot{endpoint}, History: []BinSnapshot{{At: 14, Requests: 15, Accepts: 16}},
+		Window: 17, NominalRate: 18, ReportedLimit: 19, PaceFactor: 20.5, RetryAfterUntil: 21, BackoffUntil: 22,
+		RejectionRunStart: 23, RejectionRun: 24, Tokens: bucket, Latency: latency}
+	return Snapshot{Routes: []RouteSnapshot{route}, Latency: latency, ConnectionShortage: []float64{0.125}}
+}
+
+// TestSnapshotText: a snapshot is written with the keys of earlier versions, byte for byte, and read from them. A
+// field that is new has to be added here: each one of the full snapshot is set.
+func TestSnapshotText(t *testing.T) {
+	var want bytes.Buffer
+	if err := json.Compact(&want, []byte(snapshotText)); err != nil {
+		t.Fatal(err)
+	}
+	got, err := json.Marshal(fullSnapshot())
+	if err != nil || string(got) != want.String() {
+		t.Errorf("error %v, written as\n%s\nwant\n%s", err, got, want.Bytes())
+	}
+	var read Snapshot
+	if err := json.Unmarshal([]byte(snapshotText), &read); err != nil || !reflect.DeepEqual(read, fullSnapshot()) {
+		t.Errorf("error %v, read as %+v", err, read)
+	}
+	checkAllSet(t, "Snapshot", reflect.ValueOf(fullSnapshot()))
+}
+
+// checkAllSet reports fields that are zero.
+func checkAllSet(t *testing.T, name string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is not set", name)
+	}
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			checkAllSet(t, name+"."+v.Type().Field(i).Name, v.Field(i))
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			checkAllSet(t, name, v.Index(i))
+		}
+	}
+}
 
 // What one policy has learned holds for the next: a told wait, the window, the history and an outage, by the
 // new host's clock. An endpoint that is not on its list is passed over.
