--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings maps the settings text, as the simulator and a deployment
-// both give it, to the words of package decide. It decides nothing.
+// Package settings maps the settings text, as the simulator and a deployment both give it, to the settings of
+// package policy. It decides nothing.
 package settings
 
 import (
@@ -9,41 +9,96 @@
 	"plovershore/policy"
 )
 
-var repeats = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NonIdempotent}
+// Values of the settings text.
+const (
+	lateHalving     = "halving"    // specifics.late
+	valueByWork     = "work"       // value_by
+	weightsNone     = "none"       // weights
+	reportInAnswers = "answers"    // report.how
+	listOnRequest   = "on_request" // discovery
+	groupAll        = "all"        // classes[].group
+)
+
+// idempotencies maps classes[].repeat.
+var idempotencies = map[string]policy.Idempotency{
+	"retryable": policy.Idempotent,
+	"dedup":     policy.IdempotentByKey,
+	"fragile":   policy.NonIdempotent,
+}
 
-// ToPolicy maps the settings text to the interface's words.
+// ToPolicy maps the settings text to a policy's settings. The error names the key of an unknown value.
 func ToPolicy(s *wire.Settings) (policy.Settings, error) {
-	l, f := &s.Limits, &s.Safety
-	d := policy.Settings{Relays: s.Balancers, Zone: s.Zone, MaxCalls: s.Specifics.CallsOut, MaxMessages: l.MaxMessages,
-		MaxAttempts: l.MaxAttempts, HalvingWeight: s.Specifics.Late == "halving", OverQuotaWeight: s.OverQuotaWeight,
-		WeightByCost: s.ValueBy == "work", ListedRates: s.Weights != "" && s.Weights != "none",
-		LoadReports:  s.Report.How == "answers" && len(s.Report.Fields) > 0,
-		HealthChecks: l.Probing, Cancellation: l.MayCancel, RetryAfter: l.RetryAfter, MaxRetryAfter: l.MaxRetryAfter,
-		PollList: s.Discovery == "on_request", PollInterval: f.PollInterval, ConnectTimeout: l.ConnectTimeout,
-		KeepAlive: l.KeepAlive, StreamsPerConnection: l.StreamsPerConn, Tick: s.Tick, ResponseSlack: f.ResponseSlack,
-		DrainGrace: f.DrainGrace, SlowStartCapacity: f.SlowStartCapacity, SlowStartTime: f.SlowStartTime,
-		OverloadFactor: f.OverloadFactor, OverloadWindow: f.OverloadWindow, KeyCooldown: f.KeyCooldown}
-	for i, c := range s.Classes {
-		rep, ok := repeats[c.Idempotency]
-		if !ok {
-			return d, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, c.Idempotency)
+	mapped := policy.Settings{
+		Relays:               s.Balancers,
+		Zone:                 s.Zone,
+		MaxCalls:             s.Specifics.CallsOut,
+		MaxMessages:          s.Limits.MaxMessages,
+		MaxAttempts:          s.Limits.MaxAttempts,
+		HalvingWeight:        s.Specifics.Late == lateHalving,
+		OverQuotaWeight:      s.OverQuotaWeight,
+		WeightByCost:         s.ValueBy == valueByWork,
+		LoadReports:          s.Report.How == reportInAnswers && len(s.Report.Fields) > 0,
+		ListedRates:          s.Weights != "" && s.Weights != weightsNone,
+		HealthChecks:         s.Limits.Probing,
+		Cancellation:         s.Limits.MayCancel,
+		RetryAfter:           s.Limits.RetryAfter,
+		MaxRetryAfter:        s.Limits.MaxRetryAfter,
+		PollList:             s.Discovery == listOnRequest,
+		PollInterval:         s.Safety.PollInterval,
+		ConnectTimeout:       s.Limits.ConnectTimeout,
+		KeepAlive:            s.Limits.KeepAlive,
+		StreamsPerConnection: s.Limits.StreamsPerConn,
+		Tick:                 s.Tick,
+		ResponseSlack:        s.Safety.ResponseSlack,
+		DrainGrace:           s.Safety.DrainGrace,
+		SlowStartCapacity:    s.Safety.SlowStartCapacity,
+		SlowStartTime:        s.Safety.SlowStartTime,
+		OverloadFactor:       s.Safety.OverloadFactor,
+		OverloadWindow:       s.Safety.OverloadWindow,
+		KeyCooldown:          s.Safety.KeyCooldown,
+	}
+	for i := range s.Classes {
+		class, err := toClass(&s.Classes[i])
+		if err != nil {
+			return mapped, fmt.Errorf("settings: classes[%d].%w", i, err)
 		}
-		d.Classes = append(d.Classes, policy.Class{Name: c.Name, LatencyObjective: c.Target, Deadline: c.Deadline,
-			Weight: c.Weight, LateWeight: c.LateWeight, Idempotency: rep, DedupWindow: c.Window,
-			DedupPerZone: c.Group != "all" && c.Group != "", Ordered: c.Sequential})
+		mapped.Classes = append(mapped.Classes, class)
 	}
-	for _, a := range s.Accounts {
-		d.Tenants = append(d.Tenants, policy.Tenant{Name: a.Name, Quota: a.Quota})
+	for _, account := range s.Accounts {
+		mapped.Tenants = append(mapped.Tenants, policy.Tenant{Name: account.Name, Quota: account.Quota})
 	}
 	for i := range s.Kinds {
-		k := policy.DestinationKind{MaxBatch: 1}
-		if i < len(s.Specifics.OwnLimits) {
-			k.SeparateRoutes = s.Specifics.OwnLimits[i]
-		}
-		if i < len(s.Specifics.KindBatch) {
-			k.MaxBatch = s.Specifics.KindBatch[i]
-		}
-		d.Kinds = append(d.Kinds, k)
+		mapped.Kinds = append(mapped.Kinds, toKind(&s.Specifics, i))
+	}
+	return mapped, nil
+}
+
+func toClass(class *wire.Class) (policy.Class, error) {
+	idempotency, ok := idempotencies[class.Idempotency]
+	if !ok {
+		return policy.Class{}, fmt.Errorf("repeat: unknown kind %q", class.Idempotency)
+	}
+	return policy.Class{
+		Name:             class.Name,
+		LatencyObjective: class.Target,
+		Deadline:         class.Deadline,
+		Weight:           class.Weight,
+		LateWeight:       class.LateWeight,
+		Idempotency:      idempotency,
+		DedupWindow:      class.Window,
+		DedupPerZone:     class.Group != groupAll && class.Group != "",
+		Ordered:          class.Sequential,
+	}, nil
+}
+
+// toKind gives a kind of destination; the lists that go by the kind may be shorter than the list of kinds.
+func toKind(specifics *wire.Specifics, index int) policy.DestinationKind {
+	kind := policy.DestinationKind{MaxBatch: 1}
+	if index < len(specifics.OwnLimits) {
+		kind.SeparateRoutes = specifics.OwnLimits[index]
+	}
+	if index < len(specifics.KindBatch) {
+		kind.MaxBatch = specifics.KindBatch[index]
 	}
-	return d, nil
+	return kind
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,9 +27,9 @@
 // frame builds a batch of records and a tail.
 func frame(clock uint64, tail []byte, records ...[]byte) []byte {
 	b := make([]byte, batchHeader)
-	be.PutUint64(b, clock)
-	be.PutUint32(b[8:], uint32(len(records)*eventSize+len(tail)))
-	be.PutUint32(b[12:], uint32(len(records)))
+	byteOrder.PutUint64(b, clock)
+	byteOrder.PutUint32(b[8:], uint32(len(records)*eventSize+len(tail)))
+	byteOrder.PutUint32(b[12:], uint32(len(records)))
 	for _, r := range records {
 		b = append(b, r...)
 	}
@@ -128,11 +128,11 @@
 func TestMalformed(t *testing.T) {
 	call := pad(t, "1e 0003 5d3a91c4")
 	nan := append([]byte(nil), call...)
-	be.PutUint32(nan[23:], math.Float32bits(float32(math.NaN())))
+	byteOrder.PutUint32(nan[23:], math.Float32bits(float32(math.NaN())))
 	long := frame(1, nil, call)
-	be.PutUint32(long[12:], 2)
+	byteOrder.PutUint32(long[12:], 2)
 	huge := frame(1, nil)
-	be.PutUint32(huge[8:], math.MaxUint32)
+	byteOrder.PutUint32(huge[8:], math.MaxUint32)
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
