--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -121,107 +121,146 @@
 	}
 }
 
+// action checks an action against the rules and notes it.
 func (c *checker) action(now Time, a Action) {
 	m := c.msgs[a.Message]
 	switch a.Kind {
 	case ActionSend:
-		c.sends++
-		x, known := c.eps[a.Endpoint]
-		switch {
-		case m == nil:
-			c.fault(now, "send of unknown %d", a.Message)
-			return
-		case m.done:
-			c.fault(now, "send of %d after its end", a.Message)
-		case m.spilled:
-			c.fault(now, "send of %d, which is spilled", a.Message)
-		case m.out:
-			c.fault(now, "two attempts of %d at once", a.Message)
-		case !known || x.Dest != m.dest:
-			c.fault(now, "send of %d to an endpoint of another destination", a.Message)
-		case a.Deadline > m.deadline:
-			c.fault(now, "attempt of %d outlives its deadline", a.Message)
-		case c.set.MaxAttempts > 0 && m.tries >= c.set.MaxAttempts:
-			c.fault(now, "attempt %d of %d", m.tries, a.Message)
-		}
-		if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
-			c.fault(now, "drain: send of %d to %d", a.Message, a.Endpoint)
-		}
-		if now < c.waits[c.route(a.Endpoint)] {
-			c.fault(now, "wait: send of %d to %d", a.Message, a.Endpoint)
-		}
-		cl := &c.set.Classes[m.class]
-		if m.doubt && cl.Idempotency == NonIdempotent {
-			c.fault(now, "unsafe %d sent again", a.Message)
-		}
-		if m.doubt && cl.Idempotency == IdempotentByKey {
-			if now > m.firstDoubt+cl.DedupWindow {
-				c.fault(now, "keyed %d sent outside its window", a.Message)
-			}
-			if cl.DedupPerZone && x.Zone != m.zone {
-				c.fault(now, "keyed %d left its zone", a.Message)
-			}
-		}
-		if cl.Ordered && m.key != 0 {
-			for _, id := range c.order[m.key] {
-				o := c.msgs[id]
-				if o.seq < m.seq && (!o.done || o.out) {
-					c.fault(now, "order: %d before %d", a.Message, id)
-				}
-			}
-			if m.tries == 0 && now < c.rest[m.key] {
-				c.fault(now, "order: %d inside the rest of its key", a.Message)
-			}
-		}
-		if !m.doubt {
-			m.firstDoubt = now // it counts from this send if this attempt may have run
-		}
-		m.tries++
-		m.out, m.at = true, a.Endpoint
-		c.flights = append(c.flights, flight{msg: a.Message, attempt: m.tries - 1, at: a.Endpoint, cut: a.Deadline})
+		c.sent(now, a, m)
 	case ActionReject, ActionFail:
-		if m == nil || m.done || m.spilled {
-			c.fault(now, "second answer for %d", a.Message)
-			return
-		}
-		m.done = true
-		if now > m.deadline+c.set.ResponseSlack {
-			c.fault(now, "late answer for %d", a.Message)
-		}
-		if a.Kind == ActionFail {
-			c.failed++
-			return
-		}
-		c.refused++
-		cl := &c.set.Classes[m.class]
-		open := m.doubt || m.out
-		if open && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.DedupPerZone) {
-			c.fault(now, "refused %d which may have run", a.Message)
-		}
+		c.responded(now, a, m)
 	case ActionSpill:
-		if m != nil && m.done && m.withdrawn { // in the same turn, after it was spilled
-			c.log.gone = append(c.log.gone, Event{Kind: EventWithdraw, Message: a.Message, Spilled: true, Dest: m.dest, Class: m.class, Key: m.key})
-			return
-		}
-		if m == nil || m.done || m.spilled || m.out {
-			c.fault(now, "spill of %d, which cannot be: %+v", a.Message, m)
-			return
-		}
-		m.spilled = true
-		c.log.spill(a)
+		c.spilled(now, a, m)
 	case ActionLoad:
 		c.log.asked[a.Dest] += a.Count
 	case ActionTimer:
 		c.timers = append(c.timers, flight{due: now + a.Delay})
 	case ActionHealthCheck:
-		if now < c.waits[c.route(a.Endpoint)] {
-			c.fault(now, "wait: probe to %d", a.Endpoint)
+		c.healthCheck(now, a)
+	}
+}
+
+func (c *checker) sent(now Time, a Action, m *heldMsg) {
+	c.sends++
+	if m == nil {
+		c.fault(now, "send of unknown %d", a.Message)
+		return
+	}
+	c.checkState(now, a, m)
+	c.checkEndpoint(now, a)
+	c.checkRepeat(now, a, m)
+	c.checkOrder(now, a, m)
+	if !m.doubt {
+		m.firstDoubt = now // it counts from this send if this attempt may have run
+	}
+	m.tries++
+	m.out, m.at = true, a.Endpoint
+	c.flights = append(c.flights, flight{msg: a.Message, attempt: m.tries - 1, at: a.Endpoint, cut: a.Deadline})
+}
+
+// checkState holds what a message's own state says of a send.
+func (c *checker) checkState(now Time, a Action, m *heldMsg) {
+	x, known := c.eps[a.Endpoint]
+	switch {
+	case m.done:
+		c.fault(now, "send of %d after its end", a.Message)
+	case m.spilled:
+		c.fault(now, "send of %d, which is spilled", a.Message)
+	case m.out:
+		c.fault(now, "two attempts of %d at once", a.Message)
+	case !known || x.Dest != m.dest:
+		c.fault(now, "send of %d to an endpoint of another destination", a.Message)
+	case a.Deadline > m.deadline:
+		c.fault(now, "attempt of %d outlives its deadline", a.Message)
+	case c.set.MaxAttempts > 0 && m.tries >= c.set.MaxAttempts:
+		c.fault(now, "attempt %d of %d", m.tries, a.Message)
+	}
+}
+
+// checkEndpoint holds what the list and a told wait say of a send.
+func (c *checker) checkEndpoint(now Time, a Action) {
+	if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
+		c.fault(now, "drain: send of %d to %d", a.Message, a.Endpoint)
+	}
+	if now < c.waits[c.route(a.Endpoint)] {
+		c.fault(now, "wait: send of %d to %d", a.Message, a.Endpoint)
+	}
+}
+
+// checkRepeat holds what the class says of a message that may have run.
+func (c *checker) checkRepeat(now Time, a Action, m *heldMsg) {
+	cl := &c.set.Classes[m.class]
+	if m.doubt && cl.Idempotency == NonIdempotent {
+		c.fault(now, "unsafe %d sent again", a.Message)
+	}
+	if m.doubt && cl.Idempotency == IdempotentByKey {
+		if now > m.firstDoubt+cl.DedupWindow {
+			c.fault(now, "keyed %d sent outside its window", a.Message)
+		}
+		if cl.DedupPerZone && c.eps[a.Endpoint].Zone != m.zone {
+			c.fault(now, "keyed %d left its zone", a.Message)
 		}
-		if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
-			c.fault(now, "drain: probe to %d", a.Endpoint)
+	}
+}
+
+// checkOrder holds that messages of a key go one at a time, in order.
+func (c *checker) checkOrder(now Time, a Action, m *heldMsg) {
+	if !c.set.Classes[m.class].Ordered || m.key == 0 {
+		return
+	}
+	for _, id := range c.order[m.key] {
+		o := c.msgs[id]
+		if o.seq < m.seq && (!o.done || o.out) {
+			c.fault(now, "order: %d before %d", a.Message, id)
 		}
-		c.probes = append(c.probes, a.Endpoint)
 	}
+	if m.tries == 0 && now < c.rest[m.key] {
+		c.fault(now, "order: %d inside the rest of its key", a.Message)
+	}
+}
+
+func (c *checker) responded(now Time, a Action, m *heldMsg) {
+	if m == nil || m.done || m.spilled {
+		c.fault(now, "second answer for %d", a.Message)
+		return
+	}
+	m.done = true
+	if now > m.deadline+c.set.ResponseSlack {
+		c.fault(now, "late answer for %d", a.Message)
+	}
+	if a.Kind == ActionFail {
+		c.failed++
+		return
+	}
+	c.refused++
+	cl := &c.set.Classes[m.class]
+	open := m.doubt || m.out
+	if open && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.DedupPerZone) {
+		c.fault(now, "refused %d which may have run", a.Message)
+	}
+}
+
+func (c *checker) spilled(now Time, a Action, m *heldMsg) {
+	if m != nil && m.done && m.withdrawn { // in the same turn, after it was spilled
+		c.log.gone = append(c.log.gone, Event{Kind: EventWithdraw, Message: a.Message, Spilled: true, Dest: m.dest, Class: m.class, Key: m.key})
+		return
+	}
+	if m == nil || m.done || m.spilled || m.out {
+		c.fault(now, "spill of %d, which cannot be: %+v", a.Message, m)
+		return
+	}
+	m.spilled = true
+	c.log.spill(a)
+}
+
+func (c *checker) healthCheck(now Time, a Action) {
+	if now < c.waits[c.route(a.Endpoint)] {
+		c.fault(now, "wait: probe to %d", a.Endpoint)
+	}
+	if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
+		c.fault(now, "drain: probe to %d", a.Endpoint)
+	}
+	c.probes = append(c.probes, a.Endpoint)
 }
 
 func (c *checker) finish(now Time) {
@@ -282,129 +321,181 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newChecker(set)
-	now := Time(r.Int64N(int64(1000 * second)))
+	d := &day{rng: r, set: set, checker: newChecker(set), next: 1, outcomes: map[int]Outcome{}}
+	d.now = Time(r.Int64N(int64(1000 * second)))
+	d.makeList()
+	d.update(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: d.entries})
 	var trace []string
-	next, seq := uint32(1), 0
-	entries := []Entry{}
-	for i := range 10 {
-		d := r.IntN(4)
-		entries = append(entries, Entry{Endpoint: Endpoint(100 + i), Zone: r.IntN(2), Kind: d % 2, Dest: d, State: Ready,
-			Rate: 1 + 9*r.Float64()})
-	}
-	var events []Event
-	first := Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: entries}
-	c.list(now, first)
-	events = append(events, first)
-	bad := map[int]Outcome{} // destinations out at present
 	for step := range steps {
-		for _, a := range p.Step(now, events, nil) {
-			trace = append(trace, fmt.Sprintf("%d %+v", now, a))
-			c.action(now, a)
+		for _, a := range p.Step(d.now, d.events, nil) {
+			trace = append(trace, fmt.Sprintf("%d %+v", d.now, a))
+			d.checker.action(d.now, a)
 		}
-		c.finish(now)
-		c.oneInMemory(now, p)
-		events = nil
-		now = c.until(now, now+5000*(1+Time(r.IntN(20))))
-		if r.IntN(100) == 0 { // a restart: the books of this life are closed, the list may be old
+		d.checker.finish(d.now)
+		d.checker.oneInMemory(d.now, p)
+		d.events = nil
+		d.now = d.checker.until(d.now, d.now+5000*(1+Time(r.IntN(20))))
+		if r.IntN(100) == 0 { // a restart
 			if p, err = New(set, seed+uint64(step)); err != nil {
 				t.Fatal(err)
 			}
-			errs, s, re, f, n := c.errs, c.sends, c.refused, c.failed, c.loads
-			c = newChecker(set)
-			c.errs, c.sends, c.refused, c.failed, c.loads = errs, s, re, f, n
-			e := Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: entries}
-			c.list(now, e)
-			events = append(events, e)
-		}
-		if r.IntN(30) == 0 {
-			i := r.IntN(len(entries))
-			entries = append([]Entry(nil), entries...)
-			entries[i].State = Readiness(r.IntN(3))
-			e := Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: entries[i : i+1]}
-			switch r.IntN(4) {
-			case 0:
-				e = Event{Kind: EventListUpdate, ListUpdate: ListFull}
-				for _, x := range entries {
-					if x.State != Removed {
-						e.Entries = append(e.Entries, x)
-					}
-				}
-			case 1:
-				e = Event{Kind: EventListUpdate, ListUpdate: ListFailed}
-			}
-			if e.ListUpdate == ListFailed {
-				entries[i].State = c.stateOf(entries[i].Endpoint)
-			}
-			c.list(now, e)
-			events = append(events, e)
+			d.restart()
 		}
+		d.changeList()
 		if r.IntN(40) == 0 {
-			bad[r.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[r.IntN(5)]
+			d.outcomes[r.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[r.IntN(5)]
 		}
-		for range r.IntN(4) {
-			e := Event{Kind: EventMessage, Message: next, Class: r.IntN(len(set.Classes)), Dest: r.IntN(5), Tenant: r.IntN(3)}
-			if set.Classes[e.Class].Ordered {
-				e.Key = uint64(r.IntN(3))
+		d.newMessages()
+		d.events = append(d.events, d.checker.load(d.now, r)...)
+		d.endFlights()
+		d.endHealthChecks()
+		d.withdraw()
+		d.runTimers()
+	}
+	return d.checker, trace
+}
+
+// day draws the events of a seeded random legal day.
+type day struct {
+	rng      *rand.Rand
+	set      Settings
+	checker  *checker
+	now      Time
+	entries  []Entry
+	events   []Event // of the next step
+	next     uint32  // number of the next message
+	seq      int     // of messages, in order of arrival
+	outcomes map[int]Outcome
+}
+
+func (d *day) makeList() {
+	for i := range 10 {
+		dest := d.rng.IntN(4)
+		d.entries = append(d.entries, Entry{Endpoint: Endpoint(100 + i), Zone: d.rng.IntN(2), Kind: dest % 2, Dest: dest, State: Ready,
+			Rate: 1 + 9*d.rng.Float64()})
+	}
+}
+
+func (d *day) update(e Event) {
+	d.checker.list(d.now, e)
+	d.events = append(d.events, e)
+}
+
+// restart closes the books of this life; the list may be old.
+func (d *day) restart() {
+	old := d.checker
+	d.checker = newChecker(d.set)
+	d.checker.errs, d.checker.loads = old.errs, old.loads
+	d.checker.sends, d.checker.refused, d.checker.failed = old.sends, old.refused, old.failed
+	d.update(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: d.entries})
+}
+
+func (d *day) changeList() {
+	if d.rng.IntN(30) != 0 {
+		return
+	}
+	i := d.rng.IntN(len(d.entries))
+	d.entries = append([]Entry(nil), d.entries...)
+	d.entries[i].State = Readiness(d.rng.IntN(3))
+	e := Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: d.entries[i : i+1]}
+	switch d.rng.IntN(4) {
+	case 0:
+		e = Event{Kind: EventListUpdate, ListUpdate: ListFull}
+		for _, x := range d.entries {
+			if x.State != Removed {
+				e.Entries = append(e.Entries, x)
 			}
-			e.TimeLeft = Time(float64(set.Classes[e.Class].Deadline) * (0.05 + 0.95*r.Float64()))
-			seq++
-			next++
-			c.arrive(now, e, seq)
-			events = append(events, e)
 		}
-		events = append(events, c.load(now, r)...)
-		var still []flight
-		for _, f := range c.flights {
-			if r.IntN(4) != 0 && f.cut > now {
-				still = append(still, f)
-				continue
-			}
-			e := Event{Kind: EventAttemptDone, Message: f.msg, Attempt: f.attempt, Endpoint: f.at, Latency: second / 5}
-			switch {
-			case f.cut <= now:
-				e.Outcome = TimedOut
-			case r.IntN(5) == 0:
-				e.Outcome = Outcome(r.IntN(int(outcomeCount)))
-			default:
-				e.Outcome = bad[c.msgs[f.msg].dest]
-			}
-			if e.Outcome == Rejected && r.IntN(2) == 0 {
-				e.RetryAfter = Time(r.Int64N(int64(3 * second)))
-			}
-			e.Final = c.msgs[f.msg].done || e.Outcome == Delivered
-			if r.IntN(2) == 0 {
-				e.Load = LoadReport{Remaining: r.Float64(), Limit: 10 * r.Float64()}
-			}
-			c.resolved(now, e)
-			events = append(events, e)
-			if r.IntN(20) == 0 { // repeated, and about what was never sent
-				events = append(events, e, Event{Kind: EventAttemptDone, Message: next + 9, Endpoint: 5})
-			}
+	case 1:
+		e = Event{Kind: EventListUpdate, ListUpdate: ListFailed}
+		d.entries[i].State = d.checker.stateOf(d.entries[i].Endpoint)
+	}
+	d.update(e)
+}
+
+func (d *day) newMessages() {
+	for range d.rng.IntN(4) {
+		e := Event{Kind: EventMessage, Message: d.next, Class: d.rng.IntN(len(d.set.Classes)), Dest: d.rng.IntN(5), Tenant: d.rng.IntN(3)}
+		if d.set.Classes[e.Class].Ordered {
+			e.Key = uint64(d.rng.IntN(3))
 		}
-		c.flights = still
-		for _, ep := range c.probes {
-			events = append(events, Event{Kind: EventHealthChecked, Endpoint: ep, Outcome: Outcome(r.IntN(int(outcomeCount)))})
+		e.TimeLeft = Time(float64(d.set.Classes[e.Class].Deadline) * (0.05 + 0.95*d.rng.Float64()))
+		d.seq++
+		d.next++
+		d.checker.arrive(d.now, e, d.seq)
+		d.events = append(d.events, e)
+	}
+}
+
+// endFlights ends some attempts, and all whose time is up.
+func (d *day) endFlights() {
+	var still []flight
+	for _, f := range d.checker.flights {
+		if d.rng.IntN(4) != 0 && f.cut > d.now {
+			still = append(still, f)
+			continue
 		}
-		c.probes = nil
-		if r.IntN(50) == 0 && next > 1 {
-			id := next - 1
-			if m := c.msgs[id]; m != nil && !m.done && !m.spilled {
-				m.done, m.withdrawn = true, true
-				events = append(events, Event{Kind: EventWithdraw, Message: id})
-			}
+		e := d.outcome(f)
+		d.checker.resolved(d.now, e)
+		d.events = append(d.events, e)
+		if d.rng.IntN(20) == 0 { // repeated, and about what was never sent
+			d.events = append(d.events, e, Event{Kind: EventAttemptDone, Message: d.next + 9, Endpoint: 5})
 		}
-		var later []flight
-		for _, tm := range c.timers {
-			if tm.due <= now {
-				events = append(events, Event{Kind: EventTimer})
-			} else {
-				later = append(later, tm)
-			}
+	}
+	d.checker.flights = still
+}
+
+// outcome draws how an attempt ends.
+func (d *day) outcome(f flight) Event {
+	m := d.checker.msgs[f.msg]
+	e := Event{Kind: EventAttemptDone, Message: f.msg, Attempt: f.attempt, Endpoint: f.at, Latency: second / 5}
+	switch {
+	case f.cut <= d.now:
+		e.Outcome = TimedOut
+	case d.rng.IntN(5) == 0:
+		e.Outcome = Outcome(d.rng.IntN(int(outcomeCount)))
+	default:
+		e.Outcome = d.outcomes[m.dest]
+	}
+	if e.Outcome == Rejected && d.rng.IntN(2) == 0 {
+		e.RetryAfter = Time(d.rng.Int64N(int64(3 * second)))
+	}
+	e.Final = m.done || e.Outcome == Delivered
+	if d.rng.IntN(2) == 0 {
+		e.Load = LoadReport{Remaining: d.rng.Float64(), Limit: 10 * d.rng.Float64()}
+	}
+	return e
+}
+
+func (d *day) endHealthChecks() {
+	for _, ep := range d.checker.probes {
+		d.events = append(d.events, Event{Kind: EventHealthChecked, Endpoint: ep, Outcome: Outcome(d.rng.IntN(int(outcomeCount)))})
+	}
+	d.checker.probes = nil
+}
+
+// withdraw now and then takes the newest message back.
+func (d *day) withdraw() {
+	if d.rng.IntN(50) != 0 || d.next <= 1 {
+		return
+	}
+	id := d.next - 1
+	if m := d.checker.msgs[id]; m != nil && !m.done && !m.spilled {
+		m.done, m.withdrawn = true, true
+		d.events = append(d.events, Event{Kind: EventWithdraw, Message: id})
+	}
+}
+
+func (d *day) runTimers() {
+	var later []flight
+	for _, tm := range d.checker.timers {
+		if tm.due <= d.now {
+			d.events = append(d.events, Event{Kind: EventTimer})
+		} else {
+			later = append(later, tm)
 		}
-		c.timers = later
 	}
-	return c, trace
+	d.checker.timers = later
 }
 
 // until is the next moment of the day: a timer or a time-out that comes due is not passed over.
