--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -133,7 +133,9 @@
 		next = min(next, p.nextRouteOpening(route))
 	}
 	for _, message := range dest.queue {
-		next = min(next, p.nextEligibility(message))
+		if message.hasTimedRule() {
+			next = min(next, p.nextEligibility(message))
+		}
 	}
 	return next
 }
@@ -156,6 +158,12 @@
 	return next
 }
 
+// hasTimedRule reports whether the class has a rule that ends with time: most have none, which
+// saves a long queue the rest.
+func (message *messageState) hasTimedRule() bool {
+	return message.class.Ordered || message.class.Idempotency == NonIdempotent
+}
+
 // nextEligibility is when a rule of a message's class ends that may keep it from being sent.
 func (p *Policy) nextEligibility(message *messageState) Time {
 	next := Time(math.MaxInt64)
--- a/policy/history.go
+++ b/policy/history.go
@@ -36,7 +36,7 @@
 	return &h.bins[h.newestBin%size]
 }
 
-// add counts requests and accepts at a moment.
+// add counts a bin of another history at a moment.
 func (h *callHistory) add(at Time, counts historyBin) {
 	bin := h.roll(at)
 	bin.requests += counts.requests
@@ -45,8 +45,15 @@
 	h.total.accepts += counts.accepts
 }
 
-func (h *callHistory) recordRequest(now Time) { h.add(now, historyBin{requests: 1}) }
-func (h *callHistory) recordAccept(now Time)  { h.add(now, historyBin{accepts: 1}) }
+func (h *callHistory) recordRequest(now Time) {
+	h.roll(now).requests++
+	h.total.requests++
+}
+
+func (h *callHistory) recordAccept(now Time) {
+	h.roll(now).accepts++
+	h.total.accepts++
+}
 
 // withdrawRequest takes back a request that was counted a moment ago.
 func (h *callHistory) withdrawRequest(now Time) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -136,7 +136,10 @@
 	return p.destinations[at]
 }
 
-// deleteElement removes every occurrence of an element.
+// deleteElement removes an element that is in a slice once at most.
 func deleteElement[E comparable](elements []E, element E) []E {
-	return slices.DeleteFunc(elements, func(other E) bool { return other == element })
+	if i := slices.Index(elements, element); i >= 0 {
+		return slices.Delete(elements, i, i+1)
+	}
+	return elements
 }
