--- a/policy/attempt_outcome.go
+++ b/policy/attempt_outcome.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// unansweredSpan is the number of calls over which the fraction of unanswered ones is averaged.
+// unansweredSpan is the number of calls over which the fraction of unanswered ones is averaged: a few
+// that time out are chance.
 const unansweredSpan = 50
 
 // completeAttempt records the outcome of an attempt for its message, call, endpoint and route. One
--- a/policy/connection_reuse.go
+++ b/policy/connection_reuse.go
@@ -16,8 +16,8 @@
 	// idleChecksPerKeepAlive is how often an idle connection is examined, since its time-out may
 	// change.
 	idleChecksPerKeepAlive = 8
-	// ejectionConnectionRejections is the number of rejected connections in a row, half an overload
-	// window apart at least, that count as an outage.
+	// ejectionConnectionRejections is the number of rejected connections in a row that count as an
+	// outage, where they span half an overload window at least: fewer are chance.
 	ejectionConnectionRejections = 5
 )
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -28,7 +28,7 @@
 // concurrent use and holds nothing that needs closing.
 type Policy struct {
 	settings        Settings
-	rng             *rand.Rand // draws happen in the order of events: see Step
+	rng             *rand.Rand // of all draws, whose order decides every later action
 	now             Time
 	actions         []Action       // of the step that runs
 	destinations    []*destination // by number
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -1,6 +1,6 @@
 package policy
 
-// ejectionRejections is the number of rejections in a row, half an overload window apart at least,
+// ejectionRejections is the number of rejections in a row, over half an overload window at least,
 // after which a destination that reports no limit is in an outage rather than busy.
 const ejectionRejections = 2
 
--- a/policy/spill.go
+++ b/policy/spill.go
@@ -12,8 +12,8 @@
 // others.
 const loadLeadTime = 2 * second
 
-// A destination asks for spilled messages below refillBelow of its resident limit, up to refillTo
-// of it, so that a load is worth its cost.
+// A destination asks for spilled messages once it holds less than half of its resident limit, up to
+// three quarters of it, so that each load is worth its cost.
 const (
 	refillBelowDivisor  = 2
 	refillToNumerator   = 3
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -4,11 +4,11 @@
 // (requests + 1)), at most maxDropProbability, by the requests and accepts of its route in the last
 // historySpan.
 const (
-	acceptMultiplier   = 2.0 // K: how many requests an accept stands for
-	priorAccepts       = 2.0 // credited to every route: a few calls say nothing
-	maxDropProbability = 0.9 // some calls always pass, or a recovery would not be seen
-	historySpan        = 10 * second
-	historyBinCount    = 20
+	acceptMultiplier   = 2.0         // K: how many requests an accept stands for
+	priorAccepts       = 2.0         // credited to every route: a few calls say nothing
+	maxDropProbability = 0.9         // some calls always pass, or a recovery would not be seen
+	historySpan        = 10 * second // microseconds; long enough for seldom callers, short enough to recover
+	historyBinCount    = 20          // steps of the span, which make up its resolution
 )
 
 // drawDrop counts a request and draws whether it is dropped. A drop spends the route's token; its
--- a/policy/window.go
+++ b/policy/window.go
@@ -1,6 +1,6 @@
 package policy
 
-// The part of all call slots that one destination may take, so that others always have some.
+// The fraction of all call slots that one destination may take, so that others always have some.
 const (
 	maxSlotFraction        = 0.75
 	maxSlotFractionFailing = 0.5 // while it fails: its calls are the slow ones
