--- a/internal/relay/client_server.go
+++ b/internal/relay/client_server.go
@@ -25,8 +25,8 @@
 var pastDeadline = time.Unix(1, 0)
 
 // clientServer accepts the connections of clients, submits the messages that
-// come on them and writes the responses. Create it with newClientServer. Its
-// methods may be called by several goroutines.
+// come on them and writes the responses. Create it with newClientServer and end
+// it with close. Its methods may be called by several goroutines.
 type clientServer struct {
 	cfg    *Config
 	log    *slog.Logger
@@ -48,11 +48,14 @@
 	mu         sync.Mutex
 	maxConns   int                  // limit on open connections, see connection_limit.go
 	conns      map[*clientConn]bool // the connections that are not evicted
-	openConns  int                  // connections that hold a descriptor, evicted ones included
+	evicted    map[*clientConn]bool // evicted and not closed yet
+	openConns  int                  // slots in use, those of evicted connections included
 	isClosing  bool                 // connections are closed after their next response
 	isDraining bool                 // PING is answered with errDraining
 	slotFreed  chan struct{}        // capacity 1: signals that a descriptor was freed
-	wg         sync.WaitGroup       // the connections' goroutines
+	isClosed   bool
+	closed     chan struct{}  // closed by close
+	sessions   sync.WaitGroup // the connections' goroutines
 }
 
 func newClientServer(cfg *Config, log *slog.Logger, submit func(*putRequest), onResponded func(*putRequest, bool)) *clientServer {
@@ -67,6 +70,8 @@
 		accept4:        syscall.Accept4,
 		maxConns:       maxConns,
 		conns:          map[*clientConn]bool{},
+		evicted:        map[*clientConn]bool{},
+		closed:         make(chan struct{}),
 		slotFreed:      make(chan struct{}, 1),
 	}
 }
@@ -81,15 +86,21 @@
 	now := time.Now()
 	cc := &clientConn{Conn: conn, idleSince: now, commandDeadline: now.Add(c.commandTimeout)}
 	c.mu.Lock()
+	if c.isClosed {
+		c.mu.Unlock()
+		cc.Close()
+		c.freeSlot(cc)
+		return
+	}
 	if c.isClosing { // one request, as for connections that were new when the closing began
 		cc.isReleased, cc.commandDeadline = true, time.Now().Add(clientTimeout)
 	}
 	cc.limitReadUntil(cc.commandDeadline)
 	c.conns[cc] = true
-	c.wg.Add(1)
+	c.sessions.Add(1)
 	c.mu.Unlock()
 	go func() {
-		defer c.wg.Done()
+		defer c.sessions.Done()
 		c.serveConnection(cc)
 		c.closeGracefully(cc)
 		cc.Close()
@@ -97,6 +108,23 @@
 	}()
 }
 
+// close closes all connections, also those with a request in progress, and waits
+// for their goroutines. Connections that are accepted later are closed at once.
+// It must be called once.
+func (c *clientServer) close() {
+	c.mu.Lock()
+	c.isClosed = true
+	close(c.closed)
+	for cc := range c.conns {
+		cc.Close()
+	}
+	for cc := range c.evicted {
+		cc.Close()
+	}
+	c.mu.Unlock()
+	c.sessions.Wait()
+}
+
 // connectionCount is the number of open connections that are not evicted.
 func (c *clientServer) connectionCount() int {
 	c.mu.Lock()
--- a/internal/relay/client_session.go
+++ b/internal/relay/client_session.go
@@ -11,6 +11,11 @@
 	"time"
 )
 
+var (
+	errPeerGone     = errors.New("client left before its response")
+	errServerClosed = errors.New("server closed")
+)
+
 // command is one command as it was read, or the error instead.
 type command struct {
 	args       [][]byte
@@ -143,9 +148,12 @@
 	}
 	s.server.recordValidCommand(s.conn, true)
 	s.server.submit(q)
-	r, ok := s.awaitResponse(q)
+	r, err := s.awaitResponse(q)
+	if errors.Is(err, errServerClosed) {
+		return false // nothing is known of the message, so nothing is said of it
+	}
 	isTooLate := r == responseOK && time.Since(cmd.receivedAt) >= s.server.clientTimeout
-	if !ok || isTooLate {
+	if errors.Is(err, errPeerGone) || isTooLate {
 		// The message is withdrawn before the client can know of it, should it
 		// still read: to submit it again is harmless.
 		s.server.onResponded(q, false)
@@ -156,20 +164,28 @@
 	return isWritten
 }
 
-// awaitResponse waits for the response of the loop, or reports false where the
-// client leaves before it. A command that is read meanwhile is executed next.
-func (s *clientSession) awaitResponse(q *putRequest) (response, bool) {
+// awaitResponse waits for the response of the loop. A command that is read
+// meanwhile is executed next. It returns errPeerGone where the client leaves
+// before the response and errServerClosed where close comes before it.
+func (s *clientSession) awaitResponse(q *putRequest) (response, error) {
 	select {
 	case r := <-q.responses:
-		return r, true
+		return r, nil
+	case <-s.server.closed:
+		return "", errServerClosed
 	case next, isOpen := <-s.commands:
 		if isOpen {
 			s.pipelined = &next
 		} else if s.server.isPeerGone(s.conn) {
-			return "", false
+			return "", errPeerGone
 		}
 	}
-	return <-q.responses, true
+	select {
+	case r := <-q.responses:
+		return r, nil
+	case <-s.server.closed:
+		return "", errServerClosed
+	}
 }
 
 // write sends a response; it reports false where that fails.
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -471,3 +471,41 @@
 		t.Errorf("%v, want an end and no reset", err)
 	}
 }
+
+// The end of the server closes connections in every state and waits for their
+// goroutines: one that rests, one whose message has no answer yet, and one that
+// was evicted within a command. A connection that comes later is closed unread.
+func TestServerClose(t *testing.T) {
+	submitted := make(chan *putRequest, 1)
+	c, addr, _ := serveClients(t, func(q *putRequest) { submitted <- q })
+	idle, waiting, evicted := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
+	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
+	idle.line()
+	io.WriteString(waiting, putText("m", fields("plain", 8000, 1), nil))
+	<-submitted
+	io.WriteString(evicted, "*5\r\n$7\r\nMSG")
+	waitFor(t, "the beginning of the command", func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for cc := range c.conns {
+			if cc.RemoteAddr().String() == evicted.LocalAddr().String() && cc.pendingRequests > 0 {
+				delete(c.conns, cc)
+				c.evicted[cc] = true
+				return true
+			}
+		}
+		return false
+	})
+	c.close()
+	c.mu.Lock()
+	if c.openConns != 0 || len(c.conns) != 0 || len(c.evicted) != 0 {
+		t.Errorf("%d connections open, %d counted, %d evicted", c.openConns, len(c.conns), len(c.evicted))
+	}
+	c.mu.Unlock()
+	for name, cl := range map[string]*testClient{"idle": idle, "waiting": waiting, "evicted": evicted, "late": dialClient(t, addr)} {
+		cl.SetDeadline(time.Now().Add(5 * time.Second))
+		if _, err := cl.in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("%s: still open: %v", name, err)
+		}
+	}
+}
--- a/internal/relay/connection_limit.go
+++ b/internal/relay/connection_limit.go
@@ -72,6 +72,7 @@
 func (c *clientServer) freeSlot(cc *clientConn) {
 	c.mu.Lock()
 	delete(c.conns, cc)
+	delete(c.evicted, cc)
 	c.openConns--
 	c.mu.Unlock()
 	select {
@@ -134,6 +135,7 @@
 		return minGrace
 	}
 	delete(c.conns, victim)
+	c.evicted[victim] = true
 	if victim.isStopped {
 		victim.SetReadDeadline(pastDeadline) // ends the wait for its peer
 	} else {
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -42,6 +42,7 @@
 	r.stepPolicy() // the list alone
 	r.clients = newClientServer(cfg, log, func(q *putRequest) { r.mailbox.Put(submitEvent{request: q}) },
 		func(q *putRequest, ok bool) { r.mailbox.Put(acknowledgedEvent{request: q, isSent: ok}) })
+	defer r.clients.close()
 
 	r.metrics.waitingFor.Store("waits for the process that owns the log")
 	if ok, err := r.acquireOwnership(stop); err != nil || !ok {
