--- /dev/null
+++ b/internal/relay/call_request_test.go
@@ -0,0 +1,51 @@
+package relay
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"plovershore/internal/wal"
+	"plovershore/policy"
+)
+
+// Guards against a client library that sends a call again by itself: an
+// idempotency key makes a POST replayable to net/http, which would repeat it
+// where a kept-alive connection breaks under it.
+func TestNoResendByItself(t *testing.T) {
+	for name, body := range map[string][]byte{"body": []byte("b"), "empty body": nil} {
+		t.Run(name, func(t *testing.T) {
+			var calls atomic.Int32
+			addr := rawEndpoint(t, func(c net.Conn) {
+				in := bufio.NewReader(c)
+				for readCall(in) {
+					if calls.Add(1) == 2 {
+						return // the second call on a kept connection breaks
+					}
+					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+				}
+			})
+			conns := testConns(t, 2)
+			defer conns.CloseIdleConnections()
+			rec := &wal.Record{ID: "m", Key: "k", Body: body}
+			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.kind != policy.Delivered {
+				t.Fatalf("first: %+v", o)
+			}
+			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.kind != policy.ConnectionReset {
+				t.Errorf("second: %+v", o)
+			}
+			if n := calls.Load(); n != 2 {
+				t.Errorf("the endpoint saw %d calls, want 2", n)
+			}
+		})
+	}
+	req, err := newCallRequest(context.Background(), "127.0.0.1:1", []*wal.Record{{ID: "m", Key: "k", Body: []byte("b")}}, time.Second)
+	if err != nil || req.GetBody != nil || req.Body == http.NoBody {
+		t.Errorf("request can be rewound: GetBody %v, body %v, err %v", req.GetBody != nil, req.Body, err)
+	}
+}
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/call_test.go
@@ -2,15 +2,11 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"slices"
-	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -122,71 +118,6 @@
 	}
 }
 
-// Guards the batch call: its form, and that each message gets the outcome that
-// the answer names for it. What the answer does not tell may have run.
-func TestBatchOutcomes(t *testing.T) {
-	const ok = `[{"id":"b","state":"fault"},{"id":"a","state":"accepted"},{"id":"c","state":"deferred"},{"id":"d","state":"expired"},{"id":"e","state":"no_more"}]`
-	body := func(head, text string) string {
-		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(text), text)
-	}
-	same := func(o policy.Outcome) []policy.Outcome { return slices.Repeat([]policy.Outcome{o}, 6) }
-	for name, x := range map[string]struct {
-		answer string
-		what   []policy.Outcome
-		wait   policy.Time
-	}{
-		"told apart": {answer: body("200 OK\r\nRetry-After: 0.5", ok), wait: 500000, what: []policy.Outcome{policy.Delivered,
-			policy.Errored, policy.Rejected, policy.NotSent, policy.NotSent, policy.Errored}},
-		"turned away":    {answer: body("429 W\r\nRetry-After: 2", ""), wait: 2000000, what: same(policy.Rejected)},
-		"full":           {answer: body("503 F", ""), what: same(policy.Rejected)},
-		"error":          {answer: body("500 E", ""), what: same(policy.Errored)},
-		"cannot be read": {answer: body("200 OK", `[{"id":"a","state":"acc`), what: same(policy.Errored)},
-		"chunks garbled": {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", what: same(policy.Errored)},
-		"cut":            {answer: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + ok, what: same(policy.ConnectionReset)},
-	} {
-		t.Run(name, func(t *testing.T) {
-			got := make(chan string, 1)
-			addr := rawEndpoint(t, func(c net.Conn) {
-				req, err := http.ReadRequest(bufio.NewReader(c))
-				if err != nil {
-					return
-				}
-				text, _ := io.ReadAll(req.Body)
-				got <- req.URL.Path + " " + string(text)
-				io.WriteString(c, x.answer)
-			})
-			conns := testConns(t, 2)
-			defer conns.CloseIdleConnections()
-			recs := []*wal.Record{{ID: "a", Key: "k", Body: []byte("hello")}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}, {ID: "f"}}
-			out := newTestCall().run(conns, addr, recs, testLimit, nil)
-			for i, o := range out {
-				settled := x.what[i] == policy.Delivered || name == "told apart" && recs[i].ID == "d"
-				if o.kind != x.what[i] || o.isFinal != settled || o.retryAfter != x.wait {
-					t.Errorf("%s: got %+v, want %v", recs[i].ID, o, x.what[i])
-				}
-			}
-			if s := <-got; !strings.HasPrefix(s, batchPath+` [{"id":"a","key":"k","body":"aGVsbG8="},{"id":"b","body":""},`) {
-				t.Errorf("the call was %s", s)
-			}
-		})
-	}
-}
-
-// Guards the slot and the connection of a batch: one message that is given up
-// does not end the call of the others; the last one does.
-func TestDropFromBatch(t *testing.T) {
-	a, b := &message{}, &message{}
-	c := newTestCall()
-	c.messages = []callMessage{{message: a}, {message: b}}
-	c.stage.Store(callWritten)
-	if c.dropMessage(a); c.ctx.Err() != nil {
-		t.Error("one message given up ended the call of another")
-	}
-	if c.dropMessage(b); context.Cause(c.ctx) != errCancelled {
-		t.Errorf("nobody waits, and the call goes on: %v", context.Cause(c.ctx))
-	}
-}
-
 // Guards the difference between what never ran and what may have: a refused
 // connection never ran, silence after the last byte may have.
 func TestOutcomesWithoutAnswer(t *testing.T) {
@@ -222,28 +153,6 @@
 	<-gone
 }
 
-// Guards the window for repeats: a connection that comes up once it is over
-// carries nothing, and what was not sent has never run.
-func TestLateConnectionCarriesNoRepeat(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	conns := testConns(t, 2)
-	defer conns.CloseIdleConnections()
-	c := newTestCall()
-	c.sendBy = time.Now().Add(50 * time.Millisecond)
-	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		conn, err := net.Dial(network, addr)
-		waitFor(t, "the end of the window", func() bool { return !time.Now().Before(c.sendBy) })
-		return &endpointConn{Conn: conn}, err
-	}
-	if o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit); o.kind != policy.NotSent {
-		t.Errorf("got %+v", o)
-	}
-	conns.CloseIdleConnections()
-	if n := ep.count("m"); n != 0 {
-		t.Errorf("the call went out %d times", n)
-	}
-}
-
 // Guards the slot of a call whose answer says 200 and never ends, in its head or
 // in its body: it is delivered by its first line, and nobody waits for the rest.
 func TestAnswerThatNeverEnds(t *testing.T) {
@@ -283,39 +192,40 @@
 	}
 }
 
-// Guards against a client library that sends a call again by itself: an
-// idempotency key makes a POST replayable to net/http, which would repeat it
-// where a kept-alive connection breaks under it.
-func TestNoResendByItself(t *testing.T) {
-	for name, body := range map[string][]byte{"body": []byte("b"), "empty body": nil} {
-		t.Run(name, func(t *testing.T) {
-			var calls atomic.Int32
-			addr := rawEndpoint(t, func(c net.Conn) {
-				in := bufio.NewReader(c)
-				for readCall(in) {
-					if calls.Add(1) == 2 {
-						return // the second call on a kept connection breaks
-					}
-					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-				}
-			})
-			conns := testConns(t, 2)
-			defer conns.CloseIdleConnections()
-			rec := &wal.Record{ID: "m", Key: "k", Body: body}
-			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.kind != policy.Delivered {
-				t.Fatalf("first: %+v", o)
-			}
-			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.kind != policy.ConnectionReset {
-				t.Errorf("second: %+v", o)
-			}
-			if n := calls.Load(); n != 2 {
-				t.Errorf("the endpoint saw %d calls, want 2", n)
-			}
-		})
+// Guards the slot and the connection of a batch: one message that is given up
+// does not end the call of the others; the last one does.
+func TestDropFromBatch(t *testing.T) {
+	a, b := &message{}, &message{}
+	c := newTestCall()
+	c.messages = []callMessage{{message: a}, {message: b}}
+	c.stage.Store(callWritten)
+	if c.dropMessage(a); c.ctx.Err() != nil {
+		t.Error("one message given up ended the call of another")
+	}
+	if c.dropMessage(b); context.Cause(c.ctx) != errCancelled {
+		t.Errorf("nobody waits, and the call goes on: %v", context.Cause(c.ctx))
+	}
+}
+
+// Guards the window for repeats: a connection that comes up once it is over
+// carries nothing, and what was not sent has never run.
+func TestLateConnectionCarriesNoRepeat(t *testing.T) {
+	ep := newFakeEndpoint(t, nil)
+	conns := testConns(t, 2)
+	defer conns.CloseIdleConnections()
+	c := newTestCall()
+	c.sendBy = time.Now().Add(50 * time.Millisecond)
+	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		conn, err := net.Dial(network, addr)
+		waitFor(t, "the end of the window", func() bool { return !time.Now().Before(c.sendBy) })
+		return &endpointConn{Conn: conn}, err
 	}
-	req, err := newCallRequest(context.Background(), "127.0.0.1:1", []*wal.Record{{ID: "m", Key: "k", Body: []byte("b")}}, time.Second)
-	if err != nil || req.GetBody != nil || req.Body == http.NoBody {
-		t.Errorf("request can be rewound: GetBody %v, body %v, err %v", req.GetBody != nil, req.Body, err)
+	if o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit); o.kind != policy.NotSent {
+		t.Errorf("got %+v", o)
+	}
+	conns.CloseIdleConnections()
+	if n := ep.count("m"); n != 0 {
+		t.Errorf("the call went out %d times", n)
 	}
 }
 
@@ -435,110 +345,3 @@
 		t.Error("a call begins under the wait")
 	}
 }
-
-// Guards against connections that died in silence: after a machine was away,
-// what is idle to it is given up; one slow call among others is no reason.
-func TestUpdateLiveness(t *testing.T) {
-	ep := &endpoint{}
-	for i, x := range []struct {
-		o    outcome
-		now  policy.Time
-		want bool
-	}{
-		{outcome{kind: policy.Delivered, status: 200, latency: 10}, 1000, false},
-		{outcome{kind: policy.TimedOut, latency: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
-		{outcome{kind: policy.TimedOut, latency: 500}, 2000, true},
-		{outcome{kind: policy.ConnectionReset}, 2100, true},
-		{outcome{kind: policy.ConnectFailed}, 2200, true},
-		{outcome{kind: policy.Rejected, status: 503}, 2300, false},
-		{outcome{kind: policy.Cancelled, latency: 50}, 2320, false},
-	} {
-		if got := ep.updateLiveness(&x.o, x.now); got != x.want {
-			t.Errorf("%d: %v", i, got)
-		}
-	}
-}
-
-// Guards reuse: a new connection costs a handshake, so answers are read to
-// their end and more than two connections are kept after a burst.
-func TestConnectionsAreKept(t *testing.T) {
-	var conns atomic.Int32
-	const burst = 6
-	together := make(chan struct{}, burst)
-	addr := rawEndpoint(t, func(c net.Conn) {
-		conns.Add(1)
-		in := bufio.NewReader(c)
-		for readCall(in) {
-			together <- struct{}{}
-			for len(together) < burst { // all of a burst are out at once
-				time.Sleep(time.Millisecond)
-			}
-			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
-		}
-	})
-	tr := testConns(t, burst)
-	defer tr.CloseIdleConnections()
-	for round := range 2 {
-		done := make(chan outcome, burst)
-		for range burst {
-			go func() { done <- runOne(newTestCall(), tr, addr, &wal.Record{ID: "m"}, testLimit) }()
-		}
-		for range burst {
-			if o := <-done; o.kind != policy.Delivered {
-				t.Fatalf("round %d: %+v", round, o)
-			}
-		}
-		for len(together) > 0 {
-			<-together
-		}
-	}
-	if n := conns.Load(); n != burst {
-		t.Errorf("%d connections for two bursts of %d", n, burst)
-	}
-}
-
-func TestParseRetryAfter(t *testing.T) {
-	for s, want := range map[string]policy.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e99": 600e6} {
-		if got := parseRetryAfter(s); got != want {
-			t.Errorf("%q: %d, want %d", s, got, want)
-		}
-	}
-}
-
-func TestParseLoadReport(t *testing.T) {
-	fields := []string{"x0", "x1"}
-	for s, want := range map[string]policy.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25, Present: true}, "x1=3": {Limit: 3, Present: true}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}} {
-		if got := parseLoadReport(s, fields); got != want {
-			t.Errorf("%q: %+v", s, got)
-		}
-	}
-	if got := parseLoadReport("x0=1", nil); got != (policy.LoadReport{}) {
-		t.Errorf("a report where none is due: %+v", got)
-	}
-}
-
-func TestCheckHealth(t *testing.T) {
-	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Errored} {
-		ep := newFakeEndpoint(t, status(code))
-		if o := checkHealth(context.Background(), testConns(t, 2), ep.addr()); o.kind != want {
-			t.Errorf("%d: %+v", code, o)
-		}
-	}
-}
-
-// The policy is told whether a connection was opened for a call: a full table
-// of connections shows only there.
-func TestFreshConnection(t *testing.T) {
-	addr := rawEndpoint(t, func(c net.Conn) {
-		for in := bufio.NewReader(c); readCall(in); {
-			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-		}
-	})
-	conns := testConns(t, 4)
-	defer conns.CloseIdleConnections()
-	for i, want := range []bool{true, false} {
-		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.isNewConnection != want || o.kind != policy.Rejected {
-			t.Errorf("call %d: fresh %v, %+v", i, o.isNewConnection, o)
-		}
-	}
-}
--- /dev/null
+++ b/internal/relay/client_connection_test.go
@@ -0,0 +1,202 @@
+package relay
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// Guards against losing a request to a close: a connection is closed only
+// between requests, one with a request under way after its answer.
+func TestCloseBetweenRequests(t *testing.T) {
+	got := make(chan *putRequest, 1)
+	c, addr, _ := serveClients(t, func(q *putRequest) { got <- q })
+	idle, busyOne := dialClient(t, addr), dialClient(t, addr)
+	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
+	idle.line()
+	io.WriteString(busyOne, putText("m", fields("plain", 8000, 1), nil))
+	q := <-got
+	c.drainConnections()
+	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("idle: %v", err)
+	}
+	q.respond(responseOK)
+	if s := busyOne.line(); s != "+OK" {
+		t.Errorf("answer %q", s)
+	}
+	if _, err := busyOne.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after its answer: %v", err)
+	}
+}
+
+// Guards the limit on descriptors: one that was let go just as a request began
+// is answered, and then closed, since it is counted no longer.
+func TestReleaseAsRequestBegins(t *testing.T) {
+	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+	near, far := net.Pipe()
+	defer far.Close()
+	cc := &clientConn{Conn: near}
+	c.conns[cc] = true
+	c.evictConnection()
+	c.beginRequest(cc)
+	c.finishCommandRead(cc)
+	c.finishRequest(cc)
+	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("it stays open and is counted no longer: %v", err)
+	}
+}
+
+// Guards against closing unheard: what has come when the wait for a next
+// request ends is answered first, and the connection is closed only then.
+func TestReleasedUnheard(t *testing.T) {
+	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	cl := dialClient(t, ln.Addr().String())
+	conn, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	cc := &clientConn{Conn: conn}
+	c.conns[cc] = true
+	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
+	waitFor(t, "the request", func() bool { return hasUnreadBytes(conn) })
+	c.drainConnections() // the reader has not begun
+	go func() { c.serveConnection(cc); conn.Close() }()
+	if s := cl.line(); s != "+OK" {
+		t.Errorf("answer %q", s)
+	}
+	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after the answer: %v", err)
+	}
+}
+
+// crossing is a server's side of a connection on which bytes come in the very
+// moment in which it is shut or closed.
+type crossing struct {
+	*net.TCPConn
+	cross func() // sends them, and returns once they are there
+}
+
+func (c *crossing) CloseWrite() error {
+	c.cross()
+	return c.TCPConn.CloseWrite()
+}
+
+func (c *crossing) Close() error {
+	c.cross()
+	return c.TCPConn.Close()
+}
+
+// serveCrossing talks on one connection whose client sends text just as the
+// relay lets go of it.
+func serveCrossing(t *testing.T, put func(*putRequest), text string) (*clientServer, *testClient) {
+	t.Helper()
+	c := newClientServer(testSet(t), quietLog(), put, func(*putRequest, bool) {})
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	cl := dialClient(t, ln.Addr().String())
+	conn, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	x := &crossing{TCPConn: conn.(*net.TCPConn)}
+	x.cross = sync.OnceFunc(func() {
+		io.WriteString(cl, text)
+		waitFor(t, "the crossing bytes", func() bool { return hasUnreadBytes(x.TCPConn) })
+	})
+	c.startConnection(x)
+	return c, cl
+}
+
+// Guards the answer of a request against the close of its connection: what its
+// client sends as the relay closes is dropped, and resets nothing.
+func TestAnswerOutlivesClose(t *testing.T) {
+	var taken atomic.Int32
+	got := make(chan *putRequest, 2)
+	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); got <- q },
+		putText("b", fields("plain", 8000, 1), nil)+putText("c", fields("plain", 8000, 1), make([]byte, maxBodyBytes)))
+	io.WriteString(cl, putText("a", fields("plain", 8000, 1), nil))
+	q := <-got
+	c.drainConnections()
+	q.respond(responseOK)
+	if s := cl.line(); s != "+OK" {
+		t.Errorf("answer %q", s)
+	}
+	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after the answer: %v, want an end and no reset", err)
+	}
+	cl.Close()
+	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
+	if n := taken.Load(); n != 1 {
+		t.Errorf("%d requests taken, want the first alone", n)
+	}
+}
+
+// The same for a resting connection that is let go: the request that crosses
+// the close is dropped whole, and its client hears of the end, not of a reset.
+func TestRequestCrossesClose(t *testing.T) {
+	var taken atomic.Int32
+	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); accept(q) }, putText("b", fields("plain", 8000, 1), nil))
+	if s := cl.put("a", fields("plain", 8000, 1), nil); s != "+OK" {
+		t.Fatal(s)
+	}
+	c.drainConnections()
+	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("%v, want an end and no reset", err)
+	}
+	cl.Close()
+	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
+	if n := taken.Load(); n != 1 {
+		t.Errorf("%d requests taken, want the first alone", n)
+	}
+}
+
+// The end of the server closes connections in every state and waits for their
+// goroutines: one that rests, one whose message has no answer yet, and one that
+// was evicted within a command. A connection that comes later is closed unread.
+func TestServerClose(t *testing.T) {
+	submitted := make(chan *putRequest, 1)
+	c, addr, _ := serveClients(t, func(q *putRequest) { submitted <- q })
+	idle, waiting, evicted := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
+	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
+	idle.line()
+	io.WriteString(waiting, putText("m", fields("plain", 8000, 1), nil))
+	<-submitted
+	io.WriteString(evicted, "*5\r\n$7\r\nMSG")
+	waitFor(t, "the beginning of the command", func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for cc := range c.conns {
+			if cc.RemoteAddr().String() == evicted.LocalAddr().String() && cc.pendingRequests > 0 {
+				delete(c.conns, cc)
+				c.evicted[cc] = true
+				return true
+			}
+		}
+		return false
+	})
+	c.close()
+	c.mu.Lock()
+	if c.openConns != 0 || len(c.conns) != 0 || len(c.evicted) != 0 {
+		t.Errorf("%d connections open, %d counted, %d evicted", c.openConns, len(c.conns), len(c.evicted))
+	}
+	c.mu.Unlock()
+	for name, cl := range map[string]*testClient{"idle": idle, "waiting": waiting, "evicted": evicted, "late": dialClient(t, addr)} {
+		cl.SetDeadline(time.Now().Add(5 * time.Second))
+		if _, err := cl.in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("%s: still open: %v", name, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/relay/client_session_test.go
@@ -0,0 +1,180 @@
+package relay
+
+import (
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// serveClients runs the client side alone; put stands for the loop.
+func serveClients(t *testing.T, put func(*putRequest)) (*clientServer, string, chan bool) {
+	t.Helper()
+	said := make(chan bool, 16)
+	c := newClientServer(testSet(t), quietLog(), put, func(_ *putRequest, ok bool) { said <- ok })
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go c.serve(ln)
+	return c, ln.Addr().String(), said
+}
+
+func accept(q *putRequest) { q.respond(responseOK) }
+
+// Guards a client's give-up: one that leaves before its answer has not heard
+// that its message was taken on, and may hand it in elsewhere.
+func TestClientGoneBeforeAnswer(t *testing.T) {
+	got := make(chan *putRequest, 1)
+	_, addr, said := serveClients(t, func(q *putRequest) { got <- q })
+	cl := dialClient(t, addr)
+	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
+	q := <-got
+	cl.Close()
+	if <-said {
+		t.Error("held to be heard")
+	}
+	q.respond(responseOK) // comes too late and blocks nobody
+}
+
+// Guards against taking on too late: whoever has waited for as long as clients
+// wait hands the message in elsewhere, and is not told that it is taken on here.
+func TestTakenOnTooLate(t *testing.T) {
+	c, addr, said := serveClients(t, accept)
+	c.clientTimeout = 0
+	cl := dialClient(t, addr)
+	if s := cl.put("m", fields("plain", 8000, 1), nil); s != "-BUSY" {
+		t.Errorf("answer %q", s)
+	}
+	if <-said {
+		t.Error("held to be heard")
+	}
+}
+
+// Guards a client that ends its sending behind its request and waits for the answer: it is
+// answered. As one that has left looks the same, the message is not taken on.
+func TestHalfClosedClientIsAnswered(t *testing.T) {
+	got := make(chan *putRequest, 1)
+	_, addr, said := serveClients(t, func(q *putRequest) { got <- q })
+	cl := dialClient(t, addr)
+	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
+	q := <-got
+	if err := cl.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	if <-said {
+		t.Error("held to be heard")
+	}
+	q.respond(responseOK)
+	if s := cl.line(); s != "-BUSY" {
+		t.Errorf("answer %q", s)
+	}
+}
+
+// A client that sends ahead gets its answers in turn.
+func TestSentAhead(t *testing.T) {
+	first := make(chan *putRequest, 1)
+	_, addr, said := serveClients(t, func(q *putRequest) {
+		if q.record.ID == "a" {
+			first <- q
+			return
+		}
+		q.respond(busyResponse(7))
+	})
+	cl := dialClient(t, addr)
+	io.WriteString(cl, putText("a", fields("plain", 8000, 1), nil)+putText("b", fields("plain", 8000, 1), nil)+"*1\r\n$4\r\nPING\r\n")
+	(<-first).respond(responseOK)
+	if s := cl.line() + cl.line() + cl.line(); s != "+OK-BUSY 7+PONG" {
+		t.Errorf("answers %q", s)
+	}
+	if heardFirst, heardSecond := <-said, <-said; !heardFirst || !heardSecond {
+		t.Error("not held to be heard")
+	}
+}
+
+// Guards a request that comes just before the time of its connection is over, so that the
+// reader's wait ends while the request still waits for its answer: it gets that answer.
+func TestRequestAtTheEndOfItsConnection(t *testing.T) {
+	got := make(chan *putRequest, 1)
+	c, addr, said := serveClients(t, func(q *putRequest) { got <- q })
+	c.drainConnections() // as on SIGTERM: connections are still taken in for a while, each for one request
+	c.clientTimeout = time.Minute
+	cl := dialClient(t, addr)
+	began := time.Now()
+	time.Sleep(clientTimeout * 3 / 4)
+	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
+	q := <-got
+	time.Sleep(time.Until(began.Add(clientTimeout * 3 / 2)))
+	q.respond(responseOK)
+	if s := cl.line(); s != "+OK" {
+		t.Errorf("answer %q", s)
+	}
+	if !<-said {
+		t.Error("not held to be heard")
+	}
+	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after the answer: %v", err)
+	}
+}
+
+// Guards the places of clients against those that begin a command and never
+// end it. One that waits between commands, or for its answer, is left alone.
+func TestHalfACommand(t *testing.T) {
+	got := make(chan *putRequest, 1)
+	c := newClientServer(testSet(t), quietLog(), func(q *putRequest) { got <- q }, func(*putRequest, bool) {})
+	c.commandTimeout = 300 * time.Millisecond
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	go c.serve(ln)
+	waits, half := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
+	io.WriteString(waits, putText("m", fields("plain", 8000, 1), nil))
+	q := <-got
+	io.WriteString(half, "*5\r\n$7\r\nMSG")
+	if _, err := half.in.ReadByte(); err == nil {
+		t.Error("half a command is answered")
+	}
+	q.respond(responseOK) // later than the patience with the other
+	if s := waits.line(); s != "+OK" {
+		t.Errorf("answer %q", s)
+	}
+}
+
+// Guards the places of clients against peers that say nothing, nothing proper,
+// or nothing after a PING. One that has handed in a message may stand idle.
+func TestSilentPeer(t *testing.T) {
+	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+	c.commandTimeout = 300 * time.Millisecond
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	go c.serve(ln)
+	client, silent := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
+	rude, pinged := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
+	if s := client.put("a", fields("plain", 8000, 1), nil); s != "+OK" {
+		t.Errorf("a client: %q", s)
+	}
+	io.WriteString(rude, "*1\r\n$3\r\nGET\r\n")
+	if s := rude.line(); !strings.HasPrefix(s, "-ERR ") {
+		t.Errorf("a rude peer: %q", s)
+	}
+	io.WriteString(pinged, "*1\r\n$4\r\nPING\r\n")
+	if s := pinged.line(); s != "+PONG" {
+		t.Errorf("a PING: %q", s)
+	}
+	for name, peer := range map[string]*testClient{"silent": silent, "rude": rude, "pinged": pinged} {
+		if _, err := peer.in.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	if s := client.put("b", fields("plain", 8000, 1), nil); s != "+OK" { // idle for longer than the patience
+		t.Errorf("a client: %q", s)
+	}
+}
--- a/internal/relay/idle_test.go
+++ b/internal/relay/endpoint_test.go
@@ -9,33 +9,42 @@
 	"plovershore/policy"
 )
 
-// Guards against idle connections that die in silence: where calls on
-// connections idle for long are reset, none so old is used, others still are,
-// and after a while it is tried again.
-func TestIdleLimit(t *testing.T) {
-	const keep, second = 9 * time.Second, policy.Time(1e6)
-	w := &idleResetTracker{}
-	now := 100 * second
-	for range 20 {
-		w.record(10*time.Millisecond, true, now) // in use just before: its age is not the cause
-		w.record(100*time.Millisecond, false, now)
-		w.record(400*time.Millisecond, false, now)
-	}
-	if got := w.maxIdle(keep, now); got != keep {
-		t.Errorf("with no reset on an idle connection: %v", got)
-	}
-	w.record(300*time.Millisecond, true, now)
-	w.record(5*time.Second, true, now)
-	if got := w.maxIdle(keep, now); got != 256*time.Millisecond {
-		t.Errorf("after a reset on one idle for 300 ms: %v", got)
+// Guards against connections that died in silence: after a machine was away,
+// what is idle to it is given up; one slow call among others is no reason.
+func TestUpdateLiveness(t *testing.T) {
+	ep := &endpoint{}
+	for i, x := range []struct {
+		o    outcome
+		now  policy.Time
+		want bool
+	}{
+		{outcome{kind: policy.Delivered, status: 200, latency: 10}, 1000, false},
+		{outcome{kind: policy.TimedOut, latency: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
+		{outcome{kind: policy.TimedOut, latency: 500}, 2000, true},
+		{outcome{kind: policy.ConnectionReset}, 2100, true},
+		{outcome{kind: policy.ConnectFailed}, 2200, true},
+		{outcome{kind: policy.Rejected, status: 503}, 2300, false},
+		{outcome{kind: policy.Cancelled, latency: 50}, 2320, false},
+	} {
+		if got := ep.updateLiveness(&x.o, x.now); got != x.want {
+			t.Errorf("%d: %v", i, got)
+		}
 	}
-	if got := w.maxIdle(200*time.Millisecond, now); got != 200*time.Millisecond {
-		t.Errorf("more than the settings allow: %v", got)
+}
+
+// Guards that the limit reaches the connections, and that what it closes is
+// closed for good: the transport is replaced only when the limit changes.
+func TestReuseFollowsLimit(t *testing.T) {
+	cfg := testSet(t)
+	ep := &endpoint{}
+	ep.setIdleTimeout(cfg, 2, time.Second)
+	first := ep.transport
+	if ep.setIdleTimeout(cfg, 2, time.Second); ep.transport != first {
+		t.Error("replaced with no change")
 	}
-	if got := w.maxIdle(keep, now+60*second); got != keep {
-		t.Errorf("a minute later: %v", got)
+	if ep.setIdleTimeout(cfg, 2, 128*time.Millisecond); ep.transport == first || ep.transport.IdleConnTimeout != 128*time.Millisecond {
+		t.Errorf("idle for %v at most, want 128ms", ep.transport.IdleConnTimeout)
 	}
-	w.record(100*time.Hour, true, now) // beyond the last step
 }
 
 // Guards the way from a reset call to the next one: that goes out on
@@ -65,18 +74,3 @@
 	}
 	<-r.mailbox.Ready()
 }
-
-// Guards that the limit reaches the connections, and that what it closes is
-// closed for good: the transport is replaced only when the limit changes.
-func TestReuseFollowsLimit(t *testing.T) {
-	cfg := testSet(t)
-	ep := &endpoint{}
-	ep.setIdleTimeout(cfg, 2, time.Second)
-	first := ep.transport
-	if ep.setIdleTimeout(cfg, 2, time.Second); ep.transport != first {
-		t.Error("replaced with no change")
-	}
-	if ep.setIdleTimeout(cfg, 2, 128*time.Millisecond); ep.transport == first || ep.transport.IdleConnTimeout != 128*time.Millisecond {
-		t.Errorf("idle for %v at most, want 128ms", ep.transport.IdleConnTimeout)
-	}
-}
--- /dev/null
+++ b/internal/relay/health_check_test.go
@@ -0,0 +1,17 @@
+package relay
+
+import (
+	"context"
+	"testing"
+
+	"plovershore/policy"
+)
+
+func TestCheckHealth(t *testing.T) {
+	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Errored} {
+		ep := newFakeEndpoint(t, status(code))
+		if o := checkHealth(context.Background(), testConns(t, 2), ep.addr()); o.kind != want {
+			t.Errorf("%d: %+v", code, o)
+		}
+	}
+}
--- /dev/null
+++ b/internal/relay/listener_test.go
@@ -0,0 +1,37 @@
+package relay
+
+import (
+	"syscall"
+	"testing"
+)
+
+// Guards connections that wait to be accepted as the listener closes against errors that
+// accept gives for a moment: each is served.
+func TestSweepOverAcceptErrors(t *testing.T) {
+	ln, err := listenReusePort(t.Context(), "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+	faults := []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EINTR, syscall.ENETUNREACH, syscall.EMFILE, syscall.EHOSTUNREACH, syscall.ENOMEM}
+	calls := 0
+	c.accept4 = func(fd, flags int) (int, syscall.Sockaddr, error) {
+		if calls++; calls%2 == 1 && calls/2 < len(faults) {
+			return -1, nil, faults[calls/2]
+		}
+		return syscall.Accept4(fd, flags)
+	}
+	var waiting []*testClient
+	for range 12 { // nobody accepts yet
+		waiting = append(waiting, dialClient(t, ln.Addr().String()))
+	}
+	c.stopListening(ln)
+	if err := c.serve(ln); err != nil {
+		t.Fatal(err)
+	}
+	for i, cl := range waiting {
+		if s := cl.put("m", fields("plain", 8000, 1), nil); s != "+OK" {
+			t.Errorf("%d: %s", i, s)
+		}
+	}
+}
--- /dev/null
+++ b/internal/relay/resp_test.go
@@ -0,0 +1,83 @@
+package relay
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Guards against what no client should send: nothing is taken, the fault is
+// named, and a connection that is still in step goes on.
+func TestInvalidCommands(t *testing.T) {
+	long := strings.Repeat("x", maxBodyBytes+1)
+	for name, x := range map[string]struct {
+		text string
+		ends bool
+	}{
+		"inline":           {"PING\r\n", true},
+		"no number":        {"*x\r\n", true},
+		"no arguments":     {"*0\r\n", true},
+		"negative":         {"*-1\r\n", true},
+		"many arguments":   {"*999999999\r\n", true},
+		"huge argument":    {"*1\r\n$999999999\r\n", true},
+		"negative length":  {"*1\r\n$-5\r\n", true},
+		"long number":      {"*" + strings.Repeat("1", 99) + "\r\n", true},
+		"no end":           {"*1\r\n$4\r\nPINGxx", true},
+		"not a bulk":       {"*1\r\n:4\r\n", true},
+		"unknown command":  {"*1\r\n$3\r\nGET\r\n", false},
+		"long body":        {putText("m", fields("plain", 8000, 1), []byte(long)), false},
+		"few arguments":    {"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n", false},
+		"unknown class":    {putText("m", "c=other,t=acme,d=1,dest=1", nil), false},
+		"no class":         {putText("m", "t=acme,d=1,dest=1", nil), false},
+		"unknown tenant":   {putText("m", "c=plain,t=other,d=1,dest=1", nil), false},
+		"no time":          {putText("m", "c=plain,t=acme,dest=1", nil), false},
+		"bad time":         {putText("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
+		"negative time":    {putText("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
+		"no destination":   {putText("m", "c=plain,t=acme,d=1", nil), false},
+		"bad destination":  {putText("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
+		"no key":           {putText("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
+		"key in two lines": {putText("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
+		"id in two lines":  {putText("a\r\nX: b", fields("plain", 1, 1), nil), false},
+		"no id":            {putText("", fields("plain", 1, 1), nil), false},
+		"field alone":      {putText("m", "c", nil), false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, addr, _ := serveClients(t, func(q *putRequest) { t.Error("taken"); accept(q) })
+			cl := dialClient(t, addr)
+			io.WriteString(cl, x.text)
+			if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
+				t.Fatalf("answer %q", s)
+			}
+			if x.ends {
+				if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
+					t.Errorf("still open: %v", err)
+				}
+				return
+			}
+			io.WriteString(cl, "*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
+			if s := cl.line() + cl.line(); s != "$2hi" {
+				t.Errorf("out of step: %q", s)
+			}
+		})
+	}
+}
+
+func FuzzReadCommand(f *testing.F) {
+	f.Add([]byte(putText("m", "c=plain", []byte("b"))))
+	f.Add([]byte("*1\r\n$4\r\nPING\r\n"))
+	f.Add([]byte("*2\r\n$-1\r\n$"))
+	cfg := &Config{classes: map[string]int{}, tenants: map[string]int{}}
+	f.Fuzz(func(t *testing.T, b []byte) {
+		args, err := readCommand(bufio.NewReader(strings.NewReader(string(b))))
+		if err != nil {
+			return
+		}
+		if len(args) == 0 || len(args) > maxArguments {
+			t.Fatalf("%d arguments", len(args))
+		}
+		cfg.parsePutRequest(args, time.Now())
+	})
+}
--- /dev/null
+++ b/internal/relay/transport_test.go
@@ -0,0 +1,69 @@
+package relay
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"plovershore/internal/wal"
+	"plovershore/policy"
+)
+
+// Guards reuse: a new connection costs a handshake, so answers are read to
+// their end and more than two connections are kept after a burst.
+func TestConnectionsAreKept(t *testing.T) {
+	var conns atomic.Int32
+	const burst = 6
+	together := make(chan struct{}, burst)
+	addr := rawEndpoint(t, func(c net.Conn) {
+		conns.Add(1)
+		in := bufio.NewReader(c)
+		for readCall(in) {
+			together <- struct{}{}
+			for len(together) < burst { // all of a burst are out at once
+				time.Sleep(time.Millisecond)
+			}
+			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
+		}
+	})
+	tr := testConns(t, burst)
+	defer tr.CloseIdleConnections()
+	for round := range 2 {
+		done := make(chan outcome, burst)
+		for range burst {
+			go func() { done <- runOne(newTestCall(), tr, addr, &wal.Record{ID: "m"}, testLimit) }()
+		}
+		for range burst {
+			if o := <-done; o.kind != policy.Delivered {
+				t.Fatalf("round %d: %+v", round, o)
+			}
+		}
+		for len(together) > 0 {
+			<-together
+		}
+	}
+	if n := conns.Load(); n != burst {
+		t.Errorf("%d connections for two bursts of %d", n, burst)
+	}
+}
+
+// The policy is told whether a connection was opened for a call: a full table
+// of connections shows only there.
+func TestFreshConnection(t *testing.T) {
+	addr := rawEndpoint(t, func(c net.Conn) {
+		for in := bufio.NewReader(c); readCall(in); {
+			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+		}
+	})
+	conns := testConns(t, 4)
+	defer conns.CloseIdleConnections()
+	for i, want := range []bool{true, false} {
+		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.isNewConnection != want || o.kind != policy.Rejected {
+			t.Errorf("call %d: fresh %v, %+v", i, o.isNewConnection, o)
+		}
+	}
+}
