--- a/internal/relay/call_request_test.go
+++ b/internal/relay/call_request_test.go
@@ -14,9 +14,8 @@
 	"plovershore/policy"
 )
 
-// Guards against a client library that sends a call again by itself: an
-// idempotency key makes a POST replayable to net/http, which would repeat it
-// where a kept-alive connection breaks under it.
+// net/http must not resend a call on its own. An idempotency key makes a POST
+// replayable to it, and it would resend one whose kept-alive connection breaks.
 func TestNoResendByItself(t *testing.T) {
 	for name, body := range map[string][]byte{"body": []byte("b"), "empty body": nil} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/relay/call_response_test.go
+++ b/internal/relay/call_response_test.go
@@ -14,8 +14,8 @@
 	"plovershore/policy"
 )
 
-// Guards the batch call: its form, and that each message gets the outcome that
-// the answer names for it. What the answer does not tell may have run.
+// A batch has the form of the protocol, and each message gets the outcome that the
+// response names for it. A message that the response does not name may have run.
 func TestBatchOutcomes(t *testing.T) {
 	const ok = `[{"id":"b","state":"fault"},{"id":"a","state":"accepted"},{"id":"c","state":"deferred"},{"id":"d","state":"expired"},{"id":"e","state":"no_more"}]`
 	body := func(head, text string) string {
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -42,7 +42,7 @@
 
 const testLimit = 20 * time.Second
 
-// rawEndpoint serves connections by hand, for what no HTTP server does.
+// rawEndpoint serves connections by hand, for responses that no HTTP server sends.
 func rawEndpoint(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +62,7 @@
 	return ln.Addr().String()
 }
 
-// readCall reads one whole call off a connection.
+// readCall reads one complete call.
 func readCall(in *bufio.Reader) bool {
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -72,6 +72,7 @@
 	return err == nil
 }
 
+// Each response to a single message maps to its outcome.
 func TestOutcomes(t *testing.T) {
 	say := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
@@ -118,8 +119,8 @@
 	}
 }
 
-// Guards the difference between what never ran and what may have: a refused
-// connection never ran, silence after the last byte may have.
+// Only what certainly never ran is reported so: a refused connection never ran, but
+// after silence behind the last byte the message may have run.
 func TestOutcomesWithoutAnswer(t *testing.T) {
 	conns := testConns(t, 2)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -153,8 +154,8 @@
 	<-gone
 }
 
-// Guards the slot of a call whose answer says 200 and never ends, in its head or
-// in its body: it is delivered by its first line, and nobody waits for the rest.
+// A call whose response says 200 and never ends, in its header or in its body, is
+// delivered by its status line and gives its slot back.
 func TestAnswerThatNeverEnds(t *testing.T) {
 	for name, text := range map[string]string{
 		"head": "HTTP/1.1 200 OK\r\nContent-",
@@ -192,8 +193,8 @@
 	}
 }
 
-// Guards the slot and the connection of a batch: one message that is given up
-// does not end the call of the others; the last one does.
+// A batch goes on when one of its messages is dropped, since the others share its
+// connection; it ends when the last one is dropped.
 func TestDropFromBatch(t *testing.T) {
 	a, b := &message{}, &message{}
 	c := newTestCall()
@@ -207,8 +208,8 @@
 	}
 }
 
-// Guards the window for repeats: a connection that comes up once it is over
-// carries nothing, and what was not sent has never run.
+// A connection that comes up after the latest time to send carries nothing, and the
+// call is reported as not sent.
 func TestLateConnectionCarriesNoRepeat(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	conns := testConns(t, 2)
@@ -229,8 +230,8 @@
 	}
 }
 
-// Guards the drain grace: a call that waits for its connection when the word
-// of a drain comes must not begin when the connection is there at last.
+// A call that waits for its connection when its endpoint begins to drain must not be
+// sent when the connection is up.
 func TestDrainStopsWaitingCall(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	dialing, release, up := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -254,7 +255,7 @@
 	if n := ep.count("m"); n != 0 {
 		t.Errorf("the call went out %d times", n)
 	}
-	// The word may also come just as the connection does.
+	// The drain may also begin just as the connection comes up.
 	late := newTestCall()
 	late.stage.Store(callStopped)
 	tr := testConns(t, 2)
@@ -262,7 +263,7 @@
 	if o := runOne(late, tr, ep.addr(), &wal.Record{ID: "late"}, testLimit); o.kind != policy.NotSent || ep.count("late") != 0 {
 		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
 	}
-	// What is under way already is not stopped.
+	// A call that is being sent is not stopped.
 	under := newTestCall()
 	under.stage.Store(callSending)
 	if under.cancelIfWaiting(errEndpointDraining); under.ctx.Err() != nil {
@@ -270,8 +271,8 @@
 	}
 }
 
-// Guards the end of a message whose call still waits for a connection: the call
-// must not go out with it later. The others in it are tried anew.
+// A call that waits for its connection must not carry a message that was completed
+// meanwhile. The others in it are reported as not sent and may be retried.
 func TestEndedMessageIsNotSent(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	dialing, release, up := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -297,7 +298,7 @@
 	if n := ep.count("over"); n != 0 {
 		t.Errorf("it went out %d times", n)
 	}
-	// The end may also come just as the connection does.
+	// It may also be completed just as the connection comes up.
 	ctx, cancel := context.WithCancel(t.Context())
 	req, err := newCallRequest(ctx, ep.addr(), []*wal.Record{{ID: "over", Body: []byte("text")}}, time.Second)
 	if err != nil {
@@ -309,9 +310,8 @@
 	}
 }
 
-// Guards told waits where a connection takes long to come up, as across a cut:
-// a call begun before the word, to the same destination, must not go out after
-// it. What goes elsewhere, or is under way already, is let through.
+// A Retry-After stops calls to the same destination that still wait for their
+// connection. Calls elsewhere, and those being sent already, go on.
 func TestToldWaitStopsWaitingCalls(t *testing.T) {
 	r := newTestRelay(t)
 	add := func(id string, cell int) *endpoint {
@@ -336,7 +336,7 @@
 			t.Errorf("%s, stage %d: stopped %v", c.endpoint.id, c.stage.Load(), got)
 		}
 	}
-	// A batch that the policy let go before the word, and whose client hears only now.
+	// A batch that the policy sent before the Retry-After, whose client is acknowledged only now.
 	late := r.newMessage(&wal.Record{ID: "late", Class: "plain", Dest: 1})
 	late.isAcknowledged = true
 	b := &batch{endpoint: twin, sends: []send{{message: late, timeoutAt: r.clock.now() + 900e6}}}
--- a/internal/relay/client_connection_test.go
+++ b/internal/relay/client_connection_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Guards against losing a request to a close: a connection is closed only
-// between requests, one with a request under way after its answer.
+// A connection is closed only between requests; one with a request in progress closes
+// after its response.
 func TestCloseBetweenRequests(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	c, addr, _ := serveClients(t, func(q *putRequest) { got <- q })
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards the limit on descriptors: one that was let go just as a request began
-// is answered, and then closed, since it is counted no longer.
+// A connection that is evicted just as a request begins answers it and then closes,
+// since it has no slot any more.
 func TestReleaseAsRequestBegins(t *testing.T) {
 	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
 	near, far := net.Pipe()
@@ -51,8 +51,8 @@
 	}
 }
 
-// Guards against closing unheard: what has come when the wait for a next
-// request ends is answered first, and the connection is closed only then.
+// A request that has arrived when the wait for it ends is answered before the
+// connection is closed.
 func TestReleasedUnheard(t *testing.T) {
 	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,8 +79,8 @@
 	}
 }
 
-// crossing is a server's side of a connection on which bytes come in the very
-// moment in which it is shut or closed.
+// crossing is the server's side of a connection on which bytes arrive at the moment
+// in which it is shut down or closed.
 type crossing struct {
 	*net.TCPConn
 	cross func() // sends them, and returns once they are there
@@ -96,8 +96,8 @@
 	return c.TCPConn.Close()
 }
 
-// serveCrossing talks on one connection whose client sends text just as the
-// relay lets go of it.
+// serveCrossing serves one connection whose client sends text just as the relay
+// closes it.
 func serveCrossing(t *testing.T, put func(*putRequest), text string) (*clientServer, *testClient) {
 	t.Helper()
 	c := newClientServer(testSet(t), quietLog(), put, func(*putRequest, bool) {})
@@ -120,8 +120,8 @@
 	return c, cl
 }
 
-// Guards the answer of a request against the close of its connection: what its
-// client sends as the relay closes is dropped, and resets nothing.
+// Requests that a client sends while the relay closes the connection are dropped and
+// do not reset it: the response to the one before arrives.
 func TestAnswerOutlivesClose(t *testing.T) {
 	var taken atomic.Int32
 	got := make(chan *putRequest, 2)
@@ -144,8 +144,8 @@
 	}
 }
 
-// The same for a resting connection that is let go: the request that crosses
-// the close is dropped whole, and its client hears of the end, not of a reset.
+// A request that crosses the close of an idle connection is dropped whole; its client
+// sees the end of the stream and no reset.
 func TestRequestCrossesClose(t *testing.T) {
 	var taken atomic.Int32
 	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); accept(q) }, putText("b", fields("plain", 8000, 1), nil))
@@ -163,9 +163,9 @@
 	}
 }
 
-// The end of the server closes connections in every state and waits for their
-// goroutines: one that rests, one whose message has no answer yet, and one that
-// was evicted within a command. A connection that comes later is closed unread.
+// Closing the server closes connections in every state and waits for their
+// goroutines: an idle one, one that waits for a response, and one that was evicted
+// within a command. A connection that is accepted later is closed unread.
 func TestServerClose(t *testing.T) {
 	submitted := make(chan *putRequest, 1)
 	c, addr, _ := serveClients(t, func(q *putRequest) { submitted <- q })
--- a/internal/relay/client_session_test.go
+++ b/internal/relay/client_session_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// serveClients runs the client side alone; put stands for the loop.
+// serveClients runs the client side alone; put takes the place of the loop.
 func serveClients(t *testing.T, put func(*putRequest)) (*clientServer, string, chan bool) {
 	t.Helper()
 	said := make(chan bool, 16)
@@ -23,10 +23,11 @@
 	return c, ln.Addr().String(), said
 }
 
+// accept answers a message as accepted.
 func accept(q *putRequest) { q.respond(responseOK) }
 
-// Guards a client's give-up: one that leaves before its answer has not heard
-// that its message was taken on, and may hand it in elsewhere.
+// A client that leaves before its response may submit the message elsewhere, so the
+// message does not count as acknowledged.
 func TestClientGoneBeforeAnswer(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	_, addr, said := serveClients(t, func(q *putRequest) { got <- q })
@@ -40,8 +41,8 @@
 	q.respond(responseOK) // comes too late and blocks nobody
 }
 
-// Guards against taking on too late: whoever has waited for as long as clients
-// wait hands the message in elsewhere, and is not told that it is taken on here.
+// A message that is accepted after its client has given up is answered with BUSY: the
+// client has submitted it elsewhere.
 func TestTakenOnTooLate(t *testing.T) {
 	c, addr, said := serveClients(t, accept)
 	c.clientTimeout = 0
@@ -54,8 +55,8 @@
 	}
 }
 
-// Guards a client that ends its sending behind its request and waits for the answer: it is
-// answered. As one that has left looks the same, the message is not taken on.
+// A client that closes its sending side and waits for the response gets one. As it
+// looks like one that has left, the message is not accepted.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	_, addr, said := serveClients(t, func(q *putRequest) { got <- q })
@@ -74,7 +75,7 @@
 	}
 }
 
-// A client that sends ahead gets its answers in turn.
+// Pipelined commands are answered in order.
 func TestSentAhead(t *testing.T) {
 	first := make(chan *putRequest, 1)
 	_, addr, said := serveClients(t, func(q *putRequest) {
@@ -95,8 +96,8 @@
 	}
 }
 
-// Guards a request that comes just before the time of its connection is over, so that the
-// reader's wait ends while the request still waits for its answer: it gets that answer.
+// A request that arrives just before the deadline of its connection is answered, also
+// where the reader's wait ends before the response.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	c, addr, said := serveClients(t, func(q *putRequest) { got <- q })
@@ -120,8 +121,8 @@
 	}
 }
 
-// Guards the places of clients against those that begin a command and never
-// end it. One that waits between commands, or for its answer, is left alone.
+// A peer that begins a command and does not complete it loses its connection. A client
+// that waits for its response, or between two commands, keeps it.
 func TestHalfACommand(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	c := newClientServer(testSet(t), quietLog(), func(q *putRequest) { got <- q }, func(*putRequest, bool) {})
@@ -145,8 +146,8 @@
 	}
 }
 
-// Guards the places of clients against peers that say nothing, nothing proper,
-// or nothing after a PING. One that has handed in a message may stand idle.
+// A peer that sends nothing, nothing valid, or nothing after a PING loses its
+// connection. A client that has submitted a message may stay idle.
 func TestSilentPeer(t *testing.T) {
 	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
 	c.commandTimeout = 300 * time.Millisecond
--- a/internal/relay/connectfault_test.go
+++ b/internal/relay/connectfault_test.go
@@ -13,8 +13,8 @@
 	"plovershore/internal/loopback"
 )
 
-// connectFaultEnv names a file to a child relay: as long as that is there, connects to
-// endpoints fail with the error whose number stands in it.
+// connectFaultEnv names a file to a child relay: while the file exists, connects to
+// endpoints fail with the error whose number it holds.
 const connectFaultEnv = "RELAY_TEST_CONNECT_FAULT"
 
 func faultyConnect(path string) ConnectHook {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Guards messages against a machine that can open no connection for a while: none of their
-// tries is used up, no endpoint is blamed, and they go out soon after it can again.
+// While this machine can open no connection, no message uses up its attempts and no
+// endpoint is blamed; all are sent soon after it can again.
 func TestConnectFailsForAWhile(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.ENOBUFS, syscall.ENETUNREACH} {
 		t.Run(fault.Error(), func(t *testing.T) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// Guards the start where the addresses that a relay listens at are not to be had at once:
-// it waits a little, and is ready once they are.
+// A start waits a little for listen addresses that are taken, and is ready once they
+// are free.
 func TestStartWhileAddressesAreTaken(t *testing.T) {
 	env := testConfig(t, discoverytest.New(t), 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
--- a/internal/relay/connection_limit_test.go
+++ b/internal/relay/connection_limit_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Guards the limit on descriptors: past it the connection that was idle for
-// longest makes room, and the new one is served.
+// At the limit the connection that was idle for longest is evicted, and the new one is
+// served.
 func TestConnectionsBounded(t *testing.T) {
 	c, addr, _ := serveClients(t, accept)
 	c.mu.Lock()
@@ -30,9 +30,9 @@
 	}
 }
 
-// Guards the limit on descriptors against a flood: peers that begin a command and
-// do not go on, and peers that are let go and do not leave, make room like idle
-// ones. A client that comes meanwhile is served, one that waits for its answer kept.
+// In a flood of peers that do not complete a command, or do not close a connection that
+// was ended, these are evicted like idle ones. A new client is served, and one that
+// waits for its response keeps its connection.
 func TestFloodBounded(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	c, addr, _ := serveClients(t, func(q *putRequest) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// The same for one that has to make room for another, with no time to wait.
+// A request that crosses an eviction does not reset the connection.
 func TestMadeRoomWithoutReset(t *testing.T) {
 	c, cl := serveCrossing(t, accept, putText("b", fields("plain", 8000, 1), nil))
 	if s := cl.put("a", fields("plain", 8000, 1), nil); s != "+OK" {
--- a/internal/relay/connection_pool_test.go
+++ b/internal/relay/connection_pool_test.go
@@ -7,8 +7,8 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// Guards the descriptors against a long list: a call to each of many endpoints, within the time for which a connection
-// stands idle, takes no more connections than there is room for, and each call is made.
+// Calls to each of many endpoints, within the time for which a connection stays idle,
+// open no more connections than the pool's limit, and each call is made.
 func TestManyEndpointsBounded(t *testing.T) {
 	const (
 		descriptors = 256
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -21,7 +21,8 @@
 	"plovershore/internal/wal"
 )
 
-// gate stands before a server at an address of its own, at which connections are refused while it is shut.
+// gate forwards connections to a server from an address of its own, and refuses them
+// while it is shut.
 type gate struct {
 	addr, to string
 	mu       sync.Mutex
@@ -56,7 +57,7 @@
 	}()
 }
 
-// pass carries one connection to the server and back.
+// pass forwards one connection.
 func (g *gate) pass(from net.Conn) {
 	defer from.Close()
 	to, err := net.Dial("tcp", g.to)
@@ -74,7 +75,7 @@
 	io.Copy(from, to)
 }
 
-// shut has the address refuse connections and ends those that are open.
+// shut refuses connections and ends those that are open.
 func (g *gate) shut() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -85,7 +86,7 @@
 	clear(g.conns)
 }
 
-// crowd is idle clients that come again as soon as they are let go.
+// crowd is a set of idle clients that connect again as soon as they are disconnected.
 type crowd struct {
 	stop  atomic.Bool
 	came  atomic.Int64 // connections made
@@ -94,8 +95,8 @@
 	wait  sync.WaitGroup
 }
 
-// newCrowd has so many clients open a connection each: some say nothing, some PING, some hand in a message and rest, some
-// begin a command.
+// newCrowd has size clients open a connection each: some send nothing, some PING, some
+// submit a message and stay idle, some begin a command.
 func newCrowd(addr string, size int) *crowd {
 	c := &crowd{conns: map[net.Conn]bool{}}
 	says := []string{"", "*1\r\n$4\r\nPING\r\n", "put", "*5\r\n$7\r\nMSG"}
@@ -117,7 +118,7 @@
 	return c
 }
 
-// rest is one connection, until the relay ends it.
+// rest holds one connection until the relay ends it.
 func (c *crowd) rest(addr, text string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -147,7 +148,7 @@
 	c.wait.Wait()
 }
 
-// lockedBuffer keeps what a process logs.
+// lockedBuffer keeps what a process logs; it is safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer // no embedding: a copy into its own ReadFrom would go past the lock
@@ -159,7 +160,7 @@
 	return b.text.Write(p)
 }
 
-// all is what was logged so far.
+// all returns what was logged so far.
 func (b *lockedBuffer) all() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -172,7 +173,7 @@
 	return strings.Count(b.text.String(), text)
 }
 
-// spawnLimited starts a relay that can hold so many descriptors.
+// spawnLimited starts a relay with a limit on descriptors.
 func spawnLimited(t *testing.T, env map[string]string, w io.Writer, descriptors int) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors), os.Args[0]), env: env}
@@ -180,7 +181,7 @@
 	return c
 }
 
-// descriptors counts what a relay holds now.
+// descriptors counts the open descriptors of a relay.
 func (c *child) descriptors() int {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
@@ -189,7 +190,7 @@
 	return len(all)
 }
 
-// logFiles names the files of a relay's log.
+// logFiles lists the files of a relay's log.
 func logFiles(t *testing.T, env map[string]string) string {
 	t.Helper()
 	all, err := os.ReadDir(filepath.Join(env["ROUTER_STATE"], wal.FolderName))
@@ -203,9 +204,10 @@
 	return strings.Join(names, " ")
 }
 
-// Guards against idle clients that take all the descriptors they can get while discovery is down: calls to endpoints go
-// on, the log grows into new files, the operators are answered, the ends are told, and the list is heard again once
-// discovery is back. What comes new may be shut unread.
+// Idle clients that take every descriptor they can while discovery is down do not stop
+// the relay: calls go on, the log grows into new files, the operator address answers,
+// notices are sent and the list is watched again once discovery is back. A new
+// connection may be closed unread.
 func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
 	const descriptors = 96
 	ep := newFakeEndpoint(t, nil)
--- a/internal/relay/endpoint_test.go
+++ b/internal/relay/endpoint_test.go
@@ -9,8 +9,8 @@
 	"plovershore/policy"
 )
 
-// Guards against connections that died in silence: after a machine was away,
-// what is idle to it is given up; one slow call among others is no reason.
+// After a machine was away, the idle connections to it are closed, as they may be dead
+// without notice; one slow call among others is no reason.
 func TestUpdateLiveness(t *testing.T) {
 	ep := &endpoint{}
 	for i, x := range []struct {
@@ -32,8 +32,8 @@
 	}
 }
 
-// Guards that the limit reaches the connections, and that what it closes is
-// closed for good: the transport is replaced only when the limit changes.
+// A new idle timeout reaches the connections, and the transport is replaced only when
+// the timeout changes.
 func TestReuseFollowsLimit(t *testing.T) {
 	cfg := testSet(t)
 	ep := &endpoint{}
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards the way from a reset call to the next one: that goes out on
-// connections that may not stand idle for as long.
+// After a reset on an idle connection, the next call uses connections that may not be
+// idle for as long.
 func TestResetShortensReuse(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	r := newTestRelay(t)
--- a/internal/relay/idle_resets_test.go
+++ b/internal/relay/idle_resets_test.go
@@ -7,9 +7,8 @@
 	"plovershore/policy"
 )
 
-// Guards against idle connections that die in silence: where calls on
-// connections idle for long are reset, none so old is used, others still are,
-// and after a while it is tried again.
+// Where calls on connections idle for long are reset, no connection idle for so long is
+// used, shorter ones still are, and after a while longer ones are tried again.
 func TestIdleLimit(t *testing.T) {
 	const keep, second = 9 * time.Second, policy.Time(1e6)
 	w := &idleResetTracker{}
--- a/internal/relay/listener_test.go
+++ b/internal/relay/listener_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards connections that wait to be accepted as the listener closes against errors that
-// accept gives for a moment: each is served.
+// Connections in the backlog of a closing listener are served in spite of transient
+// errors of accept.
 func TestSweepOverAcceptErrors(t *testing.T) {
 	ln, err := listenReusePort(t.Context(), "127.0.0.1:0")
 	if err != nil {
--- a/internal/relay/resp_test.go
+++ b/internal/relay/resp_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Guards against what no client should send: nothing is taken, the fault is
-// named, and a connection that is still in step goes on.
+// Of what no client should send nothing is accepted, the error is named, and a
+// connection whose position in the stream is known goes on.
 func TestInvalidCommands(t *testing.T) {
 	long := strings.Repeat("x", maxBodyBytes+1)
 	for name, x := range map[string]struct {
--- a/internal/relay/transport_test.go
+++ b/internal/relay/transport_test.go
@@ -13,8 +13,8 @@
 	"plovershore/policy"
 )
 
-// Guards reuse: a new connection costs a handshake, so answers are read to
-// their end and more than two connections are kept after a burst.
+// Connections are reused: responses are read to their end, and more than two
+// connections are kept after a burst.
 func TestConnectionsAreKept(t *testing.T) {
 	var conns atomic.Int32
 	const burst = 6
@@ -51,8 +51,8 @@
 	}
 }
 
-// The policy is told whether a connection was opened for a call: a full table
-// of connections shows only there.
+// The outcome says whether a connection was opened for a call: the policy learns from
+// it that a peer's table of connections is full.
 func TestFreshConnection(t *testing.T) {
 	addr := rawEndpoint(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); readCall(in); {
