--- a/internal/relay/client_server.go
+++ b/internal/relay/client_server.go
@@ -31,14 +31,15 @@
 	cfg    *Config
 	log    *slog.Logger
 	submit func(*putRequest) // gives a message to the relay's loop, which responds; must not block
-	// onResponded is called once for each submitted message: delivered is false
-	// where its client left before the response, or was told to submit it elsewhere.
+	// onResponded is called once for each submitted message, except those that
+	// wait for their response when the server is closed. delivered is false where
+	// the client left before the response, or got BUSY because it came too late.
 	onResponded func(q *putRequest, delivered bool)
 	// commandTimeout bounds the time for a whole command. A connection within a
 	// command may be exempt from eviction; without the bound its peer could hold
-	// the slot for ever. The same holds for one that
-	// sends nothing, or nothing but PING: until its first message the time
-	// counts from the connect or from the last PING.
+	// the slot for ever. A peer that sends nothing, or nothing but PING, could do
+	// so too: until its first message the time counts from the connect or from
+	// the last PING.
 	commandTimeout time.Duration
 	// clientTimeout is the age of a request from which on its client has
 	// submitted the message elsewhere, so that it is not accepted here.
