--- a/internal/wal/command/command_test.go
+++ b/internal/wal/command/command_test.go
@@ -187,3 +187,26 @@
 		t.Errorf("after it: %v, %v", f, err)
 	}
 }
+
+// What the command prints of folders that the program before the renames wrote is what
+// that program's command printed.
+func TestOutputOfRecordedFolders(t *testing.T) {
+	recorded := filepath.Join("..", "testdata", "state-dd19e87")
+	for _, name := range []string{"killed", "handed-on"} {
+		for file, args := range map[string][]string{
+			name + ".stats.txt":  {"stats"},
+			name + ".verify.txt": {"verify"},
+			name + ".dump.txt":   {"dump"},
+			name + ".stats.json": {"stats", "--json"},
+		} {
+			want, err := os.ReadFile(filepath.Join(recorded, file))
+			if err != nil {
+				t.Fatal(err)
+			}
+			code, out := runWAL(append(args, filepath.Join(recorded, name))...)
+			if code != Sound || out != string(want) {
+				t.Errorf("%s: code %d\n%s\nwant\n%s", file, code, out, want)
+			}
+		}
+	}
+}
