--- a/internal/wal/checkpoint.go
+++ b/internal/wal/checkpoint.go
@@ -5,55 +5,55 @@
 	"path/filepath"
 )
 
-// job is a checkpoint that is being written, in slices between the batches of
+// checkpointWriter is a checkpoint that is being written, in slices between the batches of
 // the log. It may take in what was booked after it was begun: each message
 // carries the number of the last record that its state holds, and records up to
 // that are passed over when the log is read. An entry's record counts as moved
 // as soon as it is written; only what a restart finds waits for the whole.
-type job struct {
-	src     *source
-	path    string
-	num     uint32 // of the first segment that it does not cover
-	next    uint32 // entry to be written
-	until   uint32 // entries that there were at the beginning
-	n       uint64 // records so far
-	buf     []byte
-	read    reader
-	checked int64 // up to here the file was read again
-	checks  uint64
-	written bool // whole
+type checkpointWriter struct {
+	file            *logFile
+	path            string
+	segment         uint32 // of the first segment that it does not cover
+	nextEntry       uint32 // entry to be written
+	endEntry        uint32 // entries that there were at the beginning
+	records         uint64 // records so far
+	buffer          []byte
+	reader          messageReader
+	verifiedBytes   int64 // up to here the file was read again
+	verifiedRecords uint64
+	complete        bool // whole
 }
 
 // startCheckpoint begins one. What is booked from here on goes into a new
 // segment.
-func (c *core) startCheckpoint() error {
-	if c.job != nil || c.failed != nil || c.after != nil {
+func (c *store) startCheckpoint() error {
+	if c.pendingCheckpoint != nil || c.failed != nil || c.handoff != nil {
 		return c.failed
 	}
-	if c.cur != nil && c.at == headerSize && c.ckp != nil && c.ckp.num == c.cur.num {
+	if c.cur != nil && c.at == headerSize && c.checkpointFile != nil && c.checkpointFile.number == c.cur.number {
 		return nil // nothing was booked since the last one
 	}
 	if c.cur == nil || c.at > headerSize {
-		if err := c.roll(); err != nil {
-			return c.abort(err)
+		if err := c.startSegment(); err != nil {
+			return c.abortCheckpoint(err)
 		}
 	}
-	j := &job{num: c.cur.num, until: c.idx.used}
-	j.path = filepath.Join(c.dir, ckpName(j.num)+newSuffix)
-	src, err := c.create(j.path, header{kind: checkpointFile, power: c.o.Durability == SurvivesPowerLoss, num: j.num, first: c.seq + 1, by: uint32(c.by)})
+	j := &checkpointWriter{segment: c.cur.number, endEntry: c.index.entryCount}
+	j.path = filepath.Join(c.dir, checkpointName(j.segment)+temporarySuffix)
+	src, err := c.createFile(j.path, header{kind: fileCheckpoint, durable: c.options.Durability == SurvivesPowerLoss, number: j.segment, firstSeq: c.seq + 1, process: uint32(c.process)})
 	if err != nil {
-		return c.abort(err)
+		return c.abortCheckpoint(err)
 	}
-	j.src = c.addSource(src)
-	c.job = j
-	return c.jobRecord(&Record{Kind: KindOwner, ID: NoMessage, Process: c.by, HandoffOffset: c.state.side}, nil)
+	j.file = c.addFile(src)
+	c.pendingCheckpoint = j
+	return c.addCheckpointRecord(&Record{Kind: KindOwner, ID: NoMessage, Process: c.process, HandoffOffset: c.state.handoffOffset}, nil)
 }
 
-func (c *core) abort(err error) error {
-	c.rest = c.logBytes() + c.garden()/4
-	if j := c.job; j != nil {
+func (c *store) abortCheckpoint(err error) error {
+	c.checkpointRetryBytes = c.logBytes() + c.compactionThreshold()/4
+	if j := c.pendingCheckpoint; j != nil {
 		// Entries may stand in the file by now: it stays open until a checkpoint succeeds.
-		c.job = nil
+		c.pendingCheckpoint = nil
 		if rerr := c.fs.Remove(j.path); rerr == nil {
 			c.resize(j.path, 0)
 		}
@@ -61,190 +61,190 @@
 	return fmt.Errorf("log: checkpoint: %w", err)
 }
 
-func (c *core) jobRecord(r *Record, raw []byte) (err error) {
-	c.job.buf, err = appendRecord(c.job.buf, r, c.job.n+1, c.salt, raw)
+func (c *store) addCheckpointRecord(r *Record, raw []byte) (err error) {
+	c.pendingCheckpoint.buffer, err = appendRecord(c.pendingCheckpoint.buffer, r, c.pendingCheckpoint.records+1, c.salt, raw)
 	if err == nil {
-		c.job.n++
+		c.pendingCheckpoint.records++
 	}
 	return err
 }
 
 // stepCheckpoint writes, or checks, so many bytes of it; done once there is
 // none, or it is in force.
-func (c *core) stepCheckpoint(most int) (done bool, err error) {
-	j := c.job
+func (c *store) stepCheckpoint(most int) (done bool, err error) {
+	j := c.pendingCheckpoint
 	switch {
 	case j == nil:
 		return true, nil
-	case !j.written:
-		err = c.writeSlice(j, most)
-	case j.checked < j.src.size:
-		err = c.checkSlice(j, most)
+	case !j.complete:
+		err = c.writeCheckpointSlice(j, most)
+	case j.verifiedBytes < j.file.size:
+		err = c.verifyCheckpointSlice(j, most)
 	default:
-		if err = c.install(j); err == nil {
+		if err = c.installCheckpoint(j); err == nil {
 			return true, nil
 		}
 	}
 	if err != nil {
-		return true, c.abort(err)
+		return true, c.abortCheckpoint(err)
 	}
 	return false, nil
 }
 
-func (c *core) writeSlice(j *job, most int) error {
+func (c *store) writeCheckpointSlice(j *checkpointWriter, most int) error {
 	type move struct {
 		i         uint32
 		off, size int
 	}
 	var moves []move
 	var r Record
-	for looked := 0; j.next < j.until && len(j.buf) < most && looked < 1<<16; looked++ {
-		i := j.next
-		j.next++
-		e := c.idx.at(i)
+	for looked := 0; j.nextEntry < j.endEntry && len(j.buffer) < most && looked < 1<<16; looked++ {
+		i := j.nextEntry
+		j.nextEntry++
+		e := c.index.at(i)
 		if e.flags&entryLive == 0 {
 			continue
 		}
-		raw, err := c.load(i, &j.read, &r)
+		raw, err := c.readRecord(i, &j.reader, &r)
 		if err != nil && r.ID == "" {
 			return err
 		}
 		if err != nil { // whose it is, is certain; the rest is gone
-			c.log.Error("log: message is lost", "id", r.ID, "err", err)
-			c.owed -= c.room(i)
-			c.idx.more(i).lost = r.ID
-			c.owed += c.room(i)
+			c.logger.Error("log: message is lost", "id", r.ID, "err", err)
+			c.checkpointBytes -= c.entryBytes(i)
+			c.index.detail(i).corruptedID = r.ID
+			c.checkpointBytes += c.entryBytes(i)
 			r.Corrupted = true
 		}
-		r.Kind, r.At, r.Latency = held, int64(e.seq), int64(e.seq+uint64(e.asof))
-		start := len(j.buf)
-		if err := c.jobRecord(&r, raw); err != nil {
+		r.Kind, r.At, r.Latency = kindMessageState, int64(e.seq), int64(e.seq+uint64(e.stateSeq))
+		start := len(j.buffer)
+		if err := c.addCheckpointRecord(&r, raw); err != nil {
 			return err
 		}
-		moves = append(moves, move{i, start, len(j.buf) - start})
+		moves = append(moves, move{i, start, len(j.buffer) - start})
 	}
-	if j.next == j.until {
-		if err := c.jobRecord(&Record{Kind: total, ID: NoMessage, At: int64(j.n)}, nil); err != nil {
+	if j.nextEntry == j.endEntry {
+		if err := c.addCheckpointRecord(&Record{Kind: kindCheckpointEnd, ID: NoMessage, At: int64(j.records)}, nil); err != nil {
 			return err
 		}
 	}
-	at := j.src.size
-	if n, err := j.src.f.WriteAt(j.buf, at); err != nil || n < len(j.buf) {
-		return fmt.Errorf("%s: %d of %d bytes written: %w", j.src.name, n, len(j.buf), err)
+	at := j.file.size
+	if n, err := j.file.file.WriteAt(j.buffer, at); err != nil || n < len(j.buffer) {
+		return fmt.Errorf("%s: %d of %d bytes written: %w", j.file.name, n, len(j.buffer), err)
 	}
-	j.src.size += int64(len(j.buf))
-	c.resize(j.path, j.src.size)
-	if c.o.Durability == SurvivesPowerLoss {
-		if err := c.syncFile(j.src); err != nil {
+	j.file.size += int64(len(j.buffer))
+	c.resize(j.path, j.file.size)
+	if c.options.Durability == SurvivesPowerLoss {
+		if err := c.syncFile(j.file); err != nil {
 			return err
 		}
 	}
 	for _, m := range moves {
-		if e := c.idx.at(m.i); c.idx.extras[m.i] == nil || c.idx.extras[m.i].lost == "" {
-			c.owed -= c.room(m.i)
-			e.src, e.off, e.size = j.src.ref, uint32(at)+uint32(m.off), uint32(m.size)
-			c.owed += c.room(m.i)
+		if e := c.index.at(m.i); c.index.details[m.i] == nil || c.index.details[m.i].corruptedID == "" {
+			c.checkpointBytes -= c.entryBytes(m.i)
+			e.fileRef, e.offset, e.size = j.file.ref, uint32(at)+uint32(m.off), uint32(m.size)
+			c.checkpointBytes += c.entryBytes(m.i)
 		}
 	}
-	j.buf = j.buf[:0]
-	j.written = j.next == j.until
-	j.checked = headerSize
+	j.buffer = j.buffer[:0]
+	j.complete = j.nextEntry == j.endEntry
+	j.verifiedBytes = headerSize
 	return nil
 }
 
-// checkSlice reads what was written once more.
-func (c *core) checkSlice(j *job, most int) error {
-	scan := j.read.of(j.src)
-	scan.size = j.src.size
-	for end := j.checked + int64(most); j.checked < min(end, j.src.size); {
-		rec, st := scan.record(j.checked)
-		if st != sound || rec.seq != j.checks+1 {
-			return fmt.Errorf("%s: written, but not readable at %d", j.src.name, j.checked)
+// verifyCheckpointSlice reads what was written once more.
+func (c *store) verifyCheckpointSlice(j *checkpointWriter, most int) error {
+	scan := j.reader.scannerOf(j.file)
+	scan.size = j.file.size
+	for end := j.verifiedBytes + int64(most); j.verifiedBytes < min(end, j.file.size); {
+		rec, st := scan.record(j.verifiedBytes)
+		if st != recordValid || rec.seq != j.verifiedRecords+1 {
+			return fmt.Errorf("%s: written, but not readable at %d", j.file.name, j.verifiedBytes)
 		}
-		j.checks++
-		j.checked += rec.size
+		j.verifiedRecords++
+		j.verifiedBytes += rec.size
 	}
 	return nil
 }
 
-// install puts the checkpoint in force; what it makes useless goes.
-func (c *core) install(j *job) error {
-	name := ckpName(j.num)
+// installCheckpoint puts the checkpoint in force; what it makes useless goes.
+func (c *store) installCheckpoint(j *checkpointWriter) error {
+	name := checkpointName(j.segment)
 	path := filepath.Join(c.dir, name)
 	if err := c.fs.Rename(j.path, path); err != nil {
 		return err
 	}
-	size := j.src.size
+	size := j.file.size
 	c.resize(j.path, 0)
 	c.resize(path, size)
-	if c.o.Durability == SurvivesPowerLoss {
+	if c.options.Durability == SurvivesPowerLoss {
 		if err := c.syncDir(); err != nil {
 			return err
 		}
 	}
-	j.src.name = name
-	c.ckp, c.job, c.rest = j.src, nil, 0
-	var kept []*source
-	for _, src := range c.segs {
-		if src.num >= j.num {
+	j.file.name = name
+	c.checkpointFile, c.pendingCheckpoint, c.checkpointRetryBytes = j.file, nil, 0
+	var kept []*logFile
+	for _, src := range c.segments {
+		if src.number >= j.segment {
 			kept = append(kept, src)
 		}
 	}
-	c.segs = kept
-	for ref, src := range c.sources {
-		if src == j.src || src.kind == segmentFile && src.num >= j.num && !src.old {
+	c.segments = kept
+	for ref, src := range c.files {
+		if src == j.file || src.kind == fileSegment && src.number >= j.segment && !src.legacy {
 			continue
 		}
-		src.f.Close()
-		delete(c.sources, ref)
-		if !src.old && src.name != filepath.Base(j.path) && src.name != name {
-			c.drop(src.name)
+		src.file.Close()
+		delete(c.files, ref)
+		if !src.legacy && src.name != filepath.Base(j.path) && src.name != name {
+			c.removeFile(src.name)
 		}
 	}
 	return nil
 }
 
 // finishCheckpoint makes one at once, or ends the one that is being written.
-func (c *core) finishCheckpoint() error {
-	if c.job == nil {
+func (c *store) finishCheckpoint() error {
+	if c.pendingCheckpoint == nil {
 		if err := c.startCheckpoint(); err != nil {
 			return err
 		}
 	}
 	for {
-		if done, err := c.stepCheckpoint(sliceBytes); done || err != nil {
+		if done, err := c.stepCheckpoint(checkpointSliceBytes); done || err != nil {
 			return err
 		}
 	}
 }
 
-// tidy goes on with a checkpoint, or begins one that is due.
-func (c *core) tidy() (more bool) {
-	if c.after != nil || c.failed != nil {
+// compact goes on with a checkpoint, or begins one that is due.
+func (c *store) compact() (more bool) {
+	if c.handoff != nil || c.failed != nil {
 		return false
 	}
-	if c.job == nil {
-		if n := c.logBytes(); n <= max(c.garden(), 4*c.owed, c.rest) {
+	if c.pendingCheckpoint == nil {
+		if n := c.logBytes(); n <= max(c.compactionThreshold(), 4*c.checkpointBytes, c.checkpointRetryBytes) {
 			return false
 		}
 		if err := c.startCheckpoint(); err != nil {
-			c.log.Error("log: no checkpoint", "err", err)
+			c.logger.Error("log: no checkpoint", "err", err)
 			return false
 		}
 	}
-	done, err := c.stepCheckpoint(sliceBytes)
+	done, err := c.stepCheckpoint(checkpointSliceBytes)
 	if err != nil {
-		c.log.Error("log: no checkpoint", "err", err)
+		c.logger.Error("log: no checkpoint", "err", err)
 	}
 	return !done
 }
 
-// carryOver puts what an older program left into this form, in one step for
+// convertLegacy puts what an older program left into this form, in one step for
 // whoever looks at the folder: its file makes room for the log's folder, which
 // that program cannot mistake for its own.
-func (c *core) carryOver() error {
-	dir := filepath.Join(c.o.Dir, FolderName)
-	c.dir = dir + newSuffix
+func (c *store) convertLegacy() error {
+	dir := filepath.Join(c.options.Dir, FolderName)
+	c.dir = dir + temporarySuffix
 	step := func(err error) error {
 		if err != nil {
 			return fmt.Errorf("log: carried over: %w", err)
@@ -261,33 +261,33 @@
 		return err
 	}
 	c.dir = dir
-	if c.o.Durability == SurvivesPowerLoss {
-		if err := step(c.fs.SyncDir(dir + newSuffix)); err != nil {
+	if c.options.Durability == SurvivesPowerLoss {
+		if err := step(c.fs.SyncDir(dir + temporarySuffix)); err != nil {
 			return err
 		}
 	}
-	to := dir + oldSuffix
+	to := dir + legacySuffix
 	if _, _, err := c.fs.Stat(to); err == nil {
-		to = dir + olderSuffix
+		to = dir + secondLegacySuffix
 	}
 	if _, _, err := c.fs.Stat(dir); err == nil {
 		if err := step(c.fs.Rename(dir, to)); err != nil {
 			return err
 		}
 	}
-	if err := step(c.fs.Rename(dir+newSuffix, dir)); err != nil {
+	if err := step(c.fs.Rename(dir+temporarySuffix, dir)); err != nil {
 		return err
 	}
-	if c.o.Durability == SurvivesPowerLoss {
-		if err := step(c.fs.SyncDir(c.o.Dir)); err != nil {
+	if c.options.Durability == SurvivesPowerLoss {
+		if err := step(c.fs.SyncDir(c.options.Dir)); err != nil {
 			return err
 		}
 	}
-	for _, suffix := range []string{oldSuffix, olderSuffix} {
+	for _, suffix := range []string{legacySuffix, secondLegacySuffix} {
 		if err := c.fs.Remove(dir + suffix); err != nil {
-			c.log.Error("log: older log not removed", "err", err)
+			c.logger.Error("log: older log not removed", "err", err)
 		}
 	}
-	c.log.Info("log: carried over from an older program", "owed", c.idx.live)
+	c.logger.Info("log: carried over from an older program", "owed", c.index.live)
 	return nil
 }
--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -18,13 +18,13 @@
 	l, _ := openTest(t, dir, 1<<20)
 	for i, r := range script() {
 		if i == checkpoint {
-			if err := l.c.finishCheckpoint(); err != nil {
+			if err := l.store.finishCheckpoint(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		mustAppend(t, l, r)
 	}
-	l.c.shut()
+	l.store.close()
 	text = map[string][]byte{}
 	entries, err := os.ReadDir(filepath.Join(dir, FolderName))
 	if err != nil {
@@ -83,12 +83,12 @@
 			t.Fatalf("%s: %s is gone, and nobody was told", what, id)
 		}
 	}
-	l.c.shut()
+	l.store.close()
 	again, then := openTest(t, dir, 1<<20)
 	if got, want := describe(then), describe(owed); !slices.Equal(got, want) {
 		t.Fatalf("%s: first %q, then %q", what, want, got)
 	}
-	again.c.shut()
+	again.store.close()
 }
 
 // Hard case 2: a flipped bit in each byte of each record kind, in segments and
@@ -117,7 +117,7 @@
 	for _, at := range []int{-1, 8} {
 		_, text := build(t, at)
 		for name, b := range text {
-			if name == markName {
+			if name == stampName {
 				continue
 			}
 			for i := range b {
@@ -140,19 +140,19 @@
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
-	whole := l.c.at
+	whole := l.store.at
 	for _, torn := range [][]byte{{0xf7}, []byte(recordMark + "\x00\x00"), func() []byte {
-		b, _ := appendRecord(nil, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, l.c.seq+1, l.c.salt, nil)
+		b, _ := appendRecord(nil, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, l.store.seq+1, l.store.salt, nil)
 		return b[:len(b)-3]
 	}()} {
-		if _, err := l.c.cur.f.WriteAt(torn, whole); err != nil {
+		if _, err := l.store.cur.file.WriteAt(torn, whole); err != nil {
 			t.Fatal(err)
 		}
 		report, err := Inspect(nil, dir)
 		if err != nil || !report.Sound() || len(report.Torn) != 1 || report.Pending != 2 {
 			t.Fatalf("%v, %+v", err, report)
 		}
-		if err := l.c.cur.f.Truncate(whole); err != nil {
+		if err := l.store.cur.file.Truncate(whole); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -164,18 +164,18 @@
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
-	whole := l.c.at
+	whole := l.store.at
 	mustAppend(t, l, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, &Record{Kind: KindOutcome, ID: "b"})
-	if err := l.c.cur.f.Truncate(whole); err != nil {
+	if err := l.store.cur.file.Truncate(whole); err != nil {
 		t.Fatal(err)
 	}
-	l.c.shut()
+	l.store.close()
 	l, owed := openTest(t, dir, 1<<20)
 	if len(owed) != 2 || owed[1].UnknownOutcomeAt == 0 || l.Recovery.Sound() {
 		t.Fatalf("%q, found %+v", describe(owed), l.Recovery)
 	}
 	mustAppend(t, l, taken("c", "C"))
-	l.c.shut()
+	l.store.close()
 	if _, owed = openTest(t, dir, 1<<20); len(owed) != 3 || owed[2].UnknownOutcomeAt != 0 {
 		t.Errorf("then %q", describe(owed))
 	}
@@ -188,15 +188,15 @@
 	l, _ := openTest(t, dir, 1<<20)
 	for i, r := range script() {
 		if i%3 == 2 {
-			if err := l.c.roll(); err != nil {
+			if err := l.store.startSegment(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		mustAppend(t, l, r)
 	}
-	l.c.shut()
+	l.store.close()
 	text = map[string][]byte{}
-	for _, path := range append(files(t, dir, segmentSuffix), filepath.Join(dir, FolderName, markName)) {
+	for _, path := range append(files(t, dir, segmentSuffix), filepath.Join(dir, FolderName, stampName)) {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -215,7 +215,7 @@
 	text, foreign := segments(t), segments(t)
 	var names []string
 	for name := range text {
-		if name != markName {
+		if name != stampName {
 			names = append(names, name)
 		}
 	}
@@ -224,7 +224,7 @@
 		spoil := func(what string, f func(m map[string][]byte)) {
 			m := map[string][]byte{}
 			for n, b := range text {
-				if n != markName || withMark {
+				if n != stampName || withMark {
 					m[n] = b
 				}
 			}
@@ -253,7 +253,7 @@
 	l, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, l, taken("first-one", "A"), taken("second-one", strings.Repeat("body", 40)), taken("third-one", "C"))
 	path := files(t, dir, segmentSuffix)[0]
-	l.c.shut()
+	l.store.close()
 	b, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -270,19 +270,19 @@
 		t.Errorf("lost %v", l.Recovery.LostIDs)
 	}
 	// The damaged file is kept, and the loss is known until its notice is out.
-	if err := l.c.finishCheckpoint(); err != nil {
+	if err := l.store.finishCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
-	if kept, _ := filepath.Glob(filepath.Join(dir, FolderName, asidePrefix+"-*")); len(kept) != 1 {
+	if kept, _ := filepath.Glob(filepath.Join(dir, FolderName, quarantinePrefix+"-*")); len(kept) != 1 {
 		t.Errorf("kept aside: %v", kept)
 	}
-	l.c.shut()
+	l.store.close()
 	l, owed = openTest(t, dir, 1<<20)
 	if len(owed) != 3 || !owed[1].Corrupted || !slices.Equal(l.Recovery.LostIDs, []string{"second-one"}) || len(l.Recovery.Corruptions) > 0 {
 		t.Fatalf("then %q, found %+v", describe(owed), l.Recovery)
 	}
 	mustAppend(t, l, &Record{Kind: KindCompleting, ID: "second-one", Notice: "given-up"}, &Record{Kind: KindCompleted, ID: "second-one"})
-	l.c.shut()
+	l.store.close()
 	if _, owed = openTest(t, dir, 1<<20); len(owed) != 2 {
 		t.Errorf("at last %q", describe(owed))
 	}
@@ -293,9 +293,9 @@
 	_, text := build(t, -1)
 	h, _ := decodeHeader(text[segmentName(1)])
 	b := h.encode()
-	b[9], b[headerCopy+9] = formVersion+1, formVersion+1
-	for at := 0; at < headerSize; at += headerCopy {
-		sum(b[at : at+headerCopy])
+	b[9], b[headerCopySize+9] = formatVersion+1, formatVersion+1
+	for at := 0; at < headerSize; at += headerCopySize {
+		sealHeaderCopy(b[at : at+headerCopySize])
 	}
 	copy(text[segmentName(1)], b)
 	dir := put(t, text)
@@ -317,7 +317,7 @@
 	}
 	mustAppend(t, l, taken("carrier", string(forged)), taken("victim", "V"))
 	path := files(t, dir, segmentSuffix)[0]
-	l.c.shut()
+	l.store.close()
 	b, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -338,9 +338,9 @@
 		f.Fatal(err)
 	}
 	for _, r := range script() {
-		l.c.append([]*Record{r})
+		l.store.appendRecords([]*Record{r})
 	}
-	l.c.shut()
+	l.store.close()
 	good, err := os.ReadFile(filepath.Join(dir, FolderName, segmentName(1)))
 	if err != nil {
 		f.Fatal(err)
@@ -353,7 +353,7 @@
 		}
 		text := map[string][]byte{segmentName(1): append(slices.Clone(b[:at]), more...), segmentName(2): b[at:]}
 		if name%2 == 1 {
-			text[ckpName(uint32(name))] = b
+			text[checkpointName(uint32(name))] = b
 		}
 		dir := put(t, text)
 		l, err := Open(Options{Dir: dir, Limit: 1 << 20})
@@ -361,15 +361,15 @@
 			return // refused: newer, or no files
 		}
 		first := describe(l.Next(1 << 20))
-		if err := l.c.append([]*Record{taken("after", "x")})[0]; err != nil && !errors.Is(err, ErrFull) {
+		if err := l.store.appendRecords([]*Record{taken("after", "x")})[0]; err != nil && !errors.Is(err, ErrFull) {
 			t.Fatal(err)
 		}
-		l.c.shut()
+		l.store.close()
 		l, err = Open(Options{Dir: dir, Limit: 1 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.c.shut()
+		defer l.store.close()
 		if then := l.Next(1 << 20); len(then) < len(first) {
 			t.Fatalf("%d owed, then %d", len(first), len(then))
 		}
@@ -390,9 +390,9 @@
 			t.Fatalf("%d bytes of %d: %+v", n, len(b), r)
 		}
 		var r Record
-		for _, k := range kinds { // a rest that was not summed
+		for _, k := range kindsByNumber { // a rest that was not summed
 			r = Record{Kind: k}
-			decodeRest(&r, b)
+			decodePayload(&r, b)
 		}
 		decodeMessage(&r, b)
 	})
--- a/internal/wal/folder.go
+++ b/internal/wal/folder.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	segmentSuffix = ".seg"
-	ckpSuffix     = ".ckp"
-	newSuffix     = ".new"  // being written: of no use to anyone else
-	oldSuffix     = ".old"  // the log of an older program, while it is carried over
-	olderSuffix   = ".old2" // likewise, of an older program that ran again meanwhile
-	asidePrefix   = "aside" // a damaged file, kept for a person to look at
-	markName      = "mark"
+	segmentSuffix      = ".seg"
+	checkpointSuffix   = ".ckp"
+	temporarySuffix    = ".new"  // being written: of no use to anyone else
+	legacySuffix       = ".old"  // the log of an older program, while it is carried over
+	secondLegacySuffix = ".old2" // likewise, of an older program that ran again meanwhile
+	quarantinePrefix   = "aside" // a damaged file, kept for a person to look at
+	stampName          = "mark"
 )
 
-func segmentName(num uint32) string { return fmt.Sprintf("%08x%s", num, segmentSuffix) }
-func ckpName(num uint32) string     { return fmt.Sprintf("%08x%s", num, ckpSuffix) }
+func segmentName(num uint32) string    { return fmt.Sprintf("%08x%s", num, segmentSuffix) }
+func checkpointName(num uint32) string { return fmt.Sprintf("%08x%s", num, checkpointSuffix) }
 
-// openSource opens a file and reads its header.
-func openSource(fs FS, dir, name string, how Mode) (*source, error) {
+// openLogFile opens a file and reads its header.
+func openLogFile(fs FS, dir, name string, how Mode) (*logFile, error) {
 	f, err := fs.Open(filepath.Join(dir, name), how)
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	src := &source{name: name, f: f}
+	src := &logFile{name: name, file: f}
 	if src.size, err = f.Size(); err != nil {
 		f.Close()
 		return nil, fmt.Errorf("log: %w", err)
 	}
 	b := make([]byte, headerSize)
 	n, _ := f.ReadAt(b, 0) // a shorter file has no sound header
-	src.header, src.sound = decodeHeader(b[:n])
-	if src.sound > 0 && src.version > formVersion {
+	src.header, src.validHeaders = decodeHeader(b[:n])
+	if src.validHeaders > 0 && src.version > formatVersion {
 		f.Close()
-		return nil, fmt.Errorf("%w: %s has version %d of the form; %d is known here", ErrNewerVersion, name, src.version, formVersion)
+		return nil, fmt.Errorf("%w: %s has version %d of the form; %d is known here", ErrNewerVersion, name, src.version, formatVersion)
 	}
 	return src, nil
 }
 
-// numOf reads a file's number out of its name.
-func numOf(name, suffix string) (uint32, bool) {
+// fileNumber reads a file's number out of its name.
+func fileNumber(name, suffix string) (uint32, bool) {
 	text, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(text) != 8 {
 		return 0, false
@@ -64,51 +64,51 @@
 		return nil, fmt.Errorf("log: %w", err)
 	}
 	slices.Sort(names)
-	var segs, ckps []*source
-	close := func(all []*source) {
+	var segs, ckps []*logFile
+	close := func(all []*logFile) {
 		for _, src := range all {
-			src.f.Close()
+			src.file.Close()
 		}
 	}
 	top := uint32(0)
 	for _, name := range names {
-		num, isSeg := numOf(name, segmentSuffix)
-		n, isCkp := numOf(name, ckpSuffix)
+		num, isSeg := fileNumber(name, segmentSuffix)
+		n, isCkp := fileNumber(name, checkpointSuffix)
 		if !isSeg && !isCkp {
 			continue
 		}
 		top = max(top, num, n)
-		src, err := openSource(fs, dir, name, ModeRead)
+		src, err := openLogFile(fs, dir, name, ModeRead)
 		if err != nil {
 			close(segs)
 			close(ckps)
 			return nil, err
 		}
-		if src.sound == 0 {
-			src.kind, src.num = segmentFile, num
+		if src.validHeaders == 0 {
+			src.kind, src.number = fileSegment, num
 			if isCkp {
-				src.kind, src.num = checkpointFile, n
+				src.kind, src.number = fileCheckpoint, n
 			}
 		}
-		if top = max(top, src.num); src.kind == checkpointFile {
+		if top = max(top, src.number); src.kind == fileCheckpoint {
 			ckps = append(ckps, src)
 		} else {
 			segs = append(segs, src)
 		}
 	}
-	mark := readMark(fs, filepath.Join(dir, markName))
-	owner, known := vote(append(slices.Clone(segs), ckps...), uint32(mark.ID))
+	mark := readStamp(fs, filepath.Join(dir, stampName))
+	owner, known := electOwner(append(slices.Clone(segs), ckps...), uint32(mark.ID))
 	var odd []Corruption
 	if !known && mark.ID>>32 == 1 { // no header can be read: the mark tells whose records these are
 		binary.BigEndian.PutUint32(owner[:4], uint32(mark.ID))
 		known = true
 	}
-	salt := saltOf(owner)
-	ours := func(all []*source) []*source {
-		return slices.DeleteFunc(all, func(src *source) bool {
-			if src.sound > 0 && saltOf(src.owner) != salt {
+	salt := ownerSalt(owner)
+	ours := func(all []*logFile) []*logFile {
+		return slices.DeleteFunc(all, func(src *logFile) bool {
+			if src.validHeaders > 0 && ownerSalt(src.owner) != salt {
 				odd = append(odd, Corruption{File: src.name, Bytes: src.size, Reason: "of another relay"})
-				src.f.Close()
+				src.file.Close()
 				return true
 			}
 			src.salt = salt
@@ -119,57 +119,57 @@
 	if uint32(mark.ID) != salt || !known {
 		mark = Stamp{}
 	}
-	slices.SortStableFunc(segs, func(a, b *source) int { return int(int64(a.num) - int64(b.num)) })
-	slices.SortStableFunc(ckps, func(a, b *source) int { return int(int64(b.num) - int64(a.num)) }) // the newest first
+	slices.SortStableFunc(segs, func(a, b *logFile) int { return int(int64(a.number) - int64(b.number)) })
+	slices.SortStableFunc(ckps, func(a, b *logFile) int { return int(int64(b.number) - int64(a.number)) }) // the newest first
 	// Where the newest checkpoint is spoilt, one before it does as well, or none,
 	// if all that came after is there.
 	bases := slices.Clone(ckps)
-	if len(ckps) == 0 || len(segs) > 0 && segs[0].first == 1 {
+	if len(ckps) == 0 || len(segs) > 0 && segs[0].firstSeq == 1 {
 		bases = append(bases, nil)
 	}
 	var s *state
 	for _, base := range bases {
-		x, whole := bookFolder(fs, base, segs, owner, mark.Seq)
-		x.report.Corruptions = append(x.report.Corruptions, odd...)
-		if s == nil || len(x.report.Corruptions) < len(s.report.Corruptions) {
+		x, whole := replayFolder(fs, base, segs, owner, mark.Seq)
+		x.recovery.Corruptions = append(x.recovery.Corruptions, odd...)
+		if s == nil || len(x.recovery.Corruptions) < len(s.recovery.Corruptions) {
 			s = x
 		}
 		if whole {
 			break
 		}
 	}
-	s.owner, s.salt, s.nextNum = owner, salt, max(top+1, s.nextNum)
-	s.last = max(s.last, mark.At)
-	s.known = anchorOf(mark, append(slices.Clone(segs), ckps...))
+	s.owner, s.salt, s.nextSegment = owner, salt, max(top+1, s.nextSegment)
+	s.lastTime = max(s.lastTime, mark.At)
+	s.clockAnchor = latestAnchor(mark, append(slices.Clone(segs), ckps...))
 	if !known {
 		s.owner = [16]byte{}
 	}
 	for _, src := range append(slices.Clone(segs), ckps...) {
-		if s.ckp != src && !slices.Contains(s.segs, src) {
-			src.f.Close()
-			s.spent = append(s.spent, src.name)
-			if src.damaged {
-				s.report.Corruptions = append(s.report.Corruptions, Corruption{File: src.name, Bytes: src.size, Reason: "unreadable in part, and not needed"})
+		if s.checkpointFile != src && !slices.Contains(s.segments, src) {
+			src.file.Close()
+			s.obsolete = append(s.obsolete, src.name)
+			if src.corrupted {
+				s.recovery.Corruptions = append(s.recovery.Corruptions, Corruption{File: src.name, Bytes: src.size, Reason: "unreadable in part, and not needed"})
 			}
 		}
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, newSuffix) {
-			s.spent = append(s.spent, name)
+		if strings.HasSuffix(name, temporarySuffix) {
+			s.obsolete = append(s.obsolete, name)
 		}
 	}
 	s.summarize()
 	return s, nil
 }
 
-// vote gives the owner that most files name; where they are as many, the one
+// electOwner gives the owner that most files name; where they are as many, the one
 // that the mark belongs to.
-func vote(all []*source, salt uint32) (owner [16]byte, known bool) {
+func electOwner(all []*logFile, salt uint32) (owner [16]byte, known bool) {
 	votes := map[[16]byte]int{}
 	for _, src := range all {
-		if src.sound > 0 {
+		if src.validHeaders > 0 {
 			votes[src.owner] += 2
-			if saltOf(src.owner) == salt {
+			if ownerSalt(src.owner) == salt {
 				votes[src.owner]++
 			}
 		}
@@ -183,78 +183,78 @@
 	return owner, most > 0
 }
 
-// bookFolder books a checkpoint, which may be nil, and what came after it.
-func bookFolder(fs FS, base *source, segs []*source, owner [16]byte, mark uint64) (s *state, whole bool) {
+// replayFolder books a checkpoint, which may be nil, and what came after it.
+func replayFolder(fs FS, base *logFile, segs []*logFile, owner [16]byte, mark uint64) (s *state, whole bool) {
 	s = newState(fs)
-	s.owner, s.salt, s.marked = owner, saltOf(owner), mark
+	s.owner, s.salt, s.stampedSeq = owner, ownerSalt(owner), mark
 	first := uint32(0)
 	whole = true
 	if base != nil {
-		s.addSource(base)
-		s.ckp = base
-		whole = s.checkpoint(base)
-		if first = base.num; base.sound == 0 { // its header is gone: the name tells what it covers
+		s.addFile(base)
+		s.checkpointFile = base
+		whole = s.replayCheckpoint(base)
+		if first = base.number; base.validHeaders == 0 { // its header is gone: the name tells what it covers
 			s.seq = 0
 			for _, src := range segs {
-				if src.num >= first && src.sound > 0 {
-					s.seq = src.first - 1
+				if src.number >= first && src.validHeaders > 0 {
+					s.seq = src.firstSeq - 1
 					break
 				}
 			}
 		}
 	}
-	var last *source
-	var end tail
+	var last *logFile
+	var end fileTail
 	for n, src := range segs {
-		if src.num < first {
+		if src.number < first {
 			continue
 		}
-		s.ahead = 0
+		s.nextFileSeq = 0
 		for _, next := range segs[n+1:] {
-			if next.sound > 0 && next.num != src.num {
-				s.ahead = next.first
+			if next.validHeaders > 0 && next.number != src.number {
+				s.nextFileSeq = next.firstSeq
 				break
 			}
 		}
-		if last != nil && last.num == src.num {
-			s.report.Torn = append(s.report.Torn, Corruption{File: src.name, Bytes: src.size, Reason: "a second copy of a segment"})
+		if last != nil && last.number == src.number {
+			s.recovery.Torn = append(s.recovery.Torn, Corruption{File: src.name, Bytes: src.size, Reason: "a second copy of a segment"})
 			continue
 		}
-		if end.st == torn && end.bytes > 0 && src.sound > 0 && end.rec.seq == s.seq+1 && src.first == s.seq+2 {
-			d := Corruption{File: last.name, Offset: end.at, Bytes: end.bytes} // the one record that is missed by number
-			s.badRecord(&end.rec, &d, false)
-			s.report.Corruptions = append(s.report.Corruptions, d)
+		if end.status == recordTorn && end.bytes > 0 && src.validHeaders > 0 && end.record.seq == s.seq+1 && src.firstSeq == s.seq+2 {
+			d := Corruption{File: last.name, Offset: end.offset, Bytes: end.bytes} // the one record that is missed by number
+			s.applyCorrupted(&end.record, &d, false)
+			s.recovery.Corruptions = append(s.recovery.Corruptions, d)
 			s.seq++
 		} else if end.bytes > 0 { // what was torn there was written again here, or is missed by number
-			s.report.Torn = append(s.report.Torn, Corruption{File: last.name, Offset: end.at, Bytes: end.bytes, Reason: "torn end", IDs: end.names})
+			s.recovery.Torn = append(s.recovery.Torn, Corruption{File: last.name, Offset: end.offset, Bytes: end.bytes, Reason: "torn end", IDs: end.ids})
 		}
-		if src.sound > 0 && src.first > s.seq+1 {
-			src.damaged = true
-			s.holes = append(s.holes, hole{Corruption: Corruption{File: src.name, Reason: fmt.Sprintf("%d records missing before it", src.first-s.seq-1)},
-				from: s.seq + 1, to: src.first - 1})
-			s.seq = src.first - 1
-		} else if s.sealed != 0 && src.num > s.sealed { // what it held, nobody can tell
-			s.holes = append(s.holes, hole{Corruption: Corruption{File: segmentName(s.sealed), Reason: "segment missing"}, from: s.seq + 1, to: s.seq})
+		if src.validHeaders > 0 && src.firstSeq > s.seq+1 {
+			src.corrupted = true
+			s.gaps = append(s.gaps, gap{Corruption: Corruption{File: src.name, Reason: fmt.Sprintf("%d records missing before it", src.firstSeq-s.seq-1)},
+				from: s.seq + 1, to: src.firstSeq - 1})
+			s.seq = src.firstSeq - 1
+		} else if s.sealedNext != 0 && src.number > s.sealedNext { // what it held, nobody can tell
+			s.gaps = append(s.gaps, gap{Corruption: Corruption{File: segmentName(s.sealedNext), Reason: "segment missing"}, from: s.seq + 1, to: s.seq})
 		}
-		s.began, s.sealed = s.sealed, 0
-		s.addSource(src)
-		s.segs = append(s.segs, src)
+		s.previousSeal, s.sealedNext = s.sealedNext, 0
+		s.addFile(src)
+		s.segments = append(s.segments, src)
 		var file FileReport
 		file, end = s.replay(src, &s.seq, false, headerSize)
-		s.report.Files = append(s.report.Files, file)
+		s.recovery.Files = append(s.recovery.Files, file)
 		if last = src; file.Records > 0 {
-			s.began = 0
+			s.previousSeal = 0
 		}
 	}
 	if base != nil && last == nil { // the segment was there before the checkpoint was begun
-		s.holes = append(s.holes, hole{Corruption: Corruption{File: segmentName(first), Reason: "segment missing"}, from: s.seq + 1, to: s.seq + 1})
+		s.gaps = append(s.gaps, gap{Corruption: Corruption{File: segmentName(first), Reason: "segment missing"}, from: s.seq + 1, to: s.seq + 1})
 	}
-	s.finish(last, end, mark)
+	s.assessEnd(last, end, mark)
 	return s, whole
 }
 
-// readOldFile books the log of an older program.
-func readOldFile(fs FS, dir string, names ...string) (*state, error) {
+// readLegacyFiles books the log of an older program.
+func readLegacyFiles(fs FS, dir string, names ...string) (*state, error) {
 	s := newState(fs)
 	for _, name := range names {
 		f, err := fs.Open(filepath.Join(dir, name), ModeRead)
@@ -265,34 +265,34 @@
 			s.close()
 			return nil, fmt.Errorf("log: %w", err)
 		}
-		src := s.addSource(&source{name: name, f: f, old: true})
+		src := s.addFile(&logFile{name: name, file: f, legacy: true})
 		if src.size, err = f.Size(); err != nil {
 			s.close()
 			return nil, fmt.Errorf("log: %w", err)
 		}
-		s.report.Files = append(s.report.Files, s.replayOld(src, FileReport{Name: name, Kind: "older log", Bytes: src.size}))
+		s.recovery.Files = append(s.recovery.Files, s.replayLegacy(src, FileReport{Name: name, Kind: "older log", Bytes: src.size}))
 	}
-	s.report.OlderFormat = true
+	s.recovery.OlderFormat = true
 	s.summarize()
 	return s, nil
 }
 
-// anchorOf gives the newest moment of which a reading is known: the mark's or, where a
+// latestAnchor gives the newest moment of which a reading is known: the mark's or, where a
 // log came here without it, that at which a file was made.
-func anchorOf(mark Stamp, files []*source) (a anchor) {
+func latestAnchor(mark Stamp, files []*logFile) (a clockAnchor) {
 	switch {
 	case mark.Clock != (clock.Reading{}):
-		return anchor{mark.At, mark.Clock}
+		return clockAnchor{mark.At, mark.Clock}
 	case mark != Stamp{}:
 		return a // of an older program, whose time was the wall clock's
 	}
 	for _, src := range files {
-		if src.sound > 0 && src.logged > a.at {
-			a = anchor{src.logged, clock.Reading{Wall: src.made}}
+		if src.validHeaders > 0 && src.createdLogTime > a.logTime {
+			a = clockAnchor{src.createdLogTime, clock.Reading{Wall: src.createdAt}}
 		}
 	}
 	return a
 }
 
-// markID is what the mark says of its owner.
-func (s *state) markID() uint64 { return uint64(s.salt) | 1<<32 }
+// stampID is what the mark says of its owner.
+func (s *state) stampID() uint64 { return uint64(s.salt) | 1<<32 }
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -76,8 +76,8 @@
 	stampAtAgain
 	stampWords
 
-	stampOld  = 8 * stampWall // bytes, of an older program
-	stampSize = 8 * stampWords
+	legacyStampSize = 8 * stampWall // bytes, of an older program
+	stampSize       = 8 * stampWords
 )
 
 // words gives a stamp's words.
@@ -98,7 +98,7 @@
 
 // parseStamp reads what Bytes gives, or its beginning as an older program writes it.
 func parseStamp(b []byte) (s Stamp) {
-	if len(b) < stampOld {
+	if len(b) < legacyStampSize {
 		return s
 	}
 	word := func(i int) uint64 { return binary.NativeEndian.Uint64(b[8*i:]) }
@@ -186,8 +186,8 @@
 	return f.Sync()
 }
 
-// osMark is a page that the kernel keeps: a store costs no call.
-type osMark struct{ page []byte }
+// mappedStamp is a page that the kernel keeps: a store costs no call.
+type mappedStamp struct{ page []byte }
 
 // OpenStampFile maps the file. Its bytes are written first: a store into a hole of a
 // full disk would end the process.
@@ -208,22 +208,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("mark: %w", err)
 	}
-	return &osMark{page}, nil
+	return &mappedStamp{page}, nil
 }
 
 // Store puts the id last of the first three words, since with another's id beside them
 // they say nothing, and the moment's second copy last of all.
-func (m *osMark) Store(s Stamp) {
+func (m *mappedStamp) Store(s Stamp) {
 	words := s.words()
 	for _, i := range [...]int{stampAt, stampSeq, stampID, stampWall, stampMono, stampBoot, stampBootRest, stampAtAgain} {
 		atomic.StoreUint64((*uint64)(unsafe.Pointer(&m.page[8*i])), words[i])
 	}
 }
 
-func (m *osMark) Close() error { return syscall.Munmap(m.page) }
+func (m *mappedStamp) Close() error { return syscall.Munmap(m.page) }
 
-// readMark is a mark as it stands, without making or mapping it.
-func readMark(fs FS, name string) Stamp {
+// readStamp is a mark as it stands, without making or mapping it.
+func readStamp(fs FS, name string) Stamp {
 	f, err := fs.Open(name, ModeRead)
 	if err != nil {
 		return Stamp{}
--- a/internal/wal/index.go
+++ b/internal/wal/index.go
@@ -7,65 +7,65 @@
 // else is read from where its record stands. So it takes some 56 bytes a message
 // and holds no pointers.
 type index struct {
-	seeds  [2]maphash.Seed
-	slots  []uint32 // place of an entry and 1, by hash; 0 for none
-	chunks []*[chunkSize]entry
-	used   uint32 // entries drawn so far
-	free   []uint32
-	live   int
-	extras map[uint32]*extra
+	seeds       [2]maphash.Seed
+	slots       []uint32 // place of an entry and 1, by hash; 0 for none
+	chunks      []*[chunkSize]entry
+	entryCount  uint32 // entries drawn so far
+	freeEntries []uint32
+	live        int
+	details     map[uint32]*entryDetail
 }
 
 const chunkSize = 4096
 
-type key struct {
+type indexKey struct {
 	a uint64
 	b uint32
 }
 
 // entry is one message that is owed.
 type entry struct {
-	a     uint64
-	seq   uint64 // of its taken record: what was owed longer has the smaller
-	doubt int64
-	b     uint32
-	src   uint32 // the file that holds its record; 0 where damage took that
-	off   uint32
-	size  uint32 // of the record
-	asof  uint32 // its last record's sequence number, counted from seq
-	tries uint8
-	flags uint8
-	in    int16 // doubt: the zone
+	a                  uint64
+	seq                uint64 // of its taken record: what was owed longer has the smaller
+	unknownOutcomeAt   int64
+	b                  uint32
+	fileRef            uint32 // the file that holds its record; 0 where damage took that
+	offset             uint32
+	size               uint32 // of the record
+	stateSeq           uint32 // its last record's sequence number, counted from seq
+	attempts           uint8
+	flags              uint8
+	unknownOutcomeZone int16 // doubt: the zone
 }
 
 const (
-	entryLive  = 1 << iota
-	entryFirst // owed when the log was opened
-	entryRead  // handed out to the relay
-	entryExtra // there is more in extras
+	entryLive      = 1 << iota
+	entryFromStart // owed when the log was opened
+	entryRead      // handed out to the relay
+	entryDetailed  // there is more in extras
 )
 
-// extra is what few messages have at a time.
-type extra struct {
-	out     int64
-	outIn   int
-	outBy   int
-	outTo   string
-	notice  string
-	retryMS int64
-	lost    string // its id, where its record is lost
+// entryDetail is what few messages have at a time.
+type entryDetail struct {
+	inFlightSince    int64
+	inFlightZone     int
+	inFlightProcess  int
+	inFlightEndpoint string
+	notice           string
+	retryMS          int64
+	corruptedID      string // its id, where its record is lost
 }
 
 func newIndex() *index {
-	return &index{seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, slots: make([]uint32, 1024), extras: map[uint32]*extra{}}
+	return &index{seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, slots: make([]uint32, 1024), details: map[uint32]*entryDetail{}}
 }
 
-func (x *index) key(id []byte) key {
-	return key{maphash.Bytes(x.seeds[0], id), uint32(maphash.Bytes(x.seeds[1], id))}
+func (x *index) keyOfBytes(id []byte) indexKey {
+	return indexKey{maphash.Bytes(x.seeds[0], id), uint32(maphash.Bytes(x.seeds[1], id))}
 }
 
-func (x *index) keyOf(id string) key {
-	return key{maphash.String(x.seeds[0], id), uint32(maphash.String(x.seeds[1], id))}
+func (x *index) keyOf(id string) indexKey {
+	return indexKey{maphash.String(x.seeds[0], id), uint32(maphash.String(x.seeds[1], id))}
 }
 
 func (x *index) at(i uint32) *entry { return &x.chunks[i/chunkSize][i%chunkSize] }
@@ -73,17 +73,17 @@
 // ref names the entry at a place.
 func (x *index) ref(i uint32) Ref { return Ref(uint16(x.at(i).seq))<<32 | Ref(i+1) }
 
-// named gives the place of the entry that a reference names; ok is false where
+// resolve gives the place of the entry that a reference names; ok is false where
 // there is none any more.
-func (x *index) named(r Ref) (i uint32, ok bool) {
-	if i = uint32(r) - 1; uint32(r) == 0 || i >= x.used || x.at(i).flags&entryLive == 0 {
+func (x *index) resolve(r Ref) (i uint32, ok bool) {
+	if i = uint32(r) - 1; uint32(r) == 0 || i >= x.entryCount || x.at(i).flags&entryLive == 0 {
 		return 0, false
 	}
 	return i, x.ref(i) == r
 }
 
 // find gives the entry's place; ok is false where there is none.
-func (x *index) find(k key) (i uint32, ok bool) {
+func (x *index) find(k indexKey) (i uint32, ok bool) {
 	mask := uint64(len(x.slots) - 1)
 	for s := k.a & mask; x.slots[s] != 0; s = (s + 1) & mask {
 		if i = x.slots[s] - 1; x.at(i).a == k.a && x.at(i).b == k.b {
@@ -94,18 +94,18 @@
 }
 
 // add makes an entry for a key that has none.
-func (x *index) add(k key) (uint32, *entry) {
+func (x *index) add(k indexKey) (uint32, *entry) {
 	if 4*(x.live+1) > 3*len(x.slots) {
 		x.grow()
 	}
 	var i uint32
-	if n := len(x.free); n > 0 {
-		i, x.free = x.free[n-1], x.free[:n-1]
+	if n := len(x.freeEntries); n > 0 {
+		i, x.freeEntries = x.freeEntries[n-1], x.freeEntries[:n-1]
 	} else {
-		if i = x.used; i/chunkSize >= uint32(len(x.chunks)) {
+		if i = x.entryCount; i/chunkSize >= uint32(len(x.chunks)) {
 			x.chunks = append(x.chunks, new([chunkSize]entry))
 		}
-		x.used++
+		x.entryCount++
 	}
 	e := x.at(i)
 	*e = entry{a: k.a, b: k.b, flags: entryLive}
@@ -148,28 +148,28 @@
 		}
 	}
 	x.slots[s] = 0
-	if x.at(i).flags&entryExtra != 0 {
-		delete(x.extras, i)
+	if x.at(i).flags&entryDetailed != 0 {
+		delete(x.details, i)
 	}
 	*x.at(i) = entry{}
-	x.free = append(x.free, i)
+	x.freeEntries = append(x.freeEntries, i)
 	x.live--
 }
 
-// more is the entry's extra, made where there is none.
-func (x *index) more(i uint32) *extra {
+// detail is the entry's extra, made where there is none.
+func (x *index) detail(i uint32) *entryDetail {
 	e := x.at(i)
-	if e.flags&entryExtra == 0 {
-		e.flags |= entryExtra
-		x.extras[i] = &extra{}
+	if e.flags&entryDetailed == 0 {
+		e.flags |= entryDetailed
+		x.details[i] = &entryDetail{}
 	}
-	return x.extras[i]
+	return x.details[i]
 }
 
-// lessen drops an extra that says nothing any more.
-func (x *index) lessen(i uint32) {
-	if m := x.extras[i]; m != nil && *m == (extra{}) {
-		delete(x.extras, i)
-		x.at(i).flags &^= entryExtra
+// dropEmptyDetail drops an extra that says nothing any more.
+func (x *index) dropEmptyDetail(i uint32) {
+	if m := x.details[i]; m != nil && *m == (entryDetail{}) {
+		delete(x.details, i)
+		x.at(i).flags &^= entryDetailed
 	}
 }
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -20,7 +20,7 @@
 		return nil, err
 	}
 	defer s.close()
-	return &s.report, nil
+	return &s.recovery, nil
 }
 
 // Dump gives every sound record of a state folder in the order of the files, and
@@ -41,9 +41,9 @@
 			return fmt.Errorf("log: %w", err)
 		}
 		slices.Sort(names)
-		for _, suffix := range []string{ckpSuffix, segmentSuffix} {
+		for _, suffix := range []string{checkpointSuffix, segmentSuffix} {
 			for _, name := range names {
-				if _, ok := numOf(name, suffix); ok {
+				if _, ok := fileNumber(name, suffix); ok {
 					paths = append(paths, filepath.Join(FolderName, name))
 				}
 			}
@@ -52,7 +52,7 @@
 		paths = append(paths, FolderName)
 	}
 	for _, name := range append(paths, HandoffName) {
-		src, err := openSource(fs, dir, name, ModeRead)
+		src, err := openLogFile(fs, dir, name, ModeRead)
 		if errors.Is(err, os.ErrNotExist) {
 			continue // gone meanwhile: a checkpoint covers it
 		}
@@ -60,7 +60,7 @@
 			return err
 		}
 		on := dumpFile(src, each)
-		src.f.Close()
+		src.file.Close()
 		if !on {
 			return nil
 		}
@@ -68,24 +68,24 @@
 	return nil
 }
 
-func dumpFile(src *source, each func(file string, at int64, seq uint64, r *Record) bool) bool {
-	s := &HandoffLog{f: src.f, old: src.sound == 0, salt: saltOf(src.owner)}
-	if !s.old {
-		s.at = headerSize
+func dumpFile(src *logFile, each func(file string, at int64, seq uint64, r *Record) bool) bool {
+	s := &HandoffLog{file: src.file, legacy: src.validHeaders == 0, salt: ownerSalt(src.owner)}
+	if !s.legacy {
+		s.offset = headerSize
 	}
-	scan := scanner{f: src.f, size: src.size, salt: s.salt}
-	for at := s.at; at < src.size; {
-		r, n := s.decode(scan.window(at, headSize+recordMost))
+	scan := scanner{file: src.file, size: src.size, salt: s.salt}
+	for at := s.offset; at < src.size; {
+		r, n := s.decode(scan.window(at, recordHeadSize+maxRecordBytes))
 		if n == 0 {
-			if s.old {
-				at = scan.resyncOld(at + 1)
+			if s.legacy {
+				at = scan.resyncLegacy(at + 1)
 			} else {
 				at = scan.resync(at+1, 0)
 			}
 			continue
 		}
 		var seq uint64
-		if !s.old {
+		if !s.legacy {
 			rec, _ := scan.record(at)
 			seq = rec.seq
 		}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -21,14 +21,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.c.shut)
+	t.Cleanup(l.store.close)
 	return l, l.Next(1 << 30)
 }
 
 func mustAppend(t testing.TB, l *Log, recs ...*Record) {
 	t.Helper()
 	for _, r := range recs {
-		if err := l.c.append([]*Record{r})[0]; err != nil {
+		if err := l.store.appendRecords([]*Record{r})[0]; err != nil {
 			t.Fatalf("%s of %s: %v", r.Kind, r.ID, err)
 		}
 	}
@@ -81,7 +81,7 @@
 			t.Fatalf("found %+v", l.Recovery)
 		}
 		if n == 1 {
-			if err := l.c.finishCheckpoint(); err != nil {
+			if err := l.store.finishCheckpoint(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -98,11 +98,11 @@
 		for i := range n {
 			mustAppend(t, l, taken(strconv.Itoa(i), strings.Repeat("b", 300)))
 		}
-		if err := l.c.startCheckpoint(); err != nil {
+		if err := l.store.startCheckpoint(); err != nil {
 			t.Fatal(err)
 		}
 		steps := 0
-		for i := 0; l.c.job != nil; i++ {
+		for i := 0; l.store.pendingCheckpoint != nil; i++ {
 			id := strconv.Itoa(i % n)
 			switch i % 4 {
 			case 0:
@@ -116,7 +116,7 @@
 			}
 			if i%every == 0 {
 				steps++
-				if _, err := l.c.stepCheckpoint(4 << 10); err != nil {
+				if _, err := l.store.stepCheckpoint(4 << 10); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -137,10 +137,10 @@
 		seq uint64
 	}
 	var all []at
-	var from reader
-	for i := range l.c.idx.used {
-		if e := l.c.idx.at(i); e.flags&entryLive != 0 {
-			r, err := l.c.message(i, &from)
+	var from messageReader
+	for i := range l.store.index.entryCount {
+		if e := l.store.index.at(i); e.flags&entryLive != 0 {
+			r, err := l.store.readMessage(i, &from)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	for _, e := range all {
-		if strings.HasSuffix(e.Name(), suffix) && !strings.HasPrefix(e.Name(), asidePrefix) {
+		if strings.HasSuffix(e.Name(), suffix) && !strings.HasPrefix(e.Name(), quarantinePrefix) {
 			names = append(names, filepath.Join(dir, FolderName, e.Name()))
 		}
 	}
@@ -181,7 +181,7 @@
 	t.Helper()
 	err := filepath.Walk(dir, func(_ string, info os.FileInfo, err error) error {
 		if err == nil && !info.IsDir() {
-			n += blocks(info.Size())
+			n += blockBytes(info.Size())
 		}
 		return err
 	})
@@ -200,7 +200,7 @@
 	body := strings.Repeat("b", 64<<10)
 	n := 0
 	for ; ; n++ {
-		if err := l.c.append([]*Record{taken(strconv.Itoa(n), body)})[0]; err != nil {
+		if err := l.store.appendRecords([]*Record{taken(strconv.Itoa(n), body)})[0]; err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
@@ -213,18 +213,18 @@
 	for round := range 9000 { // far more than fits without a checkpoint
 		id := strconv.Itoa(round % n)
 		mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(round) + 1, Endpoint: "endpoint"}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
-		l.c.tidy()
+		l.store.compact()
 		if round%64 == 0 {
-			if size := diskSize(t, dir); size > limit || size != l.c.bytes {
-				t.Fatalf("round %d: %d bytes on disk, held to be %d", round, size, l.c.bytes)
+			if size := diskSize(t, dir); size > limit || size != l.store.bytes {
+				t.Fatalf("round %d: %d bytes on disk, held to be %d", round, size, l.store.bytes)
 			}
 		}
 	}
 	for i := range n {
 		mustAppend(t, l, &Record{Kind: KindCompleted, ID: strconv.Itoa(i)})
 	}
-	if l.c.owed != 0 {
-		t.Errorf("%d bytes owed by nobody", l.c.owed)
+	if l.store.checkpointBytes != 0 {
+		t.Errorf("%d bytes owed by nobody", l.store.checkpointBytes)
 	}
 	mustAppend(t, l, taken("next", body))
 }
--- a/internal/wal/move.go
+++ b/internal/wal/move.go
@@ -105,21 +105,21 @@
 // sound checkpoint holds the rest; damaged files are kept aside within limit
 // bytes. The caller owns the folder.
 func Repair(dir string, limit int64) (*RecoveryReport, error) {
-	c := newCore(Options{Dir: dir, Limit: limit, Durability: SurvivesPowerLoss})
+	c := newStore(Options{Dir: dir, Limit: limit, Durability: SurvivesPowerLoss})
 	side, err := c.open()
 	if err != nil {
 		return nil, err
 	}
-	defer c.shut()
+	defer c.close()
 	if side != nil {
 		side.Close()
 		return nil, fmt.Errorf("%s: %w", dir, ErrInUse)
 	}
-	c.settle(func(int) bool { return true }, c.seq+1)
+	c.resolveInFlight(func(int) bool { return true }, c.seq+1)
 	if err := c.finishCheckpoint(); err != nil {
 		return nil, err
 	}
-	return &c.report, nil
+	return &c.recovery, nil
 }
 
 // Export moves a folder's log into one file: what is owed is written there and
@@ -142,11 +142,11 @@
 	if err != nil {
 		return nil, err
 	}
-	ckps, err := filepath.Glob(filepath.Join(dir, FolderName, "*"+ckpSuffix))
+	ckps, err := filepath.Glob(filepath.Join(dir, FolderName, "*"+checkpointSuffix))
 	if err != nil || len(ckps) != 1 {
 		return nil, fmt.Errorf("export: %d checkpoints in %s: %w", len(ckps), dir, err)
 	}
-	if err := copyFile(ckps[0], to+newSuffix); err != nil {
+	if err := copyFile(ckps[0], to+temporarySuffix); err != nil {
 		return nil, fmt.Errorf("export: %w", err)
 	}
 	var b [8]byte
@@ -158,7 +158,7 @@
 	for _, step := range []func() error{
 		func() error { return writeSynced(filepath.Join(dir, FenceName), text) },
 		func() error { return OS{}.SyncDir(dir) },
-		func() error { return os.Rename(to+newSuffix, to) },
+		func() error { return os.Rename(to+temporarySuffix, to) },
 		func() error { return OS{}.SyncDir(filepath.Dir(to)) },
 	} {
 		if err := step(); err != nil {
@@ -193,8 +193,8 @@
 // from FILE.importing. The caller owns the folder.
 func Import(from, dir string) (*RecoveryReport, error) {
 	claimed := from
-	if !strings.HasSuffix(from, importing) {
-		claimed = from + importing
+	if !strings.HasSuffix(from, importSuffix) {
+		claimed = from + importSuffix
 	}
 	if f, err := ReadFence(dir); err != nil || f != nil {
 		return nil, errors.Join(fmt.Errorf("import: %s is fenced: %w", dir, ErrNotEmpty), err)
@@ -208,25 +208,25 @@
 			return nil, fmt.Errorf("import: %s: %w", dir, ErrNotEmpty)
 		}
 	}
-	src, err := openSource(OS{}, filepath.Dir(from), filepath.Base(from), ModeRead)
+	src, err := openLogFile(OS{}, filepath.Dir(from), filepath.Base(from), ModeRead)
 	if err != nil {
 		return nil, err
 	}
-	src.f.Close()
+	src.file.Close()
 	s := newState(OS{})
-	if src.sound == 0 || src.kind != checkpointFile {
+	if src.validHeaders == 0 || src.kind != fileCheckpoint {
 		return nil, fmt.Errorf("import: %s: not an exported log", from)
 	}
-	if src, err = openSource(OS{}, filepath.Dir(from), filepath.Base(from), ModeRead); err != nil {
+	if src, err = openLogFile(OS{}, filepath.Dir(from), filepath.Base(from), ModeRead); err != nil {
 		return nil, err
 	}
-	src.salt = saltOf(src.owner)
-	s.addSource(src)
-	whole := s.checkpoint(src)
+	src.salt = ownerSalt(src.owner)
+	s.addFile(src)
+	whole := s.replayCheckpoint(src)
 	s.summarize()
-	src.f.Close()
+	src.file.Close()
 	if !whole {
-		return &s.report, fmt.Errorf("import: %s: damaged", from)
+		return &s.recovery, fmt.Errorf("import: %s: damaged", from)
 	}
 	if claimed != from {
 		if err := os.Rename(from, claimed); err != nil {
@@ -235,15 +235,19 @@
 	}
 	folder := filepath.Join(dir, FolderName)
 	h := src.header
-	h.kind = segmentFile
+	h.kind = fileSegment
 	for _, step := range []func() error{
-		func() error { return os.RemoveAll(folder + newSuffix) },
-		func() error { return os.Mkdir(folder+newSuffix, 0o700) },
-		func() error { return copyFile(claimed, filepath.Join(folder+newSuffix, ckpName(h.num))) },
-		func() error { return writeSynced(filepath.Join(folder+newSuffix, segmentName(h.num)), h.encode()) },
-		func() error { return OS{}.SyncDir(folder + newSuffix) },
+		func() error { return os.RemoveAll(folder + temporarySuffix) },
+		func() error { return os.Mkdir(folder+temporarySuffix, 0o700) },
+		func() error {
+			return copyFile(claimed, filepath.Join(folder+temporarySuffix, checkpointName(h.number)))
+		},
+		func() error {
+			return writeSynced(filepath.Join(folder+temporarySuffix, segmentName(h.number)), h.encode())
+		},
+		func() error { return OS{}.SyncDir(folder + temporarySuffix) },
 		func() error { return os.RemoveAll(folder) },
-		func() error { return os.Rename(folder+newSuffix, folder) },
+		func() error { return os.Rename(folder+temporarySuffix, folder) },
 		func() error { return OS{}.SyncDir(dir) },
 		func() error { return os.Remove(claimed) },
 	} {
@@ -251,37 +255,37 @@
 			return nil, fmt.Errorf("import: %w", err)
 		}
 	}
-	return &s.report, nil
+	return &s.recovery, nil
 }
 
 // ReadExport gives what an exported log owes, what was owed longest first. An
 // attempt whose outcome nobody saw may have run.
 func ReadExport(file string) ([]*Record, error) {
-	src, err := openSource(OS{}, filepath.Dir(file), filepath.Base(file), ModeRead)
+	src, err := openLogFile(OS{}, filepath.Dir(file), filepath.Base(file), ModeRead)
 	if err != nil {
 		return nil, err
 	}
-	defer src.f.Close()
-	if src.sound == 0 || src.kind != checkpointFile {
+	defer src.file.Close()
+	if src.validHeaders == 0 || src.kind != fileCheckpoint {
 		return nil, fmt.Errorf("%s: not an exported log", file)
 	}
-	src.salt = saltOf(src.owner)
+	src.salt = ownerSalt(src.owner)
 	s := newState(OS{})
-	s.addSource(src)
-	whole := s.checkpoint(src)
-	s.settle(func(int) bool { return true }, math.MaxUint64)
+	s.addFile(src)
+	whole := s.replayCheckpoint(src)
+	s.resolveInFlight(func(int) bool { return true }, math.MaxUint64)
 	if !whole {
 		return nil, fmt.Errorf("%s: damaged", file)
 	}
 	var order []uint32
-	for i := range s.idx.used {
+	for i := range s.index.entryCount {
 		order = append(order, i)
 	}
-	slices.SortFunc(order, func(a, b uint32) int { return cmp.Compare(s.idx.at(a).seq, s.idx.at(b).seq) })
+	slices.SortFunc(order, func(a, b uint32) int { return cmp.Compare(s.index.at(a).seq, s.index.at(b).seq) })
 	var recs []*Record
-	var from reader
+	var from messageReader
 	for _, i := range order {
-		r, err := s.message(i, &from)
+		r, err := s.readMessage(i, &from)
 		if err != nil {
 			return nil, err
 		}
@@ -290,7 +294,7 @@
 	return recs, nil
 }
 
-const importing = ".importing"
+const importSuffix = ".importing"
 
 func writeSynced(path string, b []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
--- a/internal/wal/read_test.go
+++ b/internal/wal/read_test.go
@@ -44,11 +44,11 @@
 		}
 	}
 	check("in segments")
-	if err := l.c.startCheckpoint(); err != nil {
+	if err := l.store.startCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
-	for l.c.job != nil {
-		if _, err := l.c.stepCheckpoint(64 << 10); err != nil {
+	for l.store.pendingCheckpoint != nil {
+		if _, err := l.store.stepCheckpoint(64 << 10); err != nil {
 			t.Fatal(err)
 		}
 		check("beside a checkpoint")
@@ -78,12 +78,12 @@
 	if r := l.Fetch("held"); r != nil {
 		t.Errorf("fetched as owed at the start: %+v", r)
 	}
-	l.c.shut()
+	l.store.close()
 	l, err := Open(Options{Dir: dir, Limit: 1 << 20, Log: quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.c.shut()
+	defer l.store.close()
 	if r := l.Fetch("held"); r == nil || r.Ref == 0 || l.Read([]Ref{r.Ref})[0].ID != "held" {
 		t.Errorf("fetched %+v", r)
 	}
--- a/internal/wal/scan.go
+++ b/internal/wal/scan.go
@@ -8,17 +8,17 @@
 	"regexp"
 )
 
-const scanChunk = 256 << 10
+const scanWindowBytes = 256 << 10
 
 // scanner reads a file through a window, whatever the file's size.
 type scanner struct {
-	f    File
-	size int64
-	salt uint32
-	most int // bytes of the window, unless more are wanted; 0 for scanChunk
-	buf  []byte
-	base int64 // place of buf[0]
-	err  error // of a read, for which the rest counts as unreadable
+	file         File
+	size         int64
+	salt         uint32
+	windowBytes  int // bytes of the window, unless more are wanted; 0 for scanWindowBytes
+	buffer       []byte
+	bufferOffset int64 // place of buf[0]
+	err          error // of a read, for which the rest counts as unreadable
 }
 
 // window gives what stands at off: want bytes, or fewer at the file's end.
@@ -26,73 +26,73 @@
 	if want = int(min(int64(want), s.size-off)); want <= 0 {
 		return nil
 	}
-	if off < s.base || off+int64(want) > s.base+int64(len(s.buf)) {
-		size := max(want, cmp.Or(s.most, scanChunk))
-		if cap(s.buf) < size {
-			s.buf = make([]byte, 0, size)
+	if off < s.bufferOffset || off+int64(want) > s.bufferOffset+int64(len(s.buffer)) {
+		size := max(want, cmp.Or(s.windowBytes, scanWindowBytes))
+		if cap(s.buffer) < size {
+			s.buffer = make([]byte, 0, size)
 		}
-		n, err := s.f.ReadAt(s.buf[:int(min(int64(size), s.size-off))], off)
-		s.base, s.buf = off, s.buf[:n]
+		n, err := s.file.ReadAt(s.buffer[:int(min(int64(size), s.size-off))], off)
+		s.bufferOffset, s.buffer = off, s.buffer[:n]
 		if n < want {
 			s.err = err
-			return s.buf
+			return s.buffer
 		}
 	}
-	return s.buf[off-s.base:][:want]
+	return s.buffer[off-s.bufferOffset:][:want]
 }
 
-type status int
+type recordStatus int
 
 const (
-	sound   status = iota
-	badRest        // whose record it is, is certain; what it said is not
-	torn           // likewise, and the file ends before the record does
-	unsound        // nothing is certain
+	recordValid      recordStatus = iota
+	payloadCorrupted              // whose record it is, is certain; what it said is not
+	recordTorn                    // likewise, and the file ends before the record does
+	recordUnreadable              // nothing is certain
 )
 
-// raw is a record as it stands in a file. Its slices are the window's.
-type raw struct {
-	off  int64
-	size int64 // with its head
-	seq  uint64
-	kind Kind
-	id   []byte
-	rest []byte
+// rawRecord is a record as it stands in a file. Its slices are the window's.
+type rawRecord struct {
+	offset  int64
+	size    int64 // with its head
+	seq     uint64
+	kind    Kind
+	id      []byte
+	payload []byte
 }
 
-func (s *scanner) record(off int64) (r raw, st status) {
-	b := s.window(off, headMost)
-	if len(b) < headSize || string(b[:4]) != recordMark {
-		return r, unsound
+func (s *scanner) record(off int64) (r rawRecord, st recordStatus) {
+	b := s.window(off, maxRecordHeadBytes)
+	if len(b) < recordHeadSize || string(b[:4]) != recordMark {
+		return r, recordUnreadable
 	}
 	n, idLen := int(binary.BigEndian.Uint32(b[4:])), int(binary.BigEndian.Uint16(b[18:]))
-	if n > recordMost || idLen > n || headSize+idLen > len(b) || headSum(b, s.salt, idLen) != binary.BigEndian.Uint32(b[20:]) {
-		return r, unsound
+	if n > maxRecordBytes || idLen > n || recordHeadSize+idLen > len(b) || headChecksum(b, s.salt, idLen) != binary.BigEndian.Uint32(b[20:]) {
+		return r, recordUnreadable
 	}
-	r = raw{off: off, size: int64(headSize + n), seq: binary.BigEndian.Uint64(b[8:])}
-	if k := int(b[16]); k > 0 && k < len(kinds) {
-		r.kind = kinds[k]
+	r = rawRecord{offset: off, size: int64(recordHeadSize + n), seq: binary.BigEndian.Uint64(b[8:])}
+	if k := int(b[16]); k > 0 && k < len(kindsByNumber) {
+		r.kind = kindsByNumber[k]
 	}
 	if off+r.size > s.size {
-		r.id = b[headSize : headSize+idLen]
-		return r, torn
+		r.id = b[recordHeadSize : recordHeadSize+idLen]
+		return r, recordTorn
 	}
 	b = s.window(off, int(r.size))
 	if int64(len(b)) < r.size { // a read failed
-		return r, unsound
+		return r, recordUnreadable
 	}
-	r.id, r.rest = b[headSize:headSize+idLen], b[headSize+idLen:]
-	if crc32.Update(binary.BigEndian.Uint32(b[20:]), castagnoli, r.rest) != binary.BigEndian.Uint32(b[24:]) || r.kind == "" {
-		return r, badRest
+	r.id, r.payload = b[recordHeadSize:recordHeadSize+idLen], b[recordHeadSize+idLen:]
+	if crc32.Update(binary.BigEndian.Uint32(b[20:]), castagnoli, r.payload) != binary.BigEndian.Uint32(b[24:]) || r.kind == "" {
+		return r, payloadCorrupted
 	}
-	return r, sound
+	return r, recordValid
 }
 
 // resync gives the next place from off on where a record's head is certain and
 // its number is not under least; the file's end where there is none.
 func (s *scanner) resync(off int64, least uint64) int64 {
 	for off < s.size {
-		b := s.window(off, scanChunk/2)
+		b := s.window(off, scanWindowBytes/2)
 		if len(b) == 0 {
 			break // unreadable
 		}
@@ -102,7 +102,7 @@
 			continue
 		}
 		off += int64(i)
-		if r, st := s.record(off); st != unsound && r.seq >= least {
+		if r, st := s.record(off); st != recordUnreadable && r.seq >= least {
 			return off
 		}
 		off++
@@ -110,10 +110,10 @@
 	return s.size
 }
 
-// zeros reports whether a stretch holds nothing else.
-func (s *scanner) zeros(from, to int64) bool {
+// allZeros reports whether a stretch holds nothing else.
+func (s *scanner) allZeros(from, to int64) bool {
 	for from < to {
-		b := s.window(from, int(min(to-from, scanChunk/2)))
+		b := s.window(from, int(min(to-from, scanWindowBytes/2)))
 		if len(b) == 0 {
 			return false
 		}
@@ -127,12 +127,12 @@
 	return true
 }
 
-// plain finds what may be ids in a stretch that cannot be read.
-var plain = regexp.MustCompile(`[!-~]{6,256}`)
+// idPattern finds what may be ids in a stretch that cannot be read.
+var idPattern = regexp.MustCompile(`[!-~]{6,256}`)
 
-// names gives what can be read of a stretch; it may be wrong, and helps a person
+// readableIDs gives what can be read of a stretch; it may be wrong, and helps a person
 // who looks for a message.
-func (s *scanner) names(from, to int64) (ids []string) {
+func (s *scanner) readableIDs(from, to int64) (ids []string) {
 	const most = 32
 	b := s.window(from, int(min(to-from, 64<<10)))
 	for at := 0; len(ids) < most; {
@@ -140,11 +140,11 @@
 		if i < 0 {
 			return ids
 		}
-		if at += i + headSize; at > len(b) {
+		if at += i + recordHeadSize; at > len(b) {
 			return ids
 		}
-		n := int(binary.BigEndian.Uint16(b[at-headSize+18:]))
-		if id := b[at:min(len(b), at+n)]; len(id) > 0 && plain.Match(id) {
+		n := int(binary.BigEndian.Uint16(b[at-recordHeadSize+18:]))
+		if id := b[at:min(len(b), at+n)]; len(id) > 0 && idPattern.Match(id) {
 			ids = append(ids, string(id))
 		}
 	}
--- a/internal/wal/side.go
+++ b/internal/wal/side.go
@@ -14,31 +14,31 @@
 // the new one follows. Its records are the log's.
 
 const (
-	sideTaken = 16 << 10  // of the side log's room, never used for new messages
-	sideChunk = 256 << 10 // longer than any record
+	handoffReserve   = 16 << 10  // of the side log's room, never used for new messages
+	handoffReadBytes = 256 << 10 // longer than any record
 )
 
-// sideWriter is the side log of this process.
-type sideWriter struct {
-	f    File
-	size int64
-	room int64
-	seq  uint64
-	salt uint32
-	buf  []byte
+// handoffWriter is the side log of this process.
+type handoffWriter struct {
+	file     File
+	size     int64
+	capacity int64
+	seq      uint64
+	salt     uint32
+	buffer   []byte
 }
 
-// pass ends this process's part in the log. All that it writes from here on
+// handOff ends this process's part in the log. All that it writes from here on
 // goes into a side log; the lock on that tells that it lives. The log is left
 // as it was where an error comes.
-func (c *core) pass(r *Record) (err error) {
+func (c *store) handOff(r *Record) (err error) {
 	if err := c.finishCheckpoint(); err != nil {
 		return err
 	}
 	// The next process makes checkpoints, too: what it needs for that is not given away.
 	limit := c.limit - c.aside
-	room := max(min(limit/4, limit-2*c.owed-slack-spare), 2*sideTaken)
-	path := filepath.Join(c.o.Dir, HandoffName)
+	room := max(min(limit/4, limit-2*c.checkpointBytes-roundingReserve-completionReserve), 2*handoffReserve)
+	path := filepath.Join(c.options.Dir, HandoffName)
 	f, err := c.fs.Open(path, ModeCreate)
 	if err != nil {
 		return fmt.Errorf("side log: %w", err)
@@ -57,40 +57,40 @@
 	if !got {
 		return errors.New("locked by another")
 	}
-	w := &sideWriter{f: f, room: room, salt: c.salt, size: headerSize}
-	h := header{kind: sideFile, owner: c.owner, by: uint32(c.by), first: 1}
-	c.date(&h)
+	w := &handoffWriter{file: f, capacity: room, salt: c.salt, size: headerSize}
+	h := header{kind: fileHandoff, owner: c.owner, process: uint32(c.process), firstSeq: 1}
+	c.stampHeader(&h)
 	if _, err := f.WriteAt(h.encode(), 0); err != nil {
 		return err
 	}
-	if err := w.append(&Record{Kind: KindOwner, ID: NoMessage, Process: c.by, HandoffCapacity: room}); err != nil {
+	if err := w.append(&Record{Kind: KindOwner, ID: NoMessage, Process: c.process, HandoffCapacity: room}); err != nil {
 		return err
 	}
-	if err := c.append([]*Record{r})[0]; err != nil {
+	if err := c.appendRecords([]*Record{r})[0]; err != nil {
 		return err
 	}
-	c.shut()
-	c.after = w
+	c.close()
+	c.handoff = w
 	return nil
 }
 
 // append writes a record, if the side log has room for it.
-func (w *sideWriter) append(r *Record) error {
+func (w *handoffWriter) append(r *Record) error {
 	var err error
-	if w.buf, err = appendRecord(w.buf[:0], r, w.seq+1, w.salt, nil); err != nil {
+	if w.buffer, err = appendRecord(w.buffer[:0], r, w.seq+1, w.salt, nil); err != nil {
 		return err
 	}
-	free := w.room
+	free := w.capacity
 	if r.Kind == KindAccepted {
-		free -= sideTaken
+		free -= handoffReserve
 	}
-	if w.size+int64(len(w.buf)) > free {
+	if w.size+int64(len(w.buffer)) > free {
 		return ErrFull
 	}
-	if n, err := w.f.WriteAt(w.buf, w.size); err != nil || n < len(w.buf) {
-		return errors.Join(fmt.Errorf("side log: %d of %d bytes written: %w", n, len(w.buf), err), w.f.Truncate(w.size))
+	if n, err := w.file.WriteAt(w.buffer, w.size); err != nil || n < len(w.buffer) {
+		return errors.Join(fmt.Errorf("side log: %d of %d bytes written: %w", n, len(w.buffer), err), w.file.Truncate(w.size))
 	}
-	w.size += int64(len(w.buf))
+	w.size += int64(len(w.buffer))
 	w.seq++
 	return nil
 }
@@ -99,32 +99,32 @@
 type HandoffLog struct {
 	Process  int   // its process
 	Capacity int64 // bytes that it may take up
-	f        File
-	at       int64 // read up to here
-	old      bool  // of an older program
+	file     File
+	offset   int64 // read up to here
+	legacy   bool  // of an older program
 	salt     uint32
-	text     []byte
+	buffer   []byte
 }
 
 // Read gives what has come since, each record with its place.
 func (s *HandoffLog) Read() []*Record {
-	if s.text == nil {
-		s.text = make([]byte, sideChunk)
+	if s.buffer == nil {
+		s.buffer = make([]byte, handoffReadBytes)
 	}
 	var all []*Record
 	for {
-		n, _ := s.f.ReadAt(s.text, s.at) // its end is no error: more may come
+		n, _ := s.file.ReadAt(s.buffer, s.offset) // its end is no error: more may come
 		at := 0
 		for at < n {
-			r, size := s.decode(s.text[at:n])
+			r, size := s.decode(s.buffer[at:n])
 			if size == 0 {
 				break
 			}
 			at += size
-			r.HandoffOffset = s.at + int64(at)
+			r.HandoffOffset = s.offset + int64(at)
 			all = append(all, r)
 		}
-		if s.at += int64(at); at == 0 {
+		if s.offset += int64(at); at == 0 {
 			return all
 		}
 	}
@@ -132,17 +132,17 @@
 
 // decode reads the record at the start of b. size is 0 where there is none yet.
 func (s *HandoffLog) decode(b []byte) (r *Record, size int) {
-	if s.old {
-		return decodeOld(b)
+	if s.legacy {
+		return decodeLegacy(b)
 	}
-	scan := scanner{buf: b, size: int64(len(b)), salt: s.salt}
+	scan := scanner{buffer: b, size: int64(len(b)), salt: s.salt}
 	rec, st := scan.record(0)
-	if st != sound {
+	if st != recordValid {
 		return nil, 0
 	}
 	r = &Record{Kind: rec.kind, ID: string(rec.id)}
-	raw, ok := decodeRest(r, rec.rest)
-	if !ok || (rec.kind == KindAccepted || rec.kind == held && !r.Corrupted) && !decodeMessage(r, raw) {
+	raw, ok := decodePayload(r, rec.payload)
+	if !ok || (rec.kind == KindAccepted || rec.kind == kindMessageState && !r.Corrupted) && !decodeMessage(r, raw) {
 		return nil, 0
 	}
 	return r, int(rec.size)
@@ -150,38 +150,38 @@
 
 // OwnerExited reports whether the other process is gone: nothing more will come.
 func (s *HandoffLog) OwnerExited() bool {
-	got, err := s.f.TryLock()
+	got, err := s.file.TryLock()
 	return got && err == nil
 }
 
 // Offset is the place up to which it was read.
-func (s *HandoffLog) Offset() int64 { return s.at }
+func (s *HandoffLog) Offset() int64 { return s.offset }
 
 // Close lets go of it; its process may live on.
-func (s *HandoffLog) Close() { s.f.Close() }
+func (s *HandoffLog) Close() { s.file.Close() }
 
-// openSide looks for a side log. That of a dead process is given as records,
+// openHandoff looks for a side log. That of a dead process is given as records,
 // to be taken in; that of a living one is given back, to be followed.
-func (c *core) openSide() (*HandoffLog, []*Record, error) {
-	f, err := c.fs.Open(filepath.Join(c.o.Dir, HandoffName), ModeWrite)
+func (c *store) openHandoff() (*HandoffLog, []*Record, error) {
+	f, err := c.fs.Open(filepath.Join(c.options.Dir, HandoffName), ModeWrite)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil, nil
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("side log: %w", err)
 	}
-	s := &HandoffLog{f: f}
+	s := &HandoffLog{file: f}
 	size, err := f.Size()
 	if err == nil {
 		var dead bool
 		if dead, err = f.TryLock(); err == nil && dead {
-			late := c.readDead(s, size)
+			late := c.readAbandonedHandoff(s, size)
 			f.Close()
 			return nil, late, nil
 		}
 	}
 	if err == nil {
-		s.begin()
+		s.readHeader()
 		for _, r := range s.Read() {
 			if r.Kind == KindOwner {
 				s.Process, s.Capacity = r.Process, r.HandoffCapacity
@@ -197,93 +197,93 @@
 		return nil, nil, fmt.Errorf("side log: %w", err)
 	}
 	c.limit -= s.Capacity
-	s.at = max(c.state.side, s.start())
+	s.offset = max(c.state.handoffOffset, s.firstOffset())
 	return s, nil, nil
 }
 
-// begin reads the header.
-func (s *HandoffLog) begin() (sound int) {
+// readHeader reads the header.
+func (s *HandoffLog) readHeader() (sound int) {
 	b := make([]byte, headerSize)
-	n, _ := s.f.ReadAt(b, 0)
+	n, _ := s.file.ReadAt(b, 0)
 	h, sound := decodeHeader(b[:n])
-	s.old, s.salt = n >= 4 && string(b[:4]) == oldMark, saltOf(h.owner)
-	s.at = s.start()
+	s.legacy, s.salt = n >= 4 && string(b[:4]) == legacyMark, ownerSalt(h.owner)
+	s.offset = s.firstOffset()
 	return sound
 }
 
-func (s *HandoffLog) start() int64 {
-	if s.old {
+func (s *HandoffLog) firstOffset() int64 {
+	if s.legacy {
 		return 0
 	}
 	return headerSize
 }
 
-// readDead gives what a dead process told and is not in here yet. Damage there
+// readAbandonedHandoff gives what a dead process told and is not in here yet. Damage there
 // concerns whatever is owed.
-func (c *core) readDead(s *HandoffLog, size int64) (late []*Record) {
-	if s.begin() == 0 && !s.old {
+func (c *store) readAbandonedHandoff(s *HandoffLog, size int64) (late []*Record) {
+	if s.readHeader() == 0 && !s.legacy {
 		s.salt = c.salt
 	}
-	s.at = max(c.state.side, s.at)
-	for s.at < size {
+	s.offset = max(c.state.handoffOffset, s.offset)
+	for s.offset < size {
 		late = append(late, s.Read()...)
-		if s.at >= size {
+		if s.offset >= size {
 			break
 		}
 		var next int64
 		var names []string
-		scan := &scanner{f: s.f, size: size, salt: s.salt}
-		if s.old {
-			next = scan.resyncOld(s.at + 1)
+		scan := &scanner{file: s.file, size: size, salt: s.salt}
+		if s.legacy {
+			next = scan.resyncLegacy(s.offset + 1)
 		} else {
-			next = scan.resync(s.at+1, 0)
-			names = scan.names(s.at, next)
+			next = scan.resync(s.offset+1, 0)
+			names = scan.readableIDs(s.offset, next)
 		}
-		if next == size && s.tornAt(scan) {
+		if next == size && s.isTornEnd(scan) {
 			// It was never booked.
-			c.report.Torn = append(c.report.Torn, Corruption{File: HandoffName, Offset: s.at, Bytes: size - s.at, Reason: "torn end", IDs: names})
+			c.recovery.Torn = append(c.recovery.Torn, Corruption{File: HandoffName, Offset: s.offset, Bytes: size - s.offset, Reason: "torn end", IDs: names})
 			break
 		}
-		d := Corruption{File: HandoffName, Offset: s.at, Bytes: next - s.at, Reason: "unreadable", IDs: names}
-		d.Affected = c.concernAll(c.seq + 1)
-		c.report.Corruptions = append(c.report.Corruptions, d)
-		c.log.Error("log: damaged: what it may have concerned is held to have been sent", "file", d.File, "at", d.Offset, "bytes", d.Bytes, "ids", names)
-		s.at = next
+		d := Corruption{File: HandoffName, Offset: s.offset, Bytes: next - s.offset, Reason: "unreadable", IDs: names}
+		d.Affected = c.suspectAll(c.seq + 1)
+		c.recovery.Corruptions = append(c.recovery.Corruptions, d)
+		c.logger.Error("log: damaged: what it may have concerned is held to have been sent", "file", d.File, "at", d.Offset, "bytes", d.Bytes, "ids", names)
+		s.offset = next
 	}
 	return late
 }
 
-// tornAt reports whether what stands at the end is the beginning of a record, as
+// isTornEnd reports whether what stands at the end is the beginning of a record, as
 // a kill in the middle of its write leaves it, or nothing at all.
-func (s *HandoffLog) tornAt(scan *scanner) bool {
-	b := scan.window(s.at, headMost)
-	if scan.zeros(s.at, scan.size) {
+func (s *HandoffLog) isTornEnd(scan *scanner) bool {
+	b := scan.window(s.offset, maxRecordHeadBytes)
+	if scan.allZeros(s.offset, scan.size) {
 		return true
 	}
-	if s.old {
-		return len(b) < oldHead || string(b[:4]) == oldMark && s.at+oldHead+int64(binary.BigEndian.Uint32(b[4:])) > scan.size
+	if s.legacy {
+		return len(b) < legacyHeadSize || string(b[:4]) == legacyMark && s.offset+legacyHeadSize+int64(binary.BigEndian.Uint32(b[4:])) > scan.size
 	}
-	_, st := scan.record(s.at)
-	return st == torn || len(b) < headSize
+	_, st := scan.record(s.offset)
+	return st == recordTorn || len(b) < recordHeadSize
 }
 
-// takeIn books what a dead process told, and does without its side log.
-func (c *core) takeIn(late []*Record) error {
-	path := filepath.Join(c.o.Dir, HandoffName)
+// mergeHandoff books what a dead process told, and does without its side log.
+func (c *store) mergeHandoff(late []*Record) error {
+	path := filepath.Join(c.options.Dir, HandoffName)
 	if _, _, err := c.fs.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
-	c.forced = true // it has taken up as much already
-	defer func() { c.forced = false }()
+	c.spaceReserved = true // it has taken up as much already
+	defer func() { c.spaceReserved = false }()
 	for _, r := range late {
 		if r.Kind == KindOwner || r.Kind == KindHandoff {
 			continue
 		}
-		if err := c.append([]*Record{r})[0]; err != nil && err != ErrNotPending {
+		if err := c.appendRecords([]*Record{r})[0]; err != nil && err != ErrNotPending {
 			return fmt.Errorf("side log: not taken in: %w", err)
 		}
 	}
-	if len(c.report.Corruptions) > 0 { // what is held since stands nowhere else
+	if len(c.recovery.Corruptions) > 0 { // what is held since stands nowhere else
 		if err := c.finishCheckpoint(); err != nil {
 			return err
 		}
@@ -294,30 +294,30 @@
 	return nil
 }
 
-// sideDone has the log do without the side log of a process that has died since,
+// finishHandoff has the log do without the side log of a process that has died since,
 // all of which is in here.
-func (c *core) sideDone(s *HandoffLog) {
+func (c *store) finishHandoff(s *HandoffLog) {
 	c.limit += s.Capacity
-	if err := c.fs.Remove(filepath.Join(c.o.Dir, HandoffName)); err != nil {
-		c.log.Error("side log: not removed", "err", err)
+	if err := c.fs.Remove(filepath.Join(c.options.Dir, HandoffName)); err != nil {
+		c.logger.Error("side log: not removed", "err", err)
 	}
 	s.Close()
 }
 
-// shut closes what is open.
-func (c *core) shut() {
-	if c.after != nil {
-		c.after.f.Close()
-		c.after = nil
+// close closes what is open.
+func (c *store) close() {
+	if c.handoff != nil {
+		c.handoff.file.Close()
+		c.handoff = nil
 		return
 	}
 	if c.state != nil {
 		c.state.close()
 	}
-	if c.mark != nil {
-		if err := c.mark.Close(); err != nil {
-			c.log.Error("log: mark", "err", err)
+	if c.stampFile != nil {
+		if err := c.stampFile.Close(); err != nil {
+			c.logger.Error("log: mark", "err", err)
 		}
-		c.mark = nil
+		c.stampFile = nil
 	}
 }
--- a/internal/wal/side_test.go
+++ b/internal/wal/side_test.go
@@ -47,15 +47,15 @@
 	whole := t.TempDir()
 	l, _ := openTest(t, whole, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
-	if err := l.c.pass(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")}); err != nil {
+	if err := l.store.handOff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")}); err != nil {
 		t.Fatal(err)
 	}
 	mustAppend(t, l, taken("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
-	l.c.shut() // killed
+	l.store.close() // killed
 	sizes := map[string]int{}
 	copyFolder(t, whole, func(name string, b []byte) []byte { sizes[name] = len(b); return b })
 	for name, size := range sizes {
-		if strings.HasSuffix(name, markName) {
+		if strings.HasSuffix(name, stampName) {
 			continue
 		}
 		for cut := range size {
@@ -66,9 +66,9 @@
 				return b
 			})
 			l, first := openTest(t, dir, 1<<20)
-			l.c.shut()
+			l.store.close()
 			l, second := openTest(t, dir, 1<<20)
-			l.c.shut()
+			l.store.close()
 			if !slices.Equal(describe(first), describe(second)) {
 				t.Fatalf("%s cut at %d: %v, then %v", name, cut, describe(first), describe(second))
 			}
@@ -92,7 +92,7 @@
 	dir := t.TempDir()
 	old, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, old, taken("a", "A"), &Record{Kind: KindAttempt, ID: "a", At: 5, Endpoint: "s-1", Process: old.Process})
-	if err := old.c.pass(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
+	if err := old.store.handOff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
 	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, taken("b", "B"))
@@ -102,8 +102,8 @@
 	}
 	mustAppend(t, next, next.Handoff.Read()[1:]...) // its head is its own
 	mustAppend(t, next, &Record{Kind: KindAttempt, ID: "a", At: 9, Endpoint: "s-1", Process: next.Process}, &Record{Kind: KindCompleted, ID: "b"})
-	next.c.shut() // killed, and the old one, too
-	old.c.shut()
+	next.store.close() // killed, and the old one, too
+	old.store.close()
 	next.Handoff.Close()
 	if _, owed := openTest(t, dir, 1<<20); len(owed) != 1 || owed[0].ID != "a" || owed[0].Attempts != 2 || owed[0].UnknownOutcomeAt != 9 {
 		t.Errorf("%v", describe(owed))
@@ -118,26 +118,26 @@
 		old, _ := openTest(t, dir, limit)
 		body := strings.Repeat("b", 8<<10)
 		for i := 0; full || i < 4; i++ {
-			if old.c.append([]*Record{taken(strconv.Itoa(i), body)})[0] != nil {
+			if old.store.appendRecords([]*Record{taken(strconv.Itoa(i), body)})[0] != nil {
 				break
 			}
 		}
-		if err := old.c.pass(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte(strings.Repeat("m", 8<<10))}); err != nil {
+		if err := old.store.handOff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte(strings.Repeat("m", 8<<10))}); err != nil {
 			t.Fatal(err)
 		}
 		next, _ := openTest(t, dir, limit)
 		for i := range 400 {
-			old.c.append([]*Record{taken("o"+strconv.Itoa(i), body)})
-			next.c.append([]*Record{taken("n"+strconv.Itoa(i), body)})
-			if size := diskSize(t, dir); size+next.c.owed > limit {
-				t.Fatalf("full %v: %d on disk, %d for a checkpoint", full, size, next.c.owed)
+			old.store.appendRecords([]*Record{taken("o"+strconv.Itoa(i), body)})
+			next.store.appendRecords([]*Record{taken("n"+strconv.Itoa(i), body)})
+			if size := diskSize(t, dir); size+next.store.checkpointBytes > limit {
+				t.Fatalf("full %v: %d on disk, %d for a checkpoint", full, size, next.store.checkpointBytes)
 			}
 		}
 		for i := range 50 { // how its calls ended still fits
 			mustAppend(t, old, &Record{Kind: KindCompleted, ID: "o" + strconv.Itoa(i)})
 		}
-		old.c.shut()
-		next.c.shut()
+		old.store.close()
+		next.store.close()
 		next.Handoff.Close()
 	}
 }
@@ -148,11 +148,11 @@
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
-	if err := l.c.pass(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
+	if err := l.store.handOff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
 	mustAppend(t, l, taken("c", "C"), taken("d", "D"))
-	l.c.shut()
+	l.store.close()
 	at := -1
 	spoilt := copyFolder(t, dir, func(name string, b []byte) []byte {
 		if name == HandoffName {
@@ -177,7 +177,7 @@
 func oldRecord(r *Record) []byte {
 	line, _ := json.Marshal(r) // plain data
 	payload := append(append(line, '\n'), r.Body...)
-	b := append([]byte(oldMark), 0, 0, 0, 0, 0, 0, 0, 0)
+	b := append([]byte(legacyMark), 0, 0, 0, 0, 0, 0, 0, 0)
 	binary.BigEndian.PutUint32(b[4:], uint32(len(payload)))
 	binary.BigEndian.PutUint32(b[8:], crc32.ChecksumIEEE(payload))
 	return append(b, payload...)
@@ -230,12 +230,12 @@
 			t.Fatalf("an older program would take the log for its own: %v", err)
 		}
 		mustAppend(t, l, &Record{Kind: KindCompleted, ID: "e"})
-		l.c.shut()
+		l.store.close()
 		f.Close()
 		if l, owed = openTest(t, dir, 1<<20); living && len(owed) != len(want) || !living && len(owed) != len(want)-1 || !l.Recovery.Sound() {
 			t.Errorf("living %v, opened again: %q, found %+v", living, describe(owed), l.Recovery)
 		}
-		l.c.shut()
+		l.store.close()
 	}
 }
 
@@ -245,10 +245,10 @@
 	old := oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, taken("a", "A"), taken("b", "B"), &Record{Kind: KindCompleted, ID: "b"})
 	later := oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, taken("z", "Z"))
 	for what, files := range map[string]map[string][]byte{
-		"before the first":       {FolderName: old, FolderName + newSuffix + "/x": []byte("half")},
-		"between":                {FolderName + oldSuffix: old, FolderName + newSuffix + "/x": []byte("half")},
-		"and the older one ran":  {FolderName + oldSuffix: old, FolderName: later},
-		"and that was cut again": {FolderName + oldSuffix: old, FolderName + olderSuffix: later},
+		"before the first":       {FolderName: old, FolderName + temporarySuffix + "/x": []byte("half")},
+		"between":                {FolderName + legacySuffix: old, FolderName + temporarySuffix + "/x": []byte("half")},
+		"and the older one ran":  {FolderName + legacySuffix: old, FolderName: later},
+		"and that was cut again": {FolderName + legacySuffix: old, FolderName + secondLegacySuffix: later},
 	} {
 		dir := t.TempDir()
 		for name, b := range files {
@@ -260,7 +260,7 @@
 			}
 		}
 		want := []string{"a A 0 0 "}
-		if len(files) == 2 && files[FolderName+newSuffix+"/x"] == nil {
+		if len(files) == 2 && files[FolderName+temporarySuffix+"/x"] == nil {
 			want = append(want, "z Z 0 0 ")
 		}
 		for n := range 2 {
@@ -268,7 +268,7 @@
 			if got := describe(owed); !slices.Equal(got, want) {
 				t.Fatalf("%s, opened %d times: %q", what, n+1, got)
 			}
-			l.c.shut()
+			l.store.close()
 		}
 		names, err := os.ReadDir(dir)
 		if err != nil || len(names) != 1 {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -48,15 +48,15 @@
 	KindOwner      Kind = "mark"    // who writes from here on, and how much of a side log is in here
 	KindHandoff    Kind = "pass"    // the last record of a process that lives on: what its policy knows
 
-	held  Kind = "held"  // in a checkpoint: a message and its state
-	batch Kind = "batch" // begins what is synced together
-	seal  Kind = "seal"  // the last of a segment: which one follows
-	total Kind = "total" // the last of a checkpoint: how many it holds
+	kindMessageState  Kind = "held"  // in a checkpoint: a message and its state
+	kindBatchStart    Kind = "batch" // begins what is synced together
+	kindSegmentSeal   Kind = "seal"  // the last of a segment: which one follows
+	kindCheckpointEnd Kind = "total" // the last of a checkpoint: how many it holds
 )
 
-// settles reports whether a record tells of something that has happened already, so
+// isFact reports whether a record tells of something that has happened already, so
 // that it is kept where it cannot be written, and written before all later ones.
-func (k Kind) settles() bool {
+func (k Kind) isFact() bool {
 	return k == KindOutcome || k == KindCompleting || k == KindCompleted || k == KindOwner
 }
 
@@ -98,7 +98,7 @@
 	Ref  Ref    `json:"-"` // taken: where the log has it, once it is booked or was read
 	Sync bool   `json:"-"` // attempt: it must last over a loss of power before it goes out
 
-	living int // mark: the process whose side log is followed; 0 for none
+	livingProcess int // mark: the process whose side log is followed; 0 for none
 }
 
 // Ref names a message that is owed, for as long as it is owed and the log is open;
