--- a/internal/wal/checkpoint.go
+++ b/internal/wal/checkpoint.go
@@ -2,292 +2,289 @@
 
 import (
 	"fmt"
+	"io"
 	"path/filepath"
 )
 
-// checkpointWriter is a checkpoint that is being written, in slices between the batches of
-// the log. It may take in what was booked after it was begun: each message
-// carries the number of the last record that its state holds, and records up to
-// that are passed over when the log is read. An entry's record counts as moved
-// as soon as it is written; only what a restart finds waits for the whole.
+// checkpointWriter writes a checkpoint in slices, between the batches of the log. The
+// checkpoint is fuzzy: it may include records that came after it was begun. Each message
+// carries the sequence number of the last record that its state includes, and records up
+// to that are ignored when the log is read.
+//
+// An entry's record counts as moved to the checkpoint as soon as it is written there;
+// only what a restart finds waits until the checkpoint is installed.
 type checkpointWriter struct {
+	store           *store
 	file            *logFile
 	path            string
-	segment         uint32 // of the first segment that it does not cover
-	nextEntry       uint32 // entry to be written
+	segment         uint32 // the first that the checkpoint does not cover
+	nextEntry       uint32 // in the index
 	endEntry        uint32 // entries that there were at the beginning
-	records         uint64 // records so far
+	records         uint64 // so far
 	buffer          []byte
 	reader          messageReader
-	verifiedBytes   int64 // up to here the file was read again
+	verifiedBytes   int64
 	verifiedRecords uint64
-	complete        bool // whole
+	complete        bool // all is written
 }
 
-// startCheckpoint begins one. What is booked from here on goes into a new
-// segment.
-func (c *store) startCheckpoint() error {
-	if c.pendingCheckpoint != nil || c.failed != nil || c.handoff != nil {
-		return c.failed
-	}
-	if c.cur != nil && c.at == headerSize && c.checkpointFile != nil && c.checkpointFile.number == c.cur.number {
-		return nil // nothing was booked since the last one
-	}
-	if c.cur == nil || c.at > headerSize {
-		if err := c.startSegment(); err != nil {
-			return c.abortCheckpoint(err)
+// entriesPerSlice bounds the time of a slice that finds few entries in use.
+const entriesPerSlice = 1 << 16
+
+// startCheckpoint begins a checkpoint, where none is being written. What is recorded from
+// here on goes into a new segment.
+func (s *store) startCheckpoint() error {
+	if s.pendingCheckpoint != nil || s.syncer.err != nil || s.handoff != nil {
+		return s.syncer.err
+	}
+	current := s.segment.file
+	isEmpty := current != nil && current.size == headerSize
+	if isEmpty && s.checkpointFile != nil && s.checkpointFile.number == current.number {
+		return nil // nothing was recorded since the last one
+	}
+	if !isEmpty {
+		if err := s.startSegment(); err != nil {
+			return s.abortCheckpoint(err)
 		}
 	}
-	j := &checkpointWriter{segment: c.cur.number, endEntry: c.index.entryCount}
-	j.path = filepath.Join(c.dir, checkpointName(j.segment)+temporarySuffix)
-	src, err := c.createFile(j.path, header{kind: fileCheckpoint, durable: c.options.Durability == SurvivesPowerLoss, number: j.segment, firstSeq: c.seq + 1, process: uint32(c.process)})
+	number := s.segment.file.number
+	w := &checkpointWriter{store: s, segment: number, endEntry: s.index.entryCount}
+	w.path = filepath.Join(s.dir, checkpointName(number)+temporarySuffix)
+	file, err := s.createFile(w.path, s.newHeader(fileCheckpoint, number))
 	if err != nil {
-		return c.abortCheckpoint(err)
+		return s.abortCheckpoint(err)
 	}
-	j.file = c.addFile(src)
-	c.pendingCheckpoint = j
-	return c.addCheckpointRecord(&Record{Kind: KindOwner, ID: NoMessage, Process: c.process, HandoffOffset: c.state.handoffOffset}, nil)
+	w.file = s.addFile(file)
+	s.pendingCheckpoint = w
+	return w.add(&Record{Kind: KindOwner, ID: NoMessage, Process: s.process, HandoffOffset: s.handoffOffset}, nil)
 }
 
-func (c *store) abortCheckpoint(err error) error {
-	c.checkpointRetryBytes = c.logBytes() + c.compactionThreshold()/4
-	if j := c.pendingCheckpoint; j != nil {
-		// Entries may stand in the file by now: it stays open until a checkpoint succeeds.
-		c.pendingCheckpoint = nil
-		if rerr := c.fs.Remove(j.path); rerr == nil {
-			c.resize(j.path, 0)
+// abortCheckpoint gives up a checkpoint because of an error, and delays the next one.
+func (s *store) abortCheckpoint(err error) error {
+	s.checkpointRetryBytes = s.logBytes() + s.compactionThreshold()/4
+	if w := s.pendingCheckpoint; w != nil {
+		// Entries may refer to the file by now: it stays open until a checkpoint succeeds.
+		s.pendingCheckpoint = nil
+		if err := s.fs.Remove(w.path); err == nil {
+			s.usage.resize(w.path, 0)
 		}
 	}
-	return fmt.Errorf("log: checkpoint: %w", err)
-}
-
-func (c *store) addCheckpointRecord(r *Record, raw []byte) (err error) {
-	c.pendingCheckpoint.buffer, err = appendRecord(c.pendingCheckpoint.buffer, r, c.pendingCheckpoint.records+1, c.salt, raw)
-	if err == nil {
-		c.pendingCheckpoint.records++
-	}
-	return err
+	return fmt.Errorf("wal: checkpoint: %w", err)
 }
 
-// stepCheckpoint writes, or checks, so many bytes of it; done once there is
-// none, or it is in force.
-func (c *store) stepCheckpoint(most int) (done bool, err error) {
-	j := c.pendingCheckpoint
+// stepCheckpoint writes or verifies a slice of about sliceBytes, or installs the checkpoint.
+// done is true once it is installed, has failed, or there is none.
+func (s *store) stepCheckpoint(sliceBytes int) (done bool, err error) {
+	w := s.pendingCheckpoint
 	switch {
-	case j == nil:
+	case w == nil:
 		return true, nil
-	case !j.complete:
-		err = c.writeCheckpointSlice(j, most)
-	case j.verifiedBytes < j.file.size:
-		err = c.verifyCheckpointSlice(j, most)
+	case !w.complete:
+		err = w.writeSlice(sliceBytes)
+	case w.verifiedBytes < w.file.size:
+		err = w.verifySlice(sliceBytes)
 	default:
-		if err = c.installCheckpoint(j); err == nil {
+		if err = w.install(); err == nil {
 			return true, nil
 		}
 	}
 	if err != nil {
-		return true, c.abortCheckpoint(err)
+		return true, s.abortCheckpoint(err)
 	}
 	return false, nil
 }
 
-func (c *store) writeCheckpointSlice(j *checkpointWriter, most int) error {
-	type move struct {
-		i         uint32
-		off, size int
-	}
-	var moves []move
-	var r Record
-	for looked := 0; j.nextEntry < j.endEntry && len(j.buffer) < most && looked < 1<<16; looked++ {
-		i := j.nextEntry
-		j.nextEntry++
-		e := c.index.at(i)
-		if e.flags&entryLive == 0 {
-			continue
-		}
-		raw, err := c.readRecord(i, &j.reader, &r)
-		if err != nil && r.ID == "" {
-			return err
-		}
-		if err != nil { // whose it is, is certain; the rest is gone
-			c.logger.Error("log: message is lost", "id", r.ID, "err", err)
-			c.checkpointBytes -= c.entryBytes(i)
-			c.index.detail(i).corruptedID = r.ID
-			c.checkpointBytes += c.entryBytes(i)
-			r.Corrupted = true
-		}
-		r.Kind, r.At, r.Latency = kindMessageState, int64(e.seq), int64(e.seq+uint64(e.stateSeq))
-		start := len(j.buffer)
-		if err := c.addCheckpointRecord(&r, raw); err != nil {
+// finishCheckpoint makes a checkpoint at once, or finishes the one that is being written.
+func (s *store) finishCheckpoint() error {
+	if s.pendingCheckpoint == nil {
+		if err := s.startCheckpoint(); err != nil {
 			return err
 		}
-		moves = append(moves, move{i, start, len(j.buffer) - start})
 	}
-	if j.nextEntry == j.endEntry {
-		if err := c.addCheckpointRecord(&Record{Kind: kindCheckpointEnd, ID: NoMessage, At: int64(j.records)}, nil); err != nil {
+	for {
+		if done, err := s.stepCheckpoint(checkpointSliceBytes); done || err != nil {
 			return err
 		}
 	}
-	at := j.file.size
-	if n, err := j.file.file.WriteAt(j.buffer, at); err != nil || n < len(j.buffer) {
-		return fmt.Errorf("%s: %d of %d bytes written: %w", j.file.name, n, len(j.buffer), err)
+}
+
+// compact continues a checkpoint, or begins one that is due. It reports whether there is
+// more to do.
+func (s *store) compact() (more bool) {
+	if s.handoff != nil || s.syncer.err != nil {
+		return false
 	}
-	j.file.size += int64(len(j.buffer))
-	c.resize(j.path, j.file.size)
-	if c.options.Durability == SurvivesPowerLoss {
-		if err := c.syncFile(j.file); err != nil {
-			return err
+	if s.pendingCheckpoint == nil {
+		due := max(s.compactionThreshold(), compactionFactor*s.checkpointBytes, s.checkpointRetryBytes)
+		if s.logBytes() <= due {
+			return false
 		}
-	}
-	for _, m := range moves {
-		if e := c.index.at(m.i); c.index.details[m.i] == nil || c.index.details[m.i].corruptedID == "" {
-			c.checkpointBytes -= c.entryBytes(m.i)
-			e.fileRef, e.offset, e.size = j.file.ref, uint32(at)+uint32(m.off), uint32(m.size)
-			c.checkpointBytes += c.entryBytes(m.i)
+		if err := s.startCheckpoint(); err != nil {
+			s.logCheckpointFailure(err)
+			return false
 		}
 	}
-	j.buffer = j.buffer[:0]
-	j.complete = j.nextEntry == j.endEntry
-	j.verifiedBytes = headerSize
-	return nil
+	done, err := s.stepCheckpoint(checkpointSliceBytes)
+	if err != nil {
+		s.logCheckpointFailure(err)
+	}
+	return !done
 }
 
-// verifyCheckpointSlice reads what was written once more.
-func (c *store) verifyCheckpointSlice(j *checkpointWriter, most int) error {
-	scan := j.reader.scannerOf(j.file)
-	scan.size = j.file.size
-	for end := j.verifiedBytes + int64(most); j.verifiedBytes < min(end, j.file.size); {
-		rec, st := scan.record(j.verifiedBytes)
-		if st != recordValid || rec.seq != j.verifiedRecords+1 {
-			return fmt.Errorf("%s: written, but not readable at %d", j.file.name, j.verifiedBytes)
-		}
-		j.verifiedRecords++
-		j.verifiedBytes += rec.size
+func (s *store) logCheckpointFailure(err error) { s.logger.Error("checkpoint failed", "err", err) }
+
+// add encodes a record into the buffer. message is that of a kindMessageState record.
+func (w *checkpointWriter) add(r *Record, message []byte) (err error) {
+	w.buffer, err = appendRecord(w.buffer, r, w.records+1, w.store.salt, message)
+	if err == nil {
+		w.records++
 	}
-	return nil
+	return err
+}
+
+// relocatedRecord is where an entry's record stands in the buffer.
+type relocatedRecord struct {
+	entry        uint32
+	offset, size int
 }
 
-// installCheckpoint puts the checkpoint in force; what it makes useless goes.
-func (c *store) installCheckpoint(j *checkpointWriter) error {
-	name := checkpointName(j.segment)
-	path := filepath.Join(c.dir, name)
-	if err := c.fs.Rename(j.path, path); err != nil {
+// writeSlice writes the messages of the next entries, and the checkpoint's end after the
+// last one.
+func (w *checkpointWriter) writeSlice(sliceBytes int) error {
+	relocated, err := w.encodeEntries(sliceBytes)
+	if err != nil {
 		return err
 	}
-	size := j.file.size
-	c.resize(j.path, 0)
-	c.resize(path, size)
-	if c.options.Durability == SurvivesPowerLoss {
-		if err := c.syncDir(); err != nil {
+	if w.nextEntry == w.endEntry {
+		if err := w.add(&Record{Kind: kindCheckpointEnd, ID: NoMessage, At: int64(w.records)}, nil); err != nil {
 			return err
 		}
 	}
-	j.file.name = name
-	c.checkpointFile, c.pendingCheckpoint, c.checkpointRetryBytes = j.file, nil, 0
-	var kept []*logFile
-	for _, src := range c.segments {
-		if src.number >= j.segment {
-			kept = append(kept, src)
-		}
+	start := w.file.size
+	if err := w.flush(); err != nil {
+		return err
 	}
-	c.segments = kept
-	for ref, src := range c.files {
-		if src == j.file || src.kind == fileSegment && src.number >= j.segment && !src.legacy {
-			continue
-		}
-		src.file.Close()
-		delete(c.files, ref)
-		if !src.legacy && src.name != filepath.Base(j.path) && src.name != name {
-			c.removeFile(src.name)
+	s := w.store
+	for _, m := range relocated {
+		if d := s.index.details[m.entry]; d == nil || d.corruptedID == "" {
+			s.relocate(m.entry, recordPlace{w.file, start + int64(m.offset), int64(m.size)})
 		}
 	}
+	w.complete = w.nextEntry == w.endEntry
+	w.verifiedBytes = headerSize
 	return nil
 }
 
-// finishCheckpoint makes one at once, or ends the one that is being written.
-func (c *store) finishCheckpoint() error {
-	if c.pendingCheckpoint == nil {
-		if err := c.startCheckpoint(); err != nil {
-			return err
+// encodeEntries puts the next entries' messages into the buffer, up to about sliceBytes.
+func (w *checkpointWriter) encodeEntries(sliceBytes int) (relocated []relocatedRecord, err error) {
+	var r Record
+	for visited := 0; w.nextEntry < w.endEntry && len(w.buffer) < sliceBytes && visited < entriesPerSlice; visited++ {
+		i := w.nextEntry
+		w.nextEntry++
+		e := w.store.index.at(i)
+		if e.flags&entryLive == 0 {
+			continue
 		}
-	}
-	for {
-		if done, err := c.stepCheckpoint(checkpointSliceBytes); done || err != nil {
-			return err
+		message, err := w.readEntry(i, &r)
+		if err != nil {
+			return nil, err
 		}
+		r.Kind, r.At, r.Latency = kindMessageState, int64(e.seq), int64(e.lastSeq()) // see appendMessageState
+		start := len(w.buffer)
+		if err := w.add(&r, message); err != nil {
+			return nil, err
+		}
+		relocated = append(relocated, relocatedRecord{i, start, len(w.buffer) - start})
 	}
+	return relocated, nil
 }
 
-// compact goes on with a checkpoint, or begins one that is due.
-func (c *store) compact() (more bool) {
-	if c.handoff != nil || c.failed != nil {
-		return false
+// readEntry reads an entry's message. One whose record cannot be read any more is lost,
+// where its id at least is certain.
+func (w *checkpointWriter) readEntry(i uint32, r *Record) (message []byte, err error) {
+	s := w.store
+	message, err = s.readRecord(i, &w.reader, r)
+	if err == nil {
+		return message, nil
 	}
-	if c.pendingCheckpoint == nil {
-		if n := c.logBytes(); n <= max(c.compactionThreshold(), 4*c.checkpointBytes, c.checkpointRetryBytes) {
-			return false
-		}
-		if err := c.startCheckpoint(); err != nil {
-			c.logger.Error("log: no checkpoint", "err", err)
-			return false
-		}
+	if r.ID == "" {
+		return nil, err
+	}
+	s.logger.Error("message lost", "id", r.ID, "err", err)
+	s.markCorrupted(i, r.ID)
+	r.Corrupted = true
+	return nil, nil
+}
+
+// flush writes the buffer to the end of the file.
+func (w *checkpointWriter) flush() error {
+	s := w.store
+	n, err := w.file.file.WriteAt(w.buffer, w.file.size)
+	if err == nil && n < len(w.buffer) {
+		err = io.ErrShortWrite
 	}
-	done, err := c.stepCheckpoint(checkpointSliceBytes)
 	if err != nil {
-		c.logger.Error("log: no checkpoint", "err", err)
+		return fmt.Errorf("%s: %d of %d bytes written: %w", w.file.name, n, len(w.buffer), err)
 	}
-	return !done
+	w.file.size += int64(len(w.buffer))
+	w.buffer = w.buffer[:0]
+	s.usage.resize(w.path, w.file.size)
+	return s.syncer.syncFile(w.file)
 }
 
-// convertLegacy puts what an older program left into this form, in one step for
-// whoever looks at the folder: its file makes room for the log's folder, which
-// that program cannot mistake for its own.
-func (c *store) convertLegacy() error {
-	dir := filepath.Join(c.options.Dir, FolderName)
-	c.dir = dir + temporarySuffix
-	step := func(err error) error {
-		if err != nil {
-			return fmt.Errorf("log: carried over: %w", err)
+// verifySlice reads a slice of what was written.
+func (w *checkpointWriter) verifySlice(sliceBytes int) error {
+	scan := w.reader.scannerOf(w.file)
+	scan.size = w.file.size
+	end := min(w.verifiedBytes+int64(sliceBytes), w.file.size)
+	for w.verifiedBytes < end {
+		rec, status := scan.record(w.verifiedBytes)
+		if status != recordValid || rec.seq != w.verifiedRecords+1 {
+			return fmt.Errorf("%s: written, but not readable at %d", w.file.name, w.verifiedBytes)
 		}
-		return nil
+		w.verifiedRecords++
+		w.verifiedBytes += rec.size
 	}
-	if err := step(c.fs.Remove(c.dir)); err != nil {
-		return err
-	}
-	if err := step(c.fs.MakeDir(c.dir)); err != nil {
+	return nil
+}
+
+// install puts the checkpoint in force and removes the files that it replaces.
+func (w *checkpointWriter) install() error {
+	s := w.store
+	name := checkpointName(w.segment)
+	path := filepath.Join(s.dir, name)
+	if err := s.fs.Rename(w.path, path); err != nil {
 		return err
 	}
-	if err := step(c.finishCheckpoint()); err != nil {
+	s.usage.resize(w.path, 0)
+	s.usage.resize(path, w.file.size)
+	if err := s.syncer.syncDir(s.dir); err != nil {
 		return err
 	}
-	c.dir = dir
-	if c.options.Durability == SurvivesPowerLoss {
-		if err := step(c.fs.SyncDir(dir + temporarySuffix)); err != nil {
-			return err
-		}
-	}
-	to := dir + legacySuffix
-	if _, _, err := c.fs.Stat(to); err == nil {
-		to = dir + secondLegacySuffix
-	}
-	if _, _, err := c.fs.Stat(dir); err == nil {
-		if err := step(c.fs.Rename(dir, to)); err != nil {
-			return err
+	w.file.name = name
+	s.checkpointFile, s.pendingCheckpoint, s.checkpointRetryBytes = w.file, nil, 0
+	w.removeReplaced()
+	return nil
+}
+
+// removeReplaced closes and removes the files that the checkpoint covers.
+func (w *checkpointWriter) removeReplaced() {
+	s := w.store
+	var segments []*logFile
+	for _, f := range s.segments {
+		if f.number >= w.segment {
+			segments = append(segments, f)
 		}
 	}
-	if err := step(c.fs.Rename(dir+temporarySuffix, dir)); err != nil {
-		return err
-	}
-	if c.options.Durability == SurvivesPowerLoss {
-		if err := step(c.fs.SyncDir(c.options.Dir)); err != nil {
-			return err
+	s.segments = segments
+	for ref, f := range s.files {
+		if f == w.file || f.kind == fileSegment && f.number >= w.segment && !f.legacy {
+			continue
 		}
-	}
-	for _, suffix := range []string{legacySuffix, secondLegacySuffix} {
-		if err := c.fs.Remove(dir + suffix); err != nil {
-			c.logger.Error("log: older log not removed", "err", err)
+		f.file.Close()
+		delete(s.files, ref)
+		if !f.legacy && f.name != filepath.Base(w.path) && f.name != w.file.name {
+			s.removeFile(f.name)
 		}
 	}
-	c.logger.Info("log: carried over from an older program", "owed", c.index.live)
-	return nil
 }
--- /dev/null
+++ b/internal/wal/conversion.go
@@ -0,0 +1,63 @@
+package wal
+
+import "fmt"
+
+// convertLegacy writes what a legacy program left in the present format. For whoever
+// looks at the state folder it happens in one step: the legacy file gives way to the
+// log's folder, which the legacy program cannot take for its own.
+func (s *store) convertLegacy() error {
+	folder := s.dir
+	s.dir = folder + temporarySuffix
+	if err := s.writeConverted(); err != nil {
+		return fmt.Errorf("wal: convert legacy log: %w", err)
+	}
+	s.dir = folder
+	if err := s.installConverted(); err != nil {
+		return fmt.Errorf("wal: convert legacy log: %w", err)
+	}
+	for _, suffix := range []string{legacySuffix, secondLegacySuffix} {
+		if err := s.fs.Remove(folder + suffix); err != nil {
+			s.logger.Error("legacy log not removed", "err", err)
+		}
+	}
+	s.logger.Info("legacy log converted", "pending", s.index.live)
+	return nil
+}
+
+// writeConverted makes a checkpoint in a temporary folder.
+func (s *store) writeConverted() error {
+	if err := s.fs.Remove(s.dir); err != nil {
+		return err
+	}
+	if err := s.fs.MakeDir(s.dir); err != nil {
+		return err
+	}
+	return s.finishCheckpoint()
+}
+
+// installConverted renames the legacy file out of the way and the temporary folder into
+// its place.
+func (s *store) installConverted() error {
+	converted := s.dir + temporarySuffix
+	if s.syncer.enabled {
+		if err := s.fs.SyncDir(converted); err != nil {
+			return err
+		}
+	}
+	legacy := s.dir + legacySuffix
+	if _, _, err := s.fs.Stat(legacy); err == nil {
+		legacy = s.dir + secondLegacySuffix
+	}
+	if _, _, err := s.fs.Stat(s.dir); err == nil {
+		if err := s.fs.Rename(s.dir, legacy); err != nil {
+			return err
+		}
+	}
+	if err := s.fs.Rename(converted, s.dir); err != nil {
+		return err
+	}
+	if !s.syncer.enabled {
+		return nil
+	}
+	return s.fs.SyncDir(s.options.Dir)
+}
--- a/internal/wal/cutfs/cutfs.go
+++ b/internal/wal/cutfs/cutfs.go
@@ -391,7 +391,7 @@
 
 // Cut gives the file system as it comes up after its power was lost, when of what
 // was pending that stays for which keep says so, by its place in their order.
-func (f *FS) Cut(keep func(i int) bool) *FS {
+func (f *FS) Cut(survives func(i int) bool) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	data := map[*inode][]byte{}
@@ -407,7 +407,7 @@
 	}
 	for i, p := range f.pending() {
 		switch {
-		case !keep(i):
+		case !survives(i):
 		case p.name != nil:
 			p.name.apply(names)
 		case p.data == nil:
--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -140,19 +140,19 @@
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
-	whole := l.store.at
+	whole := l.store.segment.file.size
 	for _, torn := range [][]byte{{0xf7}, []byte(recordMark + "\x00\x00"), func() []byte {
 		b, _ := appendRecord(nil, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, l.store.seq+1, l.store.salt, nil)
 		return b[:len(b)-3]
 	}()} {
-		if _, err := l.store.cur.file.WriteAt(torn, whole); err != nil {
+		if _, err := l.store.segment.file.file.WriteAt(torn, whole); err != nil {
 			t.Fatal(err)
 		}
 		report, err := Inspect(nil, dir)
 		if err != nil || !report.Sound() || len(report.Torn) != 1 || report.Pending != 2 {
 			t.Fatalf("%v, %+v", err, report)
 		}
-		if err := l.store.cur.file.Truncate(whole); err != nil {
+		if err := l.store.segment.file.file.Truncate(whole); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -164,9 +164,9 @@
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
-	whole := l.store.at
+	whole := l.store.segment.file.size
 	mustAppend(t, l, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, &Record{Kind: KindOutcome, ID: "b"})
-	if err := l.store.cur.file.Truncate(whole); err != nil {
+	if err := l.store.segment.file.file.Truncate(whole); err != nil {
 		t.Fatal(err)
 	}
 	l.store.close()
@@ -385,8 +385,7 @@
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		s := &HandoffLog{salt: 7}
-		if r, n := s.decode(b); n > len(b) || (r == nil) != (n == 0) {
+		if r, n := (recordDecoder{salt: 7}).decode(b); n > len(b) || (r == nil) != (n == 0) {
 			t.Fatalf("%d bytes of %d: %+v", n, len(b), r)
 		}
 		var r Record
--- /dev/null
+++ b/internal/wal/encode.go
@@ -0,0 +1,167 @@
+package wal
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+)
+
+// A record is a head of fixed size, the id of its message and a payload. One checksum
+// covers the head and the id, another the payload, so that corruption of a body leaves
+// certain which message it was. Checksums are salted with the log's random owner: bytes
+// that a client sends can never be read as a record, nor can a record of another relay.
+const (
+	recordMark         = "\xf7TR2"
+	recordHeadSize     = 28
+	maxRecordHeadBytes = recordHeadSize + maxIDBytes
+	maxIDBytes         = 256
+	maxRecordBytes     = 160 << 10 // of id and payload; longer than any record
+)
+
+// Offsets in the head of a record.
+const (
+	recordLengthAt       = 4 // of id and payload
+	recordSeqAt          = 8
+	recordKindAt         = 16
+	recordIDLengthAt     = 18
+	recordHeadChecksumAt = 20
+	recordChecksumAt     = 24
+)
+
+// kindsByNumber gives the kinds as records store them.
+var kindsByNumber = []Kind{
+	1:  KindAccepted,
+	2:  KindAttempt,
+	3:  KindOutcome,
+	4:  KindCompleting,
+	5:  KindCompleted,
+	6:  KindOwner,
+	7:  KindHandoff,
+	8:  kindMessageState,
+	9:  kindBatchStart,
+	10: kindSegmentSeal,
+	11: kindCheckpointEnd,
+}
+
+var numberOfKind = func() map[Kind]byte {
+	numbers := map[Kind]byte{}
+	for i, k := range kindsByNumber {
+		numbers[k] = byte(i)
+	}
+	return numbers
+}()
+
+// appendRecord encodes r at the end of b. message is the encoded message of a
+// kindMessageState record.
+func appendRecord(b []byte, r *Record, seq uint64, salt uint32, message []byte) ([]byte, error) {
+	if len(r.ID) > maxIDBytes {
+		return b, fmt.Errorf("wal: id of %d bytes is too long", len(r.ID))
+	}
+	start := len(b)
+	b = append(b, recordMark...)
+	b = append(b, 0, 0, 0, 0) // the length
+	b = binary.BigEndian.AppendUint64(b, seq)
+	b = append(b, numberOfKind[r.Kind], 0)
+	b = binary.BigEndian.AppendUint16(b, uint16(len(r.ID)))
+	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // the checksums
+	b = append(b, r.ID...)
+	payload := len(b)
+	b = appendPayload(b, r, message)
+	length := len(b) - start - recordHeadSize
+	if length > maxRecordBytes {
+		return b[:start], fmt.Errorf("wal: record of %d bytes is too long", length)
+	}
+	binary.BigEndian.PutUint32(b[start+recordLengthAt:], uint32(length))
+	sum := headChecksum(b[start:], salt, len(r.ID))
+	binary.BigEndian.PutUint32(b[start+recordHeadChecksumAt:], sum)
+	binary.BigEndian.PutUint32(b[start+recordChecksumAt:], crc32.Update(sum, castagnoli, b[payload:]))
+	return b, nil
+}
+
+// headChecksum covers the head of the record at the start of b, and its id.
+func headChecksum(b []byte, salt uint32, idLength int) uint32 {
+	sum := crc32.Update(salt, castagnoli, b[recordLengthAt:recordHeadChecksumAt])
+	return crc32.Update(sum, castagnoli, b[recordHeadSize:recordHeadSize+idLength])
+}
+
+func appendPayload(b []byte, r *Record, message []byte) []byte {
+	b = binary.AppendUvarint(b, uint64(r.HandoffOffset))
+	switch r.Kind {
+	case KindAccepted:
+		return appendMessage(b, r)
+	case kindMessageState:
+		b = appendMessageState(b, r)
+		return append(b, message...)
+	case KindAttempt:
+		b = binary.AppendVarint(b, r.At)
+		b = binary.AppendVarint(b, int64(r.Zone))
+		b = binary.AppendUvarint(b, uint64(r.Process))
+		return appendString(b, r.Endpoint)
+	case KindOutcome, KindCompleted:
+		return appendOutcome(b, r)
+	case KindCompleting:
+		b = appendString(b, r.Notice)
+		return binary.AppendVarint(b, r.RetryMS)
+	case KindOwner:
+		b = binary.AppendUvarint(b, uint64(r.Process))
+		b = binary.AppendVarint(b, r.HandoffCapacity)
+		return binary.AppendUvarint(b, uint64(r.livingProcess))
+	case KindHandoff:
+		return append(b, r.Body...)
+	case kindBatchStart, kindSegmentSeal, kindCheckpointEnd:
+		return binary.AppendUvarint(b, uint64(r.At))
+	}
+	return b
+}
+
+// appendMessageState encodes the state of a checkpoint's message. At and Latency hold
+// sequence numbers there: of the message's accepted record, and of the last record that
+// the state includes.
+func appendMessageState(b []byte, r *Record) []byte {
+	b = binary.AppendUvarint(b, uint64(r.At))
+	b = binary.AppendUvarint(b, uint64(r.Latency))
+	b = binary.AppendUvarint(b, uint64(r.Attempts))
+	b = binary.AppendVarint(b, r.UnknownOutcomeAt)
+	b = binary.AppendVarint(b, int64(r.UnknownOutcomeZone))
+	b = binary.AppendVarint(b, r.InFlightSince)
+	b = binary.AppendVarint(b, int64(r.InFlightZone))
+	b = binary.AppendUvarint(b, uint64(r.InFlightProcess))
+	b = appendString(b, r.InFlightEndpoint)
+	b = appendString(b, r.Notice)
+	b = binary.AppendVarint(b, r.RetryMS)
+	return appendBool(b, r.Corrupted)
+}
+
+func appendOutcome(b []byte, r *Record) []byte {
+	b = appendBool(b, r.MayHaveRun)
+	b = append(b, r.OutcomeCode)
+	b = binary.AppendVarint(b, r.RetryAt)
+	b = binary.AppendVarint(b, r.Latency)
+	b = appendBool(b, r.CallsExhausted)
+	if r.LocalFailure { // older programs neither write nor read it
+		b = appendBool(b, true)
+	}
+	return b
+}
+
+// appendMessage encodes what a message is, apart from its state.
+func appendMessage(b []byte, r *Record) []byte {
+	b = appendString(b, r.Class)
+	b = appendString(b, r.Tenant)
+	b = appendString(b, r.Key)
+	b = binary.AppendUvarint(b, uint64(r.Dest))
+	b = binary.AppendVarint(b, r.Deadline)
+	return append(b, r.Body...)
+}
+
+func appendString(b []byte, s string) []byte {
+	b = binary.AppendUvarint(b, uint64(len(s)))
+	return append(b, s...)
+}
+
+func appendBool(b []byte, v bool) []byte {
+	if v {
+		return append(b, 1)
+	}
+	return append(b, 0)
+}
--- /dev/null
+++ b/internal/wal/handoffwriter.go
@@ -0,0 +1,104 @@
+package wal
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"path/filepath"
+)
+
+// Parts of the limit for a handoff log.
+const (
+	handoffReserve   = 16 << 10           // bytes that are never used for new messages
+	minHandoffBytes  = 2 * handoffReserve // it gets at least
+	handoffsPerLimit = 4                  // it gets at most this part of the limit
+)
+
+// errHandoffLocked: another process has a handoff log in the folder.
+var errHandoffLocked = errors.New("locked by another process")
+
+// handoffWriter writes the handoff log of this process. The lock on its file tells that
+// the process lives.
+type handoffWriter struct {
+	file     File
+	size     int64
+	capacity int64
+	seq      uint64
+	salt     uint32
+	buffer   []byte
+}
+
+// startHandoff ends this process's ownership of the log with a record. All that it appends from
+// here on goes into a handoff log. Where it fails, the log is left as it was.
+func (s *store) startHandoff(r *Record) error {
+	if err := s.finishCheckpoint(); err != nil {
+		return err
+	}
+	path := filepath.Join(s.options.Dir, HandoffName)
+	f, err := s.fs.Open(path, ModeCreate)
+	if err != nil {
+		return fmt.Errorf("wal: handoff log: %w", err)
+	}
+	w := &handoffWriter{file: f, capacity: s.handoffCapacity(), salt: s.salt, size: headerSize}
+	if err := s.beginHandoff(w, r); err != nil {
+		f.Close()
+		s.fs.Remove(path)
+		return fmt.Errorf("wal: handoff log: %w", err)
+	}
+	s.close()
+	s.handoff = w
+	return nil
+}
+
+// handoffCapacity is how long a handoff log may become. The next process makes
+// checkpoints, too: what it needs for that is not given away.
+func (s *store) handoffCapacity() int64 {
+	limit := s.limit - s.usage.quarantined
+	free := limit - 2*s.checkpointBytes - roundingReserve - completionReserve
+	return max(min(limit/handoffsPerLimit, free), minHandoffBytes)
+}
+
+// beginHandoff locks the handoff log, writes its head, and then ends the log.
+func (s *store) beginHandoff(w *handoffWriter, r *Record) error {
+	locked, err := w.file.TryLock()
+	if err != nil {
+		return err
+	}
+	if !locked {
+		return errHandoffLocked
+	}
+	h := header{kind: fileHandoff, owner: s.owner, process: uint32(s.process), firstSeq: 1}
+	s.stampHeader(&h)
+	if _, err := w.file.WriteAt(h.encode(), 0); err != nil {
+		return err
+	}
+	if err := w.append(&Record{Kind: KindOwner, ID: NoMessage, Process: s.process, HandoffCapacity: w.capacity}); err != nil {
+		return err
+	}
+	return s.appendRecords([]*Record{r})[0]
+}
+
+// append writes a record; ErrFull where there is no space for it.
+func (w *handoffWriter) append(r *Record) error {
+	var err error
+	if w.buffer, err = appendRecord(w.buffer[:0], r, w.seq+1, w.salt, nil); err != nil {
+		return err
+	}
+	free := w.capacity
+	if r.Kind == KindAccepted {
+		free -= handoffReserve
+	}
+	if w.size+int64(len(w.buffer)) > free {
+		return ErrFull
+	}
+	n, err := w.file.WriteAt(w.buffer, w.size)
+	if err == nil && n < len(w.buffer) {
+		err = io.ErrShortWrite
+	}
+	if err != nil {
+		return errors.Join(fmt.Errorf("wal: handoff log: %d of %d bytes written: %w", n, len(w.buffer), err), w.file.Truncate(w.size))
+	}
+	w.size += int64(len(w.buffer))
+	w.seq++
+	return nil
+}
--- /dev/null
+++ b/internal/wal/header.go
@@ -0,0 +1,123 @@
+package wal
+
+import (
+	"bytes"
+	"encoding/binary"
+	"hash/crc32"
+)
+
+// A file begins with two copies of its header, so that one corrupted byte does not make
+// the whole file unreadable.
+const (
+	formatVersion  = 1
+	headerCopySize = 64
+	headerSize     = 2 * headerCopySize
+)
+
+// Offsets in a copy of the header.
+const (
+	headerVersionAt        = 8
+	headerKindAt           = 10
+	headerDurableAt        = 11
+	headerNumberAt         = 12
+	headerFirstSeqAt       = 16
+	headerOwnerAt          = 24
+	headerProcessAt        = 40
+	headerCreatedAt        = 44
+	headerCreatedLogTimeAt = 52
+	headerChecksumAt       = 60
+)
+
+var (
+	fileMagic  = []byte("\xf7TRLOG\r\n")
+	castagnoli = crc32.MakeTable(crc32.Castagnoli)
+)
+
+// ownerID is drawn at random for each log and stands in the header of all its files.
+type ownerID [headerProcessAt - headerOwnerAt]byte
+
+// salt is the part of an owner that the checksums of its records, and the stamp, contain.
+func (o ownerID) salt() uint32 { return binary.BigEndian.Uint32(o[:4]) }
+
+type fileKind uint8
+
+const (
+	fileSegment fileKind = iota + 1
+	fileCheckpoint
+	fileHandoff
+)
+
+// String names the kind as a RecoveryReport does.
+func (k fileKind) String() string {
+	return [...]string{"", "segment", "checkpoint", "side log"}[min(k, fileHandoff)]
+}
+
+// header is what a file says of itself.
+type header struct {
+	version        uint16
+	kind           fileKind
+	durable        bool   // written with SurvivesPowerLoss
+	number         uint32 // of a segment; of a checkpoint, the first segment that it does not cover
+	firstSeq       uint64 // sequence number of its first record; of a checkpoint, the first that it does not cover
+	owner          ownerID
+	process        uint32
+	createdAt      int64 // wall clock: Unix microseconds
+	createdLogTime int64 // the same moment in log time; 0 where an older program created the file
+}
+
+// encode gives both copies.
+func (h *header) encode() []byte {
+	b := make([]byte, headerCopySize, headerSize)
+	copy(b, fileMagic)
+	binary.BigEndian.PutUint16(b[headerVersionAt:], formatVersion)
+	b[headerKindAt] = byte(h.kind)
+	if h.durable {
+		b[headerDurableAt] = 1
+	}
+	binary.BigEndian.PutUint32(b[headerNumberAt:], h.number)
+	binary.BigEndian.PutUint64(b[headerFirstSeqAt:], h.firstSeq)
+	copy(b[headerOwnerAt:headerProcessAt], h.owner[:])
+	binary.BigEndian.PutUint32(b[headerProcessAt:], h.process)
+	binary.BigEndian.PutUint64(b[headerCreatedAt:], uint64(h.createdAt))
+	binary.BigEndian.PutUint64(b[headerCreatedLogTimeAt:], uint64(h.createdLogTime))
+	sealHeaderCopy(b)
+	return append(b, b...)
+}
+
+// sealHeaderCopy writes the checksum of one copy.
+func sealHeaderCopy(b []byte) {
+	binary.BigEndian.PutUint32(b[headerChecksumAt:], crc32.Checksum(b[:headerChecksumAt], castagnoli))
+}
+
+// decodeHeader reads the first valid copy and counts the valid ones.
+func decodeHeader(b []byte) (h header, valid int) {
+	for at := 0; at+headerCopySize <= len(b) && at < headerSize; at += headerCopySize {
+		c := b[at : at+headerCopySize]
+		if !isValidHeaderCopy(c) {
+			continue
+		}
+		if valid++; valid == 1 {
+			h = parseHeaderCopy(c)
+		}
+	}
+	return h, valid
+}
+
+func isValidHeaderCopy(b []byte) bool {
+	return bytes.Equal(b[:len(fileMagic)], fileMagic) &&
+		crc32.Checksum(b[:headerChecksumAt], castagnoli) == binary.BigEndian.Uint32(b[headerChecksumAt:])
+}
+
+func parseHeaderCopy(b []byte) header {
+	return header{
+		version:        binary.BigEndian.Uint16(b[headerVersionAt:]),
+		kind:           fileKind(b[headerKindAt]),
+		durable:        b[headerDurableAt] == 1,
+		number:         binary.BigEndian.Uint32(b[headerNumberAt:]),
+		firstSeq:       binary.BigEndian.Uint64(b[headerFirstSeqAt:]),
+		owner:          ownerID(b[headerOwnerAt:headerProcessAt]),
+		process:        binary.BigEndian.Uint32(b[headerProcessAt:]),
+		createdAt:      int64(binary.BigEndian.Uint64(b[headerCreatedAt:])),
+		createdLogTime: int64(binary.BigEndian.Uint64(b[headerCreatedLogTimeAt:])),
+	}
+}
--- /dev/null
+++ b/internal/wal/import.go
@@ -0,0 +1,163 @@
+package wal
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+)
+
+// importSuffix marks an exported file that is being imported.
+const importSuffix = ".importing"
+
+// Import puts an exported log into a folder that holds none, and consumes the file, so
+// that it cannot be imported twice. An import that was cut short is repeated from
+// FILE.importing. The caller holds the folder's lock. Errors: ErrNotEmpty, ErrNotExport
+// and ErrCorruptExport, with a report of what was found.
+func Import(from, dir string) (*RecoveryReport, error) {
+	if err := checkImportFolder(dir); err != nil {
+		return nil, err
+	}
+	r, h, err := replayExport(from)
+	if r == nil {
+		return nil, fmt.Errorf("wal: import: %w", err)
+	}
+	r.closeFiles()
+	if err != nil {
+		return &r.recovery, fmt.Errorf("wal: import: %w", err)
+	}
+	claimed := from
+	if !strings.HasSuffix(from, importSuffix) {
+		claimed = from + importSuffix
+		if err := os.Rename(from, claimed); err != nil {
+			return nil, fmt.Errorf("wal: import: %w", err)
+		}
+	}
+	if err := installImport(claimed, dir, h); err != nil {
+		return nil, fmt.Errorf("wal: import: %w", err)
+	}
+	return &r.recovery, nil
+}
+
+// checkImportFolder refuses a folder that is fenced or has messages.
+func checkImportFolder(dir string) error {
+	fence, err := ReadFence(dir)
+	if fence != nil || err != nil {
+		return errors.Join(fmt.Errorf("wal: import: %s is fenced: %w", dir, ErrNotEmpty), err)
+	}
+	if _, err := os.Stat(filepath.Join(dir, FolderName)); err != nil {
+		return nil // there is no log
+	}
+	report, err := Inspect(nil, dir)
+	if err != nil {
+		return err
+	}
+	if report.Pending > 0 || !report.Sound() {
+		return fmt.Errorf("wal: import: %s: %w", dir, ErrNotEmpty)
+	}
+	return nil
+}
+
+// installImport makes a log of an exported checkpoint, beside the folder at first. h is
+// the checkpoint's header.
+func installImport(claimed, dir string, h header) error {
+	folder := filepath.Join(dir, FolderName)
+	temporary := folder + temporarySuffix
+	h.kind = fileSegment
+	return runSteps(
+		func() error { return os.RemoveAll(temporary) },
+		func() error { return os.Mkdir(temporary, dirMode) },
+		func() error { return copyFile(claimed, filepath.Join(temporary, checkpointName(h.number))) },
+		func() error { return writeSynced(filepath.Join(temporary, segmentName(h.number)), h.encode()) },
+		func() error { return OS{}.SyncDir(temporary) },
+		func() error { return os.RemoveAll(folder) },
+		func() error { return os.Rename(temporary, folder) },
+		func() error { return OS{}.SyncDir(dir) },
+		func() error { return os.Remove(claimed) },
+	)
+}
+
+// ReadExport gives the pending messages of an exported log, the oldest first. An attempt
+// without an outcome has an unknown one. Errors: ErrNotExport and ErrCorruptExport.
+func ReadExport(file string) ([]*Record, error) {
+	r, _, err := replayExport(file)
+	if r != nil {
+		defer r.closeFiles()
+	}
+	if err != nil {
+		return nil, fmt.Errorf("wal: %w", err)
+	}
+	r.resolveInFlight(func(int) bool { return true }, math.MaxUint64)
+	var order []uint32
+	for i := range r.index.entryCount {
+		order = append(order, i)
+	}
+	slices.SortFunc(order, func(a, b uint32) int { return cmp.Compare(r.index.at(a).seq, r.index.at(b).seq) })
+	var records []*Record
+	var reader messageReader
+	for _, i := range order {
+		record, err := r.readMessage(i, &reader)
+		if err != nil {
+			return nil, err
+		}
+		records = append(records, record)
+	}
+	return records, nil
+}
+
+// replayExport reads an exported log, which is a checkpoint. The caller closes the
+// replayer's files, where there is one.
+func replayExport(path string) (*replayer, header, error) {
+	f, err := openLogFile(OS{}, filepath.Dir(path), filepath.Base(path))
+	if err != nil {
+		return nil, header{}, err
+	}
+	if f.validHeaders == 0 || f.kind != fileCheckpoint {
+		f.file.Close()
+		return nil, header{}, fmt.Errorf("%s: %w", path, ErrNotExport)
+	}
+	f.salt = f.owner.salt()
+	r := newReplayer(f.owner, 0)
+	r.addFile(f)
+	complete := r.replayCheckpoint(f)
+	r.summarize()
+	if !complete {
+		return r, f.header, fmt.Errorf("%s: %w", path, ErrCorruptExport)
+	}
+	return r, f.header, nil
+}
+
+func writeSynced(path string, b []byte) error {
+	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
+	if err != nil {
+		return err
+	}
+	_, err = f.Write(b)
+	if err == nil {
+		err = f.Sync()
+	}
+	return errors.Join(err, f.Close())
+}
+
+// copyFile copies a file and syncs the copy.
+func copyFile(from, to string) error {
+	in, err := os.Open(from)
+	if err != nil {
+		return err
+	}
+	defer in.Close()
+	out, err := os.OpenFile(to, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
+	if err != nil {
+		return err
+	}
+	_, err = io.Copy(out, in)
+	if err == nil {
+		err = out.Sync()
+	}
+	return errors.Join(err, out.Close())
+}
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Inspect tells what opening a state folder would find, and changes nothing. fs
-// is nil for the machine's own. The folder may be in use: then the end of the log
-// may be in the middle of a write.
+// Inspect reports what opening a state folder would find, and changes nothing there. fs is
+// nil for the operating system's. The folder may be in use: then the log may end in the
+// middle of a write.
 func Inspect(fs FS, dir string) (*RecoveryReport, error) {
 	if fs == nil {
 		fs = OS{}
@@ -19,80 +19,94 @@
 	if err != nil {
 		return nil, err
 	}
-	defer s.close()
+	defer s.closeFiles()
 	return &s.recovery, nil
 }
 
-// Dump gives every sound record of a state folder in the order of the files, and
-// the side log's last. It stops where each gives false.
-func Dump(fs FS, dir string, each func(file string, at int64, seq uint64, r *Record) bool) error {
+// Dump calls each with every valid record of a state folder, in the order of the files,
+// those of the handoff log last. It stops where each returns false. fs is nil for the
+// operating system's. offset is the record's place in the file in bytes; seq is 0 in files
+// of the legacy format.
+func Dump(fs FS, dir string, each func(file string, offset int64, seq uint64, r *Record) bool) error {
 	if fs == nil {
 		fs = OS{}
 	}
-	folder := filepath.Join(dir, FolderName)
-	_, isDir, err := fs.Stat(folder)
-	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("log: %w", err)
-	}
-	var paths []string
-	if isDir {
-		names, err := fs.List(folder)
-		if err != nil {
-			return fmt.Errorf("log: %w", err)
-		}
-		slices.Sort(names)
-		for _, suffix := range []string{checkpointSuffix, segmentSuffix} {
-			for _, name := range names {
-				if _, ok := fileNumber(name, suffix); ok {
-					paths = append(paths, filepath.Join(FolderName, name))
-				}
-			}
-		}
-	} else if err == nil {
-		paths = append(paths, FolderName)
+	names, err := recordFiles(fs, dir)
+	if err != nil {
+		return fmt.Errorf("wal: %w", err)
 	}
-	for _, name := range append(paths, HandoffName) {
-		src, err := openLogFile(fs, dir, name, ModeRead)
+	for _, name := range append(names, HandoffName) {
+		f, err := openLogFile(fs, dir, name)
 		if errors.Is(err, os.ErrNotExist) {
-			continue // gone meanwhile: a checkpoint covers it
+			continue // removed meanwhile: a checkpoint covers it
 		}
 		if err != nil {
 			return err
 		}
-		on := dumpFile(src, each)
-		src.file.Close()
-		if !on {
+		more := dumpFile(f, each)
+		f.file.Close()
+		if !more {
 			return nil
 		}
 	}
 	return nil
 }
 
-func dumpFile(src *logFile, each func(file string, at int64, seq uint64, r *Record) bool) bool {
-	s := &HandoffLog{file: src.file, legacy: src.validHeaders == 0, salt: ownerSalt(src.owner)}
-	if !s.legacy {
-		s.offset = headerSize
+// recordFiles lists the files of a log, checkpoints first, relative to the state folder.
+func recordFiles(fs FS, dir string) (paths []string, err error) {
+	folder := filepath.Join(dir, FolderName)
+	_, isDir, err := fs.Stat(folder)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	if !isDir {
+		return []string{FolderName}, nil // of the legacy format
+	}
+	names, err := fs.List(folder)
+	if err != nil {
+		return nil, err
+	}
+	slices.Sort(names)
+	for _, suffix := range []string{checkpointSuffix, segmentSuffix} {
+		for _, name := range names {
+			if _, ok := fileNumber(name, suffix); ok {
+				paths = append(paths, filepath.Join(FolderName, name))
+			}
+		}
+	}
+	return paths, nil
+}
+
+// dumpFile calls each with the records of a file, and reports whether each wants more.
+func dumpFile(f *logFile, each func(file string, offset int64, seq uint64, r *Record) bool) bool {
+	decoder := recordDecoder{legacy: f.validHeaders == 0, salt: f.owner.salt()}
+	scan := scanner{file: f.file, size: f.size, salt: decoder.salt}
+	off := int64(0)
+	if !decoder.legacy {
+		off = headerSize
 	}
-	scan := scanner{file: src.file, size: src.size, salt: s.salt}
-	for at := s.offset; at < src.size; {
-		r, n := s.decode(scan.window(at, recordHeadSize+maxRecordBytes))
-		if n == 0 {
-			if s.legacy {
-				at = scan.resyncLegacy(at + 1)
+	for off < f.size {
+		r, size := decoder.decode(scan.window(off, recordHeadSize+maxRecordBytes))
+		if size == 0 {
+			if decoder.legacy {
+				off = scan.resyncLegacy(off + 1)
 			} else {
-				at = scan.resync(at+1, 0)
+				off = scan.resync(off+1, 0)
 			}
 			continue
 		}
 		var seq uint64
-		if !s.legacy {
-			rec, _ := scan.record(at)
+		if !decoder.legacy {
+			rec, _ := scan.record(off)
 			seq = rec.seq
 		}
-		if !each(src.name, at, seq, r) {
+		if !each(f.name, off, seq, r) {
 			return false
 		}
-		at += int64(n)
+		off += int64(size)
 	}
 	return true
 }
--- a/internal/wal/legacy.go
+++ b/internal/wal/legacy.go
@@ -4,31 +4,48 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"hash/crc32"
+	"os"
+	"path/filepath"
 	"regexp"
 	"slices"
 )
 
-// The log as it was before: one file of records that are a mark, the payload's
-// length and sum, and a line of JSON, then the body. It is read, and carried
-// over; it is not written any more.
+// The legacy format is one file of records. Each is a mark, the payload's length and
+// checksum, and the payload: a line of JSON and the body. It is read and converted, and
+// never written.
 const (
 	legacyMark           = "\xf7TRW"
 	legacyHeadSize       = 12
+	legacyLengthAt       = 4
+	legacyChecksumAt     = 8
 	maxLegacyRecordBytes = 128 << 10
+	maxLegacyWindowBytes = legacyHeadSize + maxLegacyRecordBytes
 )
 
+// hasLegacyHead reports whether b begins with the head of a legacy record.
+func hasLegacyHead(b []byte) bool {
+	return len(b) >= legacyHeadSize && string(b[:len(legacyMark)]) == legacyMark
+}
+
+// legacyRecordSize is what the head at the start of b gives as the record's size.
+func legacyRecordSize(b []byte) int64 {
+	return legacyHeadSize + int64(binary.BigEndian.Uint32(b[legacyLengthAt:]))
+}
+
 // decodeLegacy reads the record at the start of b. size is 0 where there is none.
 func decodeLegacy(b []byte) (r *Record, size int) {
-	if len(b) < legacyHeadSize || string(b[:4]) != legacyMark {
+	if !hasLegacyHead(b) {
 		return nil, 0
 	}
-	n := int(binary.BigEndian.Uint32(b[4:]))
-	if n > maxLegacyRecordBytes || legacyHeadSize+n > len(b) {
+	end := legacyRecordSize(b)
+	if end > maxLegacyWindowBytes || end > int64(len(b)) {
 		return nil, 0
 	}
-	payload := b[legacyHeadSize : legacyHeadSize+n]
-	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(b[8:]) {
+	payload := b[legacyHeadSize:end]
+	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(b[legacyChecksumAt:]) {
 		return nil, 0
 	}
 	line, body, ok := bytes.Cut(payload, []byte{'\n'})
@@ -37,61 +54,110 @@
 		return nil, 0
 	}
 	r.Body = slices.Clone(body)
-	return r, legacyHeadSize + n
+	return r, int(end)
 }
 
-// legacyIDPattern finds the ids in what is left of old records.
-var legacyIDPattern = regexp.MustCompile(`"id":"([^"\\]+)"`)
+// readLegacyFiles reads the log of a legacy program. Files that are missing are empty.
+func readLegacyFiles(fs FS, dir string, names ...string) (*state, error) {
+	s := newState()
+	for _, name := range names {
+		if err := s.readLegacyFile(fs, dir, name); err != nil {
+			s.closeFiles()
+			return nil, fmt.Errorf("wal: %w", err)
+		}
+	}
+	s.recovery.OlderFormat = true
+	s.summarize()
+	return s, nil
+}
+
+func (s *state) readLegacyFile(fs FS, dir, name string) error {
+	f, err := fs.Open(filepath.Join(dir, name), ModeRead)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	file := s.addFile(&logFile{name: name, file: f, legacy: true})
+	if file.size, err = f.Size(); err != nil {
+		return err
+	}
+	records := s.replayLegacy(file)
+	s.recovery.Files = append(s.recovery.Files, FileReport{Name: name, Kind: "older log", Bytes: file.size, Records: records})
+	return nil
+}
 
-// replayLegacy folds an old log into the state. What stood in a damaged stretch may
-// have been an attempt of any message that is owed there, or its end. A record
-// whose end alone is missing, as a kill in the middle of its write leaves it,
-// concerns the one message that it still names.
-func (s *state) replayLegacy(src *logFile, file FileReport) FileReport {
-	scan := scanner{file: src.file, size: src.size}
-	for at := int64(0); at < src.size; {
-		if r, n := decodeLegacy(scan.window(at, legacyHeadSize+maxLegacyRecordBytes)); n > 0 {
-			s.seq++
-			file.Records++
-			s.apply(s.index.keyOf(r.ID), []byte(r.ID), s.seq, r, src, at, int64(n), false)
-			at += int64(n)
+// replayLegacy applies the records of a legacy file, and counts them.
+func (s *state) replayLegacy(f *logFile) (records int) {
+	scan := scanner{file: f.file, size: f.size}
+	for off := int64(0); off < f.size; {
+		r, size := decodeLegacy(scan.window(off, maxLegacyWindowBytes))
+		if size == 0 {
+			end := scan.resyncLegacy(off + 1)
+			s.addLegacyCorruption(&scan, f, off, end)
+			off = end
 			continue
 		}
-		end := scan.resyncLegacy(at + 1)
-		b := scan.window(at, int(min(end-at, legacyHeadSize+maxLegacyRecordBytes)))
-		var ids []string
-		for _, m := range legacyIDPattern.FindAllSubmatch(b, -1) {
-			ids = append(ids, string(m[1]))
-		}
-		d := Corruption{File: src.name, Offset: at, Bytes: end - at, Reason: "unreadable", IDs: ids}
-		cut := len(b) >= legacyHeadSize && string(b[:4]) == legacyMark && legacyHeadSize+int64(binary.BigEndian.Uint32(b[4:])) > end-at
-		if cut && len(ids) == 1 {
-			if i, ok := s.index.find(s.index.keyOf(ids[0])); ok {
-				s.suspect(i)
-				d.Affected = 1
-			}
-		} else {
-			d.Affected = s.suspectAll(s.seq + 1)
+		s.seq++
+		records++
+		s.apply(s.index.keyOf(r.ID), []byte(r.ID), s.seq, r, recordPlace{f, off, int64(size)})
+		off += int64(size)
+	}
+	return records
+}
+
+// legacyIDPattern matches the ids in what is left of legacy records.
+var legacyIDPattern = regexp.MustCompile(`"id":"([^"\\]+)"`)
+
+// addLegacyCorruption notes a stretch that cannot be read. It may have held an attempt
+// of any pending message, or its completion. A record of which only the end is missing,
+// as a kill in the middle of its write leaves it, concerns just the message that it names.
+func (s *state) addLegacyCorruption(scan *scanner, f *logFile, off, end int64) {
+	b := scan.window(off, int(min(end-off, maxLegacyWindowBytes)))
+	var ids []string
+	for _, match := range legacyIDPattern.FindAllSubmatch(b, -1) {
+		ids = append(ids, string(match[1]))
+	}
+	c := Corruption{File: f.name, Offset: off, Bytes: end - off, Reason: reasonUnreadable, IDs: ids}
+	isTorn := hasLegacyHead(b) && legacyRecordSize(b) > end-off
+	if isTorn && len(ids) == 1 {
+		if i, ok := s.index.find(s.index.keyOf(ids[0])); ok {
+			s.suspect(i)
+			c.Affected = 1
 		}
-		s.recovery.Corruptions = append(s.recovery.Corruptions, d)
-		at = end
+	} else {
+		c.Affected = s.suspectAll(s.seq + 1)
+	}
+	s.recovery.addCorruption(c)
+}
+
+// readLegacyMessage puts the id of an entry's legacy record into r, and gives its message
+// as the present format encodes it.
+func readLegacyMessage(f *logFile, e *entry, scan *scanner, r *Record) (message []byte, err error) {
+	stored, size := decodeLegacy(scan.window(int64(e.offset), int(e.size)))
+	if size == 0 {
+		return nil, errUnreadableNow(f, e.offset)
 	}
-	return file
+	r.ID = stored.ID
+	return appendMessage(nil, stored), nil
 }
 
+// resyncLegacy gives the first place from off on where a legacy record stands; the end of
+// the file where there is none.
 func (s *scanner) resyncLegacy(off int64) int64 {
 	for off < s.size {
-		b := s.window(off, scanWindowBytes/2)
-		i := bytes.Index(b, []byte(legacyMark))
+		b := s.window(off, resyncSearchBytes)
 		if len(b) == 0 {
-			break
+			break // unreadable
 		}
+		i := bytes.Index(b, []byte(legacyMark))
 		if i < 0 {
 			off += int64(max(1, len(b)-len(legacyMark)+1))
 			continue
 		}
 		off += int64(i)
-		if _, n := decodeLegacy(s.window(off, legacyHeadSize+maxLegacyRecordBytes)); n > 0 {
+		if _, size := decodeLegacy(s.window(off, maxLegacyWindowBytes)); size > 0 {
 			return off
 		}
 		off++
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -8,46 +8,50 @@
 	"syscall"
 )
 
-// Names of locks in the state folder. They are advisory ones on open files, so
-// that the kernel frees them when their process dies, however it dies.
+// Names of locks in the state folder. They are advisory locks on open files, which the
+// kernel frees when their process dies, however it dies.
 const (
-	LockName          = "relay.lock" // its holder alone sends calls, ends messages and writes the log
-	SuccessorLockName = "relay.next" // held by a process that is ready to take over
+	// LockName is held by the one process that sends calls, completes messages and
+	// writes the log.
+	LockName = "relay.lock"
+	// SuccessorLockName is held by a process that is ready to take over.
+	SuccessorLockName = "relay.next"
 )
 
-// Lock is a lock on a file of its own; it may be tried again and again.
+// Lock is a lock on a file of its own, which may be taken and released again and again.
+// Make it by OpenLock, whose caller closes it. It is for one goroutine at a time.
 type Lock struct{ f *os.File }
 
-// OpenLock makes the file where it is missing.
+// OpenLock opens a lock's file, and creates it where it is missing. The lock is not taken.
 func OpenLock(dir, name string) (*Lock, error) {
-	f, err := os.OpenFile(filepath.Join(dir, name), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(filepath.Join(dir, name), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("lock: %w", err)
+		return nil, fmt.Errorf("wal: open lock: %w", err)
 	}
 	return &Lock{f}, nil
 }
 
-// TryLock takes the lock if nobody holds it.
+// TryLock takes the lock, or reports false where another has it.
 func (l *Lock) TryLock() (bool, error) { return tryLock(l.f) }
 
-// Unlock lets go of it.
+// Unlock releases the lock.
 func (l *Lock) Unlock() error {
 	if err := syscall.Flock(int(l.f.Fd()), syscall.LOCK_UN); err != nil {
-		return fmt.Errorf("lock: %w", err)
+		return fmt.Errorf("wal: unlock: %w", err)
 	}
 	return nil
 }
 
-// Close lets go of it for good.
+// Close releases the lock and closes its file.
 func (l *Lock) Close() { l.f.Close() }
 
-// HeldByOther reports whether another holds the lock.
+// HeldByOther reports whether another process holds the lock.
 func (l *Lock) HeldByOther() (bool, error) {
-	got, err := l.TryLock()
-	if got {
+	locked, err := l.TryLock()
+	if locked {
 		err = l.Unlock()
 	}
-	return !got && err == nil, err
+	return !locked && err == nil, err
 }
 
 func tryLock(f *os.File) (bool, error) {
@@ -59,7 +63,57 @@
 		case errors.Is(err, syscall.EWOULDBLOCK):
 			return false, nil
 		default:
-			return false, fmt.Errorf("lock: %w", err)
+			return false, fmt.Errorf("wal: lock: %w", err)
 		}
 	}
 }
+
+// LockFolder takes a state folder's locks for a tool, and creates nothing there. release
+// releases them. ErrInUse where a relay has the folder, or an old process of one still
+// writes its handoff log.
+func LockFolder(dir string) (release func(), err error) {
+	info, err := os.Stat(dir)
+	if err != nil {
+		return nil, fmt.Errorf("wal: %w", err)
+	}
+	if !info.IsDir() {
+		return nil, fmt.Errorf("wal: %s: not a folder", dir)
+	}
+	var files []*os.File
+	release = func() {
+		for _, f := range files {
+			f.Close()
+		}
+	}
+	for _, name := range []string{LockName, HandoffName} {
+		f, err := lockExisting(filepath.Join(dir, name))
+		if err != nil {
+			release()
+			return nil, fmt.Errorf("%s: %w", dir, err)
+		}
+		if f != nil {
+			files = append(files, f)
+		}
+	}
+	return release, nil
+}
+
+// lockExisting locks a file until it is closed; nil where it is missing.
+func lockExisting(path string) (*os.File, error) {
+	f, err := os.Open(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	locked, err := tryLock(f)
+	if err == nil && !locked {
+		err = ErrInUse
+	}
+	if err != nil {
+		f.Close()
+		return nil, err
+	}
+	return f, nil
+}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -144,7 +144,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.settle()
+			r.resolveInFlight()
 			all = append(all, at{r, e.seq})
 		}
 	}
@@ -155,11 +155,15 @@
 	return recs
 }
 
-// settle reads an attempt whose outcome nobody saw as one that may have run.
-func (t *Record) settle() {
-	if t.InFlightSince != 0 {
-		t.fold(&Record{Kind: KindOutcome, MayHaveRun: true})
+// resolveInFlight turns an attempt without an outcome into an unknown outcome, as a start does.
+func (r *Record) resolveInFlight() {
+	if r.InFlightSince == 0 {
+		return
 	}
+	if r.UnknownOutcomeAt == 0 {
+		r.UnknownOutcomeAt, r.UnknownOutcomeZone = r.InFlightSince, r.InFlightZone
+	}
+	r.InFlightSince, r.InFlightZone, r.InFlightEndpoint, r.InFlightProcess = 0, 0, "", 0
 }
 
 // files gives the names of the log's own files, segments first.
@@ -215,8 +219,8 @@
 		mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(round) + 1, Endpoint: "endpoint"}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 		l.store.compact()
 		if round%64 == 0 {
-			if size := diskSize(t, dir); size > limit || size != l.store.bytes {
-				t.Fatalf("round %d: %d bytes on disk, held to be %d", round, size, l.store.bytes)
+			if size := diskSize(t, dir); size > limit || size != l.store.usage.bytes {
+				t.Fatalf("round %d: %d bytes on disk, held to be %d", round, size, l.store.usage.bytes)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/wal/replay.go
@@ -0,0 +1,269 @@
+package wal
+
+import "fmt"
+
+// replayer rebuilds a log's state from its files.
+type replayer struct {
+	*state
+	stampedSeq   uint64   // sequence number of the last record by the stamp; 0 where that is unknown
+	nextFileSeq  uint64   // of the first record of the next file; 0 for none
+	previousSeal uint32   // the segment that the seal before the last one named, while it has no record itself
+	last         *logFile // the last segment; nil where there is none
+	end          fileTail // of it
+	gaps         []gap
+}
+
+// gap is a run of records that are missing.
+type gap struct {
+	Corruption
+	from, to uint64 // sequence numbers
+}
+
+func newReplayer(owner ownerID, stampedSeq uint64) *replayer {
+	r := &replayer{state: newState(), stampedSeq: stampedSeq}
+	r.owner, r.salt = owner, owner.salt()
+	return r
+}
+
+// fileTail is what stands in a file after its last record.
+type fileTail struct {
+	offset, bytes int64
+	status        recordStatus
+	record        rawRecord // where the status is recordTorn
+	zeros         bool      // nothing but zeros
+	unsynced      bool      // a loss of power took it before it was reported as written
+	ids           []string
+}
+
+// fileReplay applies the records of one file.
+type fileReplay struct {
+	*replayer
+	file    *logFile
+	scan    scanner
+	seq     *uint64 // of the last record applied
+	summary FileReport
+	skipped Corruption // the unreadable stretch before the next record
+}
+
+// replayFile applies the records of a file. seq is the sequence number of the last record
+// before it, and becomes that of its own last one.
+func (r *replayer) replayFile(f *logFile, seq *uint64) (FileReport, fileTail) {
+	p := fileReplay{
+		replayer: r,
+		file:     f,
+		scan:     scanner{file: f.file, size: f.size, salt: f.salt},
+		seq:      seq,
+		summary:  FileReport{Name: f.name, Kind: f.kind.String(), Bytes: f.size, First: f.firstSeq},
+	}
+	if f.size < headerSize { // it was created, and never written
+		return p.summary, fileTail{bytes: f.size, status: recordUnreadable, zeros: true}
+	}
+	tail := p.applyRecords(p.checkHeader())
+	return p.summary, tail
+}
+
+// checkHeader reports a corrupted header, and gives the place of the first record.
+func (p *fileReplay) checkHeader() int64 {
+	switch p.file.validHeaders {
+	case 0:
+		first := p.scan.resync(0, *p.seq+1)
+		p.skipped = Corruption{File: p.file.name, Bytes: first, Reason: "header unreadable"}
+		return first
+	case 1:
+		p.file.corrupted = true
+		p.recovery.addCorruption(Corruption{File: p.file.name, Bytes: headerSize, Reason: "one copy of the header unreadable"})
+	}
+	return headerSize
+}
+
+func (p *fileReplay) applyRecords(off int64) fileTail {
+	for off < p.file.size {
+		rec, status := p.scan.record(off)
+		if p.file.durable && (status != recordValid || rec.seq > *p.seq+1) && !p.wasSynced(&p.scan, off, *p.seq+1) {
+			return fileTail{offset: off, bytes: p.file.size - off, status: recordUnreadable, unsynced: true, ids: p.scan.readableIDs(off, p.file.size)}
+		}
+		if status == recordUnreadable || status == recordTorn {
+			end := p.scan.resync(off+1, *p.seq+1)
+			ids := p.scan.readableIDs(off, end)
+			if end == p.file.size {
+				return p.tailAt(off, status, ids)
+			}
+			p.skipped = Corruption{File: p.file.name, Offset: off, Bytes: end - off, Reason: reasonUnreadable, IDs: ids}
+			off = end
+			continue
+		}
+		if rec.seq > *p.seq { // not a second copy, nor out of place
+			p.addSkipped(&rec, off)
+			*p.seq = rec.seq
+			p.applyRecord(&rec, status, off)
+		}
+		off += rec.size
+	}
+	if p.skipped.Bytes == 0 {
+		return fileTail{}
+	}
+	end := p.skipped.Offset + p.skipped.Bytes
+	return fileTail{offset: p.skipped.Offset, bytes: p.skipped.Bytes, status: recordUnreadable, ids: p.skipped.IDs, zeros: p.scan.allZeros(p.skipped.Offset, end)}
+}
+
+// tailAt is the tail that begins at off.
+func (p *fileReplay) tailAt(off int64, status recordStatus, ids []string) fileTail {
+	tail := fileTail{offset: off, bytes: p.file.size - off, status: status, zeros: p.scan.allZeros(off, p.file.size), ids: ids}
+	if status == recordTorn {
+		tail.record, _ = p.scan.record(off)
+		tail.record.id = append([]byte(nil), tail.record.id...) // it outlives the window
+	}
+	return tail
+}
+
+// addSkipped notes what is missing before a record, by its sequence number.
+func (p *fileReplay) addSkipped(rec *rawRecord, off int64) {
+	missing := rec.seq - *p.seq - 1
+	switch {
+	case missing > 0:
+		c := p.skipped
+		if c.Bytes == 0 {
+			c = Corruption{File: p.file.name, Offset: off, Reason: fmt.Sprintf("%d records missing", missing)}
+		}
+		p.file.corrupted = true
+		p.gaps = append(p.gaps, gap{Corruption: c, from: *p.seq + 1, to: rec.seq - 1})
+	case p.file.validHeaders == 0 && p.skipped.Bytes > 0 && p.skipped.Offset == 0:
+		p.file.corrupted = true
+		p.recovery.addCorruption(p.skipped)
+	case p.skipped.Bytes > 0: // a write that failed, and was repeated
+		p.recovery.addTorn(p.skipped)
+	}
+	p.skipped = Corruption{}
+}
+
+func (p *fileReplay) applyRecord(rec *rawRecord, status recordStatus, off int64) {
+	p.summary.Records++
+	r := Record{Kind: rec.kind}
+	decoded := false
+	if status == recordValid {
+		_, decoded = decodePayload(&r, rec.payload)
+	} else {
+		p.file.corrupted = true
+	}
+	if decoded {
+		p.apply(p.index.keyOfBytes(rec.id), rec.id, rec.seq, &r, recordPlace{p.file, off, rec.size})
+		return
+	}
+	c := Corruption{File: p.file.name, Offset: off, Bytes: rec.size}
+	p.applyCorrupted(rec, &c)
+	p.recovery.addCorruption(c)
+}
+
+// wasSynced reports whether the record with a sequence number, in a file that is synced
+// batch by batch, was reported as written: a later record says so, the stamp, or that
+// there is a next file. Whatever else is there may be there in part without being
+// corrupted: the log ends before it.
+func (r *replayer) wasSynced(scan *scanner, off int64, seq uint64) bool {
+	if r.nextFileSeq != 0 { // whoever began the next file decided it
+		return r.nextFileSeq > seq
+	}
+	if r.stampedSeq >= seq {
+		return true
+	}
+	for off < scan.size {
+		rec, status := scan.record(off)
+		if status == recordUnreadable || status == recordTorn {
+			off = scan.resync(off+1, seq)
+			continue
+		}
+		start := Record{Kind: rec.kind}
+		if status == recordValid && rec.kind == kindBatchStart {
+			if _, ok := decodePayload(&start, rec.payload); ok && uint64(start.At) >= seq {
+				return true
+			}
+		}
+		off += rec.size
+	}
+	return false
+}
+
+// replayCheckpoint applies a checkpoint. complete is false where part of it cannot be read.
+func (r *replayer) replayCheckpoint(f *logFile) (complete bool) {
+	records := uint64(0) // a checkpoint numbers its records itself
+	before := len(r.recovery.Corruptions)
+	summary, tail := r.replayFile(f, &records)
+	r.recovery.Files = append(r.recovery.Files, summary)
+	complete = len(r.recovery.Corruptions) == before && len(r.gaps) == 0 && tail.bytes == 0 && summary.Records > 0
+	for _, g := range r.gaps { // messages that are gone; no other message is affected
+		g.Reason = fmt.Sprintf("%d records of the checkpoint unreadable", g.to-g.from+1)
+		r.recovery.addCorruption(g.Corruption)
+	}
+	r.gaps = nil
+	if tail.bytes > 0 || summary.Records == 0 {
+		r.recovery.addCorruption(Corruption{File: f.name, Offset: tail.offset, Bytes: tail.bytes, Reason: "the checkpoint's end is missing", IDs: tail.ids})
+	}
+	if !complete {
+		f.corrupted = true
+	}
+	r.seq = f.firstSeq - 1
+	return complete
+}
+
+// replaySegment applies a segment; later are the segments after it.
+func (r *replayer) replaySegment(f *logFile, later []*logFile) {
+	r.nextFileSeq = firstSeqAfter(f, later)
+	if r.last != nil && r.last.number == f.number {
+		r.recovery.addTorn(Corruption{File: f.name, Bytes: f.size, Reason: "a second copy of a segment"})
+		return
+	}
+	r.addTail(f)
+	r.addMissingBefore(f)
+	r.previousSeal, r.sealedNext = r.sealedNext, 0
+	r.addFile(f)
+	r.segments = append(r.segments, f)
+	var summary FileReport
+	summary, r.end = r.replayFile(f, &r.seq)
+	r.recovery.Files = append(r.recovery.Files, summary)
+	r.last = f
+	if summary.Records > 0 {
+		r.previousSeal = 0
+	}
+}
+
+// firstSeqAfter gives the sequence number of the first record after a segment; 0 where no
+// later header says.
+func firstSeqAfter(f *logFile, later []*logFile) uint64 {
+	for _, next := range later {
+		if next.validHeaders > 0 && next.number != f.number {
+			return next.firstSeq
+		}
+	}
+	return 0
+}
+
+// addTail notes what stands after the last record of the segment before next.
+func (r *replayer) addTail(next *logFile) {
+	if r.end.bytes == 0 {
+		return
+	}
+	c := Corruption{File: r.last.name, Offset: r.end.offset, Bytes: r.end.bytes}
+	isMissingRecord := r.end.status == recordTorn && next.validHeaders > 0 && r.end.record.seq == r.seq+1 && next.firstSeq == r.seq+2
+	if isMissingRecord { // the one record between the two segments
+		r.applyCorrupted(&r.end.record, &c)
+		r.recovery.addCorruption(c)
+		r.seq++
+		return
+	}
+	// What was torn was repeated in the next segment, or its sequence number is missing there.
+	c.Reason, c.IDs = reasonTornEnd, r.end.ids
+	r.recovery.addTorn(c)
+}
+
+// addMissingBefore notes records and segments that are missing before a segment.
+func (r *replayer) addMissingBefore(f *logFile) {
+	switch {
+	case f.validHeaders > 0 && f.firstSeq > r.seq+1:
+		f.corrupted = true
+		c := Corruption{File: f.name, Reason: fmt.Sprintf("%d records missing before it", f.firstSeq-r.seq-1)}
+		r.gaps = append(r.gaps, gap{Corruption: c, from: r.seq + 1, to: f.firstSeq - 1})
+		r.seq = f.firstSeq - 1
+	case r.sealedNext != 0 && f.number > r.sealedNext: // how many records it held is not known
+		c := Corruption{File: segmentName(r.sealedNext), Reason: reasonSegmentMissing}
+		r.gaps = append(r.gaps, gap{Corruption: c, from: r.seq + 1, to: r.seq})
+	}
+}
--- /dev/null
+++ b/internal/wal/report.go
@@ -0,0 +1,52 @@
+package wal
+
+import "fmt"
+
+// Corruption is a stretch of a file that could not be read, and its consequences.
+type Corruption struct {
+	File     string   `json:"file"`
+	Offset   int64    `json:"at"`
+	Bytes    int64    `json:"bytes"`
+	Reason   string   `json:"what"`
+	Affected int      `json:"concerned"` // messages that are treated as sent because of it
+	IDs      []string `json:"ids,omitempty"`
+}
+
+// RecoveryReport is what opening or inspecting a folder found.
+type RecoveryReport struct {
+	Files       []FileReport `json:"files"`
+	Records     int          `json:"records"`
+	Pending     int          `json:"owed"`
+	Bytes       int64        `json:"bytes"`            // on disk, each file rounded up to 512
+	Seq         uint64       `json:"seq"`              // sequence number of the last record
+	Process     int          `json:"by"`               // the last process that owned the log
+	Corruptions []Corruption `json:"damage,omitempty"` // what was recorded and cannot be read
+	Torn        []Corruption `json:"torn,omitempty"`   // incomplete writes, which were never reported as done
+	LostIDs     []string     `json:"lost,omitempty"`   // pending messages of which corruption left only the id
+	OlderFormat bool         `json:"older,omitempty"`  // the log is of the legacy format
+}
+
+// FileReport is one file of the log.
+type FileReport struct {
+	Name    string `json:"name"`
+	Kind    string `json:"kind"`
+	Bytes   int64  `json:"bytes"`
+	Records int    `json:"records"`
+	First   uint64 `json:"first"` // sequence number of the first record
+}
+
+// Sound reports whether nothing was corrupted.
+func (r *RecoveryReport) Sound() bool { return len(r.Corruptions) == 0 && len(r.LostIDs) == 0 }
+
+func (r *RecoveryReport) addCorruption(c Corruption) { r.Corruptions = append(r.Corruptions, c) }
+
+func (r *RecoveryReport) addTorn(c Corruption) { r.Torn = append(r.Torn, c) }
+
+// Reasons of a Corruption that more than one place gives.
+const (
+	reasonUnreadable     = "unreadable"
+	reasonSegmentMissing = "segment missing"
+	reasonTornEnd        = "torn end"
+)
+
+func reasonDamagedRecord(kind Kind) string { return fmt.Sprintf("damaged record: %s", kind) }
--- a/internal/wal/side_test.go
+++ b/internal/wal/side_test.go
@@ -47,7 +47,7 @@
 	whole := t.TempDir()
 	l, _ := openTest(t, whole, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
-	if err := l.store.handOff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")}); err != nil {
+	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")}); err != nil {
 		t.Fatal(err)
 	}
 	mustAppend(t, l, taken("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
@@ -92,7 +92,7 @@
 	dir := t.TempDir()
 	old, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, old, taken("a", "A"), &Record{Kind: KindAttempt, ID: "a", At: 5, Endpoint: "s-1", Process: old.Process})
-	if err := old.store.handOff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
+	if err := old.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
 	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, taken("b", "B"))
@@ -122,7 +122,7 @@
 				break
 			}
 		}
-		if err := old.store.handOff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte(strings.Repeat("m", 8<<10))}); err != nil {
+		if err := old.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte(strings.Repeat("m", 8<<10))}); err != nil {
 			t.Fatal(err)
 		}
 		next, _ := openTest(t, dir, limit)
@@ -148,7 +148,7 @@
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
 	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
-	if err := l.store.handOff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
+	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
 	mustAppend(t, l, taken("c", "C"), taken("d", "D"))
--- /dev/null
+++ b/internal/wal/stamp.go
@@ -0,0 +1,111 @@
+package wal
+
+import (
+	"encoding/binary"
+
+	"plovershore/internal/clock"
+)
+
+// Stamp stands beside the log: whose log it is, the sequence number of its last record,
+// and when that was written. It shows that records are missing at the end of the log,
+// and how long no process ran.
+type Stamp struct {
+	ID, Seq uint64
+	At      int64         // log time in microseconds
+	Clock   clock.Reading // the same moment by the machine's clocks
+}
+
+// StampFile keeps a stamp beyond the end of the process. Whoever opened it closes it.
+type StampFile interface {
+	// Store replaces the stamp. It is called after each batch, so it has to be cheap.
+	Store(Stamp)
+	Close() error
+}
+
+// Words of a stamp in its file, each of eight bytes in the machine's byte order. A program
+// from before there were readings of clocks writes the first three alone; the second copy
+// of the time shows that the readings are of the same moment.
+const (
+	stampOwner = iota
+	stampSeq
+	stampTime
+	stampWall
+	stampMono
+	stampBootLow
+	stampBootHigh
+	stampTimeCopy
+	stampWords
+
+	stampFieldBytes = 8
+	legacyStampSize = stampFieldBytes * stampWall
+	stampSize       = stampFieldBytes * stampWords
+)
+
+// stampOwnerFlag tells a stamp's ID from the zeros of a new file.
+const stampOwnerFlag = 1 << 32
+
+func stampIDOf(salt uint32) uint64 { return uint64(salt) | stampOwnerFlag }
+
+// hasOwner reports whether the stamp was ever written.
+func (s Stamp) hasOwner() bool { return s.ID>>32 == stampOwnerFlag>>32 }
+
+// salt is that of the owner of the stamp's log.
+func (s Stamp) salt() uint32 { return uint32(s.ID) }
+
+func (s Stamp) words() [stampWords]uint64 {
+	boot := s.Clock.Boot
+	return [stampWords]uint64{
+		stampOwner:    s.ID,
+		stampSeq:      s.Seq,
+		stampTime:     uint64(s.At),
+		stampWall:     uint64(s.Clock.Wall),
+		stampMono:     uint64(s.Clock.Mono),
+		stampBootLow:  binary.NativeEndian.Uint64(boot[:stampFieldBytes]),
+		stampBootHigh: binary.NativeEndian.Uint64(boot[stampFieldBytes:]),
+		stampTimeCopy: uint64(s.At),
+	}
+}
+
+// Bytes is a stamp as its file stores it.
+func (s Stamp) Bytes() []byte {
+	var b []byte
+	for _, w := range s.words() {
+		b = binary.NativeEndian.AppendUint64(b, w)
+	}
+	return b
+}
+
+// parseStamp reads what Bytes gives, or its beginning as an older program writes it. The
+// stamp is zero where b is shorter.
+func parseStamp(b []byte) (s Stamp) {
+	if len(b) < legacyStampSize {
+		return s
+	}
+	word := func(i int) uint64 { return binary.NativeEndian.Uint64(b[stampFieldBytes*i:]) }
+	s = Stamp{ID: word(stampOwner), Seq: word(stampSeq), At: int64(word(stampTime))}
+	if len(b) >= stampSize && word(stampTimeCopy) == word(stampTime) {
+		s.Clock.Wall = int64(word(stampWall))
+		s.Clock.Mono = int64(word(stampMono))
+		copy(s.Clock.Boot[:], b[stampFieldBytes*stampBootLow:stampFieldBytes*stampTimeCopy])
+	}
+	return s
+}
+
+// readStamp reads a stamp's file without creating or mapping it. The stamp is zero where
+// the file cannot be read.
+func readStamp(fs FS, name string) Stamp {
+	f, err := fs.Open(name, ModeRead)
+	if err != nil {
+		return Stamp{}
+	}
+	defer f.Close()
+	b := make([]byte, stampSize)
+	n, _ := f.ReadAt(b, 0) // an older program's file is shorter
+	return parseStamp(b[:n])
+}
+
+// noStampFile stands for a stamp file that could not be opened.
+type noStampFile struct{}
+
+func (noStampFile) Store(Stamp)  {}
+func (noStampFile) Close() error { return nil }
--- /dev/null
+++ b/internal/wal/usage.go
@@ -0,0 +1,108 @@
+package wal
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+)
+
+// diskUsage is what the files of a state folder take up, except the handoff log, which
+// has a bound of its own. Its zero value does not work; see countUsage.
+type diskUsage struct {
+	sizes       map[string]int64 // by path
+	bytes       int64            // of all files, in whole blocks
+	quarantined int64            // of corrupted files that are kept, in whole blocks
+}
+
+func newDiskUsage() diskUsage { return diskUsage{sizes: map[string]int64{}} }
+
+// countUsage counts the files of a state folder and of the log's folder in it.
+func countUsage(fs FS, stateDir, logDir string) (diskUsage, error) {
+	u := newDiskUsage()
+	names, err := fs.List(stateDir)
+	if err != nil && !errors.Is(err, os.ErrNotExist) {
+		return u, fmt.Errorf("wal: %w", err)
+	}
+	for _, name := range names {
+		if name != HandoffName {
+			u.count(fs, filepath.Join(stateDir, name))
+		}
+	}
+	names, _ = fs.List(logDir) // what cannot be listed is counted once it is written
+	for _, name := range names {
+		path := filepath.Join(logDir, name)
+		u.count(fs, path)
+		if isQuarantined(name) {
+			u.quarantined += blockBytes(u.sizes[path])
+		}
+	}
+	return u, nil
+}
+
+func isQuarantined(name string) bool {
+	return len(name) > len(quarantinePrefix) && strings.HasPrefix(name, quarantinePrefix)
+}
+
+func (u *diskUsage) count(fs FS, path string) {
+	if size, isDir, err := fs.Stat(path); err == nil && !isDir {
+		u.resize(path, size)
+	}
+}
+
+// resize notes the size of a file; 0 where it was removed.
+func (u *diskUsage) resize(path string, size int64) {
+	u.bytes += blockBytes(size) - blockBytes(u.sizes[path])
+	if size == 0 {
+		delete(u.sizes, path)
+		return
+	}
+	u.sizes[path] = size
+}
+
+// removeFile removes a file of the log. One that is corrupted is quarantined, where there
+// is space for it.
+func (s *store) removeFile(name string) {
+	path := filepath.Join(s.dir, name)
+	if s.shouldQuarantine(name, path) && s.quarantine(name, path) {
+		return
+	}
+	if err := s.fs.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
+		s.logger.Error("file not removed", "file", path, "err", err)
+		return
+	}
+	s.usage.resize(path, 0)
+}
+
+// quarantineFraction is the part of the limit that corrupted files may take up.
+const quarantineFraction = 8
+
+func (s *store) shouldQuarantine(name, path string) bool {
+	if s.usage.quarantined+blockBytes(s.usage.sizes[path]) > s.limit/quarantineFraction {
+		return false
+	}
+	for _, c := range s.recovery.Corruptions {
+		if c.File == name && c.Bytes > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// quarantine renames a corrupted file, and reports whether it did.
+func (s *store) quarantine(name, path string) bool {
+	to := filepath.Join(s.dir, quarantinePrefix+"-"+name)
+	if _, _, err := s.fs.Stat(to); err == nil { // an earlier one of that name is kept
+		return false
+	}
+	if err := s.fs.Rename(path, to); err != nil {
+		return false
+	}
+	size := s.usage.sizes[path]
+	s.usage.resize(path, 0)
+	s.usage.resize(to, size)
+	s.usage.quarantined += blockBytes(size)
+	s.logger.Warn("corrupted file kept", "file", to)
+	return true
+}
