--- a/internal/wal/baseline/baseline.go
+++ b/internal/wal/baseline/baseline.go
@@ -1,15 +1,12 @@
-// Package baseline is the relay's log as it was before package wal: one file,
-// read whole, rewritten in one go, a call for each record. It is kept to measure
-// against, and serves nothing else: it tells no damage.
+// Package baseline is the relay's log as it was before package wal: one file that is read
+// whole, rewritten in one go, and written by one call for each record. It exists to be
+// measured beside package wal and for nothing else: it does not detect corruption.
 package baseline
 
 import (
-	"bytes"
-	"encoding/binary"
-	"encoding/json"
+	"cmp"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"os"
 	"path/filepath"
 	"slices"
@@ -18,146 +15,137 @@
 	"plovershore/internal/wal"
 )
 
+const fileName = "baseline.wal"
+
+// Bounds, in bytes.
 const (
-	mark   = "\xf7TRW"
-	head   = 12
-	slack  = 16 << 10
-	spare  = 64 << 10
-	garden = 1 << 20
-	room   = 256
+	roundingReserve    = 16 << 10 // of the limit, never used
+	completionReserve  = 64 << 10 // of the limit, for messages that were accepted already
+	minCompactionBytes = 1 << 20  // a shorter file is not rewritten
+	stateReserveBytes  = 256      // by which a message's record may grow
+	recordOverhead     = 160      // of the JSON beside the message's own texts
 )
 
-type op struct {
-	rec  *wal.Record
-	then func(error)
-}
-
-type live struct {
-	rec  *wal.Record
-	seq  int
-	size int64
-}
+// A file is rewritten once it is this many times as long as what is pending.
+const compactionFactor = 4
 
-// Log is an open one.
-type Log struct {
-	path       string
-	limit      int64
-	file       *os.File
-	size       int64
-	live       map[string]*live
-	owed       int64
-	taken      int
-	in         *mailbox.Mailbox[op]
-	done       chan struct{}
-	buffer     []byte
-	WriteCalls int64 // of the file system, to write
-	Bytes      int64 // written
+// request is a record to write and a function to call with the result.
+type request struct {
+	record *wal.Record
+	done   func(error) // may be nil
 }
 
-func encode(r *wal.Record, to []byte) []byte {
-	line, _ := json.Marshal(r) // plain data
-	n := len(line) + 1 + len(r.Body)
-	start := len(to)
-	to = append(to, mark...)
-	to = binary.BigEndian.AppendUint32(to, uint32(n))
-	to = append(to, 0, 0, 0, 0)
-	to = append(append(append(to, line...), '\n'), r.Body...)
-	binary.BigEndian.PutUint32(to[start+8:], crc32.ChecksumIEEE(to[start+head:]))
-	return to
+// message is one that is pending.
+type message struct {
+	record *wal.Record
+	order  int // in which it was accepted
+	size   int64
 }
 
-func decode(b []byte) (r *wal.Record, size int) {
-	if len(b) < head || string(b[:4]) != mark {
-		return nil, 0
-	}
-	n := int(binary.BigEndian.Uint32(b[4:]))
-	if head+n > len(b) {
-		return nil, 0
-	}
-	payload := b[head : head+n]
-	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(b[8:]) {
-		return nil, 0
-	}
-	line, body, ok := bytes.Cut(payload, []byte{'\n'})
-	r = &wal.Record{}
-	if !ok || json.Unmarshal(line, r) != nil {
-		return nil, 0
-	}
-	r.Body = slices.Clone(body)
-	return r, head + n
+// Log is an open log. Open makes it, Run serves it and closes it.
+type Log struct {
+	WriteCalls int64 // calls of the file system to write; read it once Done is closed
+	Bytes      int64 // written; read it once Done is closed
+
+	path         string
+	limit        int64
+	file         *os.File
+	size         int64
+	pending      map[string]*message
+	pendingBytes int64
+	accepted     int
+	requests     *mailbox.Mailbox[request]
+	done         chan struct{}
+	buffer       []byte
 }
 
-// Open reads the log of a folder and rewrites it.
+// Open reads the log of a folder and rewrites it. It gives the pending messages, the oldest
+// first. limit is the size of the file in bytes. Errors: those of the file system, and one
+// where the file cannot be read to its end.
 func Open(dir string, limit int64) (*Log, []*wal.Record, error) {
-	l := &Log{path: filepath.Join(dir, "baseline.wal"), limit: limit, live: map[string]*live{}, in: mailbox.New[op](), done: make(chan struct{})}
+	l := &Log{
+		path:     filepath.Join(dir, fileName),
+		limit:    limit,
+		pending:  map[string]*message{},
+		requests: mailbox.New[request](),
+		done:     make(chan struct{}),
+	}
 	text, err := os.ReadFile(l.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, fmt.Errorf("baseline: %w", err)
 	}
-	for at := 0; at < len(text); {
-		r, n := decode(text[at:])
+	for off := 0; off < len(text); {
+		r, n := decode(text[off:])
 		if n == 0 {
-			return nil, nil, fmt.Errorf("baseline: damaged at %d", at)
+			return nil, nil, fmt.Errorf("baseline: corrupted at %d", off)
 		}
 		l.apply(r)
-		at += n
+		off += n
 	}
 	l.size = int64(len(text))
 	if err := l.compact(); err != nil {
 		return nil, nil, err
 	}
-	var owed []*wal.Record
-	for _, x := range l.inOrder() {
-		c := *x.rec
-		owed = append(owed, &c)
+	var records []*wal.Record
+	for _, m := range l.inOrder() {
+		r := *m.record
+		records = append(records, &r)
 	}
-	return l, owed, nil
+	return l, records, nil
 }
 
+// apply changes the pending messages by one record.
 func (l *Log) apply(r *wal.Record) {
-	x := l.live[r.ID]
+	m := l.pending[r.ID]
 	switch {
-	case r.Kind == wal.KindAccepted && x == nil:
-		l.taken++
-		x = &live{r, l.taken, int64(head + len(r.Body) + len(r.ID) + len(r.Key) + len(r.Class) + len(r.Tenant) + 160 + room)}
-		l.live[r.ID] = x
-		l.owed += x.size
-	case x == nil:
+	case m == nil && r.Kind == wal.KindAccepted:
+		l.accepted++
+		m = &message{record: r, order: l.accepted, size: maxSize(r)}
+		l.pending[r.ID] = m
+		l.pendingBytes += m.size
+	case m == nil:
 	case r.Kind == wal.KindCompleted:
-		l.owed -= x.size
-		delete(l.live, r.ID)
+		l.pendingBytes -= m.size
+		delete(l.pending, r.ID)
 	case r.Kind == wal.KindAttempt:
-		x.rec.Attempts++
-		x.rec.InFlightSince, x.rec.InFlightEndpoint = r.At, r.Endpoint
+		m.record.Attempts++
+		m.record.InFlightSince, m.record.InFlightEndpoint = r.At, r.Endpoint
 	case r.Kind == wal.KindOutcome:
-		if r.MayHaveRun && x.rec.UnknownOutcomeAt == 0 {
-			x.rec.UnknownOutcomeAt = x.rec.InFlightSince
+		if r.MayHaveRun && m.record.UnknownOutcomeAt == 0 {
+			m.record.UnknownOutcomeAt = m.record.InFlightSince
 		}
-		x.rec.InFlightSince, x.rec.InFlightEndpoint = 0, ""
+		m.record.InFlightSince, m.record.InFlightEndpoint = 0, ""
 	}
 }
 
-func (l *Log) inOrder() []*live {
-	all := make([]*live, 0, len(l.live))
-	for _, x := range l.live {
-		all = append(all, x)
+// maxSize is what a message's record takes up at most.
+func maxSize(r *wal.Record) int64 {
+	texts := len(r.Body) + len(r.ID) + len(r.Key) + len(r.Class) + len(r.Tenant)
+	return int64(recordHeadSize + texts + recordOverhead + stateReserveBytes)
+}
+
+func (l *Log) inOrder() []*message {
+	messages := make([]*message, 0, len(l.pending))
+	for _, m := range l.pending {
+		messages = append(messages, m)
 	}
-	slices.SortFunc(all, func(a, b *live) int { return a.seq - b.seq })
-	return all
+	slices.SortFunc(messages, func(a, b *message) int { return cmp.Compare(a.order, b.order) })
+	return messages
 }
 
+// compact rewrites the file with what is pending.
 func (l *Log) compact() error {
 	var text []byte
-	for _, x := range l.inOrder() {
-		c := *x.rec
-		c.Kind = wal.KindAccepted
-		text = encode(&c, text)
+	for _, m := range l.inOrder() {
+		r := *m.record
+		r.Kind = wal.KindAccepted
+		text = encode(text, &r)
 	}
 	f, err := os.OpenFile(l.path+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("baseline: %w", err)
 	}
-	l.WriteCalls, l.Bytes = l.WriteCalls+1, l.Bytes+int64(len(text))
+	l.countWrite(len(text))
 	if _, err = f.Write(text); err == nil {
 		err = os.Rename(l.path+".new", l.path)
 	}
@@ -172,33 +160,40 @@
 	return nil
 }
 
-// Submit hands a record over.
-func (l *Log) Submit(r *wal.Record, then func(error)) { l.in.Put(op{r, then}) }
+func (l *Log) countWrite(bytes int) {
+	l.WriteCalls++
+	l.Bytes += int64(bytes)
+}
+
+// Submit queues a record to be written, and returns at once. done may be nil; it is called
+// on Run's goroutine with the result: nil, wal.ErrFull or an error of the file system.
+func (l *Log) Submit(r *wal.Record, done func(error)) { l.requests.Put(request{r, done}) }
 
-// Done is closed once Run is over.
+// Done is closed once Run has returned.
 func (l *Log) Done() <-chan struct{} { return l.done }
 
-// Run writes until stop is closed.
+// Run serves the log until stop is closed and everything submitted before is written, and
+// then closes it.
 func (l *Log) Run(stop <-chan struct{}) {
 	defer close(l.done)
-	defer l.file.Close()
-	var ops []op
+	defer func() { l.file.Close() }()
+	var requests []request
 	for stopping := false; ; {
-		ops = l.in.TakeAll(ops)
-		for _, x := range ops {
-			err := l.append(x.rec)
-			if x.then != nil {
-				x.then(err)
+		requests = l.requests.TakeAll(requests)
+		for _, r := range requests {
+			err := l.append(r.record)
+			if r.done != nil {
+				r.done(err)
 			}
 		}
-		if len(ops) > 0 {
+		if len(requests) > 0 {
 			continue
 		}
 		if stopping {
 			return
 		}
 		select {
-		case <-l.in.Ready():
+		case <-l.requests.Ready():
 		case <-stop:
 			stopping = true
 		}
@@ -206,23 +201,23 @@
 }
 
 func (l *Log) append(r *wal.Record) error {
-	l.buffer = encode(r, l.buffer[:0])
-	n, owed, free := int64(len(l.buffer)), l.owed, l.limit-slack
+	l.buffer = encode(l.buffer[:0], r)
+	n, pending, free := int64(len(l.buffer)), l.pendingBytes, l.limit-roundingReserve
 	if r.Kind == wal.KindAccepted {
-		free -= spare
-		if 2*owed > free {
+		free -= completionReserve
+		if 2*pending > free {
 			return wal.ErrFull
 		}
 	}
-	if l.size+n+owed > free || l.size > max(garden, 4*owed) {
+	if l.size+n+pending > free || l.size > max(minCompactionBytes, compactionFactor*pending) {
 		if err := l.compact(); err != nil {
 			return err
 		}
-		if l.size+n+owed > free {
+		if l.size+n+pending > free {
 			return wal.ErrFull
 		}
 	}
-	l.WriteCalls, l.Bytes = l.WriteCalls+1, l.Bytes+n
+	l.countWrite(len(l.buffer))
 	if _, err := l.file.WriteAt(l.buffer, l.size); err != nil {
 		return fmt.Errorf("baseline: %w", err)
 	}
--- /dev/null
+++ b/internal/wal/baseline/codec.go
@@ -0,0 +1,56 @@
+package baseline
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"hash/crc32"
+	"slices"
+
+	"plovershore/internal/wal"
+)
+
+// A record is a mark, the length and the checksum of its payload, and the payload: a line
+// of JSON and the body.
+const (
+	recordMark       = "\xf7TRW"
+	recordHeadSize   = 12
+	recordLengthAt   = 4
+	recordChecksumAt = 8
+)
+
+// encode appends a record to b.
+func encode(b []byte, r *wal.Record) []byte {
+	line, _ := json.Marshal(r) // plain data
+	start := len(b)
+	b = append(b, recordMark...)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(line)+1+len(r.Body)))
+	b = append(b, 0, 0, 0, 0) // the checksum
+	b = append(b, line...)
+	b = append(b, '\n')
+	b = append(b, r.Body...)
+	binary.BigEndian.PutUint32(b[start+recordChecksumAt:], crc32.ChecksumIEEE(b[start+recordHeadSize:]))
+	return b
+}
+
+// decode reads the record at the start of b. size is 0 where there is none.
+func decode(b []byte) (r *wal.Record, size int) {
+	if len(b) < recordHeadSize || string(b[:recordLengthAt]) != recordMark {
+		return nil, 0
+	}
+	size = recordHeadSize + int(binary.BigEndian.Uint32(b[recordLengthAt:]))
+	if size > len(b) {
+		return nil, 0
+	}
+	payload := b[recordHeadSize:size]
+	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(b[recordChecksumAt:]) {
+		return nil, 0
+	}
+	line, body, ok := bytes.Cut(payload, []byte{'\n'})
+	r = &wal.Record{}
+	if !ok || json.Unmarshal(line, r) != nil {
+		return nil, 0
+	}
+	r.Body = slices.Clone(body)
+	return r, size
+}
--- a/internal/wal/command/command.go
+++ b/internal/wal/command/command.go
@@ -1,16 +1,14 @@
-// Package command is `relayctl wal`: it looks at a relay's log and moves it. It
-// promises its exit codes and that only repair, export and import change
-// anything; what is found damaged is package wal's to say.
+// Package command is `relayctl wal`, which looks at a relay's log and migrates it. Only
+// repair, export and import change anything. Exit codes are part of its interface; package
+// wal decides what counts as corrupted.
 package command
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -19,27 +17,37 @@
 
 // Exit codes.
 const (
-	Sound   = 0
+	Sound   = 0 // or done
 	Damaged = 1 // or it could not be done
 	Usage   = 2
 	InUse   = 3 // by a running relay
 )
 
-// Error is one with an exit code of its own.
+// Error is an error with an exit code of its own.
 type Error struct {
 	Code int
 	Err  error
 }
 
+// Error is the text of the error within.
 func (e *Error) Error() string { return e.Err.Error() }
+
+// Unwrap gives the error within.
 func (e *Error) Unwrap() error { return e.Err }
 
-// ExitCode is what the process ends with.
+// ExitCode is what the process exits with.
 func (e *Error) ExitCode() int { return e.Code }
 
 var errDamaged = errors.New("the log is damaged")
 
-func coded(err error) error {
+// defaultDiskMB is the relay's disk_mb where the user does not say.
+const defaultDiskMB = 3
+
+// bytesPerMBShift turns megabytes into bytes.
+const bytesPerMBShift = 20
+
+// withExitCode gives an error of package wal its exit code.
+func withExitCode(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -51,10 +59,11 @@
 	return &Error{Damaged, err}
 }
 
-func args(names ...string) cobra.PositionalArgs {
-	return func(c *cobra.Command, got []string) error {
-		if len(got) != len(names) {
-			return &Error{Usage, fmt.Errorf("%s wants %s, %d came", c.Name(), strings.Join(names, " and "), len(got))}
+// exactArgs wants one argument for each name.
+func exactArgs(names ...string) cobra.PositionalArgs {
+	return func(c *cobra.Command, args []string) error {
+		if len(args) != len(names) {
+			return &Error{Usage, fmt.Errorf("%s wants %s, %d came", c.Name(), strings.Join(names, " and "), len(args))}
 		}
 		return nil
 	}
@@ -62,135 +71,146 @@
 
 // New makes the command.
 func New() *cobra.Command {
-	var asJSON bool
-	root := &cobra.Command{Use: "wal", Short: "A relay's log: what it holds, whether it is sound, and its move to another relay",
+	root := &cobra.Command{
+		Use:   "wal",
+		Short: "A relay's log: what it holds, whether it is sound, and its move to another relay",
 		Long: "A relay's log: what it holds, whether it is sound, and its move to another relay.\n\n" +
 			"FOLDER is the relay's state folder. Read only unless it is repair, export or import.\n" +
-			"Exit codes: 0 sound or done; 1 damaged, or it could not be done; 2 bad usage; 3 in use by a running relay."}
-	root.PersistentFlags().BoolVar(&asJSON, "json", false, "JSON in place of a table")
-	show := func(c *cobra.Command, r *wal.RecoveryReport) error {
-		if asJSON {
-			e := json.NewEncoder(c.OutOrStdout())
-			e.SetIndent("", " ")
-			return e.Encode(r)
-		}
-		return table(c.OutOrStdout(), r)
+			"Exit codes: 0 sound or done; 1 damaged, or it could not be done; 2 bad usage; 3 in use by a running relay.",
 	}
-	judge := func(c *cobra.Command, r *wal.RecoveryReport) error {
-		if err := show(c, r); err != nil {
-			return err
-		}
-		if !r.Sound() {
-			return &Error{Damaged, errDamaged}
+	p := &printer{}
+	root.PersistentFlags().BoolVar(&p.asJSON, "json", false, "JSON in place of a table")
+	root.AddCommand(newVerify(p), newStats(p), newDump(), newRepair(p), newExport(p), newImport(p))
+	return root
+}
+
+// runFunc is what a command does with its arguments.
+type runFunc func(c *cobra.Command, args []string) error
+
+// withFolderLock runs a function while the state folder, which is an argument, is locked.
+func withFolderLock(folderArg int, run runFunc) runFunc {
+	return func(c *cobra.Command, args []string) error {
+		release, err := wal.LockFolder(args[folderArg])
+		if err != nil {
+			return withExitCode(err)
 		}
-		return nil
+		defer release()
+		return run(c, args)
 	}
-	owned := func(f func(c *cobra.Command, a []string) error) func(*cobra.Command, []string) error {
-		return func(c *cobra.Command, a []string) error {
-			release, err := wal.LockFolder(a[0])
+}
+
+func newVerify(p *printer) *cobra.Command {
+	return &cobra.Command{
+		Use:   "verify FOLDER",
+		Short: "Say whether the log is sound, and what damage there is may have concerned",
+		Args:  exactArgs("FOLDER"),
+		RunE: withFolderLock(0, func(c *cobra.Command, args []string) error {
+			report, err := wal.Inspect(nil, args[0])
 			if err != nil {
-				return coded(err)
+				return withExitCode(err)
 			}
-			defer release()
-			return f(c, a)
-		}
-	}
-	verify := &cobra.Command{Use: "verify FOLDER", Short: "Say whether the log is sound, and what damage there is may have concerned", Args: args("FOLDER"),
-		RunE: owned(func(c *cobra.Command, a []string) error {
-			r, err := wal.Inspect(nil, a[0])
-			if err != nil {
-				return coded(err)
+			if err := p.print(c.OutOrStdout(), report); err != nil {
+				return err
 			}
-			return judge(c, r)
-		})}
-	stats := &cobra.Command{Use: "stats FOLDER", Short: "Count what the log holds; of a running relay, too", Args: args("FOLDER"),
-		RunE: func(c *cobra.Command, a []string) error {
-			if _, err := os.Stat(a[0]); err != nil {
-				return coded(err)
+			if !report.Sound() {
+				return &Error{Damaged, errDamaged}
 			}
-			r, err := wal.Inspect(nil, a[0])
-			if err != nil {
-				return coded(err)
+			return nil
+		}),
+	}
+}
+
+func newStats(p *printer) *cobra.Command {
+	return &cobra.Command{
+		Use:   "stats FOLDER",
+		Short: "Count what the log holds; of a running relay, too",
+		Args:  exactArgs("FOLDER"),
+		RunE: func(c *cobra.Command, args []string) error {
+			if _, err := os.Stat(args[0]); err != nil {
+				return withExitCode(err)
 			}
-			return show(c, r)
-		}}
+			report, err := wal.Inspect(nil, args[0])
+			return p.printResult(c.OutOrStdout(), report, err)
+		},
+	}
+}
+
+// dumpedRecord is a line of the dump.
+type dumpedRecord struct {
+	File      string `json:"file"`
+	Offset    int64  `json:"offset"`
+	Seq       uint64 `json:"seq"`
+	BodyBytes int    `json:"body_bytes"`
+	*wal.Record
+}
+
+func newDump() *cobra.Command {
 	var id string
-	dump := &cobra.Command{Use: "dump FOLDER", Short: "Print every sound record, one JSON object a line; of a running relay, too", Args: args("FOLDER"),
-		RunE: func(c *cobra.Command, a []string) error {
-			if _, err := os.Stat(a[0]); err != nil {
-				return coded(err)
+	dump := &cobra.Command{
+		Use:   "dump FOLDER",
+		Short: "Print every sound record, one JSON object a line; of a running relay, too",
+		Args:  exactArgs("FOLDER"),
+		RunE: func(c *cobra.Command, args []string) error {
+			if _, err := os.Stat(args[0]); err != nil {
+				return withExitCode(err)
 			}
 			out := json.NewEncoder(c.OutOrStdout())
-			var broken error
-			err := wal.Dump(nil, a[0], func(file string, at int64, seq uint64, r *wal.Record) bool {
+			var printErr error
+			err := wal.Dump(nil, args[0], func(file string, offset int64, seq uint64, r *wal.Record) bool {
 				if id == "" || r.ID == id {
-					broken = out.Encode(struct {
-						File  string `json:"file"`
-						At    int64  `json:"offset"`
-						Seq   uint64 `json:"seq"`
-						Bytes int    `json:"body_bytes"`
-						*wal.Record
-					}{file, at, seq, len(r.Body), r})
+					printErr = out.Encode(dumpedRecord{file, offset, seq, len(r.Body), r})
 				}
-				return broken == nil
+				return printErr == nil
 			})
-			return coded(errors.Join(err, broken))
-		}}
-	dump.Flags().StringVar(&id, "id", "", "only of this message")
-	var limit int
-	repair := &cobra.Command{Use: "repair FOLDER", Short: "Put all that is sound into a new checkpoint; damaged files are kept aside", Args: args("FOLDER"),
-		RunE: owned(func(c *cobra.Command, a []string) error {
-			r, err := wal.Repair(a[0], int64(limit)<<20)
-			if err != nil {
-				return coded(err)
-			}
-			return show(c, r)
-		})}
-	export := &cobra.Command{Use: "export FOLDER FILE", Short: "Move the log into a file, and fence the folder: its relay begins empty", Args: args("FOLDER", "FILE"),
-		RunE: owned(func(c *cobra.Command, a []string) error {
-			r, err := wal.Export(a[0], a[1], int64(limit)<<20)
-			if err != nil {
-				return coded(err)
-			}
-			return show(c, r)
-		})}
-	for _, x := range []*cobra.Command{repair, export} {
-		x.Flags().IntVar(&limit, "disk-mb", 3, "the relay's disk_mb")
+			return withExitCode(errors.Join(err, printErr))
+		},
 	}
-	imp := &cobra.Command{Use: "import FILE FOLDER", Short: "Put an exported log into a folder that holds none; the file is used up", Args: args("FILE", "FOLDER"),
-		RunE: func(c *cobra.Command, a []string) error {
-			release, err := wal.LockFolder(a[1])
-			if err != nil {
-				return coded(err)
-			}
-			defer release()
-			r, err := wal.Import(a[0], a[1])
-			if err != nil {
-				return coded(err)
-			}
-			return show(c, r)
-		}}
-	root.AddCommand(verify, stats, dump, repair, export, imp)
-	return root
+	dump.Flags().StringVar(&id, "id", "", "only of this message")
+	return dump
 }
 
-func table(out io.Writer, r *wal.RecoveryReport) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "FILE\tKIND\tBYTES\tRECORDS\tFIRST")
-	for _, f := range r.Files {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\n", f.Name, f.Kind, f.Bytes, f.Records, f.First)
+func newRepair(p *printer) *cobra.Command {
+	var diskMB int
+	repair := &cobra.Command{
+		Use:   "repair FOLDER",
+		Short: "Put all that is sound into a new checkpoint; damaged files are kept aside",
+		Args:  exactArgs("FOLDER"),
+		RunE: withFolderLock(0, func(c *cobra.Command, args []string) error {
+			report, err := wal.Repair(args[0], int64(diskMB)<<bytesPerMBShift)
+			return p.printResult(c.OutOrStdout(), report, err)
+		}),
 	}
-	w.Flush() // its error is the last line's
-	fmt.Fprintf(out, "owed %d, records %d, last number %d, %d bytes on disk\n", r.Pending, r.Records, r.Seq, r.Bytes)
-	for _, d := range r.Torn {
-		fmt.Fprintf(out, "never booked: %s at %d: %d bytes: %s %s\n", d.File, d.Offset, d.Bytes, d.Reason, strings.Join(d.IDs, " "))
-	}
-	for _, d := range r.Corruptions {
-		fmt.Fprintf(out, "DAMAGED: %s at %d: %d bytes: %s; %d messages held to have been sent %s\n", d.File, d.Offset, d.Bytes, d.Reason, d.Affected, strings.Join(d.IDs, " "))
+	addDiskFlag(repair, &diskMB)
+	return repair
+}
+
+func newExport(p *printer) *cobra.Command {
+	var diskMB int
+	export := &cobra.Command{
+		Use:   "export FOLDER FILE",
+		Short: "Move the log into a file, and fence the folder: its relay begins empty",
+		Args:  exactArgs("FOLDER", "FILE"),
+		RunE: withFolderLock(0, func(c *cobra.Command, args []string) error {
+			report, err := wal.Export(args[0], args[1], int64(diskMB)<<bytesPerMBShift)
+			return p.printResult(c.OutOrStdout(), report, err)
+		}),
 	}
-	var err error
-	if len(r.LostIDs) > 0 {
-		_, err = fmt.Fprintf(out, "LOST: %s\n", strings.Join(r.LostIDs, " "))
+	addDiskFlag(export, &diskMB)
+	return export
+}
+
+func addDiskFlag(c *cobra.Command, diskMB *int) {
+	c.Flags().IntVar(diskMB, "disk-mb", defaultDiskMB, "the relay's disk_mb")
+}
+
+func newImport(p *printer) *cobra.Command {
+	return &cobra.Command{
+		Use:   "import FILE FOLDER",
+		Short: "Put an exported log into a folder that holds none; the file is used up",
+		Args:  exactArgs("FILE", "FOLDER"),
+		RunE: withFolderLock(1, func(c *cobra.Command, args []string) error {
+			report, err := wal.Import(args[0], args[1])
+			return p.printResult(c.OutOrStdout(), report, err)
+		}),
 	}
-	return err
 }
--- a/internal/wal/conversion.go
+++ b/internal/wal/conversion.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// convertLegacy writes what a legacy program left in the present format. For whoever
-// looks at the state folder it happens in one step: the legacy file gives way to the
-// log's folder, which the legacy program cannot take for its own.
+// convertLegacy converts a legacy log to the present format. Other processes see it happen
+// in one step: the log's folder replaces the legacy file, and a legacy program cannot open
+// a folder.
 func (s *store) convertLegacy() error {
 	folder := s.dir
 	s.dir = folder + temporarySuffix
--- /dev/null
+++ b/internal/wal/cutfs/cut.go
@@ -0,0 +1,96 @@
+package cutfs
+
+import (
+	"bytes"
+	"cmp"
+	"maps"
+	"path/filepath"
+	"slices"
+)
+
+// Pending counts the changes that a power cut may lose.
+func (f *FS) Pending() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.pending())
+}
+
+// pending gives the changes that a power cut may lose, in their order.
+func (f *FS) pending() (changes []*change) {
+	seen := map[*inode]bool{}
+	addData := func(node *inode) {
+		if !seen[node] {
+			seen[node] = true
+			changes = append(changes, node.unsynced...)
+		}
+	}
+	for _, names := range []map[string]*inode{f.names, f.durableNames} {
+		for _, node := range names {
+			addData(node)
+		}
+	}
+	for _, c := range f.unsyncedNames {
+		addData(c.name.inode)
+	}
+	changes = append(changes, f.unsyncedNames...)
+	slices.SortFunc(changes, func(a, b *change) int { return cmp.Compare(a.seq, b.seq) })
+	return changes
+}
+
+// Cut gives the file system as it comes up after a power cut that kept those pending
+// changes for which survives says so, by their place in the order. f itself stays as it is.
+func (f *FS) Cut(survives func(i int) bool) *FS {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	names, contents := f.afterCut(survives)
+	after := &FS{names: map[string]*inode{}, durableNames: map[string]*inode{}}
+	copies := map[*inode]*inode{}
+	for name, node := range names {
+		if !f.hasDurableFolder(name, names) {
+			continue
+		}
+		if copies[node] == nil {
+			data := contents.of(node)
+			copies[node] = &inode{dir: node.dir, data: data, durable: bytes.Clone(data)}
+		}
+		after.names[name], after.durableNames[name] = copies[node], copies[node]
+	}
+	return after
+}
+
+// dataByInode is what files hold after a power cut.
+type dataByInode map[*inode][]byte
+
+func (d dataByInode) of(node *inode) []byte {
+	if _, ok := d[node]; !ok {
+		d[node] = bytes.Clone(node.durable)
+	}
+	return d[node]
+}
+
+// afterCut gives the names and the contents that a power cut leaves.
+func (f *FS) afterCut(survives func(i int) bool) (map[string]*inode, dataByInode) {
+	names, contents := maps.Clone(f.durableNames), dataByInode{}
+	for i, c := range f.pending() {
+		switch {
+		case !survives(i):
+		case c.name != nil:
+			c.name.apply(names)
+		case c.data == nil:
+			contents[c.inode] = resize(contents.of(c.inode), c.off)
+		default:
+			contents[c.inode] = overwrite(contents.of(c.inode), c.data, c.off)
+		}
+	}
+	return names, contents
+}
+
+// hasDurableFolder reports whether all folders above a name survived a cut that left names.
+func (f *FS) hasDurableFolder(name string, names map[string]*inode) bool {
+	for dir := filepath.Dir(name); f.durableNames[dir] == nil && dir != filepath.Dir(dir); dir = filepath.Dir(dir) {
+		if names[dir] == nil && f.names[dir] != nil {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/wal/cutfs/disk.go
+++ b/internal/wal/cutfs/disk.go
@@ -12,36 +12,33 @@
 	"plovershore/internal/wal"
 )
 
-// Disk is a file system over a real folder whose process may be killed in place
-// of a loss of power: what was not synced is in memory alone, and reaches the
-// folder in part and in any order, as the seed draws it. It is for one process at
-// a time.
+// Disk is a file system over a real folder whose process may be killed in place of a power
+// cut: what was not synced is in memory alone, and reaches the folder in part and in any
+// order, as the seed draws it. OnDisk makes it. It is for one process at a time, and for
+// any number of goroutines. There is nothing to close.
 type Disk struct {
 	*FS
-	dir  string
-	mu   sync.Mutex // of the draw and the real files
-	draw *rand.Rand
-	real map[*inode]string // where each lasting file stands
+	dir    string
+	mu     sync.Mutex // guards the fields below and the real files
+	random *rand.Rand
+	paths  map[*inode]string // where each durable file stands
 }
 
-// OnDisk reads a folder as the last process left it. Errors: those of the real
-// file system.
+// leakOdds: one operation in so many has a pending change become durable of itself.
+const leakOdds = 4
+
+// seedStream keeps the draws of a Disk apart from those of tests with the same seed.
+const seedStream = 11
+
+// OnDisk reads a folder as the last process left it. Errors: those of the real file system.
 func OnDisk(dir string, seed uint64) (*Disk, error) {
-	d := &Disk{FS: New(filepath.Clean(dir)), dir: filepath.Clean(dir), draw: rand.New(rand.NewPCG(seed, 11)), real: map[*inode]string{}}
-	err := filepath.Walk(d.dir, func(path string, info os.FileInfo, err error) error {
-		if err != nil || path == d.dir {
+	dir = filepath.Clean(dir)
+	d := &Disk{FS: New(dir), dir: dir, random: rand.New(rand.NewPCG(seed, seedStream)), paths: map[*inode]string{}}
+	err := filepath.Walk(dir, func(path string, info os.FileInfo, err error) error {
+		if err != nil || path == dir {
 			return err
 		}
-		ino := &inode{dir: info.IsDir()}
-		if !ino.dir {
-			if ino.data, err = os.ReadFile(path); err != nil {
-				return err
-			}
-			ino.durable = slices.Clone(ino.data)
-		}
-		d.names[path], d.lasting[path] = ino, ino
-		d.real[ino] = path
-		return nil
+		return d.read(path, info.IsDir())
 	})
 	if err != nil {
 		return nil, fmt.Errorf("cutfs: %w", err)
@@ -50,126 +47,149 @@
 	return d, nil
 }
 
-// leak has some of what is pending reach the disk of itself, as it may at any time.
+// read takes in a file or a folder as it stands in the real folder.
+func (d *Disk) read(path string, isDir bool) (err error) {
+	node := &inode{dir: isDir}
+	if !isDir {
+		if node.data, err = os.ReadFile(path); err != nil {
+			return err
+		}
+		node.durable = slices.Clone(node.data)
+	}
+	d.names[path], d.durableNames[path] = node, node
+	d.paths[node] = path
+	return nil
+}
+
+// leak has some pending change become durable of itself, as it may at any time.
 func (d *Disk) leak() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.draw.IntN(4) > 0 {
+	if d.random.IntN(leakOdds) > 0 {
 		return nil
 	}
 	d.FS.mu.Lock()
 	defer d.FS.mu.Unlock()
-	all := d.pending()
-	if len(all) == 0 {
+	pending := d.pending()
+	if len(pending) == 0 {
 		return nil
 	}
-	p := all[d.draw.IntN(len(all))]
-	if p.name != nil {
-		p.name.apply(d.lasting)
-		d.ops = slices.DeleteFunc(d.ops, func(x *piece) bool { return x == p })
-		return d.settle()
+	c := pending[d.random.IntN(len(pending))]
+	isLeaked := func(other *change) bool { return other == c }
+	if c.name != nil {
+		c.name.apply(d.durableNames)
+		d.unsyncedNames = slices.DeleteFunc(d.unsyncedNames, isLeaked)
+		return d.update()
 	}
-	if p.data == nil {
-		p.ino.durable = resize(p.ino.durable, p.off)
+	if c.data == nil {
+		c.inode.durable = resize(c.inode.durable, c.off)
 	} else {
-		p.ino.durable = put(p.ino.durable, p.data, p.off)
+		c.inode.durable = overwrite(c.inode.durable, c.data, c.off)
 	}
-	p.ino.writes = slices.DeleteFunc(p.ino.writes, func(x *piece) bool { return x == p })
-	return d.settle(p.ino)
+	c.inode.unsynced = slices.DeleteFunc(c.inode.unsynced, isLeaked)
+	return d.update(c.inode)
 }
 
-// settle has the real folder show what lasts: its names, and what these files hold.
-func (d *Disk) settle(changed ...*inode) error {
-	lasting := map[*inode]string{}
-	for name, ino := range d.lasting {
+// update makes the real folder show what is durable: the names, and the contents of the
+// files that changed.
+func (d *Disk) update(changed ...*inode) error {
+	durable := map[*inode]string{}
+	for name, node := range d.durableNames {
 		if name != d.dir {
-			lasting[ino] = name
+			durable[node] = name
 		}
 	}
-	for ino, path := range d.real {
-		if now := lasting[ino]; now == "" && !ino.dir {
-			if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-				return fmt.Errorf("cutfs: %w", err)
-			}
-			delete(d.real, ino)
-		} else if now != path && now != "" {
-			if err := os.MkdirAll(filepath.Dir(now), 0o700); err != nil {
-				return fmt.Errorf("cutfs: %w", err)
-			}
-			if err := os.Rename(path, now); err != nil && !errors.Is(err, os.ErrNotExist) {
-				return fmt.Errorf("cutfs: %w", err)
-			}
-			d.real[ino] = now
-		}
+	if err := d.updateNames(durable); err != nil {
+		return fmt.Errorf("cutfs: %w", err)
 	}
-	for ino, path := range lasting {
-		if d.real[ino] != "" && !slices.Contains(changed, ino) {
+	for node, path := range durable {
+		if d.paths[node] != "" && !slices.Contains(changed, node) {
 			continue
 		}
-		d.real[ino] = path
-		if ino.dir {
-			if err := os.MkdirAll(path, 0o700); err != nil {
-				return fmt.Errorf("cutfs: %w", err)
-			}
-			continue
+		d.paths[node] = path
+		if err := updateFile(path, node); err != nil {
+			return fmt.Errorf("cutfs: %w", err)
 		}
-		if err := show(path, ino.durable); err != nil {
-			return err
+	}
+	return nil
+}
+
+// updateNames removes and renames real files to what is durable.
+func (d *Disk) updateNames(durable map[*inode]string) error {
+	for node, path := range d.paths {
+		switch name := durable[node]; {
+		case name == "" && !node.dir:
+			if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
+				return err
+			}
+			delete(d.paths, node)
+		case name != "" && name != path:
+			if err := os.MkdirAll(filepath.Dir(name), 0o700); err != nil {
+				return err
+			}
+			if err := os.Rename(path, name); err != nil && !errors.Is(err, os.ErrNotExist) {
+				return err
+			}
+			d.paths[node] = name
 		}
 	}
 	return nil
 }
 
-// show writes over what is there, and then cuts the file to its length: a kill in
-// between leaves nothing that was not there before, or is now.
-func show(path string, b []byte) error {
+// updateFile makes a real file or folder as it is durable. It overwrites what is there and
+// then cuts the file to its length: a kill in between leaves nothing that was not there
+// before, or is now.
+func updateFile(path string, node *inode) error {
+	if node.dir {
+		return os.MkdirAll(path, 0o700)
+	}
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return fmt.Errorf("cutfs: %w", err)
+		return err
 	}
-	_, err = f.WriteAt(b, 0)
+	_, err = f.WriteAt(node.durable, 0)
 	if err == nil {
-		err = f.Truncate(int64(len(b)))
-	}
-	if err = errors.Join(err, f.Close()); err != nil {
-		return fmt.Errorf("cutfs: %w", err)
+		err = f.Truncate(int64(len(node.durable)))
 	}
-	return nil
+	return errors.Join(err, f.Close())
 }
 
-// Open is wal.FS's.
-func (d *Disk) Open(name string, how wal.Mode) (wal.File, error) {
-	f, err := d.FS.Open(name, how)
+// Open is that of wal.FS.
+func (d *Disk) Open(name string, mode wal.Mode) (wal.File, error) {
+	f, err := d.FS.Open(name, mode)
 	if err != nil {
 		return nil, err
 	}
 	return &diskFile{f.(*file), d}, nil
 }
 
-type diskFile struct {
-	*file
-	d *Disk
-}
-
-func (x *diskFile) Sync() error {
-	if err := x.file.Sync(); err != nil {
-		return err
-	}
-	x.d.mu.Lock()
-	defer x.d.mu.Unlock()
-	x.d.FS.mu.Lock()
-	defer x.d.FS.mu.Unlock()
-	return x.d.settle(x.ino)
-}
-
-// SyncDir is wal.FS's.
+// SyncDir is that of wal.FS.
 func (d *Disk) SyncDir(dir string) error {
 	if err := d.FS.SyncDir(dir); err != nil {
 		return err
 	}
+	return d.updateSynced()
+}
+
+// updateSynced shows what a sync made durable.
+func (d *Disk) updateSynced(changed ...*inode) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.FS.mu.Lock()
 	defer d.FS.mu.Unlock()
-	return d.settle()
+	return d.update(changed...)
+}
+
+// diskFile is an open file of a Disk.
+type diskFile struct {
+	*file
+	disk *Disk
+}
+
+// Sync is that of wal.File.
+func (x *diskFile) Sync() error {
+	if err := x.file.Sync(); err != nil {
+		return err
+	}
+	return x.disk.updateSynced(x.inode)
 }
--- /dev/null
+++ b/internal/wal/cutfs/file.go
@@ -0,0 +1,138 @@
+package cutfs
+
+import (
+	"bytes"
+	"io"
+
+	"plovershore/internal/wal"
+)
+
+// file is an open file. Its methods are those of wal.File.
+type file struct {
+	fs    *FS
+	inode *inode
+	name  string
+}
+
+// ReadAt is that of wal.File.
+func (x *file) ReadAt(b []byte, off int64) (int, error) {
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	if off >= int64(len(x.inode.data)) {
+		return 0, io.EOF
+	}
+	n := copy(b, x.inode.data[off:])
+	if n < len(b) {
+		return n, io.EOF
+	}
+	return n, nil
+}
+
+// WriteAt is that of wal.File. Each sector is a change of its own.
+func (x *file) WriteAt(b []byte, off int64) (int, error) {
+	err := x.fs.before(OpWrite, x.name)
+	if err != nil {
+		if !x.fs.Short {
+			return 0, err
+		}
+		b = b[:len(b)/2]
+	}
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	x.inode.data = overwrite(x.inode.data, b, off)
+	for done := 0; done < len(b); {
+		at := off + int64(done)
+		n := min(len(b)-done, Sector-int(at%Sector))
+		piece := &change{inode: x.inode, off: at, data: bytes.Clone(b[done : done+n])}
+		x.inode.unsynced = append(x.inode.unsynced, x.fs.number(piece))
+		done += n
+	}
+	return len(b), err
+}
+
+// overwrite puts b into data at off, and extends data where it is too short.
+func overwrite(data, b []byte, off int64) []byte {
+	if n := int(off) + len(b); n > len(data) {
+		data = append(data, make([]byte, n-len(data))...)
+	}
+	copy(data[off:], b)
+	return data
+}
+
+// Truncate is that of wal.File.
+func (x *file) Truncate(size int64) error {
+	if err := x.fs.before(OpTruncate, x.name); err != nil {
+		return err
+	}
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	x.inode.data = resize(x.inode.data, size)
+	x.inode.unsynced = append(x.inode.unsynced, x.fs.number(&change{inode: x.inode, off: size}))
+	return nil
+}
+
+func resize(data []byte, size int64) []byte {
+	if size <= int64(len(data)) {
+		return data[:size:size]
+	}
+	return append(data, make([]byte, size-int64(len(data)))...)
+}
+
+// Size is that of wal.File.
+func (x *file) Size() (int64, error) {
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	return int64(len(x.inode.data)), nil
+}
+
+// Sync is that of wal.File. After a failure it does as several kernels do: the changes
+// count as written, and may never become durable.
+func (x *file) Sync() error {
+	if err := x.fs.before(OpSync, x.name); err != nil {
+		return err
+	}
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	x.inode.durable, x.inode.unsynced = bytes.Clone(x.inode.data), nil
+	return nil
+}
+
+// TryLock is that of wal.File.
+func (x *file) TryLock() (bool, error) {
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	if x.inode.lockOwner != nil && x.inode.lockOwner != x {
+		return false, nil
+	}
+	x.inode.lockOwner = x
+	return true, nil
+}
+
+// Close is that of wal.File.
+func (x *file) Close() error {
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	if x.inode.lockOwner == x {
+		x.inode.lockOwner = nil
+	}
+	return nil
+}
+
+// stampFile is an open wal.StampFile.
+type stampFile struct{ file *file }
+
+// Store is that of wal.StampFile. A stamp that cannot be stored is lost.
+func (s *stampFile) Store(stamp wal.Stamp) {
+	f := s.file
+	if f.fs.before(OpStamp, f.name) != nil {
+		return
+	}
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	b := stamp.Bytes()
+	f.inode.data = b
+	f.inode.unsynced = []*change{f.fs.number(&change{inode: f.inode, data: b})}
+}
+
+// Close is that of wal.StampFile.
+func (s *stampFile) Close() error { return nil }
--- a/internal/wal/logfile.go
+++ b/internal/wal/logfile.go
@@ -70,7 +70,7 @@
 	return l, nil
 }
 
-// diskBlock is what a file's size is rounded up to where the folder's limit is concerned.
+// diskBlock is what a file's size is rounded up to in the count against the folder's limit.
 const diskBlock = 512
 
 // blockBytes rounds a file's size up to whole blocks.
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -155,11 +155,11 @@
 }
 
 // wasSynced reports whether the record with a sequence number, in a file that is synced
-// batch by batch, was reported as written: a later record says so, the stamp, or that
-// there is a next file. Whatever else is there may be there in part without being
-// corrupted: the log ends before it.
+// batch by batch, was reported as written: the next file, the stamp or a later record
+// says so. Other records may be there in part without being corrupted: the log ends before
+// them.
 func (r *replayer) wasSynced(scan *scanner, off int64, seq uint64) bool {
-	if r.nextFileSeq != 0 { // whoever began the next file decided it
+	if r.nextFileSeq != 0 { // it was decided when the next file was begun
 		return r.nextFileSeq > seq
 	}
 	if r.stampedSeq >= seq {
