--- a/internal/wal/command/command_test.go
+++ b/internal/wal/command/command_test.go
@@ -29,7 +29,7 @@
 	return 0, b.String()
 }
 
-func fill(t *testing.T, dir string, ids ...string) {
+func writeMessages(t *testing.T, dir string, ids ...string) {
 	t.Helper()
 	l, err := wal.Open(wal.Options{Dir: dir, Limit: 3 << 20})
 	if err != nil {
@@ -44,7 +44,7 @@
 	<-l.Done()
 }
 
-func owed(t *testing.T, dir string) (ids []string) {
+func pendingMessages(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	l, err := wal.Open(wal.Options{Dir: dir, Limit: 3 << 20})
 	if err != nil {
@@ -61,7 +61,7 @@
 
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
-	fill(t, dir, "one-message", "two-message")
+	writeMessages(t, dir, "one-message", "two-message")
 	if code, out := runWAL("verify", dir); code != Sound || !strings.Contains(out, "owed 2") {
 		t.Errorf("sound: %d, %s", code, out)
 	}
@@ -112,11 +112,11 @@
 	}
 }
 
-// A log that is moved is in one place at any time: its folder's relay begins
-// empty, the file is used up once.
-func TestMove(t *testing.T) {
+// A log that is migrated is in one place at any time: its folder's relay begins empty, and
+// the file is imported once.
+func TestMigration(t *testing.T) {
 	from, to, file := t.TempDir(), t.TempDir(), filepath.Join(t.TempDir(), "moved")
-	fill(t, from, "one", "two")
+	writeMessages(t, from, "one", "two")
 	if code, out := runWAL("export", from, file); code != 0 {
 		t.Fatalf("export: %d, %s", code, out)
 	}
@@ -126,23 +126,23 @@
 	if f, err := wal.ClearFence(from); f == nil || err != nil {
 		t.Errorf("fence: %v, %v", f, err)
 	}
-	if ids := owed(t, from); len(ids) != 0 {
+	if ids := pendingMessages(t, from); len(ids) != 0 {
 		t.Errorf("the first relay still has %v", ids)
 	}
-	fill(t, from, "three")
+	writeMessages(t, from, "three")
 	if code, out := runWAL("import", file, from); code == 0 || !strings.Contains(out, "holds a log already") {
 		t.Errorf("into a folder that owes: %d, %s", code, out)
 	}
 	if code, out := runWAL("import", file, to); code != 0 {
 		t.Fatalf("import: %d, %s", code, out)
 	}
-	if ids := owed(t, to); len(ids) != 2 || ids[0] != "one=body of one" {
+	if ids := pendingMessages(t, to); len(ids) != 2 || ids[0] != "one=body of one" {
 		t.Errorf("moved: %v", ids)
 	}
 	if code, out := runWAL("import", file, t.TempDir()); code != Usage {
 		t.Errorf("a second time: %d, %s", code, out)
 	}
-	// Cut between fence and end: nobody serves from it, and it can be made again.
+	// Interrupted after the fence: nobody serves from it, and the export can be repeated.
 	if err := os.WriteFile(filepath.Join(to, wal.FenceName), []byte(`{"token":"x"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -154,11 +154,11 @@
 	}
 }
 
-// Cut between the file's name and the log's end, a move is finished when it is
-// asked for again; a file of something else is not written over.
-func TestMoveCutBeforeTheLogWent(t *testing.T) {
+// An export that was interrupted before the log was removed is finished when it is repeated;
+// a file of something else is not overwritten.
+func TestMigrationInterrupted(t *testing.T) {
 	dir, file := t.TempDir(), filepath.Join(t.TempDir(), "moved")
-	fill(t, dir, "one", "two")
+	writeMessages(t, dir, "one", "two")
 	if err := os.WriteFile(file, []byte("of something else"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wal/damage_test.go
+++ b/internal/wal/corruption_test.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// build writes the script, with a checkpoint after so many records, and gives
-// the folder's files by name.
-func build(t *testing.T, checkpoint int) (dir string, text map[string][]byte) {
+// buildFolder writes the sample records, with a checkpoint after so many of them, and
+// gives the folder's files by name.
+func buildFolder(t *testing.T, checkpoint int) (dir string, text map[string][]byte) {
 	t.Helper()
 	dir = t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	for i, r := range script() {
+	for i, r := range sampleRecords() {
 		if i == checkpoint {
 			if err := l.store.finishCheckpoint(); err != nil {
 				t.Fatal(err)
@@ -40,7 +40,8 @@
 	return dir, text
 }
 
-func put(t *testing.T, text map[string][]byte) (dir string) {
+// writeFolder makes a state folder of a log's files.
+func writeFolder(t *testing.T, text map[string][]byte) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, FolderName), 0o700); err != nil {
@@ -54,10 +55,10 @@
 	return dir
 }
 
-// safe checks what holds whatever was damaged: nothing that was sent, or is
-// over, comes back as fit to be sent; nothing is missing without being told; and
-// the folder says the same when it is opened again.
-func safe(t *testing.T, dir, what string) {
+// checkSafe checks what holds whatever was corrupted: nothing that was sent or completed
+// comes back as never sent, nothing is missing without a report, and the folder gives the
+// same when it is opened again.
+func checkSafe(t *testing.T, dir, what string) {
 	t.Helper()
 	l, owed := openTest(t, dir, 1<<20)
 	have := map[string]*Record{}
@@ -65,7 +66,7 @@
 		have[r.ID] = r
 		fit := !r.Corrupted && r.UnknownOutcomeAt == 0 && r.Notice == ""
 		switch r.ID {
-		case "a": // its one attempt never ran; where damage took that it did not, it may have
+		case "a": // its one attempt never ran; where corruption took that outcome, it may have
 		case "b", "c", "d":
 			if fit {
 				t.Fatalf("%s: %s comes back as never sent: %+v; found %+v", what, r.ID, r, l.Recovery)
@@ -91,55 +92,55 @@
 	again.store.close()
 }
 
-// Hard case 2: a flipped bit in each byte of each record kind, in segments and
-// in a checkpoint. Attempts of b and c, the end of d and e must not be hidden.
+// A bit is flipped in each byte of each kind of record, in segments and in a checkpoint.
+// The attempts of b and c and the completions of d and e must not be hidden.
 func TestFlippedBitAnywhere(t *testing.T) {
 	for _, at := range []int{-1, 8, 12} {
-		_, text := build(t, at)
+		_, text := buildFolder(t, at)
 		for name, b := range text {
 			for i := range b {
 				for _, bit := range []int{i % 8} {
-					spoilt := map[string][]byte{}
+					corrupted := map[string][]byte{}
 					for n, x := range text {
-						spoilt[n] = x
+						corrupted[n] = x
 					}
-					spoilt[name] = slices.Clone(b)
-					spoilt[name][i] ^= 1 << bit
-					safe(t, put(t, spoilt), fmt.Sprintf("checkpoint at %d: %s, byte %d, bit %d", at, name, i, bit))
+					corrupted[name] = slices.Clone(b)
+					corrupted[name][i] ^= 1 << bit
+					checkSafe(t, writeFolder(t, corrupted), fmt.Sprintf("checkpoint at %d: %s, byte %d, bit %d", at, name, i, bit))
 				}
 			}
 		}
 	}
 }
 
-// Hard case 2: a file cut at any byte, and zeros after it.
+// A file is cut at any byte, with and without zeros after it.
 func TestCutAndZerosAnywhere(t *testing.T) {
 	for _, at := range []int{-1, 8} {
-		_, text := build(t, at)
+		_, text := buildFolder(t, at)
 		for name, b := range text {
 			if name == stampName {
 				continue
 			}
 			for i := range b {
 				for _, zeros := range []int{i % 2 * 700} {
-					spoilt := map[string][]byte{}
+					corrupted := map[string][]byte{}
 					for n, x := range text {
-						spoilt[n] = x
+						corrupted[n] = x
 					}
-					spoilt[name] = append(slices.Clone(b[:i]), make([]byte, zeros)...)
-					safe(t, put(t, spoilt), fmt.Sprintf("checkpoint at %d: %s cut at %d, %d zeros", at, name, i, zeros))
+					corrupted[name] = append(slices.Clone(b[:i]), make([]byte, zeros)...)
+					checkSafe(t, writeFolder(t, corrupted), fmt.Sprintf("checkpoint at %d: %s cut at %d, %d zeros", at, name, i, zeros))
 				}
 			}
 		}
 	}
 }
 
-// A kill in the middle of a write leaves the mark behind what is whole: nothing
-// is damaged, and nothing is held to have been sent.
-func TestTornByAKillIsNoDamage(t *testing.T) {
+// A kill in the middle of a write leaves the stamp behind the complete records: nothing is
+// corrupted, and no message is treated as sent.
+func TestTornWriteIsNoCorruption(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
+	mustAppend(t, l, accepted("a", "A"), accepted("b", "B"))
 	whole := l.store.segment.file.size
 	for _, torn := range [][]byte{{0xf7}, []byte(recordMark + "\x00\x00"), func() []byte {
 		b, _ := appendRecord(nil, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, l.store.seq+1, l.store.salt, nil)
@@ -158,12 +159,12 @@
 	}
 }
 
-// Whole records that are gone from the end are noticed, though what is left is
-// sound: the mark has the last one's number.
-func TestMissingEndIsNoticed(t *testing.T) {
+// Complete records that are missing at the end are detected though the rest is valid: the
+// stamp has the sequence number of the last one.
+func TestMissingEndIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
+	mustAppend(t, l, accepted("a", "A"), accepted("b", "B"))
 	whole := l.store.segment.file.size
 	mustAppend(t, l, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, &Record{Kind: KindOutcome, ID: "b"})
 	if err := l.store.segment.file.file.Truncate(whole); err != nil {
@@ -174,19 +175,19 @@
 	if len(owed) != 2 || owed[1].UnknownOutcomeAt == 0 || l.Recovery.Sound() {
 		t.Fatalf("%q, found %+v", describe(owed), l.Recovery)
 	}
-	mustAppend(t, l, taken("c", "C"))
+	mustAppend(t, l, accepted("c", "C"))
 	l.store.close()
 	if _, owed = openTest(t, dir, 1<<20); len(owed) != 3 || owed[2].UnknownOutcomeAt != 0 {
 		t.Errorf("then %q", describe(owed))
 	}
 }
 
-// segments makes a folder of several.
-func segments(t *testing.T) (text map[string][]byte) {
+// buildSegments gives the files of a log of several segments.
+func buildSegments(t *testing.T) (text map[string][]byte) {
 	t.Helper()
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	for i, r := range script() {
+	for i, r := range sampleRecords() {
 		if i%3 == 2 {
 			if err := l.store.startSegment(); err != nil {
 				t.Fatal(err)
@@ -196,7 +197,7 @@
 	}
 	l.store.close()
 	text = map[string][]byte{}
-	for _, path := range append(files(t, dir, segmentSuffix), filepath.Join(dir, FolderName, stampName)) {
+	for _, path := range append(logFiles(t, dir, segmentSuffix), filepath.Join(dir, FolderName, stampName)) {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -209,10 +210,10 @@
 	return text
 }
 
-// Hard case 2: a segment missing, swapped, doubled, emptied, or from another
-// relay, with the mark and without it.
+// A segment is missing, swapped, duplicated, emptied, or from another relay, with the
+// stamp and without it.
 func TestSegmentsOutOfPlace(t *testing.T) {
-	text, foreign := segments(t), segments(t)
+	text, foreign := buildSegments(t), buildSegments(t)
 	var names []string
 	for name := range text {
 		if name != stampName {
@@ -221,7 +222,7 @@
 	}
 	slices.Sort(names)
 	for _, withMark := range []bool{true, false} {
-		spoil := func(what string, f func(m map[string][]byte)) {
+		check := func(what string, f func(m map[string][]byte)) {
 			m := map[string][]byte{}
 			for n, b := range text {
 				if n != stampName || withMark {
@@ -229,30 +230,30 @@
 				}
 			}
 			f(m)
-			safe(t, put(t, m), what)
+			checkSafe(t, writeFolder(t, m), what)
 		}
 		for i, name := range names {
-			spoil(name+" missing", func(m map[string][]byte) { delete(m, name) })
-			spoil(name+" emptied", func(m map[string][]byte) { m[name] = nil })
-			spoil(name+" doubled", func(m map[string][]byte) { m["0000ffff"+segmentSuffix] = m[name] })
-			spoil(name+" of another relay", func(m map[string][]byte) { m[name] = foreign[name] })
+			check(name+" missing", func(m map[string][]byte) { delete(m, name) })
+			check(name+" emptied", func(m map[string][]byte) { m[name] = nil })
+			check(name+" doubled", func(m map[string][]byte) { m["0000ffff"+segmentSuffix] = m[name] })
+			check(name+" of another relay", func(m map[string][]byte) { m[name] = foreign[name] })
 			for _, other := range names[i+1:] {
-				spoil(name+" and "+other+" swapped", func(m map[string][]byte) { m[name], m[other] = m[other], m[name] })
+				check(name+" and "+other+" swapped", func(m map[string][]byte) { m[name], m[other] = m[other], m[name] })
 			}
 		}
 	}
-	dir := put(t, text)
+	dir := writeFolder(t, text)
 	if report, err := Inspect(nil, dir); err != nil || !report.Sound() {
 		t.Errorf("untouched: %v, %+v", err, report)
 	}
 }
 
-// A damaged body takes one message and names it; the others are not concerned.
-func TestADamagedBodyConcernsItsMessage(t *testing.T) {
+// A corrupted body loses its message and gives the id; other messages are not affected.
+func TestCorruptedBodyAffectsItsMessage(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, taken("first-one", "A"), taken("second-one", strings.Repeat("body", 40)), taken("third-one", "C"))
-	path := files(t, dir, segmentSuffix)[0]
+	mustAppend(t, l, accepted("first-one", "A"), accepted("second-one", strings.Repeat("body", 40)), accepted("third-one", "C"))
+	path := logFiles(t, dir, segmentSuffix)[0]
 	l.store.close()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -269,7 +270,7 @@
 	if !slices.Equal(l.Recovery.LostIDs, []string{"second-one"}) {
 		t.Errorf("lost %v", l.Recovery.LostIDs)
 	}
-	// The damaged file is kept, and the loss is known until its notice is out.
+	// The corrupted file is kept, and the loss is known until its notice is sent.
 	if err := l.store.finishCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
@@ -288,9 +289,9 @@
 	}
 }
 
-// Hard case 2: a folder of a newer version is refused, and left as it is.
-func TestANewerFolderIsRefused(t *testing.T) {
-	_, text := build(t, -1)
+// A folder of a newer version is refused, and left as it is.
+func TestNewerFormatIsRefused(t *testing.T) {
+	_, text := buildFolder(t, -1)
 	h, _ := decodeHeader(text[segmentName(1)])
 	b := h.encode()
 	b[9], b[headerCopySize+9] = formatVersion+1, formatVersion+1
@@ -298,7 +299,7 @@
 		sealHeaderCopy(b[at : at+headerCopySize])
 	}
 	copy(text[segmentName(1)], b)
-	dir := put(t, text)
+	dir := writeFolder(t, text)
 	if _, err := Open(Options{Dir: dir, Limit: 1 << 20}); !errors.Is(err, ErrNewerVersion) || !strings.Contains(err.Error(), segmentName(1)) {
 		t.Fatalf("got %v", err)
 	}
@@ -308,21 +309,21 @@
 }
 
 // Bytes that a client sends are never read as a record, though they look like one.
-func TestABodyIsNoRecord(t *testing.T) {
+func TestBodyIsNeverReadAsRecord(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
 	forged, err := appendRecord(nil, &Record{Kind: KindCompleted, ID: "victim"}, 3, 0, nil) // it does not know the salt
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, l, taken("carrier", string(forged)), taken("victim", "V"))
-	path := files(t, dir, segmentSuffix)[0]
+	mustAppend(t, l, accepted("carrier", string(forged)), accepted("victim", "V"))
+	path := logFiles(t, dir, segmentSuffix)[0]
 	l.store.close()
 	b, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b[strings.Index(string(b), "carrier")-1] ^= 1 // its frame is gone: what follows is searched for records
+	b[strings.Index(string(b), "carrier")-1] ^= 1 // its head is corrupted: what follows is searched for records
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -337,7 +338,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, r := range script() {
+	for _, r := range sampleRecords() {
 		l.store.appendRecords([]*Record{r})
 	}
 	l.store.close()
@@ -355,13 +356,13 @@
 		if name%2 == 1 {
 			text[checkpointName(uint32(name))] = b
 		}
-		dir := put(t, text)
+		dir := writeFolder(t, text)
 		l, err := Open(Options{Dir: dir, Limit: 1 << 20})
 		if err != nil {
-			return // refused: newer, or no files
+			return // newer, or no files
 		}
 		first := describe(l.Next(1 << 20))
-		if err := l.store.appendRecords([]*Record{taken("after", "x")})[0]; err != nil && !errors.Is(err, ErrFull) {
+		if err := l.store.appendRecords([]*Record{accepted("after", "x")})[0]; err != nil && !errors.Is(err, ErrFull) {
 			t.Fatal(err)
 		}
 		l.store.close()
@@ -377,7 +378,7 @@
 }
 
 func FuzzRecord(f *testing.F) {
-	for _, r := range script() {
+	for _, r := range sampleRecords() {
 		b, err := appendRecord(nil, r, 1, 7, nil)
 		if err != nil {
 			f.Fatal(err)
@@ -389,7 +390,7 @@
 			t.Fatalf("%d bytes of %d: %+v", n, len(b), r)
 		}
 		var r Record
-		for _, k := range kindsByNumber { // a rest that was not summed
+		for _, k := range kindsByNumber { // a payload without a checksum
 			r = Record{Kind: k}
 			decodePayload(&r, b)
 		}
--- a/internal/wal/side_test.go
+++ b/internal/wal/handoff_test.go
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// copyFolder gives a second folder with the same files, one of them spoilt.
-func copyFolder(t *testing.T, from string, spoil func(name string, b []byte) []byte) (to string) {
+// copyFolder gives a second folder with the same files, as change returns them.
+func copyFolder(t *testing.T, from string, change func(name string, b []byte) []byte) (to string) {
 	t.Helper()
 	to = t.TempDir()
 	err := filepath.Walk(from, func(path string, info os.FileInfo, err error) error {
@@ -33,7 +33,7 @@
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(filepath.Join(to, name), spoil(name, b), 0o600)
+		return os.WriteFile(filepath.Join(to, name), change(name, b), 0o600)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -41,16 +41,16 @@
 	return to
 }
 
-// Guards the logs at the moment they change hands, for a kill at any byte of
-// either: what was taken on is there, once, and booked no further than it was.
-func TestPassedLogCut(t *testing.T) {
+// A kill at any byte of the log or the handoff log during a handoff loses no message,
+// duplicates none, and adds nothing to its state.
+func TestHandoffLogCut(t *testing.T) {
 	whole := t.TempDir()
 	l, _ := openTest(t, whole, 1<<20)
-	mustAppend(t, l, taken("a", "A"), taken("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
+	mustAppend(t, l, accepted("a", "A"), accepted("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
 	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, l, taken("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
+	mustAppend(t, l, accepted("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
 	l.store.close() // killed
 	sizes := map[string]int{}
 	copyFolder(t, whole, func(name string, b []byte) []byte { sizes[name] = len(b); return b })
@@ -86,21 +86,21 @@
 	}
 }
 
-// Guards against booking a record of the side log twice: what the next process
-// has done since must not be undone by reading it again.
-func TestSideLogBookedOnce(t *testing.T) {
+// A record of the handoff log is merged once: what the next process recorded since is not
+// undone by reading it again.
+func TestHandoffLogRecordedOnce(t *testing.T) {
 	dir := t.TempDir()
 	old, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, old, taken("a", "A"), &Record{Kind: KindAttempt, ID: "a", At: 5, Endpoint: "s-1", Process: old.Process})
+	mustAppend(t, old, accepted("a", "A"), &Record{Kind: KindAttempt, ID: "a", At: 5, Endpoint: "s-1", Process: old.Process})
 	if err := old.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, taken("b", "B"))
+	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, accepted("b", "B"))
 	next, owed := openTest(t, dir, 1<<20)
 	if next.Handoff == nil || len(owed) != 1 || owed[0].InFlightEndpoint != "s-1" {
 		t.Fatalf("%v, side log %v", describe(owed), next.Handoff)
 	}
-	mustAppend(t, next, next.Handoff.Read()[1:]...) // its head is its own
+	mustAppend(t, next, next.Handoff.Read()[1:]...) // without the owner record
 	mustAppend(t, next, &Record{Kind: KindAttempt, ID: "a", At: 9, Endpoint: "s-1", Process: next.Process}, &Record{Kind: KindCompleted, ID: "b"})
 	next.store.close() // killed, and the old one, too
 	old.store.close()
@@ -110,15 +110,15 @@
 	}
 }
 
-// Guards the disk while two processes write: both logs and a checkpoint fit.
-func TestSideLogBounded(t *testing.T) {
+// While two processes write, both logs and a checkpoint stay within the limit.
+func TestHandoffLogBounded(t *testing.T) {
 	const limit = 1 << 20
 	for _, full := range []bool{false, true} {
 		dir := t.TempDir()
 		old, _ := openTest(t, dir, limit)
 		body := strings.Repeat("b", 8<<10)
 		for i := 0; full || i < 4; i++ {
-			if old.store.appendRecords([]*Record{taken(strconv.Itoa(i), body)})[0] != nil {
+			if old.store.appendRecords([]*Record{accepted(strconv.Itoa(i), body)})[0] != nil {
 				break
 			}
 		}
@@ -127,13 +127,13 @@
 		}
 		next, _ := openTest(t, dir, limit)
 		for i := range 400 {
-			old.store.appendRecords([]*Record{taken("o"+strconv.Itoa(i), body)})
-			next.store.appendRecords([]*Record{taken("n"+strconv.Itoa(i), body)})
+			old.store.appendRecords([]*Record{accepted("o"+strconv.Itoa(i), body)})
+			next.store.appendRecords([]*Record{accepted("n"+strconv.Itoa(i), body)})
 			if size := diskSize(t, dir); size+next.store.checkpointBytes > limit {
 				t.Fatalf("full %v: %d on disk, %d for a checkpoint", full, size, next.store.checkpointBytes)
 			}
 		}
-		for i := range 50 { // how its calls ended still fits
+		for i := range 50 { // completions still fit
 			mustAppend(t, old, &Record{Kind: KindCompleted, ID: "o" + strconv.Itoa(i)})
 		}
 		old.store.close()
@@ -142,19 +142,19 @@
 	}
 }
 
-// A damaged stretch in the side log of a dead process holds what is owed to have
-// been sent.
-func TestSideLogDamaged(t *testing.T) {
+// Corruption in the handoff log of a process that exited has pending messages treated as
+// sent.
+func TestHandoffLogCorrupted(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, taken("a", "A"), taken("b", "B"))
+	mustAppend(t, l, accepted("a", "A"), accepted("b", "B"))
 	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, l, taken("c", "C"), taken("d", "D"))
+	mustAppend(t, l, accepted("c", "C"), accepted("d", "D"))
 	l.store.close()
 	at := -1
-	spoilt := copyFolder(t, dir, func(name string, b []byte) []byte {
+	changed := copyFolder(t, dir, func(name string, b []byte) []byte {
 		if name == HandoffName {
 			at = strings.Index(string(b), recordMark+"\x00\x00\x00") + 40
 			at = strings.Index(string(b[at:]), recordMark) + at + 6
@@ -162,9 +162,9 @@
 		}
 		return b
 	})
-	l, owed := openTest(t, spoilt, 1<<20)
+	l, owed := openTest(t, changed, 1<<20)
 	for _, r := range owed {
-		if (r.ID == "a" || r.ID == "b") && r.UnknownOutcomeAt == 0 { // c was only taken on there
+		if (r.ID == "a" || r.ID == "b") && r.UnknownOutcomeAt == 0 { // c was accepted there
 			t.Errorf("byte %d of the side log: %v", at, describe(owed))
 		}
 	}
@@ -173,8 +173,8 @@
 	}
 }
 
-// oldRecord is a record as an older program writes it.
-func oldRecord(r *Record) []byte {
+// legacyRecord is a record as a legacy program writes it.
+func legacyRecord(r *Record) []byte {
 	line, _ := json.Marshal(r) // plain data
 	payload := append(append(line, '\n'), r.Body...)
 	b := append([]byte(legacyMark), 0, 0, 0, 0, 0, 0, 0, 0)
@@ -183,24 +183,24 @@
 	return append(b, payload...)
 }
 
-func oldLog(recs ...*Record) (b []byte) {
+func legacyLog(recs ...*Record) (b []byte) {
 	for _, r := range recs {
-		b = append(b, oldRecord(r)...)
+		b = append(b, legacyRecord(r)...)
 	}
 	return b
 }
 
-// The log of an older program is carried over at the first start, its state with
-// it, also where its process lives on and tells more in a side log of its form.
-func TestCarriedOver(t *testing.T) {
+// The log of a legacy program is converted at the first start with its state, also where
+// its process lives on and writes a handoff log of the legacy format.
+func TestLegacyConversion(t *testing.T) {
 	for _, living := range []bool{false, true} {
 		dir := t.TempDir()
-		b := oldLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, script()...)...)
-		b = append(b, oldLog(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")})...)
+		b := legacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, sampleRecords()...)...)
+		b = append(b, legacyLog(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")})...)
 		if err := os.WriteFile(filepath.Join(dir, FolderName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		side := oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1, HandoffCapacity: 32 << 10}, taken("f", "F"))
+		side := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1, HandoffCapacity: 32 << 10}, accepted("f", "F"))
 		if err := os.WriteFile(filepath.Join(dir, HandoffName), side, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -215,7 +215,7 @@
 		}
 		l, owed := openTest(t, dir, 1<<20)
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 handed-back"}
-		if living { // its calls are left as they are
+		if living { // its attempts stay in flight
 			want = []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 0 ", "e E 0 0 handed-back"}
 			if l.Handoff == nil || l.Handoff.Process != 1 || len(l.Handoff.Read()) != 2 {
 				t.Fatalf("side log %+v", l.Handoff)
@@ -239,11 +239,11 @@
 	}
 }
 
-// Hard case 3: a kill between any two steps of the carrying over loses nothing,
-// though the older program ran in between.
-func TestCarryingOverCut(t *testing.T) {
-	old := oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, taken("a", "A"), taken("b", "B"), &Record{Kind: KindCompleted, ID: "b"})
-	later := oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, taken("z", "Z"))
+// A kill between any two steps of the conversion loses nothing, also where the legacy
+// program ran in between.
+func TestLegacyConversionInterrupted(t *testing.T) {
+	old := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, accepted("a", "A"), accepted("b", "B"), &Record{Kind: KindCompleted, ID: "b"})
+	later := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, accepted("z", "Z"))
 	for what, files := range map[string]map[string][]byte{
 		"before the first":       {FolderName: old, FolderName + temporarySuffix + "/x": []byte("half")},
 		"between":                {FolderName + legacySuffix: old, FolderName + temporarySuffix + "/x": []byte("half")},
@@ -277,10 +277,10 @@
 	}
 }
 
-// A flipped bit in an older log never hides an attempt either.
-func TestFlippedBitInAnOlderLog(t *testing.T) {
-	sound := oldLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, script()...)...)
-	head := len(oldLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}))
+// A flipped bit in a legacy log never hides an attempt either.
+func TestFlippedBitInLegacyLog(t *testing.T) {
+	sound := legacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, sampleRecords()...)...)
+	head := len(legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}))
 	for at := head; at < len(sound); at++ {
 		b := slices.Clone(sound)
 		b[at] ^= 1 << (at % 8)
@@ -288,12 +288,11 @@
 		if err := os.WriteFile(filepath.Join(dir, FolderName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		safe(t, dir, fmt.Sprintf("byte %d", at))
+		checkSafe(t, dir, fmt.Sprintf("byte %d", at))
 	}
 }
 
-// Hard case 5: one writer at any time. A folder whose owner was stopped is not
-// opened by another, and is once that has died.
+// There is one writer at any time: another process gets the lock once the owner has died.
 func TestOneOwner(t *testing.T) {
 	dir := t.TempDir()
 	a, err := OpenLock(dir, LockName)
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -12,12 +12,12 @@
 	"testing"
 )
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // openTest opens a folder without a goroutine.
 func openTest(t testing.TB, dir string, limit int64) (*Log, []*Record) {
 	t.Helper()
-	l, err := Open(Options{Dir: dir, Limit: limit, Log: quiet()})
+	l, err := Open(Options{Dir: dir, Limit: limit, Log: discardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-func taken(id string, body string) *Record {
+func accepted(id string, body string) *Record {
 	return &Record{Kind: KindAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
 }
 
@@ -49,9 +49,9 @@
 	return all
 }
 
-// script is a history that has every kind of record.
-func script() []*Record {
-	return []*Record{taken("a", "A\n\x00"), taken("b", ""), taken("c", "C"), taken("d", "D"), taken("e", "E"),
+// sampleRecords is a history with every kind of record.
+func sampleRecords() []*Record {
+	return []*Record{accepted("a", "A\n\x00"), accepted("b", ""), accepted("c", "C"), accepted("d", "D"), accepted("e", "E"),
 		{Kind: KindAttempt, ID: "a", At: 100, Zone: 1, Endpoint: "s-1", Process: 1},
 		{Kind: KindOutcome, ID: "a", MayHaveRun: false},
 		{Kind: KindAttempt, ID: "b", At: 200, Zone: 1, Endpoint: "s-1", Process: 1},
@@ -62,12 +62,12 @@
 		{Kind: KindCompleting, ID: "e", Notice: "handed-back", RetryMS: 20}}
 }
 
-// What is owed comes back with its state, in order, from segments and from a
+// Pending messages come back with their state, in order, from segments and from a
 // checkpoint, however often the folder is opened.
 func TestRecovers(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, script()...)
+	mustAppend(t, l, sampleRecords()...)
 	want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 handed-back"}
 	for n := range 4 {
 		l, owed := openTest(t, dir, 1<<20)
@@ -88,15 +88,15 @@
 	}
 }
 
-// A checkpoint that is written while messages come and go holds each as it was
-// at some moment, and what came after is folded once.
-func TestCheckpointBesideTheLog(t *testing.T) {
+// A checkpoint that is written while messages come and go holds each as it was at some
+// moment, and later records are applied once.
+func TestCheckpointWhileAppending(t *testing.T) {
 	for _, every := range []int{1, 3, 7} {
 		dir := t.TempDir()
 		l, _ := openTest(t, dir, 64<<20)
 		const n = 3000
 		for i := range n {
-			mustAppend(t, l, taken(strconv.Itoa(i), strings.Repeat("b", 300)))
+			mustAppend(t, l, accepted(strconv.Itoa(i), strings.Repeat("b", 300)))
 		}
 		if err := l.store.startCheckpoint(); err != nil {
 			t.Fatal(err)
@@ -108,9 +108,9 @@
 			case 0:
 				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process})
 			case 1:
-				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, taken(id, "again")) // an id that comes again
+				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, accepted(id, "again")) // an id that comes again
 			case 2:
-				mustAppend(t, l, taken("new"+strconv.Itoa(i), "n"))
+				mustAppend(t, l, accepted("new"+strconv.Itoa(i), "n"))
 			case 3:
 				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 			}
@@ -121,7 +121,7 @@
 				}
 			}
 		}
-		want := describe(remember(t, l))
+		want := describe(stateAfterRestart(t, l))
 		_, owed := openTest(t, dir, 64<<20)
 		if got := describe(owed); !slices.Equal(got, want) || steps < 10 {
 			t.Fatalf("%d steps: %d owed, want %d", steps, len(got), len(want))
@@ -129,8 +129,8 @@
 	}
 }
 
-// remember is what an open log holds, as a restart has to find it.
-func remember(t *testing.T, l *Log) (recs []*Record) {
+// stateAfterRestart is what an open log holds, as a restart has to find it.
+func stateAfterRestart(t *testing.T, l *Log) (recs []*Record) {
 	t.Helper()
 	type at struct {
 		r   *Record
@@ -166,8 +166,8 @@
 	r.InFlightSince, r.InFlightZone, r.InFlightEndpoint, r.InFlightProcess = 0, 0, "", 0
 }
 
-// files gives the names of the log's own files, segments first.
-func files(t *testing.T, dir, suffix string) (names []string) {
+// logFiles gives the paths of the log's own files with a suffix.
+func logFiles(t *testing.T, dir, suffix string) (names []string) {
 	t.Helper()
 	all, err := os.ReadDir(filepath.Join(dir, FolderName))
 	if err != nil {
@@ -195,16 +195,16 @@
 	return n
 }
 
-// Guards the disk: all files together stay under the limit at every moment, and
-// what was taken on can be ended even when nothing more fits.
-func TestBounded(t *testing.T) {
+// All files together stay within the limit at every moment, and accepted messages can be
+// completed even when nothing more fits.
+func TestFolderStaysWithinLimit(t *testing.T) {
 	const limit = 1 << 20
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, limit)
 	body := strings.Repeat("b", 64<<10)
 	n := 0
 	for ; ; n++ {
-		if err := l.store.appendRecords([]*Record{taken(strconv.Itoa(n), body)})[0]; err != nil {
+		if err := l.store.appendRecords([]*Record{accepted(strconv.Itoa(n), body)})[0]; err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
@@ -230,5 +230,5 @@
 	if l.store.checkpointBytes != 0 {
 		t.Errorf("%d bytes owed by nobody", l.store.checkpointBytes)
 	}
-	mustAppend(t, l, taken("next", body))
+	mustAppend(t, l, accepted("next", body))
 }
--- a/internal/wal/timeline_test.go
+++ b/internal/wal/logclock_test.go
@@ -27,14 +27,14 @@
 	return r
 }
 
-// lived opens a log, has it book one message, and gives the log's time at its end.
-func lived(t *testing.T, dir, id string, m *machineClock) (began, ended int64, behind time.Duration) {
+// runOnce opens a log, has it record one message, and gives the log time at its start and end.
+func runOnce(t *testing.T, dir, id string, m *machineClock) (began, ended int64, behind time.Duration) {
 	t.Helper()
 	l, err := wal.Open(wal.Options{Dir: dir, Limit: 3 << 20, Clock: m.read})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Shut()
+	defer l.Close()
 	began = l.Time()
 	if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Deadline: began + 20e6}); err != nil {
 		t.Fatal(err)
@@ -42,9 +42,9 @@
 	return began, l.Time(), l.ClockSetBack
 }
 
-// The log's time runs on with real time over the ends of processes and over boots,
-// wherever the wall clock is set; only where it was set back over a boot is it not known
-// how long no process ran, and the log's time stands still for that long.
+// Log time runs on with real time over the ends of processes and over boots, however the
+// wall clock is set. Only where that was set back over a boot it is not known how long no
+// process ran, and log time stands still for that long.
 func TestLogTime(t *testing.T) {
 	const gap, slack = time.Minute, int64(5e6)
 	for _, x := range []struct {
@@ -62,15 +62,15 @@
 	} {
 		for _, running := range []time.Duration{0, time.Hour, -time.Hour} {
 			dir, m := t.TempDir(), &machineClock{boot: 1}
-			lived(t, dir, "first", m)
+			runOnce(t, dir, "first", m)
 			m.shift += running
-			_, ended, _ := lived(t, dir, "second", m)
+			_, ended, _ := runOnce(t, dir, "second", m)
 			before := m.shift
 			m.shift = 0
 			x.then(m)
 			m.shift += before
 			m.slept += gap
-			began, _, behind := lived(t, dir, "third", m)
+			began, _, behind := runOnce(t, dir, "third", m)
 			if off := began - ended - x.passed.Microseconds(); off < 0 || off > slack {
 				t.Errorf("%s, stepped by %v before: %d µs have passed, want %d", x.what, running, began-ended, x.passed.Microseconds())
 			}
@@ -81,9 +81,9 @@
 	}
 }
 
-// A log whose time is not the wall clock's any more is moved to another machine: its
-// messages have the time left that they had.
-func TestLogTimeMoves(t *testing.T) {
+// When a log whose time differs from the wall clock is migrated to another machine, its
+// messages keep the time that they have left.
+func TestLogTimeAfterMigration(t *testing.T) {
 	for _, shift := range []time.Duration{0, time.Hour, -time.Hour} {
 		from, to, file := t.TempDir(), t.TempDir(), filepath.Join(t.TempDir(), "moved")
 		m := &machineClock{shift: shift}
@@ -98,7 +98,7 @@
 		if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: "m", Class: "plain", Deadline: l.Time() + 20e6}); err != nil {
 			t.Fatal(err)
 		}
-		l.Shut()
+		l.Close()
 		if _, err := wal.Export(from, file, 3<<20); err != nil {
 			t.Fatal(err)
 		}
@@ -116,16 +116,16 @@
 		if left := recs[0].Deadline - l.Time(); left < 15e6 || left > 20e6 {
 			t.Errorf("clock off by %v: %d µs are left of 20 s", shift, left)
 		}
-		l.Shut()
+		l.Close()
 	}
 }
 
-// The mark of an older program has no reading of the clocks, nor is one good that an
-// older program has written over: the wall clock tells then, as it did.
-func TestLogTimeOfOlderProgram(t *testing.T) {
+// The stamp of a legacy program has no reading of the clocks, and one that a legacy program
+// overwrote is void: then the wall clock counts, as it did.
+func TestLogTimeOfLegacyStamp(t *testing.T) {
 	for _, cut := range []bool{true, false} {
 		dir, m := t.TempDir(), &machineClock{boot: 1}
-		_, ended, _ := lived(t, dir, "first", m)
+		_, ended, _ := runOnce(t, dir, "first", m)
 		path := filepath.Join(dir, wal.FolderName, "mark")
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -133,14 +133,14 @@
 		}
 		if cut {
 			text = text[:24]
-		} else { // it ran for another while, by the wall clock
+		} else { // the legacy program ran for another second, by the wall clock
 			binary.NativeEndian.PutUint64(text[16:], uint64(ended+time.Second.Microseconds()))
 		}
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		m.shift = time.Hour
-		began, _, behind := lived(t, dir, "second", m)
+		began, _, behind := runOnce(t, dir, "second", m)
 		if off := began - ended - time.Hour.Microseconds(); off < 0 || off > 5e6 || behind != 0 {
 			t.Errorf("cut %v: %d µs have passed, behind by %v", cut, began-ended, behind)
 		}
--- a/internal/wal/power_test.go
+++ b/internal/wal/powerloss_test.go
@@ -16,39 +16,39 @@
 	"plovershore/internal/wal/cutfs"
 )
 
-// promised is what a log has said so far, and what was asked of it last and may
-// or may not be kept.
-type promised struct {
-	owed   map[string]string // body
-	doubt  map[string]bool   // an attempt is out or may have run: booked
-	over   map[string]bool
-	asking []*wal.Record
+// guarantees is what a log has reported as recorded, and the records that it was given last
+// and has not answered, which may or may not be recorded.
+type guarantees struct {
+	pending    map[string]string // body by id
+	mayHaveRun map[string]bool   // an attempt is in flight or may have run
+	completed  map[string]bool
+	unanswered []*wal.Record
 }
 
-func newPromised() *promised {
-	return &promised{owed: map[string]string{}, doubt: map[string]bool{}, over: map[string]bool{}}
+func newGuarantees() *guarantees {
+	return &guarantees{pending: map[string]string{}, mayHaveRun: map[string]bool{}, completed: map[string]bool{}}
 }
 
-func (p *promised) book(r *wal.Record) {
+func (p *guarantees) add(r *wal.Record) {
 	switch r.Kind {
 	case wal.KindAccepted:
-		p.owed[r.ID] = string(r.Body)
-		delete(p.over, r.ID)
+		p.pending[r.ID] = string(r.Body)
+		delete(p.completed, r.ID)
 	case wal.KindAttempt:
-		p.doubt[r.ID] = true
+		p.mayHaveRun[r.ID] = true
 	case wal.KindOutcome:
 		if !r.MayHaveRun {
-			delete(p.doubt, r.ID)
+			delete(p.mayHaveRun, r.ID)
 		}
 	case wal.KindCompleted:
-		delete(p.owed, r.ID)
-		delete(p.doubt, r.ID)
-		p.over[r.ID] = true
+		delete(p.pending, r.ID)
+		delete(p.mayHaveRun, r.ID)
+		p.completed[r.ID] = true
 	}
 }
 
-// holds tells where a folder says less than was promised.
-func (p *promised) holds(recs []*wal.Record) error {
+// holds gives an error where the records of a folder break a guarantee.
+func (p *guarantees) holds(recs []*wal.Record) error {
 	have := map[string]*wal.Record{}
 	for _, r := range recs {
 		if have[r.ID] != nil {
@@ -56,22 +56,22 @@
 		}
 		have[r.ID] = r
 	}
-	asking := func(id string, kinds ...wal.Kind) bool {
-		return slices.ContainsFunc(p.asking, func(r *wal.Record) bool { return r.ID == id && slices.Contains(kinds, r.Kind) })
+	isUnanswered := func(id string, kinds ...wal.Kind) bool {
+		return slices.ContainsFunc(p.unanswered, func(r *wal.Record) bool { return r.ID == id && slices.Contains(kinds, r.Kind) })
 	}
-	for id, body := range p.owed {
+	for id, body := range p.pending {
 		switch r := have[id]; {
-		case r == nil && !asking(id, wal.KindCompleted):
-			return fmt.Errorf("%s was taken on, and is not there", id)
-		case r != nil && (string(r.Body) != body && !asking(id, wal.KindAccepted) || r.Corrupted):
+		case r == nil && !isUnanswered(id, wal.KindCompleted):
+			return fmt.Errorf("%s was accepted, and is missing", id)
+		case r != nil && (string(r.Body) != body && !isUnanswered(id, wal.KindAccepted) || r.Corrupted):
 			return fmt.Errorf("%s came back with %d bytes, lost %v", id, len(r.Body), r.Corrupted)
-		case r != nil && p.doubt[id] && r.UnknownOutcomeAt == 0 && r.InFlightSince == 0 && !asking(id, wal.KindOutcome, wal.KindAccepted):
+		case r != nil && p.mayHaveRun[id] && r.UnknownOutcomeAt == 0 && r.InFlightSince == 0 && !isUnanswered(id, wal.KindOutcome, wal.KindAccepted):
 			return fmt.Errorf("%s was sent, and comes back as one that was not", id)
 		}
 	}
 	for id := range have {
-		if p.over[id] && !asking(id, wal.KindAccepted) {
-			return fmt.Errorf("%s was over, and is there again", id)
+		if p.completed[id] && !isUnanswered(id, wal.KindAccepted) {
+			return fmt.Errorf("%s was completed, and is there again", id)
 		}
 	}
 	return nil
@@ -79,7 +79,7 @@
 
 const cutDir = "/state"
 
-func openCut(fs *cutfs.FS, promise wal.Durability) (*wal.Log, []*wal.Record, error) {
+func openAfterCut(fs *cutfs.FS, promise wal.Durability) (*wal.Log, []*wal.Record, error) {
 	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: promise, FS: fs})
 	if err != nil {
 		return nil, nil, err
@@ -87,14 +87,14 @@
 	return l, l.Next(1 << 20), nil
 }
 
-// drive hands records to an open log one by one, as its goroutine would.
-func drive(l *wal.Log, p *promised, recs []*wal.Record) (errs int) {
+// appendOneByOne appends records to an open log one by one, and counts the errors.
+func appendOneByOne(l *wal.Log, p *guarantees, recs []*wal.Record) (errs int) {
 	for _, r := range recs {
-		p.asking = []*wal.Record{r}
+		p.unanswered = []*wal.Record{r}
 		err := l.AppendNow(r)
-		p.asking = nil
+		p.unanswered = nil
 		if err == nil {
-			p.book(r)
+			p.add(r)
 		} else {
 			errs++
 		}
@@ -134,10 +134,10 @@
 	return recs
 }
 
-// checkCut opens what a cut left, twice, and compares it with the promises.
-func checkCut(fs *cutfs.FS, p *promised, keep func(int) bool) error {
+// checkAfterCut opens what a cut left, twice, and compares it with the guarantees.
+func checkAfterCut(fs *cutfs.FS, p *guarantees, keep func(int) bool) error {
 	after := fs.Cut(keep)
-	l, recs, err := openCut(after, wal.SurvivesPowerLoss)
+	l, recs, err := openAfterCut(after, wal.SurvivesPowerLoss)
 	if err != nil {
 		return fmt.Errorf("not opened: %w", err)
 	}
@@ -147,28 +147,28 @@
 	if err := p.holds(recs); err != nil {
 		return err
 	}
-	l.Shut()
-	l, again, err := openCut(after, wal.SurvivesPowerLoss)
+	l.Close()
+	l, again, err := openAfterCut(after, wal.SurvivesPowerLoss)
 	if err != nil {
 		return fmt.Errorf("not opened again: %w", err)
 	}
-	defer l.Shut()
-	if a, b := ids(recs), ids(again); !slices.Equal(a, b) {
+	defer l.Close()
+	if a, b := describeAll(recs), describeAll(again); !slices.Equal(a, b) {
 		return fmt.Errorf("%v, then %v", a, b)
 	}
 	return nil
 }
 
-func ids(recs []*wal.Record) (all []string) {
+func describeAll(recs []*wal.Record) (all []string) {
 	for _, r := range recs {
 		all = append(all, fmt.Sprint(r.ID, len(r.Body), r.Attempts, r.UnknownOutcomeAt, r.Notice))
 	}
 	return all
 }
 
-// cuts calls f with each choice of what is kept, where they are few; else with
-// every prefix, every one left out, every one kept alone, and some drawn.
-func cuts(n int, r *rand.Rand, f func(keep func(int) bool) error) error {
+// forEachCut calls f with each choice of the changes that survive, where they are few; else
+// with every prefix, all but each one, each one alone, and some at random.
+func forEachCut(n int, r *rand.Rand, f func(keep func(int) bool) error) error {
 	if n <= 6 {
 		for set := range 1 << n {
 			if err := f(func(i int) bool { return set>>i&1 == 1 }); err != nil {
@@ -199,20 +199,20 @@
 	return nil
 }
 
-// Hard case 1: power lost before every change of the file system, in a short
-// history, with a checkpoint in it, and again while the log is opened after that.
+// Power is lost before every change of the file system, in a short history with a
+// checkpoint in it, and again during the recovery after that.
 func TestPowerLostAtEveryPoint(t *testing.T) {
 	for seed := range uint64(4) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		fs := cutfs.New(cutDir)
-		p := newPromised()
+		p := newGuarantees()
 		points, tried := 0, 0
 		fs.Before = func(what, name string) error {
 			points++
 			hook := fs.Before
 			fs.Before = nil
 			defer func() { fs.Before = hook }()
-			if err := cuts(fs.Pending(), r, func(keep func(int) bool) error { tried++; return checkCut(fs, p, keep) }); err != nil {
+			if err := forEachCut(fs.Pending(), r, func(keep func(int) bool) error { tried++; return checkAfterCut(fs, p, keep) }); err != nil {
 				t.Fatalf("seed %d, point %d, before %s of %s: %v", seed, points, what, name, err)
 			}
 			if points%5 == 0 { // and once more, in the middle of the recovery
@@ -221,30 +221,30 @@
 					hook := again.Before
 					again.Before = nil
 					defer func() { again.Before = hook }()
-					if err := checkCut(again, p, func(int) bool { return r.IntN(2) == 0 }); err != nil {
+					if err := checkAfterCut(again, p, func(int) bool { return r.IntN(2) == 0 }); err != nil {
 						t.Fatalf("seed %d, point %d, in the recovery before %s of %s: %v", seed, points, what, name, err)
 					}
 					return nil
 				}
-				l, _, err := openCut(again, wal.SurvivesPowerLoss)
+				l, _, err := openAfterCut(again, wal.SurvivesPowerLoss)
 				if err != nil {
 					t.Fatal(err)
 				}
-				l.Shut()
+				l.Close()
 			}
 			return nil
 		}
-		l, _, err := openCut(fs, wal.SurvivesPowerLoss)
+		l, _, err := openAfterCut(fs, wal.SurvivesPowerLoss)
 		if err != nil {
 			t.Fatal(err)
 		}
 		recs := history(r, 24)
-		drive(l, p, recs[:12])
+		appendOneByOne(l, p, recs[:12])
 		if err := l.CheckpointNow(); err != nil {
 			t.Fatal(err)
 		}
-		drive(l, p, recs[12:])
-		l.Shut()
+		appendOneByOne(l, p, recs[12:])
+		l.Close()
 		t.Logf("seed %d: %d points, %d cuts", seed, points, tried)
 		if points < 50 || tried < 500 {
 			t.Errorf("%d points, %d cuts", points, tried)
@@ -252,42 +252,42 @@
 	}
 }
 
-// The same over longer histories, opened again and again, with cuts drawn.
+// The same over longer histories, opened again and again, with cuts at random.
 func TestPowerLostOverLongHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 		fs := cutfs.New(cutDir)
-		p := newPromised()
-		for life := range rapid.IntRange(1, 4).Draw(t, "lives") {
-			l, recs, err := openCut(fs, wal.SurvivesPowerLoss)
+		p := newGuarantees()
+		for incarnation := range rapid.IntRange(1, 4).Draw(t, "incarnations") {
+			l, recs, err := openAfterCut(fs, wal.SurvivesPowerLoss)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if err := p.holds(recs); err != nil {
-				t.Fatalf("life %d: %v", life, err)
+				t.Fatalf("incarnation %d: %v", incarnation, err)
 			}
 			if !l.Recovery.Sound() {
-				t.Fatalf("life %d: %+v", life, l.Recovery)
+				t.Fatalf("incarnation %d: %+v", incarnation, l.Recovery)
 			}
-			// What was asked and not answered has come out one way or the other.
-			q := newPromised()
+			// The records that were not answered are recorded, or are not.
+			q := newGuarantees()
 			for _, x := range recs {
-				q.owed[x.ID] = string(x.Body)
-				q.doubt[x.ID] = x.UnknownOutcomeAt != 0
+				q.pending[x.ID] = string(x.Body)
+				q.mayHaveRun[x.ID] = x.UnknownOutcomeAt != 0
 			}
-			maps.Copy(q.over, p.over)
-			for id := range p.owed {
-				if _, ok := q.owed[id]; !ok {
-					q.over[id] = true
+			maps.Copy(q.completed, p.completed)
+			for id := range p.pending {
+				if _, ok := q.pending[id]; !ok {
+					q.completed[id] = true
 				}
 			}
-			for id := range q.owed {
-				delete(q.over, id)
+			for id := range q.pending {
+				delete(q.completed, id)
 			}
 			p = q
 			todo := history(r, rapid.IntRange(1, 300).Draw(t, "records"))
 			for i := range todo {
-				todo[i].ID = fmt.Sprint(life, "-", todo[i].ID)
+				todo[i].ID = fmt.Sprint(incarnation, "-", todo[i].ID)
 			}
 			stop := rapid.IntRange(0, 200).Draw(t, "cut after")
 			var cut *cutfs.FS
@@ -301,24 +301,24 @@
 				return nil
 			}
 			for i := 0; len(todo) > 0; i++ {
-				n := min(len(todo), 1+r.IntN(8)) // hard case 6: a batch of which a part was recorded
-				p.asking = todo[:n]
+				n := min(len(todo), 1+r.IntN(8)) // a batch may be recorded in part
+				p.unanswered = todo[:n]
 				errs := l.AppendAll(todo[:n])
 				if cut != nil {
 					break
 				}
-				p.asking = nil
+				p.unanswered = nil
 				for k, err := range errs {
 					if err == nil {
-						p.book(todo[k])
+						p.add(todo[k])
 					}
 				}
 				if todo = todo[n:]; i%10 == 9 {
-					l.Tidy()
+					l.Compact()
 				}
 			}
 			fs.Before = nil
-			l.Shut()
+			l.Close()
 			if cut == nil {
 				cut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
 			}
@@ -327,64 +327,64 @@
 	})
 }
 
-// The checker itself: a log that answers before it has synced is caught.
-func TestAForgottenSyncIsCaught(t *testing.T) {
+// The checker itself detects a log that answers before it has synced.
+func TestForgottenSyncIsCaught(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 4))
 	fs := cutfs.New(cutDir)
-	p := newPromised()
-	l, _, err := openCut(fs, wal.SurvivesCrash) // the defect: nothing is synced
+	p := newGuarantees()
+	l, _, err := openAfterCut(fs, wal.SurvivesCrash) // the defect: nothing is synced
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Shut()
-	drive(l, p, history(r, 20))
-	if err := cuts(fs.Pending(), r, func(keep func(int) bool) error { return checkCut(fs, p, keep) }); err == nil {
+	defer l.Close()
+	appendOneByOne(l, p, history(r, 20))
+	if err := forEachCut(fs.Pending(), r, func(keep func(int) bool) error { return checkAfterCut(fs, p, keep) }); err == nil {
 		t.Fatal("not caught")
 	}
 }
 
-// Hard case 4: a sync that fails is final. Nothing is taken on after it, and
-// nothing that was promised before is lost.
-func TestAFailedSyncIsFinal(t *testing.T) {
+// A sync that fails is final: nothing is accepted after it, and nothing that was recorded
+// before is lost.
+func TestFailedSyncIsFinal(t *testing.T) {
 	fs := cutfs.New(cutDir)
 	var told error
 	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: wal.SurvivesPowerLoss, FS: fs, OnFailure: func(err error) { told = err }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPromised()
+	p := newGuarantees()
 	recs := history(rand.New(rand.NewPCG(5, 5)), 40)
-	drive(l, p, recs[:20])
+	appendOneByOne(l, p, recs[:20])
 	fs.Before = func(what, _ string) error {
 		if what == "sync" {
 			return syscall.EIO
 		}
 		return nil
 	}
-	if errs := drive(l, p, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(told, wal.ErrSyncFailed) {
+	if errs := appendOneByOne(l, p, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(told, wal.ErrSyncFailed) {
 		t.Fatalf("%d refused, told %v", errs, told)
 	}
 	fs.Before = nil // it would work again
-	if errs := drive(l, p, recs[20:]); errs != len(recs)-20 {
+	if errs := appendOneByOne(l, p, recs[20:]); errs != len(recs)-20 {
 		t.Errorf("%d of %d refused after a failed sync", errs, len(recs)-20)
 	}
-	l.Shut()
-	if err := checkCut(fs, p, func(int) bool { return false }); err != nil {
+	l.Close()
+	if err := checkAfterCut(fs, p, func(int) bool { return false }); err != nil {
 		t.Error(err)
 	}
 }
 
-// Hard case 4: any call fails, once or for good, whole or in part; what was
-// promised stands, and with room again the log goes on.
-func TestCallsThatFail(t *testing.T) {
+// Any call may fail, completely or in part: what was recorded stays, and once calls succeed
+// again, the log goes on.
+func TestFailingCalls(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS} {
 		for _, short := range []bool{false, true} {
 			for seed := range uint64(40) {
 				r := rand.New(rand.NewPCG(seed, 6))
 				fs := cutfs.New(cutDir)
 				fs.Short = short
-				p := newPromised()
-				l, _, err := openCut(fs, wal.SurvivesCrash)
+				p := newGuarantees()
+				l, _, err := openAfterCut(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -397,36 +397,36 @@
 				}
 				refused := 0
 				for i, x := range recs {
-					if _, owed := p.owed[x.ID]; owed && x.Kind == wal.KindAccepted {
-						continue // its end was refused: it is owed still, and not handed in
+					if _, owed := p.pending[x.ID]; owed && x.Kind == wal.KindAccepted {
+						continue // its completion was refused: it is pending still, and is not accepted again
 					}
 					if err := l.AppendNow(x); err == nil {
-						p.book(x)
+						p.add(x)
 					} else {
 						refused++
 					}
 					if i%20 == 0 {
-						l.Tidy()
+						l.Compact()
 						if i%40 == 0 {
-							l.CheckpointNow() // may fail: that is what is tried
+							l.CheckpointNow() // it may fail
 						}
 					}
 				}
 				fs.Before = nil
-				p.asking = nil
+				p.unanswered = nil
 				if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: "last", Class: "once", Body: []byte("z")}); err != nil {
 					t.Fatalf("with room again: %v", err)
 				}
-				p.book(&wal.Record{Kind: wal.KindAccepted, ID: "last", Body: []byte("z")})
-				l.Shut()
-				back, got, err := openCut(fs, wal.SurvivesCrash)
+				p.add(&wal.Record{Kind: wal.KindAccepted, ID: "last", Body: []byte("z")})
+				l.Close()
+				back, got, err := openAfterCut(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if err := p.holds(got); err != nil || !back.Recovery.Sound() || refused == 0 {
 					t.Fatalf("%v, short %v, seed %d: %v; %d refused; found %+v", errno, short, seed, err, refused, back.Recovery)
 				}
-				back.Shut()
+				back.Close()
 			}
 		}
 	}
--- a/internal/wal/read_test.go
+++ b/internal/wal/read_test.go
@@ -8,20 +8,21 @@
 	"testing"
 )
 
-// A reference gives its message with its state as it is now, in whatever order, before a checkpoint moves the
-// record, while it does and after, and names no other once its message is over.
+// A reference gives its message with its present state, in any order, before a checkpoint
+// moves the record, while it does and after, and names no other message once its own is
+// completed.
 func TestReadByReference(t *testing.T) {
 	l, _ := openTest(t, t.TempDir(), 64<<20)
 	const n = 3000
 	recs := make([]*Record, n)
 	for i := range n {
-		recs[i] = taken(fmt.Sprint("m", i), strings.Repeat("b", i%300)+fmt.Sprint(i))
+		recs[i] = accepted(fmt.Sprint("m", i), strings.Repeat("b", i%300)+fmt.Sprint(i))
 		mustAppend(t, l, recs[i])
 		if recs[i].Ref == 0 {
 			t.Fatalf("%s has no reference", recs[i].ID)
 		}
 	}
-	again := taken("m7", "again") // owed already: what is read by a reference is the first
+	again := accepted("m7", "again") // pending already: a reference gives the first
 	mustAppend(t, l, again)
 	if again.Ref != 0 {
 		t.Error("a second record of one message has a reference")
@@ -58,17 +59,17 @@
 	if r := l.Read([]Ref{recs[9].Ref, 0, 1 << 30}); !slices.Equal(r, []*Record{nil, nil, nil}) {
 		t.Errorf("references to nothing give %+v", r)
 	}
-	mustAppend(t, l, taken("new", "")) // in the place of m9
+	mustAppend(t, l, accepted("new", "")) // in the place of m9
 	if r := l.Read([]Ref{recs[9].Ref}); r[0] != nil {
 		t.Errorf("a reference of a message that is over gives %+v", r[0])
 	}
 }
 
-// Owes tells what a client that hands a message in again is to hear: ours, or not.
-func TestOwes(t *testing.T) {
+// IsPending tells whether a client that submits a message again is answered from the log.
+func TestIsPending(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, taken("held", ""), taken("over", ""), taken("ending", ""), &Record{Kind: KindCompleted, ID: "over"},
+	mustAppend(t, l, accepted("held", ""), accepted("over", ""), accepted("ending", ""), &Record{Kind: KindCompleted, ID: "over"},
 		&Record{Kind: KindCompleting, ID: "ending", Notice: "handed-back"})
 	for id, want := range map[string]bool{"held": true, "over": false, "ending": false, "never": false} {
 		if l.IsPending(id) != want {
@@ -79,7 +80,7 @@
 		t.Errorf("fetched as owed at the start: %+v", r)
 	}
 	l.store.close()
-	l, err := Open(Options{Dir: dir, Limit: 1 << 20, Log: quiet()})
+	l, err := Open(Options{Dir: dir, Limit: 1 << 20, Log: discardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wal/recorded_test.go
+++ b/internal/wal/recorded_test.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Shut)
+	t.Cleanup(l.Close)
 	if now := l.Time(); now != want.Now {
 		t.Errorf("the log's time is %d, want %d", now, want.Now)
 	}
@@ -129,12 +129,12 @@
 			if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: "later", Class: "plain", Deadline: want.Now + 1}); err != nil {
 				t.Fatal(err)
 			}
-			l.Shut()
+			l.Close()
 			again, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: recordedClock()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer again.Shut()
+			defer again.Close()
 			later := recordedMessage{Record: wal.Record{Kind: wal.KindAccepted, ID: "later", Class: "plain", Deadline: want.Now + 1}}
 			compareMessages(t, "after a checkpoint and another start", append(want.Records, later), withText(again.Next(100)))
 		})
