--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -76,11 +76,13 @@
 	return headerSize
 }
 
+// applyRecords applies the records from off on, and gives what stands after the last one.
 func (p *fileReplay) applyRecords(off int64) fileTail {
 	for off < p.file.size {
 		rec, status := p.scan.record(off)
-		if p.file.durable && (status != recordValid || rec.seq > *p.seq+1) && !p.wasSynced(&p.scan, off, *p.seq+1) {
-			return fileTail{offset: off, bytes: p.file.size - off, status: recordUnreadable, unsynced: true, ids: p.scan.readableIDs(off, p.file.size)}
+		inOrder := status == recordValid && rec.seq <= *p.seq+1
+		if p.file.durable && !inOrder && !p.wasSynced(&p.scan, off, *p.seq+1) {
+			return p.unsyncedTail(off)
 		}
 		if status == recordUnreadable || status == recordTorn {
 			end := p.scan.resync(off+1, *p.seq+1)
@@ -99,11 +101,32 @@
 		}
 		off += rec.size
 	}
+	return p.skippedTail()
+}
+
+// unsyncedTail is the tail that begins at off, where a loss of power took it.
+func (p *fileReplay) unsyncedTail(off int64) fileTail {
+	return fileTail{
+		offset:   off,
+		bytes:    p.file.size - off,
+		status:   recordUnreadable,
+		unsynced: true,
+		ids:      p.scan.readableIDs(off, p.file.size),
+	}
+}
+
+// skippedTail is the unreadable stretch after which no record came.
+func (p *fileReplay) skippedTail() fileTail {
 	if p.skipped.Bytes == 0 {
 		return fileTail{}
 	}
-	end := p.skipped.Offset + p.skipped.Bytes
-	return fileTail{offset: p.skipped.Offset, bytes: p.skipped.Bytes, status: recordUnreadable, ids: p.skipped.IDs, zeros: p.scan.allZeros(p.skipped.Offset, end)}
+	return fileTail{
+		offset: p.skipped.Offset,
+		bytes:  p.skipped.Bytes,
+		status: recordUnreadable,
+		zeros:  p.scan.allZeros(p.skipped.Offset, p.skipped.Offset+p.skipped.Bytes),
+		ids:    p.skipped.IDs,
+	}
 }
 
 // tailAt is the tail that begins at off.
@@ -195,7 +218,8 @@
 	}
 	r.gaps = nil
 	if tail.bytes > 0 || summary.Records == 0 {
-		r.recovery.addCorruption(Corruption{File: f.name, Offset: tail.offset, Bytes: tail.bytes, Reason: "the checkpoint's end is missing", IDs: tail.ids})
+		c := Corruption{File: f.name, Offset: tail.offset, Bytes: tail.bytes, IDs: tail.ids, Reason: "the checkpoint's end is missing"}
+		r.recovery.addCorruption(c)
 	}
 	if !complete {
 		f.corrupted = true
--- a/internal/wal/store.go
+++ b/internal/wal/store.go
@@ -131,7 +131,8 @@
 		s.logCorruption(c)
 	}
 	for _, c := range s.recovery.Torn {
-		s.logger.Warn("incomplete write dropped", "file", c.File, "offset", c.Offset, "bytes", c.Bytes, "reason", c.Reason, "ids", c.IDs)
+		s.logger.Warn("incomplete write dropped",
+			"file", c.File, "offset", c.Offset, "bytes", c.Bytes, "reason", c.Reason, "ids", c.IDs)
 	}
 	if len(s.recovery.LostIDs) > 0 {
 		s.logger.Error("messages lost", "ids", s.recovery.LostIDs)
@@ -139,7 +140,8 @@
 }
 
 func (s *store) logCorruption(c Corruption) {
-	s.logger.Error("log corrupted", "file", c.File, "offset", c.Offset, "bytes", c.Bytes, "reason", c.Reason, "affected", c.Affected, "ids", c.IDs)
+	s.logger.Error("log corrupted",
+		"file", c.File, "offset", c.Offset, "bytes", c.Bytes, "reason", c.Reason, "affected", c.Affected, "ids", c.IDs)
 }
 
 // finishInterruptedWrites completes what an earlier process may have left half done: a
