--- a/internal/faultlab/wardens.go
+++ b/internal/faultlab/wardens.go
@@ -161,10 +161,10 @@
 	})
 }
 
-var counting = regexp.MustCompile(`^time=(\S+) .*msg=(counts|counted|"not counted") .*count=(\d+) token=(\d+)`)
+var counting = regexp.MustCompile(`^time=(\S+) .*msg="(` + leader.EventCountRequested + `|` + leader.EventCountAccepted + `|` + leader.EventCountRejected + `)" .*count=(\d+) token=(\d+)`)
 
 // What became of a step that a warden asked for.
-var stepEnds = map[string]string{"counted": history.Counted, `"not counted"`: history.Fenced}
+var stepEnds = map[string]string{leader.EventCountAccepted: history.Counted, leader.EventCountRejected: history.Fenced}
 
 // effects puts what the wardens counted into the history, once they have ended:
 // each step with when it was asked for, when it was answered, and how.
--- /dev/null
+++ b/internal/leader/campaign.go
@@ -0,0 +1,179 @@
+package leader
+
+import (
+	"context"
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"plovershore/internal/registry"
+)
+
+const (
+	campaignInterval  = time.Second            // between two checks without a change
+	startJitter       = 20 * time.Millisecond  // spreads candidates that start together
+	overQuotaDelay    = 400 * time.Millisecond // gives candidates below their quota precedence
+	failureBackoff    = time.Second            // after a second failure in a row; doubled with each further one
+	failureBackoffMax = 5 * time.Minute
+	failureShiftMax   = 20 // keeps the doubling from overflowing
+	retryDelayMin     = 50 * time.Millisecond
+	retryDelaySpread  = 100 * time.Millisecond
+)
+
+// campaign requests roles that have no holder, until ctx ends.
+func (c *candidate) campaign(ctx context.Context) {
+	Sleep(ctx, randomDuration(startJitter))
+	for ctx.Err() == nil {
+		names, wait := c.claimableRoles(campaignInterval)
+		for _, name := range names {
+			if ctx.Err() == nil {
+				c.acquire(ctx, name)
+			}
+		}
+		c.releaseStaleGrants(ctx)
+		c.waitForChange(ctx, wait)
+	}
+}
+
+func (c *candidate) waitForChange(ctx context.Context, wait time.Duration) {
+	timer := time.NewTimer(c.opts.Clock.Real(wait))
+	defer timer.Stop()
+	select {
+	case <-c.changed:
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// claimableRoles returns the roles to request now, and how long to wait until the
+// next one may be requested, at most maxWait.
+func (c *candidate) claimableRoles(maxWait time.Duration) (names []string, wait time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	wait = maxWait
+	if !c.hasLease() || c.view.Revision == 0 {
+		return nil, wait
+	}
+	roles := rolesByName(c.view.Roles)
+	controllers := controllerNames(c.view.Sessions)
+	quota := roleQuota(len(c.opts.Roles), len(controllers))
+	now := c.opts.Clock.Mono()
+	for name := range c.opts.Roles {
+		role, known := roles[name]
+		if c.hasUnansweredGrant(role) {
+			c.startWork(name, role.Token, role.Term, role.Note)
+			continue
+		}
+		if !c.isVacant(name, role, controllers) {
+			continue
+		}
+		overQuota := len(c.grants)+len(names) >= quota
+		at := c.requestTime(name, role, known, overQuota, now)
+		if remaining := at.Sub(now); remaining > 0 {
+			wait = min(wait, remaining)
+			continue
+		}
+		names = append(names, name)
+	}
+	return names, wait
+}
+
+// hasUnansweredGrant reports whether the list service has granted a role to this
+// session and the response was lost; the token proves the grant. c.mu is held.
+func (c *candidate) hasUnansweredGrant(role registry.Role) bool {
+	return role.Holder != "" && role.Holder == c.session &&
+		c.grants[role.Name] == nil && !c.unstopped[role.Name] && role.Token > c.lastTokens[role.Name]
+}
+
+// isVacant reports whether this candidate may request a role. c.mu is held.
+func (c *candidate) isVacant(name string, role registry.Role, controllers map[string]bool) bool {
+	switch {
+	case role.Holder != "", role.Disabled:
+		return false
+	case c.grants[name] != nil, c.unstopped[name]:
+		return false
+	}
+	reserved := role.Successor != "" && role.Successor != c.opts.Name && controllers[role.Successor]
+	return !reserved
+}
+
+// requestTime returns when a vacant role may be requested: at once by a candidate
+// below its quota, later by one above it and after failures. c.mu is held.
+func (c *candidate) requestTime(name string, role registry.Role, known, overQuota bool, now time.Time) time.Time {
+	at := now
+	if since := c.vacantSince[name]; known && !since.IsZero() {
+		at = since
+	} else {
+		c.vacantSince[name] = now
+	}
+	if overQuota && role.Successor != c.opts.Name {
+		at = at.Add(overQuotaDelay)
+	}
+	at = at.Add(c.failureDelay(role))
+	if notBefore := c.notBefore[name]; notBefore.After(at) {
+		at = notBefore
+	}
+	return at
+}
+
+// failureDelay returns the backoff of a role that has failed more than once in a
+// row, doubled for the candidate that failed last: another may do better.
+func (c *candidate) failureDelay(role registry.Role) time.Duration {
+	if role.Failures <= 1 {
+		return 0
+	}
+	delay := min(failureBackoff<<min(role.Failures-2, failureShiftMax), failureBackoffMax)
+	if role.Controller == c.opts.Name {
+		delay *= 2
+	}
+	return delay
+}
+
+// acquire requests a role and starts its work where it is granted.
+func (c *candidate) acquire(ctx context.Context, name string) {
+	session := c.sessionID()
+	ctx, cancel := context.WithTimeout(ctx, c.opts.TTL)
+	defer cancel()
+	var granted registry.Result
+	_, err := c.opts.Client.Do(ctx, http.MethodPost, rolePath(name, actionGrant), registry.RoleRequest{Session: session}, &granted)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err != nil {
+		// Where only the response was lost, the grant stands: watchRoles finds it.
+		c.notBefore[name] = c.opts.Clock.Mono().Add(retryDelayMin + randomDuration(retryDelaySpread))
+		return
+	}
+	if session != c.session || !c.hasLease() {
+		return // the session of this grant has ended
+	}
+	if c.grants[name] == nil && granted.Token > c.lastTokens[name] {
+		c.startWork(name, granted.Token, granted.Term, granted.Note)
+	}
+}
+
+func rolesByName(roles []registry.Role) map[string]registry.Role {
+	byName := map[string]registry.Role{}
+	for _, role := range roles {
+		byName[role.Name] = role
+	}
+	return byName
+}
+
+func controllerNames(sessions []registry.Session) map[string]bool {
+	names := map[string]bool{}
+	for _, session := range sessions {
+		names[session.Controller] = true
+	}
+	return names
+}
+
+// roleQuota is how many roles a candidate acquires without delay: an equal part,
+// rounded up.
+func roleQuota(roles, controllers int) int {
+	controllers = max(1, controllers)
+	return (roles + controllers - 1) / controllers
+}
+
+func randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(rand.Int64N(int64(limit)))
+}
--- /dev/null
+++ b/internal/leader/election_test.go
@@ -0,0 +1,200 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"plovershore/internal/clock"
+	"plovershore/internal/registry"
+)
+
+// A graceful hand-over: the holder saves a checkpoint, names its successor and stops;
+// the successor continues from the checkpoint.
+func TestSuccessorContinuesFromCheckpoint(t *testing.T) {
+	_, addr := startNode(t, nil)
+	steps, saved := make(chan string, 100), make(chan string, 100)
+	work := func(ctx context.Context, g *Grant) error {
+		steps <- fmt.Sprintf("%s after %q", g.Controller, g.Note)
+		if err := g.Save(ctx, g.Controller+" was here"); err != nil {
+			return err
+		}
+		saved <- g.Controller // a stop before Save has its answer ends the work without a word of who is next
+		<-ctx.Done()
+		if context.Cause(ctx) == ErrStopping {
+			g.SetSuccessor("b")
+		}
+		return nil
+	}
+	stop := startCandidate(t, addr, "a", 2*time.Second, map[string]Work{"d": work})
+	if s := <-steps; s != `a after ""` {
+		t.Fatal(s)
+	}
+	startCandidate(t, addr, "c", 2*time.Second, map[string]Work{"d": work})
+	startCandidate(t, addr, "b", 2*time.Second, map[string]Work{"d": work})
+	<-saved
+	waitFor(t, "three candidates", func() bool { return len(listRoles(t, addr).Sessions) == 3 })
+	stop()
+	if s := <-steps; s != `b after "a was here"` {
+		t.Error(s)
+	}
+}
+
+// A holder that is cut off from the list service ends its work before another
+// candidate starts. Its effects are rejected afterwards, and it sees that at once.
+func TestPartitionedHolderStopsBeforeTakeover(t *testing.T) {
+	_, addr := startNode(t, nil)
+	p := startProxy(t, addr)
+	const ttl = time.Second
+	var mu sync.Mutex
+	var working []string
+	most := 0
+	var refused error
+	work := func(ctx context.Context, g *Grant) error {
+		mu.Lock()
+		working = append(working, g.Controller)
+		most = max(most, len(working))
+		mu.Unlock()
+		<-ctx.Done()
+		mu.Lock()
+		working = slices.DeleteFunc(working, func(s string) bool { return s == g.Controller })
+		mu.Unlock()
+		if context.Cause(ctx) == ErrLeaseLost && g.Controller == "a" {
+			refused = errors.New("asked for in vain")
+			for refused != nil && !errors.Is(refused, ErrLeaseLost) { // until the cut is over
+				short, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+				refused = g.Save(short, "too late")
+				cancel()
+			}
+			mu.Lock()
+			working = append(working, "a was told")
+			mu.Unlock()
+		}
+		return nil
+	}
+	startCandidate(t, p.addr, "a", ttl, map[string]Work{"d": work})
+	waitFor(t, "a holds it", func() bool { return roleState(t, addr, "d").Controller == "a" })
+	startCandidate(t, addr, "b", ttl, map[string]Work{"d": work})
+	first := roleState(t, addr, "d").Token
+	p.partitioned.Store(true)
+	waitFor(t, "b holds it", func() bool { d := roleState(t, addr, "d"); return d.Controller == "b" && d.Token > first })
+	p.partitioned.Store(false)
+	waitFor(t, "a is told", func() bool {
+		mu.Lock()
+		defer mu.Unlock()
+		return slices.Contains(working, "a was told")
+	})
+	mu.Lock()
+	defer mu.Unlock()
+	if most != 1 || !errors.Is(refused, ErrLeaseLost) {
+		t.Errorf("%d worked at once; a's effect: %v", most, refused)
+	}
+	if d := roleState(t, addr, "d"); d.Note == "too late" {
+		t.Error("an effect with an older token counted")
+	}
+}
+
+// The holder's clock runs at a third of the true rate, so that its lease outlives the
+// session; its successor's clock is a tenth fast, and the list service's date is set
+// back an hour meanwhile. Both work at the same time, and no effect of the first is
+// accepted after one of the second.
+func TestFencingTokensHoldWithWrongClocks(t *testing.T) {
+	drill := func(text string) *clock.Clock {
+		c, err := clock.Parse(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	_, addr := startNode(t, func(c *registry.Config) { c.Clock = drill("date=-1h@500ms") })
+	p := startProxy(t, addr)
+	const ttl = 3 * time.Second
+	var refused atomic.Bool
+	believes := make(chan context.Context, 1)
+	first := func(ctx context.Context, g *Grant) error { // deaf: its effects go on whatever it is told
+		select {
+		case believes <- ctx:
+		default:
+		}
+		for i := 0; !refused.Load() && t.Context().Err() == nil; i++ {
+			short, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+			err := g.Save(short, fmt.Sprint("a ", i))
+			cancel()
+			refused.Store(errors.Is(err, ErrLeaseLost))
+		}
+		return nil
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	run := func(to, name, time string, w Work) {
+		c := newClient(t, to)
+		go func() {
+			if err := Run(ctx, Options{Client: c, Name: name, TTL: ttl, Roles: map[string]Work{"d": w}, Log: quiet(), Clock: drill(time)}); err != nil {
+				t.Error(err)
+			}
+		}()
+	}
+	run(p.addr, "a", "rate=0.3", first)
+	waitFor(t, "an effect of a", func() bool { return strings.HasPrefix(roleState(t, addr, "d").Note, "a ") })
+	p.partitioned.Store(true)
+	p.server.CloseClientConnections()
+	run(addr, "b", "rate=1.1", func(ctx context.Context, g *Grant) error {
+		if err := g.Save(ctx, "b"); err != nil {
+			return err
+		}
+		<-ctx.Done()
+		return nil
+	})
+	waitFor(t, "an effect of b", func() bool { return roleState(t, addr, "d").Note == "b" })
+	if (<-believes).Err() != nil {
+		t.Error("a does not believe in itself any more: this shows nothing")
+	}
+	p.partitioned.Store(false)
+	waitFor(t, "an effect of a is refused", refused.Load)
+	if d := roleState(t, addr, "d"); d.Note != "b" || d.Controller != "b" {
+		t.Errorf("an older token counted: %+v", d)
+	}
+}
+
+// A list service that is restored from a snapshot grants no token that was granted
+// before.
+func TestTokensGrowOverRestoredSnapshot(t *testing.T) {
+	_, addr := startNode(t, nil)
+	c := newClient(t, addr)
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+	defer cancel()
+	var backup []byte
+	if _, err := c.Do(ctx, http.MethodGet, registry.SnapshotPath, nil, &backup); err != nil {
+		t.Fatal(err)
+	}
+	var began sync.Map
+	stop := startCandidate(t, addr, "a", time.Second, map[string]Work{"d": workUntilCanceled(&began, "a")})
+	waitFor(t, "it works", func() bool { return entryCount(&began) == 1 })
+	before := roleState(t, addr, "d").Token
+	stop()
+	if _, err := c.Do(ctx, http.MethodPut, registry.SnapshotPath, backup, nil); err != nil {
+		t.Fatal(err)
+	}
+	startCandidate(t, addr, "b", time.Second, map[string]Work{"d": workUntilCanceled(&began, "b")})
+	waitFor(t, "it works again", func() bool { return entryCount(&began) == 2 })
+	if after := roleState(t, addr, "d").Token; after <= before {
+		t.Errorf("token %d after %d", after, before)
+	}
+	// The same in a new group that has only the snapshot and a later epoch.
+	s, err := registry.ReadState(strings.NewReader(string(backup)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Apply(registry.Command{Op: registry.OpEpoch, Epoch: "later", At: time.Now().Add(time.Second).UnixMilli()})
+	s.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: "x", Controller: "x", TTL: time.Second}})
+	if a := s.Apply(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: "x"}}); a.Token <= before {
+		t.Errorf("a new group's token %d after %d", a.Token, before)
+	}
+}
--- a/internal/leader/explore_test.go
+++ b/internal/leader/explore_test.go
@@ -14,40 +14,40 @@
 	"plovershore/internal/registry"
 )
 
-// The model: two holders, one duty, a store that may change its leader, messages
-// that are delayed or lost, holders that stand still. The store is
-// registry.State and registry.SessionHeartbeats, the holders count by Lease: the
-// transitions are the program's own. All that can happen within the bounds is
-// gone through.
+// This is an exhaustive model check. The model has two holders, one role, a list
+// service that may change its leader, messages that are delayed or lost, and holders
+// that stall. The list service is registry.State and registry.SessionHeartbeats, the
+// holders count by Lease: the transitions are those of the product. All schedules
+// within the bounds below are explored.
 
 type msg struct {
-	kind  string // renew, grant, effect; renewed, granted, unknown
-	who   int
-	token int64
-	asked int
+	kind   string // renew, grant, effect; renewed, granted, unknown
+	who    int
+	token  int64
+	sentAt int
 }
 
 type modelHolder struct {
-	lease   Lease
-	token   int64
-	asks    int
-	effects int
-	renews  int
+	lease    Lease
+	token    int64
+	requests int
+	effects  int
+	renews   int
 }
 
 type model struct {
-	st       *registry.State
-	beats    registry.SessionHeartbeats
-	now      int
-	changes  int // of leader
-	holders  [2]modelHolder
-	msgs     []msg
-	accepted int64 // the highest token whose effect counted
-	wrong    string
-	path     *step
+	st         *registry.State
+	heartbeats registry.SessionHeartbeats
+	now        int
+	changes    int // of leader
+	holders    [2]modelHolder
+	msgs       []msg
+	accepted   int64 // the highest token whose effect counted
+	wrong      string
+	path       *step
 }
 
-// step is what led to a state, for who reads of a wrong one.
+// step records how a state was reached, for the report of a violation.
 type step struct {
 	before *step
 	what   string
@@ -61,12 +61,12 @@
 }
 
 const (
-	modelTTL    = 3
-	modelTicks  = 6
-	modelMsgs   = 2
-	modelEffect = 1
-	modelAsks   = 1
-	modelRenews = 1
+	modelTTL      = 3
+	modelTicks    = 6
+	modelMsgs     = 2
+	modelEffect   = 1
+	modelRequests = 1
+	modelRenews   = 1
 )
 
 func tick(n int) time.Duration { return time.Duration(n) * time.Second }
@@ -75,7 +75,7 @@
 	c := *m
 	st := *m.st
 	st.Sessions, st.Roles = maps.Clone(m.st.Sessions), maps.Clone(m.st.Roles)
-	c.st, c.beats, c.msgs = &st, maps.Clone(m.beats), slices.Clone(m.msgs)
+	c.st, c.heartbeats, c.msgs = &st, maps.Clone(m.heartbeats), slices.Clone(m.msgs)
 	c.path = &step{m.path, what}
 	return &c
 }
@@ -92,18 +92,18 @@
 	b = append(b, d.Holder...)
 	for i := range m.holders {
 		h, id := &m.holders[i], fmt.Sprint(i)
-		at, heard := m.beats[id]
+		at, heard := m.heartbeats[id]
 		_, open := m.st.Sessions[id]
-		put(int64(h.lease.until), h.token, int64(h.asks), int64(h.effects), int64(h.renews), int64(at))
+		put(int64(h.lease.expiresAt), h.token, int64(h.requests), int64(h.effects), int64(h.renews), int64(at))
 		b = append(b, flag(heard), flag(open), flag(h.lease.lost))
 	}
 	all := slices.Clone(m.msgs)
 	slices.SortFunc(all, func(a, b msg) int {
-		return cmp.Or(strings.Compare(a.kind, b.kind), a.who-b.who, int(a.token-b.token), a.asked-b.asked)
+		return cmp.Or(strings.Compare(a.kind, b.kind), a.who-b.who, int(a.token-b.token), a.sentAt-b.sentAt)
 	})
 	for _, x := range all {
 		b = append(b, x.kind[0], x.kind[len(x.kind)-1], byte(x.who))
-		put(x.token, int64(x.asked))
+		put(x.token, int64(x.sentAt))
 	}
 	return string(b)
 }
@@ -115,7 +115,7 @@
 	return 0
 }
 
-// next gives all that can happen.
+// next returns all successor states.
 func (m *model) next(fenced bool) (all []*model) {
 	add := func(what string, f func(c *model), args ...any) {
 		if len(args) > 0 {
@@ -127,29 +127,29 @@
 		all = append(all, c)
 	}
 	if m.now < modelTicks {
-		add("tick", func(c *model) { // the leader looks at once: later is safer
+		add("tick", func(c *model) { // the leader checks at once: later is safer
 			c.now++
-			if ids := c.beats.Overdue(c.st.Sessions, tick(c.now)); len(ids) > 0 {
+			if ids := c.heartbeats.Overdue(c.st.Sessions, tick(c.now)); len(ids) > 0 {
 				c.st.Apply(registry.Command{Op: registry.OpSessionEnd, EndedSessions: ids, Failed: true})
 			}
 		})
 	}
 	if m.changes < 1 {
-		add("new leader", func(c *model) { c.changes++; c.beats = registry.SessionHeartbeats{} })
+		add("new leader", func(c *model) { c.changes++; c.heartbeats = registry.SessionHeartbeats{} })
 	}
 	for i := range m.holders {
 		h := &m.holders[i]
 		believes := h.lease.Remaining(tick(m.now)) > 0
 		if len(m.msgs) < modelMsgs {
 			if h.renews < modelRenews && !h.lease.lost {
-				add("%d asks to be renewed", func(c *model) {
+				add("%d requests a renewal", func(c *model) {
 					c.holders[i].renews++
 					c.msgs = append(c.msgs, msg{"renew", i, 0, c.now})
 				}, i)
 			}
-			if believes && h.token == 0 && h.asks < modelAsks {
-				add("%d asks for the duty", func(c *model) {
-					c.holders[i].asks++
+			if believes && h.token == 0 && h.requests < modelRequests {
+				add("%d requests the role", func(c *model) {
+					c.holders[i].requests++
 					c.msgs = append(c.msgs, msg{"grant", i, 0, c.now})
 				}, i)
 			}
@@ -172,15 +172,15 @@
 	switch x.kind {
 	case "renew":
 		if _, ok := m.st.Sessions[id]; !ok {
-			m.msgs = append(m.msgs, msg{"unknown", x.who, 0, x.asked})
+			m.msgs = append(m.msgs, msg{"unknown", x.who, 0, x.sentAt})
 			return
 		}
-		m.beats.Record(id, tick(m.now))
-		m.msgs = append(m.msgs, msg{"renewed", x.who, 0, x.asked})
+		m.heartbeats.Record(id, tick(m.now))
+		m.msgs = append(m.msgs, msg{"renewed", x.who, 0, x.sentAt})
 	case "grant":
 		a := m.st.Apply(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: id}})
 		if a.Status == 200 {
-			m.msgs = append(m.msgs, msg{"granted", x.who, a.Token, x.asked})
+			m.msgs = append(m.msgs, msg{"granted", x.who, a.Token, x.sentAt})
 		}
 	case "effect":
 		ok := true
@@ -194,7 +194,7 @@
 			m.accepted = max(m.accepted, x.token)
 		}
 	case "renewed":
-		h.lease.Renew(tick(x.asked))
+		h.lease.Renew(tick(x.sentAt))
 	case "granted":
 		if h.lease.Remaining(tick(m.now)) > 0 {
 			h.token = x.token
@@ -204,7 +204,7 @@
 	}
 }
 
-// check looks for two holders that both believe in what they hold.
+// check finds two holders that both take their lease for valid.
 func (m *model) check() {
 	n := 0
 	for i := range m.holders {
@@ -216,17 +216,17 @@
 		}
 	}
 	if n > 1 && m.wrong == "" {
-		m.wrong = "two believe that they hold the duty"
+		m.wrong = "two believe that they hold the role"
 	}
 }
 
-// explore goes through all states and gives the first that is wrong.
+// explore visits all states and returns the first that violates an invariant.
 func explore(fenced bool, spoil func(*model)) (states int, wrong *model) {
-	first := &model{st: registry.NewState(), beats: registry.SessionHeartbeats{}}
+	first := &model{st: registry.NewState(), heartbeats: registry.SessionHeartbeats{}}
 	for i := range first.holders {
 		id := fmt.Sprint(i)
 		first.st.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Controller: id, TTL: tick(modelTTL)}})
-		first.beats.Record(id, 0)
+		first.heartbeats.Record(id, 0)
 		first.holders[i].lease = Lease{TTL: tick(modelTTL)}
 		first.holders[i].lease.Renew(0)
 	}
@@ -252,9 +252,9 @@
 	return len(seen), nil
 }
 
-// Nothing that can happen within the bounds makes two effects count out of order,
-// nor two holders believe in one duty.
-func TestExplored(t *testing.T) {
+// No schedule within the bounds has two effects accepted out of token order, nor two
+// holders with a valid lease on one role.
+func TestModelExploration(t *testing.T) {
 	states, wrong := explore(true, nil)
 	if wrong != nil {
 		t.Fatalf("%s%v", wrong.wrong, wrong.path)
@@ -265,8 +265,8 @@
 	}
 }
 
-// The explorer itself: without the check of the token it finds the double effect,
-// and with a lease counted from its answer it finds two holders.
+// The exploration finds seeded defects: the double effect where tokens are not
+// checked, and two holders where a lease outlives the session.
 func TestExplorerFindsDefects(t *testing.T) {
 	_, wrong := explore(false, nil)
 	if wrong == nil || !strings.Contains(wrong.wrong, "counted after") {
@@ -275,8 +275,8 @@
 	t.Log(wrong.wrong, wrong.path)
 	_, wrong = explore(true, func(m *model) { // the defect: a lease that outlives the store's
 		for i := range m.holders {
-			if h := &m.holders[i]; h.lease.until > 0 {
-				h.lease.until = max(h.lease.until, tick(modelTicks))
+			if h := &m.holders[i]; h.lease.expiresAt > 0 {
+				h.lease.expiresAt = max(h.lease.expiresAt, tick(modelTicks))
 			}
 		}
 	})
--- a/internal/leader/group_test.go
+++ b/internal/leader/group_test.go
@@ -12,7 +12,7 @@
 	"plovershore/internal/registry/registrytest"
 )
 
-// steps are the effects that holders heard to have counted.
+// steps records the effects whose acceptance their holders have seen.
 type steps struct {
 	mu      sync.Mutex
 	at      map[int]int64 // step to token
@@ -25,7 +25,7 @@
 
 func newSteps() *steps { return &steps{at: map[int]int64{}} }
 
-// work counts on from the note until it is to end, for so many steps at the most.
+// work returns work that counts on from the checkpoint, for at most so many steps.
 func (s *steps) work(most int) Work {
 	return func(ctx context.Context, g *Grant) error {
 		s.mu.Lock()
@@ -51,7 +51,7 @@
 			}
 			s.at[n], s.last, s.token = g.Token, max(s.last, n), max(s.token, g.Token)
 			s.mu.Unlock()
-			if !sleep(ctx, 5*time.Millisecond) {
+			if !Sleep(ctx, 5*time.Millisecond) {
 				return nil
 			}
 		}
@@ -70,14 +70,14 @@
 
 func (s *steps) count() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.at) }
 
-// The store's leader goes while holders ask, renew, note and give up: a duty of
-// which each grant lasts for a few steps changes hands all the time. No step
-// counts twice, and it goes on after each change.
-func TestTheLeaderChangesDuringGrantsAndReleases(t *testing.T) {
+// The list service's leader stops while candidates acquire, renew, save and release: a
+// role whose grants last a few steps each changes hands all the time. No step is
+// accepted twice, and the work goes on after each change.
+func TestRegistryLeaderChangesDuringGrantsAndReleases(t *testing.T) {
 	s, all := registrytest.Start(t, 3, nil), newSteps()
 	s.Leader()
 	for i := range 3 {
-		wardenOf(t, s.Client(), fmt.Sprint("w", i), 400*time.Millisecond, map[string]Work{"d": all.work(4)})
+		startCandidateWith(t, s.Client(), fmt.Sprint("w", i), 400*time.Millisecond, map[string]Work{"d": all.work(4)})
 	}
 	for range 3 {
 		before := all.count()
@@ -91,14 +91,14 @@
 	all.sound(t)
 }
 
-// No majority for many times the lease: the work ends by itself, nobody else
-// begins, and what is left of the store grants nothing. All resumes by itself.
-func TestNoMajority(t *testing.T) {
+// Without a majority for many lease durations the work ends by itself, nobody else
+// starts it, and the remaining node grants nothing. All resumes by itself.
+func TestWorkStopsWithoutMajority(t *testing.T) {
 	s, all := registrytest.Start(t, 3, nil), newSteps()
 	s.Leader()
 	const ttl = time.Second
 	for i := range 3 {
-		wardenOf(t, s.Client(), fmt.Sprint("w", i), ttl, map[string]Work{"d": all.work(1 << 30)})
+		startCandidateWith(t, s.Client(), fmt.Sprint("w", i), ttl, map[string]Work{"d": all.work(1 << 30)})
 	}
 	waitFor(t, "steps", func() bool { return all.count() > 5 })
 	gone := []int{0, 1}
@@ -120,9 +120,9 @@
 	all.sound(t)
 }
 
-// Every warden dies at once, with no word, and later one comes back: it goes on
-// where the last one stood.
-func TestEveryWardenDead(t *testing.T) {
+// All controllers die at once without releasing anything, and later one comes back: it
+// continues from the last checkpoint.
+func TestRecoveryAfterAllControllersDie(t *testing.T) {
 	_, addr := startNode(t, nil)
 	all := newSteps()
 	var cut []*proxy
@@ -130,21 +130,21 @@
 	for i := range 3 {
 		p := startProxy(t, addr)
 		cut = append(cut, p)
-		warden(t, p.addr, fmt.Sprint("w", i), ttl, map[string]Work{"d": all.work(1 << 30)})
+		startCandidate(t, p.addr, fmt.Sprint("w", i), ttl, map[string]Work{"d": all.work(1 << 30)})
 	}
 	waitFor(t, "steps", func() bool { return all.count() > 5 })
 	for _, p := range cut { // to the store, a process that is cut off for good is dead
-		p.cutAll.Store(true)
+		p.partitioned.Store(true)
 	}
-	waitFor(t, "the store has ended all sessions", func() bool { return len(duties(t, addr).Sessions) == 0 })
-	d := dutyOf(t, addr, "d")
+	waitFor(t, "the store has ended all sessions", func() bool { return len(listRoles(t, addr).Sessions) == 0 })
+	d := roleState(t, addr, "d")
 	if d.Holder != "" {
 		t.Errorf("held by %s", d.Controller)
 	}
 	stood, _ := strconv.Atoi(d.Note)
-	warden(t, addr, "back", ttl, map[string]Work{"d": all.work(1 << 30)})
-	waitFor(t, "steps of the one that is back", func() bool { n, _ := strconv.Atoi(dutyOf(t, addr, "d").Note); return n > stood+5 })
-	if d := dutyOf(t, addr, "d"); d.Controller != "back" {
+	startCandidate(t, addr, "back", ttl, map[string]Work{"d": all.work(1 << 30)})
+	waitFor(t, "steps of the one that is back", func() bool { n, _ := strconv.Atoi(roleState(t, addr, "d").Note); return n > stood+5 })
+	if d := roleState(t, addr, "d"); d.Controller != "back" {
 		t.Errorf("held by %s", d.Controller)
 	}
 	all.sound(t)
--- /dev/null
+++ b/internal/leader/registration_expiry_test.go
@@ -0,0 +1,33 @@
+package leader
+
+import (
+	"errors"
+	"net/http"
+	"testing"
+	"time"
+
+	"plovershore/internal/registry"
+)
+
+// The role list-keeper expires registrations without heartbeats; none expires while
+// nobody holds it.
+func TestRegistrationExpiry(t *testing.T) {
+	_, addr := startNode(t, func(c *registry.Config) { c.ExpiryGuard.ExpiredBy = "duty" })
+	c := newClient(t, addr)
+	reg := registry.Registration{ID: "s-1", Address: "127.0.0.1:9", Zone: "a", Flavor: "agent", TTLMS: 500}
+	if _, err := c.Do(t.Context(), http.MethodPost, registry.MembersPath, reg, nil); err != nil {
+		t.Fatal(err)
+	}
+	members := func() int {
+		var all []registry.Member
+		if _, err := c.Do(t.Context(), http.MethodGet, registry.MembersPath, nil, &all); err != nil {
+			t.Fatal(err)
+		}
+		return len(all)
+	}
+	if err := (&Grant{Role: RegistrationExpiry, Token: 7, candidate: newCandidate(Options{Client: c}), cancel: func(error) {}}).Do(t.Context(), http.MethodPost, registry.ExpirePath, struct{}{}, nil); !errors.Is(err, ErrLeaseLost) {
+		t.Errorf("a token that nobody was granted: %v", err)
+	}
+	startCandidate(t, addr, "a", time.Second, map[string]Work{RegistrationExpiry: ExpireRegistrations})
+	waitFor(t, "the lapse", func() bool { return members() == 0 })
+}
--- /dev/null
+++ b/internal/leader/session.go
@@ -0,0 +1,129 @@
+package leader
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/url"
+	"time"
+
+	"plovershore/internal/registry"
+)
+
+const heartbeatsPerTTL = 4
+
+// openSession opens a session with a new random id.
+func (c *candidate) openSession(ctx context.Context) error {
+	id, sentAt := registry.NewID(), c.elapsed()
+	request := registry.SessionRequest{ID: id, Controller: c.opts.Name, TTLMS: c.opts.TTL.Milliseconds()}
+	if _, err := c.opts.Client.Do(ctx, http.MethodPost, registry.SessionsPath, request, nil); err != nil {
+		return fmt.Errorf("leader: open session: %w", err)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.session, c.lease = id, Lease{TTL: c.opts.TTL}
+	c.lease.Renew(sentAt)
+	c.resetWatchdog()
+	c.opts.Log.Info("session opened", "session", id)
+	return nil
+}
+
+// sendHeartbeats renews the session until ctx ends, and opens a new one where the
+// list service does not know it any more.
+func (c *candidate) sendHeartbeats(ctx context.Context) {
+	interval := c.opts.Clock.Real(c.opts.TTL / heartbeatsPerTTL)
+	for Sleep(ctx, interval) {
+		id := c.sessionID()
+		sentAt := c.elapsed()
+		err := c.postRenewal(ctx, id, 2*interval)
+		switch {
+		case err == nil:
+			c.extendLease(sentAt)
+		case hasStatus(err, http.StatusNotFound):
+			c.opts.Log.Warn("session not found", "session", id)
+			c.invalidateLease()
+			if !c.reopenSession(ctx, interval) {
+				return
+			}
+			c.wakeCampaign()
+		case ctx.Err() == nil:
+			c.opts.Log.Warn("session renewal failed", "session", id, "err", err)
+		}
+	}
+}
+
+func (c *candidate) postRenewal(ctx context.Context, session string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	_, err := c.opts.Client.Do(ctx, http.MethodPost, sessionPath(session)+"/renew", struct{}{}, nil)
+	return err
+}
+
+// reopenSession retries until a session is open; false where ctx ends first.
+func (c *candidate) reopenSession(ctx context.Context, interval time.Duration) bool {
+	for c.openSession(ctx) != nil {
+		if !Sleep(ctx, interval) {
+			return false
+		}
+	}
+	return true
+}
+
+// closeSession ends the session, so that its name does not count among the
+// candidates any longer.
+func (c *candidate) closeSession() {
+	c.mu.Lock()
+	id := c.session
+	c.watchdog.Stop()
+	c.mu.Unlock()
+	ctx, cancel := context.WithTimeout(context.Background(), c.opts.TTL)
+	defer cancel()
+	if _, err := c.opts.Client.Do(ctx, http.MethodDelete, sessionPath(id), nil, nil); err != nil {
+		c.opts.Log.Warn("session close failed", "session", id, "err", err)
+	}
+}
+
+func (c *candidate) sessionID() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.session
+}
+
+func (c *candidate) extendLease(sentAt time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lease.Renew(sentAt)
+	c.resetWatchdog()
+}
+
+func (c *candidate) invalidateLease() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lease.Invalidate()
+	for _, grant := range c.grants {
+		grant.cancel(ErrLeaseLost)
+	}
+}
+
+// resetWatchdog has all grants canceled when the lease expires, whatever their
+// work is doing then. c.mu is held.
+func (c *candidate) resetWatchdog() {
+	if c.watchdog != nil {
+		c.watchdog.Stop()
+	}
+	c.watchdog = time.AfterFunc(c.opts.Clock.Real(c.lease.Remaining(c.elapsed())), c.cancelExpiredGrants)
+}
+
+func (c *candidate) cancelExpiredGrants() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.hasLease() {
+		return // renewed while the timer fired
+	}
+	for _, grant := range c.grants {
+		c.opts.Log.Warn("lease expired", "role", grant.Role, "token", grant.Token)
+		grant.cancel(ErrLeaseLost)
+	}
+}
+
+func sessionPath(id string) string { return registry.SessionsPath + "/" + url.PathEscape(id) }
--- /dev/null
+++ b/internal/leader/watch.go
@@ -0,0 +1,74 @@
+package leader
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"plovershore/internal/registry"
+)
+
+const (
+	longPoll        = 3 * time.Second // less than the client's response timeout
+	longPollTimeout = longPoll + 2*time.Second
+	pollRetryDelay  = 50 * time.Millisecond
+)
+
+// watchRoles follows the state of all roles by long polls until ctx ends.
+func (c *candidate) watchRoles(ctx context.Context) {
+	revision := int64(0)
+	for ctx.Err() == nil {
+		list, err := c.pollRoles(ctx, revision)
+		if err != nil {
+			Sleep(ctx, pollRetryDelay)
+			continue
+		}
+		revision = list.Revision
+		c.applyRoleList(list)
+	}
+}
+
+// pollRoles waits until the list has changed since a revision, or for longPoll.
+func (c *candidate) pollRoles(ctx context.Context, revision int64) (list registry.RoleList, err error) {
+	ctx, cancel := context.WithTimeout(ctx, longPollTimeout)
+	defer cancel()
+	path := fmt.Sprintf("%s?after=%d&wait_ms=%d", registry.RolesPath, revision, longPoll.Milliseconds())
+	_, err = c.opts.Client.Do(ctx, http.MethodGet, path, nil, &list)
+	return list, err
+}
+
+// applyRoleList records the state of all roles and cancels each grant that another
+// one has replaced.
+func (c *candidate) applyRoleList(list registry.RoleList) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if list.Revision < c.view.Revision {
+		return // from a node that lags behind
+	}
+	c.view = list
+	now := c.opts.Clock.Mono()
+	for _, role := range list.Roles {
+		c.cancelIfReplaced(role)
+		if role.Holder != "" {
+			delete(c.vacantSince, role.Name)
+		} else if c.vacantSince[role.Name].IsZero() {
+			c.vacantSince[role.Name] = now
+		}
+	}
+	c.wakeCampaign()
+}
+
+// cancelIfReplaced cancels the grant of a role that is not this session's any more.
+// c.mu is held.
+func (c *candidate) cancelIfReplaced(role registry.Role) {
+	grant := c.grants[role.Name]
+	if grant == nil || role.Token < grant.Token || role.Token == grant.Token && role.Holder == c.session {
+		return
+	}
+	if role.Disabled {
+		grant.cancel(ErrRoleDisabled)
+	} else {
+		grant.cancel(ErrLeaseLost)
+	}
+}
--- /dev/null
+++ b/internal/leader/work.go
@@ -0,0 +1,115 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"plovershore/internal/registry"
+)
+
+// stopTimeout is how long work may take to return after its context has ended.
+const stopTimeout = 5 * time.Second
+
+// Work does the work of a role until it is complete, fails, or ctx ends. The cause
+// of the context's end is ErrLeaseLost, ErrStopping or ErrRoleDisabled. An error
+// returned while ctx has not ended counts as a failure of the role and delays the
+// next grant.
+type Work func(ctx context.Context, g *Grant) error
+
+// startWork starts the work of a granted role. The note is that of the grant: one
+// read before it may be older than the last checkpoint of the holder before. c.mu
+// is held.
+func (c *candidate) startWork(name string, token, term int64, note string) {
+	grant := &Grant{Role: name, Token: token, Term: term, Note: note, Controller: c.opts.Name, candidate: c}
+	grant.ctx, grant.cancel = context.WithCancelCause(context.Background())
+	c.grants[name], c.lastTokens[name] = grant, token
+	delete(c.vacantSince, name)
+	c.opts.Metrics.recordAcquired(grant)
+	c.opts.Log.Info("role acquired", "role", name, "token", token)
+	c.spawn(func() { c.runWork(grant) })
+}
+
+// runWork does the work of a grant and then releases the role.
+func (c *candidate) runWork(grant *Grant) {
+	c.spawn(grant.reportHealthAfterTTL)
+	err := c.awaitWork(grant)
+	cause := context.Cause(grant.ctx)
+	grant.cancel(ErrStopping)
+	successor := c.removeGrant(grant)
+	c.opts.Metrics.recordReleased(grant)
+	if errors.Is(cause, ErrLeaseLost) || errors.Is(cause, ErrRoleDisabled) {
+		c.opts.Log.Warn("role lost", "role", grant.Role, "token", grant.Token, "cause", cause)
+		c.deferRelease(grant.Role, registry.RoleRequest{Token: grant.Token, LeaseLost: true})
+		return
+	}
+	failed := err != nil && cause == nil
+	if failed {
+		c.opts.Log.Error("role work failed", "role", grant.Role, "token", grant.Token, "err", err)
+	}
+	if !c.release(grant, registry.RoleRequest{Token: grant.Token, Successor: successor, Failed: failed}) {
+		return
+	}
+	if completed := err == nil && cause == nil; completed {
+		c.postponeRequest(grant.Role)
+	}
+}
+
+// awaitWork runs the work and waits for its return. Work that ignores the end of
+// its context is given up on after stopTimeout: it must not keep the process from
+// its other roles, and its effects are rejected for their token.
+func (c *candidate) awaitWork(grant *Grant) error {
+	returned := make(chan error, 1)
+	go func() { // not waited for beyond stopTimeout, see above
+		err := callWork(grant.ctx, c.opts.Roles[grant.Role], grant)
+		c.mu.Lock()
+		delete(c.unstopped, grant.Role)
+		c.mu.Unlock()
+		returned <- err
+		c.wakeCampaign()
+	}()
+	select {
+	case err := <-returned:
+		return err
+	case <-grant.ctx.Done():
+	}
+	timer := time.NewTimer(stopTimeout)
+	defer timer.Stop()
+	select {
+	case err := <-returned:
+		return err
+	case <-timer.C:
+	}
+	c.opts.Log.Error("role work did not stop", "role", grant.Role, "token", grant.Token, "timeout", stopTimeout)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unstopped[grant.Role] = true
+	return nil
+}
+
+// callWork turns a panic of one role's work into its failure, so that other roles
+// go on.
+func callWork(ctx context.Context, work Work, grant *Grant) (err error) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("leader: panic: %v", cause)
+		}
+	}()
+	return work(ctx, grant)
+}
+
+// removeGrant forgets an ended grant and returns the successor that it names.
+func (c *candidate) removeGrant(grant *Grant) (successor string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.grants, grant.Role)
+	return grant.successor
+}
+
+// postponeRequest delays the next request of a role whose work is complete.
+func (c *candidate) postponeRequest(role string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.notBefore[role] = c.opts.Clock.Mono().Add(c.opts.TTL)
+}
--- /dev/null
+++ b/internal/leader/work_test.go
@@ -0,0 +1,105 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"plovershore/internal/registry"
+)
+
+// Work that ignores the end of its context goes on, but its effects are rejected and
+// its candidate does not start it a second time meanwhile.
+func TestWorkIgnoringCancellationIsNotStartedTwice(t *testing.T) {
+	_, addr := startNode(t, nil)
+	p := startProxy(t, addr)
+	var running, most atomic.Int32
+	end := make(chan struct{})
+	t.Cleanup(sync.OnceFunc(func() { close(end) }))
+	work := func(ctx context.Context, g *Grant) error {
+		most.Store(max(most.Load(), running.Add(1)))
+		defer running.Add(-1)
+		<-end // deaf
+		return nil
+	}
+	startCandidate(t, p.addr, "a", 500*time.Millisecond, map[string]Work{"d": work})
+	waitFor(t, "it works", func() bool { return running.Load() == 1 })
+	p.partitioned.Store(true)
+	waitFor(t, "the store has ended the session", func() bool { return roleState(t, addr, "d").Holder == "" })
+	var began sync.Map
+	startCandidate(t, addr, "b", 500*time.Millisecond, map[string]Work{"d": workUntilCanceled(&began, "b")})
+	waitFor(t, "b has it", func() bool { return entryCount(&began) == 1 })
+	p.partitioned.Store(false)
+	waitFor(t, "a has a session again", func() bool { return len(listRoles(t, addr).Sessions) == 2 })
+	if most.Load() != 1 {
+		t.Errorf("%d at once", most.Load())
+	}
+}
+
+// A grant carries the checkpoint of that moment: the role list that the candidate has
+// seen may be older than the last step of the holder before.
+func TestGrantCarriesLatestCheckpoint(t *testing.T) {
+	_, addr := startNode(t, nil)
+	c := newClient(t, addr)
+	post := func(path string, body, out any) {
+		t.Helper()
+		if _, err := c.Do(t.Context(), http.MethodPost, path, body, out); err != nil {
+			t.Fatal(err)
+		}
+	}
+	post(registry.SessionsPath, registry.SessionRequest{ID: "x", Controller: "x", TTLMS: 60000}, nil)
+	var a registry.Result
+	post(registry.RolesPath+"/d/grant", registry.RoleRequest{Session: "x"}, &a)
+	post(registry.RolesPath+"/d/note", registry.RoleRequest{Token: a.Token, Note: "new"}, nil)
+	post(registry.RolesPath+"/d/release", registry.RoleRequest{Token: a.Token}, nil)
+	notes := make(chan string, 1)
+	work := func(_ context.Context, g *Grant) error {
+		notes <- g.Note
+		return nil
+	}
+	candidate := newCandidate(Options{Client: c, Name: "w", TTL: time.Minute, Log: quiet(), Roles: map[string]Work{"d": work}})
+	candidate.session = "x"
+	candidate.lease = Lease{TTL: time.Minute}
+	candidate.lease.Renew(time.Minute)
+	candidate.applyRoleList(registry.RoleList{Revision: 1, Roles: []registry.Role{{Name: "d", Note: "old"}}})
+	candidate.acquire(t.Context(), "d")
+	if note := <-notes; note != "new" {
+		t.Errorf("begins at %q", note)
+	}
+	candidate.wg.Wait()
+}
+
+// Operators disable a role: its work ends, its token is rejected, and nobody acquires
+// it until it is enabled again.
+func TestDisabledRole(t *testing.T) {
+	_, addr := startNode(t, nil)
+	c := newClient(t, addr)
+	var began sync.Map
+	ended := make(chan error, 10)
+	work := func(ctx context.Context, g *Grant) error {
+		began.Store(g.Token, "a")
+		<-ctx.Done()
+		ended <- context.Cause(ctx)
+		return nil
+	}
+	startCandidate(t, addr, "a", time.Second, map[string]Work{"d": work})
+	waitFor(t, "it works", func() bool { return entryCount(&began) == 1 })
+	hold := func(off bool) {
+		if _, err := c.Do(t.Context(), http.MethodPost, registry.RolesPath+"/d/hold", registry.RoleRequest{Disabled: off}, nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+	hold(true)
+	if cause := <-ended; !errors.Is(cause, ErrRoleDisabled) {
+		t.Errorf("ended by %v", cause)
+	}
+	if d := roleState(t, addr, "d"); d.Holder != "" || !d.Disabled {
+		t.Errorf("%+v", d)
+	}
+	hold(false)
+	waitFor(t, "it works again", func() bool { return entryCount(&began) == 2 })
+}
