--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,5 +1,5 @@
-// Command controller holds duties of the fleet: work that one process alone may
-// do at a time.
+// Command controller runs the fleet's leader-elected work: of each role, one process
+// at a time.
 package main
 
 import (
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -31,6 +31,11 @@
 // Unwrap returns the cause.
 func (e UsageError) Unwrap() error { return e.Err }
 
+// Usagef returns a UsageError with a formatted text; %w wraps a cause.
+func Usagef(format string, args ...any) error {
+	return UsageError{fmt.Errorf(format, args...)}
+}
+
 // ExitCoder is an error that has an exit code of its own.
 type ExitCoder interface {
 	error
@@ -49,6 +54,11 @@
 // Run executes a command tree, prints its error to errOut and returns the exit
 // code of the process.
 func Run(ctx context.Context, root *cobra.Command, args []string, out, errOut io.Writer) int {
+	return RunWithUsagePrefix(ctx, root, args, out, errOut, "")
+}
+
+// RunWithUsagePrefix is Run for a program that prints a text before its usage errors.
+func RunWithUsagePrefix(ctx context.Context, root *cobra.Command, args []string, out, errOut io.Writer, usagePrefix string) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetArgs(args)
 	root.SetOut(out)
@@ -58,8 +68,12 @@
 	if err == nil {
 		return ExitOK
 	}
-	fmt.Fprintf(errOut, "%s: %v\n", root.Name(), err)
-	return exitCode(err)
+	code := exitCode(err)
+	if code != ExitUsage {
+		usagePrefix = ""
+	}
+	fmt.Fprintf(errOut, "%s: %s%v\n", root.Name(), usagePrefix, err)
+	return code
 }
 
 func exitCode(err error) int {
--- /dev/null
+++ b/internal/controller/command_test.go
@@ -0,0 +1,94 @@
+package controller
+
+import (
+	"bytes"
+	"context"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"plovershore/internal/cli"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/registrytest"
+)
+
+// buffer is an output that a test reads while the command writes.
+type buffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (b *buffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
+}
+
+func (b *buffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
+}
+
+// Usage errors end the program with their exit code and the line that names the flag.
+func TestUsageErrors(t *testing.T) {
+	for _, x := range []struct {
+		args []string
+		line string
+	}{
+		{[]string{"extra"}, `controller: usage: "extra" is not expected`},
+		{[]string{"--no-such-flag"}, "controller: usage: unknown flag: --no-such-flag"},
+		{[]string{"--log", "xml"}, `controller: usage: --log: "xml"; text and json are allowed`},
+		{[]string{"--nodes", "nowhere"}, "controller: usage: --nodes: "},
+		{[]string{"--platform", "nowhere"}, "controller: usage: --platform: "},
+		{[]string{"--drill-clock", "rate=fast"}, "controller: usage: --drill-clock: "},
+		{[]string{"--duties", "sweep"}, `controller: usage: --duties: "sweep" is unknown; list-keeper, salvage, rollout, zone-warden and count are known`},
+		{[]string{"--roles", "sweep"}, `controller: usage: --roles: "sweep" is unknown; list-keeper, salvage, rollout, zone-warden and count are known`},
+		{[]string{"--roles", "count", "--duties", "count"}, "controller: usage: --duties is the old name of --roles"},
+		{[]string{"runner"}, "controller: usage: a program is wanted"},
+		{[]string{"runner", "--folder", t.TempDir(), "--listen", "127.0.0.1:0", "--operators", "a:1", "--", "true"}, "controller: usage: --operators: two are wanted"},
+	} {
+		var out, errOut buffer
+		code := Main(t.Context(), x.args, &out, &errOut)
+		if code != cli.ExitUsage || !strings.HasPrefix(errOut.String(), x.line) {
+			t.Errorf("%v: exit code %d, %q", x.args, code, errOut.String())
+		}
+	}
+}
+
+// --roles and its old name --duties both select what the controller acquires. When it
+// is asked to end, it releases the role and ends with 0.
+func TestRolesFlagAndItsOldName(t *testing.T) {
+	for _, flag := range []string{"--roles", "--duties"} {
+		t.Run(flag, func(t *testing.T) {
+			group := registrytest.Start(t, 1, nil)
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
+			var out, errOut buffer
+			code := make(chan int, 1)
+			go func() {
+				code <- Main(ctx, []string{"--nodes", group.Addrs[0], "--name", "c-1", "--ttl", "2s", flag, "count"}, &out, &errOut)
+			}()
+			registrytest.WaitFor(t, "an accepted step", func() bool {
+				return strings.Contains(errOut.String(), `msg="count accepted" controller=c-1 count=`)
+			})
+			cancel()
+			select {
+			case got := <-code:
+				if got != cli.ExitOK {
+					t.Errorf("exit code %d: %s", got, errOut.String())
+				}
+			case <-time.After(20 * time.Second):
+				t.Fatal("the controller does not end")
+			}
+			var list registry.RoleList
+			if _, err := group.Client().Do(t.Context(), "GET", registry.RolesPath, nil, &list); err != nil {
+				t.Fatal(err)
+			}
+			if len(list.Roles) != 1 || list.Roles[0].Name != "count" || list.Roles[0].Holder != "" {
+				t.Errorf("roles after the end: %+v", list.Roles)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/roles.go
@@ -0,0 +1,52 @@
+package controller
+
+import (
+	"log/slog"
+
+	"github.com/spf13/cobra"
+
+	"plovershore/internal/cli"
+	"plovershore/internal/failover"
+	"plovershore/internal/leader"
+	"plovershore/internal/registry/client"
+	"plovershore/internal/rollout"
+	"plovershore/internal/zones"
+)
+
+// The flag that selects the roles, and its old name.
+const (
+	rolesFlag  = "roles"
+	dutiesFlag = "duties"
+)
+
+// allWork returns the work of each role that the program knows.
+func allWork(listService, platform *client.Client, log *slog.Logger) map[string]leader.Work {
+	return map[string]leader.Work{
+		leader.RegistrationExpiry: leader.ExpireRegistrations,
+		leader.Counter:            leader.Count(log),
+		failover.Role:             failover.Work(listService, platform),
+		rollout.Role:              rollout.Work(listService),
+		zones.Role:                zones.Work(listService),
+	}
+}
+
+// selectWork returns the work of the roles that the flags name.
+func selectWork(c *cobra.Command, opts *options, known map[string]leader.Work) (map[string]leader.Work, error) {
+	flags := c.Flags()
+	flag, names := rolesFlag, opts.roles
+	if flags.Changed(dutiesFlag) {
+		if flags.Changed(rolesFlag) {
+			return nil, cli.Usagef("--%s is the old name of --%s; one of them is allowed", dutiesFlag, rolesFlag)
+		}
+		flag, names = dutiesFlag, opts.duties
+	}
+	selected := map[string]leader.Work{}
+	for _, name := range names {
+		work, ok := known[name]
+		if !ok {
+			return nil, cli.Usagef("--%s: %q is unknown; list-keeper, salvage, rollout, zone-warden and count are known", flag, name)
+		}
+		selected[name] = work
+	}
+	return selected, nil
+}
