--- a/internal/failover/salvage_test.go
+++ b/internal/failover/failover_test.go
@@ -38,17 +38,17 @@
 	t.Fatalf("never came: %s", what)
 }
 
-// store is a list service behind a listener that sees the notices, and that can
-// take some without an answer.
+// store is a list service behind a proxy that records final notices, and that can
+// lose responses to them.
 type store struct {
 	t    *testing.T
 	addr string
 
-	mu      sync.Mutex
-	ends    map[string]map[string]int // by message and outcome
-	lose    int                       // answers to notices that are lost
-	refuse  bool                      // notices are not taken at all
-	batches int
+	mu            sync.Mutex
+	notices       map[string]map[string]int // by message and outcome
+	lostResponses int                       // responses to notices that are still to be lost
+	rejecting     bool                      // notices are rejected
+	batches       int
 }
 
 func startStore(t *testing.T) *store {
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Close)
-	s := &store{t: t, ends: map[string]map[string]int{}}
+	s := &store{t: t, notices: map[string]map[string]int{}}
 	forward := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: c.Listen})
 	forward.ErrorLog = slog.NewLogLogger(quiet().Handler(), slog.LevelDebug)
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -75,7 +75,7 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.refuse {
+		if s.rejecting {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -85,12 +85,12 @@
 		}
 		s.batches++
 		for _, x := range all {
-			if s.ends[x.Message] == nil {
-				s.ends[x.Message] = map[string]int{}
+			if s.notices[x.Message] == nil {
+				s.notices[x.Message] = map[string]int{}
 			}
-			s.ends[x.Message][x.Outcome]++
+			s.notices[x.Message][x.Outcome]++
 		}
-		if s.lose--; s.lose >= 0 {
+		if s.lostResponses--; s.lostResponses >= 0 {
 			panic(http.ErrAbortHandler)
 		}
 		w.WriteHeader(http.StatusNoContent)
@@ -110,7 +110,7 @@
 	return c
 }
 
-func (s *store) order() (o registry.Operation) {
+func (s *store) operation() (o registry.Operation) {
 	s.t.Helper()
 	var all []registry.Operation
 	if _, err := s.client().Do(context.Background(), http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
@@ -122,7 +122,7 @@
 	return o
 }
 
-func (s *store) give(folder string) {
+func (s *store) create(folder string) {
 	s.t.Helper()
 	spec, err := json.Marshal(Spec{Folder: folder, DiskMB: 3})
 	if err != nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (s *store) warden(name string) (stop func()) {
+func (s *store) startController(name string) (stop func()) {
 	ctx, cancel := context.WithCancel(s.t.Context())
 	done := make(chan struct{})
 	c := s.client()
@@ -148,10 +148,10 @@
 	return stop
 }
 
-// lost makes the folder of a relay that was killed: of every five messages two
-// were never sent, one was sent and not heard of, one may have run, one is over
-// but for its notice.
-func lost(t *testing.T, n int) (folder string, want map[string]string) {
+// lostRelay makes the folder of a relay that was killed. Of every five messages two
+// were never attempted, one has an attempt without an outcome, one may have run, and
+// one is complete but for its notice.
+func lostRelay(t *testing.T, n int) (folder string, want map[string]string) {
 	t.Helper()
 	folder, want = filepath.Join(t.TempDir(), "state"), map[string]string{}
 	if err := os.Mkdir(folder, 0o700); err != nil {
@@ -184,39 +184,39 @@
 	return folder, want
 }
 
-func (s *store) ended(want map[string]string) {
+func (s *store) checkNotices(want map[string]string) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, outcome := range want {
-		if len(s.ends[id]) != 1 || s.ends[id][outcome] == 0 {
-			s.t.Errorf("%s: want %s, got %v", id, outcome, s.ends[id])
+		if len(s.notices[id]) != 1 || s.notices[id][outcome] == 0 {
+			s.t.Errorf("%s: want %s, got %v", id, outcome, s.notices[id])
 		}
 	}
-	if len(s.ends) != len(want) {
-		s.t.Errorf("%d messages ended, %d were owed", len(s.ends), len(want))
+	if len(s.notices) != len(want) {
+		s.t.Errorf("%d messages notified, %d were pending", len(s.notices), len(want))
 	}
 }
 
-// Each message gets one end, though answers are lost and the holder leaves in the
-// middle; the relay that comes back late begins empty.
-func TestEveryMessageEndsOnce(t *testing.T) {
+// Each message gets one final notice, though responses are lost and the leader changes
+// in the middle; the relay that comes back late starts empty.
+func TestEveryMessageGetsOneFinalNotice(t *testing.T) {
 	s := startStore(t)
-	folder, want := lost(t, 500)
-	s.lose = 2
-	s.give(folder)
-	stop := s.warden("a")
-	waitFor(t, "a part of the ends", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.batches >= 3 })
+	folder, want := lostRelay(t, 500)
+	s.lostResponses = 2
+	s.create(folder)
+	stop := s.startController("a")
+	waitFor(t, "a part of the notices", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.batches >= 3 })
 	stop()
-	s.warden("b")
-	waitFor(t, "the order's end", func() bool { return s.order().Done })
-	s.ended(want)
+	s.startController("b")
+	waitFor(t, "the end of the operation", func() bool { return s.operation().Done })
+	s.checkNotices(want)
 	var p Progress
-	if err := json.Unmarshal(s.order().Progress, &p); err != nil || p.Pending != 500 || p.Notified != 500 || p.Returned != 200 || p.Failed != 300 {
+	if err := json.Unmarshal(s.operation().Progress, &p); err != nil || p.Pending != 500 || p.Notified != 500 || p.Returned != 200 || p.Failed != 300 {
 		t.Errorf("%+v, %v", p, err)
 	}
 	if _, err := os.Stat(folder + ".salvage"); !os.IsNotExist(err) {
-		t.Errorf("the moved log is still there: %v", err)
+		t.Errorf("the exported log is still there: %v", err)
 	}
 	f, err := wal.ClearFence(folder)
 	if err != nil || f == nil {
@@ -231,9 +231,9 @@
 	l.Run(quit)
 }
 
-// Of a class that may run again, what may have run is handed back; what was told
-// already, and what damage took, is not.
-func TestSafeClassesAreHandedBack(t *testing.T) {
+// A message that may have run is returned where its class is idempotent, but not one
+// whose notice was decided before, nor a corrupt one.
+func TestFinalNotice(t *testing.T) {
 	for _, x := range []struct {
 		r    wal.Record
 		want string
@@ -250,11 +250,11 @@
 	}
 }
 
-// A relay that runs keeps its folder: the order waits and says why. Once it has
-// died, the order goes on.
-func TestARunningRelayKeepsItsFolder(t *testing.T) {
+// A relay that runs keeps its folder: the operation waits and reports why, and goes on
+// once the relay has died.
+func TestRunningRelayKeepsItsFolder(t *testing.T) {
 	s := startStore(t)
-	folder, want := lost(t, 20)
+	folder, want := lostRelay(t, 20)
 	lock, err := wal.OpenLock(folder, wal.LockName)
 	if err != nil {
 		t.Fatal(err)
@@ -262,49 +262,49 @@
 	if got, err := lock.TryLock(); !got {
 		t.Fatal(err)
 	}
-	s.give(folder)
-	s.warden("a")
-	waitFor(t, "word of why it waits", func() bool { return strings.Contains(s.order().Message, "in use") })
+	s.create(folder)
+	s.startController("a")
+	waitFor(t, "the reason why it waits", func() bool { return strings.Contains(s.operation().Message, "in use") })
 	s.mu.Lock()
-	if len(s.ends) > 0 {
-		t.Errorf("ended while the relay runs: %v", s.ends)
+	if len(s.notices) > 0 {
+		t.Errorf("notified while the relay runs: %v", s.notices)
 	}
 	s.mu.Unlock()
 	lock.Close()
-	waitFor(t, "the order's end", func() bool { return s.order().Done })
-	s.ended(want)
+	waitFor(t, "the end of the operation", func() bool { return s.operation().Done })
+	s.checkNotices(want)
 }
 
-// A holder before, whose token is older, does not move the folder any more.
-func TestAnOlderTokenMovesNothing(t *testing.T) {
-	folder, _ := lost(t, 5)
+// A former leader, whose token is older, does not export the folder any more.
+func TestOlderTokenExportsNothing(t *testing.T) {
+	folder, _ := lostRelay(t, 5)
 	if err := leader.Fence(folder, Role, 9); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := move(&leader.Grant{Token: 8}, Spec{Folder: folder}, folder+".salvage"); err == nil {
-		t.Fatal("moved")
+	if _, err := exportLog(&leader.Grant{Token: 8}, Spec{Folder: folder}); err == nil {
+		t.Fatal("exported")
 	}
 	if report, err := wal.Inspect(nil, folder); err != nil || report.Pending != 5 {
 		t.Errorf("%+v, %v", report, err)
 	}
 }
 
-// An order that cannot be used is told, and ended.
-func TestAnOrderThatCannotBeUsed(t *testing.T) {
+// An operation with an invalid spec is reported and done.
+func TestInvalidOperation(t *testing.T) {
 	s := startStore(t)
-	s.give("relative")
-	s.warden("a")
-	waitFor(t, "the order's end", func() bool { return s.order().Done })
-	if says := s.order().Message; !strings.Contains(says, "absolute path") {
-		t.Errorf("says %q", says)
+	s.create("relative")
+	s.startController("a")
+	waitFor(t, "the end of the operation", func() bool { return s.operation().Done })
+	if message := s.operation().Message; !strings.Contains(message, "absolute path") {
+		t.Errorf("message %q", message)
 	}
 }
 
-// The holder dies between moving the log and telling of it, and the relay comes
-// back and runs: what was moved is seen to its end all the same.
-func TestMovedAndNotTold(t *testing.T) {
+// The leader dies between the export of the log and its report, and the relay comes
+// back and runs: the exported messages get their notices all the same.
+func TestExportedWithoutReport(t *testing.T) {
 	s := startStore(t)
-	folder, want := lost(t, 30)
+	folder, want := lostRelay(t, 30)
 	if _, err := wal.Export(folder, folder+".salvage", 3<<20); err != nil {
 		t.Fatal(err)
 	}
@@ -319,8 +319,8 @@
 	if got, err := lock.TryLock(); !got {
 		t.Fatal(err)
 	}
-	s.give(folder)
-	s.warden("b")
-	waitFor(t, "the order's end", func() bool { return s.order().Done })
-	s.ended(want)
+	s.create(folder)
+	s.startController("b")
+	waitFor(t, "the end of the operation", func() bool { return s.operation().Done })
+	s.checkNotices(want)
 }
