--- /dev/null
+++ b/internal/rollout/process.go
@@ -0,0 +1,118 @@
+package rollout
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+)
+
+// Errors of LocalProcess.Restart.
+var (
+	ErrNoCommand     = errors.New("runner: no command")
+	ErrEndedTooEarly = errors.New("runner: the next process ended at once; the one before serves on")
+)
+
+// LocalProcess is a Program that runs a relay as a process of this machine. A restart
+// starts the next process beside the present one, which is terminated once the next
+// has had time to take over. The exported fields are set before the first Restart. It
+// is safe for concurrent use; Stop ends its process.
+type LocalProcess struct {
+	Command           []string // program and arguments
+	Env               []string // added to this process's environment
+	TakeoverTime      time.Duration
+	TerminationTime   time.Duration // from SIGTERM to SIGKILL
+	OperatorAddresses [2]string     // ROUTER_OPERATOR of the processes, in turn
+
+	mu      sync.Mutex
+	current *childProcess
+	address atomic.Int32 // index in OperatorAddresses
+}
+
+// childProcess is a process whose end is waited for by a goroutine of its own.
+type childProcess struct {
+	cmd   *exec.Cmd
+	ended chan struct{}
+}
+
+func startChild(cmd *exec.Cmd) (*childProcess, error) {
+	if err := cmd.Start(); err != nil {
+		return nil, fmt.Errorf("runner: %w", err)
+	}
+	child := &childProcess{cmd: cmd, ended: make(chan struct{})}
+	go func() {
+		defer close(child.ended)
+		child.cmd.Wait() // how it ended is in its own log
+	}()
+	return child, nil
+}
+
+// terminate ends the process: by SIGTERM, and by SIGKILL after a timeout.
+func (c *childProcess) terminate(timeout time.Duration) {
+	c.cmd.Process.Signal(syscall.SIGTERM)
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case <-c.ended:
+	case <-timer.C:
+		c.cmd.Process.Kill()
+		<-c.ended
+	}
+}
+
+// Operator returns the operator address of the present process.
+func (p *LocalProcess) Operator() string { return p.OperatorAddresses[p.address.Load()] }
+
+// Restart starts the next process, waits for the takeover and ends the process before.
+// Where the next one ends meanwhile, the one before is kept.
+func (p *LocalProcess) Restart(ctx context.Context) (pid int, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.Command) == 0 {
+		return 0, ErrNoCommand
+	}
+	previous, previousAddress := p.current, p.address.Load()
+	nextAddress := 1 - previousAddress
+	next, err := startChild(p.newCommand(p.OperatorAddresses[nextAddress]))
+	if err != nil {
+		return 0, err
+	}
+	p.current = next
+	p.address.Store(nextAddress)
+	if previous == nil {
+		return next.cmd.Process.Pid, nil
+	}
+	takeover := time.NewTimer(p.TakeoverTime)
+	defer takeover.Stop()
+	select {
+	case <-takeover.C:
+	case <-next.ended:
+		p.current = previous
+		p.address.Store(previousAddress)
+		return 0, ErrEndedTooEarly
+	case <-ctx.Done():
+	}
+	previous.terminate(p.TerminationTime)
+	return next.cmd.Process.Pid, nil
+}
+
+func (p *LocalProcess) newCommand(operatorAddress string) *exec.Cmd {
+	cmd := exec.Command(p.Command[0], p.Command[1:]...)
+	cmd.Env = append(append(os.Environ(), p.Env...), "ROUTER_OPERATOR="+operatorAddress)
+	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
+	return cmd
+}
+
+// Stop ends the present process and waits for its end.
+func (p *LocalProcess) Stop() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.current != nil {
+		p.current.terminate(p.TerminationTime)
+	}
+}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,298 +1,186 @@
 package rollout
 
 import (
-	"bufio"
-	"bytes"
-	"cmp"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 
 	"golang.org/x/sync/errgroup"
 
 	"plovershore/internal/leader"
+	"plovershore/internal/leader/operations"
 	"plovershore/internal/registry"
 	"plovershore/internal/registry/client"
 )
 
 const (
-	lookEvery = 200 * time.Millisecond
-	askMost   = 5 * time.Second
+	pollInterval   = 200 * time.Millisecond
+	requestTimeout = 5 * time.Second
 )
 
-// Progress is how far a plan has come. It is told before and after each step, so
-// that the next holder knows what may have been done.
+// Progress is how far a plan has come. It is reported before and after each step, so
+// that the next leader knows what may have been done.
 type Progress struct {
 	Wave   int                    `json:"wave"`
-	Open   bool                   `json:"open"` // the wave is: nothing of another may be begun
-	Done   map[string]bool        `json:"done"` // relays that were restarted and said yes
-	Before map[string]RelayStatus `json:"before,omitempty"`
+	Open   bool                   `json:"open"`             // the wave has begun: nothing of another may begin
+	Done   map[string]bool        `json:"done"`             // relays that were restarted and became ready
+	Before map[string]RelayStatus `json:"before,omitempty"` // the wave's relays before it began
 }
 
-// RelayStatus is what a relay's operator address tells of it.
-type RelayStatus struct {
-	Ready     bool  `json:"ready"`
-	Pending   int64 `json:"pending"`
-	Completed int64 `json:"ended"`
-	Rejected  int64 `json:"refused"`
-}
-
-// Work is the duty's.
+// Work returns the work of the role: it carries out one plan at a time.
 func Work(c *client.Client) leader.Work {
-	w := &worker{c: c, http: &http.Client{Timeout: askMost}}
+	relays := &relayClient{http: &http.Client{Timeout: requestTimeout}}
 	return func(ctx context.Context, g *leader.Grant) error {
-		for {
-			var all []registry.Operation
-			if _, err := c.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
-				return leader.IgnoreCancellation(ctx, err)
-			}
-			for _, o := range all {
-				if o.Kind == Role && !o.Done && o.DesiredState != registry.DesiredPause {
-					if err := w.one(ctx, g, o); err != nil {
-						return leader.IgnoreCancellation(ctx, err)
-					}
-					break // one plan at a time
+		return operations.Run(ctx, c, Role, pollInterval, func(ctx context.Context, pending []registry.Operation) error {
+			for _, op := range pending {
+				if op.DesiredState == registry.DesiredPause {
+					continue
 				}
+				e := &execution{listService: c, relays: relays, grant: g, op: op}
+				return e.advance(ctx)
 			}
-			if !sleep(ctx, lookEvery) {
-				return nil
-			}
-		}
+			return nil
+		})
 	}
 }
 
-type worker struct {
-	c    *client.Client
-	http *http.Client
+// execution is one plan that is being carried out.
+type execution struct {
+	listService *client.Client
+	relays      *relayClient
+	grant       *leader.Grant
+	op          registry.Operation
+	plan        Plan
+	progress    Progress
 }
 
-// one brings a plan on by a wave.
-func (w *worker) one(ctx context.Context, g *leader.Grant, o registry.Operation) error {
-	var plan Plan
-	p := Progress{Done: map[string]bool{}}
-	err := json.Unmarshal(o.Spec, &plan)
+// advance brings the plan on by a wave.
+func (e *execution) advance(ctx context.Context) error {
+	e.progress.Done = map[string]bool{}
+	err := operations.Decode(e.op, &e.plan, &e.progress)
 	if err == nil {
-		err = plan.check()
-	}
-	if err == nil && len(o.Progress) > 0 {
-		err = json.Unmarshal(o.Progress, &p)
+		err = e.plan.validate()
 	}
 	if err != nil {
-		return w.tell(ctx, g, o, p, "cannot be used: "+err.Error(), true)
+		return e.finish(ctx, operations.MessageInvalid+err.Error())
 	}
-	if o.DesiredState == registry.DesiredAbort {
-		return w.tell(ctx, g, o, p, fmt.Sprintf("called off after %d of %d relays", len(p.Done), len(plan.Relays)), true)
+	if e.op.DesiredState == registry.DesiredAbort {
+		return e.finish(ctx, fmt.Sprintf("%s after %d of %d relays", operations.MessageCanceled, len(e.progress.Done), len(e.plan.Relays)))
 	}
-	from, to := plan.wave(p.Wave)
-	if from == to {
-		return w.tell(ctx, g, o, p, "done", true)
+	wave := e.plan.wave(e.progress.Wave)
+	if len(wave) == 0 {
+		return e.finish(ctx, operations.MessageDone)
 	}
-	wave := plan.Relays[from:to]
-	if !p.Open {
-		p.Open, p.Before = true, map[string]RelayStatus{}
-		for _, r := range wave {
-			if p.Before[r.Name], err = w.view(ctx, r); err != nil {
-				return w.wait(ctx, g, o, p, fmt.Sprintf("wave %d waits: %s cannot be looked at: %v", p.Wave+1, r.Name, err))
-			}
-		}
-		if err := w.tell(ctx, g, o, p, fmt.Sprintf("wave %d of %d relays is open", p.Wave+1, len(wave)), false); err != nil {
+	if !e.progress.Open {
+		if opened, err := e.openWave(ctx, wave); err != nil || !opened {
 			return err
 		}
 	}
-	for at := 0; at < len(wave); at += plan.Parallelism {
-		if wish, err := w.wish(ctx, o); err != nil || wish != registry.DesiredRun {
-			return err // paused or called off between two steps
+	if restarted, err := e.restartWave(ctx, wave); err != nil || !restarted {
+		return err
+	}
+	return e.closeWave(ctx, wave)
+}
+
+// waveNumber is the number of the present wave, as operators count.
+func (e *execution) waveNumber() int { return e.progress.Wave + 1 }
+
+// openWave records the state of the wave's relays before it. It reports false where a
+// relay does not answer.
+func (e *execution) openWave(ctx context.Context, wave []Relay) (opened bool, err error) {
+	e.progress.Open, e.progress.Before = true, map[string]RelayStatus{}
+	for _, relay := range wave {
+		status, err := e.relays.status(ctx, relay)
+		if err != nil {
+			return false, e.reportWaiting(ctx, fmt.Sprintf("wave %d waits: %s cannot be looked at: %v", e.waveNumber(), relay.Name, err))
 		}
-		part := wave[at:min(len(wave), at+plan.Parallelism)]
-		var steps errgroup.Group
-		for _, r := range part {
-			if !p.Done[r.Name] {
-				steps.Go(func() error { return w.step(ctx, g, o, r, secs(plan.ReadyTimeout)) })
-			}
+		e.progress.Before[relay.Name] = status
+	}
+	return true, e.report(ctx, fmt.Sprintf("wave %d of %d relays is open", e.waveNumber(), len(wave)))
+}
+
+// restartWave restarts the relays of the wave in batches. It reports false where the
+// plan was paused or aborted between two batches, or a restart failed.
+func (e *execution) restartWave(ctx context.Context, wave []Relay) (restarted bool, err error) {
+	for start := 0; start < len(wave); start += e.plan.Parallelism {
+		desired, err := operations.DesiredState(ctx, e.listService, e.op)
+		if err != nil || desired != registry.DesiredRun {
+			return false, err
 		}
-		if err := steps.Wait(); err != nil {
+		batch := wave[start:min(len(wave), start+e.plan.Parallelism)]
+		if err := e.restartBatch(ctx, batch); err != nil {
 			if errors.Is(err, leader.ErrLeaseLost) || ctx.Err() != nil {
-				return err
+				return false, err
 			}
-			return w.wait(ctx, g, o, p, fmt.Sprintf("wave %d: %v", p.Wave+1, err))
+			return false, e.reportWaiting(ctx, fmt.Sprintf("wave %d: %v", e.waveNumber(), err))
 		}
-		for _, r := range part {
-			p.Done[r.Name] = true
+		for _, relay := range batch {
+			e.progress.Done[relay.Name] = true
 		}
-		if err := w.tell(ctx, g, o, p, fmt.Sprintf("wave %d: %d of %d relays restarted", p.Wave+1, len(p.Done), len(plan.Relays)), false); err != nil {
-			return err
+		message := fmt.Sprintf("wave %d: %d of %d relays restarted", e.waveNumber(), len(e.progress.Done), len(e.plan.Relays))
+		if err := e.report(ctx, message); err != nil {
+			return false, err
 		}
 	}
-	if why := w.settle(ctx, &plan, wave, p.Before); why != "" {
-		return w.wait(ctx, g, o, p, fmt.Sprintf("wave %d does not settle: %s", p.Wave+1, why))
-	}
-	p.Wave, p.Open, p.Before = p.Wave+1, false, nil
-	return w.tell(ctx, g, o, p, fmt.Sprintf("wave %d has settled", p.Wave), false)
+	return true, nil
 }
 
-// step restarts one relay and waits until it says yes.
-func (w *worker) step(ctx context.Context, g *leader.Grant, o registry.Operation, r Relay, ready time.Duration) error {
-	text, err := json.Marshal(Step{ID: o.Name + "/" + r.Name, Token: g.Token})
-	if err != nil {
-		return fmt.Errorf("rollout: %w", err)
+func (e *execution) restartBatch(ctx context.Context, batch []Relay) error {
+	var restarts errgroup.Group
+	for _, relay := range batch {
+		if !e.progress.Done[relay.Name] {
+			restarts.Go(func() error { return e.restartRelay(ctx, relay) })
+		}
 	}
-	long, cancel := context.WithTimeout(ctx, ready)
+	return restarts.Wait()
+}
+
+// restartRelay restarts one relay and waits until it is ready.
+func (e *execution) restartRelay(ctx context.Context, relay Relay) error {
+	timeout := seconds(e.plan.ReadyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
+	step := Step{ID: e.op.Name + "/" + relay.Name, Token: e.grant.Token}
 	for {
-		err := w.ask(long, http.MethodPost, "http://"+r.Runner+RunnerPath, text, nil)
+		err := e.relays.restart(ctx, relay, step)
 		if err == nil {
 			break
 		}
-		if errors.Is(err, leader.ErrLeaseLost) || !sleep(long, lookEvery) {
-			return fmt.Errorf("%s is not restarted: %w", r.Name, err)
+		if errors.Is(err, leader.ErrLeaseLost) || !leader.Sleep(ctx, pollInterval) {
+			return fmt.Errorf("%s is not restarted: %w", relay.Name, err)
 		}
 	}
 	for {
-		v, err := w.view(long, r)
-		if err == nil && v.Ready {
+		status, err := e.relays.status(ctx, relay)
+		if err == nil && status.Ready {
 			return nil
 		}
-		if !sleep(long, lookEvery) {
-			return fmt.Errorf("%s is not ready after %v", r.Name, ready)
-		}
-	}
-}
-
-// settle waits until all that the plan asks for has held for long enough. Figures
-// of a relay begin anew with its process: what was refused counts from there.
-func (w *worker) settle(ctx context.Context, plan *Plan, wave []Relay, before map[string]RelayStatus) (why string) {
-	within := time.Now().Add(secs(plan.SettleTimeout))
-	for since := time.Now(); ; {
-		why = ""
-		for _, r := range wave {
-			v, err := w.view(ctx, r)
-			switch {
-			case err != nil:
-				why = fmt.Sprintf("%s: %v", r.Name, err)
-			case !v.Ready:
-				why = r.Name + " is not ready"
-			case v.Pending > before[r.Name].Pending+int64(plan.MaxPending):
-				why = fmt.Sprintf("%s holds %d messages, %d before", r.Name, v.Pending, before[r.Name].Pending)
-			case v.Completed >= 20 && float64(v.Rejected) > plan.MaxRejected*float64(v.Completed):
-				why = fmt.Sprintf("%s refused %d of %d", r.Name, v.Rejected, v.Completed)
-			}
-			if why != "" {
-				break
-			}
-		}
-		now := time.Now()
-		switch {
-		case why != "":
-			since = now
-		case now.Sub(since) >= secs(plan.SettleTime):
-			return ""
+		if !leader.Sleep(ctx, pollInterval) {
+			return fmt.Errorf("%s is not ready after %v", relay.Name, timeout)
 		}
-		if now.After(within) || !sleep(ctx, lookEvery) {
-			if why == "" {
-				why = "it has not held for long enough"
-			}
-			return why
-		}
-	}
-}
-
-// wish gives what the operators want of an order now.
-func (w *worker) wish(ctx context.Context, o registry.Operation) (string, error) {
-	var all []registry.Operation
-	if _, err := w.c.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
-		return "", err
-	}
-	for _, x := range all {
-		if x.Kind == o.Kind && x.Name == o.Name {
-			return x.DesiredState, nil
-		}
-	}
-	return registry.DesiredAbort, nil
-}
-
-// wait tells why a plan does not go on; it is tried again.
-func (w *worker) wait(ctx context.Context, g *leader.Grant, o registry.Operation, p Progress, says string) error {
-	if says == o.Message {
-		return nil
 	}
-	return w.tell(ctx, g, o, p, says, false)
 }
 
-func (w *worker) tell(ctx context.Context, g *leader.Grant, o registry.Operation, p Progress, says string, done bool) error {
-	text, err := json.Marshal(p)
-	if err != nil {
-		return fmt.Errorf("rollout: %w", err)
+// closeWave waits until the wave has settled and goes on to the next one.
+func (e *execution) closeWave(ctx context.Context, wave []Relay) error {
+	if err := e.awaitSettled(ctx, wave); err != nil {
+		return e.reportWaiting(ctx, fmt.Sprintf("wave %d does not settle: %v", e.waveNumber(), err))
 	}
-	return g.Do(ctx, http.MethodPost, registry.OperationsPath+"/"+o.Kind+"/"+o.Name+"/progress", registry.Operation{Progress: text, Message: says, Done: done}, nil)
+	e.progress.Wave, e.progress.Open, e.progress.Before = e.progress.Wave+1, false, nil
+	return e.report(ctx, fmt.Sprintf("wave %d has settled", e.progress.Wave))
 }
 
-// ask asks a runner or a relay. A runner that has seen a newer token is ErrLost.
-func (w *worker) ask(ctx context.Context, method, to string, body []byte, out *[]byte) error {
-	req, err := http.NewRequestWithContext(ctx, method, to, bytes.NewReader(body))
-	if err != nil {
-		return fmt.Errorf("rollout: %w", err)
-	}
-	resp, err := w.http.Do(req)
-	if err != nil {
-		return fmt.Errorf("rollout: %w", err)
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-	switch {
-	case err != nil:
-		return fmt.Errorf("rollout: %w", err)
-	case resp.StatusCode == http.StatusPreconditionFailed:
-		return fmt.Errorf("%w: %s", leader.ErrLeaseLost, bytes.TrimSpace(text))
-	case resp.StatusCode != http.StatusOK:
-		return fmt.Errorf("rollout: %s: %s", resp.Status, bytes.TrimSpace(text))
-	}
-	if out != nil {
-		*out = text
-	}
-	return nil
+func (e *execution) report(ctx context.Context, message string) error {
+	return operations.Send(ctx, e.grant, e.op, operations.Report{Progress: e.progress, Message: message})
 }
 
-// view reads readiness and figures of a relay.
-func (w *worker) view(ctx context.Context, r Relay) (v RelayStatus, err error) {
-	at := cmp.Or(r.Operator, r.Runner)
-	v.Ready = w.ask(ctx, http.MethodGet, "http://"+at+"/v1/readyz", nil, nil) == nil
-	var text []byte
-	if err := w.ask(ctx, http.MethodGet, "http://"+at+"/v1/metrics", nil, &text); err != nil {
-		return v, err
-	}
-	lines := bufio.NewScanner(bytes.NewReader(text))
-	for lines.Scan() {
-		name, value, ok := strings.Cut(lines.Text(), " ")
-		n, err := strconv.ParseFloat(value, 64)
-		if !ok || err != nil || strings.HasPrefix(name, "#") {
-			continue
-		}
-		switch name, _, _ = strings.Cut(name, "{"); name {
-		case "app_pending":
-			v.Pending += int64(n)
-		case "app_completed", "app_failed":
-			v.Completed += int64(n)
-		case "app_rejected":
-			v.Completed += int64(n)
-			v.Rejected += int64(n)
-		}
-	}
-	return v, lines.Err()
+func (e *execution) finish(ctx context.Context, message string) error {
+	return operations.Send(ctx, e.grant, e.op, operations.Report{Progress: e.progress, Message: message, Done: true})
 }
 
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
+// reportWaiting reports, once, why the plan does not go on; it is retried.
+func (e *execution) reportWaiting(ctx context.Context, message string) error {
+	return operations.SendIfNew(ctx, e.grant, e.op, operations.Report{Progress: e.progress, Message: message})
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -32,7 +32,7 @@
 	t.Fatalf("never came: %s", what)
 }
 
-// fleet is relays that are not there, each with a runner and an operator address.
+// fleet is a set of simulated relays, each with a runner and an operator address.
 type fleet struct {
 	t    *testing.T
 	addr string // of the list service
@@ -40,13 +40,13 @@
 
 	mu       sync.Mutex
 	restarts map[string]int
-	open     map[int]bool // waves in which a relay is being restarted
-	most     int          // of them at once
-	sick     map[string]bool
+	open     map[int]bool    // waves in which a relay is being restarted
+	most     int             // of them at once
+	sick     map[string]bool // relays that reject most messages
 	slow     time.Duration
 }
 
-// Restart is Program's.
+// restart simulates the restart of a relay.
 func (f *fleet) restart(name string, wave int) (int, error) {
 	f.mu.Lock()
 	f.restarts[name]++
@@ -116,10 +116,10 @@
 	return c
 }
 
-func (f *fleet) want(wish string, spec bool) {
+func (f *fleet) request(desired string, withSpec bool) {
 	f.t.Helper()
-	o := registry.Operation{DesiredState: wish}
-	if spec {
+	o := registry.Operation{DesiredState: desired}
+	if withSpec {
 		text, err := json.Marshal(f.plan)
 		if err != nil {
 			f.t.Fatal(err)
@@ -131,7 +131,7 @@
 	}
 }
 
-func (f *fleet) order() (o registry.Operation, p Progress) {
+func (f *fleet) operation() (o registry.Operation, p Progress) {
 	f.t.Helper()
 	var all []registry.Operation
 	if _, err := f.client().Do(context.Background(), http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
@@ -148,8 +148,8 @@
 	return o, p
 }
 
-// warden runs one; cut ends its part at once, as a kill does: nothing is given up.
-func (f *fleet) warden(name string) (cut func()) {
+// startController runs one; kill ends it at once: it releases nothing.
+func (f *fleet) startController(name string) (kill func()) {
 	dead := make(chan struct{})
 	w := Work(f.client())
 	ctx, cancel := context.WithCancel(f.t.Context())
@@ -168,7 +168,7 @@
 		err := w(inner, g)
 		select {
 		case <-dead:
-			<-ctx.Done() // it says nothing more, and its session runs out
+			<-ctx.Done() // it reports nothing more, and its session expires
 		default:
 		}
 		return err
@@ -183,7 +183,7 @@
 	return sync.OnceFunc(func() { close(dead); cancel() })
 }
 
-func (f *fleet) once(n int) {
+func (f *fleet) checkRestartedOnce(n int) {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,55 +197,56 @@
 	}
 }
 
-// Every relay is restarted once, wave after wave, though holders die in the middle.
-func TestEachOnceThoughHoldersDie(t *testing.T) {
+// Every relay is restarted once, wave after wave, though leaders die in the middle.
+func TestEachRelayRestartsOnceThoughLeadersDie(t *testing.T) {
 	f := newFleet(t, 12, 1, 3, 4)
 	f.slow = 60 * time.Millisecond
-	f.want(registry.DesiredRun, true)
+	f.request(registry.DesiredRun, true)
 	for k := range 4 {
-		cut := f.warden(fmt.Sprint("w-", k))
-		_, before := f.order()
-		waitFor(t, "some more", func() bool { o, p := f.order(); return o.Done || len(p.Done) > len(before.Done) })
-		cut()
+		kill := f.startController(fmt.Sprint("w-", k))
+		_, before := f.operation()
+		waitFor(t, "further restarts", func() bool { o, p := f.operation(); return o.Done || len(p.Done) > len(before.Done) })
+		kill()
 	}
-	f.warden("last")
-	waitFor(t, "the end", func() bool { o, _ := f.order(); return o.Done })
-	f.once(12)
+	f.startController("last")
+	waitFor(t, "the end", func() bool { o, _ := f.operation(); return o.Done })
+	f.checkRestartedOnce(12)
 }
 
-// A wave that does not settle holds the plan: no further wave is begun until it does.
-func TestAWaveThatDoesNotSettle(t *testing.T) {
+// A wave that does not settle stops the plan: no further wave begins until it does.
+func TestWaveThatDoesNotSettle(t *testing.T) {
 	f := newFleet(t, 5, 2)
 	f.sick["n1"] = true
-	f.want(registry.DesiredRun, true)
-	f.warden("w")
-	waitFor(t, "word of it", func() bool { o, _ := f.order(); return strings.Contains(o.Message, "does not settle: n1 refused") })
-	f.once(2)
+	f.request(registry.DesiredRun, true)
+	f.startController("w")
+	waitFor(t, "a report of it", func() bool { o, _ := f.operation(); return strings.Contains(o.Message, "does not settle: n1 refused") })
+	f.checkRestartedOnce(2)
 	f.mu.Lock()
 	f.sick["n1"] = false
 	f.mu.Unlock()
-	waitFor(t, "the end", func() bool { o, _ := f.order(); return o.Done })
-	f.once(5)
+	waitFor(t, "the end", func() bool { o, _ := f.operation(); return o.Done })
+	f.checkRestartedOnce(5)
 }
 
-// Paused, a plan rests between two steps; called off, it ends there.
+// A paused plan stops between two steps; an aborted one ends there.
 func TestPauseAndAbort(t *testing.T) {
 	f := newFleet(t, 6, 2)
 	f.slow = 200 * time.Millisecond
-	f.want(registry.DesiredRun, true)
-	f.warden("w")
-	waitFor(t, "the first wave", func() bool { _, p := f.order(); return len(p.Done) >= 2 })
-	f.want(registry.DesiredPause, false)
-	waitFor(t, "rest", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.open) == 0 })
-	_, at := f.order()
-	f.want(registry.DesiredAbort, false)
-	waitFor(t, "the end", func() bool { o, _ := f.order(); return o.Done && strings.Contains(o.Message, "called off") })
-	if _, p := f.order(); len(p.Done) > len(at.Done)+f.plan.Parallelism || len(p.Done) == 6 {
+	f.request(registry.DesiredRun, true)
+	f.startController("w")
+	waitFor(t, "the first wave", func() bool { _, p := f.operation(); return len(p.Done) >= 2 })
+	f.request(registry.DesiredPause, false)
+	waitFor(t, "the pause", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.open) == 0 })
+	_, at := f.operation()
+	f.request(registry.DesiredAbort, false)
+	waitFor(t, "the end", func() bool { o, _ := f.operation(); return o.Done && strings.Contains(o.Message, "called off") })
+	if _, p := f.operation(); len(p.Done) > len(at.Done)+f.plan.Parallelism || len(p.Done) == 6 {
 		t.Errorf("went on to %d relays", len(p.Done))
 	}
 }
 
-// A runner does a step once, whoever asks, and refuses a token older than it saw.
+// A runner does a step once, whoever requests it, and rejects a token older than the
+// newest it has seen.
 func TestRunner(t *testing.T) {
 	n := 0
 	r := &Runner{Folder: t.TempDir(), Log: quiet(), Program: program(func() (int, error) { n++; return n, nil })}
@@ -264,6 +265,7 @@
 	}
 }
 
+// Errors of a plan name the key, and the line where the TOML itself is at fault.
 func TestPlanErrorsNameTheKey(t *testing.T) {
 	const relay = "[[relays]]\nname = \"n1\"\nrunner = \"h:1\"\noperator = \"h:2\"\n"
 	if _, err := ParsePlan([]byte(relay)); err != nil {
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -9,41 +9,46 @@
 	"net/http"
 	"net/http/httputil"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"sync"
-	"sync/atomic"
-	"syscall"
-	"time"
 
 	"plovershore/internal/leader"
 )
 
-// RunnerPath is where a runner is asked to restart its relay (POST with a Step),
-// and what it last did (GET).
+// RunnerPath is the route of a runner: POST with a Step restarts its relay, GET
+// returns the StepStatus of the last step.
 const RunnerPath = "/v1/restart"
 
-// Step is one restart. A second one with its ID changes nothing.
+const (
+	statusFile     = "restart.json" // in the runner's folder
+	requestBodyMax = 4096           // bytes
+)
+
+// Step is one restart. A second one with the same ID changes nothing.
 type Step struct {
 	ID    string `json:"id"`
-	Token int64  `json:"token"` // of the duty: an older one than was seen is refused with 412
+	Token int64  `json:"token"` // the fencing token; one older than was seen is rejected with 412
 }
 
-// StepStatus is what a runner last did.
+// StepStatus is the last step of a runner.
 type StepStatus struct {
-	Step string `json:"step"` // done, or begun
-	Done bool   `json:"done"`
-	PID  int    `json:"pid"`
+	Step string `json:"step"` // its ID
+	Done bool   `json:"done"` // complete; otherwise it has begun
+	PID  int    `json:"pid"`  // of the relay's present process
 }
 
 // Program starts and stops a relay.
 type Program interface {
+	// Restart replaces the relay's process and returns the id of the new one.
 	Restart(ctx context.Context) (pid int, err error)
-	Operator() string // of the present process; two of one relay cannot share one
+	// Operator returns the operator address of the present process; two processes of
+	// one relay cannot share an address.
+	Operator() string
 }
 
-// Runner restarts one relay, each step once. Its folder lasts: which step was
-// begun, and the highest token, outlive it.
+// Runner restarts one relay, each step once. Its fields are set before the first use;
+// it is safe for concurrent use. The folder outlives it: it keeps the last step and
+// the highest fencing token.
 type Runner struct {
 	Folder  string
 	Program Program
@@ -52,177 +57,107 @@
 	mu sync.Mutex // one step at a time
 }
 
-const didFile = "restart.json"
+// Handler serves the runner, and the operator address of its relay's present process.
+func (r *Runner) Handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET "+RunnerPath, r.getStatus)
+	mux.HandleFunc("POST "+RunnerPath, r.postStep)
+	// A plan reads the status of a relay by its runner, whichever process is the present
+	// one.
+	operator := &httputil.ReverseProxy{
+		Rewrite: func(proxied *httputil.ProxyRequest) {
+			proxied.Out.URL.Scheme, proxied.Out.URL.Host = "http", r.Program.Operator()
+		},
+		ErrorLog: slog.NewLogLogger(r.Log.Handler(), slog.LevelDebug),
+	}
+	mux.Handle("GET /v1/readyz", operator)
+	mux.Handle("GET /v1/metrics", operator)
+	return mux
+}
 
-func (r *Runner) did() (d StepStatus, err error) {
-	text, err := os.ReadFile(filepath.Join(r.Folder, didFile))
-	if errors.Is(err, os.ErrNotExist) {
-		return d, nil
-	}
-	if err == nil {
-		err = json.Unmarshal(text, &d)
-	}
-	if err != nil {
-		return d, fmt.Errorf("runner: %w", err)
-	}
-	return d, nil
+func (r *Runner) getStatus(w http.ResponseWriter, _ *http.Request) {
+	status, err := r.readStatus()
+	r.respond(w, status, err)
 }
 
-func (r *Runner) keep(d StepStatus) error {
-	text, err := json.Marshal(d)
-	if err != nil {
-		return fmt.Errorf("runner: %w", err)
-	}
-	path := filepath.Join(r.Folder, didFile)
-	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
-		return fmt.Errorf("runner: %w", err)
+func (r *Runner) postStep(w http.ResponseWriter, req *http.Request) {
+	var step Step
+	err := json.NewDecoder(http.MaxBytesReader(w, req.Body, requestBodyMax)).Decode(&step)
+	if err != nil || step.ID == "" {
+		http.Error(w, "body: a step is wanted", http.StatusBadRequest)
+		return
 	}
-	if err := os.Rename(path+".new", path); err != nil {
-		return fmt.Errorf("runner: %w", err)
+	// A restart that has begun is completed though the client has gone.
+	status, err := r.restart(context.WithoutCancel(req.Context()), step)
+	r.respond(w, status, err)
+}
+
+func (r *Runner) respond(w http.ResponseWriter, status StepStatus, err error) {
+	switch {
+	case errors.Is(err, leader.ErrFenced):
+		http.Error(w, err.Error(), http.StatusPreconditionFailed)
+	case err != nil:
+		r.Log.Error("step failed", "err", err)
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+	default:
+		w.Header().Set("Content-Type", "application/json")
+		json.NewEncoder(w).Encode(status) // a client that has gone sends the step again
 	}
-	return nil
 }
 
-// restart does a step. One that was begun by a runner that died on the way is
-// done again: the relay's folder lets two of its processes follow each other.
-func (r *Runner) restart(ctx context.Context, s Step) (StepStatus, error) {
+// restart does a step, unless it is done already. A step that a runner before has
+// begun and not completed is done again: a relay's folder can pass between more than
+// two processes.
+func (r *Runner) restart(ctx context.Context, step Step) (StepStatus, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := leader.Fence(r.Folder, Role, s.Token); err != nil {
+	if err := leader.Fence(r.Folder, Role, step.Token); err != nil {
 		return StepStatus{}, err
 	}
-	d, err := r.did()
-	if err != nil || d.Step == s.ID && d.Done {
-		return d, err
+	last, err := r.readStatus()
+	if err != nil || last.Step == step.ID && last.Done {
+		return last, err
 	}
-	if err := r.keep(StepStatus{Step: s.ID, PID: d.PID}); err != nil {
-		return d, err
+	if err := r.writeStatus(StepStatus{Step: step.ID, PID: last.PID}); err != nil {
+		return last, err
 	}
 	pid, err := r.Program.Restart(ctx)
 	if err != nil {
-		return d, err
+		return last, err
 	}
-	r.Log.Info("relay restarted", "step", s.ID, "token", s.Token, "pid", pid)
-	d = StepStatus{Step: s.ID, Done: true, PID: pid}
-	return d, r.keep(d)
+	r.Log.Info("relay restarted", "step", step.ID, "token", step.Token, "pid", pid)
+	done := StepStatus{Step: step.ID, Done: true, PID: pid}
+	return done, r.writeStatus(done)
 }
 
-// Handler serves a runner.
-func (r *Runner) Handler() http.Handler {
-	say := func(w http.ResponseWriter, d StepStatus, err error) {
-		switch {
-		case errors.Is(err, leader.ErrFenced):
-			http.Error(w, err.Error(), http.StatusPreconditionFailed)
-		case err != nil:
-			r.Log.Error("runner", "err", err)
-			http.Error(w, err.Error(), http.StatusInternalServerError)
-		default:
-			w.Header().Set("Content-Type", "application/json")
-			json.NewEncoder(w).Encode(d) // an asker that is gone asks again
-		}
-	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+RunnerPath, func(w http.ResponseWriter, _ *http.Request) {
-		d, err := r.did()
-		say(w, d, err)
-	})
-	mux.HandleFunc("POST "+RunnerPath, func(w http.ResponseWriter, q *http.Request) {
-		var s Step
-		if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, 4096)).Decode(&s); err != nil || s.ID == "" {
-			http.Error(w, "body: a step is wanted", http.StatusBadRequest)
-			return
-		}
-		// A restart that was begun is finished, though the asker has left.
-		d, err := r.restart(context.WithoutCancel(q.Context()), s)
-		say(w, d, err)
-	})
-	// The plan looks at a relay through its runner, whichever process is the present one.
-	forward := &httputil.ReverseProxy{Rewrite: func(q *httputil.ProxyRequest) {
-		q.Out.URL.Scheme, q.Out.URL.Host = "http", r.Program.Operator()
-	}, ErrorLog: slog.NewLogLogger(r.Log.Handler(), slog.LevelDebug)}
-	mux.Handle("GET /v1/readyz", forward)
-	mux.Handle("GET /v1/metrics", forward)
-	return mux
-}
-
-// LocalProcess is a relay as a process of this machine: the next one is started beside
-// it, and it is told to end once that has had time to take over.
-type LocalProcess struct {
-	Command           []string
-	Env               []string
-	TakeoverTime      time.Duration // that the next process has to take over
-	TerminationTime   time.Duration // that the old one has to end
-	OperatorAddresses [2]string     // operator addresses, by turns: ROUTER_OPERATOR of each process
-
-	mu  sync.Mutex
-	cmd *exec.Cmd
-	end chan struct{}
-	at  atomic.Int32 // in Addrs
-}
-
-// Operator is Program's.
-func (l *LocalProcess) Operator() string { return l.OperatorAddresses[l.at.Load()] }
-
-// Restart starts the next process and ends the one before.
-func (l *LocalProcess) Restart(ctx context.Context) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.Command) == 0 {
-		return 0, errors.New("runner: no command")
-	}
-	old, oldEnd := l.cmd, l.end
-	cmd := exec.Command(l.Command[0], l.Command[1:]...)
-	next := 1 - l.at.Load()
-	cmd.Env = append(append(os.Environ(), l.Env...), "ROUTER_OPERATOR="+l.OperatorAddresses[next])
-	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-	if err := cmd.Start(); err != nil {
-		return 0, fmt.Errorf("runner: %w", err)
-	}
-	end := make(chan struct{})
-	go func() {
-		cmd.Wait() // how it ended shows in its own log
-		close(end)
-	}()
-	l.cmd, l.end = cmd, end
-	l.at.Store(next)
-	if old == nil {
-		return cmd.Process.Pid, nil
+// readStatus returns the zero value where no step was done yet.
+func (r *Runner) readStatus() (status StepStatus, err error) {
+	text, err := os.ReadFile(r.statusPath())
+	if errors.Is(err, os.ErrNotExist) {
+		return status, nil
 	}
-	t := time.NewTimer(l.TakeoverTime)
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-end:
-		l.cmd, l.end = old, oldEnd
-		l.at.Store(1 - next)
-		return 0, errors.New("runner: the next process ended at once; the one before serves on")
-	case <-ctx.Done():
+	if err == nil {
+		err = json.Unmarshal(text, &status)
 	}
-	old.Process.Signal(syscall.SIGTERM)
-	t.Reset(l.TerminationTime)
-	select {
-	case <-oldEnd:
-	case <-t.C:
-		old.Process.Kill()
-		<-oldEnd
+	if err != nil {
+		return status, fmt.Errorf("runner: %w", err)
 	}
-	return cmd.Process.Pid, nil
+	return status, nil
 }
 
-// Stop ends the relay.
-func (l *LocalProcess) Stop() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.cmd == nil {
-		return
+func (r *Runner) writeStatus(status StepStatus) error {
+	text, err := json.Marshal(status)
+	if err != nil {
+		return fmt.Errorf("runner: %w", err)
 	}
-	l.cmd.Process.Signal(syscall.SIGTERM)
-	t := time.NewTimer(l.TerminationTime)
-	defer t.Stop()
-	select {
-	case <-l.end:
-	case <-t.C:
-		l.cmd.Process.Kill()
-		<-l.end
+	path := r.statusPath()
+	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
+		return fmt.Errorf("runner: %w", err)
 	}
+	if err := os.Rename(path+".new", path); err != nil {
+		return fmt.Errorf("runner: %w", err)
+	}
+	return nil
 }
+
+func (r *Runner) statusPath() string { return filepath.Join(r.Folder, statusFile) }
