--- /dev/null
+++ b/internal/relayctl/relayctl_test.go
@@ -0,0 +1,248 @@
+package relayctl
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"plovershore/internal/cli"
+	"plovershore/internal/failover"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/registrytest"
+)
+
+// fixture is a list service with relayctl in front of it.
+type fixture struct {
+	t    *testing.T
+	addr string
+}
+
+func start(t *testing.T) *fixture {
+	t.Helper()
+	return &fixture{t, registrytest.Start(t, 1, nil).Addrs[0]}
+}
+
+// run runs a command and returns its exit code and output.
+func (f *fixture) run(args ...string) (code int, out, errOut string) {
+	f.t.Helper()
+	var o, e bytes.Buffer
+	code = Main(f.t.Context(), append([]string{"--nodes", f.addr}, args...), &o, &e)
+	return code, o.String(), e.String()
+}
+
+// must runs a command that has to succeed.
+func (f *fixture) must(args ...string) string {
+	f.t.Helper()
+	code, out, errOut := f.run(args...)
+	if code != cli.ExitOK {
+		f.t.Fatalf("%v: exit code %d: %s", args, code, errOut)
+	}
+	return out
+}
+
+func (f *fixture) post(path string, body, out any) {
+	f.t.Helper()
+	if _, err := registrytest.Client(f.t, f.addr).Do(f.t.Context(), http.MethodPost, path, body, out); err != nil {
+		f.t.Fatal(err)
+	}
+}
+
+// grantRole has a session of controller c-1 hold a role with a checkpoint.
+func (f *fixture) grantRole(role string) (token int64) {
+	f.t.Helper()
+	f.post(registry.SessionsPath, registry.SessionRequest{ID: "s-1", Controller: "c-1", TTLMS: (5 * time.Minute).Milliseconds()}, nil)
+	var granted registry.Result
+	f.post(registry.RolesPath+"/"+role+"/grant", registry.RoleRequest{Session: "s-1"}, &granted)
+	f.post(registry.RolesPath+"/"+role+"/note", registry.RoleRequest{Token: granted.Token, Note: "step 7"}, nil)
+	return granted.Token
+}
+
+// The command groups have their old names beside the new ones, with the same verbs,
+// output and exit codes.
+func TestOldNamesOfCommands(t *testing.T) {
+	f := start(t)
+	f.grantRole("count")
+	f.must("failover", "start", "n3", "--folder", "/var/relay/n3")
+	for _, names := range [][2]string{{"roles", "duties"}, {"failover", "salvage"}, {"expirations", "lapses"}} {
+		for _, rest := range [][]string{
+			{"list"}, {"show", "count"}, {"show", "none"}, {"show"}, {"status"}, {"status", "--json"}, {"status", "--follow=false"},
+			{"start", "x", "--folder", "relative"}, {"confirm"}, {"confirm", "--json"}, {"confirm", "extra"}, {"list", "--json"}, {"list", "--no-such-flag"},
+		} {
+			newCode, newOut, newErr := f.run(append([]string{names[0]}, rest...)...)
+			oldCode, oldOut, oldErr := f.run(append([]string{names[1]}, rest...)...)
+			if newCode != oldCode || newOut != oldOut || newErr != oldErr {
+				t.Errorf("%v %v:\n%d %q %q\n%d %q %q", names, rest, newCode, newOut, newErr, oldCode, oldOut, oldErr)
+			}
+		}
+	}
+}
+
+// roles and its old name list and show roles, and take them from their holders.
+func TestRoles(t *testing.T) {
+	for _, verb := range []string{"roles", "duties"} {
+		t.Run(verb, func(t *testing.T) {
+			f := start(t)
+			f.grantRole("count")
+			list := strings.Split(f.must(verb, "list"), "\n")
+			if strings.Join(strings.Fields(list[0]), " ") != "DUTY HOLDER TOKEN TERM FAILS HELD BACK SINCE" || !strings.HasPrefix(list[1], "count  c-1") {
+				t.Errorf("list: %q", list)
+			}
+			if list[2] != "warden c-1: session s-1, time to live 5m0s" {
+				t.Errorf("session: %q", list[2])
+			}
+			if show := f.must(verb, "show", "count"); !strings.HasPrefix(show, "duty       count\n") || !strings.HasSuffix(show, "note       step 7\n") {
+				t.Errorf("show: %q", show)
+			}
+			if code, _, errOut := f.run(verb, "show", "none"); code != cli.ExitFailed || errOut != "relayctl: duty none is unknown\n" {
+				t.Errorf("unknown: %d %q", code, errOut)
+			}
+			for _, x := range []struct {
+				verb               string
+				disabled, assigned bool
+			}{{"hold", true, false}, {"unhold", false, false}, {"release", false, false}} {
+				if out := f.must(verb, x.verb, "count"); out != "done\n" {
+					t.Errorf("%s: %q", x.verb, out)
+				}
+				var roles registry.RoleList
+				if err := json.Unmarshal([]byte(f.must(verb, "list", "--json")), &roles); err != nil {
+					t.Fatal(err)
+				}
+				if role := roles.Roles[0]; role.Disabled != x.disabled || (role.Holder != "") != x.assigned {
+					t.Errorf("after %s: %+v", x.verb, role)
+				}
+			}
+		})
+	}
+}
+
+// failover and its old name store an operation of the same kind and control it.
+func TestFailover(t *testing.T) {
+	for _, verb := range []string{"failover", "salvage"} {
+		t.Run(verb, func(t *testing.T) {
+			f := start(t)
+			if code, _, errOut := f.run(verb, "start", "n3", "--folder", "relative"); code != cli.ExitUsage || errOut != "relayctl: --folder: \"relative\"; an absolute path is wanted\n" {
+				t.Errorf("relative folder: %d %q", code, errOut)
+			}
+			if out := f.must(verb, "start", "n3", "--folder", "/var/relay/n3", "--disk-mb", "8", "--safe", "alert-update"); !strings.HasPrefix(out, "done, at revision ") {
+				t.Errorf("start: %q", out)
+			}
+			for _, x := range [][2]string{{"pause", registry.DesiredPause}, {"resume", registry.DesiredRun}, {"abort", registry.DesiredAbort}} {
+				f.must(verb, x[0], "n3")
+				var all []registry.Operation
+				if err := json.Unmarshal([]byte(f.must(verb, "status", "--json")), &all); err != nil {
+					t.Fatal(err)
+				}
+				var spec failover.Spec
+				if len(all) != 1 || all[0].Kind != "salvage" || all[0].DesiredState != x[1] || json.Unmarshal(all[0].Spec, &spec) != nil {
+					t.Fatalf("after %s: %+v", x[0], all)
+				}
+				if spec.Folder != "/var/relay/n3" || spec.DiskMB != 8 || len(spec.IdempotentClasses) != 1 {
+					t.Errorf("spec: %s", all[0].Spec)
+				}
+			}
+			if out := f.must(verb, "status"); out != "NAME  WISH   DONE   SAYS  PROGRESS\nn3    abort  false        \n" {
+				t.Errorf("status: %q", out)
+			}
+		})
+	}
+}
+
+// expirations and its old name confirm what is suspended.
+func TestExpirations(t *testing.T) {
+	f := start(t)
+	for _, verb := range []string{"expirations", "lapses"} {
+		if out := f.must(verb, "confirm"); out != "0 lapse\n" {
+			t.Errorf("%s confirm: %q", verb, out)
+		}
+		if out := f.must(verb, "confirm", "--json"); out != "{\n \"lapses\": 0\n}\n" {
+			t.Errorf("%s confirm --json: %q", verb, out)
+		}
+	}
+}
+
+func TestMembersAndZones(t *testing.T) {
+	f := start(t)
+	for _, x := range [][3]string{{"m-1", "127.0.0.1:9001", "a"}, {"m-2", "127.0.0.1:9002", "b"}} {
+		f.must("members", "add", "--id", x[0], "--address", x[1], "--zone", x[2], "--flavor", "agent", "--cell", "3")
+	}
+	f.must("members", "drain", "m-1")
+	list := f.must("members", "list", "--consistent")
+	if !strings.Contains(list, "m-1  127.0.0.1:9001  a     agent   3     draining") || !strings.Contains(list, "m-2  127.0.0.1:9002  b     agent   3     up") {
+		t.Errorf("members: %q", list)
+	}
+	f.must("members", "undrain", "m-1")
+	f.must("zones", "set", "a", "north")
+	if zones := f.must("zones", "list"); zones != "ZONE  REGION  MEMBERS  DRAINING\na     north   1        0\nb             1        0\n" {
+		t.Errorf("zones: %q", zones)
+	}
+	if out := f.must("zones", "evacuate", "b", "--dry-run"); out != "DESTINATION  NOW  LEFT  ENOUGH\n3            2    1     true\n" {
+		t.Errorf("dry run: %q", out)
+	}
+	if code, _, errOut := f.run("zones", "evacuate", "b", "--dry-run", "--keep", "0.6"); code != cli.ExitFailed || errOut != "relayctl: 1 destinations would not keep 0.6 of their endpoints\n" {
+		t.Errorf("dry run: %d %q", code, errOut)
+	}
+	if code, _, errOut := f.run("zones", "evacuate", "b", "--rate", "0"); code != cli.ExitUsage || errOut != "relayctl: --rate: 0; above 0, up to 1000 endpoints a second\n" {
+		t.Errorf("rate: %d %q", code, errOut)
+	}
+	if code, _, errOut := f.run("zones", "return", "b"); code != cli.ExitFailed || errOut != "relayctl: zone b is not being evacuated\n" {
+		t.Errorf("return: %d %q", code, errOut)
+	}
+	f.must("zones", "evacuate", "b")
+	if code, _, errOut := f.run("zones", "evacuate", "b"); code != cli.ExitFailed || !strings.HasPrefix(errOut, "relayctl: zone b is being evacuated already, by b-") {
+		t.Errorf("second evacuation: %d %q", code, errOut)
+	}
+	f.must("zones", "hold", "b")
+	if status := f.must("zones", "status"); !strings.Contains(status, "  pause  false") {
+		t.Errorf("status: %q", status)
+	}
+	f.must("members", "remove", "m-2")
+}
+
+func TestStatusAndSnapshot(t *testing.T) {
+	f := start(t)
+	f.must("members", "add", "--id", "m-1", "--address", "127.0.0.1:9001", "--zone", "a", "--flavor", "agent")
+	path := filepath.Join(t.TempDir(), "state")
+	if out := f.must("snapshot", "save", path); !strings.HasSuffix(out, " bytes in "+path+"\n") {
+		t.Errorf("save: %q", out)
+	}
+	f.must("members", "remove", "m-1")
+	f.must("snapshot", "restore", path)
+	if list := f.must("members", "list", "--consistent"); !strings.Contains(list, "m-1") {
+		t.Errorf("members after the restore: %q", list)
+	}
+	if code, _, _ := f.run("snapshot", "restore", path+"-none"); code != cli.ExitUsage {
+		t.Errorf("no such file: exit code %d", code)
+	}
+	down := "127.0.0.1:1"
+	status := f.must("--nodes", down, "--wait", "2s", "status")
+	if !strings.HasPrefix(status, "ID ") || !strings.Contains(status, "Leader") || !strings.Contains(status, down+"  does not answer") {
+		t.Errorf("status: %q", status)
+	}
+	var out, errOut bytes.Buffer
+	if code := Main(t.Context(), []string{"--nodes", down, "--wait", "200ms", "status"}, &out, &errOut); code != cli.ExitUnavailable || !strings.HasPrefix(errOut.String(), "relayctl: no node answers: ") {
+		t.Errorf("no node: exit code %d, %q", code, errOut.String())
+	}
+	if code, _, errOut := f.run("no-such-command"); code != cli.ExitUsage || !strings.HasPrefix(errOut, `relayctl: unknown command "no-such-command"`) {
+		t.Errorf("unknown command: %d %q", code, errOut)
+	}
+}
+
+// A plan is read before anything is sent: its errors name the file and the key.
+func TestRollout(t *testing.T) {
+	f := start(t)
+	if code, _, errOut := f.run("rollout", "start", "up", "../../deploy/none.toml"); code != cli.ExitUsage {
+		t.Errorf("no such file: %d %q", code, errOut)
+	}
+	if code, _, errOut := f.run("rollout", "start", "up", "relayctl.go"); code != cli.ExitUsage || !strings.HasPrefix(errOut, "relayctl: relayctl.go: plan: ") {
+		t.Errorf("not a plan: %d %q", code, errOut)
+	}
+	f.must("rollout", "start", "up", "../../deploy/rollout.toml")
+	f.must("rollout", "pause", "up")
+	if status := f.must("rollout", "status"); !strings.Contains(status, "up    pause  false") {
+		t.Errorf("status: %q", status)
+	}
+}
