--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -41,7 +41,7 @@
 	name            string
 	ttl             time.Duration
 	roles           []string
-	duties          []string // the old name of roles
+	oldRoles        []string // by the old name of the flag
 	operatorAddress string
 	platformAddress string
 	logFormat       string
@@ -70,7 +70,7 @@
 	flags.StringVar(&opts.name, "name", hostname, "this controller, for people")
 	flags.DurationVar(&opts.ttl, "ttl", defaultTTL, "time to live of its session: another takes over so long after it was last heard of")
 	flags.StringSliceVar(&opts.roles, rolesFlag, []string{leader.RegistrationExpiry, failover.Role, rollout.Role, zones.Role}, "roles that it may hold")
-	flags.StringSliceVar(&opts.duties, dutiesFlag, nil, "the old name of --"+rolesFlag)
+	flags.StringSliceVar(&opts.oldRoles, oldRolesFlag, nil, "the old name of --"+rolesFlag)
 	flags.StringVar(&opts.operatorAddress, "operator", "", "where /v1/metrics is served; empty for nowhere")
 	flags.StringVar(&opts.platformAddress, "platform", "", "where failover reports how messages ended (POST /reports); empty for the list service, which counts them")
 	flags.StringVar(&opts.logFormat, "log", "text", "text or json, on standard error")
--- a/internal/controller/roles.go
+++ b/internal/controller/roles.go
@@ -15,8 +15,8 @@
 
 // The flag that selects the roles, and its old name.
 const (
-	rolesFlag  = "roles"
-	dutiesFlag = "duties"
+	rolesFlag    = "roles"
+	oldRolesFlag = "duties"
 )
 
 // allWork returns the work of each role that the program knows.
@@ -34,11 +34,11 @@
 func selectWork(c *cobra.Command, opts *options, known map[string]leader.Work) (map[string]leader.Work, error) {
 	flags := c.Flags()
 	flag, names := rolesFlag, opts.roles
-	if flags.Changed(dutiesFlag) {
+	if flags.Changed(oldRolesFlag) {
 		if flags.Changed(rolesFlag) {
-			return nil, cli.Usagef("--%s is the old name of --%s; one of them is allowed", dutiesFlag, rolesFlag)
+			return nil, cli.Usagef("--%s is the old name of --%s; one of them is allowed", oldRolesFlag, rolesFlag)
 		}
-		flag, names = dutiesFlag, opts.duties
+		flag, names = oldRolesFlag, opts.oldRoles
 	}
 	selected := map[string]leader.Work{}
 	for _, name := range names {
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -32,8 +32,8 @@
 const exportSuffix = ".salvage"
 
 const (
-	pollInterval     = time.Second
-	noticesPerReport = 100
+	pollInterval    = time.Second
+	noticesPerBatch = 100
 )
 
 // Messages of an operation, as stored and shown to operators.
@@ -132,11 +132,11 @@
 		return false, err
 	}
 	if err != nil {
-		report := operations.Report{Progress: m.progress, Message: messageWaiting + err.Error()}
-		return false, operations.SendIfNew(ctx, m.grant, m.op, report)
+		update := operations.Update{Progress: m.progress, Message: messageWaiting + err.Error()}
+		return false, operations.SendIfNew(ctx, m.grant, m.op, update)
 	}
 	m.progress.Exported, m.progress.Pending = true, pending
-	return true, m.report(ctx, messageExported)
+	return true, m.publish(ctx, messageExported)
 }
 
 // notify sends the final notices that are still pending and completes the operation.
@@ -147,10 +147,10 @@
 		return m.finish(ctx, operations.MessageDone) // a leader before has died in its last step
 	}
 	if err != nil {
-		return m.report(ctx, messageStuck+err.Error())
+		return m.publish(ctx, messageStuck+err.Error())
 	}
 	for m.progress.Notified < len(records) {
-		end := min(len(records), m.progress.Notified+noticesPerReport)
+		end := min(len(records), m.progress.Notified+noticesPerBatch)
 		if err := m.notifyBatch(ctx, records[m.progress.Notified:end]); err != nil {
 			return err
 		}
@@ -182,13 +182,13 @@
 		return err
 	}
 	m.progress = next
-	return m.report(ctx, messageNotifying)
+	return m.publish(ctx, messageNotifying)
 }
 
-func (m *migration) report(ctx context.Context, message string) error {
-	return operations.Send(ctx, m.grant, m.op, operations.Report{Progress: m.progress, Message: message})
+func (m *migration) publish(ctx context.Context, message string) error {
+	return operations.Send(ctx, m.grant, m.op, operations.Update{Progress: m.progress, Message: message})
 }
 
 func (m *migration) finish(ctx context.Context, message string) error {
-	return operations.Send(ctx, m.grant, m.op, operations.Report{Progress: m.progress, Message: message, Done: true})
+	return operations.Send(ctx, m.grant, m.op, operations.Update{Progress: m.progress, Message: message, Done: true})
 }
--- a/internal/leader/campaign.go
+++ b/internal/leader/campaign.go
@@ -12,7 +12,7 @@
 const (
 	campaignInterval  = time.Second            // between two checks without a change
 	startJitter       = 20 * time.Millisecond  // spreads candidates that start together
-	overQuotaDelay    = 400 * time.Millisecond // gives candidates below their quota precedence
+	aboveQuotaDelay   = 400 * time.Millisecond // gives candidates below their quota precedence
 	failureBackoff    = time.Second            // after a second failure in a row; doubled with each further one
 	failureBackoffMax = 5 * time.Minute
 	failureShiftMax   = 20 // keeps the doubling from overflowing
@@ -67,8 +67,8 @@
 		if !c.isVacant(name, role, controllers) {
 			continue
 		}
-		overQuota := len(c.grants)+len(names) >= quota
-		at := c.requestTime(name, role, known, overQuota, now)
+		aboveQuota := len(c.grants)+len(names) >= quota
+		at := c.requestTime(name, role, known, aboveQuota, now)
 		if remaining := at.Sub(now); remaining > 0 {
 			wait = min(wait, remaining)
 			continue
@@ -99,15 +99,15 @@
 
 // requestTime returns when a vacant role may be requested: at once by a candidate
 // below its quota, later by one above it and after failures. c.mu is held.
-func (c *candidate) requestTime(name string, role registry.Role, known, overQuota bool, now time.Time) time.Time {
+func (c *candidate) requestTime(name string, role registry.Role, known, aboveQuota bool, now time.Time) time.Time {
 	at := now
 	if since := c.vacantSince[name]; known && !since.IsZero() {
 		at = since
 	} else {
 		c.vacantSince[name] = now
 	}
-	if overQuota && role.Successor != c.opts.Name {
-		at = at.Add(overQuotaDelay)
+	if aboveQuota && role.Successor != c.opts.Name {
+		at = at.Add(aboveQuotaDelay)
 	}
 	at = at.Add(c.failureDelay(role))
 	if notBefore := c.notBefore[name]; notBefore.After(at) {
--- a/internal/leader/grant.go
+++ b/internal/leader/grant.go
@@ -63,9 +63,9 @@
 	return g.checkFenced(err)
 }
 
-// reportHealthAfterTTL reports that the work has not failed for one lease duration,
+// confirmHealthAfterTTL reports that the work has not failed for one lease duration,
 // which clears the role's count of failures.
-func (g *Grant) reportHealthAfterTTL() {
+func (g *Grant) confirmHealthAfterTTL() {
 	if !Sleep(g.ctx, g.candidate.opts.TTL) {
 		return
 	}
--- a/internal/leader/operations/operations.go
+++ b/internal/leader/operations/operations.go
@@ -18,7 +18,7 @@
 	"plovershore/internal/registry/client"
 )
 
-// Messages of operations that several roles report. They are stored and shown to
+// Messages of operations that several roles publish. They are stored and shown to
 // operators.
 const (
 	MessageInvalid  = "cannot be used: "
@@ -96,19 +96,19 @@
 	return json.Unmarshal(op.Progress, progress)
 }
 
-// Report is what the leader of a role reports of an operation.
-type Report struct {
+// Update is what the leader of a role reports of an operation.
+type Update struct {
 	Progress any    // of the role's own type; nil for none yet
 	Message  string // for people
 	Done     bool   // the operation is complete, and not to be carried out again
 }
 
-// Send stores a report, as an effect of the role. Errors: leader.ErrLeaseLost, and
+// Send stores an update, as an effect of the role. Errors: leader.ErrLeaseLost, and
 // those of the client.
-func Send(ctx context.Context, grant *leader.Grant, op registry.Operation, report Report) error {
-	body := registry.Operation{Message: report.Message, Done: report.Done}
-	if report.Progress != nil {
-		text, err := json.Marshal(report.Progress)
+func Send(ctx context.Context, grant *leader.Grant, op registry.Operation, update Update) error {
+	body := registry.Operation{Message: update.Message, Done: update.Done}
+	if update.Progress != nil {
+		text, err := json.Marshal(update.Progress)
 		if err != nil {
 			return fmt.Errorf("operations: progress of %s: %w", op.Name, err)
 		}
@@ -120,9 +120,9 @@
 
 // SendIfNew is Send for a state that lasts: it does nothing where the operation has
 // the message already.
-func SendIfNew(ctx context.Context, grant *leader.Grant, op registry.Operation, report Report) error {
-	if report.Message == op.Message {
+func SendIfNew(ctx context.Context, grant *leader.Grant, op registry.Operation, update Update) error {
+	if update.Message == op.Message {
 		return nil
 	}
-	return Send(ctx, grant, op, report)
+	return Send(ctx, grant, op, update)
 }
--- a/internal/leader/work.go
+++ b/internal/leader/work.go
@@ -33,7 +33,7 @@
 
 // runWork does the work of a grant and then releases the role.
 func (c *candidate) runWork(grant *Grant) {
-	c.spawn(grant.reportHealthAfterTTL)
+	c.spawn(grant.confirmHealthAfterTTL)
 	err := c.awaitWork(grant)
 	cause := context.Cause(grant.ctx)
 	grant.cancel(ErrStopping)
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -14,8 +14,8 @@
 
 // Errors of LocalProcess.Restart.
 var (
-	ErrNoCommand     = errors.New("runner: no command")
-	ErrEndedTooEarly = errors.New("runner: the next process ended at once; the one before serves on")
+	ErrNoCommand   = errors.New("runner: no command")
+	ErrExitedEarly = errors.New("runner: the next process ended at once; the one before serves on")
 )
 
 // LocalProcess is a Program that runs a relay as a process of this machine. A restart
@@ -36,17 +36,17 @@
 
 // childProcess is a process whose end is waited for by a goroutine of its own.
 type childProcess struct {
-	cmd   *exec.Cmd
-	ended chan struct{}
+	cmd    *exec.Cmd
+	exited chan struct{}
 }
 
 func startChild(cmd *exec.Cmd) (*childProcess, error) {
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("runner: %w", err)
 	}
-	child := &childProcess{cmd: cmd, ended: make(chan struct{})}
+	child := &childProcess{cmd: cmd, exited: make(chan struct{})}
 	go func() {
-		defer close(child.ended)
+		defer close(child.exited)
 		child.cmd.Wait() // how it ended is in its own log
 	}()
 	return child, nil
@@ -58,10 +58,10 @@
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-c.ended:
+	case <-c.exited:
 	case <-timer.C:
 		c.cmd.Process.Kill()
-		<-c.ended
+		<-c.exited
 	}
 }
 
@@ -91,10 +91,10 @@
 	defer takeover.Stop()
 	select {
 	case <-takeover.C:
-	case <-next.ended:
+	case <-next.exited:
 		p.current = previous
 		p.address.Store(previousAddress)
-		return 0, ErrEndedTooEarly
+		return 0, ErrExitedEarly
 	case <-ctx.Done():
 	}
 	previous.terminate(p.TerminationTime)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -94,11 +94,11 @@
 	for _, relay := range wave {
 		status, err := e.relays.status(ctx, relay)
 		if err != nil {
-			return false, e.reportWaiting(ctx, fmt.Sprintf("wave %d waits: %s cannot be looked at: %v", e.waveNumber(), relay.Name, err))
+			return false, e.publishWaiting(ctx, fmt.Sprintf("wave %d waits: %s cannot be looked at: %v", e.waveNumber(), relay.Name, err))
 		}
 		e.progress.Before[relay.Name] = status
 	}
-	return true, e.report(ctx, fmt.Sprintf("wave %d of %d relays is open", e.waveNumber(), len(wave)))
+	return true, e.publish(ctx, fmt.Sprintf("wave %d of %d relays is open", e.waveNumber(), len(wave)))
 }
 
 // restartWave restarts the relays of the wave in batches. It reports false where the
@@ -114,13 +114,13 @@
 			if errors.Is(err, leader.ErrLeaseLost) || ctx.Err() != nil {
 				return false, err
 			}
-			return false, e.reportWaiting(ctx, fmt.Sprintf("wave %d: %v", e.waveNumber(), err))
+			return false, e.publishWaiting(ctx, fmt.Sprintf("wave %d: %v", e.waveNumber(), err))
 		}
 		for _, relay := range batch {
 			e.progress.Done[relay.Name] = true
 		}
 		message := fmt.Sprintf("wave %d: %d of %d relays restarted", e.waveNumber(), len(e.progress.Done), len(e.plan.Relays))
-		if err := e.report(ctx, message); err != nil {
+		if err := e.publish(ctx, message); err != nil {
 			return false, err
 		}
 	}
@@ -166,21 +166,21 @@
 // closeWave waits until the wave has settled and goes on to the next one.
 func (e *execution) closeWave(ctx context.Context, wave []Relay) error {
 	if err := e.awaitSettled(ctx, wave); err != nil {
-		return e.reportWaiting(ctx, fmt.Sprintf("wave %d does not settle: %v", e.waveNumber(), err))
+		return e.publishWaiting(ctx, fmt.Sprintf("wave %d does not settle: %v", e.waveNumber(), err))
 	}
 	e.progress.Wave, e.progress.Open, e.progress.Before = e.progress.Wave+1, false, nil
-	return e.report(ctx, fmt.Sprintf("wave %d has settled", e.progress.Wave))
+	return e.publish(ctx, fmt.Sprintf("wave %d has settled", e.progress.Wave))
 }
 
-func (e *execution) report(ctx context.Context, message string) error {
-	return operations.Send(ctx, e.grant, e.op, operations.Report{Progress: e.progress, Message: message})
+func (e *execution) publish(ctx context.Context, message string) error {
+	return operations.Send(ctx, e.grant, e.op, operations.Update{Progress: e.progress, Message: message})
 }
 
 func (e *execution) finish(ctx context.Context, message string) error {
-	return operations.Send(ctx, e.grant, e.op, operations.Report{Progress: e.progress, Message: message, Done: true})
+	return operations.Send(ctx, e.grant, e.op, operations.Update{Progress: e.progress, Message: message, Done: true})
 }
 
-// reportWaiting reports, once, why the plan does not go on; it is retried.
-func (e *execution) reportWaiting(ctx context.Context, message string) error {
-	return operations.SendIfNew(ctx, e.grant, e.op, operations.Report{Progress: e.progress, Message: message})
+// publishWaiting reports, once, why the plan does not go on; it is retried.
+func (e *execution) publishWaiting(ctx context.Context, message string) error {
+	return operations.SendIfNew(ctx, e.grant, e.op, operations.Update{Progress: e.progress, Message: message})
 }
--- a/internal/zones/evacuate.go
+++ b/internal/zones/evacuate.go
@@ -59,7 +59,7 @@
 		}
 	}
 	e.nextStep[e.op.Name] = time.Now()
-	return e.report(ctx, messageStarted)
+	return e.publish(ctx, messageStarted)
 }
 
 // resume continues the evacuation of a leader before, which may have died between the
@@ -84,7 +84,7 @@
 	}
 	e.scheduleNextStep()
 	e.progress.Drained = e.progress.Drained[:last]
-	return e.report(ctx, fmt.Sprintf("returns: %d of %d are out", last, e.progress.Total))
+	return e.publish(ctx, fmt.Sprintf("returns: %d of %d are out", last, e.progress.Total))
 }
 
 // drainNext drains one endpoint, after that is recorded.
@@ -95,16 +95,16 @@
 	}
 	capacities := CapacitiesWithout(members, e.spec.Zone)
 	if len(capacities) == 0 {
-		return e.reportWaiting(ctx, fmt.Sprintf("out: all %d", len(e.progress.Drained)))
+		return e.publishWaiting(ctx, fmt.Sprintf("out: all %d", len(e.progress.Drained)))
 	}
 	id, insufficient := e.selectEndpoint(members, capacities)
 	if id == "" {
-		return e.reportWaiting(ctx, messageWaiting+joinCapacities(insufficient))
+		return e.publishWaiting(ctx, messageWaiting+joinCapacities(insufficient))
 	}
 	if !slices.Contains(e.progress.Drained, id) {
 		e.progress.Drained = append(e.progress.Drained, id)
 	}
-	if err := e.report(ctx, fmt.Sprintf("drains: %d of %d are out", len(e.progress.Drained), e.progress.Total)); err != nil {
+	if err := e.publish(ctx, fmt.Sprintf("drains: %d of %d are out", len(e.progress.Drained), e.progress.Total)); err != nil {
 		return err
 	}
 	e.scheduleNextStep()
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -107,9 +107,9 @@
 		case err != nil:
 			err = e.finish(ctx, operations.MessageInvalid+err.Error())
 		case op.DesiredState == registry.DesiredPause:
-			err = e.reportWaiting(ctx, messagePaused)
+			err = e.publishWaiting(ctx, messagePaused)
 		case e.mustWaitFor(active):
-			err = e.reportWaiting(ctx, messageWaiting+active+" is out")
+			err = e.publishWaiting(ctx, messageWaiting+active+" is out")
 		default:
 			if !e.progress.Started {
 				active = op.Name
@@ -149,19 +149,19 @@
 	return !e.progress.Started && active != "" && !e.spec.Force && !e.isAborted()
 }
 
-func (e *evacuation) report(ctx context.Context, message string) error {
-	return operations.Send(ctx, e.grant, e.op, operations.Report{Progress: e.progress, Message: message})
+func (e *evacuation) publish(ctx context.Context, message string) error {
+	return operations.Send(ctx, e.grant, e.op, operations.Update{Progress: e.progress, Message: message})
 }
 
 func (e *evacuation) finish(ctx context.Context, message string) error {
-	return operations.Send(ctx, e.grant, e.op, operations.Report{Progress: e.progress, Message: message, Done: true})
+	return operations.Send(ctx, e.grant, e.op, operations.Update{Progress: e.progress, Message: message, Done: true})
 }
 
-// reportWaiting reports, once, why nothing is done.
-func (e *evacuation) reportWaiting(ctx context.Context, message string) error {
-	report := operations.Report{Message: message}
+// publishWaiting reports, once, why nothing is done.
+func (e *evacuation) publishWaiting(ctx context.Context, message string) error {
+	update := operations.Update{Message: message}
 	if e.progress.Started { // an operation with progress counts as active
-		report.Progress = e.progress
+		update.Progress = e.progress
 	}
-	return operations.SendIfNew(ctx, e.grant, e.op, report)
+	return operations.SendIfNew(ctx, e.grant, e.op, update)
 }
