--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -26,6 +26,7 @@
 // UsageError is an error of the command line or of the configuration.
 type UsageError struct{ Err error }
 
+// Error returns the text of the cause.
 func (e UsageError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
--- /dev/null
+++ b/internal/leader/operations/operations_test.go
@@ -0,0 +1,164 @@
+package operations
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"plovershore/internal/leader"
+	"plovershore/internal/registry"
+	"plovershore/internal/registry/client"
+	"plovershore/internal/registry/registrytest"
+)
+
+const kind = "rollout"
+
+type testSpec struct {
+	Size int `json:"size"`
+}
+
+type testProgress struct {
+	Steps int `json:"steps"`
+}
+
+func put(t *testing.T, c *client.Client, kind, path, desired string) {
+	t.Helper()
+	op := registry.Operation{Spec: []byte(`{"size":3}`), DesiredState: desired}
+	if _, err := c.Do(t.Context(), http.MethodPut, registry.OperationsPath+"/"+kind+"/"+path, op, nil); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// withGrant runs work as the leader of a role until the test ends.
+func withGrant(t *testing.T, c *client.Client, role string, work leader.Work) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		opts := leader.Options{Client: c, Name: "c-1", TTL: 3 * time.Second, Roles: map[string]leader.Work{role: work}, Log: registrytest.Quiet()}
+		if err := leader.Run(ctx, opts); err != nil {
+			t.Error(err)
+		}
+	}()
+	t.Cleanup(func() { cancel(); <-done })
+}
+
+// A pass sees the pending operations of its kind, paused ones included, whatever
+// characters are in their names; a completed one is not pending any more.
+func TestRunAndSend(t *testing.T) {
+	group := registrytest.Start(t, 1, nil)
+	c := group.Client()
+	put(t, c, kind, "plain", registry.DesiredRun)
+	put(t, c, kind, "two%20words%2Fslash", registry.DesiredPause)
+	put(t, c, "salvage", "other", registry.DesiredRun)
+	var mu sync.Mutex
+	var names []string
+	withGrant(t, c, kind, func(ctx context.Context, g *leader.Grant) error {
+		return Run(ctx, c, kind, 5*time.Millisecond, func(ctx context.Context, pending []registry.Operation) error {
+			for _, op := range pending {
+				var spec testSpec
+				var progress testProgress
+				if err := Decode(op, &spec, &progress); err != nil || spec.Size != 3 {
+					t.Errorf("%s: spec %+v, %v", op.Name, spec, err)
+				}
+				mu.Lock()
+				names = append(names, op.Name)
+				mu.Unlock()
+				progress.Steps++
+				if err := Send(ctx, g, op, Update{Progress: progress, Message: "step", Done: progress.Steps == 2}); err != nil {
+					return err
+				}
+			}
+			return nil
+		})
+	})
+	registrytest.WaitFor(t, "both operations done", func() bool {
+		pending, err := Pending(t.Context(), c, kind)
+		return err == nil && len(pending) == 0
+	})
+	mu.Lock()
+	defer mu.Unlock()
+	steps := map[string]int{}
+	for _, name := range names {
+		steps[name]++
+	}
+	if len(steps) != 2 || steps["plain"] != 2 || steps["two words/slash"] != 2 {
+		t.Errorf("steps: %v", steps)
+	}
+	if pending, err := Pending(t.Context(), c, "salvage"); err != nil || len(pending) != 1 {
+		t.Errorf("another kind: %v, %v", pending, err)
+	}
+}
+
+// An update with a message that is stored already is not sent, and one without
+// progress leaves none.
+func TestSendIfNew(t *testing.T) {
+	c := registrytest.Start(t, 1, nil).Client()
+	put(t, c, kind, "x", registry.DesiredRun)
+	results := make(chan error, 10)
+	withGrant(t, c, kind, func(ctx context.Context, g *leader.Grant) error {
+		results <- SendIfNew(ctx, g, registry.Operation{Kind: kind, Name: "x", Message: "waits"}, Update{Message: "waits", Done: true})
+		results <- SendIfNew(ctx, g, registry.Operation{Kind: kind, Name: "x"}, Update{Message: "held"})
+		<-ctx.Done()
+		return nil
+	})
+	for range 2 {
+		if err := <-results; err != nil {
+			t.Fatal(err)
+		}
+	}
+	pending, err := Pending(t.Context(), c, kind)
+	if err != nil || len(pending) != 1 || pending[0].Message != "held" || len(pending[0].Progress) != 0 {
+		t.Errorf("%+v, %v", pending, err)
+	}
+}
+
+// The desired state is the present one; an operation that is gone is to be aborted.
+func TestDesiredState(t *testing.T) {
+	c := registrytest.Start(t, 1, nil).Client()
+	put(t, c, kind, "x", registry.DesiredRun)
+	put(t, c, kind, "x", registry.DesiredPause)
+	for name, want := range map[string]string{"x": registry.DesiredPause, "gone": registry.DesiredAbort} {
+		if got, err := DesiredState(t.Context(), c, registry.Operation{Kind: kind, Name: name, DesiredState: registry.DesiredRun}); err != nil || got != want {
+			t.Errorf("%s: %s, %v", name, got, err)
+		}
+	}
+}
+
+// An error of a pass ends Run; one that results from the end of the context does not
+// count.
+func TestRunErrors(t *testing.T) {
+	c := registrytest.Start(t, 1, nil).Client()
+	failure := errors.New("failure")
+	err := Run(t.Context(), c, kind, time.Millisecond, func(context.Context, []registry.Operation) error { return failure })
+	if !errors.Is(err, failure) {
+		t.Errorf("a pass that fails: %v", err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	err = Run(ctx, c, kind, time.Millisecond, func(context.Context, []registry.Operation) error {
+		cancel()
+		return failure
+	})
+	if err != nil {
+		t.Errorf("a pass that is canceled: %v", err)
+	}
+}
+
+// Specs and progress that are not JSON of their types are errors.
+func TestDecodeErrors(t *testing.T) {
+	for _, op := range []registry.Operation{
+		{Spec: []byte(`{"size":"big"}`)},
+		{Spec: []byte(`{"size":3}`), Progress: []byte(`{"steps":"many"}`)},
+		{},
+	} {
+		var spec testSpec
+		var progress testProgress
+		if err := Decode(op, &spec, &progress); err == nil {
+			t.Errorf("%s, %s: no error", op.Spec, op.Progress)
+		}
+	}
+}
--- a/internal/zones/capacity.go
+++ b/internal/zones/capacity.go
@@ -20,6 +20,7 @@
 // Retains reports whether at least a fraction of the capacity remains.
 func (c Capacity) Retains(fraction float64) bool { return c.Remaining >= fraction*c.Now }
 
+// String is the text of an evacuation that this capacity prevents.
 func (c Capacity) String() string {
 	return fmt.Sprintf("destination %d would keep %.3g of %.3g", c.Cell, c.Remaining, c.Now)
 }
