--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -39,7 +39,13 @@
 					continue
 				}
 				e := &execution{listService: c, relays: relays, grant: g, op: op}
-				return e.advance(ctx)
+				if err := e.advance(ctx); err != nil {
+					return err
+				}
+				// The next pass may replace the message at once, though this one took
+				// longer than the interval: operators need time to read why a plan waits.
+				leader.Sleep(ctx, pollInterval)
+				return nil
 			}
 			return nil
 		})
