--- a/internal/leader/group_test.go
+++ b/internal/leader/group_test.go
@@ -14,27 +14,27 @@
 
 // steps records the effects whose acceptance their holders have seen.
 type steps struct {
-	mu      sync.Mutex
-	at      map[int]int64 // step to token
-	doubled []string
-	last    int
-	token   int64
-	working int
-	most    int
+	mu         sync.Mutex
+	tokens     map[int]int64 // by step
+	violations []string
+	last       int
+	newest     int64
+	working    int
+	maxWorking int
 }
 
-func newSteps() *steps { return &steps{at: map[int]int64{}} }
+func newSteps() *steps { return &steps{tokens: map[int]int64{}} }
 
 // work returns work that counts on from the checkpoint, for at most so many steps.
-func (s *steps) work(most int) Work {
+func (s *steps) work(maxSteps int) Work {
 	return func(ctx context.Context, g *Grant) error {
 		s.mu.Lock()
 		s.working++
-		s.most = max(s.most, s.working)
+		s.maxWorking = max(s.maxWorking, s.working)
 		s.mu.Unlock()
 		defer func() { s.mu.Lock(); s.working--; s.mu.Unlock() }()
 		n, _ := strconv.Atoi(g.Note) // of none, 0
-		for range most {
+		for range maxSteps {
 			n++
 			if err := g.Save(ctx, strconv.Itoa(n)); err != nil {
 				if ctx.Err() != nil || errors.Is(err, ErrLeaseLost) {
@@ -43,13 +43,13 @@
 				return err
 			}
 			s.mu.Lock()
-			if old, ok := s.at[n]; ok {
-				s.doubled = append(s.doubled, fmt.Sprintf("step %d under %d and %d", n, old, g.Token))
+			if old, ok := s.tokens[n]; ok {
+				s.violations = append(s.violations, fmt.Sprintf("step %d under %d and %d", n, old, g.Token))
 			}
-			if n > s.last && g.Token < s.token {
-				s.doubled = append(s.doubled, fmt.Sprintf("step %d under %d after one under %d", n, g.Token, s.token))
+			if n > s.last && g.Token < s.newest {
+				s.violations = append(s.violations, fmt.Sprintf("step %d under %d after one under %d", n, g.Token, s.newest))
 			}
-			s.at[n], s.last, s.token = g.Token, max(s.last, n), max(s.token, g.Token)
+			s.tokens[n], s.last, s.newest = g.Token, max(s.last, n), max(s.newest, g.Token)
 			s.mu.Unlock()
 			if !Sleep(ctx, 5*time.Millisecond) {
 				return nil
@@ -59,16 +59,17 @@
 	}
 }
 
-func (s *steps) sound(t *testing.T) {
+// checkOrder fails the test for each step that was accepted twice or out of token order.
+func (s *steps) checkOrder(t *testing.T) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range s.doubled {
+	for _, d := range s.violations {
 		t.Error(d)
 	}
 }
 
-func (s *steps) count() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.at) }
+func (s *steps) count() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.tokens) }
 
 // The list service's leader stops while candidates acquire, renew, save and release: a
 // role whose grants last a few steps each changes hands all the time. No step is
@@ -88,7 +89,7 @@
 		waitFor(t, "steps under the next leader", func() bool { return all.count() > before+8 })
 		s.Start(i)
 	}
-	all.sound(t)
+	all.checkOrder(t)
 }
 
 // Without a majority for many lease durations the work ends by itself, nobody else
@@ -109,15 +110,15 @@
 	stood := all.count()
 	time.Sleep(4 * ttl) // in which nothing may happen: this span is the promise
 	all.mu.Lock()
-	if all.working != 0 || len(all.at) != stood || all.most != 1 {
-		t.Errorf("without a majority: %d work, %d steps then %d, %d at once", all.working, stood, len(all.at), all.most)
+	if all.working != 0 || len(all.tokens) != stood || all.maxWorking != 1 {
+		t.Errorf("without a majority: %d work, %d steps then %d, %d at once", all.working, stood, len(all.tokens), all.maxWorking)
 	}
 	all.mu.Unlock()
 	for _, i := range gone {
 		s.Start(i)
 	}
 	waitFor(t, "steps again", func() bool { return all.count() > stood+5 })
-	all.sound(t)
+	all.checkOrder(t)
 }
 
 // All controllers die at once without releasing anything, and later one comes back: it
@@ -147,5 +148,5 @@
 	if d := roleState(t, addr, "d"); d.Controller != "back" {
 		t.Errorf("held by %s", d.Controller)
 	}
-	all.sound(t)
+	all.checkOrder(t)
 }
