--- /dev/null
+++ b/internal/registry/compat_test.go
@@ -0,0 +1,267 @@
+package registry
+
+import (
+	"archive/tar"
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"plovershore/internal/discovery"
+	"plovershore/internal/loopback"
+)
+
+// The files in testdata/before were written by the program as it was before its
+// packages and types were renamed (commit dd19e87):
+//
+//   - node.tar.gz: data folder of a group of one, with a Raft snapshot and a log
+//     that goes on from it
+//   - members.json, duties.json, orders.json, zones.json, snapshot.json: that
+//     node's own answers just before it was stopped
+//   - commands.jsonl: the commands in the log of an earlier state of that folder
+//     (each operation at least once), and replayed.json: its snapshot after them
+//   - encodings.json: one value of each type that is sent or stored, with every
+//     field set
+//
+// A data folder, a Raft log and a group during a rolling upgrade are shared with
+// that program, so none of these texts may change.
+const beforeFolder = "testdata/before"
+
+func readBefore(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(beforeFolder, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// unpackNode writes the earlier program's data folder to a new place.
+func unpackNode(t *testing.T) (folder string) {
+	t.Helper()
+	folder = filepath.Join(t.TempDir(), "data")
+	archive, err := gzip.NewReader(bytes.NewReader(readBefore(t, "node.tar.gz")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for entries := tar.NewReader(archive); ; {
+		header, err := entries.Next()
+		if errors.Is(err, io.EOF) {
+			return folder
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		if header.Typeflag != tar.TypeReg {
+			continue
+		}
+		text, err := io.ReadAll(entries)
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(folder, header.Name)
+		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func startBefore(t *testing.T) *Node {
+	t.Helper()
+	c := DefaultConfig()
+	c.DataDir, c.Listen, c.Raft = unpackNode(t), loopback.Free(), loopback.Free()
+	if err := c.check(); err != nil {
+		t.Fatal(err)
+	}
+	n, err := Start(&c, quiet())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.Close)
+	waitFor(t, "a leader", func() bool { _, self := n.leader(); return self })
+	return n
+}
+
+// TestDataFolderOfTheEarlierProgram: a node over a folder of the earlier program
+// answers each read with the same text, and goes on from there.
+func TestDataFolderOfTheEarlierProgram(t *testing.T) {
+	t.Parallel()
+	n := startBefore(t)
+	waitFor(t, "the log is applied", func() bool { _, revision, _ := n.store.position(); return revision == 12 })
+	for path, name := range map[string]string{SnapshotPath: "snapshot.json", MembersPath: "members.json", RolesPath: "duties.json",
+		OperationsPath: "orders.json", ZonesPath: "zones.json"} {
+		status, _, text := ask(t, n, "GET", path, "", "")
+		if want := string(readBefore(t, name)); status != 200 || strings.TrimSpace(text) != strings.TrimSpace(want) {
+			t.Errorf("%s: %d\n%s\nwant\n%s", path, status, text, want)
+		}
+	}
+	// A retry of a request that the earlier program answered changes nothing.
+	status, _, text := ask(t, n, "POST", MembersPath, "q-24", anEndpoint)
+	if status != 200 || strings.TrimSpace(text) != `{"revision":12,"status":200,"changed":12}` {
+		t.Errorf("a retried request: %d %s", status, text)
+	}
+	// The lease holder's token still fences. The next grant's goes on from the last
+	// one, which the new epoch of the restored snapshot had raised.
+	const token, lastToken = 1839327831041, 1839327837184
+	if status, _, text = ask(t, n, "POST", RolesPath+"/rollout/note", "r-1", fmt.Sprintf(`{"token":%d,"note":"done"}`, token+1)); status != 412 {
+		t.Errorf("a note with another token: %d %s", status, text)
+	}
+	if status, _, text = ask(t, n, "POST", RolesPath+"/rollout/note", "r-2", fmt.Sprintf(`{"token":%d,"note":"done"}`, token)); status != 200 {
+		t.Errorf("a note with the holder's token: %d %s", status, text)
+	}
+	status, _, text = ask(t, n, "POST", RolesPath+"/salvage/grant", "r-3", `{"session":"session-1"}`)
+	if want := fmt.Sprintf(`{"revision":12,"status":200,"token":%d,"note":"at relay 4","term":2}`, lastToken+1); status != 200 || strings.TrimSpace(text) != want {
+		t.Errorf("the next grant: %d %s, want %s", status, text, want)
+	}
+	if status, _, text = ask(t, n, "POST", MembersPath+"/s-3/phase", "r-4", `{"phase":"up"}`); status != 200 {
+		t.Errorf("the end of a drain: %d %s", status, text)
+	}
+}
+
+// TestStateOfTheEarlierProgram checks the decoded values, field by field, of what
+// stands in the earlier program's folder.
+func TestStateOfTheEarlierProgram(t *testing.T) {
+	t.Parallel()
+	s, err := ReadState(bytes.NewReader(readBefore(t, "snapshot.json")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.Epoch != "be3a8c26da3160e4c0dbdee5" || s.Revision != 12 || s.LastToken != 1839327837184 || len(s.Members) != 5 {
+		t.Errorf("epoch %s, revision %d, last token %d, %d members", s.Epoch, s.Revision, s.LastToken, len(s.Members))
+	}
+	leased := Member{Member: discovery.Member{ID: "s-2", HostPort: "127.0.0.1:7002", Locality: "b", Flavor: "agent", Cell: 2,
+		Phase: discovery.Up, Size: 1, UpSince: 1796218585841}, TTL: time.Hour, Holder: "h-2", Since: 4, Changed: 4}
+	if s.Members["s-2"] != leased {
+		t.Errorf("member with a time to live: %+v", s.Members["s-2"])
+	}
+	if m := s.Members["s-3"]; m.Phase != discovery.Draining || m.Changed != 6 {
+		t.Errorf("draining member: %+v", m)
+	}
+	if m := s.Members["static-1"]; !m.Static || m.Cell != 3 {
+		t.Errorf("static member: %+v", m)
+	}
+	if want := (Session{ID: "session-1", Controller: "w-1", TTL: 5 * time.Minute}); s.Sessions["session-1"] != want {
+		t.Errorf("session: %+v", s.Sessions["session-1"])
+	}
+	rollout := Role{Name: "rollout", Holder: "session-1", Controller: "w-1", Token: 1839327831041, Term: 1, Note: "wave 3 of 3", GrantedAt: 1796218585962}
+	if s.Roles["rollout"] != rollout {
+		t.Errorf("held role: %+v", s.Roles["rollout"])
+	}
+	if r := s.Roles["salvage"]; r.Holder != "" || r.Controller != "w-2" || r.Successor != "w-1" || r.Failures != 1 || r.Note != "at relay 4" || r.ReleasedAt == 0 {
+		t.Errorf("released role: %+v", r)
+	}
+	if !s.Roles["list-keeper"].Disabled {
+		t.Errorf("disabled role: %+v", s.Roles["list-keeper"])
+	}
+	if s.Zones["a"] != "north" || s.Zones["b"] != "south" || len(s.Zones) != 2 {
+		t.Errorf("zones: %v", s.Zones)
+	}
+	o := s.Operations["rollout/spring"]
+	if string(o.Spec) != `{"pace":3}` || o.DesiredState != DesiredPause || string(o.Progress) != `{"wave":2}` || o.Message != "wave 2 of 3" || o.Done {
+		t.Errorf("operation: %+v", o)
+	}
+}
+
+// TestCommandsOfTheEarlierProgram: each command of its log is decoded and encoded
+// without loss, and applying all of them gives its snapshot, byte for byte.
+func TestCommandsOfTheEarlierProgram(t *testing.T) {
+	s := NewState()
+	seen := map[Op]bool{}
+	for _, text := range bytes.Split(bytes.TrimSpace(readBefore(t, "commands.jsonl")), []byte{'\n'}) {
+		var c Command
+		decodeStrictly(t, text, &c)
+		if again, err := json.Marshal(c); err != nil || !bytes.Equal(again, text) {
+			t.Errorf("%v\n%s\nwant\n%s", err, again, text)
+		}
+		seen[c.Op] = true
+		s.Apply(c)
+	}
+	for _, op := range []Op{OpAdd, OpPhase, OpRemove, OpExpire, OpEpoch, OpZone, OpSession, OpSessionEnd, OpGrant, OpNote, OpRelease, OpDisable, OpOperation, OpProgress} {
+		if !seen[op] {
+			t.Errorf("no command %s in the log", op)
+		}
+	}
+	text, err := json.Marshal(s)
+	if want := bytes.TrimSpace(readBefore(t, "replayed.json")); err != nil || !bytes.Equal(text, want) {
+		t.Errorf("%v\n%s\nwant\n%s", err, text, want)
+	}
+}
+
+// TestEncodingsOfTheEarlierProgram: every key of every type that is sent or stored.
+func TestEncodingsOfTheEarlierProgram(t *testing.T) {
+	var before map[string]json.RawMessage
+	if err := json.Unmarshal(readBefore(t, "encodings.json"), &before); err != nil {
+		t.Fatal(err)
+	}
+	values := map[string]any{"Command": &Command{}, "Result": &Result{}, "State": &State{}, "line": &line{}, "Registration": &Registration{},
+		"ZoneStatus": &ZoneStatus{}, "Heartbeat": &Heartbeat{}, "Status": &Status{}, "problem": &problem{},
+		"SessionRequest": &SessionRequest{}, "RoleRequest": &RoleRequest{}, "RoleList": &RoleList{}}
+	if len(values) != len(before) {
+		t.Errorf("%d types, %d were written", len(values), len(before))
+	}
+	for name, v := range values {
+		decodeStrictly(t, before[name], v)
+		if field := emptyField(reflect.ValueOf(v).Elem(), name); field != "" {
+			t.Errorf("%s: not in the earlier program's text", field)
+		}
+		again, err := json.Marshal(v)
+		if err != nil || !bytes.Equal(again, before[name]) {
+			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, again, before[name])
+		}
+	}
+}
+
+func decodeStrictly(t *testing.T, text []byte, v any) {
+	t.Helper()
+	in := json.NewDecoder(bytes.NewReader(text))
+	in.DisallowUnknownFields()
+	if err := in.Decode(v); err != nil {
+		t.Fatalf("%s: %v", text, err)
+	}
+}
+
+// emptyField names an exported field, at any depth, that has its zero value.
+func emptyField(v reflect.Value, path string) string {
+	if v.IsZero() {
+		return path
+	}
+	switch v.Kind() {
+	case reflect.Struct:
+		if _, ok := v.Interface().(time.Time); ok {
+			return ""
+		}
+		for i := range v.NumField() {
+			field := v.Type().Field(i)
+			if !field.IsExported() {
+				continue
+			}
+			if empty := emptyField(v.Field(i), path+"."+field.Name); empty != "" {
+				return empty
+			}
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			if empty := emptyField(v.MapIndex(key), path+"[]"); empty != "" {
+				return empty
+			}
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			if empty := emptyField(v.Index(i), path+"[]"); empty != "" {
+				return empty
+			}
+		}
+	}
+	return ""
+}
