--- a/internal/registry/command/serve.go
+++ b/internal/registry/command/serve.go
@@ -45,7 +45,11 @@
 			if cfg.Clock, err = clock.Parse(drill); err != nil {
 				return cli.UsageError{Err: fmt.Errorf("--drill-clock: %w", err)}
 			}
-			n, err := registry.Start(cfg, cli.NewLogger(cfg.LogFormat, c.ErrOrStderr()).With("node", cfg.ID))
+			log := cli.NewLogger(cfg.LogFormat, c.ErrOrStderr()).With("node", cfg.ID)
+			for _, v := range cfg.DeprecatedVariables {
+				log.Warn("environment variable deprecated", "variable", v.Name, "replacement", v.Replacement, "ignored", v.Ignored)
+			}
+			n, err := registry.Start(cfg, log)
 			if errors.Is(err, registry.ErrCorrupt) {
 				return corruptStoreError{err}
 			}
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -69,6 +69,10 @@
 
 	Clock *clock.Clock `toml:"-"` // nil for the machine's
 
+	// DeprecatedVariables are the environment variables that LoadConfig read, or
+	// passed over, under their earlier names.
+	DeprecatedVariables []DeprecatedVariable `toml:"-"`
+
 	tune func(*raft.Config)                // tests alone
 	logs func(raft.LogStore) raft.LogStore // tests alone
 }
@@ -87,8 +91,23 @@
 		ExpiryGuard: ExpiryGuard{Fraction: 0.25, Minimum: 3, SuspendFor: Duration(10 * time.Minute), ExpiredBy: "leader"}, Watchers: 20000}
 }
 
-// LoadConfig reads a file, or the defaults where path is empty. The environment
-// (TROUTREGISTRY_ID, _DATA, _LISTEN, _RAFT, _OPERATOR, _LOG) comes before it.
+// Prefixes of environment variables. The deprecated one is from before the program
+// was renamed; it is read where the present one is not set.
+const (
+	variablePrefix           = "REGISTRY_"
+	deprecatedVariablePrefix = "TROUTREGISTRY_"
+)
+
+// DeprecatedVariable is an environment variable that was set under its earlier name.
+type DeprecatedVariable struct {
+	Name        string
+	Replacement string // the present name
+	Ignored     bool   // the present name was set, too
+}
+
+// LoadConfig reads a file, or takes the defaults where path is empty. The environment
+// (REGISTRY_ID, _DATA, _LISTEN, _RAFT, _OPERATOR, _LOG) overrides both. Errors name
+// the file and the key.
 func LoadConfig(path string, getenv func(string) string) (*Config, error) {
 	c := DefaultConfig()
 	if path != "" {
@@ -96,20 +115,13 @@
 		if err != nil {
 			return nil, fmt.Errorf("config: %w", err)
 		}
-		dec := toml.NewDecoder(bytes.NewReader(text))
-		dec.DisallowUnknownFields()
-		if err := dec.Decode(&c); err != nil {
+		decoder := toml.NewDecoder(bytes.NewReader(text))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&c); err != nil {
 			return nil, configError(path, err)
 		}
 	}
-	for _, v := range []struct {
-		name string
-		to   *string
-	}{{"ID", &c.ID}, {"DATA", &c.DataDir}, {"LISTEN", &c.Listen}, {"RAFT", &c.Raft}, {"OPERATOR", &c.Operator}, {"LOG", &c.LogFormat}} {
-		if s := getenv("TROUTREGISTRY_" + v.name); s != "" {
-			*v.to = s
-		}
-	}
+	c.readEnvironment(getenv)
 	if err := c.check(); err != nil {
 		if path != "" {
 			return nil, fmt.Errorf("config: %s: %w", path, err)
@@ -119,6 +131,35 @@
 	return &c, nil
 }
 
+func (c *Config) readEnvironment(getenv func(string) string) {
+	for _, variable := range []struct {
+		name  string
+		field *string
+	}{
+		{"ID", &c.ID},
+		{"DATA", &c.DataDir},
+		{"LISTEN", &c.Listen},
+		{"RAFT", &c.Raft},
+		{"OPERATOR", &c.Operator},
+		{"LOG", &c.LogFormat},
+	} {
+		value := getenv(variablePrefix + variable.name)
+		if deprecated := getenv(deprecatedVariablePrefix + variable.name); deprecated != "" {
+			c.DeprecatedVariables = append(c.DeprecatedVariables, DeprecatedVariable{
+				Name:        deprecatedVariablePrefix + variable.name,
+				Replacement: variablePrefix + variable.name,
+				Ignored:     value != "",
+			})
+			if value == "" {
+				value = deprecated
+			}
+		}
+		if value != "" {
+			*variable.field = value
+		}
+	}
+}
+
 // configError names file, line and key.
 func configError(path string, err error) error {
 	var strict *toml.StrictMissingError
--- /dev/null
+++ b/internal/registry/config_test.go
@@ -0,0 +1,49 @@
+package registry
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+// TestEnvironmentNames: each variable is read under its present and its earlier
+// name, before the file; the present name wins, and each use of an earlier name is
+// reported once.
+func TestEnvironmentNames(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "r.toml")
+	file := "id = \"file\"\ndata = \"file\"\nlisten = \"127.0.0.1:1\"\nraft = \"127.0.0.1:1\"\noperator = \"127.0.0.1:1\"\nlog = \"text\"\n"
+	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, x := range []struct {
+		name, now, before string
+		field             func(*Config) string
+	}{
+		{"ID", "now", "before", func(c *Config) string { return c.ID }},
+		{"DATA", "now", "before", func(c *Config) string { return c.DataDir }},
+		{"LISTEN", "127.0.0.1:2", "127.0.0.1:3", func(c *Config) string { return c.Listen }},
+		{"RAFT", "127.0.0.1:2", "127.0.0.1:3", func(c *Config) string { return c.Raft }},
+		{"OPERATOR", "127.0.0.1:2", "127.0.0.1:3", func(c *Config) string { return c.Operator }},
+		{"LOG", "json", "json", func(c *Config) string { return c.LogFormat }},
+	} {
+		now, before := "REGISTRY_"+x.name, "TROUTREGISTRY_"+x.name
+		for _, y := range []struct {
+			env  map[string]string
+			want string
+			used []DeprecatedVariable
+		}{
+			{map[string]string{now: x.now}, x.now, nil},
+			{map[string]string{before: x.before}, x.before, []DeprecatedVariable{{Name: before, Replacement: now}}},
+			{map[string]string{now: x.now, before: x.before}, x.now, []DeprecatedVariable{{Name: before, Replacement: now, Ignored: true}}},
+		} {
+			c, err := LoadConfig(path, func(name string) string { return y.env[name] })
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := x.field(c); got != y.want || !slices.Equal(c.DeprecatedVariables, y.used) {
+				t.Errorf("%v: %q, %+v", y.env, got, c.DeprecatedVariables)
+			}
+		}
+	}
+}
