--- a/internal/registry/compat_test.go
+++ b/internal/registry/compat_test.go
@@ -28,6 +28,8 @@
 //     node's own answers just before it was stopped
 //   - commands.jsonl: the commands in the log of an earlier state of that folder
 //     (each operation at least once), and replayed.json: its snapshot after them
+//   - rejected_commands.jsonl and rejected_results.jsonl: commands after these that
+//     it rejects, and its results
 //   - encodings.json: one value of each type that is sent or stored, with every
 //     field set
 //
@@ -196,6 +198,17 @@
 	if want := bytes.TrimSpace(readBefore(t, "replayed.json")); err != nil || !bytes.Equal(text, want) {
 		t.Errorf("%v\n%s\nwant\n%s", err, text, want)
 	}
+	// Results are kept in the state, so that of a rejected command, its text included,
+	// has to be the same on each node of a group.
+	commands := bytes.Split(bytes.TrimSpace(readBefore(t, "rejected_commands.jsonl")), []byte{'\n'})
+	results := bytes.Split(bytes.TrimSpace(readBefore(t, "rejected_results.jsonl")), []byte{'\n'})
+	for i, text := range commands {
+		var c Command
+		decodeStrictly(t, text, &c)
+		if result, err := json.Marshal(s.Apply(c)); err != nil || !bytes.Equal(result, results[i]) {
+			t.Errorf("%s: %v\n%s\nwant\n%s", text, err, result, results[i])
+		}
+	}
 }
 
 // TestEncodingsOfTheEarlierProgram: every key of every type that is sent or stored.
