--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -28,11 +28,11 @@
 )
 
 const (
-	watchQuiet = 2 * time.Second
-	maxHistory = 8192 // changes that the relay's watch may go on from: more than a zone of the largest fleet has members
-	reportMost = 1 << 20
+	watchKeepAlive = 2 * time.Second
+	maxHistory     = 8192 // changes that the relay's watch may go on from: more than a zone of the largest fleet has members
+	maxNoticeBytes = 1 << 20
 
-	maxChangesBooked = 1024 // that are booked with one sync
+	maxBatchChanges = 1024 // that are booked with one sync
 )
 
 // Options say where an agent serves, keeps and asks.
@@ -44,8 +44,8 @@
 	Log    *slog.Logger
 }
 
-// kept is what the agent has, as it stands on disk.
-type kept struct {
+// savedList is what the agent has, as it stands on disk.
+type savedList struct {
 	At       client.Position             `json:"at"`       // how far the group was followed
 	Revision int64                       `json:"revision"` // the agent's own, which only grows
 	Members  map[string]discovery.Member `json:"members"`
@@ -54,26 +54,26 @@
 
 // Agent is one. Close ends it.
 type Agent struct {
-	o      Options
-	client *client.Client
-	spool  *spool
-	http   *http.Server
-	ln     net.Listener
-	cancel context.CancelFunc
-	ctx    context.Context
-	wg     sync.WaitGroup
+	options  Options
+	client   *client.Client
+	spool    *spool
+	server   *http.Server
+	listener net.Listener
+	cancel   context.CancelFunc
+	ctx      context.Context
+	wg       sync.WaitGroup
 
-	in *mailbox.Mailbox[client.Update]
+	updates *mailbox.Mailbox[client.Update]
 
-	mu      sync.Mutex
-	kept    kept
-	journal journal // of what has changed since the whole list was written
-	told    bool    // a list has been handed on since the start
-	history []discovery.List
-	news    chan struct{}
-	up      bool
-	heard   time.Time // when the group last said anything
-	saveErr error
+	mu          sync.Mutex
+	list        savedList
+	journal     journal // of what has changed since the whole list was written
+	announced   bool    // a list has been handed on since the start
+	history     []discovery.List
+	changed     chan struct{}
+	following   bool
+	lastContact time.Time // when the group last said anything
+	saveErr     error
 }
 
 // Start takes up what the folder holds and serves at once.
@@ -85,102 +85,102 @@
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	a := &Agent{o: o, client: c, in: mailbox.New[client.Update](), news: make(chan struct{}),
-		kept: kept{Members: map[string]discovery.Member{}}, journal: journal{path: filepath.Join(o.Folder, journalName)}}
-	if err := a.load(); err != nil {
+	a := &Agent{options: o, client: c, updates: mailbox.New[client.Update](), changed: make(chan struct{}),
+		list: savedList{Members: map[string]discovery.Member{}}, journal: journal{path: filepath.Join(o.Folder, journalName)}}
+	if err := a.loadList(); err != nil {
 		return nil, err
 	}
 	if a.spool, err = openSpool(filepath.Join(o.Folder, "notices"), o.Log); err != nil {
 		return nil, err
 	}
-	if a.ln, err = net.Listen("tcp", o.Listen); err != nil {
+	if a.listener, err = net.Listen("tcp", o.Listen); err != nil {
 		a.spool.close()
 		return nil, fmt.Errorf("agent: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+discovery.ListPath, a.getList)
-	mux.HandleFunc("POST "+discovery.NoticePath, a.postReports)
+	mux.HandleFunc("POST "+discovery.NoticePath, a.postNotices)
 	mux.HandleFunc("GET /v1/status", a.getStatus)
-	a.http = &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, ErrorLog: slog.NewLogLogger(o.Log.Handler(), slog.LevelDebug)}
+	a.server = &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, ErrorLog: slog.NewLogLogger(o.Log.Handler(), slog.LevelDebug)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.wg.Add(4)
-	go func() { defer a.wg.Done(); a.http.Serve(acceptretry.NewListener(a.ln)) }()
+	go func() { defer a.wg.Done(); a.server.Serve(acceptretry.NewListener(a.listener)) }()
 	go func() {
 		defer a.wg.Done()
 		a.mu.Lock()
-		from := a.kept.At
+		from := a.list.At
 		a.mu.Unlock()
-		a.client.Follow(a.ctx, from, a.in.Put, a.isUp)
+		a.client.Follow(a.ctx, from, a.updates.Put, a.setFollowing)
 	}()
-	go func() { defer a.wg.Done(); a.takeAll(a.ctx) }()
-	go func() { defer a.wg.Done(); a.spool.run(a.ctx, a.client) }()
+	go func() { defer a.wg.Done(); a.runUpdates(a.ctx) }()
+	go func() { defer a.wg.Done(); a.spool.sendPending(a.ctx, a.client) }()
 	return a, nil
 }
 
 // Addr is where the agent listens.
-func (a *Agent) Addr() string { return a.ln.Addr().String() }
+func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
 // Close ends the agent; what is spooled stays on disk.
 func (a *Agent) Close() {
 	a.cancel()
-	a.http.Close()
+	a.server.Close()
 	a.wg.Wait()
 	a.spool.close()
 	a.journal.close()
 	a.client.Close()
 }
 
-func (a *Agent) isUp(up bool) {
+func (a *Agent) setFollowing(up bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.up = up
-	a.heard = time.Now()
+	a.following = up
+	a.lastContact = time.Now()
 }
 
-// takeAll books what the group has told and hands it on, until ctx ends. What
+// runUpdates books what the group has told and hands it on, until ctx ends. What
 // came while the disk was busy is booked together.
-func (a *Agent) takeAll(ctx context.Context) {
+func (a *Agent) runUpdates(ctx context.Context) {
 	var news []client.Update
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.in.Ready():
+		case <-a.updates.Ready():
 		}
-		news = a.in.TakeAll(news)
+		news = a.updates.TakeAll(news)
 		for from := 0; from < len(news); {
-			from += a.takeSome(news[from:])
+			from += a.applyBatch(news[from:])
 		}
 	}
 }
 
-// takeSome books the first of the news, as many as go together: on disk first,
+// applyBatch books the first of the news, as many as go together: on disk first,
 // then for whoever watches. A whole list becomes what changed by it, so a watch
 // goes on.
-func (a *Agent) takeSome(news []client.Update) (n int) {
+func (a *Agent) applyBatch(news []client.Update) (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.heard = time.Now()
+	a.lastContact = time.Now()
 	var entries []journalEntry
-	for changed := 0; n < len(news) && changed < maxChangesBooked; n++ {
-		entry := journalEntry{At: client.Position{Epoch: news[n].Epoch, Revision: news[n].Revision}, Revision: a.kept.Revision,
-			Members: a.changes(&news[n]), Saved: a.heard}
+	for changed := 0; n < len(news) && changed < maxBatchChanges; n++ {
+		entry := journalEntry{At: client.Position{Epoch: news[n].Epoch, Revision: news[n].Revision}, Revision: a.list.Revision,
+			Members: a.diff(&news[n]), Saved: a.lastContact}
 		if len(entry.Members) > 0 {
 			entry.Revision++
 		}
-		a.kept.apply(&entry)
+		a.list.apply(&entry)
 		entries = append(entries, entry)
 		changed += len(entry.Members)
 	}
-	if a.saveErr = a.save(entries); a.saveErr != nil {
-		a.o.Log.Error("the list could not be kept", "err", a.saveErr) // it is served all the same
+	if a.saveErr = a.saveChanges(entries); a.saveErr != nil {
+		a.options.Log.Error("the list could not be kept", "err", a.saveErr) // it is served all the same
 	}
-	a.tell(entries)
+	a.notifyWatchers(entries)
 	return n
 }
 
-// changes is what news changes in the list; a.mu is held.
-func (a *Agent) changes(n *client.Update) []discovery.Member {
+// diff is what news changes in the list; a.mu is held.
+func (a *Agent) diff(n *client.Update) []discovery.Member {
 	if !n.Complete {
 		return n.Members
 	}
@@ -188,13 +188,13 @@
 	listed := map[string]bool{}
 	for _, m := range n.Members {
 		listed[m.ID] = true
-		if a.kept.Members[m.ID] != m {
+		if a.list.Members[m.ID] != m {
 			changes = append(changes, m)
 		}
 	}
-	for _, id := range sorted(a.kept.Members) {
+	for _, id := range sortedIDs(a.list.Members) {
 		if !listed[id] {
-			m := a.kept.Members[id]
+			m := a.list.Members[id]
 			m.Phase = discovery.Removed
 			changes = append(changes, m)
 		}
@@ -202,8 +202,8 @@
 	return changes
 }
 
-// tell hands changes to whoever watches; a.mu is held.
-func (a *Agent) tell(entries []journalEntry) {
+// notifyWatchers hands changes to whoever watches; a.mu is held.
+func (a *Agent) notifyWatchers(entries []journalEntry) {
 	told := false
 	for _, e := range entries {
 		if len(e.Members) > 0 {
@@ -211,18 +211,18 @@
 			told = true
 		}
 	}
-	if !told && a.told {
+	if !told && a.announced {
 		return
 	}
-	a.told = true
+	a.announced = true
 	if len(a.history) > maxHistory {
 		a.history = slices.Clone(a.history[len(a.history)-maxHistory:])
 	}
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func sorted(m map[string]discovery.Member) []string {
+func sortedIDs(m map[string]discovery.Member) []string {
 	ids := make([]string, 0, len(m))
 	for id := range m {
 		ids = append(ids, id)
@@ -231,33 +231,33 @@
 	return ids
 }
 
-// whole is the list as the agent has it; a.mu is held.
-func (a *Agent) whole() discovery.List {
-	l := discovery.List{Revision: a.kept.Revision, Complete: true, Members: []discovery.Member{}}
-	for _, id := range sorted(a.kept.Members) {
-		l.Members = append(l.Members, a.kept.Members[id])
+// completeList is the list as the agent has it; a.mu is held.
+func (a *Agent) completeList() discovery.List {
+	l := discovery.List{Revision: a.list.Revision, Complete: true, Members: []discovery.Member{}}
+	for _, id := range sortedIDs(a.list.Members) {
+		l.Members = append(l.Members, a.list.Members[id])
 	}
 	return l
 }
 
-// ready tells whether the agent has any list: before its first it says nothing,
+// hasList tells whether the agent has any list: before its first it says nothing,
 // as discovery that is down.
-func (a *Agent) ready() (bool, <-chan struct{}) {
+func (a *Agent) hasList() (bool, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.kept.At.Epoch != "", a.news
+	return a.list.At.Epoch != "", a.changed
 }
 
 // since gives what changed after a revision.
 func (a *Agent) since(revision int64) ([]discovery.List, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	first := a.kept.Revision + 1
+	first := a.list.Revision + 1
 	if len(a.history) > 0 {
 		first = a.history[0].Revision
 	}
-	if revision > a.kept.Revision || revision < first-1 {
-		return []discovery.List{a.whole()}, a.news
+	if revision > a.list.Revision || revision < first-1 {
+		return []discovery.List{a.completeList()}, a.changed
 	}
 	var out []discovery.List
 	for _, l := range a.history {
@@ -265,12 +265,12 @@
 			out = append(out, l)
 		}
 	}
-	return out, a.news
+	return out, a.changed
 }
 
 func (a *Agent) getList(w http.ResponseWriter, r *http.Request) {
 	for {
-		ok, news := a.ready()
+		ok, news := a.hasList()
 		if ok {
 			break
 		}
@@ -284,7 +284,7 @@
 	}
 	if r.URL.Query().Get("watch") != "1" {
 		a.mu.Lock()
-		l := a.whole()
+		l := a.completeList()
 		a.mu.Unlock()
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(l) // a relay that is gone asks again
@@ -300,7 +300,7 @@
 	if out.Flush() != nil {
 		return
 	}
-	quiet := time.NewTicker(watchQuiet)
+	quiet := time.NewTicker(watchKeepAlive)
 	defer quiet.Stop()
 	for enc := json.NewEncoder(w); ; {
 		lists, news := a.since(at)
@@ -325,9 +325,9 @@
 	}
 }
 
-func (a *Agent) postReports(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(io.LimitReader(r.Body, reportMost+1))
-	if err == nil && len(text) > reportMost {
+func (a *Agent) postNotices(w http.ResponseWriter, r *http.Request) {
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxNoticeBytes+1))
+	if err == nil && len(text) > maxNoticeBytes {
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -340,7 +340,7 @@
 		return
 	}
 	if err := a.spool.add(all); err != nil {
-		a.o.Log.Error("notices not kept", "err", err)
+		a.options.Log.Error("notices not kept", "err", err)
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -362,12 +362,12 @@
 func (a *Agent) State() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := Status{Up: a.up, At: a.kept.At, Revision: a.kept.Revision, Members: len(a.kept.Members), Spooled: a.spool.count()}
-	at := a.heard
+	s := Status{Up: a.following, At: a.list.At, Revision: a.list.Revision, Members: len(a.list.Members), Spooled: a.spool.count()}
+	at := a.lastContact
 	if at.IsZero() {
-		at = a.kept.Saved
+		at = a.list.Saved
 	}
-	if !a.up && !at.IsZero() {
+	if !a.following && !at.IsZero() {
 		s.AgeMS = time.Since(at).Milliseconds()
 	}
 	if a.saveErr != nil {
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -202,23 +202,23 @@
 // TestADamagedListIsNotUsed: every flipped bit and every torn end of the file
 // is noticed; the agent starts, and the file is kept aside.
 func TestADamagedListIsNotUsed(t *testing.T) {
-	k := &kept{At: client.Position{Epoch: "e", Revision: 7}, Revision: 3, Members: map[string]discovery.Member{
+	k := &savedList{At: client.Position{Epoch: "e", Revision: 7}, Revision: 3, Members: map[string]discovery.Member{
 		"s-1": {ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
-	text, err := encodeKept(k)
+	text, err := encodeList(k)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back, err := decodeKept(text); err != nil || back.Revision != 3 || back.Members["s-1"].HostPort != "127.0.0.1:1" {
+	if back, err := decodeList(text); err != nil || back.Revision != 3 || back.Members["s-1"].HostPort != "127.0.0.1:1" {
 		t.Fatalf("%+v, %v", back, err)
 	}
 	for at := range text {
-		if _, err := decodeKept(text[:at]); err == nil {
+		if _, err := decodeList(text[:at]); err == nil {
 			t.Fatalf("torn at %d: used", at)
 		}
 		for bit := range 8 {
 			bad := bytes.Clone(text)
 			bad[at] ^= 1 << bit
-			if back, err := decodeKept(bad); err == nil {
+			if back, err := decodeList(bad); err == nil {
 				same, _ := json.Marshal(back)
 				if want, _ := json.Marshal(k); !bytes.Equal(same, want) {
 					t.Fatalf("byte %d, bit %d: used", at, bit)
@@ -237,10 +237,10 @@
 }
 
 func FuzzDecodeKept(f *testing.F) {
-	text, _ := encodeKept(&kept{Members: map[string]discovery.Member{}})
+	text, _ := encodeList(&savedList{Members: map[string]discovery.Member{}})
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if k, err := decodeKept(text); err == nil && k.Members == nil {
+		if k, err := decodeList(text); err == nil && k.Members == nil {
 			t.Fatal("a list without members")
 		}
 	})
--- a/internal/registry/agent/compat_test.go
+++ b/internal/registry/agent/compat_test.go
@@ -110,7 +110,7 @@
 	if err := json.Unmarshal(text, &before); err != nil {
 		t.Fatal(err)
 	}
-	values := map[string]any{"list": &kept{}, "journalEntry": &journalEntry{}, "Status": &Status{}}
+	values := map[string]any{"list": &savedList{}, "journalEntry": &journalEntry{}, "Status": &Status{}}
 	if len(values) != len(before) {
 		t.Errorf("%d types, %d were written", len(values), len(before))
 	}
@@ -134,11 +134,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := decodeKept(list)
+	k, err := decodeList(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := encodeKept(k); err != nil || !bytes.Equal(again, list) {
+	if again, err := encodeList(k); err != nil || !bytes.Equal(again, list) {
 		t.Errorf("%v\n%s\nwant\n%s", err, again, list)
 	}
 	journal, err := os.ReadFile(filepath.Join(folder, journalName))
--- a/internal/registry/agent/disk.go
+++ b/internal/registry/agent/disk.go
@@ -22,35 +22,35 @@
 )
 
 const (
-	listName   = "list"
-	listHead   = "troutlist 1 %08x %d\n" // version, CRC-32C and length of what follows
-	spoolMost  = 16 << 20
-	spoolBatch = 256
+	listName          = "list"
+	listHeader        = "troutlist 1 %08x %d\n" // version, CRC-32C and length of what follows
+	maxSpoolBytes     = 16 << 20
+	spoolBatchNotices = 256
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeKept gives the file's form.
-func encodeKept(k *kept) ([]byte, error) {
+// encodeList gives the file's form.
+func encodeList(k *savedList) ([]byte, error) {
 	text, err := json.Marshal(k)
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	return append(fmt.Appendf(nil, listHead, crc32.Checksum(text, castagnoli), len(text)), text...), nil
+	return append(fmt.Appendf(nil, listHeader, crc32.Checksum(text, castagnoli), len(text)), text...), nil
 }
 
-// decodeKept reads it back; what cannot be relied on is an error.
-func decodeKept(text []byte) (*kept, error) {
+// decodeList reads it back; what cannot be relied on is an error.
+func decodeList(text []byte) (*savedList, error) {
 	head, body, ok := bytes.Cut(text, []byte{'\n'})
 	var sum uint32
 	var size int
-	if _, err := fmt.Sscanf(string(head)+"\n", listHead, &sum, &size); !ok || err != nil {
+	if _, err := fmt.Sscanf(string(head)+"\n", listHeader, &sum, &size); !ok || err != nil {
 		return nil, errors.New("list: no head that can be read")
 	}
 	if len(body) != size || crc32.Checksum(body, castagnoli) != sum {
 		return nil, fmt.Errorf("list: %d bytes of %d, or damaged", len(body), size)
 	}
-	k := &kept{}
+	k := &savedList{}
 	if err := json.Unmarshal(body, k); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
@@ -65,10 +65,10 @@
 	return k, nil
 }
 
-// load takes up the list on disk. A damaged one is kept aside; the group tells
+// loadList takes up the list on disk. A damaged one is kept aside; the group tells
 // the list anew.
-func (a *Agent) load() error {
-	path := filepath.Join(a.o.Folder, listName)
+func (a *Agent) loadList() error {
+	path := filepath.Join(a.options.Folder, listName)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -76,45 +76,45 @@
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	k, err := decodeKept(text)
+	k, err := decodeList(text)
 	if err != nil {
-		a.o.Log.Error("the list on disk is not used", "file", path, "err", err)
+		a.options.Log.Error("the list on disk is not used", "file", path, "err", err)
 		if err := os.Rename(path, path+".damaged"); err != nil {
 			return fmt.Errorf("agent: %w", err)
 		}
 		return nil
 	}
-	a.kept = *k
+	a.list = *k
 	a.journal.base = int64(len(text))
-	return a.journal.load(&a.kept, crc32.Checksum(text, castagnoli))
+	return a.journal.load(&a.list, crc32.Checksum(text, castagnoli))
 }
 
-// save books what has changed: in the journal, or with the whole list where that
+// saveChanges books what has changed: in the journal, or with the whole list where that
 // is due.
-func (a *Agent) save(entries []journalEntry) error {
-	if !a.journal.full() {
+func (a *Agent) saveChanges(entries []journalEntry) error {
+	if !a.journal.isFull() {
 		err := a.journal.append(entries)
 		if err == nil {
 			return nil
 		}
-		a.o.Log.Warn("the journal of the list is begun anew", "err", err)
+		a.options.Log.Warn("the journal of the list is begun anew", "err", err)
 	}
-	a.kept.Saved = time.Now()
-	text, err := encodeKept(&a.kept)
+	a.list.Saved = time.Now()
+	text, err := encodeList(&a.list)
 	if err != nil {
 		return err
 	}
 	a.journal.close() // it goes on from the list that is replaced now
-	if err := a.saveWhole(text); err != nil {
+	if err := a.writeList(text); err != nil {
 		return err
 	}
 	return a.journal.reset(crc32.Checksum(text, castagnoli), int64(len(text)))
 }
 
-// saveWhole writes the list beside the old one and renames it into place, so
+// writeList writes the list beside the old one and renames it into place, so
 // that a crash at any moment leaves one of the two.
-func (a *Agent) saveWhole(text []byte) error {
-	path := filepath.Join(a.o.Folder, listName)
+func (a *Agent) writeList(text []byte) error {
+	path := filepath.Join(a.options.Folder, listName)
 	f, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("list: %w", err)
@@ -127,7 +127,7 @@
 		err = os.Rename(path+".new", path)
 	}
 	if err == nil {
-		err = syncFolder(a.o.Folder)
+		err = syncDir(a.options.Folder)
 	}
 	if err != nil {
 		return fmt.Errorf("list: %w", err)
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
 		return err
@@ -149,11 +149,11 @@
 	log  *slog.Logger
 	path string
 
-	mu   sync.Mutex
-	file *os.File
-	size int64
-	wait []discovery.Notice
-	more chan struct{}
+	mu      sync.Mutex
+	file    *os.File
+	size    int64
+	pending []discovery.Notice
+	wake    chan struct{}
 }
 
 func openSpool(path string, log *slog.Logger) (*spool, error) {
@@ -161,7 +161,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
-	s := &spool{log: log, path: path, file: f, more: make(chan struct{}, 1)}
+	s := &spool{log: log, path: path, file: f, wake: make(chan struct{}, 1)}
 	in := bufio.NewReader(f)
 	for {
 		line, err := in.ReadBytes('\n')
@@ -176,11 +176,11 @@
 		if err != nil {
 			log.Error("spool: a line cannot be read", "file", path, "at", s.size, "err", err)
 		}
-		s.wait = append(s.wait, all...)
+		s.pending = append(s.pending, all...)
 		s.size += int64(len(line))
 	}
-	if len(s.wait) > 0 {
-		s.more <- struct{}{}
+	if len(s.pending) > 0 {
+		s.wake <- struct{}{}
 	}
 	return s, nil
 }
@@ -190,7 +190,7 @@
 func (s *spool) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.wait)
+	return len(s.pending)
 }
 
 // add keeps notices on disk; once it returns with no error they are not lost.
@@ -203,7 +203,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.size+int64(text.Len()) > spoolMost {
+	if s.size+int64(text.Len()) > maxSpoolBytes {
 		return fmt.Errorf("spool: full: %d bytes that the group has not taken", s.size)
 	}
 	if _, err := s.file.WriteAt(text.Bytes(), s.size); err != nil {
@@ -213,23 +213,23 @@
 		return fmt.Errorf("spool: %w", err)
 	}
 	s.size += int64(text.Len())
-	s.wait = append(s.wait, all...)
+	s.pending = append(s.pending, all...)
 	select {
-	case s.more <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-// run has the group take what waits, until ctx ends.
-func (s *spool) run(ctx context.Context, c *client.Client) {
+// sendPending has the group take what waits, until ctx ends.
+func (s *spool) sendPending(ctx context.Context, c *client.Client) {
 	for {
 		s.mu.Lock()
-		batch := s.wait[:min(len(s.wait), spoolBatch)]
+		batch := s.pending[:min(len(s.pending), spoolBatchNotices)]
 		s.mu.Unlock()
 		if len(batch) == 0 {
 			select {
-			case <-s.more:
+			case <-s.wake:
 				continue
 			case <-ctx.Done():
 				return
@@ -246,9 +246,9 @@
 			s.log.Error("spool: refused by the group, and dropped", "count", len(batch), "err", err) // it cannot be read there: asking again changes nothing
 		}
 		s.mu.Lock()
-		s.wait = s.wait[len(batch):]
-		if len(s.wait) == 0 {
-			s.wait = nil
+		s.pending = s.pending[len(batch):]
+		if len(s.pending) == 0 {
+			s.pending = nil
 			if err := s.file.Truncate(0); err != nil {
 				s.log.Error("spool: not cut", "err", err)
 			} else {
--- a/internal/registry/agent/journal.go
+++ b/internal/registry/agent/journal.go
@@ -21,7 +21,7 @@
 
 const (
 	journalName     = "list.changes"
-	journalHead     = "troutchanges 1 %08x\n" // version, and the checksum of the whole list that it goes on from
+	journalHeader   = "troutchanges 1 %08x\n" // version, and the checksum of the whole list that it goes on from
 	journalRecord   = "%08x %s\n"             // CRC-32C of the JSON text, and the text
 	minJournalBytes = 1 << 20                 // a shorter journal is not worth writing the whole list anew
 )
@@ -45,7 +45,7 @@
 // decodeJournal reads the entries that go on from the list with the checksum
 // base, up to the first that is torn or damaged, and the bytes up to there.
 func decodeJournal(text []byte, base uint32) (entries []journalEntry, sound int) {
-	head := fmt.Appendf(nil, journalHead, base)
+	head := fmt.Appendf(nil, journalHeader, base)
 	if !bytes.HasPrefix(text, head) {
 		return nil, 0
 	}
@@ -90,7 +90,7 @@
 }
 
 // load takes up the changes that go on from a list, and cuts off what is torn.
-func (j *journal) load(k *kept, base uint32) error {
+func (j *journal) load(k *savedList, base uint32) error {
 	text, err := os.ReadFile(j.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// full reports whether the next entry had better be a whole list.
-func (j *journal) full() bool {
+// isFull reports whether the next entry had better be a whole list.
+func (j *journal) isFull() bool {
 	return j.file == nil || j.size > max(minJournalBytes, j.base)
 }
 
@@ -127,9 +127,9 @@
 	if err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	head := fmt.Appendf(nil, journalHead, base)
+	head := fmt.Appendf(nil, journalHeader, base)
 	_, err = file.Write(head)
-	if err = errors.Join(err, file.Sync(), syncFolder(filepath.Dir(j.path))); err != nil {
+	if err = errors.Join(err, file.Sync(), syncDir(filepath.Dir(j.path))); err != nil {
 		return fmt.Errorf("list: %w", errors.Join(err, file.Close()))
 	}
 	j.file, j.size, j.base = file, int64(len(head)), bytes
@@ -164,7 +164,7 @@
 }
 
 // apply brings the list up to date with one change.
-func (k *kept) apply(e *journalEntry) {
+func (k *savedList) apply(e *journalEntry) {
 	k.At, k.Revision, k.Saved = e.At, e.Revision, e.Saved
 	for _, m := range e.Members {
 		if m.Phase == discovery.Removed {
--- a/internal/registry/agent/journal_test.go
+++ b/internal/registry/agent/journal_test.go
@@ -104,9 +104,9 @@
 	folder := t.TempDir()
 	a := startAgent(t, folder, loopback.Free())
 	defer a.Close()
-	a.takeSome([]client.Update{wholeList(members)})
+	a.applyBatch([]client.Update{wholeList(members)})
 	for i := range removed {
-		a.takeSome([]client.Update{removal(i, members+i+1)})
+		a.applyBatch([]client.Update{removal(i, members+i+1)})
 	}
 	if s := a.State(); s.Members != members-removed || s.Revision != int64(1+removed) || s.Error != "" {
 		t.Fatalf("%+v", s)
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	a := startAgent(t, folder, loopback.Free())
-	a.takeSome([]client.Update{removal(3, 9), removal(4, 10)})
+	a.applyBatch([]client.Update{removal(3, 9), removal(4, 10)})
 	a.Close()
 	a = startAgent(t, folder, loopback.Free())
 	defer a.Close()
@@ -169,7 +169,7 @@
 		t.Fatal(err)
 	}
 	var base uint32
-	if _, err := fmt.Sscanf(string(text), journalHead, &base); err != nil || len(list) == 0 {
+	if _, err := fmt.Sscanf(string(text), journalHeader, &base); err != nil || len(list) == 0 {
 		t.Fatal(err)
 	}
 	whole, _ := decodeJournal(text, base)
@@ -192,7 +192,7 @@
 // what stands in the journal is of the past.
 func TestJournalOfAnotherListIsNotUsed(t *testing.T) {
 	folder := bookedAgent(t, 5, 3)
-	older, err := encodeKept(&kept{At: client.Position{Epoch: "e", Revision: 6}, Revision: 2,
+	older, err := encodeList(&savedList{At: client.Position{Epoch: "e", Revision: 6}, Revision: 2,
 		Members: map[string]discovery.Member{"s-4": listMember(4)}})
 	if err != nil {
 		t.Fatal(err)
@@ -201,7 +201,7 @@
 		t.Fatal(err)
 	}
 	a := startAgent(t, folder, loopback.Free())
-	a.takeSome([]client.Update{removal(4, 7)})
+	a.applyBatch([]client.Update{removal(4, 7)})
 	a.Close()
 	a = startAgent(t, folder, loopback.Free())
 	defer a.Close()
@@ -215,7 +215,7 @@
 func TestJournalIsBegunAnew(t *testing.T) {
 	folder := t.TempDir()
 	a := startAgent(t, folder, loopback.Free())
-	a.takeSome([]client.Update{wholeList(3000)})
+	a.applyBatch([]client.Update{wholeList(3000)})
 	revision := 3000
 	for round := 0; round < 12; round++ {
 		var news []client.Update
@@ -228,10 +228,10 @@
 			news = append(news, n)
 		}
 		for from := 0; from < len(news); {
-			from += a.takeSome(news[from:])
+			from += a.applyBatch(news[from:])
 		}
 		size := a.journal.size
-		if most := max(minJournalBytes, a.journal.base) + 300*maxChangesBooked; size > most {
+		if most := max(minJournalBytes, a.journal.base) + 300*maxBatchChanges; size > most {
 			t.Fatalf("the journal has %d bytes, %d at most", size, most)
 		}
 	}
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -35,10 +35,10 @@
 )
 
 const (
-	bodyMost     = 64 << 10
-	snapshotMost = 256 << 20
-	retrySecs    = "1"
-	idMost       = 200
+	maxBodyBytes      = 64 << 10
+	maxSnapshotBytes  = 256 << 20
+	retryAfterSeconds = "1"
+	maxIDBytes        = 200
 )
 
 // Registration is what a member hands in.
@@ -83,8 +83,8 @@
 	SuspendedSince       time.Time `json:"lapses_held_since,omitzero"`
 }
 
-// problem is an answer other than 2xx.
-type problem struct {
+// errorResponse is an answer other than 2xx.
+type errorResponse struct {
 	Error   string `json:"error"`
 	Changed int64  `json:"changed,omitempty"` // 409: the member's last change, as it holds
 	Token   int64  `json:"token,omitempty"`   // 412: the duty's present one
@@ -93,34 +93,34 @@
 func (n *Node) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+discovery.ListPath, n.getList)
-	mux.HandleFunc("POST "+discovery.NoticePath, n.postReports)
+	mux.HandleFunc("POST "+discovery.NoticePath, n.postNotices)
 	mux.HandleFunc("GET "+MembersPath, n.getMembers)
 	mux.HandleFunc("POST "+MembersPath, n.leaderOnly(n.postMember))
 	mux.HandleFunc("POST "+MembersPath+"/{id}/phase", n.leaderOnly(n.postPhase))
 	mux.HandleFunc("DELETE "+MembersPath+"/{id}", n.leaderOnly(n.deleteMember))
-	mux.HandleFunc("POST "+HeartbeatsPath, n.leaderOnly(n.postBeats))
-	mux.HandleFunc("POST "+ConfirmExpiryPath, n.leaderOnly(n.postConfirm))
+	mux.HandleFunc("POST "+HeartbeatsPath, n.leaderOnly(n.postHeartbeats))
+	mux.HandleFunc("POST "+ConfirmExpiryPath, n.leaderOnly(n.postConfirmExpiry))
 	mux.HandleFunc("GET "+ZonesPath, n.getZones)
 	mux.HandleFunc("POST "+ZonesPath, n.leaderOnly(n.postZone))
-	n.dutyRoutes(mux)
-	n.orderRoutes(mux)
+	n.roleRoutes(mux)
+	n.operationRoutes(mux)
 	mux.HandleFunc("GET "+StatusPath, n.getStatus)
 	mux.HandleFunc("GET "+SnapshotPath, n.leaderOnly(n.getSnapshot))
 	mux.HandleFunc("PUT "+SnapshotPath, n.leaderOnly(n.putSnapshot))
 	return mux
 }
 
-func say(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v) // a client that is gone hears nothing: its request is asked again
 }
 
-func refuse(w http.ResponseWriter, status int, format string, args ...any) {
+func writeError(w http.ResponseWriter, status int, format string, args ...any) {
 	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retrySecs)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
-	say(w, status, problem{Error: fmt.Sprintf(format, args...)})
+	writeJSON(w, status, errorResponse{Error: fmt.Sprintf(format, args...)})
 }
 
 // leaderOnly sends a call on to the leader, or refuses it where there is none.
@@ -130,16 +130,16 @@
 		switch {
 		case self:
 			f(w, r)
-		case leader == "" || leader == n.ownAddr() || n.stale():
-			refuse(w, http.StatusServiceUnavailable, "%v", ErrNoLeader)
+		case leader == "" || leader == n.ownHTTPAddr() || n.isStale():
+			writeError(w, http.StatusServiceUnavailable, "%v", ErrNoLeader)
 		default:
 			http.Redirect(w, r, "http://"+leader+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 		}
 	}
 }
 
-// ownAddr is this node's own address, as its peers are told.
-func (n *Node) ownAddr() string {
+// ownHTTPAddr is this node's own address, as its peers are told.
+func (n *Node) ownHTTPAddr() string {
 	for _, p := range n.cfg.Peers {
 		if p.ID == n.cfg.ID {
 			return p.HTTP
@@ -148,56 +148,56 @@
 	return ""
 }
 
-// read reads a body of JSON into v, or answers 413 or 400.
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
-	text, err := io.ReadAll(io.LimitReader(r.Body, bodyMost+1))
+// decodeBody reads a body of JSON into v, or answers 413 or 400.
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "body: %v", err)
+		writeError(w, http.StatusBadRequest, "body: %v", err)
 		return false
 	}
-	if len(text) > bodyMost {
-		refuse(w, http.StatusRequestEntityTooLarge, "body: over %d bytes", bodyMost)
+	if len(text) > maxBodyBytes {
+		writeError(w, http.StatusRequestEntityTooLarge, "body: over %d bytes", maxBodyBytes)
 		return false
 	}
 	if err := json.Unmarshal(text, v); err != nil {
 		var te *json.UnmarshalTypeError
 		if errors.As(err, &te) {
-			refuse(w, http.StatusBadRequest, "%s: wrong type %s", te.Field, te.Value)
+			writeError(w, http.StatusBadRequest, "%s: wrong type %s", te.Field, te.Value)
 		} else {
-			refuse(w, http.StatusBadRequest, "body: %v", err)
+			writeError(w, http.StatusBadRequest, "body: %v", err)
 		}
 		return false
 	}
 	return true
 }
 
-// settle has a command applied and answers as it came out.
-func (n *Node) settle(w http.ResponseWriter, r *http.Request, c Command) (Result, bool) {
-	if c.Request = r.Header.Get(RequestHeader); len(c.Request) > idMost {
-		refuse(w, http.StatusBadRequest, "%s: over %d bytes", RequestHeader, idMost)
+// applyAndRespond has a command applied and answers as it came out.
+func (n *Node) applyAndRespond(w http.ResponseWriter, r *http.Request, c Command) (Result, bool) {
+	if c.Request = r.Header.Get(RequestHeader); len(c.Request) > maxIDBytes {
+		writeError(w, http.StatusBadRequest, "%s: over %d bytes", RequestHeader, maxIDBytes)
 		return Result{}, false
 	}
-	if err := fence(r, &c); err != nil {
-		refuse(w, http.StatusBadRequest, "%v", err)
+	if err := readFence(r, &c); err != nil {
+		writeError(w, http.StatusBadRequest, "%v", err)
 		return Result{}, false
 	}
 	a, err := n.apply(c)
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, "%v", err)
+		writeError(w, http.StatusServiceUnavailable, "%v", err)
 		return a, false
 	}
 	if a.Status != http.StatusOK {
-		say(w, a.Status, problem{a.Error, a.Changed, a.Token})
+		writeJSON(w, a.Status, errorResponse{a.Error, a.Changed, a.Token})
 		return a, false
 	}
 	w.Header().Set(RevisionHeader, strconv.FormatInt(a.Revision, 10))
-	say(w, http.StatusOK, a)
+	writeJSON(w, http.StatusOK, a)
 	return a, true
 }
 
 func (n *Node) postMember(w http.ResponseWriter, r *http.Request) {
 	var x Registration
-	if !read(w, r, &x) {
+	if !decodeBody(w, r, &x) {
 		return
 	}
 	if x.Size == 0 {
@@ -205,22 +205,22 @@
 	}
 	m := discovery.Member{ID: x.ID, HostPort: x.Address, Locality: x.Zone, Flavor: x.Flavor, Cell: x.Cell, Phase: discovery.Up, Size: x.Size}
 	switch err := m.Validate(); {
-	case x.ID == "" || len(x.ID) > idMost:
-		refuse(w, http.StatusBadRequest, "id: 1 to %d bytes are wanted", idMost)
+	case x.ID == "" || len(x.ID) > maxIDBytes:
+		writeError(w, http.StatusBadRequest, "id: 1 to %d bytes are wanted", maxIDBytes)
 		return
 	case err != nil:
-		refuse(w, http.StatusBadRequest, "address: %v", err)
+		writeError(w, http.StatusBadRequest, "address: %v", err)
 		return
 	case x.Cell < 0 || x.Cell > math.MaxUint16:
-		refuse(w, http.StatusBadRequest, "cell: %d; from 0 to %d", x.Cell, math.MaxUint16)
+		writeError(w, http.StatusBadRequest, "cell: %d; from 0 to %d", x.Cell, math.MaxUint16)
 		return
 	case x.TTLMS < 0 || x.TTLMS > 0 && x.TTLMS < 500:
-		refuse(w, http.StatusBadRequest, "ttl_ms: %d; 0, or 500 at least", x.TTLMS)
+		writeError(w, http.StatusBadRequest, "ttl_ms: %d; 0, or 500 at least", x.TTLMS)
 		return
 	}
 	ttl := time.Duration(x.TTLMS) * time.Millisecond
-	if _, ok := n.settle(w, r, Command{Op: OpAdd, IfChanged: x.IfChanged, Member: Member{Member: m, TTL: ttl, Holder: x.Holder}}); ok {
-		n.hearts.beat(x.ID)
+	if _, ok := n.applyAndRespond(w, r, Command{Op: OpAdd, IfChanged: x.IfChanged, Member: Member{Member: m, TTL: ttl, Holder: x.Holder}}); ok {
+		n.heartbeats.recordMember(x.ID)
 	}
 }
 
@@ -230,65 +230,65 @@
 		Holder string `json:"holder"`
 		If     int64  `json:"if"`
 	}
-	if !read(w, r, &x) {
+	if !decodeBody(w, r, &x) {
 		return
 	}
 	if x.Phase != discovery.Up && x.Phase != discovery.Draining {
-		refuse(w, http.StatusBadRequest, "phase: %q; %s and %s are allowed", x.Phase, discovery.Up, discovery.Draining)
+		writeError(w, http.StatusBadRequest, "phase: %q; %s and %s are allowed", x.Phase, discovery.Up, discovery.Draining)
 		return
 	}
-	n.settle(w, r, Command{Op: OpPhase, ID: r.PathValue("id"), Phase: x.Phase, Holder: x.Holder, IfChanged: x.If})
+	n.applyAndRespond(w, r, Command{Op: OpPhase, ID: r.PathValue("id"), Phase: x.Phase, Holder: x.Holder, IfChanged: x.If})
 }
 
 func (n *Node) deleteMember(w http.ResponseWriter, r *http.Request) {
 	at, err := strconv.ParseInt("0"+r.URL.Query().Get("if"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "if: a revision is wanted")
+		writeError(w, http.StatusBadRequest, "if: a revision is wanted")
 		return
 	}
-	n.settle(w, r, Command{Op: OpRemove, ID: r.PathValue("id"), Holder: r.URL.Query().Get("holder"), IfChanged: at})
+	n.applyAndRespond(w, r, Command{Op: OpRemove, ID: r.PathValue("id"), Holder: r.URL.Query().Get("holder"), IfChanged: at})
 }
 
-// postBeats hears several registrations at once, and names those that it does
+// postHeartbeats hears several registrations at once, and names those that it does
 // not know as theirs: these have to register again.
-func (n *Node) postBeats(w http.ResponseWriter, r *http.Request) {
+func (n *Node) postHeartbeats(w http.ResponseWriter, r *http.Request) {
 	var all []Heartbeat
-	if !read(w, r, &all) {
+	if !decodeBody(w, r, &all) {
 		return
 	}
-	known, unknown := n.store.sortBeats(all)
+	known, unknown := n.store.sortHeartbeats(all)
 	for _, id := range known {
-		n.hearts.beat(id)
+		n.heartbeats.recordMember(id)
 	}
 	if unknown == nil {
 		unknown = []string{}
 	}
-	say(w, http.StatusOK, map[string][]string{"unknown": unknown})
+	writeJSON(w, http.StatusOK, map[string][]string{"unknown": unknown})
 }
 
-func (n *Node) postConfirm(w http.ResponseWriter, _ *http.Request) {
-	say(w, http.StatusOK, map[string]int{"lapses": n.hearts.confirm()})
+func (n *Node) postConfirmExpiry(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, map[string]int{"lapses": n.heartbeats.confirmSuspended()})
 }
 
-// mark puts on an answer which list it is of.
-func (n *Node) mark(w http.ResponseWriter, epoch string, revision int64) {
+// setListHeaders puts on an answer which list it is of.
+func (n *Node) setListHeaders(w http.ResponseWriter, epoch string, revision int64) {
 	w.Header().Set(EpochHeader, epoch)
 	w.Header().Set(RevisionHeader, strconv.FormatInt(revision, 10))
-	if n.stale() {
+	if n.isStale() {
 		w.Header().Set(StaleHeader, "true")
 	}
 }
 
-// linear waits until this node's copy holds every change that was answered
+// catchUp waits until this node's copy holds every change that was answered
 // before the call, which only a leader can tell.
-func (n *Node) linear() error {
+func (n *Node) catchUp() error {
 	if n.raft.State() != raft.Leader {
 		return raft.ErrNotLeader
 	}
-	if err := n.await(n.raft.VerifyLeader()); err != nil {
+	if err := n.awaitFuture(n.raft.VerifyLeader()); err != nil {
 		return err
 	}
-	return n.await(n.raft.Barrier(applyWait))
+	return n.awaitFuture(n.raft.Barrier(applyTimeout))
 }
 
 func (n *Node) getList(w http.ResponseWriter, r *http.Request) {
@@ -299,8 +299,8 @@
 	}
 	if q.Get("consistent") == "1" {
 		n.leaderOnly(func(w http.ResponseWriter, r *http.Request) {
-			if err := n.linear(); err != nil {
-				refuse(w, http.StatusServiceUnavailable, "%v", err)
+			if err := n.catchUp(); err != nil {
+				writeError(w, http.StatusServiceUnavailable, "%v", err)
 				return
 			}
 			n.sendList(w)
@@ -313,7 +313,7 @@
 func (n *Node) sendList(w http.ResponseWriter) {
 	epoch, _, _ := n.store.position()
 	text, revision := n.store.list()
-	n.mark(w, epoch, revision)
+	n.setListHeaders(w, epoch, revision)
 	w.Header().Set("Content-Type", "application/json")
 	w.Write(text)
 }
@@ -324,56 +324,56 @@
 			n.leaderOnly(n.getMembers)(w, r)
 			return
 		}
-		if err := n.linear(); err != nil {
-			refuse(w, http.StatusServiceUnavailable, "%v", err)
+		if err := n.catchUp(); err != nil {
+			writeError(w, http.StatusServiceUnavailable, "%v", err)
 			return
 		}
 	}
 	members, epoch, revision := n.store.members()
-	n.mark(w, epoch, revision)
+	n.setListHeaders(w, epoch, revision)
 	if members == nil {
 		members = []Member{}
 	}
-	say(w, http.StatusOK, members)
+	writeJSON(w, http.StatusOK, members)
 }
 
 // getZones tells of the zones, as this node has them.
 func (n *Node) getZones(w http.ResponseWriter, _ *http.Request) {
 	epoch, revision, _ := n.store.position()
-	n.mark(w, epoch, revision)
-	say(w, http.StatusOK, n.store.zones())
+	n.setListHeaders(w, epoch, revision)
+	writeJSON(w, http.StatusOK, n.store.zones())
 }
 
 // postZone puts a zone into a region; without one, out of any.
 func (n *Node) postZone(w http.ResponseWriter, r *http.Request) {
 	var z Zone
-	if !read(w, r, &z) {
+	if !decodeBody(w, r, &z) {
 		return
 	}
-	if z.Name == "" || len(z.Name) > idMost || len(z.Region) > idMost {
-		refuse(w, http.StatusBadRequest, "name: 1 to %d bytes are wanted, and no more for a region", idMost)
+	if z.Name == "" || len(z.Name) > maxIDBytes || len(z.Region) > maxIDBytes {
+		writeError(w, http.StatusBadRequest, "name: 1 to %d bytes are wanted, and no more for a region", maxIDBytes)
 		return
 	}
-	n.settle(w, r, Command{Op: OpZone, Zone: z.Name, Region: z.Region})
+	n.applyAndRespond(w, r, Command{Op: OpZone, Zone: z.Name, Region: z.Region})
 }
 
 func (n *Node) getStatus(w http.ResponseWriter, _ *http.Request) {
 	epoch, revision, members := n.store.position()
 	leader, _ := n.leader()
-	held, since := n.hearts.holding()
-	say(w, http.StatusOK, Status{ID: n.cfg.ID, RaftRole: n.raft.State().String(), Leader: leader, Term: n.raft.CurrentTerm(), Epoch: epoch,
-		Revision: revision, Members: members, Watchers: n.watchers.Load(), Stale: n.stale(), Applied: n.raft.AppliedIndex(), SuspendedExpirations: held, SuspendedSince: since})
+	held, since := n.heartbeats.suspension()
+	writeJSON(w, http.StatusOK, Status{ID: n.cfg.ID, RaftRole: n.raft.State().String(), Leader: leader, Term: n.raft.CurrentTerm(), Epoch: epoch,
+		Revision: revision, Members: members, Watchers: n.watchers.Load(), Stale: n.isStale(), Applied: n.raft.AppliedIndex(), SuspendedExpirations: held, SuspendedSince: since})
 }
 
 // getSnapshot gives the state as a leader has it, to be kept as a backup.
 func (n *Node) getSnapshot(w http.ResponseWriter, _ *http.Request) {
-	if err := n.linear(); err != nil {
-		refuse(w, http.StatusServiceUnavailable, "%v", err)
+	if err := n.catchUp(); err != nil {
+		writeError(w, http.StatusServiceUnavailable, "%v", err)
 		return
 	}
 	s, err := n.store.Snapshot()
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, "%v", err)
+		writeError(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -383,36 +383,36 @@
 // putSnapshot has the whole group go on from a backup, in a new epoch, at a
 // revision beyond the one that it had: no client takes it for one that is behind.
 func (n *Node) putSnapshot(w http.ResponseWriter, r *http.Request) {
-	state, err := ReadState(io.LimitReader(r.Body, snapshotMost))
+	state, err := ReadState(io.LimitReader(r.Body, maxSnapshotBytes))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "%v", err)
+		writeError(w, http.StatusBadRequest, "%v", err)
 		return
 	}
 	_, revision, _ := n.store.position()
 	state.Revision = max(state.Revision, revision)
-	tokens, dutyRev := n.store.tokens() // nor do these go back
+	tokens, dutyRev := n.store.lastToken() // nor do these go back
 	state.LastToken, state.RoleRevision = max(state.LastToken, tokens), max(state.RoleRevision, dutyRev)
 	text, err := json.Marshal(state)
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, "%v", err)
+		writeError(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
 	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(text)), Index: n.raft.LastIndex(), Term: n.raft.CurrentTerm()}
 	if err := n.raft.Restore(meta, bytes.NewReader(text), 10*time.Second); err != nil {
-		refuse(w, http.StatusServiceUnavailable, "%v", err)
+		writeError(w, http.StatusServiceUnavailable, "%v", err)
 		return
 	}
-	n.settle(w, r, Command{Op: OpEpoch, Epoch: NewID()})
+	n.applyAndRespond(w, r, Command{Op: OpEpoch, Epoch: NewID()})
 }
 
-// postReports takes notices: where agents have no other place for them, the
+// postNotices takes notices: where agents have no other place for them, the
 // group counts them.
-func (n *Node) postReports(w http.ResponseWriter, r *http.Request) {
+func (n *Node) postNotices(w http.ResponseWriter, r *http.Request) {
 	all, err := discovery.ReadNotices(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	n.figs.notices.Add(float64(len(all)))
+	n.metrics.notices.Add(float64(len(all)))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -27,26 +27,26 @@
 )
 
 const (
-	silence    = 5 * time.Second // a watch says something every 2 s
-	connectMax = time.Second
-	answerMax  = 4 * time.Second
-	pauseLeast = 50 * time.Millisecond
-	pauseMost  = 5 * time.Second
-	perClient  = 5 * time.Millisecond // of a fleet that comes back at one moment: the spread of its tries
-	lineMost   = 16 << 20
+	watchSilenceTimeout = 5 * time.Second // a watch says something every 2 s
+	connectTimeout      = time.Second
+	responseTimeout     = 4 * time.Second
+	minBackoff          = 50 * time.Millisecond
+	maxBackoff          = 5 * time.Second
+	backoffPerClient    = 5 * time.Millisecond // of a fleet that comes back at one moment: the spread of its tries
+	maxLineBytes        = 16 << 20
 )
 
 // Client knows the nodes of one group.
 type Client struct {
-	nodes []string
-	fleet int
-	log   *slog.Logger
-	http  *http.Client
-	watch *http.Client
+	nodes       []string
+	fleet       int
+	log         *slog.Logger
+	httpClient  *http.Client
+	watchClient *http.Client
 
-	mu   sync.Mutex
-	at   int // the node that is asked next
-	rand func() float64
+	mu      sync.Mutex
+	current int // the node that is asked next
+	rand    func() float64
 }
 
 // New makes a client of a fleet of so many, for the nodes at these addresses.
@@ -59,40 +59,40 @@
 			return nil, fmt.Errorf("registry: node %q: %w", n, err)
 		}
 	}
-	t := &http.Transport{DialContext: (&net.Dialer{Timeout: connectMax}).DialContext, MaxIdleConnsPerHost: 2,
-		ResponseHeaderTimeout: answerMax, DisableCompression: true, WriteBufferSize: 2 << 10, ReadBufferSize: 2 << 10}
-	c := &Client{nodes: nodes, fleet: fleet, log: log, http: &http.Client{Transport: t, Timeout: answerMax}, watch: &http.Client{Transport: t},
+	t := &http.Transport{DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext, MaxIdleConnsPerHost: 2,
+		ResponseHeaderTimeout: responseTimeout, DisableCompression: true, WriteBufferSize: 2 << 10, ReadBufferSize: 2 << 10}
+	c := &Client{nodes: nodes, fleet: fleet, log: log, httpClient: &http.Client{Transport: t, Timeout: responseTimeout}, watchClient: &http.Client{Transport: t},
 		rand: rand.Float64}
-	c.at = rand.IntN(len(nodes)) // the fleet spreads over the nodes
+	c.current = rand.IntN(len(nodes)) // the fleet spreads over the nodes
 	return c, nil
 }
 
 // Close lets go of idle connections.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
+func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
 func (c *Client) node() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nodes[c.at]
+	return c.nodes[c.current]
 }
 
-// next turns to another node than the one that failed.
-func (c *Client) next(failed string) {
+// rotate turns to another node than the one that failed.
+func (c *Client) rotate(failed string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.nodes[c.at] == failed {
-		c.at = (c.at + 1) % len(c.nodes)
+	if c.nodes[c.current] == failed {
+		c.current = (c.current + 1) % len(c.nodes)
 	}
 }
 
-// pause waits before the next try, the n-th in a row: longer with each, and
+// backoff waits before the next try, the n-th in a row: longer with each, and
 // spread over what a fleet of this size needs to come back one after the other.
-func (c *Client) pause(ctx context.Context, n int) error {
+func (c *Client) backoff(ctx context.Context, n int) error {
 	c.mu.Lock()
 	draw := c.rand()
 	c.mu.Unlock()
-	most := min(pauseLeast<<min(n, 10), pauseMost) + time.Duration(c.fleet)*perClient
-	t := time.NewTimer(pauseLeast/2 + time.Duration(draw*float64(min(most, 2*pauseMost))))
+	most := min(minBackoff<<min(n, 10), maxBackoff) + time.Duration(c.fleet)*backoffPerClient
+	t := time.NewTimer(minBackoff/2 + time.Duration(draw*float64(min(most, 2*maxBackoff))))
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -132,7 +132,7 @@
 	var last error
 	for n := 0; ; n++ {
 		node := c.node()
-		h, err := c.once(ctx, method, "http://"+node+path, request, head, text, out)
+		h, err := c.attempt(ctx, method, "http://"+node+path, request, head, text, out)
 		var refused *RejectedError
 		if err == nil || errors.As(err, &refused) {
 			return h, err
@@ -140,17 +140,17 @@
 		if ctx.Err() == nil {
 			last = err
 		}
-		c.next(node)
+		c.rotate(node)
 		if n < len(c.nodes) && ctx.Err() == nil { // each node once, without a pause
 			continue
 		}
-		if perr := c.pause(ctx, max(0, n-len(c.nodes))); perr != nil {
+		if perr := c.backoff(ctx, max(0, n-len(c.nodes))); perr != nil {
 			return nil, fmt.Errorf("registry: %w (%w)", perr, last)
 		}
 	}
 }
 
-func (c *Client) once(ctx context.Context, method, to, request string, head http.Header, body []byte, out any) (http.Header, error) {
+func (c *Client) attempt(ctx context.Context, method, to, request string, head http.Header, body []byte, out any) (http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, to, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
@@ -159,7 +159,7 @@
 		req.Header[name] = values
 	}
 	req.Header.Set(registry.RequestHeader, request)
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
@@ -220,8 +220,8 @@
 	}
 }
 
-// errBehind is a node that tells of what is older than what was heard.
-var errBehind = errors.New("the node is behind")
+// errStaleNode is a node that tells of what is older than what was heard.
+var errStaleNode = errors.New("the node is behind")
 
 // Follow hears all that changes after a position, until ctx ends. up hears
 // whether a watch is open; either may block, and the watch waits meanwhile.
@@ -229,7 +229,7 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		node := c.node()
 		was := from
-		err := c.follow(ctx, node, &from, news, func() { up(true) })
+		err := c.watchOnce(ctx, node, &from, news, func() { up(true) })
 		up(false)
 		if from != was {
 			n = 0
@@ -238,18 +238,18 @@
 			break
 		}
 		c.log.Debug("watch over", "node", node, "revision", from.Revision, "err", err)
-		c.next(node)
-		if c.pause(ctx, n) != nil {
+		c.rotate(node)
+		if c.backoff(ctx, n) != nil {
 			break
 		}
 	}
 	return ctx.Err()
 }
 
-func (c *Client) follow(ctx context.Context, node string, at *Position, news func(Update), open func()) error {
+func (c *Client) watchOnce(ctx context.Context, node string, at *Position, news func(Update), open func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	quiet := time.AfterFunc(silence, func() { cancel(errors.New("silent")) })
+	quiet := time.AfterFunc(watchSilenceTimeout, func() { cancel(errors.New("silent")) })
 	defer quiet.Stop()
 	q := url.Values{"watch": {"1"}, "from": {strconv.FormatInt(at.Revision, 10)}}
 	if at.Epoch == "" {
@@ -261,7 +261,7 @@
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
 	}
-	resp, err := c.watch.Do(req)
+	resp, err := c.watchClient.Do(req)
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
 	}
@@ -271,9 +271,9 @@
 	}
 	open()
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 0, 1024), lineMost)
+	lines.Buffer(make([]byte, 0, 1024), maxLineBytes)
 	for lines.Scan() {
-		quiet.Reset(silence)
+		quiet.Reset(watchSilenceTimeout)
 		text := bytes.TrimSpace(lines.Bytes())
 		if len(text) == 0 {
 			continue
@@ -284,7 +284,7 @@
 		}
 		next, ok := at.Advance(x)
 		if !ok {
-			return fmt.Errorf("watch: revision %d after %d: %w", x.Revision, at.Revision, errBehind)
+			return fmt.Errorf("watch: revision %d after %d: %w", x.Revision, at.Revision, errStaleNode)
 		}
 		*at = next
 		news(*x)
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.at = 0
+	c.current = 0
 	_, err = c.Do(t.Context(), http.MethodPost, "/x", map[string]int{}, nil)
 	var refused *RejectedError
 	if !errors.As(err, &refused) || refused.Status != 409 || refused.Changed != 7 {
@@ -105,7 +105,7 @@
 		return s.Listener.Addr().String()
 	}
 	c, _ := New([]string{node(5), node(9)}, 1, slog.New(slog.DiscardHandler))
-	c.at = 0
+	c.current = 0
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	c.Follow(ctx, Position{"e", 7}, func(n Update) {
--- a/internal/registry/compat_test.go
+++ b/internal/registry/compat_test.go
@@ -83,7 +83,7 @@
 	t.Helper()
 	c := DefaultConfig()
 	c.DataDir, c.Listen, c.Raft = unpackNode(t), loopback.Free(), loopback.Free()
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		t.Fatal(err)
 	}
 	n, err := Start(&c, quiet())
@@ -217,8 +217,8 @@
 	if err := json.Unmarshal(readBefore(t, "encodings.json"), &before); err != nil {
 		t.Fatal(err)
 	}
-	values := map[string]any{"Command": &Command{}, "Result": &Result{}, "State": &State{}, "line": &line{}, "Registration": &Registration{},
-		"ZoneStatus": &ZoneStatus{}, "Heartbeat": &Heartbeat{}, "Status": &Status{}, "problem": &problem{},
+	values := map[string]any{"Command": &Command{}, "Result": &Result{}, "State": &State{}, "line": &watchLine{}, "Registration": &Registration{},
+		"ZoneStatus": &ZoneStatus{}, "Heartbeat": &Heartbeat{}, "Status": &Status{}, "problem": &errorResponse{},
 		"SessionRequest": &SessionRequest{}, "RoleRequest": &RoleRequest{}, "RoleList": &RoleList{}}
 	if len(values) != len(before) {
 		t.Errorf("%d types, %d were written", len(values), len(before))
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -73,8 +73,8 @@
 	// passed over, under their earlier names.
 	DeprecatedVariables []DeprecatedVariable `toml:"-"`
 
-	tune func(*raft.Config)                // tests alone
-	logs func(raft.LogStore) raft.LogStore // tests alone
+	tuneRaft     func(*raft.Config)                // tests alone
+	wrapLogStore func(raft.LogStore) raft.LogStore // tests alone
 }
 
 // ExpiryGuard bounds how much the list may lose at once.
@@ -122,7 +122,7 @@
 		}
 	}
 	c.readEnvironment(getenv)
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		if path != "" {
 			return nil, fmt.Errorf("config: %s: %w", path, err)
 		}
@@ -175,7 +175,7 @@
 	return fmt.Errorf("config: %s: %w", path, err)
 }
 
-func (c *Config) check() error {
+func (c *Config) validate() error {
 	if c.ID == "" {
 		return errors.New("id: missing")
 	}
--- a/internal/registry/duties.go
+++ b/internal/registry/duties.go
@@ -34,9 +34,9 @@
 const (
 	// Grants come far slower than this, so an epoch that begins later has the
 	// greater tokens, whatever its backup knew.
-	tokensASecond = 1 << 10
-	noteMost      = 4 << 10 // kept in answers, too: what is longer belongs into an order
-	dutiesMost    = 10000
+	tokensPerSecond = 1 << 10
+	maxNoteBytes    = 4 << 10 // kept in answers, too: what is longer belongs into an order
+	maxRoles        = 10000
 )
 
 // applyDuty takes a command of sessions and duties, and refuses any other whose
@@ -59,14 +59,14 @@
 		return s.grant(c), true
 	case OpDisable:
 		d, known := s.Roles[c.Role]
-		if !known && len(s.Roles) >= dutiesMost {
-			return Result{Status: http.StatusConflict, Error: fmt.Sprintf("duties: %d at most", dutiesMost)}, true
+		if !known && len(s.Roles) >= maxRoles {
+			return Result{Status: http.StatusConflict, Error: fmt.Sprintf("duties: %d at most", maxRoles)}, true
 		}
 		d.Name, d.Disabled = c.Role, c.Disabled
 		if c.Disabled && d.Holder != "" {
 			d.Holder, d.ReleasedAt = "", c.At
 		}
-		s.setDuty(d)
+		s.putRole(d)
 		return ok, true
 	}
 	if c.Role == "" {
@@ -97,7 +97,7 @@
 	default:
 		return Result{}, false // its fence holds
 	}
-	s.setDuty(d)
+	s.putRole(d)
 	ok.Token = d.Token
 	return ok, true
 }
@@ -116,7 +116,7 @@
 			continue
 		}
 		d.Holder, d.ReleasedAt = "", c.At
-		if c.Failed && c.lasted(&d) > 2*x.TTL {
+		if c.Failed && c.leaseDuration(&d) > 2*x.TTL {
 			d.Failures = 1 // it had gone well until a time to live ago
 		} else if c.Failed {
 			d.Failures++
@@ -125,9 +125,9 @@
 	}
 }
 
-// lasted is how long a duty was held by a session that ends. The dates of an older
+// leaseDuration is how long a duty was held by a session that ends. The dates of an older
 // leader's commands are all that tells it there, and may have been set meanwhile.
-func (c *Command) lasted(d *Role) time.Duration {
+func (c *Command) leaseDuration(d *Role) time.Duration {
 	ms := c.At - d.GrantedAt
 	if c.LeaseDurations != nil {
 		ms = c.LeaseDurations[d.Name]
@@ -135,7 +135,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-func (s *State) setDuty(d Role) {
+func (s *State) putRole(d Role) {
 	s.RoleRevision++
 	s.Roles[d.Name] = d
 }
@@ -150,22 +150,22 @@
 	switch {
 	case !ok:
 		return refuse(http.StatusNotFound, "session %s is unknown", c.Session.ID)
-	case !known && len(s.Roles) >= dutiesMost:
-		return refuse(http.StatusConflict, "duties: %d at most", dutiesMost)
+	case !known && len(s.Roles) >= maxRoles:
+		return refuse(http.StatusConflict, "duties: %d at most", maxRoles)
 	case d.Disabled:
 		return refuse(http.StatusConflict, "duty %s is held by the operators", c.Role)
 	case d.Holder != "":
 		return refuse(http.StatusConflict, "duty %s is held by %s", c.Role, d.Controller)
-	case d.Successor != "" && d.Successor != holder.Controller && s.hasWarden(d.Successor):
+	case d.Successor != "" && d.Successor != holder.Controller && s.hasController(d.Successor):
 		return refuse(http.StatusConflict, "duty %s is left to %s", c.Role, d.Successor)
 	}
 	s.LastToken++
 	d.Name, d.Holder, d.Controller, d.Token, d.Term, d.Successor, d.GrantedAt = c.Role, holder.ID, holder.Controller, s.LastToken, d.Term+1, "", c.At
-	s.setDuty(d)
+	s.putRole(d)
 	return Result{Status: http.StatusOK, Token: d.Token, Note: d.Note, Term: d.Term}
 }
 
-func (s *State) hasWarden(name string) bool {
+func (s *State) hasController(name string) bool {
 	for _, x := range s.Sessions {
 		if x.Controller == name {
 			return true
@@ -181,7 +181,7 @@
 	Sessions []Session `json:"sessions"`
 }
 
-func (s *State) dutyList() RoleList {
+func (s *State) roleList() RoleList {
 	l := RoleList{Revision: s.RoleRevision, Roles: []Role{}, Sessions: []Session{}}
 	for _, d := range s.Roles {
 		l.Roles = append(l.Roles, d)
--- a/internal/registry/duties_api.go
+++ b/internal/registry/duties_api.go
@@ -22,9 +22,9 @@
 const FenceHeader = "Duty-Fence"
 
 const (
-	sessionLeast = 300 * time.Millisecond // a shorter time to live would end with every election
-	sessionMost  = 5 * time.Minute
-	dutyWaitMost = 20 * time.Second
+	minSessionTTL = 300 * time.Millisecond // a shorter time to live would end with every election
+	maxSessionTTL = 5 * time.Minute
+	maxRolesWait  = 20 * time.Second
 )
 
 // SessionRequest opens a session.
@@ -46,74 +46,74 @@
 	Disabled  bool   `json:"off,omitempty"`  // hold
 }
 
-func (n *Node) dutyRoutes(mux *http.ServeMux) {
+func (n *Node) roleRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+SessionsPath, n.leaderOnly(n.postSession))
-	mux.HandleFunc("POST "+SessionsPath+"/{id}/renew", n.leaderOnly(n.postRenew))
+	mux.HandleFunc("POST "+SessionsPath+"/{id}/renew", n.leaderOnly(n.postRenewSession))
 	mux.HandleFunc("DELETE "+SessionsPath+"/{id}", n.leaderOnly(n.deleteSession))
-	mux.HandleFunc("GET "+RolesPath, n.getDuties)
-	mux.HandleFunc("POST "+ExpirePath, n.leaderOnly(n.postLapse))
+	mux.HandleFunc("GET "+RolesPath, n.getRoles)
+	mux.HandleFunc("POST "+ExpirePath, n.leaderOnly(n.postExpire))
 	for op, path := range map[Op]string{OpGrant: "grant", OpNote: "note", OpRelease: "release", OpDisable: "hold"} {
-		mux.HandleFunc("POST "+RolesPath+"/{name}/"+path, n.leaderOnly(func(w http.ResponseWriter, r *http.Request) { n.postDuty(w, r, op) }))
+		mux.HandleFunc("POST "+RolesPath+"/{name}/"+path, n.leaderOnly(func(w http.ResponseWriter, r *http.Request) { n.postRoleCommand(w, r, op) }))
 	}
 }
 
 func (n *Node) postSession(w http.ResponseWriter, r *http.Request) {
 	var x SessionRequest
-	if !read(w, r, &x) {
+	if !decodeBody(w, r, &x) {
 		return
 	}
 	ttl := time.Duration(x.TTLMS) * time.Millisecond
 	switch {
-	case x.ID == "" || len(x.ID) > idMost || x.Controller == "" || len(x.Controller) > idMost:
-		refuse(w, http.StatusBadRequest, "id, warden: 1 to %d bytes are wanted", idMost)
+	case x.ID == "" || len(x.ID) > maxIDBytes || x.Controller == "" || len(x.Controller) > maxIDBytes:
+		writeError(w, http.StatusBadRequest, "id, warden: 1 to %d bytes are wanted", maxIDBytes)
 		return
-	case ttl < sessionLeast || ttl > sessionMost:
-		refuse(w, http.StatusBadRequest, "ttl_ms: %d; from %d to %d", x.TTLMS, sessionLeast.Milliseconds(), sessionMost.Milliseconds())
+	case ttl < minSessionTTL || ttl > maxSessionTTL:
+		writeError(w, http.StatusBadRequest, "ttl_ms: %d; from %d to %d", x.TTLMS, minSessionTTL.Milliseconds(), maxSessionTTL.Milliseconds())
 		return
 	}
-	n.hearts.session(x.ID)
-	n.settle(w, r, Command{Op: OpSession, Session: Session{x.ID, x.Controller, ttl}})
+	n.heartbeats.recordSession(x.ID)
+	n.applyAndRespond(w, r, Command{Op: OpSession, Session: Session{x.ID, x.Controller, ttl}})
 }
 
-// postRenew keeps a session. Only a leader that a majority still follows may say
+// postRenewSession keeps a session. Only a leader that a majority still follows may say
 // so: one that was deposed and does not know yet would keep a session that the
 // next one ends.
-func (n *Node) postRenew(w http.ResponseWriter, r *http.Request) {
+func (n *Node) postRenewSession(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if n.store.hasSession(id) && n.hearts.session(id) {
-		if err := n.await(n.raft.VerifyLeader()); err != nil {
-			refuse(w, http.StatusServiceUnavailable, "%v", err)
+	if n.store.hasSession(id) && n.heartbeats.recordSession(id) {
+		if err := n.awaitFuture(n.raft.VerifyLeader()); err != nil {
+			writeError(w, http.StatusServiceUnavailable, "%v", err)
 			return
 		}
 	}
 	if !n.store.hasSession(id) {
-		refuse(w, http.StatusNotFound, "session %s is unknown", id)
+		writeError(w, http.StatusNotFound, "session %s is unknown", id)
 		return
 	}
-	say(w, http.StatusOK, Result{Status: http.StatusOK})
+	writeJSON(w, http.StatusOK, Result{Status: http.StatusOK})
 }
 
 func (n *Node) deleteSession(w http.ResponseWriter, r *http.Request) {
-	n.settle(w, r, Command{Op: OpSessionEnd, EndedSessions: []string{r.PathValue("id")}})
+	n.applyAndRespond(w, r, Command{Op: OpSessionEnd, EndedSessions: []string{r.PathValue("id")}})
 }
 
-// getDuties gives all duties; with after, once they are of another revision, or
+// getRoles gives all duties; with after, once they are of another revision, or
 // wait_ms is over.
-func (n *Node) getDuties(w http.ResponseWriter, r *http.Request) {
+func (n *Node) getRoles(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt("0"+r.URL.Query().Get("after"), 10, 64)
 	ms, werr := strconv.ParseInt("0"+r.URL.Query().Get("wait_ms"), 10, 64)
 	if err = errors.Join(err, werr); err != nil {
-		refuse(w, http.StatusBadRequest, "after, wait_ms: %v", err)
+		writeError(w, http.StatusBadRequest, "after, wait_ms: %v", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), min(time.Duration(ms)*time.Millisecond, dutyWaitMost))
+	ctx, cancel := context.WithTimeout(r.Context(), min(time.Duration(ms)*time.Millisecond, maxRolesWait))
 	defer cancel()
 	for {
-		l, changed := n.store.duties()
+		l, changed := n.store.roleList()
 		if l.Revision != after || ctx.Err() != nil || n.ctx.Err() != nil {
 			epoch, revision, _ := n.store.position()
-			n.mark(w, epoch, revision)
-			say(w, http.StatusOK, l)
+			n.setListHeaders(w, epoch, revision)
+			writeJSON(w, http.StatusOK, l)
 			return
 		}
 		select {
@@ -124,39 +124,39 @@
 	}
 }
 
-func (n *Node) postDuty(w http.ResponseWriter, r *http.Request, op Op) {
+func (n *Node) postRoleCommand(w http.ResponseWriter, r *http.Request, op Op) {
 	var x RoleRequest
-	if !read(w, r, &x) {
+	if !decodeBody(w, r, &x) {
 		return
 	}
 	name := r.PathValue("name")
-	if len(name) > idMost || len(x.Note) > noteMost || len(x.Successor) > idMost {
-		refuse(w, http.StatusBadRequest, "name, next: %d bytes at most; note: %d", idMost, noteMost)
+	if len(name) > maxIDBytes || len(x.Note) > maxNoteBytes || len(x.Successor) > maxIDBytes {
+		writeError(w, http.StatusBadRequest, "name, next: %d bytes at most; note: %d", maxIDBytes, maxNoteBytes)
 		return
 	}
-	n.settle(w, r, Command{Op: op, Role: name, Session: Session{ID: x.Session}, Token: x.Token, Note: x.Note, Successor: x.Successor, Healthy: x.Healthy, Failed: x.Failed, LeaseLost: x.LeaseLost, Disabled: x.Disabled})
+	n.applyAndRespond(w, r, Command{Op: op, Role: name, Session: Session{ID: x.Session}, Token: x.Token, Note: x.Note, Successor: x.Successor, Healthy: x.Healthy, Failed: x.Failed, LeaseLost: x.LeaseLost, Disabled: x.Disabled})
 }
 
-// postLapse ends the registrations that are due, as an effect of a duty.
-func (n *Node) postLapse(w http.ResponseWriter, r *http.Request) {
+// postExpire ends the registrations that are due, as an effect of a duty.
+func (n *Node) postExpire(w http.ResponseWriter, r *http.Request) {
 	var c Command
-	if err := fence(r, &c); err != nil || c.Role == "" {
-		refuse(w, http.StatusBadRequest, "%s: NAME=TOKEN is wanted", FenceHeader)
+	if err := readFence(r, &c); err != nil || c.Role == "" {
+		writeError(w, http.StatusBadRequest, "%s: NAME=TOKEN is wanted", FenceHeader)
 		return
 	}
-	count, a, err := n.hearts.look(n.cfg.Clock.Mono(), c)
+	count, a, err := n.heartbeats.expireMembers(n.cfg.Clock.Mono(), c)
 	switch {
 	case err != nil:
-		refuse(w, http.StatusServiceUnavailable, "%v", err)
+		writeError(w, http.StatusServiceUnavailable, "%v", err)
 	case a.Status != http.StatusOK:
-		say(w, a.Status, problem{a.Error, a.Changed, a.Token})
+		writeJSON(w, a.Status, errorResponse{a.Error, a.Changed, a.Token})
 	default:
-		say(w, http.StatusOK, map[string]int{"lapsed": count})
+		writeJSON(w, http.StatusOK, map[string]int{"lapsed": count})
 	}
 }
 
-// fence reads the header of a duty's effect into a command.
-func fence(r *http.Request, c *Command) error {
+// readFence reads the header of a duty's effect into a command.
+func readFence(r *http.Request, c *Command) error {
 	text := r.Header.Get(FenceHeader)
 	if text == "" || c.Role != "" {
 		return nil
--- a/internal/registry/group_test.go
+++ b/internal/registry/group_test.go
@@ -57,7 +57,7 @@
 	for _, p := range peers {
 		c := DefaultConfig()
 		c.ID, c.DataDir, c.Listen, c.Raft, c.Peers = p.ID, filepath.Join(t.TempDir(), "data"), p.HTTP, p.Raft, peers
-		if err := c.check(); err != nil {
+		if err := c.validate(); err != nil {
 			t.Fatal(err)
 		}
 		tune(&c)
@@ -177,7 +177,7 @@
 	g.t.Helper()
 	waitFor(g.t, "a leader that is up to date", func() bool {
 		n = g.leaderNow()
-		return n != nil && n.linear() == nil
+		return n != nil && n.catchUp() == nil
 	})
 	return n
 }
@@ -343,7 +343,7 @@
 	if len(members) != 1 || now == epoch || after <= revision {
 		t.Errorf("%d members at %d of %s, before %d of %s", len(members), after, now, revision, epoch)
 	}
-	lines, _, _, _ := n.store.since(epoch, revision)
+	lines, _, _, _ := n.store.changesSince(epoch, revision)
 	if len(lines) != 1 || !strings.Contains(string(lines[0]), `"complete":true`) {
 		t.Errorf("a watcher of before hears %s", lines)
 	}
@@ -364,7 +364,7 @@
 		status             int
 		says               string
 	}{
-		{"POST", MembersPath, strings.Repeat("x", bodyMost+1), 413, "bytes"},
+		{"POST", MembersPath, strings.Repeat("x", maxBodyBytes+1), 413, "bytes"},
 		{"POST", MembersPath, `{"id":`, 400, "body"},
 		{"POST", MembersPath, `{"id":7}`, 400, "id"},
 		{"POST", MembersPath, `{"id":"","address":"127.0.0.1:1"}`, 400, "id"},
@@ -434,7 +434,7 @@
 func TestAFullDiskStopsWritesNotReads(t *testing.T) {
 	t.Parallel()
 	full := &atomic.Bool{}
-	g := startTuned(t, 1, func(c *Config) { c.logs = func(s raft.LogStore) raft.LogStore { return fullDisk{s, full} } })
+	g := startTuned(t, 1, func(c *Config) { c.wrapLogStore = func(s raft.LogStore) raft.LogStore { return fullDisk{s, full} } })
 	n := g.nodes[0]
 	if status, _, text := ask(t, n, "POST", MembersPath, "q1", anEndpoint); status != 200 {
 		t.Fatal(status, text)
@@ -537,7 +537,7 @@
 func TestANodeBehindInstallsASnapshotUnderLoad(t *testing.T) {
 	t.Parallel()
 	g := startTuned(t, 3, func(c *Config) {
-		c.tune = func(r *raft.Config) {
+		c.tuneRaft = func(r *raft.Config) {
 			r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = 64, 8, 50*time.Millisecond
 		}
 	})
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -27,16 +27,16 @@
 // Figures of the group. A leader that died is followed by another well within
 // 1.5 s: a follower waits between one and two times the heartbeat, then votes.
 const (
-	heartbeat    = 300 * time.Millisecond
-	leaderLease  = 250 * time.Millisecond // shorter than heartbeat: a leader that is cut off steps down first
-	commitEvery  = 5 * time.Millisecond
-	applyWait    = 2 * time.Second
-	raftConns    = 3
-	raftWait     = time.Second
-	snapshotKept = 2
-	snapshotLogs = 8192            // commands after which the log is cut
-	trailing     = 2048            // of them, kept for nodes that are a little behind
-	staleAfter   = 2 * time.Second // without word from a leader, reads are marked stale
+	raftHeartbeatTimeout = 300 * time.Millisecond
+	raftLeaderLease      = 250 * time.Millisecond // shorter than heartbeat: a leader that is cut off steps down first
+	raftCommitInterval   = 5 * time.Millisecond
+	applyTimeout         = 2 * time.Second
+	raftConnsPerPeer     = 3
+	raftIOTimeout        = time.Second
+	retainedSnapshots    = 2
+	snapshotThreshold    = 8192            // commands after which the log is cut
+	trailingLogs         = 2048            // of them, kept for nodes that are a little behind
+	staleAfter           = 2 * time.Second // without word from a leader, reads are marked stale
 )
 
 // Errors of a node.
@@ -47,23 +47,23 @@
 
 // Node is one node of a group. Close ends it.
 type Node struct {
-	cfg    *Config
-	log    *slog.Logger
-	store  *store
-	began  time.Time
-	raft   *raft.Raft
-	bolt   *raftboltdb.BoltStore
-	http   *http.Server
-	ln     net.Listener
-	opLn   net.Listener
-	op     *http.Server
-	hearts *hearts
-	figs   *figures
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	mu     sync.Mutex // of closed
-	closed bool
+	cfg              *Config
+	log              *slog.Logger
+	store            *store
+	startedAt        time.Time
+	raft             *raft.Raft
+	bolt             *raftboltdb.BoltStore
+	server           *http.Server
+	listener         net.Listener
+	operatorListener net.Listener
+	operatorServer   *http.Server
+	heartbeats       *heartbeatMonitor
+	metrics          *metrics
+	ctx              context.Context
+	cancel           context.CancelFunc
+	wg               sync.WaitGroup
+	mu               sync.Mutex // of closed
+	closed           bool
 
 	watchers atomic.Int64
 }
@@ -77,11 +77,11 @@
 
 // Start opens a node's store and serves.
 func Start(cfg *Config, log *slog.Logger) (_ *Node, err error) {
-	n := &Node{cfg: cfg, log: log, store: newStore(), began: cfg.Clock.Mono()}
+	n := &Node{cfg: cfg, log: log, store: newStore(), startedAt: cfg.Clock.Mono()}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.hearts = newHearts(n)
-	n.figs = newFigures(n)
-	n.store.applied = n.figs.apply
+	n.heartbeats = newHeartbeatMonitor(n)
+	n.metrics = newMetrics(n)
+	n.store.onApplied = n.metrics.countCommand
 	defer func() {
 		if err != nil {
 			n.Close()
@@ -91,25 +91,25 @@
 		return nil, fmt.Errorf("data: %w", err)
 	}
 	// The address first: a second process over one folder ends here, not in the store's lock.
-	if n.ln, err = net.Listen("tcp", cfg.Listen); err != nil {
+	if n.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	if err := n.open(); err != nil {
+	if err := n.openRaft(); err != nil {
 		return nil, err
 	}
-	n.http = &http.Server{Handler: n.routes(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute,
+	n.server = &http.Server{Handler: n.routes(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
-	n.serve(n.http, n.ln)
+	n.serve(n.server, n.listener)
 	if cfg.Operator != "" {
-		if n.opLn, err = net.Listen("tcp", cfg.Operator); err != nil {
+		if n.operatorListener, err = net.Listen("tcp", cfg.Operator); err != nil {
 			return nil, fmt.Errorf("operator: %w", err)
 		}
-		n.op = &http.Server{Handler: n.figs.routes(), ReadHeaderTimeout: 5 * time.Second}
-		n.serve(n.op, n.opLn)
+		n.operatorServer = &http.Server{Handler: n.metrics.routes(), ReadHeaderTimeout: 5 * time.Second}
+		n.serve(n.operatorServer, n.operatorListener)
 	}
 	n.wg.Add(1)
-	go func() { defer n.wg.Done(); n.lead() }()
-	log.Info("serving", "id", cfg.ID, "listen", n.ln.Addr().String(), "nodes", len(cfg.Peers))
+	go func() { defer n.wg.Done(); n.runLeaderTasks() }()
+	log.Info("serving", "id", cfg.ID, "listen", n.listener.Addr().String(), "nodes", len(cfg.Peers))
 	return n, nil
 }
 
@@ -122,17 +122,17 @@
 }
 
 // Addr is where the node listens.
-func (n *Node) Addr() string { return n.ln.Addr().String() }
+func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// open begins or takes up the node's part in the group.
-func (n *Node) open() error {
+// openRaft begins or takes up the node's part in the group.
+func (n *Node) openRaft() error {
 	path := filepath.Join(n.cfg.DataDir, "raft.db")
 	bolt, err := openBolt(path)
 	if err != nil {
 		return err
 	}
 	n.bolt = bolt
-	snaps, err := raft.NewFileSnapshotStore(n.cfg.DataDir, snapshotKept, io.Discard)
+	snaps, err := raft.NewFileSnapshotStore(n.cfg.DataDir, retainedSnapshots, io.Discard)
 	if err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
@@ -143,21 +143,21 @@
 	// Nodes are known by their ids; where each is to be reached is this node's
 	// configuration's to say, so an address may change and may differ from node to node.
 	transport, err := raft.NewTCPTransportWithConfig(n.cfg.Raft, addr, &raft.NetworkTransportConfig{ServerAddressProvider: n,
-		MaxPool: raftConns, Timeout: raftWait, Logger: hclog.NewNullLogger()})
+		MaxPool: raftConnsPerPeer, Timeout: raftIOTimeout, Logger: hclog.NewNullLogger()})
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
 	}
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(n.cfg.ID)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = heartbeat, heartbeat, leaderLease, commitEvery
-	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = snapshotLogs, trailing, 10*time.Second
-	c.Logger = hclog.New(&hclog.LoggerOptions{Output: logWriter{n.log}, Level: hclog.Warn, DisableTime: true})
-	if n.cfg.tune != nil {
-		n.cfg.tune(c)
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = raftHeartbeatTimeout, raftHeartbeatTimeout, raftLeaderLease, raftCommitInterval
+	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = snapshotThreshold, trailingLogs, 10*time.Second
+	c.Logger = hclog.New(&hclog.LoggerOptions{Output: raftLogWriter{n.log}, Level: hclog.Warn, DisableTime: true})
+	if n.cfg.tuneRaft != nil {
+		n.cfg.tuneRaft(c)
 	}
 	var logs raft.LogStore = bolt
-	if n.cfg.logs != nil {
-		logs = n.cfg.logs(logs)
+	if n.cfg.wrapLogStore != nil {
+		logs = n.cfg.wrapLogStore(logs)
 	}
 	cache, err := raft.NewLogCache(512, logs)
 	if err != nil {
@@ -214,9 +214,9 @@
 	return b, nil
 }
 
-type logWriter struct{ log *slog.Logger }
+type raftLogWriter struct{ log *slog.Logger }
 
-func (w logWriter) Write(p []byte) (int, error) {
+func (w raftLogWriter) Write(p []byte) (int, error) {
 	w.log.Warn("raft", "says", string(p[:max(0, len(p)-1)]))
 	return len(p), nil
 }
@@ -227,12 +227,12 @@
 	n.closed = true
 	n.mu.Unlock()
 	n.cancel()
-	for _, s := range []*http.Server{n.http, n.op} {
+	for _, s := range []*http.Server{n.server, n.operatorServer} {
 		if s != nil {
 			s.Close()
 		}
 	}
-	for _, ln := range []net.Listener{n.ln, n.opLn} {
+	for _, ln := range []net.Listener{n.listener, n.operatorListener} {
 		if ln != nil {
 			ln.Close()
 		}
@@ -248,8 +248,8 @@
 	}
 }
 
-// own runs f on a goroutine that Close waits for; false once the node is closed.
-func (n *Node) own(f func()) bool {
+// startTask runs f on a goroutine that Close waits for; false once the node is closed.
+func (n *Node) startTask(f func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -271,9 +271,9 @@
 	return "", false
 }
 
-// stale tells whether this node has been without word from a leader for so
+// isStale tells whether this node has been without word from a leader for so
 // long that what it says may be old.
-func (n *Node) stale() bool {
+func (n *Node) isStale() bool {
 	if n.raft.State() == raft.Leader {
 		return false // a leader that is cut off steps down within its lease
 	}
@@ -282,11 +282,11 @@
 }
 
 // uptime is how long it runs, by its clock.
-func (n *Node) uptime() time.Duration { return n.cfg.Clock.Mono().Sub(n.began) }
+func (n *Node) uptime() time.Duration { return n.cfg.Clock.Mono().Sub(n.startedAt) }
 
-// await waits for what raft makes of something, or for this node's end: what raft
+// awaitFuture waits for what raft makes of something, or for this node's end: what raft
 // had not taken up when it was shut down it never answers.
-func (n *Node) await(f raft.Future) error {
+func (n *Node) awaitFuture(f raft.Future) error {
 	done := make(chan error, 1)
 	go func() { done <- f.Error() }() // ends with raft's answer; without one, with the process
 	select {
@@ -305,8 +305,8 @@
 	if err != nil {
 		return Result{}, fmt.Errorf("command: %w", err)
 	}
-	f := n.raft.Apply(text, applyWait)
-	if err := n.await(f); err != nil {
+	f := n.raft.Apply(text, applyTimeout)
+	if err := n.awaitFuture(f); err != nil {
 		return Result{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
 	a, ok := f.Response().(Result)
@@ -316,33 +316,33 @@
 	return a, nil
 }
 
-// lead does what only a leader does, from when this node is one until it is
+// runLeaderTasks does what only a leader does, from when this node is one until it is
 // not any more.
-func (n *Node) lead() {
+func (n *Node) runLeaderTasks() {
 	var looked time.Time
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
 		case leads := <-n.raft.LeaderCh():
-			n.hearts.reset()
+			n.heartbeats.reset()
 			if !leads {
 				n.log.Info("no longer the leader")
 				continue
 			}
 			n.log.Info("leader", "term", n.raft.CurrentTerm())
-			n.begin()
-		case <-time.After(sessionEvery):
+			n.initializeGroup()
+		case <-time.After(sessionCheckInterval):
 			if n.raft.State() != raft.Leader {
 				continue
 			}
-			n.hearts.lookSessions()
-			if now := n.cfg.Clock.Mono(); now.Sub(looked) >= lapseEvery {
+			n.heartbeats.expireSessions()
+			if now := n.cfg.Clock.Mono(); now.Sub(looked) >= memberCheckInterval {
 				looked = now
 				if n.cfg.ExpiryGuard.ExpiredBy == "duty" {
 					continue
 				}
-				if _, _, err := n.hearts.look(now, Command{}); err != nil {
+				if _, _, err := n.heartbeats.expireMembers(now, Command{}); err != nil {
 					n.log.Warn("registrations not ended", "err", err)
 				}
 			}
@@ -350,10 +350,10 @@
 	}
 }
 
-// begin gives a new group its epoch and its static members. Until the log
+// initializeGroup gives a new group its epoch and its static members. Until the log
 // before is applied here nothing can be said of either.
-func (n *Node) begin() {
-	if err := n.await(n.raft.Barrier(applyWait)); err != nil {
+func (n *Node) initializeGroup() {
+	if err := n.awaitFuture(n.raft.Barrier(applyTimeout)); err != nil {
 		return // lost again: the next leader sees to it
 	}
 	members, epoch, _ := n.store.members()
--- a/internal/registry/orders.go
+++ b/internal/registry/orders.go
@@ -32,15 +32,15 @@
 // below that for the duty's holder.
 const OperationsPath = "/v1/orders"
 
-const ordersMost = 1000
+const maxOperations = 1000
 
-// order takes an order of the operators, or a new wish of one that is known.
-func (s *State) order(c *Command) Result {
+// putOperation takes an order of the operators, or a new wish of one that is known.
+func (s *State) putOperation(c *Command) Result {
 	key := c.Operation.Kind + "/" + c.Operation.Name
 	o, known := s.Operations[key]
 	switch {
-	case !known && len(s.Operations) >= ordersMost:
-		return Result{Status: http.StatusConflict, Error: fmt.Sprintf("orders: %d at most", ordersMost)}
+	case !known && len(s.Operations) >= maxOperations:
+		return Result{Status: http.StatusConflict, Error: fmt.Sprintf("orders: %d at most", maxOperations)}
 	case !known && len(c.Operation.Spec) == 0:
 		return Result{Status: http.StatusNotFound, Error: fmt.Sprintf("order %s is unknown", key)}
 	case known && len(c.Operation.Spec) > 0 && string(c.Operation.Spec) != string(o.Spec):
@@ -53,9 +53,9 @@
 	return Result{Status: http.StatusOK}
 }
 
-// progress takes word of an order from the holder of its duty, whose fence was
+// reportProgress takes word of an order from the holder of its duty, whose fence was
 // checked before.
-func (s *State) progress(c *Command) Result {
+func (s *State) reportProgress(c *Command) Result {
 	key := c.Operation.Kind + "/" + c.Operation.Name
 	o, known := s.Operations[key]
 	switch {
@@ -69,7 +69,7 @@
 	return Result{Status: http.StatusOK}
 }
 
-func (s *store) orders() []Operation {
+func (s *store) operations() []Operation {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	all := []Operation{}
@@ -80,28 +80,28 @@
 	return all
 }
 
-func (n *Node) orderRoutes(mux *http.ServeMux) {
+func (n *Node) operationRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+OperationsPath, func(w http.ResponseWriter, _ *http.Request) {
 		epoch, revision, _ := n.store.position()
-		n.mark(w, epoch, revision)
-		say(w, http.StatusOK, n.store.orders())
+		n.setListHeaders(w, epoch, revision)
+		writeJSON(w, http.StatusOK, n.store.operations())
 	})
-	mux.HandleFunc("PUT "+OperationsPath+"/{kind}/{name}", n.leaderOnly(func(w http.ResponseWriter, r *http.Request) { n.putOrder(w, r, OpOperation) }))
-	mux.HandleFunc("POST "+OperationsPath+"/{kind}/{name}/progress", n.leaderOnly(func(w http.ResponseWriter, r *http.Request) { n.putOrder(w, r, OpProgress) }))
+	mux.HandleFunc("PUT "+OperationsPath+"/{kind}/{name}", n.leaderOnly(func(w http.ResponseWriter, r *http.Request) { n.putOperation(w, r, OpOperation) }))
+	mux.HandleFunc("POST "+OperationsPath+"/{kind}/{name}/progress", n.leaderOnly(func(w http.ResponseWriter, r *http.Request) { n.putOperation(w, r, OpProgress) }))
 }
 
-func (n *Node) putOrder(w http.ResponseWriter, r *http.Request, op Op) {
+func (n *Node) putOperation(w http.ResponseWriter, r *http.Request, op Op) {
 	var o Operation
-	if !read(w, r, &o) {
+	if !decodeBody(w, r, &o) {
 		return
 	}
 	o.Kind, o.Name = r.PathValue("kind"), r.PathValue("name")
 	switch {
-	case len(o.Kind)+len(o.Name) > idMost:
-		refuse(w, http.StatusBadRequest, "kind, name: %d bytes at most", idMost)
+	case len(o.Kind)+len(o.Name) > maxIDBytes:
+		writeError(w, http.StatusBadRequest, "kind, name: %d bytes at most", maxIDBytes)
 	case op == OpOperation && o.DesiredState != DesiredRun && o.DesiredState != DesiredPause && o.DesiredState != DesiredAbort:
-		refuse(w, http.StatusBadRequest, "wish: %q; %s, %s and %s are allowed", o.DesiredState, DesiredRun, DesiredPause, DesiredAbort)
+		writeError(w, http.StatusBadRequest, "wish: %q; %s, %s and %s are allowed", o.DesiredState, DesiredRun, DesiredPause, DesiredAbort)
 	default:
-		n.settle(w, r, Command{Op: op, Operation: o})
+		n.applyAndRespond(w, r, Command{Op: op, Operation: o})
 	}
 }
--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -17,7 +17,7 @@
 	"plovershore/internal/registry/client"
 )
 
-const waitMost = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 // Quiet is a log that nobody reads.
 func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
@@ -25,7 +25,7 @@
 // WaitFor waits for a condition, and fails the test where it never comes.
 func WaitFor(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitMost); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if cond() {
 			return
 		}
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -19,7 +19,7 @@
 // have a time to live.
 func listedNode(members int) *Node {
 	n := &Node{cfg: &Config{}, store: newStore(), log: quiet()}
-	n.hearts = newHearts(n)
+	n.heartbeats = newHeartbeatMonitor(n)
 	for i := range members {
 		id := fmt.Sprint("s-", i)
 		n.store.state.Members[id] = Member{Member: discovery.Member{ID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", i+1), Phase: discovery.Up},
@@ -46,17 +46,17 @@
 	beat := func() {
 		r := httptest.NewRequest(http.MethodPost, HeartbeatsPath, strings.NewReader(`[{"id":"s-30999","holder":"h"}]`))
 		w := httptest.NewRecorder()
-		n.postBeats(w, r)
+		n.postHeartbeats(w, r)
 		if w.Code != http.StatusOK || strings.TrimSpace(w.Body.String()) != `{"unknown":[]}` {
 			t.Fatalf("%d %s", w.Code, w.Body)
 		}
 	}
 	now := time.Now()
-	n.hearts.due(n.store.eachMember(), now) // hears of every member for the first time
+	n.heartbeats.dueMembers(n.store.eachMember(), now) // hears of every member for the first time
 	for _, x := range []struct {
 		what string
 		call func()
-	}{{"a heartbeat", beat}, {"a look for what lapses", func() { n.hearts.due(n.store.eachMember(), now) }},
+	}{{"a heartbeat", beat}, {"a look for what lapses", func() { n.heartbeats.dueMembers(n.store.eachMember(), now) }},
 		{"the list's position", func() { n.store.position() }}} {
 		if got := allocatedBy(20, x.call); got > 64<<10 {
 			t.Errorf("%s allocates %d bytes with %d members", x.what, got, targetMembers)
@@ -71,11 +71,11 @@
 	r := httptest.NewRequest(http.MethodPost, HeartbeatsPath,
 		strings.NewReader(`[{"id":"s-0","holder":"h"},{"id":"s-1","holder":"x"},{"id":"s-9","holder":"h"},{"id":"s-2","holder":"h"}]`))
 	w := httptest.NewRecorder()
-	n.postBeats(w, r)
+	n.postHeartbeats(w, r)
 	if got := strings.TrimSpace(w.Body.String()); got != `{"unknown":["s-1","s-9"]}` {
 		t.Errorf("unknown: %s", got)
 	}
-	if len(n.hearts.heard) != 2 || n.hearts.heard["s-0"].IsZero() || n.hearts.heard["s-2"].IsZero() {
-		t.Errorf("heard of %v", n.hearts.heard)
+	if len(n.heartbeats.lastHeartbeat) != 2 || n.heartbeats.lastHeartbeat["s-0"].IsZero() || n.heartbeats.lastHeartbeat["s-2"].IsZero() {
+		t.Errorf("heard of %v", n.heartbeats.lastHeartbeat)
 	}
 }
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	historyMost = 4096 // changes that a watch may go on from
-	answersMost = 8192 // of requests that are remembered by their id
+	maxHistory = 4096 // changes that a watch may go on from
+	maxResults = 8192 // of requests that are remembered by their id
 )
 
 // Member is a registration as the group holds it.
@@ -116,7 +116,7 @@
 	RoleRevision int64                `json:"duty_rev,omitempty"` // of sessions and duties; only grows
 	Operations   map[string]Operation `json:"orders,omitempty"`
 
-	at map[string]string // the member at each address; made anew where it is nil
+	memberAt map[string]string // the member at each address; made anew where it is nil
 }
 
 // NewState makes that of a group which has just begun.
@@ -136,7 +136,7 @@
 	if c.Request != "" {
 		s.Results[c.Request] = a
 		s.ResultOrder = append(s.ResultOrder, c.Request)
-		for len(s.ResultOrder) > answersMost {
+		for len(s.ResultOrder) > maxResults {
 			delete(s.Results, s.ResultOrder[0])
 			s.ResultOrder = s.ResultOrder[1:]
 		}
@@ -150,19 +150,19 @@
 	}
 	switch c.Op {
 	case OpAdd:
-		return s.add(c)
+		return s.addMember(c)
 	case OpPhase, OpRemove:
-		m, a := s.find(c)
+		m, a := s.findMember(c)
 		if a.Status != 200 {
 			return a
 		}
 		if c.Op == OpRemove {
-			s.remove(m)
+			s.removeMember(m)
 			return a
 		}
 		if m.Phase != c.Phase {
 			m.Phase = c.Phase
-			s.change(&m)
+			s.putMember(&m)
 		}
 		return a
 	case OpExpire:
@@ -171,18 +171,18 @@
 			if m, ok := s.Members[id]; ok && m.Since == since && m.TTL > 0 {
 				m.Phase = discovery.Removed
 				gone.Members = append(gone.Members, m.Member)
-				s.forget(m)
+				s.deleteMember(m)
 			}
 		}
 		if len(gone.Members) > 0 { // in one order on all nodes
 			slices.SortFunc(gone.Members, func(a, b discovery.Member) int { return strings.Compare(a.ID, b.ID) })
-			s.log(gone)
+			s.appendChange(gone)
 		}
 		return Result{Status: 200}
 	case OpOperation:
-		return s.order(c)
+		return s.putOperation(c)
 	case OpProgress:
-		return s.progress(c)
+		return s.reportProgress(c)
 	case OpZone:
 		if c.Region == "" {
 			delete(s.Zones, c.Zone)
@@ -192,7 +192,7 @@
 		return Result{Status: 200}
 	case OpEpoch:
 		s.Epoch, s.History = c.Epoch, nil // whoever watches from before gets the whole list
-		s.LastToken = max(s.LastToken, c.At/1000*tokensASecond)
+		s.LastToken = max(s.LastToken, c.At/1000*tokensPerSecond)
 		s.RoleRevision++
 		s.Revision++
 		return Result{Status: 200}
@@ -200,10 +200,10 @@
 	return Result{Status: 400, Error: fmt.Sprintf("op: %q is unknown", c.Op)}
 }
 
-// add registers a member. One that registers again as it stands changes
+// addMember registers a member. One that registers again as it stands changes
 // nothing; its address belongs to the id that registered it last, so an older
 // one that still claims it is gone.
-func (s *State) add(c *Command) Result {
+func (s *State) addMember(c *Command) Result {
 	m := c.Member
 	old, known := s.Members[m.ID]
 	switch {
@@ -212,8 +212,8 @@
 	case known && old.Holder != m.Holder && old.Phase != discovery.Removed && old.HostPort != m.HostPort && c.IfChanged == 0:
 		return Result{Status: 409, Error: fmt.Sprintf("member %s is registered by another, at %s", m.ID, old.HostPort), Changed: old.Changed}
 	}
-	if id, ok := s.addresses()[m.HostPort]; ok && id != m.ID {
-		s.remove(s.Members[id])
+	if id, ok := s.addressIndex()[m.HostPort]; ok && id != m.ID {
+		s.removeMember(s.Members[id])
 	}
 	m.UpSince = c.At
 	if m.Static {
@@ -230,12 +230,12 @@
 	if again {
 		m.Since = old.Since
 	}
-	s.change(&m)
+	s.putMember(&m)
 	return Result{Status: 200, Changed: m.Changed}
 }
 
-// find gives the member of a command that names one, or why not.
-func (s *State) find(c *Command) (Member, Result) {
+// findMember gives the member of a command that names one, or why not.
+func (s *State) findMember(c *Command) (Member, Result) {
 	m, ok := s.Members[c.ID]
 	switch {
 	case !ok:
@@ -248,7 +248,7 @@
 	return m, Result{Status: 200, Changed: m.Changed}
 }
 
-func (s *State) ids() []string {
+func (s *State) memberIDs() []string {
 	ids := make([]string, 0, len(s.Members))
 	for id := range s.Members {
 		ids = append(ids, id)
@@ -257,54 +257,54 @@
 	return ids
 }
 
-// addresses has the one member at each address, so that a registration costs
+// addressIndex has the one member at each address, so that a registration costs
 // the same however many there are.
-func (s *State) addresses() map[string]string {
-	if s.at == nil {
-		s.at = make(map[string]string, len(s.Members))
+func (s *State) addressIndex() map[string]string {
+	if s.memberAt == nil {
+		s.memberAt = make(map[string]string, len(s.Members))
 		for id, m := range s.Members {
-			s.at[m.HostPort] = id
+			s.memberAt[m.HostPort] = id
 		}
 	}
-	return s.at
+	return s.memberAt
 }
 
-// forget takes a member out of the maps.
-func (s *State) forget(m Member) {
+// deleteMember takes a member out of the maps.
+func (s *State) deleteMember(m Member) {
 	delete(s.Members, m.ID)
-	if s.addresses()[m.HostPort] == m.ID {
-		delete(s.at, m.HostPort)
+	if s.addressIndex()[m.HostPort] == m.ID {
+		delete(s.memberAt, m.HostPort)
 	}
 }
 
-func (s *State) change(m *Member) {
+func (s *State) putMember(m *Member) {
 	if old, ok := s.Members[m.ID]; ok {
-		s.forget(old)
+		s.deleteMember(old)
 	}
-	s.addresses()[m.HostPort] = m.ID
+	s.addressIndex()[m.HostPort] = m.ID
 	m.Changed = s.Revision + 1
 	s.Members[m.ID] = *m
-	s.log(Change{s.Revision + 1, []discovery.Member{m.Member}})
+	s.appendChange(Change{s.Revision + 1, []discovery.Member{m.Member}})
 }
 
-func (s *State) remove(m Member) {
-	s.forget(m)
+func (s *State) removeMember(m Member) {
+	s.deleteMember(m)
 	m.Phase = discovery.Removed
-	s.log(Change{s.Revision + 1, []discovery.Member{m.Member}})
+	s.appendChange(Change{s.Revision + 1, []discovery.Member{m.Member}})
 }
 
-func (s *State) log(c Change) {
+func (s *State) appendChange(c Change) {
 	s.Revision = c.Revision
 	s.History = append(s.History, c)
-	if len(s.History) > historyMost+historyMost/4 { // cut now and then, not each time
-		s.History = slices.Clone(s.History[len(s.History)-historyMost:])
+	if len(s.History) > maxHistory+maxHistory/4 { // cut now and then, not each time
+		s.History = slices.Clone(s.History[len(s.History)-maxHistory:])
 	}
 }
 
 // List is the whole list.
 func (s *State) List() discovery.List {
 	l := discovery.List{Revision: s.Revision, Complete: true, Members: make([]discovery.Member, 0, len(s.Members))}
-	for _, id := range s.ids() {
+	for _, id := range s.memberIDs() {
 		l.Members = append(l.Members, s.Members[id].Member)
 	}
 	return l
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -44,9 +44,9 @@
 }
 
 func (w *watcher) hear(t *rapid.T, s *store) {
-	lines, revision, epoch, _ := s.since(w.epoch, w.revision)
+	lines, revision, epoch, _ := s.changesSince(w.epoch, w.revision)
 	for _, text := range lines {
-		var l line
+		var l watchLine
 		if err := json.Unmarshal(text, &l); err != nil {
 			t.Fatal(err)
 		}
@@ -98,14 +98,14 @@
 						t.Fatal(err)
 					}
 					s.state = back
-					s.wake()
+					s.wakeWatchers()
 				}
 			default:
 				text, _ := json.Marshal(drawCommand(t, n))
 				var c Command
 				json.Unmarshal(text, &c)
 				s.state.Apply(c)
-				s.wake()
+				s.wakeWatchers()
 			}
 		}
 		for _, w := range append(watchers, &watcher{epoch: "none", revision: -1}) {
@@ -221,7 +221,7 @@
 		held   bool
 	}{"a tenth": {10, false}, "a quarter": {25, false}, "half": {50, true}, "all": {100, true}} {
 		n := &Node{cfg: &cfg, log: quiet(), store: newStore()}
-		h := newHearts(n)
+		h := newHeartbeatMonitor(n)
 		var members []Member
 		for i := range 100 {
 			m := endpoint(fmt.Sprint(i), fmt.Sprintf("127.0.0.1:%d", i+1))
@@ -229,7 +229,7 @@
 			members = append(members, m)
 		}
 		start := time.Now()
-		h.due(slices.Values(members), start)
+		h.dueMembers(slices.Values(members), start)
 		lapsed := map[string]int64{}
 		at := start
 		// Heartbeats come each second, at a phase of their own.
@@ -240,13 +240,13 @@
 				fmt.Sscan(m.ID, &i)
 				if (ms-i*10)%1000 < 50 && (ms-i*10)%1000 >= 0 && (ms < 5000 || i >= x.silent) {
 					h.mu.Lock()
-					h.heard[m.ID] = at
+					h.lastHeartbeat[m.ID] = at
 					h.mu.Unlock()
 				}
 			}
-			for id := range h.due(slices.Values(members), at) {
+			for id := range h.dueMembers(slices.Values(members), at) {
 				lapsed[id] = 1
-				h.lapsed = append(h.lapsed, at)
+				h.recentExpirations = append(h.recentExpirations, at)
 				for i, m := range members {
 					if m.ID == id {
 						members = append(members[:i:i], members[i+1:]...)
@@ -255,18 +255,18 @@
 				}
 			}
 		}
-		held, _ := h.holding()
+		held, _ := h.suspension()
 		if x.held != (held > 0) || x.held && len(lapsed) > 0 || !x.held && len(lapsed) != x.silent {
 			t.Errorf("%s: %d lapsed, %d held back", name, len(lapsed), held)
 		}
 		if !x.held {
 			continue
 		}
-		if h.confirm(); len(h.due(slices.Values(members), at)) != x.silent {
+		if h.confirmSuspended(); len(h.dueMembers(slices.Values(members), at)) != x.silent {
 			t.Errorf("%s: not lapsed once confirmed", name)
 		}
 		h.confirmed = false
-		if len(h.due(slices.Values(members), at.Add(time.Duration(cfg.ExpiryGuard.SuspendFor)))) == 0 {
+		if len(h.dueMembers(slices.Values(members), at.Add(time.Duration(cfg.ExpiryGuard.SuspendFor)))) == 0 {
 			t.Errorf("%s: held back for ever", name)
 		}
 	}
@@ -275,18 +275,18 @@
 // TestANewLeaderWaitsAWholeTimeToLive before it ends anything.
 func TestANewLeaderWaitsAWholeTimeToLive(t *testing.T) {
 	cfg := DefaultConfig()
-	h := newHearts(&Node{cfg: &cfg, log: quiet(), store: newStore()})
+	h := newHeartbeatMonitor(&Node{cfg: &cfg, log: quiet(), store: newStore()})
 	m := endpoint("a", "127.0.0.1:1")
 	now := time.Now()
-	h.due(slices.Values([]Member{m}), now)
-	h.due(slices.Values([]Member{m}), now.Add(m.TTL-time.Millisecond))
+	h.dueMembers(slices.Values([]Member{m}), now)
+	h.dueMembers(slices.Values([]Member{m}), now.Add(m.TTL-time.Millisecond))
 	h.reset() // another leads, then this one again
 	for _, after := range []time.Duration{m.TTL + time.Millisecond, 2*m.TTL - time.Millisecond} {
-		if due := h.due(slices.Values([]Member{m}), now.Add(after)); len(due) > 0 {
+		if due := h.dueMembers(slices.Values([]Member{m}), now.Add(after)); len(due) > 0 {
 			t.Errorf("ended %v after the first election", after)
 		}
 	}
-	if due := h.due(slices.Values([]Member{m}), now.Add(3*m.TTL)); len(due) != 1 {
+	if due := h.dueMembers(slices.Values([]Member{m}), now.Add(3*m.TTL)); len(due) != 1 {
 		t.Error("never ended")
 	}
 }
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -18,18 +18,18 @@
 // store is the state of one node, as the group's log drives it, with what is
 // closed at each change.
 type store struct {
-	mu      sync.RWMutex
-	state   *State
-	lines   map[int64][]byte // of the history, as a watch sends them: made once for all watchers
-	whole   []byte           // the whole list as a line, at wholeAt
-	wholeAt int64
-	changed chan struct{}
-	stirred chan struct{} // closed when a session or a duty has changed
-	applied func(Command, Result)
+	mu                  sync.RWMutex
+	state               *State
+	encodedChanges      map[int64][]byte // of the history, as a watch sends them: made once for all watchers
+	encodedList         []byte           // the whole list as a line, at encodedListRevision
+	encodedListRevision int64
+	listChanged         chan struct{}
+	rolesChanged        chan struct{} // closed when a session or a duty has changed
+	onApplied           func(Command, Result)
 }
 
 func newStore() *store {
-	return &store{state: NewState(), lines: map[int64][]byte{}, changed: make(chan struct{}), stirred: make(chan struct{}), applied: func(Command, Result) {}}
+	return &store{state: NewState(), encodedChanges: map[int64][]byte{}, listChanged: make(chan struct{}), rolesChanged: make(chan struct{}), onApplied: func(Command, Result) {}}
 }
 
 // Apply is raft.FSM's: one committed command.
@@ -42,23 +42,23 @@
 	before, duties := s.state.Revision, s.state.RoleRevision
 	a := s.state.Apply(c)
 	if s.state.Revision != before {
-		s.wake()
+		s.wakeWatchers()
 	}
 	if s.state.RoleRevision != duties {
-		s.stir()
+		s.wakeRolePolls()
 	}
 	s.mu.Unlock()
-	s.applied(c, a)
+	s.onApplied(c, a)
 	return a
 }
 
-// wake has every watch look; s.mu is held.
-func (s *store) wake() {
-	close(s.changed)
-	s.changed = make(chan struct{})
-	s.whole = nil
-	if len(s.lines) > 2*historyMost {
-		s.lines = map[int64][]byte{}
+// wakeWatchers has every watch look; s.mu is held.
+func (s *store) wakeWatchers() {
+	close(s.listChanged)
+	s.listChanged = make(chan struct{})
+	s.encodedList = nil
+	if len(s.encodedChanges) > 2*maxHistory {
+		s.encodedChanges = map[int64][]byte{}
 	}
 }
 
@@ -97,20 +97,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state = state
-	s.lines = map[int64][]byte{}
-	s.wake()
-	s.stir()
+	s.encodedChanges = map[int64][]byte{}
+	s.wakeWatchers()
+	s.wakeRolePolls()
 	return nil
 }
 
-// line is what a watch sends, with an epoch beside what the relay reads.
-type line struct {
+// watchLine is what a watch sends, with an epoch beside what the relay reads.
+type watchLine struct {
 	discovery.List
 	Epoch string `json:"epoch"`
 }
 
-func encode(l discovery.List, epoch string) []byte {
-	text, _ := json.Marshal(line{l, epoch}) // strings and numbers alone: cannot fail
+func encodeLine(l discovery.List, epoch string) []byte {
+	text, _ := json.Marshal(watchLine{l, epoch}) // strings and numbers alone: cannot fail
 	return append(text, '\n')
 }
 
@@ -118,34 +118,34 @@
 func (s *store) list() ([]byte, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.wholeLine(), s.state.Revision
+	return s.listLine(), s.state.Revision
 }
 
-func (s *store) wholeLine() []byte {
-	if s.whole == nil || s.wholeAt != s.state.Revision {
-		s.whole, s.wholeAt = encode(s.state.List(), s.state.Epoch), s.state.Revision
+func (s *store) listLine() []byte {
+	if s.encodedList == nil || s.encodedListRevision != s.state.Revision {
+		s.encodedList, s.encodedListRevision = encodeLine(s.state.List(), s.state.Epoch), s.state.Revision
 	}
-	return s.whole
+	return s.encodedList
 }
 
-// since gives the lines that a watch at a revision of an epoch sends next, with
+// changesSince gives the lines that a watch at a revision of an epoch sends next, with
 // the revision that it is at then, and what is closed at the next change.
-func (s *store) since(epoch string, revision int64) (lines [][]byte, at int64, now string, changed <-chan struct{}) {
+func (s *store) changesSince(epoch string, revision int64) (lines [][]byte, at int64, now string, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i, ok := s.state.Since(revision)
 	if !ok || epoch != s.state.Epoch {
-		return [][]byte{s.wholeLine()}, s.state.Revision, s.state.Epoch, s.changed
+		return [][]byte{s.listLine()}, s.state.Revision, s.state.Epoch, s.listChanged
 	}
 	for _, c := range s.state.History[i:] {
-		text := s.lines[c.Revision]
+		text := s.encodedChanges[c.Revision]
 		if text == nil {
-			text = encode(discovery.List{Revision: c.Revision, Members: c.Members}, s.state.Epoch)
-			s.lines[c.Revision] = text
+			text = encodeLine(discovery.List{Revision: c.Revision, Members: c.Members}, s.state.Epoch)
+			s.encodedChanges[c.Revision] = text
 		}
 		lines = append(lines, text)
 	}
-	return lines, s.state.Revision, s.state.Epoch, s.changed
+	return lines, s.state.Revision, s.state.Epoch, s.listChanged
 }
 
 // zones gives every zone that is in a region or has a member, by name.
@@ -175,17 +175,17 @@
 	return out
 }
 
-// stir has every poll of the duties look; s.mu is held.
-func (s *store) stir() {
-	close(s.stirred)
-	s.stirred = make(chan struct{})
+// wakeRolePolls has every poll of the duties look; s.mu is held.
+func (s *store) wakeRolePolls() {
+	close(s.rolesChanged)
+	s.rolesChanged = make(chan struct{})
 }
 
-// duties gives all duties, and what is closed at their next change.
-func (s *store) duties() (RoleList, <-chan struct{}) {
+// roleList gives all duties, and what is closed at their next change.
+func (s *store) roleList() (RoleList, <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.state.dutyList(), s.stirred
+	return s.state.roleList(), s.rolesChanged
 }
 
 func (s *store) hasSession(id string) bool {
@@ -201,13 +201,13 @@
 	return maps.Clone(s.state.Sessions)
 }
 
-func (s *store) eachDuty() map[string]Role {
+func (s *store) roles() map[string]Role {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return maps.Clone(s.state.Roles)
 }
 
-func (s *store) tokens() (last, dutyRev int64) {
+func (s *store) lastToken() (last, dutyRev int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.LastToken, s.state.RoleRevision
@@ -220,9 +220,9 @@
 	return s.state.Epoch, s.state.Revision, len(s.state.Members)
 }
 
-// sortBeats tells which heartbeats are of members that are registered by whoever
+// sortHeartbeats tells which heartbeats are of members that are registered by whoever
 // sends them. Its cost is that of the heartbeats, however long the list is.
-func (s *store) sortBeats(beats []Heartbeat) (known, unknown []string) {
+func (s *store) sortHeartbeats(beats []Heartbeat) (known, unknown []string) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, b := range beats {
@@ -253,7 +253,7 @@
 func (s *store) members() (all []Member, epoch string, revision int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, id := range s.state.ids() {
+	for _, id := range s.state.memberIDs() {
 		all = append(all, s.state.Members[id])
 	}
 	return all, s.state.Epoch, s.state.Revision
--- a/internal/registry/tenure.go
+++ b/internal/registry/tenure.go
@@ -5,9 +5,9 @@
 // LeaseDurations are how long a leader has seen each duty with its present holder. It reads no
 // clock: now is any that only goes forward. A leader that is new counts from when it
 // first looked.
-type LeaseDurations map[string]tenure
+type LeaseDurations map[string]leaseStart
 
-type tenure struct {
+type leaseStart struct {
 	token int64
 	since time.Duration
 }
@@ -16,7 +16,7 @@
 func (t LeaseDurations) Observe(duties map[string]Role, now time.Duration) {
 	for name, d := range duties {
 		if seen, ok := t[name]; d.Holder != "" && (!ok || seen.token != d.Token) {
-			t[name] = tenure{d.Token, now}
+			t[name] = leaseStart{d.Token, now}
 		}
 	}
 	for name := range t {
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	watchQuiet = 2 * time.Second // an empty line, as long as nothing changes
-	watchWrite = 5 * time.Second // a watcher that takes nothing for so long is cut
-	watchStale = 5 * time.Second // without word from a leader, watches end, so that clients move on
-	watchBatch = 256             // lines of one write
+	watchKeepAlive    = 2 * time.Second // an empty line, as long as nothing changes
+	watchWriteTimeout = 5 * time.Second // a watcher that takes nothing for so long is cut
+	watchStaleTimeout = 5 * time.Second // without word from a leader, watches end, so that clients move on
+	watchBatchLines   = 256             // lines of one write
 )
 
 // getWatch serves one watch. It takes the connection over: what net/http keeps
@@ -22,16 +22,16 @@
 func (n *Node) getWatch(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "from: a revision is wanted")
+		writeError(w, http.StatusBadRequest, "from: a revision is wanted")
 		return
 	}
-	if n.stale() {
-		refuse(w, http.StatusServiceUnavailable, "%v", ErrNoLeader)
+	if n.isStale() {
+		writeError(w, http.StatusServiceUnavailable, "%v", ErrNoLeader)
 		return
 	}
 	if n.watchers.Add(1) > int64(n.cfg.Watchers) {
 		n.watchers.Add(-1)
-		refuse(w, http.StatusServiceUnavailable, "%d watchers, no more are taken", n.cfg.Watchers)
+		writeError(w, http.StatusServiceUnavailable, "%d watchers, no more are taken", n.cfg.Watchers)
 		return
 	}
 	epoch, _, _ := n.store.position()
@@ -41,16 +41,16 @@
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		n.watchers.Add(-1)
-		refuse(w, http.StatusInternalServerError, "%v", err)
+		writeError(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
 	// A goroutine of its own: that of the call keeps net/http's buffers as long as it lasts.
-	if !n.own(func() {
+	if !n.startTask(func() {
 		defer n.watchers.Add(-1)
 		defer conn.Close()
 		err := n.watch(conn, epoch, from)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			n.figs.cut.Inc()
+			n.metrics.watchersCut.Inc()
 		}
 		n.log.Debug("watch over", "of", conn.RemoteAddr().String(), "err", err)
 	}) {
@@ -59,21 +59,21 @@
 	}
 }
 
-// errBehind ends watches at a node that has lost its leader.
-var errBehind = errors.New("no word from a leader")
+// errLeaderLost ends watches at a node that has lost its leader.
+var errLeaderLost = errors.New("no word from a leader")
 
 // watch writes what changes after a revision, until its connection ends, the
 // node does, or it has been without a leader for too long.
 func (n *Node) watch(conn net.Conn, epoch string, at int64) error {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n%s: %s\r\n\r\n", EpochHeader, epoch)
 	out := net.Buffers{[]byte(head)}
-	quiet := time.NewTimer(watchQuiet)
+	quiet := time.NewTimer(watchKeepAlive)
 	defer quiet.Stop()
 	var behind time.Time
 	for {
-		lines, revision, now, changed := n.store.since(epoch, at)
+		lines, revision, now, changed := n.store.changesSince(epoch, at)
 		for len(lines) > 0 || len(out) > 0 {
-			part := lines[:min(len(lines), watchBatch)]
+			part := lines[:min(len(lines), watchBatchLines)]
 			lines = lines[len(part):]
 			size := 0
 			for _, l := range part {
@@ -84,7 +84,7 @@
 				out = append(out, part...)
 				out = append(out, crlf)
 			}
-			conn.SetWriteDeadline(time.Now().Add(watchWrite))
+			conn.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
 			if _, err := out.WriteTo(conn); err != nil {
 				return err
 			}
@@ -97,13 +97,13 @@
 		case <-changed:
 			continue
 		case <-quiet.C:
-			quiet.Reset(watchQuiet)
-			if !n.stale() {
+			quiet.Reset(watchKeepAlive)
+			if !n.isStale() {
 				behind = time.Time{}
 			} else if behind.IsZero() {
 				behind = time.Now()
-			} else if time.Since(behind) >= watchStale-staleAfter {
-				return errBehind
+			} else if time.Since(behind) >= watchStaleTimeout-staleAfter {
+				return errLeaderLost
 			}
 			out = net.Buffers{emptyLine}
 		}
