--- /dev/null
+++ b/internal/registry/api_snapshot.go
@@ -0,0 +1,60 @@
+package registry
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// restoreTimeout is how long the restore of a backup may take.
+const restoreTimeout = 10 * time.Second
+
+// getSnapshot serves the state as the leader has it, for a backup.
+func (n *Node) getSnapshot(w http.ResponseWriter, _ *http.Request) {
+	if err := n.catchUp(); err != nil {
+		writeError(w, http.StatusServiceUnavailable, "%v", err)
+		return
+	}
+	s, err := n.store.Snapshot()
+	if err != nil {
+		writeError(w, http.StatusInternalServerError, "%v", err)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(s.(snapshot)) // a client that is gone asks again
+}
+
+// putSnapshot restores the whole group from a backup, in a new epoch.
+func (n *Node) putSnapshot(w http.ResponseWriter, r *http.Request) {
+	state, err := ReadState(io.LimitReader(r.Body, maxSnapshotBytes))
+	if err != nil {
+		writeError(w, http.StatusBadRequest, "%v", err)
+		return
+	}
+	n.raiseRevisions(state)
+	text, err := json.Marshal(state)
+	if err != nil {
+		writeError(w, http.StatusInternalServerError, "%v", err)
+		return
+	}
+	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(text)), Index: n.raft.LastIndex(), Term: n.raft.CurrentTerm()}
+	if err := n.raft.Restore(meta, bytes.NewReader(text), restoreTimeout); err != nil {
+		writeError(w, http.StatusServiceUnavailable, "%v", err)
+		return
+	}
+	n.applyAndRespond(w, r, Command{Op: OpEpoch, Epoch: NewID()})
+}
+
+// raiseRevisions raises what may only grow, in a backup, to at least the present
+// values. Clients would take the group for a node that is behind otherwise.
+func (n *Node) raiseRevisions(backup *State) {
+	_, revision, _ := n.store.position()
+	token, roleRevision := n.store.lastToken()
+	backup.Revision = max(backup.Revision, revision)
+	backup.LastToken = max(backup.LastToken, token)
+	backup.RoleRevision = max(backup.RoleRevision, roleRevision)
+}
--- /dev/null
+++ b/internal/registry/command.go
@@ -0,0 +1,87 @@
+package registry
+
+import (
+	"fmt"
+	"net/http"
+)
+
+// Op names what a command does. Its text stands in the Raft log.
+type Op string
+
+// The operations of commands. Their texts are kept from earlier versions: nodes of
+// several versions share one log during a rolling upgrade.
+const (
+	OpAdd    Op = "add"    // register a member, or change one
+	OpPhase  Op = "phase"  // set a member's phase to up or draining
+	OpRemove Op = "remove" // remove a member
+	OpExpire Op = "lapse"  // remove several members whose time to live has passed
+	OpEpoch  Op = "epoch"  // begin an epoch: the group is new, or was restored
+	OpZone   Op = "zone"   // set or clear a zone's region
+
+	OpSession    Op = "session"     // open a controller's session
+	OpSessionEnd Op = "session-end" // end sessions: closed, or expired
+	OpGrant      Op = "grant"       // grant a free role to a session
+	OpNote       Op = "note"        // save the holder's note, or record that its work goes well
+	OpRelease    Op = "release"     // give a role up
+	OpDisable    Op = "hold"        // operators: disable a role, or enable it again
+	OpOperation  Op = "order"       // operators: create an operation, or change its desired state
+	OpProgress   Op = "progress"    // the role's holder reports an operation's progress
+)
+
+// Command is one entry of the Raft log. Which fields are set depends on Op. The JSON
+// keys are kept from earlier versions for the same reason as the texts of Op.
+type Command struct {
+	// Request is the client's id of the request. A second command with the same id
+	// changes nothing and has the first one's result.
+	Request string `json:"request"`
+	Op      Op     `json:"op"`
+
+	Member    Member           `json:"member,omitzero"`
+	ID        string           `json:"id,omitempty"`
+	Phase     string           `json:"phase,omitempty"`
+	Holder    string           `json:"holder,omitempty"` // if set, the member's Holder has to equal it
+	IfChanged int64            `json:"if,omitempty"`     // if set, the member's Changed has to equal it
+	Expired   map[string]int64 `json:"lapsed,omitempty"` // members by id, with the Since of each
+
+	Epoch  string `json:"epoch,omitempty"`
+	Zone   string `json:"zone,omitempty"`
+	Region string `json:"region,omitempty"` // empty to clear the zone's region
+
+	Session        Session          `json:"session,omitzero"`
+	EndedSessions  []string         `json:"ended,omitempty"`  // ids
+	LeaseDurations map[string]int64 `json:"lasted,omitempty"` // by role, the milliseconds for which an expired session held it; nil from an older leader
+
+	// Role is the role that a role's command is for. On any other command, Role and
+	// Token are a fence: the command is rejected unless Token is the present one.
+	Role      string `json:"duty,omitempty"`
+	Token     int64  `json:"token,omitempty"`
+	Note      string `json:"note,omitempty"`
+	Successor string `json:"next,omitempty"`
+	Healthy   bool   `json:"good,omitempty"` // note: the work goes well
+	Failed    bool   `json:"failed,omitempty"`
+	LeaseLost bool   `json:"lost,omitempty"` // release: the lease was lost while the work ran
+	Disabled  bool   `json:"off,omitempty"`
+
+	Operation Operation `json:"order,omitzero"`
+
+	// At is the leader's time in Unix milliseconds: replicas read no clock.
+	At int64 `json:"at,omitempty"`
+}
+
+// Result is the outcome of a command. Results are part of the replicated state, so
+// every version has to give a command the same one, the text of Error included.
+type Result struct {
+	Revision int64  `json:"revision"`
+	Status   int    `json:"status"` // an HTTP status code
+	Error    string `json:"error,omitempty"`
+	Changed  int64  `json:"changed,omitempty"` // of the member
+	Token    int64  `json:"token,omitempty"`   // of a grant; for a rejected token, the present one
+	Note     string `json:"note,omitempty"`    // of a grant: the note of the previous holder
+	Term     int64  `json:"term,omitempty"`    // of a grant
+}
+
+func succeeded() Result { return Result{Status: http.StatusOK} }
+
+func rejected(status int, format string, args ...any) Result {
+	return Result{Status: status, Error: fmt.Sprintf(format, args...)}
+}
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -4,9 +4,7 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"net"
 	"os"
-	"slices"
 	"strings"
 	"time"
 
@@ -17,78 +15,98 @@
 	"plovershore/internal/discovery"
 )
 
-// Duration is a duration as a configuration has it, such as 15s.
+// Duration is a duration as a configuration file has it, such as 15s.
 type Duration time.Duration
 
-// UnmarshalText reads 15s, 2m, 500ms.
-func (s *Duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	if err == nil && d < 0 {
-		err = errors.New("less than nothing")
+// UnmarshalText implements encoding.TextUnmarshaler. Negative durations are errors.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err == nil && parsed < 0 {
+		err = errors.New("negative duration")
 	}
-	*s = Duration(d)
+	*d = Duration(parsed)
 	return err
 }
 
-// Peer is a node of a group, itself included.
+// Peer is a node of a group. A group's peers include the node itself.
 type Peer struct {
 	ID   string `toml:"id"`
-	Raft string `toml:"raft"` // where the nodes talk among themselves
-	HTTP string `toml:"http"` // where all others ask
+	Raft string `toml:"raft"` // host:port of Raft
+	HTTP string `toml:"http"` // host:port of the API
 }
 
-// StaticMember is a member that never registers by itself.
+// StaticMember is a member that doesn't register by itself and doesn't expire.
 type StaticMember struct {
 	ID      string  `toml:"id"`
-	Address string  `toml:"address"`
+	Address string  `toml:"address"` // host:port
 	Zone    string  `toml:"zone"`
 	Flavor  string  `toml:"flavor"`
 	Cell    int     `toml:"cell"`
-	Size    float64 `toml:"size"`
+	Size    float64 `toml:"size"` // 0 for 1
 }
 
-// Zone says which region a zone is in.
+// Zone is a zone and the region that it is in.
 type Zone struct {
 	Name   string `toml:"name" json:"name"`
 	Region string `toml:"region" json:"region"`
 }
 
-// Config is what a node is told.
+// Config is the configuration of a node. The zero value isn't valid; begin with
+// DefaultConfig or LoadConfig. It must not be changed once a node was started with it.
 type Config struct {
 	ID          string         `toml:"id"`
 	DataDir     string         `toml:"data"`
-	Listen      string         `toml:"listen"`
-	Raft        string         `toml:"raft"`
-	Operator    string         `toml:"operator"`
-	LogFormat   string         `toml:"log"`
-	Peers       []Peer         `toml:"peers"`
+	Listen      string         `toml:"listen"`   // host:port of the API
+	Raft        string         `toml:"raft"`     // host:port of Raft
+	Operator    string         `toml:"operator"` // host:port of the metrics; empty for none
+	LogFormat   string         `toml:"log"`      // text or json
+	Peers       []Peer         `toml:"peers"`    // none for a group of one
 	ExpiryGuard ExpiryGuard    `toml:"lapse"`
 	Members     []StaticMember `toml:"members"`
-	Zones       []Zone         `toml:"zones"`
-	Watchers    int            `toml:"watchers"`
+	Zones       []Zone         `toml:"zones"`    // regions of a new group's zones
+	Watchers    int            `toml:"watchers"` // the most watches served at once
 
 	Clock *clock.Clock `toml:"-"` // nil for the machine's
 
-	// DeprecatedVariables are the environment variables that LoadConfig read, or
-	// passed over, under their earlier names.
+	// DeprecatedVariables are the environment variables that were set under their
+	// earlier names.
 	DeprecatedVariables []DeprecatedVariable `toml:"-"`
 
-	tuneRaft     func(*raft.Config)                // tests alone
-	wrapLogStore func(raft.LogStore) raft.LogStore // tests alone
+	tuneRaft     func(*raft.Config)                // for tests; may be nil
+	wrapLogStore func(raft.LogStore) raft.LogStore // for tests; may be nil
 }
 
-// ExpiryGuard bounds how much the list may lose at once.
+// ExpiryGuard bounds how many registrations may expire within one time to live. What
+// is beyond is suspended.
 type ExpiryGuard struct {
-	Fraction   float64  `toml:"share"`
-	Minimum    int      `toml:"least"`
-	SuspendFor Duration `toml:"hold"`
-	ExpiredBy  string   `toml:"by"` // leader, or duty: the duty list-keeper
+	Fraction   float64  `toml:"share"` // of the registrations with a time to live
+	Minimum    int      `toml:"least"` // so many may always expire
+	SuspendFor Duration `toml:"hold"`  // suspended expirations take place after so long
+	ExpiredBy  string   `toml:"by"`    // who expires registrations: leader, or duty
 }
 
-// DefaultConfig is one node that needs nothing but a folder.
+// Values of ExpiryGuard.ExpiredBy.
+const (
+	expiredByLeader = "leader" // the group's leader by itself
+	expiredByRole   = "duty"   // the holder of the role list-keeper, by ExpirePath
+)
+
+// DefaultConfig returns the configuration of a group of one node.
 func DefaultConfig() Config {
-	return Config{ID: "r1", DataDir: "registry-data", Listen: "127.0.0.1:7800", Raft: "127.0.0.1:7801", LogFormat: "text",
-		ExpiryGuard: ExpiryGuard{Fraction: 0.25, Minimum: 3, SuspendFor: Duration(10 * time.Minute), ExpiredBy: "leader"}, Watchers: 20000}
+	return Config{
+		ID:        "r1",
+		DataDir:   "registry-data",
+		Listen:    "127.0.0.1:7800",
+		Raft:      "127.0.0.1:7801",
+		LogFormat: "text",
+		ExpiryGuard: ExpiryGuard{
+			Fraction:   0.25,
+			Minimum:    3,
+			SuspendFor: Duration(10 * time.Minute),
+			ExpiredBy:  expiredByLeader,
+		},
+		Watchers: 20000,
+	}
 }
 
 // Prefixes of environment variables. The deprecated one is from before the program
@@ -160,7 +178,7 @@
 	}
 }
 
-// configError names file, line and key.
+// configError adds the file, the line and the key to a decoder's error.
 func configError(path string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -175,75 +193,18 @@
 	return fmt.Errorf("config: %s: %w", path, err)
 }
 
-func (c *Config) validate() error {
-	if c.ID == "" {
-		return errors.New("id: missing")
-	}
-	if c.DataDir == "" {
-		return errors.New("data: missing")
-	}
-	if c.LogFormat != "text" && c.LogFormat != "json" {
-		return fmt.Errorf("log: %q; text and json are allowed", c.LogFormat)
-	}
-	for key, addr := range map[string]string{"listen": c.Listen, "raft": c.Raft, "operator": c.Operator} {
-		if key == "operator" && addr == "" {
-			continue
-		}
-		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return fmt.Errorf("%s: %w", key, err)
-		}
-	}
-	if !(c.ExpiryGuard.Fraction > 0 && c.ExpiryGuard.Fraction <= 1) {
-		return fmt.Errorf("lapse.share: %v; more than 0, 1 at most", c.ExpiryGuard.Fraction)
-	}
-	if c.ExpiryGuard.ExpiredBy != "leader" && c.ExpiryGuard.ExpiredBy != "duty" {
-		return fmt.Errorf("lapse.by: %q; leader and duty are allowed", c.ExpiryGuard.ExpiredBy)
-	}
-	if c.ExpiryGuard.Minimum < 0 || c.Watchers < 1 {
-		return errors.New("lapse.least, watchers: 0 and 1 at least")
-	}
-	if len(c.Peers) == 0 {
-		c.Peers = []Peer{{c.ID, c.Raft, c.Listen}}
-	}
-	if n := len(c.Peers); n != 1 && n != 3 && n != 5 {
-		return fmt.Errorf("peers: %d; a group has 1, 3 or 5 nodes", n)
-	}
-	seen := map[string]bool{}
-	for i, p := range c.Peers {
-		for _, x := range []string{"id " + p.ID, "raft " + p.Raft, "http " + p.HTTP} {
-			if seen[x] || strings.HasSuffix(x, " ") {
-				return fmt.Errorf("peers[%d]: %s: missing, or told twice", i, x)
-			}
-			seen[x] = true
-		}
-	}
-	i := slices.IndexFunc(c.Peers, func(p Peer) bool { return p.ID == c.ID })
-	if i < 0 {
-		return fmt.Errorf("peers: none of them is %s, this node", c.ID)
-	}
-	zones := map[string]bool{}
-	for i, z := range c.Zones {
-		if z.Name == "" || z.Region == "" {
-			return fmt.Errorf("zones[%d]: name and region are wanted", i)
-		}
-		if zones[z.Name] {
-			return fmt.Errorf("zones[%d].name: %s is told twice", i, z.Name)
-		}
-		zones[z.Name] = true
-	}
-	for i, m := range c.Members {
-		d := m.member()
-		if err := d.Validate(); err != nil {
-			return fmt.Errorf("members[%d]: %w", i, err)
-		}
-	}
-	return nil
-}
-
 func (m *StaticMember) member() discovery.Member {
 	size := m.Size
 	if size == 0 {
 		size = 1
 	}
-	return discovery.Member{ID: m.ID, HostPort: m.Address, Locality: m.Zone, Flavor: m.Flavor, Cell: m.Cell, Phase: discovery.Up, Size: size}
+	return discovery.Member{
+		ID:       m.ID,
+		HostPort: m.Address,
+		Locality: m.Zone,
+		Flavor:   m.Flavor,
+		Cell:     m.Cell,
+		Phase:    discovery.Up,
+		Size:     size,
+	}
 }
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -246,7 +246,7 @@
 			}
 			for id := range h.dueMembers(slices.Values(members), at) {
 				lapsed[id] = 1
-				h.recentExpirations = append(h.recentExpirations, at)
+				h.guard.recordExpiry(at)
 				for i, m := range members {
 					if m.ID == id {
 						members = append(members[:i:i], members[i+1:]...)
@@ -265,7 +265,7 @@
 		if h.confirmSuspended(); len(h.dueMembers(slices.Values(members), at)) != x.silent {
 			t.Errorf("%s: not lapsed once confirmed", name)
 		}
-		h.confirmed = false
+		h.guard.confirmed = false
 		if len(h.dueMembers(slices.Values(members), at.Add(time.Duration(cfg.ExpiryGuard.SuspendFor)))) == 0 {
 			t.Errorf("%s: held back for ever", name)
 		}
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -11,14 +11,18 @@
 )
 
 const (
-	watchKeepAlive    = 2 * time.Second // an empty line, as long as nothing changes
-	watchWriteTimeout = 5 * time.Second // a watcher that takes nothing for so long is cut
-	watchStaleTimeout = 5 * time.Second // without word from a leader, watches end, so that clients move on
+	watchKeepAlive    = 2 * time.Second // an empty line is sent after so long without a change
+	watchWriteTimeout = 5 * time.Second // a watcher that reads nothing for so long is cut
+	watchStaleTimeout = 5 * time.Second // a watch ends after so long without a leader, so that its client turns to another node
 	watchBatchLines   = 256             // lines of one write
 )
 
-// getWatch serves one watch. It takes the connection over: what net/http keeps
-// for one would be most of what a watcher costs.
+// errLeaderLost ends watches at a node that has had no contact with a leader for
+// watchStaleTimeout.
+var errLeaderLost = errors.New("no contact with a leader")
+
+// getWatch serves one watch. It hijacks the connection, since net/http's buffers would
+// be most of what a watcher costs.
 func (n *Node) getWatch(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
@@ -44,73 +48,94 @@
 		writeError(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
-	// A goroutine of its own: that of the call keeps net/http's buffers as long as it lasts.
-	if !n.startTask(func() {
-		defer n.watchers.Add(-1)
-		defer conn.Close()
-		err := n.watch(conn, epoch, from)
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			n.metrics.watchersCut.Inc()
-		}
-		n.log.Debug("watch over", "of", conn.RemoteAddr().String(), "err", err)
-	}) {
+	// A goroutine of its own: the handler's keeps net/http's buffers for as long as it runs.
+	if !n.startTask(func() { n.serveWatch(conn, epoch, from) }) {
 		n.watchers.Add(-1)
 		conn.Close()
 	}
 }
 
-// errLeaderLost ends watches at a node that has lost its leader.
-var errLeaderLost = errors.New("no word from a leader")
+// serveWatch runs a watch, and closes its connection.
+func (n *Node) serveWatch(conn net.Conn, epoch string, from int64) {
+	defer n.watchers.Add(-1)
+	defer conn.Close()
+	err := n.watch(conn, epoch, from)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		n.metrics.watchersCut.Inc()
+	}
+	n.log.Debug("watch closed", "peer", conn.RemoteAddr().String(), "err", err)
+}
 
-// watch writes what changes after a revision, until its connection ends, the
-// node does, or it has been without a leader for too long.
-func (n *Node) watch(conn net.Conn, epoch string, at int64) error {
-	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n%s: %s\r\n\r\n", EpochHeader, epoch)
-	out := net.Buffers{[]byte(head)}
-	quiet := time.NewTimer(watchKeepAlive)
-	defer quiet.Stop()
-	var behind time.Time
+// watch writes the changes after a revision as chunks of an HTTP response, until the
+// connection breaks, the node is closed, or it has lost the leader for too long.
+func (n *Node) watch(conn net.Conn, epoch string, revision int64) error {
+	prefix := responseHeader(epoch) // goes out with the first lines, in one write
+	keepAlive := time.NewTimer(watchKeepAlive)
+	defer keepAlive.Stop()
+	var staleSince time.Time
 	for {
-		lines, revision, now, changed := n.store.changesSince(epoch, at)
-		for len(lines) > 0 || len(out) > 0 {
-			part := lines[:min(len(lines), watchBatchLines)]
-			lines = lines[len(part):]
-			size := 0
-			for _, l := range part {
-				size += len(l)
-			}
-			if size > 0 {
-				out = append(out, fmt.Appendf(nil, "%x\r\n", size))
-				out = append(out, part...)
-				out = append(out, crlf)
-			}
-			conn.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
-			if _, err := out.WriteTo(conn); err != nil {
-				return err
-			}
-			out = nil
+		lines, newRevision, newEpoch, changed := n.store.changesSince(epoch, revision)
+		if err := writeLines(conn, prefix, lines); err != nil {
+			return err
 		}
-		at, epoch = revision, now
+		revision, epoch, prefix = newRevision, newEpoch, nil
 		select {
 		case <-n.ctx.Done():
 			return n.ctx.Err()
 		case <-changed:
-			continue
-		case <-quiet.C:
-			quiet.Reset(watchKeepAlive)
-			if !n.isStale() {
-				behind = time.Time{}
-			} else if behind.IsZero() {
-				behind = time.Now()
-			} else if time.Since(behind) >= watchStaleTimeout-staleAfter {
+		case <-keepAlive.C:
+			keepAlive.Reset(watchKeepAlive)
+			switch {
+			case !n.isStale():
+				staleSince = time.Time{}
+			case staleSince.IsZero():
+				staleSince = time.Now()
+			case time.Since(staleSince) >= watchStaleTimeout-staleAfter: // isStale itself takes staleAfter
 				return errLeaderLost
 			}
-			out = net.Buffers{emptyLine}
+			prefix = emptyLineChunk
 		}
 	}
 }
 
+func responseHeader(epoch string) []byte {
+	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n%s: %s\r\n\r\n", EpochHeader, epoch)
+}
+
 var (
-	crlf      = []byte("\r\n")
-	emptyLine = []byte("1\r\n\n\r\n")
+	crlf           = []byte("\r\n")
+	emptyLineChunk = []byte("1\r\n\n\r\n")
 )
+
+// writeLines writes a prefix, which may be nil, and lines as chunks of watchBatchLines
+// at most.
+func writeLines(conn net.Conn, prefix []byte, lines [][]byte) error {
+	for len(prefix) > 0 || len(lines) > 0 {
+		batch := lines[:min(len(lines), watchBatchLines)]
+		lines = lines[len(batch):]
+		buffers := append(net.Buffers{prefix}, encodeChunk(batch)...)
+		prefix = nil
+		if err := conn.SetWriteDeadline(time.Now().Add(watchWriteTimeout)); err != nil {
+			return err
+		}
+		if _, err := buffers.WriteTo(conn); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// encodeChunk encodes lines as one chunk of an HTTP response; none as nothing, since an
+// empty chunk would end the response.
+func encodeChunk(lines [][]byte) net.Buffers {
+	size := 0
+	for _, line := range lines {
+		size += len(line)
+	}
+	if size == 0 {
+		return nil
+	}
+	chunk := net.Buffers{fmt.Appendf(nil, "%x\r\n", size)}
+	chunk = append(chunk, lines...)
+	return append(chunk, crlf)
+}
