--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -1,23 +1,19 @@
-// Package agent is discovery on a relay's machine: it follows a group of the
-// list service and speaks to the relay what the protocol says. It promises that
-// the last good list is served while the group is gone and after a restart, that
-// its own revision only grows, and that a notice which it answered 204 is kept
-// on disk until the group has taken it.
+// Package agent serves discovery to the relay on its machine: it follows a group of the
+// list service, and speaks package discovery's protocol to the relay.
+//
+// The last good list is served while the group can't be reached and after a restart.
+// The agent's own revision only grows. A notice that was answered with 204 stays on
+// disk until the group has accepted it.
 package agent
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
 	"os"
 	"path/filepath"
-	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -27,356 +23,115 @@
 	"plovershore/internal/registry/client"
 )
 
-const (
-	watchKeepAlive = 2 * time.Second
-	maxHistory     = 8192 // changes that the relay's watch may go on from: more than a zone of the largest fleet has members
-	maxNoticeBytes = 1 << 20
+const readHeaderTimeout = 3 * time.Second
 
-	maxBatchChanges = 1024 // that are booked with one sync
-)
-
-// Options say where an agent serves, keeps and asks.
+// Options configure an agent. All fields are required.
 type Options struct {
-	Listen string   // loopback
-	Folder string   // that lasts
-	Nodes  []string // of the group
-	Fleet  int      // agents of the group: their tries are spread over so many
-	Log    *slog.Logger
+	Listen string       // loopback host:port where the relay asks
+	Folder string       // folder that outlasts the process
+	Nodes  []string     // host:port of the group's nodes
+	Fleet  int          // number of agents of the group: their retries are spread over so many
+	Log    *slog.Logger // for its events
 }
 
-// savedList is what the agent has, as it stands on disk.
-type savedList struct {
-	At       client.Position             `json:"at"`       // how far the group was followed
-	Revision int64                       `json:"revision"` // the agent's own, which only grows
-	Members  map[string]discovery.Member `json:"members"`
-	Saved    time.Time                   `json:"saved"`
-}
-
-// Agent is one. Close ends it.
+// Agent is a running agent. Start makes it; whoever called Start calls Close. It is
+// safe for concurrent use.
 type Agent struct {
 	options  Options
 	client   *client.Client
 	spool    *spool
 	server   *http.Server
 	listener net.Listener
-	cancel   context.CancelFunc
-	ctx      context.Context
-	wg       sync.WaitGroup
+	updates  *mailbox.Mailbox[client.Update] // from the group, to be saved and served
 
-	updates *mailbox.Mailbox[client.Update]
+	ctx    context.Context // done once the agent is closed
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
 
 	mu          sync.Mutex
 	list        savedList
-	journal     journal // of what has changed since the whole list was written
-	announced   bool    // a list has been handed on since the start
-	history     []discovery.List
-	changed     chan struct{}
-	following   bool
-	lastContact time.Time // when the group last said anything
-	saveErr     error
-}
-
-// Start takes up what the folder holds and serves at once.
-func Start(o Options) (*Agent, error) {
-	c, err := client.New(o.Nodes, o.Fleet, o.Log)
+	journal     journal          // of the changes since the list was last written
+	saveErr     error            // of the last save; nil for saved
+	announced   bool             // watchers have been woken since the start
+	history     []discovery.List // the latest changes, oldest first
+	changed     chan struct{}    // closed at the list's next change
+	following   bool             // a watch on the group is open
+	lastContact time.Time        // when the group last sent anything
+}
+
+// Start loads the list and the notices that the folder has, and serves.
+func Start(options Options) (_ *Agent, err error) {
+	group, err := client.New(options.Nodes, options.Fleet, options.Log)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
+	if err := os.MkdirAll(options.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	a := &Agent{options: o, client: c, updates: mailbox.New[client.Update](), changed: make(chan struct{}),
-		list: savedList{Members: map[string]discovery.Member{}}, journal: journal{path: filepath.Join(o.Folder, journalName)}}
+	a := &Agent{
+		options: options,
+		client:  group,
+		updates: mailbox.New[client.Update](),
+		list:    savedList{Members: map[string]discovery.Member{}},
+		journal: journal{path: filepath.Join(options.Folder, journalName)},
+		changed: make(chan struct{}),
+	}
+	defer func() {
+		if err != nil {
+			a.closeFiles()
+		}
+	}()
 	if err := a.loadList(); err != nil {
 		return nil, err
 	}
-	if a.spool, err = openSpool(filepath.Join(o.Folder, "notices"), o.Log); err != nil {
+	if a.spool, err = openSpool(filepath.Join(options.Folder, spoolName), options.Log); err != nil {
 		return nil, err
 	}
-	if a.listener, err = net.Listen("tcp", o.Listen); err != nil {
-		a.spool.close()
+	if a.listener, err = net.Listen("tcp", options.Listen); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+discovery.ListPath, a.getList)
-	mux.HandleFunc("POST "+discovery.NoticePath, a.postNotices)
-	mux.HandleFunc("GET /v1/status", a.getStatus)
-	a.server = &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, ErrorLog: slog.NewLogLogger(o.Log.Handler(), slog.LevelDebug)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
-	a.wg.Add(4)
-	go func() { defer a.wg.Done(); a.server.Serve(acceptretry.NewListener(a.listener)) }()
+	a.server = &http.Server{
+		Handler:           a.routes(),
+		ReadHeaderTimeout: readHeaderTimeout,
+		ErrorLog:          slog.NewLogLogger(options.Log.Handler(), slog.LevelDebug),
+	}
+	a.startTask(func() {
+		_ = a.server.Serve(acceptretry.NewListener(a.listener)) // returns once the server is closed
+	})
+	position := a.list.At
+	a.startTask(func() {
+		_ = a.client.Follow(a.ctx, position, a.updates.Put, a.setFollowing) // returns once ctx is done
+	})
+	a.startTask(a.runUpdates)
+	a.startTask(func() { a.spool.sendPending(a.ctx, a.client) })
+	return a, nil
+}
+
+// startTask runs f on a goroutine that Close waits for.
+func (a *Agent) startTask(f func()) {
+	a.tasks.Add(1)
 	go func() {
-		defer a.wg.Done()
-		a.mu.Lock()
-		from := a.list.At
-		a.mu.Unlock()
-		a.client.Follow(a.ctx, from, a.updates.Put, a.setFollowing)
+		defer a.tasks.Done()
+		f()
 	}()
-	go func() { defer a.wg.Done(); a.runUpdates(a.ctx) }()
-	go func() { defer a.wg.Done(); a.spool.sendPending(a.ctx, a.client) }()
-	return a, nil
 }
 
-// Addr is where the agent listens.
+// Addr returns the host:port where the agent serves.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Close ends the agent; what is spooled stays on disk.
+// Close ends the agent and waits for its goroutines. Spooled notices stay on disk.
 func (a *Agent) Close() {
 	a.cancel()
 	a.server.Close()
-	a.wg.Wait()
-	a.spool.close()
-	a.journal.close()
+	a.tasks.Wait()
+	a.closeFiles()
 	a.client.Close()
 }
 
-func (a *Agent) setFollowing(up bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.following = up
-	a.lastContact = time.Now()
-}
-
-// runUpdates books what the group has told and hands it on, until ctx ends. What
-// came while the disk was busy is booked together.
-func (a *Agent) runUpdates(ctx context.Context) {
-	var news []client.Update
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-a.updates.Ready():
-		}
-		news = a.updates.TakeAll(news)
-		for from := 0; from < len(news); {
-			from += a.applyBatch(news[from:])
-		}
-	}
-}
-
-// applyBatch books the first of the news, as many as go together: on disk first,
-// then for whoever watches. A whole list becomes what changed by it, so a watch
-// goes on.
-func (a *Agent) applyBatch(news []client.Update) (n int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.lastContact = time.Now()
-	var entries []journalEntry
-	for changed := 0; n < len(news) && changed < maxBatchChanges; n++ {
-		entry := journalEntry{At: client.Position{Epoch: news[n].Epoch, Revision: news[n].Revision}, Revision: a.list.Revision,
-			Members: a.diff(&news[n]), Saved: a.lastContact}
-		if len(entry.Members) > 0 {
-			entry.Revision++
-		}
-		a.list.apply(&entry)
-		entries = append(entries, entry)
-		changed += len(entry.Members)
-	}
-	if a.saveErr = a.saveChanges(entries); a.saveErr != nil {
-		a.options.Log.Error("the list could not be kept", "err", a.saveErr) // it is served all the same
-	}
-	a.notifyWatchers(entries)
-	return n
-}
-
-// diff is what news changes in the list; a.mu is held.
-func (a *Agent) diff(n *client.Update) []discovery.Member {
-	if !n.Complete {
-		return n.Members
-	}
-	var changes []discovery.Member
-	listed := map[string]bool{}
-	for _, m := range n.Members {
-		listed[m.ID] = true
-		if a.list.Members[m.ID] != m {
-			changes = append(changes, m)
-		}
-	}
-	for _, id := range sortedIDs(a.list.Members) {
-		if !listed[id] {
-			m := a.list.Members[id]
-			m.Phase = discovery.Removed
-			changes = append(changes, m)
-		}
-	}
-	return changes
-}
-
-// notifyWatchers hands changes to whoever watches; a.mu is held.
-func (a *Agent) notifyWatchers(entries []journalEntry) {
-	told := false
-	for _, e := range entries {
-		if len(e.Members) > 0 {
-			a.history = append(a.history, discovery.List{Revision: e.Revision, Members: e.Members})
-			told = true
-		}
-	}
-	if !told && a.announced {
-		return
-	}
-	a.announced = true
-	if len(a.history) > maxHistory {
-		a.history = slices.Clone(a.history[len(a.history)-maxHistory:])
-	}
-	close(a.changed)
-	a.changed = make(chan struct{})
-}
-
-func sortedIDs(m map[string]discovery.Member) []string {
-	ids := make([]string, 0, len(m))
-	for id := range m {
-		ids = append(ids, id)
-	}
-	slices.SortFunc(ids, strings.Compare)
-	return ids
-}
-
-// completeList is the list as the agent has it; a.mu is held.
-func (a *Agent) completeList() discovery.List {
-	l := discovery.List{Revision: a.list.Revision, Complete: true, Members: []discovery.Member{}}
-	for _, id := range sortedIDs(a.list.Members) {
-		l.Members = append(l.Members, a.list.Members[id])
-	}
-	return l
-}
-
-// hasList tells whether the agent has any list: before its first it says nothing,
-// as discovery that is down.
-func (a *Agent) hasList() (bool, <-chan struct{}) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.list.At.Epoch != "", a.changed
-}
-
-// since gives what changed after a revision.
-func (a *Agent) since(revision int64) ([]discovery.List, <-chan struct{}) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	first := a.list.Revision + 1
-	if len(a.history) > 0 {
-		first = a.history[0].Revision
-	}
-	if revision > a.list.Revision || revision < first-1 {
-		return []discovery.List{a.completeList()}, a.changed
-	}
-	var out []discovery.List
-	for _, l := range a.history {
-		if l.Revision > revision {
-			out = append(out, l)
-		}
-	}
-	return out, a.changed
-}
-
-func (a *Agent) getList(w http.ResponseWriter, r *http.Request) {
-	for {
-		ok, news := a.hasList()
-		if ok {
-			break
-		}
-		select {
-		case <-news:
-		case <-r.Context().Done():
-			return
-		case <-a.ctx.Done():
-			return
-		}
-	}
-	if r.URL.Query().Get("watch") != "1" {
-		a.mu.Lock()
-		l := a.completeList()
-		a.mu.Unlock()
-		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(l) // a relay that is gone asks again
-		return
-	}
-	at, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	if err != nil {
-		http.Error(w, "from: a revision is wanted", http.StatusBadRequest)
-		return
-	}
-	out := http.NewResponseController(w)
-	w.WriteHeader(http.StatusOK)
-	if out.Flush() != nil {
-		return
-	}
-	quiet := time.NewTicker(watchKeepAlive)
-	defer quiet.Stop()
-	for enc := json.NewEncoder(w); ; {
-		lists, news := a.since(at)
-		out.SetWriteDeadline(time.Now().Add(5 * time.Second))
-		for _, l := range lists {
-			if enc.Encode(l) != nil || out.Flush() != nil {
-				return
-			}
-			at = l.Revision
-		}
-		select {
-		case <-news:
-		case <-quiet.C:
-			if _, err := io.WriteString(w, "\n"); err != nil || out.Flush() != nil {
-				return
-			}
-		case <-r.Context().Done():
-			return
-		case <-a.ctx.Done():
-			return
-		}
-	}
-}
-
-func (a *Agent) postNotices(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(io.LimitReader(r.Body, maxNoticeBytes+1))
-	if err == nil && len(text) > maxNoticeBytes {
-		w.WriteHeader(http.StatusRequestEntityTooLarge)
-		return
-	}
-	var all []discovery.Notice
-	if err == nil {
-		all, err = discovery.ReadNotices(strings.NewReader(string(text)))
-	}
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	if err := a.spool.add(all); err != nil {
-		a.options.Log.Error("notices not kept", "err", err)
-		http.Error(w, err.Error(), http.StatusServiceUnavailable)
-		return
-	}
-	w.WriteHeader(http.StatusNoContent)
-}
-
-// Status is what an agent says of itself.
-type Status struct {
-	Up       bool            `json:"up"`              // a watch on the group is open
-	At       client.Position `json:"at"`              // of the group
-	Revision int64           `json:"revision"`        // the agent's own
-	Members  int             `json:"members"`         //
-	AgeMS    int64           `json:"age_ms"`          // since the group was last heard
-	Spooled  int             `json:"spooled"`         // notices that the group has not taken
-	Error    string          `json:"error,omitempty"` // why the list could not be kept on disk
-}
-
-// State tells how the agent stands.
-func (a *Agent) State() Status {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	s := Status{Up: a.following, At: a.list.At, Revision: a.list.Revision, Members: len(a.list.Members), Spooled: a.spool.count()}
-	at := a.lastContact
-	if at.IsZero() {
-		at = a.list.Saved
-	}
-	if !a.following && !at.IsZero() {
-		s.AgeMS = time.Since(at).Milliseconds()
-	}
-	if a.saveErr != nil {
-		s.Error = a.saveErr.Error()
+func (a *Agent) closeFiles() {
+	if a.spool != nil {
+		a.spool.close()
 	}
-	return s
-}
-
-func (a *Agent) getStatus(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(a.State())
+	a.journal.close()
 }
--- a/internal/registry/agent/journal.go
+++ b/internal/registry/agent/journal.go
@@ -15,21 +15,24 @@
 	"plovershore/internal/registry/client"
 )
 
-// The list on disk is a whole list and a journal of what has changed since. A
-// change costs its own bytes and one sync, whatever the length of the list; the
-// whole is written anew only once the journal has grown as long as it.
-
 const (
-	journalName     = "list.changes"
-	journalHeader   = "troutchanges 1 %08x\n" // version, and the checksum of the whole list that it goes on from
-	journalRecord   = "%08x %s\n"             // CRC-32C of the JSON text, and the text
-	minJournalBytes = 1 << 20                 // a shorter journal is not worth writing the whole list anew
+	journalName = "list.changes"
+
+	// journalHeader has the format's name and version, and the checksum of the list that
+	// the journal goes on from. The name is from before the program was renamed. It
+	// stays, since agents start over folders of earlier versions.
+	journalHeader = "troutchanges 1 %08x\n"
+
+	journalChecksum = "%08x"                    // CRC-32C of an entry's JSON text
+	journalRecord   = journalChecksum + " %s\n" // the checksum and the text
+	minJournalBytes = 1 << 20                   // a shorter journal isn't worth writing the complete list
 )
 
-// journalEntry is one change of the list: what the agent told as one revision.
+// journalEntry is one change of the list. Its JSON form is stored and kept from earlier
+// versions.
 type journalEntry struct {
-	At       client.Position    `json:"at"`
-	Revision int64              `json:"revision"`
+	At       client.Position    `json:"at"`       // position in the group's changes
+	Revision int64              `json:"revision"` // the agent's own
 	Members  []discovery.Member `json:"members"`
 	Saved    time.Time          `json:"saved"`
 }
@@ -42,55 +45,60 @@
 	return fmt.Appendf(nil, journalRecord, crc32.Checksum(text, castagnoli), text), nil
 }
 
-// decodeJournal reads the entries that go on from the list with the checksum
-// base, up to the first that is torn or damaged, and the bytes up to there.
-func decodeJournal(text []byte, base uint32) (entries []journalEntry, sound int) {
-	head := fmt.Appendf(nil, journalHeader, base)
-	if !bytes.HasPrefix(text, head) {
-		return nil, 0
-	}
-	sound = len(head)
-	for {
-		line, _, whole := bytes.Cut(text[sound:], []byte{'\n'})
-		if !whole {
-			return entries, sound
-		}
-		entry, err := decodeEntry(line)
-		if err != nil {
-			return entries, sound
-		}
-		entries = append(entries, *entry)
-		sound += len(line) + 1
-	}
-}
-
+// decodeEntry decodes one line without its end. An error wraps ErrCorrupt.
 func decodeEntry(line []byte) (*journalEntry, error) {
-	sum, text, ok := bytes.Cut(line, []byte{' '})
-	if !ok || string(sum) != fmt.Sprintf("%08x", crc32.Checksum(text, castagnoli)) {
-		return nil, errors.New("list: a change that is damaged")
+	checksum, text, ok := bytes.Cut(line, []byte{' '})
+	if !ok || string(checksum) != fmt.Sprintf(journalChecksum, crc32.Checksum(text, castagnoli)) {
+		return nil, fmt.Errorf("list: %w change", ErrCorrupt)
 	}
 	entry := &journalEntry{}
 	if err := json.Unmarshal(text, entry); err != nil {
-		return nil, fmt.Errorf("list: %w", err)
+		return nil, fmt.Errorf("list: %w: %w", ErrCorrupt, err)
 	}
 	for i := range entry.Members {
 		if err := entry.Members[i].Validate(); err != nil {
-			return nil, fmt.Errorf("list: %w", err)
+			return nil, fmt.Errorf("list: %w: %w", ErrCorrupt, err)
 		}
 	}
 	return entry, nil
 }
 
-// journal is the file of changes, open at its end.
+// decodeJournal decodes the entries up to the first torn or corrupt one, and returns
+// the length of the valid text. That is 0 for a journal that doesn't go on from the
+// list with the checksum listChecksum.
+func decodeJournal(text []byte, listChecksum uint32) (entries []journalEntry, valid int) {
+	header := fmt.Appendf(nil, journalHeader, listChecksum)
+	if !bytes.HasPrefix(text, header) {
+		return nil, 0
+	}
+	valid = len(header)
+	for {
+		line, _, isComplete := bytes.Cut(text[valid:], []byte{'\n'})
+		if !isComplete {
+			return entries, valid
+		}
+		entry, err := decodeEntry(line)
+		if err != nil {
+			return entries, valid
+		}
+		entries = append(entries, *entry)
+		valid += len(line) + 1
+	}
+}
+
+// journal is the file of the changes since the list was last written. It is not safe
+// for concurrent use. Its owner closes it.
 type journal struct {
-	path string
-	file *os.File
-	size int64
-	base int64 // bytes of the whole list that it goes on from
+	path      string
+	file      *os.File // nil for none: the next change has to write the complete list
+	size      int64
+	listBytes int64 // length of the list that it goes on from
 }
 
-// load takes up the changes that go on from a list, and cuts off what is torn.
-func (j *journal) load(k *savedList, base uint32) error {
+// load applies the journal's changes to the list that it goes on from, and truncates
+// what is torn or corrupt. A journal of another list is ignored: an earlier version,
+// which had none, may have written the list since.
+func (j *journal) load(l *savedList, listChecksum uint32) error {
 	text, err := os.ReadFile(j.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -98,46 +106,46 @@
 	if err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	entries, sound := decodeJournal(text, base)
-	if sound == 0 {
-		return nil // of another list, such as one that an older program has written since
+	entries, valid := decodeJournal(text, listChecksum)
+	if valid == 0 {
+		return nil
 	}
 	for i := range entries {
-		k.apply(&entries[i])
+		l.apply(&entries[i])
 	}
 	if j.file, err = os.OpenFile(j.path, os.O_RDWR, 0o600); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	if err := j.file.Truncate(int64(sound)); err != nil {
+	if err := j.file.Truncate(int64(valid)); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	j.size = int64(sound)
+	j.size = int64(valid)
 	return nil
 }
 
-// isFull reports whether the next entry had better be a whole list.
+// isFull reports whether the complete list should be written instead of the next entry.
 func (j *journal) isFull() bool {
-	return j.file == nil || j.size > max(minJournalBytes, j.base)
+	return j.file == nil || j.size > max(minJournalBytes, j.listBytes)
 }
 
-// reset begins the journal anew behind a whole list that is on disk.
-func (j *journal) reset(base uint32, bytes int64) error {
+// reset begins an empty journal that goes on from a list which is on disk.
+func (j *journal) reset(listChecksum uint32, listBytes int64) error {
 	j.close()
 	file, err := os.OpenFile(j.path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	head := fmt.Appendf(nil, journalHeader, base)
-	_, err = file.Write(head)
+	header := fmt.Appendf(nil, journalHeader, listChecksum)
+	_, err = file.Write(header)
 	if err = errors.Join(err, file.Sync(), syncDir(filepath.Dir(j.path))); err != nil {
 		return fmt.Errorf("list: %w", errors.Join(err, file.Close()))
 	}
-	j.file, j.size, j.base = file, int64(len(head)), bytes
+	j.file, j.size, j.listBytes = file, int64(len(header)), listBytes
 	return nil
 }
 
-// append books entries; with no error they outlast the process and the power.
-// After an error the whole list has to be written anew.
+// append saves entries. Unless it returns an error, they outlast the process and a loss
+// of power. After an error the journal is closed.
 func (j *journal) append(entries []journalEntry) error {
 	var text []byte
 	for i := range entries {
@@ -162,15 +170,3 @@
 		j.file = nil
 	}
 }
-
-// apply brings the list up to date with one change.
-func (k *savedList) apply(e *journalEntry) {
-	k.At, k.Revision, k.Saved = e.At, e.Revision, e.Saved
-	for _, m := range e.Members {
-		if m.Phase == discovery.Removed {
-			delete(k.Members, m.ID)
-		} else {
-			k.Members[m.ID] = m
-		}
-	}
-}
--- a/internal/registry/agent/journal_test.go
+++ b/internal/registry/agent/journal_test.go
@@ -231,7 +231,7 @@
 			from += a.applyBatch(news[from:])
 		}
 		size := a.journal.size
-		if most := max(minJournalBytes, a.journal.base) + 300*maxBatchChanges; size > most {
+		if most := max(minJournalBytes, a.journal.listBytes) + 300*maxBatchChanges; size > most {
 			t.Fatalf("the journal has %d bytes, %d at most", size, most)
 		}
 	}
