--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,5 @@
-// Command registry is the list of endpoints of a fleet: a node of its group, or the agent on a relay's machine.
+// Command registry is the list of endpoints of a fleet: a node of its group, or the
+// agent on a relay's machine.
 package main
 
 import (
@@ -10,8 +11,10 @@
 	"plovershore/internal/registry/command"
 )
 
-func main() {
+func main() { os.Exit(run()) }
+
+func run() int {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
-	os.Exit(command.Registry(ctx, os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
+	return command.Registry(ctx, os.Args[1:], os.Getenv, os.Stdout, os.Stderr)
 }
--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -1,6 +1,5 @@
-// Package registrytest runs list services for the tests of what uses them: one
-// node, or a group whose nodes can be stopped and started again. All end with the
-// test.
+// Package registrytest runs list services for the tests of what uses them: one node, or
+// a group whose nodes can be stopped and started again. All end with the test.
 package registrytest
 
 import (
@@ -12,36 +11,47 @@
 	"testing"
 	"time"
 
+	"github.com/hashicorp/raft"
+
 	"plovershore/internal/loopback"
 	"plovershore/internal/registry"
 	"plovershore/internal/registry/client"
 )
 
-const waitTimeout = 30 * time.Second
+const (
+	waitTimeout   = 30 * time.Second
+	waitInterval  = 2 * time.Millisecond
+	statusTimeout = time.Second
+)
 
-// Quiet is a log that nobody reads.
+// Quiet returns a logger that discards everything.
 func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// WaitFor waits for a condition, and fails the test where it never comes.
-func WaitFor(t testing.TB, what string, cond func() bool) {
+// WaitFor waits until a condition holds. It fails the test if that takes longer than
+// 30 s.
+func WaitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(waitInterval) {
+		if condition() {
 			return
 		}
 	}
 	t.Fatalf("never came: %s", what)
 }
 
-// Group is a list service of some nodes.
+// Group is a list service of some nodes in the test's process. It is not safe for
+// concurrent use.
 type Group struct {
-	t     testing.TB
+	// Addrs are the host:port addresses of the nodes' APIs.
 	Addrs []string
-	cfgs  []*registry.Config
-	nodes []*registry.Node
+
+	t       testing.TB
+	configs []*registry.Config
+	nodes   []*registry.Node // nil for stopped
 }
 
-// Start runs a group; tune, which may be nil, sees each configuration before.
+// Start runs a group of size nodes until the test ends. tune, which may be nil, may
+// change each node's configuration before.
 func Start(t testing.TB, size int, tune func(*registry.Config)) *Group {
 	t.Helper()
 	g := &Group{t: t, nodes: make([]*registry.Node, size)}
@@ -50,12 +60,14 @@
 		peers = append(peers, registry.Peer{ID: fmt.Sprint("r", i+1), Raft: loopback.Free(), HTTP: loopback.Free()})
 	}
 	for _, p := range peers {
-		c := registry.DefaultConfig()
-		c.ID, c.DataDir, c.Listen, c.Raft, c.Peers = p.ID, filepath.Join(t.TempDir(), "data"), p.HTTP, p.Raft, peers
+		config := registry.DefaultConfig()
+		config.ID, config.Listen, config.Raft, config.Peers = p.ID, p.HTTP, p.Raft, peers
+		config.DataDir = filepath.Join(t.TempDir(), "data")
 		if tune != nil {
-			tune(&c)
+			tune(&config)
 		}
-		g.cfgs, g.Addrs = append(g.cfgs, &c), append(g.Addrs, p.HTTP)
+		g.configs = append(g.configs, &config)
+		g.Addrs = append(g.Addrs, p.HTTP)
 	}
 	for i := range size {
 		g.Start(i)
@@ -68,17 +80,17 @@
 	return g
 }
 
-// Start runs a node over the folder that it has.
+// Start starts node i over its data folder.
 func (g *Group) Start(i int) {
 	g.t.Helper()
-	n, err := registry.Start(g.cfgs[i], Quiet())
+	n, err := registry.Start(g.configs[i], Quiet())
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	g.nodes[i] = n
 }
 
-// Stop ends a node; its folder stays.
+// Stop stops node i, if it runs. Its data folder stays.
 func (g *Group) Stop(i int) {
 	if g.nodes[i] != nil {
 		g.nodes[i].Close()
@@ -86,13 +98,13 @@
 	}
 }
 
-// Client asks all nodes of the group.
+// Client returns a client of all nodes of the group.
 func (g *Group) Client() *client.Client {
 	g.t.Helper()
 	return Client(g.t, g.Addrs...)
 }
 
-// Client asks the nodes at some addresses.
+// Client returns a client of the nodes at some addresses. It is closed with the test.
 func Client(t testing.TB, addrs ...string) *client.Client {
 	t.Helper()
 	c, err := client.New(addrs, 1, Quiet())
@@ -103,25 +115,25 @@
 	return c
 }
 
-// Leader waits for the node that says it leads, and gives its number.
-func (g *Group) Leader() (at int) {
+// Leader waits for a leader, and returns its index.
+func (g *Group) Leader() (leader int) {
 	g.t.Helper()
 	WaitFor(g.t, "a leader", func() bool {
 		for i, n := range g.nodes {
-			if n == nil {
-				continue
-			}
-			one := Client(g.t, g.Addrs[i])
-			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			var x registry.Status
-			_, err := one.Do(ctx, http.MethodGet, registry.StatusPath, nil, &x)
-			cancel()
-			if err == nil && x.RaftRole == "Leader" {
-				at = i
+			if n != nil && g.isLeader(i) {
+				leader = i
 				return true
 			}
 		}
 		return false
 	})
-	return at
+	return leader
+}
+
+func (g *Group) isLeader(i int) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
+	defer cancel()
+	var status registry.Status
+	_, err := Client(g.t, g.Addrs[i]).Do(ctx, http.MethodGet, registry.StatusPath, nil, &status)
+	return err == nil && status.RaftRole == raft.Leader.String()
 }
