--- a/internal/relay/clockstep_test.go
+++ b/internal/relay/clockstep_test.go
@@ -207,6 +207,11 @@
 	s.start()
 	s.put("mark", "plain", 20*time.Second, 1)
 	s.delivered(s.quick, "mark")
+	since := time.Now()
+	waitFor(t, "the notice", func() bool { _, ended := s.disc.Notice("keyed"); return ended }) // sent on its own, not before the call
+	if waited := time.Since(since); waited > 5*time.Second {
+		t.Errorf("the notice came %v after a later message was delivered: not before its own deadline", waited)
+	}
 	if n, ended := s.disc.Notice("keyed"); !ended || n.Outcome != discovery.Failed || s.hung.count("keyed") != 1 {
 		t.Errorf("%d calls, ended %v by %q", s.hung.count("keyed"), ended, n.Outcome)
 	}
