--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,5 @@
-// Package cli has what the command lines of the project's programs share: how a
-// command tree is executed, how errors become exit codes, and the log on standard
-// error.
+// Package cli is shared by the command lines of the project's programs: running a
+// command tree, mapping errors to exit codes, and logging to standard error.
 package cli
 
 import (
@@ -40,6 +39,7 @@
 // ExitCoder is an error that has an exit code of its own.
 type ExitCoder interface {
 	error
+	// ExitCode returns the exit code of the process.
 	ExitCode() int
 }
 
@@ -77,6 +77,7 @@
 	return code
 }
 
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var usage UsageError
 	var coder ExitCoder
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,9 @@
-// Package clock is the time that a process goes by: the machine's, unless a drill
-// has it run fast or slow, or its date jump. It promises that Mono and Elapsed
-// only go forward, whatever becomes of the date. It lets the lab show that no
-// safety rests on time; nothing in service sets a drill.
+// Package clock is the time source of a process: the machine's clocks, or a
+// simulated one whose rate differs from theirs and whose date jumps. Mono never
+// goes backwards, whatever happens to the date. With simulated clocks the fault
+// lab shows that safety does not depend on time; production uses the machine's.
+//
+// Reading compares clock readings of different processes.
 package clock
 
 import (
@@ -11,49 +13,47 @@
 	"time"
 )
 
-// Clock is a process's time. Nil is the machine's.
+// Clock is the time source of a process. A nil Clock is the machine's; Parse
+// makes a simulated one. It is immutable and safe for concurrent use.
 type Clock struct {
 	began time.Time
-	rate  float64 // seconds of this clock in one of the machine's
-	jumps []jump
+	rate  float64 // seconds of this clock in a second of the machine's
+	jumps []dateJump
 }
 
-// jump is one of the date.
-type jump struct{ by, at time.Duration }
+// dateJump sets the date forward, or back where by is negative, at a time after
+// the process began.
+type dateJump struct{ by, at time.Duration }
 
+// Bounds of a simulated clock's rate.
 const (
-	rateLeast = 0.1
-	rateMost  = 10
+	minRate = 0.1
+	maxRate = 10
 )
 
-// Parse reads a drill, such as "rate=1.1,date=-1h@8s": a clock that runs a tenth
-// fast, and whose date is set back an hour 8 s after the process began. Nothing
-// is the machine's clock.
-func Parse(drill string) (*Clock, error) {
-	if drill == "" {
+// Parse returns the simulated clock that spec describes. "rate=1.1,date=-1h@8s"
+// is a clock that runs 10% fast, and whose date is set back an hour 8 s after the
+// process began. An empty spec is the machine's clock.
+func Parse(spec string) (*Clock, error) {
+	if spec == "" {
 		return nil, nil
 	}
 	c := &Clock{began: time.Now(), rate: 1}
-	for _, part := range strings.Split(drill, ",") {
+	for _, part := range strings.Split(spec, ",") {
 		key, value, _ := strings.Cut(part, "=")
 		switch key {
 		case "rate":
-			r, err := strconv.ParseFloat(value, 64)
-			if err != nil || !(r >= rateLeast && r <= rateMost) {
-				return nil, fmt.Errorf("clock: rate: %q; a number from %v to %v is wanted", value, rateLeast, rateMost)
+			rate, err := parseRate(value)
+			if err != nil {
+				return nil, err
 			}
-			c.rate = r
+			c.rate = rate
 		case "date":
-			by, at, _ := strings.Cut(value, "@")
-			j := jump{}
-			var err error
-			if j.by, err = time.ParseDuration(by); err == nil {
-				j.at, err = time.ParseDuration(at)
+			jump, err := parseDateJump(value)
+			if err != nil {
+				return nil, err
 			}
-			if err != nil || j.at < 0 {
-				return nil, fmt.Errorf("clock: date: %q; such as -1h@8s is wanted", value)
-			}
-			c.jumps = append(c.jumps, j)
+			c.jumps = append(c.jumps, jump)
 		default:
 			return nil, fmt.Errorf("clock: %q; rate and date are known", part)
 		}
@@ -61,8 +61,30 @@
 	return c, nil
 }
 
-// Mono is a moment that only differences and comparisons with others of this
-// clock mean anything of: no jump of the date is in it.
+func parseRate(text string) (float64, error) {
+	rate, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(rate >= minRate && rate <= maxRate) { // not a number compares with neither
+		return 0, fmt.Errorf("clock: rate: %q; a number from %v to %v is wanted", text, minRate, maxRate)
+	}
+	return rate, nil
+}
+
+// parseDateJump parses a jump such as -1h@8s.
+func parseDateJump(text string) (dateJump, error) {
+	by, at, _ := strings.Cut(text, "@")
+	var jump dateJump
+	var err error
+	if jump.by, err = time.ParseDuration(by); err == nil {
+		jump.at, err = time.ParseDuration(at)
+	}
+	if err != nil || jump.at < 0 {
+		return dateJump{}, fmt.Errorf("clock: date: %q; such as -1h@8s is wanted", text)
+	}
+	return jump, nil
+}
+
+// Mono returns the monotonic time, which is only good for differences and
+// comparisons with others of the same clock. Jumps of the date do not affect it.
 func (c *Clock) Mono() time.Time {
 	if c == nil {
 		return time.Now()
@@ -70,7 +92,7 @@
 	return c.began.Add(c.Span(time.Since(c.began)))
 }
 
-// Date is what this clock says that it is.
+// Date returns the date and time of day that this clock shows.
 func (c *Clock) Date() time.Time {
 	if c == nil {
 		return time.Now()
@@ -84,7 +106,7 @@
 	return now
 }
 
-// Span is what this clock makes of a span of the machine's.
+// Span converts a duration by the machine's clock to one by this clock.
 func (c *Clock) Span(d time.Duration) time.Duration {
 	if c == nil {
 		return d
@@ -92,7 +114,7 @@
 	return time.Duration(float64(d) * c.rate)
 }
 
-// Real is how long a span of this clock takes on the machine's, for its timers.
+// Real converts a duration by this clock to one by the machine's, for timers.
 func (c *Clock) Real(d time.Duration) time.Duration {
 	if c == nil {
 		return d
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -1,18 +1,19 @@
-// Package clocktest is package wallclock for tests.
+// Package clocktest gives tests a wall clock that they can step, by package
+// wallclock.
 package clocktest
 
 import (
-	_ "runtime/cgo" // links a test's own program dynamically, so that it can be a child that loads the library
+	_ "runtime/cgo" // links the test binary dynamically, so that it can load the library as a child process
 	"testing"
 	"time"
 
 	"plovershore/internal/clock/wallclock"
 )
 
-// Wall is a wall clock that a test steps.
+// Wall is a wall clock that a test steps. It is closed when the test ends.
 type Wall struct{ wall *wallclock.Wall }
 
-// New makes a wall clock that shows the right time.
+// New returns a wall clock that shows the machine's time.
 func New(t *testing.T) *Wall {
 	t.Helper()
 	w, err := wallclock.New(t.TempDir())
@@ -23,10 +24,10 @@
 	return &Wall{w}
 }
 
-// Env is what the environment of a process needs for it to go by this clock.
+// Env returns the environment variables that put a process on this clock.
 func (w *Wall) Env() map[string]string { return w.wall.Env() }
 
-// Step sets the clock forward, or back where by is negative.
+// Step sets the clock forward, or back if by is negative.
 func (w *Wall) Step(t *testing.T, by time.Duration) {
 	t.Helper()
 	if err := w.wall.Step(by); err != nil {
--- a/internal/clock/wallclock/wallclock.go
+++ b/internal/clock/wallclock/wallclock.go
@@ -1,7 +1,9 @@
-// Package wallclock steps the wall clock of processes, as an operator or a time daemon
-// would that of their machine; their monotonic clocks run on. It promises that a step is
-// seen by every reading that begins after Step has returned. It is for tests and the lab,
-// needs gcc and Linux on amd64, and works on programs that are linked dynamically.
+// Package wallclock steps the wall clock of processes, as an operator or a time
+// daemon steps that of their machine; their monotonic clocks are not affected. A
+// step is visible to every clock reading that begins after Step has returned.
+//
+// It is for tests and the fault lab. It needs gcc and Linux on amd64, and works on
+// programs that are linked dynamically, since it preloads a library (shim).
 package wallclock
 
 import (
@@ -18,7 +20,7 @@
 //go:embed shim/wallclock.c
 var source []byte
 
-// Names of files, and of the environment variables that tell a process of them.
+// Names of the files, and of the environment variables that point a process to them.
 const (
 	codeName    = "wallclock.c"
 	libraryName = "wallclock.so"
@@ -29,7 +31,8 @@
 	shiftBytes = 8
 )
 
-// Wall is a wall clock that the processes of one machine share.
+// Wall is a wall clock that several processes share. It is made by New and safe
+// for concurrent use; its owner calls Close.
 type Wall struct {
 	env  map[string]string
 	file *os.File
@@ -38,8 +41,8 @@
 	shift time.Duration
 }
 
-// New makes a wall clock that shows the right time, with its files in a folder. An error
-// is that of the compiler, with what it printed, or of the file system.
+// New returns a wall clock that shows the machine's time, with its files in dir. The
+// error is the compiler's, with its output, or one of the file system.
 func New(dir string) (*Wall, error) {
 	code, library, shift := filepath.Join(dir, codeName), filepath.Join(dir, libraryName), filepath.Join(dir, shiftName)
 	if err := os.WriteFile(code, source, 0o600); err != nil {
@@ -59,10 +62,10 @@
 	return &Wall{env: map[string]string{preloadEnv: library, shiftEnv: shift}, file: f}, nil
 }
 
-// Env is what the environment of a process needs for it to go by this clock.
+// Env returns the environment variables that put a process on this clock.
 func (w *Wall) Env() map[string]string { return w.env }
 
-// Step sets the clock forward, or back where by is negative.
+// Step sets the clock forward, or back if by is negative. Steps add up.
 func (w *Wall) Step(by time.Duration) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -73,5 +76,5 @@
 	return nil
 }
 
-// Close lets go of the files; processes that run keep the shift that they have.
+// Close closes the files. Processes that are running keep their present shift.
 func (w *Wall) Close() error { return w.file.Close() }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,26 +1,25 @@
 package discovery
 
 import (
-	"context"
 	"fmt"
 	"net"
 	"net/http"
-	"sync"
 	"time"
 )
 
-// Paths of discovery, on the wire.
+// Paths of discovery's HTTP interface.
 const (
-	ListPath   = "/registry/instances" // the list, and watches on it
+	ListPath   = "/registry/instances" // the endpoint list, and watches on it
 	NoticePath = "/reports"            // notices
 )
 
-// baseAnswerTimeout is how long a call, or a connection, may take: the agent is on
-// this machine, and answers at once or is down.
+// baseAnswerTimeout bounds a connect, and a call that need not queue behind
+// those of other relays: the agent is on this machine, and answers at once or
+// is down.
 const baseAnswerTimeout = time.Second
 
-// newHTTPClient makes a client for the agent on this machine: few idle
-// connections, no proxy, HTTP/1.1 alone.
+// newHTTPClient returns a client for the agent on this machine: few idle
+// connections, no proxy, HTTP/1.1 only.
 func newHTTPClient(conns int, answerTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -42,49 +41,19 @@
 	return p
 }
 
-// movableAddress is the address of discovery's agent, which the platform may
-// change while calls are under way.
-type movableAddress struct {
-	mu         sync.Mutex
-	addr       string
-	cancelCall context.CancelFunc // ends the call that is under way at addr
-}
-
-// beginCall gives the address, and a context that ends when it is replaced.
-func (a *movableAddress) beginCall(ctx context.Context) (context.Context, context.CancelFunc, string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	ctx, cancel := context.WithCancel(ctx)
-	a.cancelCall = cancel
-	return ctx, cancel, a.addr
-}
-
-// SetAddress has the next call go to addr, and ends the one that is under way. A move
-// to the present address changes nothing.
-func (a *movableAddress) SetAddress(addr string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if addr == a.addr {
-		return
-	}
-	a.addr = addr
-	if a.cancelCall != nil {
-		a.cancelCall()
-	}
-}
-
-// StatusError is an answer of discovery with another status than was wanted.
+// StatusError is a response of discovery with another status than expected.
 type StatusError struct {
-	Call   string // what was asked for
+	Call   string // "list", "watch" or "notices"
 	Status int    // HTTP status code
 }
 
+// Error names the call and the status.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("discovery: %s: status %d", e.Call, e.Status)
 }
 
-// turnedAway reports whether discovery answered that it has too much to do, or
-// failed: it says nothing about what was asked for.
-func (e *StatusError) turnedAway() bool {
+// isRejection reports whether discovery is overloaded or failed, which says
+// nothing about what was requested.
+func (e *StatusError) isRejection() bool {
 	return e.Status == http.StatusTooManyRequests || e.Status >= http.StatusInternalServerError
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -73,8 +73,6 @@
 	}
 }
 
-// Guards against a watch that is open and dead: one that says nothing, not
-// even an empty line, is given up.
 // Guards against lists that come indented over several lines: they are news like
 // any other, and no reason to ask for the whole list.
 func TestWatchIndented(t *testing.T) {
@@ -121,6 +119,8 @@
 	}
 }
 
+// Guards against a watch that is open and dead: one that sends nothing, not
+// even an empty line, is given up.
 func TestSilentWatch(t *testing.T) {
 	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
 	news := watchList(t, d, 100*time.Millisecond)
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -1,5 +1,5 @@
-// Package discoverytest is an agent of discovery for tests: what it says and
-// when is the test's.
+// Package discoverytest is a discovery agent for tests, which decide what it
+// answers and when.
 package discoverytest
 
 import (
@@ -14,7 +14,7 @@
 	"plovershore/internal/discovery"
 )
 
-// WaitFor waits for a condition, never for a time.
+// WaitFor polls until cond is true, and fails the test after 30 s.
 func WaitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -25,22 +25,26 @@
 	t.Fatalf("never came: %s", what)
 }
 
-// Server is the agent on a relay's machine.
+// Server is the discovery agent on a relay's machine. It is made by New and
+// closed when the test ends.
 type Server struct {
 	*httptest.Server
-	Mu          sync.Mutex // of what follows
-	List        discovery.List
-	Lines       []chan string // of the watches that are open
-	Froms       []string      // what watches asked for
-	Fetches     int
-	Notices     map[string]discovery.Notice
-	Answer      int // status of notices
-	Silent      bool
-	RejectCalls int // so many watches more
-	Unheard     int // requests that came while silent
-	released    chan struct{}
+
+	Mu          sync.Mutex                  // guards the fields below
+	List        discovery.List              // the complete list
+	Lines       []chan string               // a channel of updates for each watch; closing one ends its connection
+	Froms       []string                    // the revision from which each watch was opened
+	Fetches     int                         // fetches of the complete list
+	Notices     map[string]discovery.Notice // acknowledged ones, by message id
+	Answer      int                         // HTTP status with which notices are answered
+	Silent      bool                        // no request is answered, and watches send no keepalive
+	RejectCalls int                         // watches still to be rejected with status 503
+	Unheard     int                         // requests that came while silent
+
+	released chan struct{} // closed when the test ends
 }
 
+// New starts an agent whose complete list has revision 1 and these members.
 func New(t *testing.T, members ...discovery.Member) *Server {
 	d := &Server{List: discovery.List{Revision: 1, Complete: true, Members: members}, Notices: map[string]discovery.Notice{},
 		Answer: http.StatusNoContent, released: make(chan struct{})}
@@ -52,11 +56,9 @@
 	return d
 }
 
+// serveList serves a fetch of the complete list, or a watch.
 func (d *Server) serveList(w http.ResponseWriter, r *http.Request) {
-	d.Mu.Lock()
-	if d.Silent {
-		d.Unheard++
-		d.Mu.Unlock()
+	if d.countUnheard() {
 		select {
 		case <-r.Context().Done():
 		case <-d.released:
@@ -64,23 +66,53 @@
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		d.Fetches++
-		json.NewEncoder(w).Encode(d.List)
-		d.Mu.Unlock()
+		d.serveCompleteList(w)
 		return
 	}
-	if d.RejectCalls > 0 {
-		d.RejectCalls--
-		d.Mu.Unlock()
+	lines := d.openWatch(r.URL.Query().Get("from"))
+	if lines == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	lines := make(chan string, 16)
-	d.Lines = append(d.Lines, lines)
-	d.Froms = append(d.Froms, r.URL.Query().Get("from"))
-	d.Mu.Unlock()
 	w.WriteHeader(http.StatusOK)
 	w.(http.Flusher).Flush()
+	d.serveWatch(w, r, lines)
+}
+
+// countUnheard counts a request if the agent is silent, and reports whether it is.
+func (d *Server) countUnheard() bool {
+	d.Mu.Lock()
+	defer d.Mu.Unlock()
+	if d.Silent {
+		d.Unheard++
+	}
+	return d.Silent
+}
+
+func (d *Server) serveCompleteList(w http.ResponseWriter) {
+	d.Mu.Lock()
+	defer d.Mu.Unlock()
+	d.Fetches++
+	json.NewEncoder(w).Encode(d.List)
+}
+
+// openWatch records a watch and returns the channel of its updates, or nil if the
+// watch is rejected.
+func (d *Server) openWatch(from string) chan string {
+	d.Mu.Lock()
+	defer d.Mu.Unlock()
+	if d.RejectCalls > 0 {
+		d.RejectCalls--
+		return nil
+	}
+	lines := make(chan string, 16)
+	d.Lines = append(d.Lines, lines)
+	d.Froms = append(d.Froms, from)
+	return lines
+}
+
+// serveWatch writes updates and keepalives until the watch ends.
+func (d *Server) serveWatch(w http.ResponseWriter, r *http.Request, lines chan string) {
 	for {
 		select {
 		case s, ok := <-lines:
@@ -120,8 +152,10 @@
 	w.WriteHeader(d.Answer)
 }
 
+// Addr returns the host and port of the agent.
 func (d *Server) Addr() string { return d.Listener.Addr().String() }
 
+// Notice returns the acknowledged notice of a message, if there is one.
 func (d *Server) Notice(id string) (discovery.Notice, bool) {
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
@@ -129,13 +163,14 @@
 	return n, ok
 }
 
+// Set calls f with Mu held.
 func (d *Server) Set(f func(*Server)) {
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
 	f(d)
 }
 
-// Send sends a line on the newest watch.
+// Send sends a line on the newest watch, once there is one.
 func (d *Server) Send(t *testing.T, line string) {
 	t.Helper()
 	WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Lines) > 0 })
@@ -144,7 +179,7 @@
 	d.Lines[len(d.Lines)-1] <- line
 }
 
-// Change is a line of a watch with one member.
+// Change returns an update of a watch, in JSON, with one member.
 func Change(rev int64, m discovery.Member) string {
 	text, _ := json.Marshal(discovery.List{Revision: rev, Members: []discovery.Member{m}}) // cannot fail
 	return string(text)
--- a/internal/discovery/internal_test.go
+++ b/internal/discovery/internal_test.go
@@ -62,7 +62,7 @@
 				t.Errorf("round %d: pause %d is %v", round, i, p)
 			}
 		}
-		x.recovered()
+		x.resetFailures()
 	}
 }
 
@@ -80,7 +80,7 @@
 				t.Errorf("watches that end at once are opened anew after %v at most", p)
 			}
 		}
-		x.recovered()
+		x.resetFailures()
 	}
 	for range 3 {
 		if p := x.retryDelay(fmt.Errorf("discovery: %w", errWatchSilent)); p > 2*reconnectDelay {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,8 +1,8 @@
-// Package discovery is what relay, registry and lab share of the list of
-// endpoints: its types and form on the wire, the watch by which a relay follows
-// it, and the notices that it takes. It promises that news comes in order and
-// with no gap, and that a notice is sent until it was taken; what follows from
-// either is left to its users.
+// Package discovery is the client side of service discovery, shared by the
+// relay, the registry and the fault lab: the endpoint list with its JSON form,
+// the watch by which a relay follows the list, and the notices by which it
+// reports messages that were not delivered. Updates are delivered in order and
+// without a gap, and a notice is sent until it is acknowledged.
 package discovery
 
 import (
@@ -15,26 +15,27 @@
 	"slices"
 )
 
-// Phases of a member.
+// Phases of a member, as the wire has them.
 const (
 	Up       = "up"
-	Draining = "draining" // takes nothing new, and finishes what it has
-	Removed  = "removed"  // occurs among changes alone
+	Draining = "draining" // takes no new calls, and finishes those in flight
+	Removed  = "removed"  // only in changes, never in a complete list
 )
 
-// Member is an endpoint in discovery's list.
+// Member is an endpoint in the endpoint list.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"` // the zone it is in
+	Locality string  `json:"locality"` // its zone
 	Flavor   string  `json:"flavor"`
 	Cell     int     `json:"cell"` // the destination that it serves
 	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"` // Unix time at which it last started; 0 for long ago
+	Size     float64 `json:"size"`        // its capacity, relative to the other members
+	UpSince  int64   `json:"up_since_ms"` // Unix milliseconds at which it last started; 0 for long ago
 }
 
-// Validate returns an error that says what keeps a member from being used, or nil.
+// Validate returns an error if the member cannot be used. A removed member needs
+// an id only.
 func (m *Member) Validate() error {
 	switch {
 	case m.ID == "":
@@ -50,28 +51,30 @@
 	return nil
 }
 
-// List is discovery's list, or what changed in it.
+// List is the complete endpoint list, or what changed in it.
 type List struct {
-	Revision int64    `json:"revision"` // of the list with these changes; it never falls
-	Complete bool     `json:"complete"` // the whole list: a member that is missing is gone
+	Revision int64    `json:"revision"` // of the list with these changes applied; it never decreases
+	Complete bool     `json:"complete"` // all members: one that is missing was removed; else these are changes
 	Members  []Member `json:"members"`
 }
 
-// Valid reports whether this is a whole list that can be used as it stands.
+// Valid reports whether l is a complete list whose members are all valid. It is
+// false of nil.
 func (l *List) Valid() bool {
 	return l != nil && l.Complete && !slices.ContainsFunc(l.Members, func(m Member) bool { return m.Validate() != nil })
 }
 
-// Parse reads a list, or a line of a watch, and checks its members. Where the
-// text ends in the middle of one the error wraps io.ErrUnexpectedEOF.
+// Parse decodes a list, or an update of a watch, from JSON and validates its
+// members. If the text ends in the middle of one, the error wraps
+// io.ErrUnexpectedEOF.
 func Parse(text []byte) (*List, error) {
 	l := &List{}
-	in := json.NewDecoder(bytes.NewReader(text))
-	if err := in.Decode(l); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	if err := decoder.Decode(l); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	if _, err := in.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("discovery: something follows the list")
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return nil, errors.New("discovery: trailing data after the list")
 	}
 	if l.Members == nil {
 		return nil, errors.New("discovery: no members")
--- a/internal/discovery/listreader.go
+++ b/internal/discovery/listreader.go
@@ -10,29 +10,31 @@
 )
 
 const (
-	// maxListBytes bounds a list, and a line of a watch. The largest fleet that
-	// is planned for has 31,000 members, 4.9 MB with long names.
+	// maxListBytes bounds a list, and an update of a watch. The largest fleet
+	// that is planned for has 31,000 members, 4.9 MB with long names.
 	maxListBytes = 32 << 20
-	// maxKeptBufferBytes is how much of the memory for a line is kept for the next.
-	maxKeptBufferBytes = 64 << 10
+	// maxRetainedBufferBytes is the largest buffer that is reused for the next list.
+	maxRetainedBufferBytes = 64 << 10
 	// minPartialParseBytes is the size at which a list that goes on over several
-	// lines is tried first; later tries come at twice the size of the last.
+	// lines is first parsed; after that, each time that its size has doubled.
 	minPartialParseBytes = 4 << 10
 )
 
-// ListTooLargeError is a list, or a line of a watch, over the limit. Nothing
-// of it was used.
+// ListTooLargeError reports a list, or an update of a watch, over the size
+// limit. Nothing of it was applied.
 type ListTooLargeError struct {
-	Size int64 // bytes; where discovery did not say, those that had come when it was given up
-	Max  int64 // bytes that are taken
+	Size int64 // bytes; where discovery sent no length, those that were read before the limit was hit
+	Max  int64 // the limit in bytes
 }
 
+// Error gives both sizes.
 func (e *ListTooLargeError) Error() string {
 	return fmt.Sprintf("a list of %d bytes or more, over the limit of %d", e.Size, e.Max)
 }
 
-// readList reads the body of an answer that holds a whole list.
-func readList(resp *http.Response, maxBytes int) ([]byte, error) {
+// readListBody reads the body of a response that holds a complete list. It
+// returns a ListTooLargeError for one of more than maxBytes.
+func readListBody(resp *http.Response, maxBytes int) ([]byte, error) {
 	if resp.ContentLength > int64(maxBytes) {
 		return nil, &ListTooLargeError{Size: resp.ContentLength, Max: int64(maxBytes)}
 	}
@@ -49,31 +51,33 @@
 	return text.Bytes(), nil
 }
 
-// listReader reads the lists of a watch, one after another. Each ends with the
-// end of a line, and may be indented over several.
+// listReader decodes the lists of a watch, one after another. Each ends with the
+// end of a line, and may be indented over several. It is not safe for
+// concurrent use.
 type listReader struct {
-	in          *bufio.Reader
-	maxBytes    int
-	onWait      func(begun int) // called before each read; so many bytes, in whole lines, of a list have come, and its end has not
-	onRead      func()          // called after it
-	buffer      []byte          // of the list that is being read
-	depth       int             // of braces and brackets that are open in buffer
+	source   *bufio.Reader
+	maxBytes int
+	onWait   func(begun int) // called before each read, with the bytes in complete lines of a list that is not at its end yet
+	onRead   func()          // called after each read
+
+	buffer      []byte // of the list that is being read
+	depth       int    // of braces and brackets that are open in buffer
 	inString    bool
 	escaped     bool // the last byte was a backslash in a string
 	parsedBytes int  // bytes of buffer when it was last parsed
-	ended       bool // the stream is over, with no list cut
+	atEOF       bool // the stream ended between two lists
 }
 
 func newListReader(r io.Reader, maxBytes int) *listReader {
-	return &listReader{in: bufio.NewReader(r), maxBytes: maxBytes, onWait: func(int) {}, onRead: func() {}}
+	return &listReader{source: bufio.NewReader(r), maxBytes: maxBytes, onWait: func(int) {}, onRead: func() {}}
 }
 
-// errListCut is a stream that ends within a list.
-var errListCut = errors.New("a line was cut")
+// errListTruncated reports a stream that ended within a list.
+var errListTruncated = errors.New("the list is truncated")
 
-// next gives the next list, or nil for an empty line, by which discovery says
-// that nothing has changed.
-func (r *listReader) next() (*List, error) {
+// nextList returns the next list, or nil for an empty line, which is discovery's
+// keepalive. At the end of the stream it returns the reader's error.
+func (r *listReader) nextList() (*List, error) {
 	for begun := 0; ; begun = len(r.buffer) {
 		r.onWait(begun)
 		end, err := r.readLine()
@@ -82,12 +86,12 @@
 			return nil, err
 		}
 		if end != nil && len(bytes.TrimSpace(r.buffer)) == 0 {
-			r.ended = true
+			r.atEOF = true
 			return nil, end
 		}
 		l, err := r.parseBuffered()
 		if end != nil && (err != nil || l == nil) {
-			return nil, errListCut
+			return nil, errListTruncated
 		}
 		if err != nil {
 			return nil, err
@@ -98,22 +102,22 @@
 	}
 }
 
-// readLine reads to the end of a line. end is why the stream ended, or nil; err is
-// a list that is too large.
+// readLine buffers the source to the end of a line. end is the reason for which
+// the stream ended, or nil; err is a ListTooLargeError, or nil.
 func (r *listReader) readLine() (end, err error) {
 	for {
-		piece, end := r.in.ReadSlice('\n')
+		piece, end := r.source.ReadSlice('\n')
 		if err := r.appendPiece(piece); err != nil {
 			return nil, err
 		}
 		if !errors.Is(end, bufio.ErrBufferFull) {
 			return end, nil
 		}
-		r.onWait(0) // the rest of a line, which may be long
+		r.onWait(0) // more of the same line, which may be long
 	}
 }
 
-// appendPiece takes in a piece of a line.
+// appendPiece buffers a piece of a line and follows the nesting of the JSON in it.
 func (r *listReader) appendPiece(piece []byte) error {
 	if size := len(r.buffer) + len(piece); size > r.maxBytes {
 		r.reset()
@@ -137,9 +141,9 @@
 	return nil
 }
 
-// parseBuffered looks at the buffer at the end of a line. It gives a list that
-// is at its end, and nothing for one that is not. A long one is not parsed anew with each
-// line, but soon enough for what cannot become a list to be noticed.
+// parseBuffered parses the buffer at the end of a line. It returns the list if
+// that is complete, and nil if it goes on. A long one is not parsed anew for each
+// line, but soon enough that text which cannot become a list is rejected early.
 func (r *listReader) parseBuffered() (*List, error) {
 	if len(bytes.TrimSpace(r.buffer)) == 0 {
 		r.reset()
@@ -157,10 +161,10 @@
 	return l, err
 }
 
-// reset forgets the buffer, and gives its memory back where it was a lot.
+// reset empties the buffer, and frees it if it is large.
 func (r *listReader) reset() {
 	r.buffer, r.depth, r.inString, r.escaped, r.parsedBytes = r.buffer[:0], 0, false, false, 0
-	if cap(r.buffer) > maxKeptBufferBytes {
+	if cap(r.buffer) > maxRetainedBufferBytes {
 		r.buffer = nil
 	}
 }
--- a/internal/discovery/listreader_test.go
+++ b/internal/discovery/listreader_test.go
@@ -58,7 +58,7 @@
 		}
 		r := newListReader(&pieces{all, random}, maxListBytes)
 		for i := 0; i < count; {
-			l, err := r.next()
+			l, err := r.nextList()
 			if err != nil {
 				t.Fatalf("list %d: %v", i, err)
 			}
@@ -70,7 +70,7 @@
 			}
 		}
 		for {
-			l, err := r.next()
+			l, err := r.nextList()
 			if l != nil || err != nil && !errors.Is(err, io.EOF) {
 				t.Fatalf("at the end %v, %v", l, err)
 			}
@@ -78,7 +78,7 @@
 				break
 			}
 		}
-		if !r.ended {
+		if !r.atEOF {
 			t.Fatal("the end of the stream counts as a cut list")
 		}
 	}
@@ -104,31 +104,31 @@
 func TestListReaderLimits(t *testing.T) {
 	whole := asText(t, listOf(1, 31000, 34), false)
 	r := newListReader(strings.NewReader(whole+"\n\n"+whole[:len(whole)/2]), maxListBytes)
-	if l, err := r.next(); err != nil || len(l.Members) != 31000 {
+	if l, err := r.nextList(); err != nil || len(l.Members) != 31000 {
 		t.Fatal(err)
 	}
-	if l, err := r.next(); l != nil || err != nil {
+	if l, err := r.nextList(); l != nil || err != nil {
 		t.Fatalf("an empty line is %v, %v", l, err)
 	}
-	if cap(r.buffer) > maxKeptBufferBytes {
+	if cap(r.buffer) > maxRetainedBufferBytes {
 		t.Errorf("%d bytes are kept for the next line", cap(r.buffer))
 	}
-	if _, err := r.next(); !errors.Is(err, errListCut) || r.ended {
+	if _, err := r.nextList(); !errors.Is(err, errListTruncated) || r.atEOF {
 		t.Errorf("a list that was cut is %v", err)
 	}
 	for _, indented := range []bool{false, true} {
 		text := asText(t, listOf(1, 1000, 34), indented) + "\n"
 		exact := newListReader(strings.NewReader(text), len(text))
-		if l, err := exact.next(); err != nil || len(l.Members) != 1000 {
+		if l, err := exact.nextList(); err != nil || len(l.Members) != 1000 {
 			t.Errorf("a list of the limit's size: %v", err)
 		}
 		over := newListReader(strings.NewReader(text), len(text)-1)
-		_, err := over.next()
+		_, err := over.nextList()
 		var tooLarge *ListTooLargeError
 		if !errors.As(err, &tooLarge) || tooLarge.Max != int64(len(text)-1) || tooLarge.Size <= tooLarge.Max {
 			t.Errorf("a list over the limit: %v", err)
 		}
-		if cap(over.buffer) > maxKeptBufferBytes {
+		if cap(over.buffer) > maxRetainedBufferBytes {
 			t.Errorf("%d bytes are kept of a list that is too large", cap(over.buffer))
 		}
 	}
@@ -138,7 +138,7 @@
 // closes it.
 func TestListReaderNoticesNonsense(t *testing.T) {
 	r := newListReader(io.MultiReader(strings.NewReader("{\"revision\":1,\n"), &endless{}), maxListBytes)
-	_, err := r.next()
+	_, err := r.nextList()
 	var tooLarge *ListTooLargeError
 	if err == nil || errors.As(err, &tooLarge) {
 		t.Errorf("endless nonsense is %v", err)
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -14,55 +14,60 @@
 	"plovershore/internal/mailbox"
 )
 
-// Outcomes that a notice tells.
+// Outcomes of a message, as a notice reports them on the wire.
 const (
-	Failed   = "given_up"    // it failed
-	Returned = "handed_back" // its client may come again
+	Failed   = "given_up"    // it may have been delivered, and is not sent again
+	Returned = "handed_back" // it was not delivered, and its client may submit it again
 )
 
-// Notice tells the platform how a message ended, where it was not delivered.
+// Notice reports to the platform the final outcome of a message that was not
+// delivered.
 type Notice struct {
-	Message string `json:"message"`
-	Outcome string `json:"outcome"`
-	RetryMS int64  `json:"retry_in_ms,omitempty"`
+	Message string `json:"message"`               // its id
+	Outcome string `json:"outcome"`               // Failed or Returned
+	RetryMS int64  `json:"retry_in_ms,omitempty"` // milliseconds after which its client may submit it again
 }
 
 const (
 	noticeBatchSize  = 64
-	noticeTimeoutMin = 200 * time.Millisecond // doubles with each failure in a row: a second try is still in time
-	noticeBackoffMin = 50 * time.Millisecond  // grows with each failure in a row
+	noticeTimeoutMin = 200 * time.Millisecond // doubles with each failure in a row: the first retry is still in time
+	noticeBackoffMin = 50 * time.Millisecond  // doubles with each failure in a row
 	noticeBackoffMax = 500 * time.Millisecond
 	noticeTimeoutMax = 2 * time.Second
 
-	maxNoticeAnswerBytes = 64 << 10 // of an answer that are read, so that its connection can carry the next call
+	maxNoticeAnswerBytes = 64 << 10 // of a response that are read, so that its connection can be reused
 )
 
-// Notices sends notices, each again and again until it has been taken: repeats
-// are harmless.
+// Notices sends notices to discovery's agent, each until it is acknowledged;
+// sending one twice has no effect. It is made by NewNotices, and its methods are
+// safe for concurrent use, but for Run, which is called once.
 type Notices struct {
-	movableAddress
-	log     *slog.Logger
-	client  *http.Client
-	queue   *mailbox.Mailbox[Notice]
-	onTaken func(id string)
+	agentAddress
+	log            *slog.Logger
+	client         *http.Client
+	queue          *mailbox.Mailbox[Notice]
+	onAcknowledged func(id string)
 }
 
-// NewNotices makes the sender of one relay; onTaken hears of each that was taken.
-func NewNotices(addr string, log *slog.Logger, onTaken func(string)) *Notices {
-	return &Notices{movableAddress: movableAddress{addr: addr}, log: log, client: newHTTPClient(2, baseAnswerTimeout),
-		queue: mailbox.New[Notice](), onTaken: onTaken}
+// NewNotices returns the sender of one relay. Run calls onAcknowledged with the
+// message id of each notice that was acknowledged, and of each that the agent
+// rejected as malformed.
+func NewNotices(addr string, log *slog.Logger, onAcknowledged func(string)) *Notices {
+	return &Notices{agentAddress: agentAddress{addr: addr}, log: log, client: newHTTPClient(2, baseAnswerTimeout),
+		queue: mailbox.New[Notice](), onAcknowledged: onAcknowledged}
 }
 
-// Put adds a notice to those that are to be sent. It never blocks.
-func (n *Notices) Put(x Notice) { n.queue.Put(x) }
+// Put queues a notice. It never blocks.
+func (n *Notices) Put(notice Notice) { n.queue.Put(notice) }
 
-// Run sends until ctx ends.
+// Run sends queued notices until ctx ends. Those still queued then are dropped;
+// the relay's log has their messages.
 func (n *Notices) Run(ctx context.Context) {
 	defer n.client.CloseIdleConnections()
-	var fresh, pending []Notice
+	var added, pending []Notice
 	for backoff, timeout := noticeBackoffMin, noticeTimeoutMin; ctx.Err() == nil; {
-		fresh = n.queue.TakeAll(fresh)
-		pending = append(pending, fresh...)
+		added = n.queue.TakeAll(added)
+		pending = append(pending, added...)
 		if len(pending) == 0 {
 			select {
 			case <-ctx.Done():
@@ -70,49 +75,50 @@
 			}
 			continue
 		}
-		done, err := n.send(ctx, pending[:min(len(pending), noticeBatchSize)], timeout)
-		pending = pending[done:]
+		acknowledged, err := n.send(ctx, pending[:min(len(pending), noticeBatchSize)], timeout)
+		pending = pending[acknowledged:]
 		if err == nil {
 			backoff, timeout = noticeBackoffMin, noticeTimeoutMin
 			continue
 		}
-		n.log.Warn("notices: not taken", "count", len(pending), "err", err)
-		sleep(ctx, backoff)
+		n.log.Warn("notices not acknowledged", "pending", len(pending), "err", err)
+		sleepContext(ctx, backoff)
 		backoff, timeout = min(2*backoff, noticeBackoffMax), min(2*timeout, noticeTimeoutMax)
 	}
 }
 
-// send sends a batch and returns how many of its notices are done with: taken,
-// or such as the agent cannot read, which must not hold up the others.
-func (n *Notices) send(ctx context.Context, batch []Notice, timeout time.Duration) (done int, err error) {
+// send sends a batch and returns how many of its notices need no further call:
+// they were acknowledged, or are malformed by the agent's verdict and must not
+// hold up the others.
+func (n *Notices) send(ctx context.Context, batch []Notice, timeout time.Duration) (acknowledged int, err error) {
 	err = n.post(ctx, batch, timeout)
-	if unreadable(err) && len(batch) > 1 {
+	if isBadRequest(err) && len(batch) > 1 {
 		for i := range batch {
-			if done, err := n.send(ctx, batch[i:i+1], timeout); done == 0 {
+			if acknowledged, err := n.send(ctx, batch[i:i+1], timeout); acknowledged == 0 {
 				return i, err
 			}
 		}
 		return len(batch), nil
 	}
-	if err != nil && !unreadable(err) {
+	if err != nil && !isBadRequest(err) {
 		return 0, err
 	}
-	for _, x := range batch {
+	for _, notice := range batch {
 		if err != nil {
-			n.log.Error("notices: cannot be read", "message", x.Message, "err", err)
+			n.log.Error("notice rejected", "message", notice.Message, "err", err)
 		}
-		n.onTaken(x.Message)
+		n.onAcknowledged(notice.Message)
 	}
 	return len(batch), nil
 }
 
-// unreadable reports whether the agent answered that it cannot read a notice.
-func unreadable(err error) bool {
+// isBadRequest reports whether the agent rejected a notice as malformed.
+func isBadRequest(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) && status.Status == http.StatusBadRequest
 }
 
-// post makes one call with a batch.
+// post sends a batch in one call.
 func (n *Notices) post(ctx context.Context, batch []Notice, timeout time.Duration) error {
 	ctx, endCall, addr := n.beginCall(ctx)
 	defer endCall()
@@ -120,8 +126,8 @@
 	defer cancel()
 	var body bytes.Buffer
 	enc := json.NewEncoder(&body) // one object a line
-	for _, x := range batch {
-		if err := enc.Encode(x); err != nil {
+	for _, notice := range batch {
+		if err := enc.Encode(notice); err != nil {
 			return fmt.Errorf("notices: %w", err)
 		}
 	}
@@ -141,22 +147,22 @@
 	return nil
 }
 
-// ReadNotices reads notices, one JSON object a line; an error names the first
-// that cannot be read.
+// ReadNotices decodes notices, one JSON object a line. An error gives the number
+// of the first that is malformed, counted from 1.
 func ReadNotices(r io.Reader) ([]Notice, error) {
 	var all []Notice
 	for dec := json.NewDecoder(r); ; {
-		var x Notice
-		err := dec.Decode(&x)
+		var notice Notice
+		err := dec.Decode(&notice)
 		if errors.Is(err, io.EOF) {
 			return all, nil
 		}
-		if err == nil && (x.Message == "" || x.Outcome != Failed && x.Outcome != Returned) {
-			err = fmt.Errorf("outcome %q of message %q", x.Outcome, x.Message)
+		if err == nil && (notice.Message == "" || notice.Outcome != Failed && notice.Outcome != Returned) {
+			err = fmt.Errorf("outcome %q of message %q", notice.Outcome, notice.Message)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("notice %d: %w", len(all)+1, err)
 		}
-		all = append(all, x)
+		all = append(all, notice)
 	}
 }
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// growingSpread is the one before boundedSpread, for comparison: it grows with
+// growingSpread is the one before boundedRetrySpread, for comparison: it grows with
 // the fleet and with each failure, and word came up to 25 s late.
 func growingSpread(fleetServeTime time.Duration, failures int, draw float64) time.Duration {
 	base := min(min(400*time.Millisecond+fleetServeTime, 4*time.Second)<<min(failures, 8), 5*time.Second+2*fleetServeTime)
@@ -114,7 +114,7 @@
 		d.free = at.Add(time.Duration(float64(time.Second) / d.rate))
 	}
 	d.mu.Unlock()
-	sleep(d.end, wait)
+	sleepContext(d.end, wait)
 	d.mu.Lock()
 	return served
 }
@@ -304,7 +304,7 @@
 	spreads := []struct {
 		name   string
 		spread retrySpread
-	}{{"growing", growingSpread}, {"bounded 1.8 s", boundedSpread}, {"bounded 3 s", fixed(3 * time.Second)}, {"0.1 to 0.3 s", narrowSpread}}
+	}{{"growing", growingSpread}, {"bounded 1.8 s", boundedRetrySpread}, {"bounded 3 s", fixed(3 * time.Second)}, {"0.1 to 0.3 s", narrowSpread}}
 	fmt.Println("| watches | calls each | served a second | queue | spread | latest | later than 6 s | tries a second while refused | calls a second after | turned away of calls |")
 	measure := func(outages ...outage) { // all at one time
 		rows := make([]string, len(outages)*len(spreads))
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	watchSilenceTimeout = 3500 * time.Millisecond // a watch says something every 2 s
-	continuationTimeout = 100 * time.Millisecond  // for the next line of a list that goes on: it is written at once
-	continuationPerByte = 100 * time.Nanosecond   // more for each byte that has come: large lists take their writer longer
+	watchSilenceTimeout = 3500 * time.Millisecond // discovery sends a keepalive every 2 s
+	continuationTimeout = 100 * time.Millisecond  // for the next line of a list that goes on, which is written at once
+	continuationPerByte = 100 * time.Nanosecond   // more for each byte that was read: large lists take their writer longer
 )
 
-// errWatchSilent ends a watch on which nothing came for too long.
-var errWatchSilent = errors.New("silent")
+// errWatchSilent ends a watch on which nothing was received for too long.
+var errWatchSilent = errors.New("watch is silent")
 
-// listState is how far a watch has come.
+// listState is the position of a watch in the list's history.
 type listState struct {
 	revision int64
-	known    bool // the list is known up to revision; else the whole list has to be fetched
+	known    bool // the list is known up to revision; else the complete list has to be fetched
 }
 
-// fetchList asks once for the whole list.
+// fetchList fetches the complete list.
 func (w *Watch) fetchList(ctx context.Context, addr string) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.answerTimeout)
 	defer cancel()
@@ -40,20 +40,20 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, &StatusError{Call: "list", Status: resp.StatusCode}
 	}
-	text, err := readList(resp, w.listLimit)
+	text, err := readListBody(resp, w.listLimit)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	l, err := Parse(text)
 	if err == nil && !l.Complete {
-		err = errors.New("discovery: the whole list was asked for, a part came")
+		err = errors.New("discovery: list: not complete")
 	}
 	return l, err
 }
 
-// followChanges opens a watch on what changes after a state and hands it on until
-// the watch ends. It returns how far that came; after a line that cannot be read
-// the list is not known any more.
+// followChanges opens a watch on the changes after a state and delivers them
+// until the watch ends. It returns the position that was reached; after an
+// update that is malformed the list is not known any more.
 func (w *Watch) followChanges(ctx context.Context, addr string, from listState) (listState, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -62,8 +62,8 @@
 	resp, err := w.openWatch(ctx, addr, from.revision)
 	if err != nil {
 		var status *StatusError
-		if errors.As(err, &status) && !status.turnedAway() {
-			from.known = false // discovery cannot go on from there
+		if errors.As(err, &status) && !status.isRejection() {
+			from.known = false // discovery does not have the changes since then
 		}
 		return from, err
 	}
@@ -80,7 +80,8 @@
 	return w.readChanges(ctx, reader, from)
 }
 
-// openWatch opens a watch on what changes after a revision.
+// openWatch opens a watch on the changes after a revision. The caller closes the
+// response's body.
 func (w *Watch) openWatch(ctx context.Context, addr string, revision int64) (*http.Response, error) {
 	url := "http://" + addr + ListPath + "?watch=1&from=" + strconv.FormatInt(revision, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -101,21 +102,21 @@
 	return resp, nil
 }
 
-// readChanges hands on the lists of an open watch, in order.
+// readChanges delivers the updates of an open watch, in order.
 func (w *Watch) readChanges(ctx context.Context, reader *listReader, state listState) (listState, error) {
 	for {
-		l, err := reader.next()
+		l, err := reader.nextList()
 		if l != nil && !l.Complete && l.Revision < state.revision {
-			err = fmt.Errorf("discovery: a change back from revision %d to %d", state.revision, l.Revision)
+			err = fmt.Errorf("revision goes back from %d to %d", state.revision, l.Revision)
 		}
 		if err != nil {
-			if cause := context.Cause(ctx); cause != nil && reader.ended {
+			if cause := context.Cause(ctx); cause != nil && reader.atEOF {
 				err = cause
 			}
-			state.known = reader.ended
+			state.known = reader.atEOF
 			return state, fmt.Errorf("discovery: watch: %w", err)
 		}
-		w.recovered()
+		w.resetFailures()
 		if l != nil {
 			state.revision = l.Revision
 			w.onList(l)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,47 +9,50 @@
 )
 
 const (
-	serveTimePerRelay = 100 * time.Millisecond // all relays of the fleet may call at one moment, and are served in turn
-	maxQueueTimeout   = 2 * time.Second        // that an answer is waited for longer, however large the fleet
-	maxStartDelay     = time.Second            // within which a start asks: what drains must be left 2 s after its agent has word of it
+	serveTimePerRelay = 100 * time.Millisecond // all relays of the fleet may call at one moment, and are served one by one
+	maxQueueTimeout   = 2 * time.Second        // added to the response timeout at most, however large the fleet
+	maxStartDelay     = time.Second            // of the first call: a draining endpoint must be left 2 s after the agent has the drain
 )
 
-// Watch follows the list of one relay's agent and hands on its news. Known and
-// Refused may be set before Run.
+// Watch follows the endpoint list of one relay's agent. It is made by NewWatch;
+// Known and OnRejected may be set before Run, which is called once. SetAddress
+// is safe for concurrent use.
 type Watch struct {
-	// Known is the list that the first watch goes on from; nil for none.
+	// Known is a complete list from which the first watch goes on, so that no
+	// list is fetched; nil for none.
 	Known *List
-	// OnRejected is called where a call was refused, and where the first is put off
-	// for long. It may be nil.
+	// OnRejected is called when discovery rejects a call, and when the first call
+	// is delayed for long. It may be nil.
 	OnRejected func()
 
-	movableAddress
+	agentAddress
 	log            *slog.Logger
 	client         *http.Client
-	onList         func(*List)    // called in order
-	random         func() float64 // draws between 0 and 1
+	onList         func(*List)    // called in order, by the goroutine of Run
+	random         func() float64 // draws from [0, 1)
 	spread         retrySpread
-	fleetServeTime time.Duration // what discovery takes to serve every relay of the fleet
-	answerTimeout  time.Duration // a call unanswered for so long has failed
-	silenceTimeout time.Duration // a watch on which nothing came for so long has failed
-	listLimit      int           // bytes of a list or a line of a watch
-	failures       failureRun
+	fleetServeTime time.Duration // what discovery takes to serve each relay of the fleet once
+	answerTimeout  time.Duration // a call without a response for so long has failed
+	silenceTimeout time.Duration // a watch on which nothing was received for so long has failed
+	listLimit      int           // bytes of a list, or of an update of a watch
+	failures       failureCounts
 }
 
-// NewWatch makes the watch of one relay of so many; onList hears of the whole
-// list and of each change, in order. Where many relays call at once an answer
-// waits for those before it: a relay that hangs up meanwhile and calls again
-// goes to the end of the queue and makes it longer.
+// NewWatch returns a watch for one of the fleet's relays. Run calls onList with
+// the complete list and with each change after it, in order. Where many relays
+// call at once, a response waits for those before it: a relay that gave up
+// meanwhile and called again would go to the end of the queue and make it longer,
+// so the timeout grows with the fleet.
 func NewWatch(addr string, relays int, log *slog.Logger, onList func(*List)) *Watch {
 	fleetServeTime := time.Duration(relays) * serveTimePerRelay
 	answerTimeout := baseAnswerTimeout + min(fleetServeTime/4, maxQueueTimeout)
 	return &Watch{
-		movableAddress: movableAddress{addr: addr},
+		agentAddress:   agentAddress{addr: addr},
 		log:            log,
 		client:         newHTTPClient(4, answerTimeout),
 		onList:         onList,
 		random:         rand.Float64,
-		spread:         boundedSpread,
+		spread:         boundedRetrySpread,
 		fleetServeTime: fleetServeTime,
 		answerTimeout:  answerTimeout,
 		silenceTimeout: watchSilenceTimeout,
@@ -57,21 +60,21 @@
 	}
 }
 
-// Run watches until ctx ends. What is heard is passed on with no delay: the
-// grace after word of a drain counts from when discovery wrote it.
+// Run watches until ctx ends. Updates are delivered without delay: the grace
+// period of a drain counts from when discovery wrote it.
 func (w *Watch) Run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	var state listState
-	if w.Known.Valid() { // a watch from there costs discovery one call, and only what has changed
+	if w.Known.Valid() { // costs discovery one call, and only the changes since
 		state = listState{revision: w.Known.Revision, known: true}
 	}
 	w.waitToStart(ctx)
 	for ctx.Err() == nil {
-		state = w.follow(ctx, state)
+		state = w.watchOnce(ctx, state)
 	}
 }
 
-// waitToStart puts the first call off.
+// waitToStart delays the first call.
 func (w *Watch) waitToStart(ctx context.Context) {
 	ctx, cancel, _ := w.beginCall(ctx)
 	defer cancel()
@@ -79,12 +82,12 @@
 	if delay > reconnectDelay && w.OnRejected != nil {
 		w.OnRejected()
 	}
-	sleep(ctx, delay)
+	sleepContext(ctx, delay)
 }
 
-// follow fetches the whole list if it is not known, follows its changes until
-// that fails, and waits until the next try may begin.
-func (w *Watch) follow(ctx context.Context, state listState) listState {
+// watchOnce fetches the complete list if it is not known, follows its changes
+// until that fails, and sleeps until the next attempt may begin.
+func (w *Watch) watchOnce(ctx context.Context, state listState) listState {
 	ctx, cancel, addr := w.beginCall(ctx)
 	defer cancel()
 	var err error
@@ -96,19 +99,19 @@
 	}
 	if ctx.Err() == nil {
 		delay := w.retryDelay(err)
-		w.log.Warn("discovery: watch over", "revision", state.revision, "whole", state.known, "pause_ms", delay.Milliseconds(), "err", err)
-		if isRefusal(err) && w.OnRejected != nil {
+		w.log.Warn("discovery watch ended", "revision", state.revision, "list_known", state.known, "backoff_ms", delay.Milliseconds(), "err", err)
+		if isRejection(err) && w.OnRejected != nil {
 			w.OnRejected()
 		}
-		sleep(ctx, delay)
+		sleepContext(ctx, delay)
 	}
 	if ctx.Err() != nil {
-		w.recovered() // it has moved: what refused calls is left behind
+		w.resetFailures() // the address was replaced: the failures were those of the old one
 	}
 	return state
 }
 
-// fetchState fetches the whole list and hands it on.
+// fetchState fetches the complete list and delivers it.
 func (w *Watch) fetchState(ctx context.Context, addr string, state listState) (listState, error) {
 	l, err := w.fetchList(ctx, addr)
 	if err != nil {
@@ -118,9 +121,9 @@
 	return listState{revision: l.Revision, known: true}, nil
 }
 
-// startDelay is how long a start puts off its first call. The whole fleet may be
-// starting, but whatever the agent has by now counts as told to this relay,
-// and the known list may be old.
+// startDelay draws the delay of the first call. The whole fleet may be starting,
+// but changes that the agent has by now count as received by this relay, and the
+// known list may be old.
 func (w *Watch) startDelay() time.Duration {
 	return time.Duration(float64(min(w.fleetServeTime/2, maxStartDelay)) * w.random())
 }
