--- a/internal/acceptretry/acceptretry_test.go
+++ b/internal/acceptretry/acceptretry_test.go
@@ -13,14 +13,15 @@
 	"time"
 )
 
-// failing is a listener whose Accept fails ahead of each connection, as the kernel may.
-type failing struct {
+// failingListener returns faults from Accept before each connection, as the kernel
+// may.
+type failingListener struct {
 	net.Listener
 	mu     sync.Mutex
 	faults []syscall.Errno
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.faults) > 0 {
@@ -31,7 +32,7 @@
 	return f.Listener.Accept()
 }
 
-// A server goes on over each error of accept that Linux documents, and ends when it is
+// A server survives each error of accept that Linux documents, and ends when it is
 // closed.
 func TestServerOutlivesAcceptErrors(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE, syscall.EPROTO,
@@ -43,7 +44,7 @@
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })}
 		ended := make(chan error, 1)
 		go func() {
-			ended <- s.Serve(NewListener(&failing{Listener: ln, faults: []syscall.Errno{fault, fault, fault}}))
+			ended <- s.Serve(NewListener(&failingListener{Listener: ln, faults: []syscall.Errno{fault, fault, fault}}))
 		}()
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+ln.Addr().String(), nil)
@@ -65,7 +66,7 @@
 				t.Errorf("%v: ended by %v", fault, err)
 			}
 		case <-time.After(5 * time.Second):
-			t.Errorf("%v: it does not end", fault)
+			t.Errorf("%v: the server does not end", fault)
 		}
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A drill's date jumps and its rate differs, and Mono goes forward all the same.
+// The date of a simulated clock jumps and its rate differs, and Mono goes forward
+// all the same.
 func TestDrill(t *testing.T) {
 	c, err := Parse("rate=4,date=-1h@10ms")
 	if err != nil {
@@ -34,7 +35,7 @@
 	}
 	for _, bad := range []string{"rate=", "rate=0", "rate=nan", "rate=11", "date=1h", "date=@1s", "date=1h@-1s", "speed=2"} {
 		if _, err := Parse(bad); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
--- a/internal/clock/clocktest/clocktest_test.go
+++ b/internal/clock/clocktest/clocktest_test.go
@@ -12,8 +12,8 @@
 
 const childName = "CLOCKTEST_CHILD"
 
-// A child tells its clocks for each byte that it reads: wall clock in ms, monotonic
-// time since its start in ms.
+// A child process prints its clocks for each byte that it reads: the wall clock in
+// Unix ms, and the monotonic time since its start in ms.
 func TestMain(m *testing.M) {
 	if os.Getenv(childName) == "" {
 		os.Exit(m.Run())
@@ -28,8 +28,8 @@
 	}
 }
 
-// A step is seen at once by a process that runs, in both directions, and its
-// monotonic clock does not move by it.
+// A step in either direction is visible to a running process at once, and does not
+// affect its monotonic clock.
 func TestStep(t *testing.T) {
 	w := New(t)
 	cmd := exec.Command(os.Args[0])
--- a/internal/clock/reading_test.go
+++ b/internal/clock/reading_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// What lies between two readings is the monotonic clock's to say in one boot, and the
-// wall clock's else.
+// The time between two readings is the monotonic clock's within one boot, and the
+// wall clock's otherwise.
 func TestSince(t *testing.T) {
 	boot, other := Boot{1}, Boot{2}
 	for _, x := range []struct {
--- a/internal/discovery/breaks_test.go
+++ b/internal/discovery/breaks_test.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// A connection that breaks may do so at once, whatever the error is called: a watch that is
-// opened anew and broken again and again must not come closer and closer to many calls a
-// second. The first is opened anew soon, the next are spread as refused ones are.
+// A connection may break at once, whatever the error: a watch that is opened anew and breaks
+// again and again must not amount to many calls a second. The first is opened anew soon, the
+// next are spread like those of rejected calls.
 func TestBrokenWatchesAreSpread(t *testing.T) {
 	for _, broken := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.ENETUNREACH} {
 		w := NewWatch("127.0.0.1:1", 300, slog.New(slog.DiscardHandler), func(*List) {})
 		w.random = func() float64 { return 0 }
 		err := fmt.Errorf("discovery: watch: %w", &url.Error{Op: "Get", URL: "http://x/", Err: &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", broken)}})
 		var total time.Duration
-		const tries = 8
-		for range tries {
+		const attempts = 8
+		for range attempts {
 			total += w.retryDelay(err)
 		}
-		if least := (tries - 1) * retryBackoffMin; total < least {
-			t.Errorf("%v: %d tries in %v, want %v at least", broken, tries, total, least)
+		if least := (attempts - 1) * retryBackoffMin; total < least {
+			t.Errorf("%v: %d attempts in %v, want %v at least", broken, attempts, total, least)
 		}
 	}
 	w := NewWatch("127.0.0.1:1", 300, slog.New(slog.DiscardHandler), func(*List) {})
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,42 +17,42 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// watchList runs discovery and hands on what it hears.
+// watchList runs a watch and returns the channel of its updates.
 func watchList(t *testing.T, d *discoverytest.Server, silence time.Duration) chan *discovery.List {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	news, done := make(chan *discovery.List, 64), make(chan struct{})
-	x := discovery.NewWatch(d.Addr(), 1, slog.New(slog.DiscardHandler), func(l *discovery.List) { news <- l })
+	updates, done := make(chan *discovery.List, 64), make(chan struct{})
+	x := discovery.NewWatch(d.Addr(), 1, slog.New(slog.DiscardHandler), func(l *discovery.List) { updates <- l })
 	x.Tune(silence, 100*time.Millisecond, nil)
 	go func() { defer close(done); x.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return news
+	return updates
 }
 
-func next(t *testing.T, news chan *discovery.List) *discovery.List {
+func next(t *testing.T, updates chan *discovery.List) *discovery.List {
 	t.Helper()
 	select {
-	case l := <-news:
+	case l := <-updates:
 		return l
 	case <-time.After(30 * time.Second):
-		t.Fatal("no news")
+		t.Fatal("no update")
 		return nil
 	}
 }
 
-// Changes follow the whole list; after a break the watch goes on from the
-// version that was reached, and a line that cannot be read makes the whole
+// Changes follow the complete list; after a broken connection the watch goes on
+// from the revision that was reached, and a malformed line makes the complete
 // list be fetched again.
 func TestWatch(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
 	d := discoverytest.New(t, m)
-	news := watchList(t, d, time.Minute)
-	if l := next(t, news); !l.Complete || len(l.Members) != 1 {
+	updates := watchList(t, d, time.Minute)
+	if l := next(t, updates); !l.Complete || len(l.Members) != 1 {
 		t.Fatalf("first %+v", l)
 	}
 	m.Phase = discovery.Draining
 	d.Send(t, discoverytest.Change(2, m))
-	if l := next(t, news); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
+	if l := next(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
 		t.Fatalf("then %+v", l)
 	}
 	d.Set(func(d *discoverytest.Server) { close(d.Lines[0]) }) // the connection ends
@@ -66,33 +66,33 @@
 	for i, bad := range []string{`{"revision":3,"members":[{"id":"s-1"`, `{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
 		`{"revision":3}`, `{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`} {
 		d.Send(t, bad)
-		if l := next(t, news); !l.Complete {
+		if l := next(t, updates); !l.Complete {
 			t.Fatalf("after line %d: %+v", i, l)
 		}
 		discoverytest.WaitFor(t, "a further watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 3+i })
 	}
 }
 
-// Guards against lists that come indented over several lines: they are news like
-// any other, and no reason to ask for the whole list.
+// Guards against lists that are indented over several lines: they are updates
+// like any other, and no reason to fetch the complete list.
 func TestWatchIndented(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
 	d := discoverytest.New(t, m)
-	news := watchList(t, d, time.Minute)
-	next(t, news)
+	updates := watchList(t, d, time.Minute)
+	next(t, updates)
 	m.Phase = discovery.Draining
 	var text bytes.Buffer
 	if err := json.Indent(&text, []byte(discoverytest.Change(2, m)), "", "  "); err != nil {
 		t.Fatal(err)
 	}
 	d.Send(t, text.String())
-	if l := next(t, news); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
+	if l := next(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
 		t.Fatalf("then %+v", l)
 	}
 	m.Phase = discovery.Up
 	d.Send(t, "\n"+text.String()+"\n"+discoverytest.Change(3, m))
-	next(t, news)
-	if l := next(t, news); l.Revision != 3 {
+	next(t, updates)
+	if l := next(t, updates); l.Revision != 3 {
 		t.Fatalf("at last %+v", l)
 	}
 	d.Mu.Lock()
@@ -102,39 +102,39 @@
 	}
 }
 
-// Guards against a version that goes back: a change from before what is known
-// fits nothing, and the whole list is had again.
+// Guards against a revision that goes back: a change older than the known list
+// cannot be applied, and the complete list is fetched again.
 func TestWatchGoesBack(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
 	d := discoverytest.New(t, m)
-	news := watchList(t, d, time.Minute)
-	next(t, news)
+	updates := watchList(t, d, time.Minute)
+	next(t, updates)
 	d.Send(t, discoverytest.Change(5, m))
-	next(t, news)
+	next(t, updates)
 	gone := m
 	gone.Phase = discovery.Removed
 	d.Send(t, discoverytest.Change(3, gone))
-	if l := next(t, news); !l.Complete {
+	if l := next(t, updates); !l.Complete {
 		t.Fatalf("then %+v", l)
 	}
 }
 
 // Guards against a watch that is open and dead: one that sends nothing, not
-// even an empty line, is given up.
+// even a keepalive, is closed.
 func TestSilentWatch(t *testing.T) {
 	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
-	news := watchList(t, d, 100*time.Millisecond)
-	next(t, news)
+	updates := watchList(t, d, 100*time.Millisecond)
+	next(t, updates)
 	discoverytest.WaitFor(t, "a second watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) >= 2 })
 }
 
-// Notices are sent until they are taken; one that cannot be read does not hold
-// up the others.
+// Notices are sent until they are acknowledged; a malformed one does not hold up
+// the others.
 func TestNotices(t *testing.T) {
 	d := discoverytest.New(t)
 	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusInternalServerError })
-	taken := make(chan string, 16)
-	n := discovery.NewNotices(d.Addr(), slog.New(slog.DiscardHandler), func(id string) { taken <- id })
+	acknowledged := make(chan string, 16)
+	n := discovery.NewNotices(d.Addr(), slog.New(slog.DiscardHandler), func(id string) { acknowledged <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); n.Run(ctx) }()
@@ -142,28 +142,28 @@
 	n.Put(discovery.Notice{Message: "a", Outcome: discovery.Failed, RetryMS: 0})
 	n.Put(discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500})
 	select {
-	case id := <-taken:
-		t.Fatalf("%s held to be told", id)
+	case id := <-acknowledged:
+		t.Fatalf("%s counts as acknowledged", id)
 	case <-time.After(50 * time.Millisecond):
 	}
 	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusNoContent })
 	for range 2 {
-		<-taken
+		<-acknowledged
 	}
 	if b, _ := d.Notice("b"); b != (discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500}) {
-		t.Errorf("told %+v", b)
+		t.Errorf("the agent has %+v", b)
 	}
 	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusBadRequest })
 	n.Put(discovery.Notice{Message: "c", Outcome: discovery.Failed, RetryMS: 0})
-	if id := <-taken; id != "c" {
+	if id := <-acknowledged; id != "c" {
 		t.Errorf("%s in place of c", id)
 	}
 }
 
-// Guards the time of a notice: where the connection that was kept to the agent
-// has gone silent, a second try comes soon enough for the notice to be in time.
+// Guards the delay of a notice: if the idle connection to the agent has gone
+// silent, the first retry comes soon enough for the notice to be in time.
 func TestNoticeOnSilentConnection(t *testing.T) {
-	var tries atomic.Int32
+	var attempts atomic.Int32
 	addr := rawAgent(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		for {
@@ -172,51 +172,51 @@
 				return
 			}
 			io.Copy(io.Discard, req.Body)
-			if tries.Add(1) != 2 {
+			if attempts.Add(1) != 2 {
 				io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 			}
 		}
 	})
-	taken := make(chan string, 4)
-	n := discovery.NewNotices(addr, slog.New(slog.DiscardHandler), func(id string) { taken <- id })
+	acknowledged := make(chan string, 4)
+	n := discovery.NewNotices(addr, slog.New(slog.DiscardHandler), func(id string) { acknowledged <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); n.Run(ctx) }()
 	defer func() { cancel(); <-done }()
 	for _, id := range []string{"a", "b"} {
 		n.Put(discovery.Notice{Message: id, Outcome: discovery.Failed, RetryMS: 0})
-		if got := <-taken; got != id {
+		if got := <-acknowledged; got != id {
 			t.Fatalf("%s in place of %s", got, id)
 		}
 	}
-	if got := tries.Load(); got != 3 {
-		t.Errorf("%d tries, want 3", got)
+	if got := attempts.Load(); got != 3 {
+		t.Errorf("%d attempts, want 3", got)
 	}
 	if discovery.NoticeAgain >= 300*time.Millisecond {
-		t.Error("a second try would be late")
+		t.Error("a retry would be late")
 	}
 }
 
-// Guards word of a drain across a move: what is put off at the old address is
-// not put off at the new one.
+// Guards drains across a change of address: a backoff that began at the old
+// address does not go on at the new one.
 func TestMoveEndsPause(t *testing.T) {
 	old, now := discoverytest.New(t), discoverytest.New(t)
 	old.Set(func(d *discoverytest.Server) { d.RejectCalls = 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	x := discovery.NewWatch(old.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
 	x.Known = &discovery.List{Revision: 7, Complete: true, Members: []discovery.Member{}}
-	x.Tune(0, 0, func() float64 { return 1000 }) // pauses outlast the test
-	pausing, done := make(chan bool, 4), make(chan struct{})
-	x.OnRejected = func() { pausing <- true }
+	x.Tune(0, 0, func() float64 { return 1000 }) // backoffs outlast the test
+	rejected, done := make(chan bool, 4), make(chan struct{})
+	x.OnRejected = func() { rejected <- true }
 	go func() { defer close(done); x.Run(ctx) }()
 	defer func() { cancel(); <-done }()
-	<-pausing
+	<-rejected
 	x.SetAddress(now.Addr())
 	discoverytest.WaitFor(t, "a watch at the new address", func() bool { now.Mu.Lock(); defer now.Mu.Unlock(); return len(now.Froms) == 1 })
 }
 
-// A start costs discovery one call where the list in the configuration can be
-// used, and that call may be put off; the relay is told, so that it serves.
+// A start costs discovery one call if the list in the configuration is valid, and
+// that call may be delayed; the relay is notified, so that it serves.
 func TestWatchFromKnown(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
 	for _, known := range []*discovery.List{{Revision: 7, Complete: true, Members: []discovery.Member{m}}, {Revision: 7, Members: []discovery.Member{m}},
@@ -226,10 +226,10 @@
 		x := discovery.NewWatch(d.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
 		x.Known = known
 		x.Tune(0, time.Second, func() float64 { return 1 })
-		putOff, done := make(chan bool, 1), make(chan struct{})
-		x.OnRejected = func() { putOff <- true }
+		delayed, done := make(chan bool, 1), make(chan struct{})
+		x.OnRejected = func() { delayed <- true }
 		go func() { defer close(done); x.Run(ctx) }()
-		<-putOff
+		<-delayed
 		discoverytest.WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 1 })
 		cancel()
 		<-done
@@ -239,8 +239,8 @@
 	}
 }
 
-// A watch that is turned away goes on from where it was: the whole list is not
-// asked for again.
+// A rejected watch goes on from its revision: the complete list is not fetched
+// again.
 func TestWatchTurnedAway(t *testing.T) {
 	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
 	d.Set(func(d *discoverytest.Server) { d.RejectCalls = 2 })
@@ -249,11 +249,11 @@
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
 	if d.Fetches != 1 || d.Froms[0] != "1" || d.RejectCalls != 0 {
-		t.Errorf("%d fetches, then from %v; %d calls left to turn away", d.Fetches, d.Froms, d.RejectCalls)
+		t.Errorf("%d fetches, then from %v; %d calls left to reject", d.Fetches, d.Froms, d.RejectCalls)
 	}
 }
 
-// rawAgent serves connections by hand.
+// rawAgent serves each connection with serve, on a goroutine of its own.
 func rawAgent(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/discovery/internal_test.go
+++ b/internal/discovery/internal_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Guards word of a change after an outage, and discovery against a fleet that
-// comes back at one moment: however many tries were refused in a row, the next
-// comes within a bound, and those of a large fleet are spread over a second or
-// so, which keeps them under one call a second of each relay.
+// Guards updates after an outage, and discovery against a fleet that comes back
+// at one moment: however many calls were rejected in a row, the retry comes within
+// a bound, and those of a large fleet are spread over a second or so, which keeps
+// them under one call a second of each relay.
 func TestDiscoveryPause(t *testing.T) {
-	for _, refusal := range []error{&StatusError{"list", http.StatusServiceUnavailable}, &StatusError{"watch", http.StatusTooManyRequests},
+	for _, rejection := range []error{&StatusError{"list", http.StatusServiceUnavailable}, &StatusError{"watch", http.StatusTooManyRequests},
 		fmt.Errorf("discovery: %w", syscall.ECONNREFUSED), fmt.Errorf("discovery: %w", syscall.ECONNRESET)} {
 		for _, relays := range []int{1, 30, 80, 300, 450, 3000} {
 			latest := NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil)
@@ -25,31 +25,31 @@
 			soonest.random = func() float64 { return 0 }
 			last := time.Duration(0)
 			for i := range 100 {
-				low, high := soonest.retryDelay(refusal), latest.retryDelay(refusal)
+				low, high := soonest.retryDelay(rejection), latest.retryDelay(rejection)
 				if low < retryBackoffMin || high > retryBackoffMax || high < last {
-					t.Errorf("%v, %d relays: pause %d is %v to %v, %v at most before", refusal, relays, i, low, high, last)
+					t.Errorf("%v, %d relays: backoff %d is %v to %v, %v at most before", rejection, relays, i, low, high, last)
 				}
 				if relays >= 30 && (high-low < retryBackoffMax/2 || low+high < 2*time.Second || i == 0 && low > 400*time.Millisecond) {
-					t.Errorf("%v, %d relays: pause %d is %v to %v: no spread", refusal, relays, i, low, high)
+					t.Errorf("%v, %d relays: backoff %d is %v to %v: no spread", rejection, relays, i, low, high)
 				}
 				last = high
 			}
 			if 2*retryBackoffMax >= 4*time.Second {
-				t.Errorf("after a move, whose list counts as told in 4 s, a second refusal leaves no time")
+				t.Errorf("after a change of address, whose list counts as received in 4 s, a second rejection leaves no time")
 			}
 			if last != retryBackoffMax {
-				t.Errorf("%d relays: pauses grow to %v alone", relays, last)
+				t.Errorf("%d relays: backoffs grow to %v only", relays, last)
 			}
-			// What the answer of a call, or a silent watch, may take is spent before it is known to have failed.
+			// A call that hangs, or a silent watch, has failed only after its timeout.
 			hung := max(latest.silenceTimeout, latest.answerTimeout)
 			if left := 6*time.Second - hung - latest.retryDelay(context.DeadlineExceeded) - retryBackoffMax; left < 300*time.Millisecond {
-				t.Errorf("%d relays: a call that hung, and another that is refused, leave %v", relays, left)
+				t.Errorf("%d relays: a call that hung, and another that is rejected, leave %v", relays, left)
 			}
 		}
 	}
 }
 
-// A list that is too large is asked for again with an exponential backoff, and
+// A list that is too large is fetched again with an exponential backoff and
 // jitter, up to half a minute.
 func TestPauseTooLarge(t *testing.T) {
 	x := NewWatch("127.0.0.1:1", 300, slog.New(slog.DiscardHandler), nil)
@@ -59,15 +59,15 @@
 			most := min(time.Second<<i, 30*time.Second)
 			x.random = func() float64 { return float64(i % 2) }
 			if p := x.retryDelay(tooLarge); p < most/2 || p > most || i%2 == 1 && p != most {
-				t.Errorf("round %d: pause %d is %v", round, i, p)
+				t.Errorf("round %d: backoff %d is %v", round, i, p)
 			}
 		}
 		x.resetFailures()
 	}
 }
 
-// A watch that ended is opened anew at once, once; where that ends too, tries
-// are spread like refused ones. One that hung has taken its time already.
+// A watch that ended is opened anew at once, once; if that ends too, the retries
+// are spread like those of rejected calls. One that hung has waited already.
 func TestPauseAfterEnd(t *testing.T) {
 	x := NewWatch("127.0.0.1:1", 300, slog.New(slog.DiscardHandler), nil)
 	x.random = func() float64 { return 1 }
@@ -90,7 +90,7 @@
 }
 
 // Guards discovery's queue: a relay of a large fleet waits for those before it
-// in place of hanging up and asking again.
+// instead of closing the connection and calling again.
 func TestDiscoveryWaitsItsTurn(t *testing.T) {
 	if few := NewWatch("127.0.0.1:1", 2, slog.New(slog.DiscardHandler), nil); few.answerTimeout > 2*baseAnswerTimeout {
 		t.Errorf("2 relays wait %v for an answer", few.answerTimeout)
@@ -100,40 +100,41 @@
 	}
 }
 
-// Guards word of a drain, which counts as told by the clock: in a fleet of any
-// size a start asks inside the grace for what its agent has, an answer that
-// does not come is given up in time, and so is the first pause.
+// Guards drains, which count as received by the clock: in a fleet of any size a
+// start calls its agent within the grace period, a missing response times out
+// early enough, and so does the first backoff.
 func TestDiscoveryInTime(t *testing.T) {
-	const told, grace = 6 * time.Second, 2 * time.Second
+	const receivedWithin, grace = 6 * time.Second, 2 * time.Second
 	for _, relays := range []int{2, 80, 300, 3000} {
 		x := NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil)
 		x.random = func() float64 { return 1 }
 		if first := x.startDelay(); first >= grace {
 			t.Errorf("%d relays: the first call comes after %v", relays, first)
 		}
-		if x.answerTimeout >= told-grace {
-			t.Errorf("%d relays: an answer is waited for %v", relays, x.answerTimeout)
+		if x.answerTimeout >= receivedWithin-grace {
+			t.Errorf("%d relays: a response is awaited for %v", relays, x.answerTimeout)
 		}
-		if p := x.retryDelay(&StatusError{"list", http.StatusServiceUnavailable}); p >= told-grace/2 {
-			t.Errorf("%d relays: the first pause is %v", relays, p)
+		if p := x.retryDelay(&StatusError{"list", http.StatusServiceUnavailable}); p >= receivedWithin-grace/2 {
+			t.Errorf("%d relays: the first backoff is %v", relays, p)
 		}
 	}
 }
 
-// Tune sets what only tests change: a silence after which a watch is given up,
-// what it takes to serve all relays, and the draws. Zero values leave them.
-func (w *Watch) Tune(silence, all time.Duration, random func() float64) {
+// Tune sets what only tests change: the timeout of a silent watch, the time that
+// discovery takes to serve all relays, and the random draws. A zero silence or nil
+// random leaves what it was.
+func (w *Watch) Tune(silence, fleetServeTime time.Duration, random func() float64) {
 	if silence > 0 {
 		w.silenceTimeout = silence
 	}
-	w.fleetServeTime = all
+	w.fleetServeTime = fleetServeTime
 	if random != nil {
 		w.random = random
 	}
 }
 
-// LimitLists sets how large a list, or a line of a watch, may be.
+// LimitLists sets the size limit of a list, and of an update of a watch.
 func (w *Watch) LimitLists(bytes int) { w.listLimit = bytes }
 
-// NoticeAgain is by when the second try of a notice comes.
+// NoticeAgain is the delay after which a notice is sent a second time.
 const NoticeAgain = noticeTimeoutMin + noticeBackoffMin
--- a/internal/discovery/listreader_test.go
+++ b/internal/discovery/listreader_test.go
@@ -33,8 +33,8 @@
 	return string(text)
 }
 
-// Lists come out whole and in order however they are written and cut into
-// pieces, with empty lines between them.
+// Lists are decoded completely and in order however they are written and split
+// into pieces, with empty lines between them.
 func TestListReaderPieces(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
@@ -79,12 +79,12 @@
 			}
 		}
 		if !r.atEOF {
-			t.Fatal("the end of the stream counts as a cut list")
+			t.Fatal("the end of the stream counts as a truncated list")
 		}
 	}
 }
 
-// pieces gives a text in pieces of any size.
+// pieces reads a text in pieces of random size.
 type pieces struct {
 	text   string
 	random *rand.Rand
@@ -99,8 +99,8 @@
 	return n, nil
 }
 
-// A line that is cut, or too large, is told, and a large one does not keep its
-// memory.
+// A truncated list and one that is too large are errors, and the buffer of a
+// large one is freed.
 func TestListReaderLimits(t *testing.T) {
 	whole := asText(t, listOf(1, 31000, 34), false)
 	r := newListReader(strings.NewReader(whole+"\n\n"+whole[:len(whole)/2]), maxListBytes)
@@ -111,10 +111,10 @@
 		t.Fatalf("an empty line is %v, %v", l, err)
 	}
 	if cap(r.buffer) > maxRetainedBufferBytes {
-		t.Errorf("%d bytes are kept for the next line", cap(r.buffer))
+		t.Errorf("%d bytes are retained for the next line", cap(r.buffer))
 	}
 	if _, err := r.nextList(); !errors.Is(err, errListTruncated) || r.atEOF {
-		t.Errorf("a list that was cut is %v", err)
+		t.Errorf("a truncated list is %v", err)
 	}
 	for _, indented := range []bool{false, true} {
 		text := asText(t, listOf(1, 1000, 34), indented) + "\n"
@@ -129,13 +129,13 @@
 			t.Errorf("a list over the limit: %v", err)
 		}
 		if cap(over.buffer) > maxRetainedBufferBytes {
-			t.Errorf("%d bytes are kept of a list that is too large", cap(over.buffer))
+			t.Errorf("%d bytes are retained of a list that is too large", cap(over.buffer))
 		}
 	}
 }
 
-// What cannot become a list is noticed long before the limit, though no brace
-// closes it.
+// Text that cannot become a list is rejected long before the limit, though no
+// brace closes it.
 func TestListReaderNoticesNonsense(t *testing.T) {
 	r := newListReader(io.MultiReader(strings.NewReader("{\"revision\":1,\n"), &endless{}), maxListBytes)
 	_, err := r.nextList()
--- a/internal/discovery/listsize_test.go
+++ b/internal/discovery/listsize_test.go
@@ -18,7 +18,7 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// longNames gives members as many and with names as long as are planned for.
+// longNames returns members with ids as long as are planned for.
 func longNames(count int) []discovery.Member {
 	var all []discovery.Member
 	for i := range count {
@@ -28,14 +28,14 @@
 	return all
 }
 
-// A list of 31,000 members with ids of 34 letters arrives, when it is asked
-// for and as a line of the watch, on one line and indented.
+// A list of 31,000 members with ids of 34 letters is received by a fetch and as
+// an update of the watch, on one line and indented.
 func TestListOfTargetSize(t *testing.T) {
 	t.Parallel()
 	const count = 31000
 	d := discoverytest.New(t, longNames(count)...)
-	news := watchList(t, d, time.Minute)
-	if l := next(t, news); !l.Complete || len(l.Members) != count {
+	updates := watchList(t, d, time.Minute)
+	if l := next(t, updates); !l.Complete || len(l.Members) != count {
 		t.Fatalf("the list has %d members", len(l.Members))
 	}
 	line, err := json.Marshal(discovery.List{Revision: 2, Complete: true, Members: longNames(count)})
@@ -46,7 +46,7 @@
 		t.Fatalf("%d bytes are no test of the limit that was", len(line))
 	}
 	d.Send(t, string(line))
-	if l := next(t, news); l.Revision != 2 || len(l.Members) != count {
+	if l := next(t, updates); l.Revision != 2 || len(l.Members) != count {
 		t.Fatalf("the line has revision %d, %d members", l.Revision, len(l.Members))
 	}
 	var indented bytes.Buffer
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	d.Send(t, strings.Replace(indented.String(), `"revision": 2`, `"revision": 3`, 1))
-	if l := next(t, news); l.Revision != 3 || len(l.Members) != count {
+	if l := next(t, updates); l.Revision != 3 || len(l.Members) != count {
 		t.Fatalf("the indented list has revision %d, %d members", l.Revision, len(l.Members))
 	}
 	d.Mu.Lock()
@@ -64,24 +64,24 @@
 	}
 }
 
-// sizedDiscovery serves whole lists of any size, with their length told before
-// them or not, and lines on its watches.
+// sizedDiscovery serves complete lists of any size, with or without a
+// Content-Length, and lines on its watches.
 type sizedDiscovery struct {
-	mu      sync.Mutex
-	list    discovery.List
-	tellLen bool
-	asked   []time.Time // for the whole list
-	lines   chan string
+	mu         sync.Mutex
+	list       discovery.List
+	sendLength bool
+	fetches    []time.Time // of the complete list
+	lines      chan string
 }
 
 func (d *sizedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		d.mu.Lock()
-		d.asked = append(d.asked, time.Now())
+		d.fetches = append(d.fetches, time.Now())
 		text, _ := json.Marshal(d.list) // cannot fail
-		tellLen := d.tellLen
+		sendLength := d.sendLength
 		d.mu.Unlock()
-		if tellLen {
+		if sendLength {
 			w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		} else {
 			w.(http.Flusher).Flush()
@@ -118,24 +118,24 @@
 	return strings.Contains(l.text.String(), s)
 }
 
-// A list that is too large is told with both sizes and asked for again less and
+// A list that is too large is logged with both sizes and fetched again less and
 // less often; the last good one stays in use, and the next good one follows.
 func TestListTooLarge(t *testing.T) {
 	t.Parallel()
-	for _, tellLen := range []bool{true, false} {
-		t.Run(fmt.Sprintf("length_told=%v", tellLen), func(t *testing.T) {
+	for _, sendLength := range []bool{true, false} {
+		t.Run(fmt.Sprintf("length_sent=%v", sendLength), func(t *testing.T) {
 			t.Parallel()
 			const limit = 4096
-			d := &sizedDiscovery{list: discovery.List{Revision: 1, Complete: true, Members: longNames(3)}, tellLen: tellLen, lines: make(chan string, 1)}
+			d := &sizedDiscovery{list: discovery.List{Revision: 1, Complete: true, Members: longNames(3)}, sendLength: sendLength, lines: make(chan string, 1)}
 			srv := httptest.NewServer(d)
 			var log logText
-			news, done := make(chan *discovery.List, 8), make(chan struct{})
-			x := discovery.NewWatch(srv.Listener.Addr().String(), 1, slog.New(slog.NewTextHandler(&log, nil)), func(l *discovery.List) { news <- l })
+			updates, done := make(chan *discovery.List, 8), make(chan struct{})
+			x := discovery.NewWatch(srv.Listener.Addr().String(), 1, slog.New(slog.NewTextHandler(&log, nil)), func(l *discovery.List) { updates <- l })
 			x.LimitLists(limit)
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() { defer close(done); x.Run(ctx) }()
 			defer func() { cancel(); <-done; srv.CloseClientConnections(); srv.Close() }()
-			next(t, news)
+			next(t, updates)
 
 			large := discovery.List{Revision: 2, Complete: true, Members: longNames(200)}
 			text, err := json.Marshal(large)
@@ -145,42 +145,42 @@
 			d.mu.Lock()
 			d.list = large
 			d.mu.Unlock()
-			d.lines <- string(text) // as a change first: it makes the whole list be asked for
-			discoverytest.WaitFor(t, "three more tries", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.asked) >= 4 })
+			d.lines <- string(text) // as a change first: it makes the complete list be fetched
+			discoverytest.WaitFor(t, "three more fetches", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.fetches) >= 4 })
 			d.mu.Lock()
-			asked := d.asked
+			fetched := d.fetches
 			d.list = discovery.List{Revision: 3, Complete: true, Members: longNames(2)}
 			d.mu.Unlock()
-			if len(news) > 0 {
-				t.Errorf("a list that is too large counts as news: %d members", len((<-news).Members))
+			if len(updates) > 0 {
+				t.Errorf("a list that is too large counts as an update: %d members", len((<-updates).Members))
 			}
-			first, second := asked[2].Sub(asked[1]), asked[3].Sub(asked[2])
-			t.Logf("asked again after %v and %v", first, second)
+			first, second := fetched[2].Sub(fetched[1]), fetched[3].Sub(fetched[2])
+			t.Logf("fetched again after %v and %v", first, second)
 			if first < time.Second || second < 2*time.Second {
-				t.Errorf("asked again after %v and %v: no backoff", first, second)
+				t.Errorf("fetched again after %v and %v: no backoff", first, second)
 			}
 			size := fmt.Sprintf("a list of %d bytes", len(text))
-			if !tellLen {
+			if !sendLength {
 				size = fmt.Sprintf("a list of %d bytes", limit+1)
 			}
 			if !log.has(size) || !log.has(fmt.Sprintf("limit of %d", limit)) {
-				t.Errorf("the log does not tell the size (%q) and the limit", size)
+				t.Errorf("the log lacks the size (%q) or the limit", size)
 			}
-			if l := next(t, news); l.Revision != 3 || len(l.Members) != 2 {
+			if l := next(t, updates); l.Revision != 3 || len(l.Members) != 2 {
 				t.Errorf("at last revision %d, %d members", l.Revision, len(l.Members))
 			}
 		})
 	}
 }
 
-// A watch that is answered by a status that does not turn it away, such as 410,
-// cannot go on from where it was: the whole list is asked for again. One that
-// is turned away goes on.
+// A watch that is answered by a status which is no rejection, such as 410, cannot
+// go on from its revision: the complete list is fetched again. A rejected one goes
+// on.
 func TestWatchStatus(t *testing.T) {
 	t.Parallel()
 	for status, fetches := range map[int]int{http.StatusGone: 2, http.StatusNotFound: 2, http.StatusTooManyRequests: 1, http.StatusInternalServerError: 1} {
 		var mu sync.Mutex
-		asked, watches := 0, 0
+		fetched, watches := 0, 0
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -190,7 +190,7 @@
 				}
 				return // the second one ends at once
 			}
-			asked++
+			fetched++
 			json.NewEncoder(w).Encode(discovery.List{Revision: 1, Complete: true, Members: longNames(1)})
 		}))
 		ctx, cancel := context.WithCancel(t.Context())
@@ -198,10 +198,10 @@
 		go func() { defer close(done); x.Run(ctx) }()
 		discoverytest.WaitFor(t, "a second watch", func() bool { mu.Lock(); defer mu.Unlock(); return watches >= 2 })
 		mu.Lock()
-		got := asked
+		got := fetched
 		mu.Unlock()
 		if got != fetches {
-			t.Errorf("a watch answered by %d: the whole list was asked for %d times, want %d", status, got, fetches)
+			t.Errorf("a watch answered by %d: the complete list was fetched %d times, want %d", status, got, fetches)
 		}
 		cancel()
 		<-done
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -16,13 +16,14 @@
 )
 
 // growingSpread is the one before boundedRetrySpread, for comparison: it grows with
-// the fleet and with each failure, and word came up to 25 s late.
+// the fleet and with each failure, and updates came up to 25 s late.
 func growingSpread(fleetServeTime time.Duration, failures int, draw float64) time.Duration {
 	base := min(min(400*time.Millisecond+fleetServeTime, 4*time.Second)<<min(failures, 8), 5*time.Second+2*fleetServeTime)
 	return 200*time.Millisecond + time.Duration(float64(base)*draw)
 }
 
-// narrowSpread is as fast as that after a watch that ended, and a storm.
+// narrowSpread is as fast as the one after a watch that ended, and overloads
+// discovery.
 func narrowSpread(_ time.Duration, _ int, draw float64) time.Duration {
 	return time.Duration(float64(200*time.Millisecond) * (0.5 + draw))
 }
@@ -64,19 +65,19 @@
 	return ln
 }
 
-// limitedDiscovery turns calls away beyond a rate; a tenth of a second's worth
-// may come at once.
+// limitedDiscovery rejects calls beyond a rate, with a burst of a tenth of a
+// second.
 type limitedDiscovery struct {
-	mu     sync.Mutex
-	rate   float64       // calls a second; 0 for no limit
-	queue  time.Duration // that a call may wait for its place, in order; then it is turned away
-	free   time.Time     // when the last place that was given away is over
-	tokens float64
-	at     time.Time
-	calls  []time.Time
-	away   int
-	fault  string // how calls fail while it is set
-	end    context.Context
+	mu       sync.Mutex
+	rate     float64       // calls a second; 0 for no limit
+	queue    time.Duration // for which a call may wait for its place, in order; then it is rejected
+	free     time.Time     // when the last place that was taken ends
+	tokens   float64
+	at       time.Time
+	calls    []time.Time
+	rejected int
+	fault    string // how calls fail while it is set
+	end      context.Context
 }
 
 func (d *limitedDiscovery) admit() bool {
@@ -93,14 +94,14 @@
 	d.tokens = min(d.tokens+now.Sub(d.at).Seconds()*d.rate, max(1, d.rate/10))
 	d.at = now
 	if d.tokens < 1 {
-		d.away++
+		d.rejected++
 		return false
 	}
 	d.tokens--
 	return true
 }
 
-// waitForPlace has a call wait in a queue, with the lock given up meanwhile.
+// waitForPlace has a call wait in a queue, with the lock released meanwhile.
 func (d *limitedDiscovery) waitForPlace(now time.Time) bool {
 	at := now
 	if d.free.After(now) {
@@ -109,7 +110,7 @@
 	wait, served := at.Sub(now), true
 	if wait > d.queue {
 		wait, served = d.queue, false
-		d.away++
+		d.rejected++
 	} else {
 		d.free = at.Add(time.Duration(float64(time.Second) / d.rate))
 	}
@@ -141,10 +142,10 @@
 	if r.URL.Query().Get("from") != "9" {
 		json.NewEncoder(w).Encode(list)
 	}
-	for beat := time.NewTicker(time.Second); ; {
+	for keepalive := time.NewTicker(time.Second); ; {
 		w.(http.Flusher).Flush()
 		select {
-		case <-beat.C:
+		case <-keepalive.C:
 			w.Write([]byte("\n"))
 		case <-r.Context().Done():
 			return
@@ -154,8 +155,8 @@
 	}
 }
 
-// fail spoils a call: its connection ends or is reset with no answer, nothing
-// is said on it for good, or it is turned away.
+// fail fails a call: its connection is closed or reset without a response, stays
+// silent, or gets a status.
 func (d *limitedDiscovery) fail(w http.ResponseWriter, r *http.Request, fault string) {
 	switch fault {
 	case "silent":
@@ -180,49 +181,51 @@
 	}
 }
 
-// outage is what a fleet goes through: discovery refuses it for a while, then
-// serves at a limited rate.
+// outage describes an outage of discovery for a fleet: it refuses connections for
+// a while, then serves at a limited rate.
 type outage struct {
-	relays, told int           // the watches, and how many relays each is told of
-	refuses      time.Duration // for so long
-	rate         float64       // calls a second that are served after it
-	queue        time.Duration // that a call may wait for its turn
-	known        bool          // the watches have a list, and ask for what changed since: one call in place of two
-	spread       retrySpread
+	relays    int           // the watches
+	fleetSize int           // the size of the fleet as each watch knows it
+	refuses   time.Duration // how long connections are refused
+	rate      float64       // calls a second that are served after it
+	queue     time.Duration // how long a call may wait for its turn
+	known     bool          // the watches have a list, and need one call instead of two
+	spread    retrySpread
 }
 
-// outageResult is what it came to.
+// outageResult is what was measured.
 type outageResult struct {
-	latest   time.Duration // word after the return
-	late     int           // watches that had none within 6 s
-	before   int           // tries in the worst second while it refused, first calls left out
-	peak     int           // calls in the worst second after its return
+	latest   time.Duration // from the return to the last watch's first update
+	late     int           // watches without an update within 6 s
+	before   int           // retries in the worst second of the outage, first calls left out
+	peak     int           // calls in the worst second after the return
 	calls    int
-	away     int // calls turned away
+	rejected int // of the calls
 	finished bool
 }
 
-func (o outage) play(t testing.TB, most time.Duration) outageResult {
+// play runs the outage and waits for the updates, for a limited time after it.
+func (o outage) play(t testing.TB, limit time.Duration) outageResult {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	port := bindPort(t)
 	var mu sync.Mutex
-	var tries []time.Time
-	told := make([]time.Time, o.relays)
+	var retries []time.Time
+	updatedAt := make([]time.Time, o.relays)
 	start := time.Now()
 	var all, watches sync.WaitGroup
 	for i := range o.relays {
 		all.Add(1)
 		var once sync.Once
-		w := NewWatch(port.addr, o.told, slog.New(slog.DiscardHandler), func(*List) {
-			once.Do(func() { told[i] = time.Now(); all.Done() })
+		w := NewWatch(port.addr, o.fleetSize, slog.New(slog.DiscardHandler), func(*List) {
+			once.Do(func() { updatedAt[i] = time.Now(); all.Done() })
 		})
 		if o.known {
 			w.Known = &List{Revision: 1, Complete: true, Members: []Member{}}
 		}
 		w.spread = func(fleetServeTime time.Duration, failures int, draw float64) time.Duration {
 			mu.Lock()
-			tries = append(tries, time.Now())
+			retries = append(retries, time.Now())
 			mu.Unlock()
 			return o.spread(fleetServeTime, failures, draw)
 		}
@@ -231,7 +234,7 @@
 	}
 	time.Sleep(o.refuses)
 	mu.Lock()
-	before := slices.Clone(tries)
+	before := slices.Clone(retries)
 	mu.Unlock()
 	d := &limitedDiscovery{rate: o.rate, queue: o.queue, tokens: max(1, o.rate/10), at: time.Now(), end: ctx}
 	srv := &http.Server{Handler: d}
@@ -242,21 +245,21 @@
 	go func() { all.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(most):
+	case <-time.After(limit):
 	}
 	cancel()
 	srv.Close()
 	watches.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := outageResult{finished: true, calls: len(d.calls), away: d.away, peak: worstSecond(d.calls)}
+	r := outageResult{finished: true, calls: len(d.calls), rejected: d.rejected, peak: worstSecond(d.calls)}
 	r.before = worstSecond(slices.DeleteFunc(before, func(at time.Time) bool { return at.Sub(start) < maxStartDelay }))
-	for i := range told {
-		if told[i].IsZero() {
+	for i := range updatedAt {
+		if updatedAt[i].IsZero() {
 			r.finished = false
-			told[i] = back.Add(most)
+			updatedAt[i] = back.Add(limit)
 		}
-		after := told[i].Sub(back)
+		after := updatedAt[i].Sub(back)
 		r.latest = max(r.latest, after)
 		if after > 6*time.Second {
 			r.late++
@@ -265,7 +268,7 @@
 	return r
 }
 
-// worstSecond gives the most moments that lie within one second.
+// worstSecond returns the largest number of moments within one second.
 func worstSecond(at []time.Time) (most int) {
 	slices.SortFunc(at, time.Time.Compare)
 	first := 0
@@ -287,7 +290,7 @@
 	if !r.finished {
 		latest = "not within 32 s"
 	}
-	return fmt.Sprintf("| %d | %d | %v | %v | %s | %s | %d | %d | %d | %d of %d |", o.relays, calls, o.rate, o.queue, spread, latest, r.late, r.before, r.peak, r.away, r.calls)
+	return fmt.Sprintf("| %d | %d | %v | %v | %s | %s | %d | %d | %d | %d of %d |", o.relays, calls, o.rate, o.queue, spread, latest, r.late, r.before, r.peak, r.rejected, r.calls)
 }
 
 // BenchmarkOutage prints what each spread does, as a table; it takes minutes.
@@ -305,7 +308,7 @@
 		name   string
 		spread retrySpread
 	}{{"growing", growingSpread}, {"bounded 1.8 s", boundedRetrySpread}, {"bounded 3 s", fixed(3 * time.Second)}, {"0.1 to 0.3 s", narrowSpread}}
-	fmt.Println("| watches | calls each | served a second | queue | spread | latest | later than 6 s | tries a second while refused | calls a second after | turned away of calls |")
+	fmt.Println("| watches | calls each | served a second | queue | spread | latest | later than 6 s | retries a second while refused | calls a second after | rejected of calls |")
 	measure := func(outages ...outage) { // all at one time
 		rows := make([]string, len(outages)*len(spreads))
 		var all sync.WaitGroup
@@ -323,31 +326,31 @@
 			fmt.Println(row)
 		}
 	}
-	overbooked := outage{relays: 80, told: 80, refuses: 8 * time.Second, rate: 10.5, queue: 2 * time.Second}
+	overbooked := outage{relays: 80, fleetSize: 80, refuses: 8 * time.Second, rate: 10.5, queue: 2 * time.Second}
 	withList := overbooked
 	withList.known = true
 	measure(withList, overbooked)
 	for _, known := range []bool{true, false} {
 		for _, relays := range []int{30, 300, 450} {
-			measure(outage{relays: relays, told: relays, refuses: 8 * time.Second, rate: 100, known: known},
-				outage{relays: relays, told: relays, refuses: 8 * time.Second, rate: 300, known: known})
+			measure(outage{relays: relays, fleetSize: relays, refuses: 8 * time.Second, rate: 100, known: known},
+				outage{relays: relays, fleetSize: relays, refuses: 8 * time.Second, rate: 300, known: known})
 		}
 	}
 }
 
-// Guards the 6 s of word after an outage, and discovery against the calls of a
-// whole fleet. Discovery refuses connections for 8 s and then turns away what
-// is beyond 200 calls a second.
+// Guards the 6 s within which updates arrive after an outage, and discovery against
+// the calls of a whole fleet. Discovery refuses connections for 8 s and then
+// rejects what is beyond 200 calls a second.
 func TestWordAfterOutage(t *testing.T) {
 	t.Parallel()
 	for _, relays := range []int{30, 300, 450} {
 		t.Run(fmt.Sprint(relays), func(t *testing.T) {
 			t.Parallel()
-			r := outage{relays: relays, told: relays, refuses: 8 * time.Second, rate: 200, known: true,
+			r := outage{relays: relays, fleetSize: relays, refuses: 8 * time.Second, rate: 200, known: true,
 				spread: NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil).spread}.play(t, 30*time.Second)
 			t.Logf("%+v", r)
 			if r.late > 0 || !r.finished {
-				t.Errorf("%d of %d have word later than 6 s after discovery's return, the last %v after it", r.late, relays, r.latest)
+				t.Errorf("%d of %d have an update later than 6 s after discovery's return, the last %v after it", r.late, relays, r.latest)
 			}
 			if r.before > relays || r.peak > relays+relays/4 {
 				t.Errorf("%d calls in a second while discovery refuses, %d after that: over one of each relay", r.before, r.peak)
@@ -357,7 +360,7 @@
 }
 
 // Guards the same 6 s, and discovery, where calls fail in other ways than by a
-// port that refuses. The watches begin with nothing: two calls each.
+// refused connection. The watches begin without a list: two calls each.
 func TestWordAfterFault(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"silent", "closed", "reset", "503", "429"} {
@@ -370,10 +373,10 @@
 			srv := &http.Server{Handler: d}
 			go srv.Serve(port.listen(t))
 			var watches sync.WaitGroup
-			told := make(chan time.Time, relays)
+			updatedAt := make(chan time.Time, relays)
 			for range relays {
 				var once sync.Once
-				w := NewWatch(port.addr, 450, slog.New(slog.DiscardHandler), func(*List) { once.Do(func() { told <- time.Now() }) })
+				w := NewWatch(port.addr, 450, slog.New(slog.DiscardHandler), func(*List) { once.Do(func() { updatedAt <- time.Now() }) })
 				watches.Add(1)
 				go func() { defer watches.Done(); w.Run(ctx) }()
 			}
@@ -386,7 +389,7 @@
 			latest := time.Duration(0)
 			for range relays {
 				select {
-				case at := <-told:
+				case at := <-updatedAt:
 					latest = max(latest, at.Sub(back))
 				case <-time.After(20 * time.Second):
 					t.Fatal("a watch never had its list")
@@ -394,9 +397,9 @@
 			}
 			begun := calls[0]
 			peak := worstSecond(slices.DeleteFunc(calls, func(at time.Time) bool { return at.Sub(begun) < 2*time.Second }))
-			t.Logf("the last word %v after the return, %d calls in the worst second before it", latest, peak)
+			t.Logf("the last update %v after the return, %d calls in the worst second before it", latest, peak)
 			if latest > 6*time.Second {
-				t.Errorf("the last word came %v after the return", latest)
+				t.Errorf("the last update came %v after the return", latest)
 			}
 			if peak > relays+relays/4 {
 				t.Errorf("%d calls in a second of %d relays", peak, relays)
@@ -405,8 +408,9 @@
 	}
 }
 
-// Guards word after a move, which counts 4 s later: discovery at the new
-// address turns some calls away, after the old one has refused many in a row.
+// Guards updates after a change of address, which count as received 4 s later:
+// discovery at the new address rejects some calls, after the old one has refused
+// many in a row.
 func TestWordAfterMove(t *testing.T) {
 	t.Parallel()
 	const relays = 30
@@ -417,13 +421,13 @@
 	go srv.Serve(now.listen(t))
 	var watches, all sync.WaitGroup
 	var fleet []*Watch
-	told := make([]time.Time, relays)
+	updatedAt := make([]time.Time, relays)
 	refused := make(chan bool, 10*relays)
 	for i := range relays {
 		var once sync.Once
 		all.Add(1)
 		w := NewWatch(old.addr, 450, slog.New(slog.DiscardHandler), func(*List) {
-			once.Do(func() { told[i] = time.Now(); all.Done() })
+			once.Do(func() { updatedAt[i] = time.Now(); all.Done() })
 		})
 		w.Known = &List{Revision: 1, Complete: true, Members: []Member{}}
 		w.OnRejected = func() {
@@ -445,11 +449,11 @@
 		w.SetAddress(now.addr)
 	}
 	all.Wait()
-	latest := slices.MaxFunc(told, time.Time.Compare).Sub(moved)
+	latest := slices.MaxFunc(updatedAt, time.Time.Compare).Sub(moved)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t.Logf("the last word %v after the move, %d of %d calls turned away", latest, d.away, len(d.calls))
-	if latest > 4*time.Second || d.away == 0 {
-		t.Errorf("the last word came %v after the move, %d calls were turned away", latest, d.away)
+	t.Logf("the last update %v after the change of address, %d of %d calls rejected", latest, d.rejected, len(d.calls))
+	if latest > 4*time.Second || d.rejected == 0 {
+		t.Errorf("the last update came %v after the change of address, %d calls were rejected", latest, d.rejected)
 	}
 }
