--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -38,12 +38,15 @@
 type File interface {
 	io.ReaderAt
 	io.WriterAt
+	// Truncate cuts the file off, or extends it with zeros, to size bytes.
 	Truncate(size int64) error
+	// Size is the file's present size in bytes.
 	Size() (int64, error)
 	// Sync makes the data, and what is needed to read it, survive a loss of power.
 	Sync() error
 	// TryLock takes the file's lock among processes, until the file is closed. It
 	// reports false where another has it.
 	TryLock() (bool, error)
+	// Close releases the file and its lock.
 	Close() error
 }
--- a/internal/wal/stamp.go
+++ b/internal/wal/stamp.go
@@ -19,6 +19,7 @@
 type StampFile interface {
 	// Store replaces the stamp. It is called after each batch, so it has to be cheap.
 	Store(Stamp)
+	// Close releases the file; the stamp stays.
 	Close() error
 }
 
