--- a/internal/faultlab/evacuate.go
+++ b/internal/faultlab/evacuate.go
@@ -52,14 +52,14 @@
 	if err := wish(registry.Operation{Spec: spec, DesiredState: registry.DesiredRun}); err != nil {
 		return err
 	}
-	if err := until(func() bool { return strings.HasPrefix(last.Message, "out: ") }); err != nil {
+	if err := until(func() bool { return isEvacuated(last.Message) }); err != nil {
 		return err
 	}
 	r.hold(ctx, s)
 	if err := wish(registry.Operation{DesiredState: registry.DesiredAbort}); err != nil {
 		return err
 	}
-	if err := until(func() bool { return last.Done && last.Message == "returned" }); err != nil {
+	if err := until(func() bool { return last.Done && isReturned(last.Message) }); err != nil {
 		return err
 	}
 	var members []registry.Member
--- /dev/null
+++ b/internal/faultlab/logparse.go
@@ -0,0 +1,86 @@
+package faultlab
+
+import (
+	"errors"
+	"fmt"
+	"regexp"
+	"strconv"
+	"strings"
+	"time"
+
+	"plovershore/internal/faultlab/history"
+)
+
+// This file holds every text of another program's that the lab reads for its
+// meaning: the controller's log lines, the progress messages of its operations
+// and one line of the relay's metrics. Whoever changes such a text changes it
+// here too. A scenario may run an older program (faultlab run --first), so the
+// texts of earlier releases stay readable beside the present ones.
+
+// Messages of the controller's log about one step of the counter role.
+const (
+	logStepRequested = "counts"      // the step is about to be requested
+	logStepCounted   = "counted"     // the list service took the step
+	logStepRejected  = "not counted" // the list service rejected the token
+)
+
+// Progress messages of a zone evacuation.
+const (
+	evacuatedPrefix = "out: "    // every endpoint of the zone is drained
+	returnedMessage = "returned" // every endpoint of the zone is back
+)
+
+// metricMembers is the relay's figure for the length of its endpoint list.
+const metricMembers = "app_members"
+
+// stepOutcomes gives the history's word for each message that ends a step.
+var stepOutcomes = map[string]string{logStepCounted: history.Counted, logStepRejected: history.Fenced}
+
+// counterLine matches a line of the controller's log about a counter step.
+var counterLine = regexp.MustCompile(fmt.Sprintf(`^time=(\S+) .*msg=(%s|%s|%s) .*count=(\d+) token=(\d+)`,
+	logText(logStepRequested), logText(logStepCounted), logText(logStepRejected)))
+
+// logText is a pattern for a message as slog's text handler writes it: quoted
+// where it holds a space.
+func logText(message string) string {
+	if strings.Contains(message, " ") {
+		message = strconv.Quote(message)
+	}
+	return regexp.QuoteMeta(message)
+}
+
+// counterStep is one line of the controller's log about a counter step.
+type counterStep struct {
+	at      time.Time
+	count   int
+	token   int64
+	outcome string // history.Counted or history.Fenced; empty for a request
+}
+
+// parseCounterStep reads a log line; ok is false for a line about something else.
+func parseCounterStep(line string) (step counterStep, ok bool, err error) {
+	fields := counterLine.FindStringSubmatch(line)
+	if fields == nil {
+		return counterStep{}, false, nil
+	}
+	at, timeErr := time.Parse(time.RFC3339Nano, fields[1])
+	count, countErr := strconv.Atoi(fields[3])
+	token, tokenErr := strconv.ParseInt(fields[4], 10, 64)
+	if err := errors.Join(timeErr, countErr, tokenErr); err != nil {
+		return counterStep{}, true, fmt.Errorf("controller log line %q: %w", line, err)
+	}
+	return counterStep{at: at, count: count, token: token, outcome: stepOutcomes[strings.Trim(fields[2], `"`)]}, true, nil
+}
+
+// isEvacuated tells whether an operation's message says that its zone is drained.
+func isEvacuated(message string) bool { return strings.HasPrefix(message, evacuatedPrefix) }
+
+// isReturned tells whether an operation's message says that its zone is back.
+func isReturned(message string) bool { return message == returnedMessage }
+
+// parseMembersMetric reads the length of the endpoint list from a line of the
+// relay's metrics; ok is false for any other line.
+func parseMembersMetric(line string) (members int, ok bool) {
+	n, err := fmt.Sscanf(line, metricMembers+" %d", &members)
+	return members, n == 1 && err == nil
+}
--- /dev/null
+++ b/internal/faultlab/logparse_test.go
@@ -0,0 +1,33 @@
+package faultlab
+
+import (
+	"testing"
+
+	"plovershore/internal/faultlab/history"
+)
+
+// TestCounterStepsAreReadFromTheControllersLog as slog's text handler writes them.
+func TestCounterStepsAreReadFromTheControllersLog(t *testing.T) {
+	const head = "time=2026-11-30T12:00:00.250Z level=INFO "
+	for line, want := range map[string]struct {
+		outcome string
+		ok      bool
+	}{
+		head + "msg=counts warden=w1 duty=counter count=7 token=3":        {"", true},
+		head + "msg=counted warden=w1 duty=counter count=7 token=3":       {history.Counted, true},
+		head + `msg="not counted" warden=w1 duty=counter count=7 token=3`: {history.Fenced, true},
+		head + `msg="leader elected" warden=w1 duty=counter token=3`:      {"", false},
+		"panic: not a log line, count=7 token=3":                          {"", false},
+	} {
+		step, ok, err := parseCounterStep(line)
+		if err != nil || ok != want.ok || step.outcome != want.outcome {
+			t.Errorf("%s: %+v, %v, %v; want %+v", line, step, ok, err, want)
+		}
+		if ok && (step.count != 7 || step.token != 3 || step.at.UnixMilli()%1000 != 250) {
+			t.Errorf("%s: %+v", line, step)
+		}
+	}
+	if _, ok, err := parseCounterStep("time=yesterday msg=counts count=7 token=3"); !ok || err == nil {
+		t.Errorf("a line without a time was read: %v", err)
+	}
+}
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -217,9 +217,8 @@
 	}
 	defer resp.Body.Close()
 	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
-		var count int
-		if n, _ := fmt.Sscanf(lines.Text(), "app_members %d", &count); n == 1 {
-			return count
+		if members, ok := parseMembersMetric(lines.Text()); ok {
+			return members
 		}
 	}
 	return -1
--- a/internal/faultlab/wardens.go
+++ b/internal/faultlab/wardens.go
@@ -9,12 +9,9 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"regexp"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
-	"time"
 
 	"plovershore/internal/failover"
 	"plovershore/internal/faultlab/history"
@@ -161,11 +158,6 @@
 	})
 }
 
-var counting = regexp.MustCompile(`^time=(\S+) .*msg="(` + leader.EventCountRequested + `|` + leader.EventCountAccepted + `|` + leader.EventCountRejected + `)" .*count=(\d+) token=(\d+)`)
-
-// What became of a step that a warden asked for.
-var stepEnds = map[string]string{leader.EventCountAccepted: history.Counted, leader.EventCountRejected: history.Fenced}
-
 // effects puts what the wardens counted into the history, once they have ended:
 // each step with when it was asked for, when it was answered, and how.
 func (g *group) effects() error {
@@ -186,24 +178,20 @@
 		}
 		lines := bufio.NewScanner(f)
 		for lines.Scan() {
-			m := counting.FindStringSubmatch(lines.Text())
-			if m == nil {
-				continue
-			}
-			at, err := time.Parse(time.RFC3339Nano, m[1])
-			count, cerr := strconv.Atoi(m[3])
-			token, terr := strconv.ParseInt(m[4], 10, 64)
-			if err := errors.Join(err, cerr, terr); err != nil {
+			step, ok, err := parseCounterStep(lines.Text())
+			if err != nil {
 				errs = append(errs, err)
+			}
+			if !ok || err != nil {
 				continue
 			}
-			if end, ok := stepEnds[m[2]]; ok {
+			if step.outcome != "" {
 				// The log cuts its times to the millisecond.
-				tell(end, at.UnixMicro()+1000)
+				tell(step.outcome, step.at.UnixMicro()+1000)
 				continue
 			}
 			tell(history.Unanswered, 0)
-			asked = &history.Event{Kind: history.Effect, Relay: w.name, Text: leader.Counter, Status: count, For: token, From: at.UnixMicro()}
+			asked = &history.Event{Kind: history.Effect, Relay: w.name, Text: leader.Counter, Status: step.count, For: step.token, From: step.at.UnixMicro()}
 		}
 		tell(history.Unanswered, 0)
 		errs = append(errs, lines.Err(), f.Close())
