--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -85,13 +85,13 @@
 	return nil
 }
 
-func playStandin(t *testing.T, defect, text string) *Result {
+func playStandin(t *testing.T, defect stub.Defect, text string) *Result {
 	t.Helper()
 	s, err := scenario.Parse("defect.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return play(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{standinEnv + "=1", stub.DefectEnv + "=" + defect}})
+	return play(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{standinEnv + "=1", stub.DefectEnv + "=" + string(defect)}})
 }
 
 // TestEachDefectIsCaughtByItsChecker breaks one promise at a time on purpose,
@@ -105,8 +105,9 @@
 	drain := strings.Replace(fast, "seconds = 4", "seconds = 8", 1) + "[[fault]]\nkind = \"drain\"\nat = 1\nfor = 7\nshare = 0.5\n"
 	peers := "[bad_peers]\nevery = 0.3\n"
 	for _, x := range []struct {
-		defect, more string
-		rules        []string // that only it may break; the first must be
+		defect stub.Defect
+		more   string
+		rules  []string // that only it may break; the first must be
 	}{
 		{"", "[bad_peers]\nevery = 0.3\n[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.3\n[[fault]]\nkind = \"hup\"\nat = 2\n", nil},
 		{stub.Drop, "", []string{"end"}},
@@ -130,7 +131,7 @@
 		{stub.KeepPeers, peers, []string{"peer"}},
 		{stub.Topple, outage, []string{"topple"}},
 	} {
-		t.Run("defect "+x.defect, func(t *testing.T) {
+		t.Run("defect "+string(x.defect), func(t *testing.T) {
 			t.Parallel()
 			text := fast + x.more
 			if strings.HasPrefix(x.more, "\nseconds") {
--- /dev/null
+++ b/internal/faultlab/stub/delivery.go
@@ -0,0 +1,113 @@
+package stub
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"plovershore/internal/discovery"
+)
+
+const (
+	maxAttempts       = 12
+	nonIdempotent     = "copy-order" // the class that must not run twice
+	retryPause        = 100 * time.Millisecond
+	noEndpointPause   = 100 * time.Millisecond
+	attemptMargin     = 150 * time.Millisecond // before the deadline no further attempt begins
+	lateBy            = time.Second            // of the defect Late
+	afterEndPause     = 200 * time.Millisecond // of the defect AfterEnd
+	maxNoticeAttempts = 50
+	noticeBackoff     = 50 * time.Millisecond
+)
+
+// deliver takes a message to its one final response.
+func (r *relay) deliver(m *message) {
+	if r.affects(AfterEnd, m) {
+		r.notify(m, discovery.Returned)
+		time.Sleep(afterEndPause)
+	}
+	result := r.attempt(m)
+	if result == delivered {
+		return
+	}
+	if r.defect == Late && result != unknownOutcome {
+		time.Sleep(time.Until(m.deadline) + lateBy)
+	}
+	if result == unknownOutcome && r.defect != HandBack {
+		r.notify(m, discovery.Failed)
+	} else {
+		r.notify(m, discovery.Returned)
+	}
+}
+
+// deliveryResult is what all attempts of a message came to.
+type deliveryResult int
+
+const (
+	notDelivered   deliveryResult = iota
+	delivered                     // or expired at its endpoint: nothing is pending
+	unknownOutcome                // a non-idempotent message may have run
+)
+
+// attempt sends a message until it is delivered, must not be sent again, or has
+// no time or attempts left.
+func (r *relay) attempt(m *message) deliveryResult {
+	for attempts := 0; time.Until(m.deadline) > attemptMargin; {
+		target, wait, ok := r.pickEndpoint(m)
+		if !ok {
+			left := time.Until(m.deadline) - attemptMargin + 10*time.Millisecond
+			time.Sleep(min(wait+time.Millisecond, max(0, left)))
+			continue
+		}
+		if attempts++; attempts > maxAttempts && r.defect != Thirteen {
+			break
+		}
+		if r.affects(SecondCopy, m) && m.class != nonIdempotent {
+			start(&r.deliveries, func() { r.call(m, target) })
+		}
+		result := r.call(m, target)
+		switch {
+		case result.heldBack:
+			attempts--
+			continue
+		case result.completed:
+			if r.affects(Repeat, m) && m.class == nonIdempotent {
+				r.call(m, target)
+			}
+			return delivered
+		case result.mayHaveRun && m.class == nonIdempotent:
+			return unknownOutcome
+		}
+		if r.defect != Topple {
+			time.Sleep(retryPause)
+		}
+	}
+	return notDelivered
+}
+
+// pickEndpoint draws an endpoint for a message; where none may be called now, ok
+// is false and wait says when to look again.
+func (r *relay) pickEndpoint(m *message) (target endpoint, wait time.Duration, ok bool) {
+	if wait := r.waits.remaining(m.destination); wait > 0 && r.defect != IgnoreWait {
+		return endpoint{}, wait, false
+	}
+	wrongPlace := r.affects(WrongPlace, m)
+	target, ok = r.endpoints.pick(func(e endpoint) bool {
+		return (e.Destination == m.destination) != wrongPlace && (e.Phase == discovery.Up || r.defect == IgnoreDrain)
+	})
+	return target, noEndpointPause, ok
+}
+
+// notify posts the notice of a message's outcome until discovery has taken it.
+func (r *relay) notify(m *message, outcome string) {
+	text := fmt.Sprintf("{\"message\":%q,\"outcome\":%q}\n", m.id, outcome)
+	for range maxNoticeAttempts {
+		resp, err := http.Post("http://"+*r.discovery.Load()+discovery.NoticePath, "application/json", strings.NewReader(text))
+		if err == nil {
+			resp.Body.Close()
+			return
+		}
+		time.Sleep(noticeBackoff)
+	}
+}
--- /dev/null
+++ b/internal/faultlab/stub/stub.go
@@ -0,0 +1,141 @@
+// Package stub is a small relay that keeps the protocol's rules, except for the
+// one that a defect has it break. The checker's tests run it as a process of its
+// own and expect each defect to be caught by the rule that is meant for it.
+//
+// The stub keeps no log, so it promises nothing across a restart, and it limits
+// no client.
+package stub
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+)
+
+const (
+	drainTimeout   = 3 * time.Second // from SIGTERM until undelivered messages are dropped
+	connectTimeout = 1500 * time.Millisecond
+	maxIdleConns   = 4 // of one endpoint
+)
+
+// relay is one running stub.
+type relay struct {
+	defect    Defect
+	stateDir  string
+	discovery atomic.Pointer[string] // address of the discovery agent
+	client    *http.Client           // for endpoints; its connections are guardedConns
+	messages  atomic.Int64           // received so far; numbers them
+	endpoints endpointList
+	waits     retryAfterTable
+	stalls    stallMonitor
+	hoard     hoard
+
+	deliveries sync.WaitGroup // messages without a final response
+	background sync.WaitGroup // all other goroutines
+}
+
+// Main runs a stub relay until SIGTERM and returns its exit code. It takes its
+// configuration from ROUTER_CONFIG and its defect from DefectEnv.
+func Main(getenv func(string) string) int {
+	if err := run(getenv("ROUTER_CONFIG"), Defect(getenv(DefectEnv))); err != nil {
+		fmt.Fprintln(os.Stderr, "stub:", err)
+		return 1
+	}
+	return 0
+}
+
+// run serves clients until SIGTERM, then waits for the messages in flight.
+func run(configPath string, defect Defect) error {
+	config, err := readConfig(configPath)
+	if err != nil {
+		return err
+	}
+	hangUp, terminate := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(hangUp, syscall.SIGHUP)
+	signal.Notify(terminate, syscall.SIGTERM)
+	listener, err := net.Listen("tcp4", config.Listen)
+	if err != nil {
+		return err
+	}
+	r := newRelay(config, defect)
+	ctx, cancel := context.WithCancel(context.Background())
+	start(&r.background, func() { r.stalls.run(ctx) })
+	start(&r.background, func() { r.reloadOnHangUp(ctx, hangUp, configPath) })
+	start(&r.background, func() { r.watchEndpoints(ctx, config.Known.Revision) })
+	start(&r.background, func() { r.accept(ctx, listener) })
+	<-terminate
+	for defect == SlowTerm {
+		time.Sleep(time.Second)
+	}
+	listener.Close()
+	waitAtMost(&r.deliveries, drainTimeout)
+	cancel()
+	r.background.Wait()
+	return nil
+}
+
+func newRelay(config relayConfig, defect Defect) *relay {
+	r := &relay{defect: defect, stateDir: config.State}
+	r.discovery.Store(&config.Discovery)
+	r.endpoints.keepRemoved = defect == IgnoreDrain
+	r.endpoints.apply(config.Known)
+	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DialContext: r.dial}}
+	return r
+}
+
+// reloadOnHangUp reads the discovery address anew at each SIGHUP.
+func (r *relay) reloadOnHangUp(ctx context.Context, hangUp <-chan os.Signal, configPath string) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-hangUp:
+		}
+		if r.defect == HangUpExit {
+			os.Exit(0)
+		}
+		if config, err := readConfig(configPath); err == nil {
+			r.discovery.Store(&config.Discovery)
+		}
+	}
+}
+
+// accept serves clients until the listener is closed.
+func (r *relay) accept(ctx context.Context, listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err == nil {
+			start(&r.background, func() { r.serveClient(ctx, conn) })
+		}
+	}
+}
+
+// start runs work in a goroutine that the group waits for.
+func start(group *sync.WaitGroup, work func()) {
+	group.Add(1)
+	go func() {
+		defer group.Done()
+		work()
+	}()
+}
+
+// waitAtMost waits until the group is done, but no longer than limit.
+func waitAtMost(group *sync.WaitGroup, limit time.Duration) {
+	done := make(chan struct{})
+	go func() { group.Wait(); close(done) }()
+	select {
+	case <-done:
+	case <-time.After(limit): // the process ends, and its goroutines with it
+	}
+}
