--- a/internal/faultlab/bench.go
+++ b/internal/faultlab/bench.go
@@ -68,14 +68,14 @@
 	dir   string
 	bin   string
 	port  int
-	procs []*process.Proc
+	procs []*process.Process
 	files []string
 	http  []string
 	logs  *os.File
 }
 
 func (b *benchGroup) start(size, members int) error {
-	b.procs, b.files, b.http = make([]*process.Proc, size), nil, nil
+	b.procs, b.files, b.http = make([]*process.Process, size), nil, nil
 	var peers strings.Builder
 	var raft []string
 	for i := range size {
@@ -182,11 +182,11 @@
 			return
 		}
 		if w.poll && err == nil {
-			model.Pause(ctx, time.Second)
+			model.Sleep(ctx, time.Second)
 			continue
 		}
 		// As the client does: longer with each try, spread over the fleet.
-		model.Pause(ctx, time.Duration(rand.Float64()*float64(min(50*time.Millisecond<<min(n, 6), 2*time.Second)+500*time.Millisecond)))
+		model.Sleep(ctx, time.Duration(rand.Float64()*float64(min(50*time.Millisecond<<min(n, 6), 2*time.Second)+500*time.Millisecond)))
 	}
 }
 
@@ -281,7 +281,7 @@
 // opensAll waits until so many watches have opened since the count was taken.
 func (c *crowd) opensAll(ctx context.Context, from int64) error {
 	for c.opened.Load()-from < int64(c.size) {
-		if !model.Pause(ctx, 2*time.Millisecond) {
+		if !model.Sleep(ctx, 2*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
@@ -434,7 +434,7 @@
 	if err := w.opensAll(ctx, 0); err != nil {
 		return err
 	}
-	model.Pause(ctx, 500*time.Millisecond)
+	model.Sleep(ctx, 500*time.Millisecond)
 	if !poll {
 		add(spreadOf(name+": KB of all three nodes, a watcher", []float64{(rss() - before) / 1024 / float64(watchers)}))
 	}
@@ -470,7 +470,7 @@
 	for range 3 {
 		b.stop()
 		from := w.opened.Load()
-		model.Pause(ctx, time.Second)
+		model.Sleep(ctx, time.Second)
 		began := time.Now()
 		for i := range b.procs {
 			if err := b.run(i); err != nil {
@@ -499,10 +499,10 @@
 	for n := range kills {
 		at := b.leader()
 		if at < 0 {
-			model.Pause(ctx, 50*time.Millisecond)
+			model.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
-		model.Pause(ctx, time.Duration(r.IntN(300))*time.Millisecond)
+		model.Sleep(ctx, time.Duration(r.IntN(300))*time.Millisecond)
 		b.procs[at].Kill()
 		began := time.Now()
 		for ctx.Err() == nil { // asked closely, so that the client's own pauses are not measured
@@ -517,7 +517,7 @@
 		if err := b.run(at); err != nil {
 			return err
 		}
-		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); model.Pause(ctx, 20*time.Millisecond) { // until it follows
+		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); model.Sleep(ctx, 20*time.Millisecond) { // until it follows
 			if resp, err := http.Get("http://" + b.http[at] + registry.StatusPath); err == nil {
 				var s registry.Status
 				json.NewDecoder(resp.Body).Decode(&s)
@@ -579,7 +579,7 @@
 	}
 	until := func(cond func() bool) error {
 		for !cond() {
-			if !model.Pause(ctx, 5*time.Millisecond) {
+			if !model.Sleep(ctx, 5*time.Millisecond) {
 				return ctx.Err()
 			}
 		}
@@ -599,7 +599,7 @@
 	for range 3 {
 		b.stop()
 		from := w.opened.Load()
-		model.Pause(ctx, o.Outage)
+		model.Sleep(ctx, o.Outage)
 		began := time.Now()
 		since := func() float64 { return time.Since(began).Seconds() * 1e3 }
 		for i := range b.procs {
@@ -619,7 +619,7 @@
 			return err
 		}
 		allBack = append(allBack, since())
-		model.Pause(ctx, time.Since(began))
+		model.Sleep(ctx, time.Since(began))
 		last, _ := b.term()
 		elections = append(elections, float64(last-first))
 	}
--- a/internal/faultlab/bench_duty.go
+++ b/internal/faultlab/bench_duty.go
@@ -44,7 +44,7 @@
 	bin   string
 	ttl   time.Duration
 	logs  *os.File
-	procs map[string]*process.Proc
+	procs map[string]*process.Process
 	links map[string][]*link.Link // of each warden to each node; none where nobody is cut off
 	c     *client.Client
 }
@@ -65,8 +65,8 @@
 // cut cuts a warden off, or heals it.
 func (w *wardens) cut(name string, on bool) {
 	for _, l := range w.links[name] {
-		l.Set(link.Forth, link.Faults{Cut: on})
-		l.Set(link.Back, link.Faults{Cut: on})
+		l.SetFaults(link.ToServer, link.Faults{Cut: on})
+		l.SetFaults(link.ToClient, link.Faults{Cut: on})
 	}
 }
 
@@ -100,7 +100,7 @@
 		if err != nil {
 			return took, err
 		}
-		model.Pause(ctx, w.ttl+200*time.Millisecond) // as in kills
+		model.Sleep(ctx, w.ttl+200*time.Millisecond) // as in kills
 		began := time.Now()
 		w.cut(d.Controller, true)
 		_, err = w.held(ctx, d.Token, 0)
@@ -197,7 +197,7 @@
 		}
 		g.Go(func() error {
 			return group("cut-"+ttl.String(), func(b *benchGroup, c *client.Client, logs *os.File) error {
-				w := &wardens{b: b, bin: o.Warden, ttl: ttl, logs: logs, procs: map[string]*process.Proc{}, c: c}
+				w := &wardens{b: b, bin: o.Warden, ttl: ttl, logs: logs, procs: map[string]*process.Process{}, c: c}
 				took, err := w.cuts(ctx, o.Cuts)
 				add(fmt.Sprintf("time to live %v: ms from the holder's cut to the next one", ttl), took)
 				return err
@@ -210,7 +210,7 @@
 		}
 		g.Go(func() error {
 			return group("kill-"+ttl.String(), func(b *benchGroup, c *client.Client, logs *os.File) error {
-				w := &wardens{b: b, bin: o.Warden, ttl: ttl, logs: logs, procs: map[string]*process.Proc{}, c: c}
+				w := &wardens{b: b, bin: o.Warden, ttl: ttl, logs: logs, procs: map[string]*process.Process{}, c: c}
 				took, err := w.kills(ctx, o.Kills[i], syscall.SIGKILL)
 				add(fmt.Sprintf("time to live %v: ms without a holder after its kill", ttl), took)
 				return err
@@ -222,7 +222,7 @@
 	}
 	if o.Handovers > 0 {
 		err := group("handover", func(b *benchGroup, c *client.Client, logs *os.File) error {
-			w := &wardens{b: b, bin: o.Warden, ttl: 2 * time.Second, logs: logs, procs: map[string]*process.Proc{}, c: c}
+			w := &wardens{b: b, bin: o.Warden, ttl: 2 * time.Second, logs: logs, procs: map[string]*process.Process{}, c: c}
 			took, err := w.kills(ctx, o.Handovers, syscall.SIGTERM)
 			add("ms from SIGTERM of the holder to the next one", took)
 			return err
@@ -258,7 +258,7 @@
 			return took, err
 		}
 		if s == syscall.SIGKILL { // until it counts as one that does not kill its holder
-			model.Pause(ctx, w.ttl+200*time.Millisecond)
+			model.Sleep(ctx, w.ttl+200*time.Millisecond)
 		}
 		began := time.Now()
 		if err := w.procs[d.Controller].Signal(s); err != nil {
@@ -316,11 +316,11 @@
 				held++
 			}
 		}
-		if !model.Pause(ctx, 20*time.Millisecond) {
+		if !model.Sleep(ctx, 20*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
-	model.Pause(ctx, 4*time.Second) // until all are marked as going well
+	model.Sleep(ctx, 4*time.Second) // until all are marked as going well
 	used := func() (all float64) {
 		for _, p := range b.procs {
 			if u, err := p.Measure(""); err == nil {
@@ -332,7 +332,7 @@
 	var burnt []float64
 	for range 3 {
 		before := used()
-		model.Pause(ctx, 3*time.Second)
+		model.Sleep(ctx, 3*time.Second)
 		burnt = append(burnt, (used()-before)/3*1e3)
 	}
 	add(fmt.Sprintf("%d duties over %d wardens: ms of CPU a second, all nodes", n, benchWardens), burnt)
--- a/internal/faultlab/capacity/agent.go
+++ b/internal/faultlab/capacity/agent.go
@@ -40,7 +40,7 @@
 
 // agentProcess is a real agent of a group.
 type agentProcess struct {
-	*process.Proc
+	*process.Process
 	listen string
 	log    *os.File
 }
@@ -51,7 +51,7 @@
 	if a.log, err = os.Create(filepath.Join(e.dir, "agent.log")); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	a.Proc, err = process.Start("agent", e.Registry, []string{"agent", "--listen", a.listen, "--folder", filepath.Join(e.dir, "agent"),
+	a.Process, err = process.Start("agent", e.Registry, []string{"agent", "--listen", a.listen, "--folder", filepath.Join(e.dir, "agent"),
 		"--nodes", strings.Join(g.nodes, ","), "--fleet", fmt.Sprint(targetRelays)}, nil, a.log)
 	if err != nil {
 		a.log.Close()
@@ -75,7 +75,7 @@
 
 // follows waits until the agent is at a revision of the group.
 func (a *agentProcess) follows(ctx context.Context, revision int64) error {
-	_, err := await(ctx, a.Proc, "agent follows", time.Now(), func() bool {
+	_, err := await(ctx, a.Process, "agent follows", time.Now(), func() bool {
 		s, err := a.status(ctx)
 		return err == nil && s.At.Revision >= revision
 	})
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	started := time.Since(began)
-	before, err := usageOf(a.Proc)
+	before, err := usageOf(a.Process)
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 		}
 		waited += time.Since(answered)
 	}
-	after, err := usageOf(a.Proc)
+	after, err := usageOf(a.Process)
 	if err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	if err := a.follows(ctx, 310); err != nil {
 		return nil, err
 	}
-	before, err := usageOf(a.Proc)
+	before, err := usageOf(a.Process)
 	nodeBefore, nodeErr := g.usage()
 	if err != nil || nodeErr != nil {
 		return nil, fmt.Errorf("notices: %w, %w", err, nodeErr)
@@ -155,13 +155,13 @@
 		return nil, err
 	}
 	took := time.Since(began)
-	if _, err := await(ctx, a.Proc, "notices passed on", time.Now(), func() bool {
+	if _, err := await(ctx, a.Process, "notices passed on", time.Now(), func() bool {
 		s, err := a.status(ctx)
 		return err == nil && s.Spooled == 0
 	}); err != nil {
 		return nil, err
 	}
-	after, err := usageOf(a.Proc)
+	after, err := usageOf(a.Process)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/faultlab/capacity/policy.go
+++ b/internal/faultlab/capacity/policy.go
@@ -28,7 +28,7 @@
 	for i := range targetZones {
 		zones = append(zones, fmt.Sprintf("z-%d", i))
 	}
-	s := model.Settings(model.Fleet{Relays: targetRelays, Slots: slots, Held: held, Zones: zones, Batch: 5}, model.StandardRules())
+	s := model.Settings(model.Fleet{Relays: targetRelays, MaxCalls: slots, MaxMessages: held, Zones: zones, MaxBatch: 5}, model.StandardRules())
 	for _, c := range s["classes"].([]map[string]any) {
 		c["deadline_us"] = classTime
 	}
--- a/internal/faultlab/capacity/registry.go
+++ b/internal/faultlab/capacity/registry.go
@@ -32,7 +32,7 @@
 	program string
 	nodes   []string // addresses
 	files   []string
-	procs   []*process.Proc
+	procs   []*process.Process
 	log     *os.File
 	client  *client.Client
 }
--- a/internal/faultlab/capacity/relay.go
+++ b/internal/faultlab/capacity/relay.go
@@ -33,7 +33,7 @@
 
 // relayProcess is a real relay.
 type relayProcess struct {
-	*process.Proc
+	*process.Process
 	listen, operator, state string
 	program, config         string
 	log                     *os.File
@@ -64,13 +64,13 @@
 
 // start runs a process of the relay.
 func (r *relayProcess) start() (err error) {
-	r.Proc, err = process.Start("relay", r.program, nil, []string{"ROUTER_CONFIG=" + r.config}, r.log)
+	r.Process, err = process.Start("relay", r.program, nil, []string{"ROUTER_CONFIG=" + r.config}, r.log)
 	return err
 }
 
 // stop kills the process; the folder stays.
 func (r *relayProcess) stop() {
-	if r.Proc != nil {
+	if r.Process != nil {
 		r.Kill()
 	}
 }
@@ -150,7 +150,7 @@
 }
 
 // await waits for a condition, and gives how long it took from a moment on.
-func await(ctx context.Context, p *process.Proc, what string, from time.Time, done func() bool) (time.Duration, error) {
+func await(ctx context.Context, p *process.Process, what string, from time.Time, done func() bool) (time.Duration, error) {
 	for limit := time.Now().Add(startWait); time.Now().Before(limit); {
 		if done() {
 			return time.Since(from), nil
@@ -174,7 +174,7 @@
 }
 
 // observe measures a process over a span in which nothing is asked of it.
-func observe(ctx context.Context, p *process.Proc, s *listServer, span time.Duration) (load, error) {
+func observe(ctx context.Context, p *process.Process, s *listServer, span time.Duration) (load, error) {
 	before, err := usageOf(p)
 	if err != nil {
 		return load{}, err
--- a/internal/faultlab/capacity/relay_jobs.go
+++ b/internal/faultlab/capacity/relay_jobs.go
@@ -71,18 +71,18 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	started, err := await(ctx, r.Proc, "relay serves", began, r.serves)
+	started, err := await(ctx, r.Process, "relay serves", began, r.serves)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := await(ctx, r.Proc, "watch", began, func() bool { return s.watches.Load() > 0 }); err != nil {
+	if _, err := await(ctx, r.Process, "watch", began, func() bool { return s.watches.Load() > 0 }); err != nil {
 		return nil, err
 	}
 	bytes := s.bytes.Load()
-	if _, err := observe(ctx, r.Proc, s, scaled(e, 200*time.Millisecond, 2*time.Second)); err != nil { // the start's garbage
+	if _, err := observe(ctx, r.Process, s, scaled(e, 200*time.Millisecond, 2*time.Second)); err != nil { // the start's garbage
 		return nil, err
 	}
-	idle, err := observe(ctx, r.Proc, s, scaled(e, 500*time.Millisecond, 10*time.Second))
+	idle, err := observe(ctx, r.Process, s, scaled(e, 500*time.Millisecond, 10*time.Second))
 	if err != nil {
 		return nil, err
 	}
@@ -109,10 +109,10 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	if _, err := await(ctx, r.Proc, "relay ready", time.Now(), func() bool { return r.serves() && r.ready() }); err != nil {
+	if _, err := await(ctx, r.Process, "relay ready", time.Now(), func() bool { return r.serves() && r.ready() }); err != nil {
 		return nil, err
 	}
-	before, err := usageOf(r.Proc)
+	before, err := usageOf(r.Process)
 	if err != nil {
 		return nil, err
 	}
@@ -120,12 +120,12 @@
 	if err := handIn(ctx, r.listen, size); err != nil {
 		return nil, err
 	}
-	taken, err := usageOf(r.Proc)
+	taken, err := usageOf(r.Process)
 	if err != nil {
 		return nil, err
 	}
 	disk = process.DiskUse(r.state) - disk
-	wait, err := observe(ctx, r.Proc, s, scaled(e, 500*time.Millisecond, 5*time.Second))
+	wait, err := observe(ctx, r.Process, s, scaled(e, 500*time.Millisecond, 5*time.Second))
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	all, err := await(ctx, r.Proc, "all is read", began, r.ready)
+	all, err := await(ctx, r.Process, "all is read", began, r.ready)
 	if err != nil {
 		return nil, err
 	}
@@ -177,7 +177,7 @@
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() { longest <- r.longestAnswer(asking) }()
-	busy, err := observe(ctx, r.Proc, s, scaled(e, 300*time.Millisecond, 5*time.Second))
+	busy, err := observe(ctx, r.Process, s, scaled(e, 300*time.Millisecond, 5*time.Second))
 	stop()
 	return []float64{busy.core, all.Seconds() * 1e3, (<-longest).Seconds() * 1e3}, err
 }
@@ -247,11 +247,11 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	serves, err := await(ctx, r.Proc, "relay serves", began, r.serves)
+	serves, err := await(ctx, r.Process, "relay serves", began, r.serves)
 	if err != nil {
 		return nil, err
 	}
-	all, err := await(ctx, r.Proc, "all is read", began, r.ready)
+	all, err := await(ctx, r.Process, "all is read", began, r.ready)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/faultlab/capacity/usage.go
+++ b/internal/faultlab/capacity/usage.go
@@ -23,7 +23,7 @@
 // usageOf reads what a process uses from the kernel's process files. Its
 // processor time is that of its threads, in nanoseconds: the process's own
 // figure counts in hundredths of a second.
-func usageOf(p *process.Proc) (usage, error) {
+func usageOf(p *process.Process) (usage, error) {
 	u, err := p.Measure("")
 	if err != nil {
 		return usage{}, err
--- a/internal/faultlab/checker/duty.go
+++ b/internal/faultlab/checker/duty.go
@@ -14,10 +14,10 @@
 // duties judges what the holders of a duty counted: each step is an effect. By
 // their number, no step counts twice, and no token counts after a newer one.
 // Steps whose answer a fault took are not seen, and leave gaps.
-func (j *Judge) duties() {
+func (j *Check) duties() {
 	by, asked := map[string][]history.Event{}, map[string][]history.Event{}
 	for _, e := range j.effects {
-		if e.Phase == "" || e.Phase == history.Counted {
+		if e.Phase == "" || e.Phase == history.StepCounted {
 			by[e.Text] = append(by[e.Text], e)
 		}
 		if e.Phase != "" {
@@ -28,7 +28,7 @@
 		j.fenced(name, all)
 	}
 	for name, all := range by {
-		slices.SortStableFunc(all, func(a, b history.Event) int { return cmp.Or(a.Status-b.Status, cmp.Compare(a.For, b.For)) })
+		slices.SortStableFunc(all, func(a, b history.Event) int { return cmp.Or(a.Status-b.Status, cmp.Compare(a.ValidFor, b.ValidFor)) })
 		for i := range all {
 			j.judged("duty")
 			if i == 0 {
@@ -36,9 +36,9 @@
 			}
 			switch a, b := all[i-1], all[i]; {
 			case a.Status == b.Status:
-				j.broken("duty", name, b.Relay, fmt.Sprintf("step %d counted twice, by %s under token %d and by %s under %d", b.Status, a.Relay, a.For, b.Relay, b.For), a, b)
-			case b.For < a.For:
-				j.broken("duty", name, b.Relay, fmt.Sprintf("step %d counted under token %d, after step %d under token %d", b.Status, b.For, a.Status, a.For), a, b)
+				j.broken("duty", name, b.Relay, fmt.Sprintf("step %d counted twice, by %s under token %d and by %s under %d", b.Status, a.Relay, a.ValidFor, b.Relay, b.ValidFor), a, b)
+			case b.ValidFor < a.ValidFor:
+				j.broken("duty", name, b.Relay, fmt.Sprintf("step %d counted under token %d, after step %d under token %d", b.Status, b.ValidFor, a.Status, a.ValidFor), a, b)
 			}
 		}
 	}
@@ -58,33 +58,33 @@
 	Init: func() any { return fence{} },
 	Step: func(state, input, _ any) (bool, any) {
 		s, e := state.(fence), input.(history.Event)
-		counts := e.Status == s.step+1 && (e.For > s.token || e.For == s.token && !s.dead)
+		counts := e.Status == s.step+1 && (e.ValidFor > s.token || e.ValidFor == s.token && !s.dead)
 		switch e.Phase {
-		case history.Fenced: // a grant comes before, or the end of its own
-			if e.For >= s.token {
-				s.token, s.dead = e.For, true
+		case history.StepFenced: // a grant comes before, or the end of its own
+			if e.ValidFor >= s.token {
+				s.token, s.dead = e.ValidFor, true
 			}
 			return true, s
-		case history.Unanswered:
+		case history.StepUnanswered:
 			if !counts {
 				return true, s // it never came, or was refused
 			}
 		}
-		return counts, fence{e.Status, e.For, false}
+		return counts, fence{e.Status, e.ValidFor, false}
 	},
 	DescribeOperation: func(input, _ any) string {
 		e := input.(history.Event)
-		return fmt.Sprintf("%s: step %d under %d %s", e.Relay, e.Status, e.For, e.Phase)
+		return fmt.Sprintf("%s: step %d under %d %s", e.Relay, e.Status, e.ValidFor, e.Phase)
 	},
 }
 
 // fenced judges that what the holders of a duty asked for, each in its span, has
 // an order that a fenced register explains.
-func (j *Judge) fenced(name string, all []history.Event) {
+func (j *Check) fenced(name string, all []history.Event) {
 	var spans []span
 	for _, e := range all {
-		s := span{from: e.From, to: e.Due}
-		if e.Phase == history.Unanswered {
+		s := span{from: e.SentAt, to: e.DueAt}
+		if e.Phase == history.StepUnanswered {
 			s.to = math.MaxInt64
 		}
 		spans = append(spans, s)
--- a/internal/faultlab/checker/judge.go
+++ b/internal/faultlab/checker/judge.go
@@ -20,43 +20,43 @@
 	FDs          int
 }
 
-// Setting is what a judgement needs to know beside the history.
-type Setting struct {
-	Rules  model.Rules
-	Limits Limits
-	Links  time.Duration // the longest that a link delays a byte when it is not cut
-	File   string        // of the history
-	LogOf  func(relay string) string
+// Config is what a judgement needs to know beside the history.
+type Config struct {
+	Rules        model.Rules
+	Limits       Limits
+	MaxLinkDelay time.Duration // the longest that a link delays a byte when it is not cut
+	HistoryFile  string        // of the history
+	LogFile      func(relay string) string
 }
 
-// Broken is one broken promise.
-type Broken struct {
+// Violation is one broken promise.
+type Violation struct {
 	Rule    string        `json:"rule"`
 	Subject string        `json:"subject"` // a message or a process
-	Text    string        `json:"text"`
-	A       history.Event `json:"first"`  // the event that made the promise
-	B       history.Event `json:"second"` // the one that contradicts it; without kind where nothing came
+	Message string        `json:"text"`
+	First   history.Event `json:"first"`  // the event that made the promise
+	Second  history.Event `json:"second"` // the one that contradicts it; without kind where nothing came
 	File    string        `json:"file"`
 }
 
-func (b Broken) String() string {
+func (b Violation) String() string {
 	second := "the end of the run, with nothing heard"
-	if b.B.Kind != "" {
-		second = fmt.Sprintf("%s at %.3f s", b.B.Kind, float64(b.B.T)/1e6)
+	if b.Second.Kind != "" {
+		second = fmt.Sprintf("%s at %.3f s", b.Second.Kind, float64(b.Second.Time)/1e6)
 	}
-	return fmt.Sprintf("%s: %s: %s (%s at %.3f s, then %s; see %s)", b.Rule, b.Subject, b.Text, b.A.Kind, float64(b.A.T)/1e6, second, b.File)
+	return fmt.Sprintf("%s: %s: %s (%s at %.3f s, then %s; see %s)", b.Rule, b.Subject, b.Message, b.First.Kind, float64(b.First.Time)/1e6, second, b.File)
 }
 
 // Verdict is the judgement of a whole history.
 type Verdict struct {
-	Broken  []Broken       `json:"broken"` // the first of each rule
-	Counts  map[string]int `json:"counts"` // of all broken promises, by rule
-	Judged  map[string]int `json:"judged"` // how often each rule was looked at: a rule never looked at is not kept
-	Excused map[string]int `json:"excused"`
+	Violations []Violation    `json:"broken"` // the first of each rule
+	Counts     map[string]int `json:"counts"` // of all broken promises, by rule
+	Checked    map[string]int `json:"judged"` // how often each rule was looked at: a rule never looked at is not kept
+	Excused    map[string]int `json:"excused"`
 }
 
-// Kept tells whether every promise was kept.
-func (v *Verdict) Kept() bool { return len(v.Counts) == 0 }
+// Passed tells whether every promise was kept.
+func (v *Verdict) Passed() bool { return len(v.Counts) == 0 }
 
 const shownMost = 20 // broken promises of one rule that are told one by one
 
@@ -113,11 +113,11 @@
 		s := c.state(id)
 		return s == "accepted" || s == "expired"
 	}
-	return c.answer.Status == 410 || c.answer.Status == 200 && len(c.ev.Msgs) == 1
+	return c.answer.Status == 410 || c.answer.Status == 200 && len(c.ev.Messages) == 1
 }
 
 func (c *call) state(id string) string {
-	if i := slices.Index(c.ev.Msgs, id); i >= 0 && i < len(c.answer.States) {
+	if i := slices.Index(c.ev.Messages, id); i >= 0 && i < len(c.answer.States) {
 		return c.answer.States[i]
 	}
 	return ""
@@ -146,11 +146,11 @@
 	ev    history.Event
 }
 
-// Judge takes a history event by event.
-type Judge struct {
+// Check takes a history event by event.
+type Check struct {
 	effects []history.Event         // of duties
 	left    map[int64]history.Event // calls that were ended before they came
-	set     Setting
+	set     Config
 	v       Verdict
 	msgs    map[string]*message
 	calls   map[int64]*call
@@ -163,33 +163,33 @@
 }
 
 // New makes a judge of one run.
-func New(s Setting) *Judge {
-	j := &Judge{set: s, msgs: map[string]*message{}, calls: map[int64]*call{}, relays: map[string]*process{}, classes: map[string]bool{},
+func New(s Config) *Check {
+	j := &Check{set: s, msgs: map[string]*message{}, calls: map[int64]*call{}, relays: map[string]*process{}, classes: map[string]bool{},
 		outs: map[int]history.Event{}, listed: map[string]history.Event{},
-		v: Verdict{Counts: map[string]int{}, Judged: map[string]int{}, Excused: map[string]int{}}}
+		v: Verdict{Counts: map[string]int{}, Checked: map[string]int{}, Excused: map[string]int{}}}
 	for _, c := range model.Classes() {
-		j.classes[c.Name] = c.Unsafe
+		j.classes[c.Name] = c.NonIdempotent
 	}
-	if j.set.LogOf == nil {
-		j.set.LogOf = func(string) string { return s.File }
+	if j.set.LogFile == nil {
+		j.set.LogFile = func(string) string { return s.HistoryFile }
 	}
 	return j
 }
 
-func (j *Judge) broken(rule, subject, relay, text string, a, b history.Event) {
+func (j *Check) broken(rule, subject, relay, text string, a, b history.Event) {
 	j.v.Counts[rule]++
 	if j.v.Counts[rule] <= shownMost {
-		file := j.set.File
+		file := j.set.HistoryFile
 		if relay != "" {
-			file = j.set.LogOf(relay)
+			file = j.set.LogFile(relay)
 		}
-		j.v.Broken = append(j.v.Broken, Broken{rule, subject, text, a, b, file})
+		j.v.Violations = append(j.v.Violations, Violation{rule, subject, text, a, b, file})
 	}
 }
 
-func (j *Judge) judged(rule string) { j.v.Judged[rule]++ }
+func (j *Check) judged(rule string) { j.v.Checked[rule]++ }
 
-func (j *Judge) relay(name string) *process {
+func (j *Check) relay(name string) *process {
 	p := j.relays[name]
 	if p == nil {
 		p = &process{name: name, told: map[string]history.Event{}, raised: map[string]int64{}, waits: map[int]wait{}, failed: map[int]bool{}, signals: map[int]history.Event{}}
@@ -201,84 +201,84 @@
 func us(d time.Duration) int64 { return d.Microseconds() }
 
 // Feed takes the next event.
-func (j *Judge) Feed(e history.Event) {
-	j.last = e.T
+func (j *Check) Feed(e history.Event) {
+	j.last = e.Time
 	switch e.Kind {
-	case history.Put:
-		j.msgs[e.Msg] = &message{put: e, until: e.T + e.For, unsafe: j.classes[e.Class], seen: e.T}
-	case history.Taken:
-		if m := j.touch(e.Msg, e.T); m != nil {
+	case history.MessageSubmitted:
+		j.msgs[e.Message] = &message{put: e, until: e.Time + e.ValidFor, unsafe: j.classes[e.Class], seen: e.Time}
+	case history.MessageAccepted:
+		if m := j.touch(e.Message, e.Time); m != nil {
 			m.taken = e
 		}
-	case history.Refused:
-		if m := j.touch(e.Msg, e.T); m != nil {
+	case history.MessageRejected:
+		if m := j.touch(e.Message, e.Time); m != nil {
 			m.refused = e
 			j.judged("refused")
 			if len(m.calls) > 0 {
-				j.broken("refused", e.Msg, e.Relay, "refused, and sent on all the same", m.calls[0].ev, e)
+				j.broken("refused", e.Message, e.Relay, "refused, and sent on all the same", m.calls[0].ev, e)
 			}
 		}
-	case history.Stray:
-		j.broken("answer", e.Msg, e.Relay, fmt.Sprintf("answered more than once: then came %q", e.Text), j.put(e.Msg), e)
-	case history.Call, history.Lost:
+	case history.ExtraResponse:
+		j.broken("answer", e.Message, e.Relay, fmt.Sprintf("answered more than once: then came %q", e.Text), j.put(e.Message), e)
+	case history.CallReceived, history.CallLost:
 		j.called(e)
-	case history.Ran:
+	case history.MessageExecuted:
 		j.effect(e)
-	case history.Answer:
+	case history.ResponseSent:
 		if c := j.calls[e.Call]; c != nil {
 			c.answer = e
 		}
-	case history.Heard:
+	case history.ResponseReceived:
 		j.heard(e)
-	case history.Left, history.Ended:
+	case history.CallAborted, history.CallBroken:
 		j.ended(e)
-	case history.Listed:
+	case history.EndpointChanged:
 		if e.Phase == model.Up {
 			delete(j.listed, e.Endpoint)
 		} else if _, ok := j.listed[e.Endpoint]; !ok {
 			j.listed[e.Endpoint] = e
 		}
-	case history.Told:
+	case history.ChangeDelivered:
 		told := j.relay(e.Relay).told
 		if e.Phase == model.Up {
 			delete(told, e.Endpoint)
-			j.relay(e.Relay).raised[e.Endpoint] = e.T
+			j.relay(e.Relay).raised[e.Endpoint] = e.Time
 		} else if _, ok := told[e.Endpoint]; !ok {
 			told[e.Endpoint] = e
 		}
 	case history.Notice:
 		j.notice(e)
-	case history.Watched:
+	case history.ListUpdate:
 		j.watched(e)
-	case history.Effect:
+	case history.RoleStep:
 		j.effects = append(j.effects, e)
-	case history.Op:
+	case history.RegisterOperation:
 		j.list.ops = append(j.list.ops, e)
 	case history.Outage:
 		j.outage(e)
-	case history.Fell:
+	case history.DestinationOverloaded:
 		j.fell(e)
-	case history.Wrong:
-		subject := e.Msg
+	case history.InvalidCall:
+		subject := e.Message
 		if subject == "" {
 			subject = e.Relay
 		}
-		j.broken("form", subject, e.Relay, e.Text+" came to "+e.Endpoint, j.put(e.Msg), e)
-	case history.BadPeer:
+		j.broken("form", subject, e.Relay, e.Text+" came to "+e.Endpoint, j.put(e.Message), e)
+	case history.InvalidPeer:
 		j.peer(e)
-	case history.Start, history.Ready, history.Signal, history.Exit, history.Folder, history.Sample:
+	case history.ProcessStarted, history.ProcessReady, history.ProcessSignaled, history.ProcessExited, history.FolderChanged, history.UsageSampled:
 		j.process(e)
 	}
 }
 
-func (j *Judge) put(id string) history.Event {
+func (j *Check) put(id string) history.Event {
 	if m := j.msgs[id]; m != nil {
 		return m.put
 	}
 	return history.Event{}
 }
 
-func (j *Judge) touch(id string, t int64) *message {
+func (j *Check) touch(id string, t int64) *message {
 	m := j.msgs[id]
 	if m != nil {
 		m.seen = t
@@ -287,38 +287,38 @@
 }
 
 // called judges a call as it comes.
-func (j *Judge) called(e history.Event) {
+func (j *Check) called(e history.Event) {
 	c := &call{ev: e}
 	left, gone := j.left[e.Call]
-	if gone = gone && e.Kind == history.Call; gone { // its sender had ended it before the link brought it
+	if gone = gone && e.Kind == history.CallReceived; gone { // its sender had ended it before the link brought it
 		delete(j.left, e.Call)
 		c.ended = left
 	}
-	if e.Kind == history.Call {
+	if e.Kind == history.CallReceived {
 		j.calls[e.Call] = c
 	} else {
 		c.ended = e // nothing of it is out any more
-		if e.From == 0 {
-			e.From = e.T
+		if e.SentAt == 0 {
+			e.SentAt = e.Time
 		}
 	}
 	p := j.relay(e.Relay)
 	j.waits(p, e)
 	j.drains(p, e)
-	for _, id := range e.Msgs {
-		m := j.touch(id, e.T)
+	for _, id := range e.Messages {
+		m := j.touch(id, e.Time)
 		if m == nil {
 			continue // told as wrong
 		}
 		j.judged("attempts")
-		if len(m.calls) >= j.set.Rules.Attempts && !m.blessed {
-			j.broken("attempts", id, e.Relay, fmt.Sprintf("attempt %d; %d at most", len(m.calls)+1, j.set.Rules.Attempts), m.calls[0].ev, e)
+		if len(m.calls) >= j.set.Rules.MaxAttempts && !m.blessed {
+			j.broken("attempts", id, e.Relay, fmt.Sprintf("attempt %d; %d at most", len(m.calls)+1, j.set.Rules.MaxAttempts), m.calls[0].ev, e)
 		}
 		if m.refused.Kind != "" {
 			j.broken("refused", id, e.Relay, "refused, and sent on all the same", m.refused, e)
 		}
 		j.judged("after-end")
-		if m.over.Kind == history.Notice && e.From > m.over.T+us(j.set.Rules.Slack+j.set.Links) && !m.blessed {
+		if m.over.Kind == history.Notice && e.SentAt > m.over.Time+us(j.set.Rules.Slack+j.set.MaxLinkDelay) && !m.blessed {
 			j.broken("after-end", id, e.Relay, "sent after its end was told ("+m.over.Text+")", m.over, e)
 		}
 		for _, old := range m.calls {
@@ -338,27 +338,27 @@
 }
 
 // waits judges a call by the waits that its relay was told.
-func (j *Judge) waits(p *process, e history.Event) {
-	w, ok := p.waits[e.Dest]
-	if !ok || e.Kind != history.Call {
+func (j *Check) waits(p *process, e history.Event) {
+	w, ok := p.waits[e.Destination]
+	if !ok || e.Kind != history.CallReceived {
 		return
 	}
 	j.judged("wait")
-	if e.From > w.ev.T+us(j.set.Rules.WaitSlack) && e.From < w.until-1000 {
+	if e.SentAt > w.ev.Time+us(j.set.Rules.RetryAfterSlack) && e.SentAt < w.until-1000 {
 		j.broken("wait", p.name, p.name, fmt.Sprintf("sent to destination %d %.3f s before the end of the wait that it was told",
-			e.Dest, float64(w.until-e.From)/1e6), w.ev, e)
+			e.Destination, float64(w.until-e.SentAt)/1e6), w.ev, e)
 	}
 }
 
 // drains judges a call by what its relay was told of the endpoint. What was
 // listed counts as told a while later, whether or not it arrived; a process
 // that starts or goes on has been told from then on.
-func (j *Judge) drains(p *process, e history.Event) {
+func (j *Check) drains(p *process, e history.Event) {
 	told, ok := p.told[e.Endpoint]
 	// An operator may hear that his change was taken later than the relay hears of it.
-	if l, listed := j.listed[e.Endpoint]; listed && p.raised[e.Endpoint] < l.T {
-		l.T += us(j.set.Rules.Told)
-		if !ok || l.T < told.T {
+	if l, listed := j.listed[e.Endpoint]; listed && p.raised[e.Endpoint] < l.Time {
+		l.Time += us(j.set.Rules.ListDelay)
+		if !ok || l.Time < told.Time {
 			told, ok = l, true
 		}
 	}
@@ -366,27 +366,27 @@
 		return
 	}
 	j.judged("drain")
-	at := max(told.T, p.start.T, p.resumed)
-	if late := e.From - at - us(j.set.Rules.Grace+j.set.Rules.Slack); late > 0 {
+	at := max(told.Time, p.start.Time, p.resumed)
+	if late := e.SentAt - at - us(j.set.Rules.DrainGrace+j.set.Rules.Slack); late > 0 {
 		j.broken("drain", p.name, p.name, fmt.Sprintf("sent to %s, which is %s, %.3f s after the grace", e.Endpoint, told.Phase, float64(late)/1e6), told, e)
 	}
 }
 
-func (j *Judge) effect(e history.Event) {
-	m := j.touch(e.Msg, e.T)
+func (j *Check) effect(e history.Event) {
+	m := j.touch(e.Message, e.Time)
 	if m == nil {
 		return
 	}
 	m.ran = append(m.ran, e)
 	if m.unsafe && len(m.ran) > 1 && !m.blessed {
-		j.broken("effect", e.Msg, m.put.Relay, "took effect twice", m.ran[0], e)
+		j.broken("effect", e.Message, m.put.Relay, "took effect twice", m.ran[0], e)
 	}
 	if m.unsafe {
 		j.judged("effect")
 	}
 }
 
-func (j *Judge) heard(e history.Event) {
+func (j *Check) heard(e history.Event) {
 	c := j.calls[e.Call]
 	if c == nil {
 		return
@@ -394,25 +394,25 @@
 	c.heard = e
 	j.closed(c, e)
 	p := j.relay(c.ev.Relay)
-	if c.answer.Wait > 0 {
-		until := c.answer.T + c.answer.Wait
-		if w := p.waits[c.ev.Dest]; until > w.until {
-			p.waits[c.ev.Dest] = wait{until, e}
+	if c.answer.RetryAfter > 0 {
+		until := c.answer.Time + c.answer.RetryAfter
+		if w := p.waits[c.ev.Destination]; until > w.until {
+			p.waits[c.ev.Destination] = wait{until, e}
 		}
 	}
 	if c.answer.Status != 200 {
-		j.saw(p, c.ev.Dest)
+		j.saw(p, c.ev.Destination)
 	}
-	for _, id := range c.ev.Msgs {
-		if m := j.touch(id, e.T); m != nil && m.over.Kind == "" && c.done(id) {
+	for _, id := range c.ev.Messages {
+		if m := j.touch(id, e.Time); m != nil && m.over.Kind == "" && c.done(id) {
 			m.over = e
 		}
 	}
 }
 
-func (j *Judge) ended(e history.Event) {
+func (j *Check) ended(e history.Event) {
 	c := j.calls[e.Call]
-	if c == nil && e.Kind == history.Left {
+	if c == nil && e.Kind == history.CallAborted {
 		if j.left == nil {
 			j.left = map[int64]history.Event{}
 		}
@@ -423,13 +423,13 @@
 	}
 	c.ended = e
 	j.closed(c, e)
-	j.saw(j.relay(c.ev.Relay), c.ev.Dest)
+	j.saw(j.relay(c.ev.Relay), c.ev.Destination)
 }
 
 // closed judges the copies that came while a call was out, now that it is not.
-func (j *Judge) closed(c *call, e history.Event) {
+func (j *Check) closed(c *call, e history.Event) {
 	for _, copied := range c.copies {
-		if e.T-copied.ev.T > us(j.set.Rules.Slack+2*j.set.Links) {
+		if e.Time-copied.ev.Time > us(j.set.Rules.Slack+2*j.set.MaxLinkDelay) {
 			j.broken("one-out", copied.id, copied.ev.Relay, "a second copy was out beside the first", c.ev, copied.ev)
 		}
 	}
@@ -437,42 +437,42 @@
 }
 
 // saw notes that a relay has seen a destination fail during its outage.
-func (j *Judge) saw(p *process, dest int) {
+func (j *Check) saw(p *process, dest int) {
 	if _, out := j.outs[dest]; out {
 		p.failed[dest] = true
 	}
 }
 
-func (j *Judge) outage(e history.Event) {
-	if !e.On {
-		delete(j.outs, e.Dest)
+func (j *Check) outage(e history.Event) {
+	if !e.Active {
+		delete(j.outs, e.Destination)
 		return
 	}
-	j.outs[e.Dest] = e
+	j.outs[e.Destination] = e
 	for _, p := range j.relays {
-		p.failed[e.Dest] = e.Refusing // refused connections are seen by whoever tries
+		p.failed[e.Destination] = e.RefusesConnections // refused connections are seen by whoever tries
 	}
 }
 
-func (j *Judge) fell(e history.Event) {
+func (j *Check) fell(e history.Event) {
 	j.judged("topple")
 	all, blamed := 0, 0
 	for name, n := range e.Relays {
 		all += n
-		if j.relay(name).failed[e.Dest] {
+		if j.relay(name).failed[e.Destination] {
 			blamed += n
 		}
 	}
-	if float64(blamed) >= j.set.Rules.Blame*float64(all) {
-		j.broken("topple", fmt.Sprintf("destination %d", e.Dest), "", fmt.Sprintf(
-			"pushed over while cold: %d of %d calls in %s came from relays that had seen it fail", blamed, all, j.set.Rules.Fall), e, e)
+	if float64(blamed) >= j.set.Rules.BlameFraction*float64(all) {
+		j.broken("topple", fmt.Sprintf("destination %d", e.Destination), "", fmt.Sprintf(
+			"pushed over while cold: %d of %d calls in %s came from relays that had seen it fail", blamed, all, j.set.Rules.OverloadWindow), e, e)
 	}
 }
 
-func (j *Judge) notice(e history.Event) {
-	m := j.touch(e.Msg, e.T)
+func (j *Check) notice(e history.Event) {
+	m := j.touch(e.Message, e.Time)
 	if m == nil {
-		j.broken("form", e.Msg, e.Relay, "a notice of a message that no client handed in", history.Event{}, e)
+		j.broken("form", e.Message, e.Relay, "a notice of a message that no client handed in", history.Event{}, e)
 		return
 	}
 	if m.over.Kind != "" {
@@ -488,16 +488,16 @@
 	}
 	j.judged("repeat")
 	for _, c := range m.calls {
-		if !c.never(e.Msg) && !m.blessed {
-			j.broken("repeat", e.Msg, e.Relay, "handed back, though an attempt before may have run", c.ev, e)
+		if !c.never(e.Message) && !m.blessed {
+			j.broken("repeat", e.Message, e.Relay, "handed back, though an attempt before may have run", c.ev, e)
 		}
 	}
 }
 
 // Finish judges what only the end shows, and gives the verdict.
-func (j *Judge) Finish() Verdict {
+func (j *Check) Finish() Verdict {
 	for _, c := range j.calls {
-		j.closed(c, history.Event{T: j.last})
+		j.closed(c, history.Event{Time: j.last})
 	}
 	for id, m := range j.msgs {
 		j.finishMessage(id, m)
@@ -507,12 +507,12 @@
 	}
 	j.linear()
 	j.duties()
-	slices.SortStableFunc(j.v.Broken, func(a, b Broken) int { return int(a.B.T - b.B.T) })
+	slices.SortStableFunc(j.v.Violations, func(a, b Violation) int { return int(a.Second.Time - b.Second.Time) })
 	return j.v
 }
 
 // finishMessage judges that a message taken on had its end in time.
-func (j *Judge) finishMessage(id string, m *message) {
+func (j *Check) finishMessage(id string, m *message) {
 	if m.taken.Kind == "" {
 		return
 	}
@@ -520,7 +520,7 @@
 		j.v.Excused[m.excused]++
 		return
 	}
-	due := j.excuse(j.relay(m.put.Relay), m.until+us(j.set.Rules.Overdue+j.set.Rules.Slack))
+	due := j.excuse(j.relay(m.put.Relay), m.until+us(j.set.Rules.CompletionGrace+j.set.Rules.Slack))
 	if due > j.last && m.over.Kind == "" {
 		j.v.Excused["time not up at the end of the run"]++
 		return
@@ -529,16 +529,16 @@
 	switch {
 	case m.over.Kind == "":
 		j.broken("end", id, m.put.Relay, fmt.Sprintf("taken on, %d attempts, and no end by %.3f s", len(m.calls), float64(due)/1e6), m.taken, history.Event{})
-	case m.over.T > due:
-		j.broken("end", id, m.put.Relay, fmt.Sprintf("its end came %.3f s late", float64(m.over.T-due)/1e6), m.taken, m.over)
+	case m.over.Time > due:
+		j.broken("end", id, m.put.Relay, fmt.Sprintf("its end came %.3f s late", float64(m.over.Time-due)/1e6), m.taken, m.over)
 	}
 }
 
 // excuse moves a moment at which something is due behind the spell in which
 // its relay was not there, and the time that a restart is given.
-func (j *Judge) excuse(p *process, due int64) int64 {
+func (j *Check) excuse(p *process, due int64) int64 {
 	for _, s := range p.spells {
-		to := s.to + us(j.set.Rules.Restart+j.set.Rules.Slack)
+		to := s.to + us(j.set.Rules.RestartGrace+j.set.Rules.Slack)
 		if s.to == 0 {
 			to = j.last + 1
 		}
--- a/internal/faultlab/checker/judge_test.go
+++ b/internal/faultlab/checker/judge_test.go
@@ -14,7 +14,7 @@
 const ms = 1000 // µs
 
 func judgeAll(events []history.Event) Verdict {
-	j := New(Setting{Rules: model.StandardRules(), Limits: Limits{Memory: 64 << 20, Disk: 1 << 20, FDs: 256}, File: "history.jsonl"})
+	j := New(Config{Rules: model.StandardRules(), Limits: Limits{Memory: 64 << 20, Disk: 1 << 20, FDs: 256}, HistoryFile: "history.jsonl"})
 	for _, e := range events {
 		j.Feed(e)
 	}
@@ -32,33 +32,33 @@
 
 func (s *script) add(e history.Event) {
 	s.t += ms
-	e.T = s.t
+	e.Time = s.t
 	s.events = append(s.events, e)
 }
 
 func (s *script) start() *script {
-	s.add(history.Event{Kind: history.Start, Relay: "n1", PID: 1})
-	s.add(history.Event{Kind: history.Ready, Relay: "n1", PID: 1})
+	s.add(history.Event{Kind: history.ProcessStarted, Relay: "n1", PID: 1})
+	s.add(history.Event{Kind: history.ProcessReady, Relay: "n1", PID: 1})
 	return s
 }
 
 func (s *script) take(id, class string, d int64) {
-	s.add(history.Event{Kind: history.Put, Relay: "n1", Msg: id, First: id, Class: class, Due: s.t, For: d})
-	s.add(history.Event{Kind: history.Taken, Relay: "n1", Msg: id})
+	s.add(history.Event{Kind: history.MessageSubmitted, Relay: "n1", Message: id, FirstMessage: id, Class: class, DueAt: s.t, ValidFor: d})
+	s.add(history.Event{Kind: history.MessageAccepted, Relay: "n1", Message: id})
 }
 
 func (s *script) call(id string) int64 {
 	s.calls++
-	s.add(history.Event{Kind: history.Call, Call: s.calls, Relay: "n1", Endpoint: "e", Dest: 1, Msgs: []string{id}, From: s.t})
+	s.add(history.Event{Kind: history.CallReceived, Call: s.calls, Relay: "n1", Endpoint: "e", Destination: 1, Messages: []string{id}, SentAt: s.t})
 	return s.calls
 }
 
 func (s *script) answer(call int64, status int, wait int64) {
-	s.add(history.Event{Kind: history.Answer, Call: call, Status: status, Wait: wait})
-	s.add(history.Event{Kind: history.Heard, Call: call})
+	s.add(history.Event{Kind: history.ResponseSent, Call: call, Status: status, RetryAfter: wait})
+	s.add(history.Event{Kind: history.ResponseReceived, Call: call})
 }
 
-func (s *script) ended(call int64) { s.add(history.Event{Kind: history.Ended, Call: call}) }
+func (s *script) ended(call int64) { s.add(history.Event{Kind: history.CallBroken, Call: call}) }
 
 const order, alert = "copy-order", "alert-update"
 
@@ -70,11 +70,11 @@
 		broken bool
 	}{
 		"whole at the relay, swallowed by the link": {func(s *script) {
-			s.add(history.Event{Kind: history.Lost, Relay: "n1", Endpoint: "e", Dest: 1, Msgs: []string{"m"}})
+			s.add(history.Event{Kind: history.CallLost, Relay: "n1", Endpoint: "e", Destination: 1, Messages: []string{"m"}})
 		}, true},
 		"whole at the endpoint, its answer swallowed": {func(s *script) {
 			c := s.call("m")
-			s.add(history.Event{Kind: history.Answer, Call: c, Status: 503})
+			s.add(history.Event{Kind: history.ResponseSent, Call: c, Status: 503})
 			s.ended(c)
 		}, true},
 		"refused, and heard":      {func(s *script) { s.answer(s.call("m"), 503, 0) }, false},
@@ -91,7 +91,7 @@
 		s.answer(s.call("m"), 200, 0)
 		v := judgeAll(s.events)
 		if got := v.Counts["repeat"] > 0; got != x.broken || len(v.Counts) > 1 {
-			t.Errorf("%s: repeat %v, want %v; %v", name, got, x.broken, v.Broken)
+			t.Errorf("%s: repeat %v, want %v; %v", name, got, x.broken, v.Violations)
 		}
 	}
 }
@@ -103,11 +103,11 @@
 		s := (&script{}).start()
 		s.take("m", alert, 8e6)
 		s.at(9e6)
-		s.add(history.Event{Kind: history.Notice, Relay: "n1", Msg: "m", Text: "given_up"})
+		s.add(history.Event{Kind: history.Notice, Relay: "n1", Message: "m", Text: "given_up"})
 		s.at(17e6)
-		s.add(history.Event{Kind: history.Lost, Relay: "n1", Endpoint: "e", Dest: 1, Msgs: []string{"m"}, From: from})
+		s.add(history.Event{Kind: history.CallLost, Relay: "n1", Endpoint: "e", Destination: 1, Messages: []string{"m"}, SentAt: from})
 		if v := judgeAll(s.events); (v.Counts["after-end"] > 0) != broken {
-			t.Errorf("sent at %d µs: %v", from, v.Broken)
+			t.Errorf("sent at %d µs: %v", from, v.Violations)
 		}
 	}
 }
@@ -117,13 +117,13 @@
 	s := (&script{}).start()
 	s.take("m", order, 16e6)
 	c := s.call("m")
-	s.add(history.Event{Kind: history.Ran, Call: c, Msg: "m"})
+	s.add(history.Event{Kind: history.MessageExecuted, Call: c, Message: "m"})
 	s.answer(c, 503, 0) // it says that nothing ran
 	c = s.call("m")
-	s.add(history.Event{Kind: history.Ran, Call: c, Msg: "m"})
+	s.add(history.Event{Kind: history.MessageExecuted, Call: c, Message: "m"})
 	s.answer(c, 200, 0)
 	if v := judgeAll(s.events); v.Counts["effect"] != 1 || len(v.Counts) != 1 {
-		t.Errorf("%v", v.Broken)
+		t.Errorf("%v", v.Violations)
 	}
 }
 
@@ -133,23 +133,25 @@
 		rest   func(s *script)
 		broken bool
 	}{
-		"nothing":  {func(*script) {}, true},
-		"a notice": {func(s *script) { s.add(history.Event{Kind: history.Notice, Relay: "n1", Msg: "m", Text: "given_up"}) }, false},
+		"nothing": {func(*script) {}, true},
+		"a notice": {func(s *script) {
+			s.add(history.Event{Kind: history.Notice, Relay: "n1", Message: "m", Text: "given_up"})
+		}, false},
 		"killed, and back long ago": {func(s *script) {
-			s.add(history.Event{Kind: history.Signal, Relay: "n1", PID: 1, Text: "killed"})
-			s.add(history.Event{Kind: history.Exit, Relay: "n1", PID: 1, Status: -1})
+			s.add(history.Event{Kind: history.ProcessSignaled, Relay: "n1", PID: 1, Text: "killed"})
+			s.add(history.Event{Kind: history.ProcessExited, Relay: "n1", PID: 1, Status: -1})
 			s.start()
 		}, true},
 		"killed, and back at the last moment": {func(s *script) {
 			s.at(7e6)
-			s.add(history.Event{Kind: history.Signal, Relay: "n1", PID: 1, Text: "killed"})
-			s.add(history.Event{Kind: history.Exit, Relay: "n1", PID: 1, Status: -1})
+			s.add(history.Event{Kind: history.ProcessSignaled, Relay: "n1", PID: 1, Text: "killed"})
+			s.add(history.Event{Kind: history.ProcessExited, Relay: "n1", PID: 1, Status: -1})
 			s.at(9e6)
 			s.start()
 			s.at(10.4e6)
-			s.add(history.Event{Kind: history.Notice, Relay: "n1", Msg: "m", Text: "given_up"})
+			s.add(history.Event{Kind: history.Notice, Relay: "n1", Message: "m", Text: "given_up"})
 		}, false},
-		"its folder lost": {func(s *script) { s.add(history.Event{Kind: history.Folder, Relay: "n1", Text: "lost"}) }, false},
+		"its folder lost": {func(s *script) { s.add(history.Event{Kind: history.FolderChanged, Relay: "n1", Text: "lost"}) }, false},
 	} {
 		s := (&script{}).start()
 		s.take("m", alert, 8e6)
@@ -157,9 +159,9 @@
 		s.at(20e6).add(history.Event{Kind: history.Fault})
 		v := judgeAll(s.events)
 		if got := v.Counts["end"] > 0; got != x.broken || len(v.Counts) > 1 {
-			t.Errorf("%s: %v", name, v.Broken)
+			t.Errorf("%s: %v", name, v.Violations)
 		}
-		for _, b := range v.Broken {
+		for _, b := range v.Violations {
 			if !strings.Contains(b.String(), "m: taken on") || !strings.Contains(b.String(), "history.jsonl") {
 				t.Errorf("names too little: %s", b)
 			}
@@ -222,7 +224,7 @@
 				bent = "end"
 				continue
 			}
-			s.add(history.Event{Kind: history.Notice, Relay: "n1", Msg: id, Text: "given_up"})
+			s.add(history.Event{Kind: history.Notice, Relay: "n1", Message: id, Text: "given_up"})
 			if bend == "after-end" && bent == "" && !done && s.t >= over {
 				s.at(s.t + 100*ms)
 				s.answer(s.call(id), 410, 0)
@@ -232,10 +234,10 @@
 		s.at(s.t + 60e6).add(history.Event{Kind: history.Fault})
 		v := judgeAll(s.events)
 		if bent == "" && len(v.Counts) > 0 {
-			t.Fatalf("held against a relay that kept all: %v", v.Broken)
+			t.Fatalf("held against a relay that kept all: %v", v.Violations)
 		}
 		if bent != "" && (v.Counts[bent] == 0 || len(v.Counts) != 1) {
-			t.Fatalf("%s bent: %v", bent, v.Broken)
+			t.Fatalf("%s bent: %v", bent, v.Violations)
 		}
 	})
 }
@@ -244,10 +246,10 @@
 // a stale leader's read are caught; the sound history beside them is not.
 func TestDefectsOfAListService(t *testing.T) {
 	heard := func(s *script, who string, rev int64, phase, hash string) {
-		s.add(history.Event{Kind: history.Watched, Relay: who, Text: "e", Due: rev, Phase: phase, First: hash})
+		s.add(history.Event{Kind: history.ListUpdate, Relay: who, Text: "e", DueAt: rev, Phase: phase, FirstMessage: hash})
 	}
 	op := func(s *script, what string, value, began int64) {
-		s.add(history.Event{Kind: history.Op, Relay: "p", Text: what, For: value, Due: began + 1, Status: 1})
+		s.add(history.Event{Kind: history.RegisterOperation, Relay: "p", Text: what, ValidFor: value, DueAt: began + 1, Status: 1})
 	}
 	for name, x := range map[string]struct {
 		bend func(s *script)
@@ -271,7 +273,7 @@
 		x.bend(s)
 		v := judgeAll(s.events)
 		if x.rule == "" && len(v.Counts) > 0 || x.rule != "" && (v.Counts[x.rule] == 0 || len(v.Counts) != 1) {
-			t.Errorf("%s: %v", name, v.Broken)
+			t.Errorf("%s: %v", name, v.Violations)
 		}
 	}
 }
@@ -284,13 +286,13 @@
 		s.take("m", alert, 8e6)
 		next := s.call("m")
 		if left {
-			s.add(history.Event{Kind: history.Left, Call: 77})
+			s.add(history.Event{Kind: history.CallAborted, Call: 77})
 		}
-		s.add(history.Event{Kind: history.Call, Call: 77, Relay: "n1", Endpoint: "f", Dest: 1, Msgs: []string{"m"}, From: 1})
+		s.add(history.Event{Kind: history.CallReceived, Call: 77, Relay: "n1", Endpoint: "f", Destination: 1, Messages: []string{"m"}, SentAt: 1})
 		s.at(s.t + 900*ms)
 		s.answer(next, 200, 0)
 		if v := judgeAll(s.events); (v.Counts["one-out"] > 0) == left {
-			t.Errorf("left %v: %v", left, v.Broken)
+			t.Errorf("left %v: %v", left, v.Violations)
 		}
 	}
 }
@@ -309,10 +311,10 @@
 	} {
 		s := &script{}
 		for _, step := range x.steps {
-			s.add(history.Event{Kind: history.Effect, Relay: "w1", Text: "count", Status: int(step[0]), For: step[1]})
+			s.add(history.Event{Kind: history.RoleStep, Relay: "w1", Text: "count", Status: int(step[0]), ValidFor: step[1]})
 		}
 		if v := judgeAll(s.events); (v.Counts["duty"] > 0) != x.broken {
-			t.Errorf("%s: %v", name, v.Broken)
+			t.Errorf("%s: %v", name, v.Violations)
 		}
 	}
 }
@@ -330,21 +332,21 @@
 		steps  []step
 		broken bool
 	}{
-		"sound":                    {[]step{{1, 5, 0, 2, history.Counted}, {2, 5, 3, 9, history.Fenced}, {2, 7, 4, 8, history.Counted}}, false},
-		"counted without a word":   {[]step{{1, 5, 0, 0, history.Unanswered}, {2, 7, 4, 8, history.Counted}}, false},
-		"never came":               {[]step{{1, 5, 0, 0, history.Unanswered}, {1, 7, 4, 8, history.Counted}}, false},
-		"a step is missing":        {[]step{{1, 5, 0, 2, history.Counted}, {3, 7, 4, 8, history.Counted}}, true},
-		"twice":                    {[]step{{1, 5, 0, 2, history.Counted}, {1, 7, 4, 8, history.Counted}}, true},
-		"an older token":           {[]step{{1, 7, 0, 2, history.Counted}, {2, 5, 3, 8, history.Counted}}, true},
-		"counts after its refusal": {[]step{{1, 5, 0, 2, history.Counted}, {2, 5, 3, 4, history.Fenced}, {2, 5, 5, 6, history.Counted}}, true},
-		"before the step before":   {[]step{{2, 5, 0, 2, history.Counted}, {1, 5, 3, 4, history.Counted}}, true},
+		"sound":                    {[]step{{1, 5, 0, 2, history.StepCounted}, {2, 5, 3, 9, history.StepFenced}, {2, 7, 4, 8, history.StepCounted}}, false},
+		"counted without a word":   {[]step{{1, 5, 0, 0, history.StepUnanswered}, {2, 7, 4, 8, history.StepCounted}}, false},
+		"never came":               {[]step{{1, 5, 0, 0, history.StepUnanswered}, {1, 7, 4, 8, history.StepCounted}}, false},
+		"a step is missing":        {[]step{{1, 5, 0, 2, history.StepCounted}, {3, 7, 4, 8, history.StepCounted}}, true},
+		"twice":                    {[]step{{1, 5, 0, 2, history.StepCounted}, {1, 7, 4, 8, history.StepCounted}}, true},
+		"an older token":           {[]step{{1, 7, 0, 2, history.StepCounted}, {2, 5, 3, 8, history.StepCounted}}, true},
+		"counts after its refusal": {[]step{{1, 5, 0, 2, history.StepCounted}, {2, 5, 3, 4, history.StepFenced}, {2, 5, 5, 6, history.StepCounted}}, true},
+		"before the step before":   {[]step{{2, 5, 0, 2, history.StepCounted}, {1, 5, 3, 4, history.StepCounted}}, true},
 	} {
 		s := &script{}
 		for i, e := range x.steps {
-			s.add(history.Event{Kind: history.Effect, Relay: fmt.Sprint("w", i), Text: "count", Status: e.step, For: e.token, From: e.asked, Due: e.end, Phase: e.phase})
+			s.add(history.Event{Kind: history.RoleStep, Relay: fmt.Sprint("w", i), Text: "count", Status: e.step, ValidFor: e.token, SentAt: e.asked, DueAt: e.end, Phase: e.phase})
 		}
-		if v := judgeAll(s.events); (v.Counts["fenced"] > 0) != x.broken || !x.broken && v.Judged["fenced"] != len(x.steps) {
-			t.Errorf("%s: %v", name, v.Broken)
+		if v := judgeAll(s.events); (v.Counts["fenced"] > 0) != x.broken || !x.broken && v.Checked["fenced"] != len(x.steps) {
+			t.Errorf("%s: %v", name, v.Violations)
 		}
 	}
 }
@@ -354,17 +356,17 @@
 func TestToldUpBeforeTheOperatorHears(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		s := (&script{}).start()
-		s.add(history.Event{Kind: history.Listed, Endpoint: "e", Phase: model.Draining})
-		s.add(history.Event{Kind: history.Told, Relay: "n1", Endpoint: "e", Phase: model.Draining})
+		s.add(history.Event{Kind: history.EndpointChanged, Endpoint: "e", Phase: model.Draining})
+		s.add(history.Event{Kind: history.ChangeDelivered, Relay: "n1", Endpoint: "e", Phase: model.Draining})
 		s.at(20e6)
 		if told {
-			s.add(history.Event{Kind: history.Told, Relay: "n1", Endpoint: "e", Phase: model.Up})
+			s.add(history.Event{Kind: history.ChangeDelivered, Relay: "n1", Endpoint: "e", Phase: model.Up})
 		}
 		s.take("m", alert, 8e6)
 		s.answer(s.call("m"), 200, 0)
-		s.add(history.Event{Kind: history.Listed, Endpoint: "e", Phase: model.Up})
+		s.add(history.Event{Kind: history.EndpointChanged, Endpoint: "e", Phase: model.Up})
 		if v := judgeAll(s.events); (v.Counts["drain"] > 0) == told {
-			t.Errorf("told %v: %v", told, v.Broken)
+			t.Errorf("told %v: %v", told, v.Violations)
 		}
 	}
 }
--- a/internal/faultlab/checker/list.go
+++ b/internal/faultlab/checker/list.go
@@ -19,7 +19,7 @@
 
 // watched judges one piece of news: each watcher hears every revision of an
 // epoch once and in order, and all hear the same of one revision.
-func (j *Judge) watched(e history.Event) {
+func (j *Check) watched(e history.Event) {
 	l := &j.list
 	if l.content == nil {
 		l.content, l.last = map[string]history.Event{}, map[string]history.Event{}
@@ -32,19 +32,19 @@
 		if !whole {
 			j.broken("list", e.Relay, "", "the first news of an epoch is a change, not a whole list", last, e)
 		}
-	case whole && e.Due < last.Due:
-		j.broken("list", e.Relay, "", fmt.Sprintf("back from revision %d to %d", last.Due, e.Due), last, e)
-	case !whole && e.Due <= last.Due:
-		j.broken("list", e.Relay, "", fmt.Sprintf("revision %d again, or late, after %d", e.Due, last.Due), last, e)
-	case !whole && e.Due > last.Due+1:
-		j.broken("list", e.Relay, "", fmt.Sprintf("a gap from revision %d to %d", last.Due, e.Due), last, e)
+	case whole && e.DueAt < last.DueAt:
+		j.broken("list", e.Relay, "", fmt.Sprintf("back from revision %d to %d", last.DueAt, e.DueAt), last, e)
+	case !whole && e.DueAt <= last.DueAt:
+		j.broken("list", e.Relay, "", fmt.Sprintf("revision %d again, or late, after %d", e.DueAt, last.DueAt), last, e)
+	case !whole && e.DueAt > last.DueAt+1:
+		j.broken("list", e.Relay, "", fmt.Sprintf("a gap from revision %d to %d", last.DueAt, e.DueAt), last, e)
 	}
 	l.last[e.Relay] = e
-	key := fmt.Sprint(e.Text, " ", e.Due, " ", e.Phase)
+	key := fmt.Sprint(e.Text, " ", e.DueAt, " ", e.Phase)
 	if first, ok := l.content[key]; !ok {
 		l.content[key] = e
-	} else if first.First != e.First {
-		j.broken("list", e.Relay, "", fmt.Sprintf("revision %d differs from what %s heard", e.Due, first.Relay), first, e)
+	} else if first.FirstMessage != e.FirstMessage {
+		j.broken("list", e.Relay, "", fmt.Sprintf("revision %d differs from what %s heard", e.DueAt, first.Relay), first, e)
 	}
 }
 
@@ -55,26 +55,26 @@
 		e := input.(history.Event)
 		switch e.Text {
 		case "write":
-			return true, e.For
+			return true, e.ValidFor
 		case "restore": // the value is what the backup has
 			return true, int64(-1)
 		}
-		return state == int64(-1) || state == e.For, state // before the first write anything may be read
+		return state == int64(-1) || state == e.ValidFor, state // before the first write anything may be read
 	},
-	DescribeOperation: func(input, _ any) string { e := input.(history.Event); return fmt.Sprint(e.Text, " ", e.For) },
+	DescribeOperation: func(input, _ any) string { e := input.(history.Event); return fmt.Sprint(e.Text, " ", e.ValidFor) },
 }
 
 const linearMost = 20 * time.Second // after which the search is given up: neither kept nor broken
 
 // linear judges that the operations have an order that explains every answer.
-func (j *Judge) linear() {
+func (j *Check) linear() {
 	var ops []history.Event
 	var spans []span
 	for _, e := range j.list.ops {
 		if e.Status == 0 && e.Text == "read" {
 			continue // nobody heard what it read
 		}
-		s := span{from: e.Due, to: e.T}
+		s := span{from: e.DueAt, to: e.Time}
 		if e.Status == 0 {
 			s.to = math.MaxInt64
 		}
@@ -86,7 +86,7 @@
 // ordered judges by a rule that operations, each in its span, have an order that a
 // model explains. One with no answer may take effect at any later moment, or never:
 // its span does not end.
-func (j *Judge) ordered(rule, subject string, model porcupine.Model, all []history.Event, spans []span) {
+func (j *Check) ordered(rule, subject string, model porcupine.Model, all []history.Event, spans []span) {
 	if len(all) == 0 {
 		return
 	}
@@ -104,7 +104,7 @@
 	}
 	switch porcupine.CheckOperationsTimeout(model, ops, linearMost) {
 	case porcupine.Ok:
-		j.v.Judged[rule] += len(ops)
+		j.v.Checked[rule] += len(ops)
 	case porcupine.Unknown:
 		j.v.Excused["operations whose order was not found in time"] += len(ops)
 	case porcupine.Illegal:
--- a/internal/faultlab/checker/process.go
+++ b/internal/faultlab/checker/process.go
@@ -8,27 +8,27 @@
 )
 
 // process judges what a relay's process does and holds.
-func (j *Judge) process(e history.Event) {
+func (j *Check) process(e history.Event) {
 	p := j.relay(e.Relay)
 	switch e.Kind {
-	case history.Start:
+	case history.ProcessStarted:
 		p.start, p.ready, p.signal, p.pid = e, history.Event{}, history.Event{}, e.PID
 		clear(p.waits) // a restart ends them
-		p.away(e.T)
-	case history.Ready:
+		p.away(e.Time)
+	case history.ProcessReady:
 		p.ready = e
-		p.back(e.T)
+		p.back(e.Time)
 		j.judged("start")
-	case history.Signal:
+	case history.ProcessSignaled:
 		if e.Text == syscall.SIGTERM.String() || e.Text == syscall.SIGKILL.String() {
 			p.signals[e.PID] = e
 		}
 		j.signal(p, e)
-	case history.Exit:
+	case history.ProcessExited:
 		j.exit(p, e)
-	case history.Folder:
+	case history.FolderChanged:
 		j.folder(p, e)
-	case history.Sample:
+	case history.UsageSampled:
 		j.sample(p, e)
 	}
 }
@@ -45,34 +45,34 @@
 	}
 }
 
-func (j *Judge) signal(p *process, e history.Event) {
+func (j *Check) signal(p *process, e history.Event) {
 	if e.PID != p.pid { // of the process before, during an upgrade
 		return
 	}
 	switch e.Text {
 	case syscall.SIGSTOP.String():
-		p.away(e.T)
+		p.away(e.Time)
 	case syscall.SIGCONT.String():
-		p.resumed = e.T
-		p.back(e.T)
+		p.resumed = e.Time
+		p.back(e.Time)
 	case syscall.SIGTERM.String():
 		p.signal = e
-		p.away(e.T)
+		p.away(e.Time)
 	case syscall.SIGKILL.String():
 		if p.signal.Text == syscall.SIGTERM.String() && p.signal.PID == e.PID {
 			j.judged("term")
-			if e.T-p.signal.T >= us(j.set.Rules.Term) {
-				j.broken("term", p.name, p.name, fmt.Sprintf("still there %.3f s after SIGTERM", float64(e.T-p.signal.T)/1e6), p.signal, e)
+			if e.Time-p.signal.Time >= us(j.set.Rules.ShutdownTimeout) {
+				j.broken("term", p.name, p.name, fmt.Sprintf("still there %.3f s after SIGTERM", float64(e.Time-p.signal.Time)/1e6), p.signal, e)
 			}
 		}
 		p.signal = e
-		p.away(e.T)
+		p.away(e.Time)
 	}
 }
 
-func (j *Judge) exit(p *process, e history.Event) {
+func (j *Check) exit(p *process, e history.Event) {
 	if e.PID == p.pid {
-		p.away(e.T)
+		p.away(e.Time)
 	}
 	j.judged("crash")
 	signal := p.signals[e.PID]
@@ -85,14 +85,14 @@
 		j.broken("crash", p.name, p.name, text, p.start, e)
 	case signal.Text == syscall.SIGTERM.String():
 		j.judged("term")
-		if took := e.T - signal.T; took > us(j.set.Rules.Term+j.set.Rules.Slack) {
+		if took := e.Time - signal.Time; took > us(j.set.Rules.ShutdownTimeout+j.set.Rules.Slack) {
 			j.broken("term", p.name, p.name, fmt.Sprintf("ended %.3f s after SIGTERM", float64(took)/1e6), signal, e)
 		}
 	}
 }
 
 // folder excuses what no relay can keep when its folder was changed behind it.
-func (j *Judge) folder(p *process, e history.Event) {
+func (j *Check) folder(p *process, e history.Event) {
 	for _, m := range j.msgs {
 		if m.put.Relay != p.name {
 			continue
@@ -104,9 +104,9 @@
 				m.excused = "the folder was lost"
 			}
 		case "older": // what came since then is unknown to the relay
-			if m.seen >= e.Due {
+			if m.seen >= e.DueAt {
 				m.blessed = true
-				if m.excused == "" && m.taken.Kind != "" && (owed || m.over.T >= e.Due) {
+				if m.excused == "" && m.taken.Kind != "" && (owed || m.over.Time >= e.DueAt) {
 					m.excused = "the folder is older than the message"
 				}
 			}
@@ -118,7 +118,7 @@
 	}
 }
 
-func (j *Judge) sample(p *process, e history.Event) {
+func (j *Check) sample(p *process, e history.Event) {
 	j.judged("limits")
 	for _, x := range []struct {
 		what    string
@@ -131,25 +131,25 @@
 }
 
 // peer judges what became of a bad peer, where its relay was there all the time.
-func (j *Judge) peer(e history.Event) {
+func (j *Check) peer(e history.Event) {
 	p := j.relay(e.Relay)
-	if n := len(p.spells); n > 0 && (p.spells[n-1].to == 0 || p.spells[n-1].to > e.T-e.Took) {
+	if n := len(p.spells); n > 0 && (p.spells[n-1].to == 0 || p.spells[n-1].to > e.Time-e.Took) {
 		return
 	}
 	j.judged("peer")
-	limit := j.set.Rules.BadPeer
+	limit := j.set.Rules.InvalidPeerTimeout
 	if len(e.Text) > 4 && e.Text[:4] == "long" {
-		limit = j.set.Rules.BadPeerLong
+		limit = j.set.Rules.LongRequestTimeout
 	}
 	if e.Status == 0 || e.Took > us(limit+j.set.Rules.Slack) {
 		a := e
-		a.T -= e.Took
+		a.Time -= e.Took
 		j.broken("peer", p.name, p.name, fmt.Sprintf("a bad peer (%s) after %.3f s", e.Text, float64(e.Took)/1e6), a, e)
 	}
 }
 
-func (j *Judge) finishProcess(p *process) {
-	if p.start.Text != "node" && p.start.Kind != "" && p.ready.Kind == "" && p.signal.Kind == "" && j.last-p.start.T > startMost {
+func (j *Check) finishProcess(p *process) {
+	if p.start.Text != "node" && p.start.Kind != "" && p.ready.Kind == "" && p.signal.Kind == "" && j.last-p.start.Time > startMost {
 		j.broken("start", p.name, p.name, "not ready 30 s after its start", p.start, history.Event{})
 	}
 }
--- a/internal/faultlab/command/command.go
+++ b/internal/faultlab/command/command.go
@@ -201,13 +201,13 @@
 	for _, step := range s.Plan {
 		fmt.Fprintln(w, "  fault", step)
 	}
-	for _, b := range s.Verdict.Broken {
+	for _, b := range s.Verdict.Violations {
 		fmt.Fprintln(w, "BROKEN", b)
 	}
 	if s.Scale != nil {
 		fmt.Fprintf(w, "%s seed %d in %.0f s; lab late p99 %v\n", s.Name, s.Seed, s.Took.Seconds(), s.LateP99)
 		s.Scale.Print(w)
-		fmt.Fprintln(w, "judged:", s.Verdict.Judged, "excused:", s.Verdict.Excused)
+		fmt.Fprintln(w, "judged:", s.Verdict.Checked, "excused:", s.Verdict.Excused)
 		return ending(w, s, err)
 	}
 	st := s.Stats
@@ -223,7 +223,7 @@
 	case err != nil:
 		fmt.Fprintln(w, "VOID:", err)
 		return err
-	case !s.Verdict.Kept():
+	case !s.Verdict.Passed():
 		var rules []string
 		for rule, n := range s.Verdict.Counts {
 			rules = append(rules, fmt.Sprintf("%s (%d)", rule, n))
@@ -428,7 +428,7 @@
 		switch {
 		case s.Void != "":
 			void++
-		case !s.Verdict.Kept():
+		case !s.Verdict.Passed():
 			n++
 		}
 	}
@@ -481,7 +481,7 @@
 					if c.Context().Err() != nil {
 						return errors.New("stopped before the sweep was whole")
 					}
-					broken = broken || !sum.Verdict.Kept()
+					broken = broken || !sum.Verdict.Passed()
 					fmt.Fprintf(c.ErrOrStderr(), "%s=%s seed %d: served %.3f, broken %d, %s\n", key, values[i], seed, sum.Stats.Served, len(sum.Verdict.Counts), sum.Void)
 					runs = append(runs, sum)
 				}
--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -23,10 +23,10 @@
 
 const short = "seconds = 1\n[fleet]\nrelays = 1\n[partners]\nendpoints = 2\ndestinations = 1\n[load]\nrate = 20\nclumps = 0\n"
 
-func command(t *testing.T, defect string, args ...string) (code int, out string) {
+func command(t *testing.T, defect stub.Defect, args ...string) (code int, out string) {
 	t.Helper()
 	t.Setenv(standinEnv, "1")
-	t.Setenv(stub.DefectEnv, defect)
+	t.Setenv(stub.DefectEnv, string(defect))
 	var b bytes.Buffer
 	code = Main(t.Context(), args, &b, &b)
 	return code, b.String()
@@ -47,10 +47,11 @@
 			"--out", filepath.Join(dir, "scale"), "--json", filepath.Join(dir, "scale-"+name)}
 	}
 	for _, x := range []struct {
-		name, defect string
-		args         []string
-		code         int
-		says         string
+		name   string
+		defect stub.Defect
+		args   []string
+		code   int
+		says   string
 	}{
 		{"kept", "", run("--json", filepath.Join(dir, "a.json")), Kept, "KEPT"},
 		{"kept again", "", run("--json", filepath.Join(dir, "a.json"), "--seed", "2"), Kept, "KEPT"},
--- a/internal/faultlab/evacuate.go
+++ b/internal/faultlab/evacuate.go
@@ -44,7 +44,7 @@
 			if ok() {
 				return nil
 			}
-			if !model.Pause(ctx, 50*time.Millisecond) || last.Done {
+			if !model.Sleep(ctx, 50*time.Millisecond) || last.Done {
 				return fmt.Errorf("lab: evacuation of %s: not at its end: %s, %s", s.Fault.Zone, last.Message, last.Progress)
 			}
 		}
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -26,16 +26,16 @@
 // be undone; what is still on when ctx ends is undone then.
 func (r *run) inject(ctx context.Context, plan []Step) {
 	for _, s := range plan {
-		if !model.Pause(ctx, time.Until(r.began.Add(s.At))) {
+		if !model.Sleep(ctx, time.Until(r.began.Add(s.At))) {
 			return
 		}
 		r.late(time.Since(r.began.Add(s.At)))
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			r.rec.Put(history.Event{Kind: history.Fault, Text: s.String(), On: true})
+			r.rec.Record(history.Event{Kind: history.Fault, Text: s.String(), Active: true})
 			r.fail(r.strike(ctx, s))
-			r.rec.Put(history.Event{Kind: history.Fault, Text: s.String()})
+			r.rec.Record(history.Event{Kind: history.Fault, Text: s.String()})
 		}()
 	}
 }
@@ -43,7 +43,7 @@
 // hold waits until a step is to be undone, or the faults are over.
 func (r *run) hold(ctx context.Context, s Step) {
 	if s.Until > 0 {
-		model.Pause(ctx, time.Until(r.began.Add(s.Until)))
+		model.Sleep(ctx, time.Until(r.began.Add(s.Until)))
 	} else {
 		<-ctx.Done()
 	}
@@ -70,9 +70,9 @@
 		return r.group.strike(ctx, s)
 	case "discovery":
 		if s.Fault.Kind == "turnaway" {
-			r.disc.TurnAway(max(s.Fault.Rate, 0.1))
+			r.disc.LimitRate(max(s.Fault.Rate, 0.1))
 			r.hold(ctx, s)
-			r.disc.TurnAway(0)
+			r.disc.LimitRate(0)
 			return nil
 		}
 		for _, i := range s.Targets {
@@ -109,16 +109,16 @@
 		if _, sent := x.signal(syscall.SIGSTOP); !sent {
 			return nil
 		}
-		r.clients.Gone(r.ctx, x.name)
+		r.clients.RelayDown(r.ctx, x.name)
 		r.hold(ctx, s)
 		if _, sent := x.signal(syscall.SIGCONT); sent {
-			r.clients.Ready(x.name)
+			r.clients.RelayUp(x.name)
 		}
 		return nil
 	case "salvage":
 		return r.strikeSalvage(ctx, s, x)
 	case "hup":
-		if err := x.agent.Move(r.ctx); err != nil {
+		if err := x.agent.Rebind(r.ctx); err != nil {
 			return err
 		}
 		if _, err := x.configure(); err != nil {
@@ -135,7 +135,7 @@
 		if err := copyFolder(x.state(), old); err != nil {
 			return err
 		}
-		model.Pause(ctx, time.Second)
+		model.Sleep(ctx, time.Second)
 	}
 	x.stop(s.Fault.Kind == "term")
 	note := s.Fault.Folder
@@ -147,10 +147,10 @@
 		if err := os.Mkdir(x.state(), 0o700); err != nil {
 			return fmt.Errorf("folder of %s: %w", x.name, err)
 		}
-		for _, m := range r.world.Ledger.Owed(x.name, time.Now()) {
-			r.world.Ledger.Over(m.ID)
-			if !model.Classes()[m.Class].Unsafe {
-				r.clients.Again(r.ctx, m)
+		for _, m := range r.world.Ledger.Pending(x.name, time.Now()) {
+			r.world.Ledger.Complete(m.ID)
+			if !model.Classes()[m.Class].NonIdempotent {
+				r.clients.Resubmit(r.ctx, m)
 			}
 		}
 	case s.Fault.Folder == "older":
@@ -164,13 +164,13 @@
 		}
 	}
 	if note != "" && note != "kept" {
-		r.rec.Put(history.Event{Kind: history.Folder, Relay: x.name, Text: note, Due: since})
+		r.rec.Record(history.Event{Kind: history.FolderChanged, Relay: x.name, Text: note, DueAt: since})
 	}
 	after := restartAfter
 	if s.Fault.For > 0 {
 		after = scenario.Secs(s.Fault.For)
 	}
-	model.Pause(ctx, after)
+	model.Sleep(ctx, after)
 	return x.start()
 }
 
@@ -309,7 +309,7 @@
 	switch s.Fault.Kind {
 	case "reset":
 		for _, l := range links {
-			l.Reset(1)
+			l.ResetConns(1)
 		}
 		return
 	case "halfopen":
@@ -319,8 +319,8 @@
 		return
 	}
 	for _, l := range links {
-		for _, d := range []link.Direction{link.Forth, link.Back} {
-			if s.Fault.Way == "forth" && d == link.Back || s.Fault.Way == "back" && d == link.Forth {
+		for _, d := range []link.Direction{link.ToServer, link.ToClient} {
+			if s.Fault.Way == "forth" && d == link.ToClient || s.Fault.Way == "back" && d == link.ToServer {
 				continue
 			}
 			f := r.usual[l]
@@ -332,13 +332,13 @@
 			case "throttle":
 				f.Rate = int(max(s.Fault.Rate, 1))
 			}
-			l.Set(d, f)
+			l.SetFaults(d, f)
 		}
 	}
 	r.hold(ctx, s)
 	for _, l := range links {
-		l.Set(link.Forth, r.usual[l])
-		l.Set(link.Back, r.usual[l])
+		l.SetFaults(link.ToServer, r.usual[l])
+		l.SetFaults(link.ToClient, r.usual[l])
 	}
 }
 
@@ -347,7 +347,7 @@
 	refuse := func(on bool) error {
 		var all error
 		for _, x := range r.relays {
-			all = errors.Join(all, x.links[i].Refuse(on))
+			all = errors.Join(all, x.links[i].SetRefusing(on))
 		}
 		return all
 	}
@@ -362,9 +362,9 @@
 		e.SetDown(false)
 		return refuse(false)
 	case "silent":
-		e.SetSpell(model.Spell{Silent: true})
+		e.SetFault(model.Fault{Silent: true})
 		r.hold(ctx, s)
-		e.SetSpell(model.Spell{})
+		e.SetFault(model.Fault{})
 	case "drain": // draining, then gone, then back as it was
 		r.change(e, model.Draining, late)
 		half := s
@@ -394,35 +394,35 @@
 	if share <= 0 {
 		share = 1
 	}
-	var spell model.Spell
+	var spell model.Fault
 	switch f.Kind {
 	case "slow":
 		spell.Slow = share
 	case "fail":
 		spell.Fail = min(share, 1)
 	case "shut":
-		spell.Shut = true
+		spell.Closed = true
 	case "lose":
-		spell.Lose = min(share, 1)
+		spell.LoseResponse = min(share, 1)
 	case "spoil":
-		spell.Spoil = min(share, 1)
+		spell.CorruptResponse = min(share, 1)
 	case "break":
 		spell.Reset = min(share, 1)
 	}
 	opens := r.began.Add(s.Until)
 	for _, i := range s.Targets {
 		if f.Kind == "limits" {
-			r.parts[i].Scale(share)
+			r.parts[i].ScaleLimit(share)
 		} else {
-			r.parts[i].Add(spell, opens)
+			r.parts[i].AddFault(spell, opens)
 		}
 	}
 	r.hold(ctx, s)
 	for _, i := range s.Targets {
 		if f.Kind == "limits" {
-			r.parts[i].Scale(1)
+			r.parts[i].ScaleLimit(1)
 		} else {
-			r.parts[i].Remove(spell)
+			r.parts[i].RemoveFault(spell)
 		}
 	}
 }
--- a/internal/faultlab/group.go
+++ b/internal/faultlab/group.go
@@ -64,7 +64,7 @@
 	busy  sync.Mutex
 
 	mu   sync.Mutex
-	proc *process.Proc
+	proc *process.Process
 }
 
 // newGroup makes nodes and their links, and starts the processes.
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	n.group.run.rec.Put(history.Event{Kind: history.Start, Relay: n.name, PID: p.PID, Text: "node"})
+	n.group.run.rec.Record(history.Event{Kind: history.ProcessStarted, Relay: n.name, PID: p.PID, Text: "node"})
 	n.mu.Lock()
 	n.proc = p
 	n.mu.Unlock()
@@ -149,7 +149,7 @@
 		defer n.group.run.wg.Done()
 		<-p.Done()
 		code, text := p.Exit()
-		n.group.run.rec.Put(history.Event{Kind: history.Exit, Relay: n.name, PID: p.PID, Status: code, Text: text})
+		n.group.run.rec.Record(history.Event{Kind: history.ProcessExited, Relay: n.name, PID: p.PID, Status: code, Text: text})
 	}()
 	return nil
 }
@@ -158,7 +158,7 @@
 	n.mu.Lock()
 	p := n.proc
 	n.mu.Unlock()
-	n.group.run.rec.Put(history.Event{Kind: history.Signal, Relay: n.name, PID: p.PID, Text: s.String()})
+	n.group.run.rec.Record(history.Event{Kind: history.ProcessSignaled, Relay: n.name, PID: p.PID, Text: s.String()})
 	if s == syscall.SIGKILL {
 		p.Kill()
 		return
@@ -171,8 +171,8 @@
 	f := link.Faults{Cut: on}
 	set := func(l *link.Link) {
 		if l != nil {
-			l.Set(link.Forth, f)
-			l.Set(link.Back, f)
+			l.SetFaults(link.ToServer, f)
+			l.SetFaults(link.ToClient, f)
 		}
 	}
 	set(n.door)
@@ -235,11 +235,11 @@
 			return nil // the load is over
 		}
 		g.run.hold(ctx, s)
-		e := history.Event{Kind: history.Op, Relay: "operator", Text: "restore", Due: g.run.rec.Now(), Status: 1}
+		e := history.Event{Kind: history.RegisterOperation, Relay: "operator", Text: "restore", DueAt: g.run.rec.Now(), Status: 1}
 		if _, err := g.client.Do(ctx, http.MethodPut, registry.SnapshotPath, text, nil); err != nil {
 			e.Status = 0
 		}
-		g.run.rec.Put(e)
+		g.run.rec.Record(e)
 		return nil
 	}
 	var wg sync.WaitGroup
@@ -286,7 +286,7 @@
 // register has an endpoint on the list.
 func (g *group) register(ctx context.Context, e *model.Endpoint) error {
 	_, err := g.client.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: e.ID, Address: e.Addr(), Zone: e.Zone,
-		Flavor: e.Partner.Kind, Cell: e.Partner.Cell, TTLMS: g.ttl().Milliseconds(), Holder: e.ID}, nil)
+		Flavor: e.Upstream.Kind, Cell: e.Upstream.Destination, TTLMS: g.ttl().Milliseconds(), Holder: e.ID}, nil)
 	return err
 }
 
@@ -307,7 +307,7 @@
 		_, err = g.client.Do(ctx, http.MethodPost, registry.MembersPath+"/"+e.ID+"/phase", map[string]string{"phase": phase}, nil)
 	}
 	if err == nil {
-		g.run.rec.Put(history.Event{Kind: history.Listed, Endpoint: e.ID, Phase: phase})
+		g.run.rec.Record(history.Event{Kind: history.EndpointChanged, Endpoint: e.ID, Phase: phase})
 	}
 }
 
@@ -335,7 +335,7 @@
 	for _, e := range g.run.ends {
 		byID[e.ID] = e
 	}
-	for model.Pause(ctx, g.ttl()/3) {
+	for model.Sleep(ctx, g.ttl()/3) {
 		var beats []registry.Heartbeat
 		g.mu.Lock()
 		for id := range byID {
@@ -382,8 +382,8 @@
 		if n.Complete {
 			phase = "whole"
 		}
-		g.run.rec.Put(history.Event{Kind: history.Watched, Relay: fmt.Sprint("watcher-", i+1), Text: n.Epoch, Due: n.Revision, Phase: phase,
-			First: strconv.FormatUint(h.Sum64(), 16)})
+		g.run.rec.Record(history.Event{Kind: history.ListUpdate, Relay: fmt.Sprint("watcher-", i+1), Text: n.Epoch, DueAt: n.Revision, Phase: phase,
+			FirstMessage: strconv.FormatUint(h.Sum64(), 16)})
 	}, func(bool) {})
 }
 
@@ -391,21 +391,21 @@
 func (g *group) probe(ctx context.Context, i int) {
 	d := seeded(g.run.seed, fmt.Sprint("probe ", i))
 	addr := net.JoinHostPort(g.run.ip, strconv.Itoa(lockPort))
-	for model.Pause(ctx, probeEvery) {
-		e := history.Event{Kind: history.Op, Relay: fmt.Sprint("probe-", i+1), Due: g.run.rec.Now()}
+	for model.Sleep(ctx, probeEvery) {
+		e := history.Event{Kind: history.RegisterOperation, Relay: fmt.Sprint("probe-", i+1), DueAt: g.run.rec.Now()}
 		short, cancel := context.WithTimeout(ctx, probeMost)
 		var err error
 		if d.IntN(2) == 0 {
-			e.Text, e.For = "write", g.value.Add(1)
-			_, err = g.client.Do(short, http.MethodPost, registry.MembersPath, registry.Registration{ID: probeID, Address: addr, Zone: "lab", Flavor: "probe", Cell: int(e.For % 60000)}, nil)
-			e.For %= 60000
+			e.Text, e.ValidFor = "write", g.value.Add(1)
+			_, err = g.client.Do(short, http.MethodPost, registry.MembersPath, registry.Registration{ID: probeID, Address: addr, Zone: "lab", Flavor: "probe", Cell: int(e.ValidFor % 60000)}, nil)
+			e.ValidFor %= 60000
 		} else {
 			e.Text = "read"
 			var all []registry.Member
 			_, err = g.client.Do(short, http.MethodGet, registry.MembersPath+"?consistent=1", nil, &all)
 			for _, m := range all {
 				if m.ID == probeID {
-					e.For = int64(m.Cell)
+					e.ValidFor = int64(m.Cell)
 				}
 			}
 		}
@@ -413,7 +413,7 @@
 		if e.Status = 1; err != nil {
 			e.Status = 0 // it may or may not have been taken
 		}
-		g.run.rec.Put(e)
+		g.run.rec.Record(e)
 	}
 }
 
@@ -486,7 +486,7 @@
 		if l := t.Known(); len(l.Members) >= len(g.run.ends) {
 			return t, nil
 		}
-		if time.Now().After(end) || !model.Pause(ctx, 20*time.Millisecond) {
+		if time.Now().After(end) || !model.Sleep(ctx, 20*time.Millisecond) {
 			return t, fmt.Errorf("lab: the agent of %s has no list; see %s", x.name, x.agentLog.Name())
 		}
 	}
--- a/internal/faultlab/history/history.go
+++ b/internal/faultlab/history/history.go
@@ -20,86 +20,86 @@
 
 // The kinds of event. Field names in brackets are those that are set.
 const (
-	Run      Kind = "run"     // first line: the run's name and seed [Text]
-	Put      Kind = "put"     // a client sent a request to a relay [Relay Msg First Class Dest Due For]
-	Taken    Kind = "taken"   // the client heard +OK [Relay Msg]
-	Refused  Kind = "refused" // the client heard -BUSY [Relay Msg Wait]
-	Failed   Kind = "failed"  // the client heard another error [Relay Msg Text]
-	Unheard  Kind = "unheard" // the client gave up, or its connection ended, with no answer [Relay Msg Text]
-	Call     Kind = "call"    // the last byte of a call came to an endpoint [Call Relay Endpoint Dest Msgs From]
-	Lost     Kind = "lost"    // a relay wrote a whole call, and a link swallowed it, told when its connection ends [Relay Endpoint Msgs From]
-	Ran      Kind = "ran"     // a message took effect [Call Endpoint Msg]
-	Answer   Kind = "answer"  // an endpoint wrote its answer [Call Status Wait States]
-	Heard    Kind = "heard"   // the last byte of that answer was written to the relay [Call]
-	Left     Kind = "left"    // the relay ended the connection of a call that was out [Call]
-	Ended    Kind = "ended"   // the endpoint saw the connection of a call end before its answer [Call]
-	Stray    Kind = "stray"   // a client found more than one answer on its connection [Relay Msg Text]
-	Listed   Kind = "listed"  // discovery has news for all relays [Endpoint Phase]
-	Told     Kind = "told"    // the news was written to a relay [Relay Endpoint Phase]
-	Notice   Kind = "notice"  // a relay told a message's end [Relay Msg Text Wait]
-	Start    Kind = "start"   // a process was started [Relay PID]
-	Ready    Kind = "ready"   // it says +PONG [Relay PID]
-	Signal   Kind = "signal"  // the lab signalled it [Relay PID Text]
-	Exit     Kind = "exit"    // it is gone [Relay PID Status Text]
-	Folder   Kind = "folder"  // the lab changed a relay's folder while it was down [Relay Text]
-	Sample   Kind = "sample"  // what a process holds [Relay RSS FDs Disk CPU]
-	Fault    Kind = "fault"   // a fault begins or ends [Text On]
-	Outage   Kind = "outage"  // a destination is out, or back and cold [Dest On Refusing]
-	Fell     Kind = "fell"    // a cold destination fell over [Dest Relays]
-	BadPeer  Kind = "peer"    // a bad peer was answered, closed or left [Relay Text Status Took]
-	Wrong    Kind = "wrong"   // a call that no endpoint should have seen [Relay Endpoint Msg Text]
-	Watched  Kind = "watched" // a watcher heard news of the list service [Relay Text(epoch) Due(revision) Phase First(hash)]
-	Effect   Kind = "effect"  // a step of a duty; what wardens counted is told at the end of the run [Relay Text Status(step) For(token) Phase From(asked) Due(answered)]
-	Salvaged Kind = "salvage" // a lost relay's folder was seen to its end [Relay Text]
-	Op       Kind = "op"      // an operation on a register in the list service ended [Relay Text Due(began) For(value) Status]
+	Run                   Kind = "run"     // first line: the run's name and seed [Text]
+	MessageSubmitted      Kind = "put"     // a client sent a request to a relay [Relay Msg First Class Dest Due For]
+	MessageAccepted       Kind = "taken"   // the client heard +OK [Relay Msg]
+	MessageRejected       Kind = "refused" // the client heard -BUSY [Relay Msg Wait]
+	SubmitFailed          Kind = "failed"  // the client heard another error [Relay Msg Text]
+	SubmitUnanswered      Kind = "unheard" // the client gave up, or its connection ended, with no answer [Relay Msg Text]
+	CallReceived          Kind = "call"    // the last byte of a call came to an endpoint [Call Relay Endpoint Dest Msgs From]
+	CallLost              Kind = "lost"    // a relay wrote a whole call, and a link swallowed it, told when its connection ends [Relay Endpoint Msgs From]
+	MessageExecuted       Kind = "ran"     // a message took effect [Call Endpoint Msg]
+	ResponseSent          Kind = "answer"  // an endpoint wrote its answer [Call Status Wait States]
+	ResponseReceived      Kind = "heard"   // the last byte of that answer was written to the relay [Call]
+	CallAborted           Kind = "left"    // the relay ended the connection of a call that was out [Call]
+	CallBroken            Kind = "ended"   // the endpoint saw the connection of a call end before its answer [Call]
+	ExtraResponse         Kind = "stray"   // a client found more than one answer on its connection [Relay Msg Text]
+	EndpointChanged       Kind = "listed"  // discovery has news for all relays [Endpoint Phase]
+	ChangeDelivered       Kind = "told"    // the news was written to a relay [Relay Endpoint Phase]
+	Notice                Kind = "notice"  // a relay told a message's end [Relay Msg Text Wait]
+	ProcessStarted        Kind = "start"   // a process was started [Relay PID]
+	ProcessReady          Kind = "ready"   // it says +PONG [Relay PID]
+	ProcessSignaled       Kind = "signal"  // the lab signalled it [Relay PID Text]
+	ProcessExited         Kind = "exit"    // it is gone [Relay PID Status Text]
+	FolderChanged         Kind = "folder"  // the lab changed a relay's folder while it was down [Relay Text]
+	UsageSampled          Kind = "sample"  // what a process holds [Relay RSS FDs Disk CPU]
+	Fault                 Kind = "fault"   // a fault begins or ends [Text On]
+	Outage                Kind = "outage"  // a destination is out, or back and cold [Dest On Refusing]
+	DestinationOverloaded Kind = "fell"    // a cold destination fell over [Dest Relays]
+	InvalidPeer           Kind = "peer"    // a bad peer was answered, closed or left [Relay Text Status Took]
+	InvalidCall           Kind = "wrong"   // a call that no endpoint should have seen [Relay Endpoint Msg Text]
+	ListUpdate            Kind = "watched" // a watcher heard news of the list service [Relay Text(epoch) Due(revision) Phase First(hash)]
+	RoleStep              Kind = "effect"  // a step of a duty; what wardens counted is told at the end of the run [Relay Text Status(step) For(token) Phase From(asked) Due(answered)]
+	FailoverFinished      Kind = "salvage" // a lost relay's folder was seen to its end [Relay Text]
+	RegisterOperation     Kind = "op"      // an operation on a register in the list service ended [Relay Text Due(began) For(value) Status]
 )
 
 // What became of a step, in Phase; nothing stands for Counted.
 const (
-	Counted    = "counted"
-	Fenced     = "fenced"     // refused for its token
-	Unanswered = "unanswered" // it may have counted
+	StepCounted    = "counted"
+	StepFenced     = "fenced"     // refused for its token
+	StepUnanswered = "unanswered" // it may have counted
 )
 
 // Event is one line. Times and spans are microseconds; T counts from the run's start.
 type Event struct {
-	T        int64          `json:"t"`
-	Kind     Kind           `json:"k"`
-	Relay    string         `json:"relay,omitempty"`
-	Msg      string         `json:"msg,omitempty"`
-	First    string         `json:"first,omitempty"` // the id under which a message was handed in at first
-	Msgs     []string       `json:"msgs,omitempty"`
-	Class    string         `json:"class,omitempty"`
-	Dest     int            `json:"dest,omitempty"`
-	Endpoint string         `json:"ep,omitempty"`
-	Phase    string         `json:"phase,omitempty"`
-	Call     int64          `json:"call,omitempty"`
-	From     int64          `json:"from,omitempty"` // when the call's first byte left the relay
-	Due      int64          `json:"due,omitempty"`  // when a message was due to be handed in
-	For      int64          `json:"for,omitempty"`  // how long it may be delivered, from T
-	Status   int            `json:"status,omitempty"`
-	States   []string       `json:"states,omitempty"`
-	Wait     int64          `json:"wait,omitempty"`
-	Took     int64          `json:"took,omitempty"`
-	PID      int            `json:"pid,omitempty"`
-	RSS      int64          `json:"rss,omitempty"`  // bytes
-	Disk     int64          `json:"disk,omitempty"` // bytes, each file in whole 512
-	FDs      int            `json:"fds,omitempty"`
-	CPU      int64          `json:"cpu,omitempty"` // µs used since the process began
-	Relays   map[string]int `json:"relays,omitempty"`
-	On       bool           `json:"on,omitempty"`
-	Refusing bool           `json:"refusing,omitempty"`
-	Text     string         `json:"text,omitempty"`
+	Time               int64          `json:"t"`
+	Kind               Kind           `json:"k"`
+	Relay              string         `json:"relay,omitempty"`
+	Message            string         `json:"msg,omitempty"`
+	FirstMessage       string         `json:"first,omitempty"` // the id under which a message was handed in at first
+	Messages           []string       `json:"msgs,omitempty"`
+	Class              string         `json:"class,omitempty"`
+	Destination        int            `json:"dest,omitempty"`
+	Endpoint           string         `json:"ep,omitempty"`
+	Phase              string         `json:"phase,omitempty"`
+	Call               int64          `json:"call,omitempty"`
+	SentAt             int64          `json:"from,omitempty"` // when the call's first byte left the relay
+	DueAt              int64          `json:"due,omitempty"`  // when a message was due to be handed in
+	ValidFor           int64          `json:"for,omitempty"`  // how long it may be delivered, from T
+	Status             int            `json:"status,omitempty"`
+	States             []string       `json:"states,omitempty"`
+	RetryAfter         int64          `json:"wait,omitempty"`
+	Took               int64          `json:"took,omitempty"`
+	PID                int            `json:"pid,omitempty"`
+	RSS                int64          `json:"rss,omitempty"`  // bytes
+	Disk               int64          `json:"disk,omitempty"` // bytes, each file in whole 512
+	FDs                int            `json:"fds,omitempty"`
+	CPU                int64          `json:"cpu,omitempty"` // µs used since the process began
+	Relays             map[string]int `json:"relays,omitempty"`
+	Active             bool           `json:"on,omitempty"`
+	RefusesConnections bool           `json:"refusing,omitempty"`
+	Text               string         `json:"text,omitempty"`
 }
 
 // Recorder writes a history. Its methods may be called from any goroutine.
 type Recorder struct {
-	mu    sync.Mutex
-	began time.Time
-	file  io.Closer
-	out   *bufio.Writer
-	err   error // the first write that failed; nothing is written after it
-	taps  []func(Event)
+	mu          sync.Mutex
+	began       time.Time
+	file        io.Closer
+	out         *bufio.Writer
+	err         error // the first write that failed; nothing is written after it
+	subscribers []func(Event)
 }
 
 // Create begins a history in a new file, with its clock at 0.
@@ -114,11 +114,11 @@
 // NewMemory makes a history that only its taps see.
 func NewMemory() *Recorder { return &Recorder{began: time.Now()} }
 
-// Tap has f called with each event to come, in order. f must not block nor record.
-func (r *Recorder) Tap(f func(Event)) {
+// Subscribe has f called with each event to come, in order. f must not block nor record.
+func (r *Recorder) Subscribe(f func(Event)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.taps = append(r.taps, f)
+	r.subscribers = append(r.subscribers, f)
 }
 
 // Now is the run's time in microseconds.
@@ -130,11 +130,11 @@
 // Time is the moment of a run's time.
 func (r *Recorder) Time(t int64) time.Time { return r.began.Add(time.Duration(t) * time.Microsecond) }
 
-// Put stamps an event and writes it.
-func (r *Recorder) Put(e Event) int64 {
+// Record stamps an event and writes it.
+func (r *Recorder) Record(e Event) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.T = r.At(time.Now())
+	e.Time = r.At(time.Now())
 	if r.out != nil && r.err == nil {
 		text, err := json.Marshal(e)
 		if err == nil {
@@ -142,10 +142,10 @@
 		}
 		r.err = err
 	}
-	for _, tap := range r.taps {
+	for _, tap := range r.subscribers {
 		tap(e)
 	}
-	return e.T
+	return e.Time
 }
 
 // Close writes out what is buffered and tells of the first failure.
--- a/internal/faultlab/history/history_test.go
+++ b/internal/faultlab/history/history_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		r.Put(Event{Kind: Put, Msg: "m"})
+		r.Record(Event{Kind: MessageSubmitted, Message: "m"})
 	}
 	if err := r.Close(); err != nil {
 		t.Fatal(err)
@@ -25,10 +25,10 @@
 		n, last := 0, int64(-1)
 		if err := Read(path, func(e Event) {
 			n++
-			if e.T < last {
+			if e.Time < last {
 				t.Fatal("time went back")
 			}
-			last = e.T
+			last = e.Time
 		}); err != nil || n != strings.Count(string(text[:cut]), "\n") {
 			t.Fatalf("cut at %d: %d events, %v", cut, n, err)
 		}
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -91,7 +91,7 @@
 	disc    *model.Discovery // the lab's own; nobody asks it where group is set
 	group   *group
 	clients *model.Clients
-	parts   []*model.Partner
+	parts   []*model.Upstream
 	ends    []*model.Endpoint
 	relays  []*relay
 	usual   map[*link.Link]link.Faults
@@ -178,10 +178,10 @@
 			longest = max(longest, f.MS)
 		}
 	}
-	j := checker.New(checker.Setting{Rules: r.world.Rules, File: path,
-		Links:  time.Duration((max(s.Part.DelayMS, s.Part.CrossMS) + s.Part.JitterMS + longest) * float64(time.Millisecond)),
-		Limits: checker.Limits{Memory: int64(s.Fleet.MemoryMB) << 20, Disk: int64(s.Fleet.DiskMB) << 20, FDs: s.Fleet.Sockets},
-		LogOf:  func(relay string) string { return filepath.Join(r.opts.Out, "logs", relay+".log") }})
+	j := checker.New(checker.Config{Rules: r.world.Rules, HistoryFile: path,
+		MaxLinkDelay: time.Duration((max(s.Part.DelayMS, s.Part.CrossMS) + s.Part.JitterMS + longest) * float64(time.Millisecond)),
+		Limits:       checker.Limits{Memory: int64(s.Fleet.MemoryMB) << 20, Disk: int64(s.Fleet.DiskMB) << 20, FDs: s.Fleet.Sockets},
+		LogFile:      func(relay string) string { return filepath.Join(r.opts.Out, "logs", relay+".log") }})
 	if err := history.Read(path, j.Feed); err != nil {
 		return checker.Verdict{}, err
 	}
@@ -242,7 +242,7 @@
 	if err := r.startAll(ctx); err != nil {
 		return err
 	}
-	r.rec.Put(history.Event{Kind: history.Run, Text: fmt.Sprintf("%s seed %d", r.scen.Name, r.seed)})
+	r.rec.Record(history.Event{Kind: history.Run, Text: fmt.Sprintf("%s seed %d", r.scen.Name, r.seed)})
 	arriving, cancel := context.WithTimeout(ctx, scenario.Secs(r.scen.Seconds))
 	defer cancel()
 	stopEarly := context.AfterFunc(r.ctx, cancel)
@@ -269,34 +269,34 @@
 	<-arriving.Done()
 	<-handed
 	// Faults are over: what is still owed has until its time is up.
-	for end := time.Now().Add(settleMost); time.Now().Before(end) && r.ctx.Err() == nil && r.world.Ledger.Waiting(time.Now()) > 0; {
+	for end := time.Now().Add(settleMost); time.Now().Before(end) && r.ctx.Err() == nil && r.world.Ledger.PendingCount(time.Now()) > 0; {
 		time.Sleep(20 * time.Millisecond)
 	}
-	model.Pause(r.ctx, 700*time.Millisecond) // a notice is overdue only after that
+	model.Sleep(r.ctx, 700*time.Millisecond) // a notice is overdue only after that
 	return nil
 }
 
 // build makes partners, discovery and links; nothing runs yet but the stand-ins.
 func (r *run) build(ctx context.Context) error {
 	s, f := r.scen, r.fleet
-	r.world = &model.World{Rec: r.rec, Ledger: model.NewLedger(), Net: link.NewNet(), Rules: model.StandardRules()}
+	r.world = &model.World{Recorder: r.rec, Ledger: model.NewLedger(), Net: link.NewNet(), Rules: model.StandardRules()}
 	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 	for cell, p := range f.parts {
-		l := model.Limit{Tells: p.tells, WaitMin: ms(400), WaitMax: ms(910), Spends: s.Part.Spends}
+		l := model.Limit{RetryAfterFraction: p.tells, RetryAfterMin: ms(400), RetryAfterMax: ms(910), CountsRejected: s.Part.Spends}
 		if s.Part.Limits {
 			l.Rate = p.rate
 		}
 		if p.spans {
-			l.Span = 2 * time.Second
+			l.Window = 2 * time.Second
 		}
-		r.parts = append(r.parts, model.NewPartner(cell, p.kind, l, p.pace, p.every, r.world.Rules, r.rec, r.seed))
+		r.parts = append(r.parts, model.NewUpstream(cell, p.kind, l, p.pace, p.every, r.world.Rules, r.rec, r.seed))
 	}
 	var members []model.Member
 	for i, e := range f.ends {
-		end := &model.Endpoint{ID: fmt.Sprintf("s-%04x%04x", uint16(r.seed*40503), i), Zone: e.zone, Partner: r.parts[e.cell],
-			Servers: e.servers, Queue: 2 * e.servers, Conns: max(s.Fleet.Relays, int(float64(e.servers)*s.Part.ConnsFactor)), Batch: s.Fleet.Batch, KeepAlive: 10 * time.Second}
+		end := &model.Endpoint{ID: fmt.Sprintf("s-%04x%04x", uint16(r.seed*40503), i), Zone: e.zone, Upstream: r.parts[e.cell],
+			Servers: e.servers, QueueSize: 2 * e.servers, MaxConns: max(s.Fleet.Relays, int(float64(e.servers)*s.Part.ConnsFactor)), MaxBatch: s.Fleet.Batch, IdleTimeout: 10 * time.Second}
 		if f.parts[e.cell].kind != model.Telco {
-			end.Batch = 1
+			end.MaxBatch = 1
 		}
 		if err := end.Serve(r.ctx, r.world, r.address(), &r.served); err != nil {
 			return err
@@ -304,14 +304,14 @@
 		r.ends = append(r.ends, end)
 		members = append(members, model.Member{ID: end.ID, Locality: e.zone, Flavor: f.parts[e.cell].kind, Cell: e.cell, Phase: model.Up, Size: 1})
 	}
-	r.world.Served = r.status.delivered
-	r.rec.Tap(r.status.tap)
+	r.world.OnDelivered = r.status.delivered
+	r.rec.Subscribe(r.status.tap)
 	r.disc = model.NewDiscovery(r.world, r.seed)
 	addrs := map[string]string{}
 	load := model.StandardLoad(s.Load.Rate, f.weights)
-	load.Retries, load.Leavers, load.Clumps = s.Load.Retries, s.Load.Leavers, s.Load.Clumps
+	load.Retries, load.LeaverFraction, load.BurstFraction = s.Load.Retries, s.Load.Leavers, s.Load.Clumps
 	r.clients = model.NewClients(r.world, load, addrs, r.seed)
-	r.clients.Late = r.late
+	r.clients.OnLateness = r.late
 	if err := os.MkdirAll(filepath.Join(r.opts.Out, "logs"), 0o755); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
@@ -363,8 +363,8 @@
 		}
 		usual := link.Faults{Delay: time.Duration(delay * float64(time.Millisecond)), Jitter: time.Duration(r.scen.Part.JitterMS * float64(time.Millisecond))}
 		r.usual[l] = usual
-		l.Set(link.Forth, usual)
-		l.Set(link.Back, usual)
+		l.SetFaults(link.ToServer, usual)
+		l.SetFaults(link.ToClient, usual)
 		x.links = append(x.links, l)
 		mine[i] = members[i]
 		mine[i].HostPort = l.Addr()
@@ -385,25 +385,25 @@
 
 // noticed hears of a message's end; its client may hand it in again.
 func (r *run) noticed(id, outcome string, retryMS int64) {
-	if r.world.Ledger.Over(id) && outcome == discovery.Returned {
-		r.clients.HandedBack(r.ctx, id, retryMS)
+	if r.world.Ledger.Complete(id) && outcome == discovery.Returned {
+		r.clients.MessageReturned(r.ctx, id, retryMS)
 	}
 }
 
 // swallowed records a call that a relay wrote whole and that a link never let
 // through: the relay cannot know that it did not run.
 func (r *run) swallowed(l *link.Link, written []byte, first time.Time) {
-	ids, whole := model.CallsIn(written)
+	ids, whole := model.ParseCall(written)
 	if !whole {
 		return // the relay itself saw the connection end before its last byte
 	}
-	e := history.Event{Kind: history.Lost, Relay: l.From, Endpoint: l.To, Msgs: ids, From: r.rec.At(first)}
+	e := history.Event{Kind: history.CallLost, Relay: l.Source, Endpoint: l.Target, Messages: ids, SentAt: r.rec.At(first)}
 	for _, x := range r.ends {
-		if x.ID == l.To {
-			e.Dest = x.Partner.Cell
+		if x.ID == l.Target {
+			e.Destination = x.Upstream.Destination
 		}
 	}
-	r.rec.Put(e)
+	r.rec.Record(e)
 }
 
 // startAll starts every relay and waits until each serves clients.
@@ -435,7 +435,7 @@
 		if time.Now().After(end) {
 			return fmt.Errorf("lab: not ready after %v: %s; see the logs in %s", readyWait, strings.Join(waiting, ", "), filepath.Join(r.opts.Out, "logs"))
 		}
-		if !model.Pause(ctx, 5*time.Millisecond) {
+		if !model.Sleep(ctx, 5*time.Millisecond) {
 			return fmt.Errorf("lab: stopped before the relays were ready: %w", ctx.Err())
 		}
 	}
@@ -443,7 +443,7 @@
 
 // beat measures how late the lab itself is.
 func (r *run) beat() {
-	for due := time.Now().Add(beatEvery); model.Pause(r.ctx, time.Until(due)); due = due.Add(beatEvery) {
+	for due := time.Now().Add(beatEvery); model.Sleep(r.ctx, time.Until(due)); due = due.Add(beatEvery) {
 		r.late(time.Since(due))
 		if time.Since(due) > time.Second { // after a standstill: once is enough
 			due = time.Now()
@@ -452,7 +452,7 @@
 }
 
 func (r *run) sample() {
-	for model.Pause(r.ctx, sampleEvery) {
+	for model.Sleep(r.ctx, sampleEvery) {
 		for _, x := range r.relays {
 			x.sample()
 		}
@@ -463,13 +463,13 @@
 	d := seeded(r.seed, "peers")
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for model.Pause(ctx, scenario.Secs(r.scen.Peers.Every)) {
+	for model.Sleep(ctx, scenario.Secs(r.scen.Peers.Every)) {
 		x := r.relays[d.IntN(len(r.relays))]
 		kind := r.scen.Peers.Kinds[d.IntN(len(r.scen.Peers.Kinds))]
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			model.BadPeer(r.ctx, r.world, x.name, x.door.Addr(), kind)
+			model.ConnectInvalidPeer(r.ctx, r.world, x.name, x.door.Addr(), kind)
 		}()
 	}
 }
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -145,10 +145,10 @@
 				}
 			}
 			if len(x.rules) > 0 && v.Counts[x.rules[0]] == 0 {
-				t.Errorf("rule %s not broken; judged %v", x.rules[0], v.Judged)
+				t.Errorf("rule %s not broken; judged %v", x.rules[0], v.Checked)
 			}
 			if t.Failed() {
-				for _, b := range v.Broken {
+				for _, b := range v.Violations {
 					t.Log(b)
 				}
 			}
@@ -186,11 +186,11 @@
 				t.Fatal(err)
 			}
 			res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry")})
-			for _, b := range res.Verdict.Broken {
+			for _, b := range res.Verdict.Violations {
 				t.Errorf("seed 1: %v", b)
 			}
 			for _, rule := range append([]string{"end", "repeat", "one-out", "attempts", "limits", "start", "term"}, more...) {
-				if res.Verdict.Judged[rule] == 0 {
+				if res.Verdict.Checked[rule] == 0 {
 					t.Errorf("%s was never looked at", rule)
 				}
 			}
@@ -223,7 +223,7 @@
 	waitFor(t, "three relays that are ready", func() bool {
 		ready := 0
 		history.Read(filepath.Join(out, "history.jsonl"), func(e history.Event) {
-			if e.Kind == history.Ready {
+			if e.Kind == history.ProcessReady {
 				ready++
 				pids[e.PID] = true
 			}
@@ -275,8 +275,8 @@
 			if err != nil && !strings.Contains(err.Error(), "stopped before the relays were ready") {
 				t.Fatal(err)
 			}
-			if res != nil && !res.Verdict.Kept() {
-				t.Errorf("broken: %v", res.Verdict.Broken)
+			if res != nil && !res.Verdict.Passed() {
+				t.Errorf("broken: %v", res.Verdict.Violations)
 			}
 		})
 	}
@@ -321,8 +321,8 @@
 		t.Fatal(err)
 	}
 	res := play(t, Options{Scenario: s, Seed: 1, Program: os.Args[0], Env: []string{standinEnv + "=1"}})
-	if res.Verdict.Judged["start"] < 40 || res.Verdict.Counts["crash"]+res.Verdict.Counts["term"]+res.Verdict.Counts["start"] > 0 {
-		t.Errorf("%v, judged %v", res.Verdict.Broken, res.Verdict.Judged)
+	if res.Verdict.Checked["start"] < 40 || res.Verdict.Counts["crash"]+res.Verdict.Counts["term"]+res.Verdict.Counts["start"] > 0 {
+		t.Errorf("%v, judged %v", res.Verdict.Violations, res.Verdict.Checked)
 	}
 }
 
--- a/internal/faultlab/link/conn.go
+++ b/internal/faultlab/link/conn.go
@@ -11,53 +11,53 @@
 
 // Conn is one connection over a link.
 type Conn struct {
-	link      *Link
-	near, far *net.TCPConn // the connecting side, the listening side
-	ctx       context.Context
-	cancel    context.CancelFunc
-	mute      atomic.Bool // half open: the near side is told nothing more
-
-	mu      sync.Mutex
-	first   time.Time // when the near side wrote the first byte since its last answer
-	written []byte    // what it wrote since then
-	passed  int       // how much of that got through
-	back    int64     // bytes written to the near side
-	gone    bool      // the near side has ended its sending
-	heard   []expected
-	leaves  func() // hears once that the near side has ended its sending
+	link           *Link
+	client, server *net.TCPConn // the connecting side, the listening side
+	ctx            context.Context
+	cancel         context.CancelFunc
+	clientMuted    atomic.Bool // half open: the near side is told nothing more
+
+	mu               sync.Mutex
+	firstByteAt      time.Time // when the near side wrote the first byte since its last answer
+	written          []byte    // what it wrote since then
+	forwarded        int       // how much of that got through
+	bytesToClient    int64     // bytes written to the near side
+	clientClosed     bool      // the near side has ended its sending
+	pendingResponses []pendingResponse
+	onClientClosed   func() // hears once that the near side has ended its sending
 }
 
-type expected struct {
-	at   int64
-	then func(time.Time)
+type pendingResponse struct {
+	offset   int64
+	callback func(time.Time)
 }
 
-// From names the process that connects.
-func (c *Conn) From() string { return c.link.From }
+// Source names the process that connects.
+func (c *Conn) Source() string { return c.link.Source }
 
-// First is when the connecting side wrote the first byte of what it now asks;
+// FirstByteAt is when the connecting side wrote the first byte of what it now asks;
 // a call counts from there.
-func (c *Conn) First() time.Time {
+func (c *Conn) FirstByteAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.first
+	return c.firstByteAt
 }
 
-// Expect has then called once so many bytes in all have been written to the
+// OnDelivered has then called once so many bytes in all have been written to the
 // connecting side, if it still listens. It must be called before they are sent.
-func (c *Conn) Expect(bytes int64, then func(time.Time)) {
+func (c *Conn) OnDelivered(bytes int64, then func(time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard = append(c.heard, expected{bytes, then})
+	c.pendingResponses = append(c.pendingResponses, pendingResponse{bytes, then})
 }
 
-// Leaves has then called once, when the connecting side ends the connection or
+// OnClientClosed has then called once, when the connecting side ends the connection or
 // its sending, whatever the link does to that word. It replaces the one before.
-func (c *Conn) Leaves(then func()) {
+func (c *Conn) OnClientClosed(then func()) {
 	c.mu.Lock()
-	gone := c.gone
+	gone := c.clientClosed
 	if !gone {
-		c.leaves = then
+		c.onClientClosed = then
 	}
 	c.mu.Unlock()
 	if gone {
@@ -68,27 +68,27 @@
 // abort ends both sides by a reset.
 func (c *Conn) abort() {
 	c.cancel()
-	c.far.SetLinger(0)
-	c.near.SetLinger(0)
-	c.far.Close()
-	c.near.Close()
+	c.server.SetLinger(0)
+	c.client.SetLinger(0)
+	c.server.Close()
+	c.client.Close()
 }
 
 // run passes bytes both ways until both sides have ended.
 func (c *Conn) run() {
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); c.pump(Forth, c.near, c.far) }()
-	go func() { defer wg.Done(); c.pump(Back, c.far, c.near) }()
+	go func() { defer wg.Done(); c.forward(ToServer, c.client, c.server) }()
+	go func() { defer wg.Done(); c.forward(ToClient, c.server, c.client) }()
 	wg.Wait()
 	c.cancel()
-	c.near.Close()
-	c.far.Close()
+	c.client.Close()
+	c.server.Close()
 	c.mu.Lock()
-	written, passed, first := c.written, c.passed, c.first
+	written, passed, first := c.written, c.forwarded, c.firstByteAt
 	c.mu.Unlock()
-	if passed < len(written) && c.link.swallowed != nil {
-		c.link.swallowed(c.link, written, first)
+	if passed < len(written) && c.link.onCallLost != nil {
+		c.link.onCallLost(c.link, written, first)
 	}
 }
 
@@ -98,18 +98,18 @@
 	err   error // the side that sends has ended
 }
 
-// pump passes one direction on. Reading never waits for faults, so the moment
+// forward passes one direction on. Reading never waits for faults, so the moment
 // at which a byte was sent is known whatever the link does to it.
-func (c *Conn) pump(d Direction, from, to *net.TCPConn) {
-	pieces := make(chan piece, queueMost)
+func (c *Conn) forward(d Direction, from, to *net.TCPConn) {
+	pieces := make(chan piece, maxQueuedPieces)
 	go func() {
 		defer close(pieces)
-		buf := make([]byte, pieceMost)
+		buf := make([]byte, maxPiece)
 		for {
 			n, err := from.Read(buf)
 			now := time.Now()
-			if d == Forth {
-				c.sent(buf[:n], now, err)
+			if d == ToServer {
+				c.recordSent(buf[:n], now, err)
 			}
 			if n > 0 {
 				select {
@@ -128,17 +128,17 @@
 		}
 	}()
 	for p := range pieces {
-		if !c.hold(d, p) {
+		if !c.delayPiece(d, p) {
 			break
 		}
-		if p.err != nil && c.mute.Load() && d == Back {
+		if p.err != nil && c.clientMuted.Load() && d == ToClient {
 			<-c.ctx.Done() // the near side is left open and silent until it ends by itself
 			break
 		}
-		if p.err == io.EOF && !c.mute.Load() {
+		if p.err == io.EOF && !c.clientMuted.Load() {
 			to.CloseWrite()
-			if d == Back { // the far side is done: nothing sent to it arrives any more
-				c.finish()
+			if d == ToClient { // the far side is done: nothing sent to it arrives any more
+				c.closeSoon()
 			}
 			return
 		}
@@ -147,18 +147,18 @@
 		}
 		// Told before it is written: what is written may be read, and answered,
 		// before this goroutine goes on, and the history has to keep the order.
-		if d == Back {
-			c.told(len(p.bytes))
+		if d == ToClient {
+			c.recordDelivered(len(p.bytes))
 		}
 		if _, err := to.Write(p.bytes); err != nil {
-			if c.mute.Load() && d == Forth {
+			if c.clientMuted.Load() && d == ToServer {
 				continue // swallowed
 			}
 			break
 		}
-		if d == Forth {
+		if d == ToServer {
 			c.mu.Lock()
-			c.passed = min(c.passed+len(p.bytes), len(c.written))
+			c.forwarded = min(c.forwarded+len(p.bytes), len(c.written))
 			c.mu.Unlock()
 		}
 	}
@@ -167,17 +167,17 @@
 	}
 }
 
-// finish gives the near side a moment to end by itself, then ends it.
-func (c *Conn) finish() {
+// closeSoon gives the near side a moment to end by itself, then ends it.
+func (c *Conn) closeSoon() {
 	t := time.AfterFunc(time.Second, c.abort)
 	context.AfterFunc(c.ctx, func() { t.Stop() })
 }
 
-// hold waits until a piece may pass; false if the connection ends first.
-func (c *Conn) hold(d Direction, p piece) bool {
-	drawn := c.link.rand()
+// delayPiece waits until a piece may pass; false if the connection ends first.
+func (c *Conn) delayPiece(d Direction, p piece) bool {
+	drawn := c.link.random()
 	for {
-		f, changed := c.link.state(d)
+		f, changed := c.link.currentFaults(d)
 		if f.Cut {
 			select {
 			case <-changed:
@@ -207,12 +207,12 @@
 	}
 }
 
-// sent books what the near side wrote.
-func (c *Conn) sent(b []byte, now time.Time, err error) {
+// recordSent books what the near side wrote.
+func (c *Conn) recordSent(b []byte, now time.Time, err error) {
 	c.mu.Lock()
 	var leaves func()
-	if err != nil && !c.gone {
-		leaves, c.leaves = c.leaves, nil
+	if err != nil && !c.clientClosed {
+		leaves, c.onClientClosed = c.onClientClosed, nil
 	}
 	defer func() {
 		c.mu.Unlock()
@@ -221,30 +221,30 @@
 		}
 	}()
 	if len(b) > 0 && len(c.written) == 0 {
-		c.first = now
+		c.firstByteAt = now
 	}
-	if len(c.written)+len(b) <= keepMost {
+	if len(c.written)+len(b) <= maxRecorded {
 		c.written = append(c.written, b...)
 	}
-	c.gone = c.gone || err != nil
+	c.clientClosed = c.clientClosed || err != nil
 }
 
-// told books what is written to the near side: from here on it has heard, and
+// recordDelivered books what is written to the near side: from here on it has heard, and
 // what it writes next is a new call. Where it has gone, nobody hears.
-func (c *Conn) told(n int) {
+func (c *Conn) recordDelivered(n int) {
 	now := time.Now()
 	c.mu.Lock()
-	c.back += int64(n)
-	c.written, c.passed = c.written[:0], 0
-	var due []expected
-	for len(c.heard) > 0 && c.heard[0].at <= c.back {
-		if !c.gone {
-			due = append(due, c.heard[0])
+	c.bytesToClient += int64(n)
+	c.written, c.forwarded = c.written[:0], 0
+	var due []pendingResponse
+	for len(c.pendingResponses) > 0 && c.pendingResponses[0].offset <= c.bytesToClient {
+		if !c.clientClosed {
+			due = append(due, c.pendingResponses[0])
 		}
-		c.heard = c.heard[1:]
+		c.pendingResponses = c.pendingResponses[1:]
 	}
 	c.mu.Unlock()
 	for _, e := range due {
-		e.then(now)
+		e.callback(now)
 	}
 }
--- a/internal/faultlab/link/link.go
+++ b/internal/faultlab/link/link.go
@@ -24,8 +24,8 @@
 
 // Forth runs from the side that connects to the side that listens.
 const (
-	Forth Direction = iota
-	Back
+	ToServer Direction = iota
+	ToClient
 )
 
 // Faults are what a link does to the bytes of one direction. The zero value
@@ -38,13 +38,13 @@
 }
 
 const (
-	queueMost  = 64                     // pieces that wait in one direction; TCP holds back the rest
-	pieceMost  = 16 << 10               // bytes of a piece
-	keepMost   = 256 << 10              // bytes kept of a call that is not answered
-	backlog    = 512                    // connections that wait to be accepted
-	fillerMost = 3                      // connections that keep the queue of a cut link full
-	fillerWait = 40 * time.Millisecond  // after which the queue is held to be full
-	dialWait   = 500 * time.Millisecond // for the side that listens, on this machine
+	maxQueuedPieces = 64                     // pieces that wait in one direction; TCP holds back the rest
+	maxPiece        = 16 << 10               // bytes of a piece
+	maxRecorded     = 256 << 10              // bytes kept of a call that is not answered
+	backlog         = 512                    // connections that wait to be accepted
+	maxFillers      = 3                      // connections that keep the queue of a cut link full
+	fillerTimeout   = 40 * time.Millisecond  // after which the queue is held to be full
+	dialTimeout     = 500 * time.Millisecond // for the side that listens, on this machine
 )
 
 // Net knows all open connections of a lab by both addresses that the listening
@@ -72,42 +72,42 @@
 	return len(n.conns)
 }
 
-// Swallowed tells of bytes of a call that never got through: all that the
+// OnCallLost tells of bytes of a call that never got through: all that the
 // connecting side wrote since it last heard an answer, and when its first byte
 // came. It is told when the connection ends, which may be long after.
-type Swallowed func(l *Link, written []byte, first time.Time)
+type OnCallLost func(l *Link, written []byte, first time.Time)
 
 // Link is a proxy from one process to another.
 type Link struct {
-	From, To  string // names of the two processes
-	net       *Net
-	addr      string
-	target    string
-	swallowed Swallowed
-	rand      func() float64
-	wg        sync.WaitGroup
+	Source, Target string // names of the two processes
+	net            *Net
+	addr           string
+	targetAddr     string
+	onCallLost     OnCallLost
+	random         func() float64
+	wg             sync.WaitGroup
 
-	mu      sync.Mutex
-	faults  [2]Faults
-	changed chan struct{} // closed at each change of what follows, and of faults
-	refuse  bool
-	closed  bool
-	ln      *net.TCPListener
-	fillers map[string]net.Conn
-	conns   map[*Conn]struct{}
+	mu       sync.Mutex
+	faults   [2]Faults
+	changed  chan struct{} // closed at each change of what follows, and of faults
+	refuses  bool
+	closed   bool
+	listener *net.TCPListener
+	fillers  map[string]net.Conn
+	conns    map[*Conn]struct{}
 }
 
 // Listen starts a link at addr that leads to target. Close ends it.
-func (n *Net) Listen(from, to, addr, target string, seed uint64, swallowed Swallowed) (*Link, error) {
+func (n *Net) Listen(from, to, addr, target string, seed uint64, swallowed OnCallLost) (*Link, error) {
 	r := rand.New(rand.NewPCG(seed, 0x6c696e6b))
 	var mu sync.Mutex
-	l := &Link{From: from, To: to, net: n, addr: addr, target: target, swallowed: swallowed,
-		rand:    func() float64 { mu.Lock(); defer mu.Unlock(); return r.Float64() },
+	l := &Link{Source: from, Target: to, net: n, addr: addr, targetAddr: target, onCallLost: swallowed,
+		random:  func() float64 { mu.Lock(); defer mu.Unlock(); return r.Float64() },
 		changed: make(chan struct{}), fillers: map[string]net.Conn{}, conns: map[*Conn]struct{}{}}
 	if err := l.listen(); err != nil {
 		return nil, err
 	}
-	l.addr = l.ln.Addr().String()
+	l.addr = l.listener.Addr().String()
 	return l, nil
 }
 
@@ -117,67 +117,67 @@
 func (l *Link) listen() error {
 	ln, err := net.Listen("tcp4", l.addr)
 	if err != nil {
-		return fmt.Errorf("link %s to %s: %w", l.From, l.To, err)
+		return fmt.Errorf("link %s to %s: %w", l.Source, l.Target, err)
 	}
-	l.ln = ln.(*net.TCPListener)
+	l.listener = ln.(*net.TCPListener)
 	l.wg.Add(1)
-	go l.accept(l.ln)
+	go l.accept(l.listener)
 	return nil
 }
 
-// state gives the faults of one direction, and what is closed when they change.
-func (l *Link) state(d Direction) (Faults, <-chan struct{}) {
+// currentFaults gives the faults of one direction, and what is closed when they change.
+func (l *Link) currentFaults(d Direction) (Faults, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults[d], l.changed
 }
 
-func (l *Link) change() {
+func (l *Link) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Set puts faults on one direction, in place of those before.
-func (l *Link) Set(d Direction, f Faults) {
+// SetFaults puts faults on one direction, in place of those before.
+func (l *Link) SetFaults(d Direction, f Faults) {
 	l.mu.Lock()
-	was := l.cut()
+	was := l.isCut()
 	l.faults[d] = f
-	now, ln := l.cut(), l.ln
-	l.change()
+	now, ln := l.isCut(), l.listener
+	l.notifyChange()
 	l.mu.Unlock()
 	if now && !was && ln != nil {
 		ln.SetDeadline(time.Now()) // the accept loop fills the queue and waits
 	}
 }
 
-// cut tells whether a new connection cannot come up.
-func (l *Link) cut() bool { return l.faults[Forth].Cut || l.faults[Back].Cut }
+// isCut tells whether a new connection cannot come up.
+func (l *Link) isCut() bool { return l.faults[ToServer].Cut || l.faults[ToClient].Cut }
 
-// Refuse has new connections refused and open ones reset, as when the process
+// SetRefusing has new connections refused and open ones reset, as when the process
 // at the listening side has died. Refuse(false) listens again.
-func (l *Link) Refuse(on bool) error {
+func (l *Link) SetRefusing(on bool) error {
 	l.mu.Lock()
-	if l.refuse == on || l.closed {
+	if l.refuses == on || l.closed {
 		l.mu.Unlock()
 		return nil
 	}
-	l.refuse = on
-	l.change()
+	l.refuses = on
+	l.notifyChange()
 	if !on {
 		defer l.mu.Unlock()
 		return l.listen()
 	}
-	l.ln.Close()
+	l.listener.Close()
 	l.mu.Unlock()
-	l.Reset(1)
+	l.ResetConns(1)
 	return nil
 }
 
-// Reset ends open connections by a reset, each with the given probability, and
+// ResetConns ends open connections by a reset, each with the given probability, and
 // tells how many.
-func (l *Link) Reset(p float64) (n int) {
-	for _, c := range l.open() {
-		if p >= 1 || l.rand() < p {
+func (l *Link) ResetConns(p float64) (n int) {
+	for _, c := range l.openConns() {
+		if p >= 1 || l.random() < p {
 			c.abort()
 			n++
 		}
@@ -188,14 +188,14 @@
 // HalfOpen ends the listening side of each open connection and leaves the
 // other side open and silent.
 func (l *Link) HalfOpen() {
-	for _, c := range l.open() {
-		c.mute.Store(true)
-		c.far.SetLinger(0)
-		c.far.Close()
+	for _, c := range l.openConns() {
+		c.clientMuted.Store(true)
+		c.server.SetLinger(0)
+		c.server.Close()
 	}
 }
 
-func (l *Link) open() []*Conn {
+func (l *Link) openConns() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := make([]*Conn, 0, len(l.conns))
@@ -210,14 +210,14 @@
 	l.mu.Lock()
 	if !l.closed {
 		l.closed = true
-		l.change()
-		l.ln.Close()
+		l.notifyChange()
+		l.listener.Close()
 		for _, f := range l.fillers {
 			f.Close()
 		}
 	}
 	l.mu.Unlock()
-	l.Reset(1)
+	l.ResetConns(1)
 	l.wg.Wait()
 }
 
@@ -227,7 +227,7 @@
 	for {
 		near, err := ln.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			if !l.await(ln) {
+			if !l.waitWhileCut(ln) {
 				return
 			}
 			continue
@@ -239,7 +239,7 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		if l.filler(near.RemoteAddr().String()) {
+		if l.takeFiller(near.RemoteAddr().String()) {
 			near.Close()
 			continue
 		}
@@ -248,7 +248,7 @@
 	}
 }
 
-func (l *Link) filler(remote string) bool {
+func (l *Link) takeFiller(remote string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f, ok := l.fillers[remote]
@@ -259,13 +259,13 @@
 	return ok
 }
 
-// await keeps new connections from coming up while the link is cut: with its
+// waitWhileCut keeps new connections from coming up while the link is cut: with its
 // accept queue full, the kernel drops what asks for one, and says nothing. It
 // reports whether ln is to be listened to again.
-func (l *Link) await(ln *net.TCPListener) bool {
+func (l *Link) waitWhileCut(ln *net.TCPListener) bool {
 	setBacklog(ln, 0)
-	for range fillerMost {
-		f, err := net.DialTimeout("tcp4", l.addr, fillerWait)
+	for range maxFillers {
+		f, err := net.DialTimeout("tcp4", l.addr, fillerTimeout)
 		if err != nil {
 			break
 		}
@@ -275,7 +275,7 @@
 	}
 	for {
 		l.mu.Lock()
-		cut, gone, changed := l.cut(), l.closed || l.refuse, l.changed
+		cut, gone, changed := l.isCut(), l.closed || l.refuses, l.changed
 		l.mu.Unlock()
 		if gone {
 			return false
@@ -300,22 +300,22 @@
 // connect leads one connection on, and owns it until it has ended.
 func (l *Link) connect(near *net.TCPConn) {
 	defer l.wg.Done()
-	d := net.Dialer{Timeout: dialWait}
-	conn, err := d.Dial("tcp4", l.target)
+	d := net.Dialer{Timeout: dialTimeout}
+	conn, err := d.Dial("tcp4", l.targetAddr)
 	if err != nil { // nobody listens there: as good as refused
 		near.SetLinger(0)
 		near.Close()
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Conn{link: l, near: near, far: conn.(*net.TCPConn), ctx: ctx, cancel: cancel}
+	c := &Conn{link: l, client: near, server: conn.(*net.TCPConn), ctx: ctx, cancel: cancel}
 	ends := [2]string{conn.LocalAddr().String(), conn.RemoteAddr().String()}
 	l.net.mu.Lock()
 	l.net.conns[ends] = c
 	l.net.mu.Unlock()
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
-	gone := l.closed || l.refuse
+	gone := l.closed || l.refuses
 	l.mu.Unlock()
 	if gone {
 		c.abort()
--- a/internal/faultlab/link/link_test.go
+++ b/internal/faultlab/link/link_test.go
@@ -30,7 +30,7 @@
 	return ln.Addr().String()
 }
 
-func testLink(t *testing.T, swallowed Swallowed) *Link {
+func testLink(t *testing.T, swallowed OnCallLost) *Link {
 	t.Helper()
 	l, err := NewNet().Listen("a", "b", "127.0.0.1:0", echo(t), 1, swallowed)
 	if err != nil {
@@ -71,11 +71,11 @@
 }
 
 func TestACutSaysNothingAndHealsWithNoByteLost(t *testing.T) {
-	for _, d := range []Direction{Forth, Back} {
+	for _, d := range []Direction{ToServer, ToClient} {
 		l := testLink(t, nil)
 		c := dial(t, l)
 		ask(t, c, "before")
-		l.Set(d, Faults{Cut: true})
+		l.SetFaults(d, Faults{Cut: true})
 		io.WriteString(c, "during")
 		silentFor(t, c)
 		// The accept queue fills a moment after the cut: then nothing comes up.
@@ -89,7 +89,7 @@
 				t.Fatal("new connections come up over a cut link")
 			}
 		}
-		l.Set(d, Faults{})
+		l.SetFaults(d, Faults{})
 		b := make([]byte, 6)
 		if _, err := io.ReadFull(c, b); err != nil || string(b) != "during" {
 			t.Fatalf("got %q, %v", b, err)
@@ -102,7 +102,7 @@
 	l := testLink(t, nil)
 	c := dial(t, l)
 	ask(t, c, "x")
-	if err := l.Refuse(true); err != nil {
+	if err := l.SetRefusing(true); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
@@ -111,7 +111,7 @@
 	if _, err := net.Dial("tcp4", l.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Fatalf("got %v", err)
 	}
-	if err := l.Refuse(false); err != nil {
+	if err := l.SetRefusing(false); err != nil {
 		t.Fatal(err)
 	}
 	ask(t, dial(t, l), "again")
@@ -130,7 +130,7 @@
 func TestDelayIsOfEachByteAndKeepsOrder(t *testing.T) {
 	l := testLink(t, nil)
 	const delay = 60 * time.Millisecond
-	l.Set(Forth, Faults{Delay: delay, Jitter: delay})
+	l.SetFaults(ToServer, Faults{Delay: delay, Jitter: delay})
 	c := dial(t, l)
 	began := time.Now()
 	ask(t, c, "0123456789")
@@ -144,10 +144,10 @@
 	l := testLink(t, func(_ *Link, written []byte, _ time.Time) { told <- string(written) })
 	c := dial(t, l)
 	ask(t, c, "heard")
-	l.Set(Forth, Faults{Cut: true})
+	l.SetFaults(ToServer, Faults{Cut: true})
 	io.WriteString(c, "swallowed")
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		open := l.open()
+		open := l.openConns()
 		open[0].mu.Lock()
 		read := len(open[0].written)
 		open[0].mu.Unlock()
@@ -158,7 +158,7 @@
 			t.Fatal("the link never read it")
 		}
 	}
-	l.Reset(1)
+	l.ResetConns(1)
 	if got := <-told; got != "swallowed" {
 		t.Errorf("got %q", got)
 	}
--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -34,7 +34,7 @@
 const metricMembers = "app_members"
 
 // stepOutcomes gives the history's word for each message that ends a step.
-var stepOutcomes = map[string]string{logStepCounted: history.Counted, logStepRejected: history.Fenced}
+var stepOutcomes = map[string]string{logStepCounted: history.StepCounted, logStepRejected: history.StepFenced}
 
 // counterLine matches a line of the controller's log about a counter step.
 var counterLine = regexp.MustCompile(fmt.Sprintf(`^time=(\S+) .*msg=(%s|%s|%s) .*count=(\d+) token=(\d+)`,
--- a/internal/faultlab/logparse_test.go
+++ b/internal/faultlab/logparse_test.go
@@ -14,8 +14,8 @@
 		ok      bool
 	}{
 		head + "msg=counts warden=w1 duty=counter count=7 token=3":        {"", true},
-		head + "msg=counted warden=w1 duty=counter count=7 token=3":       {history.Counted, true},
-		head + `msg="not counted" warden=w1 duty=counter count=7 token=3`: {history.Fenced, true},
+		head + "msg=counted warden=w1 duty=counter count=7 token=3":       {history.StepCounted, true},
+		head + `msg="not counted" warden=w1 duty=counter count=7 token=3`: {history.StepFenced, true},
 		head + `msg="leader elected" warden=w1 duty=counter token=3`:      {"", false},
 		"panic: not a log line, count=7 token=3":                          {"", false},
 	} {
--- a/internal/faultlab/model/clients.go
+++ b/internal/faultlab/model/clients.go
@@ -18,35 +18,35 @@
 
 // Load is what clients hand in.
 type Load struct {
-	Rate     float64       // messages a second over all relays
-	Swing    float64       // by which the rate rises and falls, as a share of it
-	Period   time.Duration // of that
-	Clumps   float64       // share of messages that come together for one destination
-	Clump    int           // messages of a clump
-	Weights  []float64     // of the destinations
-	Retries  int
-	Heeds    float64 // share of clients that wait as long as they are told
-	Leavers  float64 // share of clients that leave before their answer
-	Backoff  [2]time.Duration
-	Size     [2]int // bytes of a body
-	Notice   [2]time.Duration
-	Patience time.Duration // for an answer
+	Rate             float64       // messages a second over all relays
+	Swing            float64       // by which the rate rises and falls, as a share of it
+	Period           time.Duration // of that
+	BurstFraction    float64       // share of messages that come together for one destination
+	BurstSize        int           // messages of a clump
+	Weights          []float64     // of the destinations
+	Retries          int
+	HonorRetryAfter  float64 // share of clients that wait as long as they are told
+	LeaverFraction   float64 // share of clients that leave before their answer
+	Backoff          [2]time.Duration
+	BodySize         [2]int // bytes of a body
+	FailureDetection [2]time.Duration
+	ResponseTimeout  time.Duration // for an answer
 }
 
 // StandardLoad is the traffic of a quiet day.
 func StandardLoad(rate float64, weights []float64) Load {
 	ms := time.Millisecond
-	return Load{Rate: rate, Swing: 0.2, Period: 20 * time.Second, Clumps: 0.1, Clump: 8, Weights: weights, Retries: 2,
-		Heeds: 0.7, Backoff: [2]time.Duration{570 * ms, 1400 * ms}, Size: [2]int{40, 400},
-		Notice: [2]time.Duration{1300 * ms, 3500 * ms}, Patience: 400 * ms}
+	return Load{Rate: rate, Swing: 0.2, Period: 20 * time.Second, BurstFraction: 0.1, BurstSize: 8, Weights: weights, Retries: 2,
+		HonorRetryAfter: 0.7, Backoff: [2]time.Duration{570 * ms, 1400 * ms}, BodySize: [2]int{40, 400},
+		FailureDetection: [2]time.Duration{1300 * ms, 3500 * ms}, ResponseTimeout: 400 * ms}
 }
 
 // Arrival is one message before anybody has handed it in.
 type Arrival struct {
-	At    time.Duration
-	Class int
-	Dest  int
-	Size  int
+	At          time.Duration
+	Class       int
+	Destination int
+	Size        int
 }
 
 // Arrivals draws messages ahead of time, so that when they are due depends on
@@ -77,10 +77,10 @@
 	l := &a.load
 	n, dest := 1, pick(a.rand, l.Weights)
 	rate := l.Rate
-	if l.Clump > 1 && l.Clumps > 0 { // events come less often, since some bring many
-		perEvent := 1 / (1 - l.Clumps + l.Clumps/float64(l.Clump))
-		if a.rand.Float64() < l.Clumps/float64(l.Clump)*perEvent {
-			n = l.Clump
+	if l.BurstSize > 1 && l.BurstFraction > 0 { // events come less often, since some bring many
+		perEvent := 1 / (1 - l.BurstFraction + l.BurstFraction/float64(l.BurstSize))
+		if a.rand.Float64() < l.BurstFraction/float64(l.BurstSize)*perEvent {
+			n = l.BurstSize
 		}
 		rate /= perEvent
 	}
@@ -91,10 +91,10 @@
 	a.at += time.Duration(a.rand.ExpFloat64() / rate * float64(time.Second))
 	for i := range n {
 		class := 0
-		if a.rand.Float64() >= Classes()[0].Share {
+		if a.rand.Float64() >= Classes()[0].Fraction {
 			class = 1
 		}
-		a.next = append(a.next, Arrival{a.at + time.Duration(i)*time.Millisecond, class, dest, l.Size[0] + a.rand.IntN(l.Size[1]-l.Size[0]+1)})
+		a.next = append(a.next, Arrival{a.at + time.Duration(i)*time.Millisecond, class, dest, l.BodySize[0] + a.rand.IntN(l.BodySize[1]-l.BodySize[0]+1)})
 	}
 }
 
@@ -117,32 +117,32 @@
 // Clients hand messages in by an open loop, through a front that deals them out
 // over the relays which it believes to be alive.
 type Clients struct {
-	world *World
-	load  Load
-	Late  func(time.Duration) // hears how late each message was begun
-	wg    sync.WaitGroup
-
-	mu    sync.Mutex
-	rand  *rand.Rand
-	addrs map[string]string
-	alive []string // that the front believes in
-	died  map[string]int
-	idle  map[string][]*clientConn
-	began time.Time
-	over  bool // nothing is handed in any more
+	world      *World
+	load       Load
+	OnLateness func(time.Duration) // hears how late each message was begun
+	wg         sync.WaitGroup
+
+	mu         sync.Mutex
+	rand       *rand.Rand
+	addrs      map[string]string
+	alive      []string // that the front believes in
+	generation map[string]int
+	idle       map[string][]*clientConn
+	began      time.Time
+	closed     bool // nothing is handed in any more
 }
 
 // NewClients makes the clients of one seed. addrs says where each relay listens.
 func NewClients(w *World, l Load, addrs map[string]string, seed uint64) *Clients {
-	return &Clients{world: w, load: l, Late: func(time.Duration) {}, rand: rand.New(rand.NewPCG(seed, 0x636c6965)),
-		addrs: addrs, died: map[string]int{}, idle: map[string][]*clientConn{}}
+	return &Clients{world: w, load: l, OnLateness: func(time.Duration) {}, rand: rand.New(rand.NewPCG(seed, 0x636c6965)),
+		addrs: addrs, generation: map[string]int{}, idle: map[string][]*clientConn{}}
 }
 
-// Ready tells the front that a relay answers.
-func (c *Clients) Ready(relay string) {
+// RelayUp tells the front that a relay answers.
+func (c *Clients) RelayUp(relay string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.died[relay]++
+	c.generation[relay]++
 	for _, a := range c.alive {
 		if a == relay {
 			return
@@ -151,13 +151,13 @@
 	c.alive = append(c.alive, relay)
 }
 
-// Gone tells that a relay has died or leaves; the front notices only later.
-func (c *Clients) Gone(ctx context.Context, relay string) {
+// RelayDown tells that a relay has died or leaves; the front notices only later.
+func (c *Clients) RelayDown(ctx context.Context, relay string) {
 	c.mu.Lock()
-	c.died[relay]++
-	n := c.died[relay]
-	after := c.between(c.load.Notice)
-	if c.over {
+	c.generation[relay]++
+	n := c.generation[relay]
+	after := c.drawBetween(c.load.FailureDetection)
+	if c.closed {
 		c.mu.Unlock()
 		return
 	}
@@ -165,12 +165,12 @@
 	c.mu.Unlock()
 	go func() {
 		defer c.wg.Done()
-		if !Pause(ctx, after) {
+		if !Sleep(ctx, after) {
 			return
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.died[relay] != n {
+		if c.generation[relay] != n {
 			return // it is back
 		}
 		for i, a := range c.alive {
@@ -181,13 +181,13 @@
 	}()
 }
 
-// between draws from a span; c.mu is held.
-func (c *Clients) between(s [2]time.Duration) time.Duration {
+// drawBetween draws from a span; c.mu is held.
+func (c *Clients) drawBetween(s [2]time.Duration) time.Duration {
 	return s[0] + time.Duration(c.rand.Float64()*float64(s[1]-s[0]))
 }
 
-// Pause waits for d; false where ctx ends first.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d; false where ctx ends first.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -205,19 +205,19 @@
 	for arrivals := NewArrivals(c.load, seed); ; {
 		a := arrivals.Next()
 		due := c.began.Add(a.At)
-		if !Pause(arriving, time.Until(due)) {
+		if !Sleep(arriving, time.Until(due)) {
 			break
 		}
-		c.Late(time.Since(due))
-		m := &Message{Class: a.Class, Dest: a.Dest, Due: due, Until: due.Add(Classes()[a.Class].Deadline), Body: c.body(a.Size)}
+		c.OnLateness(time.Since(due))
+		m := &Message{Class: a.Class, Destination: a.Destination, Due: due, Deadline: due.Add(Classes()[a.Class].Deadline), Body: c.drawBody(a.Size)}
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			c.hand(ctx, m, false)
+			c.submit(ctx, m, false)
 		}()
 	}
 	c.mu.Lock()
-	c.over = true
+	c.closed = true
 	c.mu.Unlock()
 	c.wg.Wait()
 	c.mu.Lock()
@@ -229,7 +229,7 @@
 	}
 }
 
-func (c *Clients) body(n int) []byte {
+func (c *Clients) drawBody(n int) []byte {
 	b := make([]byte, n)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,42 +239,42 @@
 	return b
 }
 
-// Again hands in, after a while, what a relay held whose disk is lost.
-func (c *Clients) Again(ctx context.Context, m Message) {
-	c.later(ctx, &m, 800*time.Millisecond+time.Duration(c.draw()*1.1*float64(time.Second)), true)
+// Resubmit hands in, after a while, what a relay held whose disk is lost.
+func (c *Clients) Resubmit(ctx context.Context, m Message) {
+	c.submitLater(ctx, &m, 800*time.Millisecond+time.Duration(c.drawFloat()*1.1*float64(time.Second)), true)
 }
 
-// HandedBack hears of a notice; the client may hand the message in again.
-func (c *Clients) HandedBack(ctx context.Context, id string, retryMS int64) {
+// MessageReturned hears of a notice; the client may hand the message in again.
+func (c *Clients) MessageReturned(ctx context.Context, id string, retryMS int64) {
 	var m *Message
-	c.world.Ledger.set(id, func(x *Message) { cp := *x; m = &cp })
-	if m == nil || m.Tries >= c.load.Retries {
+	c.world.Ledger.update(id, func(x *Message) { cp := *x; m = &cp })
+	if m == nil || m.Attempt >= c.load.Retries {
 		return
 	}
-	c.later(ctx, m, c.backoff(retryMS), false)
+	c.submitLater(ctx, m, c.backoff(retryMS), false)
 }
 
-func (c *Clients) draw() float64 {
+func (c *Clients) drawFloat() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rand.Float64()
 }
 
-func (c *Clients) backoff(toldMS int64) time.Duration {
+func (c *Clients) backoff(retryAfterMS int64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.between(c.load.Backoff)
-	if toldMS > 0 && c.rand.Float64() < c.load.Heeds {
-		d = time.Duration(toldMS) * time.Millisecond
+	d := c.drawBetween(c.load.Backoff)
+	if retryAfterMS > 0 && c.rand.Float64() < c.load.HonorRetryAfter {
+		d = time.Duration(retryAfterMS) * time.Millisecond
 	}
 	return d
 }
 
-// later hands a message in once more after d, under a new id.
-func (c *Clients) later(ctx context.Context, m *Message, d time.Duration, again bool) {
-	next := &Message{First: m.First, Class: m.Class, Dest: m.Dest, Due: m.Due, Until: m.Until, Body: m.Body, Tries: m.Tries + 1}
+// submitLater hands a message in once more after d, under a new id.
+func (c *Clients) submitLater(ctx context.Context, m *Message, d time.Duration, resubmit bool) {
+	next := &Message{FirstID: m.FirstID, Class: m.Class, Destination: m.Destination, Due: m.Due, Deadline: m.Deadline, Body: m.Body, Attempt: m.Attempt + 1}
 	c.mu.Lock()
-	if c.over {
+	if c.closed {
 		c.mu.Unlock()
 		return
 	}
@@ -282,60 +282,60 @@
 	c.mu.Unlock()
 	go func() {
 		defer c.wg.Done()
-		if Pause(ctx, d) && time.Until(next.Until) > c.load.Patience {
-			c.hand(ctx, next, again)
+		if Sleep(ctx, d) && time.Until(next.Deadline) > c.load.ResponseTimeout {
+			c.submit(ctx, next, resubmit)
 		}
 	}()
 }
 
-// hand hands one message in and does what its client does then.
-func (c *Clients) hand(ctx context.Context, m *Message, again bool) {
+// submit hands one message in and does what its client does then.
+func (c *Clients) submit(ctx context.Context, m *Message, resubmit bool) {
 	c.mu.Lock()
 	m.ID = fmt.Sprintf("%016x", c.rand.Uint64())
-	if m.First == "" {
-		m.First = m.ID
+	if m.FirstID == "" {
+		m.FirstID = m.ID
 	}
 	if len(c.alive) > 0 {
 		m.Relay = c.alive[c.rand.IntN(len(c.alive))]
 	}
 	leaves := time.Duration(0)
-	if c.rand.Float64() < c.load.Leavers {
+	if c.rand.Float64() < c.load.LeaverFraction {
 		leaves = time.Duration(c.rand.Float64() * float64(100*time.Millisecond))
 	}
 	c.mu.Unlock()
 	if m.Relay == "" {
-		if m.Tries < c.load.Retries {
-			c.later(ctx, m, c.backoff(0), again)
+		if m.Attempt < c.load.Retries {
+			c.submitLater(ctx, m, c.backoff(0), resubmit)
 		}
 		return
 	}
-	c.world.Ledger.Put(m)
-	c.world.Rec.Put(history.Event{Kind: history.Put, Relay: m.Relay, Msg: m.ID, First: m.First, Class: Classes()[m.Class].Name,
-		Dest: m.Dest, Due: c.world.Rec.At(m.Due), For: time.Until(m.Until).Microseconds()})
-	line, err := c.ask(ctx, m, again, leaves)
+	c.world.Ledger.Add(m)
+	c.world.Recorder.Record(history.Event{Kind: history.MessageSubmitted, Relay: m.Relay, Message: m.ID, FirstMessage: m.FirstID, Class: Classes()[m.Class].Name,
+		Destination: m.Destination, DueAt: c.world.Recorder.At(m.Due), ValidFor: time.Until(m.Deadline).Microseconds()})
+	line, err := c.exchange(ctx, m, resubmit, leaves)
 	say := func(k history.Kind, text string, wait time.Duration) {
-		c.world.Rec.Put(history.Event{Kind: k, Relay: m.Relay, Msg: m.ID, Text: text, Wait: wait.Microseconds()})
+		c.world.Recorder.Record(history.Event{Kind: k, Relay: m.Relay, Message: m.ID, Text: text, RetryAfter: wait.Microseconds()})
 	}
 	switch {
 	case err != nil:
-		say(history.Unheard, err.Error(), 0)
-		c.world.Ledger.Over(m.ID)
-		if leaves == 0 && m.Tries < c.load.Retries && ctx.Err() == nil {
-			c.later(ctx, m, c.backoff(0), true)
+		say(history.SubmitUnanswered, err.Error(), 0)
+		c.world.Ledger.Complete(m.ID)
+		if leaves == 0 && m.Attempt < c.load.Retries && ctx.Err() == nil {
+			c.submitLater(ctx, m, c.backoff(0), true)
 		}
 	case strings.HasPrefix(line, "+"), strings.HasPrefix(line, "$"):
-		c.world.Ledger.Taken(m.ID)
-		say(history.Taken, "", 0)
+		c.world.Ledger.Accept(m.ID)
+		say(history.MessageAccepted, "", 0)
 	case strings.HasPrefix(line, "-BUSY"):
 		ms, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")), 10, 64) // none told reads as 0
-		c.world.Ledger.Over(m.ID)
-		say(history.Refused, "", time.Duration(ms)*time.Millisecond)
-		if m.Tries < c.load.Retries {
-			c.later(ctx, m, c.backoff(ms), false)
+		c.world.Ledger.Complete(m.ID)
+		say(history.MessageRejected, "", time.Duration(ms)*time.Millisecond)
+		if m.Attempt < c.load.Retries {
+			c.submitLater(ctx, m, c.backoff(ms), false)
 		}
 	default:
-		c.world.Ledger.Over(m.ID)
-		say(history.Failed, line, 0)
+		c.world.Ledger.Complete(m.ID)
+		say(history.SubmitFailed, line, 0)
 	}
 }
 
@@ -345,8 +345,8 @@
 	last string // the message that was answered last; empty for none
 }
 
-// stray gives what came after the last answer, where nothing may come.
-func (x *clientConn) stray() string {
+// extraResponse gives what came after the last answer, where nothing may come.
+func (x *clientConn) extraResponse() string {
 	x.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
 	if _, err := x.in.Peek(1); err != nil {
 		return "" // nothing, or a close: the next request finds out
@@ -362,8 +362,8 @@
 		x := c.idle[relay][n-1]
 		c.idle[relay] = c.idle[relay][:n-1]
 		c.mu.Unlock()
-		if line := x.stray(); line != "" {
-			c.world.Rec.Put(history.Event{Kind: history.Stray, Relay: relay, Msg: x.last, Text: line})
+		if line := x.extraResponse(); line != "" {
+			c.world.Recorder.Record(history.Event{Kind: history.ExtraResponse, Relay: relay, Message: x.last, Text: line})
 			x.Close()
 			return c.conn(relay, fresh)
 		}
@@ -371,28 +371,28 @@
 	}
 	addr := c.addrs[relay]
 	c.mu.Unlock()
-	conn, err := net.DialTimeout("tcp4", addr, c.load.Patience)
+	conn, err := net.DialTimeout("tcp4", addr, c.load.ResponseTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}, nil
 }
 
-// ask sends the request and reads its answer. A kept connection that the relay
+// exchange sends the request and reads its answer. A kept connection that the relay
 // closed meanwhile is no answer: the request goes out once more on a new one.
-func (c *Clients) ask(ctx context.Context, m *Message, again bool, leaves time.Duration) (string, error) {
+func (c *Clients) exchange(ctx context.Context, m *Message, resubmit bool, leaves time.Duration) (string, error) {
 	for fresh := false; ; fresh = true {
 		x, err := c.conn(m.Relay, fresh)
 		if err != nil {
 			return "", err
 		}
 		stop := context.AfterFunc(ctx, func() { x.Close() })
-		wait := c.load.Patience
+		wait := c.load.ResponseTimeout
 		if leaves > 0 {
 			wait = leaves
 		}
 		x.SetDeadline(time.Now().Add(wait))
-		line, err := x.ask(request(m, again))
+		line, err := x.exchange(putRequest(m, resubmit))
 		stop()
 		if err == nil {
 			x.last = m.ID
@@ -413,7 +413,7 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-func (x *clientConn) ask(req []byte) (string, error) {
+func (x *clientConn) exchange(req []byte) (string, error) {
 	if _, err := x.Write(req); err != nil {
 		return "", err
 	}
@@ -423,7 +423,7 @@
 	}
 	if n, ok := strings.CutPrefix(line, "$"); ok { // a bulk string: its text follows
 		size, err := strconv.Atoi(strings.TrimSpace(n))
-		if err != nil || size < 0 || size > bodyMost {
+		if err != nil || size < 0 || size > maxBody {
 			return "", fmt.Errorf("answer %q", line)
 		}
 		if _, err := x.in.Discard(size + 2); err != nil {
@@ -433,12 +433,12 @@
 	return strings.TrimRight(line, "\r\n"), nil
 }
 
-// request is MSG.PUT as the protocol page has it.
-func request(m *Message, again bool) []byte {
-	list := fmt.Sprintf("c=%s,d=%d,dest=%d", Classes()[m.Class].Name, max(1, time.Until(m.Until).Milliseconds()), m.Dest)
-	if again {
+// putRequest is MSG.PUT as the protocol page has it.
+func putRequest(m *Message, resubmit bool) []byte {
+	list := fmt.Sprintf("c=%s,d=%d,dest=%d", Classes()[m.Class].Name, max(1, time.Until(m.Deadline).Milliseconds()), m.Destination)
+	if resubmit {
 		list += ",again=1"
-	} else if m.Tries > 0 {
+	} else if m.Attempt > 0 {
 		list += ",r=1"
 	}
 	out := []byte("*5\r\n")
@@ -450,15 +450,15 @@
 	return append(out, "\r\n"...)
 }
 
-// BadPeers are the kinds of peer that send no proper request.
-var BadPeers = []string{"garbage", "silent", "half", "unknown", "long"}
+// InvalidPeers are the kinds of peer that send no proper request.
+var InvalidPeers = []string{"garbage", "silent", "half", "unknown", "long"}
 
-// BadPeer connects to a relay as a bad peer of one kind and records whether it
+// ConnectInvalidPeer connects to a relay as a bad peer of one kind and records whether it
 // got an error line or a close in the time that the terms give it.
-func BadPeer(ctx context.Context, w *World, relay, addr, kind string) {
+func ConnectInvalidPeer(ctx context.Context, w *World, relay, addr, kind string) {
 	began := time.Now()
 	say := func(status int, text string) {
-		w.Rec.Put(history.Event{Kind: history.BadPeer, Relay: relay, Status: status, Took: time.Since(began).Microseconds(), Text: kind + ": " + text})
+		w.Recorder.Record(history.Event{Kind: history.InvalidPeer, Relay: relay, Status: status, Took: time.Since(began).Microseconds(), Text: kind + ": " + text})
 	}
 	conn, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
@@ -467,9 +467,9 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	limit := w.Rules.BadPeer
+	limit := w.Rules.InvalidPeerTimeout
 	if kind == "long" {
-		limit = w.Rules.BadPeerLong
+		limit = w.Rules.LongRequestTimeout
 	}
 	conn.SetDeadline(began.Add(limit + 500*time.Millisecond))
 	sent := make(chan struct{})
--- a/internal/faultlab/model/discovery.go
+++ b/internal/faultlab/model/discovery.go
@@ -30,8 +30,8 @@
 )
 
 const (
-	watchQuiet = 2 * time.Second // an empty line, as long as nothing changes
-	noticeMost = 1 << 20
+	watchKeepAlive = 2 * time.Second // an empty line, as long as nothing changes
+	maxNotices     = 1 << 20
 )
 
 // Discovery holds the list and gives each relay an agent that hears of it.
@@ -53,8 +53,8 @@
 	return &Discovery{world: w, rand: rand.New(rand.NewPCG(seed, 0x64697363)), rev: 1, filled: time.Now()}
 }
 
-// TurnAway bounds the calls a second that are served; 0 lifts the bound.
-func (d *Discovery) TurnAway(perSecond float64) {
+// LimitRate bounds the calls a second that are served; 0 lifts the bound.
+func (d *Discovery) LimitRate(perSecond float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.served, d.tokens, d.filled = perSecond, 1, time.Now()
@@ -88,7 +88,7 @@
 		delays[i] = time.Duration(d.rand.Float64() * float64(late))
 	}
 	d.mu.Unlock()
-	d.world.Rec.Put(history.Event{Kind: history.Listed, Endpoint: id, Phase: phase})
+	d.world.Recorder.Record(history.Event{Kind: history.EndpointChanged, Endpoint: id, Phase: phase})
 	for i, a := range agents {
 		d.wg.Add(1)
 		t := time.NewTimer(delays[i])
@@ -106,29 +106,29 @@
 
 // Agent is discovery on one relay's machine.
 type Agent struct {
-	*Door
-	Relay string
-	disc  *Discovery
+	*Listener
+	Relay     string
+	discovery *Discovery
 
-	mu      sync.Mutex
-	list    List
-	log     []List // what changed, by revision
-	removed map[string]Member
-	said    map[string]string // the phase of each member, as the relay was last told
-	news    chan struct{}
-	noticed func(id, outcome string, retryMS int64)
+	mu              sync.Mutex
+	list            List
+	log             []List // what changed, by revision
+	removed         map[string]Member
+	deliveredPhases map[string]string // the phase of each member, as the relay was last told
+	changed         chan struct{}
+	onNotice        func(id, outcome string, retryMS int64)
 }
 
 // NewAgent starts the agent of one relay at an address of ip. noticed hears of
 // each notice that is taken.
 func (d *Discovery) NewAgent(relay, ip string, members []Member, noticed func(id, outcome string, retryMS int64)) (*Agent, error) {
-	a := &Agent{Relay: relay, disc: d, list: List{Revision: d.rev, Complete: true, Members: slices.Clone(members)},
-		removed: map[string]Member{}, said: map[string]string{}, news: make(chan struct{}), noticed: noticed}
+	a := &Agent{Relay: relay, discovery: d, list: List{Revision: d.rev, Complete: true, Members: slices.Clone(members)},
+		removed: map[string]Member{}, deliveredPhases: map[string]string{}, changed: make(chan struct{}), onNotice: noticed}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+discovery.ListPath, a.instances)
-	mux.HandleFunc("POST "+discovery.NoticePath, a.reports)
+	mux.HandleFunc("GET "+discovery.ListPath, a.serveList)
+	mux.HandleFunc("POST "+discovery.NoticePath, a.serveNotices)
 	var err error
-	if a.Door, err = NewDoor(ip, mux); err != nil {
+	if a.Listener, err = NewListener(ip, mux); err != nil {
 		return nil, fmt.Errorf("agent of %s: %w", relay, err)
 	}
 	d.mu.Lock()
@@ -171,8 +171,8 @@
 	a.list.Members = members
 	a.list.Revision = max(a.list.Revision+1, rev)
 	a.log = append(a.log, List{Revision: a.list.Revision, Members: []Member{m}})
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
 // since gives what changed after a revision, or the whole list where that is
@@ -185,7 +185,7 @@
 		first = a.log[0].Revision - 1
 	}
 	if rev > a.list.Revision || rev < min(first, 1) {
-		return []List{a.list}, a.news
+		return []List{a.list}, a.changed
 	}
 	var out []List
 	for _, l := range a.log {
@@ -193,21 +193,21 @@
 			out = append(out, l)
 		}
 	}
-	return out, a.news
+	return out, a.changed
 }
 
-func (a *Agent) instances(w http.ResponseWriter, r *http.Request) {
-	if !a.Hold(r.Context()) {
+func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
+	if !a.WaitUntilAudible(r.Context()) {
 		return
 	}
-	if !a.disc.admits() {
+	if !a.discovery.admits() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
 		l := a.Known()
 		if json.NewEncoder(w).Encode(l) == nil {
-			a.told(l)
+			a.recordDelivered(l)
 		}
 		return
 	}
@@ -223,20 +223,20 @@
 	flush := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
 	flush.Flush()
-	for enc := json.NewEncoder(w); a.Hold(r.Context()); {
+	for enc := json.NewEncoder(w); a.WaitUntilAudible(r.Context()); {
 		lists, news := a.since(from)
 		for _, l := range lists {
 			if enc.Encode(l) != nil || flush.Flush() != nil {
 				return
 			}
 			from = l.Revision
-			a.told(l)
+			a.recordDelivered(l)
 		}
-		quiet := time.NewTimer(watchQuiet)
+		quiet := time.NewTimer(watchKeepAlive)
 		select {
 		case <-news:
 		case <-quiet.C:
-			if !a.Hold(r.Context()) {
+			if !a.WaitUntilAudible(r.Context()) {
 				return
 			}
 			if _, err := io.WriteString(w, "\n"); err != nil || flush.Flush() != nil {
@@ -250,50 +250,50 @@
 	}
 }
 
-// told records what a list says that was written to the relay.
-func (a *Agent) told(l List) {
+// recordDelivered records what a list says that was written to the relay.
+func (a *Agent) recordDelivered(l List) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, e := range News(a.said, l) {
+	for _, e := range DeliveredChanges(a.deliveredPhases, l) {
 		e.Relay = a.Relay
-		a.disc.world.Rec.Put(e)
+		a.discovery.world.Recorder.Record(e)
 	}
 }
 
-// News gives what a list tells that is news beside what was said before, and
+// DeliveredChanges gives what a list tells that is news beside what was said before, and
 // books it there. A whole list also tells of each member that it no longer holds.
-func News(said map[string]string, l List) (all []history.Event) {
-	say := func(id, phase string) {
-		was, known := said[id]
-		if said[id] = phase; was != phase && (known || phase != Up) {
-			all = append(all, history.Event{Kind: history.Told, Endpoint: id, Phase: phase})
+func DeliveredChanges(delivered map[string]string, l List) (all []history.Event) {
+	deliver := func(id, phase string) {
+		was, known := delivered[id]
+		if delivered[id] = phase; was != phase && (known || phase != Up) {
+			all = append(all, history.Event{Kind: history.ChangeDelivered, Endpoint: id, Phase: phase})
 		}
 	}
 	listed := map[string]bool{}
 	for _, m := range l.Members {
 		listed[m.ID] = true
-		say(m.ID, m.Phase)
+		deliver(m.ID, m.Phase)
 	}
-	for id := range said {
+	for id := range delivered {
 		if l.Complete && !listed[id] {
-			say(id, Removed)
+			deliver(id, Removed)
 		}
 	}
 	return all
 }
 
 // Started books that a process of the relay begins with this list in its configuration.
-func (a *Agent) Started(l List) { a.told(l) }
+func (a *Agent) Started(l List) { a.recordDelivered(l) }
 
-func (a *Agent) reports(w http.ResponseWriter, r *http.Request) {
-	all, err := discovery.ReadNotices(io.LimitReader(r.Body, noticeMost))
+func (a *Agent) serveNotices(w http.ResponseWriter, r *http.Request) {
+	all, err := discovery.ReadNotices(io.LimitReader(r.Body, maxNotices))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	for _, n := range all {
-		a.disc.world.Rec.Put(history.Event{Kind: history.Notice, Relay: a.Relay, Msg: n.Message, Text: n.Outcome, Wait: n.RetryMS * 1000})
-		a.noticed(n.Message, n.Outcome, n.RetryMS)
+		a.discovery.world.Recorder.Record(history.Event{Kind: history.Notice, Relay: a.Relay, Message: n.Message, Text: n.Outcome, RetryAfter: n.RetryMS * 1000})
+		a.onNotice(n.Message, n.Outcome, n.RetryMS)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/faultlab/model/door.go
+++ b/internal/faultlab/model/door.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-const movedClose = 1500 * time.Millisecond // after a move the old address closes what is open
+const rebindGrace = 1500 * time.Millisecond // after a move the old address closes what is open
 
-// Door is where a relay finds discovery: an address that may move, and that may
+// Listener is where a relay finds discovery: an address that may move, and that may
 // go silent while its connections stay open. Its owner closes it.
-type Door struct {
+type Listener struct {
 	ip      string
 	handler http.Handler
 	wg      sync.WaitGroup
@@ -26,13 +26,13 @@
 	change chan struct{} // closed when silent changes
 }
 
-// NewDoor serves at an address of ip.
-func NewDoor(ip string, handler http.Handler) (*Door, error) {
-	d := &Door{ip: ip, handler: handler, change: make(chan struct{})}
+// NewListener serves at an address of ip.
+func NewListener(ip string, handler http.Handler) (*Listener, error) {
+	d := &Listener{ip: ip, handler: handler, change: make(chan struct{})}
 	return d, d.listen()
 }
 
-func (d *Door) listen() error {
+func (d *Listener) listen() error {
 	ln, err := net.Listen("tcp4", net.JoinHostPort(d.ip, "0"))
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
@@ -50,15 +50,15 @@
 }
 
 // Addr is where it listens now.
-func (d *Door) Addr() string {
+func (d *Listener) Addr() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addr
 }
 
-// Move begins to serve at a new address. The old one closes at once for new
+// Rebind begins to serve at a new address. The old one closes at once for new
 // connections, a while later for the open ones.
-func (d *Door) Move(ctx context.Context) error {
+func (d *Listener) Rebind(ctx context.Context) error {
 	d.mu.Lock()
 	old := d.server
 	d.mu.Unlock()
@@ -68,7 +68,7 @@
 	d.wg.Add(1)
 	go func() {
 		defer d.wg.Done()
-		short, cancel := context.WithTimeout(ctx, movedClose)
+		short, cancel := context.WithTimeout(ctx, rebindGrace)
 		defer cancel()
 		old.Shutdown(short) // closes the listener, waits for open calls until short is over
 		old.Close()
@@ -77,7 +77,7 @@
 }
 
 // SetSilent has nothing of the list said; notices are taken all the same.
-func (d *Door) SetSilent(on bool) {
+func (d *Listener) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = on
@@ -85,8 +85,8 @@
 	d.change = make(chan struct{})
 }
 
-// Hold waits until the door is not silent; false where ctx ends first.
-func (d *Door) Hold(ctx context.Context) bool {
+// WaitUntilAudible waits until the door is not silent; false where ctx ends first.
+func (d *Listener) WaitUntilAudible(ctx context.Context) bool {
 	for {
 		d.mu.Lock()
 		silent, change := d.silent, d.change
@@ -103,7 +103,7 @@
 }
 
 // Close ends the door and what goes on behind it.
-func (d *Door) Close() {
+func (d *Listener) Close() {
 	d.mu.Lock()
 	s := d.server
 	d.mu.Unlock()
--- a/internal/faultlab/model/endpoint.go
+++ b/internal/faultlab/model/endpoint.go
@@ -20,54 +20,54 @@
 )
 
 const (
-	bodyMost   = 64 << 10
-	itemsMost  = 64 // of a batch that is read at all
-	retryAfter = "Retry-After: %.3f\r\n"
+	maxBody          = 64 << 10
+	maxItems         = 64 // of a batch that is read at all
+	retryAfterHeader = "Retry-After: %.3f\r\n"
 )
 
 // Endpoint is one server of a partner.
 type Endpoint struct {
-	ID        string
-	Zone      string
-	Partner   *Partner
-	Servers   int // calls that it serves at once
-	Queue     int // that wait beyond those
-	Conns     int // connections that it holds, idle ones counted
-	Batch     int
-	KeepAlive time.Duration
-	world     *World
-	ln        net.Listener
+	ID          string
+	Zone        string
+	Upstream    *Upstream
+	Servers     int // calls that it serves at once
+	QueueSize   int // that wait beyond those
+	MaxConns    int // connections that it holds, idle ones counted
+	MaxBatch    int
+	IdleTimeout time.Duration
+	world       *World
+	listener    net.Listener
 
 	mu      sync.Mutex
-	own     Spell
+	fault   Fault
 	isDown  bool
-	open    map[net.Conn]struct{}
+	conns   map[net.Conn]struct{}
 	waiting int
-	slots   chan struct{}
+	servers chan struct{}
 }
 
 // World is what all stand-ins of a run share.
 type World struct {
-	Rec    *history.Recorder
-	Ledger *Ledger
-	Net    *link.Net
-	Rules  Rules
-	Served func(class int, after time.Duration) // hears of each first delivery; may be nil
-	calls  atomic.Int64
+	Recorder    *history.Recorder
+	Ledger      *Ledger
+	Net         *link.Net
+	Rules       Rules
+	OnDelivered func(class int, after time.Duration) // hears of each first delivery; may be nil
+	calls       atomic.Int64
 }
 
-// reached books that a relay has heard that a message is delivered.
-func (w *World) reached(id string) {
+// recordDelivery books that a relay has heard that a message is delivered.
+func (w *World) recordDelivery(id string) {
 	var class int
 	var due time.Time
-	w.Ledger.set(id, func(m *Message) {
-		if !m.Reached {
+	w.Ledger.update(id, func(m *Message) {
+		if !m.Delivered {
 			class, due = m.Class, m.Due
 		}
-		m.Reached, m.Over = true, true
+		m.Delivered, m.Completed = true, true
 	})
-	if w.Served != nil && !due.IsZero() {
-		w.Served(class, time.Since(due))
+	if w.OnDelivered != nil && !due.IsZero() {
+		w.OnDelivered(class, time.Since(due))
 	}
 }
 
@@ -77,16 +77,16 @@
 	if err != nil {
 		return fmt.Errorf("endpoint %s: %w", e.ID, err)
 	}
-	e.world, e.ln, e.open = w, ln, map[net.Conn]struct{}{}
-	e.slots = make(chan struct{}, e.Servers)
-	e.Partner.mu.Lock()
-	e.Partner.members++
-	e.Partner.mu.Unlock()
+	e.world, e.listener, e.conns = w, ln, map[net.Conn]struct{}{}
+	e.servers = make(chan struct{}, e.Servers)
+	e.Upstream.mu.Lock()
+	e.Upstream.endpoints++
+	e.Upstream.mu.Unlock()
 	context.AfterFunc(ctx, func() {
 		ln.Close()
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		for c := range e.open {
+		for c := range e.conns {
 			c.Close()
 		}
 	})
@@ -103,15 +103,15 @@
 				continue
 			}
 			e.mu.Lock()
-			e.open[c] = struct{}{}
-			surplus := len(e.open) > e.Conns
+			e.conns[c] = struct{}{}
+			surplus := len(e.conns) > e.MaxConns
 			e.mu.Unlock()
 			done.Add(1)
 			go func() {
 				defer done.Done()
-				e.converse(ctx, c, surplus)
+				e.serveConn(ctx, c, surplus)
 				e.mu.Lock()
-				delete(e.open, c)
+				delete(e.conns, c)
 				e.mu.Unlock()
 			}()
 		}
@@ -120,13 +120,13 @@
 }
 
 // Addr is where it listens.
-func (e *Endpoint) Addr() string { return e.ln.Addr().String() }
+func (e *Endpoint) Addr() string { return e.listener.Addr().String() }
 
-// SetSpell puts a trouble on this endpoint alone.
-func (e *Endpoint) SetSpell(s Spell) {
+// SetFault puts a trouble on this endpoint alone.
+func (e *Endpoint) SetFault(s Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.own = s
+	e.fault = s
 }
 
 // SetDown books that its process is gone or back; its links do the refusing.
@@ -136,17 +136,17 @@
 	e.isDown = on
 	e.mu.Unlock()
 	if was != on {
-		e.Partner.endpointDown(on)
+		e.Upstream.setEndpointDown(on)
 	}
 }
 
-// converse serves one connection, and owns it.
-func (e *Endpoint) converse(ctx context.Context, c net.Conn, surplus bool) {
+// serveConn serves one connection, and owns it.
+func (e *Endpoint) serveConn(ctx context.Context, c net.Conn, surplus bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	var sent int64
 	for ctx.Err() == nil {
-		c.SetReadDeadline(time.Now().Add(e.KeepAlive))
+		c.SetReadDeadline(time.Now().Add(e.IdleTimeout))
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
@@ -160,14 +160,14 @@
 			return // the link is gone already
 		}
 		e.mu.Lock()
-		own := e.own
+		own := e.fault
 		e.mu.Unlock()
-		spell, fell := e.Partner.trouble(own)
-		if spell.Reset > 0 && e.Partner.draw() < spell.Reset {
+		spell, fell := e.Upstream.faultFor(own)
+		if spell.Reset > 0 && e.Upstream.drawFloat() < spell.Reset {
 			c.(*net.TCPConn).SetLinger(0)
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(req.Body, bodyMost+1))
+		body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
 		if err != nil {
 			return // not whole: it never was a call
 		}
@@ -181,12 +181,12 @@
 			}
 		}()
 		id := e.world.calls.Add(1)
-		conn.Leaves(func() { e.world.Rec.Put(history.Event{Kind: history.Left, Call: id}) })
+		conn.OnClientClosed(func() { e.world.Recorder.Record(history.Event{Kind: history.CallAborted, Call: id}) })
 		a := e.call(called, id, conn, req, body, spell, fell, surplus)
 		ended := called.Err() != nil
 		cancel()
 		if ended || a.text == nil {
-			e.world.Rec.Put(history.Event{Kind: history.Ended, Call: a.call, Endpoint: e.ID})
+			e.world.Recorder.Record(history.Event{Kind: history.CallBroken, Call: a.call, Endpoint: e.ID})
 			if a.reset {
 				c.(*net.TCPConn).SetLinger(0)
 			}
@@ -195,17 +195,17 @@
 			return
 		}
 		sent += int64(len(a.text))
-		e.world.Rec.Put(history.Event{Kind: history.Answer, Call: a.call, Endpoint: e.ID, Status: a.status, Wait: a.wait.Microseconds(), States: a.states})
-		conn.Expect(sent, func(time.Time) {
+		e.world.Recorder.Record(history.Event{Kind: history.ResponseSent, Call: a.call, Endpoint: e.ID, Status: a.status, RetryAfter: a.wait.Microseconds(), States: a.states})
+		conn.OnDelivered(sent, func(time.Time) {
 			for _, id := range a.reached {
-				e.world.reached(id)
+				e.world.recordDelivery(id)
 			}
 			for _, id := range a.over {
-				e.world.Ledger.Over(id)
+				e.world.Ledger.Complete(id)
 			}
-			e.world.Rec.Put(history.Event{Kind: history.Heard, Call: a.call})
+			e.world.Recorder.Record(history.Event{Kind: history.ResponseReceived, Call: a.call})
 		})
-		c.SetReadDeadline(time.Now().Add(e.KeepAlive))
+		c.SetReadDeadline(time.Now().Add(e.IdleTimeout))
 		if _, err := c.Write(a.text); err != nil || a.last {
 			c.Close()
 		}
@@ -213,8 +213,8 @@
 	}
 }
 
-// answer is what comes back for a call.
-type answer struct {
+// response is what comes back for a call.
+type response struct {
 	call    int64
 	status  int // 0 where it cannot be read
 	wait    time.Duration
@@ -233,104 +233,104 @@
 }
 
 // call takes one whole call to its answer.
-func (e *Endpoint) call(ctx context.Context, id int64, conn *link.Conn, req *http.Request, body []byte, spell Spell, fell, surplus bool) answer {
+func (e *Endpoint) call(ctx context.Context, id int64, conn *link.Conn, req *http.Request, body []byte, spell Fault, fell, surplus bool) response {
 	now := time.Now()
-	a := answer{call: id}
-	items, batch, bad := e.items(req, body)
+	a := response{call: id}
+	items, batch, bad := e.parseItems(req, body)
 	ids := make([]string, len(items))
 	for i, x := range items {
 		ids[i] = x.ID
 	}
-	e.world.Rec.Put(history.Event{Kind: history.Call, Call: a.call, Relay: conn.From(), Endpoint: e.ID, Dest: e.Partner.Cell,
-		Msgs: ids, From: e.world.Rec.At(conn.First())})
+	e.world.Recorder.Record(history.Event{Kind: history.CallReceived, Call: a.call, Relay: conn.Source(), Endpoint: e.ID, Destination: e.Upstream.Destination,
+		Messages: ids, SentAt: e.world.Recorder.At(conn.FirstByteAt())})
 	if bad != 0 {
-		e.wrong(conn.From(), "", fmt.Sprintf("a call that is answered %d", bad))
-		return e.plain(a, bad, 0, false)
+		e.recordInvalidCall(conn.Source(), "", fmt.Sprintf("a call that is answered %d", bad))
+		return e.plainResponse(a, bad, 0, false)
 	}
-	verdicts := make([]verdict, len(items))
+	verdicts := make([]callVerdict, len(items))
 	worst, took := time.Duration(0), time.Duration(0)
 	for i, x := range items {
 		var class int
-		verdicts[i], class = e.world.Ledger.arrive(x.ID, e.Partner.Cell, x.Body, e.world.Rules.Attempts, now)
+		verdicts[i], class = e.world.Ledger.receive(x.ID, e.Upstream.Destination, x.Body, e.world.Rules.MaxAttempts, now)
 		switch verdicts[i] {
-		case unknown:
-			e.wrong(conn.From(), x.ID, "a message that no client handed in in this form")
-			return e.plain(a, http.StatusBadRequest, 0, false)
-		case elsewhere:
-			e.wrong(conn.From(), x.ID, fmt.Sprintf("a message of another destination, at %d", e.Partner.Cell))
-			return e.plain(a, http.StatusBadRequest, 0, false)
+		case unknownMessage:
+			e.recordInvalidCall(conn.Source(), x.ID, "a message that no client handed in in this form")
+			return e.plainResponse(a, http.StatusBadRequest, 0, false)
+		case wrongDestination:
+			e.recordInvalidCall(conn.Source(), x.ID, fmt.Sprintf("a message of another destination, at %d", e.Upstream.Destination))
+			return e.plainResponse(a, http.StatusBadRequest, 0, false)
 		}
-		t := Classes()[class].Took
-		took = t[0] + time.Duration(e.Partner.draw()*float64(t[1]-t[0]))
+		t := Classes()[class].ServiceTime
+		took = t[0] + time.Duration(e.Upstream.drawFloat()*float64(t[1]-t[0]))
 		worst = max(worst, took)
 	}
 	if surplus {
 		a.last = true
-		return e.plain(a, http.StatusServiceUnavailable, 0, false)
+		return e.plainResponse(a, http.StatusServiceUnavailable, 0, false)
 	}
-	if r := e.Partner.admit(conn.From(), now); r.away || fell {
-		if r.wait > 0 {
-			a.wait = r.wait
-			return e.plain(a, http.StatusTooManyRequests, r.wait, !fell)
+	if r := e.Upstream.admit(conn.Source(), now); r.rejected || fell {
+		if r.retryAfter > 0 {
+			a.wait = r.retryAfter
+			return e.plainResponse(a, http.StatusTooManyRequests, r.retryAfter, !fell)
 		}
-		return e.plain(a, http.StatusServiceUnavailable, 0, !fell)
+		return e.plainResponse(a, http.StatusServiceUnavailable, 0, !fell)
 	}
 	if !batch {
 		switch verdicts[0] {
-		case overdue:
+		case expired:
 			a.over = ids
-			return e.plain(a, http.StatusGone, 0, true)
-		case tooMany:
-			return e.plain(a, http.StatusGatewayTimeout, 0, true)
+			return e.plainResponse(a, http.StatusGone, 0, true)
+		case attemptsExhausted:
+			return e.plainResponse(a, http.StatusGatewayTimeout, 0, true)
 		}
 	}
-	if !e.enter(ctx) {
+	if !e.acquireServer(ctx) {
 		if ctx.Err() != nil {
 			return a
 		}
-		return e.plain(a, http.StatusServiceUnavailable, 0, true)
+		return e.plainResponse(a, http.StatusServiceUnavailable, 0, true)
 	}
-	defer func() { <-e.slots }()
+	defer func() { <-e.servers }()
 	if spell.Silent {
 		<-ctx.Done()
 		return a
 	}
 	worst += worst / 10 * time.Duration(len(items)-1)
-	if !Pause(ctx, time.Duration(float64(worst)*e.Partner.Pace*max(1, spell.Slow))) && e.Partner.draw() < 0.5 {
+	if !Sleep(ctx, time.Duration(float64(worst)*e.Upstream.LatencyFactor*max(1, spell.Slow))) && e.Upstream.drawFloat() < 0.5 {
 		return a // called off, and it stopped in time
 	}
-	fails := e.Partner.draw() < spell.Fail
-	if fails && e.Partner.draw() < 0.5 {
-		return e.plain(a, http.StatusInternalServerError, 0, true)
+	fails := e.Upstream.drawFloat() < spell.Fail
+	if fails && e.Upstream.drawFloat() < 0.5 {
+		return e.plainResponse(a, http.StatusInternalServerError, 0, true)
 	}
 	for i, x := range items {
-		if verdicts[i] == callable || verdicts[i] == again || verdicts[i] == twice {
-			e.world.Rec.Put(history.Event{Kind: history.Ran, Call: a.call, Endpoint: e.ID, Msg: x.ID})
+		if verdicts[i] == callable || verdicts[i] == duplicate || verdicts[i] == unsafeDuplicate {
+			e.world.Recorder.Record(history.Event{Kind: history.MessageExecuted, Call: a.call, Endpoint: e.ID, Message: x.ID})
 		}
 	}
 	if fails {
-		return e.plain(a, http.StatusInternalServerError, 0, true)
+		return e.plainResponse(a, http.StatusInternalServerError, 0, true)
 	}
-	if e.Partner.draw() < spell.Lose {
+	if e.Upstream.drawFloat() < spell.LoseResponse {
 		a.reset = true
 		return a
 	}
-	if e.Partner.draw() < spell.Spoil {
-		return e.spoilt(a, items, batch)
+	if e.Upstream.drawFloat() < spell.CorruptResponse {
+		return e.corruptResponse(a, items, batch)
 	}
 	if !batch {
 		a.reached = ids
-		return e.plain(a, http.StatusOK, 0, true)
+		return e.plainResponse(a, http.StatusOK, 0, true)
 	}
-	return e.each(a, items, verdicts)
+	return e.batchResponse(a, items, verdicts)
 }
 
-// items reads what a call carries, or says by which status it is refused.
-func (e *Endpoint) items(req *http.Request, body []byte) (items []item, batch bool, bad int) {
+// parseItems reads what a call carries, or says by which status it is refused.
+func (e *Endpoint) parseItems(req *http.Request, body []byte) (items []item, batch bool, bad int) {
 	switch {
 	case req.Method != http.MethodPost:
 		return nil, false, http.StatusMethodNotAllowed
-	case len(body) > bodyMost:
+	case len(body) > maxBody:
 		return nil, false, http.StatusRequestEntityTooLarge
 	case req.URL.Path == "/v1/messages":
 		return []item{{req.Header.Get("X-Request-ID"), body}}, false, 0
@@ -340,7 +340,7 @@
 	if json.Unmarshal(body, &items) != nil || len(items) == 0 {
 		return nil, true, http.StatusBadRequest
 	}
-	if len(items) > max(1, e.Batch) || len(items) > itemsMost {
+	if len(items) > max(1, e.MaxBatch) || len(items) > maxItems {
 		return items, true, http.StatusRequestEntityTooLarge
 	}
 	seen := map[string]bool{}
@@ -353,20 +353,20 @@
 	return items, true, 0
 }
 
-func (e *Endpoint) wrong(relay, msg, text string) {
-	e.world.Rec.Put(history.Event{Kind: history.Wrong, Relay: relay, Endpoint: e.ID, Msg: msg, Text: text})
+func (e *Endpoint) recordInvalidCall(relay, msg, text string) {
+	e.world.Recorder.Record(history.Event{Kind: history.InvalidCall, Relay: relay, Endpoint: e.ID, Message: msg, Text: text})
 }
 
-// enter takes one of the endpoint's servers, or a place in its queue until one
+// acquireServer takes one of the endpoint's servers, or a place in its queue until one
 // is free; false where both are full or the call is called off.
-func (e *Endpoint) enter(ctx context.Context) bool {
+func (e *Endpoint) acquireServer(ctx context.Context) bool {
 	select {
-	case e.slots <- struct{}{}:
+	case e.servers <- struct{}{}:
 		return true
 	default:
 	}
 	e.mu.Lock()
-	full := e.waiting >= e.Queue
+	full := e.waiting >= e.QueueSize
 	if !full {
 		e.waiting++
 	}
@@ -376,7 +376,7 @@
 	}
 	defer func() { e.mu.Lock(); e.waiting--; e.mu.Unlock() }()
 	select {
-	case e.slots <- struct{}{}:
+	case e.servers <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
@@ -387,16 +387,16 @@
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	if wait > 0 {
-		fmt.Fprintf(&b, retryAfter, math.Ceil(wait.Seconds()*1000)/1000)
+		fmt.Fprintf(&b, retryAfterHeader, math.Ceil(wait.Seconds()*1000)/1000)
 	}
 	if reports {
-		x0, x1 := e.Partner.report(time.Now())
+		x0, x1 := e.Upstream.loadReport(time.Now())
 		fmt.Fprintf(&b, "X-Server-Load: x0=%.3f,x1=%.2f\r\n", x0, x1)
 	}
 	return b.Bytes()
 }
 
-func (e *Endpoint) plain(a answer, status int, wait time.Duration, reports bool) answer {
+func (e *Endpoint) plainResponse(a response, status int, wait time.Duration, reports bool) response {
 	a.status = status
 	a.text = e.header(status, wait, reports)
 	if a.last {
@@ -406,9 +406,9 @@
 	return a
 }
 
-// each answers a batch message by message.
-func (e *Endpoint) each(a answer, items []item, verdicts []verdict) answer {
-	words := map[verdict]string{callable: "accepted", again: "accepted", twice: "accepted", overdue: "expired", tooMany: "no_more"}
+// batchResponse answers a batch message by message.
+func (e *Endpoint) batchResponse(a response, items []item, verdicts []callVerdict) response {
+	words := map[callVerdict]string{callable: "accepted", duplicate: "accepted", unsafeDuplicate: "accepted", expired: "expired", attemptsExhausted: "no_more"}
 	out := make([]map[string]string, len(items))
 	for i, x := range items {
 		word := words[verdicts[i]]
@@ -427,11 +427,11 @@
 	return a
 }
 
-// spoilt answers what cannot be read. For one message a first line that still
+// corruptResponse answers what cannot be read. For one message a first line that still
 // reads 200 is true all the same.
-func (e *Endpoint) spoilt(a answer, items []item, batch bool) answer {
+func (e *Endpoint) corruptResponse(a response, items []item, batch bool) response {
 	a.last = true
-	if !batch && e.Partner.draw() < 0.5 {
+	if !batch && e.Upstream.drawFloat() < 0.5 {
 		a.status, a.reached = http.StatusOK, []string{items[0].ID}
 		a.text = []byte("HTTP/1.1 200 OK\r\nContent-Length: x\x00\r\n\r\n")
 		return a
@@ -440,14 +440,14 @@
 	return a
 }
 
-// CallsIn reads the ids of the call that a relay wrote on a connection, and
+// ParseCall reads the ids of the call that a relay wrote on a connection, and
 // whether it wrote all of it.
-func CallsIn(written []byte) (ids []string, whole bool) {
+func ParseCall(written []byte) (ids []string, complete bool) {
 	req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(written)))
 	if err != nil {
 		return nil, false
 	}
-	body, err := io.ReadAll(io.LimitReader(req.Body, bodyMost+1))
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
 	if err != nil {
 		return nil, false
 	}
--- a/internal/faultlab/model/ledger.go
+++ b/internal/faultlab/model/ledger.go
@@ -12,113 +12,113 @@
 
 // Message is one request as the lab handed it in.
 type Message struct {
-	ID      string
-	First   string // the id of its first try
-	Class   int
-	Dest    int
-	Relay   string
-	Until   time.Time // when its time is up
-	Due     time.Time // when its first try was due
-	Body    []byte
-	Tries   int  // of the client, before this one
-	Taken   bool // its client heard that it is taken on
-	Over    bool // nothing more is owed
-	Reached bool // delivered
-	calls   int  // that came for it
+	ID          string
+	FirstID     string // the id of its first try
+	Class       int
+	Destination int
+	Relay       string
+	Deadline    time.Time // when its time is up
+	Due         time.Time // when its first try was due
+	Body        []byte
+	Attempt     int  // of the client, before this one
+	Accepted    bool // its client heard that it is taken on
+	Completed   bool // nothing more is owed
+	Delivered   bool // delivered
+	calls       int  // that came for it
 }
 
 // Ledger holds the truth about every message, which no relay knows.
 type Ledger struct {
-	mu   sync.Mutex
-	msgs map[string]*Message
+	mu       sync.Mutex
+	messages map[string]*Message
 }
 
 // NewLedger makes an empty one.
-func NewLedger() *Ledger { return &Ledger{msgs: map[string]*Message{}} }
+func NewLedger() *Ledger { return &Ledger{messages: map[string]*Message{}} }
 
-// Put books a request before it is sent.
-func (l *Ledger) Put(m *Message) {
+// Add books a request before it is sent.
+func (l *Ledger) Add(m *Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.msgs[m.ID] = m
+	l.messages[m.ID] = m
 }
 
-// Taken books that the client has heard +OK.
-func (l *Ledger) Taken(id string) { l.set(id, func(m *Message) { m.Taken = true }) }
+// Accept books that the client has heard +OK.
+func (l *Ledger) Accept(id string) { l.update(id, func(m *Message) { m.Accepted = true }) }
 
-// Over books that nothing more is owed; it tells whether that is news.
-func (l *Ledger) Over(id string) (news bool) {
-	l.set(id, func(m *Message) { news = !m.Over; m.Over = true })
-	return news
+// Complete books that nothing more is owed; it tells whether that is news.
+func (l *Ledger) Complete(id string) (changed bool) {
+	l.update(id, func(m *Message) { changed = !m.Completed; m.Completed = true })
+	return changed
 }
 
-func (l *Ledger) set(id string, f func(*Message)) {
+func (l *Ledger) update(id string, f func(*Message)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if m := l.msgs[id]; m != nil {
+	if m := l.messages[id]; m != nil {
 		f(m)
 	}
 }
 
-// Owed gives the messages that a relay has taken on and not ended, and whose
+// Pending gives the messages that a relay has taken on and not ended, and whose
 // time is not up.
-func (l *Ledger) Owed(relay string, now time.Time) (all []Message) {
+func (l *Ledger) Pending(relay string, now time.Time) (all []Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, m := range l.msgs {
-		if m.Relay == relay && m.Taken && !m.Over && now.Before(m.Until) {
+	for _, m := range l.messages {
+		if m.Relay == relay && m.Accepted && !m.Completed && now.Before(m.Deadline) {
 			all = append(all, *m)
 		}
 	}
 	return all
 }
 
-// Waiting is how many messages are taken on and neither over nor out of time.
-func (l *Ledger) Waiting(now time.Time) (n int) {
+// PendingCount is how many messages are taken on and neither over nor out of time.
+func (l *Ledger) PendingCount(now time.Time) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, m := range l.msgs {
-		if m.Taken && !m.Over && now.Before(m.Until) {
+	for _, m := range l.messages {
+		if m.Accepted && !m.Completed && now.Before(m.Deadline) {
 			n++
 		}
 	}
 	return n
 }
 
-// verdict is what the truth about a message says of one more call for it.
-type verdict int
+// callVerdict is what the truth about a message says of one more call for it.
+type callVerdict int
 
 const (
-	callable  verdict = iota
-	unknown           // nobody handed it in in this form
-	elsewhere         // its destination is another
-	overdue           // its time is up, or it was ended
-	again             // delivered already, and it may be repeated
-	twice             // delivered already, and it may not
-	tooMany           // it has had all its attempts
+	callable          callVerdict = iota
+	unknownMessage                // nobody handed it in in this form
+	wrongDestination              // its destination is another
+	expired                       // its time is up, or it was ended
+	duplicate                     // delivered already, and it may be repeated
+	unsafeDuplicate               // delivered already, and it may not
+	attemptsExhausted             // it has had all its attempts
 )
 
-// arrive books a call for a message and says what it is worth.
-func (l *Ledger) arrive(id string, dest int, body []byte, most int, now time.Time) (verdict, int) {
+// receive books a call for a message and says what it is worth.
+func (l *Ledger) receive(id string, dest int, body []byte, most int, now time.Time) (callVerdict, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.msgs[id]
+	m := l.messages[id]
 	switch {
 	case m == nil || string(m.Body) != string(body):
-		return unknown, 0
-	case m.Dest != dest:
-		return elsewhere, m.Class
+		return unknownMessage, 0
+	case m.Destination != dest:
+		return wrongDestination, m.Class
 	}
 	m.calls++
 	switch {
 	case m.calls > most:
-		return tooMany, m.Class
-	case m.Reached && Classes()[m.Class].Unsafe:
-		return twice, m.Class
-	case m.Reached:
-		return again, m.Class
-	case m.Over || now.After(m.Until):
-		return overdue, m.Class
+		return attemptsExhausted, m.Class
+	case m.Delivered && Classes()[m.Class].NonIdempotent:
+		return unsafeDuplicate, m.Class
+	case m.Delivered:
+		return duplicate, m.Class
+	case m.Completed || now.After(m.Deadline):
+		return expired, m.Class
 	}
 	return callable, m.Class
 }
--- a/internal/faultlab/model/partner.go
+++ b/internal/faultlab/model/partner.go
@@ -11,258 +11,258 @@
 
 // Limit is what a destination takes from all relays together.
 type Limit struct {
-	Rate    float64       // calls a second; 0 for no limit
-	Span    time.Duration // counted over fixed spans of this length; 0 for a plain rate
-	Tells   float64       // share of refusals that tell how long to wait
-	WaitMin time.Duration // told by a plain rate, drawn up to WaitMax
-	WaitMax time.Duration
-	Spends  bool // refused calls use the limit up
+	Rate               float64       // calls a second; 0 for no limit
+	Window             time.Duration // counted over fixed spans of this length; 0 for a plain rate
+	RetryAfterFraction float64       // share of refusals that tell how long to wait
+	RetryAfterMin      time.Duration // told by a plain rate, drawn up to RetryAfterMax
+	RetryAfterMax      time.Duration
+	CountsRejected     bool // refused calls use the limit up
 }
 
-// Spell is a trouble that a destination or an endpoint has for a while.
-type Spell struct {
-	Slow   float64 // calls take so many times as long; 0 for once
-	Fail   float64 // share of calls that end in 500, half of them with their effect
-	Shut   bool    // every call is refused, and told to wait until it opens
-	Silent bool    // calls are taken and never answered
-	Lose   float64 // share of answers that are lost: effect, and no word of it
-	Spoil  float64 // share of answers that cannot be read
-	Reset  float64 // share of connections reset under the request, before it is whole
+// Fault is a trouble that a destination or an endpoint has for a while.
+type Fault struct {
+	Slow            float64 // calls take so many times as long; 0 for once
+	Fail            float64 // share of calls that end in 500, half of them with their effect
+	Closed          bool    // every call is refused, and told to wait until it opens
+	Silent          bool    // calls are taken and never answered
+	LoseResponse    float64 // share of answers that are lost: effect, and no word of it
+	CorruptResponse float64 // share of answers that cannot be read
+	Reset           float64 // share of connections reset under the request, before it is whole
 }
 
-func (s Spell) bad() bool { return s.Shut || s.Silent || s.Fail >= 0.5 }
+func (s Fault) isOutage() bool { return s.Closed || s.Silent || s.Fail >= 0.5 }
 
-// with adds another spell.
-func (s Spell) with(o Spell) Spell {
+// combine adds another spell.
+func (s Fault) combine(o Fault) Fault {
 	s.Slow = max(s.Slow, 1) * max(o.Slow, 1)
-	s.Fail, s.Lose, s.Spoil, s.Reset = max(s.Fail, o.Fail), max(s.Lose, o.Lose), max(s.Spoil, o.Spoil), max(s.Reset, o.Reset)
-	s.Shut, s.Silent = s.Shut || o.Shut, s.Silent || o.Silent
+	s.Fail, s.LoseResponse, s.CorruptResponse, s.Reset = max(s.Fail, o.Fail), max(s.LoseResponse, o.LoseResponse), max(s.CorruptResponse, o.CorruptResponse), max(s.Reset, o.Reset)
+	s.Closed, s.Silent = s.Closed || o.Closed, s.Silent || o.Silent
 	return s
 }
 
-// Partner is a destination: one to four endpoints that share one limit, and
+// Upstream is a destination: one to four endpoints that share one limit, and
 // whose outages are the whole partner's.
-type Partner struct {
-	Cell  int
-	Kind  string
-	Limit Limit
-	Pace  float64 // times the usual time that a call takes
-	Every time.Duration
-	rules Rules
-	rec   *history.Recorder
-	rand  *rand.Rand
+type Upstream struct {
+	Destination        int
+	Kind               string
+	Limit              Limit
+	LatencyFactor      float64 // times the usual time that a call takes
+	LoadReportInterval time.Duration
+	rules              Rules
+	recorder           *history.Recorder
+	random             *rand.Rand
 
-	mu       sync.Mutex
-	spells   []Spell
-	scale    float64
-	opens    time.Time // when a shut one opens
-	down     int       // endpoints that are down
-	members  int
-	out      bool
-	refusing bool      // during the outage its connections were refused
-	cold     time.Time // since when it is back; zero for warm
-	fell     bool
-	began    time.Time // of the present span
-	used     float64   // of the span's count, or of the plain rate's bucket
-	filled   time.Time
-	pushes   []push // of the last Fall, while it is cold
-	x0       float64
-	fresh    time.Time
+	mu                 sync.Mutex
+	faults             []Fault
+	limitFactor        float64
+	opensAt            time.Time // when a shut one opens
+	endpointsDown      int       // endpoints that are down
+	endpoints          int
+	inOutage           bool
+	refusesConnections bool      // during the outage its connections were refused
+	recoveringSince    time.Time // since when it is back; zero for warm
+	overloaded         bool
+	windowStart        time.Time // of the present span
+	used               float64   // of the span's count, or of the plain rate's bucket
+	lastRefill         time.Time
+	recentCalls        []recentCall // of the last Fall, while it is cold
+	reportedLimit      float64
+	reportedAt         time.Time
 }
 
-type push struct {
+type recentCall struct {
 	at    time.Time
 	relay string
 }
 
-// refusal says why a call is turned away.
-type refusal struct {
-	away bool
-	wait time.Duration // told; 0 for none
+// rejection says why a call is turned away.
+type rejection struct {
+	rejected   bool
+	retryAfter time.Duration // told; 0 for none
 }
 
-// NewPartner makes a destination whose reports are refreshed at the given pace.
-func NewPartner(cell int, kind string, l Limit, pace float64, every time.Duration, rules Rules, rec *history.Recorder, seed uint64) *Partner {
+// NewUpstream makes a destination whose reports are refreshed at the given pace.
+func NewUpstream(cell int, kind string, l Limit, pace float64, every time.Duration, rules Rules, rec *history.Recorder, seed uint64) *Upstream {
 	now := time.Now()
-	return &Partner{Cell: cell, Kind: kind, Limit: l, Pace: pace, Every: every, rules: rules, rec: rec,
-		rand: rand.New(rand.NewPCG(seed, uint64(cell))), began: now, filled: now, x0: 1, scale: 1}
+	return &Upstream{Destination: cell, Kind: kind, Limit: l, LatencyFactor: pace, LoadReportInterval: every, rules: rules, recorder: rec,
+		random: rand.New(rand.NewPCG(seed, uint64(cell))), windowStart: now, lastRefill: now, reportedLimit: 1, limitFactor: 1}
 }
 
-func (p *Partner) draw() float64 {
+func (p *Upstream) drawFloat() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rand.Float64()
+	return p.random.Float64()
 }
 
-// Add puts a trouble on the whole destination, beside those that it has. A
+// AddFault puts a trouble on the whole destination, beside those that it has. A
 // shut one tells callers to wait until opens.
-func (p *Partner) Add(s Spell, opens time.Time) {
+func (p *Upstream) AddFault(s Fault, opens time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spells = append(p.spells, s)
-	if s.Shut {
-		p.opens = opens
+	p.faults = append(p.faults, s)
+	if s.Closed {
+		p.opensAt = opens
 	}
-	p.settle(false)
+	p.updateOutage(false)
 }
 
-// Remove ends a trouble that was added.
-func (p *Partner) Remove(s Spell) {
+// RemoveFault ends a trouble that was added.
+func (p *Upstream) RemoveFault(s Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if i := slices.Index(p.spells, s); i >= 0 {
-		p.spells = slices.Delete(p.spells, i, i+1)
+	if i := slices.Index(p.faults, s); i >= 0 {
+		p.faults = slices.Delete(p.faults, i, i+1)
 	}
-	p.settle(false)
+	p.updateOutage(false)
 }
 
-// Scale sets the limit to so many times what it is on a usual day.
-func (p *Partner) Scale(factor float64) {
+// ScaleLimit sets the limit to so many times what it is on a usual day.
+func (p *Upstream) ScaleLimit(factor float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.scale = factor
+	p.limitFactor = factor
 }
 
-// spell is all of its troubles together.
-func (p *Partner) spell() (all Spell) {
-	for _, s := range p.spells {
-		all = all.with(s)
+// activeFault is all of its troubles together.
+func (p *Upstream) activeFault() (all Fault) {
+	for _, s := range p.faults {
+		all = all.combine(s)
 	}
 	return all
 }
 
-// limit is what it takes on a usual day, as it is scaled now.
-func (p *Partner) limit() float64 { return p.Limit.Rate * p.scale }
+// currentLimit is what it takes on a usual day, as it is scaled now.
+func (p *Upstream) currentLimit() float64 { return p.Limit.Rate * p.limitFactor }
 
-// endpointDown books that one more of its endpoints is down, or one less.
-func (p *Partner) endpointDown(on bool) {
+// setEndpointDown books that one more of its endpoints is down, or one less.
+func (p *Upstream) setEndpointDown(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if on {
-		p.down++
+		p.endpointsDown++
 	} else {
-		p.down--
+		p.endpointsDown--
 	}
-	p.settle(true)
+	p.updateOutage(true)
 }
 
-// settle notes where an outage of the whole destination begins and ends.
-func (p *Partner) settle(refusing bool) {
-	gone := p.members > 0 && p.down >= p.members
-	out := p.spell().bad() || gone
-	if out == p.out {
+// updateOutage notes where an outage of the whole destination begins and ends.
+func (p *Upstream) updateOutage(refusing bool) {
+	gone := p.endpoints > 0 && p.endpointsDown >= p.endpoints
+	out := p.activeFault().isOutage() || gone
+	if out == p.inOutage {
 		return
 	}
-	p.out = out
+	p.inOutage = out
 	if out {
-		p.refusing = refusing
+		p.refusesConnections = refusing
 	} else {
-		p.cold, p.pushes = time.Now(), nil
+		p.recoveringSince, p.recentCalls = time.Now(), nil
 	}
-	p.rec.Put(history.Event{Kind: history.Outage, Dest: p.Cell, On: out, Refusing: p.refusing})
+	p.recorder.Record(history.Event{Kind: history.Outage, Destination: p.Destination, Active: out, RefusesConnections: p.refusesConnections})
 }
 
-// share is how much of its capacity it has now.
-func (p *Partner) share(now time.Time) float64 {
-	if p.cold.IsZero() {
+// capacityFraction is how much of its capacity it has now.
+func (p *Upstream) capacityFraction(now time.Time) float64 {
+	if p.recoveringSince.IsZero() {
 		return 1
 	}
-	after := now.Sub(p.cold)
-	if after >= p.rules.Ramp {
-		p.cold, p.pushes = time.Time{}, nil
+	after := now.Sub(p.recoveringSince)
+	if after >= p.rules.RecoveryTime {
+		p.recoveringSince, p.recentCalls = time.Time{}, nil
 		return 1
 	}
-	return p.rules.Start + (1-p.rules.Start)*float64(after)/float64(p.rules.Ramp)
+	return p.rules.RecoveryCapacity + (1-p.rules.RecoveryCapacity)*float64(after)/float64(p.rules.RecoveryTime)
 }
 
 // admit counts a call that has come and says whether it is turned away.
-func (p *Partner) admit(relay string, now time.Time) refusal {
+func (p *Upstream) admit(relay string, now time.Time) rejection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	share := p.share(now)
-	if !p.out && !p.cold.IsZero() {
-		p.pushed(relay, now, share)
+	share := p.capacityFraction(now)
+	if !p.inOutage && !p.recoveringSince.IsZero() {
+		p.countRecoveryCall(relay, now, share)
 	}
-	if p.spell().Shut {
+	if p.activeFault().Closed {
 		wait := time.Duration(0)
-		if p.rand.Float64() < p.Limit.Tells {
-			wait = max(p.opens.Sub(now), 10*time.Millisecond)
+		if p.random.Float64() < p.Limit.RetryAfterFraction {
+			wait = max(p.opensAt.Sub(now), 10*time.Millisecond)
 		}
-		return refusal{true, wait}
+		return rejection{true, wait}
 	}
 	if p.Limit.Rate <= 0 {
-		return refusal{}
+		return rejection{}
 	}
-	rate := p.limit() * share
+	rate := p.currentLimit() * share
 	var room bool
 	var wait time.Duration
-	if p.Limit.Span > 0 {
-		for now.Sub(p.began) >= p.Limit.Span {
-			p.began, p.used = p.began.Add(p.Limit.Span), 0
+	if p.Limit.Window > 0 {
+		for now.Sub(p.windowStart) >= p.Limit.Window {
+			p.windowStart, p.used = p.windowStart.Add(p.Limit.Window), 0
 		}
-		room = p.used+1 <= max(1, rate*p.Limit.Span.Seconds())
-		wait = p.began.Add(p.Limit.Span).Sub(now)
+		room = p.used+1 <= max(1, rate*p.Limit.Window.Seconds())
+		wait = p.windowStart.Add(p.Limit.Window).Sub(now)
 	} else {
-		p.used = max(0, p.used-now.Sub(p.filled).Seconds()*rate)
-		p.filled = now
+		p.used = max(0, p.used-now.Sub(p.lastRefill).Seconds()*rate)
+		p.lastRefill = now
 		room = p.used+1 <= max(1, rate*0.5)
-		wait = p.Limit.WaitMin + time.Duration(p.rand.Float64()*float64(p.Limit.WaitMax-p.Limit.WaitMin))
+		wait = p.Limit.RetryAfterMin + time.Duration(p.random.Float64()*float64(p.Limit.RetryAfterMax-p.Limit.RetryAfterMin))
 	}
-	if room || p.Limit.Spends {
+	if room || p.Limit.CountsRejected {
 		p.used++
 	}
 	if room {
-		return refusal{}
+		return rejection{}
 	}
-	if p.rand.Float64() >= p.Limit.Tells {
+	if p.random.Float64() >= p.Limit.RetryAfterFraction {
 		wait = 0
 	}
-	return refusal{true, wait}
+	return rejection{true, wait}
 }
 
-// pushed counts what comes to a cold destination: too much of it and it falls
+// countRecoveryCall counts what comes to a cold destination: too much of it and it falls
 // over and stays down.
-func (p *Partner) pushed(relay string, now time.Time, share float64) {
-	if p.fell || p.Limit.Rate <= 0 {
+func (p *Upstream) countRecoveryCall(relay string, now time.Time, share float64) {
+	if p.overloaded || p.Limit.Rate <= 0 {
 		return
 	}
-	p.pushes = append(p.pushes, push{now, relay})
-	for now.Sub(p.pushes[0].at) > p.rules.Fall {
-		p.pushes = p.pushes[1:]
+	p.recentCalls = append(p.recentCalls, recentCall{now, relay})
+	for now.Sub(p.recentCalls[0].at) > p.rules.OverloadWindow {
+		p.recentCalls = p.recentCalls[1:]
 	}
-	budget := p.rules.Overload * share * p.limit() * p.rules.Fall.Seconds()
-	if float64(len(p.pushes)) <= budget*1.1+3 { // a little slack for chance
+	budget := p.rules.OverloadFactor * share * p.currentLimit() * p.rules.OverloadWindow.Seconds()
+	if float64(len(p.recentCalls)) <= budget*1.1+3 { // a little slack for chance
 		return
 	}
-	p.fell = true
+	p.overloaded = true
 	by := map[string]int{}
-	for _, x := range p.pushes {
+	for _, x := range p.recentCalls {
 		by[x.relay]++
 	}
-	p.rec.Put(history.Event{Kind: history.Fell, Dest: p.Cell, Relays: by})
+	p.recorder.Record(history.Event{Kind: history.DestinationOverloaded, Destination: p.Destination, Relays: by})
 }
 
-// report is what an answer tells of the limit: refreshed late, so often old.
-func (p *Partner) report(now time.Time) (x0, x1 float64) {
+// loadReport is what an answer tells of the limit: refreshed late, so often old.
+func (p *Upstream) loadReport(now time.Time) (x0, x1 float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.fresh) >= p.Every {
-		p.fresh = now
-		all := p.limit() * 0.5
-		if p.Limit.Span > 0 {
-			all = p.limit() * p.Limit.Span.Seconds()
+	if now.Sub(p.reportedAt) >= p.LoadReportInterval {
+		p.reportedAt = now
+		all := p.currentLimit() * 0.5
+		if p.Limit.Window > 0 {
+			all = p.currentLimit() * p.Limit.Window.Seconds()
 		}
-		p.x0 = 1
+		p.reportedLimit = 1
 		if all > 0 {
-			p.x0 = min(1, max(0, 1-p.used/max(1, all)))
+			p.reportedLimit = min(1, max(0, 1-p.used/max(1, all)))
 		}
 	}
-	return p.x0, p.limit()
+	return p.reportedLimit, p.currentLimit()
 }
 
-// trouble is what a call to one of its endpoints meets.
-func (p *Partner) trouble(own Spell) (Spell, bool) {
+// faultFor is what a call to one of its endpoints meets.
+func (p *Upstream) faultFor(own Fault) (Fault, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.spell().with(own), p.fell
+	return p.activeFault().combine(own), p.overloaded
 }
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -34,8 +34,8 @@
 	return c
 })
 
-// Proc is a running process.
-type Proc struct {
+// Process is a running process.
+type Process struct {
 	Name string
 	PID  int
 	cmd  *exec.Cmd
@@ -48,7 +48,7 @@
 
 // Start runs a program with the given environment added to the lab's own. Its
 // output goes to out.
-func Start(name, program string, args, env []string, out io.Writer) (*Proc, error) {
+func Start(name, program string, args, env []string, out io.Writer) (*Process, error) {
 	cmd := exec.Command(program, args...)
 	cmd.Env = append(os.Environ(), env...)
 	cmd.Stdout, cmd.Stderr = out, out
@@ -59,7 +59,7 @@
 	if err := <-started; err != nil {
 		return nil, fmt.Errorf("start %s: %w", name, err)
 	}
-	p := &Proc{Name: name, PID: cmd.Process.Pid, cmd: cmd, done: make(chan struct{})}
+	p := &Process{Name: name, PID: cmd.Process.Pid, cmd: cmd, done: make(chan struct{})}
 	go func() {
 		p.err = cmd.Wait()
 		close(p.done)
@@ -68,11 +68,11 @@
 }
 
 // Done is closed once the process is gone.
-func (p *Proc) Done() <-chan struct{} { return p.done }
+func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Exit tells how the process ended: its code, or -1 with the signal's name.
 // It must be called after Done is closed.
-func (p *Proc) Exit() (code int, text string) {
+func (p *Process) Exit() (code int, text string) {
 	st := p.cmd.ProcessState
 	if st == nil {
 		return -1, fmt.Sprint(p.err)
@@ -84,7 +84,7 @@
 }
 
 // Signal sends a signal to the process itself.
-func (p *Proc) Signal(s syscall.Signal) error {
+func (p *Process) Signal(s syscall.Signal) error {
 	select {
 	case <-p.done:
 		return os.ErrProcessDone
@@ -105,14 +105,14 @@
 }
 
 // Stopped tells whether the process stands still by SIGSTOP.
-func (p *Proc) Stopped() bool {
+func (p *Process) Stopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stopped
 }
 
 // Kill ends the process and its group, and waits until it is gone.
-func (p *Proc) Kill() {
+func (p *Process) Kill() {
 	select {
 	case <-p.done:
 		return
@@ -131,7 +131,7 @@
 }
 
 // Measure reads what the process holds from the kernel's process files.
-func (p *Proc) Measure(folder string) (Usage, error) {
+func (p *Process) Measure(folder string) (Usage, error) {
 	u, err := Measure(p.PID)
 	if err != nil {
 		return u, err
@@ -187,7 +187,7 @@
 
 // Wait waits for the end of the process or of ctx; it reports whether the
 // process is gone.
-func (p *Proc) Wait(ctx context.Context) bool {
+func (p *Process) Wait(ctx context.Context) bool {
 	select {
 	case <-p.done:
 		return true
--- a/internal/faultlab/relay.go
+++ b/internal/faultlab/relay.go
@@ -35,13 +35,13 @@
 	log      *os.File
 	wall     *wallclock.Wall // of its machine; nil where no fault steps it
 
-	agentProc *process.Proc // where the list service is of real processes
+	agentProc *process.Process // where the list service is of real processes
 	agentLog  *os.File
 
 	busy sync.Mutex // held by the fault that has its process
 
 	mu     sync.Mutex
-	proc   *process.Proc
+	proc   *process.Process
 	ready  bool
 	wanted bool // it is to run
 }
@@ -56,8 +56,8 @@
 		"seed":   fmt.Sprintf("%016x", seeded(r.run.seed, "relay "+r.name).Uint64()),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets, "disk_mb": s.Fleet.DiskMB},
 		"known":  known, "operator": r.operator, "promise": s.Fleet.Promise,
-		"settings": model.Settings(model.Fleet{Relays: s.Fleet.Relays, Slots: s.Fleet.Slots, Held: s.Fleet.Held, Zones: s.Fleet.Zones,
-			Zone: r.num % len(s.Fleet.Zones), Rank: r.num, Batch: s.Fleet.Batch}, r.run.world.Rules),
+		"settings": model.Settings(model.Fleet{Relays: s.Fleet.Relays, MaxCalls: s.Fleet.Slots, MaxMessages: s.Fleet.Held, Zones: s.Fleet.Zones,
+			Zone: r.num % len(s.Fleet.Zones), Rank: r.num, MaxBatch: s.Fleet.Batch}, r.run.world.Rules),
 	}
 	if s.Fleet.Resident > 0 {
 		fields["resident"] = s.Fleet.Resident
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	r.run.rec.Put(history.Event{Kind: history.Start, Relay: r.name, PID: p.PID})
+	r.run.rec.Record(history.Event{Kind: history.ProcessStarted, Relay: r.name, PID: p.PID})
 	r.agent.Started(known)
 	r.mu.Lock()
 	r.proc, r.ready, r.wanted = p, false, true
@@ -125,27 +125,27 @@
 	if err := r.start(); err != nil {
 		return err
 	}
-	model.Pause(ctx, time.Second)
+	model.Sleep(ctx, time.Second)
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-		r.run.rec.Put(history.Event{Kind: history.Signal, Relay: r.name, PID: old.PID, Text: s.String()})
+		r.run.rec.Record(history.Event{Kind: history.ProcessSignaled, Relay: r.name, PID: old.PID, Text: s.String()})
 		if old.Signal(s) != nil {
 			return nil
 		}
 		select {
 		case <-old.Done():
 			return nil
-		case <-time.After(r.run.world.Rules.Term + r.run.world.Rules.Slack):
+		case <-time.After(r.run.world.Rules.ShutdownTimeout + r.run.world.Rules.Slack):
 		}
 	}
 	return nil
 }
 
 // watch records the end of one process.
-func (r *relay) watch(p *process.Proc) {
+func (r *relay) watch(p *process.Process) {
 	defer r.run.wg.Done()
 	<-p.Done()
 	code, text := p.Exit()
-	r.run.rec.Put(history.Event{Kind: history.Exit, Relay: r.name, PID: p.PID, Status: code, Text: text})
+	r.run.rec.Record(history.Event{Kind: history.ProcessExited, Relay: r.name, PID: p.PID, Status: code, Text: text})
 	r.mu.Lock()
 	crashed := r.wanted && r.proc == p
 	if r.proc == p {
@@ -155,8 +155,8 @@
 	if !crashed {
 		return
 	}
-	r.run.clients.Gone(r.run.ctx, r.name)
-	if model.Pause(r.run.ctx, time.Second) { // as a supervisor would
+	r.run.clients.RelayDown(r.run.ctx, r.name)
+	if model.Sleep(r.run.ctx, time.Second) { // as a supervisor would
 		r.mu.Lock()
 		again := r.wanted && r.proc == p
 		r.mu.Unlock()
@@ -167,15 +167,15 @@
 }
 
 // greet waits for the first +PONG of one process.
-func (r *relay) greet(p *process.Proc) {
+func (r *relay) greet(p *process.Process) {
 	defer r.run.wg.Done()
 	for {
 		if ping(r.listen) {
 			r.mu.Lock()
 			r.ready = r.proc == p
 			r.mu.Unlock()
-			r.run.rec.Put(history.Event{Kind: history.Ready, Relay: r.name, PID: p.PID})
-			r.run.clients.Ready(r.name)
+			r.run.rec.Record(history.Event{Kind: history.ProcessReady, Relay: r.name, PID: p.PID})
+			r.run.clients.RelayUp(r.name)
 			return
 		}
 		select {
@@ -202,7 +202,7 @@
 }
 
 // signal sends one to the present process and records it.
-func (r *relay) signal(s syscall.Signal) (*process.Proc, bool) {
+func (r *relay) signal(s syscall.Signal) (*process.Process, bool) {
 	r.mu.Lock()
 	p := r.proc
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
@@ -214,14 +214,14 @@
 		return p, false
 	default:
 	}
-	r.run.rec.Put(history.Event{Kind: history.Signal, Relay: r.name, PID: p.PID, Text: s.String()})
+	r.run.rec.Record(history.Event{Kind: history.ProcessSignaled, Relay: r.name, PID: p.PID, Text: s.String()})
 	return p, p.Signal(s) == nil
 }
 
 // stop ends the present process, by SIGTERM first where it is asked for, and
 // returns when it is gone.
 func (r *relay) stop(term bool) {
-	r.run.clients.Gone(r.run.ctx, r.name)
+	r.run.clients.RelayDown(r.run.ctx, r.name)
 	r.mu.Lock()
 	stands := r.proc.Stopped()
 	r.mu.Unlock()
@@ -234,7 +234,7 @@
 			select {
 			case <-p.Done():
 				return
-			case <-time.After(r.run.world.Rules.Term + r.run.world.Rules.Slack):
+			case <-time.After(r.run.world.Rules.ShutdownTimeout + r.run.world.Rules.Slack):
 			}
 		}
 	}
@@ -251,5 +251,5 @@
 	if err != nil || u.RSS == 0 {
 		return // it is gone
 	}
-	r.run.rec.Put(history.Event{Kind: history.Sample, Relay: r.name, PID: p.PID, RSS: u.RSS, FDs: u.FDs, Disk: u.Disk, CPU: u.CPU.Microseconds()})
+	r.run.rec.Record(history.Event{Kind: history.UsageSampled, Relay: r.name, PID: p.PID, RSS: u.RSS, FDs: u.FDs, Disk: u.Disk, CPU: u.CPU.Microseconds()})
 }
