--- a/internal/faultlab/report/stats.go
+++ b/internal/faultlab/report/stats.go
@@ -78,26 +78,26 @@
 	cpu := map[int]float64{}
 	err := history.Read(path, func(e history.Event) {
 		if e.Kind == history.Run {
-			s.series.from = e.T
+			s.series.from = e.Time
 		}
 		if s.series.from < 0 {
 			return
 		}
-		at := float64(e.T-s.series.from) / 1e6
+		at := float64(e.Time-s.series.from) / 1e6
 		sec := int(max(0, at))
 		s.Seconds = max(s.Seconds, at)
 		switch e.Kind {
-		case history.Put:
+		case history.MessageSubmitted:
 			s.Requests++
-			of[e.Msg] = e.First
-			if firsts[e.First] == nil {
+			of[e.Message] = e.FirstMessage
+			if firsts[e.FirstMessage] == nil {
 				s.Messages++
-				firsts[e.First] = &first{due: e.Due, class: names[e.Class]}
+				firsts[e.FirstMessage] = &first{due: e.DueAt, class: names[e.Class]}
 			}
-		case history.Refused:
+		case history.MessageRejected:
 			s.Refused++
 			add(&s.series.refused, sec, 1)
-		case history.Unheard:
+		case history.SubmitUnanswered:
 			s.Unheard++
 		case history.Notice:
 			if e.Text == "handed_back" {
@@ -107,19 +107,19 @@
 				s.GivenUp++
 				add(&s.series.given, sec, 1)
 			}
-		case history.Call:
+		case history.CallReceived:
 			s.Calls++
 			calls[e.Call] = e
 			add(&s.series.calls, sec, 1)
-		case history.Answer:
+		case history.ResponseSent:
 			answers[e.Call] = e
-		case history.Left, history.Ended:
+		case history.CallAborted, history.CallBroken:
 			if !ended[e.Call] && calls[e.Call].Kind != "" {
 				ended[e.Call] = true
 				s.Faults++
 				add(&s.series.failed, sec, 1)
 			}
-		case history.Heard:
+		case history.ResponseReceived:
 			c, a := calls[e.Call], answers[e.Call]
 			if ended[e.Call] { // it left as soon as it had its answer
 				s.Faults--
@@ -129,14 +129,14 @@
 			delete(answers, e.Call)
 			switch a.Status {
 			case 200:
-				for i, id := range c.Msgs {
+				for i, id := range c.Messages {
 					f := firsts[of[id]]
 					if f == nil || f.done || len(a.States) > 0 && (i >= len(a.States) || a.States[i] != "accepted") {
 						continue
 					}
 					f.done = true
 					s.Delivered++
-					took := e.T - f.due
+					took := e.Time - f.due
 					all.RecordValue(min(max(1, took), 60_000_000))
 					for len(s.series.latency) <= sec {
 						s.series.latency = append(s.series.latency, nil)
@@ -145,8 +145,8 @@
 						s.series.latency[sec] = hdrhistogram.New(1, 60_000_000, 2)
 					}
 					s.series.latency[sec].RecordValue(min(max(1, took), 60_000_000))
-					add(&s.series.served, int(max(0, (f.due-s.series.from)/1e6)), classes[f.class].Earned(time.Duration(took)*time.Microsecond))
-					s.Classes[classes[f.class].Name] += classes[f.class].Earned(time.Duration(took) * time.Microsecond)
+					add(&s.series.served, int(max(0, (f.due-s.series.from)/1e6)), classes[f.class].Value(time.Duration(took)*time.Microsecond))
+					s.Classes[classes[f.class].Name] += classes[f.class].Value(time.Duration(took) * time.Microsecond)
 				}
 			case 429, 503:
 				s.TurnedAway++
@@ -155,7 +155,7 @@
 				s.Faults++
 				add(&s.series.failed, sec, 1)
 			}
-		case history.Sample:
+		case history.UsageSampled:
 			s.MaxRSS[e.Relay] = max(s.MaxRSS[e.Relay], e.RSS)
 			s.MaxFDs[e.Relay] = max(s.MaxFDs[e.Relay], e.FDs)
 			s.CPU[e.Relay] += float64(e.CPU)/1e6 - cpu[e.PID]
@@ -163,7 +163,7 @@
 			s.series.rss[e.Relay] = append(s.series.rss[e.Relay], [2]float64{at, float64(e.RSS) / (1 << 20)})
 			s.series.fds[e.Relay] = append(s.series.fds[e.Relay], [2]float64{at, float64(e.FDs)})
 		case history.Fault:
-			if e.On {
+			if e.Active {
 				s.series.open[e.Text] = len(s.series.faults)
 				s.series.faults = append(s.series.faults, shade{e.Text, at, -1})
 			} else if i, ok := s.series.open[e.Text]; ok {
@@ -188,8 +188,8 @@
 func (s *Stats) finish(firsts map[string]*first, classes []model.Class, all *hdrhistogram.Histogram) {
 	byClass := map[string]float64{}
 	for _, f := range firsts {
-		add(&s.series.asked, int(max(0, (f.due-s.series.from)/1e6)), classes[f.class].Worth)
-		byClass[classes[f.class].Name] += classes[f.class].Worth
+		add(&s.series.asked, int(max(0, (f.due-s.series.from)/1e6)), classes[f.class].Weight)
+		byClass[classes[f.class].Name] += classes[f.class].Weight
 	}
 	for len(s.series.served) < len(s.series.asked) {
 		s.series.served = append(s.series.served, 0)
--- a/internal/faultlab/rollout.go
+++ b/internal/faultlab/rollout.go
@@ -58,7 +58,7 @@
 	p.x.busy.Lock()
 	defer p.x.busy.Unlock()
 	// A second restart of a relay is a second step of this name.
-	p.run.rec.Put(history.Event{Kind: history.Effect, Relay: p.x.name, Text: "rollout " + p.x.name, Status: 1})
+	p.run.rec.Record(history.Event{Kind: history.RoleStep, Relay: p.x.name, Text: "rollout " + p.x.name, Status: 1})
 	if err := p.x.upgrade(ctx); err != nil {
 		return 0, err
 	}
@@ -103,7 +103,7 @@
 				return nil
 			}
 		}
-		if !model.Pause(ctx, 100*time.Millisecond) {
+		if !model.Sleep(ctx, 100*time.Millisecond) {
 			return fmt.Errorf("lab: rollout: not at its end: %s, %s", last.Message, last.Progress)
 		}
 	}
--- a/internal/faultlab/salvage.go
+++ b/internal/faultlab/salvage.go
@@ -16,7 +16,7 @@
 
 // platform is where notices go that come from no relay's own agent.
 type platform struct {
-	*model.Door
+	*model.Listener
 	run *run
 }
 
@@ -25,7 +25,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+discovery.NoticePath, p.reports)
 	var err error
-	if p.Door, err = model.NewDoor(r.ip, mux); err != nil {
+	if p.Listener, err = model.NewListener(r.ip, mux); err != nil {
 		return nil, fmt.Errorf("lab: platform: %w", err)
 	}
 	return p, nil
@@ -38,7 +38,7 @@
 		return
 	}
 	for _, n := range all {
-		p.run.rec.Put(history.Event{Kind: history.Notice, Relay: "salvage", Msg: n.Message, Text: n.Outcome, Wait: n.RetryMS * 1000})
+		p.run.rec.Record(history.Event{Kind: history.Notice, Relay: "salvage", Message: n.Message, Text: n.Outcome, RetryAfter: n.RetryMS * 1000})
 		p.run.noticed(n.Message, n.Outcome, n.RetryMS)
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -51,7 +51,7 @@
 	x.stop(false)
 	var safe []string
 	for _, c := range model.Classes() {
-		if !c.Unsafe {
+		if !c.NonIdempotent {
 			safe = append(safe, c.Name)
 		}
 	}
@@ -73,11 +73,11 @@
 				}
 			}
 		}
-		if !model.Pause(ctx, 50*time.Millisecond) {
+		if !model.Sleep(ctx, 50*time.Millisecond) {
 			return fmt.Errorf("lab: salvage of %s: not at its end: %s, %s", x.name, last.Message, last.Progress)
 		}
 	}
-	r.rec.Put(history.Event{Kind: history.Salvaged, Relay: x.name, Text: string(last.Progress)})
+	r.rec.Record(history.Event{Kind: history.FailoverFinished, Relay: x.name, Text: string(last.Progress)})
 	r.hold(ctx, s)
 	return x.start()
 }
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -52,7 +52,7 @@
 	reals   []*scaleReal
 	hollows []*scaleHollow
 	clients []*scaleClients
-	procs   []*process.Proc
+	procs   []*process.Process
 	meters  []*meter
 	files   []*os.File
 	folders []string // beside the run's own, to be removed
@@ -170,7 +170,7 @@
 // registered and its plain watchers open.
 func (r *scaleRun) startService(ctx context.Context) (err error) {
 	c := &r.scen.Scale
-	r.down = simrelay.Down{Seed: r.opts.Seed, Share: c.Down, For: scenario.Secs(c.DownFor), Origin: r.began.UnixMicro()}
+	r.down = simrelay.Down{Seed: r.opts.Seed, Fraction: c.Down, For: scenario.Secs(c.DownFor), Origin: r.began.UnixMicro()}
 	r.down.Prepare(c.Members)
 	if r.far, err = newFarSide(r.ctx); err != nil {
 		return err
@@ -237,7 +237,7 @@
 	}
 	for _, a := range append(own, r.agents...) {
 		for agentMembers(ctx, a) < c.Members {
-			if !model.Pause(ctx, askEvery) {
+			if !model.Sleep(ctx, askEvery) {
 				return fmt.Errorf("lab: %s has not %d members; see the logs in %s", a.proc.Name, c.Members, filepath.Join(r.dir, "logs"))
 			}
 		}
@@ -321,7 +321,7 @@
 	add(alone)
 	add(shared)
 	add(&role{name: fmt.Sprintf("list service's node, %d watchers of all", c.Watchers+c.Real+c.Agents), units: len(r.group.procs), procs: r.group.procs})
-	add(&role{name: "lab", units: 1, procs: []*process.Proc{{Name: "lab", PID: os.Getpid()}}})
+	add(&role{name: "lab", units: 1, procs: []*process.Process{{Name: "lab", PID: os.Getpid()}}})
 }
 
 // awaitLists waits until every relay has the whole list, or ctx ends.
@@ -332,7 +332,7 @@
 		for _, x := range r.reals {
 			ready = ready && (x.operator == "" || x.members(ctx) == c.Members) && ping(x.listen)
 		}
-		if ready || !model.Pause(ctx, askEvery) {
+		if ready || !model.Sleep(ctx, askEvery) {
 			return
 		}
 	}
@@ -356,7 +356,7 @@
 			r.judge.broken("start", x.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
 		}
 	}
-	return r.judge.verdict.Kept()
+	return r.judge.verdict.Passed()
 }
 
 // service is the whole list as the service has it.
--- a/internal/faultlab/scale_clients.go
+++ b/internal/faultlab/scale_clients.go
@@ -52,12 +52,12 @@
 	due := time.Now()
 	for n := 0; ; n++ {
 		due = due.Add(time.Duration(c.random.ExpFloat64() / c.scen.Scale.Rate * float64(time.Second)))
-		if !model.Pause(ctx, time.Until(due)) {
+		if !model.Sleep(ctx, time.Until(due)) {
 			return
 		}
 		c.late(time.Since(due))
 		class := 0
-		if c.random.Float64() >= model.Classes()[0].Share {
+		if c.random.Float64() >= model.Classes()[0].Fraction {
 			class = 1
 		}
 		text := c.request(fmt.Sprintf("%08x%08x", relay, n), class, c.random.IntN(c.scen.Scale.Members))
--- a/internal/faultlab/scale_endpoints.go
+++ b/internal/faultlab/scale_endpoints.go
@@ -78,7 +78,7 @@
 	}
 	f := &farSide{port: ln.Addr().(*net.TCPAddr).Port, down: map[int]*closedDoor{}, classes: map[byte]simrelay.StreamClass{}}
 	for i, c := range model.Classes() {
-		f.classes[byte('0'+i)] = simrelay.StreamClass{Name: c.Name, Share: c.Share, Took: c.Took}
+		f.classes[byte('0'+i)] = simrelay.StreamClass{Name: c.Name, Fraction: c.Fraction, ServiceTime: c.ServiceTime}
 	}
 	f.server = &http.Server{Handler: http.HandlerFunc(f.serve), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 10 * time.Second}
 	go f.server.Serve(ln)
@@ -97,8 +97,8 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	took := f.classes[body[0]].Took
-	if !model.Pause(r.Context(), (took[0]+took[1])/2) {
+	took := f.classes[body[0]].ServiceTime
+	if !model.Sleep(r.Context(), (took[0]+took[1])/2) {
 		return
 	}
 	f.delivered.Add(1)
@@ -108,7 +108,7 @@
 
 // keepDown has the destinations that are down answer no connection, until ctx ends.
 func (f *farSide) keepDown(ctx context.Context, down *simrelay.Down, destinations int, fail func(error)) {
-	for model.Pause(ctx, downEvery) {
+	for model.Sleep(ctx, downEvery) {
 		now := time.Now().UnixMicro()
 		for i := range destinations {
 			f.mu.Lock()
--- a/internal/faultlab/scale_figures.go
+++ b/internal/faultlab/scale_figures.go
@@ -100,7 +100,7 @@
 type role struct {
 	name   string
 	units  int
-	procs  []*process.Proc
+	procs  []*process.Process
 	meters []*meter
 	before usage
 	told   ScaleRole
--- a/internal/faultlab/scale_judge.go
+++ b/internal/faultlab/scale_judge.go
@@ -22,7 +22,7 @@
 }
 
 func newScaleJudge(dir string, began int64) *scaleJudge {
-	return &scaleJudge{dir: dir, began: began, verdict: checker.Verdict{Counts: map[string]int{}, Judged: map[string]int{}, Excused: map[string]int{}}}
+	return &scaleJudge{dir: dir, began: began, verdict: checker.Verdict{Counts: map[string]int{}, Checked: map[string]int{}, Excused: map[string]int{}}}
 }
 
 const brokenShown = 5 // of one rule, told one by one
@@ -37,12 +37,12 @@
 		if at == 0 {
 			return history.Event{}
 		}
-		return history.Event{T: at - j.began, Kind: history.Watched, Relay: subject}
+		return history.Event{Time: at - j.began, Kind: history.ListUpdate, Relay: subject}
 	}
-	j.verdict.Broken = append(j.verdict.Broken, checker.Broken{Rule: rule, Subject: subject, Text: text, A: event(a), B: event(b), File: filepath.Join(j.dir, "logs")})
+	j.verdict.Violations = append(j.verdict.Violations, checker.Violation{Rule: rule, Subject: subject, Message: text, First: event(a), Second: event(b), File: filepath.Join(j.dir, "logs")})
 }
 
-func (j *scaleJudge) judged(rule string) { j.verdict.Judged[rule]++ }
+func (j *scaleJudge) judged(rule string) { j.verdict.Checked[rule]++ }
 
 // list judges one relay's list at the end.
 func (j *scaleJudge) list(relay string, has, wanted uint64, members int) {
@@ -54,11 +54,11 @@
 // changes judges what one relay heard of the changes, in the order in which they
 // were made.
 func (j *scaleJudge) changes(r *simrelay.RelayResult, made []scaleChange) {
-	for _, text := range r.Wrong {
+	for _, text := range r.OutOfOrder {
 		j.broken("change", r.Name, text, 0, 0)
 	}
 	heard := map[uint64][]int{} // places
-	for i, h := range r.Heard {
+	for i, h := range r.Changes {
 		heard[h.Key] = append(heard[h.Key], i)
 	}
 	last := -1
@@ -66,14 +66,14 @@
 		j.judged("change")
 		places := heard[c.Key]
 		switch {
-		case len(places) == 0 && r.Whole > 1:
+		case len(places) == 0 && r.CompleteLists > 1:
 			j.verdict.Excused["changes that a whole list may have stood for"]++
 		case len(places) == 0:
 			j.broken("change", r.Name, "a change was never heard", c.Asked, 0)
 		case len(places) > 1:
-			j.broken("change", r.Name, "a change was heard twice", r.Heard[places[0]].At, r.Heard[places[1]].At)
+			j.broken("change", r.Name, "a change was heard twice", r.Changes[places[0]].At, r.Changes[places[1]].At)
 		case places[0] < last:
-			j.broken("change", r.Name, "a change was heard before one that was made earlier", c.Asked, r.Heard[places[0]].At)
+			j.broken("change", r.Name, "a change was heard before one that was made earlier", c.Asked, r.Changes[places[0]].At)
 		default:
 			last = places[0]
 		}
@@ -83,17 +83,17 @@
 // ends judges the messages of one relay.
 func (j *scaleJudge) ends(r *simrelay.RelayResult) {
 	c := &r.Counts
-	j.verdict.Judged["end"] += int(c.Taken)
+	j.verdict.Checked["end"] += int(c.Accepted)
 	if r.LogErr != "" {
 		j.broken("end", r.Name, "its log cannot be read: "+r.LogErr, 0, 0)
 	}
-	if c.Held != 0 {
-		j.broken("end", r.Name, fmt.Sprintf("%d messages have no end", c.Held), 0, 0)
+	if c.InFlight != 0 {
+		j.broken("end", r.Name, fmt.Sprintf("%d messages have no end", c.InFlight), 0, 0)
 	}
-	if ends := c.Delivered + c.HandedBack + c.GivenUp + c.Held; ends != c.Taken || c.Twice > 0 {
-		j.broken("end", r.Name, fmt.Sprintf("%d messages were taken on and %d ends counted, %d of them twice", c.Taken, ends, c.Twice), 0, 0)
+	if ends := c.Delivered + c.Returned + c.Failed + c.InFlight; ends != c.Accepted || c.DuplicateCompletions > 0 {
+		j.broken("end", r.Name, fmt.Sprintf("%d messages were taken on and %d ends counted, %d of them twice", c.Accepted, ends, c.DuplicateCompletions), 0, 0)
 	}
-	if r.Owed != 0 {
-		j.broken("end", r.Name, fmt.Sprintf("its log owes %d messages", r.Owed), 0, 0)
+	if r.Pending != 0 {
+		j.broken("end", r.Name, fmt.Sprintf("its log owes %d messages", r.Pending), 0, 0)
 	}
 }
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -144,7 +144,7 @@
 	due := time.Now()
 	for i := 0; ; i = (i + 1) % batches {
 		due = due.Add(every)
-		if !model.Pause(ctx, time.Until(due)) {
+		if !model.Sleep(ctx, time.Until(due)) {
 			return
 		}
 		m.beatSome(ctx, i*beatBatch, min((i+1)*beatBatch, len(m.state)))
@@ -229,7 +229,7 @@
 			m.mu.Unlock()
 			due = time.Now()
 		}
-		if !model.Pause(ctx, time.Until(due)) {
+		if !model.Sleep(ctx, time.Until(due)) {
 			return nil
 		}
 		m.late(time.Since(due))
@@ -258,7 +258,7 @@
 // lapse has the registrations of the last zone stop at one moment, and come back
 // after a while by all writers at once.
 func (m *scaleMembers) lapse(ctx context.Context) error {
-	if m.scen.Scale.LapseAt == 0 || !model.Pause(ctx, scenario.Secs(m.scen.Scale.LapseAt)) {
+	if m.scen.Scale.LapseAt == 0 || !model.Sleep(ctx, scenario.Secs(m.scen.Scale.LapseAt)) {
 		return nil
 	}
 	var zone []int
@@ -272,7 +272,7 @@
 		}
 	}
 	m.mu.Unlock()
-	if !model.Pause(ctx, scenario.Secs(m.scen.Scale.LapseFor)) {
+	if !model.Sleep(ctx, scenario.Secs(m.scen.Scale.LapseFor)) {
 		return nil
 	}
 	err := m.registerAll(ctx, zone, func(member int, asked, answered int64) {
--- a/internal/faultlab/scale_play.go
+++ b/internal/faultlab/scale_play.go
@@ -43,7 +43,7 @@
 	for _, x := range r.roles {
 		x.begin()
 	}
-	model.Pause(r.ctx, span)
+	model.Sleep(r.ctx, span)
 	for _, x := range r.roles {
 		x.end(part)
 	}
@@ -59,12 +59,12 @@
 		r.clients = append(r.clients, k)
 		go func() { k.run(arriving, i); done <- struct{}{} }()
 	}
-	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.Begin) })
-	before := r.hollowStatus().Counts.Taken
+	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.StartTraffic) })
+	before := r.hollowStatus().Counts.Accepted
 	r.measured(partLoad, scenario.Secs(r.scen.Seconds))
-	r.report.Rate = float64(r.hollowStatus().Counts.Taken-before) / r.scen.Seconds
+	r.report.Rate = float64(r.hollowStatus().Counts.Accepted-before) / r.scen.Seconds
 	cancel()
-	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.Pause) })
+	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.StopTraffic) })
 	for range r.reals {
 		<-done
 	}
@@ -80,7 +80,7 @@
 
 // beat measures how late the lab itself is.
 func (r *scaleRun) beat() {
-	for due := time.Now().Add(beatEvery); model.Pause(r.ctx, time.Until(due)); due = due.Add(beatEvery) {
+	for due := time.Now().Add(beatEvery); model.Sleep(r.ctx, time.Until(due)); due = due.Add(beatEvery) {
 		r.late(time.Since(due))
 		if time.Since(due) > time.Second { // after a standstill: once is enough
 			due = time.Now()
@@ -92,7 +92,7 @@
 // more than half of the machine's.
 func (r *scaleRun) sampleRoles() {
 	half := machineMemory() / 2
-	for model.Pause(r.ctx, sampleEvery) {
+	for model.Sleep(r.ctx, sampleEvery) {
 		all := int64(0)
 		for _, x := range r.roles {
 			all += x.measure().rss
@@ -119,7 +119,7 @@
 
 // own has a process end with the run, and the run fail where it ends before it is
 // told to.
-func (r *scaleRun) own(p *process.Proc) {
+func (r *scaleRun) own(p *process.Process) {
 	r.mu.Lock()
 	r.procs = append(r.procs, p)
 	r.mu.Unlock()
@@ -151,12 +151,12 @@
 	defer cancel()
 	for {
 		s := r.hollowStatus()
-		ends := s.Counts.Held == 0 && s.Counts.Notices >= s.Counts.HandedBack+s.Counts.GivenUp
+		ends := s.Counts.InFlight == 0 && s.Counts.Notices >= s.Counts.Returned+s.Counts.Failed
 		settled := s.Hashes[hash] == r.scen.Scale.Relays && ends
 		for _, x := range r.reals {
 			settled = settled && (x.operator == "" || x.members(r.ctx) == len(list.Members))
 		}
-		if settled || !model.Pause(wait, askEvery) {
+		if settled || !model.Sleep(wait, askEvery) {
 			break
 		}
 	}
@@ -179,7 +179,7 @@
 		return errors.Join(r.failed(), err)
 	}
 	r.ending.Store(true)
-	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.End) })
+	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.Finish) })
 	ended, cancel := context.WithTimeout(r.ctx, scaleEnd)
 	defer cancel()
 	var relays []simrelay.RelayResult
@@ -226,10 +226,10 @@
 	all, whole := simrelay.Counts{}, 0
 	for i := range relays {
 		all.Add(relays[i].Counts)
-		whole += relays[i].Whole
+		whole += relays[i].CompleteLists
 	}
 	r.note("hollow relays: %d messages offered, %d refused, %d taken on, %d delivered, %d handed back, %d given up, %d calls, %d notices; %d whole lists in %d relays",
-		all.Offered, all.Refused, all.Taken, all.Delivered, all.HandedBack, all.GivenUp, all.Calls, all.Notices, whole, len(relays))
+		all.Offered, all.Rejected, all.Accepted, all.Delivered, all.Returned, all.Failed, all.Calls, all.Notices, whole, len(relays))
 	for i, k := range r.clients {
 		r.note("%s: %d messages offered, %d refused, %d taken on, %d not heard of", r.reals[i].name, k.offered.Load(), k.refused.Load(), k.taken.Load(), k.unheard.Load())
 	}
@@ -261,7 +261,7 @@
 		asked[c.Key] = c.Asked
 	}
 	for i := range relays {
-		for _, h := range relays[i].Heard {
+		for _, h := range relays[i].Changes {
 			at, ours := asked[h.Key]
 			if !ours || h.At < at {
 				continue
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -33,7 +33,7 @@
 
 // scaleAgent is an agent of the list service and what it is asked through.
 type scaleAgent struct {
-	proc *process.Proc
+	proc *process.Process
 	addr string
 	door *meter // for its relays
 }
@@ -41,7 +41,7 @@
 // scaleReal is one relay that is a process of its own.
 type scaleReal struct {
 	name     string
-	proc     *process.Proc
+	proc     *process.Process
 	listen   string
 	operator string // empty for none
 	agent    *scaleAgent
@@ -49,7 +49,7 @@
 
 // scaleHollow is a process of hollow relays.
 type scaleHollow struct {
-	proc   *process.Proc
+	proc   *process.Process
 	relays int
 	result string
 	status *statusReader
@@ -168,8 +168,8 @@
 
 // settings is the wire page's object for one relay of the fleet.
 func (r *scaleRun) settings(number int) map[string]any {
-	return model.Settings(model.Fleet{Relays: r.scen.Scale.Fleet, Slots: scaleSlots, Held: scaleHeld, Zones: r.scen.Fleet.Zones,
-		Zone: number % len(r.scen.Fleet.Zones), Rank: number, Batch: 1}, model.StandardRules())
+	return model.Settings(model.Fleet{Relays: r.scen.Scale.Fleet, MaxCalls: scaleSlots, MaxMessages: scaleHeld, Zones: r.scen.Fleet.Zones,
+		Zone: number % len(r.scen.Fleet.Zones), Rank: number, MaxBatch: 1}, model.StandardRules())
 }
 
 // startReal runs one relay as a process of its own.
@@ -229,10 +229,10 @@
 	name := fmt.Sprintf("hollow-%d", number+1)
 	c := simrelay.Config{Folder: filepath.Join(r.dir, name), First: first, Discovery: doors, Fleet: r.scen.Scale.Fleet, Seed: r.opts.Seed,
 		Zones: r.scen.Fleet.Zones, Flavors: []string{model.Telco, model.Newsagent}, DiskMB: scaleDiskMB, Result: filepath.Join(r.dir, name+".result"),
-		Stream: simrelay.Stream{Rate: r.scen.Scale.Rate, Deadline: scenario.Secs(r.scen.Scale.Deadline), Body: scaleBody, Connect: connectTimeout,
+		Stream: simrelay.Stream{Rate: r.scen.Scale.Rate, Deadline: scenario.Secs(r.scen.Scale.Deadline), Body: scaleBody, ConnectTimeout: connectTimeout,
 			Down: r.down, Destinations: r.scen.Scale.Members}}
 	for _, k := range model.Classes() {
-		c.Stream.Classes = append(c.Stream.Classes, simrelay.StreamClass{Name: k.Name, Share: k.Share, Took: k.Took})
+		c.Stream.Classes = append(c.Stream.Classes, simrelay.StreamClass{Name: k.Name, Fraction: k.Fraction, ServiceTime: k.ServiceTime})
 	}
 	for i := range relays {
 		text, err := json.Marshal(r.settings(first + i))
--- a/internal/faultlab/scale_test.go
+++ b/internal/faultlab/scale_test.go
@@ -31,11 +31,11 @@
 	// Nothing is measured here: that the machine is busy voids no rule.
 	res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry"),
 		Hollow: os.Args[0], Late: 10 * time.Second})
-	if !res.Verdict.Kept() {
-		t.Errorf("seed 1: %v", res.Verdict.Broken)
+	if !res.Verdict.Passed() {
+		t.Errorf("seed 1: %v", res.Verdict.Violations)
 	}
 	for _, rule := range []string{"start", "list", "change", "end"} {
-		if res.Verdict.Judged[rule] == 0 {
+		if res.Verdict.Checked[rule] == 0 {
 			t.Errorf("seed 1: rule %s was never looked at", rule)
 		}
 	}
@@ -62,8 +62,8 @@
 func TestScaleJudgeCatchesEachBreak(t *testing.T) {
 	made := []scaleChange{{Key: 1, Asked: 10}, {Key: 2, Asked: 20}}
 	sound := func() *simrelay.RelayResult {
-		return &simrelay.RelayResult{Name: "h1", Hash: 7, Members: 3, Whole: 1, Heard: []simrelay.Heard{{Key: 1, At: 11}, {Key: 2, At: 21}},
-			Counts: simrelay.Counts{Taken: 4, Delivered: 2, HandedBack: 1, GivenUp: 1}}
+		return &simrelay.RelayResult{Name: "h1", Hash: 7, Members: 3, CompleteLists: 1, Changes: []simrelay.AppliedChange{{Key: 1, At: 11}, {Key: 2, At: 21}},
+			Counts: simrelay.Counts{Accepted: 4, Delivered: 2, Returned: 1, Failed: 1}}
 	}
 	for _, x := range []struct {
 		name, rule string
@@ -71,14 +71,14 @@
 	}{
 		{"sound", "", func(*simrelay.RelayResult) {}},
 		{"another list", "list", func(r *simrelay.RelayResult) { r.Hash = 8 }},
-		{"never heard", "change", func(r *simrelay.RelayResult) { r.Heard = r.Heard[:1] }},
-		{"heard twice", "change", func(r *simrelay.RelayResult) { r.Heard = append(r.Heard, r.Heard[1]) }},
-		{"out of order", "change", func(r *simrelay.RelayResult) { r.Heard[0], r.Heard[1] = r.Heard[1], r.Heard[0] }},
-		{"back in revisions", "change", func(r *simrelay.RelayResult) { r.Wrong = []string{"a change to revision 3 after 4"} }},
-		{"no end", "end", func(r *simrelay.RelayResult) { r.Counts.Delivered, r.Counts.Held = 1, 1 }},
+		{"never heard", "change", func(r *simrelay.RelayResult) { r.Changes = r.Changes[:1] }},
+		{"heard twice", "change", func(r *simrelay.RelayResult) { r.Changes = append(r.Changes, r.Changes[1]) }},
+		{"out of order", "change", func(r *simrelay.RelayResult) { r.Changes[0], r.Changes[1] = r.Changes[1], r.Changes[0] }},
+		{"back in revisions", "change", func(r *simrelay.RelayResult) { r.OutOfOrder = []string{"a change to revision 3 after 4"} }},
+		{"no end", "end", func(r *simrelay.RelayResult) { r.Counts.Delivered, r.Counts.InFlight = 1, 1 }},
 		{"an end too few", "end", func(r *simrelay.RelayResult) { r.Counts.Delivered = 1 }},
-		{"two ends", "end", func(r *simrelay.RelayResult) { r.Counts.Twice = 1 }},
-		{"owed", "end", func(r *simrelay.RelayResult) { r.Owed = 1 }},
+		{"two ends", "end", func(r *simrelay.RelayResult) { r.Counts.DuplicateCompletions = 1 }},
+		{"owed", "end", func(r *simrelay.RelayResult) { r.Pending = 1 }},
 		{"a log that cannot be read", "end", func(r *simrelay.RelayResult) { r.LogErr = "no such file" }},
 	} {
 		j, r := newScaleJudge("", 0), sound()
@@ -88,7 +88,7 @@
 		j.ends(r)
 		for rule := range j.verdict.Counts {
 			if rule != x.rule {
-				t.Errorf("%s: rule %s broken too: %v", x.name, rule, j.verdict.Broken)
+				t.Errorf("%s: rule %s broken too: %v", x.name, rule, j.verdict.Violations)
 			}
 		}
 		if x.rule != "" && j.verdict.Counts[x.rule] == 0 {
--- a/internal/faultlab/simrelay/hollow.go
+++ b/internal/faultlab/simrelay/hollow.go
@@ -39,30 +39,30 @@
 
 // Stream is the synthetic traffic of one relay.
 type Stream struct {
-	Rate         float64       `json:"rate"` // messages a second
-	Deadline     time.Duration `json:"deadline_ns"`
-	Body         int           `json:"body"` // bytes of a message
-	Classes      []StreamClass `json:"classes"`
-	Connect      time.Duration `json:"connect_ns"` // after which a connection to a destination that is down is given up
-	Down         Down          `json:"down"`
-	Destinations int           `json:"destinations"`
+	Rate           float64       `json:"rate"` // messages a second
+	Deadline       time.Duration `json:"deadline_ns"`
+	Body           int           `json:"body"` // bytes of a message
+	Classes        []StreamClass `json:"classes"`
+	ConnectTimeout time.Duration `json:"connect_ns"` // after which a connection to a destination that is down is given up
+	Down           Down          `json:"down"`
+	Destinations   int           `json:"destinations"`
 }
 
 // StreamClass is one class of message and how long an endpoint takes for it.
 type StreamClass struct {
-	Name  string           `json:"name"`
-	Share float64          `json:"share"`
-	Took  [2]time.Duration `json:"took_ns"`
+	Name        string           `json:"name"`
+	Fraction    float64          `json:"share"`
+	ServiceTime [2]time.Duration `json:"took_ns"`
 }
 
 // Down says which destinations answer no connection at a moment. It is the same
 // function in all processes: the destinations, shuffled by the seed, pass through
 // a window of so many that moves on at a steady rate.
 type Down struct {
-	Seed   uint64        `json:"seed"`
-	Share  float64       `json:"share"`
-	For    time.Duration `json:"for_ns"` // that each stays down
-	Origin int64         `json:"origin"` // Unix µs
+	Seed     uint64        `json:"seed"`
+	Fraction float64       `json:"share"`
+	For      time.Duration `json:"for_ns"` // that each stays down
+	Origin   int64         `json:"origin"` // Unix µs
 
 	place []int // of each destination in the shuffled order
 }
@@ -73,7 +73,7 @@
 }
 
 // Count is how many destinations are down at any moment.
-func (d *Down) Count() int { return int(math.Round(d.Share * float64(len(d.place)))) }
+func (d *Down) Count() int { return int(math.Round(d.Fraction * float64(len(d.place)))) }
 
 // At reports whether a destination is down at a moment, in Unix µs.
 func (d *Down) At(destination int, now int64) bool {
@@ -120,41 +120,41 @@
 	return h.Sum64()
 }
 
-// Heard is one change of a member and the moment at which the policy had it.
-type Heard struct {
+// AppliedChange is one change of a member and the moment at which the policy had it.
+type AppliedChange struct {
 	Key uint64
 	At  int64 // Unix µs
 }
 
 // Counts are the messages of one relay.
 type Counts struct {
-	Offered    int64 `json:"offered"`
-	Refused    int64 `json:"refused"` // never taken on
-	Taken      int64 `json:"taken"`
-	Delivered  int64 `json:"delivered"`
-	HandedBack int64 `json:"handed_back"`
-	GivenUp    int64 `json:"given_up"`
-	Twice      int64 `json:"twice"` // ends of a message that had one
-	Held       int64 `json:"held"`
-	Calls      int64 `json:"calls"`
-	Notices    int64 `json:"notices"` // that discovery has taken
+	Offered              int64 `json:"offered"`
+	Rejected             int64 `json:"refused"` // never taken on
+	Accepted             int64 `json:"taken"`
+	Delivered            int64 `json:"delivered"`
+	Returned             int64 `json:"handed_back"`
+	Failed               int64 `json:"given_up"`
+	DuplicateCompletions int64 `json:"twice"` // ends of a message that had one
+	InFlight             int64 `json:"held"`
+	Calls                int64 `json:"calls"`
+	Notices              int64 `json:"notices"` // that discovery has taken
 }
 
 // Add adds another relay's.
 func (c *Counts) Add(x Counts) {
 	c.Offered += x.Offered
-	c.Refused += x.Refused
-	c.Taken += x.Taken
+	c.Rejected += x.Rejected
+	c.Accepted += x.Accepted
 	c.Delivered += x.Delivered
-	c.HandedBack += x.HandedBack
-	c.GivenUp += x.GivenUp
-	c.Twice += x.Twice
-	c.Held += x.Held
+	c.Returned += x.Returned
+	c.Failed += x.Failed
+	c.DuplicateCompletions += x.DuplicateCompletions
+	c.InFlight += x.InFlight
 	c.Calls += x.Calls
 	c.Notices += x.Notices
 }
 
-// Status is what a process says of its relays every StatusEvery, as a line of
+// Status is what a process says of its relays every StatusInterval, as a line of
 // JSON on its output.
 type Status struct {
 	Relays  int            `json:"relays"`
@@ -167,25 +167,25 @@
 
 // Signals by which a process of hollow relays is told what to do.
 const (
-	Begin = syscall.SIGUSR1 // messages come
-	Pause = syscall.SIGUSR2 // no more messages come
-	End   = syscall.SIGTERM // write the result and end
+	StartTraffic = syscall.SIGUSR1 // messages come
+	StopTraffic  = syscall.SIGUSR2 // no more messages come
+	Finish       = syscall.SIGTERM // write the result and end
 )
 
-// StatusEvery is the time between two lines of Status.
-const StatusEvery = 200 * time.Millisecond
+// StatusInterval is the time between two lines of Status.
+const StatusInterval = 200 * time.Millisecond
 
 // RelayResult is what came of one relay.
 type RelayResult struct {
-	Name    string
-	Hash    uint64
-	Members int
-	Whole   int // whole lists that it took
-	Heard   []Heard
-	Wrong   []string // news out of order
-	Counts  Counts
-	Owed    int // messages that its log owes at the end
-	LogErr  string
+	Name          string
+	Hash          uint64
+	Members       int
+	CompleteLists int // whole lists that it took
+	Changes       []AppliedChange
+	OutOfOrder    []string // news out of order
+	Counts        Counts
+	Pending       int // messages that its log owes at the end
+	LogErr        string
 }
 
 // Result is what came of a process.
--- a/internal/faultlab/simrelay/hollow_test.go
+++ b/internal/faultlab/simrelay/hollow_test.go
@@ -12,7 +12,7 @@
 // its time, and over a whole round each of them once.
 func TestDownIsASteadyWindow(t *testing.T) {
 	const destinations = 200
-	d := Down{Seed: 3, Share: 0.05, For: 10 * time.Second, Origin: 1000}
+	d := Down{Seed: 3, Fraction: 0.05, For: 10 * time.Second, Origin: 1000}
 	d.Prepare(destinations)
 	if d.Count() != 10 {
 		t.Fatalf("%d are down, want 10", d.Count())
@@ -36,7 +36,7 @@
 			t.Errorf("seed 3: destination %d was down for %d steps, want %d", i, n, d.Count())
 		}
 	}
-	if none := (Down{Share: 0}); none.At(0, 5) {
+	if none := (Down{Fraction: 0}); none.At(0, 5) {
 		t.Error("one is down where none is to be")
 	}
 }
--- a/internal/faultlab/simrelay/relays/list.go
+++ b/internal/faultlab/simrelay/relays/list.go
@@ -29,18 +29,18 @@
 	hash           uint64
 	members        int
 	revision       int64
-	whole          int // whole lists that were taken
-	heard          []simrelay.Heard
-	news           bool     // some was taken that the policy does not have yet
-	pending        []uint64 // changes that are in the policy's next step
-	wrong          []string
+	completeLists  int // whole lists that were taken
+	applied        []simrelay.AppliedChange
+	updated        bool     // some was taken that the policy does not have yet
+	pendingKeys    []uint64 // changes that are in the policy's next step
+	outOfOrder     []string
 }
 
 func newList(zones, flavors []string) *list {
-	return &list{zones: places(zones), flavors: places(flavors), byID: map[string]*endpoint{}, byNumber: map[policy.Endpoint]*endpoint{}}
+	return &list{zones: indexByName(zones), flavors: indexByName(flavors), byID: map[string]*endpoint{}, byNumber: map[policy.Endpoint]*endpoint{}}
 }
 
-func places(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	all := make(map[string]int, len(names))
 	for i, name := range names {
 		all[name] = i
@@ -48,35 +48,35 @@
 	return all
 }
 
-func place(all map[string]int, name string) int {
+func indexOf(all map[string]int, name string) int {
 	if i, ok := all[name]; ok {
 		return i
 	}
 	return -1
 }
 
-// take makes an event for the policy of news of the list.
-func (l *list) take(news *discovery.List) policy.Event {
+// update makes an event for the policy of news of the list.
+func (l *list) update(update *discovery.List) policy.Event {
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListDelta}
-	first := l.whole == 0
-	if !news.Complete && (first || news.Revision <= l.revision) {
-		l.wrong = append(l.wrong, fmt.Sprintf("a change to revision %d after %d, %d whole lists", news.Revision, l.revision, l.whole))
+	first := l.completeLists == 0
+	if !update.Complete && (first || update.Revision <= l.revision) {
+		l.outOfOrder = append(l.outOfOrder, fmt.Sprintf("a change to revision %d after %d, %d whole lists", update.Revision, l.revision, l.completeLists))
 	}
-	l.revision, l.news = news.Revision, true
-	e.Entries = make([]policy.Entry, 0, len(news.Members))
-	for i := range news.Members {
-		e.Entries = append(e.Entries, l.member(&news.Members[i], !first))
+	l.revision, l.updated = update.Revision, true
+	e.Entries = make([]policy.Entry, 0, len(update.Members))
+	for i := range update.Members {
+		e.Entries = append(e.Entries, l.applyMember(&update.Members[i], !first))
 	}
-	if news.Complete {
-		l.whole++
+	if update.Complete {
+		l.completeLists++
 		e.ListUpdate = policy.ListFull
-		l.dropUnlisted(news)
+		l.dropUnlisted(update)
 	}
 	return e
 }
 
-// member books one line of the list; noted has a change of it counted as heard.
-func (l *list) member(m *discovery.Member, noted bool) policy.Entry {
+// applyMember books one line of the list; noted has a change of it counted as heard.
+func (l *list) applyMember(m *discovery.Member, noted bool) policy.Entry {
 	x := l.byID[m.ID]
 	if x == nil {
 		l.last++
@@ -84,11 +84,11 @@
 		l.byID[m.ID], l.byNumber[x.number] = x, x
 	}
 	if noted && (x.phase != m.Phase || x.size != m.Size) {
-		l.pending = append(l.pending, simrelay.ChangeKey(m.ID, m.Phase, m.Size))
+		l.pendingKeys = append(l.pendingKeys, simrelay.ChangeKey(m.ID, m.Phase, m.Size))
 	}
-	l.forget(x)
+	l.uncount(x)
 	x.phase, x.size = m.Phase, m.Size
-	entry := policy.Entry{Endpoint: x.number, Zone: place(l.zones, m.Locality), Kind: place(l.flavors, m.Flavor), Dest: m.Cell,
+	entry := policy.Entry{Endpoint: x.number, Zone: indexOf(l.zones, m.Locality), Kind: indexOf(l.flavors, m.Flavor), Dest: m.Cell,
 		State: policy.Ready, Rate: m.Size}
 	switch m.Phase {
 	case discovery.Draining:
@@ -103,8 +103,8 @@
 	return entry
 }
 
-// forget takes a member out of what is counted.
-func (l *list) forget(x *endpoint) {
+// uncount takes a member out of what is counted.
+func (l *list) uncount(x *endpoint) {
 	if x.phase != discovery.Removed {
 		l.hash -= x.hash
 		l.members--
@@ -112,24 +112,24 @@
 }
 
 // dropUnlisted books that what a whole list leaves out is gone.
-func (l *list) dropUnlisted(news *discovery.List) {
-	listed := make(map[string]bool, len(news.Members))
-	for i := range news.Members {
-		listed[news.Members[i].ID] = true
+func (l *list) dropUnlisted(update *discovery.List) {
+	listed := make(map[string]bool, len(update.Members))
+	for i := range update.Members {
+		listed[update.Members[i].ID] = true
 	}
 	for id, x := range l.byID {
 		if !listed[id] && x.phase != discovery.Removed {
-			l.forget(x)
+			l.uncount(x)
 			x.phase = discovery.Removed
-			l.pending = append(l.pending, simrelay.ChangeKey(id, discovery.Removed, 0))
+			l.pendingKeys = append(l.pendingKeys, simrelay.ChangeKey(id, discovery.Removed, 0))
 		}
 	}
 }
 
-// inForce books that the policy has all news that was taken.
-func (l *list) inForce(now time.Time) {
-	for _, key := range l.pending {
-		l.heard = append(l.heard, simrelay.Heard{Key: key, At: now.UnixMicro()})
+// markApplied books that the policy has all news that was taken.
+func (l *list) markApplied(now time.Time) {
+	for _, key := range l.pendingKeys {
+		l.applied = append(l.applied, simrelay.AppliedChange{Key: key, At: now.UnixMicro()})
 	}
-	l.pending, l.news = l.pending[:0], false
+	l.pendingKeys, l.updated = l.pendingKeys[:0], false
 }
--- a/internal/faultlab/simrelay/relays/process.go
+++ b/internal/faultlab/simrelay/relays/process.go
@@ -21,7 +21,7 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-const latestMost = 60_000_000 // µs that lateness is told up to
+const maxLateness = 60_000_000 // µs that lateness is told up to
 
 // lateness is that of all relays of a process.
 type lateness struct {
@@ -29,13 +29,13 @@
 	hist *hdrhistogram.Histogram
 }
 
-func (l *lateness) book(d time.Duration) {
+func (l *lateness) record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hist.RecordValue(min(max(1, d.Microseconds()), latestMost))
+	l.hist.RecordValue(min(max(1, d.Microseconds()), maxLateness))
 }
 
-func (l *lateness) told() (p99, most time.Duration) {
+func (l *lateness) quantiles() (p99, most time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.hist.ValueAtQuantile(99)) * time.Microsecond, time.Duration(l.hist.Max()) * time.Microsecond
@@ -45,17 +45,17 @@
 // Lines of hollow.Status go to out, and what goes wrong to errOut.
 func Main(ctx context.Context, path string, out, errOut io.Writer) error {
 	signals := make(chan os.Signal, 8) // before anything else: unhandled, they would end the process
-	signal.Notify(signals, simrelay.Begin, simrelay.Pause, simrelay.End)
+	signal.Notify(signals, simrelay.StartTraffic, simrelay.StopTraffic, simrelay.Finish)
 	defer signal.Stop(signals)
 	c, err := simrelay.LoadConfig(path)
 	if err != nil {
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(errOut, &slog.HandlerOptions{Level: slog.LevelWarn}))
-	late := &lateness{hist: hdrhistogram.New(1, latestMost, 3)}
+	late := &lateness{hist: hdrhistogram.New(1, maxLateness, 3)}
 	var relays []*relay
 	for i := range c.Settings {
-		r, err := newRelay(c, i, log, late.book)
+		r, err := newRelay(c, i, log, late.record)
 		if err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 		all.Add(1)
 		go func() { defer all.Done(); r.run() }()
 	}
-	tick := time.NewTicker(simrelay.StatusEvery)
+	tick := time.NewTicker(simrelay.StatusInterval)
 	defer tick.Stop()
 	lines := json.NewEncoder(out)
 	for ended := false; !ended; {
@@ -74,42 +74,42 @@
 		case <-ctx.Done():
 			ended = true
 		case s := <-signals:
-			ended = s == simrelay.End
-			tell(relays, s)
+			ended = s == simrelay.Finish
+			broadcast(relays, s)
 		case <-tick.C:
-			if err := lines.Encode(status(relays, late)); err != nil {
+			if err := lines.Encode(collectStatus(relays, late)); err != nil {
 				return fmt.Errorf("hollow: status: %w", err)
 			}
 		}
 	}
-	tell(relays, simrelay.End)
+	broadcast(relays, simrelay.Finish)
 	all.Wait()
-	return write(c.Result, relays, late)
+	return writeResult(c.Result, relays, late)
 }
 
-// tell passes a signal on to all relays.
-func tell(relays []*relay, s os.Signal) {
+// broadcast passes a signal on to all relays.
+func broadcast(relays []*relay, s os.Signal) {
 	for _, r := range relays {
-		r.in.Put(event{order: map[os.Signal]order{simrelay.Begin: orderBegin, simrelay.Pause: orderPause, simrelay.End: orderEnd}[s]})
+		r.inbox.Put(event{command: map[os.Signal]command{simrelay.StartTraffic: commandStartTraffic, simrelay.StopTraffic: commandStopTraffic, simrelay.Finish: commandFinish}[s]})
 	}
 }
 
-func status(relays []*relay, late *lateness) simrelay.Status {
+func collectStatus(relays []*relay, late *lateness) simrelay.Status {
 	s := simrelay.Status{Relays: len(relays), Hashes: map[string]int{}, Members: map[int]int{}}
 	for _, r := range relays {
-		r.status(&s)
+		r.addStatus(&s)
 	}
-	s.LateP99, s.LateMax = late.told()
+	s.LateP99, s.LateMax = late.quantiles()
 	return s
 }
 
-// write keeps the result of a process.
-func write(path string, relays []*relay, late *lateness) (err error) {
+// writeResult keeps the result of a process.
+func writeResult(path string, relays []*relay, late *lateness) (err error) {
 	var result simrelay.Result
 	for _, r := range relays {
 		result.Relays = append(result.Relays, r.result())
 	}
-	result.LateP99, result.LateMax = late.told()
+	result.LateP99, result.LateMax = late.quantiles()
 	f, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("hollow: %w", err)
--- a/internal/faultlab/simrelay/relays/relay.go
+++ b/internal/faultlab/simrelay/relays/relay.go
@@ -26,68 +26,68 @@
 
 // message is one that the relay holds, or whose notice is under way.
 type message struct {
-	number  uint32
-	class   int
-	record  *wal.Record
-	logged  bool // taken on
-	heard   bool // the log has it: its client would know
-	over    bool
-	tries   int
-	out     *attempt
-	pending *policy.Action // a send that waits until the log has the message
+	number      uint32
+	class       int
+	record      *wal.Record
+	accepted    bool // taken on
+	durable     bool // the log has it: its client would know
+	completed   bool
+	attempts    int
+	inFlight    *attempt
+	pendingSend *policy.Action // a send that waits until the log has the message
 }
 
 // event is something that the relay's loop is told.
 type event struct {
-	news    *discovery.List
-	taken   *message // the log has it
-	send    *attempt // the log has it
-	noticed string
-	order   order
+	list          *discovery.List
+	durable       *message // the log has it
+	attemptLogged *attempt // the log has it
+	noticeSent    string
+	command       command
 }
 
-// order is what the process tells its relays.
-type order int
+// command is what the process tells its relays.
+type command int
 
 const (
-	orderNone order = iota
-	orderBegin
-	orderPause
-	orderEnd
+	commandNone command = iota
+	commandStartTraffic
+	commandStopTraffic
+	commandFinish
 )
 
 // relay is one hollow relay. Its loop is the one goroutine that the policy
 // belongs to.
 type relay struct {
-	name     string
-	folder   string
-	log      *slog.Logger
-	policy   *policy.Policy
-	in       *mailbox.Mailbox[event]
-	wal      *wal.Log
-	lock     *wal.Lock
-	stopLog  chan struct{}
-	watch    *discovery.Watch
-	notices  *discovery.Notices
-	list     *list
-	arrivals arrivals
-	late     func(time.Duration)
-	began    time.Time
-	numbers  uint32
-	messages map[uint32]*message
-	out      attempts
-	timers   []policy.Time
-	events   []policy.Event
-	actions  []policy.Action
-	body     []byte
-
-	mu     sync.Mutex // of what status reads
-	counts simrelay.Counts
-	shown  shown
+	name       string
+	folder     string
+	log        *slog.Logger
+	policy     *policy.Policy
+	inbox      *mailbox.Mailbox[event]
+	wal        *wal.Log
+	lock       *wal.Lock
+	stopLog    chan struct{}
+	watch      *discovery.Watch
+	notices    *discovery.Notices
+	list       *list
+	arrivals   arrivals
+	onLateness func(time.Duration)
+	began      time.Time
+	lastNumber uint32
+	messages   map[uint32]*message
+	inFlight   attempts
+	timers     []policy.Time
+	events     []policy.Event
+	actions    []policy.Action
+	body       []byte
+
+	mu        sync.Mutex // of what status reads
+	counts    simrelay.Counts
+	published listState
 }
 
-// shown is what a relay publishes after each step that changed its list.
-type shown struct {
+// listState is what a relay publishes after each step that changed its list.
+type listState struct {
 	listed  bool
 	hash    uint64
 	members int
@@ -110,15 +110,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow: settings: %w", err)
 	}
-	r := &relay{name: name, folder: filepath.Join(c.Folder, name), log: log, policy: policy, in: mailbox.New[event](), began: time.Now(),
-		list: newList(c.Zones, c.Flavors), messages: map[uint32]*message{}, late: late, body: make([]byte, c.Stream.Body), stopLog: make(chan struct{})}
+	r := &relay{name: name, folder: filepath.Join(c.Folder, name), log: log, policy: policy, inbox: mailbox.New[event](), began: time.Now(),
+		list: newList(c.Zones, c.Flavors), messages: map[uint32]*message{}, onLateness: late, body: make([]byte, c.Stream.Body), stopLog: make(chan struct{})}
 	r.arrivals = arrivals{stream: &c.Stream, random: rand.New(rand.NewPCG(seed, 0x686f6c6c))}
 	if err := r.openLog(int64(c.DiskMB) << 20); err != nil {
 		return nil, err
 	}
 	addr := c.Discovery[i%len(c.Discovery)]
-	r.watch = discovery.NewWatch(addr, c.Fleet, log, func(l *discovery.List) { r.in.Put(event{news: l}) })
-	r.notices = discovery.NewNotices(addr, log, func(id string) { r.in.Put(event{noticed: id}) })
+	r.watch = discovery.NewWatch(addr, c.Fleet, log, func(l *discovery.List) { r.inbox.Put(event{list: l}) })
+	r.notices = discovery.NewNotices(addr, log, func(id string) { r.inbox.Put(event{noticeSent: id}) })
 	return r, nil
 }
 
@@ -142,7 +142,7 @@
 
 func (r *relay) now() policy.Time { return clockStart + time.Since(r.began).Microseconds() }
 
-// run serves until it is told orderEnd.
+// run serves until it is told commandFinish.
 func (r *relay) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -153,19 +153,19 @@
 	defer timer.Stop()
 	var got []event
 	for ended := false; !ended; {
-		timer.Reset(r.wait())
+		timer.Reset(r.untilDue())
 		select {
-		case <-r.in.Ready():
+		case <-r.inbox.Ready():
 		case <-timer.C:
 		}
-		got = r.in.TakeAll(got)
+		got = r.inbox.TakeAll(got)
 		for i := range got {
-			ended = r.take(&got[i]) || ended
+			ended = r.handleEvent(&got[i]) || ended
 		}
 		now := time.Now()
-		r.arrive(now)
-		r.finish(now)
-		r.ring()
+		r.receiveDue(now)
+		r.finishDue(now)
+		r.fireTimers()
 		if len(r.events) > 0 {
 			r.step()
 		}
@@ -176,8 +176,8 @@
 	r.lock.Close()
 }
 
-// wait is how long nothing is due by time alone.
-func (r *relay) wait() time.Duration {
+// untilDue is how long nothing is due by time alone.
+func (r *relay) untilDue() time.Duration {
 	wait := time.Hour
 	if len(r.timers) > 0 {
 		wait = time.Duration(r.timers[0]-r.now()+1) * time.Microsecond
@@ -185,66 +185,66 @@
 	if !r.arrivals.next.IsZero() {
 		wait = min(wait, time.Until(r.arrivals.next))
 	}
-	if len(r.out) > 0 {
-		wait = min(wait, time.Until(r.out[0].due))
+	if len(r.inFlight) > 0 {
+		wait = min(wait, time.Until(r.inFlight[0].endsAt))
 	}
 	return max(wait, 0)
 }
 
-// take books one event; true for the end.
-func (r *relay) take(e *event) bool {
+// handleEvent books one event; true for the end.
+func (r *relay) handleEvent(e *event) bool {
 	switch {
-	case e.news != nil:
-		r.events = append(r.events, r.list.take(e.news))
-	case e.taken != nil:
-		r.taken(e.taken)
-	case e.send != nil:
-		r.call(e.send)
-	case e.noticed != "":
-		r.count(func(c *simrelay.Counts) { c.Notices++ })
-		r.wal.Submit(&wal.Record{Kind: wal.KindCompleted, ID: e.noticed}, nil)
-	case e.order == orderBegin:
-		r.arrivals.begin(time.Now())
-	case e.order == orderPause:
-		r.arrivals.end()
-	case e.order == orderEnd:
+	case e.list != nil:
+		r.events = append(r.events, r.list.update(e.list))
+	case e.durable != nil:
+		r.messageLogged(e.durable)
+	case e.attemptLogged != nil:
+		r.startAttempt(e.attemptLogged)
+	case e.noticeSent != "":
+		r.updateCounts(func(c *simrelay.Counts) { c.Notices++ })
+		r.wal.Submit(&wal.Record{Kind: wal.KindCompleted, ID: e.noticeSent}, nil)
+	case e.command == commandStartTraffic:
+		r.arrivals.start(time.Now())
+	case e.command == commandStopTraffic:
+		r.arrivals.stop()
+	case e.command == commandFinish:
 		return true
 	}
 	return false
 }
 
-func (r *relay) count(f func(*simrelay.Counts)) {
+func (r *relay) updateCounts(f func(*simrelay.Counts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.counts)
 }
 
-// arrive takes in the messages that are due.
-func (r *relay) arrive(now time.Time) {
+// receiveDue takes in the messages that are due.
+func (r *relay) receiveDue(now time.Time) {
 	a := &r.arrivals
 	for !a.next.IsZero() && !a.next.After(now) {
-		r.late(now.Sub(a.next))
-		a.next = a.next.Add(a.gap())
-		r.numbers++
-		m := &message{number: r.numbers, class: a.class()}
+		r.onLateness(now.Sub(a.next))
+		a.next = a.next.Add(a.drawGap())
+		r.lastNumber++
+		m := &message{number: r.lastNumber, class: a.drawClass()}
 		m.record = &wal.Record{Kind: wal.KindAccepted, ID: fmt.Sprintf("%s-%08x", r.name, m.number), Class: a.stream.Classes[m.class].Name,
 			Dest: a.random.IntN(a.stream.Destinations), Deadline: now.Add(a.stream.Deadline).UnixMicro(), Body: r.body}
 		r.messages[m.number] = m
-		r.count(func(c *simrelay.Counts) { c.Offered++ })
+		r.updateCounts(func(c *simrelay.Counts) { c.Offered++ })
 		r.events = append(r.events, policy.Event{Kind: policy.EventMessage, Message: m.number, Class: m.class, Dest: m.record.Dest, Tenant: -1,
 			TimeLeft: a.stream.Deadline.Microseconds()})
 	}
 }
 
-// finish books the attempts that are over.
-func (r *relay) finish(now time.Time) {
-	for len(r.out) > 0 && !r.out[0].due.After(now) {
-		r.attempted(heap.Pop(&r.out).(*attempt), now)
+// finishDue books the attempts that are over.
+func (r *relay) finishDue(now time.Time) {
+	for len(r.inFlight) > 0 && !r.inFlight[0].endsAt.After(now) {
+		r.finishAttempt(heap.Pop(&r.inFlight).(*attempt), now)
 	}
 }
 
-// ring tells the policy of the timers that have come.
-func (r *relay) ring() {
+// fireTimers tells the policy of the timers that have come.
+func (r *relay) fireTimers() {
 	n, now := 0, r.now()
 	for n < len(r.timers) && r.timers[n] <= now {
 		n++
@@ -267,75 +267,75 @@
 		}
 	}
 	r.actions = r.policy.Step(r.now(), events, r.actions[:0])
-	if r.list.news {
-		r.list.inForce(time.Now())
-		r.show()
+	if r.list.updated {
+		r.list.markApplied(time.Now())
+		r.publishList()
 	}
 	for i := range r.actions {
 		switch a := &r.actions[i]; a.Kind {
 		case policy.ActionReject:
-			r.ended(a, discovery.Returned)
+			r.respond(a, discovery.Returned)
 		case policy.ActionFail:
-			r.ended(a, discovery.Failed)
+			r.respond(a, discovery.Failed)
 		}
 	}
 	for _, m := range fresh {
-		if !m.over {
-			r.takeOn(m)
+		if !m.completed {
+			r.accept(m)
 		}
 	}
 	for i := range r.actions {
-		r.act(&r.actions[i])
+		r.apply(&r.actions[i])
 	}
 }
 
-// show publishes the state of the list.
-func (r *relay) show() {
+// publishList publishes the state of the list.
+func (r *relay) publishList() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.shown = shown{true, r.list.hash, r.list.members}
+	r.published = listState{true, r.list.hash, r.list.members}
 }
 
-// takeOn logs a message.
-func (r *relay) takeOn(m *message) {
-	m.logged = true
-	r.count(func(c *simrelay.Counts) { c.Taken++; c.Held++ })
+// accept logs a message.
+func (r *relay) accept(m *message) {
+	m.accepted = true
+	r.updateCounts(func(c *simrelay.Counts) { c.Accepted++; c.InFlight++ })
 	r.wal.Submit(m.record, func(err error) {
 		if err != nil {
 			r.log.Error("message not logged", "message", m.record.ID, "err", err)
 		}
-		r.in.Put(event{taken: m})
+		r.inbox.Put(event{durable: m})
 	})
 }
 
-// taken goes on with what waited until the log had the message.
-func (r *relay) taken(m *message) {
-	m.heard = true
-	if a := m.pending; a != nil {
-		m.pending = nil
-		r.send(m, a)
+// messageLogged goes on with what waited until the log had the message.
+func (r *relay) messageLogged(m *message) {
+	m.durable = true
+	if a := m.pendingSend; a != nil {
+		m.pendingSend = nil
+		r.logAttempt(m, a)
 	}
 }
 
-// act carries out what is no final answer.
-func (r *relay) act(a *policy.Action) {
+// apply carries out what is no final answer.
+func (r *relay) apply(a *policy.Action) {
 	switch a.Kind {
 	case policy.ActionSend:
 		m := r.messages[a.Message]
-		if m == nil || m.over {
+		if m == nil || m.completed {
 			return
 		}
-		m.tries++
-		if copied := *a; !m.heard {
-			m.pending = &copied
+		m.attempts++
+		if copied := *a; !m.durable {
+			m.pendingSend = &copied
 			return
 		}
-		r.send(m, a)
+		r.logAttempt(m, a)
 	case policy.ActionCancel:
-		if m := r.messages[a.Message]; m != nil && m.out != nil && m.out.number == a.Attempt {
-			r.out.remove(m.out)
-			m.out.outcome = policy.Cancelled
-			r.attempted(m.out, time.Now())
+		if m := r.messages[a.Message]; m != nil && m.inFlight != nil && m.inFlight.number == a.Attempt {
+			r.inFlight.remove(m.inFlight)
+			m.inFlight.outcome = policy.Cancelled
+			r.finishAttempt(m.inFlight, time.Now())
 		}
 	case policy.ActionTimer:
 		due := r.now() + a.Delay
@@ -345,120 +345,120 @@
 	}
 }
 
-// send logs an attempt; the call begins once the log has it.
-func (r *relay) send(m *message, a *policy.Action) {
+// logAttempt logs an attempt; the call begins once the log has it.
+func (r *relay) logAttempt(m *message, a *policy.Action) {
 	x := r.list.byNumber[a.Endpoint]
-	one := &attempt{message: m, number: m.tries - 1, at: a.Endpoint, place: -1, due: r.began.Add(time.Duration(a.Deadline-clockStart) * time.Microsecond)}
-	if m.over || x == nil || x.phase != discovery.Up || x.cell != m.record.Dest || a.Deadline <= r.now() || a.SendBy != 0 && a.SendBy <= r.now() {
+	one := &attempt{message: m, number: m.attempts - 1, endpoint: a.Endpoint, heapIndex: -1, endsAt: r.began.Add(time.Duration(a.Deadline-clockStart) * time.Microsecond)}
+	if m.completed || x == nil || x.phase != discovery.Up || x.cell != m.record.Dest || a.Deadline <= r.now() || a.SendBy != 0 && a.SendBy <= r.now() {
 		one.outcome = policy.NotSent
-		r.attempted(one, time.Now())
+		r.finishAttempt(one, time.Now())
 		return
 	}
-	m.out = one
-	r.wal.Submit(&wal.Record{Kind: wal.KindAttempt, ID: m.record.ID, At: time.Now().UnixMicro(), Endpoint: x.id, Process: r.wal.Process}, func(error) { r.in.Put(event{send: one}) })
+	m.inFlight = one
+	r.wal.Submit(&wal.Record{Kind: wal.KindAttempt, ID: m.record.ID, At: time.Now().UnixMicro(), Endpoint: x.id, Process: r.wal.Process}, func(error) { r.inbox.Put(event{attemptLogged: one}) })
 }
 
-// call begins an attempt that the log has.
-func (r *relay) call(one *attempt) {
-	if one.message.out != one {
+// startAttempt begins an attempt that the log has.
+func (r *relay) startAttempt(started *attempt) {
+	if started.message.inFlight != started {
 		return // called off meanwhile
 	}
-	r.count(func(c *simrelay.Counts) { c.Calls++ })
-	one.began = time.Now()
-	r.arrivals.call(one, one.due.Sub(one.began))
-	heap.Push(&r.out, one)
+	r.updateCounts(func(c *simrelay.Counts) { c.Calls++ })
+	started.began = time.Now()
+	r.arrivals.settle(started, started.endsAt.Sub(started.began))
+	heap.Push(&r.inFlight, started)
 }
 
-// attempted books the end of an attempt.
-func (r *relay) attempted(one *attempt, now time.Time) {
-	m := one.message
-	m.out = nil
-	settled := m.over || one.outcome == policy.Delivered
-	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.number, Attempt: one.number, Endpoint: one.at, Outcome: one.outcome, Final: settled, NewConnection: true}
-	if !one.began.IsZero() {
-		e.Latency = now.Sub(one.began).Microseconds()
+// finishAttempt books the end of an attempt.
+func (r *relay) finishAttempt(finished *attempt, now time.Time) {
+	m := finished.message
+	m.inFlight = nil
+	settled := m.completed || finished.outcome == policy.Delivered
+	e := policy.Event{Kind: policy.EventAttemptDone, Message: m.number, Attempt: finished.number, Endpoint: finished.endpoint, Outcome: finished.outcome, Final: settled, NewConnection: true}
+	if !finished.began.IsZero() {
+		e.Latency = now.Sub(finished.began).Microseconds()
 	}
-	if one.outcome == policy.Delivered {
+	if finished.outcome == policy.Delivered {
 		e.Load = policy.LoadReport{Remaining: 1, Present: true}
 	}
 	r.events = append(r.events, e)
-	record := &wal.Record{Kind: wal.KindOutcome, ID: m.record.ID, MayHaveRun: !one.outcome.NeverRan()}
-	if one.outcome == policy.Delivered {
+	record := &wal.Record{Kind: wal.KindOutcome, ID: m.record.ID, MayHaveRun: !finished.outcome.NeverRan()}
+	if finished.outcome == policy.Delivered {
 		record.Kind = wal.KindCompleted
 	}
 	r.wal.Submit(record, nil)
 	switch {
-	case one.outcome == policy.Delivered && m.over:
+	case finished.outcome == policy.Delivered && m.completed:
 		delete(r.messages, m.number) // its notice is under way: the call ran on
-	case one.outcome == policy.Delivered:
-		r.over(m, func(c *simrelay.Counts) { c.Delivered++ })
+	case finished.outcome == policy.Delivered:
+		r.complete(m, func(c *simrelay.Counts) { c.Delivered++ })
 		delete(r.messages, m.number)
-	case m.over:
+	case m.completed:
 		delete(r.messages, m.number)
 	}
 }
 
-// over books the end of a message that was taken on.
-func (r *relay) over(m *message, f func(*simrelay.Counts)) {
-	r.count(func(c *simrelay.Counts) {
-		if m.over {
-			c.Twice++
+// complete books the end of a message that was taken on.
+func (r *relay) complete(m *message, f func(*simrelay.Counts)) {
+	r.updateCounts(func(c *simrelay.Counts) {
+		if m.completed {
+			c.DuplicateCompletions++
 			return
 		}
-		c.Held--
+		c.InFlight--
 		f(c)
 	})
-	m.over = true
+	m.completed = true
 }
 
-// ended carries out a final answer.
-func (r *relay) ended(a *policy.Action, word string) {
+// respond carries out a final answer.
+func (r *relay) respond(a *policy.Action, outcome string) {
 	m := r.messages[a.Message]
 	if m == nil {
 		return
 	}
-	if !m.logged { // not taken on: its client hears it at once
-		m.over = true
+	if !m.accepted { // not taken on: its client hears it at once
+		m.completed = true
 		delete(r.messages, m.number)
-		r.count(func(c *simrelay.Counts) { c.Refused++ })
+		r.updateCounts(func(c *simrelay.Counts) { c.Rejected++ })
 		return
 	}
-	r.over(m, func(c *simrelay.Counts) {
-		if word == discovery.Failed {
-			c.GivenUp++
+	r.complete(m, func(c *simrelay.Counts) {
+		if outcome == discovery.Failed {
+			c.Failed++
 		} else {
-			c.HandedBack++
+			c.Returned++
 		}
 	})
-	if m.out == nil && m.pending == nil {
+	if m.inFlight == nil && m.pendingSend == nil {
 		delete(r.messages, m.number)
 	}
-	notice := discovery.Notice{Message: m.record.ID, Outcome: word, RetryMS: (a.Delay + 999) / 1000}
-	if word == discovery.Failed {
+	notice := discovery.Notice{Message: m.record.ID, Outcome: outcome, RetryMS: (a.Delay + 999) / 1000}
+	if outcome == discovery.Failed {
 		notice.RetryMS = 0
 	}
-	r.wal.Submit(&wal.Record{Kind: wal.KindCompleting, ID: m.record.ID, Notice: word, RetryMS: notice.RetryMS}, func(error) { r.notices.Put(notice) })
+	r.wal.Submit(&wal.Record{Kind: wal.KindCompleting, ID: m.record.ID, Notice: outcome, RetryMS: notice.RetryMS}, func(error) { r.notices.Put(notice) })
 }
 
-// status adds what the relay has to show to a process's.
-func (r *relay) status(s *simrelay.Status) {
+// addStatus adds what the relay has to show to a process's.
+func (r *relay) addStatus(s *simrelay.Status) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.Counts.Add(r.counts)
-	if r.shown.listed {
-		s.Hashes[fmt.Sprintf("%016x", r.shown.hash)]++
-		s.Members[r.shown.members]++
+	if r.published.listed {
+		s.Hashes[fmt.Sprintf("%016x", r.published.hash)]++
+		s.Members[r.published.members]++
 	}
 }
 
 // result is what came of the relay. After run.
 func (r *relay) result() simrelay.RelayResult {
-	out := simrelay.RelayResult{Name: r.name, Hash: r.list.hash, Members: r.list.members, Whole: r.list.whole, Heard: r.list.heard, Wrong: r.list.wrong, Counts: r.counts}
+	out := simrelay.RelayResult{Name: r.name, Hash: r.list.hash, Members: r.list.members, CompleteLists: r.list.completeLists, Changes: r.list.applied, OutOfOrder: r.list.outOfOrder, Counts: r.counts}
 	report, err := wal.Inspect(nil, r.folder)
 	if err != nil {
 		out.LogErr = err.Error()
 		return out
 	}
-	out.Owed = report.Pending
+	out.Pending = report.Pending
 	return out
 }
--- a/internal/faultlab/simrelay/relays/relay_test.go
+++ b/internal/faultlab/simrelay/relays/relay_test.go
@@ -18,17 +18,17 @@
 
 func testRelay(t *testing.T, d *discoverytest.Server, rate float64) *relay {
 	t.Helper()
-	text, err := json.Marshal(model.Settings(model.Fleet{Relays: 1, Slots: 100, Held: 1000, Zones: []string{"a"}, Batch: 1}, model.StandardRules()))
+	text, err := json.Marshal(model.Settings(model.Fleet{Relays: 1, MaxCalls: 100, MaxMessages: 1000, Zones: []string{"a"}, MaxBatch: 1}, model.StandardRules()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &simrelay.Config{Folder: t.TempDir(), Discovery: []string{strings.TrimPrefix(d.URL, "http://")}, Fleet: 1, Seed: 5,
 		Settings: []json.RawMessage{text}, Zones: []string{"a"}, Flavors: []string{model.Telco, model.Newsagent}, DiskMB: 16,
-		Stream: simrelay.Stream{Rate: rate, Deadline: time.Second, Body: 50, Connect: 100 * time.Millisecond, Destinations: testMembers,
-			Down: simrelay.Down{Seed: 5, Share: 0.25, For: time.Minute, Origin: time.Now().UnixMicro()}}}
+		Stream: simrelay.Stream{Rate: rate, Deadline: time.Second, Body: 50, ConnectTimeout: 100 * time.Millisecond, Destinations: testMembers,
+			Down: simrelay.Down{Seed: 5, Fraction: 0.25, For: time.Minute, Origin: time.Now().UnixMicro()}}}
 	for _, k := range model.Classes() {
-		c.Stream.Classes = append(c.Stream.Classes, simrelay.StreamClass{Name: k.Name, Share: k.Share,
-			Took: [2]time.Duration{5 * time.Millisecond, 50 * time.Millisecond}})
+		c.Stream.Classes = append(c.Stream.Classes, simrelay.StreamClass{Name: k.Name, Fraction: k.Fraction,
+			ServiceTime: [2]time.Duration{5 * time.Millisecond, 50 * time.Millisecond}})
 	}
 	c.Stream.Down.Prepare(testMembers)
 	r, err := newRelay(c, 0, slog.New(slog.DiscardHandler), func(time.Duration) {})
@@ -54,20 +54,20 @@
 	over := make(chan struct{})
 	go func() { defer close(over); r.run() }()
 	now := func() (c simrelay.Counts) { r.mu.Lock(); defer r.mu.Unlock(); return r.counts }
-	discoverytest.WaitFor(t, "the list", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.shown.members == testMembers })
-	r.in.Put(event{order: orderBegin})
-	discoverytest.WaitFor(t, "messages, and some that cannot be delivered", func() bool { c := now(); return c.Delivered >= 100 && c.HandedBack+c.GivenUp >= 10 })
-	r.in.Put(event{order: orderPause})
-	discoverytest.WaitFor(t, "the end of all, and word of it", func() bool { c := now(); return c.Held == 0 && c.Notices == c.HandedBack+c.GivenUp })
-	r.in.Put(event{order: orderEnd})
+	discoverytest.WaitFor(t, "the list", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.published.members == testMembers })
+	r.inbox.Put(event{command: commandStartTraffic})
+	discoverytest.WaitFor(t, "messages, and some that cannot be delivered", func() bool { c := now(); return c.Delivered >= 100 && c.Returned+c.Failed >= 10 })
+	r.inbox.Put(event{command: commandStopTraffic})
+	discoverytest.WaitFor(t, "the end of all, and word of it", func() bool { c := now(); return c.InFlight == 0 && c.Notices == c.Returned+c.Failed })
+	r.inbox.Put(event{command: commandFinish})
 	<-over
 	got := r.result()
 	c := got.Counts
-	if c.Taken != c.Delivered+c.HandedBack+c.GivenUp || c.Twice != 0 || got.Owed != 0 || got.LogErr != "" {
-		t.Errorf("seed 5: %+v, the log owes %d, %s", c, got.Owed, got.LogErr)
+	if c.Accepted != c.Delivered+c.Returned+c.Failed || c.DuplicateCompletions != 0 || got.Pending != 0 || got.LogErr != "" {
+		t.Errorf("seed 5: %+v, the log owes %d, %s", c, got.Pending, got.LogErr)
 	}
-	if c.Offered != c.Taken+c.Refused {
-		t.Errorf("seed 5: %d offered, %d taken on, %d refused", c.Offered, c.Taken, c.Refused)
+	if c.Offered != c.Accepted+c.Rejected {
+		t.Errorf("seed 5: %d offered, %d taken on, %d refused", c.Offered, c.Accepted, c.Rejected)
 	}
 }
 
@@ -77,12 +77,12 @@
 	defer r.lock.Close()
 	list := testList()
 	take := func(l discovery.List) {
-		r.events = append(r.events, r.list.take(&l))
+		r.events = append(r.events, r.list.update(&l))
 		r.step()
 	}
 	take(discovery.List{Revision: 1, Complete: true, Members: list})
-	if len(r.list.heard) != 0 || r.shown.hash != simrelay.ListHash(list) {
-		t.Fatalf("after the first list: %d changes, hash %x, want %x", len(r.list.heard), r.shown.hash, simrelay.ListHash(list))
+	if len(r.list.applied) != 0 || r.published.hash != simrelay.ListHash(list) {
+		t.Fatalf("after the first list: %d changes, hash %x, want %x", len(r.list.applied), r.published.hash, simrelay.ListHash(list))
 	}
 	drained, heavier, gone := list[1], list[2], list[3]
 	drained.Phase, heavier.Size, gone.Phase = discovery.Draining, 2, discovery.Removed
@@ -94,19 +94,19 @@
 	take(discovery.List{Revision: 5, Complete: true, Members: left})
 	want := []uint64{simrelay.ChangeKey("s1", discovery.Draining, 1), simrelay.ChangeKey("s2", discovery.Up, 2),
 		simrelay.ChangeKey("s3", discovery.Removed, 0), simrelay.ChangeKey("s4", discovery.Removed, 0)}
-	if len(r.list.heard) != len(want) {
-		t.Fatalf("%d changes, want %d", len(r.list.heard), len(want))
+	if len(r.list.applied) != len(want) {
+		t.Fatalf("%d changes, want %d", len(r.list.applied), len(want))
 	}
-	for i, h := range r.list.heard {
+	for i, h := range r.list.applied {
 		if h.Key != want[i] || h.At == 0 {
 			t.Errorf("change %d: %+v, want key %x", i, h, want[i])
 		}
 	}
-	if r.shown.hash != simrelay.ListHash(left) || r.shown.members != len(left) || len(r.list.wrong) != 0 {
-		t.Errorf("%+v, want hash %x of %d members; wrong: %v", r.shown, simrelay.ListHash(left), len(left), r.list.wrong)
+	if r.published.hash != simrelay.ListHash(left) || r.published.members != len(left) || len(r.list.outOfOrder) != 0 {
+		t.Errorf("%+v, want hash %x of %d members; wrong: %v", r.published, simrelay.ListHash(left), len(left), r.list.outOfOrder)
 	}
 	take(discovery.List{Revision: 4, Members: []discovery.Member{drained}})
-	if len(r.list.wrong) != 1 {
-		t.Errorf("a revision that goes back: %v", r.list.wrong)
+	if len(r.list.outOfOrder) != 1 {
+		t.Errorf("a revision that goes back: %v", r.list.outOfOrder)
 	}
 }
--- a/internal/faultlab/status.go
+++ b/internal/faultlab/status.go
@@ -48,9 +48,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch e.Kind {
-	case history.Put:
+	case history.MessageSubmitted:
 		s.now.Handed++
-	case history.Refused:
+	case history.MessageRejected:
 		s.now.Refused++
 	case history.Notice:
 		if e.Text == "handed_back" {
@@ -59,7 +59,7 @@
 			s.now.GivenUp++
 		}
 	case history.Fault:
-		if e.On {
+		if e.Active {
 			s.inFaults++
 		} else {
 			s.inFaults--
@@ -83,10 +83,10 @@
 
 // report tells the status each second while the load lasts.
 func (r *run) report(ctx context.Context) {
-	for model.Pause(ctx, time.Second) {
+	for model.Sleep(ctx, time.Second) {
 		n := r.status.take()
 		n.Elapsed = time.Since(r.began)
-		n.Waiting = r.world.Ledger.Waiting(time.Now())
+		n.Waiting = r.world.Ledger.PendingCount(time.Now())
 		n.Fleet = len(r.relays)
 		for _, x := range r.relays {
 			x.mu.Lock()
--- a/internal/faultlab/tap.go
+++ b/internal/faultlab/tap.go
@@ -21,7 +21,7 @@
 	Addr() string
 	Known() model.List
 	Started(model.List)
-	Move(context.Context) error
+	Rebind(context.Context) error
 	SetSilent(bool)
 	Close()
 }
@@ -30,7 +30,7 @@
 // and records what the relay was told, and the notices that the agent took. An
 // address in the list becomes that of the relay's own link.
 type tap struct {
-	*model.Door
+	*model.Listener
 	relay   string
 	agent   string // address
 	links   map[string]string
@@ -47,7 +47,7 @@
 	mux.HandleFunc("GET "+discovery.ListPath, t.list)
 	mux.HandleFunc("POST "+discovery.NoticePath, t.reports)
 	var err error
-	if t.Door, err = model.NewDoor(ip, mux); err != nil {
+	if t.Listener, err = model.NewListener(ip, mux); err != nil {
 		return nil, fmt.Errorf("tap of %s: %w", relay, err)
 	}
 	return t, nil
@@ -83,14 +83,14 @@
 func (t *tap) told(l model.List) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range model.News(t.said, l) {
+	for _, e := range model.DeliveredChanges(t.said, l) {
 		e.Relay = t.relay
-		t.rec.Put(e)
+		t.rec.Record(e)
 	}
 }
 
 func (t *tap) list(w http.ResponseWriter, r *http.Request) {
-	if !t.Hold(r.Context()) {
+	if !t.WaitUntilAudible(r.Context()) {
 		return
 	}
 	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+t.agent+r.URL.RequestURI(), nil)
@@ -109,7 +109,7 @@
 	in := bufio.NewReaderSize(resp.Body, 64<<10)
 	for {
 		text, err := in.ReadBytes('\n')
-		if !t.Hold(r.Context()) {
+		if !t.WaitUntilAudible(r.Context()) {
 			return
 		}
 		var l model.List
@@ -149,7 +149,7 @@
 	if resp.StatusCode == http.StatusNoContent {
 		all, _ := discovery.ReadNotices(bytes.NewReader(text)) // the agent has read them
 		for _, n := range all {
-			t.rec.Put(history.Event{Kind: history.Notice, Relay: t.relay, Msg: n.Message, Text: n.Outcome, Wait: n.RetryMS * 1000})
+			t.rec.Record(history.Event{Kind: history.Notice, Relay: t.relay, Message: n.Message, Text: n.Outcome, RetryAfter: n.RetryMS * 1000})
 			t.noticed(n.Message, n.Outcome, n.RetryMS)
 		}
 	}
--- a/internal/faultlab/wardens.go
+++ b/internal/faultlab/wardens.go
@@ -36,7 +36,7 @@
 	busy  sync.Mutex
 
 	mu   sync.Mutex
-	proc *process.Proc
+	proc *process.Process
 }
 
 func (g *group) newWardens() (err error) {
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	r.rec.Put(history.Event{Kind: history.Start, Relay: w.name, PID: p.PID, Text: "node"})
+	r.rec.Record(history.Event{Kind: history.ProcessStarted, Relay: w.name, PID: p.PID, Text: "node"})
 	w.mu.Lock()
 	w.proc = p
 	w.mu.Unlock()
@@ -88,7 +88,7 @@
 		defer r.wg.Done()
 		<-p.Done()
 		code, text := p.Exit()
-		r.rec.Put(history.Event{Kind: history.Exit, Relay: w.name, PID: p.PID, Status: code, Text: text})
+		r.rec.Record(history.Event{Kind: history.ProcessExited, Relay: w.name, PID: p.PID, Status: code, Text: text})
 	}()
 	return nil
 }
@@ -97,7 +97,7 @@
 	w.mu.Lock()
 	p := w.proc
 	w.mu.Unlock()
-	w.group.run.rec.Put(history.Event{Kind: history.Signal, Relay: w.name, PID: p.PID, Text: s.String()})
+	w.group.run.rec.Record(history.Event{Kind: history.ProcessSignaled, Relay: w.name, PID: p.PID, Text: s.String()})
 	if s == syscall.SIGKILL {
 		p.Kill()
 		return
@@ -108,10 +108,10 @@
 func (w *warden) cut(way string, on bool) {
 	for _, l := range w.links {
 		if way != "back" {
-			l.Set(link.Forth, link.Faults{Cut: on})
+			l.SetFaults(link.ToServer, link.Faults{Cut: on})
 		}
 		if way != "forth" {
-			l.Set(link.Back, link.Faults{Cut: on})
+			l.SetFaults(link.ToClient, link.Faults{Cut: on})
 		}
 	}
 }
@@ -171,8 +171,8 @@
 		var asked *history.Event
 		tell := func(phase string, at int64) {
 			if asked != nil {
-				asked.Phase, asked.Due = phase, at
-				g.run.rec.Put(*asked)
+				asked.Phase, asked.DueAt = phase, at
+				g.run.rec.Record(*asked)
 			}
 			asked = nil
 		}
@@ -190,10 +190,10 @@
 				tell(step.outcome, step.at.UnixMicro()+1000)
 				continue
 			}
-			tell(history.Unanswered, 0)
-			asked = &history.Event{Kind: history.Effect, Relay: w.name, Text: leader.Counter, Status: step.count, For: step.token, From: step.at.UnixMicro()}
+			tell(history.StepUnanswered, 0)
+			asked = &history.Event{Kind: history.RoleStep, Relay: w.name, Text: leader.Counter, Status: step.count, ValidFor: step.token, SentAt: step.at.UnixMicro()}
 		}
-		tell(history.Unanswered, 0)
+		tell(history.StepUnanswered, 0)
 		errs = append(errs, lines.Err(), f.Close())
 	}
 	return errors.Join(errs...)
