--- /dev/null
+++ b/internal/faultlab/checker/call.go
@@ -0,0 +1,209 @@
+package checker
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+
+	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/model"
+)
+
+// call is one call that reached an endpoint, or that a link lost.
+type call struct {
+	received history.Event
+	response history.Event
+	heard    history.Event // the response, at the relay
+	ended    history.Event // the first of aborted and broken
+	overlaps []overlap
+}
+
+// overlap is a call for a message that came while another was in flight.
+type overlap struct {
+	message string
+	call    history.Event
+}
+
+// knownNotToRun reports whether the relay knows that the message in this call
+// did not run.
+func (c *call) knownNotToRun(message string) bool {
+	if c.heard.Kind == "" {
+		return false
+	}
+	switch c.response.Status {
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout, http.StatusGone,
+		http.StatusBadRequest, http.StatusRequestEntityTooLarge:
+		return true
+	case http.StatusOK:
+		return slices.Contains([]string{model.StateDeferred, model.StateExpired, model.StateNoMore}, c.state(message))
+	}
+	return false
+}
+
+// completes reports whether the relay knows by this call that nothing more is
+// pending for the message.
+func (c *call) completes(message string) bool {
+	if c.heard.Kind == "" {
+		return false
+	}
+	if len(c.response.States) > 0 {
+		state := c.state(message)
+		return state == model.StateAccepted || state == model.StateExpired
+	}
+	return c.response.Status == http.StatusGone || c.response.Status == http.StatusOK && len(c.received.Messages) == 1
+}
+
+// state is what the response to a batch says of one message.
+func (c *call) state(message string) string {
+	if i := slices.Index(c.received.Messages, message); i >= 0 && i < len(c.response.States) {
+		return c.response.States[i]
+	}
+	return ""
+}
+
+// inFlight reports whether the call has neither a response nor ended.
+func (c *call) inFlight() bool { return c.heard.Kind == "" && c.ended.Kind == "" }
+
+// feedCall takes an event between a relay and an endpoint.
+func (c *Check) feedCall(e history.Event) {
+	switch e.Kind {
+	case history.CallReceived, history.CallLost:
+		c.callReceived(e)
+	case history.MessageExecuted:
+		c.messageExecuted(e)
+	case history.ResponseSent:
+		if call := c.calls[e.Call]; call != nil {
+			call.response = e
+		}
+	case history.ResponseReceived:
+		c.responseReceived(e)
+	case history.CallAborted, history.CallBroken:
+		c.callEnded(e)
+	}
+}
+
+// callReceived applies the rules for a call as it comes.
+func (c *Check) callReceived(e history.Event) {
+	received := &call{received: e}
+	aborted, wasAborted := c.abortedEarly[e.Call]
+	if wasAborted = wasAborted && e.Kind == history.CallReceived; wasAborted { // its sender had closed it before the link brought it
+		delete(c.abortedEarly, e.Call)
+		received.ended = aborted
+	}
+	if e.Kind == history.CallReceived {
+		c.calls[e.Call] = received
+	} else {
+		received.ended = e // nothing of it is in flight any more
+		if e.SentAt == 0 {
+			e.SentAt = e.Time
+		}
+	}
+	r := c.relay(e.Relay)
+	c.checkRetryAfter(r, e)
+	c.checkDrain(r, e)
+	for _, id := range e.Messages {
+		if m := c.seen(id, e.Time); m != nil { // any other is recorded as an InvalidCall
+			c.checkAttempt(m, id, e)
+			c.checkEarlierCalls(m, id, e, wasAborted)
+			m.calls = append(m.calls, received)
+		}
+	}
+}
+
+// checkAttempt applies the rules for one more attempt of a message.
+func (c *Check) checkAttempt(m *message, id string, e history.Event) {
+	rules := &c.config.Rules
+	c.checked(RuleAttempts)
+	if len(m.calls) >= rules.MaxAttempts && !m.forgotten {
+		text := fmt.Sprintf("attempt %d; %d at most", len(m.calls)+1, rules.MaxAttempts)
+		c.violate(RuleAttempts, id, e.Relay, text, m.calls[0].received, e)
+	}
+	if m.rejected.Kind != "" {
+		c.violate(RuleRejected, id, e.Relay, rejectedButSent, m.rejected, e)
+	}
+	c.checked(RuleAfterNotice)
+	if m.completed.Kind == history.Notice && e.SentAt > m.completed.Time+micros(rules.Slack+c.config.MaxLinkDelay) && !m.forgotten {
+		c.violate(RuleAfterNotice, id, e.Relay, "sent after its notice ("+m.completed.Text+")", m.completed, e)
+	}
+}
+
+// checkEarlierCalls sets a new attempt beside those before it.
+func (c *Check) checkEarlierCalls(m *message, id string, e history.Event, wasAborted bool) {
+	c.checked(RuleOneInFlight)
+	if m.nonIdempotent {
+		c.checked(RuleNoRepeat)
+	}
+	for _, earlier := range m.calls {
+		if earlier.inFlight() && !wasAborted {
+			earlier.overlaps = append(earlier.overlaps, overlap{id, e})
+		}
+		if m.nonIdempotent && !earlier.knownNotToRun(id) && !m.forgotten {
+			c.violate(RuleNoRepeat, id, e.Relay, "sent again, though an attempt before may have run", earlier.received, e)
+		}
+	}
+}
+
+// messageExecuted applies RuleRunsOnce, whatever the relay knows.
+func (c *Check) messageExecuted(e history.Event) {
+	m := c.seen(e.Message, e.Time)
+	if m == nil {
+		return
+	}
+	m.executed = append(m.executed, e)
+	if !m.nonIdempotent {
+		return
+	}
+	c.checked(RuleRunsOnce)
+	if len(m.executed) > 1 && !m.forgotten {
+		c.violate(RuleRunsOnce, e.Message, m.submitted.Relay, "took effect twice", m.executed[0], e)
+	}
+}
+
+// responseReceived takes a response that a relay has received.
+func (c *Check) responseReceived(e history.Event) {
+	call := c.calls[e.Call]
+	if call == nil {
+		return
+	}
+	call.heard = e
+	c.checkOverlaps(call, e)
+	r := c.relay(call.received.Relay)
+	r.extendWait(call, e)
+	if call.response.Status != http.StatusOK {
+		c.sawFailure(r, call.received.Destination)
+	}
+	for _, id := range call.received.Messages {
+		if m := c.seen(id, e.Time); m != nil && m.completed.Kind == "" && call.completes(id) {
+			m.completed = e
+		}
+	}
+}
+
+// callEnded takes a call whose connection ended before the response.
+func (c *Check) callEnded(e history.Event) {
+	call := c.calls[e.Call]
+	if call == nil {
+		if e.Kind == history.CallAborted {
+			c.abortedEarly[e.Call] = e
+		}
+		return
+	}
+	if !call.inFlight() {
+		return
+	}
+	call.ended = e
+	c.checkOverlaps(call, e)
+	c.sawFailure(c.relay(call.received.Relay), call.received.Destination)
+}
+
+// checkOverlaps applies RuleOneInFlight to the calls that came while one was in
+// flight, now that it is not. A relay notices the end of a call a little later.
+func (c *Check) checkOverlaps(ended *call, e history.Event) {
+	grace := micros(c.config.Rules.Slack + 2*c.config.MaxLinkDelay)
+	for _, o := range ended.overlaps {
+		if e.Time-o.call.Time > grace {
+			c.violate(RuleOneInFlight, o.message, o.call.Relay, "a second attempt was in flight beside the first", ended.received, o.call)
+		}
+	}
+	ended.overlaps = nil
+}
--- a/internal/faultlab/checker/judge_test.go
+++ b/internal/faultlab/checker/checker_test.go
@@ -13,7 +13,7 @@
 
 const ms = 1000 // µs
 
-func judgeAll(events []history.Event) Verdict {
+func checkAll(events []history.Event) Verdict {
 	j := New(Config{Rules: model.StandardRules(), Limits: Limits{Memory: 64 << 20, Disk: 1 << 20, FDs: 256}, HistoryFile: "history.jsonl"})
 	for _, e := range events {
 		j.Feed(e)
@@ -89,7 +89,7 @@
 		x.first(s)
 		s.at(s.t + 1e6)
 		s.answer(s.call("m"), 200, 0)
-		v := judgeAll(s.events)
+		v := checkAll(s.events)
 		if got := v.Counts["repeat"] > 0; got != x.broken || len(v.Counts) > 1 {
 			t.Errorf("%s: repeat %v, want %v; %v", name, got, x.broken, v.Violations)
 		}
@@ -106,7 +106,7 @@
 		s.add(history.Event{Kind: history.Notice, Relay: "n1", Message: "m", Text: "given_up"})
 		s.at(17e6)
 		s.add(history.Event{Kind: history.CallLost, Relay: "n1", Endpoint: "e", Destination: 1, Messages: []string{"m"}, SentAt: from})
-		if v := judgeAll(s.events); (v.Counts["after-end"] > 0) != broken {
+		if v := checkAll(s.events); (v.Counts["after-end"] > 0) != broken {
 			t.Errorf("sent at %d µs: %v", from, v.Violations)
 		}
 	}
@@ -122,7 +122,7 @@
 	c = s.call("m")
 	s.add(history.Event{Kind: history.MessageExecuted, Call: c, Message: "m"})
 	s.answer(c, 200, 0)
-	if v := judgeAll(s.events); v.Counts["effect"] != 1 || len(v.Counts) != 1 {
+	if v := checkAll(s.events); v.Counts["effect"] != 1 || len(v.Counts) != 1 {
 		t.Errorf("%v", v.Violations)
 	}
 }
@@ -157,12 +157,12 @@
 		s.take("m", alert, 8e6)
 		x.rest(s)
 		s.at(20e6).add(history.Event{Kind: history.Fault})
-		v := judgeAll(s.events)
+		v := checkAll(s.events)
 		if got := v.Counts["end"] > 0; got != x.broken || len(v.Counts) > 1 {
 			t.Errorf("%s: %v", name, v.Violations)
 		}
 		for _, b := range v.Violations {
-			if !strings.Contains(b.String(), "m: taken on") || !strings.Contains(b.String(), "history.jsonl") {
+			if !strings.Contains(b.String(), "m: accepted") || !strings.Contains(b.String(), "history.jsonl") {
 				t.Errorf("names too little: %s", b)
 			}
 		}
@@ -175,8 +175,8 @@
 func TestHistoriesThatKeepThePromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := (&script{}).start()
-		var bent string
-		bend := rapid.SampledFrom([]string{"", "", "repeat", "one-out", "wait", "after-end", "end"}).Draw(t, "bend")
+		var bent Rule
+		bend := rapid.SampledFrom([]Rule{"", "", "repeat", "one-out", "wait", "after-end", "end"}).Draw(t, "bend")
 		over := int64(0) // of the wait that was told last
 		for i := range rapid.IntRange(1, 12).Draw(t, "messages") {
 			id, class := fmt.Sprint("m", i), rapid.SampledFrom([]string{order, alert}).Draw(t, "class")
@@ -232,7 +232,7 @@
 			}
 		}
 		s.at(s.t + 60e6).add(history.Event{Kind: history.Fault})
-		v := judgeAll(s.events)
+		v := checkAll(s.events)
 		if bent == "" && len(v.Counts) > 0 {
 			t.Fatalf("held against a relay that kept all: %v", v.Violations)
 		}
@@ -253,7 +253,7 @@
 	}
 	for name, x := range map[string]struct {
 		bend func(s *script)
-		rule string
+		rule Rule
 	}{
 		"sound":           {func(s *script) { heard(s, "w1", 4, "change", "d"); op(s, "read", 2, s.t) }, ""},
 		"a lost change":   {func(s *script) { heard(s, "w1", 5, "change", "e") }, "list"},
@@ -271,7 +271,7 @@
 		op(s, "write", 1, s.t)
 		op(s, "write", 2, s.t)
 		x.bend(s)
-		v := judgeAll(s.events)
+		v := checkAll(s.events)
 		if x.rule == "" && len(v.Counts) > 0 || x.rule != "" && (v.Counts[x.rule] == 0 || len(v.Counts) != 1) {
 			t.Errorf("%s: %v", name, v.Violations)
 		}
@@ -291,7 +291,7 @@
 		s.add(history.Event{Kind: history.CallReceived, Call: 77, Relay: "n1", Endpoint: "f", Destination: 1, Messages: []string{"m"}, SentAt: 1})
 		s.at(s.t + 900*ms)
 		s.answer(next, 200, 0)
-		if v := judgeAll(s.events); (v.Counts["one-out"] > 0) == left {
+		if v := checkAll(s.events); (v.Counts["one-out"] > 0) == left {
 			t.Errorf("left %v: %v", left, v.Violations)
 		}
 	}
@@ -313,7 +313,7 @@
 		for _, step := range x.steps {
 			s.add(history.Event{Kind: history.RoleStep, Relay: "w1", Text: "count", Status: int(step[0]), ValidFor: step[1]})
 		}
-		if v := judgeAll(s.events); (v.Counts["duty"] > 0) != x.broken {
+		if v := checkAll(s.events); (v.Counts["duty"] > 0) != x.broken {
 			t.Errorf("%s: %v", name, v.Violations)
 		}
 	}
@@ -345,7 +345,7 @@
 		for i, e := range x.steps {
 			s.add(history.Event{Kind: history.RoleStep, Relay: fmt.Sprint("w", i), Text: "count", Status: e.step, ValidFor: e.token, SentAt: e.asked, DueAt: e.end, Phase: e.phase})
 		}
-		if v := judgeAll(s.events); (v.Counts["fenced"] > 0) != x.broken || !x.broken && v.Checked["fenced"] != len(x.steps) {
+		if v := checkAll(s.events); (v.Counts["fenced"] > 0) != x.broken || !x.broken && v.Checked["fenced"] != len(x.steps) {
 			t.Errorf("%s: %v", name, v.Violations)
 		}
 	}
@@ -365,7 +365,7 @@
 		s.take("m", alert, 8e6)
 		s.answer(s.call("m"), 200, 0)
 		s.add(history.Event{Kind: history.EndpointChanged, Endpoint: "e", Phase: model.Up})
-		if v := judgeAll(s.events); (v.Counts["drain"] > 0) == told {
+		if v := checkAll(s.events); (v.Counts["drain"] > 0) == told {
 			t.Errorf("told %v: %v", told, v.Violations)
 		}
 	}
--- /dev/null
+++ b/internal/faultlab/checker/message.go
@@ -0,0 +1,133 @@
+package checker
+
+import (
+	"fmt"
+
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/history"
+)
+
+// message is what is known of one message.
+type message struct {
+	submitted     history.Event
+	accepted      history.Event
+	completed     history.Event // the first final response: a response or a notice
+	rejected      history.Event
+	deadline      int64
+	nonIdempotent bool
+	calls         []*call
+	executed      []history.Event
+	lastSeen      int64  // when anything was last recorded of it
+	excuse        string // why it need not be completed; empty for none
+	forgotten     bool   // its relay was set back: its history so far is not held against it
+}
+
+// feedMessage takes an event between a client and a relay.
+func (c *Check) feedMessage(e history.Event) {
+	switch e.Kind {
+	case history.MessageSubmitted:
+		c.messages[e.Message] = &message{submitted: e, deadline: e.Time + e.ValidFor, nonIdempotent: c.nonIdempotent[e.Class], lastSeen: e.Time}
+	case history.MessageAccepted:
+		if m := c.seen(e.Message, e.Time); m != nil {
+			m.accepted = e
+		}
+	case history.MessageRejected:
+		c.messageRejected(e)
+	case history.ExtraResponse:
+		c.violate(RuleOneAnswer, e.Message, e.Relay, fmt.Sprintf("answered more than once: then came %q", e.Text), c.submission(e.Message), e)
+	case history.Notice:
+		c.notice(e)
+	case history.InvalidCall:
+		subject := e.Message
+		if subject == "" {
+			subject = e.Relay
+		}
+		c.violate(RuleValidCall, subject, e.Relay, e.Text+" came to "+e.Endpoint, c.submission(e.Message), e)
+	}
+}
+
+// seen returns a message of which something is recorded now; nil for one that no
+// client submitted.
+func (c *Check) seen(id string, at int64) *message {
+	m := c.messages[id]
+	if m != nil {
+		m.lastSeen = at
+	}
+	return m
+}
+
+// submission is the event by which a message was submitted, if it was.
+func (c *Check) submission(id string) history.Event {
+	if m := c.messages[id]; m != nil {
+		return m.submitted
+	}
+	return history.Event{}
+}
+
+func (c *Check) messageRejected(e history.Event) {
+	m := c.seen(e.Message, e.Time)
+	if m == nil {
+		return
+	}
+	m.rejected = e
+	c.checked(RuleRejected)
+	if len(m.calls) > 0 {
+		c.violate(RuleRejected, e.Message, e.Relay, rejectedButSent, m.calls[0].received, e)
+	}
+}
+
+const rejectedButSent = "rejected, but sent all the same"
+
+// notice takes the final response that a relay sent through discovery.
+func (c *Check) notice(e history.Event) {
+	m := c.seen(e.Message, e.Time)
+	switch {
+	case m == nil:
+		c.violate(RuleValidCall, e.Message, e.Relay, "a notice of a message that no client submitted", history.Event{}, e)
+		return
+	case m.completed.Kind != "":
+		return // a second notice does no harm
+	}
+	m.completed = e
+	acknowledged := m.accepted.Kind != ""
+	if acknowledged && e.Text == discovery.Returned && m.nonIdempotent {
+		c.checkReturn(m, e)
+	}
+}
+
+// checkReturn applies RuleNoRepeat to a message that is handed back to its client,
+// which may submit it again.
+func (c *Check) checkReturn(m *message, notice history.Event) {
+	c.checked(RuleNoRepeat)
+	for _, call := range m.calls {
+		if !call.knownNotToRun(notice.Message) && !m.forgotten {
+			c.violate(RuleNoRepeat, notice.Message, notice.Relay, "handed back, though an attempt before may have run", call.received, notice)
+		}
+	}
+}
+
+// checkCompletion applies RuleCompletion to a message that was accepted.
+func (c *Check) checkCompletion(id string, m *message) {
+	if m.accepted.Kind == "" {
+		return
+	}
+	if m.excuse != "" {
+		c.verdict.Excused[m.excuse]++
+		return
+	}
+	rules := &c.config.Rules
+	due := c.excusedUntil(c.relay(m.submitted.Relay), m.deadline+micros(rules.CompletionGrace+rules.Slack))
+	if due > c.lastTime && m.completed.Kind == "" {
+		c.verdict.Excused["time not up at the end of the run"]++
+		return
+	}
+	c.checked(RuleCompletion)
+	switch {
+	case m.completed.Kind == "":
+		text := fmt.Sprintf("accepted, %d attempts, and no final response by %.3f s", len(m.calls), seconds(due))
+		c.violate(RuleCompletion, id, m.submitted.Relay, text, m.accepted, history.Event{})
+	case m.completed.Time > due:
+		text := fmt.Sprintf("its final response came %.3f s late", seconds(m.completed.Time-due))
+		c.violate(RuleCompletion, id, m.submitted.Relay, text, m.accepted, m.completed)
+	}
+}
--- a/internal/faultlab/checker/process.go
+++ b/internal/faultlab/checker/process.go
@@ -2,156 +2,244 @@
 
 import (
 	"fmt"
+	"strings"
 	"syscall"
+	"time"
 
 	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/model"
 )
 
-// process judges what a relay's process does and holds.
-func (j *Check) process(e history.Event) {
-	p := j.relay(e.Relay)
+// startTimeout is how long a relay has until it is ready.
+const startTimeout = 30 * time.Second
+
+// interval is a span of the run's time; end is 0 while it lasts.
+type interval struct{ begin, end int64 }
+
+// relay is what is known of a relay, over all of its processes.
+type relay struct {
+	name      string
+	pid       int // of the present process
+	started   history.Event
+	ready     history.Event
+	signaled  history.Event         // the last signal that ends the present process
+	signals   map[int]history.Event // the same by process: during an upgrade there are two
+	resumedAt int64
+	absences  []interval // when nothing was due from it
+	changed   map[string]history.Event
+	upAgain   map[string]int64 // when it was last told that an endpoint is up
+	waits     map[int]retryAfter
+	sawOutage map[int]bool // destinations that it saw fail in their last outage
+}
+
+// relay returns the state of a relay, new if it is seen for the first time.
+func (c *Check) relay(name string) *relay {
+	r := c.relays[name]
+	if r == nil {
+		r = &relay{
+			name:      name,
+			signals:   map[int]history.Event{},
+			changed:   map[string]history.Event{},
+			upAgain:   map[string]int64{},
+			waits:     map[int]retryAfter{},
+			sawOutage: map[int]bool{},
+		}
+		c.relays[name] = r
+	}
+	return r
+}
+
+// feedProcess takes an event of a process.
+func (c *Check) feedProcess(e history.Event) {
 	switch e.Kind {
 	case history.ProcessStarted:
-		p.start, p.ready, p.signal, p.pid = e, history.Event{}, history.Event{}, e.PID
-		clear(p.waits) // a restart ends them
-		p.away(e.Time)
+		c.relay(e.Relay).start(e)
 	case history.ProcessReady:
-		p.ready = e
-		p.back(e.Time)
-		j.judged("start")
+		r := c.relay(e.Relay)
+		r.ready = e
+		r.endAbsence(e.Time)
+		c.checked(RuleStart)
 	case history.ProcessSignaled:
-		if e.Text == syscall.SIGTERM.String() || e.Text == syscall.SIGKILL.String() {
-			p.signals[e.PID] = e
-		}
-		j.signal(p, e)
+		c.processSignaled(c.relay(e.Relay), e)
 	case history.ProcessExited:
-		j.exit(p, e)
+		c.processExited(c.relay(e.Relay), e)
 	case history.FolderChanged:
-		j.folder(p, e)
+		c.folderChanged(e)
 	case history.UsageSampled:
-		j.sample(p, e)
+		c.usageSampled(c.relay(e.Relay), e)
 	}
 }
 
-func (p *process) away(t int64) {
-	if n := len(p.spells); n == 0 || p.spells[n-1].to != 0 {
-		p.spells = append(p.spells, span{from: t})
+func (r *relay) start(e history.Event) {
+	r.started, r.pid = e, e.PID
+	r.ready, r.signaled = history.Event{}, history.Event{}
+	clear(r.waits) // a restart ends them
+	r.beginAbsence(e.Time)
+}
+
+func (r *relay) isAbsent() bool {
+	last := len(r.absences) - 1
+	return last >= 0 && r.absences[last].end == 0
+}
+
+func (r *relay) beginAbsence(at int64) {
+	if !r.isAbsent() {
+		r.absences = append(r.absences, interval{begin: at})
 	}
 }
 
-func (p *process) back(t int64) {
-	if n := len(p.spells); n > 0 && p.spells[n-1].to == 0 {
-		p.spells[n-1].to = t
+func (r *relay) endAbsence(at int64) {
+	if r.isAbsent() {
+		r.absences[len(r.absences)-1].end = at
 	}
 }
 
-func (j *Check) signal(p *process, e history.Event) {
-	if e.PID != p.pid { // of the process before, during an upgrade
+// excusedUntil moves a moment at which something is due behind the absence in
+// which it falls, and the time that a restart is given.
+func (c *Check) excusedUntil(r *relay, due int64) int64 {
+	rules := &c.config.Rules
+	for _, absence := range r.absences {
+		end := absence.end + micros(rules.RestartGrace+rules.Slack)
+		if absence.end == 0 {
+			end = c.lastTime + 1
+		}
+		if due >= absence.begin && due < end {
+			due = end
+		}
+	}
+	return due
+}
+
+func (c *Check) processSignaled(r *relay, e history.Event) {
+	if e.Text == syscall.SIGTERM.String() || e.Text == syscall.SIGKILL.String() {
+		r.signals[e.PID] = e
+	}
+	if e.PID != r.pid { // of the process before, during an upgrade
 		return
 	}
 	switch e.Text {
 	case syscall.SIGSTOP.String():
-		p.away(e.Time)
+		r.beginAbsence(e.Time)
 	case syscall.SIGCONT.String():
-		p.resumed = e.Time
-		p.back(e.Time)
+		r.resumedAt = e.Time
+		r.endAbsence(e.Time)
 	case syscall.SIGTERM.String():
-		p.signal = e
-		p.away(e.Time)
+		r.signaled = e
+		r.beginAbsence(e.Time)
 	case syscall.SIGKILL.String():
-		if p.signal.Text == syscall.SIGTERM.String() && p.signal.PID == e.PID {
-			j.judged("term")
-			if e.Time-p.signal.Time >= us(j.set.Rules.ShutdownTimeout) {
-				j.broken("term", p.name, p.name, fmt.Sprintf("still there %.3f s after SIGTERM", float64(e.Time-p.signal.Time)/1e6), p.signal, e)
-			}
-		}
-		p.signal = e
-		p.away(e.Time)
+		c.checkKilledAfterTerm(r, e)
+		r.signaled = e
+		r.beginAbsence(e.Time)
 	}
 }
 
-func (j *Check) exit(p *process, e history.Event) {
-	if e.PID == p.pid {
-		p.away(e.Time)
+// checkKilledAfterTerm applies RuleShutdown to a process that had to be killed.
+func (c *Check) checkKilledAfterTerm(r *relay, kill history.Event) {
+	if r.signaled.Text != syscall.SIGTERM.String() || r.signaled.PID != kill.PID {
+		return
+	}
+	c.checked(RuleShutdown)
+	if after := kill.Time - r.signaled.Time; after >= micros(c.config.Rules.ShutdownTimeout) {
+		c.violate(RuleShutdown, r.name, r.name, fmt.Sprintf("still running %.3f s after SIGTERM", seconds(after)), r.signaled, kill)
 	}
-	j.judged("crash")
-	signal := p.signals[e.PID]
-	switch {
+}
+
+func (c *Check) processExited(r *relay, e history.Event) {
+	if e.PID == r.pid {
+		r.beginAbsence(e.Time)
+	}
+	c.checked(RuleCrash)
+	switch signal := r.signals[e.PID]; {
 	case signal.Kind == "":
 		text := "ended by itself: " + e.Text
-		if p.ready.Kind == "" {
-			text = "refused to start: " + e.Text
+		if r.ready.Kind == "" {
+			text = "failed to start: " + e.Text
 		}
-		j.broken("crash", p.name, p.name, text, p.start, e)
+		c.violate(RuleCrash, r.name, r.name, text, r.started, e)
 	case signal.Text == syscall.SIGTERM.String():
-		j.judged("term")
-		if took := e.Time - signal.Time; took > us(j.set.Rules.ShutdownTimeout+j.set.Rules.Slack) {
-			j.broken("term", p.name, p.name, fmt.Sprintf("ended %.3f s after SIGTERM", float64(took)/1e6), signal, e)
+		c.checked(RuleShutdown)
+		rules := &c.config.Rules
+		if took := e.Time - signal.Time; took > micros(rules.ShutdownTimeout+rules.Slack) {
+			c.violate(RuleShutdown, r.name, r.name, fmt.Sprintf("ended %.3f s after SIGTERM", seconds(took)), signal, e)
 		}
 	}
 }
 
-// folder excuses what no relay can keep when its folder was changed behind it.
-func (j *Check) folder(p *process, e history.Event) {
-	for _, m := range j.msgs {
-		if m.put.Relay != p.name {
+// folderChanged excuses what no relay can keep when its state directory was
+// changed while it was down.
+func (c *Check) folderChanged(e history.Event) {
+	for _, m := range c.messages {
+		if m.submitted.Relay != e.Relay {
 			continue
 		}
-		owed := m.taken.Kind != "" && m.over.Kind == ""
-		switch e.Text {
-		case "lost":
-			if owed {
-				m.excused = "the folder was lost"
-			}
-		case "older": // what came since then is unknown to the relay
-			if m.seen >= e.DueAt {
-				m.blessed = true
-				if m.excused == "" && m.taken.Kind != "" && (owed || m.over.Time >= e.DueAt) {
-					m.excused = "the folder is older than the message"
-				}
-			}
+		pending := m.accepted.Kind != "" && m.completed.Kind == ""
+		switch {
+		case e.Text == history.FolderOlder:
+			m.setBack(e.DueAt, pending)
+		case !pending:
+		case e.Text == history.FolderLost:
+			m.excuse = "the folder was lost"
 		default:
-			if owed {
-				m.excused = "the folder was damaged" // sent twice it may not be, all the same
-			}
+			m.excuse = "the folder was damaged" // it may still not be sent twice
 		}
 	}
 }
 
-func (j *Check) sample(p *process, e history.Event) {
-	j.judged("limits")
-	for _, x := range []struct {
-		what    string
-		v, most int64
-	}{{"bytes of memory", e.RSS, j.set.Limits.Memory}, {"descriptors", int64(e.FDs), int64(j.set.Limits.FDs)}, {"bytes of disk", e.Disk, j.set.Limits.Disk}} {
-		if x.most > 0 && x.v > x.most {
-			j.broken("limits", p.name, p.name, fmt.Sprintf("%d %s; %d at most", x.v, x.what, x.most), p.start, e)
+// setBack excuses a message whose relay continues from an older copy of its log:
+// it does not know what came after that copy.
+func (m *message) setBack(copied int64, pending bool) {
+	if m.lastSeen < copied {
+		return
+	}
+	m.forgotten = true
+	if m.excuse == "" && m.accepted.Kind != "" && (pending || m.completed.Time >= copied) {
+		m.excuse = "the folder is older than the message"
+	}
+}
+
+// usageSampled applies RuleLimits.
+func (c *Check) usageSampled(r *relay, e history.Event) {
+	c.checked(RuleLimits)
+	limits := &c.config.Limits
+	for _, resource := range []struct {
+		unit        string
+		used, limit int64
+	}{
+		{"bytes of memory", e.RSS, limits.Memory},
+		{"descriptors", int64(e.FDs), int64(limits.FDs)},
+		{"bytes of disk", e.Disk, limits.Disk},
+	} {
+		if resource.limit > 0 && resource.used > resource.limit {
+			text := fmt.Sprintf("%d %s; %d at most", resource.used, resource.unit, resource.limit)
+			c.violate(RuleLimits, r.name, r.name, text, r.started, e)
 		}
 	}
 }
 
-// peer judges what became of a bad peer, where its relay was there all the time.
-func (j *Check) peer(e history.Event) {
-	p := j.relay(e.Relay)
-	if n := len(p.spells); n > 0 && (p.spells[n-1].to == 0 || p.spells[n-1].to > e.Time-e.Took) {
+// invalidPeer applies RuleInvalidPeer where the relay was present all the time.
+func (c *Check) invalidPeer(e history.Event) {
+	r := c.relay(e.Relay)
+	connected := e.Time - e.Took
+	if n := len(r.absences); n > 0 && (r.isAbsent() || r.absences[n-1].end > connected) {
 		return
 	}
-	j.judged("peer")
-	limit := j.set.Rules.InvalidPeerTimeout
-	if len(e.Text) > 4 && e.Text[:4] == "long" {
-		limit = j.set.Rules.LongRequestTimeout
+	c.checked(RuleInvalidPeer)
+	rules := &c.config.Rules
+	limit := rules.InvalidPeerTimeout
+	if strings.HasPrefix(e.Text, model.PeerLongRequest+":") {
+		limit = rules.LongRequestTimeout
 	}
-	if e.Status == 0 || e.Took > us(limit+j.set.Rules.Slack) {
-		a := e
-		a.Time -= e.Took
-		j.broken("peer", p.name, p.name, fmt.Sprintf("a bad peer (%s) after %.3f s", e.Text, float64(e.Took)/1e6), a, e)
+	if e.Status == 0 || e.Took > micros(limit+rules.Slack) {
+		first := e
+		first.Time = connected
+		c.violate(RuleInvalidPeer, r.name, r.name, fmt.Sprintf("an invalid peer (%s) after %.3f s", e.Text, seconds(e.Took)), first, e)
 	}
 }
 
-func (j *Check) finishProcess(p *process) {
-	if p.start.Text != "node" && p.start.Kind != "" && p.ready.Kind == "" && p.signal.Kind == "" && j.last-p.start.Time > startMost {
-		j.broken("start", p.name, p.name, "not ready 30 s after its start", p.start, history.Event{})
+// checkStart applies RuleStart to a relay that never became ready.
+func (c *Check) checkStart(r *relay) {
+	isRelay := r.started.Kind != "" && r.started.Text != history.NodeProcess
+	if isRelay && r.ready.Kind == "" && r.signaled.Kind == "" && c.lastTime-r.started.Time > micros(startTimeout) {
+		c.violate(RuleStart, r.name, r.name, fmt.Sprintf("not ready %v after its start", startTimeout), r.started, history.Event{})
 	}
 }
-
-const startMost = 30_000_000 // µs until a relay has to be ready
--- /dev/null
+++ b/internal/faultlab/checker/roles.go
@@ -0,0 +1,106 @@
+package checker
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+
+	"github.com/anishathalye/porcupine"
+
+	"plovershore/internal/faultlab/history"
+)
+
+// checkRoles applies RuleRoleSteps and RuleFenced to what the leaders of each
+// role counted.
+func (c *Check) checkRoles() {
+	counted, requested := map[string][]history.Event{}, map[string][]history.Event{}
+	for _, e := range c.roleSteps {
+		if e.Phase == "" || e.Phase == history.StepCounted {
+			counted[e.Text] = append(counted[e.Text], e)
+		}
+		if e.Phase != "" {
+			requested[e.Text] = append(requested[e.Text], e)
+		}
+	}
+	for role, steps := range requested {
+		c.checkFenced(role, steps)
+	}
+	for role, steps := range counted {
+		c.checkSteps(role, steps)
+	}
+}
+
+// checkSteps applies RuleRoleSteps: no step counts twice, and none counts under an
+// older token than the step before it. Steps whose answer was lost leave gaps.
+func (c *Check) checkSteps(role string, steps []history.Event) {
+	slices.SortStableFunc(steps, func(a, b history.Event) int {
+		return cmp.Or(cmp.Compare(a.Step(), b.Step()), cmp.Compare(a.Token(), b.Token()))
+	})
+	for i, step := range steps {
+		c.checked(RuleRoleSteps)
+		if i == 0 {
+			continue
+		}
+		previous := steps[i-1]
+		text := ""
+		switch {
+		case previous.Step() == step.Step():
+			text = fmt.Sprintf("step %d counted twice, by %s under token %d and by %s under %d",
+				step.Step(), previous.Relay, previous.Token(), step.Relay, step.Token())
+		case step.Token() < previous.Token():
+			text = fmt.Sprintf("step %d counted under token %d, after step %d under token %d",
+				step.Step(), step.Token(), previous.Step(), previous.Token())
+		default:
+			continue
+		}
+		c.violate(RuleRoleSteps, role, step.Relay, text, previous, step)
+	}
+}
+
+// fence is the state of a fenced register: the last step, its token, and whether
+// that token was rejected since.
+type fence struct {
+	step     int
+	token    int64
+	rejected bool
+}
+
+// fencedRegister is a sequential model of the steps: each counts one on, under a
+// token that is no older than the last one and was never rejected.
+var fencedRegister = porcupine.Model{
+	Init: func() any { return fence{} },
+	Step: func(state, input, _ any) (bool, any) {
+		current, e := state.(fence), input.(history.Event)
+		counts := e.Step() == current.step+1 && (e.Token() > current.token || e.Token() == current.token && !current.rejected)
+		switch e.Phase {
+		case history.StepFenced: // a newer token was granted before, or its own ended
+			if e.Token() >= current.token {
+				current.token, current.rejected = e.Token(), true
+			}
+			return true, current
+		case history.StepUnanswered:
+			if !counts {
+				return true, current // it never came, or was rejected
+			}
+		}
+		return counts, fence{step: e.Step(), token: e.Token()}
+	},
+	DescribeOperation: func(input, _ any) string {
+		e := input.(history.Event)
+		return fmt.Sprintf("%s: step %d under %d %s", e.Relay, e.Step(), e.Token(), e.Phase)
+	},
+}
+
+// checkFenced applies RuleFenced to the steps that the leaders of a role requested.
+func (c *Check) checkFenced(role string, steps []history.Event) {
+	var spans []interval
+	for _, e := range steps {
+		span := interval{begin: e.SentAt, end: e.DueAt}
+		if e.Phase == history.StepUnanswered {
+			span.end = math.MaxInt64
+		}
+		spans = append(spans, span)
+	}
+	c.checkOrder(RuleFenced, role, fencedRegister, steps, spans)
+}
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -16,6 +16,7 @@
 	"testing"
 	"time"
 
+	"plovershore/internal/faultlab/checker"
 	"plovershore/internal/faultlab/history"
 	"plovershore/internal/faultlab/scenario"
 	"plovershore/internal/faultlab/simrelay/relays"
@@ -107,29 +108,29 @@
 	for _, x := range []struct {
 		defect stub.Defect
 		more   string
-		rules  []string // that only it may break; the first must be
+		rules  []checker.Rule // that only it may break; the first must be
 	}{
 		{"", "[bad_peers]\nevery = 0.3\n[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.3\n[[fault]]\nkind = \"hup\"\nat = 2\n", nil},
-		{stub.Drop, "", []string{"end"}},
-		{stub.Late, tight, []string{"end"}},
-		{stub.Repeat, "", []string{"repeat", "effect"}},
-		{stub.HandBack, failing, []string{"repeat"}},
-		{stub.SecondCopy, "", []string{"one-out"}},
-		{stub.Thirteen, losing, []string{"attempts"}},
-		{stub.IgnoreWait, tight, []string{"wait"}},
-		{stub.IgnoreDrain, drain, []string{"drain"}},
-		{stub.AfterEnd, "", []string{"after-end"}},
-		{stub.BusySent, "", []string{"refused"}},
-		{stub.AnswerTwice, "", []string{"answer"}},
-		{stub.WrongPlace, "", []string{"form"}},
-		{stub.Altered, "", []string{"form"}},
-		{stub.Leak, "", []string{"limits"}},
-		{stub.LeakFiles, "", []string{"limits"}},
-		{stub.FillDisk, "", []string{"limits"}},
-		{stub.SlowTerm, "", []string{"term"}},
-		{stub.HangUpExit, "[[fault]]\nkind = \"hup\"\nat = 2\n", []string{"crash", "end"}},
-		{stub.KeepPeers, peers, []string{"peer"}},
-		{stub.Topple, outage, []string{"topple"}},
+		{stub.Drop, "", []checker.Rule{"end"}},
+		{stub.Late, tight, []checker.Rule{"end"}},
+		{stub.Repeat, "", []checker.Rule{"repeat", "effect"}},
+		{stub.HandBack, failing, []checker.Rule{"repeat"}},
+		{stub.SecondCopy, "", []checker.Rule{"one-out"}},
+		{stub.Thirteen, losing, []checker.Rule{"attempts"}},
+		{stub.IgnoreWait, tight, []checker.Rule{"wait"}},
+		{stub.IgnoreDrain, drain, []checker.Rule{"drain"}},
+		{stub.AfterEnd, "", []checker.Rule{"after-end"}},
+		{stub.BusySent, "", []checker.Rule{"refused"}},
+		{stub.AnswerTwice, "", []checker.Rule{"answer"}},
+		{stub.WrongPlace, "", []checker.Rule{"form"}},
+		{stub.Altered, "", []checker.Rule{"form"}},
+		{stub.Leak, "", []checker.Rule{"limits"}},
+		{stub.LeakFiles, "", []checker.Rule{"limits"}},
+		{stub.FillDisk, "", []checker.Rule{"limits"}},
+		{stub.SlowTerm, "", []checker.Rule{"term"}},
+		{stub.HangUpExit, "[[fault]]\nkind = \"hup\"\nat = 2\n", []checker.Rule{"crash", "end"}},
+		{stub.KeepPeers, peers, []checker.Rule{"peer"}},
+		{stub.Topple, outage, []checker.Rule{"topple"}},
 	} {
 		t.Run("defect "+string(x.defect), func(t *testing.T) {
 			t.Parallel()
@@ -176,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, more := range map[string][]string{"smoke": nil, "restarts": nil, "cut": nil,
+	for name, more := range map[string][]checker.Rule{"smoke": nil, "restarts": nil, "cut": nil,
 		// Hard cases 1, 2 and 9 of the list service, with real processes: leaders killed, cut off, and paused past an election.
 		"registry-leader-loss": {"list", "linear"}, "registry-minority": {"list", "linear"}} {
 		t.Run(name, func(t *testing.T) {
@@ -189,7 +190,7 @@
 			for _, b := range res.Verdict.Violations {
 				t.Errorf("seed 1: %v", b)
 			}
-			for _, rule := range append([]string{"end", "repeat", "one-out", "attempts", "limits", "start", "term"}, more...) {
+			for _, rule := range append([]checker.Rule{"end", "repeat", "one-out", "attempts", "limits", "start", "term"}, more...) {
 				if res.Verdict.Checked[rule] == 0 {
 					t.Errorf("%s was never looked at", rule)
 				}
--- /dev/null
+++ b/internal/faultlab/model/call.go
@@ -0,0 +1,241 @@
+package model
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"plovershore/internal/faultlab/history"
+)
+
+const (
+	messagePath = "/v1/messages"
+	batchPath   = "/v1/messages:batch"
+	idHeader    = "X-Request-ID"
+
+	maxItems        = 64  // messages of a batch that is parsed at all
+	batchItemCost   = 0.1 // of the service time, for each message of a batch after the first
+	failBefore      = 0.5 // fraction of failing calls that fail before they take effect
+	abortedInTime   = 0.5 // fraction of aborted calls that stop before they take effect
+	corruptReadable = 0.5 // fraction of corrupt responses whose status line can be read
+)
+
+// call is one complete call to an endpoint.
+type call struct {
+	id         int64
+	route      route
+	req        *http.Request
+	body       []byte
+	fault      Fault
+	overloaded bool // its upstream is, and rejects everything
+	surplus    bool // the connection is one too many
+
+	items    []item
+	isBatch  bool
+	verdicts []callVerdict // of the items
+}
+
+// item is a message of a batch.
+type item struct {
+	ID   string `json:"id"`
+	Body []byte `json:"body"`
+}
+
+// ids are the IDs of the call's messages.
+func (c *call) ids() []string {
+	ids := make([]string, len(c.items))
+	for i, item := range c.items {
+		ids[i] = item.ID
+	}
+	return ids
+}
+
+// handle takes a call to its response.
+func (e *Endpoint) handle(ctx context.Context, c *call) response {
+	now := time.Now()
+	invalidStatus := e.parse(c)
+	e.world.Recorder.Record(history.Event{Kind: history.CallReceived, Call: c.id, Relay: c.route.Source(), Endpoint: e.ID,
+		Destination: e.Upstream.Destination, Messages: c.ids(), SentAt: e.world.Recorder.At(c.route.FirstByteAt())})
+	if invalidStatus != 0 {
+		e.recordInvalidCall(c.route.Source(), "", fmt.Sprintf("a call that is answered %d", invalidStatus))
+		return e.statusResponse(invalidStatus, withoutReport)
+	}
+	serviceTime, valid := e.receive(c, now)
+	if !valid {
+		return e.statusResponse(http.StatusBadRequest, withoutReport)
+	}
+	if resp, rejected := e.admit(c, now); rejected {
+		return resp
+	}
+	if resp, final := e.settled(c); final {
+		return resp
+	}
+	if !e.acquireServer(ctx) {
+		if ctx.Err() != nil {
+			return response{}
+		}
+		return e.statusResponse(http.StatusServiceUnavailable, withReport)
+	}
+	defer e.releaseServer()
+	return e.execute(ctx, c, serviceTime)
+}
+
+// parse reads the messages of a call; it returns the status of the response to an
+// invalid one, or 0.
+func (e *Endpoint) parse(c *call) (invalidStatus int) {
+	switch {
+	case c.req.Method != http.MethodPost:
+		return http.StatusMethodNotAllowed
+	case len(c.body) > maxBody:
+		return http.StatusRequestEntityTooLarge
+	case c.req.URL.Path == messagePath:
+		c.items = []item{{c.req.Header.Get(idHeader), c.body}}
+		return 0
+	case c.req.URL.Path != batchPath:
+		return http.StatusNotFound
+	}
+	c.isBatch = true
+	if json.Unmarshal(c.body, &c.items) != nil || len(c.items) == 0 {
+		return http.StatusBadRequest
+	}
+	if len(c.items) > max(1, e.MaxBatch) || len(c.items) > maxItems {
+		return http.StatusRequestEntityTooLarge
+	}
+	seen := map[string]bool{}
+	for _, item := range c.items {
+		if seen[item.ID] {
+			return http.StatusBadRequest
+		}
+		seen[item.ID] = true
+	}
+	return 0
+}
+
+// receive sets the call's messages beside the ledger and draws how long they take;
+// false if one of them should not have come.
+func (e *Endpoint) receive(c *call, now time.Time) (serviceTime time.Duration, valid bool) {
+	destination := e.Upstream.Destination
+	c.verdicts = make([]callVerdict, len(c.items))
+	for i, item := range c.items {
+		verdict, class := e.world.Ledger.receive(item.ID, destination, item.Body, e.world.Rules.MaxAttempts, now)
+		switch verdict {
+		case unknownMessage:
+			e.recordInvalidCall(c.route.Source(), item.ID, "a message that no client submitted in this form")
+			return 0, false
+		case wrongDestination:
+			e.recordInvalidCall(c.route.Source(), item.ID, fmt.Sprintf("a message of another destination, at %d", destination))
+			return 0, false
+		}
+		c.verdicts[i] = verdict
+		span := Classes()[class].ServiceTime
+		drawn := span[0] + time.Duration(e.Upstream.drawFloat()*float64(span[1]-span[0]))
+		serviceTime = max(serviceTime, drawn)
+	}
+	extra := time.Duration(len(c.items) - 1)
+	return serviceTime + time.Duration(batchItemCost*float64(serviceTime))*extra, true
+}
+
+// admit applies the limits of endpoint and upstream.
+func (e *Endpoint) admit(c *call, now time.Time) (resp response, rejected bool) {
+	if c.surplus {
+		resp = response{isLast: true}
+		resp.setStatus(http.StatusServiceUnavailable, "")
+		return resp, true
+	}
+	limited := e.Upstream.admit(c.route.Source(), now)
+	if !limited.rejected && !c.overloaded {
+		return response{}, false
+	}
+	report := reportIf(!c.overloaded)
+	if limited.retryAfter > 0 {
+		return e.retryAfterResponse(limited.retryAfter, report), true
+	}
+	return e.statusResponse(http.StatusServiceUnavailable, report), true
+}
+
+// settled answers a call for one message that can no longer be delivered. In a
+// batch, each message has its state.
+func (e *Endpoint) settled(c *call) (resp response, final bool) {
+	if c.isBatch {
+		return response{}, false
+	}
+	switch c.verdicts[0] {
+	case expired:
+		resp = e.statusResponse(http.StatusGone, withReport)
+		resp.expired = c.ids()
+		return resp, true
+	case attemptsExhausted:
+		return e.statusResponse(http.StatusGatewayTimeout, withReport), true
+	}
+	return response{}, false
+}
+
+// execute serves a call that was admitted, as far as its fault allows.
+func (e *Endpoint) execute(ctx context.Context, c *call, serviceTime time.Duration) response {
+	draw := e.Upstream.drawFloat
+	if c.fault.Silent {
+		<-ctx.Done()
+		return response{}
+	}
+	took := time.Duration(float64(serviceTime) * e.Upstream.LatencyFactor * max(1, c.fault.Slow))
+	if !Sleep(ctx, took) && draw() < abortedInTime {
+		return response{}
+	}
+	fails := draw() < c.fault.Fail
+	if fails && draw() < failBefore {
+		return e.statusResponse(http.StatusInternalServerError, withReport)
+	}
+	e.recordExecution(c)
+	switch {
+	case fails:
+		return e.statusResponse(http.StatusInternalServerError, withReport)
+	case draw() < c.fault.LoseResponse:
+		return response{reset: true}
+	case draw() < c.fault.CorruptResponse:
+		return e.corruptResponse(c)
+	case c.isBatch:
+		return e.batchResponse(c)
+	}
+	resp := e.statusResponse(http.StatusOK, withReport)
+	resp.delivered = c.ids()
+	return resp
+}
+
+// recordExecution records the messages of a call that take effect.
+func (e *Endpoint) recordExecution(c *call) {
+	for i, item := range c.items {
+		switch c.verdicts[i] {
+		case callable, duplicate, unsafeDuplicate:
+			e.world.Recorder.Record(history.Event{Kind: history.MessageExecuted, Call: c.id, Endpoint: e.ID, Message: item.ID})
+		}
+	}
+}
+
+// ParseCall reads the message IDs of the call that a relay wrote on a connection;
+// complete is false if it did not write all of it.
+func ParseCall(written []byte) (ids []string, complete bool) {
+	req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(written)))
+	if err != nil {
+		return nil, false
+	}
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
+	if err != nil {
+		return nil, false
+	}
+	if req.URL.Path != batchPath {
+		return []string{req.Header.Get(idHeader)}, true
+	}
+	var items []item
+	if json.Unmarshal(body, &items) != nil {
+		return nil, true
+	}
+	for _, item := range items {
+		ids = append(ids, item.ID)
+	}
+	return ids, true
+}
--- /dev/null
+++ b/internal/faultlab/model/client_conn.go
@@ -0,0 +1,170 @@
+package model
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"plovershore/internal/faultlab/history"
+)
+
+const (
+	commandPut = "MSG.PUT"
+	account    = "0000000000000000"
+
+	answerOK   = "+"     // a status line; the message is accepted
+	answerBulk = "$"     // a bulk string; the message is accepted
+	answerBusy = "-BUSY" // with the milliseconds to wait, if any
+	answerErr  = "-"
+
+	extraPeek = 50 * time.Microsecond // to find bytes that have come already
+	extraRead = 10 * time.Millisecond // for the rest of their line
+)
+
+// isAccepted reports whether an answer accepts the message.
+func isAccepted(line string) bool {
+	return strings.HasPrefix(line, answerOK) || strings.HasPrefix(line, answerBulk)
+}
+
+// clientConn is a client's connection to a relay.
+type clientConn struct {
+	net.Conn
+	in          *bufio.Reader
+	lastMessage string // the message that was answered last; empty for none
+}
+
+// extraResponse returns what came after the last answer, where nothing may come.
+func (x *clientConn) extraResponse() string {
+	x.SetReadDeadline(time.Now().Add(extraPeek))
+	if _, err := x.in.Peek(1); err != nil {
+		return "" // nothing, or a close: the next request finds out
+	}
+	x.SetReadDeadline(time.Now().Add(extraRead))
+	line, _ := x.in.ReadString('\n') // what there is of it
+	return line
+}
+
+// conn returns an idle connection to a relay, or a new one; always a new one if
+// fresh is set.
+func (c *Clients) conn(relay string, fresh bool) (*clientConn, error) {
+	for !fresh {
+		idle := c.takeIdle(relay)
+		if idle == nil {
+			break
+		}
+		line := idle.extraResponse()
+		if line == "" {
+			return idle, nil
+		}
+		c.world.Recorder.Record(history.Event{Kind: history.ExtraResponse, Relay: relay, Message: idle.lastMessage, Text: line})
+		idle.Close()
+	}
+	c.mu.Lock()
+	addr := c.addrs[relay]
+	c.mu.Unlock()
+	conn, err := net.DialTimeout("tcp4", addr, c.load.ResponseTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}, nil
+}
+
+// takeIdle takes the idle connection that was used last; nil for none.
+func (c *Clients) takeIdle(relay string) *clientConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	last := len(c.idle[relay]) - 1
+	if last < 0 {
+		return nil
+	}
+	conn := c.idle[relay][last]
+	c.idle[relay] = c.idle[relay][:last]
+	return conn
+}
+
+func (c *Clients) putIdle(relay string, conn *clientConn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.idle[relay] = append(c.idle[relay], conn)
+}
+
+// exchange sends a request and reads its answer. A reused connection that the relay
+// closed meanwhile is no answer: the request goes out once more on a new one.
+func (c *Clients) exchange(ctx context.Context, m *Message, resubmit bool, leaveAfter time.Duration) (string, error) {
+	timeout := c.load.ResponseTimeout
+	if leaveAfter > 0 {
+		timeout = leaveAfter
+	}
+	for fresh := false; ; fresh = true {
+		conn, err := c.conn(m.Relay, fresh)
+		if err != nil {
+			return "", err
+		}
+		stop := context.AfterFunc(ctx, func() { conn.Close() })
+		conn.SetDeadline(time.Now().Add(timeout))
+		line, err := conn.exchange(putRequest(m, resubmit))
+		stop()
+		if err == nil {
+			conn.lastMessage = m.ID
+			c.putIdle(m.Relay, conn)
+			return line, nil
+		}
+		conn.Close()
+		reused := conn.lastMessage != ""
+		if !reused || fresh || isTimeout(err) || ctx.Err() != nil {
+			return "", err
+		}
+	}
+}
+
+func isTimeout(err error) bool {
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
+
+// exchange writes a request and reads the first line of its answer.
+func (x *clientConn) exchange(request []byte) (string, error) {
+	if _, err := x.Write(request); err != nil {
+		return "", err
+	}
+	line, err := x.in.ReadString('\n')
+	if err != nil {
+		return "", err
+	}
+	if length, ok := strings.CutPrefix(line, answerBulk); ok {
+		size, err := strconv.Atoi(strings.TrimSpace(length))
+		if err != nil || size < 0 || size > maxBody {
+			return "", fmt.Errorf("answer %q", line)
+		}
+		if _, err := x.in.Discard(size + len("\r\n")); err != nil {
+			return "", err
+		}
+	}
+	return strings.TrimRight(line, "\r\n"), nil
+}
+
+// putRequest is MSG.PUT as the protocol page has it.
+func putRequest(m *Message, resubmit bool) []byte {
+	remaining := max(1, time.Until(m.Deadline).Milliseconds())
+	options := fmt.Sprintf("c=%s,d=%d,dest=%d", Classes()[m.Class].Name, remaining, m.Destination)
+	if resubmit {
+		options += ",again=1"
+	} else if m.Attempt > 0 {
+		options += ",r=1"
+	}
+	return RequestBytes(commandPut, account, m.ID, options, string(m.Body))
+}
+
+// RequestBytes is a request of the client protocol: an array of bulk strings.
+func RequestBytes(args ...string) []byte {
+	request := fmt.Appendf(nil, "*%d\r\n", len(args))
+	for _, arg := range args {
+		request = fmt.Appendf(request, "$%d\r\n%s\r\n", len(arg), arg)
+	}
+	return request
+}
--- a/internal/faultlab/model/endpoint.go
+++ b/internal/faultlab/model/endpoint.go
@@ -2,17 +2,13 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"plovershore/internal/faultlab/history"
@@ -20,361 +16,230 @@
 )
 
 const (
-	maxBody          = 64 << 10
-	maxItems         = 64 // of a batch that is read at all
-	retryAfterHeader = "Retry-After: %.3f\r\n"
+	acceptBackoff  = 5 * time.Millisecond // after a failed accept: out of descriptors, say
+	requestTimeout = 10 * time.Second     // from a request's first byte to its last
+	maxBody        = 64 << 10             // bytes of a request
 )
 
-// Endpoint is one server of a partner.
+// Endpoint is one server of an upstream. The exported fields are set before Serve.
 type Endpoint struct {
 	ID          string
 	Zone        string
 	Upstream    *Upstream
 	Servers     int // calls that it serves at once
-	QueueSize   int // that wait beyond those
-	MaxConns    int // connections that it holds, idle ones counted
-	MaxBatch    int
+	QueueSize   int // calls that wait beyond those
+	MaxConns    int // connections that it serves, idle ones included
+	MaxBatch    int // messages in one call
 	IdleTimeout time.Duration
-	world       *World
-	listener    net.Listener
+
+	world    *World
+	listener net.Listener
+	servers  chan struct{} // a value for each call being served
 
 	mu      sync.Mutex
-	fault   Fault
+	fault   Fault // of this endpoint alone
 	isDown  bool
 	conns   map[net.Conn]struct{}
-	waiting int
-	servers chan struct{}
-}
-
-// World is what all stand-ins of a run share.
-type World struct {
-	Recorder    *history.Recorder
-	Ledger      *Ledger
-	Net         *link.Net
-	Rules       Rules
-	OnDelivered func(class int, after time.Duration) // hears of each first delivery; may be nil
-	calls       atomic.Int64
-}
-
-// recordDelivery books that a relay has heard that a message is delivered.
-func (w *World) recordDelivery(id string) {
-	var class int
-	var due time.Time
-	w.Ledger.update(id, func(m *Message) {
-		if !m.Delivered {
-			class, due = m.Class, m.Due
-		}
-		m.Delivered, m.Completed = true, true
-	})
-	if w.OnDelivered != nil && !due.IsZero() {
-		w.OnDelivered(class, time.Since(due))
-	}
+	waiting int // calls in the queue
 }
 
-// Serve starts an endpoint at addr; it ends with ctx.
+// Serve starts the endpoint at addr; it ends with ctx, and its goroutines with done.
 func (e *Endpoint) Serve(ctx context.Context, w *World, addr string, done *sync.WaitGroup) error {
-	ln, err := net.Listen("tcp4", addr)
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return fmt.Errorf("endpoint %s: %w", e.ID, err)
 	}
-	e.world, e.listener, e.conns = w, ln, map[net.Conn]struct{}{}
+	e.world, e.listener, e.conns = w, listener, map[net.Conn]struct{}{}
 	e.servers = make(chan struct{}, e.Servers)
-	e.Upstream.mu.Lock()
-	e.Upstream.endpoints++
-	e.Upstream.mu.Unlock()
-	context.AfterFunc(ctx, func() {
-		ln.Close()
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		for c := range e.conns {
-			c.Close()
-		}
-	})
+	e.Upstream.addEndpoint()
+	context.AfterFunc(ctx, e.close)
 	done.Add(1)
 	go func() {
 		defer done.Done()
-		for {
-			c, err := ln.Accept()
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			if err != nil {
-				time.Sleep(5 * time.Millisecond) // out of descriptors, say
-				continue
-			}
-			e.mu.Lock()
-			e.conns[c] = struct{}{}
-			surplus := len(e.conns) > e.MaxConns
-			e.mu.Unlock()
-			done.Add(1)
-			go func() {
-				defer done.Done()
-				e.serveConn(ctx, c, surplus)
-				e.mu.Lock()
-				delete(e.conns, c)
-				e.mu.Unlock()
-			}()
-		}
+		e.accept(ctx, done)
 	}()
 	return nil
 }
 
-// Addr is where it listens.
-func (e *Endpoint) Addr() string { return e.listener.Addr().String() }
-
-// SetFault puts a trouble on this endpoint alone.
-func (e *Endpoint) SetFault(s Fault) {
+// close closes the listener and all connections.
+func (e *Endpoint) close() {
+	e.listener.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fault = s
-}
-
-// SetDown books that its process is gone or back; its links do the refusing.
-func (e *Endpoint) SetDown(on bool) {
-	e.mu.Lock()
-	was := e.isDown
-	e.isDown = on
-	e.mu.Unlock()
-	if was != on {
-		e.Upstream.setEndpointDown(on)
+	for conn := range e.conns {
+		conn.Close()
 	}
 }
 
-// serveConn serves one connection, and owns it.
-func (e *Endpoint) serveConn(ctx context.Context, c net.Conn, surplus bool) {
-	defer c.Close()
-	in := bufio.NewReader(c)
-	var sent int64
-	for ctx.Err() == nil {
-		c.SetReadDeadline(time.Now().Add(e.IdleTimeout))
-		if _, err := in.Peek(1); err != nil {
+// accept serves connections until the listener is closed.
+func (e *Endpoint) accept(ctx context.Context, done *sync.WaitGroup) {
+	for {
+		conn, err := e.listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		c.SetReadDeadline(time.Now().Add(10 * time.Second)) // the rest of a call follows its first byte
-		req, err := http.ReadRequest(in)
 		if err != nil {
-			return
-		}
-		conn := e.world.Net.Find(c)
-		if conn == nil {
-			return // the link is gone already
+			time.Sleep(acceptBackoff)
+			continue
 		}
 		e.mu.Lock()
-		own := e.fault
+		e.conns[conn] = struct{}{}
+		surplus := len(e.conns) > e.MaxConns
 		e.mu.Unlock()
-		spell, fell := e.Upstream.faultFor(own)
-		if spell.Reset > 0 && e.Upstream.drawFloat() < spell.Reset {
-			c.(*net.TCPConn).SetLinger(0)
-			return
-		}
-		body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
-		if err != nil {
-			return // not whole: it never was a call
-		}
-		c.SetReadDeadline(time.Time{})
-		called, cancel := context.WithCancel(ctx)
-		peeked := make(chan struct{})
+		done.Add(1)
 		go func() {
-			defer close(peeked)
-			if _, err := in.Peek(1); err != nil {
-				cancel()
-			}
+			defer done.Done()
+			e.serveConn(ctx, conn, surplus)
+			e.mu.Lock()
+			delete(e.conns, conn)
+			e.mu.Unlock()
 		}()
-		id := e.world.calls.Add(1)
-		conn.OnClientClosed(func() { e.world.Recorder.Record(history.Event{Kind: history.CallAborted, Call: id}) })
-		a := e.call(called, id, conn, req, body, spell, fell, surplus)
-		ended := called.Err() != nil
-		cancel()
-		if ended || a.text == nil {
-			e.world.Recorder.Record(history.Event{Kind: history.CallBroken, Call: a.call, Endpoint: e.ID})
-			if a.reset {
-				c.(*net.TCPConn).SetLinger(0)
-			}
-			c.Close()
-			<-peeked
-			return
-		}
-		sent += int64(len(a.text))
-		e.world.Recorder.Record(history.Event{Kind: history.ResponseSent, Call: a.call, Endpoint: e.ID, Status: a.status, RetryAfter: a.wait.Microseconds(), States: a.states})
-		conn.OnDelivered(sent, func(time.Time) {
-			for _, id := range a.reached {
-				e.world.recordDelivery(id)
-			}
-			for _, id := range a.over {
-				e.world.Ledger.Complete(id)
-			}
-			e.world.Recorder.Record(history.Event{Kind: history.ResponseReceived, Call: a.call})
-		})
-		c.SetReadDeadline(time.Now().Add(e.IdleTimeout))
-		if _, err := c.Write(a.text); err != nil || a.last {
-			c.Close()
-		}
-		<-peeked
 	}
 }
 
-// response is what comes back for a call.
-type response struct {
-	call    int64
-	status  int // 0 where it cannot be read
-	wait    time.Duration
-	states  []string
-	text    []byte // nil for no answer at all
-	reset   bool
-	last    bool // the connection ends after it
-	reached []string
-	over    []string
-}
+// Addr is the address on which it listens. Serve must have been called.
+func (e *Endpoint) Addr() string { return e.listener.Addr().String() }
 
-// item is a message of a batch.
-type item struct {
-	ID   string `json:"id"`
-	Body []byte `json:"body"`
+// SetFault sets the fault of this endpoint alone, in place of the one before.
+func (e *Endpoint) SetFault(fault Fault) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.fault = fault
 }
 
-// call takes one whole call to its answer.
-func (e *Endpoint) call(ctx context.Context, id int64, conn *link.Conn, req *http.Request, body []byte, spell Fault, fell, surplus bool) response {
-	now := time.Now()
-	a := response{call: id}
-	items, batch, bad := e.parseItems(req, body)
-	ids := make([]string, len(items))
-	for i, x := range items {
-		ids[i] = x.ID
-	}
-	e.world.Recorder.Record(history.Event{Kind: history.CallReceived, Call: a.call, Relay: conn.Source(), Endpoint: e.ID, Destination: e.Upstream.Destination,
-		Messages: ids, SentAt: e.world.Recorder.At(conn.FirstByteAt())})
-	if bad != 0 {
-		e.recordInvalidCall(conn.Source(), "", fmt.Sprintf("a call that is answered %d", bad))
-		return e.plainResponse(a, bad, 0, false)
+// SetDown records that its process is down or back; its links refuse connections.
+func (e *Endpoint) SetDown(down bool) {
+	e.mu.Lock()
+	was := e.isDown
+	e.isDown = down
+	e.mu.Unlock()
+	if was != down {
+		e.Upstream.setEndpointDown(down)
 	}
-	verdicts := make([]callVerdict, len(items))
-	worst, took := time.Duration(0), time.Duration(0)
-	for i, x := range items {
-		var class int
-		verdicts[i], class = e.world.Ledger.receive(x.ID, e.Upstream.Destination, x.Body, e.world.Rules.MaxAttempts, now)
-		switch verdicts[i] {
-		case unknownMessage:
-			e.recordInvalidCall(conn.Source(), x.ID, "a message that no client handed in in this form")
-			return e.plainResponse(a, http.StatusBadRequest, 0, false)
-		case wrongDestination:
-			e.recordInvalidCall(conn.Source(), x.ID, fmt.Sprintf("a message of another destination, at %d", e.Upstream.Destination))
-			return e.plainResponse(a, http.StatusBadRequest, 0, false)
+}
+
+// currentFault is the fault that a call meets now, and whether the upstream is
+// overloaded.
+func (e *Endpoint) currentFault() (fault Fault, overloaded bool) {
+	e.mu.Lock()
+	own := e.fault
+	e.mu.Unlock()
+	return e.Upstream.faultFor(own)
+}
+
+// serveConn serves the calls of one connection, and closes it.
+func (e *Endpoint) serveConn(ctx context.Context, conn net.Conn, surplus bool) {
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	var sent int64 // bytes of responses
+	for ctx.Err() == nil {
+		c, ok := e.readCall(conn, in, surplus)
+		if !ok {
+			return
 		}
-		t := Classes()[class].ServiceTime
-		took = t[0] + time.Duration(e.Upstream.drawFloat()*float64(t[1]-t[0]))
-		worst = max(worst, took)
-	}
-	if surplus {
-		a.last = true
-		return e.plainResponse(a, http.StatusServiceUnavailable, 0, false)
-	}
-	if r := e.Upstream.admit(conn.Source(), now); r.rejected || fell {
-		if r.retryAfter > 0 {
-			a.wait = r.retryAfter
-			return e.plainResponse(a, http.StatusTooManyRequests, r.retryAfter, !fell)
+		answered, isLast := e.serveCall(ctx, conn, in, c, &sent)
+		if !answered || isLast {
+			return
 		}
-		return e.plainResponse(a, http.StatusServiceUnavailable, 0, !fell)
 	}
-	if !batch {
-		switch verdicts[0] {
-		case expired:
-			a.over = ids
-			return e.plainResponse(a, http.StatusGone, 0, true)
-		case attemptsExhausted:
-			return e.plainResponse(a, http.StatusGatewayTimeout, 0, true)
-		}
+}
+
+// readCall reads one call; false if the connection ends or is reset before the
+// call is complete.
+func (e *Endpoint) readCall(conn net.Conn, in *bufio.Reader, surplus bool) (*call, bool) {
+	conn.SetReadDeadline(time.Now().Add(e.IdleTimeout))
+	if _, err := in.Peek(1); err != nil {
+		return nil, false
 	}
-	if !e.acquireServer(ctx) {
-		if ctx.Err() != nil {
-			return a
-		}
-		return e.plainResponse(a, http.StatusServiceUnavailable, 0, true)
+	conn.SetReadDeadline(time.Now().Add(requestTimeout))
+	req, err := http.ReadRequest(in)
+	if err != nil {
+		return nil, false
 	}
-	defer func() { <-e.servers }()
-	if spell.Silent {
-		<-ctx.Done()
-		return a
+	route := e.world.Net.Find(conn)
+	if route == nil {
+		return nil, false // the link is gone already
 	}
-	worst += worst / 10 * time.Duration(len(items)-1)
-	if !Sleep(ctx, time.Duration(float64(worst)*e.Upstream.LatencyFactor*max(1, spell.Slow))) && e.Upstream.drawFloat() < 0.5 {
-		return a // called off, and it stopped in time
+	fault, overloaded := e.currentFault()
+	if fault.Reset > 0 && e.Upstream.drawFloat() < fault.Reset {
+		resetOnClose(conn)
+		return nil, false
 	}
-	fails := e.Upstream.drawFloat() < spell.Fail
-	if fails && e.Upstream.drawFloat() < 0.5 {
-		return e.plainResponse(a, http.StatusInternalServerError, 0, true)
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
+	if err != nil {
+		return nil, false // not complete: it never was a call
 	}
-	for i, x := range items {
-		if verdicts[i] == callable || verdicts[i] == duplicate || verdicts[i] == unsafeDuplicate {
-			e.world.Recorder.Record(history.Event{Kind: history.MessageExecuted, Call: a.call, Endpoint: e.ID, Message: x.ID})
+	conn.SetReadDeadline(time.Time{})
+	return &call{id: e.world.calls.Add(1), route: route, req: req, body: body, fault: fault, overloaded: overloaded, surplus: surplus}, true
+}
+
+// serveCall takes one call to its response. It reports whether one was written,
+// and whether the connection ends after it.
+func (e *Endpoint) serveCall(ctx context.Context, conn net.Conn, in *bufio.Reader, c *call, sent *int64) (answered, isLast bool) {
+	callCtx, cancel := context.WithCancel(ctx)
+	watched := make(chan struct{})
+	go func() { // notices that the relay closes the connection
+		defer close(watched)
+		if _, err := in.Peek(1); err != nil {
+			cancel()
 		}
-	}
-	if fails {
-		return e.plainResponse(a, http.StatusInternalServerError, 0, true)
-	}
-	if e.Upstream.drawFloat() < spell.LoseResponse {
-		a.reset = true
-		return a
-	}
-	if e.Upstream.drawFloat() < spell.CorruptResponse {
-		return e.corruptResponse(a, items, batch)
-	}
-	if !batch {
-		a.reached = ids
-		return e.plainResponse(a, http.StatusOK, 0, true)
-	}
-	return e.batchResponse(a, items, verdicts)
+	}()
+	defer func() { <-watched }()
+	recorder := e.world.Recorder
+	c.route.OnClientClosed(func() { recorder.Record(history.Event{Kind: history.CallAborted, Call: c.id}) })
+	resp := e.handle(callCtx, c)
+	aborted := callCtx.Err() != nil
+	cancel()
+	if aborted || resp.text == nil {
+		recorder.Record(history.Event{Kind: history.CallBroken, Call: c.id, Endpoint: e.ID})
+		if resp.reset {
+			resetOnClose(conn)
+		}
+		conn.Close()
+		return false, true
+	}
+	recorder.Record(history.Event{Kind: history.ResponseSent, Call: c.id, Endpoint: e.ID, Status: resp.status,
+		RetryAfter: resp.retryAfter.Microseconds(), States: resp.states})
+	*sent += int64(len(resp.text))
+	c.route.OnDelivered(*sent, func(time.Time) { e.recordResponse(c.id, &resp) })
+	conn.SetReadDeadline(time.Now().Add(e.IdleTimeout))
+	if _, err := conn.Write(resp.text); err != nil || resp.isLast {
+		conn.Close()
+		return true, true
+	}
+	return true, false
 }
 
-// parseItems reads what a call carries, or says by which status it is refused.
-func (e *Endpoint) parseItems(req *http.Request, body []byte) (items []item, batch bool, bad int) {
-	switch {
-	case req.Method != http.MethodPost:
-		return nil, false, http.StatusMethodNotAllowed
-	case len(body) > maxBody:
-		return nil, false, http.StatusRequestEntityTooLarge
-	case req.URL.Path == "/v1/messages":
-		return []item{{req.Header.Get("X-Request-ID"), body}}, false, 0
-	case req.URL.Path != "/v1/messages:batch":
-		return nil, false, http.StatusNotFound
-	}
-	if json.Unmarshal(body, &items) != nil || len(items) == 0 {
-		return nil, true, http.StatusBadRequest
+// recordResponse records that the relay has received a response.
+func (e *Endpoint) recordResponse(call int64, resp *response) {
+	for _, id := range resp.delivered {
+		e.world.recordDelivery(id)
 	}
-	if len(items) > max(1, e.MaxBatch) || len(items) > maxItems {
-		return items, true, http.StatusRequestEntityTooLarge
+	for _, id := range resp.expired {
+		e.world.Ledger.Complete(id)
 	}
-	seen := map[string]bool{}
-	for _, x := range items {
-		if seen[x.ID] {
-			return items, true, http.StatusBadRequest
-		}
-		seen[x.ID] = true
-	}
-	return items, true, 0
+	e.world.Recorder.Record(history.Event{Kind: history.ResponseReceived, Call: call})
 }
 
-func (e *Endpoint) recordInvalidCall(relay, msg, text string) {
-	e.world.Recorder.Record(history.Event{Kind: history.InvalidCall, Relay: relay, Endpoint: e.ID, Message: msg, Text: text})
+// resetOnClose has a connection end by a reset.
+func resetOnClose(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
+	}
 }
 
-// acquireServer takes one of the endpoint's servers, or a place in its queue until one
-// is free; false where both are full or the call is called off.
+// acquireServer takes one of the endpoint's servers, or a place in its queue until
+// one is free; false if both are full or ctx ends. The caller releases it.
 func (e *Endpoint) acquireServer(ctx context.Context) bool {
 	select {
 	case e.servers <- struct{}{}:
 		return true
 	default:
 	}
-	e.mu.Lock()
-	full := e.waiting >= e.QueueSize
-	if !full {
-		e.waiting++
-	}
-	e.mu.Unlock()
-	if full {
+	if !e.enqueue() {
 		return false
 	}
-	defer func() { e.mu.Lock(); e.waiting--; e.mu.Unlock() }()
+	defer e.dequeue()
 	select {
 	case e.servers <- struct{}{}:
 		return true
@@ -383,83 +248,28 @@
 	}
 }
 
-func (e *Endpoint) header(status int, wait time.Duration, reports bool) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
-	if wait > 0 {
-		fmt.Fprintf(&b, retryAfterHeader, math.Ceil(wait.Seconds()*1000)/1000)
-	}
-	if reports {
-		x0, x1 := e.Upstream.loadReport(time.Now())
-		fmt.Fprintf(&b, "X-Server-Load: x0=%.3f,x1=%.2f\r\n", x0, x1)
-	}
-	return b.Bytes()
-}
+func (e *Endpoint) releaseServer() { <-e.servers }
 
-func (e *Endpoint) plainResponse(a response, status int, wait time.Duration, reports bool) response {
-	a.status = status
-	a.text = e.header(status, wait, reports)
-	if a.last {
-		a.text = append(a.text, "Connection: close\r\n"...)
+func (e *Endpoint) enqueue() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.waiting >= e.QueueSize {
+		return false
 	}
-	a.text = append(a.text, "Content-Length: 0\r\n\r\n"...)
-	return a
+	e.waiting++
+	return true
 }
 
-// batchResponse answers a batch message by message.
-func (e *Endpoint) batchResponse(a response, items []item, verdicts []callVerdict) response {
-	words := map[callVerdict]string{callable: "accepted", duplicate: "accepted", unsafeDuplicate: "accepted", expired: "expired", attemptsExhausted: "no_more"}
-	out := make([]map[string]string, len(items))
-	for i, x := range items {
-		word := words[verdicts[i]]
-		a.states = append(a.states, word)
-		out[i] = map[string]string{"id": x.ID, "state": word}
-		switch word {
-		case "accepted":
-			a.reached = append(a.reached, x.ID)
-		case "expired":
-			a.over = append(a.over, x.ID)
-		}
-	}
-	text, _ := json.Marshal(out) // strings alone: cannot fail
-	a.status = http.StatusOK
-	a.text = append(e.header(http.StatusOK, 0, true), fmt.Sprintf("Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(text), text)...)
-	return a
+func (e *Endpoint) dequeue() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.waiting--
 }
 
-// corruptResponse answers what cannot be read. For one message a first line that still
-// reads 200 is true all the same.
-func (e *Endpoint) corruptResponse(a response, items []item, batch bool) response {
-	a.last = true
-	if !batch && e.Upstream.drawFloat() < 0.5 {
-		a.status, a.reached = http.StatusOK, []string{items[0].ID}
-		a.text = []byte("HTTP/1.1 200 OK\r\nContent-Length: x\x00\r\n\r\n")
-		return a
-	}
-	a.text = []byte("HTQP/1,1 2\xff0 \r\n\r\n\r\n")
-	return a
+// recordInvalidCall records a call that a relay should not have made.
+func (e *Endpoint) recordInvalidCall(relay, message, text string) {
+	e.world.Recorder.Record(history.Event{Kind: history.InvalidCall, Relay: relay, Endpoint: e.ID, Message: message, Text: text})
 }
 
-// ParseCall reads the ids of the call that a relay wrote on a connection, and
-// whether it wrote all of it.
-func ParseCall(written []byte) (ids []string, complete bool) {
-	req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(written)))
-	if err != nil {
-		return nil, false
-	}
-	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
-	if err != nil {
-		return nil, false
-	}
-	if req.URL.Path != "/v1/messages:batch" {
-		return []string{req.Header.Get("X-Request-ID")}, true
-	}
-	var items []item
-	if json.Unmarshal(body, &items) != nil {
-		return nil, true
-	}
-	for _, x := range items {
-		ids = append(ids, x.ID)
-	}
-	return ids, true
-}
+// route is the link's end of a connection.
+type route = *link.Conn
--- /dev/null
+++ b/internal/faultlab/model/fault.go
@@ -0,0 +1,32 @@
+package model
+
+// Fault is a fault of an upstream or of one endpoint. The zero value is none.
+// Fractions are from 0 to 1.
+type Fault struct {
+	Slow            float64 // calls take so many times as long; 0 counts as 1
+	Fail            float64 // fraction of calls that end in 500, half of them after they took effect
+	Closed          bool    // every call is rejected with a Retry-After until it opens
+	Silent          bool    // calls are accepted and never answered
+	LoseResponse    float64 // fraction of responses that are lost after the call took effect
+	CorruptResponse float64 // fraction of responses that cannot be parsed
+	Reset           float64 // fraction of connections that are reset before the request is complete
+}
+
+// outageFailures is the fraction of failed calls from which a fault is an outage.
+const outageFailures = 0.5
+
+// isOutage reports whether an upstream with the fault is down.
+func (f Fault) isOutage() bool { return f.Closed || f.Silent || f.Fail >= outageFailures }
+
+// combine adds another fault.
+func (f Fault) combine(other Fault) Fault {
+	return Fault{
+		Slow:            max(f.Slow, 1) * max(other.Slow, 1),
+		Fail:            max(f.Fail, other.Fail),
+		Closed:          f.Closed || other.Closed,
+		Silent:          f.Silent || other.Silent,
+		LoseResponse:    max(f.LoseResponse, other.LoseResponse),
+		CorruptResponse: max(f.CorruptResponse, other.CorruptResponse),
+		Reset:           max(f.Reset, other.Reset),
+	}
+}
--- a/internal/faultlab/model/ledger.go
+++ b/internal/faultlab/model/ledger.go
@@ -1,8 +1,3 @@
-// Package model is what a relay serves: partners with their endpoints, the
-// discovery that lists them, and the clients that hand messages in, each as the
-// protocol, deployment and brief pages describe it. It knows only the protocol:
-// no file of the relay and no decision of it is linked in. It records what
-// happens and judges nothing.
 package model
 
 import (
@@ -10,108 +5,118 @@
 	"time"
 )
 
-// Message is one request as the lab handed it in.
+// Message is one request as a simulated client submitted it.
 type Message struct {
 	ID          string
-	FirstID     string // the id of its first try
-	Class       int
+	FirstID     string // the ID of its first request
+	Class       int    // an index into Classes
 	Destination int
 	Relay       string
-	Deadline    time.Time // when its time is up
-	Due         time.Time // when its first try was due
+	Deadline    time.Time
+	Due         time.Time // when its first request was due
 	Body        []byte
-	Attempt     int  // of the client, before this one
-	Accepted    bool // its client heard that it is taken on
-	Completed   bool // nothing more is owed
-	Delivered   bool // delivered
-	calls       int  // that came for it
+	Attempt     int  // of the client, from 0
+	Accepted    bool // its client read +OK
+	Completed   bool // nothing more is pending
+	Delivered   bool
+
+	calls int // made for it
 }
 
-// Ledger holds the truth about every message, which no relay knows.
+// Ledger holds the true state of every message, which no relay knows. It is safe
+// for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	messages map[string]*Message
 }
 
-// NewLedger makes an empty one.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{messages: map[string]*Message{}} }
 
-// Add books a request before it is sent.
+// Add records a request before it is sent.
 func (l *Ledger) Add(m *Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.messages[m.ID] = m
 }
 
-// Accept books that the client has heard +OK.
+// Accept records that the client has read +OK.
 func (l *Ledger) Accept(id string) { l.update(id, func(m *Message) { m.Accepted = true }) }
 
-// Complete books that nothing more is owed; it tells whether that is news.
+// Complete records that nothing more is pending; it reports whether something was.
 func (l *Ledger) Complete(id string) (changed bool) {
-	l.update(id, func(m *Message) { changed = !m.Completed; m.Completed = true })
+	l.update(id, func(m *Message) {
+		changed = !m.Completed
+		m.Completed = true
+	})
 	return changed
 }
 
-func (l *Ledger) update(id string, f func(*Message)) {
+// update changes a message, if there is one with that ID.
+func (l *Ledger) update(id string, change func(*Message)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m := l.messages[id]; m != nil {
-		f(m)
+		change(m)
 	}
 }
 
-// Pending gives the messages that a relay has taken on and not ended, and whose
-// time is not up.
+// isPending reports whether a message is accepted, not completed and in time.
+func (m *Message) isPending(now time.Time) bool {
+	return m.Accepted && !m.Completed && now.Before(m.Deadline)
+}
+
+// Pending returns copies of the pending messages of one relay.
 func (l *Ledger) Pending(relay string, now time.Time) (all []Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.messages {
-		if m.Relay == relay && m.Accepted && !m.Completed && now.Before(m.Deadline) {
+		if m.Relay == relay && m.isPending(now) {
 			all = append(all, *m)
 		}
 	}
 	return all
 }
 
-// PendingCount is how many messages are taken on and neither over nor out of time.
-func (l *Ledger) PendingCount(now time.Time) (n int) {
+// PendingCount is the number of pending messages of all relays.
+func (l *Ledger) PendingCount(now time.Time) (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.messages {
-		if m.Accepted && !m.Completed && now.Before(m.Deadline) {
-			n++
+		if m.isPending(now) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// callVerdict is what the truth about a message says of one more call for it.
+// callVerdict is what the true state of a message means for one more call for it.
 type callVerdict int
 
 const (
 	callable          callVerdict = iota
-	unknownMessage                // nobody handed it in in this form
+	unknownMessage                // no client submitted it in this form
 	wrongDestination              // its destination is another
-	expired                       // its time is up, or it was ended
-	duplicate                     // delivered already, and it may be repeated
-	unsafeDuplicate               // delivered already, and it may not
+	expired                       // its deadline has passed, or it is completed
+	duplicate                     // it is delivered, and idempotent
+	unsafeDuplicate               // it is delivered, and not idempotent
 	attemptsExhausted             // it has had all its attempts
 )
 
-// receive books a call for a message and says what it is worth.
-func (l *Ledger) receive(id string, dest int, body []byte, most int, now time.Time) (callVerdict, int) {
+// receive records a call for a message and returns its verdict and class.
+func (l *Ledger) receive(id string, destination int, body []byte, maxAttempts int, now time.Time) (verdict callVerdict, class int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.messages[id]
 	switch {
 	case m == nil || string(m.Body) != string(body):
 		return unknownMessage, 0
-	case m.Destination != dest:
+	case m.Destination != destination:
 		return wrongDestination, m.Class
 	}
 	m.calls++
 	switch {
-	case m.calls > most:
+	case m.calls > maxAttempts:
 		return attemptsExhausted, m.Class
 	case m.Delivered && Classes()[m.Class].NonIdempotent:
 		return unsafeDuplicate, m.Class
--- /dev/null
+++ b/internal/faultlab/model/response.go
@@ -0,0 +1,122 @@
+package model
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"net/http"
+	"time"
+)
+
+// States of the messages of a batch, as responses have them.
+const (
+	StateAccepted = "accepted"
+	StateDeferred = "deferred"
+	StateExpired  = "expired"
+	StateNoMore   = "no_more"
+)
+
+// batchStates gives the state for each verdict on a message of a batch.
+var batchStates = map[callVerdict]string{
+	callable:          StateAccepted,
+	duplicate:         StateAccepted,
+	unsafeDuplicate:   StateAccepted,
+	expired:           StateExpired,
+	attemptsExhausted: StateNoMore,
+}
+
+// response is what a call gets. The zero value is none: the connection ends.
+type response struct {
+	status     int // 0 if it cannot be parsed
+	retryAfter time.Duration
+	states     []string // of the messages of a batch
+	text       []byte   // nil for no response
+	reset      bool     // the connection ends by a reset
+	isLast     bool     // the connection ends after it
+	delivered  []string // messages that are delivered once the relay has it
+	expired    []string // messages that are completed once the relay has it
+}
+
+// reportChoice says whether a response carries a load report.
+type reportChoice bool
+
+const (
+	withReport    reportChoice = true
+	withoutReport reportChoice = false
+)
+
+func reportIf(condition bool) reportChoice { return reportChoice(condition) }
+
+// setStatus makes the text of a response without a body; headers are complete lines.
+func (r *response) setStatus(status int, headers string) {
+	r.status = status
+	if r.isLast {
+		headers += "Connection: close\r\n"
+	}
+	r.text = []byte(statusLine(status) + headers + "Content-Length: 0\r\n\r\n")
+}
+
+func statusLine(status int) string {
+	return fmt.Sprintf("HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
+}
+
+// reportHeader is the load report's line.
+func (e *Endpoint) reportHeader(choice reportChoice) string {
+	if choice == withoutReport {
+		return ""
+	}
+	remaining, rate := e.Upstream.loadReport(time.Now())
+	return fmt.Sprintf("X-Server-Load: x0=%.3f,x1=%.2f\r\n", remaining, rate)
+}
+
+// statusResponse is a response without a body.
+func (e *Endpoint) statusResponse(status int, choice reportChoice) (resp response) {
+	resp.setStatus(status, e.reportHeader(choice))
+	return resp
+}
+
+// retryAfterResponse rejects a call for a time, rounded up to milliseconds.
+func (e *Endpoint) retryAfterResponse(wait time.Duration, choice reportChoice) response {
+	const millisPerSecond = 1000
+	resp := response{retryAfter: wait}
+	header := fmt.Sprintf("Retry-After: %.3f\r\n", math.Ceil(wait.Seconds()*millisPerSecond)/millisPerSecond)
+	resp.setStatus(http.StatusTooManyRequests, header+e.reportHeader(choice))
+	return resp
+}
+
+// batchResponse answers a batch message by message.
+func (e *Endpoint) batchResponse(c *call) response {
+	resp := response{status: http.StatusOK}
+	lines := make([]batchLine, len(c.items))
+	for i, item := range c.items {
+		state := batchStates[c.verdicts[i]]
+		resp.states = append(resp.states, state)
+		lines[i] = batchLine{ID: item.ID, State: state}
+		switch state {
+		case StateAccepted:
+			resp.delivered = append(resp.delivered, item.ID)
+		case StateExpired:
+			resp.expired = append(resp.expired, item.ID)
+		}
+	}
+	body, _ := json.Marshal(lines) // of strings: cannot fail
+	header := statusLine(http.StatusOK) + e.reportHeader(withReport)
+	resp.text = fmt.Appendf([]byte(header), "Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	return resp
+}
+
+// batchLine is the state of one message in the response to a batch.
+type batchLine struct {
+	ID    string `json:"id"`
+	State string `json:"state"`
+}
+
+// corruptResponse is one that cannot be parsed. For a single message a status line
+// that still reads 200 counts as a delivery.
+func (e *Endpoint) corruptResponse(c *call) response {
+	if !c.isBatch && e.Upstream.drawFloat() < corruptReadable {
+		return response{isLast: true, status: http.StatusOK, delivered: []string{c.items[0].ID},
+			text: []byte("HTTP/1.1 200 OK\r\nContent-Length: x\x00\r\n\r\n")}
+	}
+	return response{isLast: true, text: []byte("HTQP/1,1 2\xff0 \r\n\r\n\r\n")}
+}
--- /dev/null
+++ b/internal/faultlab/model/upstream.go
@@ -0,0 +1,285 @@
+package model
+
+import (
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"plovershore/internal/faultlab/history"
+)
+
+const (
+	burstSeconds     = 0.5                   // of its rate that a limit without a window takes at once
+	minRetryAfter    = 10 * time.Millisecond // of a closed upstream
+	overloadLeniency = 1.1                   // times the overload budget, and
+	overloadChance   = 3                     // calls beyond it, so that chance overloads nothing
+)
+
+// Limit is what a destination accepts from all relays together.
+type Limit struct {
+	Rate               float64       // calls a second; 0 for no limit
+	Window             time.Duration // calls are counted over fixed windows of this length; 0 for a token bucket
+	RetryAfterFraction float64       // of rejections that carry a Retry-After
+	RetryAfterMin      time.Duration // of a token bucket's Retry-After, which is drawn up to RetryAfterMax
+	RetryAfterMax      time.Duration
+	CountsRejected     bool // rejected calls use the limit up as well
+}
+
+// Upstream is a destination: one or more endpoints that share a limit, and whose
+// outages are those of the whole destination. It is safe for concurrent use; the
+// exported fields are fixed.
+type Upstream struct {
+	Destination        int
+	Kind               string
+	Limit              Limit
+	LatencyFactor      float64       // times the service time of a class
+	LoadReportInterval time.Duration // after which its load report is refreshed
+
+	rules    Rules
+	recorder *history.Recorder
+
+	mu                 sync.Mutex
+	random             *rand.Rand
+	faults             []Fault
+	limitFactor        float64
+	opensAt            time.Time // if it is closed
+	endpoints          int
+	endpointsDown      int
+	inOutage           bool
+	refusesConnections bool      // during the outage
+	recoveringSince    time.Time // zero if it has all of its capacity
+	overloaded         bool      // it failed while it recovered, for good
+	windowStart        time.Time
+	used               float64 // of the window, or of the token bucket
+	lastRefill         time.Time
+	recentCalls        []recentCall // of the last OverloadWindow, while it recovers
+	reportedLimit      float64      // fraction of the limit that was left at reportedAt
+	reportedAt         time.Time
+}
+
+// recentCall is a call to a recovering upstream.
+type recentCall struct {
+	at    time.Time
+	relay string
+}
+
+// rejection says whether a call is rejected.
+type rejection struct {
+	rejected   bool
+	retryAfter time.Duration // 0 for none
+}
+
+// NewUpstream returns an upstream that draws from a seed.
+func NewUpstream(destination int, kind string, limit Limit, latencyFactor float64, loadReportInterval time.Duration,
+	rules Rules, recorder *history.Recorder, seed uint64) *Upstream {
+	now := time.Now()
+	return &Upstream{
+		Destination:        destination,
+		Kind:               kind,
+		Limit:              limit,
+		LatencyFactor:      latencyFactor,
+		LoadReportInterval: loadReportInterval,
+		rules:              rules,
+		recorder:           recorder,
+		random:             rand.New(rand.NewPCG(seed, uint64(destination))),
+		windowStart:        now,
+		lastRefill:         now,
+		reportedLimit:      1,
+		limitFactor:        1,
+	}
+}
+
+// drawFloat draws from 0 to 1.
+func (u *Upstream) drawFloat() float64 {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.random.Float64()
+}
+
+// AddFault adds a fault to those that it has. If the fault closes it, opensAt is
+// when its Retry-After ends.
+func (u *Upstream) AddFault(fault Fault, opensAt time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.faults = append(u.faults, fault)
+	if fault.Closed {
+		u.opensAt = opensAt
+	}
+	u.updateOutage(false)
+}
+
+// RemoveFault ends a fault that was added.
+func (u *Upstream) RemoveFault(fault Fault) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if i := slices.Index(u.faults, fault); i >= 0 {
+		u.faults = slices.Delete(u.faults, i, i+1)
+	}
+	u.updateOutage(false)
+}
+
+// ScaleLimit sets the limit to so many times Limit.Rate.
+func (u *Upstream) ScaleLimit(factor float64) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.limitFactor = factor
+}
+
+// activeFault is all of its faults together; u.mu is held.
+func (u *Upstream) activeFault() (all Fault) {
+	for _, fault := range u.faults {
+		all = all.combine(fault)
+	}
+	return all
+}
+
+// currentLimit is the scaled rate; u.mu is held.
+func (u *Upstream) currentLimit() float64 { return u.Limit.Rate * u.limitFactor }
+
+// addEndpoint records one more endpoint.
+func (u *Upstream) addEndpoint() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.endpoints++
+}
+
+// setEndpointDown records that one more endpoint is down, or one less.
+func (u *Upstream) setEndpointDown(down bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if down {
+		u.endpointsDown++
+	} else {
+		u.endpointsDown--
+	}
+	u.updateOutage(true)
+}
+
+// updateOutage records where an outage begins and ends; u.mu is held.
+func (u *Upstream) updateOutage(refusesConnections bool) {
+	allDown := u.endpoints > 0 && u.endpointsDown >= u.endpoints
+	inOutage := u.activeFault().isOutage() || allDown
+	if inOutage == u.inOutage {
+		return
+	}
+	u.inOutage = inOutage
+	if inOutage {
+		u.refusesConnections = refusesConnections
+	} else {
+		u.recoveringSince, u.recentCalls = time.Now(), nil
+	}
+	u.recorder.Record(history.Event{Kind: history.Outage, Destination: u.Destination, Active: inOutage, RefusesConnections: u.refusesConnections})
+}
+
+// capacityFraction is how much of its capacity it has now; u.mu is held.
+func (u *Upstream) capacityFraction(now time.Time) float64 {
+	if u.recoveringSince.IsZero() {
+		return 1
+	}
+	after := now.Sub(u.recoveringSince)
+	if after >= u.rules.RecoveryTime {
+		u.recoveringSince, u.recentCalls = time.Time{}, nil
+		return 1
+	}
+	start := u.rules.RecoveryCapacity
+	return start + (1-start)*float64(after)/float64(u.rules.RecoveryTime)
+}
+
+// admit counts a call and says whether it is rejected.
+func (u *Upstream) admit(relay string, now time.Time) rejection {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	capacity := u.capacityFraction(now)
+	if !u.inOutage && !u.recoveringSince.IsZero() {
+		u.countRecoveryCall(relay, now, capacity)
+	}
+	if u.activeFault().Closed {
+		return u.reject(max(u.opensAt.Sub(now), minRetryAfter))
+	}
+	if u.Limit.Rate <= 0 {
+		return rejection{}
+	}
+	hasCapacity, retryAfter := u.checkLimit(now, u.currentLimit()*capacity)
+	if hasCapacity || u.Limit.CountsRejected {
+		u.used++
+	}
+	if hasCapacity {
+		return rejection{}
+	}
+	return u.reject(retryAfter)
+}
+
+// checkLimit reports whether the limit has capacity for one more call, and the
+// Retry-After if not; u.mu is held.
+func (u *Upstream) checkLimit(now time.Time, rate float64) (hasCapacity bool, retryAfter time.Duration) {
+	limit := &u.Limit
+	if limit.Window > 0 {
+		for now.Sub(u.windowStart) >= limit.Window {
+			u.windowStart, u.used = u.windowStart.Add(limit.Window), 0
+		}
+		return u.used+1 <= max(1, rate*limit.Window.Seconds()), u.windowStart.Add(limit.Window).Sub(now)
+	}
+	u.used = max(0, u.used-now.Sub(u.lastRefill).Seconds()*rate)
+	u.lastRefill = now
+	drawn := u.random.Float64() * float64(limit.RetryAfterMax-limit.RetryAfterMin)
+	return u.used+1 <= max(1, rate*burstSeconds), limit.RetryAfterMin + time.Duration(drawn)
+}
+
+// reject draws whether a rejection carries its Retry-After; u.mu is held.
+func (u *Upstream) reject(retryAfter time.Duration) rejection {
+	if u.random.Float64() >= u.Limit.RetryAfterFraction {
+		retryAfter = 0
+	}
+	return rejection{rejected: true, retryAfter: retryAfter}
+}
+
+// countRecoveryCall counts a call to a recovering upstream: too many of them, and
+// it fails for good; u.mu is held.
+func (u *Upstream) countRecoveryCall(relay string, now time.Time, capacity float64) {
+	if u.overloaded || u.Limit.Rate <= 0 {
+		return
+	}
+	u.recentCalls = append(u.recentCalls, recentCall{now, relay})
+	for now.Sub(u.recentCalls[0].at) > u.rules.OverloadWindow {
+		u.recentCalls = u.recentCalls[1:]
+	}
+	budget := u.rules.OverloadFactor * capacity * u.currentLimit() * u.rules.OverloadWindow.Seconds()
+	if float64(len(u.recentCalls)) <= budget*overloadLeniency+overloadChance {
+		return
+	}
+	u.overloaded = true
+	byRelay := map[string]int{}
+	for _, call := range u.recentCalls {
+		byRelay[call.relay]++
+	}
+	u.recorder.Record(history.Event{Kind: history.DestinationOverloaded, Destination: u.Destination, Relays: byRelay})
+}
+
+// loadReport is what responses say of the limit: the fraction that is left, as of
+// the last LoadReportInterval, and the calls a second that it allows.
+func (u *Upstream) loadReport(now time.Time) (remaining, rate float64) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if now.Sub(u.reportedAt) < u.LoadReportInterval {
+		return u.reportedLimit, u.currentLimit()
+	}
+	u.reportedAt = now
+	window := burstSeconds
+	if u.Limit.Window > 0 {
+		window = u.Limit.Window.Seconds()
+	}
+	u.reportedLimit = 1
+	if total := u.currentLimit() * window; total > 0 {
+		u.reportedLimit = min(1, max(0, 1-u.used/max(1, total)))
+	}
+	return u.reportedLimit, u.currentLimit()
+}
+
+// faultFor is what a call to an endpoint with a fault of its own meets, and whether
+// the upstream is overloaded.
+func (u *Upstream) faultFor(endpointFault Fault) (fault Fault, overloaded bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.activeFault().combine(endpointFault), u.overloaded
+}
--- a/internal/faultlab/salvage.go
+++ b/internal/faultlab/salvage.go
@@ -14,6 +14,9 @@
 	"plovershore/internal/registry"
 )
 
+// failoverSource names the sender of notices about a lost relay's messages in the history.
+const failoverSource = "salvage"
+
 // platform is where notices go that come from no relay's own agent.
 type platform struct {
 	*model.Listener
@@ -37,10 +40,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	for _, n := range all {
-		p.run.rec.Record(history.Event{Kind: history.Notice, Relay: "salvage", Message: n.Message, Text: n.Outcome, RetryAfter: n.RetryMS * 1000})
-		p.run.noticed(n.Message, n.Outcome, n.RetryMS)
-	}
+	model.RecordNotices(p.run.rec, failoverSource, all, p.run.noticed)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/faultlab/scale_judge.go
+++ b/internal/faultlab/scale_judge.go
@@ -22,27 +22,23 @@
 }
 
 func newScaleJudge(dir string, began int64) *scaleJudge {
-	return &scaleJudge{dir: dir, began: began, verdict: checker.Verdict{Counts: map[string]int{}, Checked: map[string]int{}, Excused: map[string]int{}}}
+	return &scaleJudge{dir: dir, began: began, verdict: checker.NewVerdict()}
 }
 
 const brokenShown = 5 // of one rule, told one by one
 
 // broken books a broken promise; a and b are the moments in question, Unix µs, 0 for none.
-func (j *scaleJudge) broken(rule, subject, text string, a, b int64) {
-	j.verdict.Counts[rule]++
-	if j.verdict.Counts[rule] > brokenShown {
-		return
-	}
+func (j *scaleJudge) broken(rule checker.Rule, subject, text string, a, b int64) {
 	event := func(at int64) history.Event {
 		if at == 0 {
 			return history.Event{}
 		}
 		return history.Event{Time: at - j.began, Kind: history.ListUpdate, Relay: subject}
 	}
-	j.verdict.Violations = append(j.verdict.Violations, checker.Violation{Rule: rule, Subject: subject, Message: text, First: event(a), Second: event(b), File: filepath.Join(j.dir, "logs")})
+	j.verdict.Add(checker.Violation{Rule: rule, Subject: subject, Message: text, First: event(a), Second: event(b), File: filepath.Join(j.dir, "logs")}, brokenShown)
 }
 
-func (j *scaleJudge) judged(rule string) { j.verdict.Checked[rule]++ }
+func (j *scaleJudge) judged(rule checker.Rule) { j.verdict.Checked[rule]++ }
 
 // list judges one relay's list at the end.
 func (j *scaleJudge) list(relay string, has, wanted uint64, members int) {
--- a/internal/faultlab/scale_test.go
+++ b/internal/faultlab/scale_test.go
@@ -12,6 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/checker"
 	"plovershore/internal/faultlab/scenario"
 	"plovershore/internal/faultlab/simrelay"
 )
@@ -34,7 +35,7 @@
 	if !res.Verdict.Passed() {
 		t.Errorf("seed 1: %v", res.Verdict.Violations)
 	}
-	for _, rule := range []string{"start", "list", "change", "end"} {
+	for _, rule := range []checker.Rule{"start", "list", "change", "end"} {
 		if res.Verdict.Checked[rule] == 0 {
 			t.Errorf("seed 1: rule %s was never looked at", rule)
 		}
@@ -66,8 +67,9 @@
 			Counts: simrelay.Counts{Accepted: 4, Delivered: 2, Returned: 1, Failed: 1}}
 	}
 	for _, x := range []struct {
-		name, rule string
-		spoil      func(*simrelay.RelayResult)
+		name  string
+		rule  checker.Rule
+		spoil func(*simrelay.RelayResult)
 	}{
 		{"sound", "", func(*simrelay.RelayResult) {}},
 		{"another list", "list", func(r *simrelay.RelayResult) { r.Hash = 8 }},
--- a/internal/faultlab/tap.go
+++ b/internal/faultlab/tap.go
@@ -90,7 +90,7 @@
 }
 
 func (t *tap) list(w http.ResponseWriter, r *http.Request) {
-	if !t.WaitUntilAudible(r.Context()) {
+	if !t.WaitWhileSilent(r.Context()) {
 		return
 	}
 	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+t.agent+r.URL.RequestURI(), nil)
@@ -109,7 +109,7 @@
 	in := bufio.NewReaderSize(resp.Body, 64<<10)
 	for {
 		text, err := in.ReadBytes('\n')
-		if !t.WaitUntilAudible(r.Context()) {
+		if !t.WaitWhileSilent(r.Context()) {
 			return
 		}
 		var l model.List
@@ -148,10 +148,7 @@
 	resp.Body.Close()
 	if resp.StatusCode == http.StatusNoContent {
 		all, _ := discovery.ReadNotices(bytes.NewReader(text)) // the agent has read them
-		for _, n := range all {
-			t.rec.Record(history.Event{Kind: history.Notice, Relay: t.relay, Message: n.Message, Text: n.Outcome, RetryAfter: n.RetryMS * 1000})
-			t.noticed(n.Message, n.Outcome, n.RetryMS)
-		}
+		model.RecordNotices(t.rec, t.relay, all, t.noticed)
 	}
 	w.WriteHeader(resp.StatusCode)
 }
