--- /dev/null
+++ b/internal/faultlab/link/accept.go
@@ -0,0 +1,116 @@
+package link
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"time"
+)
+
+// accept takes connections from one listener until that is closed.
+func (l *Link) accept(listener *net.TCPListener) {
+	defer l.wg.Done()
+	for {
+		client, err := listener.AcceptTCP()
+		switch {
+		case errors.Is(err, os.ErrDeadlineExceeded): // the link was cut
+			if !l.waitWhileCut(listener) {
+				return
+			}
+		case errors.Is(err, net.ErrClosed):
+			return
+		case err != nil:
+			time.Sleep(acceptBackoff)
+		case l.takeFiller(client.RemoteAddr().String()):
+			client.Close()
+		default:
+			l.wg.Add(1)
+			go l.connect(client)
+		}
+	}
+}
+
+// takeFiller closes one of the link's own connections, if it is one.
+func (l *Link) takeFiller(remoteAddr string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	filler, ok := l.fillers[remoteAddr]
+	if ok {
+		filler.Close()
+		delete(l.fillers, remoteAddr)
+	}
+	return ok
+}
+
+// waitWhileCut keeps new connections from coming up while the link is cut: with
+// its accept queue full, the kernel silently drops requests for one. It reports
+// whether the listener is to be used again.
+func (l *Link) waitWhileCut(listener *net.TCPListener) bool {
+	setBacklog(listener, 0)
+	l.fillQueue()
+	for {
+		l.mu.Lock()
+		isCut, gone, changed := l.isCut(), l.closed || l.refuses, l.changed
+		l.mu.Unlock()
+		if gone {
+			return false
+		}
+		if !isCut {
+			setBacklog(listener, backlog)
+			listener.SetDeadline(time.Time{})
+			return true
+		}
+		<-changed
+	}
+}
+
+// fillQueue fills the accept queue by connections of the link's own.
+func (l *Link) fillQueue() {
+	for range maxFillers {
+		filler, err := net.DialTimeout("tcp4", l.addr, fillerTimeout)
+		if err != nil {
+			return // it is full
+		}
+		l.mu.Lock()
+		l.fillers[filler.LocalAddr().String()] = filler
+		l.mu.Unlock()
+	}
+}
+
+func setBacklog(listener *net.TCPListener, size int) {
+	raw, err := listener.SyscallConn()
+	if err != nil {
+		return // closed meanwhile
+	}
+	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), size) })
+}
+
+// connect leads one connection to the server, and owns it until it has ended.
+func (l *Link) connect(client *net.TCPConn) {
+	defer l.wg.Done()
+	dialer := net.Dialer{Timeout: dialTimeout}
+	server, err := dialer.Dial("tcp4", l.targetAddr)
+	if err != nil { // nobody listens there: as good as refused
+		client.SetLinger(0)
+		client.Close()
+		return
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	c := &Conn{link: l, client: client, server: server.(*net.TCPConn), ctx: ctx, cancel: cancel}
+	key := connKey{server.LocalAddr().String(), server.RemoteAddr().String()}
+	l.net.add(key, c)
+	defer l.net.remove(key)
+	l.mu.Lock()
+	l.conns[c] = struct{}{}
+	gone := l.closed || l.refuses
+	l.mu.Unlock()
+	if gone {
+		c.abort()
+	}
+	c.run()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.conns, c)
+}
--- a/internal/faultlab/link/conn.go
+++ b/internal/faultlab/link/conn.go
@@ -2,66 +2,68 @@
 
 import (
 	"context"
-	"io"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Conn is one connection over a link.
+// Conn is one connection over a link. Its client is the side that connects, its
+// server the side that listens. It is safe for concurrent use; the link ends it.
 type Conn struct {
 	link           *Link
-	client, server *net.TCPConn // the connecting side, the listening side
-	ctx            context.Context
+	client, server *net.TCPConn
+	ctx            context.Context // ends with the connection
 	cancel         context.CancelFunc
-	clientMuted    atomic.Bool // half open: the near side is told nothing more
+	clientMuted    atomic.Bool // half open: the client receives nothing more
 
 	mu               sync.Mutex
-	firstByteAt      time.Time // when the near side wrote the first byte since its last answer
+	firstByteAt      time.Time // when the client wrote the first byte since its last response
 	written          []byte    // what it wrote since then
-	forwarded        int       // how much of that got through
-	bytesToClient    int64     // bytes written to the near side
-	clientClosed     bool      // the near side has ended its sending
+	forwarded        int       // how many bytes of that reached the server
+	bytesToClient    int64
+	clientClosed     bool // the client has closed its sending side
 	pendingResponses []pendingResponse
-	onClientClosed   func() // hears once that the near side has ended its sending
+	onClientClosed   func() // called once when the client closes its sending side
 }
 
+// pendingResponse is a response whose delivery is waited for.
 type pendingResponse struct {
-	offset   int64
-	callback func(time.Time)
+	endOffset int64 // in the bytes to the client
+	callback  func(time.Time)
 }
 
 // Source names the process that connects.
 func (c *Conn) Source() string { return c.link.Source }
 
-// FirstByteAt is when the connecting side wrote the first byte of what it now asks;
-// a call counts from there.
+// FirstByteAt is when the client wrote the first byte of its present request; a
+// call counts from there.
 func (c *Conn) FirstByteAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.firstByteAt
 }
 
-// OnDelivered has then called once so many bytes in all have been written to the
-// connecting side, if it still listens. It must be called before they are sent.
-func (c *Conn) OnDelivered(bytes int64, then func(time.Time)) {
+// OnDelivered has callback called with the moment at which so many bytes in all are
+// written to the client, if it still listens. Call it before they are sent.
+func (c *Conn) OnDelivered(bytes int64, callback func(time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pendingResponses = append(c.pendingResponses, pendingResponse{bytes, then})
+	c.pendingResponses = append(c.pendingResponses, pendingResponse{bytes, callback})
 }
 
-// OnClientClosed has then called once, when the connecting side ends the connection or
-// its sending, whatever the link does to that word. It replaces the one before.
-func (c *Conn) OnClientClosed(then func()) {
+// OnClientClosed has callback called once, when the client closes the connection or
+// its sending side, even if the link does not pass that on. It replaces the callback
+// before.
+func (c *Conn) OnClientClosed(callback func()) {
 	c.mu.Lock()
-	gone := c.clientClosed
-	if !gone {
-		c.onClientClosed = then
+	closed := c.clientClosed
+	if !closed {
+		c.onClientClosed = callback
 	}
 	c.mu.Unlock()
-	if gone {
-		then()
+	if closed {
+		callback()
 	}
 }
 
@@ -74,7 +76,15 @@
 	c.client.Close()
 }
 
-// run passes bytes both ways until both sides have ended.
+// muteClient ends the server's side by a reset and leaves the client's side open
+// and silent.
+func (c *Conn) muteClient() {
+	c.clientMuted.Store(true)
+	c.server.SetLinger(0)
+	c.server.Close()
+}
+
+// run forwards bytes both ways until both sides have ended.
 func (c *Conn) run() {
 	var wg sync.WaitGroup
 	wg.Add(2)
@@ -85,166 +95,70 @@
 	c.client.Close()
 	c.server.Close()
 	c.mu.Lock()
-	written, passed, first := c.written, c.forwarded, c.firstByteAt
+	written, forwarded, firstByteAt := c.written, c.forwarded, c.firstByteAt
 	c.mu.Unlock()
-	if passed < len(written) && c.link.onCallLost != nil {
-		c.link.onCallLost(c.link, written, first)
-	}
-}
-
-type piece struct {
-	bytes []byte
-	at    time.Time
-	err   error // the side that sends has ended
-}
-
-// forward passes one direction on. Reading never waits for faults, so the moment
-// at which a byte was sent is known whatever the link does to it.
-func (c *Conn) forward(d Direction, from, to *net.TCPConn) {
-	pieces := make(chan piece, maxQueuedPieces)
-	go func() {
-		defer close(pieces)
-		buf := make([]byte, maxPiece)
-		for {
-			n, err := from.Read(buf)
-			now := time.Now()
-			if d == ToServer {
-				c.recordSent(buf[:n], now, err)
-			}
-			if n > 0 {
-				select {
-				case pieces <- piece{bytes: append([]byte(nil), buf[:n]...), at: now}:
-				case <-c.ctx.Done():
-					return
-				}
-			}
-			if err != nil {
-				select {
-				case pieces <- piece{at: now, err: err}:
-				case <-c.ctx.Done():
-				}
-				return
-			}
-		}
-	}()
-	for p := range pieces {
-		if !c.delayPiece(d, p) {
-			break
-		}
-		if p.err != nil && c.clientMuted.Load() && d == ToClient {
-			<-c.ctx.Done() // the near side is left open and silent until it ends by itself
-			break
-		}
-		if p.err == io.EOF && !c.clientMuted.Load() {
-			to.CloseWrite()
-			if d == ToClient { // the far side is done: nothing sent to it arrives any more
-				c.closeSoon()
-			}
-			return
-		}
-		if p.err != nil {
-			break
-		}
-		// Told before it is written: what is written may be read, and answered,
-		// before this goroutine goes on, and the history has to keep the order.
-		if d == ToClient {
-			c.recordDelivered(len(p.bytes))
-		}
-		if _, err := to.Write(p.bytes); err != nil {
-			if c.clientMuted.Load() && d == ToServer {
-				continue // swallowed
-			}
-			break
-		}
-		if d == ToServer {
-			c.mu.Lock()
-			c.forwarded = min(c.forwarded+len(p.bytes), len(c.written))
-			c.mu.Unlock()
-		}
-	}
-	c.abort()
-	for range pieces { // lets the reader end
+	if forwarded < len(written) && c.link.onCallLost != nil {
+		c.link.onCallLost(c.link, written, firstByteAt)
 	}
 }
 
-// closeSoon gives the near side a moment to end by itself, then ends it.
+// closeSoon gives the client a moment to close the connection itself, then ends it.
 func (c *Conn) closeSoon() {
-	t := time.AfterFunc(time.Second, c.abort)
-	context.AfterFunc(c.ctx, func() { t.Stop() })
+	timer := time.AfterFunc(closeGrace, c.abort)
+	context.AfterFunc(c.ctx, func() { timer.Stop() })
 }
 
-// delayPiece waits until a piece may pass; false if the connection ends first.
-func (c *Conn) delayPiece(d Direction, p piece) bool {
-	drawn := c.link.random()
-	for {
-		f, changed := c.link.currentFaults(d)
-		if f.Cut {
-			select {
-			case <-changed:
-				continue
-			case <-c.ctx.Done():
-				return false
-			}
-		}
-		due := p.at.Add(f.Delay + time.Duration(drawn*float64(f.Jitter)))
-		if f.Rate > 0 {
-			due = due.Add(time.Duration(len(p.bytes)) * time.Second / time.Duration(f.Rate))
-		}
-		left := time.Until(due)
-		if left <= 0 {
-			return c.ctx.Err() == nil
-		}
-		t := time.NewTimer(left)
-		select {
-		case <-t.C:
-			return c.ctx.Err() == nil
-		case <-changed:
-			t.Stop()
-		case <-c.ctx.Done():
-			t.Stop()
-			return false
-		}
+// recordSent records what the client wrote, and err if its sending side has ended.
+func (c *Conn) recordSent(b []byte, now time.Time, err error) {
+	if callback := c.addSent(b, now, err); callback != nil {
+		callback()
 	}
 }
 
-// recordSent books what the near side wrote.
-func (c *Conn) recordSent(b []byte, now time.Time, err error) {
+// addSent does what recordSent says and returns the callback that is due, if any.
+func (c *Conn) addSent(b []byte, now time.Time, err error) (callback func()) {
 	c.mu.Lock()
-	var leaves func()
-	if err != nil && !c.clientClosed {
-		leaves, c.onClientClosed = c.onClientClosed, nil
-	}
-	defer func() {
-		c.mu.Unlock()
-		if leaves != nil {
-			leaves()
-		}
-	}()
+	defer c.mu.Unlock()
 	if len(b) > 0 && len(c.written) == 0 {
 		c.firstByteAt = now
 	}
 	if len(c.written)+len(b) <= maxRecorded {
 		c.written = append(c.written, b...)
 	}
-	c.clientClosed = c.clientClosed || err != nil
+	if err != nil && !c.clientClosed {
+		c.clientClosed = true
+		callback, c.onClientClosed = c.onClientClosed, nil
+	}
+	return callback
 }
 
-// recordDelivered books what is written to the near side: from here on it has heard, and
-// what it writes next is a new call. Where it has gone, nobody hears.
+// recordForwarded records bytes that reached the server.
+func (c *Conn) recordForwarded(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.forwarded = min(c.forwarded+n, len(c.written))
+}
+
+// recordDelivered records bytes that are written to the client: what it writes next
+// is a new request. A client that has closed the connection receives nothing.
 func (c *Conn) recordDelivered(n int) {
 	now := time.Now()
+	for _, due := range c.takeDelivered(n) {
+		due.callback(now)
+	}
+}
+
+// takeDelivered takes the pending responses that end within n more bytes.
+func (c *Conn) takeDelivered(n int) (due []pendingResponse) {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.bytesToClient += int64(n)
 	c.written, c.forwarded = c.written[:0], 0
-	var due []pendingResponse
-	for len(c.pendingResponses) > 0 && c.pendingResponses[0].offset <= c.bytesToClient {
+	for len(c.pendingResponses) > 0 && c.pendingResponses[0].endOffset <= c.bytesToClient {
 		if !c.clientClosed {
 			due = append(due, c.pendingResponses[0])
 		}
 		c.pendingResponses = c.pendingResponses[1:]
 	}
-	c.mu.Unlock()
-	for _, e := range due {
-		e.callback(now)
-	}
+	return due
 }
--- a/internal/faultlab/link/link_test.go
+++ b/internal/faultlab/link/link_test.go
@@ -169,8 +169,8 @@
 func TestAConnectionIsKnownByBothEnds(t *testing.T) {
 	n := NewNet()
 	one, two := &Conn{}, &Conn{}
-	n.conns[[2]string{"127.0.0.1:4000", "127.0.0.1:1"}] = one
-	n.conns[[2]string{"127.0.0.1:4000", "127.0.0.1:2"}] = two
+	n.conns[connKey{"127.0.0.1:4000", "127.0.0.1:1"}] = one
+	n.conns[connKey{"127.0.0.1:4000", "127.0.0.1:2"}] = two
 	if n.Find(pair{"127.0.0.1:4000", "127.0.0.1:1"}) != one || n.Find(pair{"127.0.0.1:4000", "127.0.0.1:2"}) != two {
 		t.Error("one taken for the other")
 	}
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -1,20 +1,16 @@
-// Package process starts the programs under test and ends them: each in a
-// process group of its own, known by its id, and none outlives the lab, however
-// the lab ends. It promises that an exit is noticed once and told with its
-// cause; why a process is signalled is left to the schedule.
+// Package process starts the programs under test and ends them. Each runs in a
+// process group of its own, and none outlives the lab, however the lab ends. An
+// exit is reported with its cause; why a process is signalled is left to the
+// caller.
 package process
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"runtime"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -24,35 +20,39 @@
 // the kernel ends a child whose parent-death signal is set when the thread that
 // started it ends, so that must not be one of the runtime's choosing.
 var starter = sync.OnceValue(func() chan<- func() {
-	c := make(chan func())
-	go func() {
+	work := make(chan func())
+	go func() { // lives as long as the lab
 		runtime.LockOSThread()
-		for f := range c {
+		for f := range work {
 			f()
 		}
 	}()
-	return c
+	return work
 })
 
-// Process is a running process.
+const outputGrace = 2 * time.Second // for output that a process's own children hold open
+
+// Process is a process that was started. It is safe for concurrent use; whoever
+// started it ends it.
 type Process struct {
 	Name string
 	PID  int
+
 	cmd  *exec.Cmd
-	done chan struct{}
-	err  error
+	done chan struct{} // closed once it is gone
+	err  error         // of the wait for it; valid once done is closed
 
 	mu      sync.Mutex
 	stopped bool // by SIGSTOP
 }
 
-// Start runs a program with the given environment added to the lab's own. Its
-// output goes to out.
+// Start runs a program with env added to the lab's environment. Its output goes to
+// out.
 func Start(name, program string, args, env []string, out io.Writer) (*Process, error) {
 	cmd := exec.Command(program, args...)
 	cmd.Env = append(os.Environ(), env...)
 	cmd.Stdout, cmd.Stderr = out, out
-	cmd.WaitDelay = 2 * time.Second
+	cmd.WaitDelay = outputGrace
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
 	starter() <- func() { started <- cmd.Start() }
@@ -70,20 +70,21 @@
 // Done is closed once the process is gone.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Exit tells how the process ended: its code, or -1 with the signal's name.
-// It must be called after Done is closed.
+// Exit returns how the process ended: its code with a description, or -1 with the
+// signal's name. Call it after Done is closed.
 func (p *Process) Exit() (code int, text string) {
-	st := p.cmd.ProcessState
-	if st == nil {
+	state := p.cmd.ProcessState
+	if state == nil {
 		return -1, fmt.Sprint(p.err)
 	}
-	if ws, ok := st.Sys().(syscall.WaitStatus); ok && ws.Signaled() {
-		return -1, ws.Signal().String()
+	if status, ok := state.Sys().(syscall.WaitStatus); ok && status.Signaled() {
+		return -1, status.Signal().String()
 	}
-	return st.ExitCode(), st.String()
+	return state.ExitCode(), state.String()
 }
 
-// Signal sends a signal to the process itself.
+// Signal sends a signal to the process itself. It returns os.ErrProcessDone once
+// that is gone.
 func (p *Process) Signal(s syscall.Signal) error {
 	select {
 	case <-p.done:
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// Stopped tells whether the process stands still by SIGSTOP.
+// Stopped reports whether the process is stopped by SIGSTOP.
 func (p *Process) Stopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,69 +123,6 @@
 	<-p.done
 }
 
-// Usage is what a process holds at one moment.
-type Usage struct {
-	RSS  int64         // bytes
-	FDs  int           // open descriptors
-	CPU  time.Duration // user and system, since it began
-	Disk int64         // bytes of its folder, each file in whole 512
-}
-
-// Measure reads what the process holds from the kernel's process files.
-func (p *Process) Measure(folder string) (Usage, error) {
-	u, err := Measure(p.PID)
-	if err != nil {
-		return u, err
-	}
-	u.Disk = DiskUse(folder)
-	return u, nil
-}
-
-const clockTick = 100 // of the kernel's process files, in a second
-
-// Measure reads what any process holds.
-func Measure(pid int) (Usage, error) {
-	var u Usage
-	dir := filepath.Join("/proc", strconv.Itoa(pid))
-	text, err := os.ReadFile(filepath.Join(dir, "stat"))
-	if err != nil {
-		return u, fmt.Errorf("measure: %w", err)
-	}
-	// The name stands in brackets and may hold spaces: fields count from behind it.
-	f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	if len(f) < 22 {
-		return u, errors.New("measure: stat is short")
-	}
-	user, _ := strconv.ParseInt(f[11], 10, 64)
-	sys, _ := strconv.ParseInt(f[12], 10, 64)
-	pages, _ := strconv.ParseInt(f[21], 10, 64)
-	u.CPU = time.Duration(user+sys) * time.Second / clockTick
-	u.RSS = pages * int64(os.Getpagesize())
-	fds, err := os.ReadDir(filepath.Join(dir, "fd"))
-	if err != nil {
-		return u, fmt.Errorf("measure: %w", err)
-	}
-	u.FDs = len(fds)
-	return u, nil
-}
-
-// DiskUse adds up a folder's files, each in whole 512 bytes.
-func DiskUse(folder string) (n int64) {
-	if folder == "" {
-		return 0
-	}
-	filepath.WalkDir(folder, func(_ string, d os.DirEntry, err error) error {
-		if err != nil || !d.Type().IsRegular() {
-			return nil // renamed or removed meanwhile
-		}
-		if info, err := d.Info(); err == nil {
-			n += (info.Size() + 511) / 512 * 512
-		}
-		return nil
-	})
-	return n
-}
-
 // Wait waits for the end of the process or of ctx; it reports whether the
 // process is gone.
 func (p *Process) Wait(ctx context.Context) bool {
