--- a/internal/faultlab/simrelay/relays/list.go
+++ b/internal/faultlab/simrelay/relays/list.go
@@ -9,18 +9,18 @@
 	"plovershore/policy"
 )
 
-// endpoint is what a hollow relay keeps of a member, as a real one does.
+// endpoint is what a relay keeps of a member, as a real one does.
 type endpoint struct {
-	number   policy.Endpoint
-	id       string
-	hostPort string
-	cell     int
-	phase    string
-	size     float64
-	hash     uint64
+	number      policy.Endpoint
+	id          string
+	hostPort    string
+	destination int
+	phase       string
+	size        float64
+	hash        uint64
 }
 
-// list is a relay's list of endpoints.
+// list is a relay's endpoint list.
 type list struct {
 	zones, flavors map[string]int
 	byID           map[string]*endpoint
@@ -29,17 +29,18 @@
 	hash           uint64
 	members        int
 	revision       int64
-	completeLists  int // whole lists that were taken
+	completeLists  int // received
 	applied        []simrelay.AppliedChange
-	updated        bool     // some was taken that the policy does not have yet
-	pendingKeys    []uint64 // changes that are in the policy's next step
-	outOfOrder     []string
+	updated        bool     // the policy does not have all of it yet
+	pendingKeys    []uint64 // of changes that the policy's next step has
+	outOfOrder     []string // updates, described
 }
 
 func newList(zones, flavors []string) *list {
 	return &list{zones: indexByName(zones), flavors: indexByName(flavors), byID: map[string]*endpoint{}, byNumber: map[policy.Endpoint]*endpoint{}}
 }
 
+// indexByName maps each name to its index.
 func indexByName(names []string) map[string]int {
 	all := make(map[string]int, len(names))
 	for i, name := range names {
@@ -48,6 +49,7 @@
 	return all
 }
 
+// indexOf is a name's index, or -1.
 func indexOf(all map[string]int, name string) int {
 	if i, ok := all[name]; ok {
 		return i
@@ -55,12 +57,12 @@
 	return -1
 }
 
-// update makes an event for the policy of news of the list.
+// update applies a complete list or a change and returns the policy's event for it.
 func (l *list) update(update *discovery.List) policy.Event {
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListDelta}
 	first := l.completeLists == 0
 	if !update.Complete && (first || update.Revision <= l.revision) {
-		l.outOfOrder = append(l.outOfOrder, fmt.Sprintf("a change to revision %d after %d, %d whole lists", update.Revision, l.revision, l.completeLists))
+		l.outOfOrder = append(l.outOfOrder, fmt.Sprintf("a change to revision %d after %d, %d complete lists", update.Revision, l.revision, l.completeLists))
 	}
 	l.revision, l.updated = update.Revision, true
 	e.Entries = make([]policy.Entry, 0, len(update.Members))
@@ -75,7 +77,7 @@
 	return e
 }
 
-// applyMember books one line of the list; noted has a change of it counted as heard.
+// applyMember applies one line of the list; if noted is set, its change is recorded.
 func (l *list) applyMember(m *discovery.Member, noted bool) policy.Entry {
 	x := l.byID[m.ID]
 	if x == nil {
@@ -94,16 +96,16 @@
 	case discovery.Draining:
 		entry.State = policy.Draining
 	case discovery.Removed:
-		entry.State, entry.Dest = policy.Removed, x.cell
+		entry.State, entry.Dest = policy.Removed, x.destination
 		return entry
 	}
-	x.hostPort, x.cell, x.hash = m.HostPort, m.Cell, simrelay.MemberHash(m)
+	x.hostPort, x.destination, x.hash = m.HostPort, m.Cell, simrelay.MemberHash(m)
 	l.hash += x.hash
 	l.members++
 	return entry
 }
 
-// uncount takes a member out of what is counted.
+// uncount takes a member out of the hash and the number of members.
 func (l *list) uncount(x *endpoint) {
 	if x.phase != discovery.Removed {
 		l.hash -= x.hash
@@ -111,7 +113,7 @@
 	}
 }
 
-// dropUnlisted books that what a whole list leaves out is gone.
+// dropUnlisted removes the members that a complete list leaves out.
 func (l *list) dropUnlisted(update *discovery.List) {
 	listed := make(map[string]bool, len(update.Members))
 	for i := range update.Members {
@@ -126,7 +128,7 @@
 	}
 }
 
-// markApplied books that the policy has all news that was taken.
+// markApplied records that the policy has all updates.
 func (l *list) markApplied(now time.Time) {
 	for _, key := range l.pendingKeys {
 		l.applied = append(l.applied, simrelay.AppliedChange{Key: key, At: now.UnixMicro()})
--- a/internal/faultlab/simrelay/relays/process.go
+++ b/internal/faultlab/simrelay/relays/process.go
@@ -1,7 +1,7 @@
-// Package relays are hollow relays: the real watch, list, notices, policy and log
-// of a relay, with a synthetic stream of messages and outcomes in place of clients
-// and endpoints. It promises what package hollow says of them. It is run as a
-// process of its own, so that the lab links none of the relay's code.
+// Package relays runs simulated relays: the real watch, endpoint list, notices,
+// policy and message log of a relay, with synthetic messages and outcomes in place
+// of clients and endpoints. Package simrelay says what they report. They run in a
+// process of their own, so that the lab links none of the relay's code.
 package relays
 
 import (
@@ -21,9 +21,14 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-const maxLateness = 60_000_000 // µs that lateness is told up to
+const (
+	maxLateness    = 60_000_000 // µs; later counts as this
+	latenessDigits = 3
+	signalBuffer   = 8
+)
 
-// lateness is that of all relays of a process.
+// lateness is how late the traffic of all relays of a process was. It is safe for
+// concurrent use.
 type lateness struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
@@ -41,10 +46,11 @@
 	return time.Duration(l.hist.ValueAtQuantile(99)) * time.Microsecond, time.Duration(l.hist.Max()) * time.Microsecond
 }
 
-// Main runs the hollow relays of a configuration until hollow.End, or until ctx ends.
-// Lines of hollow.Status go to out, and what goes wrong to errOut.
+// Main runs the simulated relays of a configuration file until simrelay.Finish or
+// the end of ctx, and writes their result. Lines of simrelay.Status go to out, the
+// log to errOut.
 func Main(ctx context.Context, path string, out, errOut io.Writer) error {
-	signals := make(chan os.Signal, 8) // before anything else: unhandled, they would end the process
+	signals := make(chan os.Signal, signalBuffer) // before anything else: unhandled, they would end the process
 	signal.Notify(signals, simrelay.StartTraffic, simrelay.StopTraffic, simrelay.Finish)
 	defer signal.Stop(signals)
 	c, err := simrelay.LoadConfig(path)
@@ -52,48 +58,71 @@
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(errOut, &slog.HandlerOptions{Level: slog.LevelWarn}))
-	late := &lateness{hist: hdrhistogram.New(1, maxLateness, 3)}
-	var relays []*relay
+	late := &lateness{hist: hdrhistogram.New(1, maxLateness, latenessDigits)}
+	relays, err := newRelays(c, log, late)
+	if err != nil {
+		return err
+	}
+	var running sync.WaitGroup
+	for _, r := range relays {
+		running.Add(1)
+		go func() { defer running.Done(); r.run() }()
+	}
+	err = serve(ctx, relays, signals, late, json.NewEncoder(out))
+	broadcast(relays, commandFinish)
+	running.Wait()
+	if err != nil {
+		return err
+	}
+	return writeResult(c.Result, relays, late)
+}
+
+func newRelays(c *simrelay.Config, log *slog.Logger, late *lateness) (relays []*relay, err error) {
 	for i := range c.Settings {
 		r, err := newRelay(c, i, log, late.record)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		relays = append(relays, r)
 	}
-	var all sync.WaitGroup
-	for _, r := range relays {
-		all.Add(1)
-		go func() { defer all.Done(); r.run() }()
-	}
+	return relays, nil
+}
+
+// serve obeys signals and writes the status until simrelay.Finish or the end of ctx.
+func serve(ctx context.Context, relays []*relay, signals <-chan os.Signal, late *lateness, out *json.Encoder) error {
 	tick := time.NewTicker(simrelay.StatusInterval)
 	defer tick.Stop()
-	lines := json.NewEncoder(out)
-	for ended := false; !ended; {
+	for {
 		select {
 		case <-ctx.Done():
-			ended = true
+			return nil
 		case s := <-signals:
-			ended = s == simrelay.Finish
-			broadcast(relays, s)
+			if s == simrelay.Finish {
+				return nil
+			}
+			broadcast(relays, signalCommands[s])
 		case <-tick.C:
-			if err := lines.Encode(collectStatus(relays, late)); err != nil {
-				return fmt.Errorf("hollow: status: %w", err)
+			if err := out.Encode(collectStatus(relays, late)); err != nil {
+				return fmt.Errorf("simrelay: status: %w", err)
 			}
 		}
 	}
-	broadcast(relays, simrelay.Finish)
-	all.Wait()
-	return writeResult(c.Result, relays, late)
 }
 
-// broadcast passes a signal on to all relays.
-func broadcast(relays []*relay, s os.Signal) {
+// signalCommands gives the command for each signal but simrelay.Finish.
+var signalCommands = map[os.Signal]command{
+	simrelay.StartTraffic: commandStartTraffic,
+	simrelay.StopTraffic:  commandStopTraffic,
+}
+
+// broadcast gives a command to all relays.
+func broadcast(relays []*relay, c command) {
 	for _, r := range relays {
-		r.inbox.Put(event{command: map[os.Signal]command{simrelay.StartTraffic: commandStartTraffic, simrelay.StopTraffic: commandStopTraffic, simrelay.Finish: commandFinish}[s]})
+		r.inbox.Put(event{command: c})
 	}
 }
 
+// collectStatus adds up the status of all relays.
 func collectStatus(relays []*relay, late *lateness) simrelay.Status {
 	s := simrelay.Status{Relays: len(relays), Hashes: map[string]int{}, Members: map[int]int{}}
 	for _, r := range relays {
@@ -103,7 +132,7 @@
 	return s
 }
 
-// writeResult keeps the result of a process.
+// writeResult writes the result file of a process.
 func writeResult(path string, relays []*relay, late *lateness) (err error) {
 	var result simrelay.Result
 	for _, r := range relays {
@@ -112,11 +141,11 @@
 	result.LateP99, result.LateMax = late.quantiles()
 	f, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("hollow: %w", err)
+		return fmt.Errorf("simrelay: %w", err)
 	}
 	if err := gob.NewEncoder(f).Encode(result); err != nil {
 		f.Close()
-		return fmt.Errorf("hollow: %w", err)
+		return fmt.Errorf("simrelay: %w", err)
 	}
 	return f.Close()
 }
--- a/internal/faultlab/simrelay/relays/stream.go
+++ b/internal/faultlab/simrelay/relays/traffic.go
@@ -1,7 +1,6 @@
 package relays
 
 import (
-	"container/heap"
 	"math/rand/v2"
 	"time"
 
@@ -9,57 +8,16 @@
 	"plovershore/policy"
 )
 
-// attempt is one that is out: its end is settled when it begins.
-type attempt struct {
-	message   *message
-	number    int
-	endpoint  policy.Endpoint
-	endsAt    time.Time
-	began     time.Time
-	outcome   policy.Outcome
-	heapIndex int // in the heap; -1 once it is out of it
-}
-
-// attempts are those that are out, the next to end first.
-type attempts []*attempt
-
-func (a attempts) Len() int           { return len(a) }
-func (a attempts) Less(i, j int) bool { return a[i].endsAt.Before(a[j].endsAt) }
-func (a attempts) Swap(i, j int) {
-	a[i], a[j] = a[j], a[i]
-	a[i].heapIndex, a[j].heapIndex = i, j
-}
-
-// Push adds at the end, for package heap.
-func (a *attempts) Push(x any) {
-	pushed := x.(*attempt)
-	pushed.heapIndex = len(*a)
-	*a = append(*a, pushed)
-}
-
-// Pop takes the last, for package heap.
-func (a *attempts) Pop() any {
-	last := len(*a) - 1
-	popped := (*a)[last]
-	(*a)[last], *a = nil, (*a)[:last]
-	popped.heapIndex = -1
-	return popped
-}
-
-func (a *attempts) remove(removed *attempt) {
-	if removed.heapIndex >= 0 {
-		heap.Remove(a, removed.heapIndex)
-	}
-}
+const arrivalSeed = 0x686f6c6c
 
-// arrivals is the open loop by which messages come to one relay.
+// arrivals draws when messages come to one relay, whatever becomes of those before.
 type arrivals struct {
 	stream *simrelay.Stream
 	random *rand.Rand
 	next   time.Time // zero while nothing comes
 }
 
-// start has messages come from now on.
+// start has messages arrive from now on.
 func (a *arrivals) start(now time.Time) {
 	if a.stream.Rate > 0 {
 		a.next = now.Add(a.drawGap())
@@ -83,8 +41,8 @@
 	return len(a.stream.Classes) - 1
 }
 
-// settle settles how an attempt ends: a destination that is down answers no
-// connection, another takes the message in its class's time.
+// settle draws how an attempt ends within a limit: a destination that is down
+// answers no connection, any other delivers the message in its class's time.
 func (a *arrivals) settle(settled *attempt, limit time.Duration) {
 	stream := a.stream
 	took := stream.Classes[settled.message.class].ServiceTime
