--- a/internal/faultlab/bench.go
+++ b/internal/faultlab/bench.go
@@ -29,19 +29,19 @@
 	"plovershore/internal/registry/client"
 )
 
-// BenchOptions say what of the list service is measured.
-type BenchOptions struct {
-	Registry string // its program
-	Out      string
-	Watchers []int
-	Members  []int
-	Kills    int
-	Writes   int           // whose way to the last watcher is timed
-	Load     time.Duration // of each measurement of writes
-	Agents   int           // that come back beside the most watchers after an outage
-	Outage   time.Duration
-	Seed     uint64
-	Say      func(format string, args ...any)
+// RegistryBenchOptions say what of the list service is measured.
+type RegistryBenchOptions struct {
+	Registry        string // its program
+	Out             string
+	Watchers        []int
+	Members         []int
+	Kills           int
+	Writes          int           // whose way to the last watcher is timed
+	LoadTime        time.Duration // of each measurement of writes
+	ReturningAgents int           // that come back beside the most watchers after an outage
+	Outage          time.Duration
+	Seed            uint64
+	Printf          func(format string, args ...any)
 }
 
 // Spread is a figure over several takes, in milliseconds unless it says otherwise.
@@ -51,7 +51,7 @@
 	P50, P90, P99, Max float64
 }
 
-func spreadOf(name string, v []float64) Spread {
+func newSpread(name string, v []float64) Spread {
 	slices.Sort(v)
 	at := func(q float64) float64 {
 		if len(v) == 0 {
@@ -64,18 +64,18 @@
 
 // benchGroup is a group of processes with nothing between them.
 type benchGroup struct {
-	ip    string
-	dir   string
-	bin   string
-	port  int
-	procs []*process.Process
-	files []string
-	http  []string
-	logs  *os.File
+	ip        string
+	dir       string
+	program   string
+	port      int
+	processes []*process.Process
+	configs   []string
+	http      []string
+	logs      *os.File
 }
 
 func (b *benchGroup) start(size, members int) error {
-	b.procs, b.files, b.http = make([]*process.Process, size), nil, nil
+	b.processes, b.configs, b.http = make([]*process.Process, size), nil, nil
 	var peers strings.Builder
 	var raft []string
 	for i := range size {
@@ -94,25 +94,25 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return fmt.Errorf("bench: %w", err)
 		}
-		b.files = append(b.files, path)
-		if err := b.run(i); err != nil {
+		b.configs = append(b.configs, path)
+		if err := b.startNode(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (b *benchGroup) run(i int) error {
-	p, err := process.Start(fmt.Sprint("r", i), b.bin, []string{"serve", "--config", b.files[i]}, nil, b.logs)
+func (b *benchGroup) startNode(i int) error {
+	p, err := process.Start(fmt.Sprint("r", i), b.program, []string{"serve", "--config", b.configs[i]}, nil, b.logs)
 	if err != nil {
 		return err
 	}
-	b.procs[i] = p
+	b.processes[i] = p
 	return nil
 }
 
 func (b *benchGroup) stop() {
-	for _, p := range b.procs {
+	for _, p := range b.processes {
 		if p != nil {
 			p.Kill()
 		}
@@ -141,15 +141,15 @@
 	return -1
 }
 
-// begin starts a group and gives a client of it, once a write is taken. Its
+// startReady starts a group and gives a client of it, once a write is taken. Its
 // user stops the one and closes the other.
-func (b *benchGroup) begin(ctx context.Context, size, members int) (*client.Client, error) {
+func (b *benchGroup) startReady(ctx context.Context, size, members int) (*client.Client, error) {
 	if err := b.start(size, members); err != nil {
 		return nil, err
 	}
 	c, err := b.client()
 	if err == nil {
-		first, cancel := context.WithTimeout(ctx, groupReady)
+		first, cancel := context.WithTimeout(ctx, groupTimeout)
 		defer cancel()
 		if err = benchWrite(first, c, 0); err != nil {
 			c.Close()
@@ -167,21 +167,21 @@
 	return err
 }
 
-// benchWatch is one watcher: it reads lines and tells when it heard a revision.
-type benchWatch struct {
-	node  string
-	at    int64 // revision; -1 before the first
-	heard func(int64, time.Time)
-	poll  bool
+// benchWatcher is one watcher: it reads lines and tells when it heard a revision.
+type benchWatcher struct {
+	addr       string
+	revision   int64 // revision; -1 before the first
+	onRevision func(int64, time.Time)
+	polls      bool
 }
 
-func (w *benchWatch) run(ctx context.Context, first func()) {
+func (w *benchWatcher) run(ctx context.Context, first func()) {
 	for n := 0; ctx.Err() == nil; n++ {
-		err := w.once(ctx, func() { first(); n = 0 })
-		if ctx.Err() != nil || err == nil && !w.poll {
+		err := w.watchOnce(ctx, func() { first(); n = 0 })
+		if ctx.Err() != nil || err == nil && !w.polls {
 			return
 		}
-		if w.poll && err == nil {
+		if w.polls && err == nil {
 			model.Sleep(ctx, time.Second)
 			continue
 		}
@@ -190,17 +190,17 @@
 	}
 }
 
-func (w *benchWatch) once(ctx context.Context, open func()) error {
+func (w *benchWatcher) watchOnce(ctx context.Context, open func()) error {
 	d := net.Dialer{Timeout: time.Second}
-	conn, err := d.DialContext(ctx, "tcp4", w.node)
+	conn, err := d.DialContext(ctx, "tcp4", w.addr)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	query := fmt.Sprintf("?watch=1&from=%d", w.at)
-	if w.poll {
+	query := fmt.Sprintf("?watch=1&from=%d", w.revision)
+	if w.polls {
 		query = ""
 	}
 	fmt.Fprintf(conn, "GET %s%s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", discovery.ListPath, query)
@@ -215,19 +215,19 @@
 				_, err = in.ReadSlice('\n')
 			}
 		}
-		if !w.poll && bytes.HasPrefix(text, []byte("HTTP/1.1 200")) {
+		if !w.polls && bytes.HasPrefix(text, []byte("HTTP/1.1 200")) {
 			open()
 		}
 		if bytes.HasPrefix(text, []byte(`{"revision":`)) {
 			var revision int64
 			fmt.Sscanf(string(text[12:min(len(text), 32)]), "%d", &revision)
-			if w.at < 0 && w.poll {
+			if w.revision < 0 && w.polls {
 				open()
 			}
-			w.at = revision
-			w.heard(revision, now)
+			w.revision = revision
+			w.onRevision(revision, now)
 		}
-		if w.poll && errors.Is(err, io.EOF) {
+		if w.polls && errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -236,40 +236,40 @@
 	}
 }
 
-// crowd is many watchers of a group.
-type crowd struct {
-	mu      sync.Mutex
-	waitFor int64
-	heard   int
-	last    time.Time
-	all     chan struct{}
-	size    int
-	opened  atomic.Int64
-	wg      sync.WaitGroup
+// watcherSet is many watchers of a group.
+type watcherSet struct {
+	mu         sync.Mutex
+	awaited    int64
+	arrived    int
+	last       time.Time
+	allArrived chan struct{}
+	size       int
+	opened     atomic.Int64
+	wg         sync.WaitGroup
 }
 
-func (c *crowd) expect(revision int64) <-chan struct{} {
+func (c *watcherSet) expect(revision int64) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waitFor, c.heard, c.all = revision, 0, make(chan struct{})
-	return c.all
+	c.awaited, c.arrived, c.allArrived = revision, 0, make(chan struct{})
+	return c.allArrived
 }
 
 // start opens the watchers; each tells of revision r once.
-func (c *crowd) start(ctx context.Context, nodes []string, size int, poll bool) {
+func (c *watcherSet) start(ctx context.Context, nodes []string, size int, poll bool) {
 	c.size = size
 	for i := range size {
-		w := &benchWatch{node: nodes[i%len(nodes)], at: -1, poll: poll}
+		w := &benchWatcher{addr: nodes[i%len(nodes)], revision: -1, polls: poll}
 		done := int64(-1)
-		w.heard = func(r int64, t time.Time) {
+		w.onRevision = func(r int64, t time.Time) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if c.waitFor > 0 && r >= c.waitFor && done < c.waitFor {
-				done = c.waitFor
-				c.heard++
+			if c.awaited > 0 && r >= c.awaited && done < c.awaited {
+				done = c.awaited
+				c.arrived++
 				c.last = t
-				if c.heard == c.size {
-					close(c.all)
+				if c.arrived == c.size {
+					close(c.allArrived)
 				}
 			}
 		}
@@ -278,8 +278,8 @@
 	}
 }
 
-// opensAll waits until so many watches have opened since the count was taken.
-func (c *crowd) opensAll(ctx context.Context, from int64) error {
+// awaitOpen waits until so many watches have opened since the count was taken.
+func (c *watcherSet) awaitOpen(ctx context.Context, from int64) error {
 	for c.opened.Load()-from < int64(c.size) {
 		if !model.Sleep(ctx, 2*time.Millisecond) {
 			return ctx.Err()
@@ -290,8 +290,8 @@
 
 // BenchRegistry measures the list service beside a poll every second and beside
 // a single node.
-func BenchRegistry(ctx context.Context, o BenchOptions) ([]Spread, error) {
-	ip, lock, err := claim()
+func BenchRegistry(ctx context.Context, o RegistryBenchOptions) ([]Spread, error) {
+	ip, lock, err := claimAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -313,18 +313,18 @@
 		most.Cur = most.Max
 		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &most)
 	}
-	b := &benchGroup{ip: ip, dir: dir, bin: o.Registry, port: firstPort, logs: logs}
+	b := &benchGroup{ip: ip, dir: dir, program: o.Registry, port: firstPort, logs: logs}
 	defer b.stop()
 	var out []Spread
 	add := func(s Spread) {
 		out = append(out, s)
-		o.Say("%-64s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f", s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
+		o.Printf("%-64s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f", s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
 	}
-	if err := b.writes(ctx, 1, 0, o, add); err != nil {
+	if err := b.measureWrites(ctx, 1, 0, o, add); err != nil {
 		return out, err
 	}
 	for _, members := range append([]int{0}, o.Members...) {
-		if err := b.writes(ctx, 3, members, o, add); err != nil {
+		if err := b.measureWrites(ctx, 3, members, o, add); err != nil {
 			return out, err
 		}
 	}
@@ -333,37 +333,37 @@
 			if poll && watchers > 1000 {
 				continue // as many polls a second would measure the poll's own load
 			}
-			if err := b.fanOut(ctx, watchers, 30, poll, o, add); err != nil {
+			if err := b.measureFanOut(ctx, watchers, 30, poll, o, add); err != nil {
 				return out, err
 			}
 		}
 	}
 	for _, members := range o.Members {
-		if err := b.fanOut(ctx, 300, members, false, o, add); err != nil {
+		if err := b.measureFanOut(ctx, 300, members, false, o, add); err != nil {
 			return out, err
 		}
 	}
 	if o.Kills > 0 {
-		if err := b.kills(ctx, 30, o.Kills, o, add); err != nil {
+		if err := b.measureKills(ctx, 30, o.Kills, o, add); err != nil {
 			return out, err
 		}
 		for _, members := range o.Members {
-			if err := b.kills(ctx, members, max(o.Kills/5, 1), o, add); err != nil {
+			if err := b.measureKills(ctx, members, max(o.Kills/5, 1), o, add); err != nil {
 				return out, err
 			}
 		}
 	}
-	if o.Agents > 0 && len(o.Watchers) > 0 {
-		if err := b.comeback(ctx, slices.Max(o.Watchers), o, add); err != nil {
+	if o.ReturningAgents > 0 && len(o.Watchers) > 0 {
+		if err := b.measureComeback(ctx, slices.Max(o.Watchers), o, add); err != nil {
 			return out, err
 		}
 	}
 	return out, nil
 }
 
-// writes measures how many writes a second a group takes, and how long each is.
-func (b *benchGroup) writes(ctx context.Context, nodes, members int, o BenchOptions, add func(Spread)) error {
-	c, err := b.begin(ctx, nodes, members)
+// measureWrites measures how many writes a second a group takes, and how long each is.
+func (b *benchGroup) measureWrites(ctx context.Context, nodes, members int, o RegistryBenchOptions, add func(Spread)) error {
+	c, err := b.startReady(ctx, nodes, members)
 	if err != nil {
 		return err
 	}
@@ -374,7 +374,7 @@
 	for range 3 { // plays
 		var wg sync.WaitGroup
 		var n atomic.Int64
-		end := time.Now().Add(o.Load)
+		end := time.Now().Add(o.LoadTime)
 		for i := range 16 {
 			wg.Add(1)
 			go func() {
@@ -398,17 +398,17 @@
 			}()
 		}
 		wg.Wait()
-		rates = append(rates, float64(n.Load())/o.Load.Seconds())
+		rates = append(rates, float64(n.Load())/o.LoadTime.Seconds())
 	}
-	add(spreadOf(fmt.Sprintf("writes, %d nodes, %d members, 16 writers: ms each", nodes, members), took))
-	add(spreadOf(fmt.Sprintf("writes, %d nodes, %d members, 16 writers: a second, over plays", nodes, members), rates))
+	add(newSpread(fmt.Sprintf("writes, %d nodes, %d members, 16 writers: ms each", nodes, members), took))
+	add(newSpread(fmt.Sprintf("writes, %d nodes, %d members, 16 writers: a second, over plays", nodes, members), rates))
 	return nil
 }
 
-// fanOut measures the way of a write to the last of many watchers, what a
+// measureFanOut measures the way of a write to the last of many watchers, what a
 // watcher costs in memory, and how soon all are back after the group was gone.
-func (b *benchGroup) fanOut(ctx context.Context, watchers, members int, poll bool, o BenchOptions, add func(Spread)) error {
-	c, err := b.begin(ctx, 3, members)
+func (b *benchGroup) measureFanOut(ctx context.Context, watchers, members int, poll bool, o RegistryBenchOptions, add func(Spread)) error {
+	c, err := b.startReady(ctx, 3, members)
 	if err != nil {
 		return err
 	}
@@ -419,7 +419,7 @@
 		name = fmt.Sprintf("%d polls every second, %d members", watchers, members)
 	}
 	rss := func() (all float64) {
-		for _, p := range b.procs {
+		for _, p := range b.processes {
 			if u, err := p.Measure(""); err == nil {
 				all += float64(u.RSS)
 			}
@@ -428,15 +428,15 @@
 	}
 	before := rss()
 	crowdCtx, cancel := context.WithCancel(ctx)
-	w := &crowd{}
+	w := &watcherSet{}
 	defer func() { cancel(); w.wg.Wait() }()
 	w.start(crowdCtx, b.http, watchers, poll)
-	if err := w.opensAll(ctx, 0); err != nil {
+	if err := w.awaitOpen(ctx, 0); err != nil {
 		return err
 	}
 	model.Sleep(ctx, 500*time.Millisecond)
 	if !poll {
-		add(spreadOf(name+": KB of all three nodes, a watcher", []float64{(rss() - before) / 1024 / float64(watchers)}))
+		add(newSpread(name+": KB of all three nodes, a watcher", []float64{(rss() - before) / 1024 / float64(watchers)}))
 	}
 	var took []float64
 	for n := range o.Writes {
@@ -462,7 +462,7 @@
 		took = append(took, max(0, w.last.Sub(answered).Seconds()*1e3))
 		w.mu.Unlock()
 	}
-	add(spreadOf(name+": ms from the write's answer to the last", took))
+	add(newSpread(name+": ms from the write's answer to the last", took))
 	if poll || members != 30 {
 		return nil
 	}
@@ -472,23 +472,23 @@
 		from := w.opened.Load()
 		model.Sleep(ctx, time.Second)
 		began := time.Now()
-		for i := range b.procs {
-			if err := b.run(i); err != nil {
+		for i := range b.processes {
+			if err := b.startNode(i); err != nil {
 				return err
 			}
 		}
-		if err := w.opensAll(ctx, from); err != nil {
+		if err := w.awaitOpen(ctx, from); err != nil {
 			return err
 		}
 		back = append(back, time.Since(began).Seconds()*1e3)
 	}
-	add(spreadOf(name+": ms from the group's start until all are back", back))
+	add(newSpread(name+": ms from the group's start until all are back", back))
 	return nil
 }
 
-// kills measures how long no write is taken after the leader was killed.
-func (b *benchGroup) kills(ctx context.Context, members, kills int, o BenchOptions, add func(Spread)) error {
-	c, err := b.begin(ctx, 3, members)
+// measureKills measures how long no write is taken after the leader was killed.
+func (b *benchGroup) measureKills(ctx context.Context, members, kills int, o RegistryBenchOptions, add func(Spread)) error {
+	c, err := b.startReady(ctx, 3, members)
 	if err != nil {
 		return err
 	}
@@ -503,7 +503,7 @@
 			continue
 		}
 		model.Sleep(ctx, time.Duration(r.IntN(300))*time.Millisecond)
-		b.procs[at].Kill()
+		b.processes[at].Kill()
 		began := time.Now()
 		for ctx.Err() == nil { // asked closely, so that the client's own pauses are not measured
 			short, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
@@ -514,7 +514,7 @@
 			}
 		}
 		took = append(took, time.Since(began).Seconds()*1e3)
-		if err := b.run(at); err != nil {
+		if err := b.startNode(at); err != nil {
 			return err
 		}
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); model.Sleep(ctx, 20*time.Millisecond) { // until it follows
@@ -528,7 +528,7 @@
 			}
 		}
 	}
-	add(spreadOf(fmt.Sprintf("%d members: ms without a leader after its kill, until a write is taken", members), took))
+	add(newSpread(fmt.Sprintf("%d members: ms without a leader after its kill, until a write is taken", members), took))
 	return nil
 }
 
@@ -549,12 +549,12 @@
 	return term, led
 }
 
-// comeback measures the return of a whole fleet: agents and watchers whose
+// measureComeback measures the return of a whole fleet: agents and watchers whose
 // group was gone for so long that each tries as seldom as it ever does. It
 // counts the elections after the first leader, which the return would have
 // caused, for as long again as the return took.
-func (b *benchGroup) comeback(ctx context.Context, watchers int, o BenchOptions, add func(Spread)) error {
-	c, err := b.begin(ctx, 3, 300)
+func (b *benchGroup) measureComeback(ctx context.Context, watchers int, o RegistryBenchOptions, add func(Spread)) error {
+	c, err := b.startReady(ctx, 3, 300)
 	if err != nil {
 		return err
 	}
@@ -566,8 +566,8 @@
 			a.Close()
 		}
 	}()
-	for i := range o.Agents {
-		a, err := agent.Start(agent.Options{Listen: "127.0.0.1:0", Folder: filepath.Join(b.dir, "agents", fmt.Sprint(i)), Nodes: b.http, Fleet: o.Agents,
+	for i := range o.ReturningAgents {
+		a, err := agent.Start(agent.Options{Listen: "127.0.0.1:0", Folder: filepath.Join(b.dir, "agents", fmt.Sprint(i)), Nodes: b.http, Fleet: o.ReturningAgents,
 			Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			return fmt.Errorf("bench: %w", err)
@@ -586,10 +586,10 @@
 		return nil
 	}
 	crowdCtx, cancel := context.WithCancel(ctx)
-	w := &crowd{}
+	w := &watcherSet{}
 	defer func() { cancel(); w.wg.Wait() }()
 	w.start(crowdCtx, b.http, watchers, false)
-	if err := w.opensAll(ctx, 0); err != nil {
+	if err := w.awaitOpen(ctx, 0); err != nil {
 		return err
 	}
 	if err := until(up); err != nil {
@@ -602,8 +602,8 @@
 		model.Sleep(ctx, o.Outage)
 		began := time.Now()
 		since := func() float64 { return time.Since(began).Seconds() * 1e3 }
-		for i := range b.procs {
-			if err := b.run(i); err != nil {
+		for i := range b.processes {
+			if err := b.startNode(i); err != nil {
 				return err
 			}
 		}
@@ -615,7 +615,7 @@
 			return err
 		}
 		agentsBack = append(agentsBack, since())
-		if err := w.opensAll(ctx, from); err != nil {
+		if err := w.awaitOpen(ctx, from); err != nil {
 			return err
 		}
 		allBack = append(allBack, since())
@@ -623,9 +623,9 @@
 		last, _ := b.term()
 		elections = append(elections, float64(last-first))
 	}
-	name := fmt.Sprintf("%d agents and %d watchers after %v without a group", o.Agents, watchers, o.Outage)
-	add(spreadOf(name+": ms from its start until all agents are back", agentsBack))
-	add(spreadOf(name+": ms until all watchers are back too", allBack))
-	add(spreadOf(name+": elections after the first leader", elections))
+	name := fmt.Sprintf("%d agents and %d watchers after %v without a group", o.ReturningAgents, watchers, o.Outage)
+	add(newSpread(name+": ms from its start until all agents are back", agentsBack))
+	add(newSpread(name+": ms until all watchers are back too", allBack))
+	add(newSpread(name+": elections after the first leader", elections))
 	return nil
 }
--- a/internal/faultlab/bench_duty.go
+++ b/internal/faultlab/bench_duty.go
@@ -24,36 +24,36 @@
 	"plovershore/internal/registry/client"
 )
 
-// DutyBenchOptions say what of the duties is measured.
-type DutyBenchOptions struct {
-	Registry, Warden string // programs
-	Out              string
-	TTL              []time.Duration
-	Kills            []int // of the holder, for each time to live
-	Handovers        int
-	Cuts             int // of the holder from all nodes, for each time to live
-	Duties           []int
-	Say              func(format string, args ...any)
+// LeaderBenchOptions say what of the duties is measured.
+type LeaderBenchOptions struct {
+	Registry, Controller string // programs
+	Out                  string
+	TTL                  []time.Duration
+	Kills                []int // of the holder, for each time to live
+	Handovers            int
+	Cuts                 int // of the holder from all nodes, for each time to live
+	Roles                []int
+	Printf               func(format string, args ...any)
 }
 
-const benchWardens = 5
+const benchControllers = 5
 
-// wardens are processes that hold list-keeper among them.
-type wardens struct {
-	b     *benchGroup
-	bin   string
-	ttl   time.Duration
-	logs  *os.File
-	procs map[string]*process.Process
-	links map[string][]*link.Link // of each warden to each node; none where nobody is cut off
-	c     *client.Client
+// benchControllerSet are processes that hold list-keeper among them.
+type benchControllerSet struct {
+	group     *benchGroup
+	program   string
+	ttl       time.Duration
+	logs      *os.File
+	processes map[string]*process.Process
+	links     map[string][]*link.Link // of each warden to each node; none where nobody is cut off
+	client    *client.Client
 }
 
-// through puts links between a warden and the nodes.
-func (w *wardens) through(net *link.Net, name string) error {
-	for _, node := range w.b.http {
-		w.b.port += 2 // a node has two
-		l, err := net.Listen(name, node, fmt.Sprintf("%s:%d", w.b.ip, w.b.port), node, 1, nil)
+// addLinks puts links between a warden and the nodes.
+func (w *benchControllerSet) addLinks(net *link.Net, name string) error {
+	for _, node := range w.group.http {
+		w.group.port += 2 // a node has two
+		l, err := net.Listen(name, node, fmt.Sprintf("%s:%d", w.group.ip, w.group.port), node, 1, nil)
 		if err != nil {
 			return fmt.Errorf("bench: %w", err)
 		}
@@ -62,20 +62,20 @@
 	return nil
 }
 
-// cut cuts a warden off, or heals it.
-func (w *wardens) cut(name string, on bool) {
+// setCut cuts a warden off, or heals it.
+func (w *benchControllerSet) setCut(name string, on bool) {
 	for _, l := range w.links[name] {
 		l.SetFaults(link.ToServer, link.Faults{Cut: on})
 		l.SetFaults(link.ToClient, link.Faults{Cut: on})
 	}
 }
 
-// cuts cuts the holder off again and again, and gives how long it took until the
+// measureCuts cuts the holder off again and again, and gives how long it took until the
 // next one held the duty.
-func (w *wardens) cuts(ctx context.Context, n int) (took []float64, err error) {
+func (w *benchControllerSet) measureCuts(ctx context.Context, n int) (took []float64, err error) {
 	w.links = map[string][]*link.Link{}
 	defer func() {
-		for _, p := range w.procs {
+		for _, p := range w.processes {
 			p.Kill()
 		}
 		for _, all := range w.links {
@@ -85,9 +85,9 @@
 		}
 	}()
 	net := link.NewNet()
-	for i := range benchWardens {
+	for i := range benchControllers {
 		name := fmt.Sprint("w-", i)
-		if err := w.through(net, name); err != nil {
+		if err := w.addLinks(net, name); err != nil {
 			return nil, err
 		}
 		if err := w.start(name); err != nil {
@@ -96,43 +96,43 @@
 	}
 	token := int64(0)
 	for range n {
-		d, err := w.held(ctx, token, benchWardens)
+		d, err := w.awaitGrant(ctx, token, benchControllers)
 		if err != nil {
 			return took, err
 		}
 		model.Sleep(ctx, w.ttl+200*time.Millisecond) // as in kills
 		began := time.Now()
-		w.cut(d.Controller, true)
-		_, err = w.held(ctx, d.Token, 0)
+		w.setCut(d.Controller, true)
+		_, err = w.awaitGrant(ctx, d.Token, 0)
 		if err != nil {
 			return took, err
 		}
 		took = append(took, time.Since(began).Seconds()*1e3)
 		token = d.Token
-		w.cut(d.Controller, false)
+		w.setCut(d.Controller, false)
 	}
 	return took, nil
 }
 
-func (w *wardens) start(name string) error {
-	nodes := slices.Clone(w.b.http)
+func (w *benchControllerSet) start(name string) error {
+	nodes := slices.Clone(w.group.http)
 	for i, l := range w.links[name] {
 		nodes[i] = l.Addr()
 	}
-	p, err := process.Start(name, w.bin, []string{"--nodes", strings.Join(nodes, ","), "--name", name, "--ttl", w.ttl.String()}, nil, w.logs)
+	p, err := process.Start(name, w.program, []string{"--nodes", strings.Join(nodes, ","), "--name", name, "--ttl", w.ttl.String()}, nil, w.logs)
 	if err != nil {
 		return err
 	}
-	w.procs[name] = p
+	w.processes[name] = p
 	return nil
 }
 
-// held waits for a grant after a token, and for as many wardens as there are.
-func (w *wardens) held(ctx context.Context, after int64, sessions int) (registry.Role, error) {
+// awaitGrant waits for a grant after a token, and for as many wardens as there are.
+func (w *benchControllerSet) awaitGrant(ctx context.Context, after int64, sessions int) (registry.Role, error) {
 	revision := int64(0)
 	for ctx.Err() == nil {
 		var l registry.RoleList
-		if _, err := w.c.Do(ctx, http.MethodGet, fmt.Sprintf("%s?after=%d&wait_ms=1000", registry.RolesPath, revision), nil, &l); err != nil {
+		if _, err := w.client.Do(ctx, http.MethodGet, fmt.Sprintf("%s?after=%d&wait_ms=1000", registry.RolesPath, revision), nil, &l); err != nil {
 			return registry.Role{}, fmt.Errorf("bench: %w", err)
 		}
 		revision = l.Revision
@@ -145,8 +145,8 @@
 	return registry.Role{}, ctx.Err()
 }
 
-// BenchDuty measures how long a duty is nobody's, and what duties cost the store.
-func BenchDuty(ctx context.Context, o DutyBenchOptions) ([]Spread, error) {
+// BenchLeader measures how long a duty is nobody's, and what duties cost the store.
+func BenchLeader(ctx context.Context, o LeaderBenchOptions) ([]Spread, error) {
 	dir, err := filepath.Abs(o.Out)
 	if err == nil {
 		err = os.MkdirAll(dir, 0o755)
@@ -162,12 +162,12 @@
 	add := func(name string, v []float64) {
 		mu.Lock()
 		defer mu.Unlock()
-		s := spreadOf(name, v)
+		s := newSpread(name, v)
 		out = append(out, s)
-		o.Say("%-72s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f", s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
+		o.Printf("%-72s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f", s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
 	}
 	group := func(name string, f func(b *benchGroup, c *client.Client, logs *os.File) error) error {
-		ip, lock, err := claim()
+		ip, lock, err := claimAddress()
 		if err != nil {
 			return err
 		}
@@ -181,8 +181,8 @@
 			return fmt.Errorf("bench: %w", err)
 		}
 		defer logs.Close()
-		b := &benchGroup{ip: ip, dir: at, bin: o.Registry, port: firstPort, logs: logs}
-		c, err := b.begin(ctx, 3, 0)
+		b := &benchGroup{ip: ip, dir: at, program: o.Registry, port: firstPort, logs: logs}
+		c, err := b.startReady(ctx, 3, 0)
 		if err != nil {
 			return err
 		}
@@ -197,8 +197,8 @@
 		}
 		g.Go(func() error {
 			return group("cut-"+ttl.String(), func(b *benchGroup, c *client.Client, logs *os.File) error {
-				w := &wardens{b: b, bin: o.Warden, ttl: ttl, logs: logs, procs: map[string]*process.Process{}, c: c}
-				took, err := w.cuts(ctx, o.Cuts)
+				w := &benchControllerSet{group: b, program: o.Controller, ttl: ttl, logs: logs, processes: map[string]*process.Process{}, client: c}
+				took, err := w.measureCuts(ctx, o.Cuts)
 				add(fmt.Sprintf("time to live %v: ms from the holder's cut to the next one", ttl), took)
 				return err
 			})
@@ -210,8 +210,8 @@
 		}
 		g.Go(func() error {
 			return group("kill-"+ttl.String(), func(b *benchGroup, c *client.Client, logs *os.File) error {
-				w := &wardens{b: b, bin: o.Warden, ttl: ttl, logs: logs, procs: map[string]*process.Process{}, c: c}
-				took, err := w.kills(ctx, o.Kills[i], syscall.SIGKILL)
+				w := &benchControllerSet{group: b, program: o.Controller, ttl: ttl, logs: logs, processes: map[string]*process.Process{}, client: c}
+				took, err := w.measureKills(ctx, o.Kills[i], syscall.SIGKILL)
 				add(fmt.Sprintf("time to live %v: ms without a holder after its kill", ttl), took)
 				return err
 			})
@@ -222,8 +222,8 @@
 	}
 	if o.Handovers > 0 {
 		err := group("handover", func(b *benchGroup, c *client.Client, logs *os.File) error {
-			w := &wardens{b: b, bin: o.Warden, ttl: 2 * time.Second, logs: logs, procs: map[string]*process.Process{}, c: c}
-			took, err := w.kills(ctx, o.Handovers, syscall.SIGTERM)
+			w := &benchControllerSet{group: b, program: o.Controller, ttl: 2 * time.Second, logs: logs, processes: map[string]*process.Process{}, client: c}
+			took, err := w.measureKills(ctx, o.Handovers, syscall.SIGTERM)
 			add("ms from SIGTERM of the holder to the next one", took)
 			return err
 		})
@@ -231,29 +231,29 @@
 			return out, err
 		}
 	}
-	for _, n := range o.Duties {
-		if err := group(fmt.Sprint("load-", n), func(b *benchGroup, _ *client.Client, _ *os.File) error { return b.load(ctx, n, add) }); err != nil {
+	for _, n := range o.Roles {
+		if err := group(fmt.Sprint("load-", n), func(b *benchGroup, _ *client.Client, _ *os.File) error { return b.roleCost(ctx, n, add) }); err != nil {
 			return out, err
 		}
 	}
 	return out, nil
 }
 
-// kills ends the holder again and again, and gives how long nobody held the duty.
-func (w *wardens) kills(ctx context.Context, n int, s syscall.Signal) (took []float64, err error) {
+// measureKills ends the holder again and again, and gives how long nobody held the duty.
+func (w *benchControllerSet) measureKills(ctx context.Context, n int, s syscall.Signal) (took []float64, err error) {
 	defer func() {
-		for _, p := range w.procs {
+		for _, p := range w.processes {
 			p.Kill()
 		}
 	}()
-	for i := range benchWardens {
+	for i := range benchControllers {
 		if err := w.start(fmt.Sprint("w-", i)); err != nil {
 			return nil, err
 		}
 	}
 	token := int64(0)
 	for k := range n {
-		d, err := w.held(ctx, token, benchWardens)
+		d, err := w.awaitGrant(ctx, token, benchControllers)
 		if err != nil {
 			return took, err
 		}
@@ -261,25 +261,25 @@
 			model.Sleep(ctx, w.ttl+200*time.Millisecond)
 		}
 		began := time.Now()
-		if err := w.procs[d.Controller].Signal(s); err != nil {
+		if err := w.processes[d.Controller].Signal(s); err != nil {
 			return took, err
 		}
-		if _, err := w.held(ctx, d.Token, 0); err != nil {
+		if _, err := w.awaitGrant(ctx, d.Token, 0); err != nil {
 			return took, err
 		}
 		took = append(took, time.Since(began).Seconds()*1e3)
 		token = d.Token
-		w.procs[d.Controller].Kill()
+		w.processes[d.Controller].Kill()
 		if err := w.start(fmt.Sprintf("%s.%d", strings.SplitN(d.Controller, ".", 2)[0], k)); err != nil {
 			return took, err
 		}
-		delete(w.procs, d.Controller)
+		delete(w.processes, d.Controller)
 	}
 	return took, nil
 }
 
-// load measures what so many duties cost the store while all are held.
-func (b *benchGroup) load(ctx context.Context, n int, add func(string, []float64)) error {
+// roleCost measures what so many duties cost the store while all are held.
+func (b *benchGroup) roleCost(ctx context.Context, n int, add func(string, []float64)) error {
 	work := map[string]leader.Work{}
 	for i := range n {
 		work[fmt.Sprint("d-", i)] = func(ctx context.Context, _ *leader.Grant) error { <-ctx.Done(); return nil }
@@ -295,7 +295,7 @@
 		return err
 	}
 	defer c.Close()
-	for i := range benchWardens {
+	for i := range benchControllers {
 		own, err := b.client()
 		if err != nil {
 			return err
@@ -322,7 +322,7 @@
 	}
 	model.Sleep(ctx, 4*time.Second) // until all are marked as going well
 	used := func() (all float64) {
-		for _, p := range b.procs {
+		for _, p := range b.processes {
 			if u, err := p.Measure(""); err == nil {
 				all += u.CPU.Seconds()
 			}
@@ -335,6 +335,6 @@
 		model.Sleep(ctx, 3*time.Second)
 		burnt = append(burnt, (used()-before)/3*1e3)
 	}
-	add(fmt.Sprintf("%d duties over %d wardens: ms of CPU a second, all nodes", n, benchWardens), burnt)
+	add(fmt.Sprintf("%d duties over %d wardens: ms of CPU a second, all nodes", n, benchControllers), burnt)
 	return nil
 }
--- a/internal/faultlab/bench_wal.go
+++ b/internal/faultlab/bench_wal.go
@@ -19,11 +19,11 @@
 // WALBenchOptions say what of the log is measured, beside the one before it.
 type WALBenchOptions struct {
 	Out     string
-	Owed    []int
+	Pending []int
 	Clients []int
 	Plays   int
 	Span    time.Duration // of each measurement of writes
-	Say     func(format string, args ...any)
+	Printf  func(format string, args ...any)
 }
 
 // anyLog is either of the two.
@@ -94,11 +94,11 @@
 	}
 	var out []Spread
 	add := func(name string, v []float64) {
-		s := spreadOf(name, v)
+		s := newSpread(name, v)
 		out = append(out, s)
-		o.Say("%-72s n=%-6d p50 %.3f  p90 %.3f  p99 %.3f  max %.3f", s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
+		o.Printf("%-72s n=%-6d p50 %.3f  p90 %.3f  p99 %.3f  max %.3f", s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
 	}
-	for _, n := range o.Owed {
+	for _, n := range o.Pending {
 		if err := benchStart(ctx, dir, n, o.Plays, add); err != nil {
 			return out, err
 		}
@@ -108,7 +108,7 @@
 			return out, err
 		}
 	}
-	return out, benchStall(ctx, dir, o, add)
+	return out, benchStalls(ctx, dir, o, add)
 }
 
 // benchStart measures how soon what is owed is known, and read, after a start.
@@ -254,9 +254,9 @@
 	return nil
 }
 
-// benchStall measures the longest that a record waits while checkpoints are made,
+// benchStalls measures the longest that a record waits while checkpoints are made,
 // with much owed.
-func benchStall(ctx context.Context, dir string, o WALBenchOptions, add func(string, []float64)) error {
+func benchStalls(ctx context.Context, dir string, o WALBenchOptions, add func(string, []float64)) error {
 	const owed, limit = 20000, 64 << 20
 	longest := map[string][]float64{}
 	names := []string{"log before", "process"}
--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -13,7 +13,7 @@
 func TestSmoke(t *testing.T) {
 	t.Setenv(programEnv, "1")
 	self, began := os.Args[0], time.Now()
-	result, err := Run(t.Context(), Options{Smoke: true, Out: t.TempDir(), Say: t.Logf, Relay: self, Registry: self, Warden: self})
+	result, err := Run(t.Context(), Options{Smoke: true, Out: t.TempDir(), Printf: t.Logf, Relay: self, Registry: self, Controller: self})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 
 // A job that is not there is told with those that are.
 func TestUnknownJob(t *testing.T) {
-	if _, err := Run(t.Context(), Options{Only: []string{"none"}, Say: t.Logf}); err == nil {
+	if _, err := Run(t.Context(), Options{Only: []string{"none"}, Printf: t.Logf}); err == nil {
 		t.Error("taken")
 	}
 }
--- a/internal/faultlab/capacity/fit.go
+++ b/internal/faultlab/capacity/fit.go
@@ -30,7 +30,7 @@
 			x, y = append(x, m.Sizes[i]), append(y, v)
 		}
 	}
-	_, m.TopGrowth = powerLaw(x, y)
+	_, m.TopExponent = powerLaw(x, y)
 	if m.Budget > 0 {
 		m.Ratio = m.WithBase / m.Budget
 	}
--- a/internal/faultlab/capacity/fit_test.go
+++ b/internal/faultlab/capacity/fit_test.go
@@ -51,7 +51,7 @@
 	for _, exponent := range []float64{0.5, 2} {
 		m := measured(func(size float64) float64 { return 3 * math.Pow(size, exponent) }, 1)
 		near(t, "exponent", m.Exponent, exponent)
-		near(t, "exponent at the top", m.TopGrowth, exponent)
+		near(t, "exponent at the top", m.TopExponent, exponent)
 		near(t, "by the power law", m.ByPower, 3*math.Pow(m.Target, exponent))
 	}
 }
--- a/internal/faultlab/capacity/list.go
+++ b/internal/faultlab/capacity/list.go
@@ -12,13 +12,13 @@
 
 // Figures of the target.
 const (
-	targetMembers = 31_000
-	targetRelays  = 450
-	targetZones   = 8
-	targetHeld    = 1_930_000 // messages that a relay owes after a long outage
-	budgetMemory  = 256       // MB of a relay's control
-	budgetCore    = 3.4       // % of a core
-	budgetBytes   = 30        // KB a second
+	targetMembers  = 31_000
+	targetRelays   = 450
+	targetZones    = 8
+	targetInFlight = 1_930_000 // messages that a relay owes after a long outage
+	budgetMemory   = 256       // MB of a relay's control
+	budgetCore     = 3.4       // % of a core
+	budgetBytes    = 30        // KB a second
 )
 
 const (
--- a/internal/faultlab/capacity/measurement.go
+++ b/internal/faultlab/capacity/measurement.go
@@ -25,18 +25,18 @@
 type Measurement struct {
 	Job string `json:"job"`
 	Quantity
-	Sizes     []float64   `json:"sizes"`
-	Values    [][]float64 `json:"values"` // by size, then by play
-	Slope     float64     `json:"slope"`  // of the least squares line through all values
-	SlopeMin  float64     `json:"slope_min"`
-	SlopeMax  float64     `json:"slope_max"` // over lines through one play each
-	Intercept float64     `json:"intercept"`
-	Exponent  float64     `json:"exponent"` // of the power law through all values; 1 for a straight line from 0
-	TopGrowth float64     `json:"top_exponent"`
-	AtTarget  float64     `json:"at_target"`    // slope x target
-	WithBase  float64     `json:"with_base"`    // the same and the intercept, where that is above 0
-	ByPower   float64     `json:"by_power_law"` // the power law at the target
-	Ratio     float64     `json:"ratio"`        // of the value with its base to the budget; 0 where none is set
+	Sizes       []float64   `json:"sizes"`
+	Values      [][]float64 `json:"values"` // by size, then by play
+	Slope       float64     `json:"slope"`  // of the least squares line through all values
+	SlopeMin    float64     `json:"slope_min"`
+	SlopeMax    float64     `json:"slope_max"` // over lines through one play each
+	Intercept   float64     `json:"intercept"`
+	Exponent    float64     `json:"exponent"` // of the power law through all values; 1 for a straight line from 0
+	TopExponent float64     `json:"top_exponent"`
+	AtTarget    float64     `json:"at_target"`    // slope x target
+	WithBase    float64     `json:"with_base"`    // the same and the intercept, where that is above 0
+	ByPower     float64     `json:"by_power_law"` // the power law at the target
+	Ratio       float64     `json:"ratio"`        // of the value with its base to the budget; 0 where none is set
 }
 
 // Key names the measurement among all of a run.
@@ -65,7 +65,7 @@
 			}
 		}
 	}
-	for _, v := range []float64{m.Slope, m.SlopeMin, m.SlopeMax, m.Intercept, m.Exponent, m.TopGrowth, m.AtTarget, m.WithBase, m.ByPower, m.Ratio} {
+	for _, v := range []float64{m.Slope, m.SlopeMin, m.SlopeMax, m.Intercept, m.Exponent, m.TopExponent, m.AtTarget, m.WithBase, m.ByPower, m.Ratio} {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
 			return fmt.Errorf("%s: %s: the fit is not finite", m.Job, m.Name)
 		}
--- a/internal/faultlab/capacity/policy.go
+++ b/internal/faultlab/capacity/policy.go
@@ -23,19 +23,19 @@
 )
 
 // relaySettings are a relay's at the target, as its configuration holds them.
-func relaySettings(slots, held int) map[string]any {
+func relaySettings(slots, maxMessages int) map[string]any {
 	var zones []string
 	for i := range targetZones {
 		zones = append(zones, fmt.Sprintf("z-%d", i))
 	}
-	s := model.Settings(model.Fleet{Relays: targetRelays, MaxCalls: slots, MaxMessages: held, Zones: zones, MaxBatch: 5}, model.StandardRules())
+	s := model.Settings(model.Fleet{Relays: targetRelays, MaxCalls: slots, MaxMessages: maxMessages, Zones: zones, MaxBatch: 5}, model.StandardRules())
 	for _, c := range s["classes"].([]map[string]any) {
 		c["deadline_us"] = classTime
 	}
 	return s
 }
 
-func policySettings(held int) (policy.Settings, error) {
+func policySettings(maxMessages int) (policy.Settings, error) {
 	text, err := json.Marshal(relaySettings(policySlots, 340))
 	if err != nil {
 		return policy.Settings{}, fmt.Errorf("settings: %w", err)
@@ -45,7 +45,7 @@
 		return policy.Settings{}, err
 	}
 	d, err := settings.ToPolicy(s)
-	d.MaxMessages, d.StreamsPerConnection = held, 1
+	d.MaxMessages, d.StreamsPerConnection = maxMessages, 1
 	return d, err
 }
 
@@ -59,18 +59,18 @@
 // driver is the relay round a policy, as far as the policy can tell: it hands in
 // messages and ends attempts at moments of its own clock.
 type driver struct {
-	policy  *policy.Policy
-	now     policy.Time
-	actions []policy.Action
-	out     []flight
-	tries   map[uint32]int
-	last    uint32
-	ended   int // messages that the policy refused or gave up
+	policy    *policy.Policy
+	now       policy.Time
+	actions   []policy.Action
+	out       []flight
+	attempts  map[uint32]int
+	last      uint32
+	completed int // messages that the policy refused or gave up
 }
 
 // newDriver makes a policy that has a list of so many destinations.
-func newDriver(destinations, held int) (*driver, error) {
-	s, err := policySettings(held)
+func newDriver(destinations, maxMessages int) (*driver, error) {
+	s, err := policySettings(maxMessages)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &driver{policy: p, now: policyWait, tries: map[uint32]int{}}
+	d := &driver{policy: p, now: policyWait, attempts: map[uint32]int{}}
 	d.step(policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListFull, Entries: entries(destinations)})
 	return d, nil
 }
@@ -104,11 +104,11 @@
 	for i := range d.actions {
 		switch a := &d.actions[i]; a.Kind {
 		case policy.ActionSend:
-			d.out = append(d.out, flight{a.Message, d.tries[a.Message], a.Endpoint})
-			d.tries[a.Message]++
+			d.out = append(d.out, flight{a.Message, d.attempts[a.Message], a.Endpoint})
+			d.attempts[a.Message]++
 		case policy.ActionReject, policy.ActionFail:
-			d.ended++
-			delete(d.tries, a.Message)
+			d.completed++
+			delete(d.attempts, a.Message)
 		}
 	}
 	return took
@@ -128,7 +128,7 @@
 	f := d.out[0]
 	d.out = d.out[1:]
 	if o == policy.Delivered {
-		delete(d.tries, f.message)
+		delete(d.attempts, f.message)
 	}
 	return policy.Event{Kind: policy.EventAttemptDone, Message: f.message, Attempt: f.attempt, Endpoint: f.endpoint, Outcome: o, RetryAfter: wait,
 		Latency: 200_000, Final: o == policy.Delivered}, nil
--- a/internal/faultlab/capacity/policy_jobs.go
+++ b/internal/faultlab/capacity/policy_jobs.go
@@ -23,10 +23,10 @@
 		return Quantity{Role: "relay", Name: name, Unit: unit, SizeUnit: sizeUnit, Target: target}
 	}
 	const queued, held, list = "messages in one queue", "messages held", "members"
-	longest := float64(targetHeld) / destinationsDown // in one queue, where all wait for destinations that are down
+	longest := float64(targetInFlight) / destinationsDown // in one queue, where all wait for destinations that are down
 	memory := quantity("policy's memory of the list", "MB", list, targetMembers)
 	memory.Budget = budgetMemory
-	heldMemory := quantity("policy's memory of held messages, without bodies", "MB", held, targetHeld)
+	heldMemory := quantity("policy's memory of held messages, without bodies", "MB", held, targetInFlight)
 	heldMemory.Budget = budgetMemory
 	return []job{
 		{name: "policy-list", sizes: memberSizes, smoke: smokeSizes, run: policyList, quantities: []Quantity{
@@ -36,7 +36,7 @@
 			quantity("a delivery at a destination that told its limit", "us", list, targetMembers),
 			quantity("a delivery at a destination that told none", "us", list, targetMembers),
 			quantity("a failed trial call of one that is down", "us", list, targetMembers)}},
-		{name: "owed-list", sizes: memberSizes, smoke: []int{1000, 3000}, run: owedList, quantities: []Quantity{
+		{name: "owed-list", sizes: memberSizes, smoke: []int{1000, 3000}, run: pendingNotices, quantities: []Quantity{
 			quantity("taking up 2,000 owed messages for 589 destinations", "ms", list, targetMembers),
 			quantity("each failed call of those", "us", list, targetMembers)}},
 		{name: "queue", sizes: queueSizes, smoke: queueSmoke, run: queueUp, quantities: []Quantity{
@@ -44,11 +44,11 @@
 			quantity("working the whole queue off", "ms", queued, longest)}},
 		{name: "queue-down", sizes: queueSizes, smoke: queueSmoke, run: queueDown, quantities: []Quantity{
 			quantity("a message handed in for a destination that is down", "us", queued, longest)}},
-		{name: "held", sizes: []int{1000, 10_000, 100_000, 300_000, 1_000_000}, smoke: []int{1000, 10_000}, run: heldMessages, quantities: []Quantity{
-			heldMemory, quantity("a delivery, safe class", "us", held, targetHeld), quantity("a delivery, unsafe class", "us", held, targetHeld),
-			quantity("an outcome, unsafe class, all slots taken", "us", held, targetHeld)}},
+		{name: "held", sizes: []int{1000, 10_000, 100_000, 300_000, 1_000_000}, smoke: []int{1000, 10_000}, run: messagesInFlight, quantities: []Quantity{
+			heldMemory, quantity("a delivery, safe class", "us", held, targetInFlight), quantity("a delivery, unsafe class", "us", held, targetInFlight),
+			quantity("an outcome, unsafe class, all slots taken", "us", held, targetInFlight)}},
 		{name: "shed", sizes: []int{1000, 3300, 10_000, 33_000, 100_000}, smoke: []int{1000, 10_000}, quantities: []Quantity{
-			quantity("a message handed in when full", "us", "messages held at most", targetHeld)},
+			quantity("a message handed in when full", "us", "messages held at most", targetInFlight)},
 			run: func(_ context.Context, e *environment, size int) ([]float64, error) {
 				return shed(size, destinationsDown+destinationsUp)
 			}},
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &driver{policy: p, now: policyWait, tries: map[uint32]int{}}
+	d := &driver{policy: p, now: policyWait, attempts: map[uint32]int{}}
 	whole := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListFull, Entries: all}
 	first := d.step(whole)
 	memory := heapBytes() - before
@@ -127,8 +127,8 @@
 			took += d.step(e)
 			trials++
 		}
-		if d.ended > 0 { // what was given up is handed in anew
-			d.ended = 0
+		if d.completed > 0 { // what was given up is handed in anew
+			d.completed = 0
 			d.step(d.message(destination, safeClass))
 		}
 	}
@@ -160,9 +160,9 @@
 	return micros(took, each*destinations), nil
 }
 
-// owedList times one slice of owed messages, as a start reads them, for
+// pendingNotices times one slice of owed messages, as a start reads them, for
 // destinations that refuse connections, and the calls that fail.
-func owedList(_ context.Context, _ *environment, size int) ([]float64, error) {
+func pendingNotices(_ context.Context, _ *environment, size int) ([]float64, error) {
 	d, err := newDriver(size, 0)
 	if err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 		outcomes += took
 		taken += d.step(d.message(0, safeClass))
 	}
-	for range size - d.ended {
+	for range size - d.completed {
 		took, err := d.deliver()
 		if err != nil {
 			return nil, err
@@ -253,9 +253,9 @@
 	return nil
 }
 
-// heldMessages measures what a held message costs in memory, and what all held
+// messagesInFlight measures what a held message costs in memory, and what all held
 // messages cost each delivery at destinations that are up.
-func heldMessages(_ context.Context, _ *environment, size int) ([]float64, error) {
+func messagesInFlight(_ context.Context, _ *environment, size int) ([]float64, error) {
 	d, err := newDriver(destinationsDown+destinationsUp, 0)
 	if err != nil {
 		return nil, err
@@ -329,12 +329,12 @@
 		return nil, err
 	}
 	const rounds = 50
-	ended := d.ended
+	ended := d.completed
 	var took time.Duration
 	for i := range rounds {
 		took += d.step(d.message(destinations-down+i%down, safeClass))
 	}
-	if d.ended == ended {
+	if d.completed == ended {
 		return nil, errNotFull
 	}
 	return []float64{micros(took, rounds)}, nil
--- a/internal/faultlab/capacity/registry.go
+++ b/internal/faultlab/capacity/registry.go
@@ -197,7 +197,7 @@
 
 // repeat has clients ask side by side for a span, each call as ask says, and
 // gives how many calls were answered.
-func (g *group) repeat(ctx context.Context, clients int, span time.Duration, ask func(ctx context.Context, c *client.Client, caller, n int) error) (float64, error) {
+func (g *group) repeat(ctx context.Context, clients int, span time.Duration, request func(ctx context.Context, c *client.Client, caller, n int) error) (float64, error) {
 	var answered atomic.Int64
 	end := time.Now().Add(span)
 	all, ctx := errgroup.WithContext(ctx)
@@ -209,7 +209,7 @@
 			}
 			defer c.Close()
 			for n := 0; time.Now().Before(end); n++ {
-				if err := ask(ctx, c, caller, n); err != nil {
+				if err := request(ctx, c, caller, n); err != nil {
 					return err
 				}
 				answered.Add(1)
--- a/internal/faultlab/capacity/registry_jobs.go
+++ b/internal/faultlab/capacity/registry_jobs.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	groupNodes   = 3
-	writers      = 16
-	memberTTL    = 15.0 // seconds, as README has members registered
-	beatsEach    = 3.0  // heartbeats of a member in its time to live
-	targetBeats  = targetMembers * beatsEach / memberTTL
-	watchersFew  = 3000 // members
-	writesTimed  = 20
-	readersAsked = 4
+	groupNodes       = 3
+	writers          = 16
+	memberTTL        = 15.0 // seconds, as README has members registered
+	heartbeatsEach   = 3.0  // heartbeats of a member in its time to live
+	targetHeartbeats = targetMembers * heartbeatsEach / memberTTL
+	watchersFew      = 3000 // members
+	writesTimed      = 20
+	readRequests     = 4
 )
 
 func registryJobs() []job {
@@ -40,7 +40,7 @@
 		{name: "registry-write", sizes: memberSizes, smoke: smokeSizes, run: writeGroup, quantities: []Quantity{
 			quantity("time of the group for a change, 16 writers", "us", list, targetMembers), quantity("processor of three nodes for a change", "us", list, targetMembers),
 			quantity("handed by three nodes to files and sockets for a change", "KB", list, targetMembers), quantity("memory of a node", "MB", list, targetMembers)}},
-		{name: "registry-beat", sizes: memberSizes, smoke: smokeSizes, run: beatGroup, quantities: []Quantity{
+		{name: "registry-beat", sizes: memberSizes, smoke: smokeSizes, run: heartbeatGroup, quantities: []Quantity{
 			quantity("processor of three nodes that nobody asks", "% of a core", list, targetMembers),
 			quantity("time of the group for a heartbeat, 16 clients", "us", list, targetMembers), quantity("processor of three nodes for a heartbeat", "us", list, targetMembers),
 			quantity("processor of three nodes for one of a batch of 100", "us", list, targetMembers),
@@ -76,8 +76,8 @@
 	return []float64{span.Seconds() * 1e6 / n, float64((after.cpu - before.cpu).Microseconds()) / n, (after.written - before.written) / 1e3 / n, after.rss / 1e6 / groupNodes}, err
 }
 
-// beatGroup measures heartbeats: one in each call, then a hundred.
-func beatGroup(ctx context.Context, e *environment, size int) ([]float64, error) {
+// heartbeatGroup measures heartbeats: one in each call, then a hundred.
+func heartbeatGroup(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, size)
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	_, batch, err := beats(100)
-	return []float64{idle, span.Seconds() * 1e6 / calls, single, batch / 100, single * beatsEach * float64(size) / memberTTL / 1e6}, err
+	return []float64{idle, span.Seconds() * 1e6 / calls, single, batch / 100, single * heartbeatsEach * float64(size) / memberTTL / 1e6}, err
 }
 
 // listGroup measures whole lists and a backup.
@@ -127,7 +127,7 @@
 		return nil, err
 	}
 	span := scaled(e, 200*time.Millisecond, 2*time.Second)
-	n, err := g.repeat(ctx, readersAsked, span, func(ctx context.Context, _ *client.Client, caller, n int) error {
+	n, err := g.repeat(ctx, readRequests, span, func(ctx context.Context, _ *client.Client, caller, n int) error {
 		_, err := get(ctx, "http://"+g.nodes[(caller+n)%len(g.nodes)]+discovery.ListPath)
 		return err
 	})
--- a/internal/faultlab/capacity/relay.go
+++ b/internal/faultlab/capacity/relay.go
@@ -28,7 +28,7 @@
 
 // relayLimits are those of a relay's machine and what it may hold.
 type relayLimits struct {
-	memoryMB, diskMB, held int
+	memoryMB, diskMB, messages int
 }
 
 // relayProcess is a real relay.
@@ -48,7 +48,7 @@
 	text, err := json.Marshal(map[string]any{
 		"name": "relay-1", "listen": r.listen, "operator": r.operator, "discovery": server, "known": known, "state": r.state, "seed": "0000000000000001",
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": limits.memoryMB, "sockets": relaySockets, "disk_mb": limits.diskMB},
-		"settings": relaySettings(policySlots, limits.held),
+		"settings": relaySettings(policySlots, limits.messages),
 	})
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
@@ -117,13 +117,13 @@
 
 // ready reports whether the relay says that it is.
 func (r *relayProcess) ready() bool {
-	text, err := r.ask("/v1/readyz")
+	text, err := r.get("/v1/readyz")
 	return err == nil && text == "ready\n"
 }
 
 // gauge gives a figure that the relay publishes.
 func (r *relayProcess) gauge(name string) (float64, error) {
-	text, err := r.ask("/v1/metrics")
+	text, err := r.get("/v1/metrics")
 	if err != nil {
 		return 0, err
 	}
@@ -135,7 +135,7 @@
 	return 0, fmt.Errorf("relay: no figure %s", name)
 }
 
-func (r *relayProcess) ask(path string) (string, error) {
+func (r *relayProcess) get(path string) (string, error) {
 	client := http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get("http://" + r.operator + path)
 	if err != nil {
--- a/internal/faultlab/capacity/relay_jobs.go
+++ b/internal/faultlab/capacity/relay_jobs.go
@@ -25,8 +25,8 @@
 	largeDisk   = 4096 // MB
 )
 
-// heldSizes go beyond what a relay of that memory keeps there: the rest is in its log.
-var heldSizes = []int{3000, 10_000, 30_000, 100_000, 300_000}
+// inFlightSizes go beyond what a relay of that memory keeps there: the rest is in its log.
+var inFlightSizes = []int{3000, 10_000, 30_000, 100_000, 300_000}
 
 func relayJobs() []job {
 	const list, held = "members", "messages owed"
@@ -43,15 +43,15 @@
 			quantity("processor with 2,000 owed to 589 destinations that refuse", "% of a core", list, targetMembers, 100),
 			quantity("until all is read, the same", "ms", list, targetMembers, 10_000),
 			quantity("longest wait for an answer meanwhile, the same", "ms", list, targetMembers, 400)}},
-		{name: "relay-held", sizes: heldSizes, smoke: []int{300, 3000}, run: relayHeld, quantities: []Quantity{
-			quantity("memory for messages of 200 bytes to destinations that are down", "MB", held, targetHeld, budgetMemory),
-			quantity("disk for them", "MB", held, targetHeld, 0), quantity("processor time to take them on", "ms", held, targetHeld, 0),
-			quantity("processor while they wait", "% of a core", held, targetHeld, 0)}},
-		{name: "relay-start", sizes: heldSizes, smoke: []int{300, 3000}, run: relayStart, quantities: []Quantity{
-			quantity("from a start after SIGKILL until it serves", "ms", held, targetHeld, 10_000),
-			quantity("from a start after SIGKILL until all is read", "ms", held, targetHeld, 10_000),
-			quantity("memory once all is read", "MB", held, targetHeld, budgetMemory), quantity("most memory by then", "MB", held, targetHeld, budgetMemory),
-			quantity("disk", "MB", held, targetHeld, 0)}},
+		{name: "relay-held", sizes: inFlightSizes, smoke: []int{300, 3000}, run: relayInFlight, quantities: []Quantity{
+			quantity("memory for messages of 200 bytes to destinations that are down", "MB", held, targetInFlight, budgetMemory),
+			quantity("disk for them", "MB", held, targetInFlight, 0), quantity("processor time to take them on", "ms", held, targetInFlight, 0),
+			quantity("processor while they wait", "% of a core", held, targetInFlight, 0)}},
+		{name: "relay-start", sizes: inFlightSizes, smoke: []int{300, 3000}, run: relayStart, quantities: []Quantity{
+			quantity("from a start after SIGKILL until it serves", "ms", held, targetInFlight, 10_000),
+			quantity("from a start after SIGKILL until all is read", "ms", held, targetInFlight, 10_000),
+			quantity("memory once all is read", "MB", held, targetInFlight, budgetMemory), quantity("most memory by then", "MB", held, targetInFlight, budgetMemory),
+			quantity("disk", "MB", held, targetInFlight, 0)}},
 	}
 }
 
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	defer s.close()
-	r, err := e.newRelay(s.addr, nil, relayLimits{memoryMB: budgetMemory, diskMB: 64, held: 10_000})
+	r, err := e.newRelay(s.addr, nil, relayLimits{memoryMB: budgetMemory, diskMB: 64, messages: 10_000})
 	if err != nil {
 		return nil, err
 	}
@@ -93,15 +93,15 @@
 	return []float64{idle.core, idle.rss / 1e6, peak / 1e6, float64(bytes) / 1e3, idle.bytes / 1e3, started.Seconds() * 1e3}, err
 }
 
-// relayHeld has a relay take messages for destinations that refuse connections.
-func relayHeld(ctx context.Context, e *environment, size int) ([]float64, error) {
+// relayInFlight has a relay take messages for destinations that refuse connections.
+func relayInFlight(ctx context.Context, e *environment, size int) ([]float64, error) {
 	l := refusingList(destinationsDown)
 	s, err := newListServer(l)
 	if err != nil {
 		return nil, err
 	}
 	defer s.close()
-	r, err := e.newRelay(s.addr, s.known(), relayLimits{memoryMB: budgetMemory, diskMB: largeDisk, held: size*2 + 1000})
+	r, err := e.newRelay(s.addr, s.known(), relayLimits{memoryMB: budgetMemory, diskMB: largeDisk, messages: size*2 + 1000})
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	disk := process.DiskUse(r.state)
-	if err := handIn(ctx, r.listen, size); err != nil {
+	if err := submitAll(ctx, r.listen, size); err != nil {
 		return nil, err
 	}
 	taken, err := usageOf(r.Process)
@@ -157,12 +157,12 @@
 		return nil, err
 	}
 	defer s.close()
-	r, err := e.newRelay(s.addr, s.known(), relayLimits{memoryMB: largeMemory, diskMB: largeDisk, held: 10_000})
+	r, err := e.newRelay(s.addr, s.known(), relayLimits{memoryMB: largeMemory, diskMB: largeDisk, messages: 10_000})
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	if err := owe(r.state, scaled(e, 200, 2000), min(size, destinationsDown)); err != nil {
+	if err := fillLog(r.state, scaled(e, 200, 2000), min(size, destinationsDown)); err != nil {
 		return nil, err
 	}
 	began := time.Now()
@@ -182,8 +182,8 @@
 	return []float64{busy.core, all.Seconds() * 1e3, (<-longest).Seconds() * 1e3}, err
 }
 
-// handIn has clients hand in so many messages, all of which must be taken.
-func handIn(ctx context.Context, addr string, size int) error {
+// submitAll has clients hand in so many messages, all of which must be taken.
+func submitAll(ctx context.Context, addr string, size int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for client := range relayWriter {
 		group.Go(func() error {
@@ -235,12 +235,12 @@
 		return nil, err
 	}
 	defer s.close()
-	r, err := e.newRelay(s.addr, s.known(), relayLimits{memoryMB: budgetMemory, diskMB: largeDisk, held: size*2 + 1000})
+	r, err := e.newRelay(s.addr, s.known(), relayLimits{memoryMB: budgetMemory, diskMB: largeDisk, messages: size*2 + 1000})
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	if err := owe(r.state, size, destinationsDown); err != nil {
+	if err := fillLog(r.state, size, destinationsDown); err != nil {
 		return nil, err
 	}
 	began := time.Now()
@@ -263,9 +263,9 @@
 	return []float64{serves.Seconds() * 1e3, all.Seconds() * 1e3, float64(u.RSS) / 1e6, peak / 1e6, float64(u.Disk) / 1e6}, err
 }
 
-// owe writes the log of a relay that took so many messages for the first
+// fillLog writes the log of a relay that took so many messages for the first
 // destinations of its list and was killed.
-func owe(state string, size, destinations int) error {
+func fillLog(state string, size, destinations int) error {
 	w, err := wal.Open(wal.Options{Dir: state, Limit: largeDisk << 20})
 	if err != nil {
 		return err
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -17,15 +17,15 @@
 
 // Options say what is measured and by which programs.
 type Options struct {
-	Only     []string // names of jobs; empty for all
-	Sizes    []int    // in place of each job's own; empty for those
-	Plays    int
-	Smoke    bool   // small sizes, one short play: whether it works, not what it costs
-	Relay    string // programs
-	Registry string
-	Warden   string
-	Out      string // folder for the data of what is run
-	Say      func(format string, args ...any)
+	Only       []string // names of jobs; empty for all
+	Sizes      []int    // in place of each job's own; empty for those
+	Plays      int
+	Smoke      bool   // small sizes, one short play: whether it works, not what it costs
+	Relay      string // programs
+	Registry   string
+	Controller string
+	Out        string // folder for the data of what is run
+	Printf     func(format string, args ...any)
 }
 
 // job is one set of runs: at each size a run gives a value for each quantity.
@@ -53,7 +53,7 @@
 
 // jobs are all that can be measured, in the order of the roles.
 func jobs() []job {
-	return slices.Concat(listJobs(), policyJobs(), relayJobs(), registryJobs(), agentJobs(), wardenJobs())
+	return slices.Concat(listJobs(), policyJobs(), relayJobs(), registryJobs(), agentJobs(), controllerJobs())
 }
 
 // Names are the names of all jobs.
@@ -89,7 +89,7 @@
 			if failed[i] != nil {
 				failed[i] = fmt.Errorf("capacity: %s: %w", j.name, failed[i])
 			}
-			o.Say("# %s took %.0f s", j.name, time.Since(began).Seconds())
+			o.Printf("# %s took %.0f s", j.name, time.Since(began).Seconds())
 			return nil
 		})
 	}
@@ -167,7 +167,7 @@
 		}
 	}
 	for i, q := range j.quantities {
-		o.Say("%-16s %-52s %9d  %s %s", j.name, q.Name, size, numbers(values[i]), q.Unit)
+		o.Printf("%-16s %-52s %9d  %s %s", j.name, q.Name, size, numbers(values[i]), q.Unit)
 	}
 	return values, nil
 }
--- a/internal/faultlab/capacity/standin.go
+++ b/internal/faultlab/capacity/standin.go
@@ -16,7 +16,7 @@
 	"plovershore/internal/discovery"
 )
 
-const standinQuiet = 2 * time.Second // an empty line of a watch, as agents send
+const watchKeepAlive = 2 * time.Second // an empty line of a watch, as agents send
 
 // countedListener counts the bytes of all its connections, both ways.
 type countedListener struct {
@@ -118,7 +118,7 @@
 	if from < s.list.Revision {
 		json.NewEncoder(w).Encode(discovery.List{Revision: s.list.Revision, Members: s.list.Members[:1]})
 	}
-	quiet := time.NewTicker(standinQuiet)
+	quiet := time.NewTicker(watchKeepAlive)
 	defer quiet.Stop()
 	for out.Flush() == nil {
 		select {
--- a/internal/faultlab/capacity/table.go
+++ b/internal/faultlab/capacity/table.go
@@ -24,7 +24,7 @@
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%.0f..%.0f %s\t%.4g..%.4g\t%.4g (%.4g..%.4g)\t%.4g\t%.2f (%.2f)\t%.0f\t%.4g\t%.4g\t%.4g\t%s\t%s\n",
 			m.Role, m.Job, m.Name, m.Unit, m.Sizes[0], m.Sizes[n], m.SizeUnit, stat.Mean(m.Values[0], nil), stat.Mean(m.Values[n], nil),
-			m.Slope, m.SlopeMin, m.SlopeMax, m.Intercept, m.Exponent, m.TopGrowth, m.Target, m.AtTarget, m.WithBase, m.ByPower, budget, ratio)
+			m.Slope, m.SlopeMin, m.SlopeMax, m.Intercept, m.Exponent, m.TopExponent, m.Target, m.AtTarget, m.WithBase, m.ByPower, budget, ratio)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("capacity: %w", err)
--- a/internal/faultlab/capacity/warden.go
+++ b/internal/faultlab/capacity/warden.go
@@ -13,19 +13,19 @@
 	"plovershore/internal/registry"
 )
 
-const targetWardens = 4 // one on each control machine
+const targetControllers = 4 // one on each control machine
 
-func wardenJobs() []job {
+func controllerJobs() []job {
 	const wardens = "wardens"
-	return []job{{name: "warden", sizes: []int{1, 3, 10, 30, 100}, smoke: []int{1, 4}, run: wardensIdle, quantities: []Quantity{
-		{Role: "warden", Name: "idle, all of them", Unit: "% of a core", SizeUnit: wardens, Target: targetWardens},
-		{Role: "warden", Name: "memory, all of them", Unit: "MB", SizeUnit: wardens, Target: targetWardens},
-		{Role: "list service", Name: "three nodes for them", Unit: "% of a core", SizeUnit: wardens, Target: targetWardens}}}}
+	return []job{{name: "warden", sizes: []int{1, 3, 10, 30, 100}, smoke: []int{1, 4}, run: controllersIdle, quantities: []Quantity{
+		{Role: "warden", Name: "idle, all of them", Unit: "% of a core", SizeUnit: wardens, Target: targetControllers},
+		{Role: "warden", Name: "memory, all of them", Unit: "MB", SizeUnit: wardens, Target: targetControllers},
+		{Role: "list service", Name: "three nodes for them", Unit: "% of a core", SizeUnit: wardens, Target: targetControllers}}}}
 }
 
-// wardensIdle runs so many wardens that hold the usual duties and have nothing
+// controllersIdle runs so many wardens that hold the usual duties and have nothing
 // to do.
-func wardensIdle(ctx context.Context, e *environment, size int) ([]float64, error) {
+func controllersIdle(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, 310)
 	if err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 	all := &group{}
 	defer all.close()
 	for i := range size {
-		p, err := process.Start(fmt.Sprint("warden ", i), e.Warden, []string{"--nodes", strings.Join(g.nodes, ","), "--name", fmt.Sprint("w-", i)}, nil, log)
+		p, err := process.Start(fmt.Sprint("warden ", i), e.Controller, []string{"--nodes", strings.Join(g.nodes, ","), "--name", fmt.Sprint("w-", i)}, nil, log)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/faultlab/capacity/watchers.go
+++ b/internal/faultlab/capacity/watchers.go
@@ -19,25 +19,25 @@
 	dialsAtOnce  = 50
 )
 
-// crowd is many watchers of a group, of which it is known when the last one has
+// watcherSet is many watchers of a group, of which it is known when the last one has
 // heard of a revision.
-type crowd struct {
+type watcherSet struct {
 	size  int
 	close context.CancelFunc
 	wg    sync.WaitGroup
 
 	mu       sync.Mutex
 	awaited  int64
-	heard    int
+	arrived  int
 	last     time.Time
 	all      chan struct{}
 	failed   error
 	revision map[int]int64 // that each watcher is at
 }
 
-// newCrowd opens so many watches, each from nothing.
-func newCrowd(ctx context.Context, nodes []string, size int) *crowd {
-	c := &crowd{size: size, revision: map[int]int64{}}
+// newWatcherSet opens so many watches, each from nothing.
+func newWatcherSet(ctx context.Context, nodes []string, size int) *watcherSet {
+	c := &watcherSet{size: size, revision: map[int]int64{}}
 	ctx, c.close = context.WithCancel(ctx)
 	c.expect(1)
 	dials := make(chan struct{}, dialsAtOnce)
@@ -56,14 +56,14 @@
 }
 
 // expect counts anew who has heard of a revision.
-func (c *crowd) expect(revision int64) {
+func (c *watcherSet) expect(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.awaited, c.heard, c.all = revision, 0, make(chan struct{})
+	c.awaited, c.arrived, c.all = revision, 0, make(chan struct{})
 }
 
 // wait waits until all have, and gives the moment of the last.
-func (c *crowd) wait(ctx context.Context) (time.Time, error) {
+func (c *watcherSet) wait(ctx context.Context) (time.Time, error) {
 	c.mu.Lock()
 	all := c.all
 	c.mu.Unlock()
@@ -74,7 +74,7 @@
 	case <-limit.C:
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return time.Time{}, fmt.Errorf("watchers: %d of %d heard of revision %d (%w)", c.heard, c.size, c.awaited, errors.Join(c.failed, context.DeadlineExceeded))
+		return time.Time{}, fmt.Errorf("watchers: %d of %d heard of revision %d (%w)", c.arrived, c.size, c.awaited, errors.Join(c.failed, context.DeadlineExceeded))
 	case <-ctx.Done():
 		return time.Time{}, ctx.Err()
 	}
@@ -83,13 +83,13 @@
 	return c.last, nil
 }
 
-func (c *crowd) hears(watcher int, revision int64, at time.Time) {
+func (c *watcherSet) recordRevision(watcher int, revision int64, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision >= c.awaited && c.revision[watcher] < c.awaited {
-		c.heard++
+		c.arrived++
 		c.last = at
-		if c.heard == c.size {
+		if c.arrived == c.size {
 			close(c.all)
 		}
 	}
@@ -98,7 +98,7 @@
 
 // watch reads one watch to its end. Lists are read past, not kept: what a
 // watcher makes of them is not the group's cost.
-func (c *crowd) watch(ctx context.Context, dials chan struct{}, watcher int, node string) error {
+func (c *watcherSet) watch(ctx context.Context, dials chan struct{}, watcher int, node string) error {
 	dials <- struct{}{}
 	conn, err := net.DialTimeout("tcp4", node, watchTimeout)
 	<-dials
@@ -124,7 +124,7 @@
 			return fmt.Errorf("watcher: %w", err)
 		}
 		if revision > 0 {
-			c.hears(watcher, revision, time.Now())
+			c.recordRevision(watcher, revision, time.Now())
 		}
 	}
 }
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	began := time.Now()
-	c := newCrowd(ctx, g.nodes, watchers)
+	c := newWatcherSet(ctx, g.nodes, watchers)
 	defer func() { c.close(); c.wg.Wait() }()
 	last, err := c.wait(ctx)
 	if err != nil {
--- a/internal/faultlab/checker/call.go
+++ b/internal/faultlab/checker/call.go
@@ -11,11 +11,11 @@
 
 // call is one call that reached an endpoint, or that a link lost.
 type call struct {
-	received history.Event
-	response history.Event
-	heard    history.Event // the response, at the relay
-	ended    history.Event // the first of aborted and broken
-	overlaps []overlap
+	received        history.Event
+	response        history.Event
+	responseAtRelay history.Event // the response, at the relay
+	closed          history.Event // the first of aborted and broken
+	overlaps        []overlap
 }
 
 // overlap is a call for a message that came while another was in flight.
@@ -27,7 +27,7 @@
 // knownNotToRun reports whether the relay knows that the message in this call
 // did not run.
 func (c *call) knownNotToRun(message string) bool {
-	if c.heard.Kind == "" {
+	if c.responseAtRelay.Kind == "" {
 		return false
 	}
 	switch c.response.Status {
@@ -43,7 +43,7 @@
 // completes reports whether the relay knows by this call that nothing more is
 // pending for the message.
 func (c *call) completes(message string) bool {
-	if c.heard.Kind == "" {
+	if c.responseAtRelay.Kind == "" {
 		return false
 	}
 	if len(c.response.States) > 0 {
@@ -62,7 +62,7 @@
 }
 
 // inFlight reports whether the call has neither a response nor ended.
-func (c *call) inFlight() bool { return c.heard.Kind == "" && c.ended.Kind == "" }
+func (c *call) inFlight() bool { return c.responseAtRelay.Kind == "" && c.closed.Kind == "" }
 
 // feedCall takes an event between a relay and an endpoint.
 func (c *Check) feedCall(e history.Event) {
@@ -78,7 +78,7 @@
 	case history.ResponseReceived:
 		c.responseReceived(e)
 	case history.CallAborted, history.CallBroken:
-		c.callEnded(e)
+		c.callClosed(e)
 	}
 }
 
@@ -88,12 +88,12 @@
 	aborted, wasAborted := c.abortedEarly[e.Call]
 	if wasAborted = wasAborted && e.Kind == history.CallReceived; wasAborted { // its sender had closed it before the link brought it
 		delete(c.abortedEarly, e.Call)
-		received.ended = aborted
+		received.closed = aborted
 	}
 	if e.Kind == history.CallReceived {
 		c.calls[e.Call] = received
 	} else {
-		received.ended = e // nothing of it is in flight any more
+		received.closed = e // nothing of it is in flight any more
 		if e.SentAt == 0 {
 			e.SentAt = e.Time
 		}
@@ -129,7 +129,7 @@
 
 // checkEarlierCalls sets a new attempt beside those before it.
 func (c *Check) checkEarlierCalls(m *message, id string, e history.Event, wasAborted bool) {
-	c.checked(RuleOneInFlight)
+	c.checked(RuleSingleAttempt)
 	if m.nonIdempotent {
 		c.checked(RuleNoRepeat)
 	}
@@ -165,7 +165,7 @@
 	if call == nil {
 		return
 	}
-	call.heard = e
+	call.responseAtRelay = e
 	c.checkOverlaps(call, e)
 	r := c.relay(call.received.Relay)
 	r.extendWait(call, e)
@@ -179,8 +179,8 @@
 	}
 }
 
-// callEnded takes a call whose connection ended before the response.
-func (c *Check) callEnded(e history.Event) {
+// callClosed takes a call whose connection ended before the response.
+func (c *Check) callClosed(e history.Event) {
 	call := c.calls[e.Call]
 	if call == nil {
 		if e.Kind == history.CallAborted {
@@ -191,19 +191,19 @@
 	if !call.inFlight() {
 		return
 	}
-	call.ended = e
+	call.closed = e
 	c.checkOverlaps(call, e)
 	c.sawFailure(c.relay(call.received.Relay), call.received.Destination)
 }
 
-// checkOverlaps applies RuleOneInFlight to the calls that came while one was in
+// checkOverlaps applies RuleSingleAttempt to the calls that came while one was in
 // flight, now that it is not. A relay notices the end of a call a little later.
-func (c *Check) checkOverlaps(ended *call, e history.Event) {
+func (c *Check) checkOverlaps(finished *call, e history.Event) {
 	grace := micros(c.config.Rules.Slack + 2*c.config.MaxLinkDelay)
-	for _, o := range ended.overlaps {
+	for _, o := range finished.overlaps {
 		if e.Time-o.call.Time > grace {
-			c.violate(RuleOneInFlight, o.message, o.call.Relay, "a second attempt was in flight beside the first", ended.received, o.call)
+			c.violate(RuleSingleAttempt, o.message, o.call.Relay, "a second attempt was in flight beside the first", finished.received, o.call)
 		}
 	}
-	ended.overlaps = nil
+	finished.overlaps = nil
 }
--- a/internal/faultlab/checker/destination.go
+++ b/internal/faultlab/checker/destination.go
@@ -10,8 +10,8 @@
 
 // retryAfter is a wait that a relay was asked for.
 type retryAfter struct {
-	until int64
-	heard history.Event // the response with it
+	until    int64
+	received history.Event // the response with it
 }
 
 // retryAfterRounding is how much earlier than asked a call may come: the header
@@ -19,13 +19,13 @@
 const retryAfterRounding = time.Millisecond
 
 // extendWait records the Retry-After of a response.
-func (r *relay) extendWait(answered *call, heard history.Event) {
+func (r *relay) extendWait(answered *call, received history.Event) {
 	if answered.response.RetryAfter <= 0 {
 		return
 	}
 	destination := answered.received.Destination
 	if until := answered.response.Time + answered.response.RetryAfter; until > r.waits[destination].until {
-		r.waits[destination] = retryAfter{until, heard}
+		r.waits[destination] = retryAfter{until, received}
 	}
 }
 
@@ -36,10 +36,10 @@
 		return
 	}
 	c.checked(RuleRetryAfter)
-	known := wait.heard.Time + micros(c.config.Rules.RetryAfterSlack)
+	known := wait.received.Time + micros(c.config.Rules.RetryAfterSlack)
 	if e.SentAt > known && e.SentAt < wait.until-micros(retryAfterRounding) {
 		text := fmt.Sprintf("sent to destination %d %.3f s before the end of its Retry-After", e.Destination, seconds(wait.until-e.SentAt))
-		c.violate(RuleRetryAfter, r.name, r.name, text, wait.heard, e)
+		c.violate(RuleRetryAfter, r.name, r.name, text, wait.received, e)
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 	c.outages[e.Destination] = e
 	for _, r := range c.relays {
-		r.sawOutage[e.Destination] = e.RefusesConnections // every relay that tries sees a refused connection
+		r.sawOutage[e.Destination] = e.ConnectionsFail // every relay that tries sees a refused connection
 	}
 }
 
--- a/internal/faultlab/checker/message.go
+++ b/internal/faultlab/checker/message.go
@@ -34,7 +34,7 @@
 	case history.MessageRejected:
 		c.messageRejected(e)
 	case history.ExtraResponse:
-		c.violate(RuleOneAnswer, e.Message, e.Relay, fmt.Sprintf("answered more than once: then came %q", e.Text), c.submission(e.Message), e)
+		c.violate(RuleSingleAnswer, e.Message, e.Relay, fmt.Sprintf("answered more than once: then came %q", e.Text), c.submission(e.Message), e)
 	case history.Notice:
 		c.notice(e)
 	case history.InvalidCall:
--- a/internal/faultlab/checker/verdict.go
+++ b/internal/faultlab/checker/verdict.go
@@ -14,18 +14,18 @@
 
 // The rules for a message.
 const (
-	RuleCompletion   Rule = "end"       // an accepted message has its one final response in time
-	RuleNoRepeat     Rule = "repeat"    // a non-idempotent message that may have run is not sent or handed back
-	RuleRunsOnce     Rule = "effect"    // a non-idempotent message takes effect once
-	RuleOneInFlight  Rule = "one-out"   // one attempt of a message is in flight at a time
-	RuleAttempts     Rule = "attempts"  // attempts are limited
-	RuleRejected     Rule = "refused"   // a rejected message is not sent
-	RuleOneAnswer    Rule = "answer"    // a request has one answer
-	RuleAfterNotice  Rule = "after-end" // a message is not sent after its notice
-	RuleValidCall    Rule = "form"      // calls and notices are of messages that a client submitted
-	RuleRetryAfter   Rule = "wait"      // a destination that asked to wait is left alone
-	RuleDrain        Rule = "drain"     // a draining endpoint is left alone
-	RuleRecoveryLoad Rule = "topple"    // a recovering destination is not overloaded
+	RuleCompletion    Rule = "end"       // an accepted message has its one final response in time
+	RuleNoRepeat      Rule = "repeat"    // a non-idempotent message that may have run is not sent or handed back
+	RuleRunsOnce      Rule = "effect"    // a non-idempotent message takes effect once
+	RuleSingleAttempt Rule = "one-out"   // one attempt of a message is in flight at a time
+	RuleAttempts      Rule = "attempts"  // attempts are limited
+	RuleRejected      Rule = "refused"   // a rejected message is not sent
+	RuleSingleAnswer  Rule = "answer"    // a request has one answer
+	RuleAfterNotice   Rule = "after-end" // a message is not sent after its notice
+	RuleValidCall     Rule = "form"      // calls and notices are of messages that a client submitted
+	RuleRetryAfter    Rule = "wait"      // a destination that asked to wait is left alone
+	RuleDrain         Rule = "drain"     // a draining endpoint is left alone
+	RuleRecoveryLoad  Rule = "topple"    // a recovering destination is not overloaded
 )
 
 // The rules for a process.
--- a/internal/faultlab/command/command.go
+++ b/internal/faultlab/command/command.go
@@ -25,13 +25,13 @@
 
 // Exit codes.
 const (
-	Kept   = 0 // every promise was kept
-	Broken = 1 // a promise was broken
-	Usage  = 2 // the command line or the scenario cannot be used
-	NotRun = 3 // it could not be run: a port taken, a process that does not start, the lab itself late
+	Passed   = 0 // every promise was kept
+	Violated = 1 // a promise was broken
+	Usage    = 2 // the command line or the scenario cannot be used
+	NotRun   = 3 // it could not be run: a port taken, a process that does not start, the lab itself late
 )
 
-var errBroken = errors.New("a promise was broken")
+var errViolated = errors.New("a promise was broken")
 
 // usageError is a command line or a scenario that cannot be used.
 type usageError struct{ error }
@@ -49,15 +49,15 @@
 	root.SetOut(out)
 	root.SetErr(errOut)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	root.AddCommand(upCommand(), runCommand(), listCommand(), checkCommand(), compareCommand(), sweepCommand(), benchCommand(), hollowCommand())
+	root.AddCommand(upCommand(), runCommand(), listCommand(), checkCommand(), compareCommand(), sweepCommand(), benchCommand(), simRelayCommand())
 	err := root.ExecuteContext(ctx)
 	var bad *scenario.Error
 	var usage usageError
 	switch {
 	case err == nil:
-		return Kept
-	case errors.Is(err, errBroken):
-		return Broken
+		return Passed
+	case errors.Is(err, errViolated):
+		return Violated
 	case errors.As(err, &bad), errors.As(err, &usage), strings.HasPrefix(err.Error(), "unknown command"):
 		fmt.Fprintln(errOut, "faultlab:", err)
 		return Usage
@@ -76,33 +76,33 @@
 	}
 }
 
-// running are the flags of all commands that run something.
-type running struct {
-	seed     uint64
-	out      string
-	json     string
-	keep     bool
-	late     time.Duration
-	program  string
-	registry string
-	warden   string
-	first    string
+// runFlags are the flags of all commands that run something.
+type runFlags struct {
+	seed        uint64
+	out         string
+	json        string
+	keepDirs    bool
+	maxLateness time.Duration
+	program     string
+	registry    string
+	controller  string
+	first       string
 }
 
-func (f *running) add(c *cobra.Command) {
+func (f *runFlags) add(c *cobra.Command) {
 	c.Flags().Uint64Var(&f.seed, "seed", 1, "of everything that is drawn; the same seed plays the same schedule")
 	c.Flags().StringVar(&f.out, "out", "", "folder of the report (default: lab-out/NAME-SEED-TIME)")
 	c.Flags().StringVar(&f.json, "json", "", "file to which the run's summary is added, for compare")
-	c.Flags().DurationVar(&f.late, "late", faultlab.LateMost, "p99 of the lab's own lateness beyond which a run is void")
-	c.Flags().BoolVar(&f.keep, "keep", false, "keep the relays' folders as well")
+	c.Flags().DurationVar(&f.maxLateness, "late", faultlab.MaxLateness, "p99 of the lab's own lateness beyond which a run is void")
+	c.Flags().BoolVar(&f.keepDirs, "keep", false, "keep the relays' folders as well")
 	c.Flags().StringVar(&f.program, "relay", "", "the relay's program (default: relay beside this one)")
 	c.Flags().StringVar(&f.first, "first", "", "a program that each relay runs first, such as an older one")
-	c.Flags().StringVar(&f.warden, "warden", "", "the wardens' program (default: controller beside this one)")
+	c.Flags().StringVar(&f.controller, "warden", "", "the wardens' program (default: controller beside this one)")
 	c.Flags().StringVar(&f.registry, "registry", "", "the list service's program (default: registry beside this one)")
 }
 
-// find gives the path of a program: as it is named, or beside this one.
-func find(named, beside, flag string) (string, error) {
+// findProgram gives the path of a program: as it is named, or beside this one.
+func findProgram(named, beside, flag string) (string, error) {
 	path := named
 	if path == "" {
 		self, err := os.Executable()
@@ -125,18 +125,18 @@
 }
 
 // play runs one scenario, writes its report, and says how it went.
-func (f *running) play(c *cobra.Command, s *scenario.Scenario, watch func(*faultlab.Status)) (*Summary, error) {
-	program, err := find(f.program, "relay", "relay")
+func (f *runFlags) play(c *cobra.Command, s *scenario.Scenario, watch func(*faultlab.Status)) (*Summary, error) {
+	program, err := findProgram(f.program, "relay", "relay")
 	if err != nil {
 		return nil, err
 	}
 	registry, warden := "", ""
 	if s.Registry.Nodes > 0 {
-		if registry, err = find(f.registry, "registry", "registry"); err != nil {
+		if registry, err = findProgram(f.registry, "registry", "registry"); err != nil {
 			return nil, err
 		}
-		if s.Registry.Wardens > 0 {
-			if warden, err = find(f.warden, "controller", "warden"); err != nil {
+		if s.Registry.Controllers > 0 {
+			if warden, err = findProgram(f.controller, "controller", "warden"); err != nil {
 				return nil, err
 			}
 		}
@@ -151,7 +151,7 @@
 	if out == "" {
 		out = filepath.Join("lab-out", fmt.Sprintf("%s-%d-%s", s.Name, f.seed, time.Now().Format("20060102T150405.000")))
 	}
-	res, err := faultlab.Run(c.Context(), faultlab.Options{Scenario: s, Seed: f.seed, Out: out, Program: program, First: f.first, Registry: registry, Warden: warden, Hollow: self, Keep: f.keep, Late: f.late, Watch: watch})
+	res, err := faultlab.Run(c.Context(), faultlab.Options{Scenario: s, Seed: f.seed, Out: out, Program: program, First: f.first, Registry: registry, Controller: warden, SimRelay: self, KeepDirs: f.keepDirs, MaxLateness: f.maxLateness, OnStatus: watch})
 	if res == nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 	}
 	if res.Scale != nil {
 		sum.Stats = &report.Stats{Own: res.Scale.Figures()}
-		return sum, errors.Join(err, f.keepSummary(out, sum))
+		return sum, errors.Join(err, f.writeSummary(out, sum))
 	}
 	stats, serr := report.Collect(filepath.Join(out, "history.jsonl"))
 	if serr != nil {
@@ -172,14 +172,14 @@
 		Late: fmt.Sprintf("p99 %v, at most %v", res.LateP99, res.LateMax)}); werr != nil {
 		return nil, werr
 	}
-	if werr := f.keepSummary(out, sum); werr != nil {
+	if werr := f.writeSummary(out, sum); werr != nil {
 		return nil, werr
 	}
 	return sum, err
 }
 
-// keepSummary writes a run's summary to its folder, and adds it to the file of several.
-func (f *running) keepSummary(out string, sum *Summary) error {
+// writeSummary writes a run's summary to its folder, and adds it to the file of several.
+func (f *runFlags) writeSummary(out string, sum *Summary) error {
 	text, err := json.MarshalIndent(sum, "", " ")
 	if err != nil {
 		return fmt.Errorf("summary: %w", err)
@@ -193,8 +193,8 @@
 	return addSummary(f.json, sum)
 }
 
-// verdict prints what a run came to, and gives the error that its exit code is of.
-func verdict(w io.Writer, s *Summary, err error) error {
+// printVerdict prints what a run came to, and gives the error that its exit code is of.
+func printVerdict(w io.Writer, s *Summary, err error) error {
 	if s == nil {
 		return err
 	}
@@ -208,17 +208,17 @@
 		fmt.Fprintf(w, "%s seed %d in %.0f s; lab late p99 %v\n", s.Name, s.Seed, s.Took.Seconds(), s.LateP99)
 		s.Scale.Print(w)
 		fmt.Fprintln(w, "judged:", s.Verdict.Checked, "excused:", s.Verdict.Excused)
-		return ending(w, s, err)
+		return printOutcome(w, s, err)
 	}
 	st := s.Stats
 	fmt.Fprintf(w, "%s seed %d: worth served %.3f (worst 10 s %.3f), %d messages, %d delivered, %d refused, %d given up, p50 %.0f ms, p99 %.0f ms; lab late p99 %v\n",
-		s.Name, s.Seed, st.Served, st.Worst, st.Messages, st.Delivered, st.Refused, st.GivenUp, st.P50MS, st.P99MS, s.LateP99)
+		s.Name, s.Seed, st.ValueServed, st.WorstWindow, st.Messages, st.Delivered, st.Rejected, st.Failed, st.P50MS, st.P99MS, s.LateP99)
 	fmt.Fprintln(w, "report:", filepath.Join(s.Out, "report.html"))
-	return ending(w, s, err)
+	return printOutcome(w, s, err)
 }
 
-// ending prints whether every promise was kept, and gives the error of the exit code.
-func ending(w io.Writer, s *Summary, err error) error {
+// printOutcome prints whether every promise was kept, and gives the error of the exit code.
+func printOutcome(w io.Writer, s *Summary, err error) error {
 	switch {
 	case err != nil:
 		fmt.Fprintln(w, "VOID:", err)
@@ -230,7 +230,7 @@
 		}
 		slices.Sort(rules)
 		fmt.Fprintln(w, "BROKEN:", strings.Join(rules, ", "))
-		return errBroken
+		return errViolated
 	}
 	fmt.Fprintln(w, "KEPT: every promise")
 	return nil
@@ -239,21 +239,21 @@
 func statusLine(w io.Writer) func(*faultlab.Status) {
 	return func(s *faultlab.Status) {
 		fmt.Fprintf(w, "%5.0f s  served %d  waiting %d  refused %d  given up %d  p50 %.0f ms  p99 %.0f ms  relays %d/%d  faults %d\n", s.Elapsed.Seconds(),
-			s.Served, s.Waiting, s.Refused, s.GivenUp, s.P50.Seconds()*1e3, s.P99.Seconds()*1e3, s.Up, s.Fleet, s.Faults)
+			s.Delivered, s.Pending, s.Rejected, s.Failed, s.P50.Seconds()*1e3, s.P99.Seconds()*1e3, s.Up, s.Fleet, s.Faults)
 	}
 }
 
 func upCommand() *cobra.Command {
-	var f running
+	var f runFlags
 	var seconds float64
 	c := &cobra.Command{Use: "up", Short: "Start a small fleet on this machine and show how it goes, until Ctrl-C", Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			s := scenario.Default()
 			s.Seconds = seconds
 			fmt.Fprintf(c.OutOrStdout(), "%d relays, %d endpoints of %d destinations in zones %s, %.0f messages a second; Ctrl-C ends it with a report\n",
-				s.Fleet.Relays, s.Part.Endpoints, s.Part.Destinations, strings.Join(s.Fleet.Zones, ", "), s.Load.Rate)
+				s.Fleet.Relays, s.Upstreams.Endpoints, s.Upstreams.Destinations, strings.Join(s.Fleet.Zones, ", "), s.Load.Rate)
 			sum, err := f.play(c, &s, statusLine(c.OutOrStdout()))
-			return verdict(c.OutOrStdout(), sum, err)
+			return printVerdict(c.OutOrStdout(), sum, err)
 		}}
 	f.add(c)
 	c.Flags().Float64Var(&seconds, "seconds", 7200, "end by itself after so long")
@@ -261,7 +261,7 @@
 }
 
 func runCommand() *cobra.Command {
-	var f running
+	var f runFlags
 	c := &cobra.Command{Use: "run FILE.toml", Short: "Run one scenario and judge it", Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scenario.LoadFile(args[0])
@@ -269,7 +269,7 @@
 				return err
 			}
 			sum, err := f.play(c, s, statusLine(c.OutOrStdout()))
-			return verdict(c.OutOrStdout(), sum, err)
+			return printVerdict(c.OutOrStdout(), sum, err)
 		}}
 	f.add(c)
 	return c
@@ -439,7 +439,7 @@
 }
 
 func sweepCommand() *cobra.Command {
-	var f running
+	var f runFlags
 	var set, seeds, figure string
 	c := &cobra.Command{Use: "sweep FILE.toml --set key=a,b,c --seeds 1-5", Short: "Run a scenario over values of one key and over seeds: a table and a plot", Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -458,7 +458,7 @@
 			values := strings.Split(list, ",")
 			var scenarios []*scenario.Scenario
 			for _, v := range values { // all are checked before the first is run
-				s, err := scenario.With(args[0], text, key, v)
+				s, err := scenario.ParseWith(args[0], text, key, v)
 				if err != nil {
 					return err
 				}
@@ -482,7 +482,7 @@
 						return errors.New("stopped before the sweep was whole")
 					}
 					broken = broken || !sum.Verdict.Passed()
-					fmt.Fprintf(c.ErrOrStderr(), "%s=%s seed %d: served %.3f, broken %d, %s\n", key, values[i], seed, sum.Stats.Served, len(sum.Verdict.Counts), sum.Void)
+					fmt.Fprintf(c.ErrOrStderr(), "%s=%s seed %d: served %.3f, broken %d, %s\n", key, values[i], seed, sum.Stats.ValueServed, len(sum.Verdict.Counts), sum.Void)
 					runs = append(runs, sum)
 				}
 				all = append(all, runs)
@@ -548,26 +548,26 @@
 	}
 	fmt.Fprintln(w, "plot:", path)
 	if broken {
-		return errBroken
+		return errViolated
 	}
 	return nil
 }
 
 func benchCommand() *cobra.Command {
 	c := &cobra.Command{Use: "bench", Short: "Measure a part of the fleet"}
-	o := faultlab.BenchOptions{}
+	o := faultlab.RegistryBenchOptions{}
 	var program string
 	r := &cobra.Command{Use: "registry", Short: "The list service: fan-out, memory, writes, elections, beside a poll and a single node", Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
-			if o.Registry, err = find(program, "registry", "registry"); err != nil {
+			if o.Registry, err = findProgram(program, "registry", "registry"); err != nil {
 				return err
 			}
-			o.Out, o.Say = benchOut(c, o.Out, "registry")
+			o.Out, o.Printf = benchOut(c, o.Out, "registry")
 			rows, err := faultlab.BenchRegistry(c.Context(), o)
 			if err != nil {
 				return err
 			}
-			return keepRows(o.Out, rows)
+			return writeRows(o.Out, rows)
 		}}
 	r.Flags().StringVar(&program, "registry", "", "its program (default: registry beside this one)")
 	r.Flags().StringVar(&o.Out, "out", "", "folder (default: lab-out/bench-registry-TIME)")
@@ -575,31 +575,31 @@
 	r.Flags().IntSliceVar(&o.Members, "members", []int{300, 3000}, "members of the list, with 300 watchers")
 	r.Flags().IntVar(&o.Kills, "kills", 50, "kills of the leader")
 	r.Flags().IntVar(&o.Writes, "writes", 50, "writes whose way is timed")
-	r.Flags().IntVar(&o.Agents, "agents", 300, "agents that come back after an outage, beside the most watchers")
+	r.Flags().IntVar(&o.ReturningAgents, "agents", 300, "agents that come back after an outage, beside the most watchers")
 	r.Flags().DurationVar(&o.Outage, "outage", 20*time.Second, "without a group, before they come back")
-	r.Flags().DurationVar(&o.Load, "load", 5*time.Second, "of each of three plays of writes")
+	r.Flags().DurationVar(&o.LoadTime, "load", 5*time.Second, "of each of three plays of writes")
 	r.Flags().Uint64Var(&o.Seed, "seed", 1, "of the moments of the kills")
-	c.AddCommand(r, benchWAL(), benchDuty(), benchScale())
+	c.AddCommand(r, benchWAL(), benchLeader(), benchScale())
 	return c
 }
 
-func benchDuty() *cobra.Command {
-	o := faultlab.DutyBenchOptions{}
+func benchLeader() *cobra.Command {
+	o := faultlab.LeaderBenchOptions{}
 	var program, warden string
 	d := &cobra.Command{Use: "duty", Short: "Duties: how long nobody holds one, and what they cost the store", Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
-			if o.Registry, err = find(program, "registry", "registry"); err != nil {
+			if o.Registry, err = findProgram(program, "registry", "registry"); err != nil {
 				return err
 			}
-			if o.Warden, err = find(warden, "controller", "warden"); err != nil {
+			if o.Controller, err = findProgram(warden, "controller", "warden"); err != nil {
 				return err
 			}
-			o.Out, o.Say = benchOut(c, o.Out, "duty")
-			rows, err := faultlab.BenchDuty(c.Context(), o)
+			o.Out, o.Printf = benchOut(c, o.Out, "duty")
+			rows, err := faultlab.BenchLeader(c.Context(), o)
 			if err != nil {
 				return err
 			}
-			return keepRows(o.Out, rows)
+			return writeRows(o.Out, rows)
 		}}
 	d.Flags().StringVar(&program, "registry", "", "the list service's program (default: registry beside this one)")
 	d.Flags().StringVar(&warden, "warden", "", "the wardens' program (default: controller beside this one)")
@@ -608,7 +608,7 @@
 	d.Flags().IntSliceVar(&o.Kills, "kills", []int{100, 100, 100}, "kills of the holder, for each time to live")
 	d.Flags().IntVar(&o.Handovers, "handovers", 100, "hand-overs in order")
 	d.Flags().IntVar(&o.Cuts, "cuts", 50, "cuts of the holder from all nodes, for each time to live")
-	d.Flags().IntSliceVar(&o.Duties, "duties", []int{10, 100, 1000}, "duties whose cost is measured")
+	d.Flags().IntSliceVar(&o.Roles, "duties", []int{10, 100, 1000}, "duties whose cost is measured")
 	return d
 }
 
@@ -616,15 +616,15 @@
 	o := faultlab.WALBenchOptions{}
 	w := &cobra.Command{Use: "wal", Short: "The relay's log: starts, writes, stalls, beside the log before it", Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			o.Out, o.Say = benchOut(c, o.Out, "wal")
+			o.Out, o.Printf = benchOut(c, o.Out, "wal")
 			rows, err := faultlab.BenchWAL(c.Context(), o)
 			if err != nil {
 				return err
 			}
-			return keepRows(o.Out, rows)
+			return writeRows(o.Out, rows)
 		}}
 	w.Flags().StringVar(&o.Out, "out", "", "folder, on the disk that is measured (default: lab-out/bench-wal-TIME)")
-	w.Flags().IntSliceVar(&o.Owed, "owed", []int{10000, 100000, 1000000}, "messages owed at a start")
+	w.Flags().IntSliceVar(&o.Pending, "owed", []int{10000, 100000, 1000000}, "messages owed at a start")
 	w.Flags().IntSliceVar(&o.Clients, "clients", []int{1, 16, 256}, "clients at once")
 	w.Flags().IntVar(&o.Plays, "plays", 3, "of each measurement")
 	w.Flags().DurationVar(&o.Span, "span", 3*time.Second, "of each play of writes")
@@ -639,7 +639,7 @@
 	return out, func(format string, args ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", args...) }
 }
 
-func keepRows(out string, rows []faultlab.Spread) error {
+func writeRows(out string, rows []faultlab.Spread) error {
 	text, err := json.MarshalIndent(rows, "", " ")
 	if err != nil {
 		return fmt.Errorf("bench: %w", err)
--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -53,9 +53,9 @@
 		code   int
 		says   string
 	}{
-		{"kept", "", run("--json", filepath.Join(dir, "a.json")), Kept, "KEPT"},
-		{"kept again", "", run("--json", filepath.Join(dir, "a.json"), "--seed", "2"), Kept, "KEPT"},
-		{"broken", stub.SlowTerm, run("--json", filepath.Join(dir, "b.json")), Broken, "BROKEN: term"},
+		{"kept", "", run("--json", filepath.Join(dir, "a.json")), Passed, "KEPT"},
+		{"kept again", "", run("--json", filepath.Join(dir, "a.json"), "--seed", "2"), Passed, "KEPT"},
+		{"broken", stub.SlowTerm, run("--json", filepath.Join(dir, "b.json")), Violated, "BROKEN: term"},
 		{"late", "", run("--late", "1ns"), NotRun, "VOID"},
 		{"does not start", "", run("--relay", "/bin/false"), NotRun, "did not start"},
 		{"no relay", "", run("--relay", filepath.Join(dir, "none")), Usage, "none"},
@@ -64,15 +64,15 @@
 		{"unknown command", "", []string{"fly"}, Usage, "fly"},
 		{"unknown flag", "", []string{"list", "--fly"}, Usage, "fly"},
 		{"too few words", "", []string{"run"}, Usage, "arg"},
-		{"check", "", []string{"check", good}, Kept, "can be run"},
-		{"list", "", []string{"list", "--dir", filepath.Join("..", "..", "..", "lab", "scenarios")}, Kept, "smoke.toml"},
-		{"compare", "", []string{"compare", filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json")}, Kept, "(2 runs)"},
+		{"check", "", []string{"check", good}, Passed, "can be run"},
+		{"list", "", []string{"list", "--dir", filepath.Join("..", "..", "..", "lab", "scenarios")}, Passed, "smoke.toml"},
+		{"compare", "", []string{"compare", filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json")}, Passed, "(2 runs)"},
 		{"compare nothing", "", []string{"compare", good, good}, Usage, "neither"},
-		{"scale", "", scale("a"), Kept, "slope x target"},
-		{"scale again", "", scale("b"), Kept, "slope x target"},
-		{"compare scale", "", []string{"compare", filepath.Join(dir, "scale-a"), filepath.Join(dir, "scale-b")}, Kept, "parse: reading a whole list"},
+		{"scale", "", scale("a"), Passed, "slope x target"},
+		{"scale again", "", scale("b"), Passed, "slope x target"},
+		{"compare scale", "", []string{"compare", filepath.Join(dir, "scale-a"), filepath.Join(dir, "scale-b")}, Passed, "parse: reading a whole list"},
 		{"scale of nothing", "", append(scale("c"), "--only", "none"), Usage, "no job"},
-		{"sweep", "", []string{"sweep", good, "--relay", self, "--late", "10s", "--set", "load.rate=10,20", "--seeds", "1-2", "--out", filepath.Join(dir, "sweep")}, Kept, "sweep.svg"},
+		{"sweep", "", []string{"sweep", good, "--relay", self, "--late", "10s", "--set", "load.rate=10,20", "--seeds", "1-2", "--out", filepath.Join(dir, "sweep")}, Passed, "sweep.svg"},
 		{"sweep a wrong key", "", []string{"sweep", good, "--relay", self, "--set", "load.rates=10", "--seeds", "1"}, Usage, "load.rates"},
 	} {
 		code, out := command(t, x.defect, x.args...)
--- a/internal/faultlab/command/scale.go
+++ b/internal/faultlab/command/scale.go
@@ -23,7 +23,7 @@
 			if err := findPrograms(&o); err != nil {
 				return err
 			}
-			o.Out, o.Say = benchOut(c, o.Out, "scale")
+			o.Out, o.Printf = benchOut(c, o.Out, "scale")
 			result, err := capacity.Run(c.Context(), o)
 			if result == nil {
 				return usageError{err}
@@ -41,7 +41,7 @@
 	c.Flags().StringVar(&o.Out, "out", "", "folder, on the disk that is measured (default: lab-out/bench-scale-TIME)")
 	c.Flags().StringVar(&o.Relay, "relay", "", "the relay's program (default: relay beside this one)")
 	c.Flags().StringVar(&o.Registry, "registry", "", "the list service's program (default: registry beside this one)")
-	c.Flags().StringVar(&o.Warden, "warden", "", "the wardens' program (default: controller beside this one)")
+	c.Flags().StringVar(&o.Controller, "warden", "", "the wardens' program (default: controller beside this one)")
 	return c
 }
 
@@ -51,8 +51,8 @@
 		path   *string
 		beside string
 		flag   string
-	}{{&o.Relay, "relay", "relay"}, {&o.Registry, "registry", "registry"}, {&o.Warden, "controller", "warden"}} {
-		path, err := find(*x.path, x.beside, x.flag)
+	}{{&o.Relay, "relay", "relay"}, {&o.Registry, "registry", "registry"}, {&o.Controller, "controller", "warden"}} {
+		path, err := findProgram(*x.path, x.beside, x.flag)
 		if err != nil {
 			return err
 		}
--- a/internal/faultlab/evacuate.go
+++ b/internal/faultlab/evacuate.go
@@ -55,7 +55,7 @@
 	if err := until(func() bool { return isEvacuated(last.Message) }); err != nil {
 		return err
 	}
-	r.hold(ctx, s)
+	r.waitUntilUndone(ctx, s)
 	if err := wish(registry.Operation{DesiredState: registry.DesiredAbort}); err != nil {
 		return err
 	}
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -20,7 +20,7 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-const restartAfter = 600 * time.Millisecond // of a relay whose process is gone
+const restartDelay = 600 * time.Millisecond // of a relay whose process is gone
 
 // inject carries out the plan, each step at its moment, and undoes what is to
 // be undone; what is still on when ctx ends is undone then.
@@ -29,19 +29,19 @@
 		if !model.Sleep(ctx, time.Until(r.began.Add(s.At))) {
 			return
 		}
-		r.late(time.Since(r.began.Add(s.At)))
+		r.recordLateness(time.Since(r.began.Add(s.At)))
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			r.rec.Record(history.Event{Kind: history.Fault, Text: s.String(), Active: true})
+			r.recorder.Record(history.Event{Kind: history.Fault, Text: s.String(), Active: true})
 			r.fail(r.strike(ctx, s))
-			r.rec.Record(history.Event{Kind: history.Fault, Text: s.String()})
+			r.recorder.Record(history.Event{Kind: history.Fault, Text: s.String()})
 		}()
 	}
 }
 
-// hold waits until a step is to be undone, or the faults are over.
-func (r *run) hold(ctx context.Context, s Step) {
+// waitUntilUndone waits until a step is to be undone, or the faults are over.
+func (r *run) waitUntilUndone(ctx context.Context, s Step) {
 	if s.Until > 0 {
 		model.Sleep(ctx, time.Until(r.began.Add(s.Until)))
 	} else {
@@ -53,32 +53,32 @@
 func (r *run) strike(ctx context.Context, s Step) error {
 	switch scenario.Kinds[s.Fault.Kind] {
 	case "relay":
-		return r.each(s.Targets, func(i int) error { return r.strikeRelay(ctx, s, r.relays[i]) })
+		return r.forEach(s.Targets, func(i int) error { return r.strikeRelay(ctx, s, r.relays[i]) })
 	case "link":
 		r.strikeLinks(ctx, s)
 	case "endpoint":
-		return r.each(s.Targets, func(i int) error { return r.strikeEndpoint(ctx, s, i) })
+		return r.forEach(s.Targets, func(i int) error { return r.strikeEndpoint(ctx, s, i) })
 	case "partner":
-		r.strikePartners(ctx, s)
+		r.strikeUpstreams(ctx, s)
 	case "fleet":
 		return r.strikeRollout(ctx)
 	case "zone":
 		return r.strikeEvacuate(ctx, s)
 	case "warden":
-		return r.group.strikeWardens(ctx, s)
+		return r.group.strikeControllers(ctx, s)
 	case "node", "registration", "group":
 		return r.group.strike(ctx, s)
 	case "discovery":
 		if s.Fault.Kind == "turnaway" {
-			r.disc.LimitRate(max(s.Fault.Rate, 0.1))
-			r.hold(ctx, s)
-			r.disc.LimitRate(0)
+			r.discovery.LimitRate(max(s.Fault.Rate, 0.1))
+			r.waitUntilUndone(ctx, s)
+			r.discovery.LimitRate(0)
 			return nil
 		}
 		for _, i := range s.Targets {
 			r.relays[i].agent.SetSilent(true)
 		}
-		r.hold(ctx, s)
+		r.waitUntilUndone(ctx, s)
 		for _, i := range s.Targets {
 			r.relays[i].agent.SetSilent(false)
 		}
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// each does something to several targets side by side.
-func (r *run) each(targets []int, f func(int) error) error {
+// forEach does something to several targets side by side.
+func (r *run) forEach(targets []int, f func(int) error) error {
 	var g errgroup.Group
 	for _, t := range targets {
 		g.Go(func() error { return f(t) })
@@ -110,13 +110,13 @@
 			return nil
 		}
 		r.clients.RelayDown(r.ctx, x.name)
-		r.hold(ctx, s)
+		r.waitUntilUndone(ctx, s)
 		if _, sent := x.signal(syscall.SIGCONT); sent {
 			r.clients.RelayUp(x.name)
 		}
 		return nil
 	case "salvage":
-		return r.strikeSalvage(ctx, s, x)
+		return r.strikeFailover(ctx, s, x)
 	case "hup":
 		if err := x.agent.Rebind(r.ctx); err != nil {
 			return err
@@ -130,9 +130,9 @@
 	if s.Fault.Kind == "upgrade" {
 		return x.upgrade(ctx)
 	}
-	old, since := filepath.Join(x.dir, "older"), r.rec.Now()
+	old, since := filepath.Join(x.dir, "older"), r.recorder.Now()
 	if s.Fault.Folder == "older" { // as it was a moment before
-		if err := copyFolder(x.state(), old); err != nil {
+		if err := copyDir(x.stateDir(), old); err != nil {
 			return err
 		}
 		model.Sleep(ctx, time.Second)
@@ -141,10 +141,10 @@
 	note := s.Fault.Folder
 	switch {
 	case s.Fault.Folder == "lost":
-		if err := os.RemoveAll(x.state()); err != nil {
+		if err := os.RemoveAll(x.stateDir()); err != nil {
 			return fmt.Errorf("folder of %s: %w", x.name, err)
 		}
-		if err := os.Mkdir(x.state(), 0o700); err != nil {
+		if err := os.Mkdir(x.stateDir(), 0o700); err != nil {
 			return fmt.Errorf("folder of %s: %w", x.name, err)
 		}
 		for _, m := range r.world.Ledger.Pending(x.name, time.Now()) {
@@ -154,21 +154,21 @@
 			}
 		}
 	case s.Fault.Folder == "older":
-		if err := errors.Join(os.RemoveAll(x.state()), os.Rename(old, x.state())); err != nil {
+		if err := errors.Join(os.RemoveAll(x.stateDir()), os.Rename(old, x.stateDir())); err != nil {
 			return fmt.Errorf("folder of %s: %w", x.name, err)
 		}
-	case scenario.Damage[s.Fault.Kind]:
+	case scenario.Corruptions[s.Fault.Kind]:
 		var err error
-		if note, err = damage(filepath.Join(x.state(), s.Fault.File), s.Fault.Kind, rand.New(rand.NewPCG(s.Draw, uint64(x.num)))); err != nil {
+		if note, err = corruptFile(filepath.Join(x.stateDir(), s.Fault.File), s.Fault.Kind, rand.New(rand.NewPCG(s.Draw, uint64(x.number)))); err != nil {
 			return err
 		}
 	}
 	if note != "" && note != "kept" {
-		r.rec.Record(history.Event{Kind: history.FolderChanged, Relay: x.name, Text: note, DueAt: since})
+		r.recorder.Record(history.Event{Kind: history.FolderChanged, Relay: x.name, Text: note, DueAt: since})
 	}
-	after := restartAfter
+	after := restartDelay
 	if s.Fault.For > 0 {
-		after = scenario.Secs(s.Fault.For)
+		after = scenario.Seconds(s.Fault.For)
 	}
 	model.Sleep(ctx, after)
 	return x.start()
@@ -178,20 +178,20 @@
 // undone.
 func (r *run) strikeClock(ctx context.Context, s Step, x *relay) error {
 	by := time.Duration(s.Fault.MS * float64(time.Millisecond))
-	if s.Fault.Way == "back" || s.Fault.Way == "both" && rand.New(rand.NewPCG(s.Draw, uint64(x.num))).IntN(2) == 0 {
+	if s.Fault.Direction == "back" || s.Fault.Direction == "both" && rand.New(rand.NewPCG(s.Draw, uint64(x.number))).IntN(2) == 0 {
 		by = -by
 	}
 	if err := x.wall.Step(by); err != nil || s.Fault.For == 0 {
 		return err
 	}
-	r.hold(ctx, s)
+	r.waitUntilUndone(ctx, s)
 	return x.wall.Step(-by)
 }
 
-// damage flips one bit of a file, tears off its end, puts zeros in its place or
+// corruptFile flips one bit of a file, tears off its end, puts zeros in its place or
 // takes the file away, and says what it did. In a folder, one of its files is
 // drawn; what has an end is its newest segment.
-func damage(path, how string, r *rand.Rand) (string, error) {
+func corruptFile(path, how string, r *rand.Rand) (string, error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		files, err := filepath.Glob(filepath.Join(path, "*.seg"))
 		if err == nil && (how == "flip" || how == "gone") {
@@ -253,7 +253,7 @@
 	return fmt.Sprintf("flipped: %s byte %d of %d, bit %d", filepath.Base(path), at, info.Size(), bit), nil
 }
 
-func copyFolder(from, to string) error {
+func copyDir(from, to string) error {
 	if err := os.RemoveAll(to); err != nil {
 		return fmt.Errorf("copy: %w", err)
 	}
@@ -269,7 +269,7 @@
 	}
 	for _, f := range files {
 		if f.IsDir() {
-			if err := copyFolder(filepath.Join(from, f.Name()), filepath.Join(to, f.Name())); err != nil {
+			if err := copyDir(filepath.Join(from, f.Name()), filepath.Join(to, f.Name())); err != nil {
 				return err
 			}
 			continue
@@ -301,7 +301,7 @@
 	for _, i := range s.Targets {
 		x := r.relays[i]
 		for k, l := range x.links {
-			if s.Fault.Zone == "" || (x.zone == s.Fault.Zone) != (r.ends[k].Zone == s.Fault.Zone) {
+			if s.Fault.Zone == "" || (x.zone == s.Fault.Zone) != (r.endpoints[k].Zone == s.Fault.Zone) {
 				links = append(links, l)
 			}
 		}
@@ -320,10 +320,10 @@
 	}
 	for _, l := range links {
 		for _, d := range []link.Direction{link.ToServer, link.ToClient} {
-			if s.Fault.Way == "forth" && d == link.ToClient || s.Fault.Way == "back" && d == link.ToServer {
+			if s.Fault.Direction == "forth" && d == link.ToClient || s.Fault.Direction == "back" && d == link.ToServer {
 				continue
 			}
-			f := r.usual[l]
+			f := r.linkFaults[l]
 			switch s.Fault.Kind {
 			case "cut":
 				f.Cut = true
@@ -335,15 +335,15 @@
 			l.SetFaults(d, f)
 		}
 	}
-	r.hold(ctx, s)
+	r.waitUntilUndone(ctx, s)
 	for _, l := range links {
-		l.SetFaults(link.ToServer, r.usual[l])
-		l.SetFaults(link.ToClient, r.usual[l])
+		l.SetFaults(link.ToServer, r.linkFaults[l])
+		l.SetFaults(link.ToClient, r.linkFaults[l])
 	}
 }
 
 func (r *run) strikeEndpoint(ctx context.Context, s Step, i int) error {
-	e := r.ends[i]
+	e := r.endpoints[i]
 	refuse := func(on bool) error {
 		var all error
 		for _, x := range r.relays {
@@ -351,44 +351,44 @@
 		}
 		return all
 	}
-	late := scenario.Secs(r.scen.Disc.LateS)
+	late := scenario.Seconds(r.scenario.Discovery.MaxDelaySeconds)
 	switch s.Fault.Kind {
 	case "down": // its process has died: connections are reset, new ones refused
 		e.SetDown(true)
 		if err := refuse(true); err != nil {
 			return err
 		}
-		r.hold(ctx, s)
+		r.waitUntilUndone(ctx, s)
 		e.SetDown(false)
 		return refuse(false)
 	case "silent":
 		e.SetFault(model.Fault{Silent: true})
-		r.hold(ctx, s)
+		r.waitUntilUndone(ctx, s)
 		e.SetFault(model.Fault{})
 	case "drain": // draining, then gone, then back as it was
-		r.change(e, model.Draining, late)
+		r.changeEndpoint(e, model.Draining, late)
 		half := s
 		if s.Until > 0 {
 			half.Until = (s.At + s.Until) / 2
 		}
-		r.hold(ctx, half)
-		r.change(e, model.Removed, late)
-		r.hold(ctx, s)
-		r.change(e, model.Up, late)
+		r.waitUntilUndone(ctx, half)
+		r.changeEndpoint(e, model.Removed, late)
+		r.waitUntilUndone(ctx, s)
+		r.changeEndpoint(e, model.Up, late)
 	}
 	return nil
 }
 
-// change puts an endpoint into another phase on the list.
-func (r *run) change(e *model.Endpoint, phase string, late time.Duration) {
+// changeEndpoint puts an endpoint into another phase on the list.
+func (r *run) changeEndpoint(e *model.Endpoint, phase string, late time.Duration) {
 	if r.group != nil {
-		r.group.change(r.ctx, e, phase)
+		r.group.changeEndpoint(r.ctx, e, phase)
 	} else {
-		r.disc.Change(r.ctx, e.ID, phase, late)
+		r.discovery.Change(r.ctx, e.ID, phase, late)
 	}
 }
 
-func (r *run) strikePartners(ctx context.Context, s Step) {
+func (r *run) strikeUpstreams(ctx context.Context, s Step) {
 	f := s.Fault
 	share := f.Factor
 	if share <= 0 {
@@ -412,17 +412,17 @@
 	opens := r.began.Add(s.Until)
 	for _, i := range s.Targets {
 		if f.Kind == "limits" {
-			r.parts[i].ScaleLimit(share)
+			r.upstreams[i].ScaleLimit(share)
 		} else {
-			r.parts[i].AddFault(spell, opens)
+			r.upstreams[i].AddFault(spell, opens)
 		}
 	}
-	r.hold(ctx, s)
+	r.waitUntilUndone(ctx, s)
 	for _, i := range s.Targets {
 		if f.Kind == "limits" {
-			r.parts[i].ScaleLimit(1)
+			r.upstreams[i].ScaleLimit(1)
 		} else {
-			r.parts[i].RemoveFault(spell)
+			r.upstreams[i].RemoveFault(spell)
 		}
 	}
 }
--- a/internal/faultlab/group.go
+++ b/internal/faultlab/group.go
@@ -28,26 +28,26 @@
 )
 
 const (
-	probeID    = "lab-probe" // a member that stands for a register: its cell is the value
-	probeEvery = 40 * time.Millisecond
-	probeMost  = 20 * time.Second // that one operation is asked again
-	groupReady = 20 * time.Second
+	registerID       = "lab-probe" // a member that stands for a register: its cell is the value
+	registerInterval = 40 * time.Millisecond
+	registerTimeout  = 20 * time.Second // that one operation is asked again
+	groupTimeout     = 20 * time.Second
 )
 
 // group is a list service of real processes, with what the lab does as its
 // endpoints, its watchers and the users of one linearizable register.
 type group struct {
-	run     *run
-	nodes   []*node
-	wardens []*warden
-	client  *client.Client
-	value   atomic.Int64
+	run         *run
+	nodes       []*node
+	controllers []*controller
+	client      *client.Client
+	lastValue   atomic.Int64
 
 	platform *platform // nil without wardens
 
-	mu    sync.Mutex
-	muted map[string]bool // endpoints whose heartbeats are kept back
-	drawn map[string]bool // members that are taken off the list for now
+	mu        sync.Mutex
+	muted     map[string]bool // endpoints whose heartbeats are kept back
+	withdrawn map[string]bool // members that are taken off the list for now
 }
 
 // node is one node of the group, over all of its processes.
@@ -58,22 +58,22 @@
 	dir   string
 	http  string // where it listens
 	raft  string
-	door  *link.Link   // all others ask through here
+	proxy *link.Link   // all others ask through here
 	peers []*link.Link // to the raft address of each other node
 	log   *os.File
 	busy  sync.Mutex
 
-	mu   sync.Mutex
-	proc *process.Process
+	mu      sync.Mutex
+	process *process.Process
 }
 
 // newGroup makes nodes and their links, and starts the processes.
 func (r *run) newGroup(ctx context.Context) (*group, error) {
-	g := &group{run: r, muted: map[string]bool{}, drawn: map[string]bool{}}
-	for i := range r.scen.Registry.Nodes {
+	g := &group{run: r, muted: map[string]bool{}, withdrawn: map[string]bool{}}
+	for i := range r.scenario.Registry.Nodes {
 		n := &node{group: g, num: i, name: fmt.Sprint("r", i+1), http: r.address(), raft: r.address()}
 		var err error
-		if n.door, err = r.world.Net.Listen("all", n.name, r.address(), n.http, r.seed, nil); err != nil {
+		if n.proxy, err = r.world.Net.Listen("all", n.name, r.address(), n.http, r.seed, nil); err != nil {
 			return g, err
 		}
 		if n.dir, err = filepath.Abs(filepath.Join(r.opts.Out, n.name)); err != nil {
@@ -89,7 +89,7 @@
 	}
 	var doors []string
 	for _, n := range g.nodes {
-		doors = append(doors, n.door.Addr())
+		doors = append(doors, n.proxy.Addr())
 		for _, m := range g.nodes {
 			var l *link.Link
 			if m != n {
@@ -107,17 +107,17 @@
 		}
 	}
 	var err error
-	if g.client, err = client.New(doors, len(r.ends)+len(g.nodes), slog.New(slog.DiscardHandler)); err != nil {
+	if g.client, err = client.New(doors, len(r.endpoints)+len(g.nodes), slog.New(slog.DiscardHandler)); err != nil {
 		return g, err
 	}
-	first, cancel := context.WithTimeout(ctx, groupReady)
+	first, cancel := context.WithTimeout(ctx, groupTimeout)
 	defer cancel()
-	for _, e := range r.ends {
+	for _, e := range r.endpoints {
 		if err := g.register(first, e); err != nil {
 			return g, fmt.Errorf("lab: the list service takes no registration: %w", err)
 		}
 	}
-	return g, g.newWardens()
+	return g, g.startControllers()
 }
 
 // start runs a process of the node.
@@ -129,36 +129,36 @@
 		if i != n.num {
 			addr = n.peers[i].Addr()
 		}
-		fmt.Fprintf(&b, "[[peers]]\nid = %q\nraft = %q\nhttp = %q\n", m.name, addr, m.door.Addr())
+		fmt.Fprintf(&b, "[[peers]]\nid = %q\nraft = %q\nhttp = %q\n", m.name, addr, m.proxy.Addr())
 	}
 	path := filepath.Join(n.dir, "registry.toml")
 	if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	p, err := process.Start(n.name, n.group.run.opts.Registry, []string{"serve", "--config", path,
-		"--drill-clock", scenario.Turn(n.group.run.scen.Registry.NodeClocks, n.num)}, nil, n.log)
+		"--drill-clock", scenario.RoundRobin(n.group.run.scenario.Registry.NodeClocks, n.num)}, nil, n.log)
 	if err != nil {
 		return err
 	}
-	n.group.run.rec.Record(history.Event{Kind: history.ProcessStarted, Relay: n.name, PID: p.PID, Text: "node"})
+	n.group.run.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: n.name, PID: p.PID, Text: "node"})
 	n.mu.Lock()
-	n.proc = p
+	n.process = p
 	n.mu.Unlock()
 	n.group.run.wg.Add(1)
 	go func() {
 		defer n.group.run.wg.Done()
 		<-p.Done()
 		code, text := p.Exit()
-		n.group.run.rec.Record(history.Event{Kind: history.ProcessExited, Relay: n.name, PID: p.PID, Status: code, Text: text})
+		n.group.run.recorder.Record(history.Event{Kind: history.ProcessExited, Relay: n.name, PID: p.PID, Status: code, Text: text})
 	}()
 	return nil
 }
 
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
-	p := n.proc
+	p := n.process
 	n.mu.Unlock()
-	n.group.run.rec.Record(history.Event{Kind: history.ProcessSignaled, Relay: n.name, PID: p.PID, Text: s.String()})
+	n.group.run.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: n.name, PID: p.PID, Text: s.String()})
 	if s == syscall.SIGKILL {
 		p.Kill()
 		return
@@ -166,8 +166,8 @@
 	p.Signal(s)
 }
 
-// cut cuts the node off from all others, or heals it.
-func (n *node) cut(on bool) {
+// setCut cuts the node off from all others, or heals it.
+func (n *node) setCut(on bool) {
 	f := link.Faults{Cut: on}
 	set := func(l *link.Link) {
 		if l != nil {
@@ -175,7 +175,7 @@
 			l.SetFaults(link.ToClient, f)
 		}
 	}
-	set(n.door)
+	set(n.proxy)
 	for i, m := range n.group.nodes {
 		set(n.peers[i])
 		set(m.peers[n.num])
@@ -225,21 +225,21 @@
 func (g *group) strike(ctx context.Context, s Step) error {
 	switch s.Fault.Kind {
 	case "lapse":
-		g.mute(s.Targets, true)
-		g.run.hold(ctx, s)
-		g.mute(s.Targets, false)
+		g.setMuted(s.Targets, true)
+		g.run.waitUntilUndone(ctx, s)
+		g.setMuted(s.Targets, false)
 		return nil
 	case "restore":
 		var text []byte
 		if _, err := g.client.Do(ctx, http.MethodGet, registry.SnapshotPath, nil, &text); err != nil {
 			return nil // the load is over
 		}
-		g.run.hold(ctx, s)
-		e := history.Event{Kind: history.RegisterOperation, Relay: "operator", Text: "restore", DueAt: g.run.rec.Now(), Status: 1}
+		g.run.waitUntilUndone(ctx, s)
+		e := history.Event{Kind: history.RegisterOperation, Relay: "operator", Text: "restore", DueAt: g.run.recorder.Now(), Status: 1}
 		if _, err := g.client.Do(ctx, http.MethodPut, registry.SnapshotPath, text, nil); err != nil {
 			e.Status = 0
 		}
-		g.run.rec.Record(e)
+		g.run.recorder.Record(e)
 		return nil
 	}
 	var wg sync.WaitGroup
@@ -254,7 +254,7 @@
 			switch s.Fault.Kind {
 			case "node-kill":
 				n.signal(syscall.SIGKILL)
-				g.run.hold(ctx, s)
+				g.run.waitUntilUndone(ctx, s)
 				if err := n.start(); err != nil {
 					mu.Lock()
 					all = errors.Join(all, err)
@@ -262,12 +262,12 @@
 				}
 			case "node-pause":
 				n.signal(syscall.SIGSTOP)
-				g.run.hold(ctx, s)
+				g.run.waitUntilUndone(ctx, s)
 				n.signal(syscall.SIGCONT)
 			case "node-cut":
-				n.cut(true)
-				g.run.hold(ctx, s)
-				n.cut(false)
+				n.setCut(true)
+				g.run.waitUntilUndone(ctx, s)
+				n.setCut(false)
 			}
 		}()
 	}
@@ -275,11 +275,11 @@
 	return all
 }
 
-func (g *group) mute(ends []int, on bool) {
+func (g *group) setMuted(ends []int, on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, i := range ends {
-		g.muted[g.run.ends[i].ID] = on
+		g.muted[g.run.endpoints[i].ID] = on
 	}
 }
 
@@ -290,12 +290,12 @@
 	return err
 }
 
-func (g *group) ttl() time.Duration { return scenario.Secs(g.run.scen.Registry.TTL) }
+func (g *group) ttl() time.Duration { return scenario.Seconds(g.run.scenario.Registry.TTL) }
 
-// change puts a member into another phase, as an operator does.
-func (g *group) change(ctx context.Context, e *model.Endpoint, phase string) {
+// changeEndpoint puts a member into another phase, as an operator does.
+func (g *group) changeEndpoint(ctx context.Context, e *model.Endpoint, phase string) {
 	g.mu.Lock()
-	g.drawn[e.ID] = phase == model.Removed
+	g.withdrawn[e.ID] = phase == model.Removed
 	g.mu.Unlock()
 	var err error
 	switch phase {
@@ -307,39 +307,39 @@
 		_, err = g.client.Do(ctx, http.MethodPost, registry.MembersPath+"/"+e.ID+"/phase", map[string]string{"phase": phase}, nil)
 	}
 	if err == nil {
-		g.run.rec.Record(history.Event{Kind: history.EndpointChanged, Endpoint: e.ID, Phase: phase})
+		g.run.recorder.Record(history.Event{Kind: history.EndpointChanged, Endpoint: e.ID, Phase: phase})
 	}
 }
 
-// live keeps the endpoints registered, the watchers watching and the register
+// serve keeps the endpoints registered, the watchers watching and the register
 // used, until ctx ends.
-func (g *group) live(ctx context.Context) {
+func (g *group) serve(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Add(1)
-	go func() { defer wg.Done(); g.beat(ctx) }()
+	go func() { defer wg.Done(); g.sendHeartbeats(ctx) }()
 	for i := range g.nodes { // a watcher that begins at each node
 		wg.Add(1)
 		go func() { defer wg.Done(); g.watch(ctx, i) }()
 	}
 	for i := range 3 {
 		wg.Add(1)
-		go func() { defer wg.Done(); g.probe(ctx, i) }()
+		go func() { defer wg.Done(); g.useRegister(ctx, i) }()
 	}
 }
 
-// beat sends the endpoints' heartbeats, and registers those anew that the group
+// sendHeartbeats sends the endpoints' heartbeats, and registers those anew that the group
 // does not know.
-func (g *group) beat(ctx context.Context) {
+func (g *group) sendHeartbeats(ctx context.Context) {
 	byID := map[string]*model.Endpoint{}
-	for _, e := range g.run.ends {
+	for _, e := range g.run.endpoints {
 		byID[e.ID] = e
 	}
 	for model.Sleep(ctx, g.ttl()/3) {
 		var beats []registry.Heartbeat
 		g.mu.Lock()
 		for id := range byID {
-			if !g.muted[id] && !g.drawn[id] {
+			if !g.muted[id] && !g.withdrawn[id] {
 				beats = append(beats, registry.Heartbeat{ID: id, Holder: id})
 			}
 		}
@@ -349,7 +349,7 @@
 		if _, err := g.client.Do(short, http.MethodPost, registry.HeartbeatsPath, beats, &a); err == nil {
 			for _, id := range a.Unknown {
 				g.mu.Lock()
-				off := g.muted[id] || g.drawn[id]
+				off := g.muted[id] || g.withdrawn[id]
 				g.mu.Unlock()
 				if !off {
 					g.register(short, byID[id]) // asked again with the next heartbeat
@@ -365,7 +365,7 @@
 func (g *group) watch(ctx context.Context, i int) {
 	var nodes []string
 	for k := range g.nodes {
-		nodes = append(nodes, g.nodes[(i+k)%len(g.nodes)].door.Addr())
+		nodes = append(nodes, g.nodes[(i+k)%len(g.nodes)].proxy.Addr())
 	}
 	c, err := client.New(nodes, len(g.nodes), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -382,29 +382,29 @@
 		if n.Complete {
 			phase = "whole"
 		}
-		g.run.rec.Record(history.Event{Kind: history.ListUpdate, Relay: fmt.Sprint("watcher-", i+1), Text: n.Epoch, DueAt: n.Revision, Phase: phase,
+		g.run.recorder.Record(history.Event{Kind: history.ListUpdate, Relay: fmt.Sprint("watcher-", i+1), Text: n.Epoch, DueAt: n.Revision, Phase: phase,
 			FirstMessage: strconv.FormatUint(h.Sum64(), 16)})
 	}, func(bool) {})
 }
 
-// probe writes and reads a register in the group, one operation after the other.
-func (g *group) probe(ctx context.Context, i int) {
-	d := seeded(g.run.seed, fmt.Sprint("probe ", i))
+// useRegister writes and reads a register in the group, one operation after the other.
+func (g *group) useRegister(ctx context.Context, i int) {
+	d := newRandom(g.run.seed, fmt.Sprint("probe ", i))
 	addr := net.JoinHostPort(g.run.ip, strconv.Itoa(lockPort))
-	for model.Sleep(ctx, probeEvery) {
-		e := history.Event{Kind: history.RegisterOperation, Relay: fmt.Sprint("probe-", i+1), DueAt: g.run.rec.Now()}
-		short, cancel := context.WithTimeout(ctx, probeMost)
+	for model.Sleep(ctx, registerInterval) {
+		e := history.Event{Kind: history.RegisterOperation, Relay: fmt.Sprint("probe-", i+1), DueAt: g.run.recorder.Now()}
+		short, cancel := context.WithTimeout(ctx, registerTimeout)
 		var err error
 		if d.IntN(2) == 0 {
-			e.Text, e.ValidFor = "write", g.value.Add(1)
-			_, err = g.client.Do(short, http.MethodPost, registry.MembersPath, registry.Registration{ID: probeID, Address: addr, Zone: "lab", Flavor: "probe", Cell: int(e.ValidFor % 60000)}, nil)
+			e.Text, e.ValidFor = "write", g.lastValue.Add(1)
+			_, err = g.client.Do(short, http.MethodPost, registry.MembersPath, registry.Registration{ID: registerID, Address: addr, Zone: "lab", Flavor: "probe", Cell: int(e.ValidFor % 60000)}, nil)
 			e.ValidFor %= 60000
 		} else {
 			e.Text = "read"
 			var all []registry.Member
 			_, err = g.client.Do(short, http.MethodGet, registry.MembersPath+"?consistent=1", nil, &all)
 			for _, m := range all {
-				if m.ID == probeID {
+				if m.ID == registerID {
 					e.ValidFor = int64(m.Cell)
 				}
 			}
@@ -413,21 +413,21 @@
 		if e.Status = 1; err != nil {
 			e.Status = 0 // it may or may not have been taken
 		}
-		g.run.rec.Record(e)
+		g.run.recorder.Record(e)
 	}
 }
 
 // close ends the group's processes, links and files.
 func (g *group) close() {
-	for _, w := range g.wardens {
-		if w.proc != nil {
-			w.proc.Signal(syscall.SIGCONT)
+	for _, w := range g.controllers {
+		if w.process != nil {
+			w.process.Signal(syscall.SIGCONT)
 			w.signal(syscall.SIGKILL)
 		}
 	}
 	for _, n := range g.nodes {
 		n.mu.Lock()
-		p := n.proc
+		p := n.process
 		n.mu.Unlock()
 		if p != nil {
 			p.Signal(syscall.SIGCONT)
@@ -437,14 +437,14 @@
 }
 
 func (g *group) closeLinks() {
-	for _, w := range g.wardens {
+	for _, w := range g.controllers {
 		for _, l := range w.links {
 			l.Close()
 		}
 		w.log.Close()
 	}
 	for _, n := range g.nodes {
-		n.door.Close()
+		n.proxy.Close()
 		for _, l := range n.peers {
 			if l != nil {
 				l.Close()
@@ -462,13 +462,13 @@
 
 // startAgent runs the agent of one relay and the tap before it, and waits until
 // it has the list.
-func (g *group) startAgent(ctx context.Context, x *relay, noticed func(string, string, int64)) (*tap, error) {
+func (g *group) startAgent(ctx context.Context, x *relay, noticed func(string, string, int64)) (*agentProxy, error) {
 	var doors []string
 	for _, n := range g.nodes {
-		doors = append(doors, n.door.Addr())
+		doors = append(doors, n.proxy.Addr())
 	}
 	links := map[string]string{}
-	for i, e := range g.run.ends {
+	for i, e := range g.run.endpoints {
 		links[e.ID] = x.links[i].Addr()
 	}
 	addr := g.run.address()
@@ -477,13 +477,13 @@
 	if err != nil {
 		return nil, err
 	}
-	x.agentProc = p
-	t, err := newTap(x.name, g.run.ip, addr, links, g.run.rec, noticed)
+	x.agentProcess = p
+	t, err := newAgentProxy(x.name, g.run.ip, addr, links, g.run.recorder, noticed)
 	if err != nil {
 		return nil, err
 	}
-	for end := time.Now().Add(groupReady); ; {
-		if l := t.Known(); len(l.Members) >= len(g.run.ends) {
+	for end := time.Now().Add(groupTimeout); ; {
+		if l := t.Known(); len(l.Members) >= len(g.run.endpoints) {
 			return t, nil
 		}
 		if time.Now().After(end) || !model.Sleep(ctx, 20*time.Millisecond) {
--- a/internal/faultlab/history/event.go
+++ b/internal/faultlab/history/event.go
@@ -89,7 +89,7 @@
 
 	// Fault is the begin or end of a fault [Text Active].
 	Fault Kind = "fault"
-	// Outage is a destination that is down, or back and recovering [Destination Active RefusesConnections].
+	// Outage is a destination that is down, or back and recovering [Destination Active ConnectionsFail].
 	Outage Kind = "outage"
 	// DestinationOverloaded is a recovering destination that failed under its load [Destination Relays].
 	DestinationOverloaded Kind = "fell"
@@ -128,33 +128,33 @@
 // counts from the run's start. Some kinds use a field for something else than its
 // name says, as listed with them: the file's format has no more fields.
 type Event struct {
-	Time               int64          `json:"t"`
-	Kind               Kind           `json:"k"`
-	Relay              string         `json:"relay,omitempty"` // or another process, watcher or client
-	Message            string         `json:"msg,omitempty"`
-	FirstMessage       string         `json:"first,omitempty"` // the ID under which a message was submitted at first
-	Messages           []string       `json:"msgs,omitempty"`
-	Class              string         `json:"class,omitempty"`
-	Destination        int            `json:"dest,omitempty"`
-	Endpoint           string         `json:"ep,omitempty"`
-	Phase              string         `json:"phase,omitempty"`
-	Call               int64          `json:"call,omitempty"`
-	SentAt             int64          `json:"from,omitempty"` // when the call's first byte left the relay
-	DueAt              int64          `json:"due,omitempty"`  // when a message was due to be submitted
-	ValidFor           int64          `json:"for,omitempty"`  // how long it may be delivered, from Time
-	Status             int            `json:"status,omitempty"`
-	States             []string       `json:"states,omitempty"` // of the messages of a batch
-	RetryAfter         int64          `json:"wait,omitempty"`
-	Took               int64          `json:"took,omitempty"`
-	PID                int            `json:"pid,omitempty"`
-	RSS                int64          `json:"rss,omitempty"`  // bytes
-	Disk               int64          `json:"disk,omitempty"` // bytes, each file in whole 512
-	FDs                int            `json:"fds,omitempty"`
-	CPU                int64          `json:"cpu,omitempty"` // used since the process began
-	Relays             map[string]int `json:"relays,omitempty"`
-	Active             bool           `json:"on,omitempty"`
-	RefusesConnections bool           `json:"refusing,omitempty"`
-	Text               string         `json:"text,omitempty"`
+	Time            int64          `json:"t"`
+	Kind            Kind           `json:"k"`
+	Relay           string         `json:"relay,omitempty"` // or another process, watcher or client
+	Message         string         `json:"msg,omitempty"`
+	FirstMessage    string         `json:"first,omitempty"` // the ID under which a message was submitted at first
+	Messages        []string       `json:"msgs,omitempty"`
+	Class           string         `json:"class,omitempty"`
+	Destination     int            `json:"dest,omitempty"`
+	Endpoint        string         `json:"ep,omitempty"`
+	Phase           string         `json:"phase,omitempty"`
+	Call            int64          `json:"call,omitempty"`
+	SentAt          int64          `json:"from,omitempty"` // when the call's first byte left the relay
+	DueAt           int64          `json:"due,omitempty"`  // when a message was due to be submitted
+	ValidFor        int64          `json:"for,omitempty"`  // how long it may be delivered, from Time
+	Status          int            `json:"status,omitempty"`
+	States          []string       `json:"states,omitempty"` // of the messages of a batch
+	RetryAfter      int64          `json:"wait,omitempty"`
+	Took            int64          `json:"took,omitempty"`
+	PID             int            `json:"pid,omitempty"`
+	RSS             int64          `json:"rss,omitempty"`  // bytes
+	Disk            int64          `json:"disk,omitempty"` // bytes, each file in whole 512
+	FDs             int            `json:"fds,omitempty"`
+	CPU             int64          `json:"cpu,omitempty"` // used since the process began
+	Relays          map[string]int `json:"relays,omitempty"`
+	Active          bool           `json:"on,omitempty"`
+	ConnectionsFail bool           `json:"refusing,omitempty"`
+	Text            string         `json:"text,omitempty"`
 }
 
 // Revision is that of a ListUpdate.
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -34,32 +34,32 @@
 
 // Options say how a scenario is run.
 type Options struct {
-	Scenario *scenario.Scenario
-	Seed     uint64
-	Out      string   // the folder of the report; made where it is missing
-	Program  string   // the relay under test
-	First    string   // another that each relay runs first, such as an older one; empty for none
-	Registry string   // the list service's, where the scenario has one
-	Warden   string   // the wardens', where it has them
-	Hollow   string   // the hollow relays' (this one, run with the word hollow), where it has them
-	Args     []string // of it
-	Env      []string // added to its environment
-	Keep     bool     // of a kept run: the relays' folders too
-	Late     time.Duration
-	Log      *slog.Logger
-	Watch    func(*Status) // called each second while the load lasts; may be nil
+	Scenario    *scenario.Scenario
+	Seed        uint64
+	Out         string   // the folder of the report; made where it is missing
+	Program     string   // the relay under test
+	First       string   // another that each relay runs first, such as an older one; empty for none
+	Registry    string   // the list service's, where the scenario has one
+	Controller  string   // the wardens', where it has them
+	SimRelay    string   // the hollow relays' (this one, run with the word hollow), where it has them
+	Args        []string // of it
+	Env         []string // added to its environment
+	KeepDirs    bool     // of a kept run: the relays' folders too
+	MaxLateness time.Duration
+	Log         *slog.Logger
+	OnStatus    func(*Status) // called each second while the load lasts; may be nil
 }
 
-// LateMost is the p99 of the lab's own lateness beyond which a run is void.
-const LateMost = 50 * time.Millisecond
+// MaxLateness is the p99 of the lab's own lateness beyond which a run is void.
+const MaxLateness = 50 * time.Millisecond
 
 const (
-	readyWait   = 30 * time.Second // for all relays, before the clients come
-	sampleEvery = 250 * time.Millisecond
-	beatEvery   = 10 * time.Millisecond
-	settleMost  = 20 * time.Second // after the load, for what is held: the longest deadline, and its slack
-	firstPort   = 10000            // under the kernel's own range, on an address that this lab alone has
-	lockPort    = 9999
+	readyTimeout     = 30 * time.Second // for all relays, before the clients come
+	sampleInterval   = 250 * time.Millisecond
+	latenessInterval = 10 * time.Millisecond
+	settleTimeout    = 20 * time.Second // after the load, for what is held: the longest deadline, and its slack
+	firstPort        = 10000            // under the kernel's own range, on an address that this lab alone has
+	lockPort         = 9999
 )
 
 // ErrLate is a run in which the lab itself was late: it proves nothing.
@@ -82,31 +82,31 @@
 
 // run is one scenario while it runs.
 type run struct {
-	opts    Options
-	scen    *scenario.Scenario
-	seed    uint64
-	ctx     context.Context // ends when everything is to stop
-	rec     *history.Recorder
-	world   *model.World
-	disc    *model.Discovery // the lab's own; nobody asks it where group is set
-	group   *group
-	clients *model.Clients
-	parts   []*model.Upstream
-	ends    []*model.Endpoint
-	relays  []*relay
-	usual   map[*link.Link]link.Faults
-	fleet   *fleet
-	ip      string
-	port    atomic.Int64
-	began   time.Time // of the load
-	wg      sync.WaitGroup
-	served  sync.WaitGroup // endpoints' goroutines
+	opts       Options
+	scenario   *scenario.Scenario
+	seed       uint64
+	ctx        context.Context // ends when everything is to stop
+	recorder   *history.Recorder
+	world      *model.World
+	discovery  *model.Discovery // the lab's own; nobody asks it where group is set
+	group      *group
+	clients    *model.Clients
+	upstreams  []*model.Upstream
+	endpoints  []*model.Endpoint
+	relays     []*relay
+	linkFaults map[*link.Link]link.Faults
+	plan       *fleetPlan
+	ip         string
+	port       atomic.Int64
+	began      time.Time // of the load
+	wg         sync.WaitGroup
+	served     sync.WaitGroup // endpoints' goroutines
 
-	status status
-	mu     sync.Mutex
-	lates  *hdrhistogram.Histogram // of the lab's own events, µs
-	err    error                   // the first that keeps the run from being one
-	stop   context.CancelFunc
+	status   statusCounter
+	mu       sync.Mutex
+	lateness *hdrhistogram.Histogram // of the lab's own events, µs
+	err      error                   // the first that keeps the run from being one
+	stop     context.CancelFunc
 }
 
 // Run plays a scenario to its verdict. ctx ends the load early; the run is then
@@ -117,8 +117,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Late == 0 {
-		o.Late = LateMost
+	if o.MaxLateness == 0 {
+		o.MaxLateness = MaxLateness
 	}
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
@@ -126,7 +126,7 @@
 	if o.Scenario.Scale.Relays > 0 {
 		return runScale(ctx, o)
 	}
-	ip, lock, err := claim()
+	ip, lock, err := claimAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -137,12 +137,12 @@
 	}
 	whole, stop := context.WithCancel(context.Background())
 	defer stop()
-	r := &run{opts: o, scen: o.Scenario, seed: o.Seed, ctx: whole, rec: rec, usual: map[*link.Link]link.Faults{}, ip: ip,
-		fleet: buildFleet(o.Scenario, o.Seed), lates: hdrhistogram.New(1, 60_000_000, 3), stop: stop}
+	r := &run{opts: o, scenario: o.Scenario, seed: o.Seed, ctx: whole, recorder: rec, linkFaults: map[*link.Link]link.Faults{}, ip: ip,
+		plan: planFleet(o.Scenario, o.Seed), lateness: hdrhistogram.New(1, 60_000_000, 3), stop: stop}
 	plan := Plan(o.Scenario, o.Seed)
 	err = r.play(ctx, plan)
 	r.close()
-	if err = errors.Join(err, r.failed(), rec.Close()); err != nil {
+	if err = errors.Join(err, r.failure(), rec.Close()); err != nil {
 		return nil, err
 	}
 	res := &Result{Name: o.Scenario.Name, Seed: o.Seed, Out: o.Out, Took: time.Since(began)}
@@ -152,26 +152,26 @@
 	if u, err := process.Measure(os.Getpid()); err == nil {
 		res.LabCPU, res.LabRSS = u.CPU, u.RSS
 	}
-	res.LateP99 = time.Duration(r.lates.ValueAtQuantile(99)) * time.Microsecond
-	res.LateMax = time.Duration(r.lates.Max()) * time.Microsecond
-	if res.Verdict, err = r.judge(); err != nil {
+	res.LateP99 = time.Duration(r.lateness.ValueAtQuantile(99)) * time.Microsecond
+	res.LateMax = time.Duration(r.lateness.Max()) * time.Microsecond
+	if res.Verdict, err = r.check(); err != nil {
 		return nil, err
 	}
-	if !o.Keep {
+	if !o.KeepDirs {
 		for _, x := range r.relays {
 			os.RemoveAll(x.dir)
 		}
 	}
-	if res.LateP99 > o.Late {
-		return res, fmt.Errorf("%w: p99 %v from due to done; %v at most", ErrLate, res.LateP99, o.Late)
+	if res.LateP99 > o.MaxLateness {
+		return res, fmt.Errorf("%w: p99 %v from due to done; %v at most", ErrLate, res.LateP99, o.MaxLateness)
 	}
 	return res, nil
 }
 
-// judge reads the history back and judges it.
-func (r *run) judge() (checker.Verdict, error) {
+// check reads the history back and judges it.
+func (r *run) check() (checker.Verdict, error) {
 	path := filepath.Join(r.opts.Out, "history.jsonl")
-	s := r.scen
+	s := r.scenario
 	longest := 0.0
 	for _, f := range s.Faults {
 		if f.Kind == "delay" {
@@ -179,7 +179,7 @@
 		}
 	}
 	j := checker.New(checker.Config{Rules: r.world.Rules, HistoryFile: path,
-		MaxLinkDelay: time.Duration((max(s.Part.DelayMS, s.Part.CrossMS) + s.Part.JitterMS + longest) * float64(time.Millisecond)),
+		MaxLinkDelay: time.Duration((max(s.Upstreams.DelayMS, s.Upstreams.CrossMS) + s.Upstreams.JitterMS + longest) * float64(time.Millisecond)),
 		Limits:       checker.Limits{Memory: int64(s.Fleet.MemoryMB) << 20, Disk: int64(s.Fleet.DiskMB) << 20, FDs: s.Fleet.Sockets},
 		LogFile:      func(relay string) string { return filepath.Join(r.opts.Out, "logs", relay+".log") }})
 	if err := history.Read(path, j.Feed); err != nil {
@@ -188,9 +188,9 @@
 	return j.Finish(), nil
 }
 
-// claim takes a loopback address that no other lab on this machine has, for as
+// claimAddress takes a loopback address that no other lab on this machine has, for as
 // long as the listener is open.
-func claim() (string, net.Listener, error) {
+func claimAddress() (string, net.Listener, error) {
 	start := os.Getpid()
 	for i := range 1000 {
 		n := start + i
@@ -220,17 +220,17 @@
 	}
 }
 
-func (r *run) failed() error {
+func (r *run) failure() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.err
 }
 
-// late books from due to done of one of the lab's own events.
-func (r *run) late(d time.Duration) {
+// recordLateness books from due to done of one of the lab's own events.
+func (r *run) recordLateness(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lates.RecordValue(min(max(1, d.Microseconds()), 60_000_000))
+	r.lateness.RecordValue(min(max(1, d.Microseconds()), 60_000_000))
 }
 
 // play sets everything up, runs the load with its faults, and lets what is held
@@ -242,34 +242,34 @@
 	if err := r.startAll(ctx); err != nil {
 		return err
 	}
-	r.rec.Record(history.Event{Kind: history.Run, Text: fmt.Sprintf("%s seed %d", r.scen.Name, r.seed)})
-	arriving, cancel := context.WithTimeout(ctx, scenario.Secs(r.scen.Seconds))
+	r.recorder.Record(history.Event{Kind: history.Run, Text: fmt.Sprintf("%s seed %d", r.scenario.Name, r.seed)})
+	arriving, cancel := context.WithTimeout(ctx, scenario.Seconds(r.scenario.Seconds))
 	defer cancel()
 	stopEarly := context.AfterFunc(r.ctx, cancel)
 	defer stopEarly()
 	r.began = time.Now()
 	r.wg.Add(3)
 	go func() { defer r.wg.Done(); r.inject(arriving, plan) }()
-	go func() { defer r.wg.Done(); r.beat() }()
-	go func() { defer r.wg.Done(); r.sample() }()
-	if r.opts.Watch != nil {
+	go func() { defer r.wg.Done(); r.measureLateness() }()
+	go func() { defer r.wg.Done(); r.sampleUsage() }()
+	if r.opts.OnStatus != nil {
 		r.wg.Add(1)
-		go func() { defer r.wg.Done(); r.report(arriving) }()
+		go func() { defer r.wg.Done(); r.watchStatus(arriving) }()
 	}
 	if r.group != nil {
 		r.wg.Add(1)
-		go func() { defer r.wg.Done(); r.group.live(r.ctx) }()
+		go func() { defer r.wg.Done(); r.group.serve(r.ctx) }()
 	}
-	if r.scen.Peers.Every > 0 {
+	if r.scenario.InvalidPeers.Every > 0 {
 		r.wg.Add(1)
-		go func() { defer r.wg.Done(); r.badPeers(arriving) }()
+		go func() { defer r.wg.Done(); r.connectInvalidPeers(arriving) }()
 	}
 	handed := make(chan struct{})
 	go func() { defer close(handed); r.clients.Run(r.ctx, arriving, r.seed) }()
 	<-arriving.Done()
 	<-handed
 	// Faults are over: what is still owed has until its time is up.
-	for end := time.Now().Add(settleMost); time.Now().Before(end) && r.ctx.Err() == nil && r.world.Ledger.PendingCount(time.Now()) > 0; {
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end) && r.ctx.Err() == nil && r.world.Ledger.PendingCount(time.Now()) > 0; {
 		time.Sleep(20 * time.Millisecond)
 	}
 	model.Sleep(r.ctx, 700*time.Millisecond) // a notice is overdue only after that
@@ -278,40 +278,40 @@
 
 // build makes partners, discovery and links; nothing runs yet but the stand-ins.
 func (r *run) build(ctx context.Context) error {
-	s, f := r.scen, r.fleet
-	r.world = &model.World{Recorder: r.rec, Ledger: model.NewLedger(), Net: link.NewNet(), Rules: model.StandardRules()}
+	s, f := r.scenario, r.plan
+	r.world = &model.World{Recorder: r.recorder, Ledger: model.NewLedger(), Net: link.NewNet(), Rules: model.StandardRules()}
 	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
-	for cell, p := range f.parts {
-		l := model.Limit{RetryAfterFraction: p.tells, RetryAfterMin: ms(400), RetryAfterMax: ms(910), CountsRejected: s.Part.Spends}
-		if s.Part.Limits {
+	for cell, p := range f.upstreams {
+		l := model.Limit{RetryAfterFraction: p.retryAfterFraction, RetryAfterMin: ms(400), RetryAfterMax: ms(910), CountsRejected: s.Upstreams.CountsRejected}
+		if s.Upstreams.Limits {
 			l.Rate = p.rate
 		}
-		if p.spans {
+		if p.hasWindow {
 			l.Window = 2 * time.Second
 		}
-		r.parts = append(r.parts, model.NewUpstream(cell, p.kind, l, p.pace, p.every, r.world.Rules, r.rec, r.seed))
+		r.upstreams = append(r.upstreams, model.NewUpstream(cell, p.kind, l, p.latencyFactor, p.loadReportInterval, r.world.Rules, r.recorder, r.seed))
 	}
 	var members []model.Member
-	for i, e := range f.ends {
-		end := &model.Endpoint{ID: fmt.Sprintf("s-%04x%04x", uint16(r.seed*40503), i), Zone: e.zone, Upstream: r.parts[e.cell],
-			Servers: e.servers, QueueSize: 2 * e.servers, MaxConns: max(s.Fleet.Relays, int(float64(e.servers)*s.Part.ConnsFactor)), MaxBatch: s.Fleet.Batch, IdleTimeout: 10 * time.Second}
-		if f.parts[e.cell].kind != model.Telco {
+	for i, e := range f.endpoints {
+		end := &model.Endpoint{ID: fmt.Sprintf("s-%04x%04x", uint16(r.seed*40503), i), Zone: e.zone, Upstream: r.upstreams[e.destination],
+			Servers: e.servers, QueueSize: 2 * e.servers, MaxConns: max(s.Fleet.Relays, int(float64(e.servers)*s.Upstreams.ConnsFactor)), MaxBatch: s.Fleet.MaxBatch, IdleTimeout: 10 * time.Second}
+		if f.upstreams[e.destination].kind != model.Telco {
 			end.MaxBatch = 1
 		}
 		if err := end.Serve(r.ctx, r.world, r.address(), &r.served); err != nil {
 			return err
 		}
-		r.ends = append(r.ends, end)
-		members = append(members, model.Member{ID: end.ID, Locality: e.zone, Flavor: f.parts[e.cell].kind, Cell: e.cell, Phase: model.Up, Size: 1})
+		r.endpoints = append(r.endpoints, end)
+		members = append(members, model.Member{ID: end.ID, Locality: e.zone, Flavor: f.upstreams[e.destination].kind, Cell: e.destination, Phase: model.Up, Size: 1})
 	}
-	r.world.OnDelivered = r.status.delivered
-	r.rec.Subscribe(r.status.tap)
-	r.disc = model.NewDiscovery(r.world, r.seed)
+	r.world.OnDelivered = r.status.recordDelivery
+	r.recorder.Subscribe(r.status.observe)
+	r.discovery = model.NewDiscovery(r.world, r.seed)
 	addrs := map[string]string{}
 	load := model.StandardLoad(s.Load.Rate, f.weights)
-	load.Retries, load.LeaverFraction, load.BurstFraction = s.Load.Retries, s.Load.Leavers, s.Load.Clumps
+	load.Retries, load.LeaverFraction, load.BurstFraction = s.Load.Retries, s.Load.LeaverFraction, s.Load.BurstFraction
 	r.clients = model.NewClients(r.world, load, addrs, r.seed)
-	r.clients.OnLateness = r.late
+	r.clients.OnLateness = r.recordLateness
 	if err := os.MkdirAll(filepath.Join(r.opts.Out, "logs"), 0o755); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
@@ -322,47 +322,47 @@
 		}
 	}
 	for i := range s.Fleet.Relays {
-		x := &relay{run: r, num: i, name: fmt.Sprintf("n%d", i+1), zone: f.relayZone(i), listen: r.address()}
+		x := &relay{run: r, number: i, name: fmt.Sprintf("n%d", i+1), zone: f.relayZone(i), listen: r.address()}
 		r.relays = append(r.relays, x)
-		if err := r.wire(ctx, x, members); err != nil {
+		if err := r.connect(ctx, x, members); err != nil {
 			return err
 		}
-		addrs[x.name] = x.door.Addr()
+		addrs[x.name] = x.proxy.Addr()
 	}
 	return nil
 }
 
-// wire makes one relay's machine: its folder, agent and links.
-func (r *run) wire(ctx context.Context, x *relay, members []model.Member) (err error) {
+// connect makes one relay's machine: its folder, agent and links.
+func (r *run) connect(ctx context.Context, x *relay, members []model.Member) (err error) {
 	if x.dir, err = filepath.Abs(filepath.Join(r.opts.Out, x.name)); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if err := errors.Join(os.RemoveAll(x.dir), os.MkdirAll(x.state(), 0o700)); err != nil {
+	if err := errors.Join(os.RemoveAll(x.dir), os.MkdirAll(x.stateDir(), 0o700)); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	if x.log, err = os.Create(filepath.Join(r.opts.Out, "logs", x.name+".log")); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if slices.ContainsFunc(r.scen.Faults, func(f scenario.Fault) bool { return f.Kind == "clock" }) {
+	if slices.ContainsFunc(r.scenario.Faults, func(f scenario.Fault) bool { return f.Kind == "clock" }) {
 		if x.wall, err = wallclock.New(x.dir); err != nil {
 			return err
 		}
 	}
-	if x.door, err = r.world.Net.Listen("clients", x.name, r.address(), x.listen, r.seed, nil); err != nil {
+	if x.proxy, err = r.world.Net.Listen("clients", x.name, r.address(), x.listen, r.seed, nil); err != nil {
 		return err
 	}
 	mine := make([]model.Member, len(members))
-	for i, e := range r.ends {
-		l, err := r.world.Net.Listen(x.name, e.ID, r.address(), e.Addr(), r.seed+uint64(x.num*1000+i), r.swallowed)
+	for i, e := range r.endpoints {
+		l, err := r.world.Net.Listen(x.name, e.ID, r.address(), e.Addr(), r.seed+uint64(x.number*1000+i), r.recordLostCall)
 		if err != nil {
 			return err
 		}
-		delay := r.scen.Part.DelayMS
+		delay := r.scenario.Upstreams.DelayMS
 		if e.Zone != x.zone {
-			delay = r.scen.Part.CrossMS
+			delay = r.scenario.Upstreams.CrossMS
 		}
-		usual := link.Faults{Delay: time.Duration(delay * float64(time.Millisecond)), Jitter: time.Duration(r.scen.Part.JitterMS * float64(time.Millisecond))}
-		r.usual[l] = usual
+		usual := link.Faults{Delay: time.Duration(delay * float64(time.Millisecond)), Jitter: time.Duration(r.scenario.Upstreams.JitterMS * float64(time.Millisecond))}
+		r.linkFaults[l] = usual
 		l.SetFaults(link.ToServer, usual)
 		l.SetFaults(link.ToClient, usual)
 		x.links = append(x.links, l)
@@ -370,40 +370,40 @@
 		mine[i].HostPort = l.Addr()
 	}
 	if r.group == nil {
-		x.agent, err = r.disc.NewAgent(x.name, r.ip, mine, r.noticed)
+		x.agent, err = r.discovery.NewAgent(x.name, r.ip, mine, r.onNotice)
 		return err
 	}
 	if x.agentLog, err = os.Create(filepath.Join(r.opts.Out, "logs", x.name+"-agent.log")); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	t, err := r.group.startAgent(ctx, x, r.noticed)
+	t, err := r.group.startAgent(ctx, x, r.onNotice)
 	if t != nil {
 		x.agent = t
 	}
 	return err
 }
 
-// noticed hears of a message's end; its client may hand it in again.
-func (r *run) noticed(id, outcome string, retryMS int64) {
+// onNotice hears of a message's end; its client may hand it in again.
+func (r *run) onNotice(id, outcome string, retryMS int64) {
 	if r.world.Ledger.Complete(id) && outcome == discovery.Returned {
 		r.clients.MessageReturned(r.ctx, id, retryMS)
 	}
 }
 
-// swallowed records a call that a relay wrote whole and that a link never let
+// recordLostCall records a call that a relay wrote whole and that a link never let
 // through: the relay cannot know that it did not run.
-func (r *run) swallowed(l *link.Link, written []byte, first time.Time) {
+func (r *run) recordLostCall(l *link.Link, written []byte, first time.Time) {
 	ids, whole := model.ParseCall(written)
 	if !whole {
 		return // the relay itself saw the connection end before its last byte
 	}
-	e := history.Event{Kind: history.CallLost, Relay: l.Source, Endpoint: l.Target, Messages: ids, SentAt: r.rec.At(first)}
-	for _, x := range r.ends {
+	e := history.Event{Kind: history.CallLost, Relay: l.Source, Endpoint: l.Target, Messages: ids, SentAt: r.recorder.At(first)}
+	for _, x := range r.endpoints {
 		if x.ID == l.Target {
 			e.Destination = x.Upstream.Destination
 		}
 	}
-	r.rec.Record(e)
+	r.recorder.Record(e)
 }
 
 // startAll starts every relay and waits until each serves clients.
@@ -413,14 +413,14 @@
 			return err
 		}
 	}
-	for end := time.Now().Add(readyWait); ; {
+	for end := time.Now().Add(readyTimeout); ; {
 		var waiting []string
 		for _, x := range r.relays {
 			x.mu.Lock()
 			if !x.ready {
 				waiting = append(waiting, x.name)
 			}
-			p := x.proc
+			p := x.process
 			x.mu.Unlock()
 			select {
 			case <-p.Done():
@@ -433,7 +433,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("lab: not ready after %v: %s; see the logs in %s", readyWait, strings.Join(waiting, ", "), filepath.Join(r.opts.Out, "logs"))
+			return fmt.Errorf("lab: not ready after %v: %s; see the logs in %s", readyTimeout, strings.Join(waiting, ", "), filepath.Join(r.opts.Out, "logs"))
 		}
 		if !model.Sleep(ctx, 5*time.Millisecond) {
 			return fmt.Errorf("lab: stopped before the relays were ready: %w", ctx.Err())
@@ -441,35 +441,35 @@
 	}
 }
 
-// beat measures how late the lab itself is.
-func (r *run) beat() {
-	for due := time.Now().Add(beatEvery); model.Sleep(r.ctx, time.Until(due)); due = due.Add(beatEvery) {
-		r.late(time.Since(due))
+// measureLateness measures how late the lab itself is.
+func (r *run) measureLateness() {
+	for due := time.Now().Add(latenessInterval); model.Sleep(r.ctx, time.Until(due)); due = due.Add(latenessInterval) {
+		r.recordLateness(time.Since(due))
 		if time.Since(due) > time.Second { // after a standstill: once is enough
 			due = time.Now()
 		}
 	}
 }
 
-func (r *run) sample() {
-	for model.Sleep(r.ctx, sampleEvery) {
+func (r *run) sampleUsage() {
+	for model.Sleep(r.ctx, sampleInterval) {
 		for _, x := range r.relays {
-			x.sample()
+			x.sampleUsage()
 		}
 	}
 }
 
-func (r *run) badPeers(ctx context.Context) {
-	d := seeded(r.seed, "peers")
+func (r *run) connectInvalidPeers(ctx context.Context) {
+	d := newRandom(r.seed, "peers")
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for model.Sleep(ctx, scenario.Secs(r.scen.Peers.Every)) {
+	for model.Sleep(ctx, scenario.Seconds(r.scenario.InvalidPeers.Every)) {
 		x := r.relays[d.IntN(len(r.relays))]
-		kind := r.scen.Peers.Kinds[d.IntN(len(r.scen.Peers.Kinds))]
+		kind := r.scenario.InvalidPeers.Kinds[d.IntN(len(r.scenario.InvalidPeers.Kinds))]
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			model.ConnectInvalidPeer(r.ctx, r.world, x.name, x.door.Addr(), kind)
+			model.ConnectInvalidPeer(r.ctx, r.world, x.name, x.proxy.Addr(), kind)
 		}()
 	}
 }
@@ -479,7 +479,7 @@
 	var stopped sync.WaitGroup
 	for _, x := range r.relays {
 		x.mu.Lock()
-		p := x.proc
+		p := x.process
 		x.mu.Unlock()
 		if p == nil {
 			continue
@@ -489,16 +489,16 @@
 			defer stopped.Done()
 			x.busy.Lock()
 			defer x.busy.Unlock()
-			x.stop(r.failed() == nil)
+			x.stop(r.failure() == nil)
 		}()
 	}
 	stopped.Wait()
 	r.stop()
 	for _, x := range r.relays {
-		if x.agentProc != nil {
-			x.agentProc.Kill()
+		if x.agentProcess != nil {
+			x.agentProcess.Kill()
 		}
-		if t, ok := x.agent.(*tap); ok {
+		if t, ok := x.agent.(*agentProxy); ok {
 			t.Close()
 		}
 	}
@@ -507,12 +507,12 @@
 	}
 	r.wg.Wait()
 	if r.group != nil {
-		r.fail(r.group.effects())
+		r.fail(r.group.recordRoleSteps())
 		r.group.closeLinks()
 	}
 	for _, x := range r.relays {
-		if x.door != nil {
-			x.door.Close()
+		if x.proxy != nil {
+			x.proxy.Close()
 		}
 		for _, l := range x.links {
 			l.Close()
@@ -524,8 +524,8 @@
 			x.agentLog.Close()
 		}
 	}
-	if r.disc != nil {
-		r.disc.Close()
+	if r.discovery != nil {
+		r.discovery.Close()
 	}
 	r.served.Wait()
 }
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -114,7 +114,7 @@
 		{stub.Drop, "", []checker.Rule{"end"}},
 		{stub.Late, tight, []checker.Rule{"end"}},
 		{stub.Repeat, "", []checker.Rule{"repeat", "effect"}},
-		{stub.HandBack, failing, []checker.Rule{"repeat"}},
+		{stub.ReturnUnsafe, failing, []checker.Rule{"repeat"}},
 		{stub.SecondCopy, "", []checker.Rule{"one-out"}},
 		{stub.Thirteen, losing, []checker.Rule{"attempts"}},
 		{stub.IgnoreWait, tight, []checker.Rule{"wait"}},
@@ -129,7 +129,7 @@
 		{stub.FillDisk, "", []checker.Rule{"limits"}},
 		{stub.SlowTerm, "", []checker.Rule{"term"}},
 		{stub.HangUpExit, "[[fault]]\nkind = \"hup\"\nat = 2\n", []checker.Rule{"crash", "end"}},
-		{stub.KeepPeers, peers, []checker.Rule{"peer"}},
+		{stub.IgnorePeers, peers, []checker.Rule{"peer"}},
 		{stub.Topple, outage, []checker.Rule{"topple"}},
 	} {
 		t.Run("defect "+string(x.defect), func(t *testing.T) {
@@ -272,7 +272,7 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), after)
 			defer cancel()
-			res, err := Run(ctx, Options{Scenario: s, Seed: 3, Out: t.TempDir(), Program: os.Args[0], Late: time.Minute, Env: []string{standinEnv + "=1"}})
+			res, err := Run(ctx, Options{Scenario: s, Seed: 3, Out: t.TempDir(), Program: os.Args[0], MaxLateness: time.Minute, Env: []string{standinEnv + "=1"}})
 			if err != nil && !strings.Contains(err.Error(), "stopped before the relays were ready") {
 				t.Fatal(err)
 			}
@@ -329,12 +329,12 @@
 
 // TestTwoLabsAtOnce have an address each, for as long as they last.
 func TestTwoLabsAtOnce(t *testing.T) {
-	one, lock, err := claim()
+	one, lock, err := claimAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer lock.Close()
-	two, other, err := claim()
+	two, other, err := claimAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultlab/link/accept.go
+++ b/internal/faultlab/link/accept.go
@@ -52,7 +52,7 @@
 	l.fillQueue()
 	for {
 		l.mu.Lock()
-		isCut, gone, changed := l.isCut(), l.closed || l.refuses, l.changed
+		isCut, gone, changed := l.isCut(), l.closed || l.refusing, l.changed
 		l.mu.Unlock()
 		if gone {
 			return false
@@ -104,7 +104,7 @@
 	defer l.net.remove(key)
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
-	gone := l.closed || l.refuses
+	gone := l.closed || l.refusing
 	l.mu.Unlock()
 	if gone {
 		c.abort()
--- a/internal/faultlab/link/forward.go
+++ b/internal/faultlab/link/forward.go
@@ -62,7 +62,7 @@
 // write writes the pieces of one direction as its faults let them pass. It returns
 // true if the side that sends ended in order, false if the connection is to be
 // aborted.
-func (c *Conn) write(d Direction, to *net.TCPConn, pieces <-chan piece) (ended bool) {
+func (c *Conn) write(d Direction, to *net.TCPConn, pieces <-chan piece) (inOrder bool) {
 	for p := range pieces {
 		if !c.delayPiece(d, p) {
 			return false
@@ -89,7 +89,7 @@
 }
 
 // endDirection passes on that a side has ended its sending; results as of write.
-func (c *Conn) endDirection(d Direction, to *net.TCPConn, cause error) (ended bool) {
+func (c *Conn) endDirection(d Direction, to *net.TCPConn, cause error) (inOrder bool) {
 	muted := c.clientMuted.Load()
 	if muted && d == ToClient {
 		<-c.ctx.Done() // the client is left open and silent until it ends by itself
--- a/internal/faultlab/link/link.go
+++ b/internal/faultlab/link/link.go
@@ -47,7 +47,7 @@
 
 	mu       sync.Mutex
 	faults   [2]Faults // by direction
-	refuses  bool
+	refusing bool
 	closed   bool
 	changed  chan struct{} // closed at each change of the fields above
 	listener *net.TCPListener
@@ -140,15 +140,15 @@
 
 // SetRefusing has new connections refused and open ones reset, as if the server's
 // process had died, or has the link listen again.
-func (l *Link) SetRefusing(refuse bool) error {
+func (l *Link) SetRefusing(refusing bool) error {
 	l.mu.Lock()
-	if l.refuses == refuse || l.closed {
+	if l.refusing == refusing || l.closed {
 		l.mu.Unlock()
 		return nil
 	}
-	l.refuses = refuse
+	l.refusing = refusing
 	l.notifyChange()
-	if !refuse {
+	if !refusing {
 		defer l.mu.Unlock()
 		return l.listen()
 	}
--- a/internal/faultlab/model/agent.go
+++ b/internal/faultlab/model/agent.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	watchKeepAlive = 2 * time.Second // between the empty lines of a watch without changes
-	maxNotices     = 1 << 20         // bytes of one request
+	watchIdleInterval = 2 * time.Second // between the empty lines of a watch without changes
+	maxNotices        = 1 << 20         // bytes of one request
 )
 
 // NoticeFunc takes a notice: the message's ID, its outcome, and the milliseconds to
@@ -178,7 +178,7 @@
 			from = list.Revision
 			a.recordDelivered(list)
 		}
-		keepAlive := time.NewTimer(watchKeepAlive)
+		keepAlive := time.NewTimer(watchIdleInterval)
 		select {
 		case <-changed:
 		case <-keepAlive.C:
--- a/internal/faultlab/model/call.go
+++ b/internal/faultlab/model/call.go
@@ -63,11 +63,11 @@
 		Destination: e.Upstream.Destination, Messages: c.ids(), SentAt: e.world.Recorder.At(c.route.FirstByteAt())})
 	if invalidStatus != 0 {
 		e.recordInvalidCall(c.route.Source(), "", fmt.Sprintf("a call that is answered %d", invalidStatus))
-		return e.statusResponse(invalidStatus, withoutReport)
+		return e.statusResponse(invalidStatus, withoutLoad)
 	}
 	serviceTime, valid := e.receive(c, now)
 	if !valid {
-		return e.statusResponse(http.StatusBadRequest, withoutReport)
+		return e.statusResponse(http.StatusBadRequest, withoutLoad)
 	}
 	if resp, rejected := e.admit(c, now); rejected {
 		return resp
@@ -79,7 +79,7 @@
 		if ctx.Err() != nil {
 			return response{}
 		}
-		return e.statusResponse(http.StatusServiceUnavailable, withReport)
+		return e.statusResponse(http.StatusServiceUnavailable, withLoad)
 	}
 	defer e.releaseServer()
 	return e.execute(ctx, c, serviceTime)
@@ -151,7 +151,7 @@
 	if !limited.rejected && !c.overloaded {
 		return response{}, false
 	}
-	report := reportIf(!c.overloaded)
+	report := loadIf(!c.overloaded)
 	if limited.retryAfter > 0 {
 		return e.retryAfterResponse(limited.retryAfter, report), true
 	}
@@ -166,11 +166,11 @@
 	}
 	switch c.verdicts[0] {
 	case expired:
-		resp = e.statusResponse(http.StatusGone, withReport)
+		resp = e.statusResponse(http.StatusGone, withLoad)
 		resp.expired = c.ids()
 		return resp, true
 	case attemptsExhausted:
-		return e.statusResponse(http.StatusGatewayTimeout, withReport), true
+		return e.statusResponse(http.StatusGatewayTimeout, withLoad), true
 	}
 	return response{}, false
 }
@@ -188,12 +188,12 @@
 	}
 	fails := draw() < c.fault.Fail
 	if fails && draw() < failBefore {
-		return e.statusResponse(http.StatusInternalServerError, withReport)
+		return e.statusResponse(http.StatusInternalServerError, withLoad)
 	}
 	e.recordExecution(c)
 	switch {
 	case fails:
-		return e.statusResponse(http.StatusInternalServerError, withReport)
+		return e.statusResponse(http.StatusInternalServerError, withLoad)
 	case draw() < c.fault.LoseResponse:
 		return response{reset: true}
 	case draw() < c.fault.CorruptResponse:
@@ -201,7 +201,7 @@
 	case c.isBatch:
 		return e.batchResponse(c)
 	}
-	resp := e.statusResponse(http.StatusOK, withReport)
+	resp := e.statusResponse(http.StatusOK, withLoad)
 	resp.delivered = c.ids()
 	return resp
 }
--- a/internal/faultlab/model/response.go
+++ b/internal/faultlab/model/response.go
@@ -37,15 +37,15 @@
 	expired    []string // messages that are completed once the relay has it
 }
 
-// reportChoice says whether a response carries a load report.
-type reportChoice bool
+// loadChoice says whether a response carries a load report.
+type loadChoice bool
 
 const (
-	withReport    reportChoice = true
-	withoutReport reportChoice = false
+	withLoad    loadChoice = true
+	withoutLoad loadChoice = false
 )
 
-func reportIf(condition bool) reportChoice { return reportChoice(condition) }
+func loadIf(condition bool) loadChoice { return loadChoice(condition) }
 
 // setStatus makes the text of a response without a body; headers are complete lines.
 func (r *response) setStatus(status int, headers string) {
@@ -60,27 +60,27 @@
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 }
 
-// reportHeader is the load report's line.
-func (e *Endpoint) reportHeader(choice reportChoice) string {
-	if choice == withoutReport {
+// loadHeader is the load report's line.
+func (e *Endpoint) loadHeader(choice loadChoice) string {
+	if choice == withoutLoad {
 		return ""
 	}
-	remaining, rate := e.Upstream.loadReport(time.Now())
+	remaining, rate := e.Upstream.currentLoad(time.Now())
 	return fmt.Sprintf("X-Server-Load: x0=%.3f,x1=%.2f\r\n", remaining, rate)
 }
 
 // statusResponse is a response without a body.
-func (e *Endpoint) statusResponse(status int, choice reportChoice) (resp response) {
-	resp.setStatus(status, e.reportHeader(choice))
+func (e *Endpoint) statusResponse(status int, choice loadChoice) (resp response) {
+	resp.setStatus(status, e.loadHeader(choice))
 	return resp
 }
 
 // retryAfterResponse rejects a call for a time, rounded up to milliseconds.
-func (e *Endpoint) retryAfterResponse(wait time.Duration, choice reportChoice) response {
+func (e *Endpoint) retryAfterResponse(wait time.Duration, choice loadChoice) response {
 	const millisPerSecond = 1000
 	resp := response{retryAfter: wait}
 	header := fmt.Sprintf("Retry-After: %.3f\r\n", math.Ceil(wait.Seconds()*millisPerSecond)/millisPerSecond)
-	resp.setStatus(http.StatusTooManyRequests, header+e.reportHeader(choice))
+	resp.setStatus(http.StatusTooManyRequests, header+e.loadHeader(choice))
 	return resp
 }
 
@@ -100,7 +100,7 @@
 		}
 	}
 	body, _ := json.Marshal(lines) // of strings: cannot fail
-	header := statusLine(http.StatusOK) + e.reportHeader(withReport)
+	header := statusLine(http.StatusOK) + e.loadHeader(withLoad)
 	resp.text = fmt.Appendf([]byte(header), "Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return resp
 }
--- a/internal/faultlab/model/upstream.go
+++ b/internal/faultlab/model/upstream.go
@@ -30,32 +30,32 @@
 // outages are those of the whole destination. It is safe for concurrent use; the
 // exported fields are fixed.
 type Upstream struct {
-	Destination        int
-	Kind               string
-	Limit              Limit
-	LatencyFactor      float64       // times the service time of a class
-	LoadReportInterval time.Duration // after which its load report is refreshed
+	Destination   int
+	Kind          string
+	Limit         Limit
+	LatencyFactor float64       // times the service time of a class
+	LoadInterval  time.Duration // after which its load report is refreshed
 
 	rules    Rules
 	recorder *history.Recorder
 
-	mu                 sync.Mutex
-	random             *rand.Rand
-	faults             []Fault
-	limitFactor        float64
-	opensAt            time.Time // if it is closed
-	endpoints          int
-	endpointsDown      int
-	inOutage           bool
-	refusesConnections bool      // during the outage
-	recoveringSince    time.Time // zero if it has all of its capacity
-	overloaded         bool      // it failed while it recovered, for good
-	windowStart        time.Time
-	used               float64 // of the window, or of the token bucket
-	lastRefill         time.Time
-	recentCalls        []recentCall // of the last OverloadWindow, while it recovers
-	reportedLimit      float64      // fraction of the limit that was left at reportedAt
-	reportedAt         time.Time
+	mu              sync.Mutex
+	random          *rand.Rand
+	faults          []Fault
+	limitFactor     float64
+	opensAt         time.Time // if it is closed
+	endpoints       int
+	endpointsDown   int
+	inOutage        bool
+	connectionsFail bool      // during the outage
+	recoveringSince time.Time // zero if it has all of its capacity
+	overloaded      bool      // it failed while it recovered, for good
+	windowStart     time.Time
+	used            float64 // of the window, or of the token bucket
+	lastRefill      time.Time
+	recentCalls     []recentCall // of the last OverloadWindow, while it recovers
+	reportedLimit   float64      // fraction of the limit that was left at reportedAt
+	reportedAt      time.Time
 }
 
 // recentCall is a call to a recovering upstream.
@@ -71,22 +71,22 @@
 }
 
 // NewUpstream returns an upstream that draws from a seed.
-func NewUpstream(destination int, kind string, limit Limit, latencyFactor float64, loadReportInterval time.Duration,
+func NewUpstream(destination int, kind string, limit Limit, latencyFactor float64, loadInterval time.Duration,
 	rules Rules, recorder *history.Recorder, seed uint64) *Upstream {
 	now := time.Now()
 	return &Upstream{
-		Destination:        destination,
-		Kind:               kind,
-		Limit:              limit,
-		LatencyFactor:      latencyFactor,
-		LoadReportInterval: loadReportInterval,
-		rules:              rules,
-		recorder:           recorder,
-		random:             rand.New(rand.NewPCG(seed, uint64(destination))),
-		windowStart:        now,
-		lastRefill:         now,
-		reportedLimit:      1,
-		limitFactor:        1,
+		Destination:   destination,
+		Kind:          kind,
+		Limit:         limit,
+		LatencyFactor: latencyFactor,
+		LoadInterval:  loadInterval,
+		rules:         rules,
+		recorder:      recorder,
+		random:        rand.New(rand.NewPCG(seed, uint64(destination))),
+		windowStart:   now,
+		lastRefill:    now,
+		reportedLimit: 1,
+		limitFactor:   1,
 	}
 }
 
@@ -157,7 +157,7 @@
 }
 
 // updateOutage records where an outage begins and ends; u.mu is held.
-func (u *Upstream) updateOutage(refusesConnections bool) {
+func (u *Upstream) updateOutage(connectionsFail bool) {
 	allDown := u.endpoints > 0 && u.endpointsDown >= u.endpoints
 	inOutage := u.activeFault().isOutage() || allDown
 	if inOutage == u.inOutage {
@@ -165,11 +165,11 @@
 	}
 	u.inOutage = inOutage
 	if inOutage {
-		u.refusesConnections = refusesConnections
+		u.connectionsFail = connectionsFail
 	} else {
 		u.recoveringSince, u.recentCalls = time.Now(), nil
 	}
-	u.recorder.Record(history.Event{Kind: history.Outage, Destination: u.Destination, Active: inOutage, RefusesConnections: u.refusesConnections})
+	u.recorder.Record(history.Event{Kind: history.Outage, Destination: u.Destination, Active: inOutage, ConnectionsFail: u.connectionsFail})
 }
 
 // capacityFraction is how much of its capacity it has now; u.mu is held.
@@ -256,12 +256,12 @@
 	u.recorder.Record(history.Event{Kind: history.DestinationOverloaded, Destination: u.Destination, Relays: byRelay})
 }
 
-// loadReport is what responses say of the limit: the fraction that is left, as of
-// the last LoadReportInterval, and the calls a second that it allows.
-func (u *Upstream) loadReport(now time.Time) (remaining, rate float64) {
+// currentLoad is what responses say of the limit: the fraction that is left, as of
+// the last LoadInterval, and the calls a second that it allows.
+func (u *Upstream) currentLoad(now time.Time) (remaining, rate float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if now.Sub(u.reportedAt) < u.LoadReportInterval {
+	if now.Sub(u.reportedAt) < u.LoadInterval {
 		return u.reportedLimit, u.currentLimit()
 	}
 	u.reportedAt = now
--- a/internal/faultlab/plan.go
+++ b/internal/faultlab/plan.go
@@ -27,8 +27,8 @@
 	if s.Fault.Zone != "" {
 		text += " zone " + s.Fault.Zone
 	}
-	if s.Fault.Way != "" {
-		text += " " + s.Fault.Way
+	if s.Fault.Direction != "" {
+		text += " " + s.Fault.Direction
 	}
 	if s.Fault.Node != "" {
 		text += " " + s.Fault.Node
@@ -46,7 +46,7 @@
 	return text
 }
 
-func seeded(seed uint64, what string) *rand.Rand {
+func newRandom(seed uint64, what string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(what))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
@@ -54,10 +54,10 @@
 
 // Plan draws the schedule of a scenario.
 func Plan(s *scenario.Scenario, seed uint64) []Step {
-	f := buildFleet(s, seed)
+	f := planFleet(s, seed)
 	var steps []Step
 	for i, fault := range s.Faults {
-		r := seeded(seed, fmt.Sprintf("fault %d", i))
+		r := newRandom(seed, fmt.Sprintf("fault %d", i))
 		for at := fault.At; at < s.Seconds; at += fault.Every {
 			steps = append(steps, strike(s, f, fault, at, r)...)
 			if fault.Every <= 0 {
@@ -70,34 +70,34 @@
 }
 
 // strike draws whom one fault strikes, and when each.
-func strike(s *scenario.Scenario, f *fleet, fault scenario.Fault, at float64, r *rand.Rand) []Step {
+func strike(s *scenario.Scenario, f *fleetPlan, fault scenario.Fault, at float64, r *rand.Rand) []Step {
 	var could []int
 	switch scenario.Kinds[fault.Kind] {
 	case "relay":
-		could = pickable(s.Fleet.Relays, fault.Relays, func(i int) bool { return fault.Zone == "" || f.relayZone(i) == fault.Zone })
+		could = candidates(s.Fleet.Relays, fault.Relays, func(i int) bool { return fault.Zone == "" || f.relayZone(i) == fault.Zone })
 	case "warden":
-		could = pickable(s.Registry.Wardens, nil, func(int) bool { return true })
+		could = candidates(s.Registry.Controllers, nil, func(int) bool { return true })
 	case "node":
-		could = pickable(s.Registry.Nodes, nil, func(int) bool { return true })
+		could = candidates(s.Registry.Nodes, nil, func(int) bool { return true })
 	case "endpoint", "registration":
-		could = pickable(len(f.ends), nil, func(i int) bool {
-			e := f.ends[i]
-			return (fault.Zone == "" || e.zone == fault.Zone) && (len(fault.Cells) == 0 || slices.Contains(fault.Cells, e.cell)) &&
-				(len(fault.Kinds) == 0 || slices.Contains(fault.Kinds, f.parts[e.cell].kind))
+		could = candidates(len(f.endpoints), nil, func(i int) bool {
+			e := f.endpoints[i]
+			return (fault.Zone == "" || e.zone == fault.Zone) && (len(fault.Destinations) == 0 || slices.Contains(fault.Destinations, e.destination)) &&
+				(len(fault.Kinds) == 0 || slices.Contains(fault.Kinds, f.upstreams[e.destination].kind))
 		})
 	case "partner":
-		could = pickable(len(f.parts), fault.Cells, func(i int) bool { return len(fault.Kinds) == 0 || slices.Contains(fault.Kinds, f.parts[i].kind) })
+		could = candidates(len(f.upstreams), fault.Destinations, func(i int) bool { return len(fault.Kinds) == 0 || slices.Contains(fault.Kinds, f.upstreams[i].kind) })
 	case "link", "discovery":
-		could = pickable(s.Fleet.Relays, fault.Relays, func(int) bool { return true })
+		could = candidates(s.Fleet.Relays, fault.Relays, func(int) bool { return true })
 	}
-	if share := fault.Share; share > 0 && len(could) > 0 {
+	if share := fault.Fraction; share > 0 && len(could) > 0 {
 		r.Shuffle(len(could), func(a, b int) { could[a], could[b] = could[b], could[a] })
 		could = could[:max(1, int(math.Round(share*float64(len(could)))))]
 		slices.Sort(could)
 	}
-	step := Step{At: scenario.Secs(at), Fault: fault, Targets: could}
+	step := Step{At: scenario.Seconds(at), Fault: fault, Targets: could}
 	if fault.For > 0 {
-		step.Until = scenario.Secs(at + fault.For)
+		step.Until = scenario.Seconds(at + fault.For)
 	}
 	if fault.Spread <= 0 || len(could) < 2 {
 		step.Draw = r.Uint64()
@@ -105,7 +105,7 @@
 	}
 	var steps []Step
 	for i, t := range could {
-		one, later := step, scenario.Secs(fault.Spread*float64(i)/float64(len(could)))
+		one, later := step, scenario.Seconds(fault.Spread*float64(i)/float64(len(could)))
 		one.At, one.Targets, one.Draw = step.At+later, []int{t}, r.Uint64()
 		if step.Until > 0 {
 			one.Until = step.Until + later
@@ -115,7 +115,7 @@
 	return steps
 }
 
-func pickable(n int, named []int, ok func(int) bool) (all []int) {
+func candidates(n int, named []int, ok func(int) bool) (all []int) {
 	for i := range n {
 		if (len(named) == 0 || slices.Contains(named, i)) && ok(i) {
 			all = append(all, i)
@@ -124,61 +124,61 @@
 	return all
 }
 
-// fleet is what a scenario and a seed make of the partners.
-type fleet struct {
-	zones   []string
-	parts   []partner
-	ends    []endpoint
-	weights []float64
+// fleetPlan is what a scenario and a seed make of the partners.
+type fleetPlan struct {
+	zones     []string
+	upstreams []plannedUpstream
+	endpoints []plannedEndpoint
+	weights   []float64
 }
 
-type partner struct {
-	kind  string
-	rate  float64 // calls a second that it takes
-	pace  float64
-	spans bool
-	ends  int
-	tells float64
-	every time.Duration
+type plannedUpstream struct {
+	kind               string
+	rate               float64 // calls a second that it takes
+	latencyFactor      float64
+	hasWindow          bool
+	endpoints          int
+	retryAfterFraction float64
+	loadReportInterval time.Duration
 }
 
-type endpoint struct {
-	cell    int
-	zone    string
-	servers int
+type plannedEndpoint struct {
+	destination int
+	zone        string
+	servers     int
 }
 
-func (f *fleet) relayZone(i int) string { return f.zones[i%len(f.zones)] }
+func (f *fleetPlan) relayZone(i int) string { return f.zones[i%len(f.zones)] }
 
-// buildFleet draws partners and endpoints: a few partners get much of the
+// planFleet draws partners and endpoints: a few partners get much of the
 // traffic and have more endpoints, which stand in different zones.
-func buildFleet(s *scenario.Scenario, seed uint64) *fleet {
-	r := seeded(seed, "fleet")
-	f := &fleet{zones: s.Fleet.Zones}
+func planFleet(s *scenario.Scenario, seed uint64) *fleetPlan {
+	r := newRandom(seed, "fleet")
+	f := &fleetPlan{zones: s.Fleet.Zones}
 	all := 0.0
-	for i := range s.Part.Destinations {
+	for i := range s.Upstreams.Destinations {
 		w := 1 / math.Pow(float64(i+1), 0.7)
 		f.weights = append(f.weights, w)
 		all += w
 	}
-	telcos := int(math.Round(s.Part.Telcos * float64(s.Part.Destinations)))
-	counts := make([]int, s.Part.Destinations)
-	for i := range s.Part.Endpoints { // one each, then more for the busy ones
-		counts[i%s.Part.Destinations]++
+	telcos := int(math.Round(s.Upstreams.Telcos * float64(s.Upstreams.Destinations)))
+	counts := make([]int, s.Upstreams.Destinations)
+	for i := range s.Upstreams.Endpoints { // one each, then more for the busy ones
+		counts[i%s.Upstreams.Destinations]++
 	}
 	for cell, w := range f.weights {
 		mean := s.Load.Rate * w / all
-		p := partner{kind: "agent", pace: 0.85 + 0.3*r.Float64(), ends: counts[cell], tells: 0.05 + 0.32*r.Float64(),
-			every: time.Duration(140+580*r.Float64()) * time.Millisecond}
+		p := plannedUpstream{kind: "agent", latencyFactor: 0.85 + 0.3*r.Float64(), endpoints: counts[cell], retryAfterFraction: 0.05 + 0.32*r.Float64(),
+			loadReportInterval: time.Duration(140+580*r.Float64()) * time.Millisecond}
 		floor := 2.7 + 2*r.Float64()
 		if cell < telcos { // the large ones
-			p.kind, p.spans, p.tells, floor = "telco", true, 0.53+0.25*r.Float64(), 2.1+1.8*r.Float64()
+			p.kind, p.hasWindow, p.retryAfterFraction, floor = "telco", true, 0.53+0.25*r.Float64(), 2.1+1.8*r.Float64()
 		}
-		p.rate = max(floor, mean*s.Part.Room)
-		f.parts = append(f.parts, p)
-		servers := int(math.Ceil(p.rate*0.4*p.pace/float64(p.ends))) + 2
+		p.rate = max(floor, mean*s.Upstreams.CapacityFactor)
+		f.upstreams = append(f.upstreams, p)
+		servers := int(math.Ceil(p.rate*0.4*p.latencyFactor/float64(p.endpoints))) + 2
 		for k := range counts[cell] {
-			f.ends = append(f.ends, endpoint{cell, f.zones[(cell+k)%len(f.zones)], servers})
+			f.endpoints = append(f.endpoints, plannedEndpoint{cell, f.zones[(cell+k)%len(f.zones)], servers})
 		}
 	}
 	return f
--- a/internal/faultlab/relay.go
+++ b/internal/faultlab/relay.go
@@ -23,41 +23,41 @@
 // relay is one relay under test, over all of its processes.
 type relay struct {
 	run      *run
-	num      int
+	number   int
 	name     string
 	zone     string
 	listen   string
 	operator string // empty where the scenario has no wardens
 	dir      string // of its machine
-	agent    lister
-	door     *link.Link   // its clients come through here
+	agent    discoveryAgent
+	proxy    *link.Link   // its clients come through here
 	links    []*link.Link // to each endpoint
 	log      *os.File
 	wall     *wallclock.Wall // of its machine; nil where no fault steps it
 
-	agentProc *process.Process // where the list service is of real processes
-	agentLog  *os.File
+	agentProcess *process.Process // where the list service is of real processes
+	agentLog     *os.File
 
 	busy sync.Mutex // held by the fault that has its process
 
-	mu     sync.Mutex
-	proc   *process.Process
-	ready  bool
-	wanted bool // it is to run
+	mu       sync.Mutex
+	process  *process.Process
+	ready    bool
+	isWanted bool // it is to run
 }
 
-func (r *relay) state() string { return filepath.Join(r.dir, "state") }
+func (r *relay) stateDir() string { return filepath.Join(r.dir, "state") }
 
 // configure writes what the relay is told, and gives the list in it.
 func (r *relay) configure() (model.List, error) {
-	s, known := r.run.scen, r.agent.Known()
+	s, known := r.run.scenario, r.agent.Known()
 	fields := map[string]any{
-		"name": r.name, "listen": r.listen, "discovery": r.agent.Addr(), "state": r.state(),
-		"seed":   fmt.Sprintf("%016x", seeded(r.run.seed, "relay "+r.name).Uint64()),
+		"name": r.name, "listen": r.listen, "discovery": r.agent.Addr(), "state": r.stateDir(),
+		"seed":   fmt.Sprintf("%016x", newRandom(r.run.seed, "relay "+r.name).Uint64()),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets, "disk_mb": s.Fleet.DiskMB},
-		"known":  known, "operator": r.operator, "promise": s.Fleet.Promise,
-		"settings": model.Settings(model.Fleet{Relays: s.Fleet.Relays, MaxCalls: s.Fleet.Slots, MaxMessages: s.Fleet.Held, Zones: s.Fleet.Zones,
-			Zone: r.num % len(s.Fleet.Zones), Rank: r.num, MaxBatch: s.Fleet.Batch}, r.run.world.Rules),
+		"known":  known, "operator": r.operator, "promise": s.Fleet.Durability,
+		"settings": model.Settings(model.Fleet{Relays: s.Fleet.Relays, MaxCalls: s.Fleet.MaxCalls, MaxMessages: s.Fleet.MaxMessages, Zones: s.Fleet.Zones,
+			Zone: r.number % len(s.Fleet.Zones), Rank: r.number, MaxBatch: s.Fleet.MaxBatch}, r.run.world.Rules),
 	}
 	if s.Fleet.Resident > 0 {
 		fields["resident"] = s.Fleet.Resident
@@ -79,7 +79,7 @@
 
 // start runs a new process of the relay, with what its folder holds.
 func (r *relay) start() error {
-	if r.run.scen.Registry.Wardens > 0 { // each process has its own
+	if r.run.scenario.Registry.Controllers > 0 { // each process has its own
 		addr := r.run.address()
 		r.mu.Lock()
 		r.operator = addr
@@ -97,7 +97,7 @@
 		}
 	}
 	program := o.Program
-	if r.mu.Lock(); r.proc == nil && o.First != "" {
+	if r.mu.Lock(); r.process == nil && o.First != "" {
 		program = o.First
 	}
 	r.mu.Unlock()
@@ -105,14 +105,14 @@
 	if err != nil {
 		return err
 	}
-	r.run.rec.Record(history.Event{Kind: history.ProcessStarted, Relay: r.name, PID: p.PID})
+	r.run.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: r.name, PID: p.PID})
 	r.agent.Started(known)
 	r.mu.Lock()
-	r.proc, r.ready, r.wanted = p, false, true
+	r.process, r.ready, r.isWanted = p, false, true
 	r.mu.Unlock()
 	r.run.wg.Add(2)
 	go r.watch(p)
-	go r.greet(p)
+	go r.awaitReady(p)
 	return nil
 }
 
@@ -120,14 +120,14 @@
 // and ends that once the next one has had time to take over.
 func (r *relay) upgrade(ctx context.Context) error {
 	r.mu.Lock()
-	old := r.proc
+	old := r.process
 	r.mu.Unlock()
 	if err := r.start(); err != nil {
 		return err
 	}
 	model.Sleep(ctx, time.Second)
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-		r.run.rec.Record(history.Event{Kind: history.ProcessSignaled, Relay: r.name, PID: old.PID, Text: s.String()})
+		r.run.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: r.name, PID: old.PID, Text: s.String()})
 		if old.Signal(s) != nil {
 			return nil
 		}
@@ -145,10 +145,10 @@
 	defer r.run.wg.Done()
 	<-p.Done()
 	code, text := p.Exit()
-	r.run.rec.Record(history.Event{Kind: history.ProcessExited, Relay: r.name, PID: p.PID, Status: code, Text: text})
+	r.run.recorder.Record(history.Event{Kind: history.ProcessExited, Relay: r.name, PID: p.PID, Status: code, Text: text})
 	r.mu.Lock()
-	crashed := r.wanted && r.proc == p
-	if r.proc == p {
+	crashed := r.isWanted && r.process == p
+	if r.process == p {
 		r.ready = false
 	}
 	r.mu.Unlock()
@@ -158,7 +158,7 @@
 	r.run.clients.RelayDown(r.run.ctx, r.name)
 	if model.Sleep(r.run.ctx, time.Second) { // as a supervisor would
 		r.mu.Lock()
-		again := r.wanted && r.proc == p
+		again := r.isWanted && r.process == p
 		r.mu.Unlock()
 		if again {
 			r.run.fail(r.start())
@@ -166,15 +166,15 @@
 	}
 }
 
-// greet waits for the first +PONG of one process.
-func (r *relay) greet(p *process.Process) {
+// awaitReady waits for the first +PONG of one process.
+func (r *relay) awaitReady(p *process.Process) {
 	defer r.run.wg.Done()
 	for {
 		if ping(r.listen) {
 			r.mu.Lock()
-			r.ready = r.proc == p
+			r.ready = r.process == p
 			r.mu.Unlock()
-			r.run.rec.Record(history.Event{Kind: history.ProcessReady, Relay: r.name, PID: p.PID})
+			r.run.recorder.Record(history.Event{Kind: history.ProcessReady, Relay: r.name, PID: p.PID})
 			r.run.clients.RelayUp(r.name)
 			return
 		}
@@ -204,9 +204,9 @@
 // signal sends one to the present process and records it.
 func (r *relay) signal(s syscall.Signal) (*process.Process, bool) {
 	r.mu.Lock()
-	p := r.proc
+	p := r.process
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		r.wanted = false
+		r.isWanted = false
 	}
 	r.mu.Unlock()
 	select {
@@ -214,7 +214,7 @@
 		return p, false
 	default:
 	}
-	r.run.rec.Record(history.Event{Kind: history.ProcessSignaled, Relay: r.name, PID: p.PID, Text: s.String()})
+	r.run.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: r.name, PID: p.PID, Text: s.String()})
 	return p, p.Signal(s) == nil
 }
 
@@ -223,7 +223,7 @@
 func (r *relay) stop(term bool) {
 	r.run.clients.RelayDown(r.run.ctx, r.name)
 	r.mu.Lock()
-	stands := r.proc.Stopped()
+	stands := r.process.Stopped()
 	r.mu.Unlock()
 	if stands {
 		r.signal(syscall.SIGCONT)
@@ -242,14 +242,14 @@
 	p.Kill()
 }
 
-// sample records what the present process holds.
-func (r *relay) sample() {
+// sampleUsage records what the present process holds.
+func (r *relay) sampleUsage() {
 	r.mu.Lock()
-	p := r.proc
+	p := r.process
 	r.mu.Unlock()
-	u, err := p.Measure(r.state())
+	u, err := p.Measure(r.stateDir())
 	if err != nil || u.RSS == 0 {
 		return // it is gone
 	}
-	r.run.rec.Record(history.Event{Kind: history.UsageSampled, Relay: r.name, PID: p.PID, RSS: u.RSS, FDs: u.FDs, Disk: u.Disk, CPU: u.CPU.Microseconds()})
+	r.run.recorder.Record(history.Event{Kind: history.UsageSampled, Relay: r.name, PID: p.PID, RSS: u.RSS, FDs: u.FDs, Disk: u.Disk, CPU: u.CPU.Microseconds()})
 }
--- a/internal/faultlab/report/page.go
+++ b/internal/faultlab/report/page.go
@@ -131,7 +131,7 @@
 		}
 	}
 	share := line{name: "served"}
-	for i, asked := range s.series.asked {
+	for i, asked := range s.series.offered {
 		if asked > 0 {
 			share.xy = append(share.xy, plotter.XY{X: float64(i) + 0.5, Y: s.series.served[i] / asked})
 		}
@@ -142,8 +142,8 @@
 	}{
 		{"Worth served, by when it was due", "share of worth asked for", []line{share}},
 		{"Latency from when due, by when it arrived", "ms", []line{p50, p99}},
-		{"Calls to endpoints", "a second", []line{perSecond("calls", s.series.calls, 1), perSecond("turned away", s.series.away, 1), perSecond("failed", s.series.failed, 1)}},
-		{"Refusals", "a second", []line{perSecond("refused", s.series.refused, 1), perSecond("given up", s.series.given, 1)}},
+		{"Calls to endpoints", "a second", []line{perSecond("calls", s.series.calls, 1), perSecond("turned away", s.series.rejectedCalls, 1), perSecond("failed", s.series.failedCalls, 1)}},
+		{"Refusals", "a second", []line{perSecond("refused", s.series.rejected, 1), perSecond("given up", s.series.failed, 1)}},
 		{"Memory of each relay", "MB", processes(s.series.rss)},
 		{"Descriptors of each relay", "", processes(s.series.fds)},
 	} {
--- a/internal/faultlab/report/stats.go
+++ b/internal/faultlab/report/stats.go
@@ -15,40 +15,40 @@
 // Stats are the figures of one run. Shares are of worth asked for, latencies
 // are counted from when a message was due.
 type Stats struct {
-	Seconds    float64            `json:"seconds"`
-	Messages   int                `json:"messages"`  // first tries
-	Requests   int                `json:"requests"`  // with the clients' repeats
-	Delivered  int                `json:"delivered"` // first tries that arrived, by any repeat
-	Refused    int                `json:"refused"`   // requests, at the door or by a notice
-	GivenUp    int                `json:"given_up"`
-	Unheard    int                `json:"unheard"`
-	Calls      int                `json:"calls"`
-	TurnedAway int                `json:"turned_away"` // calls answered 429 or 503
-	Faults     int                `json:"failed"`      // calls answered 500, unreadable, or not at all
-	Served     float64            `json:"served"`      // share of worth, whole run
-	Worst      float64            `json:"served_worst_10s"`
-	Classes    map[string]float64 `json:"served_by_class"`
-	Score      float64            `json:"score"` // 0.4 whole, 0.25 worst 10 s, 0.35 worst class
-	P50MS      float64            `json:"p50_ms"`
-	P90MS      float64            `json:"p90_ms"`
-	P99MS      float64            `json:"p99_ms"`
-	MaxRSS     map[string]int64   `json:"max_rss_bytes"`
-	MaxFDs     map[string]int     `json:"max_fds"`
-	CPU        map[string]float64 `json:"cpu_s"`
-	Own        []Figure           `json:"own,omitempty"` // of a kind of run that has figures of its own
-	series     series
+	Seconds       float64            `json:"seconds"`
+	Messages      int                `json:"messages"`  // first tries
+	Requests      int                `json:"requests"`  // with the clients' repeats
+	Delivered     int                `json:"delivered"` // first tries that arrived, by any repeat
+	Rejected      int                `json:"refused"`   // requests, at the door or by a notice
+	Failed        int                `json:"given_up"`
+	Unanswered    int                `json:"unheard"`
+	Calls         int                `json:"calls"`
+	RejectedCalls int                `json:"turned_away"` // calls answered 429 or 503
+	FailedCalls   int                `json:"failed"`      // calls answered 500, unreadable, or not at all
+	ValueServed   float64            `json:"served"`      // share of worth, whole run
+	WorstWindow   float64            `json:"served_worst_10s"`
+	Classes       map[string]float64 `json:"served_by_class"`
+	Score         float64            `json:"score"` // 0.4 whole, 0.25 worst 10 s, 0.35 worst class
+	P50MS         float64            `json:"p50_ms"`
+	P90MS         float64            `json:"p90_ms"`
+	P99MS         float64            `json:"p99_ms"`
+	MaxRSS        map[string]int64   `json:"max_rss_bytes"`
+	MaxFDs        map[string]int     `json:"max_fds"`
+	CPU           map[string]float64 `json:"cpu_s"`
+	Own           []Figure           `json:"own,omitempty"` // of a kind of run that has figures of its own
+	series        series
 }
 
 // series are the values a second from the load's begin.
 type series struct {
-	from                int64
-	asked, served       []float64 // worth, by the second in which a message was due
-	calls, away, failed []float64
-	refused, given      []float64
-	latency             []*hdrhistogram.Histogram // by the second of arrival
-	rss, fds            map[string][][2]float64   // seconds and value
-	faults              []shade
-	open                map[string]int // place in faults of the last with a name
+	from                              int64
+	offered, served                   []float64 // worth, by the second in which a message was due
+	calls, rejectedCalls, failedCalls []float64
+	rejected, failed                  []float64
+	latency                           []*hdrhistogram.Histogram // by the second of arrival
+	rss, fds                          map[string][][2]float64   // seconds and value
+	faults                            []shade
+	open                              map[string]int // place in faults of the last with a name
 }
 
 type shade struct {
@@ -95,17 +95,17 @@
 				firsts[e.FirstMessage] = &first{due: e.DueAt, class: names[e.Class]}
 			}
 		case history.MessageRejected:
-			s.Refused++
-			add(&s.series.refused, sec, 1)
+			s.Rejected++
+			add(&s.series.rejected, sec, 1)
 		case history.SubmitUnanswered:
-			s.Unheard++
+			s.Unanswered++
 		case history.Notice:
 			if e.Text == "handed_back" {
-				s.Refused++
-				add(&s.series.refused, sec, 1)
+				s.Rejected++
+				add(&s.series.rejected, sec, 1)
 			} else {
-				s.GivenUp++
-				add(&s.series.given, sec, 1)
+				s.Failed++
+				add(&s.series.failed, sec, 1)
 			}
 		case history.CallReceived:
 			s.Calls++
@@ -116,14 +116,14 @@
 		case history.CallAborted, history.CallBroken:
 			if !ended[e.Call] && calls[e.Call].Kind != "" {
 				ended[e.Call] = true
-				s.Faults++
-				add(&s.series.failed, sec, 1)
+				s.FailedCalls++
+				add(&s.series.failedCalls, sec, 1)
 			}
 		case history.ResponseReceived:
 			c, a := calls[e.Call], answers[e.Call]
 			if ended[e.Call] { // it left as soon as it had its answer
-				s.Faults--
-				add(&s.series.failed, sec, -1)
+				s.FailedCalls--
+				add(&s.series.failedCalls, sec, -1)
 			}
 			delete(calls, e.Call)
 			delete(answers, e.Call)
@@ -149,11 +149,11 @@
 					s.Classes[classes[f.class].Name] += classes[f.class].Value(time.Duration(took) * time.Microsecond)
 				}
 			case 429, 503:
-				s.TurnedAway++
-				add(&s.series.away, sec, 1)
+				s.RejectedCalls++
+				add(&s.series.rejectedCalls, sec, 1)
 			case 0, 500:
-				s.Faults++
-				add(&s.series.failed, sec, 1)
+				s.FailedCalls++
+				add(&s.series.failedCalls, sec, 1)
 			}
 		case history.UsageSampled:
 			s.MaxRSS[e.Relay] = max(s.MaxRSS[e.Relay], e.RSS)
@@ -188,23 +188,23 @@
 func (s *Stats) finish(firsts map[string]*first, classes []model.Class, all *hdrhistogram.Histogram) {
 	byClass := map[string]float64{}
 	for _, f := range firsts {
-		add(&s.series.asked, int(max(0, (f.due-s.series.from)/1e6)), classes[f.class].Weight)
+		add(&s.series.offered, int(max(0, (f.due-s.series.from)/1e6)), classes[f.class].Weight)
 		byClass[classes[f.class].Name] += classes[f.class].Weight
 	}
-	for len(s.series.served) < len(s.series.asked) {
+	for len(s.series.served) < len(s.series.offered) {
 		s.series.served = append(s.series.served, 0)
 	}
-	s.Served = share(s.series.served, s.series.asked)
-	s.Worst = s.Served
-	for i := 0; i+10 <= len(s.series.asked); i++ {
-		s.Worst = min(s.Worst, share(s.series.served[i:i+10], s.series.asked[i:i+10]))
+	s.ValueServed = fractionOf(s.series.served, s.series.offered)
+	s.WorstWindow = s.ValueServed
+	for i := 0; i+10 <= len(s.series.offered); i++ {
+		s.WorstWindow = min(s.WorstWindow, fractionOf(s.series.served[i:i+10], s.series.offered[i:i+10]))
 	}
 	worstClass := 1.0
 	for name, asked := range byClass {
 		s.Classes[name] /= asked
 		worstClass = min(worstClass, s.Classes[name])
 	}
-	s.Score = 0.4*s.Served + 0.25*s.Worst + 0.35*worstClass
+	s.Score = 0.4*s.ValueServed + 0.25*s.WorstWindow + 0.35*worstClass
 	s.P50MS, s.P90MS, s.P99MS = float64(all.ValueAtQuantile(50))/1e3, float64(all.ValueAtQuantile(90))/1e3, float64(all.ValueAtQuantile(99))/1e3
 	for i := range s.series.faults {
 		if s.series.faults[i].to < 0 {
@@ -214,12 +214,12 @@
 	slices.SortFunc(s.series.faults, func(a, b shade) int { return int(a.from*1e3 - b.from*1e3) })
 }
 
-func share(part, of []float64) float64 {
+func fractionOf(parts, wholes []float64) float64 {
 	p, o := 0.0, 0.0
-	for i := range of {
-		o += of[i]
-		if i < len(part) {
-			p += part[i]
+	for i := range wholes {
+		o += wholes[i]
+		if i < len(parts) {
+			p += parts[i]
 		}
 	}
 	if o == 0 {
@@ -246,16 +246,16 @@
 		of         func(*Stats) float64
 	}{
 		{"score", "", func(s *Stats) float64 { return s.Score }},
-		{"worth served, whole run", "", func(s *Stats) float64 { return s.Served }},
-		{"worth served, worst 10 s", "", func(s *Stats) float64 { return s.Worst }},
+		{"worth served, whole run", "", func(s *Stats) float64 { return s.ValueServed }},
+		{"worth served, worst 10 s", "", func(s *Stats) float64 { return s.WorstWindow }},
 		{"latency p50", "ms", func(s *Stats) float64 { return s.P50MS }},
 		{"latency p90", "ms", func(s *Stats) float64 { return s.P90MS }},
 		{"latency p99", "ms", func(s *Stats) float64 { return s.P99MS }},
 		{"calls a message", "", func(s *Stats) float64 { return ratio(s.Calls, s.Messages) }},
-		{"calls turned away, of all", "", func(s *Stats) float64 { return ratio(s.TurnedAway, s.Calls) }},
-		{"calls failed, of all", "", func(s *Stats) float64 { return ratio(s.Faults, s.Calls) }},
-		{"requests refused, of all", "", func(s *Stats) float64 { return ratio(s.Refused, s.Requests) }},
-		{"messages given up, of all", "", func(s *Stats) float64 { return ratio(s.GivenUp, s.Messages) }},
+		{"calls turned away, of all", "", func(s *Stats) float64 { return ratio(s.RejectedCalls, s.Calls) }},
+		{"calls failed, of all", "", func(s *Stats) float64 { return ratio(s.FailedCalls, s.Calls) }},
+		{"requests refused, of all", "", func(s *Stats) float64 { return ratio(s.Rejected, s.Requests) }},
+		{"messages given up, of all", "", func(s *Stats) float64 { return ratio(s.Failed, s.Messages) }},
 		{"memory, largest relay", "MB", func(s *Stats) float64 { return float64(maxOf(s.MaxRSS)) / (1 << 20) }},
 		{"descriptors, largest relay", "", func(s *Stats) float64 { return float64(maxOf(s.MaxFDs)) }},
 		{"CPU, all relays", "s", func(s *Stats) float64 {
--- a/internal/faultlab/rollout.go
+++ b/internal/faultlab/rollout.go
@@ -16,62 +16,62 @@
 	"plovershore/internal/rollout"
 )
 
-// runners are the lab's runners, one beside each relay, and the plan that is
+// rolloutRunners are the lab's runners, one beside each relay, and the plan that is
 // played with them.
-type runners struct {
+type rolloutRunners struct {
 	run  *run
 	plan rollout.Plan
 
-	mu   sync.Mutex
-	open map[int]int // relays of each wave that are being restarted
+	mu        sync.Mutex
+	openWaves map[int]int // relays of each wave that are being restarted
 }
 
-// program restarts one relay as an upgrade does.
-type program struct {
-	*runners
-	x    *relay
-	wave int
+// rolloutProgram restarts one relay as an upgrade does.
+type rolloutProgram struct {
+	*rolloutRunners
+	relay *relay
+	wave  int
 }
 
 // Operator is rollout.Program's.
-func (p program) Operator() string {
-	p.x.mu.Lock()
-	defer p.x.mu.Unlock()
-	return p.x.operator
+func (p rolloutProgram) Operator() string {
+	p.relay.mu.Lock()
+	defer p.relay.mu.Unlock()
+	return p.relay.operator
 }
 
 // Restart is rollout.Program's.
-func (p program) Restart(ctx context.Context) (int, error) {
+func (p rolloutProgram) Restart(ctx context.Context) (int, error) {
 	p.mu.Lock()
-	p.open[p.wave]++
-	if len(p.open) > 1 {
-		p.run.fail(fmt.Errorf("lab: rollout: waves %v are open at once", p.open))
+	p.openWaves[p.wave]++
+	if len(p.openWaves) > 1 {
+		p.run.fail(fmt.Errorf("lab: rollout: waves %v are open at once", p.openWaves))
 	}
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.open[p.wave]--; p.open[p.wave] == 0 {
-			delete(p.open, p.wave)
+		if p.openWaves[p.wave]--; p.openWaves[p.wave] == 0 {
+			delete(p.openWaves, p.wave)
 		}
 	}()
-	p.x.busy.Lock()
-	defer p.x.busy.Unlock()
+	p.relay.busy.Lock()
+	defer p.relay.busy.Unlock()
 	// A second restart of a relay is a second step of this name.
-	p.run.rec.Record(history.Event{Kind: history.RoleStep, Relay: p.x.name, Text: "rollout " + p.x.name, Status: 1})
-	if err := p.x.upgrade(ctx); err != nil {
+	p.run.recorder.Record(history.Event{Kind: history.RoleStep, Relay: p.relay.name, Text: "rollout " + p.relay.name, Status: 1})
+	if err := p.relay.upgrade(ctx); err != nil {
 		return 0, err
 	}
-	p.x.mu.Lock()
-	defer p.x.mu.Unlock()
-	return p.x.proc.PID, nil
+	p.relay.mu.Lock()
+	defer p.relay.mu.Unlock()
+	return p.relay.process.PID, nil
 }
 
 // strikeRollout has the wardens restart all relays in waves, and follows that to
 // its end, which has to come before the run's.
 func (r *run) strikeRollout(ctx context.Context) error {
 	n := len(r.relays)
-	rs := &runners{run: r, open: map[int]int{}, plan: rollout.Plan{Waves: []int{1, max(1, n/4)}, Parallelism: 2, ReadyTimeout: 10, SettleTime: 0.5, SettleTimeout: 8, MaxRejected: 0.9, MaxPending: 1000}}
+	rs := &rolloutRunners{run: r, openWaves: map[int]int{}, plan: rollout.Plan{Waves: []int{1, max(1, n/4)}, Parallelism: 2, ReadyTimeout: 10, SettleTime: 0.5, SettleTimeout: 8, MaxRejected: 0.9, MaxPending: 1000}}
 	for i, x := range r.relays {
 		wave := 0
 		if i >= 1 {
@@ -82,7 +82,7 @@
 		}
 		addr := r.address()
 		s := &http.Server{Addr: addr, ReadHeaderTimeout: time.Second,
-			Handler: (&rollout.Runner{Folder: filepath.Dir(x.state()), Program: program{rs, x, wave}, Log: slog.New(slog.DiscardHandler)}).Handler()}
+			Handler: (&rollout.Runner{Folder: filepath.Dir(x.stateDir()), Program: rolloutProgram{rs, x, wave}, Log: slog.New(slog.DiscardHandler)}).Handler()}
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); s.ListenAndServe() }() // ends by Close
 		defer s.Close()
--- a/internal/faultlab/salvage.go
+++ b/internal/faultlab/salvage.go
@@ -26,7 +26,7 @@
 func (r *run) newPlatform() (*platform, error) {
 	p := &platform{run: r}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+discovery.NoticePath, p.reports)
+	mux.HandleFunc("POST "+discovery.NoticePath, p.serveNotices)
 	var err error
 	if p.Listener, err = model.NewListener(r.ip, mux); err != nil {
 		return nil, fmt.Errorf("lab: platform: %w", err)
@@ -34,20 +34,20 @@
 	return p, nil
 }
 
-func (p *platform) reports(w http.ResponseWriter, r *http.Request) {
+func (p *platform) serveNotices(w http.ResponseWriter, r *http.Request) {
 	all, err := discovery.ReadNotices(r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	model.RecordNotices(p.run.rec, failoverSource, all, p.run.noticed)
+	model.RecordNotices(p.run.recorder, failoverSource, all, p.run.onNotice)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// strikeSalvage loses a relay for good, as its operators see it: they have the
+// strikeFailover loses a relay for good, as its operators see it: they have the
 // wardens salvage its folder, which has to be done before the run ends. Later the
 // relay comes back all the same, over the folder that it had.
-func (r *run) strikeSalvage(ctx context.Context, s Step, x *relay) error {
+func (r *run) strikeFailover(ctx context.Context, s Step, x *relay) error {
 	x.stop(false)
 	var safe []string
 	for _, c := range model.Classes() {
@@ -55,7 +55,7 @@
 			safe = append(safe, c.Name)
 		}
 	}
-	spec, err := json.Marshal(failover.Spec{Folder: x.state(), DiskMB: r.scen.Fleet.DiskMB, IdempotentClasses: safe})
+	spec, err := json.Marshal(failover.Spec{Folder: x.stateDir(), DiskMB: r.scenario.Fleet.DiskMB, IdempotentClasses: safe})
 	if err != nil {
 		return fmt.Errorf("lab: salvage: %w", err)
 	}
@@ -77,7 +77,7 @@
 			return fmt.Errorf("lab: salvage of %s: not at its end: %s, %s", x.name, last.Message, last.Progress)
 		}
 	}
-	r.rec.Record(history.Event{Kind: history.FailoverFinished, Relay: x.name, Text: string(last.Progress)})
-	r.hold(ctx, s)
+	r.recorder.Record(history.Event{Kind: history.FailoverFinished, Relay: x.name, Text: string(last.Progress)})
+	r.waitUntilUndone(ctx, s)
 	return x.start()
 }
