--- a/internal/faultlab/scale_clients.go
+++ b/internal/faultlab/scale_clients.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	scalePatience = 2 * time.Second // of a client for its answer
-	idleMost      = 64              // connections that are kept to one relay
+	clientTimeout = 2 * time.Second // of a client for its answer
+	maxIdleConns  = 64              // connections that are kept to one relay
 )
 
 // scaleClients hand messages in to one real relay by an open loop, as many as a
 // hollow one draws.
 type scaleClients struct {
-	scen   *scenario.Scenario
-	addr   string
-	random *rand.Rand
-	late   func(time.Duration)
-	idle   chan *scaleConn
+	scenario   *scenario.Scenario
+	addr       string
+	random     *rand.Rand
+	onLateness func(time.Duration)
+	idle       chan *scaleConn
 
-	offered, taken, refused, unheard atomic.Int64
+	offered, accepted, rejected, unanswered atomic.Int64
 }
 
 type scaleConn struct {
@@ -38,7 +38,7 @@
 }
 
 func newScaleClients(s *scenario.Scenario, addr string, random *rand.Rand, late func(time.Duration)) *scaleClients {
-	return &scaleClients{scen: s, addr: addr, random: random, late: late, idle: make(chan *scaleConn, idleMost)}
+	return &scaleClients{scenario: s, addr: addr, random: random, onLateness: late, idle: make(chan *scaleConn, maxIdleConns)}
 }
 
 // run hands messages in until ctx ends, and returns once each has its answer.
@@ -46,30 +46,30 @@
 	var wg sync.WaitGroup
 	defer c.close()
 	defer wg.Wait()
-	if c.scen.Scale.Rate == 0 {
+	if c.scenario.Scale.Rate == 0 {
 		return
 	}
 	due := time.Now()
 	for n := 0; ; n++ {
-		due = due.Add(time.Duration(c.random.ExpFloat64() / c.scen.Scale.Rate * float64(time.Second)))
+		due = due.Add(time.Duration(c.random.ExpFloat64() / c.scenario.Scale.Rate * float64(time.Second)))
 		if !model.Sleep(ctx, time.Until(due)) {
 			return
 		}
-		c.late(time.Since(due))
+		c.onLateness(time.Since(due))
 		class := 0
 		if c.random.Float64() >= model.Classes()[0].Fraction {
 			class = 1
 		}
-		text := c.request(fmt.Sprintf("%08x%08x", relay, n), class, c.random.IntN(c.scen.Scale.Members))
+		text := c.request(fmt.Sprintf("%08x%08x", relay, n), class, c.random.IntN(c.scenario.Scale.Members))
 		c.offered.Add(1)
 		wg.Add(1)
-		go func() { defer wg.Done(); c.hand(text) }()
+		go func() { defer wg.Done(); c.submit(text) }()
 	}
 }
 
 // request is MSG.PUT; the first byte of the body names the class to the endpoint.
 func (c *scaleClients) request(id string, class, dest int) []byte {
-	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", model.Classes()[class].Name, scenario.Secs(c.scen.Scale.Deadline).Milliseconds(), dest)
+	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", model.Classes()[class].Name, scenario.Seconds(c.scenario.Scale.Deadline).Milliseconds(), dest)
 	body := fmt.Sprint(class) + strings.Repeat("x", scaleBody-1)
 	out := []byte("*5\r\n")
 	for _, s := range []string{"MSG.PUT", "0000000000000000", id, fields, body} {
@@ -78,31 +78,31 @@
 	return out
 }
 
-func (c *scaleClients) hand(text []byte) {
-	line, err := c.ask(text)
+func (c *scaleClients) submit(text []byte) {
+	line, err := c.exchange(text)
 	switch {
 	case err != nil:
-		c.unheard.Add(1)
+		c.unanswered.Add(1)
 	case strings.HasPrefix(line, "+"), strings.HasPrefix(line, "$"):
-		c.taken.Add(1)
+		c.accepted.Add(1)
 	default:
-		c.refused.Add(1)
+		c.rejected.Add(1)
 	}
 }
 
-// ask sends a request on a kept connection, or on a new one.
-func (c *scaleClients) ask(text []byte) (string, error) {
+// exchange sends a request on a kept connection, or on a new one.
+func (c *scaleClients) exchange(text []byte) (string, error) {
 	var x *scaleConn
 	select {
 	case x = <-c.idle:
 	default:
-		conn, err := net.DialTimeout("tcp4", c.addr, scalePatience)
+		conn, err := net.DialTimeout("tcp4", c.addr, clientTimeout)
 		if err != nil {
 			return "", err
 		}
 		x = &scaleConn{conn, bufio.NewReader(conn)}
 	}
-	x.SetDeadline(time.Now().Add(scalePatience))
+	x.SetDeadline(time.Now().Add(clientTimeout))
 	if _, err := x.Write(text); err != nil {
 		x.Close()
 		return "", err
--- a/internal/faultlab/scale_endpoints.go
+++ b/internal/faultlab/scale_endpoints.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	downEvery  = 100 * time.Millisecond // destinations go down and come back so often
-	downFiller = 200 * time.Millisecond // until the queue of one that is down counts as full
-	endpointIP = "127.%d.%d.%d"
-	loopback   = "lo"
+	downInterval  = 100 * time.Millisecond // destinations go down and come back so often
+	fillerTimeout = 200 * time.Millisecond // until the queue of one that is down counts as full
+	endpointIP    = "127.%d.%d.%d"
+	loopback      = "lo"
 	// SO_REUSEPORT of Linux, which package syscall does not name.
 	reusePort = 15
 )
 
-// farSide is the endpoints of all destinations: one listener takes what comes to
+// scaleEndpoints is the endpoints of all destinations: one listener takes what comes to
 // any address of the loopback device at its port, so that each member has an
 // address of its own and none costs a descriptor. For a destination that is
 // down, a listener of that address alone, whose queue is full, lets no
 // connection through.
-type farSide struct {
+type scaleEndpoints struct {
 	port      int
 	classes   map[byte]simrelay.StreamClass
 	server    *http.Server
 	delivered atomic.Int64
 
 	mu   sync.Mutex
-	down map[int]*closedDoor
+	down map[int]*closedAddress
 }
 
-// closedDoor is an address that answers no connection.
-type closedDoor struct {
+// closedAddress is an address that answers no connection.
+type closedAddress struct {
 	listener net.Listener
 	fillers  []net.Conn
 }
 
-func (d *closedDoor) close() {
+func (d *closedAddress) close() {
 	d.listener.Close()
 	for _, c := range d.fillers {
 		c.Close()
@@ -70,13 +70,13 @@
 	return ln, nil
 }
 
-// newFarSide serves all endpoints until it is closed.
-func newFarSide(ctx context.Context) (*farSide, error) {
+// newScaleEndpoints serves all endpoints until it is closed.
+func newScaleEndpoints(ctx context.Context) (*scaleEndpoints, error) {
 	ln, err := listenLoopback(ctx, ":0")
 	if err != nil {
 		return nil, err
 	}
-	f := &farSide{port: ln.Addr().(*net.TCPAddr).Port, down: map[int]*closedDoor{}, classes: map[byte]simrelay.StreamClass{}}
+	f := &scaleEndpoints{port: ln.Addr().(*net.TCPAddr).Port, down: map[int]*closedAddress{}, classes: map[byte]simrelay.StreamClass{}}
 	for i, c := range model.Classes() {
 		f.classes[byte('0'+i)] = simrelay.StreamClass{Name: c.Name, Fraction: c.Fraction, ServiceTime: c.ServiceTime}
 	}
@@ -86,12 +86,12 @@
 }
 
 // address is that of one member.
-func (f *farSide) address(member int) string {
+func (f *scaleEndpoints) address(member int) string {
 	return net.JoinHostPort(fmt.Sprintf(endpointIP, 130+member/62500, member/250%250, 1+member%250), strconv.Itoa(f.port))
 }
 
 // serve takes one message. The first byte of its body names its class.
-func (f *farSide) serve(w http.ResponseWriter, r *http.Request) {
+func (f *scaleEndpoints) serve(w http.ResponseWriter, r *http.Request) {
 	body := make([]byte, 1)
 	if n, _ := r.Body.Read(body); n != 1 || r.Method != http.MethodPost {
 		w.WriteHeader(http.StatusBadRequest)
@@ -106,9 +106,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// keepDown has the destinations that are down answer no connection, until ctx ends.
-func (f *farSide) keepDown(ctx context.Context, down *simrelay.Down, destinations int, fail func(error)) {
-	for model.Sleep(ctx, downEvery) {
+// updateDown has the destinations that are down answer no connection, until ctx ends.
+func (f *scaleEndpoints) updateDown(ctx context.Context, down *simrelay.Down, destinations int, fail func(error)) {
+	for model.Sleep(ctx, downInterval) {
 		now := time.Now().UnixMicro()
 		for i := range destinations {
 			f.mu.Lock()
@@ -116,7 +116,7 @@
 			f.mu.Unlock()
 			switch is := down.At(i, now); {
 			case is && door == nil:
-				if err := f.shut(ctx, i); err != nil {
+				if err := f.closeAddress(ctx, i); err != nil {
 					fail(err)
 					return
 				}
@@ -130,9 +130,9 @@
 	}
 }
 
-// shut has one destination answer no connection: the queue of its own listener
+// closeAddress has one destination answer no connection: the queue of its own listener
 // is as short as can be, and full.
-func (f *farSide) shut(ctx context.Context, member int) error {
+func (f *scaleEndpoints) closeAddress(ctx context.Context, member int) error {
 	ln, err := listenLoopback(ctx, f.address(member))
 	if err != nil {
 		return err
@@ -142,8 +142,8 @@
 		return fmt.Errorf("lab: endpoints: %w", err)
 	}
 	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
-	door := &closedDoor{listener: ln}
-	c, err := net.DialTimeout("tcp4", f.address(member), downFiller)
+	door := &closedAddress{listener: ln}
+	c, err := net.DialTimeout("tcp4", f.address(member), fillerTimeout)
 	if err == nil {
 		door.fillers = append(door.fillers, c)
 	}
@@ -153,7 +153,7 @@
 	return nil
 }
 
-func (f *farSide) close() {
+func (f *scaleEndpoints) close() {
 	f.server.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/faultlab/scale_figures.go
+++ b/internal/faultlab/scale_figures.go
@@ -17,20 +17,20 @@
 	budgetCPU      = 3.4 // % of a core
 	budgetMemoryMB = 256
 	budgetKB       = 30.0 // a second
-	budgetForce    = 16 * time.Second
+	budgetDelay    = 16 * time.Second
 )
 
 // Parts of a scale run.
 const (
-	partQuiet   = "quiet"
-	partControl = "control"
-	partLoad    = "load"
+	phaseQuiet   = "quiet"
+	phaseControl = "control"
+	phaseLoad    = "load"
 )
 
-var scaleParts = []string{partQuiet, partControl, partLoad}
+var scalePhases = []string{phaseQuiet, phaseControl, phaseLoad}
 
-// ScalePart is what one unit of a role cost in one part of the run.
-type ScalePart struct {
+// ScalePhase is what one unit of a role cost in one part of the run.
+type ScalePhase struct {
 	CPU      float64 `json:"cpu_percent"` // of a core
 	MemoryMB float64 `json:"memory_mb"`   // at its end
 	KB       float64 `json:"kb_a_second"` // of control: between relay and agent, or agent and nodes
@@ -38,11 +38,11 @@
 
 // ScaleRole is what one role cost, each figure for one unit of it.
 type ScaleRole struct {
-	Name    string               `json:"name"`
-	Units   int                  `json:"units"`
-	Parts   map[string]ScalePart `json:"parts"`
-	PeakMB  float64              `json:"peak_mb"`  // the largest mean over the units, of samples
-	StartMB float64              `json:"start_mb"` // bytes of control until all had their list
+	Name    string                `json:"name"`
+	Units   int                   `json:"units"`
+	Phases  map[string]ScalePhase `json:"parts"`
+	PeakMB  float64               `json:"peak_mb"`  // the largest mean over the units, of samples
+	StartMB float64               `json:"start_mb"` // bytes of control until all had their list
 
 	// The same at the target's rate of changes, worked out: quiet, and of what control
 	// costs beyond that the part that is not sped up.
@@ -50,8 +50,8 @@
 	DayKB  float64 `json:"day_kb_a_second"`
 }
 
-// ScaleSpread is a distribution in seconds.
-type ScaleSpread struct {
+// ScaleDelay is a distribution in seconds.
+type ScaleDelay struct {
 	Name    string  `json:"name"`
 	Count   int     `json:"count"`
 	Missing int     `json:"missing"` // that never came to be in force
@@ -60,8 +60,8 @@
 	Max     float64 `json:"max_s"`
 }
 
-func scaleSpread(name string, seconds []float64, missing int) ScaleSpread {
-	s := ScaleSpread{Name: name, Count: len(seconds), Missing: missing}
+func newScaleDelay(name string, seconds []float64, missing int) ScaleDelay {
+	s := ScaleDelay{Name: name, Count: len(seconds), Missing: missing}
 	if len(seconds) == 0 {
 		return s
 	}
@@ -73,24 +73,24 @@
 
 // ScaleReport is what a scale run came to, beside its verdict.
 type ScaleReport struct {
-	Hollow    int           `json:"hollow"`
-	Members   int           `json:"members"`
-	ListMB    float64       `json:"list_mb"` // of the whole list, as the service sends it
-	Roles     []ScaleRole   `json:"roles"`
-	Force     []ScaleSpread `json:"force"`
-	Changes   int           `json:"changes"`
-	Register  float64       `json:"register_s"` // until all members were registered
-	Start     float64       `json:"start_s"`    // from the first process of a relay until all had the list
-	Settle    float64       `json:"settle_s"`   // after the load, until all had the service's list and nothing was owed
-	Rate      float64       `json:"rate"`       // messages a second that the hollow relays took on, together
-	Speed     float64       `json:"speed"`
-	Apart     []ScaleApart  `json:"apart"`
-	HollowP99 time.Duration `json:"hollow_late_p99_ns"`
-	Notes     []string      `json:"notes"`
+	SimRelays   int               `json:"hollow"`
+	Members     int               `json:"members"`
+	ListMB      float64           `json:"list_mb"` // of the whole list, as the service sends it
+	Roles       []ScaleRole       `json:"roles"`
+	Delays      []ScaleDelay      `json:"force"`
+	Changes     int               `json:"changes"`
+	Register    float64           `json:"register_s"` // until all members were registered
+	Start       float64           `json:"start_s"`    // from the first process of a relay until all had the list
+	Settle      float64           `json:"settle_s"`   // after the load, until all had the service's list and nothing was owed
+	Rate        float64           `json:"rate"`       // messages a second that the hollow relays took on, together
+	Speed       float64           `json:"speed"`
+	Comparisons []ScaleComparison `json:"apart"`
+	SimLateP99  time.Duration     `json:"hollow_late_p99_ns"`
+	Notes       []string          `json:"notes"`
 }
 
-// ScaleApart is how far a hollow relay is from a real one at the same load.
-type ScaleApart struct {
+// ScaleComparison is how far a hollow relay is from a real one at the same load.
+type ScaleComparison struct {
 	Name         string  `json:"name"`
 	Hollow, Real float64 `json:",omitempty"`
 	Ratio        float64 `json:"ratio"`
@@ -98,12 +98,12 @@
 
 // role is a kind of process of a scale run.
 type role struct {
-	name   string
-	units  int
-	procs  []*process.Process
-	meters []*meter
-	before usage
-	told   ScaleRole
+	name      string
+	units     int
+	processes []*process.Process
+	meters    []*meter
+	before    usage
+	cost      ScaleRole
 
 	mu   sync.Mutex
 	peak int64
@@ -119,7 +119,7 @@
 
 func (r *role) measure() usage {
 	u := usage{at: time.Now()}
-	for _, p := range r.procs {
+	for _, p := range r.processes {
 		if x, err := process.Measure(p.PID); err == nil {
 			u.cpu, u.rss = u.cpu+x.CPU, u.rss+x.RSS
 		}
@@ -133,44 +133,46 @@
 	return u
 }
 
-// begin starts a part, end books it.
-func (r *role) begin() { r.before = r.measure() }
+// beginPhase starts a part, end books it.
+func (r *role) beginPhase() { r.before = r.measure() }
 
-func (r *role) end(part string) {
+func (r *role) endPhase(phase string) {
 	now, units := r.measure(), float64(r.units)
 	spent := now.at.Sub(r.before.at).Seconds()
-	r.told.Parts[part] = ScalePart{CPU: 100 * (now.cpu - r.before.cpu).Seconds() / spent / units, MemoryMB: float64(now.rss) / (1 << 20) / units,
+	r.cost.Phases[phase] = ScalePhase{CPU: 100 * (now.cpu - r.before.cpu).Seconds() / spent / units, MemoryMB: float64(now.rss) / (1 << 20) / units,
 		KB: float64(now.bytes-r.before.bytes) / 1e3 / spent / units}
 }
 
 func (r *role) finish(speed float64) ScaleRole {
-	r.told.Name, r.told.Units = r.name, r.units
-	quiet, control := r.told.Parts[partQuiet], r.told.Parts[partControl]
-	r.told.DayCPU = quiet.CPU + (control.CPU-quiet.CPU)/speed
-	r.told.DayKB = quiet.KB + (control.KB-quiet.KB)/speed
-	r.told.PeakMB = float64(r.peak) / (1 << 20) / float64(r.units)
-	return r.told
+	r.cost.Name, r.cost.Units = r.name, r.units
+	quiet, control := r.cost.Phases[phaseQuiet], r.cost.Phases[phaseControl]
+	r.cost.DayCPU = quiet.CPU + (control.CPU-quiet.CPU)/speed
+	r.cost.DayKB = quiet.KB + (control.KB-quiet.KB)/speed
+	r.cost.PeakMB = float64(r.peak) / (1 << 20) / float64(r.units)
+	return r.cost
 }
 
 // isRelay tells whether the budget of a relay's control is for this role.
-func isRelay(name string) bool { return name == hollowName || name == realName || name == operatedName }
+func isRelay(name string) bool {
+	return name == simRelayRole || name == realRelayRole || name == operatedRelayRole
+}
 
 // Print writes the report as a table.
 func (s *ScaleReport) Print(w io.Writer) {
 	fmt.Fprintf(w, "%d hollow relays, %d members, a list of %.2f MB; %d changes, x %.0f; registered in %.1f s, relays started in %.1f s, settled in %.1f s; %.0f messages a second, hollow late p99 %v\n",
-		s.Hollow, s.Members, s.ListMB, s.Changes, s.Speed, s.Register, s.Start, s.Settle, s.Rate, s.HollowP99)
+		s.SimRelays, s.Members, s.ListMB, s.Changes, s.Speed, s.Register, s.Start, s.Settle, s.Rate, s.SimLateP99)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "each\tunits\tpart\tCPU, % of a core\tof budget\tmemory MB\tpeak MB\tof budget\tKB/s\tof budget\tstart MB")
 	for _, r := range s.Roles {
-		for _, part := range scaleParts {
-			p, ok := r.Parts[part]
+		for _, part := range scalePhases {
+			p, ok := r.Phases[part]
 			if !ok {
 				continue
 			}
 			cpu, memory, bytes := "-", "-", "-"
 			if isRelay(r.Name) {
 				memory, bytes = fmt.Sprintf("%.2f", r.PeakMB/budgetMemoryMB), fmt.Sprintf("%.2f", p.KB/budgetKB)
-				if part != partLoad { // with messages it is not control alone
+				if part != phaseLoad { // with messages it is not control alone
 					cpu = fmt.Sprintf("%.2f", p.CPU/budgetCPU)
 				}
 			}
@@ -180,8 +182,8 @@
 	t.Flush()
 	t = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "seconds until in force\tcount\tmissing\tp50\tp99\tmax\tmax of budget")
-	for _, f := range s.Force {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.2f\n", f.Name, f.Count, f.Missing, f.P50, f.P99, f.Max, f.Max/budgetForce.Seconds())
+	for _, f := range s.Delays {
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.2f\n", f.Name, f.Count, f.Missing, f.P50, f.P99, f.Max, f.Max/budgetDelay.Seconds())
 	}
 	t.Flush()
 	for _, r := range s.Roles {
@@ -190,7 +192,7 @@
 				r.Name, r.DayCPU, r.DayCPU/budgetCPU, r.DayKB, r.DayKB/budgetKB)
 		}
 	}
-	for _, a := range s.Apart {
+	for _, a := range s.Comparisons {
 		fmt.Fprintf(w, "hollow beside real, %s: %.2f and %.2f, ratio %.2f\n", a.Name, a.Hollow, a.Real, a.Ratio)
 	}
 	for _, n := range s.Notes {
@@ -204,8 +206,8 @@
 		all = append(all, report.Figure{Name: name, Unit: unit, Value: value})
 	}
 	for _, r := range s.Roles {
-		for _, part := range scaleParts {
-			if p, ok := r.Parts[part]; ok {
+		for _, part := range scalePhases {
+			if p, ok := r.Phases[part]; ok {
 				add(fmt.Sprintf("CPU, %s, %s", r.Name, part), "% of a core", p.CPU)
 				add(fmt.Sprintf("bytes, %s, %s", r.Name, part), "KB/s", p.KB)
 			}
@@ -214,13 +216,13 @@
 		add("peak memory, "+r.Name, "MB", r.PeakMB)
 		add("bytes at the start, "+r.Name, "MB", r.StartMB)
 	}
-	for _, f := range s.Force {
+	for _, f := range s.Delays {
 		add(f.Name+", p50", "s", f.P50)
 		add(f.Name+", p99", "s", f.P99)
 		add(f.Name+", max", "s", f.Max)
 		add(f.Name+", missing", "", float64(f.Missing))
 	}
-	for _, a := range s.Apart {
+	for _, a := range s.Comparisons {
 		add("hollow over real, "+a.Name, "", a.Ratio)
 	}
 	add("all members registered", "s", s.Register)
@@ -229,8 +231,8 @@
 	return all
 }
 
-// apart sets the hollow relays beside the real ones of the same load.
-func (s *ScaleReport) apart(hollowName, realName string) {
+// compareRoles sets the hollow relays beside the real ones of the same load.
+func (s *ScaleReport) compareRoles(hollowName, realName string) {
 	var h, r *ScaleRole
 	for i := range s.Roles {
 		switch s.Roles[i].Name {
@@ -244,15 +246,15 @@
 		return
 	}
 	add := func(name string, x, y float64) {
-		a := ScaleApart{Name: name, Hollow: x, Real: y}
+		a := ScaleComparison{Name: name, Hollow: x, Real: y}
 		if y > 0 {
 			a.Ratio = x / y
 		}
-		s.Apart = append(s.Apart, a)
+		s.Comparisons = append(s.Comparisons, a)
 	}
-	for _, part := range scaleParts {
-		if hp, ok := h.Parts[part]; ok {
-			add("CPU, "+part, hp.CPU, r.Parts[part].CPU)
+	for _, part := range scalePhases {
+		if hp, ok := h.Phases[part]; ok {
+			add("CPU, "+part, hp.CPU, r.Phases[part].CPU)
 		}
 	}
 	add("peak memory", h.PeakMB, r.PeakMB)
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	beatBatch   = 1000 // heartbeats in one call: under the service's bound of 64 KB
-	beatsPerTTL = 3
-	holder      = "lab"
+	heartbeatBatch   = 1000 // heartbeats in one call: under the service's bound of 64 KB
+	heartbeatsPerTTL = 3
+	holder           = "lab"
 )
 
 // scaleChange is one change of the list that the lab asked for.
 type scaleChange struct {
-	Key      uint64
-	Asked    int64 // Unix µs
-	Answered int64
-	Phase    string // of the run: control or load
+	Key         uint64
+	RequestedAt int64 // Unix µs
+	AnsweredAt  int64
+	Phase       string // of the run: control or load
 }
 
 // memberState is what the lab knows of a member that it keeps registered.
@@ -42,24 +42,24 @@
 
 // scaleMembers keeps all members registered and changes some of them.
 type scaleMembers struct {
-	scen    *scenario.Scenario
-	far     *farSide
-	clients []*client.Client // one a writer
-	late    func(time.Duration)
-	zones   []string
+	scenario   *scenario.Scenario
+	endpoints  *scaleEndpoints
+	clients    []*client.Client // one a writer
+	onLateness func(time.Duration)
+	zones      []string
 
-	mu      sync.Mutex
-	state   []memberState
-	changes []scaleChange
-	gone    []scaleChange // of the zone that lapses
-	back    []scaleChange
+	mu       sync.Mutex
+	state    []memberState
+	changes  []scaleChange
+	expired  []scaleChange // of the zone that lapses
+	restored []scaleChange
 
-	beatsBehind   int // batches of heartbeats that the service took more than a third of a time to live for
-	changesBehind int // changes that were due before the service had answered the one before
+	heartbeatsBehind int // batches of heartbeats that the service took more than a third of a time to live for
+	changesBehind    int // changes that were due before the service had answered the one before
 }
 
-func newScaleMembers(s *scenario.Scenario, far *farSide, nodes []string, late func(time.Duration)) (*scaleMembers, error) {
-	m := &scaleMembers{scen: s, far: far, late: late, zones: s.Fleet.Zones, state: make([]memberState, s.Scale.Members)}
+func newScaleMembers(s *scenario.Scenario, endpoints *scaleEndpoints, nodes []string, late func(time.Duration)) (*scaleMembers, error) {
+	m := &scaleMembers{scenario: s, endpoints: endpoints, onLateness: late, zones: s.Fleet.Zones, state: make([]memberState, s.Scale.Members)}
 	for i := range m.state {
 		m.state[i].size = 1
 	}
@@ -83,11 +83,11 @@
 
 func (m *scaleMembers) zone(member int) int { return member % len(m.zones) }
 
-func (m *scaleMembers) ttl() time.Duration { return scenario.Secs(m.scen.Registry.TTL) }
+func (m *scaleMembers) ttl() time.Duration { return scenario.Seconds(m.scenario.Registry.TTL) }
 
 // register hands in one member as it stands.
 func (m *scaleMembers) register(ctx context.Context, c *client.Client, member int, size float64) error {
-	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: memberID(member), Address: m.far.address(member),
+	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: memberID(member), Address: m.endpoints.address(member),
 		Zone: m.zones[m.zone(member)], Flavor: model.Newsagent, Cell: member, Size: size, TTLMS: m.ttl().Milliseconds(), Holder: holder}, nil)
 	if err != nil {
 		return fmt.Errorf("lab: %s is not registered: %w", memberID(member), err)
@@ -99,7 +99,7 @@
 }
 
 // registerAll registers members by all writers at once. noted hears of each.
-func (m *scaleMembers) registerAll(ctx context.Context, members []int, noted func(member int, asked, answered int64)) error {
+func (m *scaleMembers) registerAll(ctx context.Context, members []int, onRegistered func(member int, requestedAt, answered int64)) error {
 	var wg sync.WaitGroup
 	var next atomic.Int64
 	fault := make(chan error, len(m.clients))
@@ -108,13 +108,13 @@
 		go func() {
 			defer wg.Done()
 			for i := int(next.Add(1)) - 1; i < len(members); i = int(next.Add(1)) - 1 {
-				asked := time.Now().UnixMicro()
+				requestedAt := time.Now().UnixMicro()
 				if err := m.register(ctx, c, members[i], 1); err != nil {
 					fault <- err
 					return
 				}
-				if noted != nil {
-					noted(members[i], asked, time.Now().UnixMicro())
+				if onRegistered != nil {
+					onRegistered(members[i], requestedAt, time.Now().UnixMicro())
 				}
 			}
 		}()
@@ -136,45 +136,45 @@
 	return all
 }
 
-// beat keeps the registrations alive until ctx ends: all of them in a third of
+// sendHeartbeats keeps the registrations alive until ctx ends: all of them in a third of
 // their time to live, some at a time.
-func (m *scaleMembers) beat(ctx context.Context) {
-	batches := (len(m.state) + beatBatch - 1) / beatBatch
-	every := m.ttl() / beatsPerTTL / time.Duration(batches)
+func (m *scaleMembers) sendHeartbeats(ctx context.Context) {
+	batches := (len(m.state) + heartbeatBatch - 1) / heartbeatBatch
+	every := m.ttl() / heartbeatsPerTTL / time.Duration(batches)
 	due := time.Now()
 	for i := 0; ; i = (i + 1) % batches {
 		due = due.Add(every)
 		if !model.Sleep(ctx, time.Until(due)) {
 			return
 		}
-		m.beatSome(ctx, i*beatBatch, min((i+1)*beatBatch, len(m.state)))
-		if behind := time.Since(due); behind > m.ttl()/beatsPerTTL { // the service answers more slowly than they are due
+		m.sendBatch(ctx, i*heartbeatBatch, min((i+1)*heartbeatBatch, len(m.state)))
+		if behind := time.Since(due); behind > m.ttl()/heartbeatsPerTTL { // the service answers more slowly than they are due
 			m.mu.Lock()
-			m.beatsBehind++
+			m.heartbeatsBehind++
 			m.mu.Unlock()
 			due = time.Now()
 		}
 	}
 }
 
-// beatSome sends the heartbeats of a range, and registers those anew that the
+// sendBatch sends the heartbeats of a range, and registers those anew that the
 // service does not know.
-func (m *scaleMembers) beatSome(ctx context.Context, from, to int) {
-	var beats []registry.Heartbeat
+func (m *scaleMembers) sendBatch(ctx context.Context, from, to int) {
+	var heartbeats []registry.Heartbeat
 	m.mu.Lock()
 	for i := from; i < to; i++ {
 		if m.state[i].registered && !m.state[i].muted {
-			beats = append(beats, registry.Heartbeat{ID: memberID(i), Holder: holder})
+			heartbeats = append(heartbeats, registry.Heartbeat{ID: memberID(i), Holder: holder})
 		}
 	}
 	m.mu.Unlock()
-	if len(beats) == 0 {
+	if len(heartbeats) == 0 {
 		return
 	}
 	var answer struct{ Unknown []string }
 	short, cancel := context.WithTimeout(ctx, m.ttl())
 	defer cancel()
-	if _, err := m.clients[0].Do(short, http.MethodPost, registry.HeartbeatsPath, beats, &answer); err != nil {
+	if _, err := m.clients[0].Do(short, http.MethodPost, registry.HeartbeatsPath, heartbeats, &answer); err != nil {
 		return // asked again in a third of the time to live
 	}
 	for _, id := range answer.Unknown {
@@ -190,7 +190,7 @@
 }
 
 // change asks for one change and books it.
-func (m *scaleMembers) change(ctx context.Context, member int, phase string, size float64, part string) error {
+func (m *scaleMembers) change(ctx context.Context, member int, phase string, size float64, phase2 string) error {
 	asked := time.Now().UnixMicro()
 	var err error
 	if size != 0 {
@@ -204,20 +204,20 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.changes = append(m.changes, scaleChange{Key: simrelay.ChangeKey(memberID(member), phase, size), Asked: asked, Answered: time.Now().UnixMicro(), Phase: part})
+	m.changes = append(m.changes, scaleChange{Key: simrelay.ChangeKey(memberID(member), phase, size), RequestedAt: asked, AnsweredAt: time.Now().UnixMicro(), Phase: phase2})
 	return nil
 }
 
 // configure makes the changes of the configuration until ctx ends: a member
 // drains, another gets another weight, one that drained returns. part tells the
 // part of the run.
-func (m *scaleMembers) configure(ctx context.Context, random *rand.Rand, part func() string) error {
-	if m.scen.Scale.ChangesDay == 0 {
+func (m *scaleMembers) configure(ctx context.Context, random *rand.Rand, currentPhase func() string) error {
+	if m.scenario.Scale.ChangesDay == 0 {
 		return nil
 	}
-	every := time.Duration(24 * float64(time.Hour) / (m.scen.Scale.ChangesDay * m.scen.Scale.Speed))
+	every := time.Duration(24 * float64(time.Hour) / (m.scenario.Scale.ChangesDay * m.scenario.Scale.Speed))
 	free := random.Perm(len(m.state)) // each member is changed once: a change has one key
-	if m.scen.Scale.LapseAt > 0 {
+	if m.scenario.Scale.ExpiryAt > 0 {
 		free = slices.DeleteFunc(free, func(i int) bool { return m.zone(i) == len(m.zones)-1 })
 	}
 	var drained []int
@@ -232,17 +232,17 @@
 		if !model.Sleep(ctx, time.Until(due)) {
 			return nil
 		}
-		m.late(time.Since(due))
+		m.onLateness(time.Since(due))
 		var err error
 		switch n % 3 {
 		case 0:
-			err = m.change(ctx, free[0], discovery.Draining, 0, part())
+			err = m.change(ctx, free[0], discovery.Draining, 0, currentPhase())
 			drained, free = append(drained, free[0]), free[1:]
 		case 1:
-			err = m.change(ctx, free[0], discovery.Up, 1.5, part())
+			err = m.change(ctx, free[0], discovery.Up, 1.5, currentPhase())
 			free = free[1:]
 		case 2:
-			err = m.change(ctx, drained[0], discovery.Up, 0, part())
+			err = m.change(ctx, drained[0], discovery.Up, 0, currentPhase())
 			drained = drained[1:]
 		}
 		if ctx.Err() != nil {
@@ -255,10 +255,10 @@
 	return nil
 }
 
-// lapse has the registrations of the last zone stop at one moment, and come back
+// expireZone has the registrations of the last zone stop at one moment, and come back
 // after a while by all writers at once.
-func (m *scaleMembers) lapse(ctx context.Context) error {
-	if m.scen.Scale.LapseAt == 0 || !model.Sleep(ctx, scenario.Secs(m.scen.Scale.LapseAt)) {
+func (m *scaleMembers) expireZone(ctx context.Context) error {
+	if m.scenario.Scale.ExpiryAt == 0 || !model.Sleep(ctx, scenario.Seconds(m.scenario.Scale.ExpiryAt)) {
 		return nil
 	}
 	var zone []int
@@ -268,18 +268,18 @@
 		if m.zone(i) == len(m.zones)-1 {
 			zone = append(zone, i)
 			m.state[i].muted = true
-			m.gone = append(m.gone, scaleChange{Key: simrelay.ChangeKey(memberID(i), discovery.Removed, 0), Asked: stopped, Answered: stopped})
+			m.expired = append(m.expired, scaleChange{Key: simrelay.ChangeKey(memberID(i), discovery.Removed, 0), RequestedAt: stopped, AnsweredAt: stopped})
 		}
 	}
 	m.mu.Unlock()
-	if !model.Sleep(ctx, scenario.Secs(m.scen.Scale.LapseFor)) {
+	if !model.Sleep(ctx, scenario.Seconds(m.scenario.Scale.ExpiryFor)) {
 		return nil
 	}
 	err := m.registerAll(ctx, zone, func(member int, asked, answered int64) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.state[member].muted = false
-		m.back = append(m.back, scaleChange{Key: simrelay.ChangeKey(memberID(member), discovery.Up, 1), Asked: asked, Answered: answered})
+		m.restored = append(m.restored, scaleChange{Key: simrelay.ChangeKey(memberID(member), discovery.Up, 1), RequestedAt: asked, AnsweredAt: answered})
 	})
 	if ctx.Err() != nil {
 		return nil
--- a/internal/faultlab/scale_meter.go
+++ b/internal/faultlab/scale_meter.go
@@ -14,9 +14,9 @@
 	target   string
 	bytes    atomic.Int64
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	over  bool
+	mu     sync.Mutex
+	conns  map[net.Conn]bool
+	closed bool
 }
 
 func newMeter(addr, target string) (*meter, error) {
@@ -37,33 +37,33 @@
 		if err != nil {
 			return
 		}
-		go m.pass(near)
+		go m.forward(near)
 	}
 }
 
-// hold keeps a connection to be closed with the meter; false where that is closed.
-func (m *meter) hold(c net.Conn) bool {
+// add keeps a connection to be closed with the meter; false where that is closed.
+func (m *meter) add(c net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.conns[c] = true
-	return !m.over
+	return !m.closed
 }
 
-func (m *meter) drop(c net.Conn) {
+func (m *meter) remove(c net.Conn) {
 	c.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.conns, c)
 }
 
-func (m *meter) pass(near net.Conn) {
-	defer m.drop(near)
+func (m *meter) forward(near net.Conn) {
+	defer m.remove(near)
 	far, err := net.Dial("tcp4", m.target)
 	if err != nil {
 		return
 	}
-	defer m.drop(far)
-	if !m.hold(near) || !m.hold(far) {
+	defer m.remove(far)
+	if !m.add(near) || !m.add(far) {
 		return
 	}
 	done := make(chan struct{}, 2)
@@ -84,7 +84,7 @@
 	m.listener.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.over = true
+	m.closed = true
 	for c := range m.conns {
 		c.Close()
 	}
--- a/internal/faultlab/scale_play.go
+++ b/internal/faultlab/scale_play.go
@@ -16,19 +16,19 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// playParts runs the parts one after the other, and measures each.
-func (r *scaleRun) playParts() {
-	c := &r.scen.Scale
-	r.background(r.beat)
+// playPhases runs the parts one after the other, and measures each.
+func (r *scaleRun) playPhases() {
+	c := &r.scenario.Scale
+	r.background(r.measureLateness)
 	changing, enough := context.WithCancel(r.ctx)
 	defer enough()
-	r.measured(partQuiet, scenario.Secs(c.Quiet))
+	r.measurePhase(phaseQuiet, scenario.Seconds(c.Quiet))
 	changed := make(chan struct{})
 	go func() {
 		defer close(changed)
-		r.fail(r.members.configure(changing, seeded(r.opts.Seed, "changes"), func() string { return r.part.Load().(string) }))
+		r.fail(r.members.configure(changing, newRandom(r.opts.Seed, "changes"), func() string { return r.phase.Load().(string) }))
 	}()
-	r.measured(partControl, scenario.Secs(c.Control))
+	r.measurePhase(phaseControl, scenario.Seconds(c.Control))
 	r.load(changing)
 	enough()
 	<-changed
@@ -37,51 +37,51 @@
 	r.members.mu.Unlock()
 }
 
-// measured lets a part go by and books what it cost.
-func (r *scaleRun) measured(part string, span time.Duration) {
-	r.part.Store(part)
+// measurePhase lets a part go by and books what it cost.
+func (r *scaleRun) measurePhase(phase string, span time.Duration) {
+	r.phase.Store(phase)
 	for _, x := range r.roles {
-		x.begin()
+		x.beginPhase()
 	}
 	model.Sleep(r.ctx, span)
 	for _, x := range r.roles {
-		x.end(part)
+		x.endPhase(phase)
 	}
 }
 
 // load is the part with messages, in which a zone lapses.
 func (r *scaleRun) load(ctx context.Context) {
 	arriving, cancel := context.WithCancel(ctx)
-	r.background(func() { r.fail(r.members.lapse(r.ctx)) })
+	r.background(func() { r.fail(r.members.expireZone(r.ctx)) })
 	done := make(chan struct{})
-	for i, x := range r.reals {
-		k := newScaleClients(r.scen, x.listen, seeded(r.opts.Seed, "clients of "+x.name), r.late)
+	for i, x := range r.realRelays {
+		k := newScaleClients(r.scenario, x.listen, newRandom(r.opts.Seed, "clients of "+x.name), r.recordLateness)
 		r.clients = append(r.clients, k)
 		go func() { k.run(arriving, i); done <- struct{}{} }()
 	}
-	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.StartTraffic) })
-	before := r.hollowStatus().Counts.Accepted
-	r.measured(partLoad, scenario.Secs(r.scen.Seconds))
-	r.report.Rate = float64(r.hollowStatus().Counts.Accepted-before) / r.scen.Seconds
+	r.signal(func(h *simProcess) error { return h.process.Signal(simrelay.StartTraffic) })
+	before := r.simStatus().Counts.Accepted
+	r.measurePhase(phaseLoad, scenario.Seconds(r.scenario.Seconds))
+	r.report.Rate = float64(r.simStatus().Counts.Accepted-before) / r.scenario.Seconds
 	cancel()
-	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.StopTraffic) })
-	for range r.reals {
+	r.signal(func(h *simProcess) error { return h.process.Signal(simrelay.StopTraffic) })
+	for range r.realRelays {
 		<-done
 	}
 }
 
-func (r *scaleRun) signal(f func(*scaleHollow) error) {
-	for _, h := range r.hollows {
+func (r *scaleRun) signal(f func(*simProcess) error) {
+	for _, h := range r.simProcesses {
 		if err := f(h); err != nil {
 			r.fail(err)
 		}
 	}
 }
 
-// beat measures how late the lab itself is.
-func (r *scaleRun) beat() {
-	for due := time.Now().Add(beatEvery); model.Sleep(r.ctx, time.Until(due)); due = due.Add(beatEvery) {
-		r.late(time.Since(due))
+// measureLateness measures how late the lab itself is.
+func (r *scaleRun) measureLateness() {
+	for due := time.Now().Add(latenessInterval); model.Sleep(r.ctx, time.Until(due)); due = due.Add(latenessInterval) {
+		r.recordLateness(time.Since(due))
 		if time.Since(due) > time.Second { // after a standstill: once is enough
 			due = time.Now()
 		}
@@ -92,7 +92,7 @@
 // more than half of the machine's.
 func (r *scaleRun) sampleRoles() {
 	half := machineMemory() / 2
-	for model.Sleep(r.ctx, sampleEvery) {
+	for model.Sleep(r.ctx, sampleInterval) {
 		all := int64(0)
 		for _, x := range r.roles {
 			all += x.measure().rss
@@ -117,18 +117,18 @@
 	return kb << 10
 }
 
-// own has a process end with the run, and the run fail where it ends before it is
+// watchProcess has a process end with the run, and the run fail where it ends before it is
 // told to.
-func (r *scaleRun) own(p *process.Process) {
+func (r *scaleRun) watchProcess(p *process.Process) {
 	r.mu.Lock()
-	r.procs = append(r.procs, p)
+	r.processes = append(r.processes, p)
 	r.mu.Unlock()
 	r.background(func() {
 		select {
 		case <-r.ctx.Done():
 		case <-p.Done():
-			if _, text := p.Exit(); !r.ending.Load() && r.ctx.Err() == nil {
-				r.fail(fmt.Errorf("%w: %s: %s; see the logs in %s", errEarly, p.Name, text, filepath.Join(r.dir, "logs")))
+			if _, text := p.Exit(); !r.isEnding.Load() && r.ctx.Err() == nil {
+				r.fail(fmt.Errorf("%w: %s: %s; see the logs in %s", errUnexpectedExit, p.Name, text, filepath.Join(r.dir, "logs")))
 			}
 		}
 	})
@@ -141,115 +141,115 @@
 		return
 	}
 	began := time.Now()
-	list, err := r.service(r.ctx)
+	list, err := r.fetchList(r.ctx)
 	if err != nil {
 		r.fail(err)
 		return
 	}
 	hash := fmt.Sprintf("%016x", simrelay.ListHash(list.Members))
-	wait, cancel := context.WithTimeout(r.ctx, scenario.Secs(r.scen.Scale.Settle))
+	wait, cancel := context.WithTimeout(r.ctx, scenario.Seconds(r.scenario.Scale.Settle))
 	defer cancel()
 	for {
-		s := r.hollowStatus()
+		s := r.simStatus()
 		ends := s.Counts.InFlight == 0 && s.Counts.Notices >= s.Counts.Returned+s.Counts.Failed
-		settled := s.Hashes[hash] == r.scen.Scale.Relays && ends
-		for _, x := range r.reals {
+		settled := s.Hashes[hash] == r.scenario.Scale.Relays && ends
+		for _, x := range r.realRelays {
 			settled = settled && (x.operator == "" || x.members(r.ctx) == len(list.Members))
 		}
-		if settled || !model.Sleep(wait, askEvery) {
+		if settled || !model.Sleep(wait, pollInterval) {
 			break
 		}
 	}
 	r.report.Settle = time.Since(began).Seconds()
-	r.hash = simrelay.ListHash(list.Members)
-	for _, x := range r.reals {
+	r.listHash = simrelay.ListHash(list.Members)
+	for _, x := range r.realRelays {
 		if x.operator == "" {
 			continue
 		}
-		r.judge.judged("list")
+		r.check.checked("list")
 		if n := x.members(r.ctx); n != len(list.Members) {
-			r.judge.broken("list", x.name, fmt.Sprintf("has %d members, the service %d", n, len(list.Members)), 0, 0)
+			r.check.violate("list", x.name, fmt.Sprintf("has %d members, the service %d", n, len(list.Members)), 0, 0)
 		}
 	}
 }
 
-// readHollow ends the hollow relays, and judges and counts what they tell.
-func (r *scaleRun) readHollow() error {
+// checkResults ends the hollow relays, and judges and counts what they tell.
+func (r *scaleRun) checkResults() error {
 	if err := r.ctx.Err(); err != nil {
-		return errors.Join(r.failed(), err)
+		return errors.Join(r.failure(), err)
 	}
-	r.ending.Store(true)
-	r.signal(func(h *scaleHollow) error { return h.proc.Signal(simrelay.Finish) })
+	r.isEnding.Store(true)
+	r.signal(func(h *simProcess) error { return h.process.Signal(simrelay.Finish) })
 	ended, cancel := context.WithTimeout(r.ctx, scaleEnd)
 	defer cancel()
 	var relays []simrelay.RelayResult
-	for _, h := range r.hollows {
-		if !h.proc.Wait(ended) {
-			return fmt.Errorf("lab: %s wrote no result in %v", h.proc.Name, scaleEnd)
+	for _, h := range r.simProcesses {
+		if !h.process.Wait(ended) {
+			return fmt.Errorf("lab: %s wrote no result in %v", h.process.Name, scaleEnd)
 		}
 		result, err := simrelay.ReadResult(h.result)
 		if err != nil {
 			return err
 		}
 		relays = append(relays, result.Relays...)
-		r.report.HollowP99 = max(r.report.HollowP99, result.LateP99)
+		r.report.SimLateP99 = max(r.report.SimLateP99, result.LateP99)
 	}
 	for i := range relays {
-		r.judge.list(relays[i].Name, relays[i].Hash, r.hash, relays[i].Members)
-		r.judge.changes(&relays[i], r.members.changes)
-		r.judge.ends(&relays[i])
+		r.check.checkList(relays[i].Name, relays[i].Hash, r.listHash, relays[i].Members)
+		r.check.checkChanges(&relays[i], r.members.changes)
+		r.check.checkMessages(&relays[i])
 	}
-	r.count(relays)
+	r.reportFigures(relays)
 	return nil
 }
 
-// count makes the figures of a run that has ended.
-func (r *scaleRun) count(relays []simrelay.RelayResult) {
+// reportFigures makes the figures of a run that has ended.
+func (r *scaleRun) reportFigures(relays []simrelay.RelayResult) {
 	for _, x := range r.roles {
-		r.report.Roles = append(r.report.Roles, x.finish(r.scen.Scale.Speed))
+		r.report.Roles = append(r.report.Roles, x.finish(r.scenario.Scale.Speed))
 	}
-	r.report.apart(hollowName, realName)
+	r.report.compareRoles(simRelayRole, realRelayRole)
 	var control, load []scaleChange
 	for _, c := range r.members.changes {
-		if c.Phase == partLoad {
+		if c.Phase == phaseLoad {
 			load = append(load, c)
 		} else {
 			control = append(control, c)
 		}
 	}
-	r.force("a change, control", relays, control)
-	r.force("a change, load", relays, load)
-	if r.scen.Scale.LapseAt > 0 {
-		r.force(fmt.Sprintf("a zone gone (of it %.0f s to live)", r.scen.Registry.TTL), relays, r.members.gone)
-		r.force("a zone back", relays, r.members.back)
+	r.reportDelays("a change, control", relays, control)
+	r.reportDelays("a change, load", relays, load)
+	if r.scenario.Scale.ExpiryAt > 0 {
+		r.reportDelays(fmt.Sprintf("a zone gone (of it %.0f s to live)", r.scenario.Registry.TTL), relays, r.members.expired)
+		r.reportDelays("a zone back", relays, r.members.restored)
 	}
 	all, whole := simrelay.Counts{}, 0
 	for i := range relays {
 		all.Add(relays[i].Counts)
 		whole += relays[i].CompleteLists
 	}
-	r.note("hollow relays: %d messages offered, %d refused, %d taken on, %d delivered, %d handed back, %d given up, %d calls, %d notices; %d whole lists in %d relays",
+	r.addNote("hollow relays: %d messages offered, %d refused, %d taken on, %d delivered, %d handed back, %d given up, %d calls, %d notices; %d whole lists in %d relays",
 		all.Offered, all.Rejected, all.Accepted, all.Delivered, all.Returned, all.Failed, all.Calls, all.Notices, whole, len(relays))
 	for i, k := range r.clients {
-		r.note("%s: %d messages offered, %d refused, %d taken on, %d not heard of", r.reals[i].name, k.offered.Load(), k.refused.Load(), k.taken.Load(), k.unheard.Load())
+		r.addNote("%s: %d messages offered, %d refused, %d taken on, %d not heard of", r.realRelays[i].name, k.offered.Load(), k.rejected.Load(), k.accepted.Load(), k.unanswered.Load())
 	}
 	m := r.members
-	if len(m.back) > 0 {
-		last := slices.MaxFunc(m.back, func(a, b scaleChange) int { return cmp.Compare(a.Answered, b.Answered) })
-		first := slices.MinFunc(m.back, func(a, b scaleChange) int { return cmp.Compare(a.Asked, b.Asked) })
-		r.note("list service: the zone's %d members were registered again in %.1f s", len(m.back), float64(last.Answered-first.Asked)/1e6)
+	if len(m.restored) > 0 {
+		last := slices.MaxFunc(m.restored, func(a, b scaleChange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
+		first := slices.MinFunc(m.restored, func(a, b scaleChange) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
+		r.addNote("list service: the zone's %d members were registered again in %.1f s", len(m.restored), float64(last.AnsweredAt-first.RequestedAt)/1e6)
 	}
-	r.note("list service: %d changes waited for the answer to the one before, %d batches of heartbeats took over a third of a time to live", m.changesBehind, m.beatsBehind)
-	r.note("endpoints of the real relays: %d messages", r.far.delivered.Load())
+	r.addNote("list service: %d changes waited for the answer to the one before, %d batches of heartbeats took over a third of a time to live", m.changesBehind, m.heartbeatsBehind)
+	r.addNote("endpoints of the real relays: %d messages", r.endpoints.delivered.Load())
 }
 
-func (r *scaleRun) note(format string, args ...any) {
+func (r *scaleRun) addNote(format string, args ...any) {
 	r.report.Notes = append(r.report.Notes, fmt.Sprintf(format, args...))
 }
 
-// force books how long changes took until the relays had them: each in each
+// reportDelays books how long changes took until the relays had them: each in each
 // relay, and each until the last relay had it.
-func (r *scaleRun) force(name string, relays []simrelay.RelayResult, changes []scaleChange) {
+func (r *scaleRun) reportDelays(name string, relays []simrelay.RelayResult, changes []scaleChange) {
 	if len(changes) == 0 {
 		return
 	}
@@ -258,7 +258,7 @@
 	slowest, count := map[uint64]float64{}, map[uint64]int{}
 	asked := map[uint64]int64{}
 	for _, c := range changes {
-		asked[c.Key] = c.Asked
+		asked[c.Key] = c.RequestedAt
 	}
 	for i := range relays {
 		for _, h := range relays[i].Changes {
@@ -280,5 +280,5 @@
 		}
 		last = append(last, slowest[c.Key])
 	}
-	r.report.Force = append(r.report.Force, scaleSpread(name+", each relay", each, missing), scaleSpread(name+", the last relay", last, notAll))
+	r.report.Delays = append(r.report.Delays, newScaleDelay(name+", each relay", each, missing), newScaleDelay(name+", the last relay", last, notAll))
 }
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -22,55 +22,55 @@
 )
 
 const (
-	scaleSlots   = 200  // calls out at once, of one relay: 267 messages a second need 60
-	scaleHeld    = 4000 // messages that one relay may hold
-	scaleSockets = 2048
-	scaleDiskMB  = 64
-	scaleBody    = 200 // bytes of a message
-	askEvery     = 50 * time.Millisecond
-	memoryFolder = "/dev/shm"
+	scaleMaxCalls    = 200  // calls out at once, of one relay: 267 messages a second need 60
+	scaleMaxMessages = 4000 // messages that one relay may hold
+	scaleSockets     = 2048
+	scaleDiskMB      = 64
+	scaleBody        = 200 // bytes of a message
+	pollInterval     = 50 * time.Millisecond
+	memoryFolder     = "/dev/shm"
 )
 
 // scaleAgent is an agent of the list service and what it is asked through.
 type scaleAgent struct {
-	proc *process.Process
-	addr string
-	door *meter // for its relays
+	process *process.Process
+	addr    string
+	meter   *meter // for its relays
 }
 
-// scaleReal is one relay that is a process of its own.
-type scaleReal struct {
+// realRelay is one relay that is a process of its own.
+type realRelay struct {
 	name     string
-	proc     *process.Process
+	process  *process.Process
 	listen   string
 	operator string // empty for none
 	agent    *scaleAgent
 }
 
-// scaleHollow is a process of hollow relays.
-type scaleHollow struct {
-	proc   *process.Process
-	relays int
-	result string
-	status *statusReader
+// simProcess is a process of hollow relays.
+type simProcess struct {
+	process *process.Process
+	relays  int
+	result  string
+	status  *statusReader
 }
 
 // statusReader takes in what a process of hollow relays says.
 type statusReader struct {
 	log io.Writer
 
-	mu   sync.Mutex
-	rest []byte
-	last simrelay.Status
+	mu      sync.Mutex
+	partial []byte
+	last    simrelay.Status
 }
 
 // Write takes lines of status; all else goes to the log.
 func (s *statusReader) Write(text []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rest = append(s.rest, text...)
+	s.partial = append(s.partial, text...)
 	for {
-		line, rest, whole := bytes.Cut(s.rest, []byte{'\n'})
+		line, rest, whole := bytes.Cut(s.partial, []byte{'\n'})
 		if !whole {
 			return len(text), nil
 		}
@@ -80,7 +80,7 @@
 		} else {
 			fmt.Fprintf(s.log, "%s\n", line)
 		}
-		s.rest = bytes.Clone(rest)
+		s.partial = bytes.Clone(rest)
 	}
 }
 
@@ -111,22 +111,22 @@
 		addrs = append(addrs, n.addr())
 	}
 	folder := filepath.Join(r.dir, name)
-	if r.scen.Scale.AgentsInMemory {
+	if r.scenario.Scale.AgentsInMemory {
 		if folder, err = os.MkdirTemp(memoryFolder, "faultlab-"+name+"-"); err != nil {
 			return nil, fmt.Errorf("lab: %w", err)
 		}
 		r.folders = append(r.folders, folder)
 	}
 	a := &scaleAgent{addr: r.address()}
-	if a.proc, err = process.Start(name, r.opts.Registry, []string{"agent", "--listen", a.addr, "--folder", folder,
-		"--nodes", strings.Join(addrs, ","), "--fleet", fmt.Sprint(r.scen.Scale.Fleet)}, nil, log); err != nil {
+	if a.process, err = process.Start(name, r.opts.Registry, []string{"agent", "--listen", a.addr, "--folder", folder,
+		"--nodes", strings.Join(addrs, ","), "--fleet", fmt.Sprint(r.scenario.Scale.Fleet)}, nil, log); err != nil {
 		return nil, err
 	}
-	r.own(a.proc)
-	if a.door, err = newMeter(r.address(), a.addr); err != nil {
+	r.watchProcess(a.process)
+	if a.meter, err = newMeter(r.address(), a.addr); err != nil {
 		return nil, err
 	}
-	r.meters = append(r.meters, a.door)
+	r.meters = append(r.meters, a.meter)
 	return a, nil
 }
 
@@ -168,13 +168,13 @@
 
 // settings is the wire page's object for one relay of the fleet.
 func (r *scaleRun) settings(number int) map[string]any {
-	return model.Settings(model.Fleet{Relays: r.scen.Scale.Fleet, MaxCalls: scaleSlots, MaxMessages: scaleHeld, Zones: r.scen.Fleet.Zones,
-		Zone: number % len(r.scen.Fleet.Zones), Rank: number, MaxBatch: 1}, model.StandardRules())
+	return model.Settings(model.Fleet{Relays: r.scenario.Scale.Fleet, MaxCalls: scaleMaxCalls, MaxMessages: scaleMaxMessages, Zones: r.scenario.Fleet.Zones,
+		Zone: number % len(r.scenario.Fleet.Zones), Rank: number, MaxBatch: 1}, model.StandardRules())
 }
 
-// startReal runs one relay as a process of its own.
-func (r *scaleRun) startReal(number int, a *scaleAgent) (*scaleReal, error) {
-	x := &scaleReal{name: fmt.Sprintf("n%d", number+1), listen: r.address(), agent: a}
+// startRealRelay runs one relay as a process of its own.
+func (r *scaleRun) startRealRelay(number int, a *scaleAgent) (*realRelay, error) {
+	x := &realRelay{name: fmt.Sprintf("n%d", number+1), listen: r.address(), agent: a}
 	if number%2 == 1 {
 		x.operator = r.address()
 	}
@@ -182,8 +182,8 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	text, err := json.Marshal(map[string]any{"name": x.name, "listen": x.listen, "discovery": a.door.addr(), "state": state, "operator": x.operator,
-		"seed":   fmt.Sprintf("%016x", seeded(r.opts.Seed, "relay "+x.name).Uint64()),
+	text, err := json.Marshal(map[string]any{"name": x.name, "listen": x.listen, "discovery": a.meter.addr(), "state": state, "operator": x.operator,
+		"seed":   fmt.Sprintf("%016x", newRandom(r.opts.Seed, "relay "+x.name).Uint64()),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": budgetMemoryMB, "sockets": scaleSockets, "disk_mb": scaleDiskMB}, "settings": r.settings(number)})
 	if err != nil {
 		return nil, fmt.Errorf("lab: configuration of %s: %w", x.name, err)
@@ -196,15 +196,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if x.proc, err = process.Start(x.name, r.opts.Program, r.opts.Args, append([]string{"ROUTER_CONFIG=" + path}, r.opts.Env...), log); err != nil {
+	if x.process, err = process.Start(x.name, r.opts.Program, r.opts.Args, append([]string{"ROUTER_CONFIG=" + path}, r.opts.Env...), log); err != nil {
 		return nil, err
 	}
-	r.own(x.proc)
+	r.watchProcess(x.process)
 	return x, nil
 }
 
 // members is what a relay with an operator address says of the size of its list.
-func (x *scaleReal) members(ctx context.Context) int {
+func (x *realRelay) members(ctx context.Context) int {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+x.operator+"/v1/metrics", nil)
@@ -224,13 +224,13 @@
 	return -1
 }
 
-// startHollow runs one process of hollow relays.
-func (r *scaleRun) startHollow(number, first, relays int, doors []string) (*scaleHollow, error) {
+// startSimProcess runs one process of hollow relays.
+func (r *scaleRun) startSimProcess(number, first, relays int, doors []string) (*simProcess, error) {
 	name := fmt.Sprintf("hollow-%d", number+1)
-	c := simrelay.Config{Folder: filepath.Join(r.dir, name), First: first, Discovery: doors, Fleet: r.scen.Scale.Fleet, Seed: r.opts.Seed,
-		Zones: r.scen.Fleet.Zones, Flavors: []string{model.Telco, model.Newsagent}, DiskMB: scaleDiskMB, Result: filepath.Join(r.dir, name+".result"),
-		Stream: simrelay.Stream{Rate: r.scen.Scale.Rate, Deadline: scenario.Secs(r.scen.Scale.Deadline), Body: scaleBody, ConnectTimeout: connectTimeout,
-			Down: r.down, Destinations: r.scen.Scale.Members}}
+	c := simrelay.Config{Folder: filepath.Join(r.dir, name), First: first, Discovery: doors, Fleet: r.scenario.Scale.Fleet, Seed: r.opts.Seed,
+		Zones: r.scenario.Fleet.Zones, Flavors: []string{model.Telco, model.Newsagent}, DiskMB: scaleDiskMB, Result: filepath.Join(r.dir, name+".result"),
+		Stream: simrelay.Stream{Rate: r.scenario.Scale.Rate, Deadline: scenario.Seconds(r.scenario.Scale.Deadline), Body: scaleBody, ConnectTimeout: connectTimeout,
+			Down: r.down, Destinations: r.scenario.Scale.Members}}
 	for _, k := range model.Classes() {
 		c.Stream.Classes = append(c.Stream.Classes, simrelay.StreamClass{Name: k.Name, Fraction: k.Fraction, ServiceTime: k.ServiceTime})
 	}
@@ -253,18 +253,18 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &scaleHollow{relays: relays, result: c.Result, status: &statusReader{log: log}}
-	if h.proc, err = process.Start(name, r.opts.Hollow, []string{"hollow", path}, nil, h.status); err != nil {
+	h := &simProcess{relays: relays, result: c.Result, status: &statusReader{log: log}}
+	if h.process, err = process.Start(name, r.opts.SimRelay, []string{"hollow", path}, nil, h.status); err != nil {
 		return nil, err
 	}
-	r.own(h.proc)
+	r.watchProcess(h.process)
 	return h, nil
 }
 
-// hollowStatus adds up what all processes of hollow relays said last.
-func (r *scaleRun) hollowStatus() simrelay.Status {
+// simStatus adds up what all processes of hollow relays said last.
+func (r *scaleRun) simStatus() simrelay.Status {
 	all := simrelay.Status{Hashes: map[string]int{}, Members: map[int]int{}}
-	for _, h := range r.hollows {
+	for _, h := range r.simProcesses {
 		s := h.status.status()
 		for hash, n := range s.Hashes {
 			all.Hashes[hash] += n
--- a/internal/faultlab/scale_test.go
+++ b/internal/faultlab/scale_test.go
@@ -31,7 +31,7 @@
 	}
 	// Nothing is measured here: that the machine is busy voids no rule.
 	res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry"),
-		Hollow: os.Args[0], Late: 10 * time.Second})
+		SimRelay: os.Args[0], MaxLateness: 10 * time.Second})
 	if !res.Verdict.Passed() {
 		t.Errorf("seed 1: %v", res.Verdict.Violations)
 	}
@@ -40,8 +40,8 @@
 			t.Errorf("seed 1: rule %s was never looked at", rule)
 		}
 	}
-	force := map[string]ScaleSpread{}
-	for _, f := range res.Scale.Force {
+	force := map[string]ScaleDelay{}
+	for _, f := range res.Scale.Delays {
 		if force[f.Name] = f; f.Missing > 0 || f.Count == 0 {
 			t.Errorf("seed 1: %+v", f)
 		}
@@ -52,7 +52,7 @@
 	}
 	var table bytes.Buffer
 	res.Scale.Print(&table)
-	for _, want := range []string{hollowName, realName, operatedName, "hollow beside real, CPU", "peak memory", "agent of one relay", "list service's node"} {
+	for _, want := range []string{simRelayRole, realRelayRole, operatedRelayRole, "hollow beside real, CPU", "peak memory", "agent of one relay", "list service's node"} {
 		if !strings.Contains(table.String(), want) {
 			t.Errorf("no %q in\n%s", want, table.String())
 		}
@@ -61,7 +61,7 @@
 
 // TestScaleJudgeCatchesEachBreak breaks one promise of a hollow relay at a time.
 func TestScaleJudgeCatchesEachBreak(t *testing.T) {
-	made := []scaleChange{{Key: 1, Asked: 10}, {Key: 2, Asked: 20}}
+	made := []scaleChange{{Key: 1, RequestedAt: 10}, {Key: 2, RequestedAt: 20}}
 	sound := func() *simrelay.RelayResult {
 		return &simrelay.RelayResult{Name: "h1", Hash: 7, Members: 3, CompleteLists: 1, Changes: []simrelay.AppliedChange{{Key: 1, At: 11}, {Key: 2, At: 21}},
 			Counts: simrelay.Counts{Accepted: 4, Delivered: 2, Returned: 1, Failed: 1}}
@@ -83,11 +83,11 @@
 		{"owed", "end", func(r *simrelay.RelayResult) { r.Pending = 1 }},
 		{"a log that cannot be read", "end", func(r *simrelay.RelayResult) { r.LogErr = "no such file" }},
 	} {
-		j, r := newScaleJudge("", 0), sound()
+		j, r := newScaleCheck("", 0), sound()
 		x.spoil(r)
-		j.list(r.Name, r.Hash, 7, r.Members)
-		j.changes(r, made)
-		j.ends(r)
+		j.checkList(r.Name, r.Hash, 7, r.Members)
+		j.checkChanges(r, made)
+		j.checkMessages(r)
 		for rule := range j.verdict.Counts {
 			if rule != x.rule {
 				t.Errorf("%s: rule %s broken too: %v", x.name, rule, j.verdict.Violations)
@@ -106,10 +106,10 @@
 		void        bool
 	}{{time.Millisecond, time.Millisecond, false}, {time.Second, time.Millisecond, true}, {time.Millisecond, time.Second, true}} {
 		s := scenario.Default()
-		r := &scaleRun{opts: Options{Out: t.TempDir()}, scen: &s, judge: newScaleJudge("", 0), lates: hdrhistogram.New(1, 60_000_000, 3)}
+		r := &scaleRun{opts: Options{Out: t.TempDir()}, scenario: &s, check: newScaleCheck("", 0), lateness: hdrhistogram.New(1, 60_000_000, 3)}
 		r.dir = r.opts.Out
-		r.late(x.lab)
-		r.report.HollowP99 = x.hollow
+		r.recordLateness(x.lab)
+		r.report.SimLateP99 = x.hollow
 		res, err := r.result()
 		if errors.Is(err, ErrLate) != x.void || res == nil {
 			t.Errorf("lab %v, hollow %v: %v", x.lab, x.hollow, err)
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = Run(t.Context(), Options{Scenario: s, Seed: 1, Out: t.TempDir(), Program: "/bin/false", Registry: filepath.Join(dir, "registry"), Hollow: os.Args[0]})
+	_, err = Run(t.Context(), Options{Scenario: s, Seed: 1, Out: t.TempDir(), Program: "/bin/false", Registry: filepath.Join(dir, "registry"), SimRelay: os.Args[0]})
 	if err == nil || !strings.Contains(err.Error(), "n1") {
 		t.Errorf("got %v, want an error that names the relay n1", err)
 	}
--- a/internal/faultlab/scenario/scale.go
+++ b/internal/faultlab/scenario/scale.go
@@ -23,8 +23,8 @@
 	Deadline   float64 `toml:"deadline"`  // seconds within which a message may still be delivered; its class's at most
 	ChangesDay float64 `toml:"changes_a_day"`
 	Speed      float64 `toml:"speed"`     // times by which the changes of a day are sped up
-	LapseAt    float64 `toml:"lapse_at"`  // the registrations of fleet.zones' last stop, in seconds of the load; 0 for never
-	LapseFor   float64 `toml:"lapse_for"` // and are back after so many seconds
+	ExpiryAt   float64 `toml:"lapse_at"`  // the registrations of fleet.zones' last stop, in seconds of the load; 0 for never
+	ExpiryFor  float64 `toml:"lapse_for"` // and are back after so many seconds
 	Writers    int     `toml:"writers"`   // that register members at once
 
 	// The agents' folders are in memory (/dev/shm): on one machine, where all share a
@@ -50,7 +50,7 @@
 		{"members", float64(c.Members), 2, 60000}, {"down", c.Down, 0, 0.5}, {"down_for", c.DownFor, 1, 3600}, {"quiet", c.Quiet, 1, 3600}, {"control", c.Control, 1, 3600},
 
 		{"settle", c.Settle, 1, 600}, {"rate", c.Rate, 0, 1000}, {"deadline", c.Deadline, 0.5, 60}, {"changes_a_day", c.ChangesDay, 0, 1e6},
-		{"speed", c.Speed, 1, 10000}, {"lapse_at", c.LapseAt, 0, s.Seconds}, {"lapse_for", c.LapseFor, 0, 3600}, {"writers", float64(c.Writers), 1, 256}} {
+		{"speed", c.Speed, 1, 10000}, {"lapse_at", c.ExpiryAt, 0, s.Seconds}, {"lapse_for", c.ExpiryFor, 0, 3600}, {"writers", float64(c.Writers), 1, 256}} {
 		if !(b.v >= b.low && b.v <= b.high) {
 			return "scale." + b.key, fmt.Sprintf("%v; from %v to %v is allowed", b.v, b.low, b.high)
 		}
@@ -60,14 +60,14 @@
 		return "", ""
 	case s.Registry.Nodes == 0:
 		return "scale.relays", "a list service is wanted: registry.nodes is 0"
-	case s.Registry.Wardens > 0:
+	case s.Registry.Controllers > 0:
 		return "registry.wardens", "a scale scenario has none"
 	case len(s.Faults) > 0:
 		return "fault[0].kind", "a scale scenario has none of its own: see scale.down and scale.lapse_at"
 	case c.Processes > c.Relays:
 		return "scale.processes", fmt.Sprintf("%d; at most one for each of the %d hollow relays", c.Processes, c.Relays)
-	case c.LapseAt > 0 && c.LapseFor < s.Registry.TTL:
-		return "scale.lapse_for", fmt.Sprintf("%v; registry.ttl, %v, at least", c.LapseFor, s.Registry.TTL)
+	case c.ExpiryAt > 0 && c.ExpiryFor < s.Registry.TTL:
+		return "scale.lapse_for", fmt.Sprintf("%v; registry.ttl, %v, at least", c.ExpiryFor, s.Registry.TTL)
 	}
 	return "", ""
 }
--- a/internal/faultlab/scenario/scenario.go
+++ b/internal/faultlab/scenario/scenario.go
@@ -23,98 +23,98 @@
 
 // Scenario is one file. Spans are seconds.
 type Scenario struct {
-	Name     string   `toml:"name"`
-	About    string   `toml:"about"`
-	Seconds  float64  `toml:"seconds"` // of load; what is held then is waited for
-	Fleet    Fleet    `toml:"fleet"`
-	Part     Partners `toml:"partners"`
-	Load     Load     `toml:"load"`
-	Disc     Disc     `toml:"discovery"`
-	Registry Registry `toml:"registry"`
-	Peers    Peers    `toml:"bad_peers"`
-	Scale    Scale    `toml:"scale"`
-	Faults   []Fault  `toml:"fault"`
+	Name         string       `toml:"name"`
+	About        string       `toml:"about"`
+	Seconds      float64      `toml:"seconds"` // of load; what is held then is waited for
+	Fleet        Fleet        `toml:"fleet"`
+	Upstreams    Upstreams    `toml:"partners"`
+	Load         Load         `toml:"load"`
+	Discovery    Discovery    `toml:"discovery"`
+	Registry     Registry     `toml:"registry"`
+	InvalidPeers InvalidPeers `toml:"bad_peers"`
+	Scale        Scale        `toml:"scale"`
+	Faults       []Fault      `toml:"fault"`
 }
 
 // Fleet is the relays, and the machine that each has.
 type Fleet struct {
-	Relays   int      `toml:"relays"`
-	Zones    []string `toml:"zones"`
-	MemoryMB int      `toml:"memory_mb"`
-	Sockets  int      `toml:"sockets"`
-	DiskMB   int      `toml:"disk_mb"`
-	Slots    int      `toml:"slots"`    // calls out at once, of one relay
-	Held     int      `toml:"held"`     // messages that one relay may hold
-	Resident int      `toml:"resident"` // of these, in its memory; 0 for what it takes by itself
-	Batch    int      `toml:"batch"`    // messages in one call to a telco
-	Promise  string   `toml:"promise"`  // what a message that was taken on outlives: process, or power
+	Relays      int      `toml:"relays"`
+	Zones       []string `toml:"zones"`
+	MemoryMB    int      `toml:"memory_mb"`
+	Sockets     int      `toml:"sockets"`
+	DiskMB      int      `toml:"disk_mb"`
+	MaxCalls    int      `toml:"slots"`    // calls out at once, of one relay
+	MaxMessages int      `toml:"held"`     // messages that one relay may hold
+	Resident    int      `toml:"resident"` // of these, in its memory; 0 for what it takes by itself
+	MaxBatch    int      `toml:"batch"`    // messages in one call to a telco
+	Durability  string   `toml:"promise"`  // what a message that was taken on outlives: process, or power
 }
 
-// Partners are the destinations and their endpoints.
-type Partners struct {
-	Destinations int     `toml:"destinations"`
-	Endpoints    int     `toml:"endpoints"`
-	Telcos       float64 `toml:"telcos"` // share of destinations
-	Room         float64 `toml:"room"`   // limit over mean load, of each destination
-	Limits       bool    `toml:"limits"`
-	Spends       bool    `toml:"refused_calls_spend"`
-	DelayMS      float64 `toml:"delay_ms"`  // one way, to an endpoint of the same zone
-	CrossMS      float64 `toml:"cross_ms"`  // the same to another zone
-	JitterMS     float64 `toml:"jitter_ms"` // up to so much more
-	ConnsFactor  float64 `toml:"conns"`     // connections that an endpoint holds, over the calls it serves at once
+// Upstreams are the destinations and their endpoints.
+type Upstreams struct {
+	Destinations   int     `toml:"destinations"`
+	Endpoints      int     `toml:"endpoints"`
+	Telcos         float64 `toml:"telcos"` // share of destinations
+	CapacityFactor float64 `toml:"room"`   // limit over mean load, of each destination
+	Limits         bool    `toml:"limits"`
+	CountsRejected bool    `toml:"refused_calls_spend"`
+	DelayMS        float64 `toml:"delay_ms"`  // one way, to an endpoint of the same zone
+	CrossMS        float64 `toml:"cross_ms"`  // the same to another zone
+	JitterMS       float64 `toml:"jitter_ms"` // up to so much more
+	ConnsFactor    float64 `toml:"conns"`     // connections that an endpoint holds, over the calls it serves at once
 }
 
 // Load is the clients' traffic.
 type Load struct {
-	Rate    float64 `toml:"rate"` // messages a second, over all relays
-	Retries int     `toml:"retries"`
-	Leavers float64 `toml:"leavers"`
-	Clumps  float64 `toml:"clumps"`
+	Rate           float64 `toml:"rate"` // messages a second, over all relays
+	Retries        int     `toml:"retries"`
+	LeaverFraction float64 `toml:"leavers"`
+	BurstFraction  float64 `toml:"clumps"`
 }
 
-// Disc is discovery.
-type Disc struct {
-	LateS float64 `toml:"late"` // news reaches each relay up to so much later
+// Discovery is discovery.
+type Discovery struct {
+	MaxDelaySeconds float64 `toml:"late"` // news reaches each relay up to so much later
 }
 
 // Registry is a list service of real processes in discovery's place.
 type Registry struct {
-	Nodes     int     `toml:"nodes"` // 0 for none: discovery is the lab's own
-	TTL       float64 `toml:"ttl"`   // of the endpoints' registrations
-	Wardens   int     `toml:"wardens"`
-	WardenTTL float64 `toml:"warden_ttl"` // of their sessions
+	Nodes         int     `toml:"nodes"` // 0 for none: discovery is the lab's own
+	TTL           float64 `toml:"ttl"`   // of the endpoints' registrations
+	Controllers   int     `toml:"wardens"`
+	ControllerTTL float64 `toml:"warden_ttl"` // of their sessions
 
 	// How the clock of each warden and node runs wrong, by turns (package clock).
-	WardenClocks []string `toml:"warden_clocks"`
-	NodeClocks   []string `toml:"node_clocks"`
+	ControllerClocks []string `toml:"warden_clocks"`
+	NodeClocks       []string `toml:"node_clocks"`
 }
 
-// Peers are the peers that send no proper request.
-type Peers struct {
+// InvalidPeers are the peers that send no proper request.
+type InvalidPeers struct {
 	Every float64  `toml:"every"` // one each so many seconds; 0 for none
 	Kinds []string `toml:"kinds"`
 }
 
 // Fault is one entry of the schedule.
 type Fault struct {
-	Kind   string   `toml:"kind"`
-	At     float64  `toml:"at"`
-	For    float64  `toml:"for"`    // until it is undone
-	Every  float64  `toml:"every"`  // again each so many seconds, until the load ends
-	Share  float64  `toml:"share"`  // of what could be struck, drawn anew each time; at least one
-	Zone   string   `toml:"zone"`   // strike only there
-	Relays []int    `toml:"relays"` // strike these, by number, in place of a draw
-	Cells  []int    `toml:"cells"`  // the same of destinations
-	Spread float64  `toml:"spread"` // strike within so many seconds, not all at once
-	Way    string   `toml:"way"`    // cut, delay: "forth", "back" or "both"; clock: which way it is stepped, drawn for "both"
-	Folder string   `toml:"folder"` // kill, term: what the next process finds
-	File   string   `toml:"file"`   // damage: in the relay's folder
-	MS     float64  `toml:"ms"`     // delay; clock: by how much
-	Factor float64  `toml:"factor"` // slow, limits; evacuate: share that each destination keeps, 0.5 where it is left out
-	Rate   float64  `toml:"rate"`   // turnaway, throttle; evacuate: endpoints a second, 2 where it is left out
-	Kinds  []string `toml:"kinds"`  // partners of these kinds alone
-	Node   string   `toml:"node"`   // node-*: leader, follower or all, in place of a draw
-	Duty   string   `toml:"duty"`   // warden-*: whose holder is struck; count where it is left out
+	Kind         string   `toml:"kind"`
+	At           float64  `toml:"at"`
+	For          float64  `toml:"for"`    // until it is undone
+	Every        float64  `toml:"every"`  // again each so many seconds, until the load ends
+	Fraction     float64  `toml:"share"`  // of what could be struck, drawn anew each time; at least one
+	Zone         string   `toml:"zone"`   // strike only there
+	Relays       []int    `toml:"relays"` // strike these, by number, in place of a draw
+	Destinations []int    `toml:"cells"`  // the same of destinations
+	Spread       float64  `toml:"spread"` // strike within so many seconds, not all at once
+	Direction    string   `toml:"way"`    // cut, delay: "forth", "back" or "both"; clock: which way it is stepped, drawn for "both"
+	Folder       string   `toml:"folder"` // kill, term: what the next process finds
+	File         string   `toml:"file"`   // damage: in the relay's folder
+	MS           float64  `toml:"ms"`     // delay; clock: by how much
+	Factor       float64  `toml:"factor"` // slow, limits; evacuate: share that each destination keeps, 0.5 where it is left out
+	Rate         float64  `toml:"rate"`   // turnaway, throttle; evacuate: endpoints a second, 2 where it is left out
+	Kinds        []string `toml:"kinds"`  // partners of these kinds alone
+	Node         string   `toml:"node"`   // node-*: leader, follower or all, in place of a draw
+	Role         string   `toml:"duty"`   // warden-*: whose holder is struck; count where it is left out
 }
 
 // Kinds of fault, and whom each strikes.
@@ -137,8 +137,8 @@
 	stepMost  = 3 * 3600 * 1000 // of a wall clock
 )
 
-// Damage are the kinds that spoil a file while its relay is down.
-var Damage = map[string]bool{"flip": true, "tear": true, "zero": true, "gone": true}
+// Corruptions are the kinds that spoil a file while its relay is down.
+var Corruptions = map[string]bool{"flip": true, "tear": true, "zero": true, "gone": true}
 
 // Folders are what a relay's next process may find.
 var Folders = []string{"kept", "lost", "older"}
@@ -146,21 +146,21 @@
 // Nodes are whom a fault on the list service may strike by name.
 var Nodes = []string{"leader", "follower", "all", "holder"}
 
-// Ways of a link.
-var Ways = []string{"forth", "back", "both"}
+// Directions of a link.
+var Directions = []string{"forth", "back", "both"}
 
 // Default is the newcomer's fleet: 3 relays, 9 endpoints of 5 destinations in 3
 // zones, about 60 messages a second.
 func Default() Scenario {
 	return Scenario{Name: "up", About: "the newcomer's fleet", Seconds: 25,
-		Fleet: Fleet{Relays: 3, Zones: []string{"a", "b", "c"}, MemoryMB: 128, Sockets: 512, DiskMB: 8, Slots: 25, Held: 340, Batch: 5},
-		Part: Partners{Destinations: 5, Endpoints: 9, Telcos: 0.34, Room: 1.8, Limits: true, DelayMS: 2, CrossMS: 4, JitterMS: 1,
+		Fleet: Fleet{Relays: 3, Zones: []string{"a", "b", "c"}, MemoryMB: 128, Sockets: 512, DiskMB: 8, MaxCalls: 25, MaxMessages: 340, MaxBatch: 5},
+		Upstreams: Upstreams{Destinations: 5, Endpoints: 9, Telcos: 0.34, CapacityFactor: 1.8, Limits: true, DelayMS: 2, CrossMS: 4, JitterMS: 1,
 			ConnsFactor: 4},
-		Load:     Load{Rate: 60, Retries: 2, Clumps: 0.1},
-		Disc:     Disc{LateS: 1},
-		Registry: Registry{TTL: 3, WardenTTL: 1.5},
-		Peers:    Peers{Kinds: []string{"garbage", "silent", "half", "unknown"}},
-		Scale:    scaleDefaults()}
+		Load:         Load{Rate: 60, Retries: 2, BurstFraction: 0.1},
+		Discovery:    Discovery{MaxDelaySeconds: 1},
+		Registry:     Registry{TTL: 3, ControllerTTL: 1.5},
+		InvalidPeers: InvalidPeers{Kinds: []string{"garbage", "silent", "half", "unknown"}},
+		Scale:        scaleDefaults()}
 }
 
 // Error is a scenario that cannot be used.
@@ -318,17 +318,17 @@
 		v        float64
 		low, top float64
 	}
-	f, p, l := &s.Fleet, &s.Part, &s.Load
+	f, p, l := &s.Fleet, &s.Upstreams, &s.Load
 	for _, b := range []bound{
 		{"seconds", s.Seconds, 1, 7200}, {"fleet.relays", float64(f.Relays), 1, 64},
 		{"fleet.memory_mb", float64(f.MemoryMB), 32, 4096}, {"fleet.sockets", float64(f.Sockets), 256, 65536},
-		{"fleet.disk_mb", float64(f.DiskMB), 1, 4096}, {"fleet.slots", float64(f.Slots), 2, 1000},
-		{"fleet.held", float64(f.Held), 12, 1e6}, {"fleet.resident", float64(f.Resident), 0, 1e6}, {"fleet.batch", float64(f.Batch), 1, 64},
+		{"fleet.disk_mb", float64(f.DiskMB), 1, 4096}, {"fleet.slots", float64(f.MaxCalls), 2, 1000},
+		{"fleet.held", float64(f.MaxMessages), 12, 1e6}, {"fleet.resident", float64(f.Resident), 0, 1e6}, {"fleet.batch", float64(f.MaxBatch), 1, 64},
 		{"partners.destinations", float64(p.Destinations), 1, 200}, {"partners.endpoints", float64(p.Endpoints), float64(p.Destinations), 400},
-		{"partners.telcos", p.Telcos, 0, 1}, {"partners.room", p.Room, 0.1, 100}, {"partners.delay_ms", p.DelayMS, 0, 2000},
+		{"partners.telcos", p.Telcos, 0, 1}, {"partners.room", p.CapacityFactor, 0.1, 100}, {"partners.delay_ms", p.DelayMS, 0, 2000},
 		{"partners.cross_ms", p.CrossMS, 0, 2000}, {"partners.jitter_ms", p.JitterMS, 0, 2000}, {"partners.conns", p.ConnsFactor, 1, 1000},
-		{"load.rate", l.Rate, 0.1, 100000}, {"load.retries", float64(l.Retries), 0, 10}, {"load.leavers", l.Leavers, 0, 1},
-		{"load.clumps", l.Clumps, 0, 0.9}, {"discovery.late", s.Disc.LateS, 0, 60}, {"bad_peers.every", s.Peers.Every, 0, 3600},
+		{"load.rate", l.Rate, 0.1, 100000}, {"load.retries", float64(l.Retries), 0, 10}, {"load.leavers", l.LeaverFraction, 0, 1},
+		{"load.clumps", l.BurstFraction, 0, 0.9}, {"discovery.late", s.Discovery.MaxDelaySeconds, 0, 60}, {"bad_peers.every", s.InvalidPeers.Every, 0, 3600},
 	} {
 		if !(b.v >= b.low && b.v <= b.top) {
 			return b.key, fmt.Sprintf("%v; from %v to %v is allowed", b.v, b.low, b.top)
@@ -340,21 +340,21 @@
 	if !(s.Registry.TTL >= 0.5 && s.Registry.TTL <= 3600) {
 		return "registry.ttl", fmt.Sprintf("%v; from 0.5 to 3600 is allowed", s.Registry.TTL)
 	}
-	if w := s.Registry.Wardens; w < 0 || w > 16 || w > 0 && s.Registry.Nodes == 0 {
+	if w := s.Registry.Controllers; w < 0 || w > 16 || w > 0 && s.Registry.Nodes == 0 {
 		return "registry.wardens", fmt.Sprintf("%d; from 0 to 16 is allowed, and a list service is wanted", w)
 	}
-	if !(s.Registry.WardenTTL >= 0.3 && s.Registry.WardenTTL <= 60) {
-		return "registry.warden_ttl", fmt.Sprintf("%v; from 0.3 to 60 is allowed", s.Registry.WardenTTL)
+	if !(s.Registry.ControllerTTL >= 0.3 && s.Registry.ControllerTTL <= 60) {
+		return "registry.warden_ttl", fmt.Sprintf("%v; from 0.3 to 60 is allowed", s.Registry.ControllerTTL)
 	}
-	for key, all := range map[string][]string{"registry.node_clocks": s.Registry.NodeClocks, "registry.warden_clocks": s.Registry.WardenClocks} {
+	for key, all := range map[string][]string{"registry.node_clocks": s.Registry.NodeClocks, "registry.warden_clocks": s.Registry.ControllerClocks} {
 		for _, drill := range all {
 			if _, err := clock.Parse(drill); err != nil {
 				return key, strings.TrimPrefix(err.Error(), "clock: ")
 			}
 		}
 	}
-	if f.Promise != "" && f.Promise != "process" && f.Promise != "power" {
-		return "fleet.promise", fmt.Sprintf("%q; process and power are allowed", f.Promise)
+	if f.Durability != "" && f.Durability != "process" && f.Durability != "power" {
+		return "fleet.promise", fmt.Sprintf("%q; process and power are allowed", f.Durability)
 	}
 	if len(f.Zones) == 0 {
 		return "fleet.zones", "none; at least one is wanted"
@@ -370,7 +370,7 @@
 	return "", ""
 }
 
-func oneOf(v string, of []string) string {
+func checkChoice(v string, of []string) string {
 	if v == "" || slices.Contains(of, v) {
 		return ""
 	}
@@ -397,8 +397,8 @@
 	for _, c := range []struct {
 		key, v string
 		of     []string
-	}{{"zone", f.Zone, s.Fleet.Zones}, {"way", f.Way, Ways}, {"folder", f.Folder, Folders}, {"node", f.Node, Nodes}} {
-		if text := oneOf(c.v, c.of); text != "" {
+	}{{"zone", f.Zone, s.Fleet.Zones}, {"way", f.Direction, Directions}, {"folder", f.Folder, Folders}, {"node", f.Node, Nodes}} {
+		if text := checkChoice(c.v, c.of); text != "" {
 			return c.key, text
 		}
 	}
@@ -406,7 +406,7 @@
 		key string
 		v   float64
 		top float64
-	}{{"at", f.At, s.Seconds}, {"for", f.For, 3600}, {"every", f.Every, 3600}, {"share", f.Share, 1}, {"spread", f.Spread, 3600},
+	}{{"at", f.At, s.Seconds}, {"for", f.For, 3600}, {"every", f.Every, 3600}, {"share", f.Fraction, 1}, {"spread", f.Spread, 3600},
 		{"ms", f.MS, f.mostMS()}, {"factor", f.Factor, 1000}, {"rate", f.Rate, 1e9}} {
 		if !(c.v >= 0 && c.v <= c.top) {
 			return c.key, fmt.Sprintf("%v; from 0 to %v is allowed", c.v, c.top)
@@ -423,12 +423,12 @@
 			return "relays", fmt.Sprintf("%d; from 0 to %d is allowed", n, s.Fleet.Relays-1)
 		}
 	}
-	for _, n := range f.Cells {
-		if n < 0 || n >= s.Part.Destinations {
-			return "cells", fmt.Sprintf("%d; from 0 to %d is allowed", n, s.Part.Destinations-1)
+	for _, n := range f.Destinations {
+		if n < 0 || n >= s.Upstreams.Destinations {
+			return "cells", fmt.Sprintf("%d; from 0 to %d is allowed", n, s.Upstreams.Destinations-1)
 		}
 	}
-	if (target == "warden" || target == "fleet" || target == "zone" || f.Kind == "salvage") && s.Registry.Wardens == 0 {
+	if (target == "warden" || target == "fleet" || target == "zone" || f.Kind == "salvage") && s.Registry.Controllers == 0 {
 		return "kind", f.Kind + " wants wardens: registry.wardens is 0"
 	}
 	if target == "zone" && f.Zone == "" {
@@ -440,26 +440,26 @@
 	if (target == "node" || target == "registration" || target == "group") && s.Registry.Nodes == 0 {
 		return "kind", f.Kind + " wants a list service: registry.nodes is 0"
 	}
-	if Damage[f.Kind] && (f.File == "" || f.File != filepath.Base(f.File)) {
+	if Corruptions[f.Kind] && (f.File == "" || f.File != filepath.Base(f.File)) {
 		return "file", fmt.Sprintf("%q; the name of a file in the relay's folder is wanted", f.File)
 	}
 	return "", ""
 }
 
-// Turn gives an entry of a list that is gone through by turns; nothing of none.
-func Turn(all []string, i int) string {
+// RoundRobin gives an entry of a list that is gone through by turns; nothing of none.
+func RoundRobin(all []string, i int) string {
 	if len(all) == 0 {
 		return ""
 	}
 	return all[i%len(all)]
 }
 
-// Secs is a span given in seconds.
-func Secs(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// Seconds is a span given in seconds.
+func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// With is Parse of a file with one key, such as load.rate or fault.0.share, set
+// ParseWith is Parse of a file with one key, such as load.rate or fault.0.share, set
 // to another value.
-func With(path string, doc []byte, key, value string) (*Scenario, error) {
+func ParseWith(path string, doc []byte, key, value string) (*Scenario, error) {
 	var all map[string]any
 	if err := toml.Unmarshal(doc, &all); err != nil {
 		return nil, decodeError(path, doc, err)
--- a/internal/faultlab/scenario/scenario_test.go
+++ b/internal/faultlab/scenario/scenario_test.go
@@ -41,15 +41,15 @@
 
 func TestWithSetsAnyKey(t *testing.T) {
 	doc := []byte("[load]\nrate = 60\n[[fault]]\nkind = \"kill\"\nat = 1\n")
-	s, err := With("x.toml", doc, "fault.0.share", "0.5")
-	if err != nil || s.Faults[0].Share != 0.5 || s.Load.Rate != 60 {
+	s, err := ParseWith("x.toml", doc, "fault.0.share", "0.5")
+	if err != nil || s.Faults[0].Fraction != 0.5 || s.Load.Rate != 60 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	if s, err = With("x.toml", doc, "fault.0.folder", "lost"); err != nil || s.Faults[0].Folder != "lost" {
+	if s, err = ParseWith("x.toml", doc, "fault.0.folder", "lost"); err != nil || s.Faults[0].Folder != "lost" {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for _, key := range []string{"load.rates", "fault.1.share", "load.rate.x"} {
-		if _, err := With("x.toml", doc, key, "1"); err == nil {
+		if _, err := ParseWith("x.toml", doc, key, "1"); err == nil {
 			t.Errorf("%s: no error", key)
 		}
 	}
--- a/internal/faultlab/status.go
+++ b/internal/faultlab/status.go
@@ -14,65 +14,65 @@
 // Status is how a run goes at one moment.
 type Status struct {
 	Elapsed   time.Duration
-	Handed    int // requests that clients sent, repeats too
-	Served    int // messages delivered
-	Waiting   int // taken on, and neither over nor out of time
-	Refused   int // at the door or by a notice
-	GivenUp   int
+	Submitted int // requests that clients sent, repeats too
+	Delivered int // messages delivered
+	Pending   int // taken on, and neither over nor out of time
+	Rejected  int // at the door or by a notice
+	Failed    int
 	P50, P99  time.Duration // of the messages delivered in the last second, from when each was due
 	Up, Fleet int           // relays that serve, and all
 	Faults    int           // that are on
 }
 
-// status counts what the status line shows.
-type status struct {
-	mu       sync.Mutex
-	now      Status
-	latency  *hdrhistogram.Histogram
-	inFaults int
+// statusCounter counts what the status line shows.
+type statusCounter struct {
+	mu           sync.Mutex
+	current      Status
+	latency      *hdrhistogram.Histogram
+	activeFaults int
 }
 
-const latencyMost = int64(60 * time.Second / time.Microsecond)
+const maxLatency = int64(60 * time.Second / time.Microsecond)
 
-func (s *status) delivered(_ int, after time.Duration) {
+func (s *statusCounter) recordDelivery(_ int, after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.latency == nil {
-		s.latency = hdrhistogram.New(1, latencyMost, 3)
+		s.latency = hdrhistogram.New(1, maxLatency, 3)
 	}
-	s.now.Served++
-	s.latency.RecordValue(min(max(1, after.Microseconds()), latencyMost))
+	s.current.Delivered++
+	s.latency.RecordValue(min(max(1, after.Microseconds()), maxLatency))
 }
 
-func (s *status) tap(e history.Event) {
+func (s *statusCounter) observe(e history.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch e.Kind {
 	case history.MessageSubmitted:
-		s.now.Handed++
+		s.current.Submitted++
 	case history.MessageRejected:
-		s.now.Refused++
+		s.current.Rejected++
 	case history.Notice:
 		if e.Text == "handed_back" {
-			s.now.Refused++
+			s.current.Rejected++
 		} else {
-			s.now.GivenUp++
+			s.current.Failed++
 		}
 	case history.Fault:
 		if e.Active {
-			s.inFaults++
+			s.activeFaults++
 		} else {
-			s.inFaults--
+			s.activeFaults--
 		}
 	}
 }
 
-// take gives the status and begins a new span for the quantiles.
-func (s *status) take() Status {
+// snapshot gives the status and begins a new span for the quantiles.
+func (s *statusCounter) snapshot() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.now
-	n.Faults = s.inFaults
+	n := s.current
+	n.Faults = s.activeFaults
 	if s.latency != nil {
 		n.P50 = time.Duration(s.latency.ValueAtQuantile(50)) * time.Microsecond
 		n.P99 = time.Duration(s.latency.ValueAtQuantile(99)) * time.Microsecond
@@ -81,20 +81,20 @@
 	return n
 }
 
-// report tells the status each second while the load lasts.
-func (r *run) report(ctx context.Context) {
+// watchStatus tells the status each second while the load lasts.
+func (r *run) watchStatus(ctx context.Context) {
 	for model.Sleep(ctx, time.Second) {
-		n := r.status.take()
+		n := r.status.snapshot()
 		n.Elapsed = time.Since(r.began)
-		n.Waiting = r.world.Ledger.PendingCount(time.Now())
+		n.Pending = r.world.Ledger.PendingCount(time.Now())
 		n.Fleet = len(r.relays)
 		for _, x := range r.relays {
 			x.mu.Lock()
-			if x.ready && !x.proc.Stopped() {
+			if x.ready && !x.process.Stopped() {
 				n.Up++
 			}
 			x.mu.Unlock()
 		}
-		r.opts.Watch(&n)
+		r.opts.OnStatus(&n)
 	}
 }
--- a/internal/faultlab/stub/call.go
+++ b/internal/faultlab/stub/call.go
@@ -13,7 +13,7 @@
 
 // callResult is what one attempt came to.
 type callResult struct {
-	heldBack   bool // nothing was sent: a Retry-After came first
+	notSent    bool // nothing was sent: a Retry-After came first
 	completed  bool // nothing more is pending for the message
 	mayHaveRun bool
 }
@@ -48,8 +48,8 @@
 
 // failedCall is the result of a call that got no answer.
 func failedCall(err error) callResult {
-	if errors.Is(err, errHeldBack) {
-		return callResult{heldBack: true}
+	if errors.Is(err, errMustWait) {
+		return callResult{notSent: true}
 	}
 	var network *net.OpError
 	notConnected := errors.As(err, &network) && network.Op == "dial"
--- a/internal/faultlab/stub/client.go
+++ b/internal/faultlab/stub/client.go
@@ -43,12 +43,12 @@
 	in := bufio.NewReader(conn)
 	for first := true; ; first = false {
 		timeout := idleTimeout
-		if first && r.defect != KeepPeers {
+		if first && r.defect != IgnorePeers {
 			timeout = firstTimeout
 		}
 		conn.SetReadDeadline(time.Now().Add(timeout))
 		args, err := readCommand(in)
-		if err != nil && r.defect == KeepPeers {
+		if err != nil && r.defect == IgnorePeers {
 			io.Copy(io.Discard, in)
 			return
 		}
--- a/internal/faultlab/stub/defect.go
+++ b/internal/faultlab/stub/defect.go
@@ -15,26 +15,26 @@
 
 // The defects. Those that concern single messages affect every defectEvery-th.
 const (
-	Drop        Defect = "drop"         // a message is accepted and forgotten
-	Late        Defect = "late"         // a final response comes after the message's deadline
-	Repeat      Defect = "repeat"       // a non-idempotent message is sent again after its delivery
-	HandBack    Defect = "hand-back"    // a non-idempotent message that may have run is handed back
-	SecondCopy  Defect = "second-copy"  // two attempts are in flight at once
-	Thirteen    Defect = "thirteen"     // attempts have no limit
-	IgnoreWait  Defect = "ignore-wait"  // Retry-After is ignored
-	IgnoreDrain Defect = "ignore-drain" // draining and removed endpoints are used
-	AfterEnd    Defect = "after-end"    // a message is sent after its final response
-	BusySent    Defect = "busy-sent"    // a message is rejected and sent all the same
-	AnswerTwice Defect = "answer-twice" // a client gets two answers
-	WrongPlace  Defect = "wrong-place"  // a message goes to another destination
-	Altered     Defect = "altered"      // a message's body is changed
-	Leak        Defect = "leak"         // memory is never freed
-	LeakFiles   Defect = "leak-files"   // file descriptors are never closed
-	FillDisk    Defect = "fill-disk"    // the state directory grows
-	SlowTerm    Defect = "slow-term"    // SIGTERM is ignored
-	HangUpExit  Defect = "hang-up-exit" // SIGHUP ends the process
-	KeepPeers   Defect = "keep-peers"   // invalid peers get neither an error nor a close
-	Topple      Defect = "topple"       // retries without a pause overload a recovering destination
+	Drop         Defect = "drop"         // a message is accepted and forgotten
+	Late         Defect = "late"         // a final response comes after the message's deadline
+	Repeat       Defect = "repeat"       // a non-idempotent message is sent again after its delivery
+	ReturnUnsafe Defect = "hand-back"    // a non-idempotent message that may have run is handed back
+	SecondCopy   Defect = "second-copy"  // two attempts are in flight at once
+	Thirteen     Defect = "thirteen"     // attempts have no limit
+	IgnoreWait   Defect = "ignore-wait"  // Retry-After is ignored
+	IgnoreDrain  Defect = "ignore-drain" // draining and removed endpoints are used
+	AfterEnd     Defect = "after-end"    // a message is sent after its final response
+	BusySent     Defect = "busy-sent"    // a message is rejected and sent all the same
+	AnswerTwice  Defect = "answer-twice" // a client gets two answers
+	WrongPlace   Defect = "wrong-place"  // a message goes to another destination
+	Altered      Defect = "altered"      // a message's body is changed
+	Leak         Defect = "leak"         // memory is never freed
+	LeakFiles    Defect = "leak-files"   // file descriptors are never closed
+	FillDisk     Defect = "fill-disk"    // the state directory grows
+	SlowTerm     Defect = "slow-term"    // SIGTERM is ignored
+	HangUpExit   Defect = "hang-up-exit" // SIGHUP ends the process
+	IgnorePeers  Defect = "keep-peers"   // invalid peers get neither an error nor a close
+	Topple       Defect = "topple"       // retries without a pause overload a recovering destination
 )
 
 // defectEvery is the number of messages of which a defect affects one.
--- a/internal/faultlab/stub/delivery.go
+++ b/internal/faultlab/stub/delivery.go
@@ -12,11 +12,11 @@
 const (
 	maxAttempts       = 12
 	nonIdempotent     = "copy-order" // the class that must not run twice
-	retryPause        = 100 * time.Millisecond
-	noEndpointPause   = 100 * time.Millisecond
+	retryDelay        = 100 * time.Millisecond
+	noEndpointDelay   = 100 * time.Millisecond
 	attemptMargin     = 150 * time.Millisecond // before the deadline no further attempt begins
 	lateBy            = time.Second            // of the defect Late
-	afterEndPause     = 200 * time.Millisecond // of the defect AfterEnd
+	afterEndDelay     = 200 * time.Millisecond // of the defect AfterEnd
 	maxNoticeAttempts = 50
 	noticeBackoff     = 50 * time.Millisecond
 )
@@ -25,7 +25,7 @@
 func (r *relay) deliver(m *message) {
 	if r.affects(AfterEnd, m) {
 		r.notify(m, discovery.Returned)
-		time.Sleep(afterEndPause)
+		time.Sleep(afterEndDelay)
 	}
 	result := r.attempt(m)
 	if result == delivered {
@@ -34,7 +34,7 @@
 	if r.defect == Late && result != unknownOutcome {
 		time.Sleep(time.Until(m.deadline) + lateBy)
 	}
-	if result == unknownOutcome && r.defect != HandBack {
+	if result == unknownOutcome && r.defect != ReturnUnsafe {
 		r.notify(m, discovery.Failed)
 	} else {
 		r.notify(m, discovery.Returned)
@@ -68,7 +68,7 @@
 		}
 		result := r.call(m, target)
 		switch {
-		case result.heldBack:
+		case result.notSent:
 			attempts--
 			continue
 		case result.completed:
@@ -80,7 +80,7 @@
 			return unknownOutcome
 		}
 		if r.defect != Topple {
-			time.Sleep(retryPause)
+			time.Sleep(retryDelay)
 		}
 	}
 	return notDelivered
@@ -96,7 +96,7 @@
 	target, ok = r.endpoints.pick(func(e endpoint) bool {
 		return (e.Destination == m.destination) != wrongPlace && (e.Phase == discovery.Up || r.defect == IgnoreDrain)
 	})
-	return target, noEndpointPause, ok
+	return target, noEndpointDelay, ok
 }
 
 // notify posts the notice of a message's outcome until discovery has taken it.
--- a/internal/faultlab/stub/endpoints.go
+++ b/internal/faultlab/stub/endpoints.go
@@ -34,7 +34,7 @@
 
 // endpointList is the current endpoint list. Safe for concurrent use.
 type endpointList struct {
-	keepRemoved bool // the defect IgnoreDrain; fixed before use
+	retainRemoved bool // the defect IgnoreDrain; fixed before use
 
 	mu  sync.Mutex
 	all []endpoint
@@ -50,7 +50,7 @@
 	}
 	for _, changed := range update.Members {
 		l.all = slices.DeleteFunc(l.all, func(e endpoint) bool { return e.ID == changed.ID })
-		if changed.Phase != discovery.Removed || l.keepRemoved {
+		if changed.Phase != discovery.Removed || l.retainRemoved {
 			l.all = append(l.all, changed)
 		}
 	}
--- a/internal/faultlab/stub/guard.go
+++ b/internal/faultlab/stub/guard.go
@@ -14,8 +14,8 @@
 // the wait again right before it sends. It also holds back while the process has
 // been off the CPU: answers then lie unread in its sockets.
 
-// errHeldBack is a request that was not sent because of a Retry-After.
-var errHeldBack = errors.New("held back: the destination asked to wait")
+// errMustWait is a request that was not sent because of a Retry-After.
+var errMustWait = errors.New("held back: the destination asked to wait")
 
 // guardedConn is a connection to an endpoint that sends nothing while its
 // destination has asked to wait. Each write of the HTTP client is one request.
@@ -25,12 +25,12 @@
 	destination int
 }
 
-// Write sends a request, or fails with errHeldBack without sending anything.
+// Write sends a request, or fails with errMustWait without sending anything.
 func (c *guardedConn) Write(request []byte) (int, error) {
 	r := c.relay
 	if r.defect != IgnoreWait {
 		if !r.stalls.settle() || r.waits.remaining(c.destination) > 0 {
-			return 0, errHeldBack
+			return 0, errMustWait
 		}
 	}
 	return c.Conn.Write(request)
--- a/internal/faultlab/stub/guard_test.go
+++ b/internal/faultlab/stub/guard_test.go
@@ -19,10 +19,10 @@
 	go r.stalls.run(t.Context())
 	conn := &guardedConn{Conn: near, relay: r, destination: 3}
 	r.waits.extend(3, time.Minute)
-	if n, err := conn.Write([]byte("POST")); n != 0 || !errors.Is(err, errHeldBack) {
+	if n, err := conn.Write([]byte("POST")); n != 0 || !errors.Is(err, errMustWait) {
 		t.Errorf("%d bytes, %v; want errHeldBack", n, err)
 	}
-	if result := failedCall(errors.Join(errHeldBack)); !result.heldBack || result.mayHaveRun {
+	if result := failedCall(errors.Join(errMustWait)); !result.notSent || result.mayHaveRun {
 		t.Errorf("%+v", result)
 	}
 }
--- a/internal/faultlab/stub/stub.go
+++ b/internal/faultlab/stub/stub.go
@@ -85,7 +85,7 @@
 func newRelay(config relayConfig, defect Defect) *relay {
 	r := &relay{defect: defect, stateDir: config.State}
 	r.discovery.Store(&config.Discovery)
-	r.endpoints.keepRemoved = defect == IgnoreDrain
+	r.endpoints.retainRemoved = defect == IgnoreDrain
 	r.endpoints.apply(config.Known)
 	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DialContext: r.dial}}
 	return r
--- a/internal/faultlab/tap.go
+++ b/internal/faultlab/tap.go
@@ -16,8 +16,8 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// lister is discovery on one relay's machine, as the lab sees it.
-type lister interface {
+// discoveryAgent is discovery on one relay's machine, as the lab sees it.
+type discoveryAgent interface {
 	Addr() string
 	Known() model.List
 	Started(model.List)
@@ -26,26 +26,26 @@
 	Close()
 }
 
-// tap stands between a relay and its real agent. It passes on what either says
+// agentProxy stands between a relay and its real agent. It passes on what either says
 // and records what the relay was told, and the notices that the agent took. An
 // address in the list becomes that of the relay's own link.
-type tap struct {
+type agentProxy struct {
 	*model.Listener
-	relay   string
-	agent   string // address
-	links   map[string]string
-	rec     *history.Recorder
-	noticed func(id, outcome string, retryMS int64)
+	relay    string
+	agent    string // address
+	links    map[string]string
+	recorder *history.Recorder
+	onNotice func(id, outcome string, retryMS int64)
 
-	mu   sync.Mutex
-	said map[string]string
+	mu              sync.Mutex
+	deliveredPhases map[string]string
 }
 
-func newTap(relay, ip, agent string, links map[string]string, rec *history.Recorder, noticed func(string, string, int64)) (*tap, error) {
-	t := &tap{relay: relay, agent: agent, links: links, rec: rec, noticed: noticed, said: map[string]string{}}
+func newAgentProxy(relay, ip, agent string, links map[string]string, rec *history.Recorder, noticed func(string, string, int64)) (*agentProxy, error) {
+	t := &agentProxy{relay: relay, agent: agent, links: links, recorder: rec, onNotice: noticed, deliveredPhases: map[string]string{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+discovery.ListPath, t.list)
-	mux.HandleFunc("POST "+discovery.NoticePath, t.reports)
+	mux.HandleFunc("GET "+discovery.ListPath, t.serveList)
+	mux.HandleFunc("POST "+discovery.NoticePath, t.serveNotices)
 	var err error
 	if t.Listener, err = model.NewListener(ip, mux); err != nil {
 		return nil, fmt.Errorf("tap of %s: %w", relay, err)
@@ -54,7 +54,7 @@
 }
 
 // Known is the list as the agent has it now; empty where it cannot be asked.
-func (t *tap) Known() model.List {
+func (t *agentProxy) Known() model.List {
 	c := http.Client{Timeout: 2 * time.Second}
 	l := model.List{Complete: true, Members: []model.Member{}}
 	resp, err := c.Get("http://" + t.agent + discovery.ListPath)
@@ -69,7 +69,7 @@
 	return l
 }
 
-func (t *tap) rewrite(l *model.List) {
+func (t *agentProxy) rewrite(l *model.List) {
 	for i := range l.Members {
 		if addr := t.links[l.Members[i].ID]; addr != "" {
 			l.Members[i].HostPort = addr
@@ -78,18 +78,18 @@
 }
 
 // Started books the list that a process begins with.
-func (t *tap) Started(l model.List) { t.told(l) }
+func (t *agentProxy) Started(l model.List) { t.recordDelivered(l) }
 
-func (t *tap) told(l model.List) {
+func (t *agentProxy) recordDelivered(l model.List) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range model.DeliveredChanges(t.said, l) {
+	for _, e := range model.DeliveredChanges(t.deliveredPhases, l) {
 		e.Relay = t.relay
-		t.rec.Record(e)
+		t.recorder.Record(e)
 	}
 }
 
-func (t *tap) list(w http.ResponseWriter, r *http.Request) {
+func (t *agentProxy) serveList(w http.ResponseWriter, r *http.Request) {
 	if !t.WaitWhileSilent(r.Context()) {
 		return
 	}
@@ -123,7 +123,7 @@
 				return
 			}
 			if l.Members != nil {
-				t.told(l)
+				t.recordDelivered(l)
 			}
 		}
 		if err == io.EOF {
@@ -135,7 +135,7 @@
 	}
 }
 
-func (t *tap) reports(w http.ResponseWriter, r *http.Request) {
+func (t *agentProxy) serveNotices(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -148,7 +148,7 @@
 	resp.Body.Close()
 	if resp.StatusCode == http.StatusNoContent {
 		all, _ := discovery.ReadNotices(bytes.NewReader(text)) // the agent has read them
-		model.RecordNotices(t.rec, t.relay, all, t.noticed)
+		model.RecordNotices(t.recorder, t.relay, all, t.onNotice)
 	}
 	w.WriteHeader(resp.StatusCode)
 }
--- a/internal/faultlab/wardens.go
+++ b/internal/faultlab/wardens.go
@@ -24,31 +24,31 @@
 	"plovershore/internal/zones"
 )
 
-// warden is one warden, over all of its processes. It asks each node through a
+// controller is one warden, over all of its processes. It asks each node through a
 // link of its own.
-type warden struct {
-	group *group
-	num   int
-	name  string
-	links []*link.Link
-	path  string // of its log
-	log   *os.File
-	busy  sync.Mutex
+type controller struct {
+	group   *group
+	num     int
+	name    string
+	links   []*link.Link
+	logPath string // of its log
+	log     *os.File
+	busy    sync.Mutex
 
-	mu   sync.Mutex
-	proc *process.Process
+	mu      sync.Mutex
+	process *process.Process
 }
 
-func (g *group) newWardens() (err error) {
+func (g *group) startControllers() (err error) {
 	r := g.run
-	if r.scen.Registry.Wardens == 0 {
+	if r.scenario.Registry.Controllers == 0 {
 		return nil
 	}
 	if g.platform, err = r.newPlatform(); err != nil {
 		return err
 	}
-	for i := range r.scen.Registry.Wardens {
-		w := &warden{group: g, num: i, name: fmt.Sprint("w", i+1), path: filepath.Join(r.opts.Out, "logs", fmt.Sprintf("w%d.log", i+1))}
+	for i := range r.scenario.Registry.Controllers {
+		w := &controller{group: g, num: i, name: fmt.Sprint("w", i+1), logPath: filepath.Join(r.opts.Out, "logs", fmt.Sprintf("w%d.log", i+1))}
 		for _, n := range g.nodes {
 			l, err := r.world.Net.Listen(w.name, n.name, r.address(), n.http, r.seed, nil)
 			if err != nil {
@@ -56,10 +56,10 @@
 			}
 			w.links = append(w.links, l)
 		}
-		if w.log, err = os.Create(w.path); err != nil {
+		if w.log, err = os.Create(w.logPath); err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
-		g.wardens = append(g.wardens, w)
+		g.controllers = append(g.controllers, w)
 		if err := w.start(); err != nil {
 			return err
 		}
@@ -67,37 +67,37 @@
 	return nil
 }
 
-func (w *warden) start() error {
+func (w *controller) start() error {
 	r := w.group.run
 	var nodes []string
 	for _, l := range w.links {
 		nodes = append(nodes, l.Addr())
 	}
-	p, err := process.Start(w.name, r.opts.Warden, []string{"--nodes", strings.Join(nodes, ","), "--name", w.name,
-		"--drill-clock", scenario.Turn(r.scen.Registry.WardenClocks, w.num), "--platform", w.group.platform.Addr(),
-		"--ttl", scenario.Secs(r.scen.Registry.WardenTTL).String(), "--duties", strings.Join([]string{leader.RegistrationExpiry, leader.Counter, rollout.Role, failover.Role, zones.Role}, ",")}, nil, w.log)
+	p, err := process.Start(w.name, r.opts.Controller, []string{"--nodes", strings.Join(nodes, ","), "--name", w.name,
+		"--drill-clock", scenario.RoundRobin(r.scenario.Registry.ControllerClocks, w.num), "--platform", w.group.platform.Addr(),
+		"--ttl", scenario.Seconds(r.scenario.Registry.ControllerTTL).String(), "--duties", strings.Join([]string{leader.RegistrationExpiry, leader.Counter, rollout.Role, failover.Role, zones.Role}, ",")}, nil, w.log)
 	if err != nil {
 		return err
 	}
-	r.rec.Record(history.Event{Kind: history.ProcessStarted, Relay: w.name, PID: p.PID, Text: "node"})
+	r.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: w.name, PID: p.PID, Text: "node"})
 	w.mu.Lock()
-	w.proc = p
+	w.process = p
 	w.mu.Unlock()
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
 		<-p.Done()
 		code, text := p.Exit()
-		r.rec.Record(history.Event{Kind: history.ProcessExited, Relay: w.name, PID: p.PID, Status: code, Text: text})
+		r.recorder.Record(history.Event{Kind: history.ProcessExited, Relay: w.name, PID: p.PID, Status: code, Text: text})
 	}()
 	return nil
 }
 
-func (w *warden) signal(s syscall.Signal) {
+func (w *controller) signal(s syscall.Signal) {
 	w.mu.Lock()
-	p := w.proc
+	p := w.process
 	w.mu.Unlock()
-	w.group.run.rec.Record(history.Event{Kind: history.ProcessSignaled, Relay: w.name, PID: p.PID, Text: s.String()})
+	w.group.run.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: w.name, PID: p.PID, Text: s.String()})
 	if s == syscall.SIGKILL {
 		p.Kill()
 		return
@@ -105,7 +105,7 @@
 	p.Signal(s)
 }
 
-func (w *warden) cut(way string, on bool) {
+func (w *controller) setCut(way string, on bool) {
 	for _, l := range w.links {
 		if way != "back" {
 			l.SetFaults(link.ToServer, link.Faults{Cut: on})
@@ -116,8 +116,8 @@
 	}
 }
 
-// strikeWardens carries out a fault on wardens; "holder" is whoever counts now.
-func (g *group) strikeWardens(ctx context.Context, s Step) error {
+// strikeControllers carries out a fault on wardens; "holder" is whoever counts now.
+func (g *group) strikeControllers(ctx context.Context, s Step) error {
 	targets := s.Targets
 	if s.Fault.Node == "holder" {
 		targets = nil
@@ -126,15 +126,15 @@
 			return nil // the load is over
 		}
 		for _, d := range l.Roles {
-			for i, w := range g.wardens {
-				if d.Name == cmp.Or(s.Fault.Duty, leader.Counter) && d.Holder != "" && d.Controller == w.name {
+			for i, w := range g.controllers {
+				if d.Name == cmp.Or(s.Fault.Role, leader.Counter) && d.Holder != "" && d.Controller == w.name {
 					targets = []int{i}
 				}
 			}
 		}
 	}
-	return g.run.each(targets, func(i int) error {
-		w := g.wardens[i]
+	return g.run.forEach(targets, func(i int) error {
+		w := g.controllers[i]
 		w.busy.Lock()
 		defer w.busy.Unlock()
 		if ctx.Err() != nil {
@@ -143,27 +143,27 @@
 		switch s.Fault.Kind {
 		case "warden-kill":
 			w.signal(syscall.SIGKILL)
-			g.run.hold(ctx, s)
+			g.run.waitUntilUndone(ctx, s)
 			return w.start()
 		case "warden-pause":
 			w.signal(syscall.SIGSTOP)
-			g.run.hold(ctx, s)
+			g.run.waitUntilUndone(ctx, s)
 			w.signal(syscall.SIGCONT)
 		case "warden-cut":
-			w.cut(s.Fault.Way, true)
-			g.run.hold(ctx, s)
-			w.cut(s.Fault.Way, false)
+			w.setCut(s.Fault.Direction, true)
+			g.run.waitUntilUndone(ctx, s)
+			w.setCut(s.Fault.Direction, false)
 		}
 		return nil
 	})
 }
 
-// effects puts what the wardens counted into the history, once they have ended:
+// recordRoleSteps puts what the wardens counted into the history, once they have ended:
 // each step with when it was asked for, when it was answered, and how.
-func (g *group) effects() error {
+func (g *group) recordRoleSteps() error {
 	var errs []error
-	for _, w := range g.wardens {
-		f, err := os.Open(w.path)
+	for _, w := range g.controllers {
+		f, err := os.Open(w.logPath)
 		if err != nil {
 			errs = append(errs, err)
 			continue
@@ -172,7 +172,7 @@
 		tell := func(phase string, at int64) {
 			if asked != nil {
 				asked.Phase, asked.DueAt = phase, at
-				g.run.rec.Record(*asked)
+				g.run.recorder.Record(*asked)
 			}
 			asked = nil
 		}
