--- a/internal/faultlab/scale_figures.go
+++ b/internal/faultlab/scale_report.go
@@ -2,13 +2,9 @@
 
 import (
 	"fmt"
-	"io"
 	"slices"
-	"sync"
-	"text/tabwriter"
 	"time"
 
-	"plovershore/internal/faultlab/process"
 	"plovershore/internal/faultlab/report"
 )
 
@@ -96,110 +92,11 @@
 	Ratio        float64 `json:"ratio"`
 }
 
-// role is a kind of process of a scale run.
-type role struct {
-	name      string
-	units     int
-	processes []*process.Process
-	meters    []*meter
-	before    usage
-	cost      ScaleRole
-
-	mu   sync.Mutex
-	peak int64
-}
-
-// usage is what a role has spent and holds at one moment.
-type usage struct {
-	at    time.Time
-	cpu   time.Duration
-	rss   int64
-	bytes int64
-}
-
-func (r *role) measure() usage {
-	u := usage{at: time.Now()}
-	for _, p := range r.processes {
-		if x, err := process.Measure(p.PID); err == nil {
-			u.cpu, u.rss = u.cpu+x.CPU, u.rss+x.RSS
-		}
-	}
-	for _, m := range r.meters {
-		u.bytes += m.bytes.Load()
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.peak = max(r.peak, u.rss)
-	return u
-}
-
-// beginPhase starts a part, end books it.
-func (r *role) beginPhase() { r.before = r.measure() }
-
-func (r *role) endPhase(phase string) {
-	now, units := r.measure(), float64(r.units)
-	spent := now.at.Sub(r.before.at).Seconds()
-	r.cost.Phases[phase] = ScalePhase{CPU: 100 * (now.cpu - r.before.cpu).Seconds() / spent / units, MemoryMB: float64(now.rss) / (1 << 20) / units,
-		KB: float64(now.bytes-r.before.bytes) / 1e3 / spent / units}
-}
-
-func (r *role) finish(speed float64) ScaleRole {
-	r.cost.Name, r.cost.Units = r.name, r.units
-	quiet, control := r.cost.Phases[phaseQuiet], r.cost.Phases[phaseControl]
-	r.cost.DayCPU = quiet.CPU + (control.CPU-quiet.CPU)/speed
-	r.cost.DayKB = quiet.KB + (control.KB-quiet.KB)/speed
-	r.cost.PeakMB = float64(r.peak) / (1 << 20) / float64(r.units)
-	return r.cost
-}
-
 // isRelay tells whether the budget of a relay's control is for this role.
 func isRelay(name string) bool {
 	return name == simRelayRole || name == realRelayRole || name == operatedRelayRole
 }
 
-// Print writes the report as a table.
-func (s *ScaleReport) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d hollow relays, %d members, a list of %.2f MB; %d changes, x %.0f; registered in %.1f s, relays started in %.1f s, settled in %.1f s; %.0f messages a second, hollow late p99 %v\n",
-		s.SimRelays, s.Members, s.ListMB, s.Changes, s.Speed, s.Register, s.Start, s.Settle, s.Rate, s.SimLateP99)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "each\tunits\tpart\tCPU, % of a core\tof budget\tmemory MB\tpeak MB\tof budget\tKB/s\tof budget\tstart MB")
-	for _, r := range s.Roles {
-		for _, part := range scalePhases {
-			p, ok := r.Phases[part]
-			if !ok {
-				continue
-			}
-			cpu, memory, bytes := "-", "-", "-"
-			if isRelay(r.Name) {
-				memory, bytes = fmt.Sprintf("%.2f", r.PeakMB/budgetMemoryMB), fmt.Sprintf("%.2f", p.KB/budgetKB)
-				if part != phaseLoad { // with messages it is not control alone
-					cpu = fmt.Sprintf("%.2f", p.CPU/budgetCPU)
-				}
-			}
-			fmt.Fprintf(t, "%s\t%d\t%s\t%.2f\t%s\t%.1f\t%.1f\t%s\t%.2f\t%s\t%.2f\n", r.Name, r.Units, part, p.CPU, cpu, p.MemoryMB, r.PeakMB, memory, p.KB, bytes, r.StartMB)
-		}
-	}
-	t.Flush()
-	t = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "seconds until in force\tcount\tmissing\tp50\tp99\tmax\tmax of budget")
-	for _, f := range s.Delays {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.2f\n", f.Name, f.Count, f.Missing, f.P50, f.P99, f.Max, f.Max/budgetDelay.Seconds())
-	}
-	t.Flush()
-	for _, r := range s.Roles {
-		if isRelay(r.Name) {
-			fmt.Fprintf(w, "%s, control with changes at x 1 (worked out): %.2f%% of a core, %.2f of budget; %.3f KB/s, %.4f of budget\n",
-				r.Name, r.DayCPU, r.DayCPU/budgetCPU, r.DayKB, r.DayKB/budgetKB)
-		}
-	}
-	for _, a := range s.Comparisons {
-		fmt.Fprintf(w, "hollow beside real, %s: %.2f and %.2f, ratio %.2f\n", a.Name, a.Hollow, a.Real, a.Ratio)
-	}
-	for _, n := range s.Notes {
-		fmt.Fprintln(w, n)
-	}
-}
-
 // Figures are those that compare sets side by side.
 func (s *ScaleReport) Figures() (all []report.Figure) {
 	add := func(name, unit string, value float64) {
--- /dev/null
+++ b/internal/faultlab/scale_start.go
@@ -0,0 +1,186 @@
+package faultlab
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/faultlab/process"
+	"plovershore/internal/faultlab/scenario"
+	"plovershore/internal/faultlab/simrelay"
+)
+
+// startService starts the endpoints and the list service, with all members
+// registered and its plain watchers open.
+func (r *scaleRun) startService(ctx context.Context) (err error) {
+	c := &r.scenario.Scale
+	r.down = simrelay.Down{Seed: r.opts.Seed, Fraction: c.Down, For: scenario.Seconds(c.DownFor), Origin: r.began.UnixMicro()}
+	r.down.Prepare(c.Members)
+	if r.endpoints, err = newScaleEndpoints(r.ctx); err != nil {
+		return err
+	}
+	r.background(func() { r.endpoints.updateDown(r.ctx, &r.down, c.Members, r.fail) })
+	log, err := r.logFile("nodes")
+	if err != nil {
+		return err
+	}
+	r.group = &benchGroup{ip: r.ip, dir: r.dir, program: r.opts.Registry, port: firstPort, logs: log}
+	if err := r.group.start(r.scenario.Registry.Nodes, 0); err != nil {
+		r.group.stop()
+		return err
+	}
+	for _, p := range r.group.processes {
+		r.watchProcess(p)
+	}
+	if r.members, err = newScaleMembers(r.scenario, r.endpoints, r.group.http, r.recordLateness); err != nil {
+		return err
+	}
+	began := time.Now()
+	r.background(func() { r.members.sendHeartbeats(r.ctx) })
+	if err := r.members.registerAll(ctx, r.members.all(), nil); err != nil {
+		return err
+	}
+	r.report.Register = time.Since(began).Seconds()
+	r.watchers = &watcherSet{}
+	if c.Watchers == 0 {
+		return nil
+	}
+	r.watchers.start(r.ctx, r.group.http, c.Watchers, false)
+	if err := r.watchers.awaitOpen(ctx, 0); err != nil {
+		return fmt.Errorf("lab: %d of %d watchers of the list service opened: %w", r.watchers.opened.Load(), c.Watchers, err)
+	}
+	return nil
+}
+
+// startFleet starts agents and relays, once the agents have the list.
+func (r *scaleRun) startFleet(ctx context.Context) error {
+	c := &r.scenario.Scale
+	ownNodes, err := r.nodeMeters()
+	if err != nil {
+		return err
+	}
+	sharedNodes, err := r.nodeMeters()
+	if err != nil {
+		return err
+	}
+	var own []*scaleAgent
+	for i := range c.Real + c.Agents {
+		name, nodes := fmt.Sprintf("n%d-agent", i+1), ownNodes
+		if i >= c.Real {
+			name, nodes = fmt.Sprintf("shared-agent-%d", i-c.Real+1), sharedNodes
+		}
+		a, err := r.startAgent(name, nodes)
+		if err != nil {
+			return err
+		}
+		if i < c.Real {
+			own = append(own, a)
+		} else {
+			r.agents = append(r.agents, a)
+		}
+	}
+	for _, a := range append(own, r.agents...) {
+		for agentMembers(ctx, a) < c.Members {
+			if !model.Sleep(ctx, pollInterval) {
+				return fmt.Errorf("lab: %s has not %d members; see the logs in %s", a.process.Name, c.Members, filepath.Join(r.dir, "logs"))
+			}
+		}
+	}
+	began := time.Now()
+	if err := r.startRelays(own); err != nil {
+		return err
+	}
+	r.makeRoles(own, ownNodes, sharedNodes)
+	r.background(r.sampleRoles)
+	r.awaitLists(ctx)
+	r.report.Start = time.Since(began).Seconds()
+	for _, x := range r.roles {
+		x.cost.StartMB = float64(x.measure().bytes) / 1e6 / float64(x.units)
+	}
+	return r.ctx.Err()
+}
+
+// startRelays starts the real relays and the processes of hollow ones.
+func (r *scaleRun) startRelays(own []*scaleAgent) error {
+	c := &r.scenario.Scale
+	var doors []string
+	for _, a := range r.agents {
+		doors = append(doors, a.meter.addr())
+	}
+	for i, a := range own {
+		x, err := r.startRealRelay(i, a)
+		if err != nil {
+			return err
+		}
+		r.realRelays = append(r.realRelays, x)
+	}
+	for i, first := 0, c.Real; i < c.Processes; i++ {
+		relays := c.Relays / c.Processes
+		if i < c.Relays%c.Processes {
+			relays++
+		}
+		h, err := r.startSimProcess(i, first, relays, doors)
+		if err != nil {
+			return err
+		}
+		r.simProcesses, first = append(r.simProcesses, h), first+relays
+	}
+	return nil
+}
+
+// makeRoles names who is measured.
+func (r *scaleRun) makeRoles(own []*scaleAgent, ownNodes, sharedNodes []*meter) {
+	c := &r.scenario.Scale
+	add := func(x *role) {
+		if x.units > 0 {
+			x.cost.Phases = map[string]ScalePhase{}
+			r.roles = append(r.roles, x)
+		}
+	}
+	hollows := &role{name: simRelayRole, units: c.Relays}
+	for _, h := range r.simProcesses {
+		hollows.processes = append(hollows.processes, h.process)
+	}
+	shared := &role{name: fmt.Sprintf("agent of %d hollow relays", c.Relays/c.Agents), units: c.Agents, meters: sharedNodes}
+	for _, a := range r.agents {
+		hollows.meters = append(hollows.meters, a.meter)
+		shared.processes = append(shared.processes, a.process)
+	}
+	plain, operated := &role{name: realRelayRole}, &role{name: operatedRelayRole}
+	for _, x := range r.realRelays {
+		of := plain
+		if x.operator != "" {
+			of = operated
+		}
+		of.units++
+		of.processes, of.meters = append(of.processes, x.process), append(of.meters, x.agent.meter)
+	}
+	alone := &role{name: "agent of one relay", units: c.Real, meters: ownNodes}
+	for _, a := range own {
+		alone.processes = append(alone.processes, a.process)
+	}
+	add(hollows)
+	add(plain)
+	add(operated)
+	add(alone)
+	add(shared)
+	add(&role{name: fmt.Sprintf("list service's node, %d watchers of all", c.Watchers+c.Real+c.Agents), units: len(r.group.processes), processes: r.group.processes})
+	add(&role{name: "lab", units: 1, processes: []*process.Process{{Name: "lab", PID: os.Getpid()}}})
+}
+
+// awaitLists waits until every relay has the whole list, or ctx ends.
+func (r *scaleRun) awaitLists(ctx context.Context) {
+	c := &r.scenario.Scale
+	for {
+		ready := r.simStatus().Members[c.Members] == c.Relays
+		for _, x := range r.realRelays {
+			ready = ready && (x.operator == "" || x.members(ctx) == c.Members) && ping(x.listen)
+		}
+		if ready || !model.Sleep(ctx, pollInterval) {
+			return
+		}
+	}
+}
