--- a/internal/faultlab/build.go
+++ b/internal/faultlab/build.go
@@ -16,53 +16,44 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// build makes partners, discovery and links; nothing runs yet but the stand-ins.
+const (
+	readyTimeout = 30 * time.Second // for all relays, before the clients come
+	readyPoll    = 5 * time.Millisecond
+
+	windowLength        = 2 * time.Second // of an upstream whose limit has windows
+	retryAfterMinMillis = 400
+	retryAfterMaxMillis = 910
+	endpointIdle        = 10 * time.Second
+	queuePerServer      = 2
+)
+
+// build makes upstreams, discovery, clients, relays and links; no relay runs yet.
 func (r *run) build(ctx context.Context) error {
-	s, f := r.scenario, r.plan
-	r.world = &model.World{Recorder: r.recorder, Ledger: model.NewLedger(), Net: link.NewNet(), Rules: model.StandardRules()}
-	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
-	for cell, p := range f.upstreams {
-		l := model.Limit{RetryAfterFraction: p.retryAfterFraction, RetryAfterMin: ms(400), RetryAfterMax: ms(910), CountsRejected: s.Upstreams.CountsRejected}
-		if s.Upstreams.Limits {
-			l.Rate = p.rate
-		}
-		if p.hasWindow {
-			l.Window = 2 * time.Second
-		}
-		r.upstreams = append(r.upstreams, model.NewUpstream(cell, p.kind, l, p.latencyFactor, p.loadReportInterval, r.world.Rules, r.recorder, r.seed))
-	}
-	var members []model.Member
-	for i, e := range f.endpoints {
-		end := &model.Endpoint{ID: fmt.Sprintf("s-%04x%04x", uint16(r.seed*40503), i), Zone: e.zone, Upstream: r.upstreams[e.destination],
-			Servers: e.servers, QueueSize: 2 * e.servers, MaxConns: max(s.Fleet.Relays, int(float64(e.servers)*s.Upstreams.ConnsFactor)), MaxBatch: s.Fleet.MaxBatch, IdleTimeout: 10 * time.Second}
-		if f.upstreams[e.destination].kind != model.Telco {
-			end.MaxBatch = 1
-		}
-		if err := end.Serve(r.ctx, r.world, r.address(), &r.served); err != nil {
-			return err
-		}
-		r.endpoints = append(r.endpoints, end)
-		members = append(members, model.Member{ID: end.ID, Locality: e.zone, Flavor: f.upstreams[e.destination].kind, Cell: e.destination, Phase: model.Up, Size: 1})
+	r.world = &model.World{
+		Recorder:    r.recorder,
+		Ledger:      model.NewLedger(),
+		Net:         link.NewNet(),
+		Rules:       model.StandardRules(),
+		OnDelivered: r.status.recordDelivery,
 	}
-	r.world.OnDelivered = r.status.recordDelivery
 	r.recorder.Subscribe(r.status.observe)
+	members, err := r.buildUpstreams()
+	if err != nil {
+		return err
+	}
 	r.discovery = model.NewDiscovery(r.world, r.seed)
 	addrs := map[string]string{}
-	load := model.StandardLoad(s.Load.Rate, f.weights)
-	load.Retries, load.LeaverFraction, load.BurstFraction = s.Load.Retries, s.Load.LeaverFraction, s.Load.BurstFraction
-	r.clients = model.NewClients(r.world, load, addrs, r.seed)
-	r.clients.OnLateness = r.recordLateness
-	if err := os.MkdirAll(filepath.Join(r.opts.Out, "logs"), 0o755); err != nil {
+	r.buildClients(addrs)
+	if err := os.MkdirAll(filepath.Join(r.opts.Out, logsDir), 0o755); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if s.Registry.Nodes > 0 {
-		var err error
+	if r.scenario.Registry.Nodes > 0 {
 		if r.group, err = r.newGroup(ctx); err != nil {
 			return err
 		}
 	}
-	for i := range s.Fleet.Relays {
-		x := &relay{run: r, number: i, name: fmt.Sprintf("n%d", i+1), zone: f.relayZone(i), listen: r.address()}
+	for i := range r.scenario.Fleet.Relays {
+		x := &relay{run: r, number: i, name: fmt.Sprintf("n%d", i+1), zone: r.plan.relayZone(i), listen: r.address()}
 		r.relays = append(r.relays, x)
 		if err := r.connect(ctx, x, members); err != nil {
 			return err
@@ -72,88 +63,177 @@
 	return nil
 }
 
-// connect makes one relay's machine: its folder, agent and links.
-func (r *run) connect(ctx context.Context, x *relay, members []model.Member) (err error) {
-	if x.dir, err = filepath.Abs(filepath.Join(r.opts.Out, x.name)); err != nil {
-		return fmt.Errorf("lab: %w", err)
+// buildUpstreams starts the endpoints and returns the list of them.
+func (r *run) buildUpstreams() (members []model.Member, err error) {
+	for destination := range r.plan.upstreams {
+		r.upstreams = append(r.upstreams, r.newUpstream(destination))
+	}
+	for i, planned := range r.plan.endpoints {
+		endpoint := r.newEndpoint(i)
+		if err := endpoint.Serve(r.ctx, r.world, r.address(), &r.serving); err != nil {
+			return nil, err
+		}
+		r.endpoints = append(r.endpoints, endpoint)
+		kind := r.plan.upstreams[planned.destination].kind
+		members = append(members, model.Member{ID: endpoint.ID, Locality: planned.zone, Flavor: kind, Cell: planned.destination, Phase: model.Up, Size: 1})
 	}
-	if err := errors.Join(os.RemoveAll(x.dir), os.MkdirAll(x.stateDir(), 0o700)); err != nil {
-		return fmt.Errorf("lab: %w", err)
+	return members, nil
+}
+
+func (r *run) newUpstream(destination int) *model.Upstream {
+	settings, planned := &r.scenario.Upstreams, &r.plan.upstreams[destination]
+	limit := model.Limit{
+		RetryAfterFraction: planned.retryAfterFraction,
+		RetryAfterMin:      millis(retryAfterMinMillis),
+		RetryAfterMax:      millis(retryAfterMaxMillis),
+		CountsRejected:     settings.CountsRejected,
 	}
-	if x.log, err = os.Create(filepath.Join(r.opts.Out, "logs", x.name+".log")); err != nil {
-		return fmt.Errorf("lab: %w", err)
+	if settings.Limits {
+		limit.Rate = planned.rate
 	}
-	if slices.ContainsFunc(r.scenario.Faults, func(f scenario.Fault) bool { return f.Kind == "clock" }) {
-		if x.wall, err = wallclock.New(x.dir); err != nil {
-			return err
-		}
+	if planned.hasWindow {
+		limit.Window = windowLength
+	}
+	return model.NewUpstream(destination, planned.kind, limit, planned.latencyFactor, planned.loadInterval, r.world.Rules, r.recorder, r.seed)
+}
+
+func (r *run) newEndpoint(number int) *model.Endpoint {
+	fleet, planned := &r.scenario.Fleet, &r.plan.endpoints[number]
+	endpoint := &model.Endpoint{
+		ID:          endpointID(r.seed, number),
+		Zone:        planned.zone,
+		Upstream:    r.upstreams[planned.destination],
+		Servers:     planned.servers,
+		QueueSize:   queuePerServer * planned.servers,
+		MaxConns:    max(fleet.Relays, int(float64(planned.servers)*r.scenario.Upstreams.ConnsFactor)),
+		MaxBatch:    fleet.MaxBatch,
+		IdleTimeout: endpointIdle,
+	}
+	if endpoint.Upstream.Kind != model.Telco {
+		endpoint.MaxBatch = 1
+	}
+	return endpoint
+}
+
+// endpointID looks like a platform's: the same for one seed, different for others.
+func endpointID(seed uint64, number int) string {
+	const spread = 40503
+	return fmt.Sprintf("s-%04x%04x", uint16(seed*spread), number)
+}
+
+// buildClients makes the clients; addrs is filled with the relays' addresses later.
+func (r *run) buildClients(addrs map[string]string) {
+	settings := &r.scenario.Load
+	load := model.StandardLoad(settings.Rate, r.plan.weights)
+	load.Retries, load.LeaverFraction, load.BurstFraction = settings.Retries, settings.LeaverFraction, settings.BurstFraction
+	r.clients = model.NewClients(r.world, load, addrs, r.seed)
+	r.clients.OnLateness = r.lateness.record
+}
+
+// connect makes one relay's machine: its directory, links and agent.
+func (r *run) connect(ctx context.Context, x *relay, members []model.Member) (err error) {
+	if err := r.makeDir(x); err != nil {
+		return err
 	}
 	if x.proxy, err = r.world.Net.Listen("clients", x.name, r.address(), x.listen, r.seed, nil); err != nil {
 		return err
 	}
-	mine := make([]model.Member, len(members))
-	for i, e := range r.endpoints {
-		l, err := r.world.Net.Listen(x.name, e.ID, r.address(), e.Addr(), r.seed+uint64(x.number*1000+i), r.recordLostCall)
+	mine := slices.Clone(members)
+	for i, endpoint := range r.endpoints {
+		l, err := r.linkTo(x, i, endpoint)
 		if err != nil {
 			return err
 		}
-		delay := r.scenario.Upstreams.DelayMS
-		if e.Zone != x.zone {
-			delay = r.scenario.Upstreams.CrossMS
-		}
-		usual := link.Faults{Delay: time.Duration(delay * float64(time.Millisecond)), Jitter: time.Duration(r.scenario.Upstreams.JitterMS * float64(time.Millisecond))}
-		r.linkFaults[l] = usual
-		l.SetFaults(link.ToServer, usual)
-		l.SetFaults(link.ToClient, usual)
-		x.links = append(x.links, l)
-		mine[i] = members[i]
 		mine[i].HostPort = l.Addr()
 	}
 	if r.group == nil {
 		x.agent, err = r.discovery.NewAgent(x.name, r.ip, mine, r.onNotice)
 		return err
 	}
-	if x.agentLog, err = os.Create(filepath.Join(r.opts.Out, "logs", x.name+"-agent.log")); err != nil {
+	if x.agentLog, err = os.Create(r.logPath(x.name + "-agent")); err != nil {
+		return fmt.Errorf("lab: %w", err)
+	}
+	proxy, err := r.group.startAgent(ctx, x, r.onNotice)
+	if proxy != nil {
+		x.agent = proxy
+	}
+	return err
+}
+
+// makeDir makes a relay's directory, its log and, where a fault steps it, its clock.
+func (r *run) makeDir(x *relay) (err error) {
+	if x.dir, err = filepath.Abs(filepath.Join(r.opts.Out, x.name)); err != nil {
+		return fmt.Errorf("lab: %w", err)
+	}
+	if err := errors.Join(os.RemoveAll(x.dir), os.MkdirAll(x.stateDir(), 0o700)); err != nil {
+		return fmt.Errorf("lab: %w", err)
+	}
+	if x.log, err = os.Create(r.logPath(x.name)); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	t, err := r.group.startAgent(ctx, x, r.onNotice)
-	if t != nil {
-		x.agent = t
+	stepsClock := func(f scenario.Fault) bool { return f.Kind == scenario.FaultClock }
+	if slices.ContainsFunc(r.scenario.Faults, stepsClock) {
+		x.wall, err = wallclock.New(x.dir)
 	}
 	return err
 }
 
-// startAll starts every relay and waits until each serves clients.
-func (r *run) startAll(ctx context.Context) error {
+// linkTo makes the link of a relay to one endpoint.
+func (r *run) linkTo(x *relay, number int, endpoint *model.Endpoint) (*link.Link, error) {
+	const seedsPerRelay = 1000
+	seed := r.seed + uint64(x.number*seedsPerRelay+number)
+	l, err := r.world.Net.Listen(x.name, endpoint.ID, r.address(), endpoint.Addr(), seed, r.recordLostCall)
+	if err != nil {
+		return nil, err
+	}
+	settings := &r.scenario.Upstreams
+	delayMS := settings.DelayMS
+	if endpoint.Zone != x.zone {
+		delayMS = settings.CrossMS
+	}
+	faults := link.Faults{Delay: millis(delayMS), Jitter: millis(settings.JitterMS)}
+	r.linkFaults[l] = faults
+	l.SetBoth(faults)
+	x.links = append(x.links, l)
+	return l, nil
+}
+
+// startRelays starts every relay and waits until each serves clients.
+func (r *run) startRelays(ctx context.Context) error {
 	for _, x := range r.relays {
 		if err := x.start(); err != nil {
 			return err
 		}
 	}
 	for end := time.Now().Add(readyTimeout); ; {
-		var waiting []string
-		for _, x := range r.relays {
-			x.mu.Lock()
-			if !x.ready {
-				waiting = append(waiting, x.name)
-			}
-			p := x.process
-			x.mu.Unlock()
-			select {
-			case <-p.Done():
-				_, text := p.Exit()
-				return fmt.Errorf("lab: %s did not start: %s; see %s", x.name, text, x.log.Name())
-			default:
-			}
-		}
-		if len(waiting) == 0 {
-			return nil
+		waiting, err := r.notReady()
+		if err != nil || len(waiting) == 0 {
+			return err
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("lab: not ready after %v: %s; see the logs in %s", readyTimeout, strings.Join(waiting, ", "), filepath.Join(r.opts.Out, "logs"))
+			return fmt.Errorf("lab: not ready after %v: %s; see the logs in %s", readyTimeout, strings.Join(waiting, ", "), filepath.Join(r.opts.Out, logsDir))
 		}
-		if !model.Sleep(ctx, 5*time.Millisecond) {
+		if !model.Sleep(ctx, readyPoll) {
 			return fmt.Errorf("lab: stopped before the relays were ready: %w", ctx.Err())
 		}
 	}
 }
+
+// notReady names the relays that are not ready; an error if one has ended.
+func (r *run) notReady() (names []string, err error) {
+	for _, x := range r.relays {
+		x.mu.Lock()
+		if !x.ready {
+			names = append(names, x.name)
+		}
+		p := x.process
+		x.mu.Unlock()
+		select {
+		case <-p.Done():
+			_, text := p.Exit()
+			return nil, fmt.Errorf("lab: %s did not start: %s; see %s", x.name, text, x.log.Name())
+		default:
+		}
+	}
+	return names, nil
+}
--- a/internal/faultlab/controllers.go
+++ b/internal/faultlab/controllers.go
@@ -4,11 +4,12 @@
 	"bufio"
 	"errors"
 	"fmt"
+	"io"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"syscall"
+	"time"
 
 	"plovershore/internal/failover"
 	"plovershore/internal/faultlab/history"
@@ -20,135 +21,175 @@
 	"plovershore/internal/zones"
 )
 
-// controller is one warden, over all of its processes. It asks each node through a
-// link of its own.
+// controllerRoles are the roles that each controller may lead.
+var controllerRoles = []string{leader.RegistrationExpiry, leader.Counter, rollout.Role, failover.Role, zones.Role}
+
+// logPrecision is that of the times in a controller's log.
+const logPrecision = time.Millisecond
+
+// controller is one controller, over all of its processes. It reaches each node of
+// the list service by a link of its own.
 type controller struct {
-	group   *group
-	num     int
-	name    string
-	links   []*link.Link
-	logPath string // of its log
-	log     *os.File
-	busy    sync.Mutex
+	group  *group
+	number int
+	name   string
+	links  []*link.Link // to the nodes
+	log    *os.File
+
+	busy sync.Mutex // held by the fault that strikes its process
 
 	mu      sync.Mutex
 	process *process.Process
 }
 
+// startControllers starts the scenario's controllers, and the server of the notices
+// that they send.
 func (g *group) startControllers() (err error) {
-	r := g.run
-	if r.scenario.Registry.Controllers == 0 {
+	count := g.run.scenario.Registry.Controllers
+	if count == 0 {
 		return nil
 	}
-	if g.platform, err = r.newPlatform(); err != nil {
+	if g.notices, err = g.run.newNoticeSink(); err != nil {
 		return err
 	}
-	for i := range r.scenario.Registry.Controllers {
-		w := &controller{group: g, num: i, name: fmt.Sprint("w", i+1), logPath: filepath.Join(r.opts.Out, "logs", fmt.Sprintf("w%d.log", i+1))}
-		for _, n := range g.nodes {
-			l, err := r.world.Net.Listen(w.name, n.name, r.address(), n.http, r.seed, nil)
-			if err != nil {
-				return err
-			}
-			w.links = append(w.links, l)
-		}
-		if w.log, err = os.Create(w.logPath); err != nil {
+	for i := range count {
+		c := &controller{group: g, number: i, name: fmt.Sprint("w", i+1)}
+		if c.log, err = os.Create(g.run.logPath(c.name)); err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
-		g.controllers = append(g.controllers, w)
-		if err := w.start(); err != nil {
+		g.controllers = append(g.controllers, c)
+		if err := c.linkNodes(); err != nil {
+			return err
+		}
+		if err := c.start(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *controller) start() error {
-	r := w.group.run
+// linkNodes makes the links to the nodes.
+func (c *controller) linkNodes() error {
+	r := c.group.run
+	for _, n := range c.group.nodes {
+		l, err := r.world.Net.Listen(c.name, n.name, r.address(), n.http, r.seed, nil)
+		if err != nil {
+			return err
+		}
+		c.links = append(c.links, l)
+	}
+	return nil
+}
+
+// start runs a new process of the controller.
+func (c *controller) start() error {
+	r := c.group.run
+	settings := &r.scenario.Registry
 	var nodes []string
-	for _, l := range w.links {
+	for _, l := range c.links {
 		nodes = append(nodes, l.Addr())
 	}
-	p, err := process.Start(w.name, r.opts.Controller, []string{"--nodes", strings.Join(nodes, ","), "--name", w.name,
-		"--drill-clock", scenario.RoundRobin(r.scenario.Registry.ControllerClocks, w.num), "--platform", w.group.platform.Addr(),
-		"--ttl", scenario.Seconds(r.scenario.Registry.ControllerTTL).String(), "--duties", strings.Join([]string{leader.RegistrationExpiry, leader.Counter, rollout.Role, failover.Role, zones.Role}, ",")}, nil, w.log)
+	p, err := process.Start(c.name, r.opts.Controller, []string{
+		"--nodes", strings.Join(nodes, ","),
+		"--name", c.name,
+		"--drill-clock", scenario.RoundRobin(settings.ControllerClocks, c.number),
+		"--platform", c.group.notices.Addr(),
+		"--ttl", scenario.Seconds(settings.ControllerTTL).String(),
+		"--duties", strings.Join(controllerRoles, ","),
+	}, nil, c.log)
 	if err != nil {
 		return err
 	}
-	r.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: w.name, PID: p.PID, Text: "node"})
-	w.mu.Lock()
-	w.process = p
-	w.mu.Unlock()
-	r.wg.Add(1)
-	go func() {
-		defer r.wg.Done()
-		<-p.Done()
-		code, text := p.Exit()
-		r.recorder.Record(history.Event{Kind: history.ProcessExited, Relay: w.name, PID: p.PID, Status: code, Text: text})
-	}()
+	c.mu.Lock()
+	c.process = p
+	c.mu.Unlock()
+	r.watchNode(c.name, p)
 	return nil
 }
 
-func (w *controller) signal(s syscall.Signal) {
-	w.mu.Lock()
-	p := w.process
-	w.mu.Unlock()
-	w.group.run.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: w.name, PID: p.PID, Text: s.String()})
-	if s == syscall.SIGKILL {
-		p.Kill()
-		return
-	}
-	p.Signal(s)
+func (c *controller) currentProcess() *process.Process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.process
+}
+
+// signal sends a signal to the present process; after SIGKILL it waits for the end.
+func (c *controller) signal(s syscall.Signal) {
+	c.group.run.signalNode(c.name, c.currentProcess(), s)
 }
 
-func (w *controller) setCut(way string, on bool) {
-	for _, l := range w.links {
-		if way != "back" {
-			l.SetFaults(link.ToServer, link.Faults{Cut: on})
+// setCut cuts the controller off from all nodes in one direction or both, or
+// reconnects it.
+func (c *controller) setCut(direction string, cut bool) {
+	for _, l := range c.links {
+		if direction != scenario.DirectionBack {
+			l.SetFaults(link.ToServer, link.Faults{Cut: cut})
 		}
-		if way != "forth" {
-			l.SetFaults(link.ToClient, link.Faults{Cut: on})
+		if direction != scenario.DirectionForth {
+			l.SetFaults(link.ToClient, link.Faults{Cut: cut})
 		}
 	}
 }
 
-// recordRoleSteps puts what the wardens counted into the history, once they have ended:
-// each step with when it was asked for, when it was answered, and how.
+func (c *controller) closeLinks() {
+	for _, l := range c.links {
+		l.Close()
+	}
+	c.log.Close()
+}
+
+// recordRoleSteps records what the controllers counted, once they have ended: each
+// step with when it was requested, when it was answered, and its outcome.
 func (g *group) recordRoleSteps() error {
 	var errs []error
-	for _, w := range g.controllers {
-		f, err := os.Open(w.logPath)
+	for _, c := range g.controllers {
+		f, err := os.Open(c.log.Name())
 		if err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		var asked *history.Event
-		tell := func(phase string, at int64) {
-			if asked != nil {
-				asked.Phase, asked.DueAt = phase, at
-				g.run.recorder.Record(*asked)
-			}
-			asked = nil
-		}
-		lines := bufio.NewScanner(f)
-		for lines.Scan() {
-			step, ok, err := parseCounterStep(lines.Text())
-			if err != nil {
-				errs = append(errs, err)
-			}
-			if !ok || err != nil {
-				continue
-			}
-			if step.outcome != "" {
-				// The log cuts its times to the millisecond.
-				tell(step.outcome, step.at.UnixMicro()+1000)
-				continue
-			}
-			tell(history.StepUnanswered, 0)
-			asked = &history.Event{Kind: history.RoleStep, Relay: w.name, Text: leader.Counter, Status: step.count, ValidFor: step.token, SentAt: step.at.UnixMicro()}
-		}
-		tell(history.StepUnanswered, 0)
-		errs = append(errs, lines.Err(), f.Close())
+		steps := stepReader{controller: c.name, record: func(e history.Event) { g.run.recorder.Record(e) }}
+		errs = append(errs, steps.read(f), f.Close())
 	}
 	return errors.Join(errs...)
 }
+
+// stepReader makes events of the counter steps in a controller's log.
+type stepReader struct {
+	controller string
+	record     func(history.Event)
+	requested  *history.Event // without an answer so far
+}
+
+// read reads a log. A step without an answer by the next request, or by the end, is
+// history.StepUnanswered.
+func (s *stepReader) read(log io.Reader) error {
+	var errs []error
+	lines := bufio.NewScanner(log)
+	for lines.Scan() {
+		step, ok, err := parseCounterStep(lines.Text())
+		switch {
+		case err != nil:
+			errs = append(errs, err)
+		case !ok:
+		case step.outcome != "":
+			s.answer(step.outcome, step.at.Add(logPrecision).UnixMicro())
+		default:
+			s.answer(history.StepUnanswered, 0)
+			s.requested = &history.Event{Kind: history.RoleStep, Relay: s.controller, Text: leader.Counter,
+				Status: step.count, ValidFor: step.token, SentAt: step.at.UnixMicro()}
+		}
+	}
+	s.answer(history.StepUnanswered, 0)
+	return errors.Join(append(errs, lines.Err())...)
+}
+
+// answer records the requested step, if there is one, with its outcome.
+func (s *stepReader) answer(outcome string, at int64) {
+	if s.requested == nil {
+		return
+	}
+	s.requested.Phase, s.requested.DueAt = outcome, at
+	s.record(*s.requested)
+	s.requested = nil
+}
--- a/internal/faultlab/corrupt.go
+++ b/internal/faultlab/corrupt.go
@@ -8,27 +8,26 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
+	"slices"
+
+	"plovershore/internal/faultlab/scenario"
+)
+
+const (
+	maxTruncated = 60  // bytes
+	maxZeroed    = 600 // bytes
 )
 
-// corruptFile flips one bit of a file, tears off its end, puts zeros in its place or
-// takes the file away, and says what it did. In a folder, one of its files is
-// drawn; what has an end is its newest segment.
-func corruptFile(path, how string, r *rand.Rand) (string, error) {
+// corruptFile corrupts a file as a kind of fault says, and describes what it did;
+// empty if there is nothing to corrupt. In a directory of a message log, one file is
+// drawn; a fault of a file's end strikes the newest segment.
+func corruptFile(path, kind string, random *rand.Rand) (change string, err error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
-		files, err := filepath.Glob(filepath.Join(path, "*.seg"))
-		if err == nil && (how == "flip" || how == "gone") {
-			var more []string
-			more, err = filepath.Glob(filepath.Join(path, "*.ckp"))
-			files = append(files, more...)
-		}
-		if err != nil || len(files) == 0 {
+		if path, err = pickFile(path, kind, random); err != nil || path == "" {
 			return "", err
 		}
-		if path = files[len(files)-1]; how == "flip" || how == "gone" {
-			path = files[r.IntN(len(files))]
-		}
 	}
-	if how == "gone" {
+	if kind == scenario.FaultDeleteFile {
 		if err := os.Remove(path); err != nil {
 			return "", fmt.Errorf("damage: %w", err)
 		}
@@ -49,32 +48,71 @@
 	if info.Size() == 0 {
 		return "", nil
 	}
-	if how == "tear" {
-		n := min(info.Size(), 1+r.Int64N(60))
-		if err := f.Truncate(info.Size() - n); err != nil {
-			return "", fmt.Errorf("damage: %w", err)
-		}
-		return fmt.Sprintf("torn: %s lost its last %d of %d bytes", filepath.Base(path), n, info.Size()), nil
+	switch kind {
+	case scenario.FaultTruncate:
+		change, err = truncate(f, info, random)
+	case scenario.FaultZero:
+		change, err = zeroEnd(f, info, random)
+	default:
+		change, err = flipBit(f, info, random)
 	}
-	if how == "zero" {
-		n := min(info.Size(), 1+r.Int64N(600))
-		if _, err := f.WriteAt(make([]byte, n), info.Size()-n); err != nil {
-			return "", fmt.Errorf("damage: %w", err)
+	if err != nil {
+		return "", fmt.Errorf("damage: %w", err)
+	}
+	return change, nil
+}
+
+// pickFile picks a file of a message log; empty if it has none.
+func pickFile(dir, kind string, random *rand.Rand) (string, error) {
+	files, err := filepath.Glob(filepath.Join(dir, "*.seg"))
+	if err != nil {
+		return "", err
+	}
+	anyFile := kind == scenario.FaultFlipBit || kind == scenario.FaultDeleteFile
+	if anyFile {
+		checkpoints, err := filepath.Glob(filepath.Join(dir, "*.ckp"))
+		if err != nil {
+			return "", err
 		}
-		return fmt.Sprintf("zeros: the last %d of %d bytes of %s", n, info.Size(), filepath.Base(path)), nil
+		files = slices.Concat(files, checkpoints)
 	}
-	at, bit := r.Int64N(info.Size()), r.IntN(8)
+	switch {
+	case len(files) == 0:
+		return "", nil
+	case anyFile:
+		return files[random.IntN(len(files))], nil
+	}
+	return files[len(files)-1], nil
+}
+
+// truncate tears off the end of a file.
+func truncate(f *os.File, info fs.FileInfo, random *rand.Rand) (change string, err error) {
+	lost := min(info.Size(), 1+random.Int64N(maxTruncated))
+	err = f.Truncate(info.Size() - lost)
+	return fmt.Sprintf("torn: %s lost its last %d of %d bytes", info.Name(), lost, info.Size()), err
+}
+
+// zeroEnd overwrites the end of a file by zeros.
+func zeroEnd(f *os.File, info fs.FileInfo, random *rand.Rand) (change string, err error) {
+	zeroed := min(info.Size(), 1+random.Int64N(maxZeroed))
+	_, err = f.WriteAt(make([]byte, zeroed), info.Size()-zeroed)
+	return fmt.Sprintf("zeros: the last %d of %d bytes of %s", zeroed, info.Size(), info.Name()), err
+}
+
+// flipBit flips one bit of a file.
+func flipBit(f *os.File, info fs.FileInfo, random *rand.Rand) (change string, err error) {
+	offset, bit := random.Int64N(info.Size()), random.IntN(8)
 	var b [1]byte
-	if _, err := f.ReadAt(b[:], at); err != nil {
-		return "", fmt.Errorf("damage: %w", err)
+	if _, err := f.ReadAt(b[:], offset); err != nil {
+		return "", err
 	}
 	b[0] ^= 1 << bit
-	if _, err := f.WriteAt(b[:], at); err != nil {
-		return "", fmt.Errorf("damage: %w", err)
-	}
-	return fmt.Sprintf("flipped: %s byte %d of %d, bit %d", filepath.Base(path), at, info.Size(), bit), nil
+	_, err = f.WriteAt(b[:], offset)
+	return fmt.Sprintf("flipped: %s byte %d of %d, bit %d", info.Name(), offset, info.Size(), bit), err
 }
 
+// copyDir copies a directory that a relay may be changing: files that vanish
+// meanwhile are left out.
 func copyDir(from, to string) error {
 	if err := os.RemoveAll(to); err != nil {
 		return fmt.Errorf("copy: %w", err)
@@ -82,36 +120,44 @@
 	if err := os.Mkdir(to, 0o700); err != nil {
 		return fmt.Errorf("copy: %w", err)
 	}
-	files, err := os.ReadDir(from)
+	entries, err := os.ReadDir(from)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil // it was replaced meanwhile
+		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("copy: %w", err)
 	}
-	for _, f := range files {
-		if f.IsDir() {
-			if err := copyDir(filepath.Join(from, f.Name()), filepath.Join(to, f.Name())); err != nil {
-				return err
-			}
-			continue
-		}
-		in, err := os.Open(filepath.Join(from, f.Name()))
-		if errors.Is(err, fs.ErrNotExist) {
-			continue // the relay replaced it meanwhile
+	for _, entry := range entries {
+		source, target := filepath.Join(from, entry.Name()), filepath.Join(to, entry.Name())
+		if entry.IsDir() {
+			err = copyDir(source, target)
+		} else {
+			err = copyFile(source, target)
 		}
 		if err != nil {
-			return fmt.Errorf("copy: %w", err)
-		}
-		out, err := os.Create(filepath.Join(to, f.Name()))
-		if err == nil {
-			_, err = io.Copy(out, in)
-			err = errors.Join(err, out.Close())
-		}
-		in.Close()
-		if err != nil {
-			return fmt.Errorf("copy: %w", err)
+			return err
 		}
 	}
 	return nil
 }
+
+// copyFile copies a file, if it is still there.
+func copyFile(from, to string) error {
+	in, err := os.Open(from)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		return fmt.Errorf("copy: %w", err)
+	}
+	defer in.Close()
+	out, err := os.Create(to)
+	if err != nil {
+		return fmt.Errorf("copy: %w", err)
+	}
+	_, err = io.Copy(out, in)
+	if err := errors.Join(err, out.Close()); err != nil {
+		return fmt.Errorf("copy: %w", err)
+	}
+	return nil
+}
--- a/internal/faultlab/fault_controller.go
+++ b/internal/faultlab/fault_controller.go
@@ -6,48 +6,60 @@
 	"net/http"
 	"syscall"
 
+	"plovershore/internal/faultlab/scenario"
 	"plovershore/internal/leader"
 	"plovershore/internal/registry"
 )
 
-// strikeControllers carries out a fault on wardens; "holder" is whoever counts now.
-func (g *group) strikeControllers(ctx context.Context, s Step) error {
-	targets := s.Targets
-	if s.Fault.Node == "holder" {
-		targets = nil
-		var l registry.RoleList
-		if _, err := g.client.Do(ctx, http.MethodGet, registry.RolesPath, nil, &l); err != nil {
-			return nil // the load is over
+// strikeControllers carries out a step on controllers.
+func (g *group) strikeControllers(ctx context.Context, step Step) error {
+	targets := step.Targets
+	if step.Fault.Node == scenario.NodeHolder {
+		targets = g.leadersOf(ctx, cmp.Or(step.Fault.Role, leader.Counter))
+	}
+	return g.run.forEach(targets, func(i int) error { return g.strikeController(ctx, step, g.controllers[i]) })
+}
+
+// leadersOf is the controller that leads a role, by number; none if there is none,
+// or the load is over.
+func (g *group) leadersOf(ctx context.Context, role string) (leaders []int) {
+	var list registry.RoleList
+	if _, err := g.client.Do(ctx, http.MethodGet, registry.RolesPath, nil, &list); err != nil {
+		return nil
+	}
+	for _, r := range list.Roles {
+		if r.Name != role || r.Holder == "" {
+			continue
 		}
-		for _, d := range l.Roles {
-			for i, w := range g.controllers {
-				if d.Name == cmp.Or(s.Fault.Role, leader.Counter) && d.Holder != "" && d.Controller == w.name {
-					targets = []int{i}
-				}
+		for i, c := range g.controllers {
+			if r.Controller == c.name {
+				leaders = []int{i}
 			}
 		}
 	}
-	return g.run.forEach(targets, func(i int) error {
-		w := g.controllers[i]
-		w.busy.Lock()
-		defer w.busy.Unlock()
-		if ctx.Err() != nil {
-			return nil
-		}
-		switch s.Fault.Kind {
-		case "warden-kill":
-			w.signal(syscall.SIGKILL)
-			g.run.waitUntilUndone(ctx, s)
-			return w.start()
-		case "warden-pause":
-			w.signal(syscall.SIGSTOP)
-			g.run.waitUntilUndone(ctx, s)
-			w.signal(syscall.SIGCONT)
-		case "warden-cut":
-			w.setCut(s.Fault.Direction, true)
-			g.run.waitUntilUndone(ctx, s)
-			w.setCut(s.Fault.Direction, false)
-		}
+	return leaders
+}
+
+// strikeController carries out a step on one controller.
+func (g *group) strikeController(ctx context.Context, step Step, c *controller) error {
+	c.busy.Lock()
+	defer c.busy.Unlock()
+	if ctx.Err() != nil {
 		return nil
-	})
+	}
+	switch step.Fault.Kind {
+	case scenario.FaultControllerKill:
+		c.signal(syscall.SIGKILL)
+		g.run.waitUntilUndone(ctx, step)
+		return c.start()
+	case scenario.FaultControllerPause:
+		c.signal(syscall.SIGSTOP)
+		g.run.waitUntilUndone(ctx, step)
+		c.signal(syscall.SIGCONT)
+	case scenario.FaultControllerCut:
+		c.setCut(step.Fault.Direction, true)
+		g.run.waitUntilUndone(ctx, step)
+		c.setCut(step.Fault.Direction, false)
+	}
+	return nil
 }
--- a/internal/faultlab/fault_link.go
+++ b/internal/faultlab/fault_link.go
@@ -2,55 +2,65 @@
 
 import (
 	"context"
-	"time"
 
 	"plovershore/internal/faultlab/link"
+	"plovershore/internal/faultlab/scenario"
 )
 
-// strikeLinks cuts, delays, slows or resets links between relays and
-// endpoints. With a zone, those that cross its border; with relays, theirs.
-func (r *run) strikeLinks(ctx context.Context, s Step) {
-	var links []*link.Link
-	for _, i := range s.Targets {
-		x := r.relays[i]
-		for k, l := range x.links {
-			if s.Fault.Zone == "" || (x.zone == s.Fault.Zone) != (r.endpoints[k].Zone == s.Fault.Zone) {
-				links = append(links, l)
-			}
-		}
-	}
-	switch s.Fault.Kind {
-	case "reset":
+// strikeLinks cuts, delays, throttles or resets links between relays and endpoints.
+func (r *run) strikeLinks(ctx context.Context, step Step) {
+	links := r.targetLinks(step)
+	switch step.Fault.Kind {
+	case scenario.FaultReset:
 		for _, l := range links {
 			l.ResetConns(1)
 		}
 		return
-	case "halfopen":
+	case scenario.FaultHalfOpen:
 		for _, l := range links {
 			l.HalfOpen()
 		}
 		return
 	}
 	for _, l := range links {
-		for _, d := range []link.Direction{link.ToServer, link.ToClient} {
-			if s.Fault.Direction == "forth" && d == link.ToClient || s.Fault.Direction == "back" && d == link.ToServer {
-				continue
-			}
-			f := r.linkFaults[l]
-			switch s.Fault.Kind {
-			case "cut":
-				f.Cut = true
-			case "delay":
-				f.Delay += time.Duration(s.Fault.MS * float64(time.Millisecond))
-			case "throttle":
-				f.Rate = int(max(s.Fault.Rate, 1))
-			}
-			l.SetFaults(d, f)
+		faults := linkFaults(r.linkFaults[l], &step.Fault)
+		if step.Fault.Direction != scenario.DirectionBack {
+			l.SetFaults(link.ToServer, faults)
+		}
+		if step.Fault.Direction != scenario.DirectionForth {
+			l.SetFaults(link.ToClient, faults)
 		}
 	}
-	r.waitUntilUndone(ctx, s)
+	r.waitUntilUndone(ctx, step)
 	for _, l := range links {
-		l.SetFaults(link.ToServer, r.linkFaults[l])
-		l.SetFaults(link.ToClient, r.linkFaults[l])
+		l.SetBoth(r.linkFaults[l])
+	}
+}
+
+// targetLinks are the links of a step's relays; with a zone, those that cross its
+// border.
+func (r *run) targetLinks(step Step) (links []*link.Link) {
+	zone := step.Fault.Zone
+	for _, i := range step.Targets {
+		relay := r.relays[i]
+		for k, l := range relay.links {
+			if zone == "" || (relay.zone == zone) != (r.endpoints[k].Zone == zone) {
+				links = append(links, l)
+			}
+		}
+	}
+	return links
+}
+
+// linkFaults adds a fault to the usual faults of a link.
+func linkFaults(faults link.Faults, fault *scenario.Fault) link.Faults {
+	switch fault.Kind {
+	case scenario.FaultCut:
+		faults.Cut = true
+	case scenario.FaultDelay:
+		faults.Delay += millis(fault.MS)
+	case scenario.FaultThrottle:
+		faults.Rate = int(max(fault.Rate, 1))
 	}
+	return faults
 }
--- a/internal/faultlab/fault_node.go
+++ b/internal/faultlab/fault_node.go
@@ -2,114 +2,105 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"net/http"
-	"sync"
 	"syscall"
-	"time"
 
 	"plovershore/internal/faultlab/history"
+	"plovershore/internal/faultlab/scenario"
 	"plovershore/internal/registry"
 )
 
-// targets gives the nodes that a fault strikes now.
-func (g *group) targets(s Step) []*node {
-	var out []*node
-	switch s.Fault.Node {
-	case "all":
-		return g.nodes
-	case "leader", "follower":
-		leader := g.leader()
-		for _, n := range g.nodes {
-			if (n == leader) == (s.Fault.Node == "leader") {
-				out = append(out, n)
-			}
-		}
-		return out[:min(1, len(out))]
-	}
-	for _, i := range s.Targets {
-		out = append(out, g.nodes[i])
+// strike carries out a step on the list service.
+func (g *group) strike(ctx context.Context, step Step) error {
+	switch step.Fault.Kind {
+	case scenario.FaultExpiry:
+		g.setMuted(step.Targets, true)
+		g.run.waitUntilUndone(ctx, step)
+		g.setMuted(step.Targets, false)
+		return nil
+	case scenario.FaultRestore:
+		g.restore(ctx, step)
+		return nil
 	}
-	return out
+	return g.run.forEach(g.targets(step), func(i int) error { return g.strikeNode(ctx, step, g.nodes[i]) })
 }
 
-// leader is the node that says it leads; nil for none.
-func (g *group) leader() *node {
-	c := http.Client{Timeout: 500 * time.Millisecond}
-	for _, n := range g.nodes {
-		resp, err := c.Get("http://" + n.http + registry.StatusPath)
-		if err != nil {
-			continue
-		}
-		var s registry.Status
-		err = json.NewDecoder(resp.Body).Decode(&s)
-		resp.Body.Close()
-		if err == nil && s.RaftRole == "Leader" {
-			return n
-		}
+// strikeNode carries out a step on one node.
+func (g *group) strikeNode(ctx context.Context, step Step, n *node) error {
+	n.busy.Lock()
+	defer n.busy.Unlock()
+	switch step.Fault.Kind {
+	case scenario.FaultNodeKill:
+		n.signal(syscall.SIGKILL)
+		g.run.waitUntilUndone(ctx, step)
+		return n.start()
+	case scenario.FaultNodePause:
+		n.signal(syscall.SIGSTOP)
+		g.run.waitUntilUndone(ctx, step)
+		n.signal(syscall.SIGCONT)
+	case scenario.FaultNodeCut:
+		n.setCut(true)
+		g.run.waitUntilUndone(ctx, step)
+		n.setCut(false)
 	}
 	return nil
 }
 
-// strike carries out a fault on the group.
-func (g *group) strike(ctx context.Context, s Step) error {
-	switch s.Fault.Kind {
-	case "lapse":
-		g.setMuted(s.Targets, true)
-		g.run.waitUntilUndone(ctx, s)
-		g.setMuted(s.Targets, false)
-		return nil
-	case "restore":
-		var text []byte
-		if _, err := g.client.Do(ctx, http.MethodGet, registry.SnapshotPath, nil, &text); err != nil {
-			return nil // the load is over
-		}
-		g.run.waitUntilUndone(ctx, s)
-		e := history.Event{Kind: history.RegisterOperation, Relay: "operator", Text: "restore", DueAt: g.run.recorder.Now(), Status: 1}
-		if _, err := g.client.Do(ctx, http.MethodPut, registry.SnapshotPath, text, nil); err != nil {
-			e.Status = 0
+// targets are the nodes that a step strikes, by number.
+func (g *group) targets(step Step) []int {
+	leader := -1
+	if step.Fault.Node == scenario.NodeLeader || step.Fault.Node == scenario.NodeFollower {
+		leader = g.leader()
+	}
+	for i := range g.nodes {
+		switch {
+		case step.Fault.Node == scenario.NodeLeader && i == leader:
+			return []int{i}
+		case step.Fault.Node == scenario.NodeFollower && i != leader:
+			return []int{i}
 		}
-		g.run.recorder.Record(e)
+	}
+	switch step.Fault.Node {
+	case scenario.NodeLeader, scenario.NodeFollower:
 		return nil
+	case scenario.NodeAll:
+		all := make([]int, len(g.nodes))
+		for i := range all {
+			all[i] = i
+		}
+		return all
+	}
+	return step.Targets
+}
+
+// leader is the number of the node that says it leads; -1 for none.
+func (g *group) leader() int {
+	addrs := make([]string, len(g.nodes))
+	for i, n := range g.nodes {
+		addrs[i] = n.http
+	}
+	return findLeader(addrs)
+}
+
+// restore takes a backup of the list, and restores it when the step is to be undone.
+func (g *group) restore(ctx context.Context, step Step) {
+	var backup []byte
+	if _, err := g.client.Do(ctx, http.MethodGet, registry.SnapshotPath, nil, &backup); err != nil {
+		return // the load is over
 	}
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var all error
-	for _, n := range g.targets(s) {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			n.busy.Lock()
-			defer n.busy.Unlock()
-			switch s.Fault.Kind {
-			case "node-kill":
-				n.signal(syscall.SIGKILL)
-				g.run.waitUntilUndone(ctx, s)
-				if err := n.start(); err != nil {
-					mu.Lock()
-					all = errors.Join(all, err)
-					mu.Unlock()
-				}
-			case "node-pause":
-				n.signal(syscall.SIGSTOP)
-				g.run.waitUntilUndone(ctx, s)
-				n.signal(syscall.SIGCONT)
-			case "node-cut":
-				n.setCut(true)
-				g.run.waitUntilUndone(ctx, s)
-				n.setCut(false)
-			}
-		}()
+	g.run.waitUntilUndone(ctx, step)
+	e := history.Event{Kind: history.RegisterOperation, Relay: "operator", Text: history.OpRestore, DueAt: g.run.recorder.Now(), Status: 1}
+	if _, err := g.client.Do(ctx, http.MethodPut, registry.SnapshotPath, backup, nil); err != nil {
+		e.Status = 0
 	}
-	wg.Wait()
-	return all
+	g.run.recorder.Record(e)
 }
 
-func (g *group) setMuted(ends []int, on bool) {
+// setMuted has endpoints stop their heartbeats, or send them again.
+func (g *group) setMuted(endpoints []int, muted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, i := range ends {
-		g.muted[g.run.endpoints[i].ID] = on
+	for _, i := range endpoints {
+		g.muted[g.run.endpoints[i].ID] = muted
 	}
 }
--- a/internal/faultlab/fault_relay.go
+++ b/internal/faultlab/fault_relay.go
@@ -15,95 +15,141 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-func (r *run) strikeRelay(ctx context.Context, s Step, x *relay) error {
-	if s.Fault.Kind == "clock" { // also beside other faults, and while no process runs
-		return r.strikeClock(ctx, s, x)
+const (
+	restartDelay = 600 * time.Millisecond // of a relay whose process ended
+	olderBy      = time.Second            // that an older state lies back
+)
+
+// strikeRelay carries out a step on one relay.
+func (r *run) strikeRelay(ctx context.Context, step Step, x *relay) error {
+	if step.Fault.Kind == scenario.FaultClock { // beside other faults, and while no process runs
+		return r.strikeClock(ctx, step, x)
 	}
 	x.busy.Lock() // one fault at a time on a relay's process
 	defer x.busy.Unlock()
 	if ctx.Err() != nil {
 		return nil
 	}
-	switch s.Fault.Kind {
-	case "pause":
-		if _, sent := x.signal(syscall.SIGSTOP); !sent {
-			return nil
-		}
-		r.clients.RelayDown(r.ctx, x.name)
-		r.waitUntilUndone(ctx, s)
-		if _, sent := x.signal(syscall.SIGCONT); sent {
-			r.clients.RelayUp(x.name)
-		}
+	switch step.Fault.Kind {
+	case scenario.FaultPause:
+		r.pause(ctx, step, x)
 		return nil
-	case "salvage":
-		return r.strikeFailover(ctx, s, x)
-	case "hup":
-		if err := x.agent.Rebind(r.ctx); err != nil {
-			return err
-		}
-		if _, err := x.configure(); err != nil {
-			return err
-		}
-		x.signal(syscall.SIGHUP)
-		return nil
-	}
-	if s.Fault.Kind == "upgrade" {
+	case scenario.FaultSalvage:
+		return r.strikeFailover(ctx, step, x)
+	case scenario.FaultHangUp:
+		return r.moveDiscovery(x)
+	case scenario.FaultUpgrade:
 		return x.upgrade(ctx)
 	}
-	old, since := filepath.Join(x.dir, "older"), r.recorder.Now()
-	if s.Fault.Folder == "older" { // as it was a moment before
-		if err := copyDir(x.stateDir(), old); err != nil {
+	return r.restart(ctx, step, x)
+}
+
+// pause stops a relay's process for a while.
+func (r *run) pause(ctx context.Context, step Step, x *relay) {
+	if _, sent := x.signal(syscall.SIGSTOP); !sent {
+		return
+	}
+	r.clients.RelayDown(r.ctx, x.name)
+	r.waitUntilUndone(ctx, step)
+	if _, sent := x.signal(syscall.SIGCONT); sent {
+		r.clients.RelayUp(x.name)
+	}
+}
+
+// moveDiscovery gives a relay's agent a new address, and tells the relay by SIGHUP.
+func (r *run) moveDiscovery(x *relay) error {
+	if err := x.agent.Rebind(r.ctx); err != nil {
+		return err
+	}
+	if _, err := x.configure(); err != nil {
+		return err
+	}
+	x.signal(syscall.SIGHUP)
+	return nil
+}
+
+// restart ends a relay's process, changes its state directory as the fault says,
+// and starts the next process.
+func (r *run) restart(ctx context.Context, step Step, x *relay) error {
+	fault := &step.Fault
+	copied, copiedAt := filepath.Join(x.dir, "older"), r.recorder.Now()
+	if fault.Folder == scenario.FolderOlder {
+		if err := copyDir(x.stateDir(), copied); err != nil {
 			return err
 		}
-		model.Sleep(ctx, time.Second)
+		model.Sleep(ctx, olderBy)
+	}
+	x.shutdown(fault.Kind == scenario.FaultTerm)
+	change, err := r.changeState(step, x, copied)
+	if err != nil {
+		return err
 	}
-	x.stop(s.Fault.Kind == "term")
-	note := s.Fault.Folder
+	if change != "" {
+		r.recorder.Record(history.Event{Kind: history.FolderChanged, Relay: x.name, Text: change, DueAt: copiedAt})
+	}
+	delay := restartDelay
+	if fault.For > 0 {
+		delay = scenario.Seconds(fault.For)
+	}
+	model.Sleep(ctx, delay)
+	return x.start()
+}
+
+// changeState changes the state directory of a relay that is down, and returns the
+// text of the change in the history; empty for none.
+func (r *run) changeState(step Step, x *relay, copied string) (change string, err error) {
 	switch {
-	case s.Fault.Folder == "lost":
-		if err := os.RemoveAll(x.stateDir()); err != nil {
-			return fmt.Errorf("folder of %s: %w", x.name, err)
-		}
-		if err := os.Mkdir(x.stateDir(), 0o700); err != nil {
-			return fmt.Errorf("folder of %s: %w", x.name, err)
-		}
-		for _, m := range r.world.Ledger.Pending(x.name, time.Now()) {
-			r.world.Ledger.Complete(m.ID)
-			if !model.Classes()[m.Class].NonIdempotent {
-				r.clients.Resubmit(r.ctx, m)
-			}
-		}
-	case s.Fault.Folder == "older":
-		if err := errors.Join(os.RemoveAll(x.stateDir()), os.Rename(old, x.stateDir())); err != nil {
-			return fmt.Errorf("folder of %s: %w", x.name, err)
-		}
-	case scenario.Corruptions[s.Fault.Kind]:
-		var err error
-		if note, err = corruptFile(filepath.Join(x.stateDir(), s.Fault.File), s.Fault.Kind, rand.New(rand.NewPCG(s.Draw, uint64(x.number)))); err != nil {
-			return err
+	case step.Fault.Folder == scenario.FolderLost:
+		return history.FolderLost, r.loseState(x)
+	case step.Fault.Folder == scenario.FolderOlder:
+		if err := errors.Join(os.RemoveAll(x.stateDir()), os.Rename(copied, x.stateDir())); err != nil {
+			return "", fmt.Errorf("folder of %s: %w", x.name, err)
 		}
+		return history.FolderOlder, nil
+	case step.Fault.Corrupts():
+		return corruptFile(filepath.Join(x.stateDir(), step.Fault.File), step.Fault.Kind, step.random(x.number))
 	}
-	if note != "" && note != "kept" {
-		r.recorder.Record(history.Event{Kind: history.FolderChanged, Relay: x.name, Text: note, DueAt: since})
+	return "", nil
+}
+
+// loseState removes a relay's state; the clients submit its pending messages again
+// where that is safe.
+func (r *run) loseState(x *relay) error {
+	if err := os.RemoveAll(x.stateDir()); err != nil {
+		return fmt.Errorf("folder of %s: %w", x.name, err)
 	}
-	after := restartDelay
-	if s.Fault.For > 0 {
-		after = scenario.Seconds(s.Fault.For)
+	if err := os.Mkdir(x.stateDir(), 0o700); err != nil {
+		return fmt.Errorf("folder of %s: %w", x.name, err)
 	}
-	model.Sleep(ctx, after)
-	return x.start()
+	for _, m := range r.world.Ledger.Pending(x.name, time.Now()) {
+		r.world.Ledger.Complete(m.ID)
+		if !model.Classes()[m.Class].NonIdempotent {
+			r.clients.Resubmit(r.ctx, m)
+		}
+	}
+	return nil
 }
 
-// strikeClock steps the wall clock of a relay's machine, and back where the fault is to be
-// undone.
-func (r *run) strikeClock(ctx context.Context, s Step, x *relay) error {
-	by := time.Duration(s.Fault.MS * float64(time.Millisecond))
-	if s.Fault.Direction == "back" || s.Fault.Direction == "both" && rand.New(rand.NewPCG(s.Draw, uint64(x.number))).IntN(2) == 0 {
+// strikeClock steps the wall clock of a relay's machine, and back if the fault is to
+// be undone.
+func (r *run) strikeClock(ctx context.Context, step Step, x *relay) error {
+	by := millis(step.Fault.MS)
+	switch step.Fault.Direction {
+	case scenario.DirectionBack:
 		by = -by
+	case scenario.DirectionBoth:
+		if step.random(x.number).IntN(2) == 0 {
+			by = -by
+		}
 	}
-	if err := x.wall.Step(by); err != nil || s.Fault.For == 0 {
+	if err := x.wall.Step(by); err != nil || step.Fault.For == 0 {
 		return err
 	}
-	r.waitUntilUndone(ctx, s)
+	r.waitUntilUndone(ctx, step)
 	return x.wall.Step(-by)
 }
+
+// random returns what the step draws from for one target.
+func (s Step) random(target int) *rand.Rand {
+	return rand.New(rand.NewPCG(s.Draw, uint64(target)))
+}
--- a/internal/faultlab/fault_rollout.go
+++ b/internal/faultlab/fault_rollout.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"net/http"
@@ -11,100 +10,94 @@
 	"time"
 
 	"plovershore/internal/faultlab/history"
-	"plovershore/internal/faultlab/model"
-	"plovershore/internal/registry"
 	"plovershore/internal/rollout"
 )
 
-// rolloutRunners are the lab's runners, one beside each relay, and the plan that is
-// played with them.
-type rolloutRunners struct {
-	run  *run
-	plan rollout.Plan
+const (
+	runnerTimeout = time.Second // for the headers of a request to a runner
+	waveFraction  = 4           // the second wave is one relay of so many
+)
+
+// rolloutWaves checks that the waves of a rollout follow each other.
+type rolloutWaves struct {
+	run *run
 
-	mu        sync.Mutex
-	openWaves map[int]int // relays of each wave that are being restarted
+	mu   sync.Mutex
+	open map[int]int // relays of each wave that are being restarted
+}
+
+// enter records that a relay of a wave is being restarted; two open waves fail the run.
+func (w *rolloutWaves) enter(wave int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.open[wave]++
+	if len(w.open) > 1 {
+		w.run.failure.set(fmt.Errorf("lab: rollout: waves %v are open at once", w.open))
+	}
 }
 
-// rolloutProgram restarts one relay as an upgrade does.
+func (w *rolloutWaves) leave(wave int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.open[wave]--; w.open[wave] == 0 {
+		delete(w.open, wave)
+	}
+}
+
+// rolloutProgram restarts one relay as an upgrade does; it is the rollout.Program of
+// the relay's runner.
 type rolloutProgram struct {
-	*rolloutRunners
+	waves *rolloutWaves
 	relay *relay
 	wave  int
 }
 
-// Operator is rollout.Program's.
-func (p rolloutProgram) Operator() string {
-	p.relay.mu.Lock()
-	defer p.relay.mu.Unlock()
-	return p.relay.operator
-}
+// Operator is the address of the relay for operators.
+func (p rolloutProgram) Operator() string { return p.relay.operatorAddr() }
 
-// Restart is rollout.Program's.
-func (p rolloutProgram) Restart(ctx context.Context) (int, error) {
-	p.mu.Lock()
-	p.openWaves[p.wave]++
-	if len(p.openWaves) > 1 {
-		p.run.fail(fmt.Errorf("lab: rollout: waves %v are open at once", p.openWaves))
-	}
-	p.mu.Unlock()
-	defer func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.openWaves[p.wave]--; p.openWaves[p.wave] == 0 {
-			delete(p.openWaves, p.wave)
-		}
-	}()
+// Restart upgrades the relay and returns the ID of the new process.
+func (p rolloutProgram) Restart(ctx context.Context) (pid int, err error) {
+	p.waves.enter(p.wave)
+	defer p.waves.leave(p.wave)
 	p.relay.busy.Lock()
 	defer p.relay.busy.Unlock()
-	// A second restart of a relay is a second step of this name.
-	p.run.recorder.Record(history.Event{Kind: history.RoleStep, Relay: p.relay.name, Text: "rollout " + p.relay.name, Status: 1})
+	// A second restart of a relay is a second step of this name, which a rule forbids.
+	p.waves.run.recorder.Record(history.Event{Kind: history.RoleStep, Relay: p.relay.name, Text: "rollout " + p.relay.name, Status: 1})
 	if err := p.relay.upgrade(ctx); err != nil {
 		return 0, err
 	}
-	p.relay.mu.Lock()
-	defer p.relay.mu.Unlock()
-	return p.relay.process.PID, nil
+	return p.relay.currentProcess().PID, nil
 }
 
-// strikeRollout has the wardens restart all relays in waves, and follows that to
-// its end, which has to come before the run's.
+// strikeRollout has the controllers restart all relays in waves, which has to be
+// done before the run ends. Each relay has a runner on its machine.
 func (r *run) strikeRollout(ctx context.Context) error {
-	n := len(r.relays)
-	rs := &rolloutRunners{run: r, openWaves: map[int]int{}, plan: rollout.Plan{Waves: []int{1, max(1, n/4)}, Parallelism: 2, ReadyTimeout: 10, SettleTime: 0.5, SettleTimeout: 8, MaxRejected: 0.9, MaxPending: 1000}}
-	for i, x := range r.relays {
-		wave := 0
-		if i >= 1 {
+	second := max(1, len(r.relays)/waveFraction)
+	plan := rollout.Plan{Waves: []int{1, second}, Parallelism: 2, ReadyTimeout: 10, SettleTime: 0.5, SettleTimeout: 8, MaxRejected: 0.9, MaxPending: 1000}
+	waves := &rolloutWaves{run: r, open: map[int]int{}}
+	for i, relay := range r.relays {
+		wave := 2
+		switch {
+		case i == 0:
+			wave = 0
+		case i <= second:
 			wave = 1
 		}
-		if i >= 1+rs.plan.Waves[1] {
-			wave = 2
-		}
 		addr := r.address()
-		s := &http.Server{Addr: addr, ReadHeaderTimeout: time.Second,
-			Handler: (&rollout.Runner{Folder: filepath.Dir(x.stateDir()), Program: rolloutProgram{rs, x, wave}, Log: slog.New(slog.DiscardHandler)}).Handler()}
-		r.wg.Add(1)
-		go func() { defer r.wg.Done(); s.ListenAndServe() }() // ends by Close
-		defer s.Close()
-		rs.plan.Relays = append(rs.plan.Relays, rollout.Relay{Name: x.name, Runner: addr})
+		defer r.startRunner(addr, rolloutProgram{waves, relay, wave}).Close()
+		plan.Relays = append(plan.Relays, rollout.Relay{Name: relay.name, Runner: addr})
 	}
-	spec, err := json.Marshal(rs.plan)
-	if err != nil {
-		return fmt.Errorf("lab: rollout: %w", err)
-	}
-	if _, err := r.group.client.Do(ctx, http.MethodPut, registry.OperationsPath+"/"+rollout.Role+"/all", registry.Operation{Spec: spec, DesiredState: registry.DesiredRun}, nil); err != nil {
-		return fmt.Errorf("lab: rollout: %w", err)
-	}
-	last := registry.Operation{}
-	for {
-		var all []registry.Operation
-		if _, err := r.group.client.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err == nil && len(all) == 1 {
-			if last = all[0]; last.Done {
-				return nil
-			}
-		}
-		if !model.Sleep(ctx, 100*time.Millisecond) {
-			return fmt.Errorf("lab: rollout: not at its end: %s, %s", last.Message, last.Progress)
-		}
+	o := &operation{group: r.group, kind: rollout.Role, name: "all"}
+	if err := o.run(ctx, plan); err != nil {
+		return err
 	}
+	return o.await(ctx, isDone)
+}
+
+// startRunner serves the runner of one relay; the caller closes it.
+func (r *run) startRunner(addr string, program rolloutProgram) *http.Server {
+	runner := &rollout.Runner{Folder: filepath.Dir(program.relay.stateDir()), Program: program, Log: slog.New(slog.DiscardHandler)}
+	server := &http.Server{Addr: addr, ReadHeaderTimeout: runnerTimeout, Handler: runner.Handler()}
+	r.start(func() { server.ListenAndServe() }) // ends by Close
+	return server
 }
--- a/internal/faultlab/fault_upstream.go
+++ b/internal/faultlab/fault_upstream.go
@@ -9,87 +9,106 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-func (r *run) strikeEndpoint(ctx context.Context, s Step, i int) error {
-	e := r.endpoints[i]
-	refuse := func(on bool) error {
-		var all error
-		for _, x := range r.relays {
-			all = errors.Join(all, x.links[i].SetRefusing(on))
-		}
-		return all
-	}
-	late := scenario.Seconds(r.scenario.Discovery.MaxDelaySeconds)
-	switch s.Fault.Kind {
-	case "down": // its process has died: connections are reset, new ones refused
-		e.SetDown(true)
-		if err := refuse(true); err != nil {
+// strikeEndpoint carries out a step on one endpoint.
+func (r *run) strikeEndpoint(ctx context.Context, step Step, number int) error {
+	endpoint := r.endpoints[number]
+	switch step.Fault.Kind {
+	case scenario.FaultDown: // its process died: connections are reset, new ones refused
+		endpoint.SetDown(true)
+		if err := r.setRefusing(number, true); err != nil {
 			return err
 		}
-		r.waitUntilUndone(ctx, s)
-		e.SetDown(false)
-		return refuse(false)
-	case "silent":
-		e.SetFault(model.Fault{Silent: true})
-		r.waitUntilUndone(ctx, s)
-		e.SetFault(model.Fault{})
-	case "drain": // draining, then gone, then back as it was
-		r.changeEndpoint(e, model.Draining, late)
-		half := s
-		if s.Until > 0 {
-			half.Until = (s.At + s.Until) / 2
-		}
-		r.waitUntilUndone(ctx, half)
-		r.changeEndpoint(e, model.Removed, late)
-		r.waitUntilUndone(ctx, s)
-		r.changeEndpoint(e, model.Up, late)
+		r.waitUntilUndone(ctx, step)
+		endpoint.SetDown(false)
+		return r.setRefusing(number, false)
+	case scenario.FaultSilent:
+		endpoint.SetFault(model.Fault{Silent: true})
+		r.waitUntilUndone(ctx, step)
+		endpoint.SetFault(model.Fault{})
+	case scenario.FaultDrain:
+		r.drain(ctx, step, endpoint)
 	}
 	return nil
 }
 
+// setRefusing has all links to an endpoint refuse connections, or not.
+func (r *run) setRefusing(number int, refusing bool) error {
+	var errs []error
+	for _, relay := range r.relays {
+		errs = append(errs, relay.links[number].SetRefusing(refusing))
+	}
+	return errors.Join(errs...)
+}
+
+// drain has an endpoint drain, be removed half way through the step, and come back.
+func (r *run) drain(ctx context.Context, step Step, endpoint *model.Endpoint) {
+	maxDelay := scenario.Seconds(r.scenario.Discovery.MaxDelaySeconds)
+	r.changeEndpoint(endpoint, model.Draining, maxDelay)
+	firstHalf := step
+	if step.Until > 0 {
+		firstHalf.Until = (step.At + step.Until) / 2
+	}
+	r.waitUntilUndone(ctx, firstHalf)
+	r.changeEndpoint(endpoint, model.Removed, maxDelay)
+	r.waitUntilUndone(ctx, step)
+	r.changeEndpoint(endpoint, model.Up, maxDelay)
+}
+
 // changeEndpoint puts an endpoint into another phase on the list.
-func (r *run) changeEndpoint(e *model.Endpoint, phase string, late time.Duration) {
+func (r *run) changeEndpoint(endpoint *model.Endpoint, phase string, maxDelay time.Duration) {
 	if r.group != nil {
-		r.group.changeEndpoint(r.ctx, e, phase)
+		r.group.changeEndpoint(r.ctx, endpoint, phase)
 	} else {
-		r.discovery.Change(r.ctx, e.ID, phase, late)
+		r.discovery.Change(r.ctx, endpoint.ID, phase, maxDelay)
 	}
 }
 
-func (r *run) strikeUpstreams(ctx context.Context, s Step) {
-	f := s.Fault
-	share := f.Factor
-	if share <= 0 {
-		share = 1
+// strikeUpstreams carries out a step on whole upstreams.
+func (r *run) strikeUpstreams(ctx context.Context, step Step) {
+	factor := step.Fault.Factor
+	if factor <= 0 {
+		factor = 1
 	}
-	var spell model.Fault
-	switch f.Kind {
-	case "slow":
-		spell.Slow = share
-	case "fail":
-		spell.Fail = min(share, 1)
-	case "shut":
-		spell.Closed = true
-	case "lose":
-		spell.LoseResponse = min(share, 1)
-	case "spoil":
-		spell.CorruptResponse = min(share, 1)
-	case "break":
-		spell.Reset = min(share, 1)
+	if step.Fault.Kind == scenario.FaultLimits {
+		r.scaleLimits(step.Targets, factor)
+		r.waitUntilUndone(ctx, step)
+		r.scaleLimits(step.Targets, 1)
+		return
 	}
-	opens := r.began.Add(s.Until)
-	for _, i := range s.Targets {
-		if f.Kind == "limits" {
-			r.upstreams[i].ScaleLimit(share)
-		} else {
-			r.upstreams[i].AddFault(spell, opens)
-		}
+	fault := upstreamFault(step.Fault.Kind, factor)
+	opensAt := r.began.Add(step.Until)
+	for _, i := range step.Targets {
+		r.upstreams[i].AddFault(fault, opensAt)
 	}
-	r.waitUntilUndone(ctx, s)
-	for _, i := range s.Targets {
-		if f.Kind == "limits" {
-			r.upstreams[i].ScaleLimit(1)
-		} else {
-			r.upstreams[i].RemoveFault(spell)
-		}
+	r.waitUntilUndone(ctx, step)
+	for _, i := range step.Targets {
+		r.upstreams[i].RemoveFault(fault)
+	}
+}
+
+func (r *run) scaleLimits(upstreams []int, factor float64) {
+	for _, i := range upstreams {
+		r.upstreams[i].ScaleLimit(factor)
+	}
+}
+
+// upstreamFault is the fault of a kind; factor is that of a slow upstream, and the
+// fraction of calls for all others.
+func upstreamFault(kind string, factor float64) model.Fault {
+	fraction := min(factor, 1)
+	switch kind {
+	case scenario.FaultSlow:
+		return model.Fault{Slow: factor}
+	case scenario.FaultFail:
+		return model.Fault{Fail: fraction}
+	case scenario.FaultClose:
+		return model.Fault{Closed: true}
+	case scenario.FaultLose:
+		return model.Fault{LoseResponse: fraction}
+	case scenario.FaultCorrupt:
+		return model.Fault{CorruptResponse: fraction}
+	case scenario.FaultBreak:
+		return model.Fault{Reset: fraction}
 	}
+	return model.Fault{}
 }
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -11,77 +11,83 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-const restartDelay = 600 * time.Millisecond // of a relay whose process is gone
+// minDiscoveryRate is the lowest rate to which discovery's calls are limited: 0
+// would lift the limit.
+const minDiscoveryRate = 0.1
 
-// inject carries out the plan, each step at its moment, and undoes what is to
-// be undone; what is still on when ctx ends is undone then.
+// inject carries out the plan, each step at its moment, and undoes what is to be
+// undone; what is still active when ctx ends is undone then.
 func (r *run) inject(ctx context.Context, plan []Step) {
-	for _, s := range plan {
-		if !model.Sleep(ctx, time.Until(r.began.Add(s.At))) {
+	for _, step := range plan {
+		due := r.began.Add(step.At)
+		if !model.Sleep(ctx, time.Until(due)) {
 			return
 		}
-		r.recordLateness(time.Since(r.began.Add(s.At)))
-		r.wg.Add(1)
-		go func() {
-			defer r.wg.Done()
-			r.recorder.Record(history.Event{Kind: history.Fault, Text: s.String(), Active: true})
-			r.fail(r.strike(ctx, s))
-			r.recorder.Record(history.Event{Kind: history.Fault, Text: s.String()})
-		}()
+		r.lateness.record(time.Since(due))
+		r.start(func() {
+			r.recorder.Record(history.Event{Kind: history.Fault, Text: step.String(), Active: true})
+			r.failure.set(r.strike(ctx, step))
+			r.recorder.Record(history.Event{Kind: history.Fault, Text: step.String()})
+		})
 	}
 }
 
-// waitUntilUndone waits until a step is to be undone, or the faults are over.
-func (r *run) waitUntilUndone(ctx context.Context, s Step) {
-	if s.Until > 0 {
-		model.Sleep(ctx, time.Until(r.began.Add(s.Until)))
+// waitUntilUndone waits until a step is to be undone, or the faults end with ctx.
+func (r *run) waitUntilUndone(ctx context.Context, step Step) {
+	if step.Until > 0 {
+		model.Sleep(ctx, time.Until(r.began.Add(step.Until)))
 	} else {
 		<-ctx.Done()
 	}
 }
 
 // strike carries out one step and returns when it is undone.
-func (r *run) strike(ctx context.Context, s Step) error {
-	switch scenario.Kinds[s.Fault.Kind] {
-	case "relay":
-		return r.forEach(s.Targets, func(i int) error { return r.strikeRelay(ctx, s, r.relays[i]) })
-	case "link":
-		r.strikeLinks(ctx, s)
-	case "endpoint":
-		return r.forEach(s.Targets, func(i int) error { return r.strikeEndpoint(ctx, s, i) })
-	case "partner":
-		r.strikeUpstreams(ctx, s)
-	case "fleet":
+func (r *run) strike(ctx context.Context, step Step) error {
+	switch scenario.Targets[step.Fault.Kind] {
+	case scenario.TargetRelay:
+		return r.forEach(step.Targets, func(i int) error { return r.strikeRelay(ctx, step, r.relays[i]) })
+	case scenario.TargetLink:
+		r.strikeLinks(ctx, step)
+	case scenario.TargetEndpoint:
+		return r.forEach(step.Targets, func(i int) error { return r.strikeEndpoint(ctx, step, i) })
+	case scenario.TargetUpstream:
+		r.strikeUpstreams(ctx, step)
+	case scenario.TargetFleet:
 		return r.strikeRollout(ctx)
-	case "zone":
-		return r.strikeEvacuate(ctx, s)
-	case "warden":
-		return r.group.strikeControllers(ctx, s)
-	case "node", "registration", "group":
-		return r.group.strike(ctx, s)
-	case "discovery":
-		if s.Fault.Kind == "turnaway" {
-			r.discovery.LimitRate(max(s.Fault.Rate, 0.1))
-			r.waitUntilUndone(ctx, s)
-			r.discovery.LimitRate(0)
-			return nil
-		}
-		for _, i := range s.Targets {
-			r.relays[i].agent.SetSilent(true)
-		}
-		r.waitUntilUndone(ctx, s)
-		for _, i := range s.Targets {
-			r.relays[i].agent.SetSilent(false)
-		}
+	case scenario.TargetZone:
+		return r.strikeEvacuate(ctx, step)
+	case scenario.TargetController:
+		return r.group.strikeControllers(ctx, step)
+	case scenario.TargetNode, scenario.TargetRegistration, scenario.TargetGroup:
+		return r.group.strike(ctx, step)
+	case scenario.TargetDiscovery:
+		r.strikeDiscovery(ctx, step)
 	}
 	return nil
 }
 
-// forEach does something to several targets side by side.
+// strikeDiscovery limits discovery's rate, or silences the agents of some relays.
+func (r *run) strikeDiscovery(ctx context.Context, step Step) {
+	if step.Fault.Kind == scenario.FaultRateLimit {
+		r.discovery.LimitRate(max(step.Fault.Rate, minDiscoveryRate))
+		r.waitUntilUndone(ctx, step)
+		r.discovery.LimitRate(0)
+		return
+	}
+	for _, i := range step.Targets {
+		r.relays[i].agent.SetSilent(true)
+	}
+	r.waitUntilUndone(ctx, step)
+	for _, i := range step.Targets {
+		r.relays[i].agent.SetSilent(false)
+	}
+}
+
+// forEach calls f for several targets concurrently and returns the first error.
 func (r *run) forEach(targets []int, f func(int) error) error {
-	var g errgroup.Group
-	for _, t := range targets {
-		g.Go(func() error { return f(t) })
+	var group errgroup.Group
+	for _, target := range targets {
+		group.Go(func() error { return f(target) })
 	}
-	return g.Wait()
+	return group.Wait()
 }
--- a/internal/faultlab/fleet.go
+++ b/internal/faultlab/fleet.go
@@ -2,67 +2,95 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"time"
 
+	"plovershore/internal/faultlab/model"
 	"plovershore/internal/faultlab/scenario"
 )
 
-// fleetPlan is what a scenario and a seed make of the partners.
+const (
+	weightExponent  = 0.7 // a destination's weight is its rank to the power of minus this
+	serviceSeconds  = 0.4 // of a call, for which an endpoint has servers
+	spareServers    = 2
+	minLatency      = 0.85 // factor of the service time
+	latencySpread   = 0.3
+	minLoadMillis   = 140 // of a load report's interval
+	loadMillisRange = 580
+)
+
+// fleetPlan is what a scenario and a seed make of the upstreams.
 type fleetPlan struct {
 	zones     []string
 	upstreams []plannedUpstream
 	endpoints []plannedEndpoint
-	weights   []float64
+	weights   []float64 // of the upstreams in the traffic
 }
 
+// plannedUpstream describes one upstream.
 type plannedUpstream struct {
 	kind               string
 	rate               float64 // calls a second that it takes
 	latencyFactor      float64
-	hasWindow          bool
+	hasWindow          bool // its limit counts over windows
 	endpoints          int
 	retryAfterFraction float64
-	loadReportInterval time.Duration
+	loadInterval       time.Duration // of its load report
 }
 
+// plannedEndpoint describes one endpoint.
 type plannedEndpoint struct {
 	destination int
 	zone        string
 	servers     int
 }
 
-func (f *fleetPlan) relayZone(i int) string { return f.zones[i%len(f.zones)] }
+func (f *fleetPlan) relayZone(relay int) string { return f.zones[relay%len(f.zones)] }
 
-// planFleet draws partners and endpoints: a few partners get much of the
-// traffic and have more endpoints, which stand in different zones.
+// planFleet draws upstreams and endpoints: a few upstreams get much of the traffic
+// and have more endpoints, in different zones.
 func planFleet(s *scenario.Scenario, seed uint64) *fleetPlan {
-	r := newRandom(seed, "fleet")
+	random := newRandom(seed, "fleet")
+	settings := &s.Upstreams
 	f := &fleetPlan{zones: s.Fleet.Zones}
-	all := 0.0
-	for i := range s.Upstreams.Destinations {
-		w := 1 / math.Pow(float64(i+1), 0.7)
-		f.weights = append(f.weights, w)
-		all += w
+	total := 0.0
+	for i := range settings.Destinations {
+		weight := 1 / math.Pow(float64(i+1), weightExponent)
+		f.weights = append(f.weights, weight)
+		total += weight
 	}
-	telcos := int(math.Round(s.Upstreams.Telcos * float64(s.Upstreams.Destinations)))
-	counts := make([]int, s.Upstreams.Destinations)
-	for i := range s.Upstreams.Endpoints { // one each, then more for the busy ones
-		counts[i%s.Upstreams.Destinations]++
+	counts := make([]int, settings.Destinations)
+	for i := range settings.Endpoints { // one each, then more for the busy ones
+		counts[i%settings.Destinations]++
 	}
-	for cell, w := range f.weights {
-		mean := s.Load.Rate * w / all
-		p := plannedUpstream{kind: "agent", latencyFactor: 0.85 + 0.3*r.Float64(), endpoints: counts[cell], retryAfterFraction: 0.05 + 0.32*r.Float64(),
-			loadReportInterval: time.Duration(140+580*r.Float64()) * time.Millisecond}
-		floor := 2.7 + 2*r.Float64()
-		if cell < telcos { // the large ones
-			p.kind, p.hasWindow, p.retryAfterFraction, floor = "telco", true, 0.53+0.25*r.Float64(), 2.1+1.8*r.Float64()
-		}
-		p.rate = max(floor, mean*s.Upstreams.CapacityFactor)
-		f.upstreams = append(f.upstreams, p)
-		servers := int(math.Ceil(p.rate*0.4*p.latencyFactor/float64(p.endpoints))) + 2
-		for k := range counts[cell] {
-			f.endpoints = append(f.endpoints, plannedEndpoint{cell, f.zones[(cell+k)%len(f.zones)], servers})
+	for destination, weight := range f.weights {
+		u := drawUpstream(random, settings, destination, s.Load.Rate*weight/total)
+		u.endpoints = counts[destination]
+		f.upstreams = append(f.upstreams, u)
+		servers := int(math.Ceil(u.rate*serviceSeconds*u.latencyFactor/float64(u.endpoints))) + spareServers
+		for k := range u.endpoints {
+			f.endpoints = append(f.endpoints, plannedEndpoint{destination, f.zones[(destination+k)%len(f.zones)], servers})
 		}
 	}
 	return f
 }
+
+// drawUpstream draws one upstream that gets a mean load in calls a second. The
+// first ones, which get the most, are telcos.
+func drawUpstream(random *rand.Rand, settings *scenario.Upstreams, destination int, meanLoad float64) plannedUpstream {
+	u := plannedUpstream{
+		kind:               model.Newsagent,
+		latencyFactor:      minLatency + latencySpread*random.Float64(),
+		retryAfterFraction: 0.05 + 0.32*random.Float64(),
+		loadInterval:       time.Duration(minLoadMillis+loadMillisRange*random.Float64()) * time.Millisecond,
+	}
+	minRate := 2.7 + 2*random.Float64()
+	telcos := int(math.Round(settings.Telcos * float64(settings.Destinations)))
+	if destination < telcos {
+		u.kind, u.hasWindow = model.Telco, true
+		u.retryAfterFraction = 0.53 + 0.25*random.Float64()
+		minRate = 2.1 + 1.8*random.Float64()
+	}
+	u.rate = max(minRate, meanLoad*settings.CapacityFactor)
+	return u
+}
--- a/internal/faultlab/group_clients.go
+++ b/internal/faultlab/group_clients.go
@@ -5,12 +5,14 @@
 	"fmt"
 	"hash/fnv"
 	"log/slog"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"strconv"
 	"sync"
 	"time"
 
+	"plovershore/internal/discovery"
 	"plovershore/internal/faultlab/history"
 	"plovershore/internal/faultlab/model"
 	"plovershore/internal/faultlab/scenario"
@@ -18,136 +20,171 @@
 	"plovershore/internal/registry/client"
 )
 
-// register has an endpoint on the list.
+const (
+	registerID       = "lab-probe" // a member that stands for the register: its cell is the value
+	registerInterval = 40 * time.Millisecond
+	registerTimeout  = 20 * time.Second // of one operation, with its retries
+	registerClients  = 3
+	registerValues   = 60000 // a cell is less
+
+	heartbeatsInTTL = 3
+	consistent      = "?consistent=1" // query of a linearizable read
+)
+
+// register puts an endpoint on the list.
 func (g *group) register(ctx context.Context, e *model.Endpoint) error {
-	_, err := g.client.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: e.ID, Address: e.Addr(), Zone: e.Zone,
-		Flavor: e.Upstream.Kind, Cell: e.Upstream.Destination, TTLMS: g.ttl().Milliseconds(), Holder: e.ID}, nil)
+	_, err := g.client.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{
+		ID:      e.ID,
+		Address: e.Addr(),
+		Zone:    e.Zone,
+		Flavor:  e.Upstream.Kind,
+		Cell:    e.Upstream.Destination,
+		TTLMS:   g.ttl().Milliseconds(),
+		Holder:  e.ID,
+	}, nil)
 	return err
 }
 
+// ttl is the time to live of a registration.
 func (g *group) ttl() time.Duration { return scenario.Seconds(g.run.scenario.Registry.TTL) }
 
-// changeEndpoint puts a member into another phase, as an operator does.
+// changeEndpoint puts an endpoint into another phase, as an operator does.
 func (g *group) changeEndpoint(ctx context.Context, e *model.Endpoint, phase string) {
 	g.mu.Lock()
 	g.withdrawn[e.ID] = phase == model.Removed
 	g.mu.Unlock()
+	path := registry.MembersPath + "/" + e.ID
 	var err error
 	switch phase {
 	case model.Removed:
-		_, err = g.client.Do(ctx, http.MethodDelete, registry.MembersPath+"/"+e.ID, nil, nil)
+		_, err = g.client.Do(ctx, http.MethodDelete, path, nil, nil)
 	case model.Up:
 		err = g.register(ctx, e)
 	default:
-		_, err = g.client.Do(ctx, http.MethodPost, registry.MembersPath+"/"+e.ID+"/phase", map[string]string{"phase": phase}, nil)
+		_, err = g.client.Do(ctx, http.MethodPost, path+"/phase", map[string]string{"phase": phase}, nil)
 	}
 	if err == nil {
 		g.run.recorder.Record(history.Event{Kind: history.EndpointChanged, Endpoint: e.ID, Phase: phase})
 	}
 }
 
-// serve keeps the endpoints registered, the watchers watching and the register
-// used, until ctx ends.
+// serve sends heartbeats for the endpoints, and runs the watchers and the clients of
+// the register, until ctx ends.
 func (g *group) serve(ctx context.Context) {
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	wg.Add(1)
-	go func() { defer wg.Done(); g.sendHeartbeats(ctx) }()
-	for i := range g.nodes { // a watcher that begins at each node
-		wg.Add(1)
-		go func() { defer wg.Done(); g.watch(ctx, i) }()
+	var running sync.WaitGroup
+	defer running.Wait()
+	start := func(work func()) {
+		running.Add(1)
+		go func() { defer running.Done(); work() }()
+	}
+	start(func() { g.sendHeartbeats(ctx) })
+	for i := range g.nodes {
+		start(func() { g.watch(ctx, i) })
 	}
-	for i := range 3 {
-		wg.Add(1)
-		go func() { defer wg.Done(); g.useRegister(ctx, i) }()
+	for i := range registerClients {
+		start(func() { g.useRegister(ctx, i) })
 	}
 }
 
-// sendHeartbeats sends the endpoints' heartbeats, and registers those anew that the group
-// does not know.
+// sendHeartbeats sends the endpoints' heartbeats until ctx ends, and registers those
+// that the group does not know.
 func (g *group) sendHeartbeats(ctx context.Context) {
 	byID := map[string]*model.Endpoint{}
 	for _, e := range g.run.endpoints {
 		byID[e.ID] = e
 	}
-	for model.Sleep(ctx, g.ttl()/3) {
-		var beats []registry.Heartbeat
-		g.mu.Lock()
+	for model.Sleep(ctx, g.ttl()/heartbeatsInTTL) {
+		var heartbeats []registry.Heartbeat
 		for id := range byID {
-			if !g.muted[id] && !g.withdrawn[id] {
-				beats = append(beats, registry.Heartbeat{ID: id, Holder: id})
+			if g.sendsHeartbeats(id) {
+				heartbeats = append(heartbeats, registry.Heartbeat{ID: id, Holder: id})
 			}
 		}
-		g.mu.Unlock()
-		var a struct{ Unknown []string }
-		short, cancel := context.WithTimeout(ctx, g.ttl())
-		if _, err := g.client.Do(short, http.MethodPost, registry.HeartbeatsPath, beats, &a); err == nil {
-			for _, id := range a.Unknown {
-				g.mu.Lock()
-				off := g.muted[id] || g.withdrawn[id]
-				g.mu.Unlock()
-				if !off {
-					g.register(short, byID[id]) // asked again with the next heartbeat
-				}
-			}
-		}
-		cancel()
+		g.sendBatch(ctx, heartbeats, byID)
 	}
 }
 
-// watch follows the list as an agent does, beginning at one node, and records
-// what it hears.
-func (g *group) watch(ctx context.Context, i int) {
-	var nodes []string
-	for k := range g.nodes {
-		nodes = append(nodes, g.nodes[(i+k)%len(g.nodes)].proxy.Addr())
+// sendsHeartbeats reports whether an endpoint sends heartbeats now.
+func (g *group) sendsHeartbeats(id string) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return !g.muted[id] && !g.withdrawn[id]
+}
+
+// sendBatch sends heartbeats. What fails is repeated with the next ones.
+func (g *group) sendBatch(ctx context.Context, heartbeats []registry.Heartbeat, byID map[string]*model.Endpoint) {
+	ctx, cancel := context.WithTimeout(ctx, g.ttl())
+	defer cancel()
+	var answer struct{ Unknown []string }
+	if _, err := g.client.Do(ctx, http.MethodPost, registry.HeartbeatsPath, heartbeats, &answer); err != nil {
+		return
 	}
-	c, err := client.New(nodes, len(g.nodes), slog.New(slog.DiscardHandler))
+	for _, id := range answer.Unknown {
+		if g.sendsHeartbeats(id) {
+			_ = g.register(ctx, byID[id])
+		}
+	}
+}
+
+// watch follows the list as an agent does, beginning at one node, and records what
+// it receives.
+func (g *group) watch(ctx context.Context, first int) {
+	addrs := g.proxies()
+	c, err := client.New(append(addrs[first:len(addrs):len(addrs)], addrs[:first]...), len(g.nodes), slog.New(slog.DiscardHandler))
 	if err != nil {
-		g.run.fail(err)
+		g.run.failure.set(err)
 		return
 	}
 	defer c.Close()
-	c.Follow(ctx, client.Position{}, func(n client.Update) {
-		h := fnv.New64a()
-		for _, m := range n.Members {
-			fmt.Fprintln(h, m.ID, m.HostPort, m.Phase, m.Cell)
-		}
-		phase := "change"
-		if n.Complete {
-			phase = "whole"
+	c.Follow(ctx, client.Position{}, func(update client.Update) {
+		phase := history.ListChange
+		if update.Complete {
+			phase = history.ListComplete
 		}
-		g.run.recorder.Record(history.Event{Kind: history.ListUpdate, Relay: fmt.Sprint("watcher-", i+1), Text: n.Epoch, DueAt: n.Revision, Phase: phase,
-			FirstMessage: strconv.FormatUint(h.Sum64(), 16)})
+		g.run.recorder.Record(history.Event{Kind: history.ListUpdate, Relay: fmt.Sprint("watcher-", first+1), Text: update.Epoch,
+			DueAt: update.Revision, Phase: phase, FirstMessage: hashMembers(update.Members)})
 	}, func(bool) {})
 }
 
-// useRegister writes and reads a register in the group, one operation after the other.
-func (g *group) useRegister(ctx context.Context, i int) {
-	d := newRandom(g.run.seed, fmt.Sprint("probe ", i))
-	addr := net.JoinHostPort(g.run.ip, strconv.Itoa(lockPort))
+// hashMembers is a hash of the members of an update.
+func hashMembers(members []discovery.Member) string {
+	hash := fnv.New64a()
+	for _, m := range members {
+		fmt.Fprintln(hash, m.ID, m.HostPort, m.Phase, m.Cell)
+	}
+	return strconv.FormatUint(hash.Sum64(), 16)
+}
+
+// useRegister writes and reads the register, one operation after the other, until
+// ctx ends.
+func (g *group) useRegister(ctx context.Context, number int) {
+	random := newRandom(g.run.seed, fmt.Sprint("probe ", number))
 	for model.Sleep(ctx, registerInterval) {
-		e := history.Event{Kind: history.RegisterOperation, Relay: fmt.Sprint("probe-", i+1), DueAt: g.run.recorder.Now()}
-		short, cancel := context.WithTimeout(ctx, registerTimeout)
-		var err error
-		if d.IntN(2) == 0 {
-			e.Text, e.ValidFor = "write", g.lastValue.Add(1)
-			_, err = g.client.Do(short, http.MethodPost, registry.MembersPath, registry.Registration{ID: registerID, Address: addr, Zone: "lab", Flavor: "probe", Cell: int(e.ValidFor % 60000)}, nil)
-			e.ValidFor %= 60000
-		} else {
-			e.Text = "read"
-			var all []registry.Member
-			_, err = g.client.Do(short, http.MethodGet, registry.MembersPath+"?consistent=1", nil, &all)
-			for _, m := range all {
-				if m.ID == registerID {
-					e.ValidFor = int64(m.Cell)
-				}
-			}
-		}
-		cancel()
-		if e.Status = 1; err != nil {
-			e.Status = 0 // it may or may not have been taken
+		e := history.Event{Kind: history.RegisterOperation, Relay: fmt.Sprint("probe-", number+1), DueAt: g.run.recorder.Now()}
+		if err := g.operate(ctx, random, &e); err == nil {
+			e.Status = 1 // otherwise it may or may not have taken effect
 		}
 		g.run.recorder.Record(e)
 	}
 }
+
+// operate draws and carries out one operation on the register.
+func (g *group) operate(ctx context.Context, random *rand.Rand, e *history.Event) error {
+	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
+	defer cancel()
+	if random.IntN(2) == 0 {
+		e.Text, e.ValidFor = history.OpWrite, g.lastValue.Add(1)%registerValues
+		_, err := g.client.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: registerID,
+			Address: net.JoinHostPort(g.run.ip, strconv.Itoa(lockPort)), Zone: "lab", Flavor: "probe", Cell: int(e.ValidFor)}, nil)
+		return err
+	}
+	e.Text = history.OpRead
+	var members []registry.Member
+	_, err := g.client.Do(ctx, http.MethodGet, registry.MembersPath+consistent, nil, &members)
+	for _, m := range members {
+		if m.ID == registerID {
+			e.ValidFor = int64(m.Cell)
+		}
+	}
+	return err
+}
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -1,16 +1,20 @@
+// Package faultlab runs many processes of the relay on this machine, with upstreams,
+// discovery, clients and links of its own around them, injects the faults of a
+// scenario, and has package checker report which rules were violated.
+//
+// A schedule is a function of scenario and seed. A run in which the lab itself was
+// late is void. No process outlives the lab. The lab knows the protocol alone: none
+// of the relay's code is linked in.
 package faultlab
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"plovershore/internal/faultlab/checker"
 	"plovershore/internal/faultlab/history"
 	"plovershore/internal/faultlab/link"
@@ -18,31 +22,34 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
+const (
+	historyFile = "history.jsonl" // in the folder of the report
+	logsDir     = "logs"          // of the processes, in the folder of the report
+)
+
 // Options say how a scenario is run.
 type Options struct {
 	Scenario    *scenario.Scenario
 	Seed        uint64
-	Out         string   // the folder of the report; made where it is missing
-	Program     string   // the relay under test
-	First       string   // another that each relay runs first, such as an older one; empty for none
-	Registry    string   // the list service's, where the scenario has one
-	Controller  string   // the wardens', where it has them
-	SimRelay    string   // the hollow relays' (this one, run with the word hollow), where it has them
-	Args        []string // of it
-	Env         []string // added to its environment
-	KeepDirs    bool     // of a kept run: the relays' folders too
-	MaxLateness time.Duration
-	Log         *slog.Logger
+	Out         string        // the folder of the report; made if it is missing
+	Program     string        // the relay under test
+	First       string        // another that each relay runs first, such as an older one; empty for none
+	Registry    string        // the list service's program, if the scenario has one
+	Controller  string        // the controllers' program, if the scenario has them
+	SimRelay    string        // a program that runs simulated relays by simRelayCommand, if the scenario has them
+	Env         []string      // added to the relays' environment
+	KeepDirs    bool          // keep the relays' directories after the run
+	MaxLateness time.Duration // the p99 of the lab's own lateness beyond which a run is void; 0 for MaxLateness
 	OnStatus    func(*Status) // called each second while the load lasts; may be nil
 }
 
-// MaxLateness is the p99 of the lab's own lateness beyond which a run is void.
+// MaxLateness is the default of Options.MaxLateness.
 const MaxLateness = 50 * time.Millisecond
 
 // ErrLate is a run in which the lab itself was late: it proves nothing.
 var ErrLate = errors.New("the lab itself was late")
 
-// Result is what a run came to.
+// Result is the outcome of a run.
 type Result struct {
 	Name    string          `json:"name"`
 	Seed    uint64          `json:"seed"`
@@ -57,14 +64,11 @@
 	Scale   *ScaleReport    `json:"scale,omitempty"` // of a scale scenario
 }
 
-// Run plays a scenario to its verdict. ctx ends the load early; the run is then
-// finished and judged as far as it went. An error means that it could not be
-// run, or that the lab was late (ErrLate, with the result).
+// Run plays a scenario and checks its history. ctx ends the load early; the run is
+// then finished and checked as far as it went. An error means that the scenario
+// could not be run, or that the lab was late (ErrLate, with the result).
 func Run(ctx context.Context, o Options) (*Result, error) {
 	began := time.Now()
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
-	}
 	if o.MaxLateness == 0 {
 		o.MaxLateness = MaxLateness
 	}
@@ -79,59 +83,101 @@
 		return nil, err
 	}
 	defer lock.Close()
-	rec, err := history.Create(filepath.Join(o.Out, "history.jsonl"))
+	recorder, err := history.Create(filepath.Join(o.Out, historyFile))
 	if err != nil {
 		return nil, err
 	}
-	whole, stop := context.WithCancel(context.Background())
-	defer stop()
-	r := &run{opts: o, scenario: o.Scenario, seed: o.Seed, ctx: whole, recorder: rec, linkFaults: map[*link.Link]link.Faults{}, ip: ip,
-		plan: planFleet(o.Scenario, o.Seed), lateness: hdrhistogram.New(1, 60_000_000, 3), stop: stop}
+	r := newRun(o, ip, recorder)
+	defer r.stop()
 	plan := Plan(o.Scenario, o.Seed)
 	err = r.play(ctx, plan)
 	r.close()
-	if err = errors.Join(err, r.failure(), rec.Close()); err != nil {
+	if err = errors.Join(err, r.failure.get(), recorder.Close()); err != nil {
 		return nil, err
 	}
-	res := &Result{Name: o.Scenario.Name, Seed: o.Seed, Out: o.Out, Took: time.Since(began)}
-	for _, s := range plan {
-		res.Plan = append(res.Plan, s.String())
+	return r.result(began, plan)
+}
+
+// newRun returns a run that has not begun.
+func newRun(o Options, ip string, recorder *history.Recorder) *run {
+	r := &run{
+		opts:       o,
+		scenario:   o.Scenario,
+		seed:       o.Seed,
+		recorder:   recorder,
+		linkFaults: map[*link.Link]link.Faults{},
+		ip:         ip,
+		plan:       planFleet(o.Scenario, o.Seed),
+		lateness:   newLateness(),
 	}
-	if u, err := process.Measure(os.Getpid()); err == nil {
-		res.LabCPU, res.LabRSS = u.CPU, u.RSS
+	r.ctx, r.stop = context.WithCancel(context.Background())
+	r.failure.stop = r.stop
+	return r
+}
+
+// result checks the history of a run that has ended.
+func (r *run) result(began time.Time, plan []Step) (*Result, error) {
+	result := &Result{Name: r.scenario.Name, Seed: r.seed, Out: r.opts.Out, Took: time.Since(began)}
+	for _, step := range plan {
+		result.Plan = append(result.Plan, step.String())
 	}
-	res.LateP99 = time.Duration(r.lateness.ValueAtQuantile(99)) * time.Microsecond
-	res.LateMax = time.Duration(r.lateness.Max()) * time.Microsecond
-	if res.Verdict, err = r.check(); err != nil {
+	result.measureLab(r.lateness)
+	var err error
+	if result.Verdict, err = r.check(); err != nil {
 		return nil, err
 	}
-	if !o.KeepDirs {
-		for _, x := range r.relays {
-			os.RemoveAll(x.dir)
+	if !r.opts.KeepDirs {
+		for _, relay := range r.relays {
+			os.RemoveAll(relay.dir)
 		}
 	}
-	if res.LateP99 > o.MaxLateness {
-		return res, fmt.Errorf("%w: p99 %v from due to done; %v at most", ErrLate, res.LateP99, o.MaxLateness)
+	if result.LateP99 > r.opts.MaxLateness {
+		return result, fmt.Errorf("%w: p99 %v from due to done; %v at most", ErrLate, result.LateP99, r.opts.MaxLateness)
 	}
-	return res, nil
+	return result, nil
 }
 
-// check reads the history back and judges it.
-func (r *run) check() (checker.Verdict, error) {
-	path := filepath.Join(r.opts.Out, "history.jsonl")
-	s := r.scenario
-	longest := 0.0
-	for _, f := range s.Faults {
-		if f.Kind == "delay" {
-			longest = max(longest, f.MS)
-		}
+// measureLab adds what the lab itself used and how late it was.
+func (result *Result) measureLab(l *lateness) {
+	if usage, err := process.Measure(os.Getpid()); err == nil {
+		result.LabCPU, result.LabRSS = usage.CPU, usage.RSS
 	}
-	j := checker.New(checker.Config{Rules: r.world.Rules, HistoryFile: path,
-		MaxLinkDelay: time.Duration((max(s.Upstreams.DelayMS, s.Upstreams.CrossMS) + s.Upstreams.JitterMS + longest) * float64(time.Millisecond)),
-		Limits:       checker.Limits{Memory: int64(s.Fleet.MemoryMB) << 20, Disk: int64(s.Fleet.DiskMB) << 20, FDs: s.Fleet.Sockets},
-		LogFile:      func(relay string) string { return filepath.Join(r.opts.Out, "logs", relay+".log") }})
-	if err := history.Read(path, j.Feed); err != nil {
+	result.LateP99, result.LateMax = l.p99(), l.max()
+}
+
+// check reads the history back and checks it.
+func (r *run) check() (checker.Verdict, error) {
+	path := filepath.Join(r.opts.Out, historyFile)
+	fleet := &r.scenario.Fleet
+	check := checker.New(checker.Config{
+		Rules:        r.world.Rules,
+		Limits:       checker.Limits{Memory: int64(fleet.MemoryMB) << 20, Disk: int64(fleet.DiskMB) << 20, FDs: fleet.Sockets},
+		MaxLinkDelay: r.maxLinkDelay(),
+		HistoryFile:  path,
+		LogFile:      func(relay string) string { return r.logPath(relay) },
+	})
+	if err := history.Read(path, check.Feed); err != nil {
 		return checker.Verdict{}, err
 	}
-	return j.Finish(), nil
+	return check.Finish(), nil
+}
+
+// maxLinkDelay is the longest delay that a link adds in this scenario.
+func (r *run) maxLinkDelay() time.Duration {
+	faultMS := 0.0
+	for _, fault := range r.scenario.Faults {
+		if fault.Kind == scenario.FaultDelay {
+			faultMS = max(faultMS, fault.MS)
+		}
+	}
+	upstreams := &r.scenario.Upstreams
+	return millis(max(upstreams.DelayMS, upstreams.CrossMS) + upstreams.JitterMS + faultMS)
 }
+
+// logPath is the file of a process's output.
+func (r *run) logPath(name string) string {
+	return filepath.Join(r.opts.Out, logsDir, name+".log")
+}
+
+// millis converts milliseconds to a duration.
+func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/faultlab/lateness.go
+++ b/internal/faultlab/lateness.go
@@ -1,24 +1,67 @@
 package faultlab
 
 import (
+	"context"
+	"sync"
 	"time"
 
+	"github.com/HdrHistogram/hdrhistogram-go"
+
 	"plovershore/internal/faultlab/model"
 )
 
-// recordLateness books from due to done of one of the lab's own events.
-func (r *run) recordLateness(d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lateness.RecordValue(min(max(1, d.Microseconds()), 60_000_000))
+const (
+	latenessInterval = 10 * time.Millisecond // between two measurements
+	standstill       = time.Second           // a longer lateness is counted once
+	maxRecorded      = time.Minute           // later counts as this
+	histogramDigits  = 3
+)
+
+// newHistogram returns a histogram of microseconds up to maxRecorded.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxRecorded.Microseconds(), histogramDigits)
+}
+
+// recordMicros adds a duration to a histogram of microseconds.
+func recordMicros(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxRecorded.Microseconds())) // within its bounds
+}
+
+// lateness is how late the lab's own events were, from when each was due. It is
+// safe for concurrent use.
+type lateness struct {
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
 }
 
-// measureLateness measures how late the lab itself is.
-func (r *run) measureLateness() {
-	for due := time.Now().Add(latenessInterval); model.Sleep(r.ctx, time.Until(due)); due = due.Add(latenessInterval) {
-		r.recordLateness(time.Since(due))
-		if time.Since(due) > time.Second { // after a standstill: once is enough
+func newLateness() *lateness { return &lateness{histogram: newHistogram()} }
+
+// record adds the lateness of one event.
+func (l *lateness) record(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	recordMicros(l.histogram, d)
+}
+
+// measure records how late its own timer is, until ctx ends.
+func (l *lateness) measure(ctx context.Context) {
+	for due := time.Now().Add(latenessInterval); model.Sleep(ctx, time.Until(due)); due = due.Add(latenessInterval) {
+		late := time.Since(due)
+		l.record(late)
+		if late > standstill {
 			due = time.Now()
 		}
 	}
 }
+
+func (l *lateness) p99() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return time.Duration(l.histogram.ValueAtQuantile(99)) * time.Microsecond
+}
+
+func (l *lateness) max() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return time.Duration(l.histogram.Max()) * time.Microsecond
+}
--- a/internal/faultlab/node.go
+++ b/internal/faultlab/node.go
@@ -1,6 +1,7 @@
 package faultlab
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -14,81 +15,142 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// node is one node of the group, over all of its processes.
+// node is one node of the list service, over all of its processes.
 type node struct {
-	group *group
-	num   int
-	name  string
-	dir   string
-	http  string // where it listens
-	raft  string
-	proxy *link.Link   // all others ask through here
-	peers []*link.Link // to the raft address of each other node
-	log   *os.File
-	busy  sync.Mutex
+	group  *group
+	number int
+	name   string
+	dir    string
+	http   string // where it listens
+	raft   string
+	proxy  *link.Link   // its clients and the other nodes' agents connect here
+	peers  []*link.Link // to the Raft address of each other node; nil at its own place
+	log    *os.File
+
+	busy sync.Mutex // held by the fault that strikes its process
 
 	mu      sync.Mutex
 	process *process.Process
 }
 
-// start runs a process of the node.
-func (n *node) start() error {
-	var b strings.Builder
-	fmt.Fprintf(&b, "id = %q\ndata = %q\nlisten = %q\nraft = %q\n", n.name, filepath.Join(n.dir, "data"), n.http, n.raft)
-	for i, m := range n.group.nodes {
-		addr := n.raft
-		if i != n.num {
-			addr = n.peers[i].Addr()
+// newNode makes a node with its directory, log and proxy.
+func (g *group) newNode(number int) (*node, error) {
+	r := g.run
+	n := &node{group: g, number: number, name: fmt.Sprint("r", number+1), http: r.address(), raft: r.address()}
+	var err error
+	if n.proxy, err = r.world.Net.Listen("all", n.name, r.address(), n.http, r.seed, nil); err != nil {
+		return nil, err
+	}
+	if n.dir, err = filepath.Abs(filepath.Join(r.opts.Out, n.name)); err != nil {
+		return nil, fmt.Errorf("lab: %w", err)
+	}
+	if err := errors.Join(os.RemoveAll(n.dir), os.MkdirAll(n.dir, 0o700)); err != nil {
+		return nil, fmt.Errorf("lab: %w", err)
+	}
+	if n.log, err = os.Create(r.logPath(n.name)); err != nil {
+		return nil, fmt.Errorf("lab: %w", err)
+	}
+	return n, nil
+}
+
+// linkPeers makes the links to the other nodes.
+func (n *node) linkPeers() error {
+	r := n.group.run
+	for _, peer := range n.group.nodes {
+		var l *link.Link
+		if peer != n {
+			var err error
+			if l, err = r.world.Net.Listen(n.name, peer.name, r.address(), peer.raft, r.seed, nil); err != nil {
+				return err
+			}
 		}
-		fmt.Fprintf(&b, "[[peers]]\nid = %q\nraft = %q\nhttp = %q\n", m.name, addr, m.proxy.Addr())
+		n.peers = append(n.peers, l)
 	}
+	return nil
+}
+
+// config is its configuration file.
+func (n *node) config() string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "id = %q\ndata = %q\nlisten = %q\nraft = %q\n", n.name, filepath.Join(n.dir, "data"), n.http, n.raft)
+	for i, peer := range n.group.nodes {
+		raft := n.raft
+		if peer != n {
+			raft = n.peers[i].Addr()
+		}
+		fmt.Fprintf(&text, "[[peers]]\nid = %q\nraft = %q\nhttp = %q\n", peer.name, raft, peer.proxy.Addr())
+	}
+	return text.String()
+}
+
+// start runs a new process of the node.
+func (n *node) start() error {
+	r := n.group.run
 	path := filepath.Join(n.dir, "registry.toml")
-	if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(n.config()), 0o600); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	p, err := process.Start(n.name, n.group.run.opts.Registry, []string{"serve", "--config", path,
-		"--drill-clock", scenario.RoundRobin(n.group.run.scenario.Registry.NodeClocks, n.num)}, nil, n.log)
+	drill := scenario.RoundRobin(r.scenario.Registry.NodeClocks, n.number)
+	p, err := process.Start(n.name, r.opts.Registry, []string{"serve", "--config", path, "--drill-clock", drill}, nil, n.log)
 	if err != nil {
 		return err
 	}
-	n.group.run.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: n.name, PID: p.PID, Text: "node"})
 	n.mu.Lock()
 	n.process = p
 	n.mu.Unlock()
-	n.group.run.wg.Add(1)
-	go func() {
-		defer n.group.run.wg.Done()
-		<-p.Done()
-		code, text := p.Exit()
-		n.group.run.recorder.Record(history.Event{Kind: history.ProcessExited, Relay: n.name, PID: p.PID, Status: code, Text: text})
-	}()
+	r.watchNode(n.name, p)
 	return nil
 }
 
-func (n *node) signal(s syscall.Signal) {
+// watchNode records the start of a process that is no relay, and its end.
+func (r *run) watchNode(name string, p *process.Process) {
+	r.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: name, PID: p.PID, Text: history.NodeProcess})
+	r.start(func() {
+		<-p.Done()
+		r.recordExit(name, p)
+	})
+}
+
+func (n *node) currentProcess() *process.Process {
 	n.mu.Lock()
-	p := n.process
-	n.mu.Unlock()
-	n.group.run.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: n.name, PID: p.PID, Text: s.String()})
+	defer n.mu.Unlock()
+	return n.process
+}
+
+// signal sends a signal to the present process; after SIGKILL it waits for the end.
+func (n *node) signal(s syscall.Signal) {
+	n.group.run.signalNode(n.name, n.currentProcess(), s)
+}
+
+// signalNode records a signal to a process that is no relay and sends it; after
+// SIGKILL it waits for the end.
+func (r *run) signalNode(name string, p *process.Process, s syscall.Signal) {
 	if s == syscall.SIGKILL {
+		r.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: name, PID: p.PID, Text: s.String()})
 		p.Kill()
 		return
 	}
-	p.Signal(s)
+	r.signal(name, p, s)
 }
 
-// setCut cuts the node off from all others, or heals it.
-func (n *node) setCut(on bool) {
-	f := link.Faults{Cut: on}
-	set := func(l *link.Link) {
-		if l != nil {
-			l.SetFaults(link.ToServer, f)
-			l.SetFaults(link.ToClient, f)
+// setCut cuts the node off from all others, or reconnects it.
+func (n *node) setCut(cut bool) {
+	faults := link.Faults{Cut: cut}
+	n.proxy.SetBoth(faults)
+	for i, peer := range n.group.nodes {
+		if peer != n {
+			n.peers[i].SetBoth(faults)
+			peer.peers[n.number].SetBoth(faults)
 		}
 	}
-	set(n.proxy)
-	for i, m := range n.group.nodes {
-		set(n.peers[i])
-		set(m.peers[n.num])
+}
+
+func (n *node) closeLinks() {
+	n.proxy.Close()
+	for _, l := range n.peers {
+		if l != nil {
+			l.Close()
+		}
 	}
+	n.log.Close()
 }
--- a/internal/faultlab/plan.go
+++ b/internal/faultlab/plan.go
@@ -1,6 +1,7 @@
 package faultlab
 
 import (
+	"cmp"
 	"fmt"
 	"hash/fnv"
 	"math"
@@ -12,33 +13,34 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// Step is one fault at one moment, with what it strikes. A plan is a function
-// of scenario and seed alone, so a run can be played again.
+// Step is one fault at one moment, with its targets. A plan is a function of
+// scenario and seed alone, so a run can be played again.
 type Step struct {
-	At      time.Duration
-	Until   time.Duration // when it is undone; 0 for never
+	At      time.Duration // from the start of the load
+	Until   time.Duration // when it is undone; 0 for the end of the load
 	Fault   scenario.Fault
-	Targets []int // relays, endpoints or partners, by number
+	Targets []int // relays, endpoints or others, by number
 	Draw    uint64
 }
 
+// String describes the step in one line.
 func (s Step) String() string {
-	text := fmt.Sprintf("%6.2fs %s", s.At.Seconds(), s.Fault.Kind)
-	if s.Fault.Zone != "" {
-		text += " zone " + s.Fault.Zone
+	fault := &s.Fault
+	text := fmt.Sprintf("%6.2fs %s", s.At.Seconds(), fault.Kind)
+	if fault.Zone != "" {
+		text += " zone " + fault.Zone
 	}
-	if s.Fault.Direction != "" {
-		text += " " + s.Fault.Direction
+	if fault.Direction != "" {
+		text += " " + fault.Direction
 	}
-	if s.Fault.Node != "" {
-		text += " " + s.Fault.Node
-		s.Targets = nil
+	if fault.Node != "" {
+		text += " " + fault.Node
 	}
-	if s.Fault.Folder != "" {
-		text += " folder " + s.Fault.Folder
+	if fault.Folder != "" {
+		text += " folder " + fault.Folder
 	}
-	if len(s.Targets) > 0 {
-		text += " " + scenario.Kinds[s.Fault.Kind] + " " + strings.Trim(fmt.Sprint(s.Targets), "[]")
+	if len(s.Targets) > 0 && fault.Node == "" {
+		text += fmt.Sprintf(" %s %s", scenario.Targets[fault.Kind], strings.Trim(fmt.Sprint(s.Targets), "[]"))
 	}
 	if s.Until > 0 {
 		text += fmt.Sprintf(" until %.2fs", s.Until.Seconds())
@@ -46,78 +48,92 @@
 	return text
 }
 
-func newRandom(seed uint64, what string) *rand.Rand {
-	h := fnv.New64a()
-	h.Write([]byte(what))
-	return rand.New(rand.NewPCG(seed, h.Sum64()))
+// newRandom returns what is drawn from for one purpose of a run.
+func newRandom(seed uint64, purpose string) *rand.Rand {
+	hash := fnv.New64a()
+	hash.Write([]byte(purpose))
+	return rand.New(rand.NewPCG(seed, hash.Sum64()))
 }
 
 // Plan draws the schedule of a scenario.
 func Plan(s *scenario.Scenario, seed uint64) []Step {
-	f := planFleet(s, seed)
+	fleet := planFleet(s, seed)
 	var steps []Step
 	for i, fault := range s.Faults {
-		r := newRandom(seed, fmt.Sprintf("fault %d", i))
+		random := newRandom(seed, fmt.Sprintf("fault %d", i))
 		for at := fault.At; at < s.Seconds; at += fault.Every {
-			steps = append(steps, strike(s, f, fault, at, r)...)
+			steps = append(steps, planFault(s, fleet, fault, at, random)...)
 			if fault.Every <= 0 {
 				break
 			}
 		}
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
+	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return steps
 }
 
-// strike draws whom one fault strikes, and when each.
-func strike(s *scenario.Scenario, f *fleetPlan, fault scenario.Fault, at float64, r *rand.Rand) []Step {
-	var could []int
-	switch scenario.Kinds[fault.Kind] {
-	case "relay":
-		could = candidates(s.Fleet.Relays, fault.Relays, func(i int) bool { return fault.Zone == "" || f.relayZone(i) == fault.Zone })
-	case "warden":
-		could = candidates(s.Registry.Controllers, nil, func(int) bool { return true })
-	case "node":
-		could = candidates(s.Registry.Nodes, nil, func(int) bool { return true })
-	case "endpoint", "registration":
-		could = candidates(len(f.endpoints), nil, func(i int) bool {
-			e := f.endpoints[i]
-			return (fault.Zone == "" || e.zone == fault.Zone) && (len(fault.Destinations) == 0 || slices.Contains(fault.Destinations, e.destination)) &&
-				(len(fault.Kinds) == 0 || slices.Contains(fault.Kinds, f.upstreams[e.destination].kind))
-		})
-	case "partner":
-		could = candidates(len(f.upstreams), fault.Destinations, func(i int) bool { return len(fault.Kinds) == 0 || slices.Contains(fault.Kinds, f.upstreams[i].kind) })
-	case "link", "discovery":
-		could = candidates(s.Fleet.Relays, fault.Relays, func(int) bool { return true })
-	}
-	if share := fault.Fraction; share > 0 && len(could) > 0 {
-		r.Shuffle(len(could), func(a, b int) { could[a], could[b] = could[b], could[a] })
-		could = could[:max(1, int(math.Round(share*float64(len(could)))))]
-		slices.Sort(could)
+// planFault draws the targets of one fault, and when each is struck.
+func planFault(s *scenario.Scenario, fleet *fleetPlan, fault scenario.Fault, at float64, random *rand.Rand) []Step {
+	targets := possibleTargets(s, fleet, &fault)
+	if fault.Fraction > 0 && len(targets) > 0 {
+		random.Shuffle(len(targets), func(a, b int) { targets[a], targets[b] = targets[b], targets[a] })
+		targets = targets[:max(1, int(math.Round(fault.Fraction*float64(len(targets)))))]
+		slices.Sort(targets)
 	}
-	step := Step{At: scenario.Seconds(at), Fault: fault, Targets: could}
+	step := Step{At: scenario.Seconds(at), Fault: fault, Targets: targets}
 	if fault.For > 0 {
 		step.Until = scenario.Seconds(at + fault.For)
 	}
-	if fault.Spread <= 0 || len(could) < 2 {
-		step.Draw = r.Uint64()
+	if fault.Spread <= 0 || len(targets) < 2 {
+		step.Draw = random.Uint64()
 		return []Step{step}
 	}
 	var steps []Step
-	for i, t := range could {
-		one, later := step, scenario.Seconds(fault.Spread*float64(i)/float64(len(could)))
-		one.At, one.Targets, one.Draw = step.At+later, []int{t}, r.Uint64()
+	for i, target := range targets {
+		single, later := step, scenario.Seconds(fault.Spread*float64(i)/float64(len(targets)))
+		single.At, single.Targets, single.Draw = step.At+later, []int{target}, random.Uint64()
 		if step.Until > 0 {
-			one.Until = step.Until + later
+			single.Until = step.Until + later
 		}
-		steps = append(steps, one)
+		steps = append(steps, single)
 	}
 	return steps
 }
 
-func candidates(n int, named []int, ok func(int) bool) (all []int) {
-	for i := range n {
-		if (len(named) == 0 || slices.Contains(named, i)) && ok(i) {
+// possibleTargets are what a fault may strike, by number.
+func possibleTargets(s *scenario.Scenario, fleet *fleetPlan, fault *scenario.Fault) []int {
+	anyOne := func(int) bool { return true }
+	isKind := func(upstream int) bool {
+		return len(fault.Kinds) == 0 || slices.Contains(fault.Kinds, fleet.upstreams[upstream].kind)
+	}
+	switch scenario.Targets[fault.Kind] {
+	case scenario.TargetRelay:
+		inZone := func(i int) bool { return fault.Zone == "" || fleet.relayZone(i) == fault.Zone }
+		return candidates(s.Fleet.Relays, fault.Relays, inZone)
+	case scenario.TargetController:
+		return candidates(s.Registry.Controllers, nil, anyOne)
+	case scenario.TargetNode:
+		return candidates(s.Registry.Nodes, nil, anyOne)
+	case scenario.TargetEndpoint, scenario.TargetRegistration:
+		return candidates(len(fleet.endpoints), nil, func(i int) bool {
+			endpoint := fleet.endpoints[i]
+			inZone := fault.Zone == "" || endpoint.zone == fault.Zone
+			isNamed := len(fault.Destinations) == 0 || slices.Contains(fault.Destinations, endpoint.destination)
+			return inZone && isNamed && isKind(endpoint.destination)
+		})
+	case scenario.TargetUpstream:
+		return candidates(len(fleet.upstreams), fault.Destinations, isKind)
+	case scenario.TargetLink, scenario.TargetDiscovery:
+		return candidates(s.Fleet.Relays, fault.Relays, anyOne)
+	}
+	return nil
+}
+
+// candidates are the numbers below count that are among those named, if any are,
+// and qualify.
+func candidates(count int, named []int, qualifies func(int) bool) (all []int) {
+	for i := range count {
+		if (len(named) == 0 || slices.Contains(named, i)) && qualifies(i) {
 			all = append(all, i)
 		}
 	}
--- a/internal/faultlab/relay.go
+++ b/internal/faultlab/relay.go
@@ -2,15 +2,12 @@
 
 import (
 	"bufio"
-	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"path/filepath"
 	"sync"
-	"syscall"
 	"time"
 
 	"plovershore/internal/clock/wallclock"
@@ -20,54 +17,64 @@
 	"plovershore/internal/faultlab/process"
 )
 
+const (
+	pingTimeout = time.Second
+	pingAnswer  = "+PONG\r\n"
+)
+
 // relay is one relay under test, over all of its processes.
 type relay struct {
-	run      *run
-	number   int
-	name     string
-	zone     string
-	listen   string
-	operator string // empty where the scenario has no wardens
-	dir      string // of its machine
-	agent    discoveryAgent
-	proxy    *link.Link   // its clients come through here
-	links    []*link.Link // to each endpoint
-	log      *os.File
-	wall     *wallclock.Wall // of its machine; nil where no fault steps it
-
-	agentProcess *process.Process // where the list service is of real processes
-	agentLog     *os.File
-
-	busy sync.Mutex // held by the fault that has its process
+	run       *run
+	number    int
+	name      string
+	zone      string
+	listen    string // where it listens
+	dir       string // of its machine
+	agent     discoveryAgent
+	proxy     *link.Link       // its clients connect here
+	links     []*link.Link     // to each endpoint
+	log       *os.File         // of its processes
+	wall      *wallclock.Wall  // of its machine; nil if no fault steps it
+	agentProc *process.Process // nil if discovery is the lab's own
+	agentLog  *os.File         // the same
+
+	busy sync.Mutex // held by the fault that strikes its process
 
 	mu       sync.Mutex
+	operator string // address for operators; empty without controllers
 	process  *process.Process
 	ready    bool
 	isWanted bool // it is to run
 }
 
+// stateDir is the directory of its message log.
 func (r *relay) stateDir() string { return filepath.Join(r.dir, "state") }
 
-// configure writes what the relay is told, and gives the list in it.
+func (r *relay) configPath() string { return filepath.Join(r.dir, "config.json") }
+
+// currentProcess is its present process; nil before the first.
+func (r *relay) currentProcess() *process.Process {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.process
+}
+
+// operatorAddr is the present process's address for operators.
+func (r *relay) operatorAddr() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.operator
+}
+
+// configure writes its configuration file and returns the endpoint list in it.
 func (r *relay) configure() (model.List, error) {
-	s, known := r.run.scenario, r.agent.Known()
-	fields := map[string]any{
-		"name": r.name, "listen": r.listen, "discovery": r.agent.Addr(), "state": r.stateDir(),
-		"seed":   fmt.Sprintf("%016x", newRandom(r.run.seed, "relay "+r.name).Uint64()),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets, "disk_mb": s.Fleet.DiskMB},
-		"known":  known, "operator": r.operator, "promise": s.Fleet.Durability,
-		"settings": model.Settings(model.Fleet{Relays: s.Fleet.Relays, MaxCalls: s.Fleet.MaxCalls, MaxMessages: s.Fleet.MaxMessages, Zones: s.Fleet.Zones,
-			Zone: r.number % len(s.Fleet.Zones), Rank: r.number, MaxBatch: s.Fleet.MaxBatch}, r.run.world.Rules),
-	}
-	if s.Fleet.Resident > 0 {
-		fields["resident"] = s.Fleet.Resident
-	}
-	text, err := json.MarshalIndent(fields, "", " ")
+	known := r.agent.Known()
+	text, err := json.MarshalIndent(r.config(known), "", " ")
 	if err != nil {
 		return known, fmt.Errorf("configuration of %s: %w", r.name, err)
 	}
-	// Renamed into place: a relay reads it at any moment.
-	path := filepath.Join(r.dir, "config.json")
+	// Renamed into place: a relay may read it at any moment.
+	path := r.configPath()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return known, fmt.Errorf("configuration of %s: %w", r.name, err)
 	}
@@ -77,179 +84,93 @@
 	return known, nil
 }
 
-// start runs a new process of the relay, with what its folder holds.
-func (r *relay) start() error {
-	if r.run.scenario.Registry.Controllers > 0 { // each process has its own
-		addr := r.run.address()
-		r.mu.Lock()
-		r.operator = addr
-		r.mu.Unlock()
-	}
-	known, err := r.configure()
-	if err != nil {
-		return err
-	}
-	o := r.run.opts
-	env := append([]string{"ROUTER_CONFIG=" + filepath.Join(r.dir, "config.json")}, o.Env...)
-	if r.wall != nil {
-		for name, value := range r.wall.Env() {
-			env = append(env, name+"="+value)
-		}
-	}
-	program := o.Program
-	if r.mu.Lock(); r.process == nil && o.First != "" {
-		program = o.First
-	}
-	r.mu.Unlock()
-	p, err := process.Start(r.name, program, o.Args, env, r.log)
-	if err != nil {
-		return err
-	}
-	r.run.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: r.name, PID: p.PID})
-	r.agent.Started(known)
-	r.mu.Lock()
-	r.process, r.ready, r.isWanted = p, false, true
-	r.mu.Unlock()
-	r.run.wg.Add(2)
-	go r.watch(p)
-	go r.awaitReady(p)
-	return nil
+// config is its configuration, in the form of the deployment page.
+func (r *relay) config(known model.List) map[string]any {
+	fleet := &r.run.scenario.Fleet
+	settings := model.Settings(model.Fleet{
+		Relays:      fleet.Relays,
+		MaxCalls:    fleet.MaxCalls,
+		MaxMessages: fleet.MaxMessages,
+		Zones:       fleet.Zones,
+		Zone:        r.number % len(fleet.Zones),
+		Rank:        r.number,
+		MaxBatch:    fleet.MaxBatch,
+	}, r.run.world.Rules)
+	config := map[string]any{
+		"name":      r.name,
+		"listen":    r.listen,
+		"discovery": r.agent.Addr(),
+		"state":     r.stateDir(),
+		"seed":      relaySeed(r.run.seed, r.name),
+		"limits":    relayLimits(fleet.MemoryMB, fleet.Sockets, fleet.DiskMB),
+		"known":     known,
+		"operator":  r.operatorAddr(),
+		"promise":   fleet.Durability,
+		"settings":  settings,
+	}
+	if fleet.Resident > 0 {
+		config["resident"] = fleet.Resident
+	}
+	return config
 }
 
-// upgrade starts the next process beside the present one, as the operators do,
-// and ends that once the next one has had time to take over.
-func (r *relay) upgrade(ctx context.Context) error {
-	r.mu.Lock()
-	old := r.process
-	r.mu.Unlock()
-	if err := r.start(); err != nil {
-		return err
-	}
-	model.Sleep(ctx, time.Second)
-	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-		r.run.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: r.name, PID: old.PID, Text: s.String()})
-		if old.Signal(s) != nil {
-			return nil
-		}
-		select {
-		case <-old.Done():
-			return nil
-		case <-time.After(r.run.world.Rules.ShutdownTimeout + r.run.world.Rules.Slack):
-		}
-	}
-	return nil
+// relaySeed is the seed in the configuration of a relay.
+func relaySeed(seed uint64, name string) string {
+	return fmt.Sprintf("%016x", newRandom(seed, "relay "+name).Uint64())
 }
 
-// watch records the end of one process.
-func (r *relay) watch(p *process.Process) {
-	defer r.run.wg.Done()
-	<-p.Done()
-	code, text := p.Exit()
-	r.run.recorder.Record(history.Event{Kind: history.ProcessExited, Relay: r.name, PID: p.PID, Status: code, Text: text})
-	r.mu.Lock()
-	crashed := r.isWanted && r.process == p
-	if r.process == p {
-		r.ready = false
-	}
-	r.mu.Unlock()
-	if !crashed {
-		return
-	}
-	r.run.clients.RelayDown(r.run.ctx, r.name)
-	if model.Sleep(r.run.ctx, time.Second) { // as a supervisor would
-		r.mu.Lock()
-		again := r.isWanted && r.process == p
-		r.mu.Unlock()
-		if again {
-			r.run.fail(r.start())
-		}
-	}
-}
-
-// awaitReady waits for the first +PONG of one process.
-func (r *relay) awaitReady(p *process.Process) {
-	defer r.run.wg.Done()
-	for {
-		if ping(r.listen) {
-			r.mu.Lock()
-			r.ready = r.process == p
-			r.mu.Unlock()
-			r.run.recorder.Record(history.Event{Kind: history.ProcessReady, Relay: r.name, PID: p.PID})
-			r.run.clients.RelayUp(r.name)
-			return
-		}
-		select {
-		case <-p.Done():
-			return
-		case <-r.run.ctx.Done():
-			return
-		case <-time.After(10 * time.Millisecond):
-		}
-	}
+// relayLimits is the machine in the configuration of a relay.
+func relayLimits(memoryMB, sockets, diskMB int) map[string]any {
+	return map[string]any{"cores": 1.0, "memory_mb": memoryMB, "sockets": sockets, "disk_mb": diskMB}
 }
 
-// ping asks a relay whether it serves clients.
+// ping reports whether a relay serves clients.
 func ping(addr string) bool {
-	c, err := net.DialTimeout("tcp4", addr, time.Second)
+	conn, err := net.DialTimeout("tcp4", addr, pingTimeout)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
-	io.WriteString(c, "*1\r\n$4\r\nPING\r\n")
-	line, err := bufio.NewReader(c).ReadString('\n')
-	return err == nil && line == "+PONG\r\n"
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(pingTimeout))
+	if _, err := conn.Write(model.RequestBytes("PING")); err != nil {
+		return false
+	}
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	return err == nil && line == pingAnswer
 }
 
-// signal sends one to the present process and records it.
-func (r *relay) signal(s syscall.Signal) (*process.Process, bool) {
-	r.mu.Lock()
-	p := r.process
-	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		r.isWanted = false
-	}
-	r.mu.Unlock()
-	select {
-	case <-p.Done():
-		return p, false
-	default:
+// sampleUsage records what the present process uses.
+func (r *relay) sampleUsage() {
+	p := r.currentProcess()
+	usage, err := p.Measure(r.stateDir())
+	if err != nil || usage.RSS == 0 {
+		return // it is gone
 	}
-	r.run.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: r.name, PID: p.PID, Text: s.String()})
-	return p, p.Signal(s) == nil
+	r.run.recorder.Record(history.Event{Kind: history.UsageSampled, Relay: r.name, PID: p.PID,
+		RSS: usage.RSS, FDs: usage.FDs, Disk: usage.Disk, CPU: usage.CPU.Microseconds()})
 }
 
-// stop ends the present process, by SIGTERM first where it is asked for, and
-// returns when it is gone.
-func (r *relay) stop(term bool) {
-	r.run.clients.RelayDown(r.run.ctx, r.name)
-	r.mu.Lock()
-	stands := r.process.Stopped()
-	r.mu.Unlock()
-	if stands {
-		r.signal(syscall.SIGCONT)
+// closeAgent ends its agent's process, and the lab's proxy before it.
+func (r *relay) closeAgent() {
+	if r.agentProc != nil {
+		r.agentProc.Kill()
 	}
-	if term {
-		p, sent := r.signal(syscall.SIGTERM)
-		if sent {
-			select {
-			case <-p.Done():
-				return
-			case <-time.After(r.run.world.Rules.ShutdownTimeout + r.run.world.Rules.Slack):
-			}
-		}
+	if proxy, ok := r.agent.(*agentProxy); ok {
+		proxy.Close()
 	}
-	p, _ := r.signal(syscall.SIGKILL)
-	p.Kill()
 }
 
-// sampleUsage records what the present process holds.
-func (r *relay) sampleUsage() {
-	r.mu.Lock()
-	p := r.process
-	r.mu.Unlock()
-	u, err := p.Measure(r.stateDir())
-	if err != nil || u.RSS == 0 {
-		return // it is gone
+// closeLinks closes its links and logs.
+func (r *relay) closeLinks() {
+	if r.proxy != nil {
+		r.proxy.Close()
+	}
+	for _, l := range r.links {
+		l.Close()
+	}
+	for _, log := range []*os.File{r.log, r.agentLog} {
+		if log != nil {
+			log.Close()
+		}
 	}
-	r.run.recorder.Record(history.Event{Kind: history.UsageSampled, Relay: r.name, PID: p.PID, RSS: u.RSS, FDs: u.FDs, Disk: u.Disk, CPU: u.CPU.Microseconds()})
 }
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -196,7 +196,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if x.process, err = process.Start(x.name, r.opts.Program, r.opts.Args, append([]string{"ROUTER_CONFIG=" + path}, r.opts.Env...), log); err != nil {
+	if x.process, err = process.Start(x.name, r.opts.Program, nil, append([]string{"ROUTER_CONFIG=" + path}, r.opts.Env...), log); err != nil {
 		return nil, err
 	}
 	r.watchProcess(x.process)
--- /dev/null
+++ b/internal/faultlab/scenario/position.go
@@ -0,0 +1,63 @@
+package scenario
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2/unstable"
+)
+
+// walk gives each table and key of a document, such as load.rate or
+// fault[1].kind, with its line, until f returns false.
+func walk(doc []byte, f func(key string, line int, table bool) bool) {
+	var p unstable.Parser
+	p.Reset(doc)
+	table, count := "", map[string]int{}
+	for p.NextExpression() {
+		e := p.Expression()
+		var parts []string
+		line := 0
+		for it := e.Key(); it.Next(); {
+			n := it.Node()
+			parts = append(parts, string(n.Data))
+			line = p.Shape(n.Raw).Start.Line
+		}
+		name := strings.Join(parts, ".")
+		switch {
+		case e.Kind == unstable.ArrayTable:
+			count[name]++
+			table = fmt.Sprintf("%s[%d]", name, count[name]-1)
+			name = table
+		case e.Kind == unstable.Table:
+			table = name
+		case e.Kind == unstable.KeyValue && table != "":
+			name = table + "." + name
+		}
+		if !f(name, line, e.Kind != unstable.KeyValue) {
+			return
+		}
+	}
+}
+
+// lineOf finds the line of a key; where the file leaves it out, that of its
+// table; else 0.
+func lineOf(doc []byte, key string) (at int) {
+	walk(doc, func(name string, line int, table bool) bool {
+		if name == key || table && strings.HasPrefix(key, name+".") {
+			at = line
+		}
+		return name != key
+	})
+	return at
+}
+
+// keyAt finds the key that stands in a line.
+func keyAt(doc []byte, line int) (key string) {
+	walk(doc, func(name string, at int, table bool) bool {
+		if at == line && !table {
+			key = name
+		}
+		return at <= line
+	})
+	return key
+}
