--- a/internal/faultlab/command/scale.go
+++ b/internal/faultlab/command/bench_scale.go
@@ -41,7 +41,7 @@
 	c.Flags().StringVar(&o.Out, "out", "", "folder, on the disk that is measured (default: lab-out/bench-scale-TIME)")
 	c.Flags().StringVar(&o.Relay, "relay", "", "the relay's program (default: relay beside this one)")
 	c.Flags().StringVar(&o.Registry, "registry", "", "the list service's program (default: registry beside this one)")
-	c.Flags().StringVar(&o.Controller, "warden", "", "the wardens' program (default: controller beside this one)")
+	addControllerFlags(c, &o.Controller)
 	return c
 }
 
@@ -51,7 +51,7 @@
 		path   *string
 		beside string
 		flag   string
-	}{{&o.Relay, "relay", "relay"}, {&o.Registry, "registry", "registry"}, {&o.Controller, "controller", "warden"}} {
+	}{{&o.Relay, "relay", "relay"}, {&o.Registry, "registry", "registry"}, {&o.Controller, "controller", "controller"}} {
 		path, err := findProgram(*x.path, x.beside, x.flag)
 		if err != nil {
 			return err
--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -42,8 +42,8 @@
 	run := func(extra ...string) []string {
 		return append([]string{"run", good, "--relay", self, "--out", filepath.Join(dir, "out"), "--late", "10s"}, extra...)
 	}
-	scale := func(name string) []string {
-		return []string{"bench", "scale", "--smoke", "--only", "parse", "--relay", self, "--registry", self, "--warden", self,
+	scale := func(name, controllerFlag string) []string {
+		return []string{"bench", "scale", "--smoke", "--only", "parse", "--relay", self, "--registry", self, controllerFlag, self,
 			"--out", filepath.Join(dir, "scale"), "--json", filepath.Join(dir, "scale-"+name)}
 	}
 	for _, x := range []struct {
@@ -68,10 +68,14 @@
 		{"list", "", []string{"list", "--dir", filepath.Join("..", "..", "..", "lab", "scenarios")}, Passed, "smoke.toml"},
 		{"compare", "", []string{"compare", filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json")}, Passed, "(2 runs)"},
 		{"compare nothing", "", []string{"compare", good, good}, Usage, "neither"},
-		{"scale", "", scale("a"), Passed, "slope x target"},
-		{"scale again", "", scale("b"), Passed, "slope x target"},
+		{"scale", "", scale("a", "--controller"), Passed, "slope x target"},
+		{"scale again", "", scale("b", "--warden"), Passed, "slope x target"},
 		{"compare scale", "", []string{"compare", filepath.Join(dir, "scale-a"), filepath.Join(dir, "scale-b")}, Passed, "parse: reading a whole list"},
-		{"scale of nothing", "", append(scale("c"), "--only", "none"), Usage, "no job"},
+		{"scale of nothing", "", append(scale("c", "--warden"), "--only", "none"), Usage, "no job"},
+		{"simulated relays", "", []string{"simrelay", filepath.Join(dir, "none.json")}, NotRun, "none.json"},
+		{"their older name", "", []string{"hollow", filepath.Join(dir, "none.json")}, NotRun, "none.json"},
+		{"controllers' older flag", "", run("--warden", self), Passed, "KEPT"},
+		{"controllers' flag", "", run("--controller", self), Passed, "KEPT"},
 		{"sweep", "", []string{"sweep", good, "--relay", self, "--late", "10s", "--set", "load.rate=10,20", "--seeds", "1-2", "--out", filepath.Join(dir, "sweep")}, Passed, "sweep.svg"},
 		{"sweep a wrong key", "", []string{"sweep", good, "--relay", self, "--set", "load.rates=10", "--seeds", "1"}, Usage, "load.rates"},
 	} {
--- /dev/null
+++ b/internal/faultlab/command/play.go
@@ -0,0 +1,194 @@
+package command
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"plovershore/internal/faultlab"
+	"plovershore/internal/faultlab/report"
+	"plovershore/internal/faultlab/scenario"
+)
+
+// runFlags are the flags of all commands that run something.
+type runFlags struct {
+	seed        uint64
+	out         string
+	json        string
+	keepDirs    bool
+	maxLateness time.Duration
+	program     string
+	registry    string
+	controller  string
+	first       string
+}
+
+func (f *runFlags) add(c *cobra.Command) {
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "of everything that is drawn; the same seed plays the same schedule")
+	c.Flags().StringVar(&f.out, "out", "", "folder of the report (default: lab-out/NAME-SEED-TIME)")
+	c.Flags().StringVar(&f.json, "json", "", "file to which the run's summary is added, for compare")
+	c.Flags().DurationVar(&f.maxLateness, "late", faultlab.MaxLateness, "p99 of the lab's own lateness beyond which a run is void")
+	c.Flags().BoolVar(&f.keepDirs, "keep", false, "keep the relays' folders as well")
+	c.Flags().StringVar(&f.program, "relay", "", "the relay's program (default: relay beside this one)")
+	c.Flags().StringVar(&f.first, "first", "", "a program that each relay runs first, such as an older one")
+	addControllerFlags(c, &f.controller)
+	c.Flags().StringVar(&f.registry, "registry", "", "the list service's program (default: registry beside this one)")
+}
+
+// addControllerFlags adds the flag that names the controllers' program, under its
+// older name as well.
+func addControllerFlags(c *cobra.Command, program *string) {
+	const usage = "the controllers' program (default: controller beside this one)"
+	c.Flags().StringVar(program, "controller", "", usage)
+	c.Flags().StringVar(program, "warden", "", "an older name of --controller")
+}
+
+// findProgram gives the path of a program: as it is named, or beside this one.
+func findProgram(named, beside, flag string) (string, error) {
+	path := named
+	if path == "" {
+		self, err := os.Executable()
+		if err != nil {
+			return "", fmt.Errorf("where is %s: %w", beside, err)
+		}
+		path = filepath.Join(filepath.Dir(self), beside)
+	}
+	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
+		return "", usageError{fmt.Errorf("no %s to run at %s; build it, or name it by --%s", beside, path, flag)}
+	}
+	return filepath.Abs(path)
+}
+
+// Summary is one run as summary.json and compare have it.
+type Summary struct {
+	*faultlab.Result
+	Void  string        `json:"void,omitempty"` // why the run proves nothing
+	Stats *report.Stats `json:"stats"`
+}
+
+// play runs one scenario, writes its report, and says how it went.
+func (f *runFlags) play(c *cobra.Command, s *scenario.Scenario, watch func(*faultlab.Status)) (*Summary, error) {
+	program, err := findProgram(f.program, "relay", "relay")
+	if err != nil {
+		return nil, err
+	}
+	registry, controller := "", ""
+	if s.Registry.Nodes > 0 {
+		if registry, err = findProgram(f.registry, "registry", "registry"); err != nil {
+			return nil, err
+		}
+		if s.Registry.Controllers > 0 {
+			if controller, err = findProgram(f.controller, "controller", "controller"); err != nil {
+				return nil, err
+			}
+		}
+	}
+	self := ""
+	if s.Scale.Relays > 0 {
+		if self, err = os.Executable(); err != nil {
+			return nil, fmt.Errorf("where is this program: %w", err)
+		}
+	}
+	out := f.out
+	if out == "" {
+		out = filepath.Join("lab-out", fmt.Sprintf("%s-%d-%s", s.Name, f.seed, time.Now().Format("20060102T150405.000")))
+	}
+	res, err := faultlab.Run(c.Context(), faultlab.Options{Scenario: s, Seed: f.seed, Out: out, Program: program, First: f.first, Registry: registry, Controller: controller, SimRelay: self, KeepDirs: f.keepDirs, MaxLateness: f.maxLateness, OnStatus: watch})
+	if res == nil {
+		return nil, err
+	}
+	sum := &Summary{Result: res}
+	if err != nil {
+		sum.Void = err.Error()
+	}
+	if res.Scale != nil {
+		sum.Stats = &report.Stats{Own: res.Scale.Figures()}
+		return sum, errors.Join(err, f.writeSummary(out, sum))
+	}
+	stats, serr := report.Collect(filepath.Join(out, "history.jsonl"))
+	if serr != nil {
+		return nil, serr
+	}
+	sum.Stats = stats
+	if werr := report.Write(out, report.Page{Title: s.Name, Seed: f.seed, Verdict: res.Verdict, Plan: res.Plan, Stats: stats,
+		Late: fmt.Sprintf("p99 %v, at most %v", res.LateP99, res.LateMax)}); werr != nil {
+		return nil, werr
+	}
+	if werr := f.writeSummary(out, sum); werr != nil {
+		return nil, werr
+	}
+	return sum, err
+}
+
+// writeSummary writes a run's summary to its folder, and adds it to the file of several.
+func (f *runFlags) writeSummary(out string, sum *Summary) error {
+	text, err := json.MarshalIndent(sum, "", " ")
+	if err != nil {
+		return fmt.Errorf("summary: %w", err)
+	}
+	if err := os.WriteFile(filepath.Join(out, "summary.json"), text, 0o644); err != nil {
+		return fmt.Errorf("summary: %w", err)
+	}
+	if f.json == "" {
+		return nil
+	}
+	return addSummary(f.json, sum)
+}
+
+// printVerdict prints what a run came to, and gives the error that its exit code is of.
+func printVerdict(w io.Writer, s *Summary, err error) error {
+	if s == nil {
+		return err
+	}
+	for _, step := range s.Plan {
+		fmt.Fprintln(w, "  fault", step)
+	}
+	for _, b := range s.Verdict.Violations {
+		fmt.Fprintln(w, "BROKEN", b)
+	}
+	if s.Scale != nil {
+		fmt.Fprintf(w, "%s seed %d in %.0f s; lab late p99 %v\n", s.Name, s.Seed, s.Took.Seconds(), s.LateP99)
+		s.Scale.Print(w)
+		fmt.Fprintln(w, "judged:", s.Verdict.Checked, "excused:", s.Verdict.Excused)
+		return printOutcome(w, s, err)
+	}
+	st := s.Stats
+	fmt.Fprintf(w, "%s seed %d: worth served %.3f (worst 10 s %.3f), %d messages, %d delivered, %d refused, %d given up, p50 %.0f ms, p99 %.0f ms; lab late p99 %v\n",
+		s.Name, s.Seed, st.ValueServed, st.WorstWindow, st.Messages, st.Delivered, st.Rejected, st.Failed, st.P50MS, st.P99MS, s.LateP99)
+	fmt.Fprintln(w, "report:", filepath.Join(s.Out, "report.html"))
+	return printOutcome(w, s, err)
+}
+
+// printOutcome prints whether every promise was kept, and gives the error of the exit code.
+func printOutcome(w io.Writer, s *Summary, err error) error {
+	switch {
+	case err != nil:
+		fmt.Fprintln(w, "VOID:", err)
+		return err
+	case !s.Verdict.Passed():
+		var rules []string
+		for rule, n := range s.Verdict.Counts {
+			rules = append(rules, fmt.Sprintf("%s (%d)", rule, n))
+		}
+		slices.Sort(rules)
+		fmt.Fprintln(w, "BROKEN:", strings.Join(rules, ", "))
+		return errViolated
+	}
+	fmt.Fprintln(w, "KEPT: every promise")
+	return nil
+}
+
+func statusLine(w io.Writer) func(*faultlab.Status) {
+	return func(s *faultlab.Status) {
+		fmt.Fprintf(w, "%5.0f s  served %d  waiting %d  refused %d  given up %d  p50 %.0f ms  p99 %.0f ms  relays %d/%d  faults %d\n", s.Elapsed.Seconds(),
+			s.Delivered, s.Pending, s.Rejected, s.Failed, s.P50.Seconds()*1e3, s.P99.Seconds()*1e3, s.Up, s.Fleet, s.Faults)
+	}
+}
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -36,13 +36,17 @@
 	First       string        // another that each relay runs first, such as an older one; empty for none
 	Registry    string        // the list service's program, if the scenario has one
 	Controller  string        // the controllers' program, if the scenario has them
-	SimRelay    string        // a program that runs simulated relays by simRelayCommand, if the scenario has them
+	SimRelay    string        // a program that runs simulated relays by SimRelayCommand, if the scenario has them
 	Env         []string      // added to the relays' environment
 	KeepDirs    bool          // keep the relays' directories after the run
 	MaxLateness time.Duration // the p99 of the lab's own lateness beyond which a run is void; 0 for MaxLateness
 	OnStatus    func(*Status) // called each second while the load lasts; may be nil
 }
 
+// SimRelayCommand is the first argument by which Options.SimRelay runs simulated
+// relays; the file of their configuration follows.
+const SimRelayCommand = "simrelay"
+
 // MaxLateness is the default of Options.MaxLateness.
 const MaxLateness = 50 * time.Millisecond
 
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -31,7 +31,7 @@
 
 func TestMain(m *testing.M) {
 	switch {
-	case len(os.Args) == 3 && os.Args[1] == "hollow":
+	case len(os.Args) == 3 && os.Args[1] == SimRelayCommand:
 		if err := relays.Main(context.Background(), os.Args[2], os.Stdout, os.Stderr); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -254,7 +254,7 @@
 		return nil, err
 	}
 	h := &simProcess{relays: relays, result: c.Result, status: &statusReader{log: log}}
-	if h.process, err = process.Start(name, r.opts.SimRelay, []string{"hollow", path}, nil, h.status); err != nil {
+	if h.process, err = process.Start(name, r.opts.SimRelay, []string{SimRelayCommand, path}, nil, h.status); err != nil {
 		return nil, err
 	}
 	r.watchProcess(h.process)
