--- a/internal/faultlab/bench_comeback.go
+++ b/internal/faultlab/bench_comeback.go
@@ -12,83 +12,123 @@
 	"plovershore/internal/registry/agent"
 )
 
-// measureComeback measures the return of a whole fleet: agents and watchers whose
-// group was gone for so long that each tries as seldom as it ever does. It
-// counts the elections after the first leader, which the return would have
-// caused, for as long again as the return took.
-func (b *benchGroup) measureComeback(ctx context.Context, watchers int, o RegistryBenchOptions, add func(Spread)) error {
-	c, err := b.startReady(ctx, 3, 300)
-	if err != nil {
-		return err
+const (
+	comebackMembers = 300
+	comebackPoll    = 5 * time.Millisecond
+)
+
+// comebackFleet is what comes back to a group that was gone.
+type comebackFleet struct {
+	agents   []*agent.Agent
+	watchers watcherSet
+}
+
+// agentsUp reports whether all agents are connected.
+func (f *comebackFleet) agentsUp() bool {
+	return !slices.ContainsFunc(f.agents, func(a *agent.Agent) bool { return !a.State().Up })
+}
+
+func (f *comebackFleet) close() {
+	for _, a := range f.agents {
+		a.Close()
 	}
-	defer b.stop()
-	defer c.Close()
-	var agents []*agent.Agent
-	defer func() {
-		for _, a := range agents {
-			a.Close()
-		}
-	}()
-	for i := range o.ReturningAgents {
-		a, err := agent.Start(agent.Options{Listen: "127.0.0.1:0", Folder: filepath.Join(b.dir, "agents", fmt.Sprint(i)), Nodes: b.http, Fleet: o.ReturningAgents,
+}
+
+// startAgents starts the agents that come back.
+func (b *registryBench) startAgents(f *comebackFleet) error {
+	count := b.options.ReturningAgents
+	for i := range count {
+		a, err := agent.Start(agent.Options{Listen: "127.0.0.1:0", Folder: filepath.Join(b.dir, "agents", fmt.Sprint(i)), Nodes: b.http, Fleet: count,
 			Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			return fmt.Errorf("bench: %w", err)
 		}
-		agents = append(agents, a)
+		f.agents = append(f.agents, a)
 	}
-	up := func() bool {
-		return !slices.ContainsFunc(agents, func(a *agent.Agent) bool { return !a.State().Up })
+	return nil
+}
+
+// measureComeback measures the return of a whole fleet: agents and watchers whose
+// group was gone for so long that each retries as seldom as it ever does.
+func (b *registryBench) measureComeback(ctx context.Context, watchers int) error {
+	c, err := b.startReady(ctx, benchNodes, comebackMembers)
+	if err != nil {
+		return err
 	}
-	until := func(cond func() bool) error {
-		for !cond() {
-			if !model.Sleep(ctx, 5*time.Millisecond) {
-				return ctx.Err()
-			}
-		}
-		return nil
+	defer b.stop()
+	defer c.Close()
+	fleet := &comebackFleet{}
+	defer fleet.close()
+	if err := b.startAgents(fleet); err != nil {
+		return err
 	}
-	crowdCtx, cancel := context.WithCancel(ctx)
-	w := &watcherSet{}
-	defer func() { cancel(); w.wg.Wait() }()
-	w.start(crowdCtx, b.http, watchers, false)
-	if err := w.awaitOpen(ctx, 0); err != nil {
+	watching, cancel := context.WithCancel(ctx)
+	defer func() { cancel(); fleet.watchers.wait() }()
+	fleet.watchers.start(watching, b.http, watchers, false)
+	if err := fleet.watchers.awaitOpen(ctx, 0); err != nil {
 		return err
 	}
-	if err := until(up); err != nil {
+	if err := awaitTrue(ctx, fleet.agentsUp); err != nil {
 		return err
 	}
 	var agentsBack, allBack, elections []float64
-	for range 3 {
-		b.stop()
-		from := w.opened.Load()
-		model.Sleep(ctx, o.Outage)
-		began := time.Now()
-		since := func() float64 { return time.Since(began).Seconds() * 1e3 }
-		for i := range b.processes {
-			if err := b.startNode(i); err != nil {
-				return err
-			}
-		}
-		var first uint64
-		if err := until(func() (led bool) { first, led = b.term(); return led }); err != nil {
-			return err
-		}
-		if err := until(up); err != nil {
+	for range benchPlays {
+		played, err := b.playComeback(ctx, fleet)
+		if err != nil {
 			return err
 		}
-		agentsBack = append(agentsBack, since())
-		if err := w.awaitOpen(ctx, from); err != nil {
-			return err
+		agentsBack = append(agentsBack, played.agentsBack)
+		allBack = append(allBack, played.allBack)
+		elections = append(elections, played.elections)
+	}
+	name := fmt.Sprintf("%d agents and %d watchers after %v without a group", b.options.ReturningAgents, watchers, b.options.Outage)
+	b.figures.add(name+": ms from its start until all agents are back", agentsBack)
+	b.figures.add(name+": ms until all watchers are back too", allBack)
+	b.figures.add(name+": elections after the first leader", elections)
+	return nil
+}
+
+// comebackResult is what one return took, in milliseconds, and the elections after
+// the first leader, which it would have caused.
+type comebackResult struct {
+	agentsBack, allBack, elections float64
+}
+
+// playComeback ends the group for the outage, and times the return. Elections are
+// counted for as long again as the return took.
+func (b *registryBench) playComeback(ctx context.Context, fleet *comebackFleet) (result comebackResult, err error) {
+	b.stop()
+	opened := fleet.watchers.opened.Load()
+	model.Sleep(ctx, b.options.Outage)
+	began := time.Now()
+	if err := b.startNodes(); err != nil {
+		return result, err
+	}
+	var first uint64
+	hasLeader := func() (ok bool) { first, ok = b.term(); return ok }
+	if err := awaitTrue(ctx, hasLeader); err != nil {
+		return result, err
+	}
+	if err := awaitTrue(ctx, fleet.agentsUp); err != nil {
+		return result, err
+	}
+	result.agentsBack = toMillis(time.Since(began))
+	if err := fleet.watchers.awaitOpen(ctx, opened); err != nil {
+		return result, err
+	}
+	result.allBack = toMillis(time.Since(began))
+	model.Sleep(ctx, time.Since(began))
+	last, _ := b.term()
+	result.elections = float64(last - first)
+	return result, nil
+}
+
+// awaitTrue waits until a condition holds, or ctx ends.
+func awaitTrue(ctx context.Context, condition func() bool) error {
+	for !condition() {
+		if !model.Sleep(ctx, comebackPoll) {
+			return ctx.Err()
 		}
-		allBack = append(allBack, since())
-		model.Sleep(ctx, time.Since(began))
-		last, _ := b.term()
-		elections = append(elections, float64(last-first))
 	}
-	name := fmt.Sprintf("%d agents and %d watchers after %v without a group", o.ReturningAgents, watchers, o.Outage)
-	add(newSpread(name+": ms from its start until all agents are back", agentsBack))
-	add(newSpread(name+": ms until all watchers are back too", allBack))
-	add(newSpread(name+": elections after the first leader", elections))
 	return nil
 }
--- a/internal/faultlab/bench_controllers.go
+++ b/internal/faultlab/bench_controllers.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"net/http"
-	"os"
 	"slices"
 	"strings"
 	"syscall"
@@ -18,150 +17,161 @@
 	"plovershore/internal/registry/client"
 )
 
-const benchControllers = 5
+const (
+	benchControllers = 5
+	benchRole        = leader.RegistrationExpiry
+	healthyMargin    = 200 * time.Millisecond // beyond a time to live, until a leader counts as healthy
+)
 
-// benchControllerSet are processes that hold list-keeper among them.
+// benchControllerSet is the processes that compete for benchRole.
 type benchControllerSet struct {
 	group     *benchGroup
 	program   string
 	ttl       time.Duration
-	logs      *os.File
-	processes map[string]*process.Process
-	links     map[string][]*link.Link // of each warden to each node; none where nobody is cut off
 	client    *client.Client
+	processes map[string]*process.Process
+	links     map[string][]*link.Link // of each controller to each node; none if nobody is cut off
+}
+
+// start starts one controller.
+func (s *benchControllerSet) start(name string) error {
+	nodes := slices.Clone(s.group.http)
+	for i, l := range s.links[name] {
+		nodes[i] = l.Addr()
+	}
+	args := []string{"--nodes", strings.Join(nodes, ","), "--name", name, "--ttl", s.ttl.String()}
+	p, err := process.Start(name, s.program, args, nil, s.group.logs)
+	if err != nil {
+		return err
+	}
+	s.processes[name] = p
+	return nil
 }
 
-// addLinks puts links between a warden and the nodes.
-func (w *benchControllerSet) addLinks(net *link.Net, name string) error {
-	for _, node := range w.group.http {
-		w.group.port += 2 // a node has two
-		l, err := net.Listen(name, node, fmt.Sprintf("%s:%d", w.group.ip, w.group.port), node, 1, nil)
+// close ends all controllers and their links.
+func (s *benchControllerSet) close() {
+	for _, p := range s.processes {
+		p.Kill()
+	}
+	for _, links := range s.links {
+		for _, l := range links {
+			l.Close()
+		}
+	}
+}
+
+func controllerName(number int) string { return fmt.Sprint("w-", number) }
+
+// addLinks puts links between a controller and the nodes.
+func (s *benchControllerSet) addLinks(net *link.Net, name string) error {
+	for _, node := range s.group.http {
+		s.group.port += portsPerNode
+		l, err := net.Listen(name, node, fmt.Sprintf("%s:%d", s.group.ip, s.group.port), node, 1, nil)
 		if err != nil {
 			return fmt.Errorf("bench: %w", err)
 		}
-		w.links[name] = append(w.links[name], l)
+		s.links[name] = append(s.links[name], l)
 	}
 	return nil
 }
 
-// setCut cuts a warden off, or heals it.
-func (w *benchControllerSet) setCut(name string, on bool) {
-	for _, l := range w.links[name] {
-		l.SetFaults(link.ToServer, link.Faults{Cut: on})
-		l.SetFaults(link.ToClient, link.Faults{Cut: on})
+// setCut cuts a controller off from all nodes, or reconnects it.
+func (s *benchControllerSet) setCut(name string, cut bool) {
+	for _, l := range s.links[name] {
+		l.SetBoth(link.Faults{Cut: cut})
 	}
 }
 
-// measureCuts cuts the holder off again and again, and gives how long it took until the
-// next one held the duty.
-func (w *benchControllerSet) measureCuts(ctx context.Context, n int) (took []float64, err error) {
-	w.links = map[string][]*link.Link{}
-	defer func() {
-		for _, p := range w.processes {
-			p.Kill()
+// awaitGrant waits for a grant of benchRole after a token, and for so many sessions.
+func (s *benchControllerSet) awaitGrant(ctx context.Context, after int64, sessions int) (registry.Role, error) {
+	revision := int64(0)
+	for ctx.Err() == nil {
+		var list registry.RoleList
+		path := fmt.Sprintf("%s?after=%d&wait_ms=1000", registry.RolesPath, revision)
+		if _, err := s.client.Do(ctx, http.MethodGet, path, nil, &list); err != nil {
+			return registry.Role{}, fmt.Errorf("bench: %w", err)
 		}
-		for _, all := range w.links {
-			for _, l := range all {
-				l.Close()
+		revision = list.Revision
+		for _, role := range list.Roles {
+			if role.Name == benchRole && role.Holder != "" && role.Token > after && len(list.Sessions) >= sessions {
+				return role, nil
 			}
 		}
-	}()
+	}
+	return registry.Role{}, ctx.Err()
+}
+
+// measureCuts cuts the leader off again and again, and returns how long it took
+// until the next one led, in milliseconds.
+func (s *benchControllerSet) measureCuts(ctx context.Context, count int) (took []float64, err error) {
+	defer s.close()
+	s.links = map[string][]*link.Link{}
 	net := link.NewNet()
 	for i := range benchControllers {
-		name := fmt.Sprint("w-", i)
-		if err := w.addLinks(net, name); err != nil {
+		if err := s.addLinks(net, controllerName(i)); err != nil {
 			return nil, err
 		}
-		if err := w.start(name); err != nil {
+		if err := s.start(controllerName(i)); err != nil {
 			return nil, err
 		}
 	}
 	token := int64(0)
-	for range n {
-		d, err := w.awaitGrant(ctx, token, benchControllers)
+	for range count {
+		grant, err := s.awaitGrant(ctx, token, benchControllers)
 		if err != nil {
 			return took, err
 		}
-		model.Sleep(ctx, w.ttl+200*time.Millisecond) // as in kills
+		model.Sleep(ctx, s.ttl+healthyMargin)
 		began := time.Now()
-		w.setCut(d.Controller, true)
-		_, err = w.awaitGrant(ctx, d.Token, 0)
-		if err != nil {
+		s.setCut(grant.Controller, true)
+		if _, err = s.awaitGrant(ctx, grant.Token, 0); err != nil {
 			return took, err
 		}
-		took = append(took, time.Since(began).Seconds()*1e3)
-		token = d.Token
-		w.setCut(d.Controller, false)
+		took = append(took, toMillis(time.Since(began)))
+		token = grant.Token
+		s.setCut(grant.Controller, false)
 	}
 	return took, nil
 }
 
-func (w *benchControllerSet) start(name string) error {
-	nodes := slices.Clone(w.group.http)
-	for i, l := range w.links[name] {
-		nodes[i] = l.Addr()
-	}
-	p, err := process.Start(name, w.program, []string{"--nodes", strings.Join(nodes, ","), "--name", name, "--ttl", w.ttl.String()}, nil, w.logs)
-	if err != nil {
-		return err
-	}
-	w.processes[name] = p
-	return nil
-}
-
-// awaitGrant waits for a grant after a token, and for as many wardens as there are.
-func (w *benchControllerSet) awaitGrant(ctx context.Context, after int64, sessions int) (registry.Role, error) {
-	revision := int64(0)
-	for ctx.Err() == nil {
-		var l registry.RoleList
-		if _, err := w.client.Do(ctx, http.MethodGet, fmt.Sprintf("%s?after=%d&wait_ms=1000", registry.RolesPath, revision), nil, &l); err != nil {
-			return registry.Role{}, fmt.Errorf("bench: %w", err)
-		}
-		revision = l.Revision
-		for _, d := range l.Roles {
-			if d.Name == leader.RegistrationExpiry && d.Holder != "" && d.Token > after && len(l.Sessions) >= sessions {
-				return d, nil
-			}
-		}
-	}
-	return registry.Role{}, ctx.Err()
-}
-
-// measureKills ends the holder again and again, and gives how long nobody held the duty.
-func (w *benchControllerSet) measureKills(ctx context.Context, n int, s syscall.Signal) (took []float64, err error) {
-	defer func() {
-		for _, p := range w.processes {
-			p.Kill()
-		}
-	}()
+// measureKills ends the leader by a signal again and again, and returns how long
+// nobody led, in milliseconds.
+func (s *benchControllerSet) measureKills(ctx context.Context, count int, signal syscall.Signal) (took []float64, err error) {
+	defer s.close()
 	for i := range benchControllers {
-		if err := w.start(fmt.Sprint("w-", i)); err != nil {
+		if err := s.start(controllerName(i)); err != nil {
 			return nil, err
 		}
 	}
 	token := int64(0)
-	for k := range n {
-		d, err := w.awaitGrant(ctx, token, benchControllers)
+	for n := range count {
+		grant, err := s.awaitGrant(ctx, token, benchControllers)
 		if err != nil {
 			return took, err
 		}
-		if s == syscall.SIGKILL { // until it counts as one that does not kill its holder
-			model.Sleep(ctx, w.ttl+200*time.Millisecond)
+		if signal == syscall.SIGKILL {
+			model.Sleep(ctx, s.ttl+healthyMargin)
 		}
 		began := time.Now()
-		if err := w.processes[d.Controller].Signal(s); err != nil {
+		if err := s.processes[grant.Controller].Signal(signal); err != nil {
 			return took, err
 		}
-		if _, err := w.awaitGrant(ctx, d.Token, 0); err != nil {
+		if _, err := s.awaitGrant(ctx, grant.Token, 0); err != nil {
 			return took, err
 		}
-		took = append(took, time.Since(began).Seconds()*1e3)
-		token = d.Token
-		w.processes[d.Controller].Kill()
-		if err := w.start(fmt.Sprintf("%s.%d", strings.SplitN(d.Controller, ".", 2)[0], k)); err != nil {
+		took = append(took, toMillis(time.Since(began)))
+		token = grant.Token
+		if err := s.replace(grant.Controller, n); err != nil {
 			return took, err
 		}
-		delete(w.processes, d.Controller)
 	}
 	return took, nil
 }
+
+// replace ends a controller and starts another in its place.
+func (s *benchControllerSet) replace(name string, generation int) error {
+	s.processes[name].Kill()
+	delete(s.processes, name)
+	place, _, _ := strings.Cut(name, ".")
+	return s.start(fmt.Sprintf("%s.%d", place, generation))
+}
--- /dev/null
+++ b/internal/faultlab/bench_fanout.go
@@ -0,0 +1,107 @@
+package faultlab
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/model"
+	"plovershore/internal/registry/client"
+)
+
+const (
+	fanOutTimeout = 30 * time.Second       // for a write to reach all watchers
+	memorySettle  = 500 * time.Millisecond // after all watchers opened
+	restartPause  = time.Second            // for which the group is gone
+)
+
+// errNotDelivered is a write that did not reach all watchers in time.
+var errNotDelivered = errors.New("bench: a write never came to all watchers")
+
+// measureFanOut measures the way of a write to the last of many watchers, what a
+// watcher costs in memory, and how soon all are back after the group was gone.
+func (b *registryBench) measureFanOut(ctx context.Context, watchers, members int, poll bool) error {
+	c, err := b.startReady(ctx, benchNodes, members)
+	if err != nil {
+		return err
+	}
+	defer b.stop()
+	defer c.Close()
+	name := fmt.Sprintf("%d watchers, %d members", watchers, members)
+	if poll {
+		name = fmt.Sprintf("%d polls every second, %d members", watchers, members)
+	}
+	before := b.rss()
+	watching, cancel := context.WithCancel(ctx)
+	w := &watcherSet{}
+	defer func() { cancel(); w.wait() }()
+	w.start(watching, b.http, watchers, poll)
+	if err := w.awaitOpen(ctx, 0); err != nil {
+		return err
+	}
+	model.Sleep(ctx, memorySettle)
+	if !poll {
+		const kilobyte = 1024
+		b.figures.add(name+": KB of all three nodes, a watcher", []float64{(b.rss() - before) / kilobyte / float64(watchers)})
+	}
+	took, err := b.timeWrites(ctx, c, w)
+	if err != nil {
+		return err
+	}
+	b.figures.add(name+": ms from the write's answer to the last", took)
+	if poll || members != fewMembers {
+		return nil
+	}
+	back, err := b.timeReturns(ctx, w)
+	if err != nil {
+		return err
+	}
+	b.figures.add(name+": ms from the group's start until all are back", back)
+	return nil
+}
+
+// timeWrites times writes from their answers until the last watcher has them.
+func (b *registryBench) timeWrites(ctx context.Context, c *client.Client, w *watcherSet) (took []float64, err error) {
+	for n := range b.options.Writes {
+		// The revision of a write is not known before: the next one is awaited.
+		var list discovery.List
+		if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistent, nil, &list); err != nil {
+			return nil, fmt.Errorf("bench: %w", err)
+		}
+		arrived := w.expect(list.Revision + 1)
+		if err := benchWrite(ctx, c, "f", n); err != nil {
+			return nil, fmt.Errorf("bench: %w", err)
+		}
+		answered := time.Now()
+		select {
+		case <-arrived:
+		case <-time.After(fanOutTimeout):
+			return nil, errNotDelivered
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+		took = append(took, max(0, toMillis(w.lastArrival().Sub(answered))))
+	}
+	return took, nil
+}
+
+// timeReturns times how soon all watchers are back after the group was gone.
+func (b *registryBench) timeReturns(ctx context.Context, w *watcherSet) (took []float64, err error) {
+	for range benchPlays {
+		b.stop()
+		opened := w.opened.Load()
+		model.Sleep(ctx, restartPause)
+		began := time.Now()
+		if err := b.startNodes(); err != nil {
+			return nil, err
+		}
+		if err := w.awaitOpen(ctx, opened); err != nil {
+			return nil, err
+		}
+		took = append(took, toMillis(time.Since(began)))
+	}
+	return took, nil
+}
--- a/internal/faultlab/bench_group.go
+++ b/internal/faultlab/bench_group.go
@@ -2,49 +2,51 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
-	"time"
 
 	"plovershore/internal/faultlab/process"
 	"plovershore/internal/registry"
 	"plovershore/internal/registry/client"
 )
 
-// benchGroup is a group of processes with nothing between them.
+const (
+	benchNodes   = 3
+	portsPerNode = 2 // HTTP and Raft
+)
+
+// benchGroup is a group of the list service's processes with no links between them.
 type benchGroup struct {
 	ip        string
 	dir       string
 	program   string
-	port      int
+	port      int // the last that was used
 	processes []*process.Process
-	configs   []string
-	http      []string
+	configs   []string // files
+	http      []string // addresses
 	logs      *os.File
 }
 
+// start starts a new group, with members from its configuration.
 func (b *benchGroup) start(size, members int) error {
 	b.processes, b.configs, b.http = make([]*process.Process, size), nil, nil
 	var peers strings.Builder
 	var raft []string
 	for i := range size {
-		b.port += 2
+		b.port += portsPerNode
 		b.http = append(b.http, fmt.Sprintf("%s:%d", b.ip, b.port))
 		raft = append(raft, fmt.Sprintf("%s:%d", b.ip, b.port+1))
 		fmt.Fprintf(&peers, "[[peers]]\nid = \"r%d\"\nraft = %q\nhttp = %q\n", i, raft[i], b.http[i])
 	}
+	common := peers.String() + benchMembers(members)
 	for i := range size {
 		data := filepath.Join(b.dir, fmt.Sprintf("data-%d-%d", b.port, i))
 		path := data + ".toml"
-		text := fmt.Sprintf("id = \"r%d\"\ndata = %q\nlisten = %q\nraft = %q\n%s", i, data, b.http[i], raft[i], peers.String())
-		for k := range members {
-			text += fmt.Sprintf("[[members]]\nid = \"s-%d\"\naddress = \"10.0.%d.%d:6379\"\nzone = \"a\"\nflavor = \"agent\"\ncell = %d\n", k, k/250, k%250+1, k)
-		}
+		text := fmt.Sprintf("id = \"r%d\"\ndata = %q\nlisten = %q\nraft = %q\n%s", i, data, b.http[i], raft[i], common)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return fmt.Errorf("bench: %w", err)
 		}
@@ -56,6 +58,18 @@
 	return nil
 }
 
+// benchMembers are the members in a node's configuration.
+func benchMembers(count int) string {
+	const perNetwork = 250
+	var text strings.Builder
+	for i := range count {
+		fmt.Fprintf(&text, "[[members]]\nid = \"s-%d\"\naddress = \"10.0.%d.%d:6379\"\nzone = \"a\"\nflavor = \"agent\"\ncell = %d\n",
+			i, i/perNetwork, i%perNetwork+1, i)
+	}
+	return text.String()
+}
+
+// startNode starts one node, or starts it again.
 func (b *benchGroup) startNode(i int) error {
 	p, err := process.Start(fmt.Sprint("r", i), b.program, []string{"serve", "--config", b.configs[i]}, nil, b.logs)
 	if err != nil {
@@ -65,6 +79,17 @@
 	return nil
 }
 
+// startNodes starts all nodes again.
+func (b *benchGroup) startNodes() error {
+	for i := range b.processes {
+		if err := b.startNode(i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// stop kills all nodes.
 func (b *benchGroup) stop() {
 	for _, p := range b.processes {
 		if p != nil {
@@ -73,30 +98,23 @@
 	}
 }
 
-func (b *benchGroup) client() (*client.Client, error) {
-	return client.New(b.http, 1, slog.New(slog.DiscardHandler))
-}
-
-// leader is the place of the node that leads; -1 for none.
-func (b *benchGroup) leader() int {
-	c := http.Client{Timeout: 300 * time.Millisecond}
-	for i, addr := range b.http {
-		resp, err := c.Get("http://" + addr + registry.StatusPath)
-		if err != nil {
-			continue
-		}
-		var s registry.Status
-		err = json.NewDecoder(resp.Body).Decode(&s)
-		resp.Body.Close()
-		if err == nil && s.RaftRole == "Leader" {
-			return i
+// rss is the memory of all nodes, in bytes.
+func (b *benchGroup) rss() (bytes float64) {
+	for _, p := range b.processes {
+		if usage, err := p.Measure(""); err == nil {
+			bytes += float64(usage.RSS)
 		}
 	}
-	return -1
+	return bytes
+}
+
+// client returns a new client of the group; the caller closes it.
+func (b *benchGroup) client() (*client.Client, error) {
+	return client.New(b.http, 1, slog.New(slog.DiscardHandler))
 }
 
-// startReady starts a group and gives a client of it, once a write is taken. Its
-// user stops the one and closes the other.
+// startReady starts a group and returns a client of it once a write is taken. The
+// caller stops the group and closes the client.
 func (b *benchGroup) startReady(ctx context.Context, size, members int) (*client.Client, error) {
 	if err := b.start(size, members); err != nil {
 		return nil, err
@@ -105,7 +123,7 @@
 	if err == nil {
 		first, cancel := context.WithTimeout(ctx, groupTimeout)
 		defer cancel()
-		if err = benchWrite(first, c, 0); err != nil {
+		if err = benchWrite(first, c, "z", 0); err != nil {
 			c.Close()
 		}
 	}
@@ -116,24 +134,19 @@
 	return c, nil
 }
 
-func benchWrite(ctx context.Context, c *client.Client, n int) error {
-	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: "bench", Address: "10.9.9.9:1", Zone: fmt.Sprint("z", n), Flavor: "bench"}, nil)
+// benchWrite changes the zone of one member, by a number.
+func benchWrite(ctx context.Context, c *client.Client, zone string, number int) error {
+	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath,
+		registry.Registration{ID: "bench", Address: "10.9.9.9:1", Zone: fmt.Sprint(zone, number), Flavor: "bench"}, nil)
 	return err
 }
 
-// term is the highest that a node tells of, with whether one leads.
-func (b *benchGroup) term() (term uint64, led bool) {
-	c := http.Client{Timeout: time.Second}
+// term is the highest term that a node reports, and whether some node leads.
+func (b *benchGroup) term() (term uint64, hasLeader bool) {
 	for _, addr := range b.http {
-		resp, err := c.Get("http://" + addr + registry.StatusPath)
-		if err != nil {
-			continue
-		}
-		var s registry.Status
-		if json.NewDecoder(resp.Body).Decode(&s) == nil {
-			term, led = max(term, s.Term), led || s.RaftRole == "Leader"
+		if status, err := nodeStatus(addr); err == nil {
+			term, hasLeader = max(term, status.Term), hasLeader || status.RaftRole == leaderRole
 		}
-		resp.Body.Close()
 	}
-	return term, led
+	return term, hasLeader
 }
--- a/internal/faultlab/bench_leader.go
+++ b/internal/faultlab/bench_leader.go
@@ -8,7 +8,6 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"sync"
 	"syscall"
 	"time"
 
@@ -21,169 +20,214 @@
 	"plovershore/internal/registry/client"
 )
 
-// LeaderBenchOptions say what of the duties is measured.
+const (
+	handoverTTL  = 2 * time.Second
+	roleTTL      = 3 * time.Second // of the sessions whose cost is measured
+	rolePoll     = 20 * time.Millisecond
+	roleWarmUp   = 4 * time.Second // until all roles are marked as healthy
+	roleCostTime = 3 * time.Second // of one measurement
+)
+
+// errKillsPerTTL is a benchmark without a number of kills for each time to live.
+var errKillsPerTTL = errors.New("bench: as many kills as times to live are wanted")
+
+// LeaderBenchOptions say what of the leader election is measured.
 type LeaderBenchOptions struct {
-	Registry, Controller string // programs
-	Out                  string
-	TTL                  []time.Duration
-	Kills                []int // of the holder, for each time to live
-	Handovers            int
-	Cuts                 int // of the holder from all nodes, for each time to live
-	Roles                []int
-	Printf               func(format string, args ...any)
+	Registry   string // the list service's program
+	Controller string // the controllers' program
+	Out        string // folder
+	TTL        []time.Duration
+	Kills      []int // of the leader, for each time to live
+	Handovers  int
+	Cuts       int   // of the leader from all nodes, for each time to live
+	Roles      []int // whose cost is measured
+	Printf     Printf
+}
+
+// leaderBench is a benchmark of the leader election while it runs.
+type leaderBench struct {
+	options LeaderBenchOptions
+	dir     string
+	figures *figures
 }
 
-// BenchLeader measures how long a duty is nobody's, and what duties cost the store.
+// BenchLeader measures how long a role has no leader, and what roles cost the list
+// service.
 func BenchLeader(ctx context.Context, o LeaderBenchOptions) ([]Spread, error) {
-	dir, err := filepath.Abs(o.Out)
-	if err == nil {
-		err = os.MkdirAll(dir, 0o755)
-	}
+	dir, err := makeBenchDir(o.Out)
 	if err != nil {
-		return nil, fmt.Errorf("bench: %w", err)
+		return nil, err
 	}
 	if len(o.Kills) != len(o.TTL) {
-		return nil, errors.New("bench: as many kills as times to live are wanted")
-	}
-	var out []Spread
-	var mu sync.Mutex
-	add := func(name string, v []float64) {
-		mu.Lock()
-		defer mu.Unlock()
-		s := newSpread(name, v)
-		out = append(out, s)
-		o.Printf("%-72s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f", s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
-	}
-	group := func(name string, f func(b *benchGroup, c *client.Client, logs *os.File) error) error {
-		ip, lock, err := claimAddress()
-		if err != nil {
-			return err
-		}
-		defer lock.Close()
-		at := filepath.Join(dir, name)
-		if err := os.MkdirAll(at, 0o755); err != nil {
-			return fmt.Errorf("bench: %w", err)
-		}
-		logs, err := os.Create(filepath.Join(at, "log"))
-		if err != nil {
-			return fmt.Errorf("bench: %w", err)
-		}
-		defer logs.Close()
-		b := &benchGroup{ip: ip, dir: at, program: o.Registry, port: firstPort, logs: logs}
-		c, err := b.startReady(ctx, 3, 0)
-		if err != nil {
-			return err
-		}
-		defer b.stop()
-		defer c.Close()
-		return f(b, c, logs)
-	}
-	var g errgroup.Group // mostly they wait: side by side
-	for _, ttl := range o.TTL {
-		if o.Cuts == 0 {
-			break
+		return nil, errKillsPerTTL
+	}
+	b := &leaderBench{options: o, dir: dir,
+		figures: &figures{printf: o.Printf, format: "%-72s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f"}}
+	for _, measure := range []func(context.Context) error{b.failures, b.handovers, b.costs} {
+		if err := measure(ctx); err != nil {
+			return b.figures.all, err
 		}
-		g.Go(func() error {
-			return group("cut-"+ttl.String(), func(b *benchGroup, c *client.Client, logs *os.File) error {
-				w := &benchControllerSet{group: b, program: o.Controller, ttl: ttl, logs: logs, processes: map[string]*process.Process{}, client: c}
-				took, err := w.measureCuts(ctx, o.Cuts)
-				add(fmt.Sprintf("time to live %v: ms from the holder's cut to the next one", ttl), took)
-				return err
-			})
-		})
 	}
-	for i, ttl := range o.TTL {
-		if o.Kills[i] == 0 {
-			continue
+	return b.figures.all, nil
+}
+
+// failures measures cuts and kills of the leader, side by side: mostly they wait.
+func (b *leaderBench) failures(ctx context.Context) error {
+	var measuring errgroup.Group
+	for i, ttl := range b.options.TTL {
+		if b.options.Cuts > 0 {
+			measuring.Go(func() error {
+				return b.withControllers(ctx, "cut-"+ttl.String(), ttl, func(s *benchControllerSet) error {
+					took, err := s.measureCuts(ctx, b.options.Cuts)
+					b.figures.add(fmt.Sprintf("time to live %v: ms from the holder's cut to the next one", ttl), took)
+					return err
+				})
+			})
 		}
-		g.Go(func() error {
-			return group("kill-"+ttl.String(), func(b *benchGroup, c *client.Client, logs *os.File) error {
-				w := &benchControllerSet{group: b, program: o.Controller, ttl: ttl, logs: logs, processes: map[string]*process.Process{}, client: c}
-				took, err := w.measureKills(ctx, o.Kills[i], syscall.SIGKILL)
-				add(fmt.Sprintf("time to live %v: ms without a holder after its kill", ttl), took)
-				return err
+		if kills := b.options.Kills[i]; kills > 0 {
+			measuring.Go(func() error {
+				return b.withControllers(ctx, "kill-"+ttl.String(), ttl, func(s *benchControllerSet) error {
+					took, err := s.measureKills(ctx, kills, syscall.SIGKILL)
+					b.figures.add(fmt.Sprintf("time to live %v: ms without a holder after its kill", ttl), took)
+					return err
+				})
 			})
-		})
-	}
-	if err := g.Wait(); err != nil {
-		return out, err
+		}
 	}
-	if o.Handovers > 0 {
-		err := group("handover", func(b *benchGroup, c *client.Client, logs *os.File) error {
-			w := &benchControllerSet{group: b, program: o.Controller, ttl: 2 * time.Second, logs: logs, processes: map[string]*process.Process{}, client: c}
-			took, err := w.measureKills(ctx, o.Handovers, syscall.SIGTERM)
-			add("ms from SIGTERM of the holder to the next one", took)
+	return measuring.Wait()
+}
+
+// handovers measures graceful shutdowns of the leader.
+func (b *leaderBench) handovers(ctx context.Context) error {
+	if b.options.Handovers == 0 {
+		return nil
+	}
+	return b.withControllers(ctx, "handover", handoverTTL, func(s *benchControllerSet) error {
+		took, err := s.measureKills(ctx, b.options.Handovers, syscall.SIGTERM)
+		b.figures.add("ms from SIGTERM of the holder to the next one", took)
+		return err
+	})
+}
+
+// costs measures what roles cost the list service.
+func (b *leaderBench) costs(ctx context.Context) error {
+	for _, roles := range b.options.Roles {
+		err := b.withGroup(ctx, fmt.Sprint("load-", roles), func(g *benchGroup, c *client.Client) error {
+			used, err := g.roleCost(ctx, c, roles)
+			if err == nil {
+				b.figures.add(fmt.Sprintf("%d duties over %d wardens: ms of CPU a second, all nodes", roles, benchControllers), used)
+			}
 			return err
 		})
 		if err != nil {
-			return out, err
-		}
-	}
-	for _, n := range o.Roles {
-		if err := group(fmt.Sprint("load-", n), func(b *benchGroup, _ *client.Client, _ *os.File) error { return b.roleCost(ctx, n, add) }); err != nil {
-			return out, err
+			return err
 		}
 	}
-	return out, nil
+	return nil
 }
 
-// roleCost measures what so many duties cost the store while all are held.
-func (b *benchGroup) roleCost(ctx context.Context, n int, add func(string, []float64)) error {
-	work := map[string]leader.Work{}
-	for i := range n {
-		work[fmt.Sprint("d-", i)] = func(ctx context.Context, _ *leader.Grant) error { <-ctx.Done(); return nil }
+// withGroup calls measure with a group of its own, in a folder of that name.
+func (b *leaderBench) withGroup(ctx context.Context, name string, measure func(*benchGroup, *client.Client) error) error {
+	ip, lock, err := claimAddress()
+	if err != nil {
+		return err
 	}
-	run, stop := context.WithCancel(ctx)
-	var g errgroup.Group
-	defer func() {
-		stop()
-		g.Wait() // told by the measurement already
-	}()
-	c, err := b.client()
+	defer lock.Close()
+	dir := filepath.Join(b.dir, name)
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return fmt.Errorf("bench: %w", err)
+	}
+	logs, err := os.Create(filepath.Join(dir, "log"))
+	if err != nil {
+		return fmt.Errorf("bench: %w", err)
+	}
+	defer logs.Close()
+	g := &benchGroup{ip: ip, dir: dir, program: b.options.Registry, port: firstPort, logs: logs}
+	c, err := g.startReady(ctx, benchNodes, 0)
 	if err != nil {
 		return err
 	}
+	defer g.stop()
 	defer c.Close()
+	return measure(g, c)
+}
+
+// withControllers is withGroup, with controllers that are not started.
+func (b *leaderBench) withControllers(ctx context.Context, name string, ttl time.Duration, measure func(*benchControllerSet) error) error {
+	return b.withGroup(ctx, name, func(g *benchGroup, c *client.Client) error {
+		return measure(&benchControllerSet{group: g, program: b.options.Controller, ttl: ttl, client: c, processes: map[string]*process.Process{}})
+	})
+}
+
+// roleCost measures the CPU time that the nodes use while all of so many roles have
+// a leader, in milliseconds a second.
+func (b *benchGroup) roleCost(ctx context.Context, c *client.Client, roles int) (used []float64, err error) {
+	leading, stop := context.WithCancel(ctx)
+	var leaders errgroup.Group
+	defer func() {
+		stop()
+		leaders.Wait() // how they ended shows in the measurement
+	}()
 	for i := range benchControllers {
 		own, err := b.client()
 		if err != nil {
-			return err
+			return nil, err
 		}
-		defer own.Close()
-		g.Go(func() error {
-			return leader.Run(run, leader.Options{Client: own, Name: fmt.Sprint("w-", i), TTL: 3 * time.Second, Roles: work, Log: slog.New(slog.DiscardHandler)})
+		leaders.Go(func() error {
+			defer own.Close()
+			return leader.Run(leading, leader.Options{Client: own, Name: fmt.Sprint("w-", i), TTL: roleTTL, Roles: idleRoles(roles), Log: slog.New(slog.DiscardHandler)})
 		})
 	}
-	for held := 0; held < n; {
-		var l registry.RoleList
-		if _, err := c.Do(ctx, http.MethodGet, registry.RolesPath, nil, &l); err != nil {
+	if err := awaitLeaders(ctx, c, roles); err != nil {
+		return nil, err
+	}
+	model.Sleep(ctx, roleWarmUp)
+	for range benchPlays {
+		before := b.cpu()
+		model.Sleep(ctx, roleCostTime)
+		used = append(used, toMillis(b.cpu()-before)/roleCostTime.Seconds())
+	}
+	return used, nil
+}
+
+// idleRoles are roles whose leader does nothing.
+func idleRoles(count int) map[string]leader.Work {
+	roles := map[string]leader.Work{}
+	for i := range count {
+		roles[fmt.Sprint("d-", i)] = func(ctx context.Context, _ *leader.Grant) error {
+			<-ctx.Done()
+			return nil
+		}
+	}
+	return roles
+}
+
+// awaitLeaders waits until so many roles have a leader.
+func awaitLeaders(ctx context.Context, c *client.Client, roles int) error {
+	for led := -1; led < roles; {
+		var list registry.RoleList
+		if _, err := c.Do(ctx, http.MethodGet, registry.RolesPath, nil, &list); err != nil {
 			return fmt.Errorf("bench: %w", err)
 		}
-		held = 0
-		for _, d := range l.Roles {
-			if d.Holder != "" {
-				held++
+		led = 0
+		for _, role := range list.Roles {
+			if role.Holder != "" {
+				led++
 			}
 		}
-		if !model.Sleep(ctx, 20*time.Millisecond) {
+		if !model.Sleep(ctx, rolePoll) {
 			return ctx.Err()
 		}
 	}
-	model.Sleep(ctx, 4*time.Second) // until all are marked as going well
-	used := func() (all float64) {
-		for _, p := range b.processes {
-			if u, err := p.Measure(""); err == nil {
-				all += u.CPU.Seconds()
-			}
+	return nil
+}
+
+// cpu is the CPU time that the nodes have used.
+func (b *benchGroup) cpu() (used time.Duration) {
+	for _, p := range b.processes {
+		if usage, err := p.Measure(""); err == nil {
+			used += usage.CPU
 		}
-		return all
 	}
-	var burnt []float64
-	for range 3 {
-		before := used()
-		model.Sleep(ctx, 3*time.Second)
-		burnt = append(burnt, (used()-before)/3*1e3)
-	}
-	add(fmt.Sprintf("%d duties over %d wardens: ms of CPU a second, all nodes", n, benchControllers), burnt)
-	return nil
+	return used
 }
--- a/internal/faultlab/bench_registry.go
+++ b/internal/faultlab/bench_registry.go
@@ -2,279 +2,194 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"math/rand/v2"
 	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
 	"sync"
-	"sync/atomic"
-	"syscall"
 	"time"
 
-	"plovershore/internal/discovery"
-	"plovershore/internal/faultlab/model"
 	"plovershore/internal/registry"
 )
 
+const (
+	benchPlays    = 3    // of each measurement that is repeated
+	benchWriters  = 16   // at once
+	fewMembers    = 30   // of the list, where it is not what is measured
+	fewWatchers   = 300  // likewise
+	maxPolls      = 1000 // more polls a second would measure the poll's own load
+	killsPerLarge = 5    // a large list is measured by one kill of so many
+)
+
 // RegistryBenchOptions say what of the list service is measured.
 type RegistryBenchOptions struct {
 	Registry        string // its program
-	Out             string
+	Out             string // folder
 	Watchers        []int
 	Members         []int
-	Kills           int
+	Kills           int           // of the leader
 	Writes          int           // whose way to the last watcher is timed
 	LoadTime        time.Duration // of each measurement of writes
-	ReturningAgents int           // that come back beside the most watchers after an outage
+	ReturningAgents int           // that come back after an outage, beside the most watchers
 	Outage          time.Duration
 	Seed            uint64
-	Printf          func(format string, args ...any)
+	Printf          Printf
 }
 
-// BenchRegistry measures the list service beside a poll every second and beside
-// a single node.
+// registryBench is a benchmark of the list service while it runs.
+type registryBench struct {
+	*benchGroup
+	options RegistryBenchOptions
+	figures *figures
+}
+
+// BenchRegistry measures the list service beside a poll every second and beside a
+// single node.
 func BenchRegistry(ctx context.Context, o RegistryBenchOptions) ([]Spread, error) {
 	ip, lock, err := claimAddress()
 	if err != nil {
 		return nil, err
 	}
 	defer lock.Close()
-	dir, err := filepath.Abs(o.Out)
-	if err == nil {
-		err = os.MkdirAll(dir, 0o755)
-	}
+	dir, err := makeBenchDir(o.Out)
 	if err != nil {
-		return nil, fmt.Errorf("bench: %w", err)
+		return nil, err
 	}
 	logs, err := os.Create(filepath.Join(dir, "nodes.log"))
 	if err != nil {
 		return nil, fmt.Errorf("bench: %w", err)
 	}
 	defer logs.Close()
-	var most syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &most) == nil && most.Cur < most.Max {
-		most.Cur = most.Max
-		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &most)
+	raiseDescriptorLimit()
+	b := &registryBench{
+		benchGroup: &benchGroup{ip: ip, dir: dir, program: o.Registry, port: firstPort, logs: logs},
+		options:    o,
+		figures:    &figures{printf: o.Printf, format: "%-64s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f"},
 	}
-	b := &benchGroup{ip: ip, dir: dir, program: o.Registry, port: firstPort, logs: logs}
 	defer b.stop()
-	var out []Spread
-	add := func(s Spread) {
-		out = append(out, s)
-		o.Printf("%-64s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f", s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
+	for _, measure := range []func(context.Context) error{b.allWrites, b.allFanOuts, b.allKills, b.comeback} {
+		if err := measure(ctx); err != nil {
+			return b.figures.all, err
+		}
 	}
-	if err := b.measureWrites(ctx, 1, 0, o, add); err != nil {
-		return out, err
+	return b.figures.all, nil
+}
+
+// allWrites measures writes to a single node, and to groups with lists of all sizes.
+func (b *registryBench) allWrites(ctx context.Context) error {
+	if err := b.measureWrites(ctx, 1, 0); err != nil {
+		return err
 	}
-	for _, members := range append([]int{0}, o.Members...) {
-		if err := b.measureWrites(ctx, 3, members, o, add); err != nil {
-			return out, err
+	for _, members := range append([]int{0}, b.options.Members...) {
+		if err := b.measureWrites(ctx, benchNodes, members); err != nil {
+			return err
 		}
 	}
-	for _, watchers := range o.Watchers {
+	return nil
+}
+
+// allFanOuts measures watchers, beside polls, and lists of all sizes.
+func (b *registryBench) allFanOuts(ctx context.Context) error {
+	for _, watchers := range b.options.Watchers {
 		for _, poll := range []bool{true, false} {
-			if poll && watchers > 1000 {
-				continue // as many polls a second would measure the poll's own load
-			}
-			if err := b.measureFanOut(ctx, watchers, 30, poll, o, add); err != nil {
-				return out, err
+			if poll && watchers > maxPolls {
+				continue
 			}
-		}
-	}
-	for _, members := range o.Members {
-		if err := b.measureFanOut(ctx, 300, members, false, o, add); err != nil {
-			return out, err
-		}
-	}
-	if o.Kills > 0 {
-		if err := b.measureKills(ctx, 30, o.Kills, o, add); err != nil {
-			return out, err
-		}
-		for _, members := range o.Members {
-			if err := b.measureKills(ctx, members, max(o.Kills/5, 1), o, add); err != nil {
-				return out, err
+			if err := b.measureFanOut(ctx, watchers, fewMembers, poll); err != nil {
+				return err
 			}
 		}
 	}
-	if o.ReturningAgents > 0 && len(o.Watchers) > 0 {
-		if err := b.measureComeback(ctx, slices.Max(o.Watchers), o, add); err != nil {
-			return out, err
+	for _, members := range b.options.Members {
+		if err := b.measureFanOut(ctx, fewWatchers, members, false); err != nil {
+			return err
 		}
 	}
-	return out, nil
+	return nil
 }
 
-// measureWrites measures how many writes a second a group takes, and how long each is.
-func (b *benchGroup) measureWrites(ctx context.Context, nodes, members int, o RegistryBenchOptions, add func(Spread)) error {
-	c, err := b.startReady(ctx, nodes, members)
-	if err != nil {
+// allKills measures kills of the leader with lists of all sizes.
+func (b *registryBench) allKills(ctx context.Context) error {
+	kills := b.options.Kills
+	if kills == 0 {
+		return nil
+	}
+	if err := b.measureKills(ctx, fewMembers, kills); err != nil {
 		return err
 	}
-	defer b.stop()
-	defer c.Close()
-	var mu sync.Mutex
-	var took, rates []float64
-	for range 3 { // plays
-		var wg sync.WaitGroup
-		var n atomic.Int64
-		end := time.Now().Add(o.LoadTime)
-		for i := range 16 {
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				own, err := b.client()
-				if err != nil {
-					return
-				}
-				defer own.Close()
-				for k := 0; time.Now().Before(end) && ctx.Err() == nil; k++ {
-					began := time.Now()
-					id := fmt.Sprint("w", i)
-					_, err := own.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: id, Address: fmt.Sprintf("10.8.8.%d:1", i), Zone: fmt.Sprint(k), Flavor: "x"}, nil)
-					if err == nil {
-						n.Add(1)
-						mu.Lock()
-						took = append(took, time.Since(began).Seconds()*1e3)
-						mu.Unlock()
-					}
-				}
-			}()
+	for _, members := range b.options.Members {
+		if err := b.measureKills(ctx, members, max(kills/killsPerLarge, 1)); err != nil {
+			return err
 		}
-		wg.Wait()
-		rates = append(rates, float64(n.Load())/o.LoadTime.Seconds())
 	}
-	add(newSpread(fmt.Sprintf("writes, %d nodes, %d members, 16 writers: ms each", nodes, members), took))
-	add(newSpread(fmt.Sprintf("writes, %d nodes, %d members, 16 writers: a second, over plays", nodes, members), rates))
 	return nil
 }
 
-// measureFanOut measures the way of a write to the last of many watchers, what a
-// watcher costs in memory, and how soon all are back after the group was gone.
-func (b *benchGroup) measureFanOut(ctx context.Context, watchers, members int, poll bool, o RegistryBenchOptions, add func(Spread)) error {
-	c, err := b.startReady(ctx, 3, members)
+// comeback measures the return of a fleet with the most watchers.
+func (b *registryBench) comeback(ctx context.Context) error {
+	if b.options.ReturningAgents == 0 || len(b.options.Watchers) == 0 {
+		return nil
+	}
+	return b.measureComeback(ctx, slices.Max(b.options.Watchers))
+}
+
+// measureWrites measures how many writes a second a group takes, and how long each
+// takes.
+func (b *registryBench) measureWrites(ctx context.Context, nodes, members int) error {
+	c, err := b.startReady(ctx, nodes, members)
 	if err != nil {
 		return err
 	}
 	defer b.stop()
 	defer c.Close()
-	name := fmt.Sprintf("%d watchers, %d members", watchers, members)
-	if poll {
-		name = fmt.Sprintf("%d polls every second, %d members", watchers, members)
-	}
-	rss := func() (all float64) {
-		for _, p := range b.processes {
-			if u, err := p.Measure(""); err == nil {
-				all += float64(u.RSS)
-			}
-		}
-		return all
-	}
-	before := rss()
-	crowdCtx, cancel := context.WithCancel(ctx)
-	w := &watcherSet{}
-	defer func() { cancel(); w.wg.Wait() }()
-	w.start(crowdCtx, b.http, watchers, poll)
-	if err := w.awaitOpen(ctx, 0); err != nil {
-		return err
-	}
-	model.Sleep(ctx, 500*time.Millisecond)
-	if !poll {
-		add(newSpread(name+": KB of all three nodes, a watcher", []float64{(rss() - before) / 1024 / float64(watchers)}))
-	}
-	var took []float64
-	for n := range o.Writes {
-		var a registry.Result
-		// The revision that the write will have is not known before: the next one is waited for.
-		var list discovery.List
-		if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+"?consistent=1", nil, &list); err != nil {
-			return fmt.Errorf("bench: %w", err)
-		}
-		all := w.expect(list.Revision + 1)
-		if _, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: "bench", Address: "10.9.9.9:1", Zone: fmt.Sprint("f", n), Flavor: "bench"}, &a); err != nil {
-			return fmt.Errorf("bench: %w", err)
-		}
-		answered := time.Now()
-		select {
-		case <-all:
-		case <-time.After(30 * time.Second):
-			return errors.New("bench: a write never came to all watchers")
-		case <-ctx.Done():
-			return ctx.Err()
-		}
-		w.mu.Lock()
-		took = append(took, max(0, w.last.Sub(answered).Seconds()*1e3))
-		w.mu.Unlock()
-	}
-	add(newSpread(name+": ms from the write's answer to the last", took))
-	if poll || members != 30 {
-		return nil
-	}
-	var back []float64
-	for range 3 {
-		b.stop()
-		from := w.opened.Load()
-		model.Sleep(ctx, time.Second)
-		began := time.Now()
-		for i := range b.processes {
-			if err := b.startNode(i); err != nil {
-				return err
-			}
-		}
-		if err := w.awaitOpen(ctx, from); err != nil {
-			return err
-		}
-		back = append(back, time.Since(began).Seconds()*1e3)
-	}
-	add(newSpread(name+": ms from the group's start until all are back", back))
+	var took, rates []float64
+	for range benchPlays {
+		played := b.writeAll(ctx)
+		took = append(took, played...)
+		rates = append(rates, float64(len(played))/b.options.LoadTime.Seconds())
+	}
+	name := fmt.Sprintf("writes, %d nodes, %d members, %d writers: ", nodes, members, benchWriters)
+	b.figures.add(name+"ms each", took)
+	b.figures.add(name+"a second, over plays", rates)
 	return nil
 }
 
-// measureKills measures how long no write is taken after the leader was killed.
-func (b *benchGroup) measureKills(ctx context.Context, members, kills int, o RegistryBenchOptions, add func(Spread)) error {
-	c, err := b.startReady(ctx, 3, members)
+// writeAll has all writers write for LoadTime and returns how long each write took.
+func (b *registryBench) writeAll(ctx context.Context) (took []float64) {
+	ctx, cancel := context.WithTimeout(ctx, b.options.LoadTime+groupTimeout) // the last writes may finish
+	defer cancel()
+	end := time.Now().Add(b.options.LoadTime)
+	var mu sync.Mutex
+	var writers sync.WaitGroup
+	for i := range benchWriters {
+		writers.Add(1)
+		go func() {
+			defer writers.Done()
+			written := b.writeUntil(ctx, i, end)
+			mu.Lock()
+			defer mu.Unlock()
+			took = append(took, written...)
+		}()
+	}
+	writers.Wait()
+	return took
+}
+
+// writeUntil writes one member again and again, and returns how long each write took.
+func (b *registryBench) writeUntil(ctx context.Context, writer int, end time.Time) (took []float64) {
+	c, err := b.client()
 	if err != nil {
-		return err
+		return nil
 	}
-	defer b.stop()
 	defer c.Close()
-	r := rand.New(rand.NewPCG(o.Seed, 1))
-	var took []float64
-	for n := range kills {
-		at := b.leader()
-		if at < 0 {
-			model.Sleep(ctx, 50*time.Millisecond)
-			continue
-		}
-		model.Sleep(ctx, time.Duration(r.IntN(300))*time.Millisecond)
-		b.processes[at].Kill()
+	member := registry.Registration{ID: fmt.Sprint("w", writer), Address: fmt.Sprintf("10.8.8.%d:1", writer), Flavor: "x"}
+	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
+		member.Zone = fmt.Sprint(n)
 		began := time.Now()
-		for ctx.Err() == nil { // asked closely, so that the client's own pauses are not measured
-			short, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
-			err := benchWrite(short, c, n)
-			cancel()
-			if err == nil {
-				break
-			}
-		}
-		took = append(took, time.Since(began).Seconds()*1e3)
-		if err := b.startNode(at); err != nil {
-			return err
-		}
-		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); model.Sleep(ctx, 20*time.Millisecond) { // until it follows
-			if resp, err := http.Get("http://" + b.http[at] + registry.StatusPath); err == nil {
-				var s registry.Status
-				json.NewDecoder(resp.Body).Decode(&s)
-				resp.Body.Close()
-				if !s.Stale && s.Leader != "" {
-					break
-				}
-			}
+		if _, err := c.Do(ctx, http.MethodPost, registry.MembersPath, member, nil); err == nil {
+			took = append(took, toMillis(time.Since(began)))
 		}
 	}
-	add(newSpread(fmt.Sprintf("%d members: ms without a leader after its kill, until a write is taken", members), took))
-	return nil
+	return took
 }
--- a/internal/faultlab/bench_wal.go
+++ b/internal/faultlab/bench_wal.go
@@ -16,60 +16,76 @@
 	"plovershore/internal/wal/baseline"
 )
 
-// WALBenchOptions say what of the log is measured, beside the one before it.
+// WALBenchOptions say what of the relay's message log is measured.
 type WALBenchOptions struct {
-	Out     string
-	Pending []int
-	Clients []int
-	Plays   int
+	Out     string        // folder, on the disk that is measured
+	Pending []int         // messages in the log at a start
+	Clients []int         // at once
+	Plays   int           // of each measurement
 	Span    time.Duration // of each measurement of writes
-	Printf  func(format string, args ...any)
+	Printf  Printf
 }
 
-// anyLog is either of the two.
+// anyLog is the message log, or the baseline: the log that it replaced.
 type anyLog interface {
 	Submit(*wal.Record, func(error))
 	Run(<-chan struct{})
 	Done() <-chan struct{}
 }
 
-// countFS counts what is written through it.
+// countFS is a file system that counts what is written through it.
 type countFS struct {
 	wal.OS
 	calls, bytes, syncs atomic.Int64
 }
 
+// countFile is a file of a countFS.
 type countFile struct {
 	wal.File
 	fs *countFS
 }
 
+// Open opens a file whose writes are counted.
 func (f *countFS) Open(name string, how wal.Mode) (wal.File, error) {
-	x, err := f.OS.Open(name, how)
+	file, err := f.OS.Open(name, how)
 	if err != nil {
 		return nil, err
 	}
-	return countFile{x, f}, nil
+	return countFile{file, f}, nil
 }
 
+// WriteAt counts and writes.
 func (f countFile) WriteAt(b []byte, off int64) (int, error) {
 	f.fs.calls.Add(1)
 	f.fs.bytes.Add(int64(len(b)))
 	return f.File.WriteAt(b, off)
 }
 
+// Sync counts and syncs.
 func (f countFile) Sync() error {
 	f.fs.syncs.Add(1)
 	return f.File.Sync()
 }
 
-const benchLimit = 4 << 30
+const (
+	benchLimit   = 4 << 30 // bytes of a log
+	readBatch    = 2000    // messages, as the relay reads them
+	stallPending = 20000
+	stallLimit   = 64 << 20 // bytes, for which checkpoints are made often
+	stallRounds  = 6        // over the pending messages, enough for several checkpoints
+	megabyte     = 1e6
+	baselineName = "log before"
+	processName  = "process" // wal.SurvivesProcess
+	powerName    = "power"   // wal.SurvivesPowerLoss
+)
 
+// benchMessage is the record of one message.
 func benchMessage(i int) *wal.Record {
 	return &wal.Record{Kind: wal.KindAccepted, ID: fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), Class: "copy-order", Tenant: "acme", Key: "5c0f6e1a2b3d4c59",
 		Dest: i % 80, Deadline: 1e15, Body: []byte(strings.Repeat("b", 200))}
 }
 
+// heap is the size of the heap in bytes, after a collection.
 func heap() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -77,240 +93,325 @@
 	return float64(m.HeapAlloc)
 }
 
+// cpu is the CPU time that this process has used.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the process itself
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchWAL measures the relay's log beside the one before it, in one run.
+// walBench is a benchmark of the message log while it runs.
+type walBench struct {
+	options WALBenchOptions
+	dir     string
+	figures *figures
+}
+
+// BenchWAL measures the relay's message log beside the baseline.
 func BenchWAL(ctx context.Context, o WALBenchOptions) ([]Spread, error) {
-	dir, err := filepath.Abs(o.Out)
-	if err == nil {
-		err = os.MkdirAll(dir, 0o755)
-	}
+	dir, err := makeBenchDir(o.Out)
 	if err != nil {
-		return nil, fmt.Errorf("bench: %w", err)
-	}
-	var out []Spread
-	add := func(name string, v []float64) {
-		s := newSpread(name, v)
-		out = append(out, s)
-		o.Printf("%-72s n=%-6d p50 %.3f  p90 %.3f  p99 %.3f  max %.3f", s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
+		return nil, err
 	}
-	for _, n := range o.Pending {
-		if err := benchStart(ctx, dir, n, o.Plays, add); err != nil {
-			return out, err
+	b := &walBench{options: o, dir: dir, figures: &figures{printf: o.Printf, format: "%-72s n=%-6d p50 %.3f  p90 %.3f  p99 %.3f  max %.3f"}}
+	for _, pending := range o.Pending {
+		if err := b.measureStarts(ctx, pending); err != nil {
+			return b.figures.all, err
 		}
 	}
 	for _, clients := range o.Clients {
-		if err := benchWrites(ctx, dir, clients, o, add); err != nil {
-			return out, err
+		if err := b.measureWrites(ctx, clients); err != nil {
+			return b.figures.all, err
 		}
 	}
-	return out, benchStalls(ctx, dir, o, add)
+	return b.figures.all, b.measureStalls(ctx)
 }
 
-// benchStart measures how soon what is owed is known, and read, after a start.
-func benchStart(ctx context.Context, dir string, n, plays int, add func(string, []float64)) error {
-	folder := filepath.Join(dir, fmt.Sprint("start-", n))
-	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return fmt.Errorf("bench: %w", err)
+// tempDir makes a folder for one measurement; the caller removes it.
+func (b *walBench) tempDir(name string) (string, error) {
+	dir := filepath.Join(b.dir, name)
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return "", fmt.Errorf("bench: %w", err)
 	}
-	defer os.RemoveAll(folder)
-	l, err := wal.Open(wal.Options{Dir: folder, Limit: benchLimit})
+	return dir, nil
+}
+
+// drain runs a log until it has written what was submitted, and closes it.
+func drain(log anyLog) {
+	stop := make(chan struct{})
+	close(stop)
+	log.Run(stop)
+}
+
+// measureStarts measures how soon the pending messages are known, and read, after a
+// start.
+func (b *walBench) measureStarts(ctx context.Context, pending int) error {
+	dir, err := b.tempDir(fmt.Sprint("start-", pending))
 	if err != nil {
 		return err
 	}
-	old, _, err := baseline.Open(folder, benchLimit)
-	if err != nil {
+	defer os.RemoveAll(dir)
+	if err := fillLogs(dir, pending); err != nil {
 		return err
 	}
-	for _, x := range []anyLog{l, old} {
-		stop := make(chan struct{})
-		go x.Run(stop)
-		for i := range n {
-			x.Submit(benchMessage(i), nil)
-		}
-		close(stop)
-		<-x.Done()
-	}
-	var known, all, mem, oldAll, oldMem []float64
-	for range plays {
+	var known, all, memory, baselineAll, baselineMemory []float64
+	for range b.options.Plays {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		before, began := heap(), time.Now()
-		l, err := wal.Open(wal.Options{Dir: folder, Limit: benchLimit})
+		start, err := startLog(dir, pending)
 		if err != nil {
 			return err
 		}
-		if l.PendingUnread() != n {
-			return fmt.Errorf("bench: %d of %d owed", l.PendingUnread(), n)
-		}
-		known = append(known, time.Since(began).Seconds()*1e3)
-		mem = append(mem, (heap()-before)/1e6)
-		began = time.Now()
-		for len(l.Next(2000)) > 0 { // as the relay reads them; they are not kept here
+		known, all, memory = append(known, start.known), append(all, start.all), append(memory, start.memory)
+		if start, err = startBaseline(dir); err != nil {
+			return err
 		}
-		all = append(all, known[len(known)-1]+time.Since(began).Seconds()*1e3)
+		baselineAll, baselineMemory = append(baselineAll, start.all), append(baselineMemory, start.memory)
+	}
+	name := fmt.Sprintf("%d owed: ", pending)
+	b.figures.add(name+"ms until all ids are known", known)
+	b.figures.add(name+"ms until all are read", all)
+	b.figures.add(name+"ms until all are read, log before", baselineAll)
+	b.figures.add(name+"MB of heap for the log, bodies on disk", memory)
+	b.figures.add(name+"MB of heap, log before, bodies in it", baselineMemory)
+	return nil
+}
+
+// fillLogs writes pending messages to a log and a baseline in one folder.
+func fillLogs(dir string, pending int) error {
+	log, err := wal.Open(wal.Options{Dir: dir, Limit: benchLimit})
+	if err != nil {
+		return err
+	}
+	old, _, err := baseline.Open(dir, benchLimit)
+	if err != nil {
+		return err
+	}
+	for _, x := range []anyLog{log, old} {
 		stop := make(chan struct{})
-		close(stop)
-		l.Run(stop)
-		before, began = heap(), time.Now()
-		old, owed, err := baseline.Open(folder, benchLimit)
-		if err != nil {
-			return err
+		go x.Run(stop)
+		for i := range pending {
+			x.Submit(benchMessage(i), nil)
 		}
-		oldAll = append(oldAll, time.Since(began).Seconds()*1e3)
-		oldMem = append(oldMem, (heap()-before)/1e6)
-		runtime.KeepAlive(owed)
-		old.Run(stop)
+		close(stop)
+		<-x.Done()
 	}
-	name := fmt.Sprintf("%d owed: ", n)
-	add(name+"ms until all ids are known", known)
-	add(name+"ms until all are read", all)
-	add(name+"ms until all are read, log before", oldAll)
-	add(name+"MB of heap for the log, bodies on disk", mem)
-	add(name+"MB of heap, log before, bodies in it", oldMem)
 	return nil
 }
 
-// benchWrites measures messages that are taken on, sent once and over: each
-// client goes on when its record is booked. The three logs take turns.
-func benchWrites(ctx context.Context, dir string, clients int, o WALBenchOptions, add func(string, []float64)) error {
-	rates, cost, calls, bytes := map[string][]float64{}, map[string][]float64{}, map[string][]float64{}, map[string][]float64{}
-	names := []string{"log before", "process", "power"}
-	for play := range o.Plays {
+// logStart is what one start took.
+type logStart struct {
+	known  float64 // ms until all IDs are known
+	all    float64 // ms until all messages are read
+	memory float64 // MB of heap
+}
+
+// startLog opens a log and reads its pending messages.
+func startLog(dir string, pending int) (start logStart, err error) {
+	before, began := heap(), time.Now()
+	log, err := wal.Open(wal.Options{Dir: dir, Limit: benchLimit})
+	if err != nil {
+		return start, err
+	}
+	if log.PendingUnread() != pending {
+		return start, fmt.Errorf("bench: %d of %d owed", log.PendingUnread(), pending)
+	}
+	start.known = toMillis(time.Since(began))
+	start.memory = (heap() - before) / megabyte
+	began = time.Now()
+	for len(log.Next(readBatch)) > 0 { // they are not kept here
+	}
+	start.all = start.known + toMillis(time.Since(began))
+	drain(log)
+	return start, nil
+}
+
+// startBaseline opens a baseline, which reads all pending messages.
+func startBaseline(dir string) (start logStart, err error) {
+	before, began := heap(), time.Now()
+	log, pending, err := baseline.Open(dir, benchLimit)
+	if err != nil {
+		return start, err
+	}
+	start.all = toMillis(time.Since(began))
+	start.memory = (heap() - before) / megabyte
+	runtime.KeepAlive(pending)
+	drain(log)
+	return start, nil
+}
+
+// writeCost is what messages cost that are accepted, sent once and completed.
+type writeCost struct {
+	rate  float64 // messages a second
+	cpu   float64 // µs a message, the clients' too
+	calls float64 // to write, a message
+	bytes float64 // written, a message
+}
+
+// measureWrites measures the cost of messages with so many clients. The logs take
+// turns.
+func (b *walBench) measureWrites(ctx context.Context, clients int) error {
+	names := []string{baselineName, processName, powerName}
+	costs := map[string][]writeCost{}
+	for play := range b.options.Plays {
 		for _, name := range names {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			folder := filepath.Join(dir, fmt.Sprint("writes-", clients, "-", play, name[:2]))
-			if err := os.MkdirAll(folder, 0o755); err != nil {
-				return fmt.Errorf("bench: %w", err)
-			}
-			fs := &countFS{}
-			var x anyLog
-			var old *baseline.Log
-			var err error
-			switch name {
-			case "log before":
-				old, _, err = baseline.Open(folder, benchLimit)
-				x = old
-			case "process":
-				x, err = wal.Open(wal.Options{Dir: folder, Limit: benchLimit, FS: fs})
-			default:
-				x, err = wal.Open(wal.Options{Dir: folder, Limit: benchLimit, FS: fs, Durability: wal.SurvivesPowerLoss})
-			}
+			dir, err := b.tempDir(fmt.Sprint("writes-", clients, "-", play, name[:2]))
 			if err != nil {
 				return err
 			}
-			stop := make(chan struct{})
-			go x.Run(stop)
-			var n atomic.Int64
-			var wg sync.WaitGroup
-			began, used := time.Now(), cpu()
-			for c := range clients {
-				wg.Add(1)
-				go func() {
-					defer wg.Done()
-					booked := make(chan error, 1)
-					for i := 0; time.Since(began) < o.Span; i++ {
-						m := benchMessage(c<<32 | i)
-						for _, r := range []*wal.Record{m, {Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1, Sync: true}, {Kind: wal.KindCompleted, ID: m.ID}} {
-							x.Submit(r, func(err error) { booked <- err })
-							<-booked
-						}
-						n.Add(1)
-					}
-				}()
-			}
-			wg.Wait()
-			took := time.Since(began)
-			burnt := cpu() - used
-			close(stop)
-			<-x.Done()
-			rates[name] = append(rates[name], float64(n.Load())/took.Seconds())
-			cost[name] = append(cost[name], float64(burnt.Microseconds())/float64(n.Load()))
-			written, out := fs.calls.Load(), fs.bytes.Load()
-			if old != nil {
-				written, out = old.WriteCalls, old.Bytes
+			cost, err := b.playWrites(dir, name, clients)
+			if err != nil {
+				return err
 			}
-			calls[name] = append(calls[name], float64(written)/float64(n.Load()))
-			bytes[name] = append(bytes[name], float64(out)/float64(n.Load()))
-			if err := os.RemoveAll(folder); err != nil {
+			costs[name] = append(costs[name], cost)
+			if err := os.RemoveAll(dir); err != nil {
 				return fmt.Errorf("bench: %w", err)
 			}
 		}
 	}
 	for _, name := range names {
-		at := fmt.Sprintf("%d clients, %s: ", clients, name)
-		add(at+"messages a second", rates[name])
-		add(at+"µs of CPU a message, clients' too", cost[name])
-		add(at+"calls to write a message", calls[name])
-		add(at+"bytes written a message", bytes[name])
+		var rates, cpus, calls, bytes []float64
+		for _, cost := range costs[name] {
+			rates, cpus = append(rates, cost.rate), append(cpus, cost.cpu)
+			calls, bytes = append(calls, cost.calls), append(bytes, cost.bytes)
+		}
+		prefix := fmt.Sprintf("%d clients, %s: ", clients, name)
+		b.figures.add(prefix+"messages a second", rates)
+		b.figures.add(prefix+"µs of CPU a message, clients' too", cpus)
+		b.figures.add(prefix+"calls to write a message", calls)
+		b.figures.add(prefix+"bytes written a message", bytes)
 	}
 	return nil
 }
 
-// benchStalls measures the longest that a record waits while checkpoints are made,
-// with much owed.
-func benchStalls(ctx context.Context, dir string, o WALBenchOptions, add func(string, []float64)) error {
-	const owed, limit = 20000, 64 << 20
+// playWrites has clients write to a new log of one kind for the benchmark's span.
+func (b *walBench) playWrites(dir, name string, clients int) (cost writeCost, err error) {
+	fs := &countFS{}
+	var log anyLog
+	var old *baseline.Log
+	switch name {
+	case baselineName:
+		old, _, err = baseline.Open(dir, benchLimit)
+		log = old
+	case processName:
+		log, err = wal.Open(wal.Options{Dir: dir, Limit: benchLimit, FS: fs})
+	default:
+		log, err = wal.Open(wal.Options{Dir: dir, Limit: benchLimit, FS: fs, Durability: wal.SurvivesPowerLoss})
+	}
+	if err != nil {
+		return cost, err
+	}
+	stop := make(chan struct{})
+	go log.Run(stop)
+	began, usedBefore := time.Now(), cpu()
+	messages := float64(writeMessages(log, clients, began.Add(b.options.Span)))
+	took, used := time.Since(began), cpu()-usedBefore
+	close(stop)
+	<-log.Done()
+	calls, bytes := fs.calls.Load(), fs.bytes.Load()
+	if old != nil {
+		calls, bytes = int64(old.WriteCalls), int64(old.Bytes)
+	}
+	return writeCost{
+		rate:  messages / took.Seconds(),
+		cpu:   float64(used.Microseconds()) / messages,
+		calls: float64(calls) / messages,
+		bytes: float64(bytes) / messages,
+	}, nil
+}
+
+// writeMessages has clients write messages until a moment, each the next record when
+// the one before is durable, and returns how many messages they wrote.
+func writeMessages(log anyLog, clients int, end time.Time) int64 {
+	var count atomic.Int64
+	var writing sync.WaitGroup
+	for client := range clients {
+		writing.Add(1)
+		go func() {
+			defer writing.Done()
+			durable := make(chan error, 1)
+			for i := 0; time.Now().Before(end); i++ {
+				m := benchMessage(client<<32 | i)
+				attempt := &wal.Record{Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1, Sync: true}
+				for _, record := range []*wal.Record{m, attempt, {Kind: wal.KindCompleted, ID: m.ID}} {
+					log.Submit(record, func(err error) { durable <- err })
+					<-durable
+				}
+				count.Add(1)
+			}
+		}()
+	}
+	writing.Wait()
+	return count.Load()
+}
+
+// measureStalls measures the longest that a record waits while checkpoints are made
+// with many messages pending.
+func (b *walBench) measureStalls(ctx context.Context) error {
+	names := []string{baselineName, processName}
 	longest := map[string][]float64{}
-	names := []string{"log before", "process"}
-	for play := range o.Plays {
+	for play := range b.options.Plays {
 		for _, name := range names {
-			folder := filepath.Join(dir, fmt.Sprint("stall-", play, name[:2]))
-			if err := os.MkdirAll(folder, 0o755); err != nil {
-				return fmt.Errorf("bench: %w", err)
-			}
-			var x anyLog
-			var err error
-			if name == "process" {
-				x, err = wal.Open(wal.Options{Dir: folder, Limit: limit})
-			} else {
-				x, _, err = baseline.Open(folder, limit)
-			}
+			dir, err := b.tempDir(fmt.Sprint("stall-", play, name[:2]))
 			if err != nil {
 				return err
 			}
-			stop := make(chan struct{})
-			go x.Run(stop)
-			for i := range owed {
-				x.Submit(benchMessage(i), nil)
-			}
-			booked := make(chan error, 1)
-			most := time.Duration(0)
-			for i := range 6 * owed { // enough for several checkpoints
-				if ctx.Err() != nil {
-					return ctx.Err()
-				}
-				m := benchMessage(i % owed)
-				kind := &wal.Record{Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1}
-				if i%2 == 1 {
-					kind = &wal.Record{Kind: wal.KindOutcome, ID: m.ID}
-				}
-				began := time.Now()
-				x.Submit(kind, func(err error) { booked <- err })
-				if err := <-booked; err != nil {
-					return fmt.Errorf("bench: %w", err)
-				}
-				if i > 0 { // the first waits for all that are taken on
-					most = max(most, time.Since(began))
-				}
+			stall, err := playStall(ctx, dir, name)
+			if err != nil {
+				return err
 			}
-			close(stop)
-			<-x.Done()
-			longest[name] = append(longest[name], most.Seconds()*1e3)
-			if err := os.RemoveAll(folder); err != nil {
+			longest[name] = append(longest[name], toMillis(stall))
+			if err := os.RemoveAll(dir); err != nil {
 				return fmt.Errorf("bench: %w", err)
 			}
 		}
 	}
 	for _, name := range names {
-		add(fmt.Sprintf("%d owed, %s: longest wait of a record, ms", owed, name), longest[name])
+		b.figures.add(fmt.Sprintf("%d owed, %s: longest wait of a record, ms", stallPending, name), longest[name])
 	}
 	return nil
 }
+
+// playStall writes to a new log of one kind and returns the longest wait.
+func playStall(ctx context.Context, dir, name string) (longest time.Duration, err error) {
+	var log anyLog
+	if name == processName {
+		log, err = wal.Open(wal.Options{Dir: dir, Limit: stallLimit})
+	} else {
+		log, _, err = baseline.Open(dir, stallLimit)
+	}
+	if err != nil {
+		return 0, err
+	}
+	stop := make(chan struct{})
+	go log.Run(stop)
+	for i := range stallPending {
+		log.Submit(benchMessage(i), nil)
+	}
+	durable := make(chan error, 1)
+	for i := range stallRounds * stallPending {
+		if ctx.Err() != nil {
+			return 0, ctx.Err()
+		}
+		m := benchMessage(i % stallPending)
+		record := &wal.Record{Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1}
+		if i%2 == 1 {
+			record = &wal.Record{Kind: wal.KindOutcome, ID: m.ID}
+		}
+		began := time.Now()
+		log.Submit(record, func(err error) { durable <- err })
+		if err := <-durable; err != nil {
+			return 0, fmt.Errorf("bench: %w", err)
+		}
+		if i > 0 { // the first waits for all pending messages
+			longest = max(longest, time.Since(began))
+		}
+	}
+	close(stop)
+	<-log.Done()
+	return longest, nil
+}
--- a/internal/faultlab/bench_watchers.go
+++ b/internal/faultlab/bench_watchers.go
@@ -17,66 +17,70 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// benchWatcher is one watcher: it reads lines and tells when it heard a revision.
+const (
+	watchDialTimeout  = time.Second
+	watchReadTimeout  = 10 * time.Second
+	watchBuffer       = 512 // bytes: the revision is at the front of a line
+	benchPollInterval = time.Second
+	openPoll          = 2 * time.Millisecond
+
+	// Backoff of a watcher, as the list service's client has it.
+	backoffBase   = 50 * time.Millisecond
+	backoffMax    = 2 * time.Second
+	backoffSpread = 500 * time.Millisecond
+	backoffSteps  = 6
+)
+
+var (
+	okStatus       = []byte("HTTP/1.1 200")
+	revisionPrefix = []byte(`{"revision":`)
+)
+
+// benchWatcher is one watcher of a node, or a client that polls it every second. It
+// reads no more of a line than its revision.
 type benchWatcher struct {
 	addr       string
-	revision   int64 // revision; -1 before the first
-	onRevision func(int64, time.Time)
 	polls      bool
+	revision   int64 // the last that it received; -1 before the first
+	onOpen     func()
+	onRevision func(int64, time.Time)
 }
 
-func (w *benchWatcher) run(ctx context.Context, first func()) {
-	for n := 0; ctx.Err() == nil; n++ {
-		err := w.watchOnce(ctx, func() { first(); n = 0 })
-		if ctx.Err() != nil || err == nil && !w.polls {
+// run watches until ctx ends.
+func (w *benchWatcher) run(ctx context.Context) {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		err := w.watch(ctx, func() { w.onOpen(); attempt = 0 })
+		if err == nil && !w.polls {
 			return
 		}
-		if w.polls && err == nil {
-			model.Sleep(ctx, time.Second)
+		if err == nil {
+			model.Sleep(ctx, benchPollInterval)
 			continue
 		}
-		// As the client does: longer with each try, spread over the fleet.
-		model.Sleep(ctx, time.Duration(rand.Float64()*float64(min(50*time.Millisecond<<min(n, 6), 2*time.Second)+500*time.Millisecond)))
+		limit := min(backoffBase<<min(attempt, backoffSteps), backoffMax) + backoffSpread
+		model.Sleep(ctx, time.Duration(rand.Float64()*float64(limit)))
 	}
 }
 
-func (w *benchWatcher) watchOnce(ctx context.Context, open func()) error {
-	d := net.Dialer{Timeout: time.Second}
-	conn, err := d.DialContext(ctx, "tcp4", w.addr)
+// watch opens one connection and reads it to its end.
+func (w *benchWatcher) watch(ctx context.Context, onOpen func()) error {
+	dialer := net.Dialer{Timeout: watchDialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp4", w.addr)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	stop := context.AfterFunc(ctx, func() { conn.Close() })
-	defer stop()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	query := fmt.Sprintf("?watch=1&from=%d", w.revision)
 	if w.polls {
 		query = ""
 	}
 	fmt.Fprintf(conn, "GET %s%s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", discovery.ListPath, query)
-	in := bufio.NewReaderSize(conn, 512)
+	in := bufio.NewReaderSize(conn, watchBuffer)
 	for {
-		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-		text, err := in.ReadSlice('\n')
-		now := time.Now()
-		if errors.Is(err, bufio.ErrBufferFull) {
-			text = bytes.Clone(text) // the revision stands at the front; the rest is passed over
-			for errors.Is(err, bufio.ErrBufferFull) {
-				_, err = in.ReadSlice('\n')
-			}
-		}
-		if !w.polls && bytes.HasPrefix(text, []byte("HTTP/1.1 200")) {
-			open()
-		}
-		if bytes.HasPrefix(text, []byte(`{"revision":`)) {
-			var revision int64
-			fmt.Sscanf(string(text[12:min(len(text), 32)]), "%d", &revision)
-			if w.revision < 0 && w.polls {
-				open()
-			}
-			w.revision = revision
-			w.onRevision(revision, now)
-		}
+		conn.SetReadDeadline(time.Now().Add(watchReadTimeout))
+		line, err := readLineStart(in)
+		w.receive(line, time.Now(), onOpen)
 		if w.polls && errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -86,54 +90,103 @@
 	}
 }
 
-// watcherSet is many watchers of a group.
+// readLineStart reads a line and returns as much of it as the buffer holds.
+func readLineStart(in *bufio.Reader) ([]byte, error) {
+	line, err := in.ReadSlice('\n')
+	if errors.Is(err, bufio.ErrBufferFull) {
+		line = bytes.Clone(line)
+		for errors.Is(err, bufio.ErrBufferFull) {
+			_, err = in.ReadSlice('\n')
+		}
+	}
+	return line, err
+}
+
+// receive takes the start of one line.
+func (w *benchWatcher) receive(line []byte, at time.Time, onOpen func()) {
+	if !w.polls && bytes.HasPrefix(line, okStatus) {
+		onOpen()
+	}
+	digits, ok := bytes.CutPrefix(line, revisionPrefix)
+	if !ok {
+		return
+	}
+	var revision int64
+	fmt.Sscanf(string(digits[:min(len(digits), 20)]), "%d", &revision)
+	if w.revision < 0 && w.polls {
+		onOpen()
+	}
+	w.revision = revision
+	w.onRevision(revision, at)
+}
+
+// watcherSet is many watchers of a group. The zero value has none; start is called
+// once.
 type watcherSet struct {
+	size   int
+	opened atomic.Int64 // watches, those after a reconnect as well
+
+	running sync.WaitGroup
+
 	mu         sync.Mutex
-	awaited    int64
-	arrived    int
+	awaited    int64 // revision; 0 for none
+	arrived    int   // watchers that have it
 	last       time.Time
 	allArrived chan struct{}
-	size       int
-	opened     atomic.Int64
-	wg         sync.WaitGroup
 }
 
-func (c *watcherSet) expect(revision int64) <-chan struct{} {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.awaited, c.arrived, c.allArrived = revision, 0, make(chan struct{})
-	return c.allArrived
+// expect returns what is closed once all watchers have a revision.
+func (s *watcherSet) expect(revision int64) <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.awaited, s.arrived, s.allArrived = revision, 0, make(chan struct{})
+	return s.allArrived
+}
+
+// lastArrival is when the last watcher had the revision that was expected.
+func (s *watcherSet) lastArrival() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.last
 }
 
-// start opens the watchers; each tells of revision r once.
-func (c *watcherSet) start(ctx context.Context, nodes []string, size int, poll bool) {
-	c.size = size
+// start opens the watchers, spread over the nodes; they end with ctx.
+func (s *watcherSet) start(ctx context.Context, nodes []string, size int, poll bool) {
+	s.size = size
 	for i := range size {
+		counted := int64(-1) // the awaited revision for which it was counted
 		w := &benchWatcher{addr: nodes[i%len(nodes)], revision: -1, polls: poll}
-		done := int64(-1)
-		w.onRevision = func(r int64, t time.Time) {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if c.awaited > 0 && r >= c.awaited && done < c.awaited {
-				done = c.awaited
-				c.arrived++
-				c.last = t
-				if c.arrived == c.size {
-					close(c.allArrived)
-				}
-			}
-		}
-		c.wg.Add(1)
-		go func() { defer c.wg.Done(); w.run(ctx, func() { c.opened.Add(1) }) }()
+		w.onOpen = func() { s.opened.Add(1) }
+		w.onRevision = func(revision int64, at time.Time) { s.arrive(revision, at, &counted) }
+		s.running.Add(1)
+		go func() { defer s.running.Done(); w.run(ctx) }()
 	}
 }
 
-// awaitOpen waits until so many watches have opened since the count was taken.
-func (c *watcherSet) awaitOpen(ctx context.Context, from int64) error {
-	for c.opened.Load()-from < int64(c.size) {
-		if !model.Sleep(ctx, 2*time.Millisecond) {
+// arrive counts a watcher once for the awaited revision.
+func (s *watcherSet) arrive(revision int64, at time.Time, counted *int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.awaited == 0 || revision < s.awaited || *counted >= s.awaited {
+		return
+	}
+	*counted = s.awaited
+	s.arrived++
+	s.last = at
+	if s.arrived == s.size {
+		close(s.allArrived)
+	}
+}
+
+// awaitOpen waits until each watcher has opened its watch since so many had opened.
+func (s *watcherSet) awaitOpen(ctx context.Context, since int64) error {
+	for s.opened.Load()-since < int64(s.size) {
+		if !model.Sleep(ctx, openPoll) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
+
+// wait waits until all watchers have ended.
+func (s *watcherSet) wait() { s.running.Wait() }
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -11,7 +11,6 @@
 	"path/filepath"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -80,7 +79,7 @@
 		return nil, err
 	}
 	defer lock.Close()
-	raiseDescriptors()
+	raiseDescriptorLimit()
 	r := &scaleRun{opts: o, scenario: o.Scenario, dir: dir, ip: ip, began: time.Now(), lateness: hdrhistogram.New(1, 60_000_000, 3)}
 	r.port.Store(firstScalePort)
 	r.phase.Store(phaseQuiet)
@@ -99,16 +98,6 @@
 	return r.result()
 }
 
-// raiseDescriptors lets this process and those that it starts hold as many
-// descriptors as they may.
-func raiseDescriptors() {
-	var most syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &most) == nil && most.Cur < most.Max {
-		most.Cur = most.Max
-		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &most) // without it, what runs out says so
-	}
-}
-
 func (r *scaleRun) address() string { return net.JoinHostPort(r.ip, fmt.Sprint(r.port.Add(1))) }
 
 func (r *scaleRun) fail(err error) {
@@ -242,7 +231,7 @@
 	}
 	r.wg.Wait()
 	if r.watchers != nil {
-		r.watchers.wg.Wait()
+		r.watchers.wait()
 	}
 	for _, m := range r.meters {
 		m.close()
