--- a/internal/faultlab/agent_proxy.go
+++ b/internal/faultlab/agent_proxy.go
@@ -16,7 +16,7 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// discoveryAgent is discovery on one relay's machine, as the lab sees it.
+// discoveryAgent is discovery on one relay's machine.
 type discoveryAgent interface {
 	Addr() string
 	Known() model.List
@@ -26,9 +26,9 @@
 	Close()
 }
 
-// agentProxy stands between a relay and its real agent. It passes on what either says
-// and records what the relay was told, and the notices that the agent took. An
-// address in the list becomes that of the relay's own link.
+// agentProxy is a proxy between a relay and its real agent. It records the changes
+// that the relay receives and the notices that the agent takes. It replaces each
+// endpoint's address by that of the relay's own link.
 type agentProxy struct {
 	*model.Listener
 	relay    string
@@ -53,7 +53,7 @@
 	return t, nil
 }
 
-// Known is the list as the agent has it now; empty where it cannot be asked.
+// Known is the list as the agent has it now; empty if it does not answer.
 func (t *agentProxy) Known() model.List {
 	c := http.Client{Timeout: 2 * time.Second}
 	l := model.List{Complete: true, Members: []model.Member{}}
@@ -77,7 +77,7 @@
 	}
 }
 
-// Started books the list that a process begins with.
+// Started records the list that a process begins with.
 func (t *agentProxy) Started(l model.List) { t.recordDelivered(l) }
 
 func (t *agentProxy) recordDelivered(l model.List) {
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -13,9 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"plovershore/internal/discovery"
+	"plovershore/internal/faultlab/checker"
 	"plovershore/internal/faultlab/process"
 	"plovershore/internal/faultlab/scenario"
 	"plovershore/internal/faultlab/simrelay"
@@ -23,10 +22,11 @@
 )
 
 const (
-	scaleStart        = 150 * time.Second // at most, until all relays have their list
-	scaleEnd          = 20 * time.Second  // at most, until a process of hollow relays has written its result
-	firstScalePort    = firstPort + 100   // below are the nodes
-	connectTimeout    = 1500 * time.Millisecond
+	scaleStart     = 150 * time.Second // until all relays have their list
+	scaleEnd       = 20 * time.Second  // until a process of simulated relays has written its result
+	firstScalePort = firstPort + 100   // the ports below are the nodes'
+	connectTimeout = 1500 * time.Millisecond
+	// Names of roles in stored reports.
 	simRelayRole      = "hollow relay"
 	realRelayRole     = "real relay"
 	operatedRelayRole = "real relay with an operator address"
@@ -34,38 +34,41 @@
 
 // scaleRun is a scale scenario while it runs.
 type scaleRun struct {
-	opts         Options
-	scenario     *scenario.Scenario
-	dir          string
-	ip           string
-	port         atomic.Int64
-	began        time.Time
+	opts     Options
+	scenario *scenario.Scenario
+	dir      string
+	ip       string
+	port     atomic.Int64 // the last that was used
+	began    time.Time
+	ctx      context.Context // ends when everything is to stop
+	stop     context.CancelFunc
+	failure  failure
+	lateness *lateness
+	check    *scaleCheck
+	report   ScaleReport
+
+	phase    atomic.Value // of the run: one of scalePhases
+	isEnding atomic.Bool  // processes are told to end
+	listHash uint64       // of the service's list at the end
+
 	down         simrelay.Down
 	endpoints    *scaleEndpoints
 	group        *benchGroup
 	members      *scaleMembers
 	watchers     *watcherSet
 	roles        []*role
-	agents       []*scaleAgent // that hollow relays share
+	agents       []*scaleAgent // that simulated relays share
 	realRelays   []*realRelay
 	simProcesses []*simProcess
-	clients      []*scaleClients
-	processes    []*process.Process
-	meters       []*meter
-	files        []*os.File
-	folders      []string // beside the run's own, to be removed
-	check        *scaleCheck
-	report       ScaleReport
-	ctx          context.Context // ends when everything is to stop
-	stop         context.CancelFunc
-	wg           sync.WaitGroup
-	phase        atomic.Value // of the run: a string
-	isEnding     atomic.Bool  // processes are told to end
-	listHash     uint64       // of the service's list at the end
-
-	mu       sync.Mutex
-	err      error // the first that keeps the run from being one
-	lateness *hdrhistogram.Histogram
+	clients      []*scaleClients // of the real relays
+
+	mu        sync.Mutex
+	processes []*process.Process // all that were started
+
+	meters     []*meter
+	files      []*os.File
+	folders    []string       // beside the run's own, to be removed
+	background sync.WaitGroup // all goroutines that end with ctx
 }
 
 // runScale plays a scale scenario to its verdict; errors are as Run's.
@@ -80,15 +83,16 @@
 	}
 	defer lock.Close()
 	raiseDescriptorLimit()
-	r := &scaleRun{opts: o, scenario: o.Scenario, dir: dir, ip: ip, began: time.Now(), lateness: hdrhistogram.New(1, 60_000_000, 3)}
+	r := &scaleRun{opts: o, scenario: o.Scenario, dir: dir, ip: ip, began: time.Now(), lateness: newLateness()}
 	r.port.Store(firstScalePort)
 	r.phase.Store(phaseQuiet)
 	r.ctx, r.stop = context.WithCancel(ctx)
+	r.failure.stop = r.stop
 	r.check = newScaleCheck(dir, r.began.UnixMicro())
 	c := &o.Scenario.Scale
 	r.report = ScaleReport{SimRelays: c.Relays, Members: c.Members, Speed: c.Speed}
 	err = r.play()
-	if cause := r.failure(); cause != nil {
+	if cause := r.failure.get(); cause != nil {
 		err = cause
 	}
 	r.close()
@@ -98,41 +102,18 @@
 	return r.result()
 }
 
+// address returns an address that no other process uses.
 func (r *scaleRun) address() string { return net.JoinHostPort(r.ip, fmt.Sprint(r.port.Add(1))) }
 
-func (r *scaleRun) fail(err error) {
-	if err == nil {
-		return
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.err == nil {
-		r.err = err
-		r.stop()
-	}
-}
-
-func (r *scaleRun) failure() error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.err
-}
-
-func (r *scaleRun) recordLateness(d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lateness.RecordValue(min(max(1, d.Microseconds()), 60_000_000))
+// start runs work in a goroutine that close waits for.
+func (r *scaleRun) start(work func()) {
+	r.background.Add(1)
+	go func() { defer r.background.Done(); work() }()
 }
 
-func (r *scaleRun) background(f func()) {
-	r.wg.Add(1)
-	go func() { defer r.wg.Done(); f() }()
-}
-
-// play builds everything, runs the parts, and has the hollow relays tell what
-// came of them.
+// play builds everything, runs the phases, and checks the simulated relays' results.
 func (r *scaleRun) play() error {
-	if err := os.MkdirAll(filepath.Join(r.dir, "logs"), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Join(r.dir, logsDir), 0o755); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	starting, cancel := context.WithTimeout(r.ctx, scaleStart)
@@ -147,35 +128,35 @@
 		return err
 	}
 	if !r.checkLists() {
-		return r.ctx.Err() // judged as it is
+		return r.ctx.Err() // the verdict says it
 	}
 	r.playPhases()
 	r.settle()
 	return r.checkResults()
 }
 
-// checkLists judges that every relay came to have the list.
+// checkLists checks that every relay has the list, and reports whether that is so.
 func (r *scaleRun) checkLists() bool {
 	c := &r.scenario.Scale
-	r.check.checked("start")
+	r.check.checked(checker.RuleStart)
 	have := r.simStatus().Members
 	if have[c.Members] < c.Relays {
-		r.check.violate("start", "hollow relays", fmt.Sprintf("%d of %d have a list of %d members: by members %v", have[c.Members], c.Relays, c.Members, have),
+		r.check.violate(checker.RuleStart, "simulated relays", fmt.Sprintf("%d of %d have a list of %d members: by members %v", have[c.Members], c.Relays, c.Members, have),
 			r.began.UnixMicro(), time.Now().UnixMicro())
 	}
 	for _, x := range r.realRelays {
-		r.check.checked("start")
+		r.check.checked(checker.RuleStart)
 		if x.operator == "" {
 			continue
 		}
 		if n := x.members(r.ctx); n != c.Members {
-			r.check.violate("start", x.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
+			r.check.violate(checker.RuleStart, x.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
 		}
 	}
 	return r.check.verdict.Passed()
 }
 
-// fetchList is the whole list as the service has it.
+// fetchList returns the complete list as the service has it.
 func (r *scaleRun) fetchList(ctx context.Context) (*discovery.List, error) {
 	c, err := client.New(r.group.http, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -185,51 +166,43 @@
 	ctx, cancel := context.WithTimeout(ctx, groupTimeout)
 	defer cancel()
 	var text []byte
-	if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+"?consistent=1", nil, &text); err != nil {
+	if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistent, nil, &text); err != nil {
 		return nil, fmt.Errorf("lab: the service's list: %w", err)
 	}
 	r.report.ListMB = float64(len(text)) / 1e6
 	return discovery.Parse(text)
 }
 
-// result is the run's, voided where the lab or the hollow relays were late.
+// result is the run's result; an error if the lab or the simulated relays were late.
 func (r *scaleRun) result() (*Result, error) {
-	res := &Result{Name: r.scenario.Name, Seed: r.opts.Seed, Out: r.opts.Out, Took: time.Since(r.began), Verdict: r.check.verdict, Scale: &r.report}
-	if u, err := process.Measure(os.Getpid()); err == nil {
-		res.LabCPU, res.LabRSS = u.CPU, u.RSS
-	}
-	res.LateP99 = time.Duration(r.lateness.ValueAtQuantile(99)) * time.Microsecond
-	res.LateMax = time.Duration(r.lateness.Max()) * time.Microsecond
-	most := r.opts.MaxLateness
-	if most == 0 {
-		most = MaxLateness
-	}
+	result := &Result{Name: r.scenario.Name, Seed: r.opts.Seed, Out: r.opts.Out, Took: time.Since(r.began), Verdict: r.check.verdict, Scale: &r.report}
+	result.measureLab(r.lateness)
 	if !r.opts.KeepDirs {
 		r.removeData()
 	}
-	if late := max(res.LateP99, r.report.SimLateP99); late > most {
-		return res, fmt.Errorf("%w: p99 %v from due to done, hollow relays %v; %v at most", ErrLate, res.LateP99, r.report.SimLateP99, most)
+	if limit := r.opts.MaxLateness; max(result.LateP99, r.report.SimLateP99) > limit {
+		return result, fmt.Errorf("%w: p99 %v from due to done, simulated relays %v; %v at most", ErrLate, result.LateP99, r.report.SimLateP99, limit)
 	}
-	return res, nil
+	return result, nil
 }
 
-// removeData removes all but the logs and the report.
+// removeData removes everything but the logs.
 func (r *scaleRun) removeData() {
 	all, _ := os.ReadDir(r.dir)
 	for _, entry := range all {
-		if entry.Name() != "logs" {
+		if entry.Name() != logsDir {
 			os.RemoveAll(filepath.Join(r.dir, entry.Name()))
 		}
 	}
 }
 
-// close ends all processes and what stands between them.
+// close ends all processes and everything between them.
 func (r *scaleRun) close() {
 	r.stop()
 	for _, p := range r.processes {
 		p.Kill()
 	}
-	r.wg.Wait()
+	r.background.Wait()
 	if r.watchers != nil {
 		r.watchers.wait()
 	}
@@ -250,4 +223,5 @@
 	}
 }
 
+// errUnexpectedExit is a process that ended by itself.
 var errUnexpectedExit = errors.New("lab: a process ended before it was told to")
--- a/internal/faultlab/scale_clients.go
+++ b/internal/faultlab/scale_clients.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	clientTimeout = 2 * time.Second // of a client for its answer
-	maxIdleConns  = 64              // connections that are kept to one relay
+	clientTimeout = 2 * time.Second // of a request
+	maxIdleConns  = 64              // to one relay
 )
 
-// scaleClients hand messages in to one real relay by an open loop, as many as a
-// hollow one draws.
+// scaleClients submit messages to one real relay, as many as a simulated one draws,
+// whatever becomes of those before.
 type scaleClients struct {
 	scenario   *scenario.Scenario
 	addr       string
@@ -41,7 +41,7 @@
 	return &scaleClients{scenario: s, addr: addr, random: random, onLateness: late, idle: make(chan *scaleConn, maxIdleConns)}
 }
 
-// run hands messages in until ctx ends, and returns once each has its answer.
+// run submits messages until ctx ends, and returns once each has its answer.
 func (c *scaleClients) run(ctx context.Context, relay int) {
 	var wg sync.WaitGroup
 	defer c.close()
@@ -90,7 +90,8 @@
 	}
 }
 
-// exchange sends a request on a kept connection, or on a new one.
+// exchange sends a request on an idle connection, or on a new one, and returns the
+// first line of the answer.
 func (c *scaleClients) exchange(text []byte) (string, error) {
 	var x *scaleConn
 	select {
@@ -108,7 +109,7 @@
 		return "", err
 	}
 	line, err := x.in.ReadString('\n')
-	if err != nil || strings.HasPrefix(line, "$") { // a bulk string: its text is of no use, nor the connection then
+	if err != nil || strings.HasPrefix(line, "$") { // a bulk string, whose text is left unread
 		x.Close()
 		return line, err
 	}
--- a/internal/faultlab/scale_endpoints.go
+++ b/internal/faultlab/scale_endpoints.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	downInterval  = 100 * time.Millisecond // destinations go down and come back so often
-	fillerTimeout = 200 * time.Millisecond // until the queue of one that is down counts as full
+	downInterval  = 100 * time.Millisecond // between two updates of the destinations that are down
+	fillerTimeout = 200 * time.Millisecond // after which the queue of one that is down counts as full
 	endpointIP    = "127.%d.%d.%d"
 	loopback      = "lo"
 	// SO_REUSEPORT of Linux, which package syscall does not name.
@@ -85,12 +85,12 @@
 	return f, nil
 }
 
-// address is that of one member.
+// address is the address of one member.
 func (f *scaleEndpoints) address(member int) string {
 	return net.JoinHostPort(fmt.Sprintf(endpointIP, 130+member/62500, member/250%250, 1+member%250), strconv.Itoa(f.port))
 }
 
-// serve takes one message. The first byte of its body names its class.
+// serve takes one message, whose first byte is the index of its class.
 func (f *scaleEndpoints) serve(w http.ResponseWriter, r *http.Request) {
 	body := make([]byte, 1)
 	if n, _ := r.Body.Read(body); n != 1 || r.Method != http.MethodPost {
@@ -106,22 +106,23 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// updateDown has the destinations that are down answer no connection, until ctx ends.
+// updateDown closes the addresses of the destinations that are down, and opens them
+// again, until ctx ends.
 func (f *scaleEndpoints) updateDown(ctx context.Context, down *simrelay.Down, destinations int, fail func(error)) {
 	for model.Sleep(ctx, downInterval) {
 		now := time.Now().UnixMicro()
 		for i := range destinations {
 			f.mu.Lock()
-			door := f.down[i]
+			closed := f.down[i]
 			f.mu.Unlock()
 			switch is := down.At(i, now); {
-			case is && door == nil:
+			case is && closed == nil:
 				if err := f.closeAddress(ctx, i); err != nil {
 					fail(err)
 					return
 				}
-			case !is && door != nil:
-				door.close()
+			case !is && closed != nil:
+				closed.close()
 				f.mu.Lock()
 				delete(f.down, i)
 				f.mu.Unlock()
@@ -130,8 +131,8 @@
 	}
 }
 
-// closeAddress has one destination answer no connection: the queue of its own listener
-// is as short as can be, and full.
+// closeAddress has one destination answer no connection: a listener of its own has the
+// shortest queue, which is full.
 func (f *scaleEndpoints) closeAddress(ctx context.Context, member int) error {
 	ln, err := listenLoopback(ctx, f.address(member))
 	if err != nil {
@@ -142,14 +143,14 @@
 		return fmt.Errorf("lab: endpoints: %w", err)
 	}
 	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
-	door := &closedAddress{listener: ln}
+	closed := &closedAddress{listener: ln}
 	c, err := net.DialTimeout("tcp4", f.address(member), fillerTimeout)
 	if err == nil {
-		door.fillers = append(door.fillers, c)
+		closed.fillers = append(closed.fillers, c)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.down[member] = door
+	f.down[member] = closed
 	return nil
 }
 
@@ -157,7 +158,7 @@
 	f.server.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, door := range f.down {
-		door.close()
+	for _, closed := range f.down {
+		closed.close()
 	}
 }
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	heartbeatBatch   = 1000 // heartbeats in one call: under the service's bound of 64 KB
+	heartbeatBatch   = 1000 // in one call: below the service's limit of 64 KB
 	heartbeatsPerTTL = 3
 	holder           = "lab"
 )
 
-// scaleChange is one change of the list that the lab asked for.
+// scaleChange is one change of the list that the lab requested.
 type scaleChange struct {
 	Key         uint64
 	RequestedAt int64 // Unix µs
@@ -33,14 +33,15 @@
 	Phase       string // of the run: control or load
 }
 
-// memberState is what the lab knows of a member that it keeps registered.
+// memberState is the state of a member that the lab registers.
 type memberState struct {
 	registered bool
 	muted      bool
 	size       float64
 }
 
-// scaleMembers keeps all members registered and changes some of them.
+// scaleMembers registers all members, sends their heartbeats and changes some of them.
+// It is safe for concurrent use; its owner closes it.
 type scaleMembers struct {
 	scenario   *scenario.Scenario
 	endpoints  *scaleEndpoints
@@ -51,11 +52,11 @@
 	mu       sync.Mutex
 	state    []memberState
 	changes  []scaleChange
-	expired  []scaleChange // of the zone that lapses
+	expired  []scaleChange // changes of the zone whose registrations expire
 	restored []scaleChange
 
-	heartbeatsBehind int // batches of heartbeats that the service took more than a third of a time to live for
-	changesBehind    int // changes that were due before the service had answered the one before
+	heartbeatsBehind int // batches that took longer than their interval
+	changesBehind    int // changes that were due before the answer to the one before
 }
 
 func newScaleMembers(s *scenario.Scenario, endpoints *scaleEndpoints, nodes []string, late func(time.Duration)) (*scaleMembers, error) {
@@ -85,7 +86,7 @@
 
 func (m *scaleMembers) ttl() time.Duration { return scenario.Seconds(m.scenario.Registry.TTL) }
 
-// register hands in one member as it stands.
+// register registers one member.
 func (m *scaleMembers) register(ctx context.Context, c *client.Client, member int, size float64) error {
 	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: memberID(member), Address: m.endpoints.address(member),
 		Zone: m.zones[m.zone(member)], Flavor: model.Newsagent, Cell: member, Size: size, TTLMS: m.ttl().Milliseconds(), Holder: holder}, nil)
@@ -136,8 +137,8 @@
 	return all
 }
 
-// sendHeartbeats keeps the registrations alive until ctx ends: all of them in a third of
-// their time to live, some at a time.
+// sendHeartbeats sends the heartbeats of all members until ctx ends, in batches spread
+// over a third of their time to live.
 func (m *scaleMembers) sendHeartbeats(ctx context.Context) {
 	batches := (len(m.state) + heartbeatBatch - 1) / heartbeatBatch
 	every := m.ttl() / heartbeatsPerTTL / time.Duration(batches)
@@ -157,7 +158,7 @@
 	}
 }
 
-// sendBatch sends the heartbeats of a range, and registers those anew that the
+// sendBatch sends the heartbeats of a range, and registers the members that the
 // service does not know.
 func (m *scaleMembers) sendBatch(ctx context.Context, from, to int) {
 	var heartbeats []registry.Heartbeat
@@ -175,7 +176,7 @@
 	short, cancel := context.WithTimeout(ctx, m.ttl())
 	defer cancel()
 	if _, err := m.clients[0].Do(short, http.MethodPost, registry.HeartbeatsPath, heartbeats, &answer); err != nil {
-		return // asked again in a third of the time to live
+		return // repeated with the next batch
 	}
 	for _, id := range answer.Unknown {
 		var member int
@@ -189,9 +190,9 @@
 	}
 }
 
-// change asks for one change and books it.
-func (m *scaleMembers) change(ctx context.Context, member int, phase string, size float64, phase2 string) error {
-	asked := time.Now().UnixMicro()
+// change makes one change and records it.
+func (m *scaleMembers) change(ctx context.Context, member int, phase string, size float64, phaseOfRun string) error {
+	requestedAt := time.Now().UnixMicro()
 	var err error
 	if size != 0 {
 		err = m.register(ctx, m.clients[0], member, size)
@@ -204,13 +205,12 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.changes = append(m.changes, scaleChange{Key: simrelay.ChangeKey(memberID(member), phase, size), RequestedAt: asked, AnsweredAt: time.Now().UnixMicro(), Phase: phase2})
+	m.changes = append(m.changes, scaleChange{Key: simrelay.ChangeKey(memberID(member), phase, size), RequestedAt: requestedAt, AnsweredAt: time.Now().UnixMicro(), Phase: phaseOfRun})
 	return nil
 }
 
-// configure makes the changes of the configuration until ctx ends: a member
-// drains, another gets another weight, one that drained returns. part tells the
-// part of the run.
+// configure makes the changes of the configuration until ctx ends: a member drains,
+// another gets another weight, one that drained returns.
 func (m *scaleMembers) configure(ctx context.Context, random *rand.Rand, currentPhase func() string) error {
 	if m.scenario.Scale.ChangesDay == 0 {
 		return nil
@@ -255,8 +255,8 @@
 	return nil
 }
 
-// expireZone has the registrations of the last zone stop at one moment, and come back
-// after a while by all writers at once.
+// expireZone stops the heartbeats of the last zone at one moment, and registers its
+// members again after a while, by all writers concurrently.
 func (m *scaleMembers) expireZone(ctx context.Context) error {
 	if m.scenario.Scale.ExpiryAt == 0 || !model.Sleep(ctx, scenario.Seconds(m.scenario.Scale.ExpiryAt)) {
 		return nil
@@ -275,11 +275,11 @@
 	if !model.Sleep(ctx, scenario.Seconds(m.scenario.Scale.ExpiryFor)) {
 		return nil
 	}
-	err := m.registerAll(ctx, zone, func(member int, asked, answered int64) {
+	err := m.registerAll(ctx, zone, func(member int, requestedAt, answeredAt int64) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.state[member].muted = false
-		m.restored = append(m.restored, scaleChange{Key: simrelay.ChangeKey(memberID(member), discovery.Up, 1), RequestedAt: asked, AnsweredAt: answered})
+		m.restored = append(m.restored, scaleChange{Key: simrelay.ChangeKey(memberID(member), discovery.Up, 1), RequestedAt: requestedAt, AnsweredAt: answeredAt})
 	})
 	if ctx.Err() != nil {
 		return nil
--- a/internal/faultlab/scale_meter.go
+++ b/internal/faultlab/scale_meter.go
@@ -8,97 +8,110 @@
 	"sync/atomic"
 )
 
-// meter passes connections on to one address and counts their bytes, both ways.
+// meter is a proxy to one address that counts its bytes, both ways. Whoever made it
+// closes it.
 type meter struct {
 	listener net.Listener
 	target   string
 	bytes    atomic.Int64
+	running  sync.WaitGroup
 
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
 	closed bool
 }
 
+// newMeter serves at an address, in front of a target.
 func newMeter(addr, target string) (*meter, error) {
-	ln, err := net.Listen("tcp4", addr)
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	m := &meter{listener: ln, target: target, conns: map[net.Conn]bool{}}
-	go m.run()
+	m := &meter{listener: listener, target: target, conns: map[net.Conn]bool{}}
+	m.running.Add(1)
+	go m.accept()
 	return m, nil
 }
 
 func (m *meter) addr() string { return m.listener.Addr().String() }
 
-func (m *meter) run() {
+// accept takes connections until the listener is closed.
+func (m *meter) accept() {
+	defer m.running.Done()
 	for {
-		near, err := m.listener.Accept()
+		client, err := m.listener.Accept()
 		if err != nil {
 			return
 		}
-		go m.forward(near)
+		m.running.Add(1)
+		go m.forward(client)
 	}
 }
 
-// add keeps a connection to be closed with the meter; false where that is closed.
-func (m *meter) add(c net.Conn) bool {
+// add has a connection closed with the meter; false if that is closed already.
+func (m *meter) add(conn net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.conns[c] = true
+	m.conns[conn] = true
 	return !m.closed
 }
 
-func (m *meter) remove(c net.Conn) {
-	c.Close()
+// remove closes a connection.
+func (m *meter) remove(conn net.Conn) {
+	conn.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.conns, c)
+	delete(m.conns, conn)
 }
 
-func (m *meter) forward(near net.Conn) {
-	defer m.remove(near)
-	far, err := net.Dial("tcp4", m.target)
+// forward passes one connection on until either side ends it: neither side of HTTP
+// goes on without the other.
+func (m *meter) forward(client net.Conn) {
+	defer m.running.Done()
+	defer m.remove(client)
+	server, err := net.Dial("tcp4", m.target)
 	if err != nil {
 		return
 	}
-	defer m.remove(far)
-	if !m.add(near) || !m.add(far) {
+	defer m.remove(server)
+	if !m.add(client) || !m.add(server) {
 		return
 	}
 	done := make(chan struct{}, 2)
-	for _, way := range [][2]net.Conn{{near, far}, {far, near}} {
+	for _, direction := range []struct{ to, from net.Conn }{{client, server}, {server, client}} {
 		go func() {
-			io.Copy(way[0], counted{way[1], &m.bytes})
-			way[0].(*net.TCPConn).CloseWrite()
+			io.Copy(direction.to, countingReader{direction.from, &m.bytes})
+			direction.to.(*net.TCPConn).CloseWrite()
 			done <- struct{}{}
 		}()
 	}
 	<-done
-	near.Close() // neither side of HTTP goes on without the other
-	far.Close()
+	client.Close()
+	server.Close()
 	<-done
 }
 
+// close ends the meter with its connections, and waits for its goroutines.
 func (m *meter) close() {
 	m.listener.Close()
 	m.mu.Lock()
-	defer m.mu.Unlock()
 	m.closed = true
-	for c := range m.conns {
-		c.Close()
+	for conn := range m.conns {
+		conn.Close()
 	}
+	m.mu.Unlock()
+	m.running.Wait()
 }
 
-// counted counts what is read.
-type counted struct {
+// countingReader counts what is read.
+type countingReader struct {
 	io.Reader
 	bytes *atomic.Int64
 }
 
-// Read counts.
-func (c counted) Read(b []byte) (int, error) {
-	n, err := c.Reader.Read(b)
-	c.bytes.Add(int64(n))
+// Read reads and counts.
+func (r countingReader) Read(b []byte) (int, error) {
+	n, err := r.Reader.Read(b)
+	r.bytes.Add(int64(n))
 	return n, err
 }
--- a/internal/faultlab/scale_print.go
+++ b/internal/faultlab/scale_print.go
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, a := range s.Comparisons {
-		fmt.Fprintf(w, "hollow beside real, %s: %.2f and %.2f, ratio %.2f\n", a.Name, a.Hollow, a.Real, a.Ratio)
+		fmt.Fprintf(w, "hollow beside real, %s: %.2f and %.2f, ratio %.2f\n", a.Name, a.Simulated, a.Real, a.Ratio)
 	}
 	for _, n := range s.Notes {
 		fmt.Fprintln(w, n)
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	scaleMaxCalls    = 200  // calls out at once, of one relay: 267 messages a second need 60
-	scaleMaxMessages = 4000 // messages that one relay may hold
+	scaleMaxCalls    = 200  // in flight, of one relay: 267 messages a second need 60
+	scaleMaxMessages = 4000 // in flight, of one relay
 	scaleSockets     = 2048
 	scaleDiskMB      = 64
 	scaleBody        = 200 // bytes of a message
@@ -31,14 +31,14 @@
 	memoryFolder     = "/dev/shm"
 )
 
-// scaleAgent is an agent of the list service and what it is asked through.
+// scaleAgent is an agent of the list service, with the meter before it.
 type scaleAgent struct {
 	process *process.Process
 	addr    string
-	meter   *meter // for its relays
+	meter   *meter // before it
 }
 
-// realRelay is one relay that is a process of its own.
+// realRelay is a relay that runs the program under test.
 type realRelay struct {
 	name     string
 	process  *process.Process
@@ -47,7 +47,7 @@
 	agent    *scaleAgent
 }
 
-// simProcess is a process of hollow relays.
+// simProcess is a process of simulated relays.
 type simProcess struct {
 	process *process.Process
 	relays  int
@@ -55,7 +55,8 @@
 	status  *statusReader
 }
 
-// statusReader takes in what a process of hollow relays says.
+// statusReader reads the output of a process of simulated relays. It is safe for
+// concurrent use.
 type statusReader struct {
 	log io.Writer
 
@@ -64,7 +65,7 @@
 	last    simrelay.Status
 }
 
-// Write takes lines of status; all else goes to the log.
+// Write takes output: lines of status are parsed, all others go to the log.
 func (s *statusReader) Write(text []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,9 +91,9 @@
 	return s.last
 }
 
-// logFile makes a file for what a process says.
+// logFile makes the file of a process's output; the run closes it.
 func (r *scaleRun) logFile(name string) (*os.File, error) {
-	f, err := os.Create(filepath.Join(r.dir, "logs", name+".log"))
+	f, err := os.Create(filepath.Join(r.dir, logsDir, name+".log"))
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
@@ -100,7 +101,7 @@
 	return f, nil
 }
 
-// startAgent runs one agent; its relays ask it through a meter.
+// startAgent runs one agent, with a meter before it.
 func (r *scaleRun) startAgent(name string, nodes []*meter) (*scaleAgent, error) {
 	log, err := r.logFile(name)
 	if err != nil {
@@ -142,7 +143,7 @@
 	return all, nil
 }
 
-// agentMembers is how many members an agent lists.
+// agentMembers is the length of an agent's list; -1 if it does not answer.
 func agentMembers(ctx context.Context, a *scaleAgent) int {
 	var s agent.Status
 	if getJSON(ctx, "http://"+a.addr+"/v1/status", &s) != nil {
@@ -166,7 +167,7 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// settings is the wire page's object for one relay of the fleet.
+// settings is the settings of one relay of the fleet, in the form of the wire page.
 func (r *scaleRun) settings(number int) map[string]any {
 	return model.Settings(model.Fleet{Relays: r.scenario.Scale.Fleet, MaxCalls: scaleMaxCalls, MaxMessages: scaleMaxMessages, Zones: r.scenario.Fleet.Zones,
 		Zone: number % len(r.scenario.Fleet.Zones), Rank: number, MaxBatch: 1}, model.StandardRules())
@@ -183,8 +184,8 @@
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	text, err := json.Marshal(map[string]any{"name": x.name, "listen": x.listen, "discovery": a.meter.addr(), "state": state, "operator": x.operator,
-		"seed":   fmt.Sprintf("%016x", newRandom(r.opts.Seed, "relay "+x.name).Uint64()),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": budgetMemoryMB, "sockets": scaleSockets, "disk_mb": scaleDiskMB}, "settings": r.settings(number)})
+		"seed":   relaySeed(r.opts.Seed, x.name),
+		"limits": relayLimits(budgetMemoryMB, scaleSockets, scaleDiskMB), "settings": r.settings(number)})
 	if err != nil {
 		return nil, fmt.Errorf("lab: configuration of %s: %w", x.name, err)
 	}
@@ -203,7 +204,8 @@
 	return x, nil
 }
 
-// members is what a relay with an operator address says of the size of its list.
+// members is the length of the list of a relay with an operator address; -1 if it
+// does not answer.
 func (x *realRelay) members(ctx context.Context) int {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -224,7 +226,8 @@
 	return -1
 }
 
-// startSimProcess runs one process of hollow relays.
+// startSimProcess runs one process of simulated relays; first is the number of its
+// first relay.
 func (r *scaleRun) startSimProcess(number, first, relays int, doors []string) (*simProcess, error) {
 	name := fmt.Sprintf("hollow-%d", number+1)
 	c := simrelay.Config{Folder: filepath.Join(r.dir, name), First: first, Discovery: doors, Fleet: r.scenario.Scale.Fleet, Seed: r.opts.Seed,
@@ -261,7 +264,7 @@
 	return h, nil
 }
 
-// simStatus adds up what all processes of hollow relays said last.
+// simStatus adds up the last status of all processes of simulated relays.
 func (r *scaleRun) simStatus() simrelay.Status {
 	all := simrelay.Status{Hashes: map[string]int{}, Members: map[int]int{}}
 	for _, h := range r.simProcesses {
--- a/internal/faultlab/scale_report.go
+++ b/internal/faultlab/scale_report.go
@@ -8,7 +8,7 @@
 	"plovershore/internal/faultlab/report"
 )
 
-// What the control of a relay may cost, and how soon a change is to be in force.
+// Budgets of a relay's control, and of the time until a change is applied.
 const (
 	budgetCPU      = 3.4 // % of a core
 	budgetMemoryMB = 256
@@ -16,7 +16,7 @@
 	budgetDelay    = 16 * time.Second
 )
 
-// Parts of a scale run.
+// Phases of a scale run, as stored reports have them.
 const (
 	phaseQuiet   = "quiet"
 	phaseControl = "control"
@@ -25,14 +25,14 @@
 
 var scalePhases = []string{phaseQuiet, phaseControl, phaseLoad}
 
-// ScalePhase is what one unit of a role cost in one part of the run.
+// ScalePhase is what one unit of a role cost in one phase of the run.
 type ScalePhase struct {
 	CPU      float64 `json:"cpu_percent"` // of a core
 	MemoryMB float64 `json:"memory_mb"`   // at its end
 	KB       float64 `json:"kb_a_second"` // of control: between relay and agent, or agent and nodes
 }
 
-// ScaleRole is what one role cost, each figure for one unit of it.
+// ScaleRole is the cost of one role, each figure for one unit of it.
 type ScaleRole struct {
 	Name    string                `json:"name"`
 	Units   int                   `json:"units"`
@@ -50,7 +50,7 @@
 type ScaleDelay struct {
 	Name    string  `json:"name"`
 	Count   int     `json:"count"`
-	Missing int     `json:"missing"` // that never came to be in force
+	Missing int     `json:"missing"` // that were never applied
 	P50     float64 `json:"p50_s"`
 	P99     float64 `json:"p99_s"`
 	Max     float64 `json:"max_s"`
@@ -67,7 +67,7 @@
 	return s
 }
 
-// ScaleReport is what a scale run came to, beside its verdict.
+// ScaleReport is the outcome of a scale run, beside its verdict.
 type ScaleReport struct {
 	SimRelays   int               `json:"hollow"`
 	Members     int               `json:"members"`
@@ -78,21 +78,22 @@
 	Register    float64           `json:"register_s"` // until all members were registered
 	Start       float64           `json:"start_s"`    // from the first process of a relay until all had the list
 	Settle      float64           `json:"settle_s"`   // after the load, until all had the service's list and nothing was owed
-	Rate        float64           `json:"rate"`       // messages a second that the hollow relays took on, together
+	Rate        float64           `json:"rate"`       // messages a second that the simulated relays accepted, together
 	Speed       float64           `json:"speed"`
 	Comparisons []ScaleComparison `json:"apart"`
 	SimLateP99  time.Duration     `json:"hollow_late_p99_ns"`
 	Notes       []string          `json:"notes"`
 }
 
-// ScaleComparison is how far a hollow relay is from a real one at the same load.
+// ScaleComparison compares a simulated relay with a real one at the same load.
 type ScaleComparison struct {
-	Name         string  `json:"name"`
-	Hollow, Real float64 `json:",omitempty"`
-	Ratio        float64 `json:"ratio"`
+	Name      string  `json:"name"`
+	Simulated float64 `json:"Hollow,omitempty"`
+	Real      float64 `json:"Real,omitempty"`
+	Ratio     float64 `json:"ratio"`
 }
 
-// isRelay tells whether the budget of a relay's control is for this role.
+// isRelay reports whether the budgets of a relay's control apply to a role.
 func isRelay(name string) bool {
 	return name == simRelayRole || name == realRelayRole || name == operatedRelayRole
 }
@@ -128,12 +129,12 @@
 	return all
 }
 
-// compareRoles sets the hollow relays beside the real ones of the same load.
-func (s *ScaleReport) compareRoles(hollowName, realName string) {
+// compareRoles compares the simulated relays with the real ones of the same load.
+func (s *ScaleReport) compareRoles(simulatedName, realName string) {
 	var h, r *ScaleRole
 	for i := range s.Roles {
 		switch s.Roles[i].Name {
-		case hollowName:
+		case simulatedName:
 			h = &s.Roles[i]
 		case realName:
 			r = &s.Roles[i]
@@ -143,7 +144,7 @@
 		return
 	}
 	add := func(name string, x, y float64) {
-		a := ScaleComparison{Name: name, Hollow: x, Real: y}
+		a := ScaleComparison{Name: name, Simulated: x, Real: y}
 		if y > 0 {
 			a.Ratio = x / y
 		}
--- a/internal/faultlab/scale_results.go
+++ b/internal/faultlab/scale_results.go
@@ -8,13 +8,14 @@
 	"slices"
 	"time"
 
+	"plovershore/internal/faultlab/checker"
 	"plovershore/internal/faultlab/model"
 	"plovershore/internal/faultlab/scenario"
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// settle waits until every relay has the service's list and owes nothing, and
-// judges the lists as they are then.
+// settle waits until every relay has the service's list and no message pending, and
+// checks the real relays' lists as they are then.
 func (r *scaleRun) settle() {
 	if r.ctx.Err() != nil {
 		return
@@ -22,7 +23,7 @@
 	began := time.Now()
 	list, err := r.fetchList(r.ctx)
 	if err != nil {
-		r.fail(err)
+		r.failure.set(err)
 		return
 	}
 	hash := fmt.Sprintf("%016x", simrelay.ListHash(list.Members))
@@ -45,17 +46,17 @@
 		if x.operator == "" {
 			continue
 		}
-		r.check.checked("list")
+		r.check.checked(checker.RuleList)
 		if n := x.members(r.ctx); n != len(list.Members) {
-			r.check.violate("list", x.name, fmt.Sprintf("has %d members, the service %d", n, len(list.Members)), 0, 0)
+			r.check.violate(checker.RuleList, x.name, fmt.Sprintf("has %d members, the service %d", n, len(list.Members)), 0, 0)
 		}
 	}
 }
 
-// checkResults ends the hollow relays, and judges and counts what they tell.
+// checkResults ends the simulated relays, and checks and counts their results.
 func (r *scaleRun) checkResults() error {
 	if err := r.ctx.Err(); err != nil {
-		return errors.Join(r.failure(), err)
+		return errors.Join(r.failure.get(), err)
 	}
 	r.isEnding.Store(true)
 	r.signal(func(h *simProcess) error { return h.process.Signal(simrelay.Finish) })
@@ -107,10 +108,10 @@
 		all.Add(relays[i].Counts)
 		whole += relays[i].CompleteLists
 	}
-	r.addNote("hollow relays: %d messages offered, %d refused, %d taken on, %d delivered, %d handed back, %d given up, %d calls, %d notices; %d whole lists in %d relays",
+	r.addNote("simulated relays: %d messages offered, %d rejected, %d accepted, %d delivered, %d returned, %d failed, %d calls, %d notices; %d complete lists in %d relays",
 		all.Offered, all.Rejected, all.Accepted, all.Delivered, all.Returned, all.Failed, all.Calls, all.Notices, whole, len(relays))
 	for i, k := range r.clients {
-		r.addNote("%s: %d messages offered, %d refused, %d taken on, %d not heard of", r.realRelays[i].name, k.offered.Load(), k.rejected.Load(), k.accepted.Load(), k.unanswered.Load())
+		r.addNote("%s: %d messages offered, %d rejected, %d accepted, %d unanswered", r.realRelays[i].name, k.offered.Load(), k.rejected.Load(), k.accepted.Load(), k.unanswered.Load())
 	}
 	m := r.members
 	if len(m.restored) > 0 {
@@ -126,8 +127,8 @@
 	r.report.Notes = append(r.report.Notes, fmt.Sprintf(format, args...))
 }
 
-// reportDelays books how long changes took until the relays had them: each in each
-// relay, and each until the last relay had it.
+// reportDelays adds how long changes took until the relays had applied them: each
+// change in each relay, and each until the last relay had it.
 func (r *scaleRun) reportDelays(name string, relays []simrelay.RelayResult, changes []scaleChange) {
 	if len(changes) == 0 {
 		return
--- a/internal/faultlab/scale_role.go
+++ b/internal/faultlab/scale_role.go
@@ -7,32 +7,33 @@
 	"plovershore/internal/faultlab/process"
 )
 
-// role is a kind of process of a scale run.
+// role is a kind of process of a scale run, whose cost is measured.
 type role struct {
 	name      string
-	units     int
+	units     int // processes or relays, over which the cost is spread
 	processes []*process.Process
 	meters    []*meter
 	before    usage
 	cost      ScaleRole
 
 	mu   sync.Mutex
-	peak int64
+	peak int64 // bytes of memory
 }
 
-// usage is what a role has spent and holds at one moment.
+// usage is what a role has used up to one moment, and uses at it.
 type usage struct {
 	at    time.Time
 	cpu   time.Duration
-	rss   int64
-	bytes int64
+	rss   int64 // bytes of memory
+	bytes int64 // of control traffic
 }
 
+// measure returns the role's usage now.
 func (r *role) measure() usage {
 	u := usage{at: time.Now()}
 	for _, p := range r.processes {
-		if x, err := process.Measure(p.PID); err == nil {
-			u.cpu, u.rss = u.cpu+x.CPU, u.rss+x.RSS
+		if used, err := process.Measure(p.PID); err == nil {
+			u.cpu, u.rss = u.cpu+used.CPU, u.rss+used.RSS
 		}
 	}
 	for _, m := range r.meters {
@@ -44,16 +45,21 @@
 	return u
 }
 
-// beginPhase starts a part, end books it.
+// beginPhase starts the measurement of a phase.
 func (r *role) beginPhase() { r.before = r.measure() }
 
+// endPhase records what the phase cost.
 func (r *role) endPhase(phase string) {
 	now, units := r.measure(), float64(r.units)
 	spent := now.at.Sub(r.before.at).Seconds()
-	r.cost.Phases[phase] = ScalePhase{CPU: 100 * (now.cpu - r.before.cpu).Seconds() / spent / units, MemoryMB: float64(now.rss) / (1 << 20) / units,
-		KB: float64(now.bytes-r.before.bytes) / 1e3 / spent / units}
+	r.cost.Phases[phase] = ScalePhase{
+		CPU:      100 * (now.cpu - r.before.cpu).Seconds() / spent / units,
+		MemoryMB: float64(now.rss) / (1 << 20) / units,
+		KB:       float64(now.bytes-r.before.bytes) / 1e3 / spent / units,
+	}
 }
 
+// finish returns the cost; speed is the factor by which changes were accelerated.
 func (r *role) finish(speed float64) ScaleRole {
 	r.cost.Name, r.cost.Units = r.name, r.units
 	quiet, control := r.cost.Phases[phaseQuiet], r.cost.Phases[phaseControl]
--- a/internal/faultlab/scale_start.go
+++ b/internal/faultlab/scale_start.go
@@ -22,7 +22,7 @@
 	if r.endpoints, err = newScaleEndpoints(r.ctx); err != nil {
 		return err
 	}
-	r.background(func() { r.endpoints.updateDown(r.ctx, &r.down, c.Members, r.fail) })
+	r.start(func() { r.endpoints.updateDown(r.ctx, &r.down, c.Members, r.failure.set) })
 	log, err := r.logFile("nodes")
 	if err != nil {
 		return err
@@ -35,11 +35,11 @@
 	for _, p := range r.group.processes {
 		r.watchProcess(p)
 	}
-	if r.members, err = newScaleMembers(r.scenario, r.endpoints, r.group.http, r.recordLateness); err != nil {
+	if r.members, err = newScaleMembers(r.scenario, r.endpoints, r.group.http, r.lateness.record); err != nil {
 		return err
 	}
 	began := time.Now()
-	r.background(func() { r.members.sendHeartbeats(r.ctx) })
+	r.start(func() { r.members.sendHeartbeats(r.ctx) })
 	if err := r.members.registerAll(ctx, r.members.all(), nil); err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	for _, a := range append(own, r.agents...) {
 		for agentMembers(ctx, a) < c.Members {
 			if !model.Sleep(ctx, pollInterval) {
-				return fmt.Errorf("lab: %s has not %d members; see the logs in %s", a.process.Name, c.Members, filepath.Join(r.dir, "logs"))
+				return fmt.Errorf("lab: %s has not %d members; see the logs in %s", a.process.Name, c.Members, filepath.Join(r.dir, logsDir))
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 		return err
 	}
 	r.makeRoles(own, ownNodes, sharedNodes)
-	r.background(r.sampleRoles)
+	r.start(r.sampleRoles)
 	r.awaitLists(ctx)
 	r.report.Start = time.Since(began).Seconds()
 	for _, x := range r.roles {
@@ -103,7 +103,7 @@
 	return r.ctx.Err()
 }
 
-// startRelays starts the real relays and the processes of hollow ones.
+// startRelays starts the real relays and the processes of simulated ones.
 func (r *scaleRun) startRelays(own []*scaleAgent) error {
 	c := &r.scenario.Scale
 	var doors []string
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// makeRoles names who is measured.
+// makeRoles makes the roles that are measured.
 func (r *scaleRun) makeRoles(own []*scaleAgent, ownNodes, sharedNodes []*meter) {
 	c := &r.scenario.Scale
 	add := func(x *role) {
@@ -140,13 +140,13 @@
 			r.roles = append(r.roles, x)
 		}
 	}
-	hollows := &role{name: simRelayRole, units: c.Relays}
+	simulated := &role{name: simRelayRole, units: c.Relays}
 	for _, h := range r.simProcesses {
-		hollows.processes = append(hollows.processes, h.process)
+		simulated.processes = append(simulated.processes, h.process)
 	}
 	shared := &role{name: fmt.Sprintf("agent of %d hollow relays", c.Relays/c.Agents), units: c.Agents, meters: sharedNodes}
 	for _, a := range r.agents {
-		hollows.meters = append(hollows.meters, a.meter)
+		simulated.meters = append(simulated.meters, a.meter)
 		shared.processes = append(shared.processes, a.process)
 	}
 	plain, operated := &role{name: realRelayRole}, &role{name: operatedRelayRole}
@@ -162,7 +162,7 @@
 	for _, a := range own {
 		alone.processes = append(alone.processes, a.process)
 	}
-	add(hollows)
+	add(simulated)
 	add(plain)
 	add(operated)
 	add(alone)
@@ -171,7 +171,7 @@
 	add(&role{name: "lab", units: 1, processes: []*process.Process{{Name: "lab", PID: os.Getpid()}}})
 }
 
-// awaitLists waits until every relay has the whole list, or ctx ends.
+// awaitLists waits until every relay has the complete list, or ctx ends.
 func (r *scaleRun) awaitLists(ctx context.Context) {
 	c := &r.scenario.Scale
 	for {
--- a/internal/faultlab/scale_test.go
+++ b/internal/faultlab/scale_test.go
@@ -9,8 +9,6 @@
 	"testing"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"plovershore/internal/discovery"
 	"plovershore/internal/faultlab/checker"
 	"plovershore/internal/faultlab/scenario"
@@ -106,9 +104,9 @@
 		void        bool
 	}{{time.Millisecond, time.Millisecond, false}, {time.Second, time.Millisecond, true}, {time.Millisecond, time.Second, true}} {
 		s := scenario.Default()
-		r := &scaleRun{opts: Options{Out: t.TempDir()}, scenario: &s, check: newScaleCheck("", 0), lateness: hdrhistogram.New(1, 60_000_000, 3)}
+		r := &scaleRun{opts: Options{Out: t.TempDir(), MaxLateness: MaxLateness}, scenario: &s, check: newScaleCheck("", 0), lateness: newLateness()}
 		r.dir = r.opts.Out
-		r.recordLateness(x.lab)
+		r.lateness.record(x.lab)
 		r.report.SimLateP99 = x.hollow
 		res, err := r.result()
 		if errors.Is(err, ErrLate) != x.void || res == nil {
--- a/internal/faultlab/status.go
+++ b/internal/faultlab/status.go
@@ -7,24 +7,25 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"plovershore/internal/discovery"
 	"plovershore/internal/faultlab/history"
 	"plovershore/internal/faultlab/model"
 )
 
-// Status is how a run goes at one moment.
+// Status is the state of a run at one moment.
 type Status struct {
 	Elapsed   time.Duration
-	Submitted int // requests that clients sent, repeats too
-	Delivered int // messages delivered
-	Pending   int // taken on, and neither over nor out of time
-	Rejected  int // at the door or by a notice
-	Failed    int
+	Submitted int           // requests of clients, retries included
+	Delivered int           // messages
+	Pending   int           // messages
+	Rejected  int           // requests, or messages that were returned
+	Failed    int           // messages
 	P50, P99  time.Duration // of the messages delivered in the last second, from when each was due
-	Up, Fleet int           // relays that serve, and all
-	Faults    int           // that are on
+	Up, Fleet int           // relays that serve clients, and all
+	Faults    int           // that are active
 }
 
-// statusCounter counts what the status line shows.
+// statusCounter counts what a Status shows. It is safe for concurrent use.
 type statusCounter struct {
 	mu           sync.Mutex
 	current      Status
@@ -32,18 +33,18 @@
 	activeFaults int
 }
 
-const maxLatency = int64(60 * time.Second / time.Microsecond)
-
+// recordDelivery counts a message that is delivered so long after it was due.
 func (s *statusCounter) recordDelivery(_ int, after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.latency == nil {
-		s.latency = hdrhistogram.New(1, maxLatency, 3)
+		s.latency = newHistogram()
 	}
 	s.current.Delivered++
-	s.latency.RecordValue(min(max(1, after.Microseconds()), maxLatency))
+	recordMicros(s.latency, after)
 }
 
+// observe takes an event of the history.
 func (s *statusCounter) observe(e history.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +54,7 @@
 	case history.MessageRejected:
 		s.current.Rejected++
 	case history.Notice:
-		if e.Text == "handed_back" {
+		if e.Text == discovery.Returned {
 			s.current.Rejected++
 		} else {
 			s.current.Failed++
@@ -67,7 +68,7 @@
 	}
 }
 
-// snapshot gives the status and begins a new span for the quantiles.
+// snapshot returns the status and begins anew with the quantiles.
 func (s *statusCounter) snapshot() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +82,7 @@
 	return n
 }
 
-// watchStatus tells the status each second while the load lasts.
+// watchStatus passes on the status each second, while the load lasts.
 func (r *run) watchStatus(ctx context.Context) {
 	for model.Sleep(ctx, time.Second) {
 		n := r.status.snapshot()
