--- a/internal/faultlab/bench_fanout.go
+++ b/internal/faultlab/bench_fanout.go
@@ -15,7 +15,7 @@
 const (
 	fanOutTimeout = 30 * time.Second       // for a write to reach all watchers
 	memorySettle  = 500 * time.Millisecond // after all watchers opened
-	restartPause  = time.Second            // for which the group is gone
+	groupDowntime = time.Second            // for which the group is gone
 )
 
 // errNotDelivered is a write that did not reach all watchers in time.
@@ -93,7 +93,7 @@
 	for range benchPlays {
 		b.stop()
 		opened := w.opened.Load()
-		model.Sleep(ctx, restartPause)
+		model.Sleep(ctx, groupDowntime)
 		began := time.Now()
 		if err := b.startNodes(); err != nil {
 			return nil, err
--- a/internal/faultlab/capacity/warden.go
+++ b/internal/faultlab/capacity/controller.go
@@ -16,14 +16,14 @@
 const targetControllers = 4 // one on each control machine
 
 func controllerJobs() []job {
-	const wardens = "wardens"
+	const unit = "wardens"
 	return []job{{name: "warden", sizes: []int{1, 3, 10, 30, 100}, smoke: []int{1, 4}, run: controllersIdle, quantities: []Quantity{
-		{Role: "warden", Name: "idle, all of them", Unit: "% of a core", SizeUnit: wardens, Target: targetControllers},
-		{Role: "warden", Name: "memory, all of them", Unit: "MB", SizeUnit: wardens, Target: targetControllers},
-		{Role: "list service", Name: "three nodes for them", Unit: "% of a core", SizeUnit: wardens, Target: targetControllers}}}}
+		{Role: "warden", Name: "idle, all of them", Unit: "% of a core", SizeUnit: unit, Target: targetControllers},
+		{Role: "warden", Name: "memory, all of them", Unit: "MB", SizeUnit: unit, Target: targetControllers},
+		{Role: "list service", Name: "three nodes for them", Unit: "% of a core", SizeUnit: unit, Target: targetControllers}}}}
 }
 
-// controllersIdle runs so many wardens that hold the usual duties and have nothing
+// controllersIdle runs so many controllers that lead the usual roles and have nothing
 // to do.
 func controllersIdle(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, 310)
@@ -61,7 +61,7 @@
 	return []float64{(after.cpu - before.cpu).Seconds() / span.Seconds() * 100, after.rss / 1e6, nodes}, err
 }
 
-// sessions waits until so many wardens have a session.
+// sessions waits until so many controllers have a session.
 func (g *group) sessions(ctx context.Context, size int) error {
 	for limit := time.Now().Add(groupWait); time.Now().Before(limit) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		text, err := get(ctx, "http://"+g.nodes[0]+registry.RolesPath)
--- a/internal/faultlab/capacity/list.go
+++ b/internal/faultlab/capacity/list.go
@@ -15,7 +15,7 @@
 	targetMembers  = 31_000
 	targetRelays   = 450
 	targetZones    = 8
-	targetInFlight = 1_930_000 // messages that a relay owes after a long outage
+	targetInFlight = 1_930_000 // messages pending in a relay after a long outage
 	budgetMemory   = 256       // MB of a relay's control
 	budgetCore     = 3.4       // % of a core
 	budgetBytes    = 30        // KB a second
@@ -31,7 +31,7 @@
 	smokeSizes  = []int{31, 310}
 )
 
-// memberList makes a whole list of so many members, each the only endpoint of
+// memberList makes a complete list of so many members, each the only endpoint of
 // its destination, with ids of so many letters.
 func memberList(size, letters int) *discovery.List {
 	l := &discovery.List{Revision: int64(size), Complete: true, Members: make([]discovery.Member, size)}
--- a/internal/faultlab/capacity/standin.go
+++ b/internal/faultlab/capacity/list_server.go
@@ -16,7 +16,7 @@
 	"plovershore/internal/discovery"
 )
 
-const watchKeepAlive = 2 * time.Second // an empty line of a watch, as agents send
+const watchIdleInterval = 2 * time.Second // an empty line of a watch, as agents send
 
 // countedListener counts the bytes of all its connections, both ways.
 type countedListener struct {
@@ -24,6 +24,7 @@
 	bytes *atomic.Int64
 }
 
+// Accept accepts a connection whose bytes are counted.
 func (l countedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -32,17 +33,20 @@
 	return countedConn{c, l.bytes}, nil
 }
 
+// countedConn counts the bytes of a connection, both ways.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
+// Read reads and counts.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
+// Write writes and counts.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
@@ -58,7 +62,7 @@
 	server  *http.Server
 	wg      sync.WaitGroup
 	bytes   atomic.Int64
-	lists   atomic.Int64 // whole lists that were asked for
+	lists   atomic.Int64 // complete lists that were requested
 	watches atomic.Int64
 	notices atomic.Int64
 }
@@ -86,7 +90,7 @@
 }
 
 // known is the list as a relay has it that missed the last change of one member:
-// its watch begins with that change, so a start does not wait for news that
+// its watch begins with that change, so a start does not wait for a change that
 // never comes.
 func (s *listServer) known() *discovery.List {
 	return &discovery.List{Revision: s.list.Revision - 1, Complete: true, Members: s.list.Members}
@@ -100,7 +104,7 @@
 func (s *listServer) getList(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		s.lists.Add(1)
-		w.Write(s.text) // a relay that is gone asks again
+		w.Write(s.text) // a relay that is gone connects again
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -118,7 +122,7 @@
 	if from < s.list.Revision {
 		json.NewEncoder(w).Encode(discovery.List{Revision: s.list.Revision, Members: s.list.Members[:1]})
 	}
-	quiet := time.NewTicker(watchKeepAlive)
+	quiet := time.NewTicker(watchIdleInterval)
 	defer quiet.Stop()
 	for out.Flush() == nil {
 		select {
--- a/internal/faultlab/capacity/measurement.go
+++ b/internal/faultlab/capacity/measurement.go
@@ -1,9 +1,10 @@
-// Package capacity measures what each role of a fleet costs at several sizes and
-// fits a slope to it, so that the cost at a size that no machine here can hold
-// may be worked out and set beside its budget. It promises that every value
-// comes from a run, that the spread over repeated runs is kept, and that a curve
-// which is no straight line shows: by the exponent of the same values on
-// logarithmic scales. What follows from the figures is left to their readers.
+// Package capacity measures what each role of a fleet costs at several sizes, and
+// fits a slope, so that the cost at a size that no machine here can hold can be
+// computed and compared with its budget.
+//
+// Every value comes from a run. The spread over repeated runs is kept, and a cost
+// that does not grow linearly shows by the exponent of its power law. What follows
+// from the figures is left to their readers.
 package capacity
 
 import (
@@ -48,7 +49,7 @@
 	Notes    []string      `json:"notes,omitempty"` // jobs that could not be run, each with its error
 }
 
-// Check tells what keeps a measurement from being used: a value that is not
+// Check returns why a measurement cannot be used: a value that is not
 // finite or less than nothing, or an exponent outside of any known cost.
 func (m *Measurement) Check() error {
 	const mostExponent = 3.5
--- a/internal/faultlab/capacity/policy.go
+++ b/internal/faultlab/capacity/policy.go
@@ -15,7 +15,7 @@
 
 const (
 	policySlots  = 100
-	policyWait   = policy.Time(3600e6) // of a destination that told the relay to wait
+	policyWait   = policy.Time(3600e6) // of a destination with a Retry-After
 	policyMoment = policy.Time(10_000) // between steps: a call a step, by the policy's own pace
 	safeClass    = 0
 	unsafeClass  = 1
@@ -56,7 +56,7 @@
 	endpoint policy.Endpoint
 }
 
-// driver is the relay round a policy, as far as the policy can tell: it hands in
+// driver is the relay round a policy, as far as the policy can tell: it submits
 // messages and ends attempts at moments of its own clock.
 type driver struct {
 	policy    *policy.Policy
@@ -134,7 +134,7 @@
 		Latency: 200_000, Final: o == policy.Delivered}, nil
 }
 
-// shut has a destination tell the relay to wait for longer than is measured; the
+// shut has a destination ask the relay to wait for longer than is measured; the
 // message for it waits there.
 func (d *driver) shut(destination int) error {
 	d.step(d.message(destination, safeClass))
--- a/internal/faultlab/capacity/policy_jobs.go
+++ b/internal/faultlab/capacity/policy_jobs.go
@@ -22,12 +22,12 @@
 	quantity := func(name, unit, sizeUnit string, target float64) Quantity {
 		return Quantity{Role: "relay", Name: name, Unit: unit, SizeUnit: sizeUnit, Target: target}
 	}
-	const queued, held, list = "messages in one queue", "messages held", "members"
+	const queued, inFlight, list = "messages in one queue", "messages held", "members"
 	longest := float64(targetInFlight) / destinationsDown // in one queue, where all wait for destinations that are down
 	memory := quantity("policy's memory of the list", "MB", list, targetMembers)
 	memory.Budget = budgetMemory
-	heldMemory := quantity("policy's memory of held messages, without bodies", "MB", held, targetInFlight)
-	heldMemory.Budget = budgetMemory
+	inFlightMemory := quantity("policy's memory of held messages, without bodies", "MB", inFlight, targetInFlight)
+	inFlightMemory.Budget = budgetMemory
 	return []job{
 		{name: "policy-list", sizes: memberSizes, smoke: smokeSizes, run: policyList, quantities: []Quantity{
 			quantity("a whole list, one step", "ms", list, targetMembers), memory,
@@ -45,8 +45,8 @@
 		{name: "queue-down", sizes: queueSizes, smoke: queueSmoke, run: queueDown, quantities: []Quantity{
 			quantity("a message handed in for a destination that is down", "us", queued, longest)}},
 		{name: "held", sizes: []int{1000, 10_000, 100_000, 300_000, 1_000_000}, smoke: []int{1000, 10_000}, run: messagesInFlight, quantities: []Quantity{
-			heldMemory, quantity("a delivery, safe class", "us", held, targetInFlight), quantity("a delivery, unsafe class", "us", held, targetInFlight),
-			quantity("an outcome, unsafe class, all slots taken", "us", held, targetInFlight)}},
+			inFlightMemory, quantity("a delivery, safe class", "us", inFlight, targetInFlight), quantity("a delivery, unsafe class", "us", inFlight, targetInFlight),
+			quantity("an outcome, unsafe class, all slots taken", "us", inFlight, targetInFlight)}},
 		{name: "shed", sizes: []int{1000, 3300, 10_000, 33_000, 100_000}, smoke: []int{1000, 10_000}, quantities: []Quantity{
 			quantity("a message handed in when full", "us", "messages held at most", targetInFlight)},
 			run: func(_ context.Context, e *environment, size int) ([]float64, error) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// policyList times a whole list in one step, the same again, a change of one
+// policyList times a complete list in one step, the same again, a change of one
 // member, a delivery, and trial calls of a destination that is down.
 func policyList(_ context.Context, _ *environment, size int) ([]float64, error) {
 	s, err := policySettings(0)
@@ -127,7 +127,7 @@
 			took += d.step(e)
 			trials++
 		}
-		if d.completed > 0 { // what was given up is handed in anew
+		if d.completed > 0 { // what was given up is submitted again
 			d.completed = 0
 			d.step(d.message(destination, safeClass))
 		}
@@ -135,7 +135,7 @@
 	return micros(took, max(trials, 1)), nil
 }
 
-// deliveries gives the mean time of a message handed in and its answer with a
+// deliveries gives the mean time of a message submitted and its answer with a
 // load report, over some destinations that are up.
 func (d *driver) deliveries(first, destinations int, load policy.LoadReport) (float64, error) {
 	const each = 25
@@ -160,7 +160,7 @@
 	return micros(took, each*destinations), nil
 }
 
-// pendingNotices times one slice of owed messages, as a start reads them, for
+// pendingNotices times one slice of pending messages, as a start reads them, for
 // destinations that refuse connections, and the calls that fail.
 func pendingNotices(_ context.Context, _ *environment, size int) ([]float64, error) {
 	d, err := newDriver(size, 0)
@@ -168,13 +168,13 @@
 		return nil, err
 	}
 	const slice = 2000 // as the relay reads
-	var owed []policy.Event
+	var pending []policy.Event
 	for i := range slice {
 		e := d.message(i%min(size, destinationsDown), safeClass)
 		e.Recovered = true
-		owed = append(owed, e)
+		pending = append(pending, e)
 	}
-	taken := d.step(owed...)
+	taken := d.step(pending...)
 	var failed time.Duration
 	calls := 0
 	for limit := time.Now().Add(failedLimit); len(d.out) > 0 && time.Now().Before(limit); calls++ {
@@ -218,7 +218,7 @@
 	return []float64{micros(outcomes, rounds), micros(taken, rounds), all.Seconds() * 1e3}, nil
 }
 
-// queueDown times messages handed in for a destination that told the relay to
+// queueDown times messages submitted for a destination that asked the relay to
 // wait and has a queue already.
 func queueDown(_ context.Context, _ *environment, size int) ([]float64, error) {
 	d, err := newDriver(1, 0)
@@ -253,7 +253,7 @@
 	return nil
 }
 
-// messagesInFlight measures what a held message costs in memory, and what all held
+// messagesInFlight measures what a message in flight costs in memory, and what all in flight
 // messages cost each delivery at destinations that are up.
 func messagesInFlight(_ context.Context, _ *environment, size int) ([]float64, error) {
 	d, err := newDriver(destinationsDown+destinationsUp, 0)
@@ -318,7 +318,7 @@
 	return micros(took, max(n, 1)), nil
 }
 
-// shed times messages handed in to a policy that holds all that it may.
+// shed times messages submitted to a policy that is full.
 func shed(most, destinations int) ([]float64, error) {
 	d, err := newDriver(destinations, most)
 	if err != nil {
--- a/internal/faultlab/capacity/registry.go
+++ b/internal/faultlab/capacity/registry.go
@@ -179,7 +179,7 @@
 	return all, nil
 }
 
-// idle gives the processor time of all nodes while nobody asks them, in % of a
+// idle gives the processor time of all nodes while nobody calls them, in % of a
 // core.
 func (g *group) idle(ctx context.Context, span time.Duration) (float64, error) {
 	before, err := g.usage()
--- a/internal/faultlab/capacity/registry_jobs.go
+++ b/internal/faultlab/capacity/registry_jobs.go
@@ -115,7 +115,7 @@
 	return []float64{idle, span.Seconds() * 1e6 / calls, single, batch / 100, single * heartbeatsEach * float64(size) / memberTTL / 1e6}, err
 }
 
-// listGroup measures whole lists and a backup.
+// listGroup measures complete lists and a backup.
 func listGroup(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, size)
 	if err != nil {
--- a/internal/faultlab/capacity/relay.go
+++ b/internal/faultlab/capacity/relay.go
@@ -173,7 +173,7 @@
 	bytes float64 // a second, at the list server
 }
 
-// observe measures a process over a span in which nothing is asked of it.
+// observe measures a process over a span in which it has no work.
 func observe(ctx context.Context, p *process.Process, s *listServer, span time.Duration) (load, error) {
 	before, err := usageOf(p)
 	if err != nil {
--- a/internal/faultlab/capacity/relay_jobs.go
+++ b/internal/faultlab/capacity/relay_jobs.go
@@ -29,12 +29,12 @@
 var inFlightSizes = []int{3000, 10_000, 30_000, 100_000, 300_000}
 
 func relayJobs() []job {
-	const list, held = "members", "messages owed"
+	const list, inFlight = "members", "messages owed"
 	quantity := func(name, unit, sizeUnit string, target, budget float64) Quantity {
 		return Quantity{Role: "relay", Name: name, Unit: unit, SizeUnit: sizeUnit, Target: target, Budget: budget}
 	}
 	return []job{
-		{name: "relay-idle", sizes: []int{300, 1000, 3000, 10_000, 30_000}, // a whole list of 31,000 is over what the relay reads
+		{name: "relay-idle", sizes: []int{300, 1000, 3000, 10_000, 30_000}, // a complete list of 31,000 is over what the relay reads
 			smoke: smokeSizes, run: relayIdle, quantities: []Quantity{
 				quantity("idle", "% of a core", list, targetMembers, budgetCore), quantity("memory, steady", "MB", list, targetMembers, budgetMemory),
 				quantity("memory, most since the start", "MB", list, targetMembers, budgetMemory), quantity("bytes with its agent at a start", "KB", list, targetMembers, 0),
@@ -44,14 +44,14 @@
 			quantity("until all is read, the same", "ms", list, targetMembers, 10_000),
 			quantity("longest wait for an answer meanwhile, the same", "ms", list, targetMembers, 400)}},
 		{name: "relay-held", sizes: inFlightSizes, smoke: []int{300, 3000}, run: relayInFlight, quantities: []Quantity{
-			quantity("memory for messages of 200 bytes to destinations that are down", "MB", held, targetInFlight, budgetMemory),
-			quantity("disk for them", "MB", held, targetInFlight, 0), quantity("processor time to take them on", "ms", held, targetInFlight, 0),
-			quantity("processor while they wait", "% of a core", held, targetInFlight, 0)}},
+			quantity("memory for messages of 200 bytes to destinations that are down", "MB", inFlight, targetInFlight, budgetMemory),
+			quantity("disk for them", "MB", inFlight, targetInFlight, 0), quantity("processor time to take them on", "ms", inFlight, targetInFlight, 0),
+			quantity("processor while they wait", "% of a core", inFlight, targetInFlight, 0)}},
 		{name: "relay-start", sizes: inFlightSizes, smoke: []int{300, 3000}, run: relayStart, quantities: []Quantity{
-			quantity("from a start after SIGKILL until it serves", "ms", held, targetInFlight, 10_000),
-			quantity("from a start after SIGKILL until all is read", "ms", held, targetInFlight, 10_000),
-			quantity("memory once all is read", "MB", held, targetInFlight, budgetMemory), quantity("most memory by then", "MB", held, targetInFlight, budgetMemory),
-			quantity("disk", "MB", held, targetInFlight, 0)}},
+			quantity("from a start after SIGKILL until it serves", "ms", inFlight, targetInFlight, 10_000),
+			quantity("from a start after SIGKILL until all is read", "ms", inFlight, targetInFlight, 10_000),
+			quantity("memory once all is read", "MB", inFlight, targetInFlight, budgetMemory), quantity("most memory by then", "MB", inFlight, targetInFlight, budgetMemory),
+			quantity("disk", "MB", inFlight, targetInFlight, 0)}},
 	}
 }
 
@@ -148,7 +148,7 @@
 	return l
 }
 
-// relayDown starts a relay that owes something to destinations that refuse, in a
+// relayDown starts a relay with messages pending for destinations that refuse, in a
 // list of so many members.
 func relayDown(ctx context.Context, e *environment, size int) ([]float64, error) {
 	l := refusingList(size)
@@ -227,7 +227,7 @@
 }
 
 // relayStart starts a relay over a log that a killed one left: so many messages
-// are owed, to destinations that refuse connections.
+// are pending, for destinations that refuse connections.
 func relayStart(ctx context.Context, e *environment, size int) ([]float64, error) {
 	l := refusingList(destinationsDown)
 	s, err := newListServer(l)
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -65,7 +65,7 @@
 }
 
 // Run measures. A job that fails, or whose measurements do not pass Check, is
-// noted with its error, and the others go on; the error tells of all such jobs. Jobs run one after another, so that none bends
+// noted with its error, and the others go on; the error joins those of all such jobs. Jobs run one after another, so that none bends
 // the figures of another; only a smoke run, whose figures are not kept, has
 // several at once.
 func Run(ctx context.Context, o Options) (*Result, error) {
--- a/internal/faultlab/capacity/watchers.go
+++ b/internal/faultlab/capacity/watchers.go
@@ -20,7 +20,7 @@
 )
 
 // watcherSet is many watchers of a group, of which it is known when the last one has
-// heard of a revision.
+// received a revision.
 type watcherSet struct {
 	size  int
 	close context.CancelFunc
@@ -55,7 +55,7 @@
 	return c
 }
 
-// expect counts anew who has heard of a revision.
+// expect counts anew the watchers that have received a revision.
 func (c *watcherSet) expect(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// watchGroup measures how long so many watchers take to have the whole list, and
+// watchGroup measures how long so many watchers take to have the complete list, and
 // the way of a change to the last of them once they have it.
 func watchGroup(ctx context.Context, e *environment, members, watchers int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, members)
--- a/internal/faultlab/checker/verdict.go
+++ b/internal/faultlab/checker/verdict.go
@@ -81,8 +81,8 @@
 	return Verdict{Counts: map[Rule]int{}, Checked: map[Rule]int{}, Excused: map[string]int{}}
 }
 
-// Passed reports whether no rule was violated.
-func (v *Verdict) Passed() bool { return len(v.Counts) == 0 }
+// OK reports whether no rule was violated.
+func (v *Verdict) OK() bool { return len(v.Counts) == 0 }
 
 // Add counts a violation, and keeps it if it is one of the first limit of its rule.
 func (v *Verdict) Add(violation Violation, limit int) {
--- a/internal/faultlab/command/command.go
+++ b/internal/faultlab/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the lab's command line. It promises the exit codes that
+// Package command is the lab's command line. It returns the exit codes that
 // its help names and leaves all work to the packages below it.
 package command
 
@@ -16,8 +16,8 @@
 
 // Exit codes.
 const (
-	Passed   = 0 // every promise was kept
-	Violated = 1 // a promise was broken
+	Success  = 0 // no rule was violated
+	Violated = 1 // a rule was violated
 	Usage    = 2 // the command line or the scenario cannot be used
 	NotRun   = 3 // it could not be run: a port taken, a process that does not start, the lab itself late
 )
@@ -27,36 +27,54 @@
 // usageError is a command line or a scenario that cannot be used.
 type usageError struct{ error }
 
+// Unwrap returns the cause.
 func (u usageError) Unwrap() error { return u.error }
 
-// Main runs the command line and gives the exit code. ctx ends the load of a
-// run early.
+const longHelp = `Run many relays, break things between them, and judge what they did.
+
+Exit codes: 0 every promise was kept; 1 a promise was broken; 2 bad usage or scenario;
+3 it could not be run (a port taken, a process that does not start, the lab itself late).`
+
+// Main runs the command line and returns the exit code. The end of ctx ends the load
+// of a run early.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := &cobra.Command{Use: "faultlab", Short: "Run many relays, break things between them, and judge what they did",
-		Long: "Run many relays, break things between them, and judge what they did.\n\nExit codes: 0 every promise was kept; 1 a promise was broken; 2 bad usage or scenario;\n" +
-			"3 it could not be run (a port taken, a process that does not start, the lab itself late).",
-		SilenceErrors: true, SilenceUsage: true}
+		Long: longHelp, SilenceErrors: true, SilenceUsage: true, Args: noUnknownCommand,
+		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errOut)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.AddCommand(upCommand(), runCommand(), listCommand(), checkCommand(), compareCommand(), sweepCommand(), benchCommand(), simRelayCommand())
 	err := root.ExecuteContext(ctx)
-	var bad *scenario.Error
-	var usage usageError
-	switch {
-	case err == nil:
-		return Passed
-	case errors.Is(err, errViolated):
+	if err == nil {
+		return Success
+	}
+	if errors.Is(err, errViolated) {
 		return Violated
-	case errors.As(err, &bad), errors.As(err, &usage), strings.HasPrefix(err.Error(), "unknown command"):
-		fmt.Fprintln(errOut, "faultlab:", err)
-		return Usage
 	}
 	fmt.Fprintln(errOut, "faultlab:", err)
+	var invalid *scenario.Error
+	var usage usageError
+	if errors.As(err, &invalid) || errors.As(err, &usage) {
+		return Usage
+	}
 	return NotRun
 }
 
+// noUnknownCommand is cobra's check for the command that has subcommands, with an
+// error that is a usageError.
+func noUnknownCommand(c *cobra.Command, args []string) error {
+	if len(args) == 0 {
+		return nil
+	}
+	text := fmt.Sprintf("unknown command %q for %q", args[0], c.CommandPath())
+	if suggestions := c.SuggestionsFor(args[0]); len(suggestions) > 0 {
+		text += "\n\nDid you mean this?\n\t" + strings.Join(suggestions, "\n\t") + "\n"
+	}
+	return usageError{errors.New(text)}
+}
+
 // exactly is cobra.ExactArgs with an exit code for bad usage.
 func exactly(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
--- a/internal/faultlab/command/compare.go
+++ b/internal/faultlab/command/compare.go
@@ -86,7 +86,7 @@
 		switch {
 		case s.Void != "":
 			void++
-		case !s.Verdict.Passed():
+		case !s.Verdict.OK():
 			n++
 		}
 	}
--- a/internal/faultlab/command/play.go
+++ b/internal/faultlab/command/play.go
@@ -23,7 +23,7 @@
 	seed        uint64
 	out         string
 	json        string
-	keepDirs    bool
+	retainDirs  bool
 	maxLateness time.Duration
 	program     string
 	registry    string
@@ -36,7 +36,7 @@
 	c.Flags().StringVar(&f.out, "out", "", "folder of the report (default: lab-out/NAME-SEED-TIME)")
 	c.Flags().StringVar(&f.json, "json", "", "file to which the run's summary is added, for compare")
 	c.Flags().DurationVar(&f.maxLateness, "late", faultlab.MaxLateness, "p99 of the lab's own lateness beyond which a run is void")
-	c.Flags().BoolVar(&f.keepDirs, "keep", false, "keep the relays' folders as well")
+	c.Flags().BoolVar(&f.retainDirs, "keep", false, "keep the relays' folders as well")
 	c.Flags().StringVar(&f.program, "relay", "", "the relay's program (default: relay beside this one)")
 	c.Flags().StringVar(&f.first, "first", "", "a program that each relay runs first, such as an older one")
 	addControllerFlags(c, &f.controller)
@@ -74,58 +74,63 @@
 	Stats *report.Stats `json:"stats"`
 }
 
-// play runs one scenario, writes its report, and says how it went.
-func (f *runFlags) play(c *cobra.Command, s *scenario.Scenario, watch func(*faultlab.Status)) (*Summary, error) {
-	program, err := findProgram(f.program, "relay", "relay")
-	if err != nil {
-		return nil, err
+// programs finds the programs that a scenario needs.
+func (f *runFlags) programs(s *scenario.Scenario, o *faultlab.Options) (err error) {
+	if o.Program, err = findProgram(f.program, "relay", "relay"); err != nil {
+		return err
 	}
-	registry, controller := "", ""
 	if s.Registry.Nodes > 0 {
-		if registry, err = findProgram(f.registry, "registry", "registry"); err != nil {
-			return nil, err
+		if o.Registry, err = findProgram(f.registry, "registry", "registry"); err != nil {
+			return err
 		}
-		if s.Registry.Controllers > 0 {
-			if controller, err = findProgram(f.controller, "controller", "controller"); err != nil {
-				return nil, err
-			}
+	}
+	if s.Registry.Nodes > 0 && s.Registry.Controllers > 0 {
+		if o.Controller, err = findProgram(f.controller, "controller", "controller"); err != nil {
+			return err
 		}
 	}
-	self := ""
 	if s.Scale.Relays > 0 {
-		if self, err = os.Executable(); err != nil {
-			return nil, fmt.Errorf("where is this program: %w", err)
+		if o.SimRelay, err = os.Executable(); err != nil {
+			return fmt.Errorf("where is this program: %w", err)
 		}
 	}
-	out := f.out
-	if out == "" {
-		out = filepath.Join("lab-out", fmt.Sprintf("%s-%d-%s", s.Name, f.seed, time.Now().Format("20060102T150405.000")))
-	}
-	res, err := faultlab.Run(c.Context(), faultlab.Options{Scenario: s, Seed: f.seed, Out: out, Program: program, First: f.first, Registry: registry, Controller: controller, SimRelay: self, KeepDirs: f.keepDirs, MaxLateness: f.maxLateness, OnStatus: watch})
-	if res == nil {
+	return nil
+}
+
+// play runs one scenario and writes its report. A void run has a summary and an error.
+func (f *runFlags) play(c *cobra.Command, s *scenario.Scenario, onStatus func(*faultlab.Status)) (*Summary, error) {
+	o := faultlab.Options{Scenario: s, Seed: f.seed, Out: f.out, First: f.first, RetainDirs: f.retainDirs, MaxLateness: f.maxLateness, OnStatus: onStatus}
+	if err := f.programs(s, &o); err != nil {
 		return nil, err
 	}
-	sum := &Summary{Result: res}
-	if err != nil {
-		sum.Void = err.Error()
+	if o.Out == "" {
+		o.Out = filepath.Join("lab-out", fmt.Sprintf("%s-%d-%s", s.Name, f.seed, time.Now().Format("20060102T150405.000")))
 	}
-	if res.Scale != nil {
-		sum.Stats = &report.Stats{Own: res.Scale.Figures()}
-		return sum, errors.Join(err, f.writeSummary(out, sum))
+	result, runErr := faultlab.Run(c.Context(), o)
+	if result == nil {
+		return nil, runErr
 	}
-	stats, serr := report.Collect(filepath.Join(out, "history.jsonl"))
-	if serr != nil {
-		return nil, serr
+	summary := &Summary{Result: result}
+	if runErr != nil {
+		summary.Void = runErr.Error()
 	}
-	sum.Stats = stats
-	if werr := report.Write(out, report.Page{Title: s.Name, Seed: f.seed, Verdict: res.Verdict, Plan: res.Plan, Stats: stats,
-		Late: fmt.Sprintf("p99 %v, at most %v", res.LateP99, res.LateMax)}); werr != nil {
-		return nil, werr
+	if result.Scale != nil {
+		summary.Stats = &report.Stats{Own: result.Scale.Figures()}
+		return summary, errors.Join(runErr, f.writeSummary(o.Out, summary))
+	}
+	var err error
+	if summary.Stats, err = report.Collect(filepath.Join(o.Out, faultlab.HistoryFile)); err != nil {
+		return nil, err
 	}
-	if werr := f.writeSummary(out, sum); werr != nil {
-		return nil, werr
+	page := report.Page{Title: s.Name, Seed: f.seed, Verdict: result.Verdict, Plan: result.Plan, Stats: summary.Stats,
+		Late: fmt.Sprintf("p99 %v, at most %v", result.LateP99, result.LateMax)}
+	if err := report.Write(o.Out, page); err != nil {
+		return nil, err
+	}
+	if err := f.writeSummary(o.Out, summary); err != nil {
+		return nil, err
 	}
-	return sum, err
+	return summary, runErr
 }
 
 // writeSummary writes a run's summary to its folder, and adds it to the file of several.
@@ -143,7 +148,7 @@
 	return addSummary(f.json, sum)
 }
 
-// printVerdict prints what a run came to, and gives the error that its exit code is of.
+// printVerdict prints the outcome of a run and returns the error of its exit code.
 func printVerdict(w io.Writer, s *Summary, err error) error {
 	if s == nil {
 		return err
@@ -167,13 +172,14 @@
 	return printOutcome(w, s, err)
 }
 
-// printOutcome prints whether every promise was kept, and gives the error of the exit code.
+// printOutcome prints whether all rules were kept, and returns the error of the exit
+// code.
 func printOutcome(w io.Writer, s *Summary, err error) error {
 	switch {
 	case err != nil:
 		fmt.Fprintln(w, "VOID:", err)
 		return err
-	case !s.Verdict.Passed():
+	case !s.Verdict.OK():
 		var rules []string
 		for rule, n := range s.Verdict.Counts {
 			rules = append(rules, fmt.Sprintf("%s (%d)", rule, n))
--- a/internal/faultlab/command/scale_test.go
+++ b/internal/faultlab/command/scale_test.go
@@ -23,7 +23,7 @@
 	a := write("a.json", `{"name": "CPU", "unit": "% of a core", "value": 2}, {"name": "only a", "value": 1}`)
 	b := write("b.json", `{"name": "only b", "value": 3}, {"name": "CPU", "unit": "% of a core", "value": 3}`)
 	code, out := command(t, "", "compare", a, b)
-	if code != Passed {
+	if code != Success {
 		t.Fatalf("exit %d: %s", code, out)
 	}
 	lines := map[string][]string{}
--- a/internal/faultlab/command/sweep.go
+++ b/internal/faultlab/command/sweep.go
@@ -60,7 +60,7 @@
 					if c.Context().Err() != nil {
 						return errors.New("stopped before the sweep was whole")
 					}
-					broken = broken || !sum.Verdict.Passed()
+					broken = broken || !sum.Verdict.OK()
 					fmt.Fprintf(c.ErrOrStderr(), "%s=%s seed %d: served %.3f, broken %d, %s\n", key, values[i], seed, sum.Stats.ValueServed, len(sum.Verdict.Counts), sum.Void)
 					runs = append(runs, sum)
 				}
--- a/internal/faultlab/fault_controller.go
+++ b/internal/faultlab/fault_controller.go
@@ -52,7 +52,7 @@
 		c.signal(syscall.SIGKILL)
 		g.run.waitUntilUndone(ctx, step)
 		return c.start()
-	case scenario.FaultControllerPause:
+	case scenario.FaultControllerSuspend:
 		c.signal(syscall.SIGSTOP)
 		g.run.waitUntilUndone(ctx, step)
 		c.signal(syscall.SIGCONT)
--- a/internal/faultlab/fault_node.go
+++ b/internal/faultlab/fault_node.go
@@ -34,7 +34,7 @@
 		n.signal(syscall.SIGKILL)
 		g.run.waitUntilUndone(ctx, step)
 		return n.start()
-	case scenario.FaultNodePause:
+	case scenario.FaultNodeSuspend:
 		n.signal(syscall.SIGSTOP)
 		g.run.waitUntilUndone(ctx, step)
 		n.signal(syscall.SIGCONT)
--- a/internal/faultlab/fault_relay.go
+++ b/internal/faultlab/fault_relay.go
@@ -31,21 +31,21 @@
 		return nil
 	}
 	switch step.Fault.Kind {
-	case scenario.FaultPause:
-		r.pause(ctx, step, x)
+	case scenario.FaultSuspend:
+		r.suspend(ctx, step, x)
 		return nil
-	case scenario.FaultSalvage:
+	case scenario.FaultFailover:
 		return r.strikeFailover(ctx, step, x)
 	case scenario.FaultHangUp:
-		return r.moveDiscovery(x)
+		return r.rebindDiscovery(x)
 	case scenario.FaultUpgrade:
 		return x.upgrade(ctx)
 	}
 	return r.restart(ctx, step, x)
 }
 
-// pause stops a relay's process for a while.
-func (r *run) pause(ctx context.Context, step Step, x *relay) {
+// suspend stops a relay's process for a while.
+func (r *run) suspend(ctx context.Context, step Step, x *relay) {
 	if _, sent := x.signal(syscall.SIGSTOP); !sent {
 		return
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// moveDiscovery gives a relay's agent a new address, and tells the relay by SIGHUP.
-func (r *run) moveDiscovery(x *relay) error {
+// rebindDiscovery gives a relay's agent a new address, and notifies the relay by SIGHUP.
+func (r *run) rebindDiscovery(x *relay) error {
 	if err := x.agent.Rebind(r.ctx); err != nil {
 		return err
 	}
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -22,10 +22,11 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-const (
-	historyFile = "history.jsonl" // in the folder of the report
-	logsDir     = "logs"          // of the processes, in the folder of the report
-)
+// HistoryFile is the name of a run's history in the folder of its report.
+const HistoryFile = "history.jsonl"
+
+// logsDir is the folder of the processes' logs in that of the report.
+const logsDir = "logs"
 
 // Options say how a scenario is run.
 type Options struct {
@@ -38,7 +39,7 @@
 	Controller  string        // the controllers' program, if the scenario has them
 	SimRelay    string        // a program that runs simulated relays by SimRelayCommand, if the scenario has them
 	Env         []string      // added to the relays' environment
-	KeepDirs    bool          // keep the relays' directories after the run
+	RetainDirs  bool          // keep the relays' directories after the run
 	MaxLateness time.Duration // the p99 of the lab's own lateness beyond which a run is void; 0 for MaxLateness
 	OnStatus    func(*Status) // called each second while the load lasts; may be nil
 }
@@ -65,7 +66,7 @@
 	LabCPU  time.Duration   `json:"lab_cpu_ns"`
 	LabRSS  int64           `json:"lab_rss_bytes"`
 	Took    time.Duration   `json:"took_ns"`
-	Scale   *ScaleReport    `json:"scale,omitempty"` // of a scale scenario
+	Scale   *ScaleResult    `json:"scale,omitempty"` // of a scale scenario
 }
 
 // Run plays a scenario and checks its history. ctx ends the load early; the run is
@@ -87,7 +88,7 @@
 		return nil, err
 	}
 	defer lock.Close()
-	recorder, err := history.Create(filepath.Join(o.Out, historyFile))
+	recorder, err := history.Create(filepath.Join(o.Out, HistoryFile))
 	if err != nil {
 		return nil, err
 	}
@@ -130,7 +131,7 @@
 	if result.Verdict, err = r.check(); err != nil {
 		return nil, err
 	}
-	if !r.opts.KeepDirs {
+	if !r.opts.RetainDirs {
 		for _, relay := range r.relays {
 			os.RemoveAll(relay.dir)
 		}
@@ -151,7 +152,7 @@
 
 // check reads the history back and checks it.
 func (r *run) check() (checker.Verdict, error) {
-	path := filepath.Join(r.opts.Out, historyFile)
+	path := filepath.Join(r.opts.Out, HistoryFile)
 	fleet := &r.scenario.Fleet
 	check := checker.New(checker.Config{
 		Rules:        r.world.Rules,
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -276,7 +276,7 @@
 			if err != nil && !strings.Contains(err.Error(), "stopped before the relays were ready") {
 				t.Fatal(err)
 			}
-			if res != nil && !res.Verdict.Passed() {
+			if res != nil && !res.Verdict.OK() {
 				t.Errorf("broken: %v", res.Verdict.Violations)
 			}
 		})
--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -72,10 +72,10 @@
 	return counterStep{at: at, count: count, token: token, outcome: stepOutcomes[strings.Trim(fields[2], `"`)]}, true, nil
 }
 
-// isEvacuated tells whether an operation's message says that its zone is drained.
+// isEvacuated reports whether an operation's message says that its zone is drained.
 func isEvacuated(message string) bool { return strings.HasPrefix(message, evacuatedPrefix) }
 
-// isReturned tells whether an operation's message says that its zone is back.
+// isReturned reports whether an operation's message says that its zone is back.
 func isReturned(message string) bool { return message == returnedMessage }
 
 // parseMembersMetric reads the length of the endpoint list from a line of the
--- a/internal/faultlab/model/clients.go
+++ b/internal/faultlab/model/clients.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// RelayUp tells the load balancer that a relay answers.
+// RelayUp records that a relay answers; the load balancer uses it.
 func (c *Clients) RelayUp(relay string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faultlab/model/settings.go
+++ b/internal/faultlab/model/settings.go
@@ -8,7 +8,7 @@
 	Newsagent = "agent"
 )
 
-// Fleet is what the settings tell a relay of its fleet.
+// Fleet is the fleet as a relay's settings describe it.
 type Fleet struct {
 	Relays      int
 	MaxCalls    int // in flight, of one relay
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -45,11 +45,11 @@
 	failure  failure
 	lateness *lateness
 	check    *scaleCheck
-	report   ScaleReport
+	results  ScaleResult
 
-	phase    atomic.Value // of the run: one of scalePhases
-	isEnding atomic.Bool  // processes are told to end
-	listHash uint64       // of the service's list at the end
+	phase       atomic.Value // of the run: one of scalePhases
+	isFinishing atomic.Bool  // processes are being ended
+	listHash    uint64       // of the service's list at the end
 
 	down         simrelay.Down
 	endpoints    *scaleEndpoints
@@ -90,7 +90,7 @@
 	r.failure.stop = r.stop
 	r.check = newScaleCheck(dir, r.began.UnixMicro())
 	c := &o.Scenario.Scale
-	r.report = ScaleReport{SimRelays: c.Relays, Members: c.Members, Speed: c.Speed}
+	r.results = ScaleResult{SimRelays: c.Relays, Members: c.Members, Speed: c.Speed}
 	err = r.play()
 	if cause := r.failure.get(); cause != nil {
 		err = cause
@@ -153,7 +153,7 @@
 			r.check.violate(checker.RuleStart, x.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
 		}
 	}
-	return r.check.verdict.Passed()
+	return r.check.verdict.OK()
 }
 
 // fetchList returns the complete list as the service has it.
@@ -169,19 +169,19 @@
 	if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistent, nil, &text); err != nil {
 		return nil, fmt.Errorf("lab: the service's list: %w", err)
 	}
-	r.report.ListMB = float64(len(text)) / 1e6
+	r.results.ListMB = float64(len(text)) / 1e6
 	return discovery.Parse(text)
 }
 
 // result is the run's result; an error if the lab or the simulated relays were late.
 func (r *scaleRun) result() (*Result, error) {
-	result := &Result{Name: r.scenario.Name, Seed: r.opts.Seed, Out: r.opts.Out, Took: time.Since(r.began), Verdict: r.check.verdict, Scale: &r.report}
+	result := &Result{Name: r.scenario.Name, Seed: r.opts.Seed, Out: r.opts.Out, Took: time.Since(r.began), Verdict: r.check.verdict, Scale: &r.results}
 	result.measureLab(r.lateness)
-	if !r.opts.KeepDirs {
+	if !r.opts.RetainDirs {
 		r.removeData()
 	}
-	if limit := r.opts.MaxLateness; max(result.LateP99, r.report.SimLateP99) > limit {
-		return result, fmt.Errorf("%w: p99 %v from due to done, simulated relays %v; %v at most", ErrLate, result.LateP99, r.report.SimLateP99, limit)
+	if limit := r.opts.MaxLateness; max(result.LateP99, r.results.SimLateP99) > limit {
+		return result, fmt.Errorf("%w: p99 %v from due to done, simulated relays %v; %v at most", ErrLate, result.LateP99, r.results.SimLateP99, limit)
 	}
 	return result, nil
 }
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// registerAll registers members by all writers at once. noted hears of each.
+// registerAll registers members by all writers concurrently; onRegistered may be nil.
 func (m *scaleMembers) registerAll(ctx context.Context, members []int, onRegistered func(member int, requestedAt, answered int64)) error {
 	var wg sync.WaitGroup
 	var next atomic.Int64
--- a/internal/faultlab/scale_phases.go
+++ b/internal/faultlab/scale_phases.go
@@ -31,7 +31,7 @@
 	stopChanges()
 	<-changed
 	r.members.mu.Lock()
-	r.report.Changes = len(r.members.changes)
+	r.results.Changes = len(r.members.changes)
 	r.members.mu.Unlock()
 }
 
@@ -61,7 +61,7 @@
 	r.signal(func(p *simProcess) error { return p.process.Signal(simrelay.StartTraffic) })
 	before := r.simStatus().Counts.Accepted
 	r.measurePhase(phaseLoad, scenario.Seconds(r.scenario.Seconds))
-	r.report.Rate = float64(r.simStatus().Counts.Accepted-before) / r.scenario.Seconds
+	r.results.Rate = float64(r.simStatus().Counts.Accepted-before) / r.scenario.Seconds
 	cancel()
 	r.signal(func(p *simProcess) error { return p.process.Signal(simrelay.StopTraffic) })
 	submitting.Wait()
@@ -114,7 +114,7 @@
 		select {
 		case <-r.ctx.Done():
 		case <-p.Done():
-			if _, text := p.Exit(); !r.isEnding.Load() && r.ctx.Err() == nil {
+			if _, text := p.Exit(); !r.isFinishing.Load() && r.ctx.Err() == nil {
 				r.failure.set(fmt.Errorf("%w: %s: %s; see the logs in %s", errUnexpectedExit, p.Name, text, filepath.Join(r.dir, logsDir)))
 			}
 		}
--- a/internal/faultlab/scale_print.go
+++ b/internal/faultlab/scale_print.go
@@ -7,7 +7,7 @@
 )
 
 // Print writes the report as a table.
-func (s *ScaleReport) Print(w io.Writer) {
+func (s *ScaleResult) Print(w io.Writer) {
 	fmt.Fprintf(w, "%d hollow relays, %d members, a list of %.2f MB; %d changes, x %.0f; registered in %.1f s, relays started in %.1f s, settled in %.1f s; %.0f messages a second, hollow late p99 %v\n",
 		s.SimRelays, s.Members, s.ListMB, s.Changes, s.Speed, s.Register, s.Start, s.Settle, s.Rate, s.SimLateP99)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/internal/faultlab/scale_report.go
+++ b/internal/faultlab/scale_report.go
@@ -67,17 +67,17 @@
 	return s
 }
 
-// ScaleReport is the outcome of a scale run, beside its verdict.
-type ScaleReport struct {
+// ScaleResult is the outcome of a scale run, beside its verdict.
+type ScaleResult struct {
 	SimRelays   int               `json:"hollow"`
 	Members     int               `json:"members"`
-	ListMB      float64           `json:"list_mb"` // of the whole list, as the service sends it
+	ListMB      float64           `json:"list_mb"` // of the complete list, as the service sends it
 	Roles       []ScaleRole       `json:"roles"`
 	Delays      []ScaleDelay      `json:"force"`
 	Changes     int               `json:"changes"`
 	Register    float64           `json:"register_s"` // until all members were registered
 	Start       float64           `json:"start_s"`    // from the first process of a relay until all had the list
-	Settle      float64           `json:"settle_s"`   // after the load, until all had the service's list and nothing was owed
+	Settle      float64           `json:"settle_s"`   // after the load, until all had the service's list and nothing was pending
 	Rate        float64           `json:"rate"`       // messages a second that the simulated relays accepted, together
 	Speed       float64           `json:"speed"`
 	Comparisons []ScaleComparison `json:"apart"`
@@ -99,7 +99,7 @@
 }
 
 // Figures are those that compare sets side by side.
-func (s *ScaleReport) Figures() (all []report.Figure) {
+func (s *ScaleResult) Figures() (all []report.Figure) {
 	add := func(name, unit string, value float64) {
 		all = append(all, report.Figure{Name: name, Unit: unit, Value: value})
 	}
@@ -130,7 +130,7 @@
 }
 
 // compareRoles compares the simulated relays with the real ones of the same load.
-func (s *ScaleReport) compareRoles(simulatedName, realName string) {
+func (s *ScaleResult) compareRoles(simulatedName, realName string) {
 	var h, r *ScaleRole
 	for i := range s.Roles {
 		switch s.Roles[i].Name {
--- a/internal/faultlab/scale_results.go
+++ b/internal/faultlab/scale_results.go
@@ -40,7 +40,7 @@
 			break
 		}
 	}
-	r.report.Settle = time.Since(began).Seconds()
+	r.results.Settle = time.Since(began).Seconds()
 	r.listHash = simrelay.ListHash(list.Members)
 	for _, x := range r.realRelays {
 		if x.operator == "" {
@@ -58,7 +58,7 @@
 	if err := r.ctx.Err(); err != nil {
 		return errors.Join(r.failure.get(), err)
 	}
-	r.isEnding.Store(true)
+	r.isFinishing.Store(true)
 	r.signal(func(h *simProcess) error { return h.process.Signal(simrelay.Finish) })
 	ended, cancel := context.WithTimeout(r.ctx, scaleEnd)
 	defer cancel()
@@ -72,23 +72,23 @@
 			return err
 		}
 		relays = append(relays, result.Relays...)
-		r.report.SimLateP99 = max(r.report.SimLateP99, result.LateP99)
+		r.results.SimLateP99 = max(r.results.SimLateP99, result.LateP99)
 	}
 	for i := range relays {
 		r.check.checkList(relays[i].Name, relays[i].Hash, r.listHash, relays[i].Members)
 		r.check.checkChanges(&relays[i], r.members.changes)
 		r.check.checkMessages(&relays[i])
 	}
-	r.reportFigures(relays)
+	r.addFigures(relays)
 	return nil
 }
 
-// reportFigures makes the figures of a run that has ended.
-func (r *scaleRun) reportFigures(relays []simrelay.RelayResult) {
+// addFigures makes the figures of a run that has ended.
+func (r *scaleRun) addFigures(relays []simrelay.RelayResult) {
 	for _, x := range r.roles {
-		r.report.Roles = append(r.report.Roles, x.finish(r.scenario.Scale.Speed))
+		r.results.Roles = append(r.results.Roles, x.finish(r.scenario.Scale.Speed))
 	}
-	r.report.compareRoles(simRelayRole, realRelayRole)
+	r.results.compareRoles(simRelayRole, realRelayRole)
 	var control, load []scaleChange
 	for _, c := range r.members.changes {
 		if c.Phase == phaseLoad {
@@ -97,11 +97,11 @@
 			control = append(control, c)
 		}
 	}
-	r.reportDelays("a change, control", relays, control)
-	r.reportDelays("a change, load", relays, load)
+	r.addDelays("a change, control", relays, control)
+	r.addDelays("a change, load", relays, load)
 	if r.scenario.Scale.ExpiryAt > 0 {
-		r.reportDelays(fmt.Sprintf("a zone gone (of it %.0f s to live)", r.scenario.Registry.TTL), relays, r.members.expired)
-		r.reportDelays("a zone back", relays, r.members.restored)
+		r.addDelays(fmt.Sprintf("a zone gone (of it %.0f s to live)", r.scenario.Registry.TTL), relays, r.members.expired)
+		r.addDelays("a zone back", relays, r.members.restored)
 	}
 	all, whole := simrelay.Counts{}, 0
 	for i := range relays {
@@ -124,12 +124,12 @@
 }
 
 func (r *scaleRun) addNote(format string, args ...any) {
-	r.report.Notes = append(r.report.Notes, fmt.Sprintf(format, args...))
+	r.results.Notes = append(r.results.Notes, fmt.Sprintf(format, args...))
 }
 
-// reportDelays adds how long changes took until the relays had applied them: each
+// addDelays adds how long changes took until the relays had applied them: each
 // change in each relay, and each until the last relay had it.
-func (r *scaleRun) reportDelays(name string, relays []simrelay.RelayResult, changes []scaleChange) {
+func (r *scaleRun) addDelays(name string, relays []simrelay.RelayResult, changes []scaleChange) {
 	if len(changes) == 0 {
 		return
 	}
@@ -160,5 +160,5 @@
 		}
 		last = append(last, slowest[c.Key])
 	}
-	r.report.Delays = append(r.report.Delays, newScaleDelay(name+", each relay", each, missing), newScaleDelay(name+", the last relay", last, notAll))
+	r.results.Delays = append(r.results.Delays, newScaleDelay(name+", each relay", each, missing), newScaleDelay(name+", the last relay", last, notAll))
 }
--- a/internal/faultlab/scale_start.go
+++ b/internal/faultlab/scale_start.go
@@ -43,7 +43,7 @@
 	if err := r.members.registerAll(ctx, r.members.all(), nil); err != nil {
 		return err
 	}
-	r.report.Register = time.Since(began).Seconds()
+	r.results.Register = time.Since(began).Seconds()
 	r.watchers = &watcherSet{}
 	if c.Watchers == 0 {
 		return nil
@@ -96,7 +96,7 @@
 	r.makeRoles(own, ownNodes, sharedNodes)
 	r.start(r.sampleRoles)
 	r.awaitLists(ctx)
-	r.report.Start = time.Since(began).Seconds()
+	r.results.Start = time.Since(began).Seconds()
 	for _, x := range r.roles {
 		x.cost.StartMB = float64(x.measure().bytes) / 1e6 / float64(x.units)
 	}
--- a/internal/faultlab/scale_test.go
+++ b/internal/faultlab/scale_test.go
@@ -30,7 +30,7 @@
 	// Nothing is measured here: that the machine is busy voids no rule.
 	res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry"),
 		SimRelay: os.Args[0], MaxLateness: 10 * time.Second})
-	if !res.Verdict.Passed() {
+	if !res.Verdict.OK() {
 		t.Errorf("seed 1: %v", res.Verdict.Violations)
 	}
 	for _, rule := range []checker.Rule{"start", "list", "change", "end"} {
@@ -107,7 +107,7 @@
 		r := &scaleRun{opts: Options{Out: t.TempDir(), MaxLateness: MaxLateness}, scenario: &s, check: newScaleCheck("", 0), lateness: newLateness()}
 		r.dir = r.opts.Out
 		r.lateness.record(x.lab)
-		r.report.SimLateP99 = x.hollow
+		r.results.SimLateP99 = x.hollow
 		res, err := r.result()
 		if errors.Is(err, ErrLate) != x.void || res == nil {
 			t.Errorf("lab %v, hollow %v: %v", x.lab, x.hollow, err)
--- a/internal/faultlab/scenario/fault.go
+++ b/internal/faultlab/scenario/fault.go
@@ -24,13 +24,13 @@
 
 // Kinds of fault, as scenario files have them.
 const (
-	FaultKill    = "kill"    // SIGKILL, then a new process
-	FaultTerm    = "term"    // SIGTERM, then a new process
-	FaultPause   = "pause"   // SIGSTOP, then SIGCONT
-	FaultHangUp  = "hup"     // discovery's address changes, and SIGHUP says so
-	FaultUpgrade = "upgrade" // a new process takes over from the present one
-	FaultClock   = "clock"   // the machine's wall clock is stepped
-	FaultSalvage = "salvage" // the relay is lost and its messages are migrated
+	FaultKill     = "kill"    // SIGKILL, then a new process
+	FaultTerm     = "term"    // SIGTERM, then a new process
+	FaultSuspend  = "pause"   // SIGSTOP, then SIGCONT
+	FaultHangUp   = "hup"     // discovery's address changes, and SIGHUP says so
+	FaultUpgrade  = "upgrade" // a new process takes over from the present one
+	FaultClock    = "clock"   // the machine's wall clock is stepped
+	FaultFailover = "salvage" // the relay is lost and its messages are migrated
 
 	FaultFlipBit    = "flip" // corruptions of a file while its relay is down
 	FaultTruncate   = "tear"
@@ -58,15 +58,15 @@
 	FaultRateLimit = "turnaway" // discovery serves few calls
 	FaultQuiet     = "quiet"    // discovery writes nothing
 
-	FaultNodeKill  = "node-kill" // faults of the list service
-	FaultNodePause = "node-pause"
-	FaultNodeCut   = "node-cut"
-	FaultExpiry    = "lapse"   // registrations expire
-	FaultRestore   = "restore" // the list is restored from a backup
+	FaultNodeKill    = "node-kill" // faults of the list service
+	FaultNodeSuspend = "node-pause"
+	FaultNodeCut     = "node-cut"
+	FaultExpiry      = "lapse"   // registrations expire
+	FaultRestore     = "restore" // the list is restored from a backup
 
-	FaultControllerKill  = "warden-kill"
-	FaultControllerPause = "warden-pause"
-	FaultControllerCut   = "warden-cut"
+	FaultControllerKill    = "warden-kill"
+	FaultControllerSuspend = "warden-pause"
+	FaultControllerCut     = "warden-cut"
 
 	FaultRollout  = "rollout"  // all relays are restarted in waves
 	FaultEvacuate = "evacuate" // a zone is drained and returned
@@ -92,44 +92,44 @@
 
 // Targets gives what each kind of fault strikes.
 var Targets = map[string]Target{
-	FaultKill:            TargetRelay,
-	FaultTerm:            TargetRelay,
-	FaultPause:           TargetRelay,
-	FaultHangUp:          TargetRelay,
-	FaultUpgrade:         TargetRelay,
-	FaultClock:           TargetRelay,
-	FaultSalvage:         TargetRelay,
-	FaultFlipBit:         TargetRelay,
-	FaultTruncate:        TargetRelay,
-	FaultZero:            TargetRelay,
-	FaultDeleteFile:      TargetRelay,
-	FaultCut:             TargetLink,
-	FaultDelay:           TargetLink,
-	FaultThrottle:        TargetLink,
-	FaultReset:           TargetLink,
-	FaultHalfOpen:        TargetLink,
-	FaultDown:            TargetEndpoint,
-	FaultSilent:          TargetEndpoint,
-	FaultDrain:           TargetEndpoint,
-	FaultSlow:            TargetUpstream,
-	FaultFail:            TargetUpstream,
-	FaultClose:           TargetUpstream,
-	FaultLose:            TargetUpstream,
-	FaultCorrupt:         TargetUpstream,
-	FaultBreak:           TargetUpstream,
-	FaultLimits:          TargetUpstream,
-	FaultRateLimit:       TargetDiscovery,
-	FaultQuiet:           TargetDiscovery,
-	FaultNodeKill:        TargetNode,
-	FaultNodePause:       TargetNode,
-	FaultNodeCut:         TargetNode,
-	FaultExpiry:          TargetRegistration,
-	FaultRestore:         TargetGroup,
-	FaultControllerKill:  TargetController,
-	FaultControllerPause: TargetController,
-	FaultControllerCut:   TargetController,
-	FaultRollout:         TargetFleet,
-	FaultEvacuate:        TargetZone,
+	FaultKill:              TargetRelay,
+	FaultTerm:              TargetRelay,
+	FaultSuspend:           TargetRelay,
+	FaultHangUp:            TargetRelay,
+	FaultUpgrade:           TargetRelay,
+	FaultClock:             TargetRelay,
+	FaultFailover:          TargetRelay,
+	FaultFlipBit:           TargetRelay,
+	FaultTruncate:          TargetRelay,
+	FaultZero:              TargetRelay,
+	FaultDeleteFile:        TargetRelay,
+	FaultCut:               TargetLink,
+	FaultDelay:             TargetLink,
+	FaultThrottle:          TargetLink,
+	FaultReset:             TargetLink,
+	FaultHalfOpen:          TargetLink,
+	FaultDown:              TargetEndpoint,
+	FaultSilent:            TargetEndpoint,
+	FaultDrain:             TargetEndpoint,
+	FaultSlow:              TargetUpstream,
+	FaultFail:              TargetUpstream,
+	FaultClose:             TargetUpstream,
+	FaultLose:              TargetUpstream,
+	FaultCorrupt:           TargetUpstream,
+	FaultBreak:             TargetUpstream,
+	FaultLimits:            TargetUpstream,
+	FaultRateLimit:         TargetDiscovery,
+	FaultQuiet:             TargetDiscovery,
+	FaultNodeKill:          TargetNode,
+	FaultNodeSuspend:       TargetNode,
+	FaultNodeCut:           TargetNode,
+	FaultExpiry:            TargetRegistration,
+	FaultRestore:           TargetGroup,
+	FaultControllerKill:    TargetController,
+	FaultControllerSuspend: TargetController,
+	FaultControllerCut:     TargetController,
+	FaultRollout:           TargetFleet,
+	FaultEvacuate:          TargetZone,
 }
 
 // Corrupts reports whether the fault corrupts a file while its relay is down.
@@ -143,9 +143,9 @@
 
 // Values of Fault.Folder: the state that a relay's next process finds.
 const (
-	FolderKept  = "kept"
-	FolderLost  = "lost"  // none
-	FolderOlder = "older" // that of a moment before
+	FolderIntact = "kept"
+	FolderLost   = "lost"  // none
+	FolderOlder  = "older" // that of a moment before
 )
 
 // Values of Fault.Node: whom a fault of the list service or its controllers
@@ -165,7 +165,7 @@
 )
 
 var (
-	folders    = []string{FolderKept, FolderLost, FolderOlder}
+	folders    = []string{FolderIntact, FolderLost, FolderOlder}
 	nodes      = []string{NodeLeader, NodeFollower, NodeAll, NodeHolder}
 	directions = []string{DirectionForth, DirectionBack, DirectionBoth}
 )
--- a/internal/faultlab/scenario/validate.go
+++ b/internal/faultlab/scenario/validate.go
@@ -203,7 +203,7 @@
 
 // validateNeeds checks that the scenario has what a fault needs.
 func (s *Scenario) validateNeeds(f *Fault, target Target) *Error {
-	needsControllers := target == TargetController || target == TargetFleet || target == TargetZone || f.Kind == FaultSalvage
+	needsControllers := target == TargetController || target == TargetFleet || target == TargetZone || f.Kind == FaultFailover
 	needsService := target == TargetNode || target == TargetRegistration || target == TargetGroup
 	switch {
 	case needsControllers && s.Registry.Controllers == 0:
--- a/internal/faultlab/simrelay/relays/attempt.go
+++ b/internal/faultlab/simrelay/relays/attempt.go
@@ -24,8 +24,13 @@
 // attempts is a heap of the attempts in flight, the next to end first.
 type attempts []*attempt
 
-func (a attempts) Len() int           { return len(a) }
+// Len is for package heap.
+func (a attempts) Len() int { return len(a) }
+
+// Less puts the next to end first.
 func (a attempts) Less(i, j int) bool { return a[i].endsAt.Before(a[j].endsAt) }
+
+// Swap keeps the attempts' indexes.
 func (a attempts) Swap(i, j int) {
 	a[i], a[j] = a[j], a[i]
 	a[i].heapIndex, a[j].heapIndex = i, j
--- a/internal/faultlab/stub/client.go
+++ b/internal/faultlab/stub/client.go
@@ -34,6 +34,7 @@
 // malformedRequest is an error that the client is told before its connection ends.
 type malformedRequest string
 
+// Error is what the client gets.
 func (e malformedRequest) Error() string { return string(e) }
 
 // serveClient answers the requests of one connection, and closes it.
--- a/internal/faultlab/stub/defect.go
+++ b/internal/faultlab/stub/defect.go
@@ -47,7 +47,7 @@
 	leakedFileBytes   = 64 << 10 // per message
 )
 
-// affects tells whether the defect strikes a message now.
+// affects reports whether the defect strikes a message now.
 func (r *relay) affects(d Defect, m *message) bool {
 	return r.defect == d && m.number%defectEvery == 0
 }
--- a/internal/faultlab/stub/guard.go
+++ b/internal/faultlab/stub/guard.go
@@ -98,7 +98,7 @@
 	s.lastTick = now
 }
 
-// isSettled tells whether the process has been on the CPU for a while.
+// isSettled reports whether the process has been on the CPU for a while.
 func (s *stallMonitor) isSettled(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
