--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -10,12 +10,12 @@
 	"plovershore/internal/faultlab/stub"
 )
 
-// standinEnv makes the test's own program a stand-in relay: what the lab starts
+// stubEnv makes the test's own program a stub relay: what the lab starts
 // has the lab's environment.
-const standinEnv = "FAULTLAB_TEST_STANDIN"
+const stubEnv = "FAULTLAB_TEST_STUB"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(standinEnv) != "" {
+	if os.Getenv(stubEnv) != "" {
 		os.Exit(stub.Main(os.Getenv))
 	}
 	os.Exit(m.Run())
@@ -25,7 +25,7 @@
 
 func command(t *testing.T, defect stub.Defect, args ...string) (code int, out string) {
 	t.Helper()
-	t.Setenv(standinEnv, "1")
+	t.Setenv(stubEnv, "1")
 	t.Setenv(stub.DefectEnv, string(defect))
 	var b bytes.Buffer
 	code = Main(t.Context(), args, &b, &b)
--- a/internal/faultlab/command/compare.go
+++ b/internal/faultlab/command/compare.go
@@ -23,11 +23,7 @@
 				if err != nil {
 					return usageError{err}
 				}
-				var stats []*report.Stats
-				for _, s := range all {
-					stats = append(stats, s.Stats)
-				}
-				runs[i], rows[i] = all, report.Figures(stats)
+				runs[i], rows[i] = all, figuresOf(all)
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintf(w, "figure\t%s (%d runs)\t%s (%d runs)\tB/A\n", args[0], len(runs[0]), args[1], len(runs[1]))
--- a/internal/faultlab/command/sweep.go
+++ b/internal/faultlab/command/sweep.go
@@ -17,64 +17,92 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
+// sweep is a scenario over values of one key and over seeds.
+type sweep struct {
+	run       runFlags
+	key       string
+	values    []string
+	scenarios []*scenario.Scenario // one for each value
+	firstSeed uint64
+	lastSeed  uint64
+	out       string // folder
+	figure    string // that is plotted
+}
+
 func sweepCommand() *cobra.Command {
-	var f runFlags
-	var set, seeds, figure string
+	s := &sweep{}
+	var set, seeds string
 	c := &cobra.Command{Use: "sweep FILE.toml --set key=a,b,c --seeds 1-5", Short: "Run a scenario over values of one key and over seeds: a table and a plot", Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			key, list, ok := strings.Cut(set, "=")
-			if !ok || key == "" || list == "" {
-				return usageError{fmt.Errorf("--set %q: KEY=VALUE,VALUE is wanted", set)}
-			}
-			from, to, err := seedRange(seeds)
-			if err != nil {
-				return usageError{err}
+			if err := s.parse(args[0], set, seeds); err != nil {
+				return err
 			}
-			text, err := os.ReadFile(args[0])
+			all, err := s.play(c)
 			if err != nil {
-				return usageError{err}
+				return err
 			}
-			values := strings.Split(list, ",")
-			var scenarios []*scenario.Scenario
-			for _, v := range values { // all are checked before the first is run
-				s, err := scenario.ParseWith(args[0], text, key, v)
-				if err != nil {
-					return err
-				}
-				scenarios = append(scenarios, s)
-			}
-			out := f.out
-			if out == "" {
-				out = filepath.Join("lab-out", "sweep-"+time.Now().Format("20060102T150405"))
-			}
-			var all [][]*Summary
-			broken := false
-			for i, s := range scenarios {
-				var runs []*Summary
-				for seed := from; seed <= to; seed++ {
-					f.seed, f.out = seed, filepath.Join(out, fmt.Sprintf("%s-%d", values[i], seed))
-					sum, err := f.play(c, s, nil)
-					if sum == nil {
-						return err
-					}
-					if c.Context().Err() != nil {
-						return errors.New("stopped before the sweep was whole")
-					}
-					broken = broken || !sum.Verdict.OK()
-					fmt.Fprintf(c.ErrOrStderr(), "%s=%s seed %d: served %.3f, broken %d, %s\n", key, values[i], seed, sum.Stats.ValueServed, len(sum.Verdict.Counts), sum.Void)
-					runs = append(runs, sum)
-				}
-				all = append(all, runs)
-			}
-			return sweepTable(c.OutOrStdout(), out, key, figure, values, all, broken)
+			return s.print(c.OutOrStdout(), all)
 		}}
-	f.add(c)
+	s.run.add(c)
 	c.Flags().StringVar(&set, "set", "", "the key, as load.rate or fault.0.share, and its values")
 	c.Flags().StringVar(&seeds, "seeds", "1-3", "the first and the last seed")
-	c.Flags().StringVar(&figure, "figure", "worth served, whole run", "what is plotted")
+	c.Flags().StringVar(&s.figure, "figure", "worth served, whole run", "what is plotted")
 	return c
 }
 
+// parse checks the command line and all scenarios, before the first is run.
+func (s *sweep) parse(path, set, seeds string) (err error) {
+	key, list, ok := strings.Cut(set, "=")
+	if !ok || key == "" || list == "" {
+		return usageError{fmt.Errorf("--set %q: KEY=VALUE,VALUE is wanted", set)}
+	}
+	s.key, s.values = key, strings.Split(list, ",")
+	if s.firstSeed, s.lastSeed, err = seedRange(seeds); err != nil {
+		return usageError{err}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return usageError{err}
+	}
+	for _, value := range s.values {
+		parsed, err := scenario.ParseWith(path, text, key, value)
+		if err != nil {
+			return err
+		}
+		s.scenarios = append(s.scenarios, parsed)
+	}
+	if s.out = s.run.out; s.out == "" {
+		s.out = filepath.Join("lab-out", "sweep-"+time.Now().Format("20060102T150405"))
+	}
+	return nil
+}
+
+// errSweepStopped is a sweep that was ended early.
+var errSweepStopped = errors.New("stopped before the sweep was whole")
+
+// play runs everything and returns the summaries by value.
+func (s *sweep) play(c *cobra.Command) (all [][]*Summary, err error) {
+	for i, value := range s.values {
+		var runs []*Summary
+		for seed := s.firstSeed; seed <= s.lastSeed; seed++ {
+			s.run.seed, s.run.out = seed, filepath.Join(s.out, fmt.Sprintf("%s-%d", value, seed))
+			summary, err := s.run.play(c, s.scenarios[i], nil)
+			if summary == nil {
+				return nil, err
+			}
+			if c.Context().Err() != nil {
+				return nil, errSweepStopped
+			}
+			fmt.Fprintf(c.ErrOrStderr(), "%s=%s seed %d: served %.3f, broken %d, %s\n",
+				s.key, value, seed, summary.Stats.ValueServed, len(summary.Verdict.Counts), summary.Void)
+			runs = append(runs, summary)
+		}
+		all = append(all, runs)
+	}
+	return all, nil
+}
+
+// seedRange parses FIRST-LAST, or a single seed.
 func seedRange(s string) (from, to uint64, err error) {
 	a, b, two := strings.Cut(s, "-")
 	if !two {
@@ -88,46 +116,56 @@
 	return from, to, nil
 }
 
-func sweepTable(w io.Writer, out, key, figure string, values []string, all [][]*Summary, broken bool) error {
+// print writes the table and the plot; a violated rule in any run is errViolated.
+func (s *sweep) print(w io.Writer, all [][]*Summary) error {
 	var columns [][]report.Row
 	for _, runs := range all {
-		var stats []*report.Stats
-		for _, s := range runs {
-			stats = append(stats, s.Stats)
-		}
-		columns = append(columns, report.Figures(stats))
+		columns = append(columns, figuresOf(runs))
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "%s\t%s\n", key, strings.Join(values, "\t"))
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "%s\t%s\n", s.key, strings.Join(s.values, "\t"))
 	var plotted [][]float64
 	for i, row := range columns[0] {
-		fmt.Fprint(t, row.Name)
-		for _, c := range columns {
-			fmt.Fprint(t, "\t", spread(c[i]))
-			if row.Name == figure {
-				plotted = append(plotted, c[i].Values)
+		fmt.Fprint(table, row.Name)
+		for _, column := range columns {
+			fmt.Fprint(table, "\t", spread(column[i]))
+			if row.Name == s.figure {
+				plotted = append(plotted, column[i].Values)
 			}
 		}
-		fmt.Fprintln(t)
+		fmt.Fprintln(table)
 	}
-	fmt.Fprint(t, "runs with a broken promise")
+	fmt.Fprint(table, "runs with a broken promise")
 	for _, runs := range all {
-		fmt.Fprint(t, "\t", brokenRuns(runs))
+		fmt.Fprint(table, "\t", brokenRuns(runs))
 	}
-	fmt.Fprintln(t)
-	if err := t.Flush(); err != nil {
+	fmt.Fprintln(table)
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	if len(plotted) == 0 {
-		return usageError{fmt.Errorf("--figure %q: no such figure; the table names them", figure)}
+		return usageError{fmt.Errorf("--figure %q: no such figure; the table names them", s.figure)}
 	}
-	path := filepath.Join(out, "sweep.svg")
-	if err := report.Sweep(path, key, figure, values, plotted); err != nil {
+	path := filepath.Join(s.out, "sweep.svg")
+	if err := report.Sweep(path, s.key, s.figure, s.values, plotted); err != nil {
 		return err
 	}
 	fmt.Fprintln(w, "plot:", path)
-	if broken {
-		return errViolated
+	for _, runs := range all {
+		for _, run := range runs {
+			if !run.Verdict.OK() {
+				return errViolated
+			}
+		}
 	}
 	return nil
 }
+
+// figuresOf are the figures of several runs.
+func figuresOf(runs []*Summary) []report.Row {
+	var stats []*report.Stats
+	for _, run := range runs {
+		stats = append(stats, run.Stats)
+	}
+	return report.Figures(stats)
+}
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -23,10 +23,10 @@
 	"plovershore/internal/faultlab/stub"
 )
 
-// standinEnv makes the test's own program a stand-in relay, and labEnv a lab.
+// stubEnv makes the test's own program a stub relay, and labEnv a lab.
 const (
-	standinEnv = "FAULTLAB_TEST_STANDIN"
-	labEnv     = "FAULTLAB_TEST_LAB"
+	stubEnv = "FAULTLAB_TEST_STUB"
+	labEnv  = "FAULTLAB_TEST_LAB"
 )
 
 func TestMain(m *testing.M) {
@@ -37,12 +37,12 @@
 			os.Exit(1)
 		}
 		os.Exit(0)
-	case os.Getenv(standinEnv) != "":
+	case os.Getenv(stubEnv) != "":
 		os.Exit(stub.Main(os.Getenv))
 	case os.Getenv(labEnv) != "":
 		s := scenario.Default()
 		s.Seconds = 600
-		Run(context.Background(), Options{Scenario: &s, Seed: 1, Out: os.Getenv(labEnv), Program: os.Args[0], Env: []string{standinEnv + "=1"}})
+		Run(context.Background(), Options{Scenario: &s, Seed: 1, Out: os.Getenv(labEnv), Program: os.Args[0], Env: []string{stubEnv + "=1"}})
 		os.Exit(0)
 	}
 	flag.Parse()
@@ -50,7 +50,7 @@
 	os.Exit(m.Run())
 }
 
-// fast stands before each scenario of the stand-in: one relay, little time.
+// fast stands before each scenario of the stub: one relay, little time.
 const fast = `
 seconds = 4
 [fleet]
@@ -86,13 +86,13 @@
 	return nil
 }
 
-func playStandin(t *testing.T, defect stub.Defect, text string) *Result {
+func playStub(t *testing.T, defect stub.Defect, text string) *Result {
 	t.Helper()
 	s, err := scenario.Parse("defect.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return play(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{standinEnv + "=1", stub.DefectEnv + "=" + string(defect)}})
+	return play(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{stubEnv + "=1", stub.DefectEnv + "=" + string(defect)}})
 }
 
 // TestEachDefectIsCaughtByItsChecker breaks one promise at a time on purpose,
@@ -138,7 +138,7 @@
 			if strings.HasPrefix(x.more, "\nseconds") {
 				text = x.more
 			}
-			v := playStandin(t, x.defect, text).Verdict
+			v := playStub(t, x.defect, text).Verdict
 			got := slices.Sorted(maps.Keys(v.Counts))
 			for _, rule := range got {
 				if !slices.Contains(x.rules, rule) {
@@ -272,7 +272,7 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), after)
 			defer cancel()
-			res, err := Run(ctx, Options{Scenario: s, Seed: 3, Out: t.TempDir(), Program: os.Args[0], MaxLateness: time.Minute, Env: []string{standinEnv + "=1"}})
+			res, err := Run(ctx, Options{Scenario: s, Seed: 3, Out: t.TempDir(), Program: os.Args[0], MaxLateness: time.Minute, Env: []string{stubEnv + "=1"}})
 			if err != nil && !strings.Contains(err.Error(), "stopped before the relays were ready") {
 				t.Fatal(err)
 			}
@@ -321,7 +321,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	res := play(t, Options{Scenario: s, Seed: 1, Program: os.Args[0], Env: []string{standinEnv + "=1"}})
+	res := play(t, Options{Scenario: s, Seed: 1, Program: os.Args[0], Env: []string{stubEnv + "=1"}})
 	if res.Verdict.Checked["start"] < 40 || res.Verdict.Counts["crash"]+res.Verdict.Counts["term"]+res.Verdict.Counts["start"] > 0 {
 		t.Errorf("%v, judged %v", res.Verdict.Violations, res.Verdict.Checked)
 	}
--- a/internal/faultlab/scale_test.go
+++ b/internal/faultlab/scale_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestScaleSmoke plays the scale scenario at a small size, with real processes of
-// relays, nodes and agents, and holds it to the judge's rules.
+// relays, nodes and agents, and applies the checker's rules.
 func TestScaleSmoke(t *testing.T) {
 	t.Parallel()
 	dir, err := programs()
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestScaleJudgeCatchesEachBreak breaks one promise of a hollow relay at a time.
-func TestScaleJudgeCatchesEachBreak(t *testing.T) {
+// TestScaleCheckCatchesEachViolation violates one rule of a simulated relay at a time.
+func TestScaleCheckCatchesEachViolation(t *testing.T) {
 	made := []scaleChange{{Key: 1, RequestedAt: 10}, {Key: 2, RequestedAt: 20}}
 	sound := func() *simrelay.RelayResult {
 		return &simrelay.RelayResult{Name: "h1", Hash: 7, Members: 3, CompleteLists: 1, Changes: []simrelay.AppliedChange{{Key: 1, At: 11}, {Key: 2, At: 21}},
@@ -97,20 +97,20 @@
 	}
 }
 
-// TestScaleLatenessVoidsARun: of the lab as of the hollow relays.
+// TestScaleLatenessVoidsARun: of the lab as of the simulated relays.
 func TestScaleLatenessVoidsARun(t *testing.T) {
 	for _, x := range []struct {
-		lab, hollow time.Duration
-		void        bool
+		lab, simulated time.Duration
+		void           bool
 	}{{time.Millisecond, time.Millisecond, false}, {time.Second, time.Millisecond, true}, {time.Millisecond, time.Second, true}} {
 		s := scenario.Default()
 		r := &scaleRun{opts: Options{Out: t.TempDir(), MaxLateness: MaxLateness}, scenario: &s, check: newScaleCheck("", 0), lateness: newLateness()}
 		r.dir = r.opts.Out
 		r.lateness.record(x.lab)
-		r.results.SimLateP99 = x.hollow
+		r.results.SimLateP99 = x.simulated
 		res, err := r.result()
 		if errors.Is(err, ErrLate) != x.void || res == nil {
-			t.Errorf("lab %v, hollow %v: %v", x.lab, x.hollow, err)
+			t.Errorf("lab %v, simulated %v: %v", x.lab, x.simulated, err)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-// TestListHashIsThatOfItsChanges: the hash that a hollow relay keeps up is the
+// TestListHashIsThatOfItsChanges: the hash that a simulated relay keeps up is the
 // list's own.
 func TestListHashIsThatOfItsChanges(t *testing.T) {
 	a := discovery.Member{ID: "a", HostPort: "127.0.0.1:1", Phase: discovery.Up, Size: 1}
