--- a/internal/faultlab/agent_proxy.go
+++ b/internal/faultlab/agent_proxy.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -16,12 +17,23 @@
 	"plovershore/internal/faultlab/model"
 )
 
+const (
+	agentTimeout = 2 * time.Second // of one list
+	listBuffer   = 64 << 10
+	maxNotices   = 1 << 20 // bytes of one request
+)
+
 // discoveryAgent is discovery on one relay's machine.
 type discoveryAgent interface {
+	// Addr is where the relay finds it.
 	Addr() string
+	// Known is the endpoint list as it has it.
 	Known() model.List
+	// Started records the list in the configuration of a new process.
 	Started(model.List)
+	// Rebind gives it a new address.
 	Rebind(context.Context) error
+	// SetSilent has it write nothing of the list, or everything again.
 	SetSilent(bool)
 	Close()
 }
@@ -32,101 +44,96 @@
 type agentProxy struct {
 	*model.Listener
 	relay    string
-	agent    string // address
-	links    map[string]string
+	agent    string            // address
+	links    map[string]string // address by endpoint
 	recorder *history.Recorder
-	onNotice func(id, outcome string, retryMS int64)
+	onNotice model.NoticeFunc
 
 	mu              sync.Mutex
-	deliveredPhases map[string]string
+	deliveredPhases map[string]string // of each endpoint, as the relay has it
 }
 
-func newAgentProxy(relay, ip, agent string, links map[string]string, rec *history.Recorder, noticed func(string, string, int64)) (*agentProxy, error) {
-	t := &agentProxy{relay: relay, agent: agent, links: links, recorder: rec, onNotice: noticed, deliveredPhases: map[string]string{}}
+// newAgentProxy serves at an address of ip; links has the address for each endpoint.
+func newAgentProxy(relay, ip, agent string, links map[string]string, recorder *history.Recorder, onNotice model.NoticeFunc) (*agentProxy, error) {
+	p := &agentProxy{relay: relay, agent: agent, links: links, recorder: recorder, onNotice: onNotice, deliveredPhases: map[string]string{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+discovery.ListPath, t.serveList)
-	mux.HandleFunc("POST "+discovery.NoticePath, t.serveNotices)
+	mux.HandleFunc("GET "+discovery.ListPath, p.serveList)
+	mux.HandleFunc("POST "+discovery.NoticePath, p.serveNotices)
 	var err error
-	if t.Listener, err = model.NewListener(ip, mux); err != nil {
-		return nil, fmt.Errorf("tap of %s: %w", relay, err)
+	if p.Listener, err = model.NewListener(ip, mux); err != nil {
+		return nil, fmt.Errorf("agent proxy of %s: %w", relay, err)
 	}
-	return t, nil
+	return p, nil
 }
 
 // Known is the list as the agent has it now; empty if it does not answer.
-func (t *agentProxy) Known() model.List {
-	c := http.Client{Timeout: 2 * time.Second}
-	l := model.List{Complete: true, Members: []model.Member{}}
-	resp, err := c.Get("http://" + t.agent + discovery.ListPath)
+func (p *agentProxy) Known() model.List {
+	client := http.Client{Timeout: agentTimeout}
+	none := model.List{Complete: true, Members: []model.Member{}}
+	resp, err := client.Get("http://" + p.agent + discovery.ListPath)
 	if err != nil {
-		return l
+		return none
 	}
 	defer resp.Body.Close()
-	if json.NewDecoder(resp.Body).Decode(&l) != nil {
-		return model.List{Complete: true, Members: []model.Member{}}
+	list := none
+	if json.NewDecoder(resp.Body).Decode(&list) != nil {
+		return none
 	}
-	t.rewrite(&l)
-	return l
+	p.replaceAddresses(&list)
+	return list
 }
 
-func (t *agentProxy) rewrite(l *model.List) {
-	for i := range l.Members {
-		if addr := t.links[l.Members[i].ID]; addr != "" {
-			l.Members[i].HostPort = addr
+// replaceAddresses replaces the endpoints' addresses by those of the links.
+func (p *agentProxy) replaceAddresses(list *model.List) {
+	for i := range list.Members {
+		if addr := p.links[list.Members[i].ID]; addr != "" {
+			list.Members[i].HostPort = addr
 		}
 	}
 }
 
 // Started records the list that a process begins with.
-func (t *agentProxy) Started(l model.List) { t.recordDelivered(l) }
+func (p *agentProxy) Started(list model.List) { p.recordDelivered(list) }
 
-func (t *agentProxy) recordDelivered(l model.List) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, e := range model.DeliveredChanges(t.deliveredPhases, l) {
-		e.Relay = t.relay
-		t.recorder.Record(e)
+// recordDelivered records what a list that the relay received changes for it.
+func (p *agentProxy) recordDelivered(list model.List) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, e := range model.DeliveredChanges(p.deliveredPhases, list) {
+		e.Relay = p.relay
+		p.recorder.Record(e)
 	}
 }
 
-func (t *agentProxy) serveList(w http.ResponseWriter, r *http.Request) {
-	if !t.WaitWhileSilent(r.Context()) {
+// serveList forwards a request for the list, or a watch of it. If the agent is gone,
+// so is the relay's connection.
+func (p *agentProxy) serveList(w http.ResponseWriter, r *http.Request) {
+	if !p.WaitWhileSilent(r.Context()) {
 		return
 	}
-	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+t.agent+r.URL.RequestURI(), nil)
+	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+p.agent+r.URL.RequestURI(), nil)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		panic(http.ErrAbortHandler) // the agent is gone: so is its connection
+		panic(http.ErrAbortHandler)
 	}
 	defer resp.Body.Close()
 	w.WriteHeader(resp.StatusCode)
 	out := http.NewResponseController(w)
 	out.Flush()
-	in := bufio.NewReaderSize(resp.Body, 64<<10)
+	in := bufio.NewReaderSize(resp.Body, listBuffer)
 	for {
-		text, err := in.ReadBytes('\n')
-		if !t.WaitWhileSilent(r.Context()) {
+		line, err := in.ReadBytes('\n')
+		if !p.WaitWhileSilent(r.Context()) {
 			return
 		}
-		var l model.List
-		if bytes.HasPrefix(text, []byte("{")) && json.Unmarshal(text, &l) == nil && l.Members != nil {
-			t.rewrite(&l)
-			text, _ = json.Marshal(l) // strings and numbers alone
-			text = append(text, '\n')
-		}
-		if len(text) > 0 {
-			if _, werr := w.Write(text); werr != nil || out.Flush() != nil {
-				return
-			}
-			if l.Members != nil {
-				t.recordDelivered(l)
-			}
+		if writeErr := p.forwardLine(w, out, line); writeErr != nil {
+			return
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
@@ -135,20 +142,48 @@
 	}
 }
 
-func (t *agentProxy) serveNotices(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
+// forwardLine writes one line to the relay; a list in it is rewritten and recorded.
+func (p *agentProxy) forwardLine(w io.Writer, out *http.ResponseController, line []byte) error {
+	if len(line) == 0 {
+		return nil
+	}
+	var list model.List
+	isList := bytes.HasPrefix(line, []byte("{")) && json.Unmarshal(line, &list) == nil && list.Members != nil
+	if isList {
+		p.replaceAddresses(&list)
+		text, err := json.Marshal(list)
+		if err != nil {
+			return err
+		}
+		line = append(text, '\n')
+	}
+	if _, err := w.Write(line); err != nil {
+		return err
+	}
+	if err := out.Flush(); err != nil {
+		return err
+	}
+	if isList {
+		p.recordDelivered(list)
+	}
+	return nil
+}
+
+// serveNotices forwards notices, and records those that the agent takes.
+func (p *agentProxy) serveNotices(w http.ResponseWriter, r *http.Request) {
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxNotices))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	resp, err := http.Post("http://"+t.agent+discovery.NoticePath, "application/json", bytes.NewReader(text))
+	resp, err := http.Post("http://"+p.agent+discovery.NoticePath, "application/json", bytes.NewReader(text))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	resp.Body.Close()
 	if resp.StatusCode == http.StatusNoContent {
-		all, _ := discovery.ReadNotices(bytes.NewReader(text)) // the agent has read them
-		model.RecordNotices(t.recorder, t.relay, all, t.onNotice)
+		notices, _ := discovery.ReadNotices(bytes.NewReader(text)) // the agent has read them
+		model.RecordNotices(p.recorder, p.relay, notices, p.onNotice)
 	}
 	w.WriteHeader(resp.StatusCode)
 }
--- a/internal/faultlab/scale_endpoints.go
+++ b/internal/faultlab/scale_endpoints.go
@@ -18,26 +18,30 @@
 
 const (
 	downInterval  = 100 * time.Millisecond // between two updates of the destinations that are down
-	fillerTimeout = 200 * time.Millisecond // after which the queue of one that is down counts as full
-	endpointIP    = "127.%d.%d.%d"
+	fillerTimeout = 200 * time.Millisecond // after which the queue of a closed address counts as full
+	headerTimeout = 5 * time.Second
 	loopback      = "lo"
-	// SO_REUSEPORT of Linux, which package syscall does not name.
+	// reusePort is SO_REUSEPORT of Linux, which package syscall does not name.
 	reusePort = 15
+
+	// Addresses of members are 127.X.Y.Z, for X from firstMemberNetwork.
+	firstMemberNetwork = 130
+	hostsPerByte       = 250
 )
 
-// scaleEndpoints is the endpoints of all destinations: one listener takes what comes to
-// any address of the loopback device at its port, so that each member has an
-// address of its own and none costs a descriptor. For a destination that is
-// down, a listener of that address alone, whose queue is full, lets no
-// connection through.
+// scaleEndpoints is the endpoints of all destinations: one listener takes what comes
+// to any address of the loopback device at its port, so that each member has an
+// address of its own and none costs a descriptor. For a destination that is down, a
+// listener of that address alone, whose queue is full, lets no connection through.
 type scaleEndpoints struct {
 	port      int
 	classes   map[byte]simrelay.StreamClass
 	server    *http.Server
+	serving   sync.WaitGroup
 	delivered atomic.Int64
 
 	mu   sync.Mutex
-	down map[int]*closedAddress
+	down map[int]*closedAddress // by member
 }
 
 // closedAddress is an address that answers no connection.
@@ -46,119 +50,132 @@
 	fillers  []net.Conn
 }
 
-func (d *closedAddress) close() {
-	d.listener.Close()
-	for _, c := range d.fillers {
-		c.Close()
+func (a *closedAddress) close() {
+	a.listener.Close()
+	for _, filler := range a.fillers {
+		filler.Close()
 	}
 }
 
 // listenLoopback listens at any address of the loopback device, or at one.
-func listenLoopback(ctx context.Context, addr string) (net.Listener, error) {
-	c := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		var fault error
+func listenLoopback(ctx context.Context, addr string) (*net.TCPListener, error) {
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		var optionErr error
 		err := raw.Control(func(fd uintptr) {
-			fault = errors.Join(syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, reusePort, 1),
+			optionErr = errors.Join(syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, reusePort, 1),
 				syscall.SetsockoptString(int(fd), syscall.SOL_SOCKET, syscall.SO_BINDTODEVICE, loopback))
 		})
-		return errors.Join(err, fault)
+		return errors.Join(err, optionErr)
 	}}
-	ln, err := c.Listen(ctx, "tcp4", addr)
+	listener, err := config.Listen(ctx, "tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("lab: endpoints: %w", err)
 	}
-	return ln, nil
+	return listener.(*net.TCPListener), nil
 }
 
 // newScaleEndpoints serves all endpoints until it is closed.
 func newScaleEndpoints(ctx context.Context) (*scaleEndpoints, error) {
-	ln, err := listenLoopback(ctx, ":0")
+	listener, err := listenLoopback(ctx, ":0")
 	if err != nil {
 		return nil, err
 	}
-	f := &scaleEndpoints{port: ln.Addr().(*net.TCPAddr).Port, down: map[int]*closedAddress{}, classes: map[byte]simrelay.StreamClass{}}
-	for i, c := range model.Classes() {
-		f.classes[byte('0'+i)] = simrelay.StreamClass{Name: c.Name, Fraction: c.Fraction, ServiceTime: c.ServiceTime}
+	e := &scaleEndpoints{port: listener.Addr().(*net.TCPAddr).Port, down: map[int]*closedAddress{}, classes: map[byte]simrelay.StreamClass{}}
+	for i, class := range model.Classes() {
+		e.classes[byte('0'+i)] = simrelay.StreamClass{Name: class.Name, Fraction: class.Fraction, ServiceTime: class.ServiceTime}
 	}
-	f.server = &http.Server{Handler: http.HandlerFunc(f.serve), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 10 * time.Second}
-	go f.server.Serve(ln)
-	return f, nil
+	e.server = &http.Server{Handler: http.HandlerFunc(e.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: endpointIdle}
+	e.serving.Add(1)
+	go func() {
+		defer e.serving.Done()
+		e.server.Serve(listener) // ends by Close
+	}()
+	return e, nil
 }
 
 // address is the address of one member.
-func (f *scaleEndpoints) address(member int) string {
-	return net.JoinHostPort(fmt.Sprintf(endpointIP, 130+member/62500, member/250%250, 1+member%250), strconv.Itoa(f.port))
+func (e *scaleEndpoints) address(member int) string {
+	network := firstMemberNetwork + member/(hostsPerByte*hostsPerByte)
+	ip := fmt.Sprintf("127.%d.%d.%d", network, member/hostsPerByte%hostsPerByte, 1+member%hostsPerByte)
+	return net.JoinHostPort(ip, strconv.Itoa(e.port))
 }
 
 // serve takes one message, whose first byte is the index of its class.
-func (f *scaleEndpoints) serve(w http.ResponseWriter, r *http.Request) {
-	body := make([]byte, 1)
-	if n, _ := r.Body.Read(body); n != 1 || r.Method != http.MethodPost {
+func (e *scaleEndpoints) serve(w http.ResponseWriter, r *http.Request) {
+	class := make([]byte, 1)
+	if n, _ := r.Body.Read(class); n != 1 || r.Method != http.MethodPost {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	took := f.classes[body[0]].ServiceTime
-	if !model.Sleep(r.Context(), (took[0]+took[1])/2) {
+	span := e.classes[class[0]].ServiceTime
+	if !model.Sleep(r.Context(), (span[0]+span[1])/2) {
 		return
 	}
-	f.delivered.Add(1)
+	e.delivered.Add(1)
 	w.Header().Set("X-Server-Load", "x0=1.000,x1=0.00")
 	w.WriteHeader(http.StatusOK)
 }
 
 // updateDown closes the addresses of the destinations that are down, and opens them
 // again, until ctx ends.
-func (f *scaleEndpoints) updateDown(ctx context.Context, down *simrelay.Down, destinations int, fail func(error)) {
+func (e *scaleEndpoints) updateDown(ctx context.Context, down *simrelay.Down, destinations int, fail func(error)) {
 	for model.Sleep(ctx, downInterval) {
 		now := time.Now().UnixMicro()
 		for i := range destinations {
-			f.mu.Lock()
-			closed := f.down[i]
-			f.mu.Unlock()
-			switch is := down.At(i, now); {
-			case is && closed == nil:
-				if err := f.closeAddress(ctx, i); err != nil {
-					fail(err)
-					return
-				}
-			case !is && closed != nil:
-				closed.close()
-				f.mu.Lock()
-				delete(f.down, i)
-				f.mu.Unlock()
+			if err := e.setDown(ctx, i, down.At(i, now)); err != nil {
+				fail(err)
+				return
 			}
 		}
 	}
 }
 
-// closeAddress has one destination answer no connection: a listener of its own has the
-// shortest queue, which is full.
-func (f *scaleEndpoints) closeAddress(ctx context.Context, member int) error {
-	ln, err := listenLoopback(ctx, f.address(member))
+// setDown closes or opens the address of one destination, unless it is so already.
+func (e *scaleEndpoints) setDown(ctx context.Context, member int, isDown bool) error {
+	e.mu.Lock()
+	closed := e.down[member]
+	e.mu.Unlock()
+	switch {
+	case isDown && closed == nil:
+		return e.closeAddress(ctx, member)
+	case !isDown && closed != nil:
+		closed.close()
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		delete(e.down, member)
+	}
+	return nil
+}
+
+// closeAddress has one destination answer no connection: a listener of its own has
+// the shortest queue, which is full.
+func (e *scaleEndpoints) closeAddress(ctx context.Context, member int) error {
+	listener, err := listenLoopback(ctx, e.address(member))
 	if err != nil {
 		return err
 	}
-	raw, err := ln.(*net.TCPListener).SyscallConn()
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("lab: endpoints: %w", err)
 	}
 	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
-	closed := &closedAddress{listener: ln}
-	c, err := net.DialTimeout("tcp4", f.address(member), fillerTimeout)
-	if err == nil {
-		closed.fillers = append(closed.fillers, c)
+	closed := &closedAddress{listener: listener}
+	if filler, err := net.DialTimeout("tcp4", e.address(member), fillerTimeout); err == nil {
+		closed.fillers = append(closed.fillers, filler)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.down[member] = closed
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.down[member] = closed
 	return nil
 }
 
-func (f *scaleEndpoints) close() {
-	f.server.Close()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, closed := range f.down {
+// close ends the server and all closed addresses; updateDown must have ended.
+func (e *scaleEndpoints) close() {
+	e.server.Close()
+	e.serving.Wait()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, closed := range e.down {
 		closed.close()
 	}
 }
