--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -144,13 +144,13 @@
 		r.check.violate(checker.RuleStart, "simulated relays", fmt.Sprintf("%d of %d have a list of %d members: by members %v", have[c.Members], c.Relays, c.Members, have),
 			r.began.UnixMicro(), time.Now().UnixMicro())
 	}
-	for _, x := range r.realRelays {
+	for _, relay := range r.realRelays {
 		r.check.checked(checker.RuleStart)
-		if x.operator == "" {
+		if relay.operator == "" {
 			continue
 		}
-		if n := x.members(r.ctx); n != c.Members {
-			r.check.violate(checker.RuleStart, x.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
+		if n := relay.members(r.ctx); n != c.Members {
+			r.check.violate(checker.RuleStart, relay.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
 		}
 	}
 	return r.check.verdict.OK()
--- a/internal/faultlab/scale_phases.go
+++ b/internal/faultlab/scale_phases.go
@@ -38,12 +38,12 @@
 // measurePhase measures what one phase costs.
 func (r *scaleRun) measurePhase(phase string, span time.Duration) {
 	r.phase.Store(phase)
-	for _, x := range r.roles {
-		x.beginPhase()
+	for _, measured := range r.roles {
+		measured.beginPhase()
 	}
 	model.Sleep(r.ctx, span)
-	for _, x := range r.roles {
-		x.endPhase(phase)
+	for _, measured := range r.roles {
+		measured.endPhase(phase)
 	}
 }
 
@@ -82,8 +82,8 @@
 	half := machineMemory() / 2
 	for model.Sleep(r.ctx, sampleInterval) {
 		all := int64(0)
-		for _, x := range r.roles {
-			all += x.measure().rss
+		for _, measured := range r.roles {
+			all += measured.measure().rss
 		}
 		if half > 0 && all > half {
 			r.failure.set(fmt.Errorf("lab: the run takes %d MB, over half of the machine's memory: fewer relays are wanted", all>>20))
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -175,33 +175,33 @@
 
 // startRealRelay runs one relay as a process of its own.
 func (r *scaleRun) startRealRelay(number int, a *scaleAgent) (*realRelay, error) {
-	x := &realRelay{name: fmt.Sprintf("n%d", number+1), listen: r.address(), agent: a}
+	relay := &realRelay{name: fmt.Sprintf("n%d", number+1), listen: r.address(), agent: a}
 	if number%2 == 1 {
-		x.operator = r.address()
+		relay.operator = r.address()
 	}
-	state := filepath.Join(r.dir, x.name)
+	state := filepath.Join(r.dir, relay.name)
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	text, err := json.Marshal(map[string]any{"name": x.name, "listen": x.listen, "discovery": a.meter.addr(), "state": state, "operator": x.operator,
-		"seed":   relaySeed(r.opts.Seed, x.name),
+	text, err := json.Marshal(map[string]any{"name": relay.name, "listen": relay.listen, "discovery": a.meter.addr(), "state": state, "operator": relay.operator,
+		"seed":   relaySeed(r.opts.Seed, relay.name),
 		"limits": relayLimits(budgetMemoryMB, scaleSockets, scaleDiskMB), "settings": r.settings(number)})
 	if err != nil {
-		return nil, fmt.Errorf("lab: configuration of %s: %w", x.name, err)
+		return nil, fmt.Errorf("lab: configuration of %s: %w", relay.name, err)
 	}
-	path := filepath.Join(r.dir, x.name+".json")
+	path := filepath.Join(r.dir, relay.name+".json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
-		return nil, fmt.Errorf("lab: configuration of %s: %w", x.name, err)
+		return nil, fmt.Errorf("lab: configuration of %s: %w", relay.name, err)
 	}
-	log, err := r.logFile(x.name)
+	log, err := r.logFile(relay.name)
 	if err != nil {
 		return nil, err
 	}
-	if x.process, err = process.Start(x.name, r.opts.Program, nil, append([]string{"ROUTER_CONFIG=" + path}, r.opts.Env...), log); err != nil {
+	if relay.process, err = process.Start(relay.name, r.opts.Program, nil, append([]string{"ROUTER_CONFIG=" + path}, r.opts.Env...), log); err != nil {
 		return nil, err
 	}
-	r.watchProcess(x.process)
-	return x, nil
+	r.watchProcess(relay.process)
+	return relay, nil
 }
 
 // members is the length of the list of a relay with an operator address; -1 if it
@@ -228,23 +228,23 @@
 
 // startSimProcess runs one process of simulated relays; first is the number of its
 // first relay.
-func (r *scaleRun) startSimProcess(number, first, relays int, doors []string) (*simProcess, error) {
-	name := fmt.Sprintf("hollow-%d", number+1)
-	c := simrelay.Config{Folder: filepath.Join(r.dir, name), First: first, Discovery: doors, Fleet: r.scenario.Scale.Fleet, Seed: r.opts.Seed,
+func (r *scaleRun) startSimProcess(number, first, relays int, agents []string) (*simProcess, error) {
+	name := fmt.Sprintf("simrelay-%d", number+1)
+	config := simrelay.Config{Folder: filepath.Join(r.dir, name), First: first, Discovery: agents, Fleet: r.scenario.Scale.Fleet, Seed: r.opts.Seed,
 		Zones: r.scenario.Fleet.Zones, Flavors: []string{model.Telco, model.Newsagent}, DiskMB: scaleDiskMB, Result: filepath.Join(r.dir, name+".result"),
 		Stream: simrelay.Stream{Rate: r.scenario.Scale.Rate, Deadline: scenario.Seconds(r.scenario.Scale.Deadline), Body: scaleBody, ConnectTimeout: connectTimeout,
 			Down: r.down, Destinations: r.scenario.Scale.Members}}
-	for _, k := range model.Classes() {
-		c.Stream.Classes = append(c.Stream.Classes, simrelay.StreamClass{Name: k.Name, Fraction: k.Fraction, ServiceTime: k.ServiceTime})
+	for _, class := range model.Classes() {
+		config.Stream.Classes = append(config.Stream.Classes, simrelay.StreamClass{Name: class.Name, Fraction: class.Fraction, ServiceTime: class.ServiceTime})
 	}
 	for i := range relays {
 		text, err := json.Marshal(r.settings(first + i))
 		if err != nil {
 			return nil, fmt.Errorf("lab: configuration of %s: %w", name, err)
 		}
-		c.Settings = append(c.Settings, text)
+		config.Settings = append(config.Settings, text)
 	}
-	text, err := json.Marshal(c)
+	text, err := json.Marshal(config)
 	if err != nil {
 		return nil, fmt.Errorf("lab: configuration of %s: %w", name, err)
 	}
@@ -256,28 +256,28 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &simProcess{relays: relays, result: c.Result, status: &statusReader{log: log}}
-	if h.process, err = process.Start(name, r.opts.SimRelay, []string{SimRelayCommand, path}, nil, h.status); err != nil {
+	started := &simProcess{relays: relays, result: config.Result, status: &statusReader{log: log}}
+	if started.process, err = process.Start(name, r.opts.SimRelay, []string{SimRelayCommand, path}, nil, started.status); err != nil {
 		return nil, err
 	}
-	r.watchProcess(h.process)
-	return h, nil
+	r.watchProcess(started.process)
+	return started, nil
 }
 
 // simStatus adds up the last status of all processes of simulated relays.
 func (r *scaleRun) simStatus() simrelay.Status {
 	all := simrelay.Status{Hashes: map[string]int{}, Members: map[int]int{}}
-	for _, h := range r.simProcesses {
-		s := h.status.status()
-		for hash, n := range s.Hashes {
+	for _, simulated := range r.simProcesses {
+		status := simulated.status.status()
+		for hash, n := range status.Hashes {
 			all.Hashes[hash] += n
 		}
-		for members, n := range s.Members {
+		for members, n := range status.Members {
 			all.Members[members] += n
 		}
-		all.Relays += s.Relays
-		all.Counts.Add(s.Counts)
-		all.LateP99, all.LateMax = max(all.LateP99, s.LateP99), max(all.LateMax, s.LateMax)
+		all.Relays += status.Relays
+		all.Counts.Add(status.Counts)
+		all.LateP99, all.LateMax = max(all.LateP99, status.LateP99), max(all.LateMax, status.LateMax)
 	}
 	return all
 }
--- a/internal/faultlab/scale_results.go
+++ b/internal/faultlab/scale_results.go
@@ -30,11 +30,11 @@
 	wait, cancel := context.WithTimeout(r.ctx, scenario.Seconds(r.scenario.Scale.Settle))
 	defer cancel()
 	for {
-		s := r.simStatus()
-		ends := s.Counts.InFlight == 0 && s.Counts.Notices >= s.Counts.Returned+s.Counts.Failed
-		settled := s.Hashes[hash] == r.scenario.Scale.Relays && ends
-		for _, x := range r.realRelays {
-			settled = settled && (x.operator == "" || x.members(r.ctx) == len(list.Members))
+		status := r.simStatus()
+		ends := status.Counts.InFlight == 0 && status.Counts.Notices >= status.Counts.Returned+status.Counts.Failed
+		settled := status.Hashes[hash] == r.scenario.Scale.Relays && ends
+		for _, relay := range r.realRelays {
+			settled = settled && (relay.operator == "" || relay.members(r.ctx) == len(list.Members))
 		}
 		if settled || !model.Sleep(wait, pollInterval) {
 			break
@@ -42,13 +42,13 @@
 	}
 	r.results.Settle = time.Since(began).Seconds()
 	r.listHash = simrelay.ListHash(list.Members)
-	for _, x := range r.realRelays {
-		if x.operator == "" {
+	for _, relay := range r.realRelays {
+		if relay.operator == "" {
 			continue
 		}
 		r.check.checked(checker.RuleList)
-		if n := x.members(r.ctx); n != len(list.Members) {
-			r.check.violate(checker.RuleList, x.name, fmt.Sprintf("has %d members, the service %d", n, len(list.Members)), 0, 0)
+		if n := relay.members(r.ctx); n != len(list.Members) {
+			r.check.violate(checker.RuleList, relay.name, fmt.Sprintf("has %d members, the service %d", n, len(list.Members)), 0, 0)
 		}
 	}
 }
@@ -85,16 +85,16 @@
 
 // addFigures makes the figures of a run that has ended.
 func (r *scaleRun) addFigures(relays []simrelay.RelayResult) {
-	for _, x := range r.roles {
-		r.results.Roles = append(r.results.Roles, x.finish(r.scenario.Scale.Speed))
+	for _, measured := range r.roles {
+		r.results.Roles = append(r.results.Roles, measured.finish(r.scenario.Scale.Speed))
 	}
 	r.results.compareRoles(simRelayRole, realRelayRole)
 	var control, load []scaleChange
-	for _, c := range r.members.changes {
-		if c.Phase == phaseLoad {
-			load = append(load, c)
+	for _, change := range r.members.changes {
+		if change.Phase == phaseLoad {
+			load = append(load, change)
 		} else {
-			control = append(control, c)
+			control = append(control, change)
 		}
 	}
 	r.addDelays("a change, control", relays, control)
@@ -110,16 +110,16 @@
 	}
 	r.addNote("simulated relays: %d messages offered, %d rejected, %d accepted, %d delivered, %d returned, %d failed, %d calls, %d notices; %d complete lists in %d relays",
 		all.Offered, all.Rejected, all.Accepted, all.Delivered, all.Returned, all.Failed, all.Calls, all.Notices, whole, len(relays))
-	for i, k := range r.clients {
-		r.addNote("%s: %d messages offered, %d rejected, %d accepted, %d unanswered", r.realRelays[i].name, k.offered.Load(), k.rejected.Load(), k.accepted.Load(), k.unanswered.Load())
+	for i, clients := range r.clients {
+		r.addNote("%s: %d messages offered, %d rejected, %d accepted, %d unanswered", r.realRelays[i].name, clients.offered.Load(), clients.rejected.Load(), clients.accepted.Load(), clients.unanswered.Load())
 	}
-	m := r.members
-	if len(m.restored) > 0 {
-		last := slices.MaxFunc(m.restored, func(a, b scaleChange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
-		first := slices.MinFunc(m.restored, func(a, b scaleChange) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
-		r.addNote("list service: the zone's %d members were registered again in %.1f s", len(m.restored), float64(last.AnsweredAt-first.RequestedAt)/1e6)
+	members := r.members
+	if len(members.restored) > 0 {
+		last := slices.MaxFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
+		first := slices.MinFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
+		r.addNote("list service: the zone's %d members were registered again in %.1f s", len(members.restored), float64(last.AnsweredAt-first.RequestedAt)/1e6)
 	}
-	r.addNote("list service: %d changes waited for the answer to the one before, %d batches of heartbeats took over a third of a time to live", m.changesBehind, m.heartbeatsBehind)
+	r.addNote("list service: %d changes waited for the answer to the one before, %d batches of heartbeats took over a third of a time to live", members.changesBehind, members.heartbeatsBehind)
 	r.addNote("endpoints of the real relays: %d messages", r.endpoints.delivered.Load())
 }
 
@@ -137,8 +137,8 @@
 	missing, notAll := 0, 0
 	slowest, count := map[uint64]float64{}, map[uint64]int{}
 	asked := map[uint64]int64{}
-	for _, c := range changes {
-		asked[c.Key] = c.RequestedAt
+	for _, change := range changes {
+		asked[change.Key] = change.RequestedAt
 	}
 	for i := range relays {
 		for _, h := range relays[i].Changes {
@@ -152,13 +152,13 @@
 			count[h.Key]++
 		}
 	}
-	for _, c := range changes {
-		missing += max(0, len(relays)-count[c.Key])
-		if count[c.Key] < len(relays) {
+	for _, change := range changes {
+		missing += max(0, len(relays)-count[change.Key])
+		if count[change.Key] < len(relays) {
 			notAll++
 			continue
 		}
-		last = append(last, slowest[c.Key])
+		last = append(last, slowest[change.Key])
 	}
 	r.results.Delays = append(r.results.Delays, newScaleDelay(name+", each relay", each, missing), newScaleDelay(name+", the last relay", last, notAll))
 }
--- a/internal/faultlab/scale_start.go
+++ b/internal/faultlab/scale_start.go
@@ -106,27 +106,27 @@
 // startRelays starts the real relays and the processes of simulated ones.
 func (r *scaleRun) startRelays(own []*scaleAgent) error {
 	c := &r.scenario.Scale
-	var doors []string
+	var agents []string
 	for _, a := range r.agents {
-		doors = append(doors, a.meter.addr())
+		agents = append(agents, a.meter.addr())
 	}
 	for i, a := range own {
-		x, err := r.startRealRelay(i, a)
+		relay, err := r.startRealRelay(i, a)
 		if err != nil {
 			return err
 		}
-		r.realRelays = append(r.realRelays, x)
+		r.realRelays = append(r.realRelays, relay)
 	}
 	for i, first := 0, c.Real; i < c.Processes; i++ {
 		relays := c.Relays / c.Processes
 		if i < c.Relays%c.Processes {
 			relays++
 		}
-		h, err := r.startSimProcess(i, first, relays, doors)
+		started, err := r.startSimProcess(i, first, relays, agents)
 		if err != nil {
 			return err
 		}
-		r.simProcesses, first = append(r.simProcesses, h), first+relays
+		r.simProcesses, first = append(r.simProcesses, started), first+relays
 	}
 	return nil
 }
@@ -134,33 +134,33 @@
 // makeRoles makes the roles that are measured.
 func (r *scaleRun) makeRoles(own []*scaleAgent, ownNodes, sharedNodes []*meter) {
 	c := &r.scenario.Scale
-	add := func(x *role) {
-		if x.units > 0 {
-			x.cost.Phases = map[string]ScalePhase{}
-			r.roles = append(r.roles, x)
+	add := func(relay *role) {
+		if relay.units > 0 {
+			relay.cost.Phases = map[string]ScalePhase{}
+			r.roles = append(r.roles, relay)
 		}
 	}
 	simulated := &role{name: simRelayRole, units: c.Relays}
-	for _, h := range r.simProcesses {
-		simulated.processes = append(simulated.processes, h.process)
+	for _, simProcess := range r.simProcesses {
+		simulated.processes = append(simulated.processes, simProcess.process)
 	}
 	shared := &role{name: fmt.Sprintf("agent of %d hollow relays", c.Relays/c.Agents), units: c.Agents, meters: sharedNodes}
-	for _, a := range r.agents {
-		simulated.meters = append(simulated.meters, a.meter)
-		shared.processes = append(shared.processes, a.process)
+	for _, agent := range r.agents {
+		simulated.meters = append(simulated.meters, agent.meter)
+		shared.processes = append(shared.processes, agent.process)
 	}
 	plain, operated := &role{name: realRelayRole}, &role{name: operatedRelayRole}
-	for _, x := range r.realRelays {
+	for _, relay := range r.realRelays {
 		of := plain
-		if x.operator != "" {
+		if relay.operator != "" {
 			of = operated
 		}
 		of.units++
-		of.processes, of.meters = append(of.processes, x.process), append(of.meters, x.agent.meter)
+		of.processes, of.meters = append(of.processes, relay.process), append(of.meters, relay.agent.meter)
 	}
 	alone := &role{name: "agent of one relay", units: c.Real, meters: ownNodes}
-	for _, a := range own {
-		alone.processes = append(alone.processes, a.process)
+	for _, agent := range own {
+		alone.processes = append(alone.processes, agent.process)
 	}
 	add(simulated)
 	add(plain)
@@ -176,8 +176,8 @@
 	c := &r.scenario.Scale
 	for {
 		ready := r.simStatus().Members[c.Members] == c.Relays
-		for _, x := range r.realRelays {
-			ready = ready && (x.operator == "" || x.members(ctx) == c.Members) && ping(x.listen)
+		for _, relay := range r.realRelays {
+			ready = ready && (relay.operator == "" || relay.members(ctx) == c.Members) && ping(relay.listen)
 		}
 		if ready || !model.Sleep(ctx, pollInterval) {
 			return
