--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"plovershore/internal/faultlab/history"
+	"plovershore/internal/leader"
 )
 
 // This file holds every text of another program's that the lab reads for its
@@ -17,11 +18,12 @@
 // here too. A scenario may run an older program (faultlab run --first), so the
 // texts of earlier releases stay readable beside the present ones.
 
-// Messages of the controller's log about one step of the counter role.
+// Messages of the controller's log about one step of the counter role, as releases
+// before package leader had its event names wrote them.
 const (
-	logStepRequested = "counts"      // the step is about to be requested
-	logStepCounted   = "counted"     // the list service took the step
-	logStepRejected  = "not counted" // the list service rejected the token
+	oldStepRequested = "counts"      // the step is about to be requested
+	oldStepCounted   = "counted"     // the list service took the step
+	oldStepRejected  = "not counted" // the list service rejected the token
 )
 
 // Progress messages of a zone evacuation.
@@ -33,12 +35,28 @@
 // metricMembers is the relay's figure for the length of its endpoint list.
 const metricMembers = "app_members"
 
-// stepOutcomes gives the history's word for each message that ends a step.
-var stepOutcomes = map[string]string{logStepCounted: history.StepCounted, logStepRejected: history.StepFenced}
+// stepOutcomes gives the history's word for each message about a step; a request has
+// none.
+var stepOutcomes = map[string]string{
+	leader.EventCountRequested: "",
+	leader.EventCountAccepted:  history.StepCounted,
+	leader.EventCountRejected:  history.StepFenced,
+	oldStepRequested:           "",
+	oldStepCounted:             history.StepCounted,
+	oldStepRejected:            history.StepFenced,
+}
 
 // counterLine matches a line of the controller's log about a counter step.
-var counterLine = regexp.MustCompile(fmt.Sprintf(`^time=(\S+) .*msg=(%s|%s|%s) .*count=(\d+) token=(\d+)`,
-	logText(logStepRequested), logText(logStepCounted), logText(logStepRejected)))
+var counterLine = regexp.MustCompile(`^time=(\S+) .*msg=(` + messagePattern() + `) .*count=(\d+) token=(\d+)`)
+
+// messagePattern matches any message about a step.
+func messagePattern() string {
+	var patterns []string
+	for message := range stepOutcomes {
+		patterns = append(patterns, logText(message))
+	}
+	return strings.Join(patterns, "|")
+}
 
 // logText is a pattern for a message as slog's text handler writes it: quoted
 // where it holds a space.
--- a/internal/faultlab/logparse_test.go
+++ b/internal/faultlab/logparse_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"plovershore/internal/faultlab/history"
+	"plovershore/internal/leader"
 )
 
 // TestCounterStepsAreReadFromTheControllersLog as slog's text handler writes them.
@@ -13,11 +14,14 @@
 		outcome string
 		ok      bool
 	}{
-		head + "msg=counts warden=w1 duty=counter count=7 token=3":        {"", true},
-		head + "msg=counted warden=w1 duty=counter count=7 token=3":       {history.StepCounted, true},
-		head + `msg="not counted" warden=w1 duty=counter count=7 token=3`: {history.StepFenced, true},
-		head + `msg="leader elected" warden=w1 duty=counter token=3`:      {"", false},
-		"panic: not a log line, count=7 token=3":                          {"", false},
+		head + "msg=counts warden=w1 duty=counter count=7 token=3":                      {"", true},
+		head + "msg=counted warden=w1 duty=counter count=7 token=3":                     {history.StepCounted, true},
+		head + `msg="not counted" warden=w1 duty=counter count=7 token=3`:               {history.StepFenced, true},
+		head + `msg="` + leader.EventCountRequested + `" controller=w1 count=7 token=3`: {"", true},
+		head + `msg="` + leader.EventCountAccepted + `" controller=w1 count=7 token=3`:  {history.StepCounted, true},
+		head + `msg="` + leader.EventCountRejected + `" controller=w1 count=7 token=3`:  {history.StepFenced, true},
+		head + `msg="leader elected" warden=w1 duty=counter token=3`:                    {"", false},
+		"panic: not a log line, count=7 token=3":                                        {"", false},
 	} {
 		step, ok, err := parseCounterStep(line)
 		if err != nil || ok != want.ok || step.outcome != want.outcome {
