--- a/internal/faultlab/model/discovery.go
+++ b/internal/faultlab/model/discovery.go
@@ -18,11 +18,11 @@
 	Removed  = discovery.Removed
 )
 
-// Member is one endpoint on the list, and List the list or a change of it.
-type (
-	Member = discovery.Member
-	List   = discovery.List
-)
+// Member is one endpoint on the list.
+type Member = discovery.Member
+
+// List is the endpoint list, or a change of it.
+type List = discovery.List
 
 const discoverySeed = 0x64697363
 
