--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -12,7 +12,7 @@
 	MembersPath       = "/v1/members"
 	HeartbeatsPath    = "/v1/heartbeats"
 	ZonesPath         = "/v1/zones"
-	ExpirePath        = "/v1/lapse"         // expire overdue registrations, as an effect of a role
+	ExpirePath        = "/v1/lapse"         // expire overdue registrations, on behalf of a role's holder
 	ConfirmExpiryPath = "/v1/lapse/confirm" // let suspended expirations take place
 	SessionsPath      = "/v1/sessions"
 	RolesPath         = "/v1/duties"
@@ -25,12 +25,12 @@
 const (
 	EpochHeader    = "Registry-Epoch"
 	RevisionHeader = "Registry-Revision"
-	StaleHeader    = "Registry-Stale" // true: this node has had no contact with a leader
-	RequestHeader  = "Request-Id"     // of a write: a second one with the same id changes nothing
+	StaleHeader    = "Registry-Stale" // true if this node has lost contact with the leader
+	RequestHeader  = "Request-Id"     // id of a write; a second write with the same id changes nothing
 
-	// FenceHeader goes with a write that is an effect of a role: the role's name, an
-	// equals sign and the holder's token. Unless the token is the present one, the
-	// write is rejected with 412.
+	// FenceHeader is set on a write that is made on behalf of a role's holder: the role's
+	// name, an equals sign and the holder's token. The write is rejected with 412 unless
+	// the token is the role's current one.
 	FenceHeader = "Duty-Fence"
 )
 
@@ -68,8 +68,8 @@
 	return mux
 }
 
-// leaderOnly wraps a handler that the leader alone may run: another node redirects to
-// the leader, or responds with 503 where there is none.
+// leaderOnly wraps a handler that only the leader may run. Another node redirects to the
+// leader, or responds with 503 if it knows of none or has lost contact with it.
 func (n *Node) leaderOnly(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		leader, isSelf := n.leader()
@@ -84,7 +84,7 @@
 	}
 }
 
-// ownHTTPAddr is this node's own address, as its peers know it.
+// ownHTTPAddr returns this node's own API address as it stands in the list of peers.
 func (n *Node) ownHTTPAddr() string {
 	for _, p := range n.cfg.Peers {
 		if p.ID == n.cfg.ID {
--- a/internal/registry/api_list.go
+++ b/internal/registry/api_list.go
@@ -7,7 +7,8 @@
 	"plovershore/internal/discovery"
 )
 
-// getList serves the list: as a watch, as a linearizable read, or as this node has it.
+// getList serves a watch of the list, a linearizable read of it by the leader, or this
+// node's own copy of it.
 func (n *Node) getList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	switch {
@@ -33,10 +34,11 @@
 	text, revision := n.store.list()
 	n.setListHeaders(w, epoch, revision)
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(text) // a client that is gone asks again
+	_, _ = w.Write(text) // fails only if the client is gone; it sends the request again
 }
 
-// postNotices counts notices: agents without another place for them send them here.
+// postNotices counts notices and discards them. Agents that have no other service to send
+// notices to send them here.
 func (n *Node) postNotices(w http.ResponseWriter, r *http.Request) {
 	notices, err := discovery.ReadNotices(io.LimitReader(r.Body, maxNoticeBytes))
 	if err != nil {
--- a/internal/registry/api_members.go
+++ b/internal/registry/api_members.go
@@ -19,13 +19,13 @@
 	Zone      string  `json:"zone"`
 	Flavor    string  `json:"flavor"`
 	Cell      int     `json:"cell"`
-	Size      float64 `json:"size,omitempty"`   // 0 for 1
-	TTLMS     int64   `json:"ttl_ms,omitempty"` // 0: it doesn't expire
+	Size      float64 `json:"size,omitempty"`   // 0 means 1
+	TTLMS     int64   `json:"ttl_ms,omitempty"` // 0 means that it never expires
 	Holder    string  `json:"holder,omitempty"`
-	IfChanged int64   `json:"if,omitempty"` // if set, the revision of the member's last change has to equal it
+	IfChanged int64   `json:"if,omitempty"` // if set, rejected unless it is the revision of the member's last change
 }
 
-// member validates the registration. Its errors name the JSON key.
+// member validates the registration and returns it as a Member. Errors name the JSON key.
 func (x *Registration) member() (Member, error) {
 	size := x.Size
 	if size == 0 {
@@ -119,8 +119,8 @@
 	Holder string `json:"holder"`
 }
 
-// postHeartbeats takes the heartbeats of several registrations, and responds with the
-// ids of those that the sender doesn't hold: it has to register them again.
+// postHeartbeats records the heartbeats of several registrations, and responds with the
+// ids of those that the sender doesn't hold and so has to register again.
 func (n *Node) postHeartbeats(w http.ResponseWriter, r *http.Request) {
 	var heartbeats []Heartbeat
 	if !decodeBody(w, r, &heartbeats) {
@@ -138,7 +138,7 @@
 	}{unknown})
 }
 
-// postExpire expires the registrations that are due, as an effect of a role.
+// postExpire expires the registrations that are due, on behalf of a role's holder.
 func (n *Node) postExpire(w http.ResponseWriter, r *http.Request) {
 	fence, err := readFence(r)
 	if err != nil || fence.role == "" {
--- a/internal/registry/api_operations.go
+++ b/internal/registry/api_operations.go
@@ -8,8 +8,8 @@
 	writeJSON(w, http.StatusOK, n.store.operations())
 }
 
-// putOperation returns the handler that submits an operation or a new desired state
-// (OpOperation), or reports progress (OpProgress).
+// putOperation returns the handler of op: OpOperation submits an operation or changes its
+// desired state, OpProgress reports its progress.
 func (n *Node) putOperation(op Op) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var operation Operation
--- a/internal/registry/api_roles.go
+++ b/internal/registry/api_roles.go
@@ -13,18 +13,18 @@
 // RoleRequest is the body of a request that grants, releases, disables or enables a
 // role, or saves its note.
 type RoleRequest struct {
-	Session   string `json:"session,omitempty"` // grant: id
+	Session   string `json:"session,omitempty"` // grant: id of the session
 	Token     int64  `json:"token,omitempty"`   // note, release
 	Note      string `json:"note,omitempty"`
-	Successor string `json:"next,omitempty"` // release: name of the controller to grant it to next
-	Healthy   bool   `json:"good,omitempty"` // note: the work goes well
-	Failed    bool   `json:"failed,omitempty"`
-	LeaseLost bool   `json:"lost,omitempty"` // release: the lease was lost while the work ran
-	Disabled  bool   `json:"off,omitempty"`  // hold
+	Successor string `json:"next,omitempty"`   // release: name of the controller that gets the role next
+	Healthy   bool   `json:"good,omitempty"`   // note: the work succeeds, and Note is not set
+	Failed    bool   `json:"failed,omitempty"` // release: the work failed
+	LeaseLost bool   `json:"lost,omitempty"`   // release: the lease was lost while the work ran
+	Disabled  bool   `json:"off,omitempty"`    // hold: true disables the role, false enables it again
 }
 
-// getRoles serves all roles and sessions. With the query parameter after it waits
-// until their revision is another one, for wait_ms at most.
+// getRoles serves all roles and sessions. It waits for up to the query parameter wait_ms
+// until their revision differs from the query parameter after.
 func (n *Node) getRoles(w http.ResponseWriter, r *http.Request) {
 	after, afterErr := queryInt(r, "after")
 	waitMS, waitErr := queryInt(r, "wait_ms")
@@ -40,8 +40,8 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// pollRoles returns the roles once their revision differs from after, the context is
-// done, or the node is closed.
+// pollRoles returns the roles and sessions once their revision differs from after, the
+// context is done, or the node is closed.
 func (n *Node) pollRoles(ctx context.Context, after int64) RoleList {
 	for {
 		list, changed := n.store.roleList()
--- a/internal/registry/api_sessions.go
+++ b/internal/registry/api_sessions.go
@@ -7,7 +7,7 @@
 
 // Limits of a session's time to live.
 const (
-	minSessionTTL = 300 * time.Millisecond // a shorter one would expire with every election
+	minSessionTTL = 300 * time.Millisecond // a shorter one would expire in every election of a leader
 	maxSessionTTL = 5 * time.Minute
 )
 
@@ -36,9 +36,9 @@
 	n.applyAndRespond(w, r, Command{Op: OpSession, Session: Session{body.ID, body.Controller, ttl}})
 }
 
-// postRenewSession renews a session. It asks a majority whether this node still leads:
-// a deposed leader that doesn't know it yet would renew a session that the next leader
-// expires.
+// postRenewSession renews a session. It has a majority confirm that this node is still
+// the leader. A deposed leader that doesn't know it yet would otherwise renew a session
+// that the next leader expires.
 func (n *Node) postRenewSession(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if n.store.hasSession(id) && n.heartbeats.recordSession(id) {
--- a/internal/registry/api_snapshot.go
+++ b/internal/registry/api_snapshot.go
@@ -13,7 +13,7 @@
 // restoreTimeout is how long the restore of a backup may take.
 const restoreTimeout = 10 * time.Second
 
-// getSnapshot serves the state as the leader has it, for a backup.
+// getSnapshot serves the leader's state as a backup.
 func (n *Node) getSnapshot(w http.ResponseWriter, _ *http.Request) {
 	if err := n.catchUp(); err != nil {
 		writeError(w, http.StatusServiceUnavailable, "%v", err)
@@ -25,7 +25,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(s.(snapshot)) // a client that is gone asks again
+	_, _ = w.Write(s.(snapshot)) // fails only if the client is gone; it sends the request again
 }
 
 // putSnapshot restores the whole group from a backup, in a new epoch.
@@ -49,8 +49,9 @@
 	n.applyAndRespond(w, r, Command{Op: OpEpoch, Epoch: NewID()})
 }
 
-// raiseRevisions raises what may only grow, in a backup, to at least the present
-// values. Clients would take the group for a node that is behind otherwise.
+// raiseRevisions raises the revisions and the last token of a backup to at least the
+// current ones, since they must never decrease. Otherwise clients would reject the
+// group's lists as those of a node that is behind.
 func (n *Node) raiseRevisions(backup *State) {
 	_, revision, _ := n.store.position()
 	token, roleRevision := n.store.lastToken()
--- a/internal/registry/api_status.go
+++ b/internal/registry/api_status.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Status is how a node sees itself and its group.
+// Status is a node's view of itself and its group.
 type Status struct {
 	ID                   string    `json:"id"`
 	RaftRole             string    `json:"role"`   // Leader, Follower or Candidate in Raft; unrelated to Role
-	Leader               string    `json:"leader"` // HTTP address; empty for none
+	Leader               string    `json:"leader"` // HTTP address; empty if there is no leader
 	Term                 uint64    `json:"term"`
 	Epoch                string    `json:"epoch"`
 	Revision             int64     `json:"revision"`
 	Members              int       `json:"members"`
 	Watchers             int64     `json:"watchers"`
-	Stale                bool      `json:"stale"`   // no contact with a leader: what the node serves may be old
+	Stale                bool      `json:"stale"`   // the node has lost contact with the leader, so what it serves may be old
 	Applied              uint64    `json:"applied"` // index of the last applied log entry
 	SuspendedExpirations int       `json:"lapses_held"`
 	SuspendedSince       time.Time `json:"lapses_held_since,omitzero"`
--- a/internal/registry/api_test.go
+++ b/internal/registry/api_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestRestoreFromBackup checks that a restore begins a new epoch, that the revision
-// doesn't go back, and that an earlier watcher is sent the complete list.
+// doesn't decrease, and that a watcher of the previous epoch is sent the complete list.
 func TestRestoreFromBackup(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
@@ -22,19 +22,19 @@
 	n := g.caughtUp()
 	members, now, after := n.store.members()
 	if len(members) != 1 || now == epoch || after <= revision {
-		t.Errorf("%d members at %d of %s, before %d of %s", len(members), after, now, revision, epoch)
+		t.Errorf("%d members at revision %d of epoch %s, want 1 in a later revision than %d and another epoch than %s", len(members), after, now, revision, epoch)
 	}
 	lines, _, _, _ := n.store.changesSince(epoch, revision)
 	if len(lines) != 1 || !strings.Contains(string(lines[0]), `"complete":true`) {
-		t.Errorf("a watcher of before hears %s", lines)
+		t.Errorf("a watcher of the previous epoch is sent %s, want the complete list", lines)
 	}
 	if status, _, text := g.ask("PUT", SnapshotPath, "q4", `{"revision":1,"members":{"x":{"id":"y"}}}`); status != 400 {
-		t.Errorf("a backup that cannot be used: %d %s", status, text)
+		t.Errorf("response to an invalid backup: %d %s, want 400", status, text)
 	}
 }
 
 // TestInvalidRequestsChangeNothing checks the status and the text of each rejection, and
-// that the revision stays.
+// that the list's revision stays the same.
 func TestInvalidRequestsChangeNothing(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 1)
@@ -63,10 +63,10 @@
 	} {
 		status, _, text := sendRequest(t, n, x.method, x.path, NewID(), x.body)
 		if status != x.status || !strings.Contains(text, x.says) {
-			t.Errorf("%s %s %.40s: %d %s", x.method, x.path, x.body, status, text)
+			t.Errorf("%s %s %.40s: response %d %s", x.method, x.path, x.body, status, text)
 		}
 	}
 	if _, _, after := n.store.members(); after != before {
-		t.Errorf("revision %d, before %d", after, before)
+		t.Errorf("revision %d after the requests, %d before", after, before)
 	}
 }
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -14,15 +14,15 @@
 	OpAdd    Op = "add"    // register a member, or change one
 	OpPhase  Op = "phase"  // set a member's phase to up or draining
 	OpRemove Op = "remove" // remove a member
-	OpExpire Op = "lapse"  // remove several members whose time to live has passed
+	OpExpire Op = "lapse"  // remove several members without a heartbeat for their time to live
 	OpEpoch  Op = "epoch"  // begin an epoch: the group is new, or was restored
 	OpZone   Op = "zone"   // set or clear a zone's region
 
 	OpSession    Op = "session"     // open a controller's session
 	OpSessionEnd Op = "session-end" // end sessions: closed, or expired
 	OpGrant      Op = "grant"       // grant a free role to a session
-	OpNote       Op = "note"        // save the holder's note, or record that its work goes well
-	OpRelease    Op = "release"     // give a role up
+	OpNote       Op = "note"        // save the holder's note, or record that its work succeeds
+	OpRelease    Op = "release"     // the holder releases a role
 	OpDisable    Op = "hold"        // operators: disable a role, or enable it again
 	OpOperation  Op = "order"       // operators: create an operation, or change its desired state
 	OpProgress   Op = "progress"    // the role's holder reports an operation's progress
@@ -39,32 +39,34 @@
 	Member    Member           `json:"member,omitzero"`
 	ID        string           `json:"id,omitempty"`
 	Phase     string           `json:"phase,omitempty"`
-	Holder    string           `json:"holder,omitempty"` // if set, the member's Holder has to equal it
-	IfChanged int64            `json:"if,omitempty"`     // if set, the member's Changed has to equal it
-	Expired   map[string]int64 `json:"lapsed,omitempty"` // members by id, with the Since of each
+	Holder    string           `json:"holder,omitempty"` // if set, the command is rejected unless the member has this Holder
+	IfChanged int64            `json:"if,omitempty"`     // if set, the command is rejected unless the member has this Changed
+	Expired   map[string]int64 `json:"lapsed,omitempty"` // the Since of each member to remove, keyed by member id
 
 	Epoch  string `json:"epoch,omitempty"`
 	Zone   string `json:"zone,omitempty"`
 	Region string `json:"region,omitempty"` // empty to clear the zone's region
 
 	Session        Session          `json:"session,omitzero"`
-	EndedSessions  []string         `json:"ended,omitempty"`  // ids
-	LeaseDurations map[string]int64 `json:"lasted,omitempty"` // by role, the milliseconds for which an expired session held it; nil from an older leader
+	EndedSessions  []string         `json:"ended,omitempty"`  // ids of the sessions to end
+	LeaseDurations map[string]int64 `json:"lasted,omitempty"` // how long, in ms, an expired session held each role, keyed by role; nil from a leader of an older version
 
-	// Role is the role that a role's command is for. On any other command, Role and
-	// Token are a fence: the command is rejected unless Token is the present one.
+	// Role is the role that a grant, note, release or hold is about. On any other
+	// command, Role and Token are a fence: the command is rejected unless Token is the
+	// role's current token.
 	Role      string `json:"duty,omitempty"`
 	Token     int64  `json:"token,omitempty"`
 	Note      string `json:"note,omitempty"`
-	Successor string `json:"next,omitempty"`
-	Healthy   bool   `json:"good,omitempty"` // note: the work goes well
-	Failed    bool   `json:"failed,omitempty"`
-	LeaseLost bool   `json:"lost,omitempty"` // release: the lease was lost while the work ran
-	Disabled  bool   `json:"off,omitempty"`
+	Successor string `json:"next,omitempty"`   // release: name of the controller that gets the role next
+	Healthy   bool   `json:"good,omitempty"`   // note: the work succeeds, and Note is not set
+	Failed    bool   `json:"failed,omitempty"` // release, session-end: counts as a failure of the work
+	LeaseLost bool   `json:"lost,omitempty"`   // release: the lease was lost while the work ran
+	Disabled  bool   `json:"off,omitempty"`    // hold: true disables the role, false enables it again
 
 	Operation Operation `json:"order,omitzero"`
 
-	// At is the leader's time in Unix milliseconds: replicas read no clock.
+	// At is the leader's time in Unix milliseconds. Replicas use it since they must not
+	// read their own clocks.
 	At int64 `json:"at,omitempty"`
 }
 
@@ -74,10 +76,10 @@
 	Revision int64  `json:"revision"`
 	Status   int    `json:"status"` // an HTTP status code
 	Error    string `json:"error,omitempty"`
-	Changed  int64  `json:"changed,omitempty"` // of the member
-	Token    int64  `json:"token,omitempty"`   // of a grant; for a rejected token, the present one
-	Note     string `json:"note,omitempty"`    // of a grant: the note of the previous holder
-	Term     int64  `json:"term,omitempty"`    // of a grant
+	Changed  int64  `json:"changed,omitempty"` // revision of the member's last change
+	Token    int64  `json:"token,omitempty"`   // the token of a grant; after a rejected token, the role's current one
+	Note     string `json:"note,omitempty"`    // result of a grant: the note that the previous holder left
+	Term     int64  `json:"term,omitempty"`    // result of a grant: number of the role's grants so far
 }
 
 func succeeded() Result { return Result{Status: http.StatusOK} }
--- a/internal/registry/compat_test.go
+++ b/internal/registry/compat_test.go
@@ -22,19 +22,20 @@
 // The files in testdata/before were written by the program as it was before its
 // packages and types were renamed (commit dd19e87):
 //
-//   - node.tar.gz: data folder of a group of one, with a Raft snapshot and a log
-//     that goes on from it
-//   - members.json, duties.json, orders.json, zones.json, snapshot.json: that
-//     node's own answers just before it was stopped
+//   - node.tar.gz: the data folder of a group of one, with a Raft snapshot and the
+//     log entries after it
+//   - members.json, duties.json, orders.json, zones.json, snapshot.json: the
+//     responses of that node just before it was stopped
 //   - commands.jsonl: the commands in the log of an earlier state of that folder
-//     (each operation at least once), and replayed.json: its snapshot after them
-//   - rejected_commands.jsonl and rejected_results.jsonl: commands after these that
-//     it rejects, and its results
+//     (each operation at least once)
+//   - replayed.json: the earlier program's snapshot after these commands
+//   - rejected_commands.jsonl and rejected_results.jsonl: further commands, which
+//     the earlier program rejects after these, and its results
 //   - encodings.json: one value of each type that is sent or stored, with every
 //     field set
 //
-// A data folder, a Raft log and a group during a rolling upgrade are shared with
-// that program, so none of these texts may change.
+// The two programs share a data folder, a Raft log and, during a rolling upgrade, a
+// group, so none of these texts may change.
 const beforeFolder = "testdata/before"
 
 func readBefore(t *testing.T, name string) []byte {
@@ -46,7 +47,7 @@
 	return text
 }
 
-// unpackNode writes the earlier program's data folder to a new place.
+// unpackNode unpacks the earlier program's data folder into a temporary folder.
 func unpackNode(t *testing.T) (folder string) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "data")
@@ -91,16 +92,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Close)
-	waitFor(t, "a leader", func() bool { _, self := n.leader(); return self })
+	waitFor(t, "the node to lead", func() bool { _, self := n.leader(); return self })
 	return n
 }
 
-// TestDataFolderOfTheEarlierProgram checks that a node over the earlier program's folder
-// answers each read with that program's text, and goes on from there.
+// TestDataFolderOfTheEarlierProgram checks that a node that is started with the earlier
+// program's data folder answers each read with that program's text, and that retries,
+// fencing tokens and new writes work as they did there.
 func TestDataFolderOfTheEarlierProgram(t *testing.T) {
 	t.Parallel()
 	n := startBefore(t)
-	waitFor(t, "the log is applied", func() bool { _, revision, _ := n.store.position(); return revision == 12 })
+	waitFor(t, "the log to be applied", func() bool { _, revision, _ := n.store.position(); return revision == 12 })
 	for path, name := range map[string]string{SnapshotPath: "snapshot.json", MembersPath: "members.json", RolesPath: "duties.json",
 		OperationsPath: "orders.json", ZonesPath: "zones.json"} {
 		status, _, text := sendRequest(t, n, "GET", path, "", "")
@@ -111,28 +113,29 @@
 	// A retry of a request that the earlier program answered changes nothing.
 	status, _, text := sendRequest(t, n, "POST", MembersPath, "q-24", registrationJSON)
 	if status != 200 || strings.TrimSpace(text) != `{"revision":12,"status":200,"changed":12}` {
-		t.Errorf("a retried request: %d %s", status, text)
+		t.Errorf("response to a retried request: %d %s", status, text)
 	}
-	// The lease holder's token still fences. The next grant's goes on from the last
-	// one, which the new epoch of the restored snapshot had raised.
+	// The role's holder may use its token, and any other token is rejected. The token of
+	// the next grant follows the last token, which the epoch that began with a restore
+	// had raised.
 	const token, lastToken = 1839327831041, 1839327837184
 	if status, _, text = sendRequest(t, n, "POST", RolesPath+"/rollout/note", "r-1", fmt.Sprintf(`{"token":%d,"note":"done"}`, token+1)); status != 412 {
-		t.Errorf("a note with another token: %d %s", status, text)
+		t.Errorf("response to a note with another token: %d %s, want 412", status, text)
 	}
 	if status, _, text = sendRequest(t, n, "POST", RolesPath+"/rollout/note", "r-2", fmt.Sprintf(`{"token":%d,"note":"done"}`, token)); status != 200 {
-		t.Errorf("a note with the holder's token: %d %s", status, text)
+		t.Errorf("response to a note with the holder's token: %d %s, want 200", status, text)
 	}
 	status, _, text = sendRequest(t, n, "POST", RolesPath+"/salvage/grant", "r-3", `{"session":"session-1"}`)
 	if want := fmt.Sprintf(`{"revision":12,"status":200,"token":%d,"note":"at relay 4","term":2}`, lastToken+1); status != 200 || strings.TrimSpace(text) != want {
-		t.Errorf("the next grant: %d %s, want %s", status, text, want)
+		t.Errorf("response to the next grant: %d %s, want 200 %s", status, text, want)
 	}
 	if status, _, text = sendRequest(t, n, "POST", MembersPath+"/s-3/phase", "r-4", `{"phase":"up"}`); status != 200 {
-		t.Errorf("the end of a drain: %d %s", status, text)
+		t.Errorf("response to the end of a drain: %d %s, want 200", status, text)
 	}
 }
 
-// TestStateOfTheEarlierProgram checks the decoded values, field by field, of what
-// stands in the earlier program's folder.
+// TestStateOfTheEarlierProgram checks the decoded values, field by field, of the earlier
+// program's snapshot.
 func TestStateOfTheEarlierProgram(t *testing.T) {
 	t.Parallel()
 	s, err := ReadState(bytes.NewReader(readBefore(t, "snapshot.json")))
@@ -175,8 +178,9 @@
 	}
 }
 
-// TestCommandsOfTheEarlierProgram checks that each command of its log is decoded and
-// encoded without loss, and that applying all gives its snapshot, byte for byte.
+// TestCommandsOfTheEarlierProgram checks that each command of the earlier program's log is
+// decoded and encoded without loss, that applying all of them gives its snapshot byte for
+// byte, and that rejected commands have its results.
 func TestCommandsOfTheEarlierProgram(t *testing.T) {
 	s := NewState()
 	seen := map[Op]bool{}
@@ -191,15 +195,15 @@
 	}
 	for _, op := range []Op{OpAdd, OpPhase, OpRemove, OpExpire, OpEpoch, OpZone, OpSession, OpSessionEnd, OpGrant, OpNote, OpRelease, OpDisable, OpOperation, OpProgress} {
 		if !seen[op] {
-			t.Errorf("no command %s in the log", op)
+			t.Errorf("no command with operation %s in commands.jsonl", op)
 		}
 	}
 	text, err := json.Marshal(s)
 	if want := bytes.TrimSpace(readBefore(t, "replayed.json")); err != nil || !bytes.Equal(text, want) {
 		t.Errorf("%v\n%s\nwant\n%s", err, text, want)
 	}
-	// Results are kept in the state, so that of a rejected command, its text included,
-	// has to be the same on each node of a group.
+	// Results are part of the replicated state. So the result of a rejected command, with
+	// its text, has to be the same on each node of a group.
 	commands := bytes.Split(bytes.TrimSpace(readBefore(t, "rejected_commands.jsonl")), []byte{'\n'})
 	results := bytes.Split(bytes.TrimSpace(readBefore(t, "rejected_results.jsonl")), []byte{'\n'})
 	for i, text := range commands {
@@ -211,7 +215,8 @@
 	}
 }
 
-// TestEncodingsOfTheEarlierProgram checks every key of every type that is sent or stored.
+// TestEncodingsOfTheEarlierProgram checks that every JSON key of every type that is sent
+// or stored is the earlier program's.
 func TestEncodingsOfTheEarlierProgram(t *testing.T) {
 	var before map[string]json.RawMessage
 	if err := json.Unmarshal(readBefore(t, "encodings.json"), &before); err != nil {
@@ -221,12 +226,12 @@
 		"ZoneStatus": &ZoneStatus{}, "Heartbeat": &Heartbeat{}, "Status": &Status{}, "problem": &errorResponse{},
 		"SessionRequest": &SessionRequest{}, "RoleRequest": &RoleRequest{}, "RoleList": &RoleList{}}
 	if len(values) != len(before) {
-		t.Errorf("%d types, %d were written", len(values), len(before))
+		t.Errorf("%d types are compared, but the earlier program wrote %d", len(values), len(before))
 	}
 	for name, v := range values {
 		decodeStrictly(t, before[name], v)
 		if field := emptyField(reflect.ValueOf(v).Elem(), name); field != "" {
-			t.Errorf("%s: not in the earlier program's text", field)
+			t.Errorf("%s: empty, since it is missing in the earlier program's text", field)
 		}
 		again, err := json.Marshal(v)
 		if err != nil || !bytes.Equal(again, before[name]) {
@@ -244,7 +249,8 @@
 	}
 }
 
-// emptyField names an exported field, at any depth, that has its zero value.
+// emptyField returns the path of an exported field, at any depth, that has its zero
+// value, or "" if there is none.
 func emptyField(v reflect.Value, path string) string {
 	if v.IsZero() {
 		return path
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -15,7 +15,7 @@
 	"plovershore/internal/discovery"
 )
 
-// Duration is a duration as a configuration file has it, such as 15s.
+// Duration is a duration that a configuration file writes as text, such as 15s.
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler. Negative durations are errors.
@@ -42,7 +42,7 @@
 	Zone    string  `toml:"zone"`
 	Flavor  string  `toml:"flavor"`
 	Cell    int     `toml:"cell"`
-	Size    float64 `toml:"size"` // 0 for 1
+	Size    float64 `toml:"size"` // 0 means 1
 }
 
 // Zone is a zone and the region that it is in.
@@ -58,15 +58,15 @@
 	DataDir     string         `toml:"data"`
 	Listen      string         `toml:"listen"`   // host:port of the API
 	Raft        string         `toml:"raft"`     // host:port of Raft
-	Operator    string         `toml:"operator"` // host:port of the metrics; empty for none
+	Operator    string         `toml:"operator"` // host:port of the metrics; not served if empty
 	LogFormat   string         `toml:"log"`      // text or json
-	Peers       []Peer         `toml:"peers"`    // none for a group of one
+	Peers       []Peer         `toml:"peers"`    // empty for a group of one node
 	ExpiryGuard ExpiryGuard    `toml:"lapse"`
 	Members     []StaticMember `toml:"members"`
 	Zones       []Zone         `toml:"zones"`    // regions of a new group's zones
 	Watchers    int            `toml:"watchers"` // the most watches served at once
 
-	Clock *clock.Clock `toml:"-"` // nil for the machine's
+	Clock *clock.Clock `toml:"-"` // nil for the machine's clock
 
 	// DeprecatedVariables are the environment variables that were set under their
 	// earlier names.
@@ -76,19 +76,20 @@
 	wrapLogStore func(raft.LogStore) raft.LogStore // for tests; may be nil
 }
 
-// ExpiryGuard bounds how many registrations may expire within one time to live. What
-// is beyond is suspended.
+// ExpiryGuard bounds how many registrations may expire within one time to live: the
+// greater of Fraction and Minimum. If more are silent or expired, expirations are
+// suspended.
 type ExpiryGuard struct {
-	Fraction   float64  `toml:"share"` // of the registrations with a time to live
-	Minimum    int      `toml:"least"` // so many may always expire
-	SuspendFor Duration `toml:"hold"`  // suspended expirations take place after so long
-	ExpiredBy  string   `toml:"by"`    // who expires registrations: leader, or duty
+	Fraction   float64  `toml:"share"` // of the registrations that have a time to live
+	Minimum    int      `toml:"least"` // this many may expire in a list of any length
+	SuspendFor Duration `toml:"hold"`  // suspended expirations take place after this time
+	ExpiredBy  string   `toml:"by"`    // who starts expirations: leader, or duty
 }
 
 // Values of ExpiryGuard.ExpiredBy.
 const (
-	expiredByLeader = "leader" // the group's leader by itself
-	expiredByRole   = "duty"   // the holder of the role list-keeper, by ExpirePath
+	expiredByLeader = "leader" // the leader of the group, without a request
+	expiredByRole   = "duty"   // the holder of the role list-keeper, by requests to ExpirePath
 )
 
 // DefaultConfig returns the configuration of a group of one node.
@@ -110,7 +111,7 @@
 }
 
 // Prefixes of environment variables. The deprecated one is from before the program
-// was renamed; it is read where the present one is not set.
+// was renamed; it is read where the variable with the current one is not set.
 const (
 	variablePrefix           = "REGISTRY_"
 	deprecatedVariablePrefix = "TROUTREGISTRY_"
@@ -119,8 +120,8 @@
 // DeprecatedVariable is an environment variable that was set under its earlier name.
 type DeprecatedVariable struct {
 	Name        string
-	Replacement string // the present name
-	Ignored     bool   // the present name was set, too
+	Replacement string // the current name
+	Ignored     bool   // the current name is set, too, and takes precedence
 }
 
 // LoadConfig reads a file, or takes the defaults where path is empty. The environment
--- a/internal/registry/config_test.go
+++ b/internal/registry/config_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestEnvironmentNames checks that each variable is read under its present and its earlier
-// name and overrides the file, that the present name wins, and that each use of an
-// earlier name is reported once.
+// TestEnvironmentNames checks that each variable is read under its current and its
+// deprecated name and overrides the file, that the current name takes precedence, and that
+// each use of a deprecated name is reported once.
 func TestEnvironmentNames(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.toml")
 	file := "id = \"file\"\ndata = \"file\"\nlisten = \"127.0.0.1:1\"\nraft = \"127.0.0.1:1\"\noperator = \"127.0.0.1:1\"\nlog = \"text\"\n"
@@ -43,14 +43,14 @@
 				t.Fatal(err)
 			}
 			if got := x.field(c); got != y.want || !slices.Equal(c.DeprecatedVariables, y.used) {
-				t.Errorf("%v: %q, %+v", y.env, got, c.DeprecatedVariables)
+				t.Errorf("environment %v: value %q, deprecated variables %+v", y.env, got, c.DeprecatedVariables)
 			}
 		}
 	}
 }
 
-// TestConfigErrorsNameFileAndKey checks that errors name the file, the line and the key,
-// and that the example is valid as it stands.
+// TestConfigErrorsNameFileAndKey checks that errors name the file and the key, with the
+// line where the decoder knows it, and that the example file is valid without a change.
 func TestConfigErrorsNameFileAndKey(t *testing.T) {
 	none := func(string) string { return "" }
 	if _, err := LoadConfig(filepath.Join("..", "..", "deploy", "registry.toml"), none); err != nil {
@@ -69,7 +69,7 @@
 	} {
 		os.WriteFile(path, []byte(text), 0o600)
 		if _, err := LoadConfig(path, none); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v, want one that names the file and the key", text, err)
 		}
 	}
 }
--- a/internal/registry/config_validate.go
+++ b/internal/registry/config_validate.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// validate checks all values, and makes the node its own only peer where the
-// configuration has none. Errors name the key.
+// validate checks all values. A configuration without peers is given the node itself as
+// its only peer. Errors name the key.
 func (c *Config) validate() error {
 	if len(c.Peers) == 0 {
 		c.Peers = []Peer{{c.ID, c.Raft, c.Listen}}
@@ -58,7 +58,7 @@
 func (c *Config) validateExpiry() error {
 	guard := c.ExpiryGuard
 	switch {
-	case !(guard.Fraction > 0 && guard.Fraction <= 1): // NaN, too
+	case !(guard.Fraction > 0 && guard.Fraction <= 1): // written so that NaN is rejected, too
 		return fmt.Errorf("lapse.share: %v; more than 0, 1 at most", guard.Fraction)
 	case guard.ExpiredBy != expiredByLeader && guard.ExpiredBy != expiredByRole:
 		return fmt.Errorf("lapse.by: %q; %s and %s are allowed", guard.ExpiredBy, expiredByLeader, expiredByRole)
--- a/internal/registry/expiry_guard.go
+++ b/internal/registry/expiry_guard.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// massExpiryGuard suspends expirations where too many registrations fall silent within
-// one time to live: that looks like a fault of the network, not of the members. It is
-// not safe for concurrent use.
+// massExpiryGuard suspends expirations when too many registrations stop sending
+// heartbeats within one time to live, since the likely cause is a network fault and not
+// a failure of the members. It is not safe for concurrent use.
 type massExpiryGuard struct {
 	cfg *ExpiryGuard
 	log *slog.Logger
 
-	recent         []time.Time // times of the expirations within the longest time to live
-	suspendedSince time.Time   // zero for not suspended
-	suspended      int         // expirations that are suspended
-	confirmed      bool        // an operator lets them take place
+	recent         []time.Time // times of the expirations that are not older than the longest time to live
+	suspendedSince time.Time   // zero while expirations aren't suspended
+	suspended      int         // number of expirations that are suspended
+	confirmed      bool        // an operator has allowed the suspended expirations
 }
 
-// silenceCount counts registrations with a time to live.
+// silenceCount counts the registrations that have a time to live.
 type silenceCount struct {
-	expiring   int // all that have one
-	silent     int // without a heartbeat for silentFraction of it, or longer
-	due        int // without a heartbeat for all of it
+	expiring   int // all registrations with a time to live
+	silent     int // those without a heartbeat for longer than silentFraction of their time to live
+	due        int // those without a heartbeat for longer than their time to live
 	longestTTL time.Duration
 }
 
--- a/internal/registry/failover_test.go
+++ b/internal/registry/failover_test.go
@@ -18,8 +18,8 @@
 	"plovershore/internal/discovery"
 )
 
-// TestRetryAfterLeaderIsStopped checks that the retry of a write, whose result was lost
-// with the leader, changes nothing at the next leader and has the first result.
+// TestRetryAfterLeaderIsStopped checks that a write that is sent again after its leader
+// was stopped changes nothing at the next leader, and has the result of the first one.
 func TestRetryAfterLeaderIsStopped(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
@@ -30,15 +30,15 @@
 	g.stop(g.leader())
 	again, _, err := g.apply(Command{Request: "q-1", Op: OpAdd, Member: testMember("s-1", "127.0.0.1:99")})
 	if err != nil || again != first {
-		t.Errorf("first %+v, then %+v, %v", first, again, err)
+		t.Errorf("first result %+v, result of the retry %+v, error %v", first, again, err)
 	}
 	if _, _, revision := g.caughtUp().store.members(); revision != first.Revision {
-		t.Errorf("revision %d after %d", revision, first.Revision)
+		t.Errorf("revision %d after the retry, want %d as before", revision, first.Revision)
 	}
 }
 
-// TestMinorityNodeRejectsWritesAndMarksReadsStale checks a node whose peers are stopped.
-// Its watches end, too, so that clients turn to another node.
+// TestMinorityNodeRejectsWritesAndMarksReadsStale checks a node whose two peers are
+// stopped. It also ends its watches, so that their clients ask another node.
 func TestMinorityNodeRejectsWritesAndMarksReadsStale(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
@@ -46,7 +46,7 @@
 	if status, _, text := sendRequest(t, g.nodes[g.leader()], "POST", MembersPath, "q", registrationJSON); status != 200 {
 		t.Fatal(status, text)
 	}
-	waitFor(t, "the change at the node", func() bool { m, _, _ := last.store.members(); return len(m) == 1 })
+	waitFor(t, "the node to apply the registration", func() bool { m, _, _ := last.store.members(); return len(m) == 1 })
 	resp, err := http.Get("http://" + last.Addr() + discovery.ListPath + "?watch=1&from=0")
 	if err != nil {
 		t.Fatal(err)
@@ -56,26 +56,26 @@
 	go func() { _, err := io.Copy(io.Discard, resp.Body); ended <- err }()
 	g.stop(1)
 	g.stop(2)
-	waitFor(t, "writes refused", func() bool {
+	waitFor(t, "writes to be rejected with 503 and Retry-After", func() bool {
 		status, h, _ := sendRequest(t, last, "POST", MembersPath, "q2", registrationJSON)
 		return status == 503 && h.Get("Retry-After") != ""
 	})
-	waitFor(t, "reads marked stale", func() bool {
+	waitFor(t, "reads to be marked as stale", func() bool {
 		status, h, text := sendRequest(t, last, "GET", discovery.ListPath, "", "")
 		return status == 200 && h.Get(StaleHeader) == "true" && h.Get(RevisionHeader) != "" && strings.Contains(text, "s-1")
 	})
 	if status, _, _ := sendRequest(t, last, "GET", discovery.ListPath+"?consistent=1", "", ""); status != 503 {
-		t.Errorf("a linearizable read at a node without majority: %d", status)
+		t.Errorf("status %d of a linearizable read at a node without a majority, want 503", status)
 	}
 	select {
 	case <-ended:
 	case <-time.After(30 * time.Second):
-		t.Error("its watch goes on")
+		t.Error("the watch is still open 30 s after the node lost the majority")
 	}
 }
 
-// TestNodeWithEmptyFolderJoins checks that a corrupt store is ErrCorrupt, and that a node
-// which starts over an empty folder gets the list from the others.
+// TestNodeWithEmptyFolderJoins checks that Start returns ErrCorrupt for a corrupt store,
+// and that a node that is started with an empty folder gets the list from its peers.
 func TestNodeWithEmptyFolderJoins(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Start(g.cfgs[behind], discardLog()); !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), "raft.db") {
-		t.Fatalf("a damaged store: %v", err)
+		t.Fatalf("start with a corrupt store: error %v, want ErrCorrupt with the file name", err)
 	}
 	for i := range 50 {
 		if _, _, err := g.apply(Command{Request: NewID(), Op: OpAdd, Member: testMember(fmt.Sprint("s-", i), fmt.Sprintf("127.0.0.1:%d", i+1))}); err != nil {
@@ -100,10 +100,10 @@
 		t.Fatal(err)
 	}
 	g.start(behind)
-	waitFor(t, "the whole list at the node that was empty", func() bool { m, _, _ := g.nodes[behind].store.members(); return len(m) == 50 })
+	waitFor(t, "the complete list at the node that had an empty folder", func() bool { m, _, _ := g.nodes[behind].store.members(); return len(m) == 50 })
 }
 
-// fullDisk is a log store on a disk that is full while full is set.
+// fullDisk is a log store whose writes fail with ENOSPC while full is set.
 type fullDisk struct {
 	raft.LogStore
 	full *atomic.Bool
@@ -118,8 +118,9 @@
 
 func (f fullDisk) StoreLog(l *raft.Log) error { return f.StoreLogs([]*raft.Log{l}) }
 
-// TestFullDiskStopsWritesNotReads checks that no answered write is lost, and that writes
-// go on once there is space.
+// TestFullDiskStopsWritesNotReads checks that a node on a full disk rejects writes and
+// serves reads, that it accepts writes again once there is space, and that no write that
+// was answered with success is lost.
 func TestFullDiskStopsWritesNotReads(t *testing.T) {
 	t.Parallel()
 	full := &atomic.Bool{}
@@ -131,14 +132,14 @@
 	full.Store(true)
 	other := strings.NewReplacer("s-1", "s-2", ":99", ":98").Replace(registrationJSON)
 	if status, h, text := sendRequest(t, n, "POST", MembersPath, "q2", other); status != 503 || h.Get("Retry-After") == "" {
-		t.Errorf("a write on a full disk: %d %s", status, text)
+		t.Errorf("response to a write on a full disk: %d %s, want 503 with Retry-After", status, text)
 	}
 	if status, _, text := sendRequest(t, n, "GET", discovery.ListPath, "", ""); status != 200 || !strings.Contains(text, "s-1") || strings.Contains(text, "s-2") {
-		t.Errorf("a read on a full disk: %d %s", status, text)
+		t.Errorf("response to a read on a full disk: %d %s, want 200 with s-1 alone", status, text)
 	}
 	full.Store(false)
-	waitFor(t, "writes again", func() bool { status, _, _ := sendRequest(t, n, "POST", MembersPath, "q2", other); return status == 200 })
+	waitFor(t, "writes to succeed once there is space", func() bool { status, _, _ := sendRequest(t, n, "POST", MembersPath, "q2", other); return status == 200 })
 	g.stop(0)
 	g.start(0)
-	waitFor(t, "both after a restart", func() bool { m, _, _ := g.nodes[0].store.members(); return len(m) == 2 })
+	waitFor(t, "both members after a restart", func() bool { m, _, _ := g.nodes[0].store.members(); return len(m) == 2 })
 }
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -17,7 +17,7 @@
 func (s *store) Apply(l *raft.Log) any {
 	var c Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return Result{Status: http.StatusBadRequest, Error: err.Error()} // the same on every node
+		return Result{Status: http.StatusBadRequest, Error: err.Error()} // every node gives the same result
 	}
 	result := s.applyCommand(c)
 	s.onApplied(c, result)
@@ -38,8 +38,8 @@
 	return result
 }
 
-// Snapshot implements raft.FSM. It copies the state as JSON, so that commands are
-// applied while the copy is written.
+// Snapshot implements raft.FSM. It encodes the state as JSON at once, so that commands
+// can be applied while raft writes the text to disk.
 func (s *store) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/registry/group_test.go
+++ b/internal/registry/group_test.go
@@ -27,16 +27,16 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after 30 s waiting for: %s", what)
 }
 
-// group is a list service of several nodes in this process, each with its own store and
-// sockets.
+// group is a list service of several nodes in the test's process, each with its own data
+// folder and sockets.
 type group struct {
 	t     *testing.T
 	cfgs  []*Config
 	nodes []*Node
-	mu    sync.Mutex // of nodes, for calls of apply beside start and stop
+	mu    sync.Mutex // guards nodes: apply may run concurrently with start and stop
 }
 
 func startGroup(t *testing.T, size int) *group { return startGroupWith(t, size, func(*Config) {}) }
@@ -91,10 +91,10 @@
 	}
 }
 
-// apply has the group apply a command as a client does: where the node has lost the lead,
-// it is sent again under the same request id. On a busy machine a leader that isn't
-// scheduled for its lease loses the lead. Any other error is returned, such as that of a
-// command that raft didn't take up in time.
+// apply has the group apply a command. As a client does, it sends the command again under
+// the same request id if the node is no longer the leader, for up to 30 s. This happens on
+// a busy machine, when the leader isn't scheduled for the time of its lease. Other errors
+// are returned, such as that of a command that raft didn't start to process in time.
 func (g *group) apply(c Command) (r Result, retries int, err error) {
 	for end := time.Now().Add(30 * time.Second); ; retries++ {
 		err = ErrNoLeader
@@ -114,7 +114,7 @@
 	}
 }
 
-// leaderNow returns the node that believes to lead; nil for none.
+// leaderNow returns the node that considers itself the leader, or nil if there is none.
 func (g *group) leaderNow() *Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// leader waits for a leader that has begun the first epoch, and returns its index.
+// leader waits for a leader whose state has an epoch, and returns its index.
 func (g *group) leader() (at int) {
 	g.t.Helper()
 	waitFor(g.t, "a leader", func() bool {
@@ -166,21 +166,21 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-// caughtUp returns the leader, once it has applied every command answered before.
+// caughtUp returns the leader after it has applied every command answered so far.
 func (g *group) caughtUp() (n *Node) {
 	g.t.Helper()
-	waitFor(g.t, "a leader that is up to date", func() bool {
+	waitFor(g.t, "a leader that has applied all commands", func() bool {
 		n = g.leaderNow()
 		return n != nil && n.catchUp() == nil
 	})
 	return n
 }
 
-// ask sends a request to the leader, and as a client sends it again where that has lost
-// the lead meanwhile.
+// ask sends a request to the leader. As a client does, it sends it again if there is no
+// leader, the connection fails or the response is a 503.
 func (g *group) ask(method, path, request, body string) (status int, header http.Header, text string) {
 	g.t.Helper()
-	waitFor(g.t, "an answer other than 503", func() bool {
+	waitFor(g.t, "a response other than 503", func() bool {
 		if n := g.leaderNow(); n != nil {
 			status, header, text = sendRequest(g.t, n, method, path, request, body)
 		}
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -11,7 +11,8 @@
 const (
 	memberCheckInterval = 200 * time.Millisecond
 
-	// sessionCheckInterval is shorter: the roles of an expired session wait for it.
+	// sessionCheckInterval is shorter than memberCheckInterval, since the roles of an
+	// expired session can't be granted to others before the check.
 	sessionCheckInterval = 50 * time.Millisecond
 
 	// silentFraction is the part of its time to live after which a registration without
@@ -19,17 +20,17 @@
 	silentFraction = 0.6
 )
 
-// heartbeatMonitor keeps the heartbeats of registrations and sessions on the leader,
-// which alone decides what expires. It is safe for concurrent use.
+// heartbeatMonitor records the heartbeats of registrations and sessions on the leader.
+// Only the leader decides what expires. It is safe for concurrent use.
 type heartbeatMonitor struct {
 	node *Node
 
 	mu                sync.Mutex
-	lastHeartbeat     map[string]time.Time // by member id
+	lastHeartbeat     map[string]time.Time // time of each member's last heartbeat, keyed by member id
 	guard             massExpiryGuard
 	sessionHeartbeats SessionHeartbeats
 	leaseDurations    LeaseDurations
-	expiringSessions  []string // in a command that isn't committed yet
+	expiringSessions  []string // ids of sessions whose expiry is being committed
 }
 
 func newHeartbeatMonitor(n *Node) *heartbeatMonitor {
@@ -42,8 +43,8 @@
 	}
 }
 
-// reset forgets all heartbeats: a new leader gives each registration and session a
-// full time to live from its own beginning.
+// reset drops all heartbeats. A new leader gives each registration and each session a
+// full time to live from when it became leader.
 func (h *heartbeatMonitor) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,8 +61,8 @@
 	h.lastHeartbeat[id] = h.node.cfg.Clock.Mono()
 }
 
-// recordSession records a heartbeat of a session. It reports false where a command
-// that ends the session is on its way.
+// recordSession records a heartbeat of a session. It returns false if a command that
+// ends the session is being committed.
 func (h *heartbeatMonitor) recordSession(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -105,8 +106,7 @@
 }
 
 // expireMembers removes the registrations that are due, and returns how many. With a
-// fence it applies a command even if none is due, so that a fence that doesn't hold is
-// rejected.
+// fence it applies a command even if none is due, so that an outdated token is rejected.
 func (h *heartbeatMonitor) expireMembers(now time.Time, fence fence) (expired int, result Result, err error) {
 	due := h.dueMembers(h.node.store.eachMember(), now)
 	if len(due) == 0 && fence.role == "" {
@@ -126,8 +126,8 @@
 	return len(due), result, nil
 }
 
-// dueMembers returns the registrations to expire now, by id with their Since: none,
-// where the guard suspends expirations.
+// dueMembers returns the Since of each registration to expire now, keyed by member id. It
+// returns none while the guard suspends expirations.
 func (h *heartbeatMonitor) dueMembers(members iter.Seq[Member], now time.Time) map[string]int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,7 +141,7 @@
 		silence.longestTTL = max(silence.longestTTL, m.TTL)
 		last, ok := h.lastHeartbeat[m.ID]
 		if !ok {
-			h.lastHeartbeat[m.ID] = now // its time begins with this leader
+			h.lastHeartbeat[m.ID] = now // its time to live begins when this leader first checks it
 			continue
 		}
 		switch quiet := now.Sub(last); {
@@ -159,7 +159,8 @@
 	return due
 }
 
-// confirmSuspended lets suspended expirations take place, and returns their number.
+// confirmSuspended lets the suspended expirations take place at the next check, and
+// returns their number.
 func (h *heartbeatMonitor) confirmSuspended() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/registry/heartbeats_test.go
+++ b/internal/registry/heartbeats_test.go
@@ -8,11 +8,11 @@
 )
 
 // TestMassExpiryIsSuspended checks that a few silent registrations expire, and that many
-// at once do so only once confirmed, or after SuspendFor.
+// that become silent at once expire only after a confirmation, or after SuspendFor.
 func TestMassExpiryIsSuspended(t *testing.T) {
 	cfg := DefaultConfig()
 	for name, x := range map[string]struct {
-		silent int // of 100, from one moment on
+		silent int // members of 100 that send no heartbeat from second 5 on
 		held   bool
 	}{"a tenth": {10, false}, "a quarter": {25, false}, "half": {50, true}, "all": {100, true}} {
 		n := &Node{cfg: &cfg, log: discardLog(), store: newStore()}
@@ -27,7 +27,7 @@
 		h.dueMembers(slices.Values(members), start)
 		lapsed := map[string]int64{}
 		at := start
-		// Heartbeats come each second, at a phase of their own.
+		// Member i sends a heartbeat each second, 10*i ms after the full second.
 		for ms := 0; ms < 20000; ms += 50 {
 			at = start.Add(time.Duration(ms) * time.Millisecond)
 			for _, m := range members {
@@ -52,23 +52,23 @@
 		}
 		held, _ := h.suspension()
 		if x.held != (held > 0) || x.held && len(lapsed) > 0 || !x.held && len(lapsed) != x.silent {
-			t.Errorf("%s: %d lapsed, %d held back", name, len(lapsed), held)
+			t.Errorf("%s silent: %d expired, %d suspended", name, len(lapsed), held)
 		}
 		if !x.held {
 			continue
 		}
 		if h.confirmSuspended(); len(h.dueMembers(slices.Values(members), at)) != x.silent {
-			t.Errorf("%s: not lapsed once confirmed", name)
+			t.Errorf("%s silent: not all are due after the confirmation", name)
 		}
 		h.guard.confirmed = false
 		if len(h.dueMembers(slices.Values(members), at.Add(time.Duration(cfg.ExpiryGuard.SuspendFor)))) == 0 {
-			t.Errorf("%s: held back for ever", name)
+			t.Errorf("%s silent: none is due after SuspendFor", name)
 		}
 	}
 }
 
-// TestNewLeaderWaitsFullTimeToLive checks that nothing expires on a new leader before its
-// full time to live.
+// TestNewLeaderWaitsFullTimeToLive checks that a new leader expires no registration before
+// it has checked it for a full time to live.
 func TestNewLeaderWaitsFullTimeToLive(t *testing.T) {
 	cfg := DefaultConfig()
 	h := newHeartbeatMonitor(&Node{cfg: &cfg, log: discardLog(), store: newStore()})
@@ -76,13 +76,13 @@
 	now := time.Now()
 	h.dueMembers(slices.Values([]Member{m}), now)
 	h.dueMembers(slices.Values([]Member{m}), now.Add(m.TTL-time.Millisecond))
-	h.reset() // another leads, then this one again
+	h.reset() // another node becomes the leader, and then this one again
 	for _, after := range []time.Duration{m.TTL + time.Millisecond, 2*m.TTL - time.Millisecond} {
 		if due := h.dueMembers(slices.Values([]Member{m}), now.Add(after)); len(due) > 0 {
-			t.Errorf("ended %v after the first election", after)
+			t.Errorf("expired %v after the first election", after)
 		}
 	}
 	if due := h.dueMembers(slices.Values([]Member{m}), now.Add(3*m.TTL)); len(due) != 1 {
-		t.Error("never ended")
+		t.Error("not due after a full time to live without a heartbeat")
 	}
 }
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -6,8 +6,8 @@
 	"plovershore/internal/discovery"
 )
 
-// maxHistory is how many changes a watch may lag behind and still be sent changes
-// instead of the complete list.
+// maxHistory is how many changes a watch may lag behind and still be sent the missing
+// changes instead of the complete list.
 const maxHistory = 4096
 
 // Change is one entry of the history: the members that a revision changed.
@@ -19,7 +19,7 @@
 func (s *State) appendChange(c Change) {
 	s.Revision = c.Revision
 	s.History = append(s.History, c)
-	// Cut only now and then: each cut copies the history.
+	// Trim only when the history is a quarter too long, since each trim copies it.
 	if len(s.History) > maxHistory+maxHistory/4 {
 		s.History = slices.Clone(s.History[len(s.History)-maxHistory:])
 	}
@@ -35,8 +35,8 @@
 }
 
 // Since returns the index in the history of the first change after a revision. It
-// reports false where the history doesn't reach back to it, or the revision is yet
-// to come: the watch has to be sent the complete list first.
+// returns false if the history doesn't reach back to the revision, or the revision is
+// greater than the current one. The watch has to be sent the complete list then.
 func (s *State) Since(revision int64) (index int, ok bool) {
 	first := s.Revision + 1
 	if len(s.History) > 0 {
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -11,7 +11,7 @@
 	"plovershore/internal/discovery"
 )
 
-// testWatcher is a client's copy of the list, built from lines alone.
+// testWatcher is a client's copy of the list, built only from the lines of its watch.
 type testWatcher struct {
 	epoch    string
 	revision int64
@@ -28,7 +28,7 @@
 		if l.Complete {
 			w.members = map[string]discovery.Member{}
 		} else if l.Revision <= w.revision || l.Epoch != w.epoch {
-			t.Fatalf("revision %d of %s after %d of %s", l.Revision, l.Epoch, w.revision, w.epoch)
+			t.Fatalf("sent a change to revision %d of epoch %s at revision %d of epoch %s", l.Revision, l.Epoch, w.revision, w.epoch)
 		}
 		for _, m := range l.Members {
 			if m.Phase == discovery.Removed {
@@ -42,8 +42,9 @@
 	w.revision, w.epoch = revision, epoch
 }
 
-// TestWatchersSeeEachChangeOnceInOrder draws watchers from any position, interleaved with
-// changes, restores and new epochs. Each has to end with exactly the group's list.
+// TestWatchersSeeEachChangeOnceInOrder draws watchers that begin at any position, and
+// commands, restores and new epochs between their reads. At the end the copy of each
+// watcher has to equal the list.
 func TestWatchersSeeEachChangeOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
@@ -51,7 +52,7 @@
 		watchers := []*testWatcher{}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
-			case 0: // from a revision that may be old, new, or of another group
+			case 0: // a watcher begins at an old, the current or a future revision, or in another epoch
 				watchers = append(watchers, &testWatcher{epoch: rapid.SampledFrom([]string{"e", "other"}).Draw(t, "epoch"),
 					revision: int64(rapid.IntRange(-1, 100).Draw(t, "from")), members: nil})
 			case 1:
@@ -61,7 +62,7 @@
 						w.read(t, s)
 					}
 				}
-			case 2: // a backup of before, as a group is restored from one
+			case 2: // a backup, from which the state is restored in one of ten cases
 				var b bytes.Buffer
 				if err := s.state.Write(&b); err != nil {
 					t.Fatal(err)
@@ -83,7 +84,7 @@
 			}
 		}
 		for _, w := range append(watchers, &testWatcher{epoch: "none", revision: -1}) {
-			if w.members == nil && w.epoch == s.state.Epoch { // it claims a list that this test never gave it
+			if w.members == nil && w.epoch == s.state.Epoch { // it began in this epoch without the list, and was sent no complete one
 				continue
 			}
 			w.read(t, s)
@@ -92,7 +93,7 @@
 				want[id] = m.Member
 			}
 			if !maps.Equal(w.members, want) || w.revision != s.state.Revision {
-				t.Fatalf("has %v at %d, want %v at %d", w.members, w.revision, want, s.state.Revision)
+				t.Fatalf("the watcher has %v at revision %d, want %v at revision %d", w.members, w.revision, want, s.state.Revision)
 			}
 		}
 	})
--- a/internal/registry/lagging_test.go
+++ b/internal/registry/lagging_test.go
@@ -10,13 +10,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// writer writes without waiting between writes, until end.
+// writer sends one write after the other without a pause, until end is called.
 type writer struct {
 	group   *group
 	stop    chan struct{}
 	done    chan struct{}
-	retries atomic.Int64 // of writes at which a node had lost the lead
-	writes  int          // answered; read it once done is closed
+	retries atomic.Int64 // writes sent again because the node was no longer the leader
+	writes  int          // writes that were answered; read it once done is closed
 	err     error
 }
 
@@ -35,7 +35,7 @@
 		default:
 		}
 		m := testMember(fmt.Sprint("s-", w.writes%50), fmt.Sprintf("127.0.0.1:%d", w.writes%50+1))
-		m.Cell, m.TTL = w.writes, 0 // no expiry beside the writes: each is one revision
+		m.Cell, m.TTL = w.writes, 0 // without expiry each write, and nothing else, raises the revision by one
 		_, retries, err := w.group.apply(Command{Request: NewID(), Op: OpAdd, Member: m})
 		w.retries.Add(int64(retries))
 		if err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// end stops the writer and returns how many writes were answered.
+// end stops the writer, and returns how many writes were answered.
 func (w *writer) end(t *testing.T) int {
 	t.Helper()
 	close(w.stop)
@@ -66,30 +66,30 @@
 	return index
 }
 
-// installSnapshot stops a follower until the entries that it misses are cut from
-// the log, and starts it again. It reports whether no write met a node that had
-// lost the lead meanwhile.
+// installSnapshot stops a follower until the leader has cut the entries that it misses from
+// the log, and starts it again. It waits until the follower has installed a snapshot, and
+// reports whether no write had to be sent again between the start and then.
 func installSnapshot(t *testing.T, g *group, w *writer) bool {
 	t.Helper()
 	behind := (g.leader() + 1) % len(g.nodes)
 	g.stop(behind)
 	leader := g.nodes[g.leader()]
 	missed := leader.raft.LastIndex() + 1
-	waitFor(t, "a log that is cut", func() bool {
+	waitFor(t, "the leader to cut the missing entries from its log", func() bool {
 		first, err := leader.bolt.FirstIndex()
 		return err == nil && first > missed+200
 	})
 	retries := w.retries.Load()
 	g.start(behind)
 	late := g.nodes[behind]
-	waitFor(t, "a snapshot installed", func() bool { return snapshotIndex(t, late) > missed && late.raft.AppliedIndex() > missed+200 })
+	waitFor(t, "the follower to install a snapshot and catch up", func() bool { return snapshotIndex(t, late) > missed && late.raft.AppliedIndex() > missed+200 })
 	return w.retries.Load() == retries
 }
 
 // TestLaggingNodeInstallsSnapshotUnderLoad checks that a node whose missing entries were
-// cut from the log catches up by a snapshot, while writes go on. A busy machine may cost
-// the leader its lead at any moment, but a returning node may not: at least one of three
-// returns has to pass without a lost lead.
+// cut from the log catches up by a snapshot while writes go on. On a busy machine the
+// leader may lose leadership at any time, but a returning node must not cause that: at
+// least one of three returns has to pass without a loss of leadership.
 func TestLaggingNodeInstallsSnapshotUnderLoad(t *testing.T) {
 	t.Parallel()
 	g := startGroupWith(t, 3, func(c *Config) {
@@ -105,16 +105,16 @@
 	}
 	writes := w.end(t)
 	if !undisturbed {
-		t.Error("the leader lost its lead at each return of a node")
+		t.Error("leadership was lost in each of three returns of a node")
 	}
-	for i, n := range g.nodes { // each write was applied once: none is missing, and no retry was applied again
-		waitFor(t, fmt.Sprintf("the whole state at node %d", i), func() bool {
+	for i, n := range g.nodes { // each write was applied exactly once: none is missing, and no retry was applied again
+		waitFor(t, fmt.Sprintf("node %d to apply all writes", i), func() bool {
 			_, _, revision := n.store.members()
 			return revision == before+int64(writes)
 		})
 	}
 	if writes < 200 {
-		t.Errorf("%d writes", writes)
+		t.Errorf("%d writes were answered, want at least 200", writes)
 	}
 	t.Logf("%d writes, %d retries", writes, w.retries.Load())
 }
--- a/internal/registry/leader_tasks.go
+++ b/internal/registry/leader_tasks.go
@@ -6,8 +6,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// runLeaderTasks does what the leader alone does, for as long as this node leads,
-// until the node is closed.
+// runLeaderTasks runs the tasks of a leader whenever this node is the leader, until the
+// node is closed.
 func (n *Node) runLeaderTasks() {
 	var lastMemberCheck time.Time
 	for {
@@ -48,9 +48,9 @@
 
 // initializeGroup gives a new group its zones, its epoch and its static members.
 func (n *Node) initializeGroup() {
-	// Until the earlier log is applied here, nothing is known of any of them.
+	// This node can't know which of them exist until it has applied the earlier log.
 	if err := n.awaitFuture(n.raft.Barrier(applyTimeout)); err != nil {
-		return // leadership is lost again: the next leader does it
+		return // leadership was lost again; the next leader initializes the group
 	}
 	members, epoch, _ := n.store.members()
 	if epoch == "" && !(n.initializeZones() && n.initializeEpoch()) {
@@ -59,8 +59,8 @@
 	n.addStaticMembers(members)
 }
 
-// initializeZones sets the regions of the configured zones. Later on operators change
-// them.
+// initializeZones sets the regions of the configured zones. Later changes are made by
+// operators.
 func (n *Node) initializeZones() bool {
 	for _, zone := range n.cfg.Zones {
 		if _, err := n.apply(Command{Request: NewID(), Op: OpZone, Zone: zone.Name, Region: zone.Region}); err != nil {
@@ -71,8 +71,8 @@
 	return true
 }
 
-// initializeEpoch begins the first epoch. It comes after the zones: a group with an
-// epoch has them.
+// initializeEpoch begins the first epoch. It runs after initializeZones, so that the
+// zones of a group that has an epoch were set.
 func (n *Node) initializeEpoch() bool {
 	if _, err := n.apply(Command{Request: NewID(), Op: OpEpoch, Epoch: NewID()}); err != nil {
 		n.log.Warn("epoch not set", "err", err)
@@ -81,8 +81,8 @@
 	return true
 }
 
-// addStaticMembers adds the configured members that the list lacks. One that it has
-// stays as it is: it may have been drained.
+// addStaticMembers adds the configured members that the list doesn't have. It leaves
+// those that the list has unchanged, since operators may have drained them.
 func (n *Node) addStaticMembers(listed []Member) {
 	isStatic := map[string]bool{}
 	for _, m := range listed {
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// LeaseDurations is how long the leader has seen each role with its present holder, by
-// the role's name. It reads no clock: a time is the reading of any clock that only
-// goes forward. A new leader counts from its first observation. It is not safe for
-// concurrent use.
+// LeaseDurations holds since when the leader has observed each role with its current
+// holder, keyed by role name. It reads no clock: the caller passes readings of any clock
+// that never goes back. A new leader counts from its first observation. It is not safe
+// for concurrent use.
 type LeaseDurations map[string]leaseStart
 
 type leaseStart struct {
@@ -13,7 +13,7 @@
 	since time.Duration
 }
 
-// Observe records the present holders.
+// Observe records the current holders, and drops roles without one.
 func (l LeaseDurations) Observe(roles map[string]Role, now time.Duration) {
 	for name, role := range roles {
 		start, seen := l[name]
@@ -28,8 +28,8 @@
 	}
 }
 
-// OfSessions returns the milliseconds for which the sessions' roles have been held, by
-// the role's name.
+// OfSessions returns for how many milliseconds the roles of the sessions have been held,
+// keyed by role name.
 func (l LeaseDurations) OfSessions(roles map[string]Role, sessions []string, now time.Duration) map[string]int64 {
 	durations := map[string]int64{}
 	for _, id := range sessions {
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -16,7 +16,8 @@
 
 const leaseTestTTL = 400 * time.Millisecond
 
-// steppedEvery returns a clock whose date is stepped by so much four times a second.
+// steppedEvery returns a clock whose date is stepped by the duration by every 250 ms for
+// the first 30 s.
 func steppedEvery(t *testing.T, by string) *clock.Clock {
 	t.Helper()
 	var jumps []string
@@ -30,8 +31,9 @@
 	return c
 }
 
-// holdAndDie has a controller hold a role for a while and stop its heartbeats, and
-// returns the role's failures in a row once its session has expired.
+// holdAndDie has a controller renew its session and hold a role for the duration held, and
+// then stop its heartbeats. It returns the role's count of consecutive failures once the
+// session has expired.
 func holdAndDie(t *testing.T, c *client.Client, controller string, held time.Duration) int {
 	t.Helper()
 	ask := func(method, path string, body string, answer any) {
@@ -48,7 +50,7 @@
 		ask(http.MethodPost, registry.SessionsPath+"/"+controller+"/renew", "", nil)
 	}
 	fails := 0
-	registrytest.WaitFor(t, "the end of the session", func() bool {
+	registrytest.WaitFor(t, "the session to expire", func() bool {
 		var l registry.RoleList
 		ask(http.MethodGet, registry.RolesPath, "", &l)
 		if len(l.Sessions) > 0 || len(l.Roles) != 1 || l.Roles[0].Holder != "" {
@@ -60,9 +62,10 @@
 	return fails
 }
 
-// TestLeaseDurationsOverClockSteps checks the count of a role's failures while the date is
-// stepped: a holder that died at once adds one, one that held the role for long resets
-// it, by the time that passed and not by dates.
+// TestLeaseDurationsOverClockSteps checks the count of a role's consecutive failures while
+// the leader's date is stepped. A holder whose session expires without a renewal adds one,
+// and one that held the role for over two times to live before it starts the count anew.
+// The holding time is that of a monotonic clock, not the difference of two dates.
 func TestLeaseDurationsOverClockSteps(t *testing.T) {
 	for _, by := range []string{"1h", "-1h"} {
 		g := registrytest.Start(t, 1, func(c *registry.Config) { c.Clock = steppedEvery(t, by) })
@@ -70,11 +73,11 @@
 		c := g.Client()
 		for i := range 3 {
 			if n := holdAndDie(t, c, fmt.Sprint("w", i), 0); n != i+1 {
-				t.Errorf("date jumps by %s: %d failures after %d holders that died at once", by, n, i+1)
+				t.Errorf("date stepped by %s: %d failures after %d holders that stopped at once", by, n, i+1)
 			}
 		}
 		if n := holdAndDie(t, c, "lasting", 4*leaseTestTTL); n != 1 {
-			t.Errorf("date jumps by %s: %d failures after one that had lasted", by, n)
+			t.Errorf("date stepped by %s: %d failures after a holder that held the role for long, want 1", by, n)
 		}
 	}
 }
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -9,13 +9,13 @@
 	"plovershore/internal/discovery"
 )
 
-// Member is a registration as the group holds it.
+// Member is a registration as it is stored in the state.
 type Member struct {
 	discovery.Member
-	TTL     time.Duration `json:"ttl,omitempty"` // it expires after so long without a heartbeat; 0 for never
-	Static  bool          `json:"static,omitempty"`
-	Holder  string        `json:"holder,omitempty"` // who registered it: nobody else may renew it
-	Since   int64         `json:"since"`            // revision at which it registered
+	TTL     time.Duration `json:"ttl,omitempty"`    // the member expires after this time without a heartbeat; 0 means never
+	Static  bool          `json:"static,omitempty"` // from the configuration of the nodes
+	Holder  string        `json:"holder,omitempty"` // who registered it; only the holder may renew it
+	Since   int64         `json:"since"`            // revision of the registration; a renewal keeps it
 	Changed int64         `json:"changed"`          // revision of its last change
 }
 
@@ -77,7 +77,7 @@
 }
 
 // expireMembers removes members as one change. It skips those that have registered
-// anew since the leader found them expired.
+// again since the leader found them overdue.
 func (s *State) expireMembers(c *Command) Result {
 	expired := Change{Revision: s.Revision + 1}
 	for id, since := range c.Expired {
@@ -97,8 +97,8 @@
 	return succeeded()
 }
 
-// findMember returns the member that a command names, if the command's conditions
-// hold, with the result to give otherwise.
+// findMember returns the member that a command names, and a result. The status of the
+// result is 200 if the command's conditions hold; otherwise it rejects the command.
 func (s *State) findMember(c *Command) (Member, Result) {
 	m, ok := s.Members[c.ID]
 	switch {
@@ -132,8 +132,8 @@
 	return ids
 }
 
-// addressIndex returns the member id by address. With it the cost of a registration
-// doesn't depend on the length of the list.
+// addressIndex returns the member ids keyed by address. With this index the cost of a
+// registration doesn't depend on the length of the list.
 func (s *State) addressIndex() map[string]string {
 	if s.memberAt == nil {
 		s.memberAt = make(map[string]string, len(s.Members))
@@ -144,7 +144,7 @@
 	return s.memberAt
 }
 
-// putMember stores a member as a change of the list.
+// putMember stores a member and appends the change to the history.
 func (s *State) putMember(m *Member) {
 	if old, ok := s.Members[m.ID]; ok {
 		s.deleteMember(old)
@@ -155,14 +155,15 @@
 	s.appendChange(Change{s.Revision + 1, []discovery.Member{m.Member}})
 }
 
-// removeMember removes a member as a change of the list.
+// removeMember removes a member and appends the change to the history.
 func (s *State) removeMember(m Member) {
 	s.deleteMember(m)
 	m.Phase = discovery.Removed
 	s.appendChange(Change{s.Revision + 1, []discovery.Member{m.Member}})
 }
 
-// deleteMember deletes a member and its address, without a change of the list.
+// deleteMember deletes a member and its address without appending a change to the
+// history.
 func (s *State) deleteMember(m Member) {
 	delete(s.Members, m.ID)
 	if s.addressIndex()[m.HostPort] == m.ID {
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	// applyTimeout is how long raft may take to take up a command.
+	// applyTimeout is how long a command may wait until raft starts to process it.
 	applyTimeout = 2 * time.Second
 
-	// staleAfter is the time without contact to a leader after which reads are marked
+	// staleAfter is the time without contact with a leader after which reads are marked
 	// as stale.
 	staleAfter = 2 * time.Second
 
@@ -35,21 +35,21 @@
 
 // Errors of a node.
 var (
-	// ErrNoLeader means that a command may or may not have been applied. With the same
-	// request id it may be sent again.
+	// ErrNoLeader means that a command may or may not have been applied. It is safe to
+	// send it again with the same request id.
 	ErrNoLeader = errors.New("no leader: the group has no majority, or is electing")
 
-	// ErrCorrupt means that the data folder can't be used. The node can be rebuilt from
-	// the others by starting it over an empty one.
+	// ErrCorrupt means that the data folder can't be used. A node that is started with an
+	// empty folder is rebuilt from the other nodes.
 	ErrCorrupt = errors.New("the store is damaged")
 )
 
-// Node is one running node of a group. Start makes it; whoever called Start calls
-// Close. It is safe for concurrent use.
+// Node is one running node of a group. Start creates it, and the caller of Start closes
+// it. It is safe for concurrent use.
 type Node struct {
 	cfg       *Config
 	log       *slog.Logger
-	startedAt time.Time // by cfg.Clock
+	startedAt time.Time // reading of cfg.Clock
 
 	store      *store
 	heartbeats *heartbeatMonitor
@@ -75,12 +75,12 @@
 // NewID returns a random id of 24 hexadecimal digits.
 func NewID() string {
 	var b [12]byte
-	rand.Read(b[:]) // never fails
+	rand.Read(b[:]) // it never returns an error
 	return hex.EncodeToString(b[:])
 }
 
-// Start opens a node's data folder, joins its group and serves. An error wraps
-// ErrCorrupt where the folder can't be used.
+// Start opens a node's data folder, joins its group and serves. The error wraps
+// ErrCorrupt if the contents of the folder can't be used.
 func Start(cfg *Config, log *slog.Logger) (_ *Node, err error) {
 	n := &Node{cfg: cfg, log: log, startedAt: cfg.Clock.Mono(), store: newStore()}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
@@ -95,7 +95,8 @@
 	if err := os.MkdirAll(cfg.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("data: %w", err)
 	}
-	// Listen first: a second process over one folder fails here, not at the store's lock.
+	// Listen before opening the store: a second process with the same configuration fails
+	// here instead of at the store's lock.
 	if n.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -135,8 +136,8 @@
 	})
 }
 
-// startTask runs f on a goroutine that Close waits for. It reports false, and doesn't
-// run f, once the node is closed.
+// startTask runs f on a goroutine that Close waits for. Once the node is closed, it
+// returns false and doesn't run f.
 func (n *Node) startTask(f func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,8 +187,8 @@
 // Addr returns the host:port where the node serves its API.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// leader returns the leader's HTTP address, empty for none, and whether it is this
-// node.
+// leader returns the leader's HTTP address, which is empty if there is no leader, and
+// whether this node is the leader.
 func (n *Node) leader() (addr string, isSelf bool) {
 	_, id := n.raft.LeaderWithID()
 	for _, p := range n.cfg.Peers {
@@ -198,11 +199,11 @@
 	return "", false
 }
 
-// isStale reports whether this node has been without contact to a leader for so long
-// that its copy may be old.
+// isStale reports whether this node has had no contact with a leader for longer than
+// staleAfter, so that its copy of the state may be old.
 func (n *Node) isStale() bool {
 	if n.raft.State() == raft.Leader {
-		return false // a leader that is cut off steps down within its lease
+		return false // a leader that loses contact with the majority steps down within its lease
 	}
 	last := n.raft.LastContact()
 	return last.IsZero() || time.Since(last) > staleAfter
@@ -234,7 +235,7 @@
 func (n *Node) awaitFuture(future raft.Future) error {
 	done := make(chan error, 1)
 	// Close can't wait for this goroutine: raft never completes a future that it had
-	// not taken up when it was shut down. The goroutine holds nothing but the future.
+	// not started to process when it was shut down. The goroutine holds only the future.
 	go func() { done <- future.Error() }()
 	select {
 	case err := <-done:
@@ -244,8 +245,8 @@
 	}
 }
 
-// catchUp waits until this node, if it leads, has applied every change that was
-// answered before the call: what it reads then is linearizable.
+// catchUp waits until this node, if it is the leader, has applied every change that was
+// answered before the call. A read of the store after it is linearizable.
 func (n *Node) catchUp() error {
 	if n.raft.State() != raft.Leader {
 		return raft.ErrNotLeader
--- a/internal/registry/operations.go
+++ b/internal/registry/operations.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Operation is something that operators want done by a role's holder, and its
+// Operation is a piece of work that operators submit to the holder of a role, with its
 // progress. Only the holder of the role that Kind names may report progress.
 type Operation struct {
 	Kind         string          `json:"kind"`
 	Name         string          `json:"name"`
-	Spec         json.RawMessage `json:"spec,omitempty"` // as it was submitted; it doesn't change
+	Spec         json.RawMessage `json:"spec,omitempty"` // as it was submitted; it never changes
 	DesiredState string          `json:"wish"`           // DesiredRun, DesiredPause or DesiredAbort
 	Progress     json.RawMessage `json:"progress,omitempty"`
-	Message      string          `json:"says,omitempty"` // for operators
+	Message      string          `json:"says,omitempty"` // the progress in words, for operators
 	Done         bool            `json:"done"`
-	At           int64           `json:"at"` // time of the last change, Unix ms
+	At           int64           `json:"at"` // leader's time of the last change, in Unix ms
 }
 
 // Desired states of an operation.
@@ -50,8 +50,8 @@
 	return succeeded()
 }
 
-// reportProgress saves the progress of an operation. The fence of its role's holder
-// was checked before.
+// reportProgress saves the progress of an operation. The caller has checked that the
+// command's token is the current one of the command's role.
 func (s *State) reportProgress(c *Command) Result {
 	key := c.Operation.key()
 	operation, known := s.Operations[key]
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -18,10 +18,10 @@
 )
 
 // Raft's parameters. A follower waits between one and two heartbeat timeouts before it
-// votes, so a leader that died is replaced well within 1.5 s.
+// starts an election, so a leader that died is replaced well within 1.5 s.
 const (
 	raftHeartbeatTimeout = 300 * time.Millisecond
-	raftLeaderLease      = 250 * time.Millisecond // below the heartbeat timeout: a leader that is cut off steps down first
+	raftLeaderLease      = 250 * time.Millisecond // below the heartbeat timeout, so that a leader that is cut off steps down before another is elected
 	raftCommitInterval   = 5 * time.Millisecond
 	raftConnsPerPeer     = 3
 	raftIOTimeout        = time.Second
@@ -29,8 +29,8 @@
 	retainedSnapshots = 2
 	snapshotInterval  = 10 * time.Second
 	snapshotThreshold = 8192 // log entries after which a snapshot is taken and the log is cut
-	trailingLogs      = 2048 // log entries kept behind a snapshot, for nodes that lag a little
-	cachedLogs        = 512
+	trailingLogs      = 2048 // log entries kept from before a snapshot, so that a node that lags a little doesn't need the snapshot
+	cachedLogs        = 512  // latest log entries that are kept in memory
 
 	boltLockTimeout = 2 * time.Second
 )
@@ -95,9 +95,9 @@
 	return c
 }
 
-// openTransport listens for the other nodes. Raft knows nodes by their ids alone. Each
-// node's configuration says where to reach them (ServerAddr), so an address may change
-// and may differ from node to node.
+// openTransport listens for the other nodes. Raft's own configuration has only the ids of
+// the nodes. ServerAddr looks up their addresses in this node's configuration, so an
+// address may change, and may differ from node to node.
 func (n *Node) openTransport() (*raft.NetworkTransport, error) {
 	addr, err := net.ResolveTCPAddr("tcp", n.cfg.Raft)
 	if err != nil {
@@ -111,7 +111,7 @@
 	})
 }
 
-// openLogs returns the log store, with a cache before it.
+// openLogs returns the log store, which reads through a cache.
 func (n *Node) openLogs() (raft.LogStore, error) {
 	var logs raft.LogStore = n.bolt
 	if n.cfg.wrapLogStore != nil {
@@ -120,7 +120,7 @@
 	return raft.NewLogCache(cachedLogs, logs)
 }
 
-// initialServers is the configuration that a group begins with. It is the same on each
+// initialServers returns the Raft configuration of a new group. It is the same on each
 // node, so it doesn't matter which one is elected first.
 func (n *Node) initialServers() raft.Configuration {
 	var servers []raft.Server
@@ -140,7 +140,8 @@
 	return "", fmt.Errorf("raft: node %s is not in the configuration", id)
 }
 
-// openBolt opens the log's file. An error wraps ErrCorrupt or ErrStoreInUse.
+// openBolt opens the file that stores Raft's log and its votes. An error wraps ErrCorrupt
+// or ErrStoreInUse.
 func openBolt(path string) (store *raftboltdb.BoltStore, err error) {
 	defer func() {
 		if p := recover(); p != nil { // bbolt panics on some kinds of corruption
@@ -160,10 +161,10 @@
 	return store, nil
 }
 
-// raftLogWriter passes the lines of raft's own log on to the node's.
+// raftLogWriter writes the log lines of the raft library to the node's log.
 type raftLogWriter struct{ log *slog.Logger }
 
-// Write implements io.Writer. Each call is one line.
+// Write implements io.Writer. Each call passes one line.
 func (w raftLogWriter) Write(line []byte) (int, error) {
 	w.log.Warn("raft", "message", strings.TrimSuffix(string(line), "\n"))
 	return len(line), nil
--- a/internal/registry/request.go
+++ b/internal/registry/request.go
@@ -15,11 +15,11 @@
 	maxBodyBytes     = 64 << 10
 	maxSnapshotBytes = 256 << 20
 	maxNoticeBytes   = 1 << 20
-	maxIDBytes       = 200 // of ids and of names
+	maxIDBytes       = 200 // longest id or name
 )
 
-// decodeBody decodes a JSON body into v. Where it can't, it responds with 413 or 400
-// and returns false.
+// decodeBody decodes a JSON body into v. If the body is too long or invalid, it responds
+// with 413 or 400 and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	text, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil {
@@ -41,7 +41,8 @@
 	return err == nil
 }
 
-// fence is the role and token of FenceHeader. The zero value is a request without it.
+// fence is the role and the token in a request's FenceHeader. The zero value stands for a
+// request without the header.
 type fence struct {
 	role  string
 	token int64
@@ -60,7 +61,8 @@
 	return fence{role, token}, nil
 }
 
-// queryInt reads a decimal query parameter that isn't negative; 0 where it is missing.
+// queryInt returns the value of a non-negative decimal query parameter, or 0 if the
+// request doesn't have it.
 func queryInt(r *http.Request, name string) (int64, error) {
 	return strconv.ParseInt("0"+r.URL.Query().Get(name), 10, 64)
 }
--- a/internal/registry/response.go
+++ b/internal/registry/response.go
@@ -7,20 +7,20 @@
 	"strconv"
 )
 
-// retryAfterSeconds is the Retry-After of a 503: an election takes about a second.
+// retryAfterSeconds is the Retry-After of a 503, since an election takes about a second.
 const retryAfterSeconds = "1"
 
 // errorResponse is the body of a response other than 2xx.
 type errorResponse struct {
 	Error   string `json:"error"`
 	Changed int64  `json:"changed,omitempty"` // 409: the revision of the member's last change
-	Token   int64  `json:"token,omitempty"`   // 412: the role's present token
+	Token   int64  `json:"token,omitempty"`   // 412: the role's current token
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a client that is gone asks again
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client is gone; it sends the request again
 }
 
 func writeError(w http.ResponseWriter, status int, format string, args ...any) {
@@ -34,7 +34,8 @@
 	writeJSON(w, result.Status, errorResponse{result.Error, result.Changed, result.Token})
 }
 
-// setListHeaders sets which list a response is of, and whether it may be old.
+// setListHeaders sets the headers with the list's epoch and revision, and marks a response
+// as stale if this node's copy may be old.
 func (n *Node) setListHeaders(w http.ResponseWriter, epoch string, revision int64) {
 	w.Header().Set(EpochHeader, epoch)
 	w.Header().Set(RevisionHeader, strconv.FormatInt(revision, 10))
@@ -51,7 +52,7 @@
 		writeError(w, http.StatusBadRequest, "%s: over %d bytes", RequestHeader, maxIDBytes)
 		return false
 	}
-	if c.Role == "" { // a role's own command has its token in the body
+	if c.Role == "" { // a grant, note, release or hold has the role's token in the body
 		fence, err := readFence(r)
 		if err != nil {
 			writeError(w, http.StatusBadRequest, "%v", err)
--- a/internal/registry/roles.go
+++ b/internal/registry/roles.go
@@ -11,24 +11,25 @@
 // a node's Raft role (Status.RaftRole).
 type Role struct {
 	Name       string `json:"name"`
-	Holder     string `json:"holder"` // id of the holder's session; empty for none
-	Controller string `json:"warden"` // name of the present or the last holder
-	Token      int64  `json:"token"`  // fencing token of the last grant
-	Term       int64  `json:"term"`   // number of grants so far
-	Note       string `json:"note"`   // the work's progress, for the next holder
-	Successor  string `json:"next,omitempty"`
-	Failures   int    `json:"fails,omitempty"` // in a row; the expiry of a holder's session counts, too
-	Disabled   bool   `json:"off,omitempty"`   // operators: nobody may hold it
-	GrantedAt  int64  `json:"since"`           // time of the last grant, Unix ms
-	ReleasedAt int64  `json:"left"`            // time at which it last became free, Unix ms
+	Holder     string `json:"holder"`          // id of the holder's session; empty for none
+	Controller string `json:"warden"`          // name of the current holder, or of the last one if the role is free
+	Token      int64  `json:"token"`           // fencing token of the last grant
+	Term       int64  `json:"term"`            // number of grants so far
+	Note       string `json:"note"`            // the work's progress, which the next holder goes on from
+	Successor  string `json:"next,omitempty"`  // if set, a controller; while it has a session, only it is granted the role
+	Failures   int    `json:"fails,omitempty"` // consecutive failures of the work; the expiry of a holder's session counts as one
+	Disabled   bool   `json:"off,omitempty"`   // set by operators: the role is granted to nobody
+	GrantedAt  int64  `json:"since"`           // leader's time of the last grant, in Unix ms
+	ReleasedAt int64  `json:"left"`            // leader's time when the role last became free, in Unix ms
 }
 
 const (
-	// tokensPerSecond is far above the rate of grants, so that an epoch which begins
-	// later has greater tokens whatever the backup that it began from knew.
+	// tokensPerSecond is far above the rate of grants. A new epoch starts its tokens at
+	// the Unix time in seconds times this number, so they are greater than all tokens of
+	// earlier epochs, even those granted after the restored backup was taken.
 	tokensPerSecond = 1 << 10
 
-	maxNoteBytes = 4 << 10 // notes are kept in results, too
+	maxNoteBytes = 4 << 10 // bounds the size of the state, which also keeps notes in results of grants
 	maxRoles     = 10000
 )
 
@@ -64,8 +65,9 @@
 	return Result{Status: http.StatusOK, Token: role.Token, Note: role.Note, Term: role.Term}
 }
 
-// saveNote saves the holder's note. With Healthy it only resets the failures: that
-// is sent beside the work, which alone knows its progress.
+// saveNote saves the holder's note. With Healthy it only resets the failures and keeps
+// the note: such a command isn't sent by the work itself, and only the work knows its
+// progress.
 func (s *State) saveNote(c *Command) Result {
 	role := s.Roles[c.Role]
 	if c.Healthy {
@@ -93,8 +95,7 @@
 	return Result{Status: http.StatusOK, Token: role.Token}
 }
 
-// disableRole takes a role from its holder for as long as it is disabled, or enables
-// it again.
+// disableRole takes a role from its holder and lets nobody hold it, or enables it again.
 func (s *State) disableRole(c *Command) Result {
 	role, known := s.Roles[c.Role]
 	if !known && len(s.Roles) >= maxRoles {
@@ -113,8 +114,9 @@
 	s.Roles[role.Name] = role
 }
 
-// leaseDuration returns how long an expired session held a role. Commands of older
-// leaders have only wall-clock times to tell it, which may have been stepped.
+// leaseDuration returns how long an expired session held a role. A command of a leader of
+// an older version has no LeaseDurations. For it the duration is the difference of two
+// wall-clock times, which is wrong if the clock was stepped.
 func (c *Command) leaseDuration(role *Role) time.Duration {
 	ms := c.At - role.GrantedAt
 	if c.LeaseDurations != nil {
@@ -126,8 +128,8 @@
 // RoleList is all roles and sessions, as controllers and operators see them.
 type RoleList struct {
 	Revision int64     `json:"revision"`
-	Roles    []Role    `json:"duties"`   // by name
-	Sessions []Session `json:"sessions"` // by id
+	Roles    []Role    `json:"duties"`   // sorted by name
+	Sessions []Session `json:"sessions"` // sorted by id
 }
 
 func (s *State) roleList() RoleList {
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Session is what a controller holds its roles by. It expires when the leader has had
-// no heartbeat of it for its time to live.
+// Session is the lease of a controller: roles are granted to its session, and become
+// free when the session ends. It expires when the leader has received no heartbeat for
+// its time to live.
 type Session struct {
-	ID         string        `json:"id"`     // drawn by the controller's process
-	Controller string        `json:"warden"` // name for operators; two processes may share one
+	ID         string        `json:"id"`     // chosen by the controller's process
+	Controller string        `json:"warden"` // the controller's name, for operators; two processes may share one
 	TTL        time.Duration `json:"ttl"`
 }
 
@@ -29,9 +30,8 @@
 	return succeeded()
 }
 
-// endSession ends a session and frees its roles. An expired session's process may
-// have been killed by the work of one of them, so the expiry counts as a failure of
-// each.
+// endSession ends a session and frees its roles. The work of one of the roles may have
+// killed the process of an expired session, so the expiry counts as a failure of each.
 func (s *State) endSession(id string, c *Command) {
 	session, ok := s.Sessions[id]
 	if !ok {
@@ -46,7 +46,7 @@
 		role.Holder, role.ReleasedAt = "", c.At
 		switch {
 		case c.Failed && c.leaseDuration(&role) > 2*session.TTL:
-			role.Failures = 1 // the work ran well before, so earlier failures don't count
+			role.Failures = 1 // the work ran for over two times to live, so earlier failures no longer count
 		case c.Failed:
 			role.Failures++
 		}
@@ -54,7 +54,7 @@
 	}
 }
 
-// hasController reports whether a controller of a name has a session.
+// hasController reports whether a controller with this name has a session.
 func (s *State) hasController(name string) bool {
 	for _, session := range s.Sessions {
 		if session.Controller == name {
@@ -64,17 +64,17 @@
 	return false
 }
 
-// SessionHeartbeats is when the leader last had a heartbeat of each session, by id. It
-// reads no clock: a time is the reading of any clock that only goes forward. It is
-// not safe for concurrent use.
+// SessionHeartbeats holds when the leader last received a heartbeat of each session,
+// keyed by session id. It reads no clock: the caller passes readings of any clock that
+// never goes back. It is not safe for concurrent use.
 type SessionHeartbeats map[string]time.Duration
 
 // Record records a heartbeat.
 func (b SessionHeartbeats) Record(id string, now time.Duration) { b[id] = now }
 
 // Overdue returns, in ascending order, the ids of the sessions without a heartbeat for
-// longer than their time to live. The time of a session that was never recorded, such
-// as on a new leader, begins now.
+// longer than their time to live. The time to live of a session that was never recorded,
+// such as on a new leader, begins now.
 func (b SessionHeartbeats) Overdue(sessions map[string]Session, now time.Duration) (ids []string) {
 	for id, session := range sessions {
 		last, ok := b[id]
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -15,7 +15,7 @@
 // targetMembers is the length of the list that the service is sized for.
 const targetMembers = 31000
 
-// listedNode returns a node that isn't running, with a list of members with a time to
+// listedNode returns a node that isn't started, whose list has members with a time to
 // live.
 func listedNode(members int) *Node {
 	n := &Node{cfg: &Config{}, store: newStore(), log: discardLog()}
@@ -40,7 +40,8 @@
 }
 
 // TestCostsDoNotGrowWithList checks that a heartbeat, the check for overdue members and
-// the metrics don't copy the list: 31,000 members send 6,200 heartbeats a second.
+// the list's position, which the metrics read, don't copy the list: 31,000 members send
+// 6,200 heartbeats a second.
 func TestCostsDoNotGrowWithList(t *testing.T) {
 	n := listedNode(targetMembers)
 	beat := func() {
@@ -48,11 +49,11 @@
 		w := httptest.NewRecorder()
 		n.postHeartbeats(w, r)
 		if w.Code != http.StatusOK || strings.TrimSpace(w.Body.String()) != `{"unknown":[]}` {
-			t.Fatalf("%d %s", w.Code, w.Body)
+			t.Fatalf("response to a heartbeat: %d %s", w.Code, w.Body)
 		}
 	}
 	now := time.Now()
-	n.heartbeats.dueMembers(n.store.eachMember(), now) // hears of every member for the first time
+	n.heartbeats.dueMembers(n.store.eachMember(), now) // the first check starts the time to live of each member
 	for _, x := range []struct {
 		what string
 		call func()
@@ -64,8 +65,8 @@
 	}
 }
 
-// TestHeartbeatsOfOthers checks that heartbeats of members that aren't listed, or that
-// another holds, are rejected, and that the others of the request count.
+// TestHeartbeatsOfOthers checks that a response names the members that aren't listed or
+// have another holder, and that the other heartbeats of the request are recorded.
 func TestHeartbeatsOfOthers(t *testing.T) {
 	n := listedNode(3)
 	r := httptest.NewRequest(http.MethodPost, HeartbeatsPath,
@@ -73,9 +74,9 @@
 	w := httptest.NewRecorder()
 	n.postHeartbeats(w, r)
 	if got := strings.TrimSpace(w.Body.String()); got != `{"unknown":["s-1","s-9"]}` {
-		t.Errorf("unknown: %s", got)
+		t.Errorf("response %s", got)
 	}
 	if len(n.heartbeats.lastHeartbeat) != 2 || n.heartbeats.lastHeartbeat["s-0"].IsZero() || n.heartbeats.lastHeartbeat["s-2"].IsZero() {
-		t.Errorf("heard of %v", n.heartbeats.lastHeartbeat)
+		t.Errorf("heartbeats recorded: %v, want s-0 and s-2", n.heartbeats.lastHeartbeat)
 	}
 }
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -9,8 +9,9 @@
 	"plovershore/internal/discovery"
 )
 
-// ErrInvalidSnapshot is the cause of each error of ReadState that isn't one of the
-// reader or of the JSON syntax.
+// ErrInvalidSnapshot is wrapped by the errors of ReadState for a snapshot that was
+// decoded but whose contents contradict each other. Errors of the reader and of decoding
+// the JSON don't wrap it.
 var ErrInvalidSnapshot = errors.New("snapshot")
 
 func invalidSnapshot(format string, args ...any) error {
@@ -40,7 +41,8 @@
 	return s, nil
 }
 
-// addMissingMaps makes the maps that a snapshot has as null.
+// addMissingMaps creates the maps that are null in a snapshot, except Members and
+// Results, which are required.
 func (s *State) addMissingMaps() {
 	if s.Zones == nil {
 		s.Zones = map[string]string{}
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -2,9 +2,10 @@
 // list of endpoints by Raft, with watches, registrations that expire, sessions,
 // leader-election roles with fencing tokens, and operations.
 //
-// An answered change is not lost while a majority of the group lasts. The list's
-// revision only grows, and a watcher sees every change once and in order. Package
-// client follows a group from outside; package agent serves its list to a relay.
+// A change that was answered with success is not lost as long as a majority of the
+// nodes keep their data folders. The list's revision never decreases, and a watcher
+// sees every change once and in order. Package client sends requests to a group and
+// watches its list; package agent serves the list to a relay.
 //
 // The word role has two meanings here. A Role is leader-elected work that one
 // controller holds at a time. A node's Raft role (leader, follower or candidate)
@@ -13,7 +14,7 @@
 
 import "net/http"
 
-// maxResults is how many results of requests the state remembers.
+// maxResults is how many results of the latest requests the state keeps for retries.
 const maxResults = 8192
 
 // State is the replicated state. It is plain data and deterministic code: it reads no
@@ -23,20 +24,20 @@
 type State struct {
 	Epoch       string            `json:"epoch"`
 	Revision    int64             `json:"revision"`
-	Members     map[string]Member `json:"members"` // by id
+	Members     map[string]Member `json:"members"` // keyed by member id
 	History     []Change          `json:"history"` // the latest changes, oldest first
-	Results     map[string]Result `json:"answers"` // by request id
-	ResultOrder []string          `json:"order"`   // request ids of Results, oldest first
+	Results     map[string]Result `json:"answers"` // keyed by request id
+	ResultOrder []string          `json:"order"`   // the request ids in Results, oldest first
 
-	Zones map[string]string `json:"zones,omitempty"` // region by zone, without zones of no region
+	Zones map[string]string `json:"zones,omitempty"` // the region of each zone; a zone without a region has no entry
 
-	Sessions     map[string]Session   `json:"sessions,omitempty"` // by id
-	Roles        map[string]Role      `json:"duties,omitempty"`   // by name
-	LastToken    int64                `json:"tokens,omitempty"`   // the last token granted
-	RoleRevision int64                `json:"duty_rev,omitempty"` // of Sessions and Roles; only grows
-	Operations   map[string]Operation `json:"orders,omitempty"`   // by kind and name
+	Sessions     map[string]Session   `json:"sessions,omitempty"` // keyed by session id
+	Roles        map[string]Role      `json:"duties,omitempty"`   // keyed by role name
+	LastToken    int64                `json:"tokens,omitempty"`   // the fencing token of the latest grant; each grant has a greater one
+	RoleRevision int64                `json:"duty_rev,omitempty"` // revision of Sessions and Roles; never decreases
+	Operations   map[string]Operation `json:"orders,omitempty"`   // keyed by KIND/NAME
 
-	memberAt map[string]string // member id by address; built when nil
+	memberAt map[string]string // member ids keyed by address; nil until addressIndex builds it
 }
 
 // NewState returns the state of a group that has applied no command.
@@ -74,8 +75,9 @@
 	}
 }
 
-// apply applies a command of any kind. Commands that open, end or grant carry no
-// fence; any other one that names a role has to carry its present token.
+// apply applies a command that has no earlier result. Opening and ending a session,
+// granting a role and disabling one need no fencing token. Any other command that names
+// a role is rejected unless its token is the role's current one.
 func (s *State) apply(c *Command) Result {
 	switch c.Op {
 	case OpSession:
@@ -104,7 +106,7 @@
 	return s.applyUnfenced(c)
 }
 
-// applyUnfenced applies a command whose fence, if it had one, has been checked.
+// applyUnfenced applies a command that names no role, or whose token has been checked.
 func (s *State) applyUnfenced(c *Command) Result {
 	switch c.Op {
 	case OpAdd:
@@ -136,9 +138,9 @@
 	return succeeded()
 }
 
-// beginEpoch drops the history, so that watchers of the epoch before are sent the
-// complete list, and raises the last token above any that the group may have granted
-// since the backup that it was restored from.
+// beginEpoch drops the history, so that watchers of the previous epoch are sent the
+// complete list. It also raises the last token above every token that the group may have
+// granted since the backup that it was restored from was taken.
 func (s *State) beginEpoch(c *Command) Result {
 	s.Epoch, s.History = c.Epoch, nil
 	s.LastToken = max(s.LastToken, c.At/1000*tokensPerSecond)
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -17,7 +17,8 @@
 	return Member{Member: discovery.Member{ID: id, HostPort: addr, Locality: "a", Flavor: "agent", Cell: 1, Phase: discovery.Up, Size: 1}, Holder: "h-" + id, TTL: time.Second}
 }
 
-// drawCommand draws a command over few ids and addresses, so that commands conflict.
+// drawCommand draws command number n from a few ids and addresses, so that commands
+// conflict.
 func drawCommand(t *rapid.T, n int) Command {
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 	c := Command{Request: fmt.Sprint(n), Op: rapid.SampledFrom([]Op{OpAdd, OpAdd, OpPhase, OpRemove, OpExpire, OpEpoch}).Draw(t, "op"), ID: id, At: int64(n)}
@@ -35,7 +36,7 @@
 }
 
 // TestRetriedRequestChangesNothing checks that a retry of any earlier command has the
-// first result, and doesn't change the state.
+// result of the first one, and doesn't change the state.
 func TestRetriedRequestChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
@@ -47,7 +48,7 @@
 			i := rapid.IntRange(0, n).Draw(t, "retry")
 			before, _ := json.Marshal(s)
 			if a := s.Apply(done[i]); a != answers[i] {
-				t.Fatalf("first %+v, then %+v", answers[i], a)
+				t.Fatalf("first result %+v, result of the retry %+v", answers[i], a)
 			}
 			if after, _ := json.Marshal(s); !bytes.Equal(before, after) {
 				t.Fatal("a retry changed the state")
@@ -56,36 +57,36 @@
 	})
 }
 
-// TestReusedAddressesAndIDs checks registrations at another member's address, and with
-// another registrant's id.
+// TestReusedAddressesAndIDs checks registrations with an address of another member, which
+// remove that member, and with an id of another holder, which are rejected.
 func TestReusedAddressesAndIDs(t *testing.T) {
 	s := NewState()
 	n := 0
 	do := func(c Command) Result { n++; c.Request = fmt.Sprint(n); return s.Apply(c) }
 	do(Command{Op: OpAdd, Member: testMember("a", "127.0.0.1:1")})
 	if do(Command{Op: OpAdd, Member: testMember("b", "127.0.0.1:1")}); len(s.Members) != 1 || s.Members["b"].HostPort != "127.0.0.1:1" {
-		t.Errorf("an address belongs to the id that took it last: %v", s.Members)
+		t.Errorf("members %v, want only b, which registered the address last", s.Members)
 	}
 	if a := do(Command{Op: OpAdd, Member: testMember("b", "127.0.0.1:2")}); a.Status != 200 || s.Members["b"].HostPort != "127.0.0.1:2" {
-		t.Errorf("an id may move: %+v", a)
+		t.Errorf("result %+v of the same holder registering another address, want 200", a)
 	}
 	thief := testMember("b", "127.0.0.1:3")
 	thief.Holder = "another"
 	if a := do(Command{Op: OpAdd, Member: thief}); a.Status != 409 || s.Members["b"].HostPort != "127.0.0.1:2" {
-		t.Errorf("a second registrant of one id at another place: %+v", a)
+		t.Errorf("result %+v of another holder registering the id at another address, want 409", a)
 	}
 	if a := do(Command{Op: OpRemove, ID: "b", Holder: "another"}); a.Status != 409 {
-		t.Errorf("removed by another: %+v", a)
+		t.Errorf("result %+v of a removal by another holder, want 409", a)
 	}
 	before := s.Revision
 	if do(Command{Op: OpAdd, Member: testMember("b", "127.0.0.1:2")}); s.Revision != before {
-		t.Error("one that registers as it stands is a change")
+		t.Error("registering again without a change raised the revision")
 	}
 	if a := do(Command{Op: OpPhase, ID: "b", Phase: discovery.Draining, IfChanged: 1}); a.Status != 409 || a.Changed != s.Members["b"].Changed {
-		t.Errorf("a stale compare-and-set: %+v", a)
+		t.Errorf("result %+v of a command with an outdated IfChanged, want 409", a)
 	}
 	if a := do(Command{Op: OpPhase, ID: "x", Phase: discovery.Draining}); a.Status != 404 {
-		t.Errorf("an unknown id: %+v", a)
+		t.Errorf("result %+v for an unknown id, want 404", a)
 	}
 }
 
@@ -101,19 +102,19 @@
 	}
 	back, err := ReadState(&text)
 	if err != nil || len(back.Zones) != 1 || back.Zones["a"] != "north" {
-		t.Fatalf("%v, %v", back, err)
+		t.Fatalf("restored state %v, error %v; want the region of zone a alone", back, err)
 	}
-	// The index of addresses is not in the snapshot: it has to be there all the same.
+	// The index of addresses isn't part of the snapshot and has to be rebuilt.
 	if back.Apply(Command{Op: OpAdd, Member: testMember("s-2", "10.0.0.1:1")}); len(back.Members) != 1 {
 		t.Errorf("two members at one address: %v", back.Members)
 	}
 	if _, err := ReadState(strings.NewReader(`{"epoch":"e","revision":1,"members":{},"answers":{}}`)); err != nil {
-		t.Errorf("a snapshot without zones: %v", err)
+		t.Errorf("a snapshot without zones: error %v", err)
 	}
 }
 
-// TestLateExpiryKeepsRenewedMember checks that an expiry skips a member that has
-// registered anew since it was found overdue.
+// TestLateExpiryKeepsRenewedMember checks that an expiry skips a member that was removed
+// and has registered again since it was found overdue.
 func TestLateExpiryKeepsRenewedMember(t *testing.T) {
 	s := NewState()
 	s.Apply(Command{Request: "1", Op: OpAdd, Member: testMember("a", "127.0.0.1:1")})
@@ -121,7 +122,7 @@
 	s.Apply(Command{Request: "2", Op: OpRemove, ID: "a"})
 	s.Apply(Command{Request: "3", Op: OpAdd, Member: testMember("a", "127.0.0.1:1")})
 	if s.Apply(Command{Request: "4", Op: OpExpire, Expired: map[string]int64{"a": since}}); len(s.Members) != 1 {
-		t.Error("ended")
+		t.Error("the member that registered again has expired")
 	}
 }
 
@@ -137,9 +138,9 @@
 		if err != nil {
 			return
 		}
-		s.Apply(Command{Request: "x", Op: OpAdd, Member: testMember("b", "127.0.0.1:2")}) // it can be used
+		s.Apply(Command{Request: "x", Op: OpAdd, Member: testMember("b", "127.0.0.1:2")}) // fails if a map of the state is nil
 		if _, ok := s.Since(s.Revision); !ok {
-			t.Fatal("a watch at the present revision is not known")
+			t.Fatal("the history doesn't reach the current revision")
 		}
 	})
 }
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -10,19 +10,19 @@
 	"plovershore/internal/discovery"
 )
 
-// store is one node's copy of the state, and wakes those who wait for its changes. It
-// is safe for concurrent use.
+// store is one node's copy of the state. It wakes the goroutines that wait for a change
+// of it. It is safe for concurrent use.
 type store struct {
-	onApplied func(Command, Result) // called after each command, without mu
+	onApplied func(Command, Result) // called after each applied command; mu isn't held
 
 	mu           sync.RWMutex
 	state        *State
 	listChanged  chan struct{} // closed at the list's next change
 	rolesChanged chan struct{} // closed at the next change of sessions or roles
 
-	// Lines of watches, encoded once for all watchers.
-	encodedChanges      map[int64][]byte // of the history, by revision
-	encodedList         []byte           // the complete list; nil for not encoded
+	// Lines that are sent to watchers, encoded once for all of them.
+	encodedChanges      map[int64][]byte // one line for each change of the history, keyed by revision
+	encodedList         []byte           // the complete list; nil until a watcher needs it
 	encodedListRevision int64
 }
 
@@ -36,7 +36,8 @@
 	}
 }
 
-// wakeWatchers wakes all who wait for a change of the list. The caller holds s.mu.
+// wakeWatchers wakes all goroutines that wait for a change of the list, and drops lines
+// that are out of date. The caller holds s.mu.
 func (s *store) wakeWatchers() {
 	close(s.listChanged)
 	s.listChanged = make(chan struct{})
@@ -46,20 +47,22 @@
 	}
 }
 
-// wakeRolePolls wakes all who wait for a change of roles. The caller holds s.mu.
+// wakeRolePolls wakes all goroutines that wait for a change of roles or sessions. The
+// caller holds s.mu.
 func (s *store) wakeRolePolls() {
 	close(s.rolesChanged)
 	s.rolesChanged = make(chan struct{})
 }
 
-// watchLine is one line of a watch: what a relay reads, and the epoch.
+// watchLine is one line of a watch: the list or the change in the form that relays read,
+// with the epoch added.
 type watchLine struct {
 	discovery.List
 	Epoch string `json:"epoch"`
 }
 
 func encodeLine(list discovery.List, epoch string) []byte {
-	text, _ := json.Marshal(watchLine{list, epoch}) // strings and numbers alone: cannot fail
+	text, _ := json.Marshal(watchLine{list, epoch}) // cannot fail: a line has only strings, numbers and booleans
 	return append(text, '\n')
 }
 
@@ -79,9 +82,9 @@
 	return s.encodedList
 }
 
-// changesSince returns the lines that bring a watch from a revision of an epoch up to
-// date, the position that it reaches by them, and a channel that is closed at the next
-// change.
+// changesSince returns the lines that bring a watch up to date from a revision of an
+// epoch, the revision and the epoch that the watch is at after these lines, and a channel
+// that is closed at the next change.
 func (s *store) changesSince(epoch string, revision int64) (lines [][]byte, newRevision int64, newEpoch string, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,15 +108,15 @@
 	return text
 }
 
-// position returns which list this is, and how many members it has.
+// position returns the list's epoch, its revision and the number of its members.
 func (s *store) position() (epoch string, revision int64, members int) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Epoch, s.state.Revision, len(s.state.Members)
 }
 
-// members returns a copy of all members in order of ids. It costs as much as the list
-// is long.
+// members returns a copy of all members in order of ids. Its cost grows with the length
+// of the list.
 func (s *store) members() (all []Member, epoch string, revision int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -124,7 +127,7 @@
 }
 
 // eachMember yields all members, in no order and without a copy. No command is applied
-// meanwhile.
+// during the iteration, which holds the read lock.
 func (s *store) eachMember() iter.Seq[Member] {
 	return func(yield func(Member) bool) {
 		s.mu.RLock()
@@ -137,7 +140,8 @@
 	}
 }
 
-// sortHeartbeats separates heartbeats by whether the sender holds the registration.
+// sortHeartbeats splits the member ids of heartbeats by whether the sender holds the
+// registration: known if it does, unknown if it doesn't or there is none.
 // Its cost doesn't depend on the length of the list.
 func (s *store) sortHeartbeats(heartbeats []Heartbeat) (known, unknown []string) {
 	s.mu.RLock()
@@ -152,7 +156,7 @@
 	return known, unknown
 }
 
-// zones returns every zone that has a region or a member, by name.
+// zones returns every zone that has a region or a member, sorted by name.
 func (s *store) zones() []ZoneStatus {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	watchKeepAlive    = 2 * time.Second // an empty line is sent after so long without a change
-	watchWriteTimeout = 5 * time.Second // a watcher that reads nothing for so long is cut
-	watchStaleTimeout = 5 * time.Second // a watch ends after so long without a leader, so that its client turns to another node
-	watchBatchLines   = 256             // lines of one write
+	watchKeepAlive    = 2 * time.Second // interval at which an empty line is sent
+	watchWriteTimeout = 5 * time.Second // a write that takes longer ends the watch: the watcher reads nothing
+	watchStaleTimeout = 5 * time.Second // a watch ends after this time without contact with a leader, so that its client asks another node
+	watchBatchLines   = 256             // most lines in one write
 )
 
 // errLeaderLost ends watches at a node that has had no contact with a leader for
@@ -22,7 +22,7 @@
 var errLeaderLost = errors.New("no contact with a leader")
 
 // getWatch serves one watch. It hijacks the connection, since net/http's buffers would
-// be most of what a watcher costs.
+// be most of the memory that a watcher takes.
 func (n *Node) getWatch(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
@@ -48,7 +48,8 @@
 		writeError(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
-	// A goroutine of its own: the handler's keeps net/http's buffers for as long as it runs.
+	// The watch runs on its own goroutine, since that of the handler keeps net/http's
+	// buffers until it returns.
 	if !n.startTask(func() { n.serveWatch(conn, epoch, from) }) {
 		n.watchers.Add(-1)
 		conn.Close()
@@ -69,7 +70,7 @@
 // watch writes the changes after a revision as chunks of an HTTP response, until the
 // connection breaks, the node is closed, or it has lost the leader for too long.
 func (n *Node) watch(conn net.Conn, epoch string, revision int64) error {
-	prefix := responseHeader(epoch) // goes out with the first lines, in one write
+	prefix := responseHeader(epoch) // sent with the first lines in one write
 	keepAlive := time.NewTimer(watchKeepAlive)
 	defer keepAlive.Stop()
 	var staleSince time.Time
@@ -90,7 +91,7 @@
 				staleSince = time.Time{}
 			case staleSince.IsZero():
 				staleSince = time.Now()
-			case time.Since(staleSince) >= watchStaleTimeout-staleAfter: // isStale itself takes staleAfter
+			case time.Since(staleSince) >= watchStaleTimeout-staleAfter: // isStale is true only staleAfter after the last contact
 				return errLeaderLost
 			}
 			prefix = emptyLineChunk
@@ -107,8 +108,8 @@
 	emptyLineChunk = []byte("1\r\n\n\r\n")
 )
 
-// writeLines writes a prefix, which may be nil, and lines as chunks of watchBatchLines
-// at most.
+// writeLines writes a prefix, which may be nil, and then the lines as chunks of at most
+// watchBatchLines lines.
 func writeLines(conn net.Conn, prefix []byte, lines [][]byte) error {
 	for len(prefix) > 0 || len(lines) > 0 {
 		batch := lines[:min(len(lines), watchBatchLines)]
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// encodeChunk encodes lines as one chunk of an HTTP response; none as nothing, since an
-// empty chunk would end the response.
+// encodeChunk encodes lines as one chunk of an HTTP response. It returns nil for no
+// lines, since an empty chunk would end the response.
 func encodeChunk(lines [][]byte) net.Buffers {
 	size := 0
 	for _, line := range lines {
--- a/internal/registry/watch_test.go
+++ b/internal/registry/watch_test.go
@@ -11,8 +11,8 @@
 	"plovershore/internal/discovery"
 )
 
-// TestSlowWatcherIsCut checks that a watcher that reads nothing is cut, and that another
-// one is sent every change meanwhile.
+// TestSlowWatcherIsCut checks that a watcher that reads nothing is disconnected, and that
+// another one is sent every change until then.
 func TestSlowWatcherIsCut(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 1)
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	waitFor(t, "two watchers", func() bool { return n.watchers.Load() == 2 })
+	waitFor(t, "both watches to be open", func() bool { return n.watchers.Load() == 2 })
 	in := bufio.NewReaderSize(resp.Body, 1<<20)
 	long := strings.Repeat("z", 16<<10)
 	last := int64(0)
@@ -40,14 +40,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for last < a.Revision { // the other one hears of each
+		for last < a.Revision { // the other watcher is sent each revision
 			text, err := in.ReadString('\n')
 			if err != nil {
 				t.Fatal(err)
 			}
 			if l, err := discovery.Parse([]byte(text)); err == nil {
 				if last > 0 && l.Revision != last+1 {
-					t.Fatalf("revision %d after %d", l.Revision, last)
+					t.Fatalf("the other watcher was sent revision %d after %d", l.Revision, last)
 				}
 				last = l.Revision
 			}
