--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -1,8 +1,9 @@
-// Package agent serves discovery to the relay on its machine: it follows a group of the
-// list service, and speaks package discovery's protocol to the relay.
+// Package agent serves the list of endpoints to the relay on the same machine. It
+// watches a group of the list service, and speaks package discovery's protocol to the
+// relay.
 //
-// The last good list is served while the group can't be reached and after a restart.
-// The agent's own revision only grows. A notice that was answered with 204 stays on
+// The last valid list is served while the group can't be reached and after a restart.
+// The agent's own revision never decreases. A notice that was answered with 204 stays on
 // disk until the group has accepted it.
 package agent
 
@@ -27,14 +28,14 @@
 
 // Options configure an agent. All fields are required.
 type Options struct {
-	Listen string       // loopback host:port where the relay asks
-	Folder string       // folder that outlasts the process
+	Listen string       // loopback host:port where the relay connects
+	Folder string       // folder of the saved list and notices; has to be kept over restarts
 	Nodes  []string     // host:port of the group's nodes
-	Fleet  int          // number of agents of the group: their retries are spread over so many
-	Log    *slog.Logger // for its events
+	Fleet  int          // number of agents of the group; retries are spread out in proportion to it
+	Log    *slog.Logger // log of the agent's events
 }
 
-// Agent is a running agent. Start makes it; whoever called Start calls Close. It is
+// Agent is a running agent. Start creates it, and the caller of Start closes it. It is
 // safe for concurrent use.
 type Agent struct {
 	options  Options
@@ -42,7 +43,7 @@
 	spool    *spool
 	server   *http.Server
 	listener net.Listener
-	updates  *mailbox.Mailbox[client.Update] // from the group, to be saved and served
+	updates  *mailbox.Mailbox[client.Update] // updates from the group that are yet to be saved and served
 
 	ctx    context.Context // done once the agent is closed
 	cancel context.CancelFunc
@@ -50,16 +51,16 @@
 
 	mu          sync.Mutex
 	list        savedList
-	journal     journal          // of the changes since the list was last written
-	saveErr     error            // of the last save; nil for saved
-	announced   bool             // watchers have been woken since the start
+	journal     journal          // changes since the complete list was last written
+	saveErr     error            // error of the last save; nil if it succeeded
+	announced   bool             // watchers have been woken once since the start
 	history     []discovery.List // the latest changes, oldest first
 	changed     chan struct{}    // closed at the list's next change
 	following   bool             // a watch on the group is open
-	lastContact time.Time        // when the group last sent anything
+	lastContact time.Time        // when the group last sent an update, or a watch last opened or ended
 }
 
-// Start loads the list and the notices that the folder has, and serves.
+// Start loads the list and the notices from the folder, and serves them.
 func Start(options Options) (_ *Agent, err error) {
 	group, err := client.New(options.Nodes, options.Fleet, options.Log)
 	if err != nil {
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -31,7 +31,7 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after 30 s waiting for: %s", what)
 }
 
 func startNode(t *testing.T, cfg *registry.Config) *registry.Node {
@@ -77,7 +77,7 @@
 	return registry.Registration{ID: fmt.Sprint("s-", i), Address: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "a", Flavor: "agent", Cell: i}
 }
 
-// relayWatch is a relay's copy of the list, by its own watch on an agent.
+// relayWatch is a relay's copy of the list, which its watch of an agent keeps up to date.
 type relayWatch struct {
 	mu    sync.Mutex
 	rev   int64
@@ -90,7 +90,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if l.Revision < r.rev {
-			t.Errorf("revision %d after %d", l.Revision, r.rev)
+			t.Errorf("the relay was sent revision %d after %d", l.Revision, r.rev)
 		}
 		r.rev = l.Revision
 		if l.Complete {
@@ -113,9 +113,9 @@
 	return r.phase[id]
 }
 
-// TestGroupUnreachable checks an agent whose group is stopped: the relay's watch goes on,
-// the list survives a restart of the agent, and the changes that were missed come once
-// the group is back.
+// TestGroupUnreachable checks an agent whose group is stopped: the agent keeps its list,
+// serves it to relays after a restart, says how old it is, and serves the changes that it
+// missed once the group is started again.
 func TestGroupUnreachable(t *testing.T) {
 	cfg, folder := nodeConfig(t), t.TempDir()
 	node := startNode(t, cfg)
@@ -124,30 +124,30 @@
 	}
 	a := startAgent(t, folder, cfg.Listen)
 	r := watchAsRelay(t, a.Addr())
-	waitFor(t, "the list at the relay", func() bool { return r.phaseOf("s-2") == discovery.Up })
+	waitFor(t, "the relay to have the list", func() bool { return r.phaseOf("s-2") == discovery.Up })
 	sendChange(t, cfg.Listen, http.MethodPost, registry.MembersPath+"/s-1/phase", map[string]string{"phase": discovery.Draining})
-	waitFor(t, "the drain at the relay", func() bool { return r.phaseOf("s-1") == discovery.Draining })
+	waitFor(t, "the relay to see the draining member", func() bool { return r.phaseOf("s-1") == discovery.Draining })
 	node.Close()
-	waitFor(t, "the agent to see it gone", func() bool { return !a.State().Up })
+	waitFor(t, "the agent to notice that the group is stopped", func() bool { return !a.State().Up })
 	if s := a.State(); s.Members != 3 {
-		t.Errorf("%+v", s)
+		t.Errorf("state without a group: %+v, want 3 members", s)
 	}
 	a.Close()
-	a = startAgent(t, folder, cfg.Listen) // the group is still gone
+	a = startAgent(t, folder, cfg.Listen) // the group is still stopped
 	r = watchAsRelay(t, a.Addr())
-	waitFor(t, "the last list, with the drain", func() bool { return r.phaseOf("s-1") == discovery.Draining && r.phaseOf("s-0") == discovery.Up })
+	waitFor(t, "the relay to have the saved list with the draining member", func() bool { return r.phaseOf("s-1") == discovery.Draining && r.phaseOf("s-0") == discovery.Up })
 	if s := a.State(); s.Up || s.AgeMS <= 0 {
-		t.Errorf("it does not say how old its list is: %+v", s)
+		t.Errorf("state after a restart without a group: %+v, want Up false and AgeMS above 0", s)
 	}
 	node = startNode(t, cfg)
 	defer node.Close()
 	sendChange(t, cfg.Listen, http.MethodDelete, registry.MembersPath+"/s-0", nil)
-	waitFor(t, "what changed meanwhile", func() bool { return r.phaseOf("s-0") == discovery.Removed && r.phaseOf("s-1") == discovery.Draining })
+	waitFor(t, "the relay to see the change made after the group was started again", func() bool { return r.phaseOf("s-0") == discovery.Removed && r.phaseOf("s-1") == discovery.Draining })
 	a.Close()
 }
 
-// TestNoticesSurviveRestart checks that notices that were answered with 204 stay until
-// the group has accepted them.
+// TestNoticesSurviveRestart checks that notices that were answered with 204 are kept over
+// a restart, also if the spool's last line is torn, until the group has accepted them.
 func TestNoticesSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
 	node := loopback.Free()
@@ -193,15 +193,16 @@
 	defer s.Close()
 	a = startAgent(t, folder, node)
 	defer a.Close()
-	waitFor(t, "both notices", func() bool {
+	waitFor(t, "the group to receive both notices, and the spool to be empty", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return slices.Contains(got, "a") && slices.Contains(got, "b") && a.spool.count() == 0
 	})
 }
 
-// TestCorruptListIsRejected checks that every flipped bit and every torn end of the file
-// is noticed, and that the agent starts and puts the file aside.
+// TestCorruptListIsRejected checks that a list file that is cut at any byte is rejected,
+// that no flipped bit changes the decoded list, and that an agent with a corrupt list file
+// renames it and starts with an empty list.
 func TestCorruptListIsRejected(t *testing.T) {
 	k := &savedList{At: client.Position{Epoch: "e", Revision: 7}, Revision: 3, Members: map[string]discovery.Member{
 		"s-1": {ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
@@ -210,11 +211,11 @@
 		t.Fatal(err)
 	}
 	if back, err := decodeList(text); err != nil || back.Revision != 3 || back.Members["s-1"].HostPort != "127.0.0.1:1" {
-		t.Fatalf("%+v, %v", back, err)
+		t.Fatalf("decoded list %+v, error %v", back, err)
 	}
 	for at := range text {
 		if _, err := decodeList(text[:at]); err == nil {
-			t.Fatalf("torn at %d: used", at)
+			t.Fatalf("a list file cut at byte %d was accepted", at)
 		}
 		for bit := range 8 {
 			bad := bytes.Clone(text)
@@ -222,7 +223,7 @@
 			if back, err := decodeList(bad); err == nil {
 				same, _ := json.Marshal(back)
 				if want, _ := json.Marshal(k); !bytes.Equal(same, want) {
-					t.Fatalf("byte %d, bit %d: used", at, bit)
+					t.Fatalf("a list file with bit %[2]d of byte %[1]d flipped was decoded as another list", at, bit)
 				}
 			}
 		}
@@ -233,7 +234,7 @@
 	a := startAgent(t, folder, loopback.Free())
 	defer a.Close()
 	if _, err := os.Stat(path + ".damaged"); err != nil || a.State().Members != 0 {
-		t.Errorf("%v, %+v", err, a.State())
+		t.Errorf("renamed file: %v; state %+v, want no members", err, a.State())
 	}
 }
 
@@ -242,12 +243,12 @@
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if k, err := decodeList(text); err == nil && k.Members == nil {
-			t.Fatal("a list without members")
+			t.Fatal("a list was decoded whose map of members is nil")
 		}
 	})
 }
 
-// testGroup is a list service of several nodes that are started and stopped together.
+// testGroup is a list service whose nodes are started and stopped together.
 type testGroup struct {
 	t       *testing.T
 	configs []*registry.Config
@@ -284,7 +285,7 @@
 	g.nodes = nil
 }
 
-// term returns the highest term of the nodes, and whether one of them leads.
+// term returns the highest Raft term of the nodes, and whether one of them is the leader.
 func (g *testGroup) term() (highest uint64, hasLeader bool) {
 	for _, addr := range g.addrs {
 		resp, err := http.Get("http://" + addr + registry.StatusPath)
@@ -300,8 +301,9 @@
 	return highest, hasLeader
 }
 
-// TestReturningFleetCausesNoElection checks that a whole fleet of agents comes back to a
-// group that was stopped, and that the group keeps the leader that it elected.
+// TestReturningFleetCausesNoElection checks that all 300 agents of a fleet reconnect to a
+// group that was stopped and started again, and that the load of it causes no election
+// after the first one.
 func TestReturningFleetCausesNoElection(t *testing.T) {
 	group := newTestGroup(t, 3)
 	group.start()
@@ -320,16 +322,16 @@
 			return !slices.ContainsFunc(agents, func(a *Agent) bool { return !condition(a.State()) })
 		}
 	}
-	waitFor(t, "all agents follow", all(func(s Status) bool { return s.Up }))
+	waitFor(t, "all agents to watch the group", all(func(s Status) bool { return s.Up }))
 	group.stop()
-	waitFor(t, "all agents see that the group is gone", all(func(s Status) bool { return !s.Up }))
+	waitFor(t, "all agents to notice that the group is stopped", all(func(s Status) bool { return !s.Up }))
 	group.start()
 	var first uint64
-	waitFor(t, "a leader", func() (hasLeader bool) { first, hasLeader = group.term(); return hasLeader })
-	waitFor(t, "all agents are back", all(func(s Status) bool { return s.Up }))
+	waitFor(t, "a leader to be elected", func() (hasLeader bool) { first, hasLeader = group.term(); return hasLeader })
+	waitFor(t, "all agents to watch the group again", all(func(s Status) bool { return s.Up }))
 	sendChange(t, group.addrs[0], http.MethodPost, registry.MembersPath, member(1))
-	waitFor(t, "all have what came after", all(func(s Status) bool { return s.Members == 2 }))
+	waitFor(t, "all agents to have the member added afterwards", all(func(s Status) bool { return s.Members == 2 }))
 	if last, _ := group.term(); last != first {
-		t.Errorf("the return caused %d elections", last-first)
+		t.Errorf("%d more elections while the agents reconnected, want none", last-first)
 	}
 }
--- a/internal/registry/agent/api.go
+++ b/internal/registry/agent/api.go
@@ -16,9 +16,9 @@
 const (
 	statusPath = "/v1/status"
 
-	watchKeepAlive    = 2 * time.Second // an empty line is sent this often
+	watchKeepAlive    = 2 * time.Second // interval at which an empty line is sent
 	watchWriteTimeout = 5 * time.Second
-	maxNoticeBytes    = 1 << 20 // of one request
+	maxNoticeBytes    = 1 << 20 // longest body of a request with notices
 )
 
 func (a *Agent) routes() http.Handler {
@@ -29,7 +29,7 @@
 	return mux
 }
 
-// getList serves the list, or a watch on it, once the agent has a list.
+// getList serves the list or a watch of it. It waits until the agent has a list.
 func (a *Agent) getList(w http.ResponseWriter, r *http.Request) {
 	if !a.awaitList(r.Context()) {
 		return
@@ -46,8 +46,8 @@
 	a.watch(w, r, from)
 }
 
-// awaitList waits for the agent's first list. It reports false where the request or the
-// agent ended before.
+// awaitList waits for the agent's first list. It returns false if the request is cancelled
+// or the agent is closed before.
 func (a *Agent) awaitList(ctx context.Context) bool {
 	for {
 		ok, changed := a.hasList()
@@ -64,7 +64,8 @@
 	}
 }
 
-// watch writes the changes after a revision, until the client or the agent ends it.
+// watch writes the changes after a revision, until the client disconnects or the agent is
+// closed.
 func (a *Agent) watch(w http.ResponseWriter, r *http.Request, revision int64) {
 	out := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
@@ -76,7 +77,7 @@
 	encoder := json.NewEncoder(w)
 	for {
 		changes, changed := a.changesSince(revision)
-		_ = out.SetWriteDeadline(time.Now().Add(watchWriteTimeout)) // the server's connections support it
+		_ = out.SetWriteDeadline(time.Now().Add(watchWriteTimeout)) // cannot fail: the server's connections support deadlines
 		for _, change := range changes {
 			if encoder.Encode(change) != nil || out.Flush() != nil {
 				return
@@ -97,7 +98,7 @@
 	}
 }
 
-// postNotices spools notices. It answers 204 once they are on disk.
+// postNotices saves notices to the spool. It responds with 204 once they are on disk.
 func (a *Agent) postNotices(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(io.LimitReader(r.Body, maxNoticeBytes+1))
 	if err != nil {
@@ -121,14 +122,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Status is how an agent sees itself and its group.
+// Status is an agent's view of itself and its group.
 type Status struct {
 	Up       bool            `json:"up"`              // a watch on the group is open
 	At       client.Position `json:"at"`              // position in the group's changes
-	Revision int64           `json:"revision"`        // the agent's own
-	Members  int             `json:"members"`         // number of members listed
-	AgeMS    int64           `json:"age_ms"`          // 0 while Up; else the time since the group's last contact
-	Spooled  int             `json:"spooled"`         // notices that the group hasn't accepted
+	Revision int64           `json:"revision"`        // the agent's own revision of the list
+	Members  int             `json:"members"`         // number of members in the list
+	AgeMS    int64           `json:"age_ms"`          // 0 while Up; otherwise the time since the last contact with the group
+	Spooled  int             `json:"spooled"`         // number of notices that the group hasn't accepted yet
 	Error    string          `json:"error,omitempty"` // why the list could not be saved
 }
 
@@ -160,5 +161,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a client that is gone asks again
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client is gone; it sends the request again
 }
--- a/internal/registry/agent/compat_test.go
+++ b/internal/registry/agent/compat_test.go
@@ -16,21 +16,21 @@
 )
 
 // The files in testdata/before were written by the program as it was before its
-// packages and types were renamed (commit dd19e87): folder is an agent's, with a
-// list, a journal that goes on from it and a notice that is still pending;
-// encodings.json is one value of each type that is sent or stored, with every
-// field set. An agent starts over such a folder after an upgrade, so none of
-// these texts may change.
+// packages and types were renamed (commit dd19e87). folder is the folder of an
+// agent, with a list, a journal of changes to it and a notice that is still
+// pending. encodings.json has one value of each type that is sent or stored, with
+// every field set. After an upgrade an agent is started with such a folder, so
+// none of these texts may change.
 const beforeFolder = "testdata/before"
 
-// copyBefore returns a copy of the earlier program's folder.
+// copyBefore copies the earlier program's folder to a temporary one, and returns its path.
 func copyBefore(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join(beforeFolder, "folder"))); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{listName, journalName, "notices"} { // a checkout may have made them read-only
+	for _, name := range []string{listName, journalName, "notices"} { // they may be read-only in the checkout
 		if err := os.Chmod(filepath.Join(folder, name), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -38,18 +38,19 @@
 	return folder
 }
 
-// TestFolderOfTheEarlierProgram checks that the list with all changes of its journal is
-// served, and that the spooled notice is sent to the group.
+// TestFolderOfTheEarlierProgram checks that an agent that is started with the earlier
+// program's folder serves the list with all changes of the journal, and sends the spooled
+// notice to the group.
 func TestFolderOfTheEarlierProgram(t *testing.T) {
 	folder := copyBefore(t)
 	group := loopback.Free()
 	a := startAgent(t, folder, group)
 	s := a.State()
 	if s.Members != 5 || s.Revision != 8 || s.At != (client.Position{Epoch: "be3a8c26da3160e4c0dbdee5", Revision: 12}) || s.Spooled != 1 || s.Error != "" {
-		t.Errorf("%+v", s)
+		t.Errorf("state: %+v", s)
 	}
 	if _, err := os.Stat(filepath.Join(folder, listName+".damaged")); err == nil {
-		t.Error("the list was put aside as damaged")
+		t.Error("the list file was renamed as a corrupt one")
 	}
 	resp, err := http.Get("http://" + a.Addr() + discovery.ListPath)
 	if err != nil {
@@ -65,7 +66,7 @@
 		phases[m.ID] = m.Phase
 	}
 	if len(phases) != 5 || phases["s-1"] != discovery.Up || phases["s-3"] != discovery.Draining || phases["s-6"] != discovery.Up || phases["static-1"] != discovery.Up {
-		t.Errorf("%v", phases)
+		t.Errorf("phases: %v", phases)
 	}
 	a.Close()
 
@@ -92,15 +93,16 @@
 	select {
 	case got := <-notices:
 		if got != "{\"message\":\"m-1\",\"outcome\":\"given_up\"}\n" {
-			t.Errorf("%s", got)
+			t.Errorf("the group was sent %s, want the spooled notice", got)
 		}
 	case <-time.After(30 * time.Second):
-		t.Fatal("the spooled notice was not sent")
+		t.Fatal("the spooled notice was not sent within 30 s")
 	}
-	waitFor(t, "an empty spool", func() bool { return a.State().Spooled == 0 })
+	waitFor(t, "the spool to be empty", func() bool { return a.State().Spooled == 0 })
 }
 
-// TestEncodingsOfTheEarlierProgram checks every key of every type that is sent or stored.
+// TestEncodingsOfTheEarlierProgram checks that every JSON key of every type that is sent
+// or stored is the earlier program's.
 func TestEncodingsOfTheEarlierProgram(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(beforeFolder, "encodings.json"))
 	if err != nil {
@@ -112,7 +114,7 @@
 	}
 	values := map[string]any{"list": &savedList{}, "journalEntry": &journalEntry{}, "Status": &Status{}}
 	if len(values) != len(before) {
-		t.Errorf("%d types, %d were written", len(values), len(before))
+		t.Errorf("%d types are compared, but the earlier program wrote %d", len(values), len(before))
 	}
 	for name, v := range values {
 		in := json.NewDecoder(bytes.NewReader(before[name]))
@@ -126,8 +128,8 @@
 	}
 }
 
-// TestStoredFormOfTheEarlierProgram checks that the list and each line of the journal are
-// decoded and encoded without loss.
+// TestStoredFormOfTheEarlierProgram checks that the earlier program's list file and each
+// line of its journal are the same after decoding and encoding.
 func TestStoredFormOfTheEarlierProgram(t *testing.T) {
 	folder := filepath.Join(beforeFolder, "folder")
 	list, err := os.ReadFile(filepath.Join(folder, listName))
@@ -147,7 +149,7 @@
 	}
 	head, lines, _ := bytes.Cut(journal, []byte{'\n'})
 	if !bytes.HasPrefix(head, []byte("troutchanges 1 ")) || !bytes.HasPrefix(list, []byte("troutlist 1 ")) {
-		t.Errorf("heads %q and %.20q", head, list)
+		t.Errorf("header of the journal %q, of the list %.20q", head, list)
 	}
 	var again []byte
 	for _, line := range bytes.Split(bytes.TrimSuffix(lines, []byte{'\n'}), []byte{'\n'}) {
--- a/internal/registry/agent/journal.go
+++ b/internal/registry/agent/journal.go
@@ -18,23 +18,23 @@
 const (
 	journalName = "list.changes"
 
-	// journalHeader has the format's name and version, and the checksum of the list that
-	// the journal goes on from. The name is from before the program was renamed. It
-	// stays, since agents start over folders of earlier versions.
+	// journalHeader has the format's name and version, and the checksum of the list file
+	// that the journal's entries change. The name is from before the program was renamed.
+	// It is kept, since agents are started with folders of earlier versions.
 	journalHeader = "troutchanges 1 %08x\n"
 
 	journalChecksum = "%08x"                    // CRC-32C of an entry's JSON text
-	journalRecord   = journalChecksum + " %s\n" // the checksum and the text
-	minJournalBytes = 1 << 20                   // a shorter journal isn't worth writing the complete list
+	journalRecord   = journalChecksum + " %s\n" // the checksum and the JSON text of an entry
+	minJournalBytes = 1 << 20                   // below this size the complete list isn't written again
 )
 
-// journalEntry is one change of the list. Its JSON form is stored and kept from earlier
-// versions.
+// journalEntry is one change of the list. It is stored as JSON, whose keys are kept from
+// earlier versions.
 type journalEntry struct {
 	At       client.Position    `json:"at"`       // position in the group's changes
-	Revision int64              `json:"revision"` // the agent's own
-	Members  []discovery.Member `json:"members"`
-	Saved    time.Time          `json:"saved"`
+	Revision int64              `json:"revision"` // the agent's own revision of the list
+	Members  []discovery.Member `json:"members"`  // the changed members
+	Saved    time.Time          `json:"saved"`    // when the agent applied the change
 }
 
 func (e *journalEntry) encode() ([]byte, error) {
@@ -45,7 +45,7 @@
 	return fmt.Appendf(nil, journalRecord, crc32.Checksum(text, castagnoli), text), nil
 }
 
-// decodeEntry decodes one line without its end. An error wraps ErrCorrupt.
+// decodeEntry decodes a line without its newline. An error wraps ErrCorrupt.
 func decodeEntry(line []byte) (*journalEntry, error) {
 	checksum, text, ok := bytes.Cut(line, []byte{' '})
 	if !ok || string(checksum) != fmt.Sprintf(journalChecksum, crc32.Checksum(text, castagnoli)) {
@@ -63,9 +63,9 @@
 	return entry, nil
 }
 
-// decodeJournal decodes the entries up to the first torn or corrupt one, and returns
-// the length of the valid text. That is 0 for a journal that doesn't go on from the
-// list with the checksum listChecksum.
+// decodeJournal decodes the entries before the first torn or corrupt one, and returns the
+// length of the valid text. The length is 0 if the journal's header is invalid or names
+// another checksum than listChecksum, that of the list file.
 func decodeJournal(text []byte, listChecksum uint32) (entries []journalEntry, valid int) {
 	header := fmt.Appendf(nil, journalHeader, listChecksum)
 	if !bytes.HasPrefix(text, header) {
@@ -90,14 +90,14 @@
 // for concurrent use. Its owner closes it.
 type journal struct {
 	path      string
-	file      *os.File // nil for none: the next change has to write the complete list
+	file      *os.File // nil if not open; the next save then writes the complete list
 	size      int64
-	listBytes int64 // length of the list that it goes on from
+	listBytes int64 // length of the list file that the entries change
 }
 
-// load applies the journal's changes to the list that it goes on from, and truncates
-// what is torn or corrupt. A journal of another list is ignored: an earlier version,
-// which had none, may have written the list since.
+// load applies the journal's entries to the list that was read from the list file, and
+// cuts off the journal at the first torn or corrupt entry. It ignores a journal of another
+// list file, since an earlier version, which had no journal, may have written a newer one.
 func (j *journal) load(l *savedList, listChecksum uint32) error {
 	text, err := os.ReadFile(j.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -128,7 +128,7 @@
 	return j.file == nil || j.size > max(minJournalBytes, j.listBytes)
 }
 
-// reset begins an empty journal that goes on from a list which is on disk.
+// reset begins an empty journal of changes to a list file that is already on disk.
 func (j *journal) reset(listChecksum uint32, listBytes int64) error {
 	j.close()
 	file, err := os.OpenFile(j.path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// append saves entries. Unless it returns an error, they outlast the process and a loss
-// of power. After an error the journal is closed.
+// append saves entries. If it returns no error, they survive a crash and a loss of power.
+// If writing or syncing fails, it closes the journal.
 func (j *journal) append(entries []journalEntry) error {
 	var text []byte
 	for i := range entries {
--- a/internal/registry/agent/journal_test.go
+++ b/internal/registry/agent/journal_test.go
@@ -17,7 +17,8 @@
 	"plovershore/internal/registry/client"
 )
 
-// The size that the fleet is planned for, and the time that it allows for a change.
+// The largest planned fleet: its members, the members of one of its zones, and the time
+// within which a change has to reach the relays.
 const (
 	targetMembers     = 31000
 	targetZoneMembers = 3875
@@ -37,15 +38,15 @@
 	return n
 }
 
-// removalUpdate returns the change that removes member i.
+// removalUpdate returns the update of a revision that removes member i.
 func removalUpdate(i, revision int) client.Update {
 	m := listMember(i)
 	m.Phase = discovery.Removed
 	return client.Update{List: discovery.List{Revision: int64(revision), Members: []discovery.Member{m}}, Epoch: "e"}
 }
 
-// startStubGroup serves one watch: the first update at once, the rest once more is closed.
-// It returns the host:port.
+// startStubGroup starts a server in place of a group. It sends the first update of a watch
+// at once, and the rest when the channel more is closed. It returns its host:port.
 func startStubGroup(t *testing.T, first client.Update, more <-chan struct{}, rest []client.Update) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -72,9 +73,10 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// TestZoneExpiryIsServedInTime expires a zone of the largest planned fleet at one moment,
-// member by member. If the complete list were written for each, the relay would be sent
-// the last change minutes later.
+// TestZoneExpiryIsServedInTime checks that the relay is sent all changes in time when all
+// members of a zone of the largest planned fleet expire at once, each in a change of its
+// own. If the agent wrote the complete list for each change, the last one would reach the
+// relay minutes later.
 func TestZoneExpiryIsServedInTime(t *testing.T) {
 	var lapse []client.Update
 	for i := range targetZoneMembers {
@@ -84,21 +86,21 @@
 	a := startAgent(t, t.TempDir(), startStubGroup(t, completeUpdate(targetMembers), more, lapse))
 	defer a.Close()
 	r := watchAsRelay(t, a.Addr())
-	waitFor(t, "the list at the relay", func() bool { return r.phaseOf("s-0") == discovery.Up })
+	waitFor(t, "the relay to have the list", func() bool { return r.phaseOf("s-0") == discovery.Up })
 	began := time.Now()
 	close(more)
 	last := fmt.Sprint("s-", targetZoneMembers-1)
 	for r.phaseOf(last) != discovery.Removed {
 		if time.Since(began) > targetInForce {
-			t.Fatalf("the agent has %d of %d changes after %v", targetMembers-a.State().Members, targetZoneMembers, targetInForce)
+			t.Fatalf("the relay lacks the last change: the agent has %d of %d changes after %v", targetMembers-a.State().Members, targetZoneMembers, targetInForce)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Logf("%d members gone from a list of %d: in force after %v", targetZoneMembers, targetMembers, time.Since(began))
+	t.Logf("%d members removed from a list of %d: at the relay after %v", targetZoneMembers, targetMembers, time.Since(began))
 }
 
-// savedAgent runs an agent without a group until it has saved a complete list and some
-// removals, and returns its folder.
+// savedAgent has an agent without a group save a complete list and some removals, and
+// returns the agent's folder.
 func savedAgent(t *testing.T, members, removed int) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -109,13 +111,13 @@
 		a.applyBatch([]client.Update{removalUpdate(i, members+i+1)})
 	}
 	if s := a.State(); s.Members != members-removed || s.Revision != int64(1+removed) || s.Error != "" {
-		t.Fatalf("%+v", s)
+		t.Fatalf("state after saving: %+v", s)
 	}
 	return folder
 }
 
-// TestJournalCutAtEveryByte checks that of a journal cut at any byte every complete entry
-// is loaded.
+// TestJournalCutAtEveryByte checks that all complete entries are loaded of a journal that
+// is cut at any byte.
 func TestJournalCutAtEveryByte(t *testing.T) {
 	folder := savedAgent(t, 5, 3)
 	path := filepath.Join(folder, journalName)
@@ -130,13 +132,14 @@
 		whole := max(bytes.Count(text[:cut], []byte{'\n'})-1, 0)
 		a := startAgent(t, folder, loopback.Free())
 		if s := a.State(); s.Members != 5-whole || s.Revision != int64(1+whole) || s.At.Revision != int64(5+whole) {
-			t.Fatalf("cut at %d: %+v, want %d changes", cut, s, whole)
+			t.Fatalf("journal cut at byte %d: state %+v, want %d changes loaded", cut, s, whole)
 		}
 		a.Close()
 	}
 }
 
-// TestJournalAppendsAfterTornEnd checks that entries saved after a torn end are loaded.
+// TestJournalAppendsAfterTornEnd checks that entries are loaded that were appended to a
+// journal whose last entry was torn.
 func TestJournalAppendsAfterTornEnd(t *testing.T) {
 	folder := savedAgent(t, 5, 2)
 	path := filepath.Join(folder, journalName)
@@ -153,11 +156,11 @@
 	a = startAgent(t, folder, loopback.Free())
 	defer a.Close()
 	if s := a.State(); s.Members != 2 || s.Revision != 4 || s.At.Revision != 10 {
-		t.Errorf("%+v", s)
+		t.Errorf("state after a restart: %+v", s)
 	}
 }
 
-// TestCorruptJournalIsRejected checks that nothing behind a flipped bit is used.
+// TestCorruptJournalIsRejected checks that only entries before a flipped bit are decoded.
 func TestCorruptJournalIsRejected(t *testing.T) {
 	folder := savedAgent(t, 5, 3)
 	list, err := os.ReadFile(filepath.Join(folder, listName))
@@ -178,18 +181,18 @@
 		bad[at] ^= 1
 		entries, _ := decodeJournal(bad, base)
 		if len(entries) >= len(whole) {
-			t.Fatalf("byte %d: %d entries used", at, len(entries))
+			t.Fatalf("a flipped bit in byte %d: %d entries were decoded, want fewer", at, len(entries))
 		}
 		for i := range entries {
 			if entries[i].Revision != whole[i].Revision {
-				t.Fatalf("byte %d: entry %d is another", at, i)
+				t.Fatalf("a flipped bit in byte %d changed entry %d", at, i)
 			}
 		}
 	}
 }
 
-// TestJournalOfAnotherListIsIgnored checks a list written by a version without a journal:
-// what is in the journal is older.
+// TestJournalOfAnotherListIsIgnored checks that a journal isn't applied to a list file that
+// was written later by a version without a journal.
 func TestJournalOfAnotherListIsIgnored(t *testing.T) {
 	folder := savedAgent(t, 5, 3)
 	older, err := encodeList(&savedList{At: client.Position{Epoch: "e", Revision: 6}, Revision: 2,
@@ -206,12 +209,12 @@
 	a = startAgent(t, folder, loopback.Free())
 	defer a.Close()
 	if s := a.State(); s.Members != 0 || s.Revision != 3 || s.At.Revision != 7 {
-		t.Errorf("%+v", s)
+		t.Errorf("state after a restart: %+v", s)
 	}
 }
 
-// TestJournalIsReset checks that the journal stays within the size of the list, or its
-// minimum, and that a restart after a reset loads the complete list.
+// TestJournalIsReset checks that the journal is at most one batch longer than the list file
+// or minJournalBytes, and that a restart after a reset loads the complete list.
 func TestJournalIsReset(t *testing.T) {
 	folder := t.TempDir()
 	a := startAgent(t, folder, loopback.Free())
@@ -232,7 +235,7 @@
 		}
 		size := a.journal.size
 		if most := max(minJournalBytes, a.journal.listBytes) + 300*maxBatchChanges; size > most {
-			t.Fatalf("the journal has %d bytes, %d at most", size, most)
+			t.Fatalf("the journal has %d bytes, want at most %d", size, most)
 		}
 	}
 	want := a.State()
@@ -240,6 +243,6 @@
 	a = startAgent(t, folder, loopback.Free())
 	defer a.Close()
 	if s := a.State(); s.Members != want.Members || s.Revision != want.Revision || s.At != want.At {
-		t.Errorf("%+v, want %+v", s, want)
+		t.Errorf("state after a restart: %+v, want %+v", s, want)
 	}
 }
--- a/internal/registry/agent/list_file.go
+++ b/internal/registry/agent/list_file.go
@@ -14,27 +14,28 @@
 	"plovershore/internal/discovery"
 )
 
-// The list on disk is a complete list (this file) and a journal of the changes since
-// (journal.go). A change costs its own bytes and one sync, whatever the length of the
-// list. The complete list is written again only once the journal is as long as it.
+// The list on disk consists of the list file, a complete list (written here), and a
+// journal of the changes since (journal.go). So the cost of saving a change is its own
+// bytes and one sync, and doesn't depend on the length of the list. The complete list is
+// written again once the journal is longer than it and than minJournalBytes.
 
 const (
 	listName        = "list"
-	newListSuffix   = ".new"     // while it is written
-	corruptedSuffix = ".damaged" // of a list that was put aside
+	newListSuffix   = ".new"     // of the new list file until it is complete
+	corruptedSuffix = ".damaged" // of a corrupt list file that was renamed
 
 	// listHeader has the format's name and version, and the CRC-32C and the length of
-	// what follows. The name is from before the program was renamed. It stays, since
-	// agents start over folders of earlier versions.
+	// the JSON text after it. The name is from before the program was renamed. It is
+	// kept, since agents are started with folders of earlier versions.
 	listHeader = "troutlist 1 %08x %d\n"
 )
 
-// ErrCorrupt means that a file's text is not one that the agent wrote.
+// ErrCorrupt means that the text of a file is not as an agent writes it.
 var ErrCorrupt = errors.New("corrupt")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeList returns the list file's text.
+// encodeList encodes a list as the text of the list file.
 func encodeList(l *savedList) ([]byte, error) {
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -72,8 +73,8 @@
 	return l, nil
 }
 
-// loadList loads the list from disk. A corrupt one is put aside: the group sends a
-// complete list.
+// loadList loads the list from disk. It renames a corrupt list file and leaves the list
+// empty, so that the group sends a complete one.
 func (a *Agent) loadList() error {
 	path := filepath.Join(a.options.Folder, listName)
 	text, err := os.ReadFile(path)
@@ -96,8 +97,8 @@
 	return a.journal.load(&a.list, crc32.Checksum(text, castagnoli))
 }
 
-// saveChanges appends changes to the journal, or writes the complete list if that is
-// due. The caller holds a.mu.
+// saveChanges appends changes to the journal. It writes the complete list instead if the
+// journal is full or not open, or appending fails. The caller holds a.mu.
 func (a *Agent) saveChanges(entries []journalEntry) error {
 	if !a.journal.isFull() {
 		err := a.journal.append(entries)
@@ -111,14 +112,15 @@
 	if err != nil {
 		return err
 	}
-	a.journal.close() // it goes on from the list that is replaced now
+	a.journal.close() // its entries change the list file that is replaced now
 	if err := writeFile(filepath.Join(a.options.Folder, listName), text); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
 	return a.journal.reset(crc32.Checksum(text, castagnoli), int64(len(text)))
 }
 
-// writeFile replaces a file. A crash at any moment leaves the old one or the new one.
+// writeFile replaces a file. After a crash at any point the file has either the old
+// contents or the new ones.
 func writeFile(path string, text []byte) error {
 	f, err := os.OpenFile(path+newListSuffix, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -137,7 +139,7 @@
 	return syncDir(filepath.Dir(path))
 }
 
-// syncDir makes a rename or a new file in a folder durable.
+// syncDir syncs a folder, which makes renamed and new files in it durable.
 func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
--- a/internal/registry/agent/spool.go
+++ b/internal/registry/agent/spool.go
@@ -20,20 +20,20 @@
 const (
 	spoolName         = "notices"
 	maxSpoolBytes     = 16 << 20
-	spoolBatchNotices = 256 // notices of one request to the group
+	spoolBatchNotices = 256 // most notices in one request to the group
 )
 
-// ErrSpoolFull means that the group has not accepted notices for so long that no more
-// can be spooled.
+// ErrSpoolFull means that the spool has no space for more notices, since the group hasn't
+// accepted those that it has.
 var ErrSpoolFull = errors.New("full")
 
-// spool keeps notices on disk, one JSON object a line, until the group has accepted
-// them. The file is truncated once all are: notices may be repeated, so one that was
-// sent need not be cut off by itself. It is safe for concurrent use.
+// spool keeps notices in a file, one JSON object per line, until the group has accepted
+// them. The file is truncated only once the group has accepted all of them: notices may be
+// sent twice, so single ones needn't be removed from it. It is safe for concurrent use.
 type spool struct {
 	log  *slog.Logger
 	path string
-	wake chan struct{} // has an element once notices were added
+	wake chan struct{} // has an element if notices were added since the sender last looked
 
 	mu      sync.Mutex
 	file    *os.File
@@ -41,8 +41,8 @@
 	pending []discovery.Notice
 }
 
-// openSpool opens the file and reads the notices that it has. A torn last line is
-// ignored: its notices were never answered.
+// openSpool opens the file and reads its notices. It ignores a torn last line, whose
+// notices were never answered with 204.
 func openSpool(path string, log *slog.Logger) (*spool, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -94,8 +94,7 @@
 	return len(s.pending)
 }
 
-// add saves notices. Unless it returns an error, they outlast the process and a loss
-// of power.
+// add saves notices. If it returns no error, they survive a crash and a loss of power.
 func (s *spool) add(notices []discovery.Notice) error {
 	text, err := encodeNotices(notices)
 	if err != nil {
@@ -118,7 +117,8 @@
 	return nil
 }
 
-// sendPending sends the notices to the group, until ctx is done.
+// sendPending sends the notices to the group until ctx is done. It drops those that the
+// group rejects.
 func (s *spool) sendPending(ctx context.Context, group *client.Client) {
 	for {
 		batch := s.nextBatch()
@@ -137,7 +137,7 @@
 		if ctx.Err() != nil && err != nil {
 			return
 		}
-		if err != nil { // the group can't read them: sending them again changes nothing
+		if err != nil { // the group can't decode them, and wouldn't if they were sent again
 			s.log.Error("notices rejected by group", "count", len(batch), "err", err)
 		}
 		s.drop(len(batch))
@@ -150,7 +150,7 @@
 	return s.pending[:min(len(s.pending), spoolBatchNotices)]
 }
 
-// drop drops the first n notices, and truncates the file if they were the last.
+// drop removes the first n pending notices, and truncates the file if none is left.
 func (s *spool) drop(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +166,7 @@
 	s.size = 0
 }
 
-// encodeNotices returns notices as JSON objects, one a line.
+// encodeNotices encodes notices as JSON objects, one per line.
 func encodeNotices(notices []discovery.Notice) ([]byte, error) {
 	var text bytes.Buffer
 	encoder := json.NewEncoder(&text)
--- a/internal/registry/agent/updates.go
+++ b/internal/registry/agent/updates.go
@@ -11,11 +11,12 @@
 
 const (
 	// maxHistory is how many changes the relay's watch may lag behind and still be sent
-	// changes: more than a zone of the largest fleet has members.
+	// the missing changes instead of the complete list. It is more than the number of
+	// members in a zone of the largest fleet.
 	maxHistory = 8192
 
-	// maxBatchChanges is how many members may change in updates that are saved with one
-	// sync.
+	// maxBatchChanges is the number of changed members from which no further update is
+	// added to a batch that is saved with one sync.
 	maxBatchChanges = 1024
 )
 
@@ -26,8 +27,8 @@
 	a.lastContact = time.Now()
 }
 
-// runUpdates saves and serves the group's updates, until the agent is closed. Those
-// that come while the disk is busy are saved together.
+// runUpdates saves and serves the group's updates until the agent is closed. Updates that
+// arrive during a save are saved together by the next one.
 func (a *Agent) runUpdates() {
 	var updates []client.Update
 	for {
@@ -43,9 +44,9 @@
 	}
 }
 
-// applyBatch applies the first updates, as many as go together, and returns their
-// number. They are saved before watchers are sent them; if that fails they are served
-// all the same.
+// applyBatch applies the first updates, up to maxBatchChanges changes, and returns how many
+// it applied. It saves them before watchers are sent them. If saving fails, they are served
+// nevertheless.
 func (a *Agent) applyBatch(updates []client.Update) (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,8 +65,8 @@
 	return n
 }
 
-// newEntry makes an update the agent's next revision, if it changes any member. The
-// caller holds a.mu.
+// newEntry returns an update as a journal entry. The entry has the agent's next revision if
+// it changes any member, and the current one otherwise. The caller holds a.mu.
 func (a *Agent) newEntry(update *client.Update) journalEntry {
 	entry := journalEntry{
 		At:       client.Position{Epoch: update.Epoch, Revision: update.Revision},
@@ -79,9 +80,9 @@
 	return entry
 }
 
-// notifyWatchers adds changes to the history and wakes watchers. The first list since
-// the start wakes them even if it changes nothing: they wait for any list. The caller
-// holds a.mu.
+// notifyWatchers adds changes to the history and wakes watchers. The first update since the
+// start wakes them even if it changes no member, since requests may wait for the first
+// list. The caller holds a.mu.
 func (a *Agent) notifyWatchers(entries []journalEntry) {
 	hasChanges := false
 	for _, e := range entries {
@@ -101,9 +102,9 @@
 	a.changed = make(chan struct{})
 }
 
-// hasList reports whether the agent has any list, and returns a channel that is closed
-// at the next change. Before its first list the agent answers nothing, like discovery
-// that is down.
+// hasList reports whether the agent has ever had a list, and returns a channel that is
+// closed at the next change. Before its first list the agent sends no response, so that
+// the relay treats it as discovery that is down.
 func (a *Agent) hasList() (bool, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -116,9 +117,9 @@
 	return a.list.complete()
 }
 
-// changesSince returns the changes after one of the agent's revisions, or the complete
-// list where the history doesn't reach back to it, and a channel that is closed at the
-// next change.
+// changesSince returns the changes after one of the agent's revisions, or the complete list
+// if the history doesn't reach back to that revision. It also returns a channel that is
+// closed at the next change.
 func (a *Agent) changesSince(revision int64) ([]discovery.List, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -138,13 +139,13 @@
 	return changes, a.changed
 }
 
-// savedList is the agent's list. Its JSON form is stored and kept from earlier
+// savedList is the agent's list. It is stored as JSON, whose keys are kept from earlier
 // versions.
 type savedList struct {
 	At       client.Position             `json:"at"`       // position in the group's changes
-	Revision int64                       `json:"revision"` // the agent's own, which only grows
-	Members  map[string]discovery.Member `json:"members"`  // by id
-	Saved    time.Time                   `json:"saved"`
+	Revision int64                       `json:"revision"` // the agent's own revision, which never decreases
+	Members  map[string]discovery.Member `json:"members"`  // keyed by member id
+	Saved    time.Time                   `json:"saved"`    // when the list was written, or its last change was applied
 }
 
 // apply applies one change.
@@ -159,8 +160,8 @@
 	}
 }
 
-// diff returns the members that an update changes. A complete list becomes the changes
-// that it makes, so that watches go on with changes.
+// diff returns the members that an update changes. A complete list is compared with this
+// one and turned into changes, so that open watches aren't sent the complete list.
 func (l *savedList) diff(update *client.Update) []discovery.Member {
 	if !update.Complete {
 		return update.Members
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -1,9 +1,9 @@
-// Package client is the client of a group of the list service.
+// Package client sends requests to a group of the list service, and follows its list.
 //
-// A write is sent again under one request id until it is answered, so that the group
-// applies it once. Whoever follows the list sees each change once and in order, and
-// never an older revision of an epoch. Saving the list over a restart is left to the
-// caller.
+// A write is sent again under the same request id until it is answered, so that the group
+// applies it once. A follower of the list is given each change once and in order, and
+// never an older revision of the same epoch. Saving the list over a restart is left to
+// the caller.
 package client
 
 import (
@@ -22,34 +22,35 @@
 	connectTimeout   = time.Second
 	responseTimeout  = 4 * time.Second
 	idleConnsPerNode = 2
-	bufferBytes      = 2 << 10 // of a connection: a fleet's clients keep many open
+	bufferBytes      = 2 << 10 // read and write buffer of a connection; small, since a fleet's clients keep many connections open
 
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 5 * time.Second
 
-	// backoffPerClient spreads the retries of a fleet that comes back at one moment.
+	// backoffPerClient times the number of clients is added to the limit of a backoff. It
+	// spreads out the retries of a fleet whose clients all reconnect at once.
 	backoffPerClient = 5 * time.Millisecond
 )
 
-// ErrNoNodes means that New was given no node.
+// ErrNoNodes means that New was called without a node.
 var ErrNoNodes = errors.New("registry: no node is named")
 
-// Client is a client of one group. New makes it; whoever called New calls Close. It is
+// Client is a client of one group. New creates it, and the caller of New closes it. It is
 // safe for concurrent use.
 type Client struct {
 	nodes       []string
 	fleet       int
 	log         *slog.Logger
-	httpClient  *http.Client // for requests
-	watchClient *http.Client // for watches: without a timeout of the whole response
+	httpClient  *http.Client // for requests other than watches
+	watchClient *http.Client // for watches; has no timeout for the whole response
 
 	mu      sync.Mutex
-	current int // index of the node that is asked next
+	current int // index of the node that the next request is sent to
 	rand    func() float64
 }
 
-// New returns a client for the nodes at host:port addresses. fleet is the number of
-// clients that the group has: the backoff grows with it.
+// New returns a client of the nodes at some host:port addresses. fleet is the number of
+// clients of the group; the backoff grows with it.
 func New(nodes []string, fleet int, log *slog.Logger) (*Client, error) {
 	if len(nodes) == 0 {
 		return nil, ErrNoNodes
@@ -73,7 +74,7 @@
 		log:         log,
 		httpClient:  &http.Client{Transport: transport, Timeout: responseTimeout},
 		watchClient: &http.Client{Transport: transport},
-		current:     rand.IntN(len(nodes)), // spreads the fleet over the nodes
+		current:     rand.IntN(len(nodes)), // random, so that the clients of a fleet spread over the nodes
 		rand:        rand.Float64,
 	}, nil
 }
@@ -81,14 +82,15 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// node returns the node to ask next.
+// node returns the address of the node to send the next request to.
 func (c *Client) node() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes[c.current]
 }
 
-// rotate turns from a node that failed to the next one, unless another call has.
+// rotate switches from a node that failed to the next one, unless another call has
+// switched already.
 func (c *Client) rotate(failed string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,9 +99,10 @@
 	}
 }
 
-// backoff waits before the n-th retry in a row, or until ctx is done. The wait is
-// random, up to a limit that doubles with each retry and has the time that a fleet of
-// this size needs to come back one by one added.
+// backoff waits before the n-th consecutive retry, or until ctx is done. The wait is random
+// up to a limit, which doubles with each retry from minBackoff to maxBackoff. To the limit
+// backoffPerClient is added for each client of the fleet, and the sum is at most twice
+// maxBackoff. Half of minBackoff is added to the wait.
 func (c *Client) backoff(ctx context.Context, n int) error {
 	c.mu.Lock()
 	draw := c.rand()
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -18,7 +18,9 @@
 	"plovershore/internal/registry"
 )
 
-// TestPositionNeverGoesBack draws updates from nodes that are ahead and behind.
+// TestPositionNeverGoesBack draws updates of two epochs with newer and older revisions. It
+// checks that Advance accepts no older revision of the same epoch, no change twice, and no
+// change of another epoch.
 func TestPositionNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Position{}
@@ -30,11 +32,11 @@
 			case !ok:
 				continue
 			case next.Epoch == p.Epoch && next.Revision < p.Revision:
-				t.Fatalf("back from %v to %v", p, next)
+				t.Fatalf("the position went back from %v to %v", p, next)
 			case next.Epoch != p.Epoch && !n.Complete:
-				t.Fatalf("a change of another epoch was taken")
+				t.Fatalf("a change of another epoch was accepted")
 			case next.Epoch == p.Epoch && !n.Complete && next.Revision == p.Revision:
-				t.Fatalf("a change twice")
+				t.Fatalf("a change was accepted twice")
 			}
 			p = next
 		}
@@ -42,7 +44,8 @@
 }
 
 // TestAllAttemptsShareOneRequestID checks that a write that fails at one node is sent to
-// another under the same id, and that a response below 500 is final.
+// another under the same request id, that a response below 500 is final, and that Do ends
+// with its context.
 func TestAllAttemptsShareOneRequestID(t *testing.T) {
 	var mu sync.Mutex
 	ids := map[string]int{}
@@ -66,20 +69,21 @@
 	_, err = c.Do(t.Context(), http.MethodPost, "/x", map[string]int{}, nil)
 	var refused *RejectedError
 	if !errors.As(err, &refused) || refused.Status != 409 || refused.Changed != 7 {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want the rejection with status 409 and revision 7", err)
 	}
 	if len(ids) != 1 {
-		t.Errorf("%v", ids)
+		t.Errorf("attempts by request id: %v, want one id", ids)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	gone, _ := New([]string{node(503)}, 1, slog.New(slog.DiscardHandler))
 	if _, err := gone.Do(ctx, http.MethodGet, "/x", nil, nil); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want that of the context", err)
 	}
 }
 
-// TestContextDoneBeforeEachNodeWasTried checks that the error wraps that of the context.
+// TestContextDoneBeforeEachNodeWasTried checks that the error of Do wraps that of its
+// context, also if the context is done before each node was tried once.
 func TestContextDoneBeforeEachNodeWasTried(t *testing.T) {
 	c, err := New([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -88,12 +92,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := c.Do(ctx, http.MethodGet, "/x", nil, nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want that of the context", err)
 	}
 }
 
-// TestStaleNodeIsLeft checks that the older list of a node that is behind is rejected, and
-// that the watch goes on at another node.
+// TestStaleNodeIsLeft checks that Follow rejects the list of a node if it is older than the
+// position, and opens a watch at another node.
 func TestStaleNodeIsLeft(t *testing.T) {
 	node := func(revision int64) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -110,12 +114,12 @@
 	defer cancel()
 	c.Follow(ctx, Position{"e", 7}, func(n Update) {
 		if n.Revision != 9 {
-			t.Errorf("took revision %d", n.Revision)
+			t.Errorf("accepted revision %d, want 9", n.Revision)
 		}
 		cancel()
 	}, func(bool) {})
 	if ctx.Err() != context.Canceled {
-		t.Error("never heard of the newer list")
+		t.Error("Follow didn't receive the list of the node that is ahead within 30 s")
 	}
 }
 
@@ -128,7 +132,7 @@
 		}
 		for i := range n.Members {
 			if m := &n.Members[i]; m.Validate() != nil || m.Phase != discovery.Removed && m.HostPort == "" {
-				t.Fatalf("%+v", m)
+				t.Fatalf("accepted an invalid member: %+v", m)
 			}
 		}
 	})
--- a/internal/registry/client/follow.go
+++ b/internal/registry/client/follow.go
@@ -17,34 +17,37 @@
 )
 
 const (
-	// watchSilenceTimeout ends a watch that sent nothing: nodes send a line every 2 s.
+	// watchSilenceTimeout is how long a watch may be without a line before it is ended.
+	// Nodes send a line at least every 2 s.
 	watchSilenceTimeout = 5 * time.Second
 
 	minLineBytes = 1 << 10
 	maxLineBytes = 16 << 20
 )
 
-// Errors that end a watch; Follow goes on at another node.
+// Errors that end a watch. Follow then opens one at another node.
 var (
-	errStaleNode   = errors.New("the node is behind")
-	errWatchSilent = errors.New("the watch is silent")
+	errStaleNode   = errors.New("the node's list is older than the one received before")
+	errWatchSilent = errors.New("the watch sent no line within the timeout")
 )
 
-// Position is a position in the list's changes. The zero value is before the first one.
+// Position is a position in the list's changes. The zero value is before the first change
+// of any epoch.
 type Position struct {
 	Epoch    string `json:"epoch"`
 	Revision int64  `json:"revision"`
 }
 
-// Update is a change of the list, or the complete list.
+// Update is a change of the list or a complete list, as one line of a watch has it.
 type Update struct {
 	discovery.List
 	Epoch string `json:"epoch"`
 }
 
-// Advance reports whether an update goes on from a position, and the position after
-// it. An update that is older than the position in its epoch doesn't: it comes from a
-// node that is behind. In another epoch only a complete list does.
+// Advance returns the position after an update, and whether the update may follow on this
+// position. In the same epoch, a change has to be newer than the position and a complete
+// list at least as new; an older one comes from a node that is behind. From another epoch
+// only a complete list may follow.
 func (p Position) Advance(u *Update) (next Position, ok bool) {
 	next = Position{u.Epoch, u.Revision}
 	switch {
@@ -57,9 +60,9 @@
 	}
 }
 
-// Follow calls onUpdate with all updates after a position, until ctx is done, and
-// returns ctx's error. It calls onWatch when a watch is open and when it has ended.
-// The watch waits for both to return.
+// Follow calls onUpdate with each update after a position until ctx is done, and returns
+// ctx's error. It calls onWatch(true) when a watch is open and onWatch(false) after each
+// attempt to watch has ended. No further line is read until these calls return.
 func (c *Client) Follow(ctx context.Context, from Position, onUpdate func(Update), onWatch func(open bool)) error {
 	for n := 0; ctx.Err() == nil; n++ {
 		node, before := c.node(), from
@@ -80,8 +83,8 @@
 	return ctx.Err()
 }
 
-// watch runs one watch, and moves the position on with each update. It always returns
-// an error.
+// watch runs one watch, and advances position with each update. It always returns the
+// error that ended the watch, which is io.EOF if the node closed it.
 func (c *Client) watch(ctx context.Context, node string, position *Position, onUpdate func(Update), onOpen func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -125,7 +128,7 @@
 func (c *Client) openWatch(ctx context.Context, node string, position Position) (io.ReadCloser, error) {
 	query := url.Values{"watch": {"1"}}
 	if position.Epoch == "" {
-		query.Set("from", "-1") // the complete list, whatever the group's revision
+		query.Set("from", "-1") // a revision before any other, so that the complete list is sent
 	} else {
 		query.Set("from", strconv.FormatInt(position.Revision, 10))
 		query.Set("epoch", position.Epoch)
--- a/internal/registry/client/request.go
+++ b/internal/registry/client/request.go
@@ -12,25 +12,28 @@
 	"plovershore/internal/registry"
 )
 
-// RejectedError is a response that sending the request again would not change.
+// RejectedError is a response with a status from 300 to 499. The request isn't sent again,
+// since the response would be the same.
 type RejectedError struct {
 	Status  int    // the HTTP status code
-	Text    string // for people
+	Text    string // status and the group's error text, for operators
 	Changed int64  // 409: the revision of the member's last change
 }
 
 // Error implements error.
 func (r *RejectedError) Error() string { return r.Text }
 
-// Do sends a request until it is answered or ctx is done. All attempts carry one
-// request id, so that the group applies a write once. body is sent as JSON, or as it
-// is if it is a []byte; nil for none. out takes the response's JSON, or its text if it
-// is a *[]byte; it may be nil. An answer other than 2xx is a *RejectedError.
+// Do sends a request to one node after another until it is answered or ctx is done. All
+// attempts have the same request id, so that the group applies a write once. body is
+// encoded as JSON; a []byte is sent unchanged, and nil stands for no body. The response's
+// JSON is decoded into out. If out is a *[]byte, it is set to the text of the response; if
+// it is nil, the body is ignored. A response with a status from 300 to 499 is returned as a
+// *RejectedError; after one of 500 or above the request is sent again.
 func (c *Client) Do(ctx context.Context, method, path string, body, out any) (http.Header, error) {
 	return c.DoWith(ctx, method, path, nil, body, out)
 }
 
-// DoWith is Do with headers of the request, such as a role's fence.
+// DoWith is Do with further headers of the request, such as registry.FenceHeader.
 func (c *Client) DoWith(ctx context.Context, method, path string, header http.Header, body, out any) (http.Header, error) {
 	text, err := encodeBody(body)
 	if err != nil {
@@ -49,7 +52,7 @@
 			lastErr = err
 		}
 		c.rotate(node)
-		if n < len(c.nodes) && ctx.Err() == nil { // each node once, without a wait
+		if n < len(c.nodes) && ctx.Err() == nil { // try each node once before the first backoff
 			continue
 		}
 		if ctxErr := c.backoff(ctx, max(0, n-len(c.nodes))); ctxErr != nil {
@@ -69,7 +72,7 @@
 	}
 }
 
-// request is what all attempts of one call have in common.
+// request is the part of a call that is the same in all of its attempts.
 type request struct {
 	method, path string
 	id           string
@@ -77,7 +80,8 @@
 	body         []byte
 }
 
-// attempt sends a request to one node.
+// attempt sends a request to one node. An error other than a *RejectedError means that the
+// request may be sent again.
 func (c *Client) attempt(ctx context.Context, node string, r *request, out any) (http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+node+r.path, bytes.NewReader(r.body))
 	if err != nil {
--- a/internal/registry/command/command.go
+++ b/internal/registry/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of the registry program: a node of the list
-// service, or the agent beside a relay.
+// Package command is the command line of the registry program, which runs a node of the
+// list service or the agent on a relay's machine.
 package command
 
 import (
@@ -11,8 +11,7 @@
 	"plovershore/internal/cli"
 )
 
-// Registry runs the program with its arguments until ctx is done, and returns its exit
-// code.
+// Registry runs the program with args until ctx is done, and returns its exit code.
 func Registry(ctx context.Context, args []string, getenv func(string) string, out, errOut io.Writer) int {
 	const short = "The list of endpoints of a fleet: a node of its group, or the agent on a relay's machine"
 	root := &cobra.Command{
--- a/internal/registry/command/serve.go
+++ b/internal/registry/command/serve.go
@@ -19,7 +19,7 @@
 // ExitCode implements cli.ExitCoder.
 func (corruptStoreError) ExitCode() int { return cli.ExitCorrupt }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that was wrapped.
 func (e corruptStoreError) Unwrap() error { return e.error }
 
 func serveCommand(getenv func(string) string) *cobra.Command {
--- a/internal/registry/command/serve_test.go
+++ b/internal/registry/command/serve_test.go
@@ -9,13 +9,13 @@
 	"plovershore/internal/loopback"
 )
 
-// TestDeprecatedVariableWarnsOnce: a node runs by a variable's earlier name, and its
-// log names the present one, once.
+// TestDeprecatedVariableWarnsOnce checks that a node reads a variable under its deprecated
+// name, and warns once for each such variable and names its replacement.
 func TestDeprecatedVariableWarnsOnce(t *testing.T) {
 	env := map[string]string{"TROUTREGISTRY_ID": "r7", "TROUTREGISTRY_DATA": "ignored", "REGISTRY_DATA": t.TempDir(),
 		"REGISTRY_LISTEN": loopback.Free(), "REGISTRY_RAFT": loopback.Free()}
 	ctx, cancel := context.WithCancel(t.Context())
-	cancel() // it ends once it has started
+	cancel() // the node is stopped as soon as it has started
 	var out, log bytes.Buffer
 	if code := Registry(ctx, []string{"serve"}, func(name string) string { return env[name] }, &out, &log); code != 0 {
 		t.Fatalf("exit code %d: %s", code, log.String())
@@ -25,10 +25,10 @@
 		`level=WARN msg="environment variable deprecated" node=r7 variable=TROUTREGISTRY_DATA replacement=REGISTRY_DATA ignored=true`,
 	} {
 		if strings.Count(log.String(), want) != 1 {
-			t.Errorf("not once: %s\n%s", want, log.String())
+			t.Errorf("the log doesn't have exactly one line with %s:\n%s", want, log.String())
 		}
 	}
 	if n := strings.Count(log.String(), "deprecated"); n != 2 {
-		t.Errorf("%d warnings: %s", n, log.String())
+		t.Errorf("%d warnings about deprecated variables, want 2: %s", n, log.String())
 	}
 }
--- a/internal/registry/lagging_test.go
+++ b/internal/registry/lagging_test.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// writer sends one write after the other without a pause, until end is called.
+// writer sends one write after the other without a pause, until stopAndCount is called.
 type writer struct {
 	group   *group
 	stop    chan struct{}
@@ -45,7 +45,7 @@
 	}
 }
 
-// end stops the writer, and returns how many writes were answered.
+// stopAndCount stops the writer, and returns how many writes were answered.
 func (w *writer) end(t *testing.T) int {
 	t.Helper()
 	close(w.stop)
--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -1,5 +1,5 @@
-// Package registrytest runs list services for the tests of what uses them: one node, or
-// a group whose nodes can be stopped and started again. All end with the test.
+// Package registrytest runs a list service in the process of a test: one node, or a group
+// whose nodes can be stopped and started again. All nodes are closed when the test ends.
 package registrytest
 
 import (
@@ -27,8 +27,8 @@
 // Quiet returns a logger that discards everything.
 func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// WaitFor waits until a condition holds. It fails the test if that takes longer than
-// 30 s.
+// WaitFor waits until a condition holds. It fails the test with a message that names what
+// if that takes longer than 30 s.
 func WaitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(waitInterval) {
@@ -36,10 +36,10 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after 30 s waiting for: %s", what)
 }
 
-// Group is a list service of some nodes in the test's process. It is not safe for
+// Group is a list service whose nodes run in the test's process. It is not safe for
 // concurrent use.
 type Group struct {
 	// Addrs are the host:port addresses of the nodes' APIs.
@@ -47,11 +47,11 @@
 
 	t       testing.TB
 	configs []*registry.Config
-	nodes   []*registry.Node // nil for stopped
+	nodes   []*registry.Node // nil for a stopped node
 }
 
-// Start runs a group of size nodes until the test ends. tune, which may be nil, may
-// change each node's configuration before.
+// Start runs a group of size nodes until the test ends. Before a node is started, tune may
+// change its configuration; tune may be nil.
 func Start(t testing.TB, size int, tune func(*registry.Config)) *Group {
 	t.Helper()
 	g := &Group{t: t, nodes: make([]*registry.Node, size)}
@@ -80,7 +80,7 @@
 	return g
 }
 
-// Start starts node i over its data folder.
+// Start starts node i with its data folder.
 func (g *Group) Start(i int) {
 	g.t.Helper()
 	n, err := registry.Start(g.configs[i], Quiet())
@@ -90,7 +90,7 @@
 	g.nodes[i] = n
 }
 
-// Stop stops node i, if it runs. Its data folder stays.
+// Stop stops node i if it is running. Its data folder is kept.
 func (g *Group) Stop(i int) {
 	if g.nodes[i] != nil {
 		g.nodes[i].Close()
@@ -104,7 +104,7 @@
 	return Client(g.t, g.Addrs...)
 }
 
-// Client returns a client of the nodes at some addresses. It is closed with the test.
+// Client returns a client of the nodes at some addresses. It is closed when the test ends.
 func Client(t testing.TB, addrs ...string) *client.Client {
 	t.Helper()
 	c, err := client.New(addrs, 1, Quiet())
