--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -49,15 +49,15 @@
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 
-	mu          sync.Mutex
-	list        savedList
-	journal     journal          // changes since the complete list was last written
-	saveErr     error            // error of the last save; nil if it succeeded
-	announced   bool             // watchers have been woken once since the start
-	history     []discovery.List // the latest changes, oldest first
-	changed     chan struct{}    // closed at the list's next change
-	following   bool             // a watch on the group is open
-	lastContact time.Time        // when the group last sent an update, or a watch last opened or ended
+	mu               sync.Mutex
+	list             savedList
+	journal          journal          // changes since the complete list was last written
+	saveErr          error            // error of the last save; nil if it succeeded
+	watchersNotified bool             // watchers have been woken once since the start
+	history          []discovery.List // the latest changes, oldest first
+	changed          chan struct{}    // closed at the list's next change
+	following        bool             // a watch on the group is open
+	lastContact      time.Time        // when the group last sent an update, or a watch last opened or ended
 }
 
 // Start loads the list and the notices from the folder, and serves them.
--- a/internal/registry/agent/updates.go
+++ b/internal/registry/agent/updates.go
@@ -91,10 +91,10 @@
 			hasChanges = true
 		}
 	}
-	if !hasChanges && a.announced {
+	if !hasChanges && a.watchersNotified {
 		return
 	}
-	a.announced = true
+	a.watchersNotified = true
 	if len(a.history) > maxHistory {
 		a.history = slices.Clone(a.history[len(a.history)-maxHistory:])
 	}
--- a/internal/registry/api_members.go
+++ b/internal/registry/api_members.go
@@ -26,26 +26,26 @@
 }
 
 // member validates the registration and returns it as a Member. Errors name the JSON key.
-func (x *Registration) member() (Member, error) {
-	size := x.Size
+func (r *Registration) member() (Member, error) {
+	size := r.Size
 	if size == 0 {
 		size = 1
 	}
-	m := discovery.Member{ID: x.ID, HostPort: x.Address, Locality: x.Zone, Flavor: x.Flavor, Cell: x.Cell, Phase: discovery.Up, Size: size}
-	ttl := time.Duration(x.TTLMS) * time.Millisecond
-	if x.ID == "" || len(x.ID) > maxIDBytes {
+	m := discovery.Member{ID: r.ID, HostPort: r.Address, Locality: r.Zone, Flavor: r.Flavor, Cell: r.Cell, Phase: discovery.Up, Size: size}
+	ttl := time.Duration(r.TTLMS) * time.Millisecond
+	if r.ID == "" || len(r.ID) > maxIDBytes {
 		return Member{}, fmt.Errorf("id: 1 to %d bytes are wanted", maxIDBytes)
 	}
 	if err := m.Validate(); err != nil {
 		return Member{}, fmt.Errorf("address: %w", err)
 	}
-	if x.Cell < 0 || x.Cell > math.MaxUint16 {
-		return Member{}, fmt.Errorf("cell: %d; from 0 to %d", x.Cell, math.MaxUint16)
+	if r.Cell < 0 || r.Cell > math.MaxUint16 {
+		return Member{}, fmt.Errorf("cell: %d; from 0 to %d", r.Cell, math.MaxUint16)
 	}
-	if x.TTLMS < 0 || x.TTLMS > 0 && x.TTLMS < minMemberTTL.Milliseconds() {
-		return Member{}, fmt.Errorf("ttl_ms: %d; 0, or %d at least", x.TTLMS, minMemberTTL.Milliseconds())
+	if r.TTLMS < 0 || r.TTLMS > 0 && r.TTLMS < minMemberTTL.Milliseconds() {
+		return Member{}, fmt.Errorf("ttl_ms: %d; 0, or %d at least", r.TTLMS, minMemberTTL.Milliseconds())
 	}
-	return Member{Member: m, TTL: ttl, Holder: x.Holder}, nil
+	return Member{Member: m, TTL: ttl, Holder: r.Holder}, nil
 }
 
 func (n *Node) postMember(w http.ResponseWriter, r *http.Request) {
@@ -126,7 +126,7 @@
 	if !decodeBody(w, r, &heartbeats) {
 		return
 	}
-	known, unknown := n.store.sortHeartbeats(heartbeats)
+	known, unknown := n.store.partitionHeartbeats(heartbeats)
 	for _, id := range known {
 		n.heartbeats.recordMember(id)
 	}
--- a/internal/registry/api_snapshot.go
+++ b/internal/registry/api_snapshot.go
@@ -19,13 +19,13 @@
 		writeError(w, http.StatusServiceUnavailable, "%v", err)
 		return
 	}
-	s, err := n.store.Snapshot()
+	encoded, err := n.store.Snapshot()
 	if err != nil {
 		writeError(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(s.(snapshot)) // fails only if the client is gone; it sends the request again
+	_, _ = w.Write(encoded.(snapshot)) // fails only if the client is gone; it sends the request again
 }
 
 // putSnapshot restores the whole group from a backup, in a new epoch.
--- a/internal/registry/config_validate.go
+++ b/internal/registry/config_validate.go
@@ -37,7 +37,7 @@
 }
 
 func (c *Config) validateAddresses() error {
-	for _, x := range []struct {
+	for _, setting := range []struct {
 		key, addr string
 		optional  bool
 	}{
@@ -45,11 +45,11 @@
 		{key: "raft", addr: c.Raft},
 		{key: "operator", addr: c.Operator, optional: true},
 	} {
-		if x.optional && x.addr == "" {
+		if setting.optional && setting.addr == "" {
 			continue
 		}
-		if _, _, err := net.SplitHostPort(x.addr); err != nil {
-			return fmt.Errorf("%s: %w", x.key, err)
+		if _, _, err := net.SplitHostPort(setting.addr); err != nil {
+			return fmt.Errorf("%s: %w", setting.key, err)
 		}
 	}
 	return nil
@@ -74,11 +74,11 @@
 	}
 	seen := map[string]bool{}
 	for i, p := range c.Peers {
-		for _, x := range []string{"id " + p.ID, "raft " + p.Raft, "http " + p.HTTP} {
-			if seen[x] || strings.HasSuffix(x, " ") {
-				return fmt.Errorf("peers[%d]: %s: missing, or a duplicate", i, x)
+		for _, value := range []string{"id " + p.ID, "raft " + p.Raft, "http " + p.HTTP} {
+			if seen[value] || strings.HasSuffix(value, " ") {
+				return fmt.Errorf("peers[%d]: %s: missing, or a duplicate", i, value)
 			}
-			seen[x] = true
+			seen[value] = true
 		}
 	}
 	if !slices.ContainsFunc(c.Peers, func(p Peer) bool { return p.ID == c.ID }) {
--- a/internal/registry/expiry_guard.go
+++ b/internal/registry/expiry_guard.go
@@ -12,7 +12,7 @@
 	cfg *ExpiryGuard
 	log *slog.Logger
 
-	recent         []time.Time // times of the expirations that are not older than the longest time to live
+	recentExpiries []time.Time // times of the expirations that are not older than the longest time to live
 	suspendedSince time.Time   // zero while expirations aren't suspended
 	suspended      int         // number of expirations that are suspended
 	confirmed      bool        // an operator has allowed the suspended expirations
@@ -27,7 +27,7 @@
 }
 
 func (g *massExpiryGuard) reset() {
-	g.recent = nil
+	g.recentExpiries = nil
 	g.clearSuspension()
 }
 
@@ -35,15 +35,17 @@
 	g.suspendedSince, g.suspended, g.confirmed = time.Time{}, 0, false
 }
 
-func (g *massExpiryGuard) recordExpiry(now time.Time) { g.recent = append(g.recent, now) }
+func (g *massExpiryGuard) recordExpiry(now time.Time) {
+	g.recentExpiries = append(g.recentExpiries, now)
+}
 
 // admits reports whether the due registrations may expire now.
-func (g *massExpiryGuard) admits(count silenceCount, now time.Time) bool {
-	for len(g.recent) > 0 && now.Sub(g.recent[0]) > count.longestTTL {
-		g.recent = g.recent[1:]
+func (g *massExpiryGuard) allowsExpiry(count silenceCount, now time.Time) bool {
+	for len(g.recentExpiries) > 0 && now.Sub(g.recentExpiries[0]) > count.longestTTL {
+		g.recentExpiries = g.recentExpiries[1:]
 	}
-	lost, all := count.silent+len(g.recent), count.expiring+len(g.recent)
-	if lost <= max(g.cfg.Minimum, int(g.cfg.Fraction*float64(all))) {
+	silentOrExpired, total := count.silent+len(g.recentExpiries), count.expiring+len(g.recentExpiries)
+	if silentOrExpired <= max(g.cfg.Minimum, int(g.cfg.Fraction*float64(total))) {
 		if g.suspended > 0 {
 			g.log.Info("expirations resumed")
 		}
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -144,16 +144,16 @@
 			h.lastHeartbeat[m.ID] = now // its time to live begins when this leader first checks it
 			continue
 		}
-		switch quiet := now.Sub(last); {
-		case quiet > m.TTL:
+		switch silentFor := now.Sub(last); {
+		case silentFor > m.TTL:
 			due[m.ID] = m.Since
 			silence.silent++
-		case quiet > time.Duration(float64(m.TTL)*silentFraction):
+		case silentFor > time.Duration(float64(m.TTL)*silentFraction):
 			silence.silent++
 		}
 	}
 	silence.due = len(due)
-	if !h.guard.admits(silence, now) {
+	if !h.guard.allowsExpiry(silence, now) {
 		return nil
 	}
 	return due
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -135,13 +135,13 @@
 // addressIndex returns the member ids keyed by address. With this index the cost of a
 // registration doesn't depend on the length of the list.
 func (s *State) addressIndex() map[string]string {
-	if s.memberAt == nil {
-		s.memberAt = make(map[string]string, len(s.Members))
+	if s.memberIDByAddress == nil {
+		s.memberIDByAddress = make(map[string]string, len(s.Members))
 		for id, m := range s.Members {
-			s.memberAt[m.HostPort] = id
+			s.memberIDByAddress[m.HostPort] = id
 		}
 	}
-	return s.memberAt
+	return s.memberIDByAddress
 }
 
 // putMember stores a member and appends the change to the history.
@@ -167,6 +167,6 @@
 func (s *State) deleteMember(m Member) {
 	delete(s.Members, m.ID)
 	if s.addressIndex()[m.HostPort] == m.ID {
-		delete(s.memberAt, m.HostPort)
+		delete(s.memberIDByAddress, m.HostPort)
 	}
 }
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -37,7 +37,7 @@
 	RoleRevision int64                `json:"duty_rev,omitempty"` // revision of Sessions and Roles; never decreases
 	Operations   map[string]Operation `json:"orders,omitempty"`   // keyed by KIND/NAME
 
-	memberAt map[string]string // member ids keyed by address; nil until addressIndex builds it
+	memberIDByAddress map[string]string // member ids keyed by address; nil until addressIndex builds it
 }
 
 // NewState returns the state of a group that has applied no command.
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -140,10 +140,10 @@
 	}
 }
 
-// sortHeartbeats splits the member ids of heartbeats by whether the sender holds the
+// partitionHeartbeats splits the member ids of heartbeats by whether the sender holds the
 // registration: known if it does, unknown if it doesn't or there is none.
 // Its cost doesn't depend on the length of the list.
-func (s *store) sortHeartbeats(heartbeats []Heartbeat) (known, unknown []string) {
+func (s *store) partitionHeartbeats(heartbeats []Heartbeat) (known, unknown []string) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, h := range heartbeats {
@@ -161,20 +161,20 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	byName := map[string]*ZoneStatus{}
-	zone := func(name string) *ZoneStatus {
+	statusOf := func(name string) *ZoneStatus {
 		if byName[name] == nil {
 			byName[name] = &ZoneStatus{Zone: Zone{Name: name, Region: s.state.Zones[name]}}
 		}
 		return byName[name]
 	}
 	for name := range s.state.Zones {
-		zone(name)
+		statusOf(name)
 	}
 	for _, m := range s.state.Members {
-		z := zone(m.Locality)
-		z.Members++
+		status := statusOf(m.Locality)
+		status.Members++
 		if m.Phase == discovery.Draining {
-			z.Draining++
+			status.Draining++
 		}
 	}
 	all := make([]ZoneStatus, 0, len(byName))
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -39,8 +39,8 @@
 		return
 	}
 	epoch, _, _ := n.store.position()
-	if e := r.URL.Query().Get("epoch"); e != "" {
-		epoch = e
+	if requestedEpoch := r.URL.Query().Get("epoch"); requestedEpoch != "" {
+		epoch = requestedEpoch
 	}
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
