--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -24,10 +24,10 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func waitFor(t *testing.T, what string, cond func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
@@ -73,31 +73,31 @@
 	}
 }
 
-func member(i int) registry.Registration {
+func testRegistration(i int) registry.Registration {
 	return registry.Registration{ID: fmt.Sprint("s-", i), Address: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "a", Flavor: "agent", Cell: i}
 }
 
 // relayWatch is a relay's copy of the list, which its watch of an agent keeps up to date.
 type relayWatch struct {
-	mu    sync.Mutex
-	rev   int64
-	phase map[string]string
+	mu       sync.Mutex
+	revision int64
+	phases   map[string]string
 }
 
 func watchAsRelay(t *testing.T, addr string) *relayWatch {
-	r := &relayWatch{phase: map[string]string{}}
+	r := &relayWatch{phases: map[string]string{}}
 	w := discovery.NewWatch(addr, 1, discardLog(), func(l *discovery.List) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if l.Revision < r.rev {
-			t.Errorf("the relay was sent revision %d after %d", l.Revision, r.rev)
+		if l.Revision < r.revision {
+			t.Errorf("the relay was sent revision %d after %d", l.Revision, r.revision)
 		}
-		r.rev = l.Revision
+		r.revision = l.Revision
 		if l.Complete {
-			clear(r.phase)
+			clear(r.phases)
 		}
 		for _, m := range l.Members {
-			r.phase[m.ID] = m.Phase
+			r.phases[m.ID] = m.Phase
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -110,17 +110,17 @@
 func (r *relayWatch) phaseOf(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.phase[id]
+	return r.phases[id]
 }
 
-// TestGroupUnreachable checks an agent whose group is stopped: the agent keeps its list,
-// serves it to relays after a restart, says how old it is, and serves the changes that it
-// missed once the group is started again.
-func TestGroupUnreachable(t *testing.T) {
+// TestListSurvivesGroupOutageAndAgentRestart checks an agent whose group is stopped: the
+// agent keeps its list, serves it to relays after a restart, says how old it is, and
+// serves the changes that it missed once the group is started again.
+func TestListSurvivesGroupOutageAndAgentRestart(t *testing.T) {
 	cfg, folder := nodeConfig(t), t.TempDir()
 	node := startNode(t, cfg)
 	for i := range 3 {
-		sendChange(t, cfg.Listen, http.MethodPost, registry.MembersPath, member(i))
+		sendChange(t, cfg.Listen, http.MethodPost, registry.MembersPath, testRegistration(i))
 	}
 	a := startAgent(t, folder, cfg.Listen)
 	r := watchAsRelay(t, a.Addr())
@@ -160,43 +160,43 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	if got := post(a, "{\"message\":\"a\",\"outcome\":\"given_up\"}\n{\"message\":\"b\",\"outcome\":\"handed_back\",\"retry_in_ms\":5}\n"); got != 204 {
-		t.Fatal(got)
+	if status := post(a, "{\"message\":\"a\",\"outcome\":\"given_up\"}\n{\"message\":\"b\",\"outcome\":\"handed_back\",\"retry_in_ms\":5}\n"); status != 204 {
+		t.Fatal(status)
 	}
-	if got := post(a, "{\"message\":\"c\",\"outcome\":\"lost\"}\n"); got != 400 {
-		t.Fatal(got)
+	if status := post(a, "{\"message\":\"c\",\"outcome\":\"lost\"}\n"); status != 400 {
+		t.Fatal(status)
 	}
 	a.Close()
-	f, _ := os.OpenFile(filepath.Join(folder, "notices"), os.O_APPEND|os.O_WRONLY, 0)
-	f.WriteString("{\"message\":\"torn")
-	f.Close()
+	file, _ := os.OpenFile(filepath.Join(folder, "notices"), os.O_APPEND|os.O_WRONLY, 0)
+	file.WriteString("{\"message\":\"torn")
+	file.Close()
 	var mu sync.Mutex
-	var got []string
-	ln, err := net.Listen("tcp", node)
+	var received []string
+	listener, err := net.Listen("tcp", node)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		all, err := discovery.ReadNotices(r.Body)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		notices, err := discovery.ReadNotices(r.Body)
 		if r.Method != http.MethodPost || err != nil {
 			w.WriteHeader(503)
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		for _, n := range all {
-			got = append(got, n.Message)
+		for _, n := range notices {
+			received = append(received, n.Message)
 		}
 		w.WriteHeader(204)
 	})}
-	go s.Serve(ln)
-	defer s.Close()
+	go server.Serve(listener)
+	defer server.Close()
 	a = startAgent(t, folder, node)
 	defer a.Close()
 	waitFor(t, "the group to receive both notices, and the spool to be empty", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return slices.Contains(got, "a") && slices.Contains(got, "b") && a.spool.count() == 0
+		return slices.Contains(received, "a") && slices.Contains(received, "b") && a.spool.count() == 0
 	})
 }
 
@@ -204,26 +204,26 @@
 // that no flipped bit changes the decoded list, and that an agent with a corrupt list file
 // renames it and starts with an empty list.
 func TestCorruptListIsRejected(t *testing.T) {
-	k := &savedList{At: client.Position{Epoch: "e", Revision: 7}, Revision: 3, Members: map[string]discovery.Member{
+	list := &savedList{At: client.Position{Epoch: "e", Revision: 7}, Revision: 3, Members: map[string]discovery.Member{
 		"s-1": {ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
-	text, err := encodeList(k)
+	text, err := encodeList(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back, err := decodeList(text); err != nil || back.Revision != 3 || back.Members["s-1"].HostPort != "127.0.0.1:1" {
-		t.Fatalf("decoded list %+v, error %v", back, err)
+	if decoded, err := decodeList(text); err != nil || decoded.Revision != 3 || decoded.Members["s-1"].HostPort != "127.0.0.1:1" {
+		t.Fatalf("decoded list %+v, error %v", decoded, err)
 	}
-	for at := range text {
-		if _, err := decodeList(text[:at]); err == nil {
-			t.Fatalf("a list file cut at byte %d was accepted", at)
+	for offset := range text {
+		if _, err := decodeList(text[:offset]); err == nil {
+			t.Fatalf("a list file cut at byte %d was accepted", offset)
 		}
 		for bit := range 8 {
-			bad := bytes.Clone(text)
-			bad[at] ^= 1 << bit
-			if back, err := decodeList(bad); err == nil {
-				same, _ := json.Marshal(back)
-				if want, _ := json.Marshal(k); !bytes.Equal(same, want) {
-					t.Fatalf("a list file with bit %[2]d of byte %[1]d flipped was decoded as another list", at, bit)
+			corrupted := bytes.Clone(text)
+			corrupted[offset] ^= 1 << bit
+			if decoded, err := decodeList(corrupted); err == nil {
+				encoded, _ := json.Marshal(decoded)
+				if want, _ := json.Marshal(list); !bytes.Equal(encoded, want) {
+					t.Fatalf("a list file with bit %[2]d of byte %[1]d flipped was decoded as another list", offset, bit)
 				}
 			}
 		}
@@ -242,7 +242,7 @@
 	text, _ := encodeList(&savedList{Members: map[string]discovery.Member{}})
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if k, err := decodeList(text); err == nil && k.Members == nil {
+		if list, err := decodeList(text); err == nil && list.Members == nil {
 			t.Fatal("a list was decoded whose map of members is nil")
 		}
 	})
@@ -301,13 +301,13 @@
 	return highest, hasLeader
 }
 
-// TestReturningFleetCausesNoElection checks that all 300 agents of a fleet reconnect to a
+// TestReconnectingFleetCausesNoElection checks that all 300 agents of a fleet reconnect to a
 // group that was stopped and started again, and that the load of it causes no election
 // after the first one.
-func TestReturningFleetCausesNoElection(t *testing.T) {
+func TestReconnectingFleetCausesNoElection(t *testing.T) {
 	group := newTestGroup(t, 3)
 	group.start()
-	sendChange(t, group.addrs[0], http.MethodPost, registry.MembersPath, member(0))
+	sendChange(t, group.addrs[0], http.MethodPost, registry.MembersPath, testRegistration(0))
 	agents := make([]*Agent, 300)
 	for i := range agents {
 		a, err := Start(Options{Listen: "127.0.0.1:0", Folder: t.TempDir(), Nodes: group.addrs, Fleet: len(agents), Log: discardLog()})
@@ -317,21 +317,21 @@
 		defer a.Close()
 		agents[i] = a
 	}
-	all := func(condition func(Status) bool) func() bool {
+	allAgents := func(condition func(Status) bool) func() bool {
 		return func() bool {
 			return !slices.ContainsFunc(agents, func(a *Agent) bool { return !condition(a.State()) })
 		}
 	}
-	waitFor(t, "all agents to watch the group", all(func(s Status) bool { return s.Up }))
+	waitFor(t, "all agents to watch the group", allAgents(func(s Status) bool { return s.Up }))
 	group.stop()
-	waitFor(t, "all agents to notice that the group is stopped", all(func(s Status) bool { return !s.Up }))
+	waitFor(t, "all agents to notice that the group is stopped", allAgents(func(s Status) bool { return !s.Up }))
 	group.start()
-	var first uint64
-	waitFor(t, "a leader to be elected", func() (hasLeader bool) { first, hasLeader = group.term(); return hasLeader })
-	waitFor(t, "all agents to watch the group again", all(func(s Status) bool { return s.Up }))
-	sendChange(t, group.addrs[0], http.MethodPost, registry.MembersPath, member(1))
-	waitFor(t, "all agents to have the member added afterwards", all(func(s Status) bool { return s.Members == 2 }))
-	if last, _ := group.term(); last != first {
-		t.Errorf("%d more elections while the agents reconnected, want none", last-first)
+	var firstTerm uint64
+	waitFor(t, "a leader to be elected", func() (hasLeader bool) { firstTerm, hasLeader = group.term(); return hasLeader })
+	waitFor(t, "all agents to watch the group again", allAgents(func(s Status) bool { return s.Up }))
+	sendChange(t, group.addrs[0], http.MethodPost, registry.MembersPath, testRegistration(1))
+	waitFor(t, "all agents to have the member added afterwards", allAgents(func(s Status) bool { return s.Members == 2 }))
+	if lastTerm, _ := group.term(); lastTerm != firstTerm {
+		t.Errorf("%d more elections while the agents reconnected, want none", lastTerm-firstTerm)
 	}
 }
--- a/internal/registry/agent/compat_test.go
+++ b/internal/registry/agent/compat_test.go
@@ -21,13 +21,14 @@
 // pending. encodings.json has one value of each type that is sent or stored, with
 // every field set. After an upgrade an agent is started with such a folder, so
 // none of these texts may change.
-const beforeFolder = "testdata/before"
+const earlierFolder = "testdata/before"
 
-// copyBefore copies the earlier program's folder to a temporary one, and returns its path.
-func copyBefore(t *testing.T) string {
+// copyEarlierFolder copies the earlier program's folder to a temporary one, and returns
+// its path.
+func copyEarlierFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
-	if err := os.CopyFS(folder, os.DirFS(filepath.Join(beforeFolder, "folder"))); err != nil {
+	if err := os.CopyFS(folder, os.DirFS(filepath.Join(earlierFolder, "folder"))); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{listName, journalName, "notices"} { // they may be read-only in the checkout
@@ -38,11 +39,11 @@
 	return folder
 }
 
-// TestFolderOfTheEarlierProgram checks that an agent that is started with the earlier
-// program's folder serves the list with all changes of the journal, and sends the spooled
-// notice to the group.
-func TestFolderOfTheEarlierProgram(t *testing.T) {
-	folder := copyBefore(t)
+// TestFolderOfEarlierProgramIsServedAndItsNoticeSent checks that an agent that is started
+// with the earlier program's folder serves the list with all changes of the journal, and
+// sends the spooled notice to the group.
+func TestFolderOfEarlierProgramIsServedAndItsNoticeSent(t *testing.T) {
+	folder := copyEarlierFolder(t)
 	group := loopback.Free()
 	a := startAgent(t, folder, group)
 	s := a.State()
@@ -71,7 +72,7 @@
 	a.Close()
 
 	notices := make(chan string, 10)
-	ln, err := net.Listen("tcp", group)
+	listener, err := net.Listen("tcp", group)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +87,7 @@
 		w.WriteHeader(http.StatusNoContent)
 	})}
 	served := make(chan struct{})
-	go func() { defer close(served); server.Serve(ln) }()
+	go func() { defer close(served); server.Serve(listener) }()
 	defer func() { server.Close(); <-served }()
 	a = startAgent(t, folder, group)
 	defer a.Close()
@@ -101,57 +102,58 @@
 	waitFor(t, "the spool to be empty", func() bool { return a.State().Spooled == 0 })
 }
 
-// TestEncodingsOfTheEarlierProgram checks that every JSON key of every type that is sent
+// TestEncodingsOfEarlierProgramAreKept checks that every JSON key of every type that is sent
 // or stored is the earlier program's.
-func TestEncodingsOfTheEarlierProgram(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join(beforeFolder, "encodings.json"))
+func TestEncodingsOfEarlierProgramAreKept(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(earlierFolder, "encodings.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var before map[string]json.RawMessage
-	if err := json.Unmarshal(text, &before); err != nil {
+	var earlier map[string]json.RawMessage
+	if err := json.Unmarshal(text, &earlier); err != nil {
 		t.Fatal(err)
 	}
 	values := map[string]any{"list": &savedList{}, "journalEntry": &journalEntry{}, "Status": &Status{}}
-	if len(values) != len(before) {
-		t.Errorf("%d types are compared, but the earlier program wrote %d", len(values), len(before))
+	if len(values) != len(earlier) {
+		t.Errorf("%d types are compared, but the earlier program wrote %d", len(values), len(earlier))
 	}
-	for name, v := range values {
-		in := json.NewDecoder(bytes.NewReader(before[name]))
-		in.DisallowUnknownFields()
-		if err := in.Decode(v); err != nil {
+	for name, value := range values {
+		decoder := json.NewDecoder(bytes.NewReader(earlier[name]))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(value); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if again, err := json.Marshal(v); err != nil || !bytes.Equal(again, before[name]) {
-			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, again, before[name])
+		if encoded, err := json.Marshal(value); err != nil || !bytes.Equal(encoded, earlier[name]) {
+			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, encoded, earlier[name])
 		}
 	}
 }
 
-// TestStoredFormOfTheEarlierProgram checks that the earlier program's list file and each
-// line of its journal are the same after decoding and encoding.
-func TestStoredFormOfTheEarlierProgram(t *testing.T) {
-	folder := filepath.Join(beforeFolder, "folder")
+// TestListAndJournalOfEarlierProgramAreReencodedUnchanged checks that the earlier
+// program's list file and each line of its journal are the same after decoding and
+// encoding.
+func TestListAndJournalOfEarlierProgramAreReencodedUnchanged(t *testing.T) {
+	folder := filepath.Join(earlierFolder, "folder")
 	list, err := os.ReadFile(filepath.Join(folder, listName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := decodeList(list)
+	decoded, err := decodeList(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := encodeList(k); err != nil || !bytes.Equal(again, list) {
-		t.Errorf("%v\n%s\nwant\n%s", err, again, list)
+	if encoded, err := encodeList(decoded); err != nil || !bytes.Equal(encoded, list) {
+		t.Errorf("%v\n%s\nwant\n%s", err, encoded, list)
 	}
 	journal, err := os.ReadFile(filepath.Join(folder, journalName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	head, lines, _ := bytes.Cut(journal, []byte{'\n'})
-	if !bytes.HasPrefix(head, []byte("troutchanges 1 ")) || !bytes.HasPrefix(list, []byte("troutlist 1 ")) {
-		t.Errorf("header of the journal %q, of the list %.20q", head, list)
+	header, lines, _ := bytes.Cut(journal, []byte{'\n'})
+	if !bytes.HasPrefix(header, []byte("troutchanges 1 ")) || !bytes.HasPrefix(list, []byte("troutlist 1 ")) {
+		t.Errorf("header of the journal %q, of the list %.20q", header, list)
 	}
-	var again []byte
+	var encoded []byte
 	for _, line := range bytes.Split(bytes.TrimSuffix(lines, []byte{'\n'}), []byte{'\n'}) {
 		entry, err := decodeEntry(line)
 		if err != nil {
@@ -161,9 +163,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again = append(again, text...)
+		encoded = append(encoded, text...)
 	}
-	if !bytes.Equal(again, lines) {
-		t.Errorf("%s\nwant\n%s", again, lines)
+	if !bytes.Equal(encoded, lines) {
+		t.Errorf("%s\nwant\n%s", encoded, lines)
 	}
 }
--- a/internal/registry/agent/journal_test.go
+++ b/internal/registry/agent/journal_test.go
@@ -22,25 +22,25 @@
 const (
 	targetMembers     = 31000
 	targetZoneMembers = 3875
-	targetInForce     = 16 * time.Second
+	targetDelay       = 16 * time.Second
 )
 
-func listMember(i int) discovery.Member {
+func testMember(i int) discovery.Member {
 	return discovery.Member{ID: fmt.Sprint("s-", i), HostPort: fmt.Sprintf("127.0.0.1:%d", i+1), Locality: "a", Flavor: "agent",
 		Cell: i, Phase: discovery.Up, Size: 1}
 }
 
 func completeUpdate(members int) client.Update {
-	n := client.Update{List: discovery.List{Revision: int64(members), Complete: true}, Epoch: "e"}
+	update := client.Update{List: discovery.List{Revision: int64(members), Complete: true}, Epoch: "e"}
 	for i := range members {
-		n.Members = append(n.Members, listMember(i))
+		update.Members = append(update.Members, testMember(i))
 	}
-	return n
+	return update
 }
 
 // removalUpdate returns the update of a revision that removes member i.
 func removalUpdate(i, revision int) client.Update {
-	m := listMember(i)
+	m := testMember(i)
 	m.Phase = discovery.Removed
 	return client.Update{List: discovery.List{Revision: int64(revision), Members: []discovery.Member{m}}, Epoch: "e"}
 }
@@ -50,21 +50,21 @@
 func startStubGroup(t *testing.T, first client.Update, more <-chan struct{}, rest []client.Update) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		out, flush := json.NewEncoder(w), http.NewResponseController(w)
-		out.Encode(first)
-		flush.Flush()
-		for quiet := time.NewTicker(time.Second); ; {
+		encoder, response := json.NewEncoder(w), http.NewResponseController(w)
+		encoder.Encode(first)
+		response.Flush()
+		for keepAlive := time.NewTicker(time.Second); ; {
 			select {
-			case <-quiet.C:
+			case <-keepAlive.C:
 				fmt.Fprintln(w)
-				flush.Flush()
+				response.Flush()
 			case <-r.Context().Done():
 				return
 			case <-more:
-				for _, n := range rest {
-					out.Encode(n)
+				for _, update := range rest {
+					encoder.Encode(update)
 				}
-				flush.Flush()
+				response.Flush()
 				more = nil
 			}
 		}
@@ -73,35 +73,35 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// TestZoneExpiryIsServedInTime checks that the relay is sent all changes in time when all
-// members of a zone of the largest planned fleet expire at once, each in a change of its
-// own. If the agent wrote the complete list for each change, the last one would reach the
-// relay minutes later.
-func TestZoneExpiryIsServedInTime(t *testing.T) {
-	var lapse []client.Update
+// TestExpiryOfZoneReachesRelayInTime checks that the relay is sent all changes in time
+// when all members of a zone of the largest planned fleet expire at once, each in a
+// change of its own. If the agent wrote the complete list for each change, the last one
+// would reach the relay minutes later.
+func TestExpiryOfZoneReachesRelayInTime(t *testing.T) {
+	var removals []client.Update
 	for i := range targetZoneMembers {
-		lapse = append(lapse, removalUpdate(i, targetMembers+i+1))
+		removals = append(removals, removalUpdate(i, targetMembers+i+1))
 	}
 	more := make(chan struct{})
-	a := startAgent(t, t.TempDir(), startStubGroup(t, completeUpdate(targetMembers), more, lapse))
+	a := startAgent(t, t.TempDir(), startStubGroup(t, completeUpdate(targetMembers), more, removals))
 	defer a.Close()
 	r := watchAsRelay(t, a.Addr())
 	waitFor(t, "the relay to have the list", func() bool { return r.phaseOf("s-0") == discovery.Up })
-	began := time.Now()
+	start := time.Now()
 	close(more)
-	last := fmt.Sprint("s-", targetZoneMembers-1)
-	for r.phaseOf(last) != discovery.Removed {
-		if time.Since(began) > targetInForce {
-			t.Fatalf("the relay lacks the last change: the agent has %d of %d changes after %v", targetMembers-a.State().Members, targetZoneMembers, targetInForce)
+	lastID := fmt.Sprint("s-", targetZoneMembers-1)
+	for r.phaseOf(lastID) != discovery.Removed {
+		if time.Since(start) > targetDelay {
+			t.Fatalf("the relay lacks the last change: the agent has %d of %d changes after %v", targetMembers-a.State().Members, targetZoneMembers, targetDelay)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Logf("%d members removed from a list of %d: at the relay after %v", targetZoneMembers, targetMembers, time.Since(began))
+	t.Logf("%d members removed from a list of %d: at the relay after %v", targetZoneMembers, targetMembers, time.Since(start))
 }
 
-// savedAgent has an agent without a group save a complete list and some removals, and
-// returns the agent's folder.
-func savedAgent(t *testing.T, members, removed int) string {
+// saveListAndRemovals has an agent without a group save a complete list and some
+// removals, and returns the agent's folder.
+func saveListAndRemovals(t *testing.T, members, removed int) string {
 	t.Helper()
 	folder := t.TempDir()
 	a := startAgent(t, folder, loopback.Free())
@@ -116,10 +116,10 @@
 	return folder
 }
 
-// TestJournalCutAtEveryByte checks that all complete entries are loaded of a journal that
-// is cut at any byte.
-func TestJournalCutAtEveryByte(t *testing.T) {
-	folder := savedAgent(t, 5, 3)
+// TestJournalCutAtAnyByteKeepsCompleteEntries checks that all complete entries are loaded
+// of a journal that is cut at any byte.
+func TestJournalCutAtAnyByteKeepsCompleteEntries(t *testing.T) {
+	folder := saveListAndRemovals(t, 5, 3)
 	path := filepath.Join(folder, journalName)
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -129,19 +129,19 @@
 		if err := os.WriteFile(path, text[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		whole := max(bytes.Count(text[:cut], []byte{'\n'})-1, 0)
+		completeEntries := max(bytes.Count(text[:cut], []byte{'\n'})-1, 0)
 		a := startAgent(t, folder, loopback.Free())
-		if s := a.State(); s.Members != 5-whole || s.Revision != int64(1+whole) || s.At.Revision != int64(5+whole) {
-			t.Fatalf("journal cut at byte %d: state %+v, want %d changes loaded", cut, s, whole)
+		if s := a.State(); s.Members != 5-completeEntries || s.Revision != int64(1+completeEntries) || s.At.Revision != int64(5+completeEntries) {
+			t.Fatalf("journal cut at byte %d: state %+v, want %d changes loaded", cut, s, completeEntries)
 		}
 		a.Close()
 	}
 }
 
-// TestJournalAppendsAfterTornEnd checks that entries are loaded that were appended to a
-// journal whose last entry was torn.
-func TestJournalAppendsAfterTornEnd(t *testing.T) {
-	folder := savedAgent(t, 5, 2)
+// TestEntriesAppendedAfterTornEndAreLoaded checks that entries are loaded that were
+// appended to a journal whose last entry was torn.
+func TestEntriesAppendedAfterTornEndAreLoaded(t *testing.T) {
+	folder := saveListAndRemovals(t, 5, 2)
 	path := filepath.Join(folder, journalName)
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -160,9 +160,10 @@
 	}
 }
 
-// TestCorruptJournalIsRejected checks that only entries before a flipped bit are decoded.
-func TestCorruptJournalIsRejected(t *testing.T) {
-	folder := savedAgent(t, 5, 3)
+// TestJournalEntriesAfterFlippedBitAreRejected checks that only entries before a flipped
+// bit are decoded.
+func TestJournalEntriesAfterFlippedBitAreRejected(t *testing.T) {
+	folder := saveListAndRemovals(t, 5, 3)
 	list, err := os.ReadFile(filepath.Join(folder, listName))
 	if err != nil {
 		t.Fatal(err)
@@ -171,21 +172,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var base uint32
-	if _, err := fmt.Sscanf(string(text), journalHeader, &base); err != nil || len(list) == 0 {
+	var listChecksum uint32
+	if _, err := fmt.Sscanf(string(text), journalHeader, &listChecksum); err != nil || len(list) == 0 {
 		t.Fatal(err)
 	}
-	whole, _ := decodeJournal(text, base)
-	for at := range text {
-		bad := bytes.Clone(text)
-		bad[at] ^= 1
-		entries, _ := decodeJournal(bad, base)
-		if len(entries) >= len(whole) {
-			t.Fatalf("a flipped bit in byte %d: %d entries were decoded, want fewer", at, len(entries))
+	allEntries, _ := decodeJournal(text, listChecksum)
+	for offset := range text {
+		corrupted := bytes.Clone(text)
+		corrupted[offset] ^= 1
+		entries, _ := decodeJournal(corrupted, listChecksum)
+		if len(entries) >= len(allEntries) {
+			t.Fatalf("a flipped bit in byte %d: %d entries were decoded, want fewer", offset, len(entries))
 		}
 		for i := range entries {
-			if entries[i].Revision != whole[i].Revision {
-				t.Fatalf("a flipped bit in byte %d changed entry %d", at, i)
+			if entries[i].Revision != allEntries[i].Revision {
+				t.Fatalf("a flipped bit in byte %d changed entry %d", offset, i)
 			}
 		}
 	}
@@ -194,9 +195,9 @@
 // TestJournalOfAnotherListIsIgnored checks that a journal isn't applied to a list file that
 // was written later by a version without a journal.
 func TestJournalOfAnotherListIsIgnored(t *testing.T) {
-	folder := savedAgent(t, 5, 3)
+	folder := saveListAndRemovals(t, 5, 3)
 	older, err := encodeList(&savedList{At: client.Position{Epoch: "e", Revision: 6}, Revision: 2,
-		Members: map[string]discovery.Member{"s-4": listMember(4)}})
+		Members: map[string]discovery.Member{"s-4": testMember(4)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,29 +214,29 @@
 	}
 }
 
-// TestJournalIsReset checks that the journal is at most one batch longer than the list file
-// or minJournalBytes, and that a restart after a reset loads the complete list.
-func TestJournalIsReset(t *testing.T) {
+// TestJournalSizeIsBounded checks that the journal is at most one batch longer than the
+// list file or minJournalBytes, and that a restart after a reset loads the complete list.
+func TestJournalSizeIsBounded(t *testing.T) {
 	folder := t.TempDir()
 	a := startAgent(t, folder, loopback.Free())
 	a.applyBatch([]client.Update{completeUpdate(3000)})
 	revision := 3000
 	for round := 0; round < 12; round++ {
-		var news []client.Update
+		var updates []client.Update
 		for i := range 1000 {
 			revision++
-			n := removalUpdate(i, revision)
+			update := removalUpdate(i, revision)
 			if round%2 == 1 {
-				n.Members[0].Phase = discovery.Up
+				update.Members[0].Phase = discovery.Up
 			}
-			news = append(news, n)
+			updates = append(updates, update)
 		}
-		for from := 0; from < len(news); {
-			from += a.applyBatch(news[from:])
+		for from := 0; from < len(updates); {
+			from += a.applyBatch(updates[from:])
 		}
 		size := a.journal.size
-		if most := max(minJournalBytes, a.journal.listBytes) + 300*maxBatchChanges; size > most {
-			t.Fatalf("the journal has %d bytes, want at most %d", size, most)
+		if maxSize := max(minJournalBytes, a.journal.listBytes) + 300*maxBatchChanges; size > maxSize {
+			t.Fatalf("the journal has %d bytes, want at most %d", size, maxSize)
 		}
 	}
 	want := a.State()
--- a/internal/registry/api_test.go
+++ b/internal/registry/api_test.go
@@ -7,28 +7,29 @@
 	"plovershore/internal/discovery"
 )
 
-// TestRestoreFromBackup checks that a restore begins a new epoch, that the revision
-// doesn't decrease, and that a watcher of the previous epoch is sent the complete list.
-func TestRestoreFromBackup(t *testing.T) {
+// TestRestoreBeginsEpochAndDoesNotDecreaseRevision checks that a restore begins a new
+// epoch, that the revision doesn't decrease, and that a watcher of the previous epoch is
+// sent the complete list.
+func TestRestoreBeginsEpochAndDoesNotDecreaseRevision(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
-	g.ask("POST", MembersPath, "q1", registrationJSON)
-	_, _, backup := g.ask("GET", SnapshotPath, "", "")
-	g.ask("POST", MembersPath, "q2", strings.NewReplacer("s-1", "s-2", ":99", ":98").Replace(registrationJSON))
-	_, epoch, revision := g.caughtUp().store.members()
-	if status, _, text := g.ask("PUT", SnapshotPath, "q3", backup); status != 200 {
+	g.sendToLeader("POST", MembersPath, "q1", registrationJSON)
+	_, _, backup := g.sendToLeader("GET", SnapshotPath, "", "")
+	g.sendToLeader("POST", MembersPath, "q2", strings.NewReplacer("s-1", "s-2", ":99", ":98").Replace(registrationJSON))
+	_, oldEpoch, oldRevision := g.caughtUpLeader().store.members()
+	if status, _, text := g.sendToLeader("PUT", SnapshotPath, "q3", backup); status != 200 {
 		t.Fatal(status, text)
 	}
-	n := g.caughtUp()
-	members, now, after := n.store.members()
-	if len(members) != 1 || now == epoch || after <= revision {
-		t.Errorf("%d members at revision %d of epoch %s, want 1 in a later revision than %d and another epoch than %s", len(members), after, now, revision, epoch)
+	n := g.caughtUpLeader()
+	members, newEpoch, newRevision := n.store.members()
+	if len(members) != 1 || newEpoch == oldEpoch || newRevision <= oldRevision {
+		t.Errorf("%d members at revision %d of epoch %s, want 1 in a later revision than %d and another epoch than %s", len(members), newRevision, newEpoch, oldRevision, oldEpoch)
 	}
-	lines, _, _, _ := n.store.changesSince(epoch, revision)
+	lines, _, _, _ := n.store.changesSince(oldEpoch, oldRevision)
 	if len(lines) != 1 || !strings.Contains(string(lines[0]), `"complete":true`) {
 		t.Errorf("a watcher of the previous epoch is sent %s, want the complete list", lines)
 	}
-	if status, _, text := g.ask("PUT", SnapshotPath, "q4", `{"revision":1,"members":{"x":{"id":"y"}}}`); status != 400 {
+	if status, _, text := g.sendToLeader("PUT", SnapshotPath, "q4", `{"revision":1,"members":{"x":{"id":"y"}}}`); status != 400 {
 		t.Errorf("response to an invalid backup: %d %s, want 400", status, text)
 	}
 }
@@ -41,10 +42,10 @@
 	n := g.nodes[0]
 	sendRequest(t, n, "POST", MembersPath, "q", registrationJSON)
 	_, _, before := n.store.members()
-	for _, x := range []struct {
+	for _, tt := range []struct {
 		method, path, body string
-		status             int
-		says               string
+		wantStatus         int
+		wantText           string
 	}{
 		{"POST", MembersPath, strings.Repeat("x", maxBodyBytes+1), 413, "bytes"},
 		{"POST", MembersPath, `{"id":`, 400, "body"},
@@ -61,9 +62,9 @@
 		{"POST", discovery.NoticePath, `{"message":"m","outcome":"lost"}`, 400, ""},
 		{"GET", discovery.ListPath + "?watch=1&from=x", ``, 400, "from"},
 	} {
-		status, _, text := sendRequest(t, n, x.method, x.path, NewID(), x.body)
-		if status != x.status || !strings.Contains(text, x.says) {
-			t.Errorf("%s %s %.40s: response %d %s", x.method, x.path, x.body, status, text)
+		status, _, text := sendRequest(t, n, tt.method, tt.path, NewID(), tt.body)
+		if status != tt.wantStatus || !strings.Contains(text, tt.wantText) {
+			t.Errorf("%s %s %.40s: response %d %s", tt.method, tt.path, tt.body, status, text)
 		}
 	}
 	if _, _, after := n.store.members(); after != before {
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -18,24 +18,24 @@
 	"plovershore/internal/registry"
 )
 
-// TestPositionNeverGoesBack draws updates of two epochs with newer and older revisions. It
-// checks that Advance accepts no older revision of the same epoch, no change twice, and no
-// change of another epoch.
-func TestPositionNeverGoesBack(t *testing.T) {
+// TestPositionNeverGoesBackOrRepeats draws updates of two epochs with newer and older
+// revisions. It checks that Advance accepts no older revision of the same epoch, no
+// change twice, and no change of another epoch.
+func TestPositionNeverGoesBackOrRepeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Position{}
 		for range rapid.IntRange(1, 50).Draw(t, "news") {
-			n := &Update{Epoch: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "epoch")}
-			n.Revision, n.Complete = int64(rapid.IntRange(0, 9).Draw(t, "revision")), rapid.Bool().Draw(t, "whole")
-			next, ok := p.Advance(n)
+			update := &Update{Epoch: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "epoch")}
+			update.Revision, update.Complete = int64(rapid.IntRange(0, 9).Draw(t, "revision")), rapid.Bool().Draw(t, "whole")
+			next, ok := p.Advance(update)
 			switch {
 			case !ok:
 				continue
 			case next.Epoch == p.Epoch && next.Revision < p.Revision:
 				t.Fatalf("the position went back from %v to %v", p, next)
-			case next.Epoch != p.Epoch && !n.Complete:
+			case next.Epoch != p.Epoch && !update.Complete:
 				t.Fatalf("a change of another epoch was accepted")
-			case next.Epoch == p.Epoch && !n.Complete && next.Revision == p.Revision:
+			case next.Epoch == p.Epoch && !update.Complete && next.Revision == p.Revision:
 				t.Fatalf("a change was accepted twice")
 			}
 			p = next
@@ -67,8 +67,8 @@
 	defer c.Close()
 	c.current = 0
 	_, err = c.Do(t.Context(), http.MethodPost, "/x", map[string]int{}, nil)
-	var refused *RejectedError
-	if !errors.As(err, &refused) || refused.Status != 409 || refused.Changed != 7 {
+	var rejected *RejectedError
+	if !errors.As(err, &rejected) || rejected.Status != 409 || rejected.Changed != 7 {
 		t.Errorf("error %v, want the rejection with status 409 and revision 7", err)
 	}
 	if len(ids) != 1 {
@@ -76,15 +76,15 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	gone, _ := New([]string{node(503)}, 1, slog.New(slog.DiscardHandler))
-	if _, err := gone.Do(ctx, http.MethodGet, "/x", nil, nil); !errors.Is(err, context.DeadlineExceeded) {
+	unavailable, _ := New([]string{node(503)}, 1, slog.New(slog.DiscardHandler))
+	if _, err := unavailable.Do(ctx, http.MethodGet, "/x", nil, nil); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("error %v, want that of the context", err)
 	}
 }
 
-// TestContextDoneBeforeEachNodeWasTried checks that the error of Do wraps that of its
-// context, also if the context is done before each node was tried once.
-func TestContextDoneBeforeEachNodeWasTried(t *testing.T) {
+// TestCancelledContextIsReturnedBeforeEachNodeWasTried checks that the error of Do wraps
+// that of its context, also if the context is done before each node was tried once.
+func TestCancelledContextIsReturnedBeforeEachNodeWasTried(t *testing.T) {
 	c, err := New([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestStaleNodeIsLeft checks that Follow rejects the list of a node if it is older than the
-// position, and opens a watch at another node.
-func TestStaleNodeIsLeft(t *testing.T) {
+// TestFollowSwitchesFromStaleNode checks that Follow rejects the list of a node if it is
+// older than the position, and opens a watch at another node.
+func TestFollowSwitchesFromStaleNode(t *testing.T) {
 	node := func(revision int64) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprintf(w, "{\"revision\":%d,\"complete\":true,\"members\":[],\"epoch\":\"e\"}\n", revision)
@@ -112,9 +112,9 @@
 	c.current = 0
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	c.Follow(ctx, Position{"e", 7}, func(n Update) {
-		if n.Revision != 9 {
-			t.Errorf("accepted revision %d, want 9", n.Revision)
+	c.Follow(ctx, Position{"e", 7}, func(update Update) {
+		if update.Revision != 9 {
+			t.Errorf("accepted revision %d, want 9", update.Revision)
 		}
 		cancel()
 	}, func(bool) {})
@@ -126,12 +126,12 @@
 func FuzzReadUpdate(f *testing.F) {
 	f.Add([]byte(`{"revision":1,"complete":true,"members":[],"epoch":"e"}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		n, err := ReadUpdate(text)
+		update, err := ReadUpdate(text)
 		if err != nil {
 			return
 		}
-		for i := range n.Members {
-			if m := &n.Members[i]; m.Validate() != nil || m.Phase != discovery.Removed && m.HostPort == "" {
+		for i := range update.Members {
+			if m := &update.Members[i]; m.Validate() != nil || m.Phase != discovery.Removed && m.HostPort == "" {
 				t.Fatalf("accepted an invalid member: %+v", m)
 			}
 		}
--- a/internal/registry/compat_test.go
+++ b/internal/registry/compat_test.go
@@ -36,22 +36,22 @@
 //
 // The two programs share a data folder, a Raft log and, during a rolling upgrade, a
 // group, so none of these texts may change.
-const beforeFolder = "testdata/before"
+const earlierFolder = "testdata/before"
 
-func readBefore(t *testing.T, name string) []byte {
+func readEarlierFile(t *testing.T, name string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(beforeFolder, name))
+	text, err := os.ReadFile(filepath.Join(earlierFolder, name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return text
 }
 
-// unpackNode unpacks the earlier program's data folder into a temporary folder.
-func unpackNode(t *testing.T) (folder string) {
+// unpackEarlierDataFolder unpacks the earlier program's data folder into a temporary folder.
+func unpackEarlierDataFolder(t *testing.T) (folder string) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "data")
-	archive, err := gzip.NewReader(bytes.NewReader(readBefore(t, "node.tar.gz")))
+	archive, err := gzip.NewReader(bytes.NewReader(readEarlierFile(t, "node.tar.gz")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,10 +80,10 @@
 	}
 }
 
-func startBefore(t *testing.T) *Node {
+func startNodeWithEarlierData(t *testing.T) *Node {
 	t.Helper()
 	c := DefaultConfig()
-	c.DataDir, c.Listen, c.Raft = unpackNode(t), loopback.Free(), loopback.Free()
+	c.DataDir, c.Listen, c.Raft = unpackEarlierDataFolder(t), loopback.Free(), loopback.Free()
 	if err := c.validate(); err != nil {
 		t.Fatal(err)
 	}
@@ -96,17 +96,17 @@
 	return n
 }
 
-// TestDataFolderOfTheEarlierProgram checks that a node that is started with the earlier
-// program's data folder answers each read with that program's text, and that retries,
-// fencing tokens and new writes work as they did there.
-func TestDataFolderOfTheEarlierProgram(t *testing.T) {
+// TestDataFolderOfEarlierProgramIsServedUnchanged checks that a node that is started with
+// the earlier program's data folder answers each read with that program's text, and that
+// retries, fencing tokens and new writes work as they did there.
+func TestDataFolderOfEarlierProgramIsServedUnchanged(t *testing.T) {
 	t.Parallel()
-	n := startBefore(t)
+	n := startNodeWithEarlierData(t)
 	waitFor(t, "the log to be applied", func() bool { _, revision, _ := n.store.position(); return revision == 12 })
 	for path, name := range map[string]string{SnapshotPath: "snapshot.json", MembersPath: "members.json", RolesPath: "duties.json",
 		OperationsPath: "orders.json", ZonesPath: "zones.json"} {
 		status, _, text := sendRequest(t, n, "GET", path, "", "")
-		if want := string(readBefore(t, name)); status != 200 || strings.TrimSpace(text) != strings.TrimSpace(want) {
+		if want := string(readEarlierFile(t, name)); status != 200 || strings.TrimSpace(text) != strings.TrimSpace(want) {
 			t.Errorf("%s: %d\n%s\nwant\n%s", path, status, text, want)
 		}
 	}
@@ -134,20 +134,20 @@
 	}
 }
 
-// TestStateOfTheEarlierProgram checks the decoded values, field by field, of the earlier
-// program's snapshot.
-func TestStateOfTheEarlierProgram(t *testing.T) {
+// TestSnapshotOfEarlierProgramIsDecoded checks the decoded values, field by field, of the
+// earlier program's snapshot.
+func TestSnapshotOfEarlierProgramIsDecoded(t *testing.T) {
 	t.Parallel()
-	s, err := ReadState(bytes.NewReader(readBefore(t, "snapshot.json")))
+	s, err := ReadState(bytes.NewReader(readEarlierFile(t, "snapshot.json")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Epoch != "be3a8c26da3160e4c0dbdee5" || s.Revision != 12 || s.LastToken != 1839327837184 || len(s.Members) != 5 {
 		t.Errorf("epoch %s, revision %d, last token %d, %d members", s.Epoch, s.Revision, s.LastToken, len(s.Members))
 	}
-	leased := Member{Member: discovery.Member{ID: "s-2", HostPort: "127.0.0.1:7002", Locality: "b", Flavor: "agent", Cell: 2,
+	withTTL := Member{Member: discovery.Member{ID: "s-2", HostPort: "127.0.0.1:7002", Locality: "b", Flavor: "agent", Cell: 2,
 		Phase: discovery.Up, Size: 1, UpSince: 1796218585841}, TTL: time.Hour, Holder: "h-2", Since: 4, Changed: 4}
-	if s.Members["s-2"] != leased {
+	if s.Members["s-2"] != withTTL {
 		t.Errorf("member with a time to live: %+v", s.Members["s-2"])
 	}
 	if m := s.Members["s-3"]; m.Phase != discovery.Draining || m.Changed != 6 {
@@ -163,8 +163,8 @@
 	if s.Roles["rollout"] != rollout {
 		t.Errorf("held role: %+v", s.Roles["rollout"])
 	}
-	if r := s.Roles["salvage"]; r.Holder != "" || r.Controller != "w-2" || r.Successor != "w-1" || r.Failures != 1 || r.Note != "at relay 4" || r.ReleasedAt == 0 {
-		t.Errorf("released role: %+v", r)
+	if released := s.Roles["salvage"]; released.Holder != "" || released.Controller != "w-2" || released.Successor != "w-1" || released.Failures != 1 || released.Note != "at relay 4" || released.ReleasedAt == 0 {
+		t.Errorf("released role: %+v", released)
 	}
 	if !s.Roles["list-keeper"].Disabled {
 		t.Errorf("disabled role: %+v", s.Roles["list-keeper"])
@@ -172,23 +172,23 @@
 	if s.Zones["a"] != "north" || s.Zones["b"] != "south" || len(s.Zones) != 2 {
 		t.Errorf("zones: %v", s.Zones)
 	}
-	o := s.Operations["rollout/spring"]
-	if string(o.Spec) != `{"pace":3}` || o.DesiredState != DesiredPause || string(o.Progress) != `{"wave":2}` || o.Message != "wave 2 of 3" || o.Done {
-		t.Errorf("operation: %+v", o)
+	operation := s.Operations["rollout/spring"]
+	if string(operation.Spec) != `{"pace":3}` || operation.DesiredState != DesiredPause || string(operation.Progress) != `{"wave":2}` || operation.Message != "wave 2 of 3" || operation.Done {
+		t.Errorf("operation: %+v", operation)
 	}
 }
 
-// TestCommandsOfTheEarlierProgram checks that each command of the earlier program's log is
-// decoded and encoded without loss, that applying all of them gives its snapshot byte for
-// byte, and that rejected commands have its results.
-func TestCommandsOfTheEarlierProgram(t *testing.T) {
+// TestCommandsOfEarlierProgramGiveSameStateAndResults checks that each command of the
+// earlier program's log is decoded and encoded without loss, that applying all of them
+// gives its snapshot byte for byte, and that rejected commands have its results.
+func TestCommandsOfEarlierProgramGiveSameStateAndResults(t *testing.T) {
 	s := NewState()
 	seen := map[Op]bool{}
-	for _, text := range bytes.Split(bytes.TrimSpace(readBefore(t, "commands.jsonl")), []byte{'\n'}) {
+	for _, text := range bytes.Split(bytes.TrimSpace(readEarlierFile(t, "commands.jsonl")), []byte{'\n'}) {
 		var c Command
 		decodeStrictly(t, text, &c)
-		if again, err := json.Marshal(c); err != nil || !bytes.Equal(again, text) {
-			t.Errorf("%v\n%s\nwant\n%s", err, again, text)
+		if encoded, err := json.Marshal(c); err != nil || !bytes.Equal(encoded, text) {
+			t.Errorf("%v\n%s\nwant\n%s", err, encoded, text)
 		}
 		seen[c.Op] = true
 		s.Apply(c)
@@ -199,13 +199,13 @@
 		}
 	}
 	text, err := json.Marshal(s)
-	if want := bytes.TrimSpace(readBefore(t, "replayed.json")); err != nil || !bytes.Equal(text, want) {
+	if want := bytes.TrimSpace(readEarlierFile(t, "replayed.json")); err != nil || !bytes.Equal(text, want) {
 		t.Errorf("%v\n%s\nwant\n%s", err, text, want)
 	}
 	// Results are part of the replicated state. So the result of a rejected command, with
 	// its text, has to be the same on each node of a group.
-	commands := bytes.Split(bytes.TrimSpace(readBefore(t, "rejected_commands.jsonl")), []byte{'\n'})
-	results := bytes.Split(bytes.TrimSpace(readBefore(t, "rejected_results.jsonl")), []byte{'\n'})
+	commands := bytes.Split(bytes.TrimSpace(readEarlierFile(t, "rejected_commands.jsonl")), []byte{'\n'})
+	results := bytes.Split(bytes.TrimSpace(readEarlierFile(t, "rejected_results.jsonl")), []byte{'\n'})
 	for i, text := range commands {
 		var c Command
 		decodeStrictly(t, text, &c)
@@ -215,36 +215,36 @@
 	}
 }
 
-// TestEncodingsOfTheEarlierProgram checks that every JSON key of every type that is sent
+// TestEncodingsOfEarlierProgramAreKept checks that every JSON key of every type that is sent
 // or stored is the earlier program's.
-func TestEncodingsOfTheEarlierProgram(t *testing.T) {
-	var before map[string]json.RawMessage
-	if err := json.Unmarshal(readBefore(t, "encodings.json"), &before); err != nil {
+func TestEncodingsOfEarlierProgramAreKept(t *testing.T) {
+	var earlier map[string]json.RawMessage
+	if err := json.Unmarshal(readEarlierFile(t, "encodings.json"), &earlier); err != nil {
 		t.Fatal(err)
 	}
 	values := map[string]any{"Command": &Command{}, "Result": &Result{}, "State": &State{}, "line": &watchLine{}, "Registration": &Registration{},
 		"ZoneStatus": &ZoneStatus{}, "Heartbeat": &Heartbeat{}, "Status": &Status{}, "problem": &errorResponse{},
 		"SessionRequest": &SessionRequest{}, "RoleRequest": &RoleRequest{}, "RoleList": &RoleList{}}
-	if len(values) != len(before) {
-		t.Errorf("%d types are compared, but the earlier program wrote %d", len(values), len(before))
+	if len(values) != len(earlier) {
+		t.Errorf("%d types are compared, but the earlier program wrote %d", len(values), len(earlier))
 	}
-	for name, v := range values {
-		decodeStrictly(t, before[name], v)
-		if field := emptyField(reflect.ValueOf(v).Elem(), name); field != "" {
+	for name, value := range values {
+		decodeStrictly(t, earlier[name], value)
+		if field := emptyField(reflect.ValueOf(value).Elem(), name); field != "" {
 			t.Errorf("%s: empty, since it is missing in the earlier program's text", field)
 		}
-		again, err := json.Marshal(v)
-		if err != nil || !bytes.Equal(again, before[name]) {
-			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, again, before[name])
+		encoded, err := json.Marshal(value)
+		if err != nil || !bytes.Equal(encoded, earlier[name]) {
+			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, encoded, earlier[name])
 		}
 	}
 }
 
 func decodeStrictly(t *testing.T, text []byte, v any) {
 	t.Helper()
-	in := json.NewDecoder(bytes.NewReader(text))
-	in.DisallowUnknownFields()
-	if err := in.Decode(v); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
 		t.Fatalf("%s: %v", text, err)
 	}
 }
--- a/internal/registry/config_test.go
+++ b/internal/registry/config_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-// TestEnvironmentNames checks that each variable is read under its current and its
-// deprecated name and overrides the file, that the current name takes precedence, and that
-// each use of a deprecated name is reported once.
-func TestEnvironmentNames(t *testing.T) {
+// TestEnvironmentOverridesFileUnderCurrentAndDeprecatedNames checks that each variable is
+// read under its current and its deprecated name and overrides the file, that the current
+// name takes precedence, and that each use of a deprecated name is reported once.
+func TestEnvironmentOverridesFileUnderCurrentAndDeprecatedNames(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.toml")
 	file := "id = \"file\"\ndata = \"file\"\nlisten = \"127.0.0.1:1\"\nraft = \"127.0.0.1:1\"\noperator = \"127.0.0.1:1\"\nlog = \"text\"\n"
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
-		name, now, before string
-		field             func(*Config) string
+	for _, variable := range []struct {
+		name, currentValue, deprecatedValue string
+		field                               func(*Config) string
 	}{
 		{"ID", "now", "before", func(c *Config) string { return c.ID }},
 		{"DATA", "now", "before", func(c *Config) string { return c.DataDir }},
@@ -28,22 +28,22 @@
 		{"OPERATOR", "127.0.0.1:2", "127.0.0.1:3", func(c *Config) string { return c.Operator }},
 		{"LOG", "json", "json", func(c *Config) string { return c.LogFormat }},
 	} {
-		now, before := "REGISTRY_"+x.name, "TROUTREGISTRY_"+x.name
-		for _, y := range []struct {
-			env  map[string]string
-			want string
-			used []DeprecatedVariable
+		current, deprecated := "REGISTRY_"+variable.name, "TROUTREGISTRY_"+variable.name
+		for _, tt := range []struct {
+			env            map[string]string
+			want           string
+			wantDeprecated []DeprecatedVariable
 		}{
-			{map[string]string{now: x.now}, x.now, nil},
-			{map[string]string{before: x.before}, x.before, []DeprecatedVariable{{Name: before, Replacement: now}}},
-			{map[string]string{now: x.now, before: x.before}, x.now, []DeprecatedVariable{{Name: before, Replacement: now, Ignored: true}}},
+			{map[string]string{current: variable.currentValue}, variable.currentValue, nil},
+			{map[string]string{deprecated: variable.deprecatedValue}, variable.deprecatedValue, []DeprecatedVariable{{Name: deprecated, Replacement: current}}},
+			{map[string]string{current: variable.currentValue, deprecated: variable.deprecatedValue}, variable.currentValue, []DeprecatedVariable{{Name: deprecated, Replacement: current, Ignored: true}}},
 		} {
-			c, err := LoadConfig(path, func(name string) string { return y.env[name] })
+			c, err := LoadConfig(path, func(name string) string { return tt.env[name] })
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := x.field(c); got != y.want || !slices.Equal(c.DeprecatedVariables, y.used) {
-				t.Errorf("environment %v: value %q, deprecated variables %+v", y.env, got, c.DeprecatedVariables)
+			if got := variable.field(c); got != tt.want || !slices.Equal(c.DeprecatedVariables, tt.wantDeprecated) {
+				t.Errorf("environment %v: value %q, deprecated variables %+v", tt.env, got, c.DeprecatedVariables)
 			}
 		}
 	}
@@ -52,12 +52,12 @@
 // TestConfigErrorsNameFileAndKey checks that errors name the file and the key, with the
 // line where the decoder knows it, and that the example file is valid without a change.
 func TestConfigErrorsNameFileAndKey(t *testing.T) {
-	none := func(string) string { return "" }
-	if _, err := LoadConfig(filepath.Join("..", "..", "deploy", "registry.toml"), none); err != nil {
+	emptyEnvironment := func(string) string { return "" }
+	if _, err := LoadConfig(filepath.Join("..", "..", "deploy", "registry.toml"), emptyEnvironment); err != nil {
 		t.Error(err)
 	}
 	path := filepath.Join(t.TempDir(), "r.toml")
-	for text, says := range map[string]string{
+	for text, wantText := range map[string]string{
 		"idd = \"x\"\n":                           "r.toml:1: idd",
 		"[lapse]\nshare = 3\n":                    "lapse.share",
 		"[lapse]\nhold = \"long\"\n":              "r.toml:2",
@@ -68,7 +68,7 @@
 		"[[peers]]\nid='a'\nraft='b'\nhttp='c'\n": "r1",
 	} {
 		os.WriteFile(path, []byte(text), 0o600)
-		if _, err := LoadConfig(path, none); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := LoadConfig(path, emptyEnvironment); err == nil || !strings.Contains(err.Error(), wantText) {
 			t.Errorf("%q: error %v, want one that names the file and the key", text, err)
 		}
 	}
--- a/internal/registry/group_test.go
+++ b/internal/registry/group_test.go
@@ -20,10 +20,10 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func waitFor(t *testing.T, what string, cond func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
@@ -33,15 +33,15 @@
 // group is a list service of several nodes in the test's process, each with its own data
 // folder and sockets.
 type group struct {
-	t     *testing.T
-	cfgs  []*Config
-	nodes []*Node
-	mu    sync.Mutex // guards nodes: apply may run concurrently with start and stop
+	t       *testing.T
+	configs []*Config
+	nodes   []*Node
+	mu      sync.Mutex // guards nodes: apply may run concurrently with start and stop
 }
 
 func startGroup(t *testing.T, size int) *group { return startGroupWith(t, size, func(*Config) {}) }
 
-func startGroupWith(t *testing.T, size int, tune func(*Config)) *group {
+func startGroupWith(t *testing.T, size int, configure func(*Config)) *group {
 	t.Helper()
 	g := &group{t: t}
 	var peers []Peer
@@ -54,8 +54,8 @@
 		if err := c.validate(); err != nil {
 			t.Fatal(err)
 		}
-		tune(&c)
-		g.cfgs = append(g.cfgs, &c)
+		configure(&c)
+		g.configs = append(g.configs, &c)
 		g.nodes = append(g.nodes, nil)
 	}
 	for i := range size {
@@ -72,7 +72,7 @@
 
 func (g *group) start(i int) {
 	g.t.Helper()
-	n, err := Start(g.cfgs[i], discardLog())
+	n, err := Start(g.configs[i], discardLog())
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -95,27 +95,27 @@
 // the same request id if the node is no longer the leader, for up to 30 s. This happens on
 // a busy machine, when the leader isn't scheduled for the time of its lease. Other errors
 // are returned, such as that of a command that raft didn't start to process in time.
-func (g *group) apply(c Command) (r Result, retries int, err error) {
-	for end := time.Now().Add(30 * time.Second); ; retries++ {
+func (g *group) apply(c Command) (result Result, retries int, err error) {
+	for deadline := time.Now().Add(30 * time.Second); ; retries++ {
 		err = ErrNoLeader
-		if n := g.leaderNow(); n != nil {
-			r, err = n.apply(c)
+		if n := g.currentLeader(); n != nil {
+			result, err = n.apply(c)
 			if err == nil {
-				return r, retries, nil
+				return result, retries, nil
 			}
 			if !errors.Is(err, raft.ErrNotLeader) && !errors.Is(err, raft.ErrLeadershipLost) && !errors.Is(err, raft.ErrRaftShutdown) {
-				return r, retries, err
+				return result, retries, err
 			}
 		}
-		if time.Now().After(end) {
-			return r, retries, err
+		if time.Now().After(deadline) {
+			return result, retries, err
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// leaderNow returns the node that considers itself the leader, or nil if there is none.
-func (g *group) leaderNow() *Node {
+// currentLeader returns the node that considers itself the leader, or nil if there is none.
+func (g *group) currentLeader() *Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, n := range g.nodes {
@@ -130,7 +130,7 @@
 }
 
 // leader waits for a leader whose state has an epoch, and returns its index.
-func (g *group) leader() (at int) {
+func (g *group) leader() (index int) {
 	g.t.Helper()
 	waitFor(g.t, "a leader", func() bool {
 		for i, n := range g.nodes {
@@ -139,16 +139,16 @@
 			}
 			if _, self := n.leader(); self {
 				_, epoch, _ := n.store.members()
-				at = i
+				index = i
 				return epoch != ""
 			}
 		}
 		return false
 	})
-	return at
+	return index
 }
 
-func sendRequest(t *testing.T, node *Node, method, path, request, body string) (int, http.Header, string) {
+func sendRequest(t *testing.T, node *Node, method, path, requestID, body string) (int, http.Header, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -156,7 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Header.Set(RequestHeader, request)
+	req.Header.Set(RequestHeader, requestID)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, nil, err.Error()
@@ -166,23 +166,23 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-// caughtUp returns the leader after it has applied every command answered so far.
-func (g *group) caughtUp() (n *Node) {
+// caughtUpLeader returns the leader after it has applied every command answered so far.
+func (g *group) caughtUpLeader() (n *Node) {
 	g.t.Helper()
 	waitFor(g.t, "a leader that has applied all commands", func() bool {
-		n = g.leaderNow()
+		n = g.currentLeader()
 		return n != nil && n.catchUp() == nil
 	})
 	return n
 }
 
-// ask sends a request to the leader. As a client does, it sends it again if there is no
-// leader, the connection fails or the response is a 503.
-func (g *group) ask(method, path, request, body string) (status int, header http.Header, text string) {
+// sendToLeader sends a request to the leader. As a client does, it sends it again if
+// there is no leader, the connection fails or the response is a 503.
+func (g *group) sendToLeader(method, path, requestID, body string) (status int, header http.Header, text string) {
 	g.t.Helper()
 	waitFor(g.t, "a response other than 503", func() bool {
-		if n := g.leaderNow(); n != nil {
-			status, header, text = sendRequest(g.t, n, method, path, request, body)
+		if n := g.currentLeader(); n != nil {
+			status, header, text = sendRequest(g.t, n, method, path, requestID, body)
 		}
 		return status != 0 && status != http.StatusServiceUnavailable
 	})
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -18,26 +18,26 @@
 	members  map[string]discovery.Member
 }
 
-func (w *testWatcher) read(t *rapid.T, s *store) {
+func (w *testWatcher) readLines(t *rapid.T, s *store) {
 	lines, revision, epoch, _ := s.changesSince(w.epoch, w.revision)
 	for _, text := range lines {
-		var l watchLine
-		if err := json.Unmarshal(text, &l); err != nil {
+		var line watchLine
+		if err := json.Unmarshal(text, &line); err != nil {
 			t.Fatal(err)
 		}
-		if l.Complete {
+		if line.Complete {
 			w.members = map[string]discovery.Member{}
-		} else if l.Revision <= w.revision || l.Epoch != w.epoch {
-			t.Fatalf("sent a change to revision %d of epoch %s at revision %d of epoch %s", l.Revision, l.Epoch, w.revision, w.epoch)
+		} else if line.Revision <= w.revision || line.Epoch != w.epoch {
+			t.Fatalf("sent a change to revision %d of epoch %s at revision %d of epoch %s", line.Revision, line.Epoch, w.revision, w.epoch)
 		}
-		for _, m := range l.Members {
+		for _, m := range line.Members {
 			if m.Phase == discovery.Removed {
 				delete(w.members, m.ID)
 			} else {
 				w.members[m.ID] = m
 			}
 		}
-		w.revision, w.epoch = l.Revision, l.Epoch
+		w.revision, w.epoch = line.Revision, line.Epoch
 	}
 	w.revision, w.epoch = revision, epoch
 }
@@ -59,20 +59,20 @@
 				if len(watchers) > 0 {
 					w := watchers[rapid.IntRange(0, len(watchers)-1).Draw(t, "who")]
 					if w.members != nil || w.revision > s.state.Revision || w.epoch != s.state.Epoch || w.revision < 0 {
-						w.read(t, s)
+						w.readLines(t, s)
 					}
 				}
 			case 2: // a backup, from which the state is restored in one of ten cases
-				var b bytes.Buffer
-				if err := s.state.Write(&b); err != nil {
+				var backup bytes.Buffer
+				if err := s.state.Write(&backup); err != nil {
 					t.Fatal(err)
 				}
 				if rapid.IntRange(0, 9).Draw(t, "restore") == 0 {
-					back, err := ReadState(&b)
+					restored, err := ReadState(&backup)
 					if err != nil {
 						t.Fatal(err)
 					}
-					s.state = back
+					s.state = restored
 					s.wakeWatchers()
 				}
 			default:
@@ -87,7 +87,7 @@
 			if w.members == nil && w.epoch == s.state.Epoch { // it began in this epoch without the list, and was sent no complete one
 				continue
 			}
-			w.read(t, s)
+			w.readLines(t, s)
 			want := map[string]discovery.Member{}
 			for id, m := range s.state.Members {
 				want[id] = m.Member
--- a/internal/registry/lagging_test.go
+++ b/internal/registry/lagging_test.go
@@ -46,7 +46,7 @@
 }
 
 // stopAndCount stops the writer, and returns how many writes were answered.
-func (w *writer) end(t *testing.T) int {
+func (w *writer) stopAndCount(t *testing.T) int {
 	t.Helper()
 	close(w.stop)
 	<-w.done
@@ -56,7 +56,8 @@
 	return w.writes
 }
 
-// snapshotIndex returns the index of the last log entry that a node's latest snapshot covers.
+// snapshotIndex returns the index of the last log entry that a node's latest snapshot
+// covers.
 func snapshotIndex(t *testing.T, n *Node) uint64 {
 	t.Helper()
 	index, err := strconv.ParseUint(n.raft.Stats()["last_snapshot_index"], 10, 64)
@@ -66,51 +67,53 @@
 	return index
 }
 
-// installSnapshot stops a follower until the leader has cut the entries that it misses from
-// the log, and starts it again. It waits until the follower has installed a snapshot, and
-// reports whether no write had to be sent again between the start and then.
-func installSnapshot(t *testing.T, g *group, w *writer) bool {
+// installSnapshotAtFollower stops a follower until the leader has cut the entries that it
+// misses from the log, and starts it again. It waits until the follower has installed a
+// snapshot, and reports whether no write had to be sent again since the start.
+func installSnapshotAtFollower(t *testing.T, g *group, w *writer) bool {
 	t.Helper()
-	behind := (g.leader() + 1) % len(g.nodes)
-	g.stop(behind)
+	follower := (g.leader() + 1) % len(g.nodes)
+	g.stop(follower)
 	leader := g.nodes[g.leader()]
-	missed := leader.raft.LastIndex() + 1
+	firstMissing := leader.raft.LastIndex() + 1
 	waitFor(t, "the leader to cut the missing entries from its log", func() bool {
 		first, err := leader.bolt.FirstIndex()
-		return err == nil && first > missed+200
+		return err == nil && first > firstMissing+200
 	})
 	retries := w.retries.Load()
-	g.start(behind)
-	late := g.nodes[behind]
-	waitFor(t, "the follower to install a snapshot and catch up", func() bool { return snapshotIndex(t, late) > missed && late.raft.AppliedIndex() > missed+200 })
+	g.start(follower)
+	restarted := g.nodes[follower]
+	waitFor(t, "the follower to install a snapshot and catch up", func() bool {
+		return snapshotIndex(t, restarted) > firstMissing && restarted.raft.AppliedIndex() > firstMissing+200
+	})
 	return w.retries.Load() == retries
 }
 
-// TestLaggingNodeInstallsSnapshotUnderLoad checks that a node whose missing entries were
+// TestLaggingNodeInstallsSnapshotDuringWrites checks that a node whose missing entries were
 // cut from the log catches up by a snapshot while writes go on. On a busy machine the
 // leader may lose leadership at any time, but a returning node must not cause that: at
 // least one of three returns has to pass without a loss of leadership.
-func TestLaggingNodeInstallsSnapshotUnderLoad(t *testing.T) {
+func TestLaggingNodeInstallsSnapshotDuringWrites(t *testing.T) {
 	t.Parallel()
 	g := startGroupWith(t, 3, func(c *Config) {
 		c.tuneRaft = func(r *raft.Config) {
 			r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = 64, 8, 50*time.Millisecond
 		}
 	})
-	_, _, before := g.nodes[g.leader()].store.members()
+	_, _, initialRevision := g.nodes[g.leader()].store.members()
 	w := startWriter(g)
 	undisturbed := false
 	for round := 0; round < 3 && !undisturbed; round++ {
-		undisturbed = installSnapshot(t, g, w)
+		undisturbed = installSnapshotAtFollower(t, g, w)
 	}
-	writes := w.end(t)
+	writes := w.stopAndCount(t)
 	if !undisturbed {
 		t.Error("leadership was lost in each of three returns of a node")
 	}
 	for i, n := range g.nodes { // each write was applied exactly once: none is missing, and no retry was applied again
 		waitFor(t, fmt.Sprintf("node %d to apply all writes", i), func() bool {
 			_, _, revision := n.store.members()
-			return revision == before+int64(writes)
+			return revision == initialRevision+int64(writes)
 		})
 	}
 	if writes < 200 {
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -16,68 +16,69 @@
 
 const leaseTestTTL = 400 * time.Millisecond
 
-// steppedEvery returns a clock whose date is stepped by the duration by every 250 ms for
-// the first 30 s.
-func steppedEvery(t *testing.T, by string) *clock.Clock {
+// newSteppedClock returns a clock whose date is stepped by the duration step every 250 ms
+// for the first 30 s.
+func newSteppedClock(t *testing.T, step string) *clock.Clock {
 	t.Helper()
-	var jumps []string
-	for at := 250; at < 30000; at += 250 {
-		jumps = append(jumps, fmt.Sprintf("date=%s@%dms", by, at))
+	var steps []string
+	for ms := 250; ms < 30000; ms += 250 {
+		steps = append(steps, fmt.Sprintf("date=%s@%dms", step, ms))
 	}
-	c, err := clock.Parse(strings.Join(jumps, ","))
+	c, err := clock.Parse(strings.Join(steps, ","))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// holdAndDie has a controller renew its session and hold a role for the duration held, and
-// then stop its heartbeats. It returns the role's count of consecutive failures once the
-// session has expired.
-func holdAndDie(t *testing.T, c *client.Client, controller string, held time.Duration) int {
+// holdRoleUntilSessionExpires has a controller renew its session and hold a role for
+// holdTime, and then stop its heartbeats. It returns the role's count of consecutive
+// failures once the session has expired.
+func holdRoleUntilSessionExpires(t *testing.T, c *client.Client, controller string, holdTime time.Duration) int {
 	t.Helper()
-	ask := func(method, path string, body string, answer any) {
+	request := func(method, path string, body string, response any) {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		if _, err := c.Do(ctx, method, path, []byte(body), answer); err != nil {
+		if _, err := c.Do(ctx, method, path, []byte(body), response); err != nil {
 			t.Fatalf("%s %s: %v", method, path, err)
 		}
 	}
-	ask(http.MethodPost, registry.SessionsPath, fmt.Sprintf(`{"id":%q,"warden":%q,"ttl_ms":%d}`, controller, controller, leaseTestTTL.Milliseconds()), nil)
-	ask(http.MethodPost, registry.RolesPath+"/d/grant", fmt.Sprintf(`{"session":%q}`, controller), nil)
-	for began := time.Now(); time.Since(began) < held; time.Sleep(leaseTestTTL / 8) {
-		ask(http.MethodPost, registry.SessionsPath+"/"+controller+"/renew", "", nil)
+	request(http.MethodPost, registry.SessionsPath, fmt.Sprintf(`{"id":%q,"warden":%q,"ttl_ms":%d}`, controller, controller, leaseTestTTL.Milliseconds()), nil)
+	request(http.MethodPost, registry.RolesPath+"/d/grant", fmt.Sprintf(`{"session":%q}`, controller), nil)
+	for start := time.Now(); time.Since(start) < holdTime; time.Sleep(leaseTestTTL / 8) {
+		request(http.MethodPost, registry.SessionsPath+"/"+controller+"/renew", "", nil)
 	}
-	fails := 0
+	failures := 0
 	registrytest.WaitFor(t, "the session to expire", func() bool {
-		var l registry.RoleList
-		ask(http.MethodGet, registry.RolesPath, "", &l)
-		if len(l.Sessions) > 0 || len(l.Roles) != 1 || l.Roles[0].Holder != "" {
+		var list registry.RoleList
+		request(http.MethodGet, registry.RolesPath, "", &list)
+		if len(list.Sessions) > 0 || len(list.Roles) != 1 || list.Roles[0].Holder != "" {
 			return false
 		}
-		fails = l.Roles[0].Failures
+		failures = list.Roles[0].Failures
 		return true
 	})
-	return fails
+	return failures
 }
 
-// TestLeaseDurationsOverClockSteps checks the count of a role's consecutive failures while
-// the leader's date is stepped. A holder whose session expires without a renewal adds one,
-// and one that held the role for over two times to live before it starts the count anew.
-// The holding time is that of a monotonic clock, not the difference of two dates.
-func TestLeaseDurationsOverClockSteps(t *testing.T) {
-	for _, by := range []string{"1h", "-1h"} {
-		g := registrytest.Start(t, 1, func(c *registry.Config) { c.Clock = steppedEvery(t, by) })
+// TestClockStepsDoNotChangeFailureCount checks the count of a role's consecutive failures
+// while the leader's date is stepped. A holder whose session expires without a renewal
+// adds one, and one that held the role for over two times to live before it starts the
+// count anew. The holding time is that of a monotonic clock, not the difference of two
+// dates.
+func TestClockStepsDoNotChangeFailureCount(t *testing.T) {
+	for _, step := range []string{"1h", "-1h"} {
+		g := registrytest.Start(t, 1, func(c *registry.Config) { c.Clock = newSteppedClock(t, step) })
 		g.Leader()
 		c := g.Client()
 		for i := range 3 {
-			if n := holdAndDie(t, c, fmt.Sprint("w", i), 0); n != i+1 {
-				t.Errorf("date stepped by %s: %d failures after %d holders that stopped at once", by, n, i+1)
+			if failures := holdRoleUntilSessionExpires(t, c, fmt.Sprint("w", i), 0); failures != i+1 {
+				t.Errorf("date stepped by %s: %d failures after %d holders that stopped at once", step, failures, i+1)
 			}
 		}
-		if n := holdAndDie(t, c, "lasting", 4*leaseTestTTL); n != 1 {
-			t.Errorf("date stepped by %s: %d failures after a holder that held the role for long, want 1", by, n)
+		if failures := holdRoleUntilSessionExpires(t, c, "lasting", 4*leaseTestTTL); failures != 1 {
+			t.Errorf("date stepped by %s: %d failures after a holder that held the role for long, want 1", step, failures)
 		}
 	}
 }
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -15,9 +15,9 @@
 // targetMembers is the length of the list that the service is sized for.
 const targetMembers = 31000
 
-// listedNode returns a node that isn't started, whose list has members with a time to
-// live.
-func listedNode(members int) *Node {
+// newNodeWithMembers returns a node that isn't started, whose list has members with a
+// time to live.
+func newNodeWithMembers(members int) *Node {
 	n := &Node{cfg: &Config{}, store: newStore(), log: discardLog()}
 	n.heartbeats = newHeartbeatMonitor(n)
 	for i := range members {
@@ -28,8 +28,8 @@
 	return n
 }
 
-// allocatedBy returns how many bytes a call allocates on average.
-func allocatedBy(calls int, call func()) uint64 {
+// bytesAllocatedPerCall returns how many bytes a call allocates on average.
+func bytesAllocatedPerCall(calls int, call func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range calls {
@@ -39,12 +39,12 @@
 	return (after.TotalAlloc - before.TotalAlloc) / uint64(calls)
 }
 
-// TestCostsDoNotGrowWithList checks that a heartbeat, the check for overdue members and
-// the list's position, which the metrics read, don't copy the list: 31,000 members send
-// 6,200 heartbeats a second.
-func TestCostsDoNotGrowWithList(t *testing.T) {
-	n := listedNode(targetMembers)
-	beat := func() {
+// TestHeartbeatsAndChecksDoNotCopyList checks that a heartbeat, the check for overdue
+// members and the list's position, which the metrics read, don't copy the list: 31,000
+// members send 6,200 heartbeats a second.
+func TestHeartbeatsAndChecksDoNotCopyList(t *testing.T) {
+	n := newNodeWithMembers(targetMembers)
+	sendHeartbeat := func() {
 		r := httptest.NewRequest(http.MethodPost, HeartbeatsPath, strings.NewReader(`[{"id":"s-30999","holder":"h"}]`))
 		w := httptest.NewRecorder()
 		n.postHeartbeats(w, r)
@@ -54,21 +54,22 @@
 	}
 	now := time.Now()
 	n.heartbeats.dueMembers(n.store.eachMember(), now) // the first check starts the time to live of each member
-	for _, x := range []struct {
-		what string
+	for _, tt := range []struct {
+		name string
 		call func()
-	}{{"a heartbeat", beat}, {"a check for overdue members", func() { n.heartbeats.dueMembers(n.store.eachMember(), now) }},
+	}{{"a heartbeat", sendHeartbeat}, {"a check for overdue members", func() { n.heartbeats.dueMembers(n.store.eachMember(), now) }},
 		{"the list's position", func() { n.store.position() }}} {
-		if got := allocatedBy(20, x.call); got > 64<<10 {
-			t.Errorf("%s allocates %d bytes with %d members", x.what, got, targetMembers)
+		if allocated := bytesAllocatedPerCall(20, tt.call); allocated > 64<<10 {
+			t.Errorf("%s allocates %d bytes with %d members", tt.name, allocated, targetMembers)
 		}
 	}
 }
 
-// TestHeartbeatsOfOthers checks that a response names the members that aren't listed or
-// have another holder, and that the other heartbeats of the request are recorded.
-func TestHeartbeatsOfOthers(t *testing.T) {
-	n := listedNode(3)
+// TestHeartbeatsOfUnlistedMembersOrOtherHoldersAreRejected checks that a response names the
+// members that aren't listed or have another holder, and that the other heartbeats of the
+// request are recorded.
+func TestHeartbeatsOfUnlistedMembersOrOtherHoldersAreRejected(t *testing.T) {
+	n := newNodeWithMembers(3)
 	r := httptest.NewRequest(http.MethodPost, HeartbeatsPath,
 		strings.NewReader(`[{"id":"s-0","holder":"h"},{"id":"s-1","holder":"x"},{"id":"s-9","holder":"h"},{"id":"s-2","holder":"h"}]`))
 	w := httptest.NewRecorder()
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -40,15 +40,15 @@
 func TestRetriedRequestChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
-		var done []Command
-		var answers []Result
+		var applied []Command
+		var results []Result
 		for n := range rapid.IntRange(1, 40).Draw(t, "commands") {
 			c := drawCommand(t, n)
-			done, answers = append(done, c), append(answers, s.Apply(c))
+			applied, results = append(applied, c), append(results, s.Apply(c))
 			i := rapid.IntRange(0, n).Draw(t, "retry")
 			before, _ := json.Marshal(s)
-			if a := s.Apply(done[i]); a != answers[i] {
-				t.Fatalf("first result %+v, result of the retry %+v", answers[i], a)
+			if result := s.Apply(applied[i]); result != results[i] {
+				t.Fatalf("first result %+v, result of the retry %+v", results[i], result)
 			}
 			if after, _ := json.Marshal(s); !bytes.Equal(before, after) {
 				t.Fatal("a retry changed the state")
@@ -57,40 +57,41 @@
 	})
 }
 
-// TestReusedAddressesAndIDs checks registrations with an address of another member, which
-// remove that member, and with an id of another holder, which are rejected.
-func TestReusedAddressesAndIDs(t *testing.T) {
+// TestReusedAddressMovesAndIDOfOtherHolderIsRejected checks registrations with an address
+// of another member, which remove that member, and with an id of another holder, which
+// are rejected.
+func TestReusedAddressMovesAndIDOfOtherHolderIsRejected(t *testing.T) {
 	s := NewState()
-	n := 0
-	do := func(c Command) Result { n++; c.Request = fmt.Sprint(n); return s.Apply(c) }
-	do(Command{Op: OpAdd, Member: testMember("a", "127.0.0.1:1")})
-	if do(Command{Op: OpAdd, Member: testMember("b", "127.0.0.1:1")}); len(s.Members) != 1 || s.Members["b"].HostPort != "127.0.0.1:1" {
+	requests := 0
+	apply := func(c Command) Result { requests++; c.Request = fmt.Sprint(requests); return s.Apply(c) }
+	apply(Command{Op: OpAdd, Member: testMember("a", "127.0.0.1:1")})
+	if apply(Command{Op: OpAdd, Member: testMember("b", "127.0.0.1:1")}); len(s.Members) != 1 || s.Members["b"].HostPort != "127.0.0.1:1" {
 		t.Errorf("members %v, want only b, which registered the address last", s.Members)
 	}
-	if a := do(Command{Op: OpAdd, Member: testMember("b", "127.0.0.1:2")}); a.Status != 200 || s.Members["b"].HostPort != "127.0.0.1:2" {
-		t.Errorf("result %+v of the same holder registering another address, want 200", a)
+	if result := apply(Command{Op: OpAdd, Member: testMember("b", "127.0.0.1:2")}); result.Status != 200 || s.Members["b"].HostPort != "127.0.0.1:2" {
+		t.Errorf("result %+v of the same holder registering another address, want 200", result)
 	}
-	thief := testMember("b", "127.0.0.1:3")
-	thief.Holder = "another"
-	if a := do(Command{Op: OpAdd, Member: thief}); a.Status != 409 || s.Members["b"].HostPort != "127.0.0.1:2" {
-		t.Errorf("result %+v of another holder registering the id at another address, want 409", a)
+	otherHolder := testMember("b", "127.0.0.1:3")
+	otherHolder.Holder = "another"
+	if result := apply(Command{Op: OpAdd, Member: otherHolder}); result.Status != 409 || s.Members["b"].HostPort != "127.0.0.1:2" {
+		t.Errorf("result %+v of another holder registering the id at another address, want 409", result)
 	}
-	if a := do(Command{Op: OpRemove, ID: "b", Holder: "another"}); a.Status != 409 {
-		t.Errorf("result %+v of a removal by another holder, want 409", a)
+	if result := apply(Command{Op: OpRemove, ID: "b", Holder: "another"}); result.Status != 409 {
+		t.Errorf("result %+v of a removal by another holder, want 409", result)
 	}
 	before := s.Revision
-	if do(Command{Op: OpAdd, Member: testMember("b", "127.0.0.1:2")}); s.Revision != before {
+	if apply(Command{Op: OpAdd, Member: testMember("b", "127.0.0.1:2")}); s.Revision != before {
 		t.Error("registering again without a change raised the revision")
 	}
-	if a := do(Command{Op: OpPhase, ID: "b", Phase: discovery.Draining, IfChanged: 1}); a.Status != 409 || a.Changed != s.Members["b"].Changed {
-		t.Errorf("result %+v of a command with an outdated IfChanged, want 409", a)
+	if result := apply(Command{Op: OpPhase, ID: "b", Phase: discovery.Draining, IfChanged: 1}); result.Status != 409 || result.Changed != s.Members["b"].Changed {
+		t.Errorf("result %+v of a command with an outdated IfChanged, want 409", result)
 	}
-	if a := do(Command{Op: OpPhase, ID: "x", Phase: discovery.Draining}); a.Status != 404 {
-		t.Errorf("result %+v for an unknown id, want 404", a)
+	if result := apply(Command{Op: OpPhase, ID: "x", Phase: discovery.Draining}); result.Status != 404 {
+		t.Errorf("result %+v for an unknown id, want 404", result)
 	}
 }
 
-func TestZonesSurviveSnapshot(t *testing.T) {
+func TestZonesAndAddressIndexSurviveSnapshot(t *testing.T) {
 	s := NewState()
 	s.Apply(Command{Op: OpZone, Zone: "a", Region: "north"})
 	s.Apply(Command{Op: OpZone, Zone: "b", Region: "north"})
@@ -100,22 +101,22 @@
 	if err := s.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	back, err := ReadState(&text)
-	if err != nil || len(back.Zones) != 1 || back.Zones["a"] != "north" {
-		t.Fatalf("restored state %v, error %v; want the region of zone a alone", back, err)
+	restored, err := ReadState(&text)
+	if err != nil || len(restored.Zones) != 1 || restored.Zones["a"] != "north" {
+		t.Fatalf("restored state %v, error %v; want the region of zone a alone", restored, err)
 	}
 	// The index of addresses isn't part of the snapshot and has to be rebuilt.
-	if back.Apply(Command{Op: OpAdd, Member: testMember("s-2", "10.0.0.1:1")}); len(back.Members) != 1 {
-		t.Errorf("two members at one address: %v", back.Members)
+	if restored.Apply(Command{Op: OpAdd, Member: testMember("s-2", "10.0.0.1:1")}); len(restored.Members) != 1 {
+		t.Errorf("two members at one address: %v", restored.Members)
 	}
 	if _, err := ReadState(strings.NewReader(`{"epoch":"e","revision":1,"members":{},"answers":{}}`)); err != nil {
 		t.Errorf("a snapshot without zones: error %v", err)
 	}
 }
 
-// TestLateExpiryKeepsRenewedMember checks that an expiry skips a member that was removed
-// and has registered again since it was found overdue.
-func TestLateExpiryKeepsRenewedMember(t *testing.T) {
+// TestLateExpiryKeepsMemberThatRegisteredAgain checks that an expiry skips a member that
+// was removed and has registered again since it was found overdue.
+func TestLateExpiryKeepsMemberThatRegisteredAgain(t *testing.T) {
 	s := NewState()
 	s.Apply(Command{Request: "1", Op: OpAdd, Member: testMember("a", "127.0.0.1:1")})
 	since := s.Members["a"].Since
