--- a/internal/registry/agent/compat_test.go
+++ b/internal/registry/agent/compat_test.go
@@ -121,10 +121,10 @@
 		decoder := json.NewDecoder(bytes.NewReader(earlier[name]))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(value); err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("decoding %s: %v", name, err)
 		}
 		if encoded, err := json.Marshal(value); err != nil || !bytes.Equal(encoded, earlier[name]) {
-			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, encoded, earlier[name])
+			t.Errorf("%s after decoding and encoding, error %v:\n%s\nwant\n%s", name, err, encoded, earlier[name])
 		}
 	}
 }
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	if encoded, err := encodeList(decoded); err != nil || !bytes.Equal(encoded, list) {
-		t.Errorf("%v\n%s\nwant\n%s", err, encoded, list)
+		t.Errorf("list file after decoding and encoding, error %v:\n%s\nwant\n%s", err, encoded, list)
 	}
 	journal, err := os.ReadFile(filepath.Join(folder, journalName))
 	if err != nil {
@@ -166,6 +166,6 @@
 		encoded = append(encoded, text...)
 	}
 	if !bytes.Equal(encoded, lines) {
-		t.Errorf("%s\nwant\n%s", encoded, lines)
+		t.Errorf("journal after decoding and encoding:\n%s\nwant\n%s", encoded, lines)
 	}
 }
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -22,7 +22,7 @@
 	connectTimeout   = time.Second
 	responseTimeout  = 4 * time.Second
 	idleConnsPerNode = 2
-	bufferBytes      = 2 << 10 // read and write buffer of a connection; small, since a fleet's clients keep many connections open
+	bufferBytes      = 2 << 10 // of each read and write buffer; small, since a fleet keeps many connections open
 
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 5 * time.Second
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -24,9 +24,9 @@
 func TestPositionNeverGoesBackOrRepeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Position{}
-		for range rapid.IntRange(1, 50).Draw(t, "news") {
+		for range rapid.IntRange(1, 50).Draw(t, "updates") {
 			update := &Update{Epoch: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "epoch")}
-			update.Revision, update.Complete = int64(rapid.IntRange(0, 9).Draw(t, "revision")), rapid.Bool().Draw(t, "whole")
+			update.Revision, update.Complete = int64(rapid.IntRange(0, 9).Draw(t, "revision")), rapid.Bool().Draw(t, "complete")
 			next, ok := p.Advance(update)
 			switch {
 			case !ok:
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -49,7 +49,7 @@
 
 	Session        Session          `json:"session,omitzero"`
 	EndedSessions  []string         `json:"ended,omitempty"`  // ids of the sessions to end
-	LeaseDurations map[string]int64 `json:"lasted,omitempty"` // ms for which an expired session held each role; nil from a leader of an older version
+	LeaseDurations map[string]int64 `json:"lasted,omitempty"` // ms for which an expired session held each role; nil from an older leader
 
 	// Role is the role that a grant, note, release or hold is about. On any other
 	// command, Role and Token are a fence: the command is rejected unless Token is the
--- a/internal/registry/compat_test.go
+++ b/internal/registry/compat_test.go
@@ -107,7 +107,7 @@
 		OperationsPath: "orders.json", ZonesPath: "zones.json"} {
 		status, _, text := sendRequest(t, n, "GET", path, "", "")
 		if want := string(readEarlierFile(t, name)); status != 200 || strings.TrimSpace(text) != strings.TrimSpace(want) {
-			t.Errorf("%s: %d\n%s\nwant\n%s", path, status, text, want)
+			t.Errorf("GET %s: response %d\n%s\nwant 200\n%s", path, status, text, want)
 		}
 	}
 	// A retry of a request that the earlier program answered changes nothing.
@@ -188,7 +188,7 @@
 		var c Command
 		decodeStrictly(t, text, &c)
 		if encoded, err := json.Marshal(c); err != nil || !bytes.Equal(encoded, text) {
-			t.Errorf("%v\n%s\nwant\n%s", err, encoded, text)
+			t.Errorf("command after decoding and encoding, error %v:\n%s\nwant\n%s", err, encoded, text)
 		}
 		seen[c.Op] = true
 		s.Apply(c)
@@ -200,7 +200,7 @@
 	}
 	text, err := json.Marshal(s)
 	if want := bytes.TrimSpace(readEarlierFile(t, "replayed.json")); err != nil || !bytes.Equal(text, want) {
-		t.Errorf("%v\n%s\nwant\n%s", err, text, want)
+		t.Errorf("state after all commands, error %v:\n%s\nwant\n%s", err, text, want)
 	}
 	// Results are part of the replicated state. So the result of a rejected command, with
 	// its text, has to be the same on each node of a group.
@@ -210,7 +210,7 @@
 		var c Command
 		decodeStrictly(t, text, &c)
 		if result, err := json.Marshal(s.Apply(c)); err != nil || !bytes.Equal(result, results[i]) {
-			t.Errorf("%s: %v\n%s\nwant\n%s", text, err, result, results[i])
+			t.Errorf("result of the rejected command %s, error %v:\n%s\nwant\n%s", text, err, result, results[i])
 		}
 	}
 }
@@ -235,7 +235,7 @@
 		}
 		encoded, err := json.Marshal(value)
 		if err != nil || !bytes.Equal(encoded, earlier[name]) {
-			t.Errorf("%s: %v\n%s\nwant\n%s", name, err, encoded, earlier[name])
+			t.Errorf("%s after decoding and encoding, error %v:\n%s\nwant\n%s", name, err, encoded, earlier[name])
 		}
 	}
 }
@@ -245,7 +245,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(v); err != nil {
-		t.Fatalf("%s: %v", text, err)
+		t.Fatalf("decoding %s: %v", text, err)
 	}
 }
 
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -57,7 +57,7 @@
 					revision: int64(rapid.IntRange(-1, 100).Draw(t, "from")), members: nil})
 			case 1:
 				if len(watchers) > 0 {
-					w := watchers[rapid.IntRange(0, len(watchers)-1).Draw(t, "who")]
+					w := watchers[rapid.IntRange(0, len(watchers)-1).Draw(t, "watcher")]
 					if w.members != nil || w.revision > s.state.Revision || w.epoch != s.state.Epoch || w.revision < 0 {
 						w.readLines(t, s)
 					}
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -21,7 +21,7 @@
 // starts an election, so a leader that died is replaced well within 1.5 s.
 const (
 	raftHeartbeatTimeout = 300 * time.Millisecond
-	raftLeaderLease      = 250 * time.Millisecond // below the heartbeat timeout, so that a leader that is cut off steps down before another is elected
+	raftLeaderLease      = 250 * time.Millisecond // shorter than the heartbeat timeout: a cut-off leader steps down before an election
 	raftCommitInterval   = 5 * time.Millisecond
 	raftConnsPerPeer     = 3
 	raftIOTimeout        = time.Second
@@ -29,7 +29,7 @@
 	retainedSnapshots = 2
 	snapshotInterval  = 10 * time.Second
 	snapshotThreshold = 8192 // log entries after which a snapshot is taken and the log is cut
-	trailingLogs      = 2048 // log entries kept from before a snapshot, so that a node that lags a little doesn't need the snapshot
+	trailingLogs      = 2048 // log entries kept behind a snapshot, which a node that lags a little catches up with
 	cachedLogs        = 512  // latest log entries that are kept in memory
 
 	boltLockTimeout = 2 * time.Second
--- a/internal/registry/roles.go
+++ b/internal/registry/roles.go
@@ -17,7 +17,7 @@
 	Term       int64  `json:"term"`            // number of grants so far
 	Note       string `json:"note"`            // the work's progress, which the next holder goes on from
 	Successor  string `json:"next,omitempty"`  // if set, a controller; while it has a session, only it is granted the role
-	Failures   int    `json:"fails,omitempty"` // consecutive failures of the work; the expiry of a holder's session counts as one
+	Failures   int    `json:"fails,omitempty"` // consecutive failures; the expiry of a holder's session is one
 	Disabled   bool   `json:"off,omitempty"`   // set by operators: the role is granted to nobody
 	GrantedAt  int64  `json:"since"`           // leader's time of the last grant, in Unix ms
 	ReleasedAt int64  `json:"left"`            // leader's time when the role last became free, in Unix ms
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -33,7 +33,7 @@
 
 	Sessions     map[string]Session   `json:"sessions,omitempty"` // keyed by session id
 	Roles        map[string]Role      `json:"duties,omitempty"`   // keyed by role name
-	LastToken    int64                `json:"tokens,omitempty"`   // the fencing token of the latest grant; each grant has a greater one
+	LastToken    int64                `json:"tokens,omitempty"`   // fencing token of the latest grant; each grant has a greater one
 	RoleRevision int64                `json:"duty_rev,omitempty"` // revision of Sessions and Roles; never decreases
 	Operations   map[string]Operation `json:"orders,omitempty"`   // keyed by KIND/NAME
 
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -13,7 +13,7 @@
 const (
 	watchKeepAlive    = 2 * time.Second // interval at which an empty line is sent
 	watchWriteTimeout = 5 * time.Second // a write that takes longer ends the watch: the watcher reads nothing
-	watchStaleTimeout = 5 * time.Second // a watch ends after this time without contact with a leader, so that its client asks another node
+	watchStaleTimeout = 5 * time.Second // without contact with a leader for so long, a watch ends: its client asks another node
 	watchBatchLines   = 256             // most lines in one write
 )
 
@@ -91,7 +91,7 @@
 				staleSince = time.Time{}
 			case staleSince.IsZero():
 				staleSince = time.Now()
-			case time.Since(staleSince) >= watchStaleTimeout-staleAfter: // isStale is true only staleAfter after the last contact
+			case time.Since(staleSince) >= watchStaleTimeout-staleAfter: // isStale turns true only after staleAfter
 				return errLeaderLost
 			}
 			prefix = emptyLineChunk
