--- a/internal/leader/campaign.go
+++ b/internal/leader/campaign.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	campaignInterval  = time.Second            // between two checks without a change
-	startJitter       = 20 * time.Millisecond  // spreads candidates that start together
-	aboveQuotaDelay   = 400 * time.Millisecond // gives candidates below their quota precedence
-	failureBackoff    = time.Second            // after a second failure in a row; doubled with each further one
+	campaignInterval  = time.Second            // time between two checks of the roles while no change is reported
+	startJitter       = 20 * time.Millisecond  // maximum of the random delay that spreads candidates started together
+	aboveQuotaDelay   = 400 * time.Millisecond // delay of a candidate that has its quota, so that others request first
+	failureBackoff    = time.Second            // delay after the second failure in a row; each further failure doubles it
 	failureBackoffMax = 5 * time.Minute
-	failureShiftMax   = 20 // keeps the doubling from overflowing
-	retryDelayMin     = 50 * time.Millisecond
-	retryDelaySpread  = 100 * time.Millisecond
+	failureShiftMax   = 20                     // maximum number of doublings; more could overflow
+	retryDelayMin     = 50 * time.Millisecond  // minimum delay after a failed request for a role
+	retryDelaySpread  = 100 * time.Millisecond // maximum of the random delay added to retryDelayMin
 )
 
-// campaign requests roles that have no holder, until ctx ends.
+// campaign requests roles that have no holder until ctx ends. It also releases roles
+// whose earlier release did not reach the list service.
 func (c *candidate) campaign(ctx context.Context) {
 	Sleep(ctx, randomDuration(startJitter))
 	for ctx.Err() == nil {
@@ -46,7 +47,8 @@
 }
 
 // claimableRoles returns the roles to request now, and how long to wait until the
-// next one may be requested, at most maxWait.
+// next one may be requested, which is at most maxWait. It also starts the work of
+// roles that were granted without a response.
 func (c *candidate) claimableRoles(maxWait time.Duration) (names []string, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,13 +81,17 @@
 }
 
 // hasUnansweredGrant reports whether the list service has granted a role to this
-// session and the response was lost; the token proves the grant. c.mu is held.
+// session but the response to the request was lost: the role list has this session as
+// the holder, with a token that is newer than any this candidate received. The caller
+// holds c.mu.
 func (c *candidate) hasUnansweredGrant(role registry.Role) bool {
 	return role.Holder != "" && role.Holder == c.session &&
 		c.grants[role.Name] == nil && !c.unstopped[role.Name] && role.Token > c.lastTokens[role.Name]
 }
 
-// isVacant reports whether this candidate may request a role. c.mu is held.
+// isRequestable reports whether this candidate may request a role: nobody holds it, it
+// is enabled, its work does not still run in this process, and it is not reserved for
+// another controller as its successor. The caller holds c.mu.
 func (c *candidate) isVacant(name string, role registry.Role, controllers map[string]bool) bool {
 	switch {
 	case role.Holder != "", role.Disabled:
@@ -97,8 +103,9 @@
 	return !reserved
 }
 
-// requestTime returns when a vacant role may be requested: at once by a candidate
-// below its quota, later by one above it and after failures. c.mu is held.
+// requestTime returns when a vacant role may be requested: immediately by a candidate
+// that is below its quota, and later by one that has its quota or if the role's work
+// has failed. The caller holds c.mu.
 func (c *candidate) requestTime(name string, role registry.Role, known, aboveQuota bool, now time.Time) time.Time {
 	at := now
 	if since := c.vacantSince[name]; known && !since.IsZero() {
@@ -116,8 +123,9 @@
 	return at
 }
 
-// failureDelay returns the backoff of a role that has failed more than once in a
-// row, doubled for the candidate that failed last: another may do better.
+// failureDelay returns how long to wait before requesting a role whose work has failed
+// more than once in a row. The candidate that failed last waits twice as long, so that
+// another one, which may succeed, requests the role first.
 func (c *candidate) failureDelay(role registry.Role) time.Duration {
 	if role.Failures <= 1 {
 		return 0
@@ -129,7 +137,7 @@
 	return delay
 }
 
-// acquire requests a role and starts its work where it is granted.
+// acquire requests a role and starts its work if the role is granted.
 func (c *candidate) acquire(ctx context.Context, name string) {
 	session := c.sessionID()
 	ctx, cancel := context.WithTimeout(ctx, c.opts.TTL)
@@ -139,12 +147,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		// Where only the response was lost, the grant stands: watchRoles finds it.
+		// If only the response was lost, the grant is valid, and the role list shows it.
 		c.notBefore[name] = c.opts.Clock.Mono().Add(retryDelayMin + randomDuration(retryDelaySpread))
 		return
 	}
 	if session != c.session || !c.hasLease() {
-		return // the session of this grant has ended
+		return // the session that holds this grant has ended
 	}
 	if c.grants[name] == nil && granted.Token > c.lastTokens[name] {
 		c.startWork(name, granted.Token, granted.Term, granted.Note)
@@ -167,8 +175,8 @@
 	return names
 }
 
-// roleQuota is how many roles a candidate acquires without delay: an equal part,
-// rounded up.
+// roleQuota returns how many roles a candidate may hold before it delays further
+// requests: an equal part of all roles, rounded up.
 func roleQuota(roles, controllers int) int {
 	controllers = max(1, controllers)
 	return (roles + controllers - 1) / controllers
--- a/internal/leader/campaign_test.go
+++ b/internal/leader/campaign_test.go
@@ -13,8 +13,8 @@
 	"plovershore/internal/registry"
 )
 
-// The response to a grant is lost: the candidate repeats the request, or finds the token
-// by its watch. It never works twice under one token.
+// The responses to grant requests are lost, though the role is granted. The candidate
+// repeats the request or sees its token in the role list, and starts the work only once.
 func TestLostGrantResponse(t *testing.T) {
 	_, addr := startNode(t, nil)
 	p := startProxy(t, addr)
@@ -26,30 +26,32 @@
 		return workUntilCanceled(&began, "a")(ctx, g)
 	}
 	startCandidate(t, p.addr, "a", 2*time.Second, map[string]Work{"d": work})
-	waitFor(t, "it works", func() bool { return starts.Load() == 1 })
+	waitFor(t, "the work to start", func() bool { return starts.Load() == 1 })
 	d := roleState(t, addr, "d")
 	if name, ok := began.Load(d.Token); !ok || name != "a" || d.Term != 1 {
-		t.Errorf("holds %+v", d)
+		t.Errorf("role state %+v; want term 1 and a token under which candidate a works", d)
 	}
 }
 
-// Two candidates with one name have a session each, and one of them holds the role. A
-// process that restarts within its lease waits for the end of that lease.
+// Two candidates with the same name have separate sessions, and the role stays with the
+// first. A process that restarts under its old name therefore waits until its old lease
+// has expired.
 func TestCandidatesWithOneName(t *testing.T) {
 	_, addr := startNode(t, nil)
 	var began sync.Map
 	startCandidate(t, addr, "same", time.Second, map[string]Work{"d": workUntilCanceled(&began, "first")})
-	waitFor(t, "one works", func() bool { return entryCount(&began) == 1 })
+	waitFor(t, "the first candidate to work", func() bool { return entryCount(&began) == 1 })
 	token := roleState(t, addr, "d").Token
 	startCandidate(t, addr, "same", time.Second, map[string]Work{"d": workUntilCanceled(&began, "second")})
-	waitFor(t, "two sessions", func() bool { return len(listRoles(t, addr).Sessions) == 2 })
+	waitFor(t, "two open sessions", func() bool { return len(listRoles(t, addr).Sessions) == 2 })
 	if d := roleState(t, addr, "d"); d.Token != token || entryCount(&began) != 1 {
-		t.Errorf("moved without a reason: %+v", d)
+		t.Errorf("the role moved to the second candidate, or was granted again: %+v", d)
 	}
 }
 
-// A role that fails is requested ever more seldom. One that kills its holders counts as
-// failing, too; work that lasts clears the count.
+// The delay before the next request for a role grows with the role's failures in a row. A
+// holder whose session ends by expiry counts as a failure, too. The count starts again
+// after a holder that lasted, and a report of health clears it.
 func TestFailureBackoff(t *testing.T) {
 	s := registry.NewState()
 	do := func(c registry.Command) registry.Result { return s.Apply(c) }
@@ -57,32 +59,32 @@
 		id := fmt.Sprint(i)
 		do(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Controller: id, TTL: time.Second}})
 		do(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: id}})
-		do(registry.Command{Op: registry.OpSessionEnd, EndedSessions: []string{id}, Failed: true}) // killed
+		do(registry.Command{Op: registry.OpSessionEnd, EndedSessions: []string{id}, Failed: true}) // as if the process was killed
 	}
 	if d := s.Roles["d"]; d.Failures != 3 {
-		t.Fatalf("%+v", d)
+		t.Fatalf("role %+v after 3 expired holders; want 3 failures", d)
 	}
 	c := newCandidate(Options{Name: "w", Roles: map[string]Work{"d": nil}, TTL: time.Second})
 	c.lease = Lease{TTL: time.Minute}
 	c.lease.Renew(time.Minute)
 	c.applyRoleList(registry.RoleList{Revision: 1, Roles: []registry.Role{s.Roles["d"]}, Sessions: []registry.Session{{ID: "x", Controller: "w"}}})
 	if names, wait := c.claimableRoles(time.Hour); len(names) != 0 || wait < failureBackoff || wait > 3*failureBackoff {
-		t.Errorf("claims %v, waits %v", names, wait)
+		t.Errorf("roles to request: %v, wait %v; want none, and 1 to 3 times failureBackoff", names, wait)
 	}
 	do(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: "l", Controller: "l", TTL: time.Second}})
 	do(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: "l"}, At: 1000})
 	if do(registry.Command{Op: registry.OpSessionEnd, EndedSessions: []string{"l"}, Failed: true, At: 9000}); s.Roles["d"].Failures != 1 {
-		t.Errorf("a holder that died after it had lasted: %+v", s.Roles["d"])
+		t.Errorf("after the expiry of a holder that lasted: %+v; want 1 failure", s.Roles["d"])
 	}
 	do(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: "g", Controller: "g", TTL: time.Second}})
 	a := do(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: "g"}})
 	do(registry.Command{Op: registry.OpNote, Role: "d", Token: a.Token, Note: "7"})
 	if a = do(registry.Command{Op: registry.OpNote, Role: "d", Token: a.Token, Healthy: true}); a.Status != 200 || s.Roles["d"].Failures != 0 || s.Roles["d"].Note != "7" {
-		t.Errorf("%+v, %+v", a, s.Roles["d"])
+		t.Errorf("after a report of health: result %+v, role %+v; want no failures and checkpoint 7", a, s.Roles["d"])
 	}
 }
 
-// Candidates share many roles, and none holds much more than an equal part.
+// Several candidates that campaign for many roles share them: no single one holds all.
 func TestRolesAreSharedFairly(t *testing.T) {
 	_, addr := startNode(t, nil)
 	var began sync.Map
@@ -98,13 +100,13 @@
 	for i := range 30 {
 		work[fmt.Sprint("d-", i)] = workUntilCanceled(&began, "x")
 	}
-	hold(true) // until all three are there: one that is alone takes all
+	hold(true) // until all three candidates have sessions: a lone candidate would acquire all roles
 	for i := range 3 {
 		startCandidate(t, addr, fmt.Sprint("w-", i), 2*time.Second, work)
 	}
-	waitFor(t, "three candidates", func() bool { return len(listRoles(t, addr).Sessions) == 3 })
+	waitFor(t, "three sessions", func() bool { return len(listRoles(t, addr).Sessions) == 3 })
 	hold(false)
-	waitFor(t, "all are held", func() bool {
+	waitFor(t, "all roles to have a holder", func() bool {
 		l := listRoles(t, addr)
 		return len(l.Roles) == 30 && !slices.ContainsFunc(l.Roles, func(d registry.Role) bool { return d.Holder == "" })
 	})
@@ -113,6 +115,6 @@
 		per[d.Controller]++
 	}
 	if len(per) < 2 {
-		t.Errorf("held by %v", per)
+		t.Errorf("number of roles by controller: %v; want two controllers or more", per)
 	}
 }
--- a/internal/leader/candidate.go
+++ b/internal/leader/candidate.go
@@ -13,33 +13,33 @@
 
 // Options configure Run.
 type Options struct {
-	Client  *client.Client  // of the list service
-	Name    string          // of this controller, for people; two may share one
-	TTL     time.Duration   // of the session: another candidate takes over after it
+	Client  *client.Client  // client of the list service
+	Name    string          // name of this controller, shown to operators; it need not be unique
+	TTL     time.Duration   // time without heartbeats after which the session ends and others take over
 	Roles   map[string]Work // the roles to campaign for
 	Log     *slog.Logger
-	Metrics *Metrics     // nil for none
-	Clock   *clock.Clock // nil for the machine's
+	Metrics *Metrics     // may be nil
+	Clock   *clock.Clock // nil for the machine's clock
 }
 
-// candidate campaigns for roles on behalf of one process. All of its grants hang
-// on one session.
+// candidate campaigns for roles on behalf of one process. All of its grants belong to
+// one session.
 type candidate struct {
 	opts    Options
-	started time.Time // by opts.Clock; lease times are offsets from it
+	started time.Time // time of opts.Clock at the start; lease times are offsets from it
 
 	mu              sync.Mutex
 	session         string
 	lease           Lease
 	watchdog        *time.Timer // cancels all grants when the lease expires
 	grants          map[string]*Grant
-	unstopped       map[string]bool                 // roles whose work has not returned after its grant ended
-	lastTokens      map[string]int64                // of the latest grant of each role
+	unstopped       map[string]bool                 // roles whose work still runs although its grant has ended
+	lastTokens      map[string]int64                // fencing token of this candidate's latest grant of each role
 	pendingReleases map[string]registry.RoleRequest // releases that the list service has not confirmed
-	notBefore       map[string]time.Time            // when a role may be requested again
-	view            registry.RoleList               // the latest state of all roles
-	vacantSince     map[string]time.Time            // when a role was first seen without a holder
-	changed         chan struct{}                   // wakes the campaign; capacity 1
+	notBefore       map[string]time.Time            // earliest time of the next request for a role
+	view            registry.RoleList               // the latest role list that was received
+	vacantSince     map[string]time.Time            // time at which a role was first seen without a holder
+	changed         chan struct{}                   // wakes the campaign; its capacity is 1
 	wg              sync.WaitGroup
 }
 
@@ -60,16 +60,16 @@
 	}
 }
 
-// Run campaigns for the roles of opts and does the work of those it acquires, until
-// ctx ends; then it stops the work, releases the roles and closes the session. It
-// returns an error only where no session can be opened.
+// Run campaigns for the roles of opts and does the work of the roles it acquires until
+// ctx ends. Then it stops the work, releases the roles and closes the session. It
+// returns an error only if it cannot open its first session.
 func Run(ctx context.Context, opts Options) error {
 	c := newCandidate(opts)
 	c.opts.Metrics.observeLease(c)
 	if err := c.openSession(ctx); err != nil {
 		return IgnoreCancellation(ctx, err)
 	}
-	// Heartbeats go on until the work has stopped and its roles are released.
+	// Heartbeats continue until the work has stopped and its roles are released.
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	c.spawn(func() { c.sendHeartbeats(background) })
@@ -90,13 +90,13 @@
 	}()
 }
 
-// elapsed returns the time since the start by the candidate's clock.
+// elapsed returns the time since the candidate's start, by its own clock.
 func (c *candidate) elapsed() time.Duration { return c.opts.Clock.Mono().Sub(c.started) }
 
-// hasLease reports whether the lease is valid. c.mu is held.
+// hasLease reports whether the lease is valid. The caller holds c.mu.
 func (c *candidate) hasLease() bool { return c.lease.Remaining(c.elapsed()) > 0 }
 
-// wakeCampaign has the campaign check the roles again.
+// wakeCampaign makes the campaign check the roles immediately.
 func (c *candidate) wakeCampaign() {
 	select {
 	case c.changed <- struct{}{}:
--- a/internal/leader/counter.go
+++ b/internal/leader/counter.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// Counter is the role whose work counts: each step is one effect. It makes grants,
-// hand-overs and fencing visible; fault injection checks controllers by it.
+// Counter is the name of a role whose work only increments a counter, which is its
+// checkpoint: each step is one effect. Fault-injection tests use it to check grants,
+// handovers and fencing.
 const Counter = "count"
 
 const countInterval = 20 * time.Millisecond
 
-// Log events of a step. The fault-injection lab reads them from the controllers'
-// logs, with the attributes count and token.
+// Messages that the work of Counter logs for a step, with the attributes count and
+// token. The fault-injection lab reads them from the controllers' logs.
 const (
 	EventCountRequested = "count requested"
 	EventCountAccepted  = "count accepted"
 	EventCountRejected  = "count rejected"
 )
 
-// Count returns the work of the role Counter. It goes on from the last checkpoint.
-// It logs each step before the request and after the response, so that a step whose
-// response is missing is known to have been requested.
+// Count returns the work of the role Counter, which continues from the last
+// checkpoint. The work logs each step before it sends the request and after it receives
+// the response, so that the log also shows steps whose response was lost.
 func Count(log *slog.Logger) Work {
 	return func(ctx context.Context, g *Grant) error {
 		count, err := parseCount(g.Note)
@@ -43,7 +44,7 @@
 				log.Info(EventCountRejected, "count", count, "token", g.Token)
 				return nil
 			case ctx.Err() != nil:
-				return nil // the outcome is unknown: the next holder reads the checkpoint
+				return nil // whether the step was accepted is unknown; the next holder reads the stored checkpoint
 			default:
 				return err
 			}
--- a/internal/leader/explore_test.go
+++ b/internal/leader/explore_test.go
@@ -14,14 +14,14 @@
 	"plovershore/internal/registry"
 )
 
-// This is an exhaustive model check. The model has two holders, one role, a list
-// service that may change its leader, messages that are delayed or lost, and holders
-// that stall. The list service is registry.State and registry.SessionHeartbeats, the
-// holders count by Lease: the transitions are those of the product. All schedules
-// within the bounds below are explored.
+// This file is an exhaustive model check of leader election. The model has two holders,
+// one role, a list service that may change its leader, messages that may be delayed or
+// lost, and holders that may stall. Its list service consists of registry.State and
+// registry.SessionHeartbeats, and its holders use Lease, so that its transitions are those
+// of the real code. The check explores all schedules within the bounds below.
 
 type msg struct {
-	kind   string // renew, grant, effect; renewed, granted, unknown
+	kind   string // of requests: renew, grant, effect; of responses: renewed, granted, unknown
 	who    int
 	token  int64
 	sentAt int
@@ -39,15 +39,16 @@
 	st         *registry.State
 	heartbeats registry.SessionHeartbeats
 	now        int
-	changes    int // of leader
+	changes    int // leader changes of the list service so far
 	holders    [2]modelHolder
 	msgs       []msg
-	accepted   int64 // the highest token whose effect counted
+	accepted   int64 // the highest token of an accepted effect
 	wrong      string
 	path       *step
 }
 
-// step records how a state was reached, for the report of a violation.
+// traceStep is the last transition to a state, with those before it. It is reported
+// with a violation.
 type step struct {
 	before *step
 	what   string
@@ -60,6 +61,8 @@
 	return s.before.String() + "; " + s.what
 }
 
+// Bounds of the exploration, and the lease duration in ticks. The limits of effects,
+// requests and renewals are for each holder.
 const (
 	modelTTL      = 3
 	modelTicks    = 6
@@ -80,6 +83,8 @@
 	return &c
 }
 
+// key encodes the state, so that equal states have equal keys. Messages are sorted since
+// their order does not matter.
 func (m *model) key() string {
 	d := m.st.Roles["d"]
 	b := make([]byte, 0, 128)
@@ -102,7 +107,7 @@
 		return cmp.Or(strings.Compare(a.kind, b.kind), a.who-b.who, int(a.token-b.token), a.sentAt-b.sentAt)
 	})
 	for _, x := range all {
-		b = append(b, x.kind[0], x.kind[len(x.kind)-1], byte(x.who))
+		b = append(b, x.kind[0], x.kind[len(x.kind)-1], byte(x.who)) // the first and last letter identify the kind
 		put(x.token, int64(x.sentAt))
 	}
 	return string(b)
@@ -115,7 +120,8 @@
 	return 0
 }
 
-// next returns all successor states.
+// successors returns all states that one transition leads to. Tokens of effects are
+// checked only if fenced is true.
 func (m *model) next(fenced bool) (all []*model) {
 	add := func(what string, f func(c *model), args ...any) {
 		if len(args) > 0 {
@@ -127,7 +133,7 @@
 		all = append(all, c)
 	}
 	if m.now < modelTicks {
-		add("tick", func(c *model) { // the leader checks at once: later is safer
+		add("tick", func(c *model) { // sessions end as soon as they are overdue; a later end would be safer
 			c.now++
 			if ids := c.heartbeats.Overdue(c.st.Sessions, tick(c.now)); len(ids) > 0 {
 				c.st.Apply(registry.Command{Op: registry.OpSessionEnd, EndedSessions: ids, Failed: true})
@@ -142,27 +148,27 @@
 		believes := h.lease.Remaining(tick(m.now)) > 0
 		if len(m.msgs) < modelMsgs {
 			if h.renews < modelRenews && !h.lease.lost {
-				add("%d requests a renewal", func(c *model) {
+				add("holder %d requests a renewal", func(c *model) {
 					c.holders[i].renews++
 					c.msgs = append(c.msgs, msg{"renew", i, 0, c.now})
 				}, i)
 			}
 			if believes && h.token == 0 && h.requests < modelRequests {
-				add("%d requests the role", func(c *model) {
+				add("holder %d requests the role", func(c *model) {
 					c.holders[i].requests++
 					c.msgs = append(c.msgs, msg{"grant", i, 0, c.now})
 				}, i)
 			}
 			if believes && h.token != 0 && h.effects < modelEffect {
-				add("%d begins an effect", func(c *model) {
+				add("holder %d sends an effect", func(c *model) {
 					c.holders[i].effects++
 					c.msgs = append(c.msgs, msg{"effect", i, h.token, c.now})
 				}, i)
 			}
 		}
 	}
-	for k, x := range m.msgs { // one that is lost is one that never comes
-		add("%v comes", func(c *model) { c.msgs = slices.Delete(c.msgs, k, k+1); c.deliver(x, fenced) }, x)
+	for k, x := range m.msgs { // a message that is never delivered is lost
+		add("%v is delivered", func(c *model) { c.msgs = slices.Delete(c.msgs, k, k+1); c.deliver(x, fenced) }, x)
 	}
 	return all
 }
@@ -188,7 +194,7 @@
 			ok = m.st.Apply(registry.Command{Op: registry.OpNote, Role: "d", Token: x.token, Note: "done"}).Status == 200
 		}
 		if ok && x.token < m.accepted {
-			m.wrong = fmt.Sprintf("an effect of token %d counted after one of token %d", x.token, m.accepted)
+			m.wrong = fmt.Sprintf("an effect of token %d was accepted after one of token %d", x.token, m.accepted)
 		}
 		if ok {
 			m.accepted = max(m.accepted, x.token)
@@ -204,23 +210,26 @@
 	}
 }
 
-// check finds two holders that both take their lease for valid.
+// checkHolders cancels the grants of holders whose lease has expired, and records a
+// violation if two holders with a valid lease have a grant.
 func (m *model) check() {
 	n := 0
 	for i := range m.holders {
 		h := &m.holders[i]
 		if h.lease.Remaining(tick(m.now)) <= 0 {
-			h.token = 0 // the watchdog
+			h.token = 0 // as the watchdog does
 		} else if h.token != 0 {
 			n++
 		}
 	}
 	if n > 1 && m.wrong == "" {
-		m.wrong = "two believe that they hold the role"
+		m.wrong = "two holders have the role and a valid lease"
 	}
 }
 
-// explore visits all states and returns the first that violates an invariant.
+// explore visits all reachable states. It returns the number of states visited and the
+// first state that violates an invariant, if there is one. If injectDefect is not nil, it
+// is applied to each new state.
 func explore(fenced bool, spoil func(*model)) (states int, wrong *model) {
 	first := &model{st: registry.NewState(), heartbeats: registry.SessionHeartbeats{}}
 	for i := range first.holders {
@@ -252,8 +261,8 @@
 	return len(seen), nil
 }
 
-// No schedule within the bounds has two effects accepted out of token order, nor two
-// holders with a valid lease on one role.
+// In no schedule within the bounds are two effects accepted out of token order, or do two
+// holders have a valid lease on the role at the same time.
 func TestModelExploration(t *testing.T) {
 	states, wrong := explore(true, nil)
 	if wrong != nil {
@@ -261,26 +270,26 @@
 	}
 	t.Logf("%d states", states)
 	if states < 10000 {
-		t.Errorf("%d states: the bounds leave out what matters", states)
+		t.Errorf("%d states, want 10000 at least: the bounds are too narrow", states)
 	}
 }
 
-// The exploration finds seeded defects: the double effect where tokens are not
-// checked, and two holders where a lease outlives the session.
+// The model check finds defects that the test injects: an effect accepted out of token
+// order if tokens are not checked, and two holders if leases outlive their sessions.
 func TestExplorerFindsDefects(t *testing.T) {
 	_, wrong := explore(false, nil)
-	if wrong == nil || !strings.Contains(wrong.wrong, "counted after") {
-		t.Fatalf("without fences: %+v", wrong)
+	if wrong == nil || !strings.Contains(wrong.wrong, "was accepted after") {
+		t.Fatalf("tokens are not checked: found %+v, want effects out of token order", wrong)
 	}
 	t.Log(wrong.wrong, wrong.path)
-	_, wrong = explore(true, func(m *model) { // the defect: a lease that outlives the store's
+	_, wrong = explore(true, func(m *model) { // a lease that outlives the session at the list service
 		for i := range m.holders {
 			if h := &m.holders[i]; h.lease.expiresAt > 0 {
 				h.lease.expiresAt = max(h.lease.expiresAt, tick(modelTicks))
 			}
 		}
 	})
-	if wrong == nil || !strings.Contains(wrong.wrong, "two believe") {
-		t.Fatalf("with a long lease: %+v", wrong)
+	if wrong == nil || !strings.Contains(wrong.wrong, "two holders") {
+		t.Fatalf("leases outlive sessions: found %+v, want two holders", wrong)
 	}
 }
--- a/internal/leader/fence.go
+++ b/internal/leader/fence.go
@@ -8,17 +8,18 @@
 	"path/filepath"
 )
 
-// FenceFile is the file, in a folder that the work of roles changes, that keeps the
-// highest fencing token of each role that has worked there.
+// FenceFile is the name of the file that stores, in a folder that the work of roles
+// changes, the highest fencing token of each role that has worked there.
 const FenceFile = "duty.fence"
 
-// ErrFenced reports a fencing token that is older than one the folder has seen.
+// ErrFenced reports a fencing token that is older than the one recorded in the folder.
 var ErrFenced = errors.New("leader: fenced by a newer token")
 
-// Fence admits the holder of a fencing token to a folder and shuts out every holder
-// before it. The caller holds the folder's lock from before the call until its
-// effect is complete, so that no other holder can come between. Errors: ErrFenced,
-// and those of the file system.
+// Fence allows the holder of a role's fencing token to change a folder. It records the
+// token there, and thereby rejects the holders of older tokens from then on. The caller
+// must hold the folder's lock from before the call until its changes are complete, so
+// that no other holder changes the folder in between. Fence returns ErrFenced if a newer
+// token is recorded already, and otherwise errors of the file system.
 func Fence(dir, role string, token int64) error {
 	tokens, err := readTokens(dir)
 	if err != nil {
@@ -37,7 +38,8 @@
 	return nil
 }
 
-// readTokens reads the highest token of each role; none where there is no file yet.
+// readTokens reads the highest token of each role. The map is empty if the folder has
+// no file of tokens yet.
 func readTokens(dir string) (map[string]int64, error) {
 	path := filepath.Join(dir, FenceFile)
 	tokens := map[string]int64{}
@@ -54,8 +56,8 @@
 	return tokens, nil
 }
 
-// writeTokens replaces the file, durably: a token that was once admitted must not be
-// forgotten by a crash.
+// writeTokens replaces the file of tokens and syncs it to disk, since a crash must not
+// lose a token that was accepted.
 func writeTokens(dir string, tokens map[string]int64) error {
 	text, err := json.Marshal(tokens)
 	if err != nil {
--- a/internal/leader/grant.go
+++ b/internal/leader/grant.go
@@ -9,21 +9,21 @@
 	"plovershore/internal/registry"
 )
 
-// The actions of the list service's routes below a role.
+// Last elements of the list service's paths for the actions on a role.
 const (
 	actionGrant   = "grant"
 	actionNote    = "note"
 	actionRelease = "release"
 )
 
-// Grant is a role while this process holds it. Its methods are safe for concurrent
-// use; the exported fields are for the goroutine that runs the work. It ends by
-// itself when the work returns.
+// Grant represents a role that this process holds. It ends when the work of the role
+// returns. Its methods are safe for concurrent use; its exported fields may be read
+// only by the goroutine that runs the work.
 type Grant struct {
 	Role       string
-	Token      int64  // the fencing token: greater than that of every grant before
-	Term       int64  // grants of the role so far
-	Note       string // the last checkpoint, at first that of the holder before
+	Token      int64  // the fencing token; greater than the tokens of all earlier grants
+	Term       int64  // number of grants of the role so far, this one included
+	Note       string // the latest checkpoint; initially that of the previous holder
 	Controller string // name of the controller that holds the role
 
 	candidate *candidate
@@ -32,19 +32,20 @@
 	successor string // guarded by candidate.mu
 }
 
-// Context returns the context of the role's work. It ends when the role is no
-// longer held, or when the work is to stop.
+// Context returns the context of the role's work. It ends when this process no longer
+// holds the role, or when the work is to stop.
 func (g *Grant) Context() context.Context { return g.ctx }
 
-// SetSuccessor names the controller that is to acquire the role next.
+// SetSuccessor sets the name of the controller that is to acquire the role after this
+// grant.
 func (g *Grant) SetSuccessor(controller string) {
 	g.candidate.mu.Lock()
 	defer g.candidate.mu.Unlock()
 	g.successor = controller
 }
 
-// Save stores a checkpoint for the next holder, as an effect of the role. It
-// returns ErrLeaseLost where the token is not the newest one.
+// Save stores a checkpoint for the next holder at the list service. It returns
+// ErrLeaseLost if the grant's token is outdated, and otherwise errors of the client.
 func (g *Grant) Save(ctx context.Context, note string) error {
 	if err := g.post(ctx, actionNote, registry.RoleRequest{Token: g.Token, Note: note}); err != nil {
 		return err
@@ -55,16 +56,17 @@
 	return nil
 }
 
-// Do sends a write to the list service as an effect of the role: the request
-// carries the fencing token. Errors: ErrLeaseLost, and those of the client.
+// Do sends a write to the list service with the grant's fencing token. It returns
+// ErrLeaseLost if the token is outdated, and otherwise errors of the client.
 func (g *Grant) Do(ctx context.Context, method, path string, body, out any) error {
 	fence := http.Header{registry.FenceHeader: {fmt.Sprintf("%s=%d", g.Role, g.Token)}}
 	_, err := g.candidate.opts.Client.DoWith(ctx, method, path, fence, body, out)
 	return g.checkFenced(err)
 }
 
-// confirmHealthAfterTTL reports that the work has not failed for one lease duration,
-// which clears the role's count of failures.
+// confirmHealthAfterTTL waits for one lease duration and then, if the grant has not
+// ended, reports to the list service that the work is healthy. This resets the role's
+// count of failures.
 func (g *Grant) confirmHealthAfterTTL() {
 	if !Sleep(g.ctx, g.candidate.opts.TTL) {
 		return
@@ -80,7 +82,8 @@
 	return g.checkFenced(err)
 }
 
-// checkFenced ends the grant where the list service has rejected its token.
+// checkFenced ends the grant and returns ErrLeaseLost if err is the list service's
+// rejection of the grant's token. It returns any other error as it is.
 func (g *Grant) checkFenced(err error) error {
 	if !isFenced(err) {
 		return err
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -28,7 +28,8 @@
 
 func newClient(t *testing.T, addr string) *client.Client { return registrytest.Client(t, addr) }
 
-// startCandidate runs a candidate until the test ends; stop shuts it down gracefully.
+// startCandidate runs a candidate, with a client for the node at addr, until the test
+// ends. stop shuts the candidate down gracefully and waits until it has returned.
 func startCandidate(t *testing.T, addr, name string, ttl time.Duration, roles map[string]Work) (stop func()) {
 	t.Helper()
 	return startCandidateWith(t, newClient(t, addr), name, ttl, roles)
@@ -69,8 +70,8 @@
 	return registry.Role{}
 }
 
-// workUntilCanceled returns work that records its token and name, and runs until its
-// context ends.
+// workUntilCanceled returns work that stores name under the grant's token and then runs
+// until its context ends.
 func workUntilCanceled(began *sync.Map, name string) Work {
 	return func(ctx context.Context, g *Grant) error {
 		began.Store(g.Token, name)
@@ -84,13 +85,13 @@
 	return n
 }
 
-// proxy forwards from a candidate to the list service. It can drop all traffic, or
-// only responses to grants.
+// proxy forwards the requests of a candidate to the list service. It can drop all
+// requests, or only the responses to grant requests.
 type proxy struct {
 	server             *httptest.Server
 	addr               string
 	partitioned        atomic.Bool
-	lostGrantResponses atomic.Int32 // how many responses to grants are still to be lost
+	lostGrantResponses atomic.Int32 // number of further responses to grant requests to drop
 }
 
 func startProxy(t *testing.T, to string) *proxy {
--- a/internal/leader/metrics.go
+++ b/internal/leader/metrics.go
@@ -8,12 +8,13 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// labelRole is the label that names the role of a metric; dashboards know it.
+// labelRole is the metric label that names the role. Dashboards use it, so it keeps its
+// old name.
 const labelRole = "duty"
 
-// Metrics are the Prometheus metrics of a controller, in a registry of their own.
-// NewMetrics makes them; the zero value is not usable. They are safe for concurrent
-// use and serve one Run only.
+// Metrics are the Prometheus metrics of a controller, in a Prometheus registry of their
+// own. They are created by NewMetrics; the zero value is not usable. They are safe for
+// concurrent use, but each Run needs its own.
 type Metrics struct {
 	registry *prometheus.Registry
 	token    *prometheus.GaugeVec
@@ -23,7 +24,7 @@
 	changed  *prometheus.GaugeVec
 }
 
-// NewMetrics returns metrics without any value.
+// NewMetrics returns registered metrics that have no values yet.
 func NewMetrics() *Metrics {
 	labels := []string{labelRole}
 	m := &Metrics{
@@ -38,7 +39,8 @@
 	return m
 }
 
-// observeLease adds the remaining lease of a candidate.
+// observeLease registers a gauge of a candidate's remaining lease. It must be called
+// only once.
 func (m *Metrics) observeLease(c *candidate) {
 	opts := prometheus.GaugeOpts{Name: "duty_lease_seconds", Help: "Remaining lease of this controller's session by its own clock."}
 	m.registry.MustRegister(prometheus.NewGaugeFunc(opts, func() float64 {
--- a/internal/leader/operations/operations.go
+++ b/internal/leader/operations/operations.go
@@ -1,8 +1,8 @@
-// Package operations lets the leader of a role carry out the operations that
-// operators have stored in the list service: it reads those of the role's kind,
-// calls the role's code for them at an interval, and reports their progress as
-// effects of the role. What an operation does, and how its steps survive a change of
-// the leader, is the role's.
+// Package operations lets the holder of a role carry out the operations that operators
+// have stored in the list service. It reads the operations of the role's kind, calls the
+// role's code for them at an interval, and stores their progress under the role's fencing
+// token. What an operation does, and how its steps survive a change of the holder, is
+// up to the role's code.
 package operations
 
 import (
@@ -18,19 +18,19 @@
 	"plovershore/internal/registry/client"
 )
 
-// Messages of operations that several roles publish. They are stored and shown to
-// operators.
+// Messages that several roles use for their operations. They are stored at the list
+// service and shown to operators.
 const (
 	MessageInvalid  = "cannot be used: "
 	MessageCanceled = "called off"
 	MessageDone     = "done"
 )
 
-// Pass brings the pending operations of a role on by a step.
+// Pass advances each of the pending operations of a role by one step, if possible.
 type Pass func(ctx context.Context, pending []registry.Operation) error
 
-// Run calls a pass for the pending operations of a kind at an interval until ctx ends
-// or the pass fails. An error that results from the end of ctx is not returned.
+// Run reads the pending operations of a kind and calls pass for them, at an interval,
+// until ctx ends or a call fails. It returns nil once ctx has ended, whatever the error.
 func Run(ctx context.Context, c *client.Client, kind string, interval time.Duration, pass Pass) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -50,7 +50,7 @@
 	}
 }
 
-// Pending returns the operations of a kind that are not done, paused ones included.
+// Pending returns the operations of a kind that are not done, including paused ones.
 func Pending(ctx context.Context, c *client.Client, kind string) ([]registry.Operation, error) {
 	all, err := list(ctx, c)
 	if err != nil {
@@ -65,8 +65,9 @@
 	return pending, nil
 }
 
-// DesiredState returns what operators want of an operation now: a Desired constant of
-// package registry. An operation that is gone is to be aborted.
+// DesiredState reads the desired state of an operation from the list service; it is a
+// Desired constant of package registry. It returns registry.DesiredAbort if the
+// operation does not exist any more.
 func DesiredState(ctx context.Context, c *client.Client, op registry.Operation) (string, error) {
 	all, err := list(ctx, c)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return all, err
 }
 
-// Decode reads the spec of an operation, and its progress where there is any.
+// Decode decodes the spec of an operation and, if there is any, its progress.
 func Decode(op registry.Operation, spec, progress any) error {
 	if err := json.Unmarshal(op.Spec, spec); err != nil {
 		return err
@@ -96,15 +97,15 @@
 	return json.Unmarshal(op.Progress, progress)
 }
 
-// Update is what the leader of a role reports of an operation.
+// Update is the state of an operation that the holder of the role reports.
 type Update struct {
-	Progress any    // of the role's own type; nil for none yet
-	Message  string // for people
-	Done     bool   // the operation is complete, and not to be carried out again
+	Progress any    // in a type of the role; nil if there is none yet
+	Message  string // shown to operators
+	Done     bool   // the operation is complete and is not carried out again
 }
 
-// Send stores an update, as an effect of the role. Errors: leader.ErrLeaseLost, and
-// those of the client.
+// Send stores an update of an operation under the grant's fencing token. It returns
+// leader.ErrLeaseLost if the token is outdated, and otherwise errors of the client.
 func Send(ctx context.Context, grant *leader.Grant, op registry.Operation, update Update) error {
 	body := registry.Operation{Message: update.Message, Done: update.Done}
 	if update.Progress != nil {
@@ -118,8 +119,8 @@
 	return grant.Do(ctx, http.MethodPost, path, body, nil)
 }
 
-// SendIfNew is Send for a state that lasts: it does nothing where the operation has
-// the message already.
+// SendIfNew calls Send unless the operation already has the update's message. Roles use
+// it for a state that lasts over many passes, such as waiting.
 func SendIfNew(ctx context.Context, grant *leader.Grant, op registry.Operation, update Update) error {
 	if update.Message == op.Message {
 		return nil
--- a/internal/leader/operations/operations_test.go
+++ b/internal/leader/operations/operations_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// withGrant runs work as the leader of a role until the test ends.
+// startHolder runs work as the holder of a role until the test ends.
 func withGrant(t *testing.T, c *client.Client, role string, work leader.Work) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -47,8 +47,8 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// A pass sees the pending operations of its kind, paused ones included, whatever
-// characters are in their names; a completed one is not pending any more.
+// Run passes the pending operations of its kind, including paused ones and names with
+// characters that URLs escape. An operation that was sent as done is not pending any more.
 func TestRunAndSend(t *testing.T) {
 	group := registrytest.Start(t, 1, nil)
 	c := group.Client()
@@ -63,7 +63,7 @@
 				var spec testSpec
 				var progress testProgress
 				if err := Decode(op, &spec, &progress); err != nil || spec.Size != 3 {
-					t.Errorf("%s: spec %+v, %v", op.Name, spec, err)
+					t.Errorf("%s: decoded spec %+v, error %v; want size 3", op.Name, spec, err)
 				}
 				mu.Lock()
 				names = append(names, op.Name)
@@ -76,7 +76,7 @@
 			return nil
 		})
 	})
-	registrytest.WaitFor(t, "both operations done", func() bool {
+	registrytest.WaitFor(t, "both operations to be done", func() bool {
 		pending, err := Pending(t.Context(), c, kind)
 		return err == nil && len(pending) == 0
 	})
@@ -87,15 +87,15 @@
 		steps[name]++
 	}
 	if len(steps) != 2 || steps["plain"] != 2 || steps["two words/slash"] != 2 {
-		t.Errorf("steps: %v", steps)
+		t.Errorf("passes by operation: %v; want 2 for each of 2 operations", steps)
 	}
 	if pending, err := Pending(t.Context(), c, "salvage"); err != nil || len(pending) != 1 {
-		t.Errorf("another kind: %v, %v", pending, err)
+		t.Errorf("operations of another kind: %v, error %v; want 1 pending", pending, err)
 	}
 }
 
-// An update with a message that is stored already is not sent, and one without
-// progress leaves none.
+// SendIfNew does not send an update whose message the operation has already. An update
+// without progress stores none.
 func TestSendIfNew(t *testing.T) {
 	c := registrytest.Start(t, 1, nil).Client()
 	put(t, c, kind, "x", registry.DesiredRun)
@@ -113,30 +113,30 @@
 	}
 	pending, err := Pending(t.Context(), c, kind)
 	if err != nil || len(pending) != 1 || pending[0].Message != "held" || len(pending[0].Progress) != 0 {
-		t.Errorf("%+v, %v", pending, err)
+		t.Errorf("pending operations %+v, error %v; want 1 with message held and no progress", pending, err)
 	}
 }
 
-// The desired state is the present one; an operation that is gone is to be aborted.
+// DesiredState returns the state that is stored now, not that of the operation passed to
+// it, and abort for an operation that does not exist.
 func TestDesiredState(t *testing.T) {
 	c := registrytest.Start(t, 1, nil).Client()
 	put(t, c, kind, "x", registry.DesiredRun)
 	put(t, c, kind, "x", registry.DesiredPause)
 	for name, want := range map[string]string{"x": registry.DesiredPause, "gone": registry.DesiredAbort} {
 		if got, err := DesiredState(t.Context(), c, registry.Operation{Kind: kind, Name: name, DesiredState: registry.DesiredRun}); err != nil || got != want {
-			t.Errorf("%s: %s, %v", name, got, err)
+			t.Errorf("operation %s: desired state %s, error %v", name, got, err)
 		}
 	}
 }
 
-// An error of a pass ends Run; one that results from the end of the context does not
-// count.
+// Run returns the error of a pass, but nil if the context has ended by then.
 func TestRunErrors(t *testing.T) {
 	c := registrytest.Start(t, 1, nil).Client()
 	failure := errors.New("failure")
 	err := Run(t.Context(), c, kind, time.Millisecond, func(context.Context, []registry.Operation) error { return failure })
 	if !errors.Is(err, failure) {
-		t.Errorf("a pass that fails: %v", err)
+		t.Errorf("a pass fails: Run returned %v, want the error of the pass", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	err = Run(ctx, c, kind, time.Millisecond, func(context.Context, []registry.Operation) error {
@@ -144,11 +144,12 @@
 		return failure
 	})
 	if err != nil {
-		t.Errorf("a pass that is canceled: %v", err)
+		t.Errorf("the context ends during a pass: Run returned %v, want nil", err)
 	}
 }
 
-// Specs and progress that are not JSON of their types are errors.
+// Decode returns an error for a missing spec, and for a spec or progress that is not JSON
+// of the given type.
 func TestDecodeErrors(t *testing.T) {
 	for _, op := range []registry.Operation{
 		{Spec: []byte(`{"size":"big"}`)},
@@ -158,7 +159,7 @@
 		var spec testSpec
 		var progress testProgress
 		if err := Decode(op, &spec, &progress); err == nil {
-			t.Errorf("%s, %s: no error", op.Spec, op.Progress)
+			t.Errorf("spec %q, progress %q: no error", op.Spec, op.Progress)
 		}
 	}
 }
--- a/internal/leader/registration_expiry_test.go
+++ b/internal/leader/registration_expiry_test.go
@@ -9,8 +9,8 @@
 	"plovershore/internal/registry"
 )
 
-// The role list-keeper expires registrations without heartbeats; none expires while
-// nobody holds it.
+// The holder of the role list-keeper makes a registration without heartbeats expire. A
+// request to expire registrations with a token that was never granted is rejected.
 func TestRegistrationExpiry(t *testing.T) {
 	_, addr := startNode(t, func(c *registry.Config) { c.ExpiryGuard.ExpiredBy = "duty" })
 	c := newClient(t, addr)
@@ -26,8 +26,8 @@
 		return len(all)
 	}
 	if err := (&Grant{Role: RegistrationExpiry, Token: 7, candidate: newCandidate(Options{Client: c}), cancel: func(error) {}}).Do(t.Context(), http.MethodPost, registry.ExpirePath, struct{}{}, nil); !errors.Is(err, ErrLeaseLost) {
-		t.Errorf("a token that nobody was granted: %v", err)
+		t.Errorf("with a token that was never granted: %v, want ErrLeaseLost", err)
 	}
 	startCandidate(t, addr, "a", time.Second, map[string]Work{RegistrationExpiry: ExpireRegistrations})
-	waitFor(t, "the lapse", func() bool { return members() == 0 })
+	waitFor(t, "the registration to expire", func() bool { return members() == 0 })
 }
--- a/internal/leader/release.go
+++ b/internal/leader/release.go
@@ -10,8 +10,7 @@
 
 const resignPoll = 5 * time.Millisecond
 
-// release gives a role back to the list service. Where that fails, it is retried
-// by the campaign.
+// release returns a role to the list service. If that fails, the campaign retries it.
 func (c *candidate) release(grant *Grant, request registry.RoleRequest) (released bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.opts.TTL)
 	defer cancel()
@@ -24,7 +23,7 @@
 	return true
 }
 
-// deferRelease leaves a release to releaseStaleGrants.
+// deferRelease records a release that releaseStaleGrants is to send.
 func (c *candidate) deferRelease(role string, request registry.RoleRequest) {
 	c.mu.Lock()
 	c.pendingReleases[role] = request
@@ -32,15 +31,17 @@
 	c.wakeCampaign()
 }
 
-// releaseStaleGrants releases the roles that the list service still has this
-// session hold although their work has ended: the lease expired, or the release did
-// not get through. A session can outlive its lease, as over a change of the list
-// service's leader, and would then keep the role from every candidate.
+// releaseStaleGrants releases roles that the list service still lists as held by this
+// session although their work has ended, because the lease expired or because the
+// release did not reach the list service. A session can outlive its lease, for example
+// when the list service changes its leader; without the release no candidate could then
+// acquire the role.
 func (c *candidate) releaseStaleGrants(ctx context.Context) {
 	for role, request := range c.staleGrants() {
 		if err := c.postRelease(ctx, role, request); err != nil {
-			// Retried after the next change: another holds the role, or the list
-			// service does not answer.
+			// Either another candidate holds the role by now, or the list service does
+			// not respond. The campaign retries the release if the role list still shows
+			// the role as held by this session.
 			c.opts.Log.Warn("stale role release failed", "role", role, "token", request.Token, "err", err)
 			continue
 		}
--- a/internal/leader/session.go
+++ b/internal/leader/session.go
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// sendHeartbeats renews the session until ctx ends, and opens a new one where the
-// list service does not know it any more.
+// sendHeartbeats renews the session until ctx ends. It opens a new session if the list
+// service no longer knows the present one.
 func (c *candidate) sendHeartbeats(ctx context.Context) {
 	interval := c.opts.Clock.Real(c.opts.TTL / heartbeatsPerTTL)
 	for Sleep(ctx, interval) {
@@ -59,7 +59,8 @@
 	return err
 }
 
-// reopenSession retries until a session is open; false where ctx ends first.
+// reopenSession tries to open a session until it succeeds. It returns false if ctx ends
+// first.
 func (c *candidate) reopenSession(ctx context.Context, interval time.Duration) bool {
 	for c.openSession(ctx) != nil {
 		if !Sleep(ctx, interval) {
@@ -69,8 +70,8 @@
 	return true
 }
 
-// closeSession ends the session, so that its name does not count among the
-// candidates any longer.
+// closeSession ends the session at the list service, so that other candidates no longer
+// include this controller when they compute their quotas.
 func (c *candidate) closeSession() {
 	c.mu.Lock()
 	id := c.session
@@ -105,8 +106,8 @@
 	}
 }
 
-// resetWatchdog has all grants canceled when the lease expires, whatever their
-// work is doing then. c.mu is held.
+// resetWatchdog restarts the timer that cancels all grants when the lease expires. The
+// caller holds c.mu.
 func (c *candidate) resetWatchdog() {
 	if c.watchdog != nil {
 		c.watchdog.Stop()
@@ -118,7 +119,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.hasLease() {
-		return // renewed while the timer fired
+		return // the lease was renewed while the timer fired
 	}
 	for _, grant := range c.grants {
 		c.opts.Log.Warn("lease expired", "role", grant.Role, "token", grant.Token)
--- a/internal/leader/watch.go
+++ b/internal/leader/watch.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	longPoll        = 3 * time.Second // less than the client's response timeout
+	longPoll        = 3 * time.Second // how long a request waits for a change; less than the client's response timeout
 	longPollTimeout = longPoll + 2*time.Second
 	pollRetryDelay  = 50 * time.Millisecond
 )
 
-// watchRoles follows the state of all roles by long polls until ctx ends.
+// watchRoles keeps the role list up to date with long polls until ctx ends.
 func (c *candidate) watchRoles(ctx context.Context) {
 	revision := int64(0)
 	for ctx.Err() == nil {
@@ -29,7 +29,8 @@
 	}
 }
 
-// pollRoles waits until the list has changed since a revision, or for longPoll.
+// pollRoles returns the role list once it is newer than a revision, or after
+// longPollWait in any case.
 func (c *candidate) pollRoles(ctx context.Context, revision int64) (list registry.RoleList, err error) {
 	ctx, cancel := context.WithTimeout(ctx, longPollTimeout)
 	defer cancel()
@@ -38,13 +39,13 @@
 	return list, err
 }
 
-// applyRoleList records the state of all roles and cancels each grant that another
-// one has replaced.
+// applyRoleList records a role list and cancels each grant that is not valid any more
+// according to it.
 func (c *candidate) applyRoleList(list registry.RoleList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if list.Revision < c.view.Revision {
-		return // from a node that lags behind
+		return // the list is from a node that lags behind
 	}
 	c.view = list
 	now := c.opts.Clock.Mono()
@@ -59,8 +60,8 @@
 	c.wakeCampaign()
 }
 
-// cancelIfReplaced cancels the grant of a role that is not this session's any more.
-// c.mu is held.
+// cancelIfReplaced cancels this candidate's grant of a role if the role list shows that
+// the session no longer holds the role. The caller holds c.mu.
 func (c *candidate) cancelIfReplaced(role registry.Role) {
 	grant := c.grants[role.Name]
 	if grant == nil || role.Token < grant.Token || role.Token == grant.Token && role.Holder == c.session {
--- a/internal/leader/work.go
+++ b/internal/leader/work.go
@@ -9,18 +9,18 @@
 	"plovershore/internal/registry"
 )
 
-// stopTimeout is how long work may take to return after its context has ended.
+// stopTimeout is the time that work has to return after its context has ended.
 const stopTimeout = 5 * time.Second
 
-// Work does the work of a role until it is complete, fails, or ctx ends. The cause
-// of the context's end is ErrLeaseLost, ErrStopping or ErrRoleDisabled. An error
-// returned while ctx has not ended counts as a failure of the role and delays the
-// next grant.
+// Work does the work of a role until the work is complete, fails, or ctx ends. The
+// cause of the context's cancellation is ErrLeaseLost, ErrStopping or ErrRoleDisabled.
+// An error that is returned while ctx has not ended counts as a failure of the role.
+// Repeated failures delay the next grant.
 type Work func(ctx context.Context, g *Grant) error
 
-// startWork starts the work of a granted role. The note is that of the grant: one
-// read before it may be older than the last checkpoint of the holder before. c.mu
-// is held.
+// startWork starts the work of a granted role. The note must not have been read before
+// the grant: it could be older than the last checkpoint of the previous holder. The
+// caller holds c.mu.
 func (c *candidate) startWork(name string, token, term int64, note string) {
 	grant := &Grant{Role: name, Token: token, Term: term, Note: note, Controller: c.opts.Name, candidate: c}
 	grant.ctx, grant.cancel = context.WithCancelCause(context.Background())
@@ -56,12 +56,13 @@
 	}
 }
 
-// awaitWork runs the work and waits for its return. Work that ignores the end of
-// its context is given up on after stopTimeout: it must not keep the process from
-// its other roles, and its effects are rejected for their token.
+// awaitWork runs the work and waits until it returns. It abandons work that has not
+// returned stopTimeout after the end of its context, so that such work does not block
+// the process's other roles. Effects of abandoned work are rejected because of their
+// outdated token.
 func (c *candidate) awaitWork(grant *Grant) error {
 	returned := make(chan error, 1)
-	go func() { // not waited for beyond stopTimeout, see above
+	go func() { // may outlive awaitWork
 		err := callWork(grant.ctx, c.opts.Roles[grant.Role], grant)
 		c.mu.Lock()
 		delete(c.unstopped, grant.Role)
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// callWork turns a panic of one role's work into its failure, so that other roles
-// go on.
+// callWork calls work and turns a panic into an error, so that the process's other
+// roles continue.
 func callWork(ctx context.Context, work Work, grant *Grant) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -99,7 +100,7 @@
 	return work(ctx, grant)
 }
 
-// removeGrant forgets an ended grant and returns the successor that it names.
+// removeGrant removes an ended grant and returns the successor that was set for it.
 func (c *candidate) removeGrant(grant *Grant) (successor string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +108,8 @@
 	return grant.successor
 }
 
-// postponeRequest delays the next request of a role whose work is complete.
+// postponeRequest delays the next request for a role whose work is complete by one
+// lease duration.
 func (c *candidate) postponeRequest(role string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/leader/work_test.go
+++ b/internal/leader/work_test.go
@@ -12,8 +12,8 @@
 	"plovershore/internal/registry"
 )
 
-// Work that ignores the end of its context goes on, but its effects are rejected and
-// its candidate does not start it a second time meanwhile.
+// Work that ignores the end of its context is still running when its candidate has a new
+// session. The candidate must not start the work a second time meanwhile.
 func TestWorkIgnoringCancellationIsNotStartedTwice(t *testing.T) {
 	_, addr := startNode(t, nil)
 	p := startProxy(t, addr)
@@ -23,25 +23,25 @@
 	work := func(ctx context.Context, g *Grant) error {
 		most.Store(max(most.Load(), running.Add(1)))
 		defer running.Add(-1)
-		<-end // deaf
+		<-end // ignores ctx
 		return nil
 	}
 	startCandidate(t, p.addr, "a", 500*time.Millisecond, map[string]Work{"d": work})
-	waitFor(t, "it works", func() bool { return running.Load() == 1 })
+	waitFor(t, "the work of a to start", func() bool { return running.Load() == 1 })
 	p.partitioned.Store(true)
-	waitFor(t, "the store has ended the session", func() bool { return roleState(t, addr, "d").Holder == "" })
+	waitFor(t, "the list service to end the session of a", func() bool { return roleState(t, addr, "d").Holder == "" })
 	var began sync.Map
 	startCandidate(t, addr, "b", 500*time.Millisecond, map[string]Work{"d": workUntilCanceled(&began, "b")})
-	waitFor(t, "b has it", func() bool { return entryCount(&began) == 1 })
+	waitFor(t, "b to work", func() bool { return entryCount(&began) == 1 })
 	p.partitioned.Store(false)
-	waitFor(t, "a has a session again", func() bool { return len(listRoles(t, addr).Sessions) == 2 })
+	waitFor(t, "a to open a new session", func() bool { return len(listRoles(t, addr).Sessions) == 2 })
 	if most.Load() != 1 {
-		t.Errorf("%d at once", most.Load())
+		t.Errorf("the work of a ran %d times at once, want 1", most.Load())
 	}
 }
 
-// A grant carries the checkpoint of that moment: the role list that the candidate has
-// seen may be older than the last step of the holder before.
+// Work starts from the checkpoint that is returned with the grant, since the candidate's
+// role list may be older than the last step of the previous holder.
 func TestGrantCarriesLatestCheckpoint(t *testing.T) {
 	_, addr := startNode(t, nil)
 	c := newClient(t, addr)
@@ -68,13 +68,13 @@
 	candidate.applyRoleList(registry.RoleList{Revision: 1, Roles: []registry.Role{{Name: "d", Note: "old"}}})
 	candidate.acquire(t.Context(), "d")
 	if note := <-notes; note != "new" {
-		t.Errorf("begins at %q", note)
+		t.Errorf("the work starts from checkpoint %q, want new", note)
 	}
 	candidate.wg.Wait()
 }
 
-// Operators disable a role: its work ends, its token is rejected, and nobody acquires
-// it until it is enabled again.
+// When operators disable a role, its work ends with ErrRoleDisabled and the role has no
+// holder. The candidate acquires it again once it is enabled.
 func TestDisabledRole(t *testing.T) {
 	_, addr := startNode(t, nil)
 	c := newClient(t, addr)
@@ -87,7 +87,7 @@
 		return nil
 	}
 	startCandidate(t, addr, "a", time.Second, map[string]Work{"d": work})
-	waitFor(t, "it works", func() bool { return entryCount(&began) == 1 })
+	waitFor(t, "the work to start", func() bool { return entryCount(&began) == 1 })
 	hold := func(off bool) {
 		if _, err := c.Do(t.Context(), http.MethodPost, registry.RolesPath+"/d/hold", registry.RoleRequest{Disabled: off}, nil); err != nil {
 			t.Fatal(err)
@@ -95,11 +95,11 @@
 	}
 	hold(true)
 	if cause := <-ended; !errors.Is(cause, ErrRoleDisabled) {
-		t.Errorf("ended by %v", cause)
+		t.Errorf("the work ended with cause %v, want ErrRoleDisabled", cause)
 	}
 	if d := roleState(t, addr, "d"); d.Holder != "" || !d.Disabled {
-		t.Errorf("%+v", d)
+		t.Errorf("disabled role: %+v; want no holder", d)
 	}
 	hold(false)
-	waitFor(t, "it works again", func() bool { return entryCount(&began) == 2 })
+	waitFor(t, "the work to start again", func() bool { return entryCount(&began) == 2 })
 }
