--- a/internal/failover/export.go
+++ b/internal/failover/export.go
@@ -8,13 +8,14 @@
 	"plovershore/internal/wal"
 )
 
-// minDiskMB is the smallest log that a relay may have.
+// minDiskMB is the smallest size, in MB, that a relay's log may be limited to.
 const minDiskMB = 3
 
-// exportLog takes the log out of its folder, under the folder's lock and the role's
-// fencing token, and returns how many messages are pending in it. An export that is
-// there already is the work of a leader before, which has fenced the folder: it is
-// continued, though the relay may have come back since and started empty.
+// exportLog moves the log out of its folder into the export file and returns the number
+// of pending messages in it. It holds the folder's lock and records the role's fencing
+// token in the folder. If the export file exists already, a previous leader has made it
+// and has fenced the folder; exportLog then completes that export, even though the relay
+// may have restarted since and begun an empty log.
 func exportLog(g *leader.Grant, spec Spec) (pending int, err error) {
 	path := spec.exportPath()
 	records, err := wal.ReadExport(path)
@@ -39,8 +40,8 @@
 	return report.Pending, nil
 }
 
-// finishExport completes an export that may have been interrupted. A folder that
-// cannot be locked is left alone: a relay has come back and started empty there.
+// finishExport completes an export that may have been interrupted. It does nothing if the
+// folder cannot be locked: then the relay has restarted and begun an empty log there.
 func finishExport(folder, path string) error {
 	release, err := wal.LockFolder(folder)
 	if err != nil {
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,9 +1,10 @@
-// Package failover migrates the messages of a lost relay: the relay will not come
-// back, and its state folder is still there. Each message of the folder gets one
-// final notice, the same however often the leader changes on the way, and none is
-// forwarded: a message that never ran, or that is safe to repeat, is returned; one
-// that may have run and is not idempotent fails. A relay that comes back late finds
-// its folder fenced and starts empty. Which relay is lost is for operators to say.
+// Package failover completes the messages of a lost relay: one that will not come back,
+// but whose state folder still exists. Operators decide which relay is lost. Each message
+// in the folder gets one final notice, which is the same however often the leader changes
+// meanwhile. No message is forwarded: a message that never ran, or that may safely run
+// again, is returned to the platform, and a message that may have run and is not
+// idempotent fails. A relay that comes back after all finds its folder fenced and starts
+// with an empty log.
 package failover
 
 import (
@@ -28,7 +29,8 @@
 // Role is the name of the role, and the kind of its operations.
 const Role = "salvage"
 
-// exportSuffix is appended to a folder's path for the file of its exported log.
+// exportSuffix is appended to the path of a state folder to name the file of its
+// exported log.
 const exportSuffix = ".salvage"
 
 const (
@@ -46,10 +48,10 @@
 
 // Spec is the spec of an operation.
 type Spec struct {
-	Folder string `json:"folder"`  // the relay's state folder on this machine, an absolute path
-	DiskMB int    `json:"disk_mb"` // the relay's disk_mb
-	// IdempotentClasses are the classes whose messages may take effect again: one that
-	// may have run is returned. Of any other class, it fails.
+	Folder string `json:"folder"`  // absolute path of the relay's state folder on this machine
+	DiskMB int    `json:"disk_mb"` // the relay's setting disk_mb: the size limit of its log
+	// IdempotentClasses are the classes whose messages may take effect twice. A message
+	// that may have run is returned if it is of such a class, and fails otherwise.
 	IdempotentClasses []string `json:"safe,omitempty"`
 }
 
@@ -60,21 +62,21 @@
 	return nil
 }
 
-// exportPath is the file that the folder's log is exported to.
+// exportPath returns the path of the file that the folder's log is exported to.
 func (s *Spec) exportPath() string { return filepath.Clean(s.Folder) + exportSuffix }
 
-// Progress is how far an operation has come. Notified only grows, in the order of the
-// exported log, so that the next leader continues behind it.
+// Progress is the progress of an operation. Notices are sent in the order of the exported
+// log, so that the next leader continues after the first Notified messages.
 type Progress struct {
-	Exported bool `json:"moved"`       // the log was exported, and its folder fenced
-	Pending  int  `json:"owed"`        // messages of the log
-	Notified int  `json:"told"`        // messages whose notice was accepted
-	Returned int  `json:"handed_back"` // of those, returned to the platform
-	Failed   int  `json:"given_up"`    // of those, failed
+	Exported bool `json:"moved"`       // the log was exported and its folder fenced
+	Pending  int  `json:"owed"`        // pending messages in the exported log
+	Notified int  `json:"told"`        // messages whose notice the platform accepted
+	Returned int  `json:"handed_back"` // notified messages that were returned to the platform
+	Failed   int  `json:"given_up"`    // notified messages that failed
 }
 
-// Work returns the work of the role. Operations come from the list service; final
-// notices go to platform.
+// Work returns the work of the role. It reads operations from the list service and sends
+// final notices to platform.
 func Work(listService, platform *client.Client) leader.Work {
 	return func(ctx context.Context, g *leader.Grant) error {
 		return operations.Run(ctx, listService, Role, pollInterval, func(ctx context.Context, pending []registry.Operation) error {
@@ -100,8 +102,8 @@
 	progress Progress
 }
 
-// advance carries out an operation. What prevents it is reported, and the operation
-// is retried.
+// advance carries out an operation. If something prevents that, it stores the reason as
+// the operation's message, and the next pass retries the operation.
 func advance(ctx context.Context, g *leader.Grant, platform *client.Client, op registry.Operation) error {
 	m := &migration{grant: g, platform: platform, op: op}
 	err := operations.Decode(op, &m.spec, &m.progress)
@@ -124,8 +126,8 @@
 	return m.notify(ctx)
 }
 
-// export takes the log out of its folder. It reports false where that has to wait,
-// as for a relay that still runs.
+// export moves the log out of its folder. It returns false if that is not possible yet,
+// for example because the relay still runs.
 func (m *migration) export(ctx context.Context) (exported bool, err error) {
 	pending, err := exportLog(m.grant, m.spec)
 	if errors.Is(err, leader.ErrFenced) {
@@ -139,12 +141,12 @@
 	return true, m.publish(ctx, messageExported)
 }
 
-// notify sends the final notices that are still pending and completes the operation.
+// notify sends the final notices that were not sent yet and completes the operation.
 func (m *migration) notify(ctx context.Context) error {
 	path := m.spec.exportPath()
 	records, err := wal.ReadExport(path)
 	if errors.Is(err, os.ErrNotExist) && m.progress.Notified == m.progress.Pending {
-		return m.finish(ctx, operations.MessageDone) // a leader before has died in its last step
+		return m.finish(ctx, operations.MessageDone) // a previous leader removed the file and died before it reported that
 	}
 	if err != nil {
 		return m.publish(ctx, messageStuck+err.Error())
@@ -161,7 +163,8 @@
 	return m.finish(ctx, operations.MessageDone)
 }
 
-// notifyBatch sends the notices of some records in one request and reports them.
+// notifyBatch sends the notices of some records in one request and then stores the
+// progress.
 func (m *migration) notifyBatch(ctx context.Context, records []*wal.Record) error {
 	next := m.progress
 	var lines bytes.Buffer
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -35,19 +35,19 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
-// store is a list service behind a proxy that records final notices, and that can
-// lose responses to them.
+// listService is a list service behind a proxy that records final notices. The proxy can
+// reject notices, or drop the responses to them.
 type store struct {
 	t    *testing.T
 	addr string
 
 	mu            sync.Mutex
-	notices       map[string]map[string]int // by message and outcome
-	lostResponses int                       // responses to notices that are still to be lost
-	rejecting     bool                      // notices are rejected
+	notices       map[string]map[string]int // number of notices by message id and outcome
+	lostResponses int                       // number of further responses to notices to drop
+	rejecting     bool                      // whether the proxy rejects notices
 	batches       int
 }
 
@@ -81,7 +81,7 @@
 		}
 		all, err := discovery.ReadNotices(bytes.NewReader(text))
 		if err != nil {
-			t.Errorf("notices: %v", err)
+			t.Errorf("decoding notices: %v", err)
 		}
 		s.batches++
 		for _, x := range all {
@@ -148,9 +148,10 @@
 	return stop
 }
 
-// lostRelay makes the folder of a relay that was killed. Of every five messages two
-// were never attempted, one has an attempt without an outcome, one may have run, and
-// one is complete but for its notice.
+// createLostRelayFolder creates the state folder of a relay that was killed with n pending
+// messages, and returns the outcome that each message's notice must have. Of every five
+// messages, two were never attempted, one has an attempt without an outcome, one has an
+// attempt that may have run, and one is complete except for its notice.
 func lostRelay(t *testing.T, n int) (folder string, want map[string]string) {
 	t.Helper()
 	folder, want = filepath.Join(t.TempDir(), "state"), map[string]string{}
@@ -190,49 +191,51 @@
 	defer s.mu.Unlock()
 	for id, outcome := range want {
 		if len(s.notices[id]) != 1 || s.notices[id][outcome] == 0 {
-			s.t.Errorf("%s: want %s, got %v", id, outcome, s.notices[id])
+			s.t.Errorf("%s: want a notice with outcome %s alone, got %v", id, outcome, s.notices[id])
 		}
 	}
 	if len(s.notices) != len(want) {
-		s.t.Errorf("%d messages notified, %d were pending", len(s.notices), len(want))
+		s.t.Errorf("%d messages got notices, %d were pending", len(s.notices), len(want))
 	}
 }
 
-// Each message gets one final notice, though responses are lost and the leader changes
-// in the middle; the relay that comes back late starts empty.
+// Every pending message gets the same final notice, even though two responses to notices
+// are lost and the leader changes before all are sent. A relay that starts in the folder
+// afterwards finds it fenced and has no pending messages.
 func TestEveryMessageGetsOneFinalNotice(t *testing.T) {
 	s := startStore(t)
 	folder, want := lostRelay(t, 500)
 	s.lostResponses = 2
 	s.create(folder)
 	stop := s.startController("a")
-	waitFor(t, "a part of the notices", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.batches >= 3 })
+	waitFor(t, "three batches of notices", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.batches >= 3 })
 	stop()
 	s.startController("b")
 	waitFor(t, "the end of the operation", func() bool { return s.operation().Done })
 	s.checkNotices(want)
 	var p Progress
 	if err := json.Unmarshal(s.operation().Progress, &p); err != nil || p.Pending != 500 || p.Notified != 500 || p.Returned != 200 || p.Failed != 300 {
-		t.Errorf("%+v, %v", p, err)
+		t.Errorf("progress %+v, error %v; want 500 notified, 200 of them returned", p, err)
 	}
 	if _, err := os.Stat(folder + ".salvage"); !os.IsNotExist(err) {
 		t.Errorf("the exported log is still there: %v", err)
 	}
 	f, err := wal.ClearFence(folder)
 	if err != nil || f == nil {
-		t.Fatalf("the late relay: fence %v, %v", f, err)
+		t.Fatalf("start of the relay in its old folder: fence %v, error %v", f, err)
 	}
 	l, err := wal.Open(wal.Options{Dir: folder, Limit: 3 << 20})
 	if err != nil || l.PendingUnread() != 0 {
-		t.Fatalf("the late relay: %v", err)
+		t.Fatalf("start of the relay in its old folder: error %v, or pending messages", err)
 	}
 	quit := make(chan struct{})
 	close(quit)
 	l.Run(quit)
 }
 
-// A message that may have run is returned where its class is idempotent, but not one
-// whose notice was decided before, nor a corrupt one.
+// A message that never ran, or that may have run but is of an idempotent class, is
+// returned. One whose record has a notice already keeps that notice, and one with a corrupt
+// record fails.
 func TestFinalNotice(t *testing.T) {
 	for _, x := range []struct {
 		r    wal.Record
@@ -245,13 +248,13 @@
 		{wal.Record{Corrupted: true}, discovery.Failed},
 	} {
 		if n := FinalNotice(&x.r, []string{"alert-update"}); n.Outcome != x.want {
-			t.Errorf("%+v: %s", x.r, n.Outcome)
+			t.Errorf("record %+v: unexpected outcome %s", x.r, n.Outcome)
 		}
 	}
 }
 
-// A relay that runs keeps its folder: the operation waits and reports why, and goes on
-// once the relay has died.
+// While the relay still runs and locks its folder, the operation waits, reports the
+// reason and sends no notices. It continues once the lock is free.
 func TestRunningRelayKeepsItsFolder(t *testing.T) {
 	s := startStore(t)
 	folder, want := lostRelay(t, 20)
@@ -264,10 +267,10 @@
 	}
 	s.create(folder)
 	s.startController("a")
-	waitFor(t, "the reason why it waits", func() bool { return strings.Contains(s.operation().Message, "in use") })
+	waitFor(t, "the message that the folder is in use", func() bool { return strings.Contains(s.operation().Message, "in use") })
 	s.mu.Lock()
 	if len(s.notices) > 0 {
-		t.Errorf("notified while the relay runs: %v", s.notices)
+		t.Errorf("notices were sent while the relay runs: %v", s.notices)
 	}
 	s.mu.Unlock()
 	lock.Close()
@@ -275,33 +278,35 @@
 	s.checkNotices(want)
 }
 
-// A former leader, whose token is older, does not export the folder any more.
+// A former leader, whose token is older than the one recorded in the folder, cannot export
+// the log.
 func TestOlderTokenExportsNothing(t *testing.T) {
 	folder, _ := lostRelay(t, 5)
 	if err := leader.Fence(folder, Role, 9); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := exportLog(&leader.Grant{Token: 8}, Spec{Folder: folder}); err == nil {
-		t.Fatal("exported")
+		t.Fatal("the log was exported with an older token")
 	}
 	if report, err := wal.Inspect(nil, folder); err != nil || report.Pending != 5 {
-		t.Errorf("%+v, %v", report, err)
+		t.Errorf("log after the rejected export: %+v, error %v; want 5 pending messages", report, err)
 	}
 }
 
-// An operation with an invalid spec is reported and done.
+// An operation with an invalid spec is done at once, with the error as its message.
 func TestInvalidOperation(t *testing.T) {
 	s := startStore(t)
 	s.create("relative")
 	s.startController("a")
 	waitFor(t, "the end of the operation", func() bool { return s.operation().Done })
 	if message := s.operation().Message; !strings.Contains(message, "absolute path") {
-		t.Errorf("message %q", message)
+		t.Errorf("message %q, want one that asks for an absolute path", message)
 	}
 }
 
-// The leader dies between the export of the log and its report, and the relay comes
-// back and runs: the exported messages get their notices all the same.
+// A leader dies after it has exported the log and before it has reported that, and then
+// the relay restarts in the folder. The next leader still sends the notices of the exported
+// messages.
 func TestExportedWithoutReport(t *testing.T) {
 	s := startStore(t)
 	folder, want := lostRelay(t, 30)
--- a/internal/failover/notice.go
+++ b/internal/failover/notice.go
@@ -7,14 +7,16 @@
 	"plovershore/internal/wal"
 )
 
-// retryAfterMS is when a returned message may be submitted again.
+// retryAfterMS is the number of milliseconds after which the platform may submit a
+// returned message again.
 const retryAfterMS = 500
 
-// FinalNotice returns the notice of a message that will not be forwarded any more. A
-// corrupt record, of which only the id is known, may be of any class.
+// FinalNotice returns the notice for a message that will not be forwarded any more. A
+// message with a corrupt record fails: only its id is known, so it may be of a class that
+// is not idempotent.
 func FinalNotice(r *wal.Record, idempotentClasses []string) discovery.Notice {
 	switch {
-	case r.Notice != "": // complete already: its platform may have received the notice
+	case r.Notice != "": // complete; the platform may have received this notice already
 		return discovery.Notice{Message: r.ID, Outcome: r.Notice, RetryMS: r.RetryMS}
 	case r.Corrupted || r.UnknownOutcomeAt != 0 && !slices.Contains(idempotentClasses, r.Class):
 		return discovery.Notice{Message: r.ID, Outcome: discovery.Failed}
