--- a/internal/zones/capacity.go
+++ b/internal/zones/capacity.go
@@ -10,23 +10,25 @@
 	"plovershore/internal/registry"
 )
 
-// Capacity is what serves a destination: the sizes of its endpoints that are up.
+// Capacity is the capacity of one destination, which is the sum of the sizes of its
+// endpoints that are up.
 type Capacity struct {
-	Cell      int     `json:"cell"` // the destination
-	Now       float64 `json:"now"`
-	Remaining float64 `json:"left"` // without the endpoints in question
+	Cell      int     `json:"cell"` // the number of the destination
+	Now       float64 `json:"now"`  // the present capacity
+	Remaining float64 `json:"left"` // the capacity without the endpoints to be drained
 }
 
-// Retains reports whether at least a fraction of the capacity remains.
+// Retains reports whether at least the given fraction of the present capacity remains.
 func (c Capacity) Retains(fraction float64) bool { return c.Remaining >= fraction*c.Now }
 
-// String is the text of an evacuation that this capacity prevents.
+// String describes the capacity as the reason why an evacuation is rejected or waits.
 func (c Capacity) String() string {
 	return fmt.Sprintf("destination %d would keep %.3g of %.3g", c.Cell, c.Remaining, c.Now)
 }
 
-// CapacitiesWithout returns, by destination, what would remain if all endpoints of a
-// zone were drained, for each destination that has endpoints in the zone.
+// CapacitiesWithout returns the capacity of each destination that has endpoints that are
+// up in the zone, in the order of the destinations. Remaining is the capacity that would
+// remain if all endpoints of the zone were drained.
 func CapacitiesWithout(members []registry.Member, zone string) []Capacity {
 	byCell := map[int]*Capacity{}
 	inZone := map[int]bool{}
@@ -54,7 +56,7 @@
 	return capacities
 }
 
-// Insufficient returns the capacities of which less than a fraction would remain.
+// Insufficient returns those capacities of which less than the given fraction would remain.
 func Insufficient(capacities []Capacity, fraction float64) (insufficient []Capacity) {
 	for _, capacity := range capacities {
 		if !capacity.Retains(fraction) {
@@ -64,7 +66,7 @@
 	return insufficient
 }
 
-// memberSize is 1 for an endpoint that states no size.
+// memberSize returns the size of an endpoint, or 1 if it has not registered a size.
 func memberSize(member registry.Member) float64 {
 	if member.Size > 0 {
 		return member.Size
--- a/internal/zones/evacuate.go
+++ b/internal/zones/evacuate.go
@@ -15,7 +15,7 @@
 	"plovershore/internal/registry/client"
 )
 
-// step brings the evacuation on by one endpoint, where that is due.
+// step advances the evacuation or its return by one endpoint, if the next step is due.
 func (e *evacuation) step(ctx context.Context) error {
 	if !e.progress.Started {
 		if e.isAborted() {
@@ -35,8 +35,8 @@
 	return e.drainNext(ctx)
 }
 
-// start records the state before the evacuation, unless too little capacity would
-// remain.
+// start rejects the evacuation if too little capacity would remain. Otherwise it records
+// the capacities before the evacuation, and the evacuation has started.
 func (e *evacuation) start(ctx context.Context) error {
 	members, err := e.members(ctx)
 	if err != nil {
@@ -62,8 +62,9 @@
 	return e.publish(ctx, messageStarted)
 }
 
-// resume continues the evacuation of a leader before, which may have died between the
-// record of its last step and the step itself.
+// resume continues an evacuation that a previous leader has started. That leader may have
+// died after it recorded an endpoint as drained and before it drained it, so resume drains
+// the last recorded endpoint again.
 func (e *evacuation) resume(ctx context.Context) error {
 	e.scheduleNextStep()
 	drained := e.progress.Drained
@@ -73,7 +74,8 @@
 	return e.setPhase(ctx, drained[len(drained)-1], discovery.Draining)
 }
 
-// undrainLast puts back the endpoint that was drained last.
+// undrainLast undrains the endpoint that was drained last. If none is left, the operation
+// is done.
 func (e *evacuation) undrainLast(ctx context.Context) error {
 	last := len(e.progress.Drained) - 1
 	if last < 0 {
@@ -87,7 +89,7 @@
 	return e.publish(ctx, fmt.Sprintf("returns: %d of %d are out", last, e.progress.Total))
 }
 
-// drainNext drains one endpoint, after that is recorded.
+// drainNext records one more endpoint as drained and then drains it.
 func (e *evacuation) drainNext(ctx context.Context) error {
 	members, err := e.members(ctx)
 	if err != nil {
@@ -111,9 +113,10 @@
 	return e.setPhase(ctx, id, discovery.Draining)
 }
 
-// selectEndpoint returns the id of the endpoint to drain next: the least one whose
-// destination retains its fraction without it. It is empty for none, with the
-// capacities that prevent it: what remains elsewhere may have shrunk since the start.
+// selectEndpoint returns the id of the endpoint to drain next, which is the least id of
+// those whose destination retains the demanded fraction of its capacity without them. If
+// there is none, the id is empty, and insufficient has the capacities that prevent it: the
+// capacity in other zones may have shrunk since the start.
 func (e *evacuation) selectEndpoint(members []registry.Member, capacities []Capacity) (id string, insufficient []Capacity) {
 	byCell := map[int]Capacity{}
 	for _, capacity := range capacities {
@@ -144,14 +147,15 @@
 	e.nextStep[e.op.Name] = time.Now().Add(e.spec.interval())
 }
 
-// members reads all endpoints, with every change that was confirmed before.
+// members reads all endpoints from the list service. The read is consistent: the result
+// includes every change that was confirmed before.
 func (w *worker) members(ctx context.Context) (members []registry.Member, err error) {
 	_, err = w.client.Do(ctx, http.MethodGet, registry.MembersPath+"?consistent=1", nil, &members)
 	return members, err
 }
 
-// setPhase changes the phase of an endpoint, as an effect of the role. One that is
-// gone needs no change.
+// setPhase changes the phase of an endpoint under the grant's fencing token. It returns
+// nil if the endpoint is no longer on the list.
 func (w *worker) setPhase(ctx context.Context, id, phase string) error {
 	path := registry.MembersPath + "/" + url.PathEscape(id) + "/phase"
 	err := w.grant.Do(ctx, http.MethodPost, path, map[string]string{"phase": phase}, nil)
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,10 +1,10 @@
-// Package zones evacuates a zone and returns its endpoints. An evacuation drains the
-// zone's endpoints one after the other at a given rate; its abort puts back what it
-// has drained, and nothing else, whichever leader began it. Unless it is forced, each
-// destination keeps a given fraction of its capacity, and one zone at a time is
-// evacuated. Capacity is the endpoints' sizes, not their load: what the remaining
-// zones serve is seen by relays and operators. Whether relays avoid a zone by
-// themselves is package policy's.
+// Package zones evacuates zones and returns them to service. An evacuation drains the
+// zone's endpoints one by one at a given rate. Aborting it undrains the endpoints that it
+// has drained, and no others, whichever leader drained them. Unless an evacuation is
+// forced, each destination keeps a given fraction of its capacity, and only one zone is
+// evacuated at a time. Capacity is calculated from the sizes of endpoints, not from their
+// load: relays and operators watch how the remaining zones cope. Package policy decides
+// whether relays avoid a zone by themselves.
 package zones
 
 import (
@@ -25,7 +25,7 @@
 
 const (
 	pollInterval = 100 * time.Millisecond
-	rateMax      = 1000 // endpoints a second
+	rateMax      = 1000 // endpoints per second
 )
 
 // Messages of an operation, as stored and shown to operators.
@@ -40,12 +40,13 @@
 // Spec is the spec of an evacuation.
 type Spec struct {
 	Zone        string  `json:"zone"`
-	Rate        float64 `json:"rate"`  // endpoints a second
-	MinFraction float64 `json:"keep"`  // of each destination's capacity, that has to remain
-	Force       bool    `json:"force"` // whatever would remain, and whichever zone is evacuated already
+	Rate        float64 `json:"rate"`  // endpoints drained per second
+	MinFraction float64 `json:"keep"`  // fraction of each destination's capacity that has to remain
+	Force       bool    `json:"force"` // evacuate even if too little capacity remains or another zone is being evacuated
 }
 
-// Validate returns an error that begins with the name of an invalid field.
+// Validate returns an error if a field is invalid. The error begins with the field's JSON
+// name.
 func (s *Spec) Validate() error {
 	switch {
 	case s.Zone == "":
@@ -58,17 +59,17 @@
 	return nil
 }
 
-// interval is the time between two steps.
+// interval returns the time between two steps.
 func (s *Spec) interval() time.Duration { return time.Duration(float64(time.Second) / s.Rate) }
 
-// Progress is how far an evacuation has come. An endpoint is recorded before it is
-// drained and removed after it is put back, so that the next leader knows all that
-// may be draining.
+// Progress is the progress of an evacuation. An endpoint is added to Drained before it is
+// drained, and removed from it after it is undrained, so that the next leader knows every
+// endpoint that this evacuation may have drained.
 type Progress struct {
 	Started bool            `json:"begun"`
-	Total   int             `json:"total"`  // endpoints that were up at the start
+	Total   int             `json:"total"`  // endpoints of the zone that were up at the start
 	Before  map[int]float64 `json:"before"` // capacity of each destination at the start
-	Drained []string        `json:"out"`    // drained by this evacuation, in order
+	Drained []string        `json:"out"`    // ids of the endpoints drained by this evacuation, in order
 }
 
 // Work returns the work of the role.
@@ -79,12 +80,13 @@
 	}
 }
 
-// worker is the work of one grant.
+// worker carries out the evacuations during one grant of the role.
 type worker struct {
 	client *client.Client
 	grant  *leader.Grant
-	// nextStep is when the next step of each evacuation may be done. A new leader waits
-	// a whole interval first, since it cannot know when the last step was.
+	// nextStep is the time at which the next step of each evacuation is due, by operation
+	// name. A new leader first waits for a whole interval, since it does not know when the
+	// last step was.
 	nextStep map[string]time.Time
 }
 
@@ -92,10 +94,10 @@
 	return &worker{client: c, grant: g, nextStep: map[string]time.Time{}}
 }
 
-// advanceAll brings each pending evacuation on by a step, where it is due.
+// advanceAll advances each pending evacuation by one step if that is due.
 func (w *worker) advanceAll(ctx context.Context, pending []registry.Operation) error {
 	active := activeOperation(pending)
-	// Those in progress come first, so that a new one sees them.
+	// Evacuations in progress come first, so that new ones wait for them.
 	slices.SortStableFunc(pending, func(a, b registry.Operation) int { return len(b.Progress) - len(a.Progress) })
 	for _, op := range pending {
 		e := &evacuation{worker: w, op: op}
@@ -123,8 +125,9 @@
 	return nil
 }
 
-// activeOperation returns the name of the evacuation in progress: its zone is being
-// drained, is drained, or is not all put back yet. It is empty for none.
+// activeOperation returns the name of the evacuation in progress, or an empty name if
+// there is none. An evacuation is in progress from its start until all its endpoints are
+// undrained again.
 func activeOperation(pending []registry.Operation) (name string) {
 	for _, op := range pending {
 		if len(op.Progress) > 0 {
@@ -144,7 +147,7 @@
 
 func (e *evacuation) isAborted() bool { return e.op.DesiredState == registry.DesiredAbort }
 
-// mustWaitFor reports whether the evacuation may not start beside the active one.
+// mustWaitFor reports whether the evacuation has to wait until the active one is done.
 func (e *evacuation) mustWaitFor(active string) bool {
 	return !e.progress.Started && active != "" && !e.spec.Force && !e.isAborted()
 }
@@ -157,7 +160,8 @@
 	return operations.Send(ctx, e.grant, e.op, operations.Update{Progress: e.progress, Message: message, Done: true})
 }
 
-// publishWaiting reports, once, why nothing is done.
+// publishWaiting stores the reason why the evacuation does not proceed, unless that is the
+// operation's message already.
 func (e *evacuation) publishWaiting(ctx context.Context, message string) error {
 	update := operations.Update{Message: message}
 	if e.progress.Started { // an operation with progress counts as active
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -19,7 +19,7 @@
 	"plovershore/internal/registry/registrytest"
 )
 
-// fleet is a list service with endpoints in zones a, b and c.
+// fleet is a list service to which tests add the endpoints of zones.
 type fleet struct {
 	t    *testing.T
 	addr string
@@ -50,7 +50,7 @@
 	}
 }
 
-// drained are the members that are not up, by id.
+// drained returns the sorted ids of the members that are not up.
 func (f *fleet) drained() (ids []string) {
 	var all []registry.Member
 	f.do(http.MethodGet, registry.MembersPath, nil, &all)
@@ -67,7 +67,7 @@
 	f.t.Helper()
 	o := registry.Operation{DesiredState: desired}
 	if s != nil {
-		o.Spec, _ = json.Marshal(s) // strings and numbers alone
+		o.Spec, _ = json.Marshal(s) // cannot fail: the spec has only strings, numbers and booleans
 	}
 	f.do(http.MethodPut, registry.OperationsPath+"/"+Role+"/"+name, o, nil)
 }
@@ -102,8 +102,9 @@
 	return stop
 }
 
-// What remains of a destination is counted by size, of endpoints that are up; one whose
-// endpoints are all in the zone retains nothing.
+// Capacities sum up the sizes of the endpoints that are up, where an endpoint without a size
+// counts as 1. Destinations without endpoints in the zone are left out, and a destination
+// with all of its endpoints in the zone retains nothing.
 func TestCapacitiesWithout(t *testing.T) {
 	var all []registry.Member
 	add := func(zone string, cell int, size float64, phase string) {
@@ -116,75 +117,77 @@
 	add("a", 3, 1, discovery.Up)
 	capacities := CapacitiesWithout(all, "b")
 	if want := []Capacity{{1, 3, 2}, {2, 1, 0}}; !slices.Equal(capacities, want) {
-		t.Errorf("%v, want %v", capacities, want)
+		t.Errorf("capacities %v, want %v", capacities, want)
 	}
 	if insufficient := Insufficient(capacities, 0.5); len(insufficient) != 1 || insufficient[0].Cell != 2 {
-		t.Errorf("insufficient: %v", insufficient)
+		t.Errorf("capacities that do not retain 0.5: %v, want destination 2", insufficient)
 	}
 	if insufficient := Insufficient(capacities, 0.7); len(insufficient) != 2 {
-		t.Errorf("insufficient: %v", insufficient)
+		t.Errorf("capacities that do not retain 0.7: %v, want two", insufficient)
 	}
 	if len(CapacitiesWithout(all, "d")) != 0 {
-		t.Error("a zone with nothing up has capacities")
+		t.Error("got capacities for a zone without endpoints that are up")
 	}
 }
 
-// A zone is evacuated and returned, with a change of the leader in between: all of the
-// zone and nothing else, one by one. What an operator had drained before stays so.
+// An evacuation drains all endpoints of its zone and no others, one by one, even though the
+// leader changes in between. It stops while it is paused. Its abort undrains the endpoints
+// again, but not the one that an operator had drained before.
 func TestEvacuationAndReturnAcrossLeaders(t *testing.T) {
 	f := startFleet(t)
 	for cell := range 4 {
 		f.add("a", cell, 1)
 		f.add("b", cell, 2)
 	}
-	f.add("a", 0, 2) // the second is another of that zone
+	f.add("a", 0, 2) // adds a-0-1, and registers a-0-0 again
 	f.do(http.MethodPost, registry.MembersPath+"/b-3-1/phase", map[string]string{"phase": discovery.Draining}, nil)
 	f.request("one", &Spec{Zone: "b", Rate: 8, MinFraction: 0.3}, registry.DesiredRun)
 	stop := f.startController("w1")
-	f.wait("two are out", func() bool { return len(f.drained()) >= 3 })
+	f.wait("two drained endpoints besides that of the operator", func() bool { return len(f.drained()) >= 3 })
 	stop()
 	f.startController("w2")
-	f.wait("all are out", func() bool { return strings.HasPrefix(f.operation("one").Message, "out: all 7") })
+	f.wait("all 7 other endpoints of the zone to be drained", func() bool { return strings.HasPrefix(f.operation("one").Message, "out: all 7") })
 	if got := f.drained(); len(got) != 8 || slices.ContainsFunc(got, func(id string) bool { return id[0] != 'b' }) {
-		t.Errorf("drained: %v", got)
+		t.Errorf("drained: %v, want the 8 endpoints of zone b", got)
 	}
 	f.request("one", nil, registry.DesiredAbort)
-	f.wait("one is back", func() bool { return len(f.drained()) < 8 })
+	f.wait("the first undrained endpoint", func() bool { return len(f.drained()) < 8 })
 	f.request("one", nil, registry.DesiredPause)
-	f.wait("held", func() bool { return f.operation("one").Message == "held" })
+	f.wait("the pause of the return", func() bool { return f.operation("one").Message == "held" })
 	held := f.drained()
-	time.Sleep(500 * time.Millisecond) // four steps' time, in which none may be done
+	time.Sleep(500 * time.Millisecond) // the time of four steps, none of which may be done
 	if got := f.drained(); !slices.Equal(got, held) {
-		t.Errorf("held at %v, went on to %v", held, got)
+		t.Errorf("drained at the pause: %v, and later: %v; want no change", held, got)
 	}
 	f.request("one", nil, registry.DesiredAbort)
-	f.wait("returned", func() bool { o := f.operation("one"); return o.Done && o.Message == "returned" })
+	f.wait("the end of the return", func() bool { o := f.operation("one"); return o.Done && o.Message == "returned" })
 	if got := f.drained(); !slices.Equal(got, []string{"b-3-1"}) {
-		t.Errorf("not up after the return: %v", got)
+		t.Errorf("drained after the return: %v, want only b-3-1", got)
 	}
 }
 
-// An evacuation that would leave a destination too little capacity is rejected with
-// the figures; a forced one is carried out.
+// An evacuation that would leave a destination too little capacity is rejected, and its
+// message has the capacities. A forced evacuation is carried out all the same. One with an
+// invalid spec is reported.
 func TestEvacuationRejectedUnlessForced(t *testing.T) {
 	f := startFleet(t)
 	f.add("a", 1, 1)
 	f.add("b", 1, 1)
-	f.add("b", 2, 1) // lives there alone
+	f.add("b", 2, 1) // the only endpoint of destination 2
 	f.startController("w1")
 	f.request("no", &Spec{Zone: "b", Rate: 20, MinFraction: 0.5}, registry.DesiredRun)
-	f.wait("refused", func() bool { return f.operation("no").Done })
+	f.wait("the rejection of the evacuation", func() bool { return f.operation("no").Done })
 	if message := f.operation("no").Message; message != "refused: destination 2 would keep 0 of 1; 0.5 of it is wanted" || len(f.drained()) != 0 {
-		t.Errorf("%q, drained %v", message, f.drained())
+		t.Errorf("message %q, drained %v", message, f.drained())
 	}
 	f.request("yes", &Spec{Zone: "b", Rate: 20, MinFraction: 0.5, Force: true}, registry.DesiredRun)
-	f.wait("forced", func() bool { return len(f.drained()) == 2 })
+	f.wait("the forced evacuation to drain both endpoints", func() bool { return len(f.drained()) == 2 })
 	f.request("bad", &Spec{Zone: "b", Rate: 0}, registry.DesiredRun)
-	f.wait("told what is wrong", func() bool { return strings.Contains(f.operation("bad").Message, "rate: 0") })
+	f.wait("the report of the invalid rate", func() bool { return strings.Contains(f.operation("bad").Message, "rate: 0") })
 }
 
-// One zone is evacuated at a time, unless it is forced. Where others drain endpoints
-// meanwhile, the evacuation waits.
+// A second evacuation waits until the first is done, unless it is forced. The first one
+// waits while too little capacity remains because operators drain endpoints of other zones.
 func TestOneZoneAtATime(t *testing.T) {
 	f := startFleet(t)
 	for _, zone := range []string{"a", "b", "c"} {
@@ -192,25 +195,25 @@
 	}
 	f.request("first", &Spec{Zone: "b", Rate: 4, MinFraction: 0.6}, registry.DesiredRun)
 	f.startController("w1")
-	f.wait("one is out", func() bool { return len(f.drained()) == 1 })
+	f.wait("the first evacuation to drain an endpoint", func() bool { return len(f.drained()) == 1 })
 	f.request("second", &Spec{Zone: "c", Rate: 20, MinFraction: 0.1}, registry.DesiredRun)
-	f.wait("the second waits", func() bool { return f.operation("second").Message == "waits: first is out" })
+	f.wait("the second evacuation to wait for the first", func() bool { return f.operation("second").Message == "waits: first is out" })
 	f.do(http.MethodPost, registry.MembersPath+"/a-1-0/phase", map[string]string{"phase": discovery.Draining}, nil)
 	f.do(http.MethodPost, registry.MembersPath+"/c-1-0/phase", map[string]string{"phase": discovery.Draining}, nil)
-	f.wait("the first waits, or was done before", func() bool {
+	f.wait("the first evacuation to wait for capacity, or to have drained its zone before", func() bool {
 		message := f.operation("first").Message
 		return strings.HasPrefix(message, "waits: destination 1") || strings.HasPrefix(message, "out: ")
 	})
 	f.request("first", nil, registry.DesiredAbort)
-	f.wait("the second is out", func() bool { return strings.HasPrefix(f.operation("second").Message, "out: ") })
+	f.wait("the second evacuation to drain its zone", func() bool { return strings.HasPrefix(f.operation("second").Message, "out: ") })
 	if got := f.drained(); !slices.Equal(got, []string{"a-1-0", "c-1-0", "c-1-1"}) {
-		t.Errorf("drained: %v", got)
+		t.Errorf("drained: %v, want a-1-0 and both endpoints of zone c", got)
 	}
 	f.request("third", &Spec{Zone: "a", Rate: 20, MinFraction: 0.1, Force: true}, registry.DesiredRun)
-	f.wait("a forced one does not wait", func() bool { return strings.HasPrefix(f.operation("third").Message, "out: ") })
+	f.wait("the forced evacuation to drain its zone without waiting", func() bool { return strings.HasPrefix(f.operation("third").Message, "out: ") })
 }
 
-// A step under an older token is rejected: a leader that was paused drains nothing.
+// A former leader cannot drain an endpoint: the list service rejects its token.
 func TestOlderTokenDrainsNothing(t *testing.T) {
 	f := startFleet(t)
 	f.add("a", 1, 1)
@@ -222,7 +225,7 @@
 		done, c := make(chan struct{}), f.client()
 		go func() {
 			defer close(done)
-			leader.Run(ctx, leader.Options{Client: c, Name: "w", TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: w}, Log: registrytest.Quiet()}) // ends by its context
+			leader.Run(ctx, leader.Options{Client: c, Name: "w", TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: w}, Log: registrytest.Quiet()}) // ends when its context is canceled
 		}()
 		return func() { cancel(); <-done }
 	}(func(ctx context.Context, g *leader.Grant) error { old = g; close(got); <-ctx.Done(); return nil })
@@ -230,6 +233,6 @@
 	stop()
 	w := newWorker(f.c, old)
 	if err := w.setPhase(context.Background(), "b-1-0", discovery.Draining); !errors.Is(err, leader.ErrLeaseLost) || len(f.drained()) != 0 {
-		t.Errorf("%v, drained %v", err, f.drained())
+		t.Errorf("error %v, want ErrLeaseLost; drained %v, want none", err, f.drained())
 	}
 }
