--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,7 +1,7 @@
-// Package rollout restarts a fleet's relays in waves. Each relay of a plan is
-// restarted once, one wave is open at a time, and the next wave starts only while
-// what the plan demands holds, however often the leader of the role changes on the
-// way. How a process is started and stopped is left to the runner beside each relay.
+// Package rollout restarts the relays of a fleet in waves, according to a plan. Each relay
+// of the plan is restarted once, only one wave is in progress at a time, and the next wave
+// begins only after the plan's limits have been met, however often the leader of the role
+// changes meanwhile. A runner on the machine of each relay starts and stops its processes.
 package rollout
 
 import (
@@ -18,7 +18,8 @@
 // Role is the name of the role, and the kind of its operations.
 const Role = "rollout"
 
-// What a plan has where it leaves a key out.
+// Defaults of the keys that a plan leaves out. Times are in seconds; defaultMaxRejected is a
+// fraction, and defaultMaxPending a number of messages.
 const (
 	defaultParallelism   = 1
 	defaultReadyTimeout  = 30
@@ -30,18 +31,19 @@
 
 const timeoutMax = 3600 // seconds
 
-// Plan is what operators want of a rollout. It is written in TOML and stored as JSON,
-// as the spec of an operation. Times are in seconds.
+// Plan is the configuration of a rollout. Operators write it in TOML, and the list service
+// stores it in JSON as the spec of an operation. Times are in seconds.
 type Plan struct {
-	Waves         []int   `toml:"waves" json:"waves"`     // relays of each wave; the others are the last wave
-	Parallelism   int     `toml:"at_once" json:"at_once"` // relays restarted at the same time
-	ReadyTimeout  float64 `toml:"ready" json:"ready"`     // for a restarted relay to become ready
-	SettleTime    float64 `toml:"settle" json:"settle"`   // for which all demands have to hold after a wave
-	SettleTimeout float64 `toml:"within" json:"within"`   // for that to begin and end; the plan waits otherwise
-	// MaxRejected is the fraction of the messages completed since the wave began that
-	// may have been rejected.
+	Waves         []int   `toml:"waves" json:"waves"`     // number of relays in each wave; the remaining relays are one more wave
+	Parallelism   int     `toml:"at_once" json:"at_once"` // number of a wave's relays restarted at the same time
+	ReadyTimeout  float64 `toml:"ready" json:"ready"`     // maximum time from a restart until the relay is ready
+	SettleTime    float64 `toml:"settle" json:"settle"`   // time for which the wave must meet all limits before the next one begins
+	SettleTimeout float64 `toml:"within" json:"within"`   // maximum time until a wave has met all limits for SettleTime; after it the plan waits
+	// MaxRejected is the maximum fraction of rejected messages among those that a relay has
+	// completed since its restart.
 	MaxRejected float64 `toml:"refused" json:"refused"`
-	// MaxPending is how many more messages than before the wave a relay may have pending.
+	// MaxPending is the maximum by which the number of a relay's pending messages may exceed
+	// the number before the wave.
 	MaxPending int     `toml:"pending" json:"pending"`
 	Relays     []Relay `toml:"relays" json:"relays"`
 }
@@ -49,11 +51,12 @@
 // Relay is one relay of a plan.
 type Relay struct {
 	Name     string `toml:"name" json:"name"`
-	Runner   string `toml:"runner" json:"runner"`     // host and port
-	Operator string `toml:"operator" json:"operator"` // host and port of its operator address; empty: by the runner
+	Runner   string `toml:"runner" json:"runner"`     // host:port of the relay's runner
+	Operator string `toml:"operator" json:"operator"` // host:port of the relay's operator address; if empty, the runner forwards requests to it
 }
 
-// ParsePlan reads a plan in TOML. Errors name the line and the key.
+// ParsePlan parses and validates a plan in TOML. Errors name the key, and also the line if
+// the text cannot be decoded.
 func ParsePlan(text []byte) (*Plan, error) {
 	plan := &Plan{
 		Parallelism:   defaultParallelism,
@@ -152,7 +155,8 @@
 	return nil
 }
 
-// wave returns the relays of a wave, counted from 0; none after the last wave.
+// wave returns the relays of the wave with the given number, which counts from 0. It
+// returns none if the number is beyond the last wave.
 func (p *Plan) wave(number int) []Relay {
 	start := 0
 	for i, size := range p.Waves {
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -18,23 +18,23 @@
 	ErrExitedEarly = errors.New("runner: the next process ended at once; the one before serves on")
 )
 
-// LocalProcess is a Program that runs a relay as a process of this machine. A restart
-// starts the next process beside the present one, which is terminated once the next
-// has had time to take over. The exported fields are set before the first Restart. It
-// is safe for concurrent use; Stop ends its process.
+// LocalProcess is a Program that runs a relay as a process on this machine. A restart starts
+// the next process while the present one still runs, and terminates the present one after
+// TakeoverTime. The exported fields must be set before the first call of Restart. A
+// LocalProcess is safe for concurrent use; Stop ends its process.
 type LocalProcess struct {
-	Command           []string // program and arguments
-	Env               []string // added to this process's environment
-	TakeoverTime      time.Duration
+	Command           []string      // program and arguments
+	Env               []string      // variables added to this process's environment
+	TakeoverTime      time.Duration // from the start of the next process to SIGTERM for the present one
 	TerminationTime   time.Duration // from SIGTERM to SIGKILL
-	OperatorAddresses [2]string     // ROUTER_OPERATOR of the processes, in turn
+	OperatorAddresses [2]string     // values of ROUTER_OPERATOR that successive processes get in turn
 
 	mu      sync.Mutex
 	current *childProcess
-	address atomic.Int32 // index in OperatorAddresses
+	address atomic.Int32 // index in OperatorAddresses of the present process's address
 }
 
-// childProcess is a process whose end is waited for by a goroutine of its own.
+// childProcess is a process and a channel that is closed once the process has exited.
 type childProcess struct {
 	cmd    *exec.Cmd
 	exited chan struct{}
@@ -47,12 +47,13 @@
 	child := &childProcess{cmd: cmd, exited: make(chan struct{})}
 	go func() {
 		defer close(child.exited)
-		child.cmd.Wait() // how it ended is in its own log
+		child.cmd.Wait() // the exit status is ignored: the process logs why it ends
 	}()
 	return child, nil
 }
 
-// terminate ends the process: by SIGTERM, and by SIGKILL after a timeout.
+// terminate sends SIGTERM to the process, then SIGKILL if it has not exited after the
+// timeout, and waits for its exit.
 func (c *childProcess) terminate(timeout time.Duration) {
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	timer := time.NewTimer(timeout)
@@ -68,8 +69,9 @@
 // Operator returns the operator address of the present process.
 func (p *LocalProcess) Operator() string { return p.OperatorAddresses[p.address.Load()] }
 
-// Restart starts the next process, waits for the takeover and ends the process before.
-// Where the next one ends meanwhile, the one before is kept.
+// Restart starts the next process, waits for TakeoverTime and terminates the previous
+// process. If the next process exits within TakeoverTime, Restart keeps the previous one
+// and returns ErrExitedEarly.
 func (p *LocalProcess) Restart(ctx context.Context) (pid int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +110,7 @@
 	return cmd
 }
 
-// Stop ends the present process and waits for its end.
+// Stop terminates the present process and waits for its exit.
 func (p *LocalProcess) Stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/rollout/relay_client.go
+++ b/internal/rollout/relay_client.go
@@ -17,7 +17,7 @@
 
 const responseMax = 1 << 20 // bytes
 
-// Metrics of a relay's operator address.
+// Names of the metrics that a relay's operator address serves.
 const (
 	metricPending   = "app_pending"
 	metricCompleted = "app_completed"
@@ -25,19 +25,19 @@
 	metricRejected  = "app_rejected"
 )
 
-// RelayStatus is what a relay's operator address states of it.
+// RelayStatus is the state of a relay as its operator address reports it.
 type RelayStatus struct {
 	Ready     bool  `json:"ready"`
-	Pending   int64 `json:"pending"`
-	Completed int64 `json:"ended"`   // since its process began, rejected ones included
-	Rejected  int64 `json:"refused"` // since its process began
+	Pending   int64 `json:"pending"` // messages
+	Completed int64 `json:"ended"`   // messages since the process began, including failed and rejected ones
+	Rejected  int64 `json:"refused"` // messages since the process began
 }
 
 // relayClient sends requests to runners and relays.
 type relayClient struct{ http *http.Client }
 
-// restart has a runner do a step. A runner that has seen a newer token returns
-// leader.ErrLeaseLost.
+// restart requests a step from the relay's runner. It returns leader.ErrLeaseLost if the
+// runner has seen a newer fencing token.
 func (c *relayClient) restart(ctx context.Context, relay Relay, step Step) error {
 	body, err := json.Marshal(step)
 	if err != nil {
@@ -59,8 +59,8 @@
 	return status, status.addMetrics(text)
 }
 
-// addMetrics adds up the counts of metrics in the Prometheus text format over their
-// labels.
+// addMetrics reads metrics in the Prometheus text format and adds their values to the
+// status, over all labels.
 func (s *RelayStatus) addMetrics(text []byte) error {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for lines.Scan() {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -20,13 +20,13 @@
 	requestTimeout = 5 * time.Second
 )
 
-// Progress is how far a plan has come. It is reported before and after each step, so
-// that the next leader knows what may have been done.
+// Progress is the progress of a plan. It is stored before and after each step, so that the
+// next leader knows which steps may have been done.
 type Progress struct {
-	Wave   int                    `json:"wave"`
-	Open   bool                   `json:"open"`             // the wave has begun: nothing of another may begin
-	Done   map[string]bool        `json:"done"`             // relays that were restarted and became ready
-	Before map[string]RelayStatus `json:"before,omitempty"` // the wave's relays before it began
+	Wave   int                    `json:"wave"`             // number of the present wave, from 0
+	Open   bool                   `json:"open"`             // the wave has begun and not settled yet; no other wave may begin
+	Done   map[string]bool        `json:"done"`             // names of the relays that were restarted and became ready
+	Before map[string]RelayStatus `json:"before,omitempty"` // state of the wave's relays before the wave, by name
 }
 
 // Work returns the work of the role: it carries out one plan at a time.
@@ -42,8 +42,9 @@
 				if err := e.advance(ctx); err != nil {
 					return err
 				}
-				// The next pass may replace the message at once, though this one took
-				// longer than the interval: operators need time to read why a plan waits.
+				// If this pass took longer than the interval, the next one would start at
+				// once and could replace the message. The delay gives operators time to read
+				// why a plan waits.
 				leader.Sleep(ctx, pollInterval)
 				return nil
 			}
@@ -62,7 +63,7 @@
 	progress    Progress
 }
 
-// advance brings the plan on by a wave.
+// advance advances the plan by one wave.
 func (e *execution) advance(ctx context.Context) error {
 	e.progress.Done = map[string]bool{}
 	err := operations.Decode(e.op, &e.plan, &e.progress)
@@ -90,11 +91,11 @@
 	return e.closeWave(ctx, wave)
 }
 
-// waveNumber is the number of the present wave, as operators count.
+// waveNumber returns the number of the present wave as operators see it, from 1.
 func (e *execution) waveNumber() int { return e.progress.Wave + 1 }
 
-// openWave records the state of the wave's relays before it. It reports false where a
-// relay does not answer.
+// openWave records the state of the wave's relays before the wave, and opens the wave. It
+// returns false if the state of a relay cannot be read.
 func (e *execution) openWave(ctx context.Context, wave []Relay) (opened bool, err error) {
 	e.progress.Open, e.progress.Before = true, map[string]RelayStatus{}
 	for _, relay := range wave {
@@ -107,8 +108,8 @@
 	return true, e.publish(ctx, fmt.Sprintf("wave %d of %d relays is open", e.waveNumber(), len(wave)))
 }
 
-// restartWave restarts the relays of the wave in batches. It reports false where the
-// plan was paused or aborted between two batches, or a restart failed.
+// restartWave restarts the relays of the wave in batches. It returns false if the plan was
+// paused or aborted before a batch, or if a restart failed.
 func (e *execution) restartWave(ctx context.Context, wave []Relay) (restarted bool, err error) {
 	for start := 0; start < len(wave); start += e.plan.Parallelism {
 		desired, err := operations.DesiredState(ctx, e.listService, e.op)
@@ -169,7 +170,7 @@
 	}
 }
 
-// closeWave waits until the wave has settled and goes on to the next one.
+// closeWave waits until the wave has settled and then moves the plan on to the next wave.
 func (e *execution) closeWave(ctx context.Context, wave []Relay) error {
 	if err := e.awaitSettled(ctx, wave); err != nil {
 		return e.publishWaiting(ctx, fmt.Sprintf("wave %d does not settle: %v", e.waveNumber(), err))
@@ -186,7 +187,8 @@
 	return operations.Send(ctx, e.grant, e.op, operations.Update{Progress: e.progress, Message: message, Done: true})
 }
 
-// publishWaiting reports, once, why the plan does not go on; it is retried.
+// publishWaiting stores the reason why the plan does not proceed, unless that is the
+// operation's message already. The next pass retries the step.
 func (e *execution) publishWaiting(ctx context.Context, message string) error {
 	return operations.SendIfNew(ctx, e.grant, e.op, operations.Update{Progress: e.progress, Message: message})
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -29,24 +29,25 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
 // fleet is a set of simulated relays, each with a runner and an operator address.
 type fleet struct {
 	t    *testing.T
-	addr string // of the list service
+	addr string // address of the list service
 	plan Plan
 
 	mu       sync.Mutex
-	restarts map[string]int
+	restarts map[string]int  // number of restarts by relay
 	open     map[int]bool    // waves in which a relay is being restarted
-	most     int             // of them at once
+	most     int             // maximum number of such waves at the same time
 	sick     map[string]bool // relays that reject most messages
-	slow     time.Duration
+	slow     time.Duration   // duration of a restart
 }
 
-// restart simulates the restart of a relay.
+// restart simulates the restart of a relay in a wave. It returns the number of the relay's
+// restarts in place of a process id.
 func (f *fleet) restart(name string, wave int) (int, error) {
 	f.mu.Lock()
 	f.restarts[name]++
@@ -148,7 +149,8 @@
 	return o, p
 }
 
-// startController runs one; kill ends it at once: it releases nothing.
+// startController runs a controller. kill simulates its death: its work stops at once and
+// releases no role, so that its session has to expire.
 func (f *fleet) startController(name string) (kill func()) {
 	dead := make(chan struct{})
 	w := Work(f.client())
@@ -168,7 +170,7 @@
 		err := w(inner, g)
 		select {
 		case <-dead:
-			<-ctx.Done() // it reports nothing more, and its session expires
+			<-ctx.Done() // keeps the role until the session ends, as after a crash
 		default:
 		}
 		return err
@@ -189,15 +191,16 @@
 	defer f.mu.Unlock()
 	for _, r := range f.plan.Relays[:n] {
 		if f.restarts[r.Name] != 1 {
-			f.t.Errorf("%s was restarted %d times", r.Name, f.restarts[r.Name])
+			f.t.Errorf("%s was restarted %d times, want 1", r.Name, f.restarts[r.Name])
 		}
 	}
 	if len(f.restarts) != n || f.most > 1 {
-		f.t.Errorf("%d relays restarted, want %d; %d waves open at once", len(f.restarts), n, f.most)
+		f.t.Errorf("%d relays were restarted, want %d; %d waves had restarts at the same time, want 1", len(f.restarts), n, f.most)
 	}
 }
 
-// Every relay is restarted once, wave after wave, though leaders die in the middle.
+// Each relay of a plan is restarted once, and one wave at a time, even though the leader
+// dies four times during the rollout.
 func TestEachRelayRestartsOnceThoughLeadersDie(t *testing.T) {
 	f := newFleet(t, 12, 1, 3, 4)
 	f.slow = 60 * time.Millisecond
@@ -205,48 +208,50 @@
 	for k := range 4 {
 		kill := f.startController(fmt.Sprint("w-", k))
 		_, before := f.operation()
-		waitFor(t, "further restarts", func() bool { o, p := f.operation(); return o.Done || len(p.Done) > len(before.Done) })
+		waitFor(t, "another restarted relay", func() bool { o, p := f.operation(); return o.Done || len(p.Done) > len(before.Done) })
 		kill()
 	}
 	f.startController("last")
-	waitFor(t, "the end", func() bool { o, _ := f.operation(); return o.Done })
+	waitFor(t, "the rollout to be done", func() bool { o, _ := f.operation(); return o.Done })
 	f.checkRestartedOnce(12)
 }
 
-// A wave that does not settle stops the plan: no further wave begins until it does.
+// While a relay of a wave rejects too many messages, the wave does not settle and no further
+// wave begins. The rollout continues once the relay meets the limit.
 func TestWaveThatDoesNotSettle(t *testing.T) {
 	f := newFleet(t, 5, 2)
 	f.sick["n1"] = true
 	f.request(registry.DesiredRun, true)
 	f.startController("w")
-	waitFor(t, "a report of it", func() bool { o, _ := f.operation(); return strings.Contains(o.Message, "does not settle: n1 refused") })
+	waitFor(t, "the report that the wave does not settle", func() bool { o, _ := f.operation(); return strings.Contains(o.Message, "does not settle: n1 refused") })
 	f.checkRestartedOnce(2)
 	f.mu.Lock()
 	f.sick["n1"] = false
 	f.mu.Unlock()
-	waitFor(t, "the end", func() bool { o, _ := f.operation(); return o.Done })
+	waitFor(t, "the rollout to be done", func() bool { o, _ := f.operation(); return o.Done })
 	f.checkRestartedOnce(5)
 }
 
-// A paused plan stops between two steps; an aborted one ends there.
+// A paused rollout restarts at most the batch that has begun already. When it is aborted it
+// ends, and the remaining relays are not restarted.
 func TestPauseAndAbort(t *testing.T) {
 	f := newFleet(t, 6, 2)
 	f.slow = 200 * time.Millisecond
 	f.request(registry.DesiredRun, true)
 	f.startController("w")
-	waitFor(t, "the first wave", func() bool { _, p := f.operation(); return len(p.Done) >= 2 })
+	waitFor(t, "two restarted relays", func() bool { _, p := f.operation(); return len(p.Done) >= 2 })
 	f.request(registry.DesiredPause, false)
-	waitFor(t, "the pause", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.open) == 0 })
+	waitFor(t, "the end of the restarts in progress", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.open) == 0 })
 	_, at := f.operation()
 	f.request(registry.DesiredAbort, false)
-	waitFor(t, "the end", func() bool { o, _ := f.operation(); return o.Done && strings.Contains(o.Message, "called off") })
+	waitFor(t, "the rollout to be aborted", func() bool { o, _ := f.operation(); return o.Done && strings.Contains(o.Message, "called off") })
 	if _, p := f.operation(); len(p.Done) > len(at.Done)+f.plan.Parallelism || len(p.Done) == 6 {
-		t.Errorf("went on to %d relays", len(p.Done))
+		t.Errorf("%d relays were restarted: more than one batch after the pause, or all", len(p.Done))
 	}
 }
 
-// A runner does a step once, whoever requests it, and rejects a token older than the
-// newest it has seen.
+// A runner carries out a step once, also if it is requested again under a newer token or
+// after a restart of the runner, and rejects tokens older than the newest it has seen.
 func TestRunner(t *testing.T) {
 	n := 0
 	r := &Runner{Folder: t.TempDir(), Log: quiet(), Program: program(func() (int, error) { n++; return n, nil })}
@@ -256,16 +261,16 @@
 		err  error
 	}{{Step{"a", 5}, 1, nil}, {Step{"a", 5}, 1, nil}, {Step{"a", 7}, 1, nil}, {Step{"b", 6}, 1, leader.ErrFenced}, {Step{"b", 7}, 2, nil}} {
 		if _, err := r.restart(t.Context(), x.step); !errors.Is(err, x.err) || n != x.want {
-			t.Errorf("%+v: %v, %d restarts", x.step, err, n)
+			t.Errorf("step %+v: error %v, %d restarts so far", x.step, err, n)
 		}
 	}
-	again := &Runner{Folder: r.Folder, Log: quiet(), Program: r.Program} // the runner itself was restarted
+	again := &Runner{Folder: r.Folder, Log: quiet(), Program: r.Program} // stands for the runner after its own restart
 	if _, err := again.restart(t.Context(), Step{"b", 8}); err != nil || n != 2 {
-		t.Errorf("after its own restart: %v, %d", err, n)
+		t.Errorf("completed step requested after the restart of the runner: error %v, %d restarts, want 2", err, n)
 	}
 }
 
-// Errors of a plan name the key, and the line where the TOML itself is at fault.
+// Errors of a plan name the key, and also the line if the text cannot be decoded.
 func TestPlanErrorsNameTheKey(t *testing.T) {
 	const relay = "[[relays]]\nname = \"n1\"\nrunner = \"h:1\"\noperator = \"h:2\"\n"
 	if _, err := ParsePlan([]byte(relay)); err != nil {
@@ -281,7 +286,7 @@
 		"[[relays]]\nname=\"a\"\nrunner=\"x\"\n": "relays[0].",
 	} {
 		if _, err := ParsePlan([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("plan %q: error %v, want one that contains %q", text, err, want)
 		}
 	}
 }
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -15,55 +15,57 @@
 	"plovershore/internal/leader"
 )
 
-// RunnerPath is the route of a runner: POST with a Step restarts its relay, GET
-// returns the StepStatus of the last step.
+// RunnerPath is the path of a runner's HTTP interface: POST with a Step restarts the
+// runner's relay, and GET returns the StepStatus of the last step.
 const RunnerPath = "/v1/restart"
 
 const (
-	statusFile     = "restart.json" // in the runner's folder
+	statusFile     = "restart.json" // file in the runner's folder that stores the last step
 	requestBodyMax = 4096           // bytes
 )
 
-// Step is one restart. A second one with the same ID changes nothing.
+// Step is a request to restart a relay. Requests with the ID of the last completed step
+// have no effect.
 type Step struct {
 	ID    string `json:"id"`
-	Token int64  `json:"token"` // the fencing token; one older than was seen is rejected with 412
+	Token int64  `json:"token"` // fencing token of the role; the runner rejects one older than it has seen with status 412
 }
 
-// StepStatus is the last step of a runner.
+// StepStatus is the state of the last step that a runner has begun.
 type StepStatus struct {
-	Step string `json:"step"` // its ID
-	Done bool   `json:"done"` // complete; otherwise it has begun
-	PID  int    `json:"pid"`  // of the relay's present process
+	Step string `json:"step"` // ID of the step
+	Done bool   `json:"done"` // whether the step is complete
+	PID  int    `json:"pid"`  // process id of the relay's present process
 }
 
 // Program starts and stops a relay.
 type Program interface {
-	// Restart replaces the relay's process and returns the id of the new one.
+	// Restart replaces the relay's process and returns the process id of the new one.
 	Restart(ctx context.Context) (pid int, err error)
-	// Operator returns the operator address of the present process; two processes of
-	// one relay cannot share an address.
+	// Operator returns the operator address of the present process. It changes with a
+	// restart, since two processes of one relay cannot share an address.
 	Operator() string
 }
 
-// Runner restarts one relay, each step once. Its fields are set before the first use;
-// it is safe for concurrent use. The folder outlives it: it keeps the last step and
-// the highest fencing token.
+// Runner restarts one relay, and carries out each step once. Its exported fields must be
+// set before the first use; it is safe for concurrent use. Its folder keeps the last step
+// and the highest fencing token, and must persist when the runner itself is restarted.
 type Runner struct {
 	Folder  string
 	Program Program
 	Log     *slog.Logger
 
-	mu sync.Mutex // one step at a time
+	mu sync.Mutex // serializes steps
 }
 
-// Handler serves the runner, and the operator address of its relay's present process.
+// Handler serves RunnerPath, and forwards requests for the readiness and the metrics of the
+// relay to the operator address of its present process.
 func (r *Runner) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+RunnerPath, r.getStatus)
 	mux.HandleFunc("POST "+RunnerPath, r.postStep)
-	// A plan reads the status of a relay by its runner, whichever process is the present
-	// one.
+	// These routes let a rollout read the status of the relay without knowing which of its
+	// processes is the present one.
 	operator := &httputil.ReverseProxy{
 		Rewrite: func(proxied *httputil.ProxyRequest) {
 			proxied.Out.URL.Scheme, proxied.Out.URL.Host = "http", r.Program.Operator()
@@ -87,7 +89,7 @@
 		http.Error(w, "body: a step is wanted", http.StatusBadRequest)
 		return
 	}
-	// A restart that has begun is completed though the client has gone.
+	// A restart that has begun is completed even if the client disconnects.
 	status, err := r.restart(context.WithoutCancel(req.Context()), step)
 	r.respond(w, status, err)
 }
@@ -101,13 +103,14 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(status) // a client that has gone sends the step again
+		json.NewEncoder(w).Encode(status) // a client that does not get the response repeats the step
 	}
 }
 
-// restart does a step, unless it is done already. A step that a runner before has
-// begun and not completed is done again: a relay's folder can pass between more than
-// two processes.
+// restart carries out a step unless it is done already. A step that was begun but not
+// completed, for example by a previous process of the runner, is carried out again. The
+// additional restart does no harm, since a relay's folder can be handed over between more
+// than two processes.
 func (r *Runner) restart(ctx context.Context, step Step) (StepStatus, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +133,7 @@
 	return done, r.writeStatus(done)
 }
 
-// readStatus returns the zero value where no step was done yet.
+// readStatus returns the stored status, or the zero value if no step was begun yet.
 func (r *Runner) readStatus() (status StepStatus, err error) {
 	text, err := os.ReadFile(r.statusPath())
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/rollout/settle.go
+++ b/internal/rollout/settle.go
@@ -9,16 +9,16 @@
 	"plovershore/internal/leader"
 )
 
-// minCompletedSample is how many messages a relay has to complete before its fraction
-// of rejected ones counts.
+// minCompletedSample is the number of messages that a relay must have completed before its
+// fraction of rejected messages is checked.
 const minCompletedSample = 20
 
-// errNotLongEnough reports a wave that meets the plan's demands, but has not done so
-// for the settle time.
+// errNotLongEnough reports that a wave meets the plan's limits at the end of the settle
+// timeout, but has not met them for the settle time.
 var errNotLongEnough = errors.New("it has not held for long enough")
 
-// awaitSettled waits until the plan's demands have held for the settle time. The error
-// is the demand that does not hold at the end of the settle timeout.
+// awaitSettled waits until the wave has met the plan's limits for the settle time. If it
+// has not by the end of the settle timeout, the error says which limit it does not meet.
 func (e *execution) awaitSettled(ctx context.Context, wave []Relay) error {
 	deadline := time.Now().Add(seconds(e.plan.SettleTimeout))
 	since := time.Now()
@@ -39,7 +39,8 @@
 	}
 }
 
-// checkWave returns the first of the plan's demands that does not hold.
+// checkWave returns an error for the first of the plan's limits that a relay of the wave
+// does not meet.
 func (e *execution) checkWave(ctx context.Context, wave []Relay) error {
 	for _, relay := range wave {
 		status, err := e.relays.status(ctx, relay)
@@ -53,8 +54,9 @@
 	return nil
 }
 
-// checkRelay checks one relay. Its counts begin anew with its process: what it has
-// rejected counts from there.
+// checkRelay returns an error if a relay does not meet one of the plan's limits. A relay's
+// counts start at zero with its process, so the rejected fraction covers only messages
+// completed since its restart.
 func (e *execution) checkRelay(name string, status RelayStatus) error {
 	before := e.progress.Before[name]
 	switch {
