--- a/internal/relayctl/expirations.go
+++ b/internal/relayctl/expirations.go
@@ -16,8 +16,8 @@
 	Count int `json:"lapses"`
 }
 
-// newExpirationsCommand controls expirations that the guard against mass expiry has
-// suspended.
+// newExpirationsCommand returns the commands on expirations that the list service's guard
+// against mass expiry has suspended.
 func newExpirationsCommand(a *app) *cobra.Command {
 	c := &cobra.Command{
 		Use:     "expirations",
--- a/internal/relayctl/failover.go
+++ b/internal/relayctl/failover.go
@@ -10,7 +10,8 @@
 	"plovershore/internal/registry"
 )
 
-// newFailoverCommand starts and controls the failover of lost relays.
+// newFailoverCommand returns the commands that start and control the failover of lost
+// relays.
 func newFailoverCommand(a *app) *cobra.Command {
 	o := operationCommands{a, failover.Role}
 	c := &cobra.Command{
--- a/internal/relayctl/members.go
+++ b/internal/relayctl/members.go
@@ -14,7 +14,7 @@
 	"plovershore/internal/registry"
 )
 
-// memberCommands are the commands on the endpoint list.
+// memberCommands builds the commands on the endpoint list.
 type memberCommands struct{ *app }
 
 func newMembersCommand(a *app) *cobra.Command {
@@ -83,7 +83,7 @@
 	return c
 }
 
-// phaseRequest is the body of a change of a member's phase.
+// phaseRequest is the body of the request that changes a member's phase.
 type phaseRequest struct {
 	Phase string `json:"phase"`
 }
--- a/internal/relayctl/operations.go
+++ b/internal/relayctl/operations.go
@@ -16,13 +16,13 @@
 	"plovershore/internal/registry"
 )
 
-// followInterval is the time between two reads of status --follow.
+// followInterval is the time between two reads of the operations by status --follow.
 const followInterval = 500 * time.Millisecond
 
-// operationCommands are the commands that all kinds of operations share.
+// operationCommands builds the commands that all kinds of operations have in common.
 type operationCommands struct {
 	*app
-	kind string // as the list service stores it
+	kind string // kind of the operations at the list service
 }
 
 // start stores a new operation with a spec.
@@ -34,7 +34,7 @@
 	return o.put(c, name, registry.Operation{Spec: text, DesiredState: registry.DesiredRun})
 }
 
-// setDesiredState changes what operators want of an operation.
+// setDesiredState changes the desired state of an operation.
 func (o operationCommands) setDesiredState(c *cobra.Command, name, desired string) error {
 	return o.put(c, name, registry.Operation{DesiredState: desired})
 }
@@ -43,7 +43,7 @@
 	return o.change(c, http.MethodPut, registry.OperationsPath+"/"+o.kind+"/"+url.PathEscape(name), op)
 }
 
-// desiredStateCommand is a verb that sets the desired state of an operation.
+// desiredStateCommand returns a command that sets the desired state of an operation.
 func (o operationCommands) desiredStateCommand(verb, short, desired string) *cobra.Command {
 	return &cobra.Command{
 		Use: verb + " NAME", Short: short, Args: cli.ExactArgs(1),
@@ -51,7 +51,7 @@
 	}
 }
 
-// statusCommand shows how far the operations of the kind have come.
+// statusCommand returns the command that shows the progress of the kind's operations.
 func (o operationCommands) statusCommand() *cobra.Command {
 	var follow bool
 	c := &cobra.Command{
@@ -71,7 +71,7 @@
 	return c
 }
 
-// follow prints the operations whenever they have changed, until all are done or the
+// follow prints the operations at first and after each change, until all are done or the
 // command's context ends.
 func (o operationCommands) follow(c *cobra.Command) error {
 	printed := ""
--- a/internal/relayctl/relayctl.go
+++ b/internal/relayctl/relayctl.go
@@ -1,7 +1,7 @@
-// Package relayctl is the operators' command line. It reads and changes the endpoint
-// list, the leader-elected roles and the operations of a fleet by the list service.
-// Each command group is a file; commands of other packages, such as those on relays'
-// logs, are added by the caller of Main.
+// Package relayctl implements the operators' command line. It reads and changes the
+// endpoint list, the leader-elected roles and the operations of a fleet through the list
+// service. Each group of commands has a file of its own. The caller of Main adds commands
+// of other packages, such as those on the logs of relays.
 package relayctl
 
 import (
@@ -26,8 +26,9 @@
 	defaultTimeout = 10 * time.Second
 )
 
-// Main runs relayctl and returns the exit code of the process. more are commands of
-// other packages; an error of theirs that has an exit code ends the process with it.
+// Main runs relayctl and returns the exit code of the process. moreCommands are added to
+// the root command; if one of them returns an error with an exit code, Main
+// returns that code.
 func Main(ctx context.Context, args []string, out, errOut io.Writer, more ...*cobra.Command) int {
 	a := &app{}
 	root := &cobra.Command{
@@ -54,15 +55,16 @@
 	return cli.Run(ctx, root, args, out, errOut)
 }
 
-// app is what all commands share: how the list service is reached, and how a result
-// is printed.
+// app has the settings that all commands share: how to reach the list service, and how to
+// print a result.
 type app struct {
 	nodes   []string
 	json    bool
 	timeout time.Duration
 }
 
-// request sends one request to the group and waits at most a.timeout for its response.
+// request sends one request to the list service and waits at most a.timeout for the
+// response, which it decodes into out.
 func (a *app) request(c *cobra.Command, method, path string, body, out any) (http.Header, error) {
 	listService, err := client.New(a.nodes, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -80,7 +82,7 @@
 	return err
 }
 
-// change sends a write and prints the revision that has it.
+// change sends a write to the list service and prints the revision that includes it.
 func (a *app) change(c *cobra.Command, method, path string, body any) error {
 	var result registry.Result
 	if _, err := a.request(c, method, path, body, &result); err != nil {
@@ -89,8 +91,8 @@
 	return a.print(c, result, func(w io.Writer) { fmt.Fprintf(w, "done, at revision %d\n", result.Revision) })
 }
 
-// print writes a value as JSON where --json is given, and otherwise what table writes,
-// with its columns aligned at tabs.
+// print writes value as JSON if --json is given. Otherwise it writes the output of table,
+// with tab-separated columns aligned.
 func (a *app) print(c *cobra.Command, value any, table func(w io.Writer)) error {
 	if a.json {
 		encoder := json.NewEncoder(c.OutOrStdout())
--- a/internal/relayctl/relayctl_test.go
+++ b/internal/relayctl/relayctl_test.go
@@ -15,7 +15,7 @@
 	"plovershore/internal/registry/registrytest"
 )
 
-// fixture is a list service with relayctl in front of it.
+// fixture is a list service that tests send relayctl commands to.
 type fixture struct {
 	t    *testing.T
 	addr string
@@ -26,7 +26,8 @@
 	return &fixture{t, registrytest.Start(t, 1, nil).Addrs[0]}
 }
 
-// run runs a command and returns its exit code and output.
+// run runs a relayctl command and returns its exit code, standard output and standard
+// error.
 func (f *fixture) run(args ...string) (code int, out, errOut string) {
 	f.t.Helper()
 	var o, e bytes.Buffer
@@ -34,7 +35,7 @@
 	return code, o.String(), e.String()
 }
 
-// must runs a command that has to succeed.
+// mustRun runs a command, fails the test if it does not succeed, and returns its output.
 func (f *fixture) must(args ...string) string {
 	f.t.Helper()
 	code, out, errOut := f.run(args...)
@@ -51,7 +52,8 @@
 	}
 }
 
-// grantRole has a session of controller c-1 hold a role with a checkpoint.
+// grantRole opens a session of controller c-1, and has it acquire a role and save a
+// checkpoint. It returns the fencing token.
 func (f *fixture) grantRole(role string) (token int64) {
 	f.t.Helper()
 	f.post(registry.SessionsPath, registry.SessionRequest{ID: "s-1", Controller: "c-1", TTLMS: (5 * time.Minute).Milliseconds()}, nil)
@@ -61,8 +63,8 @@
 	return granted.Token
 }
 
-// The command groups have their old names beside the new ones, with the same verbs,
-// output and exit codes.
+// The old names of command groups are aliases of the new ones: every command has the same
+// output and exit code under both.
 func TestOldNamesOfCommands(t *testing.T) {
 	f := start(t)
 	f.grantRole("count")
@@ -75,13 +77,15 @@
 			newCode, newOut, newErr := f.run(append([]string{names[0]}, rest...)...)
 			oldCode, oldOut, oldErr := f.run(append([]string{names[1]}, rest...)...)
 			if newCode != oldCode || newOut != oldOut || newErr != oldErr {
-				t.Errorf("%v %v:\n%d %q %q\n%d %q %q", names, rest, newCode, newOut, newErr, oldCode, oldOut, oldErr)
+				t.Errorf("%v %v: the results differ: exit code, output, errors\n%d %q %q\n%d %q %q", names, rest, newCode, newOut, newErr, oldCode, oldOut, oldErr)
 			}
 		}
 	}
 }
 
-// roles and its old name list and show roles, and take them from their holders.
+// The command group roles lists and shows roles. hold disables a role, unhold enables it
+// again, and release leaves it enabled; after hold and release it has no holder. The same
+// holds under the old name duties.
 func TestRoles(t *testing.T) {
 	for _, verb := range []string{"roles", "duties"} {
 		t.Run(verb, func(t *testing.T) {
@@ -89,46 +93,47 @@
 			f.grantRole("count")
 			list := strings.Split(f.must(verb, "list"), "\n")
 			if strings.Join(strings.Fields(list[0]), " ") != "DUTY HOLDER TOKEN TERM FAILS HELD BACK SINCE" || !strings.HasPrefix(list[1], "count  c-1") {
-				t.Errorf("list: %q", list)
+				t.Errorf("unexpected list of roles: %q", list)
 			}
 			if list[2] != "warden c-1: session s-1, time to live 5m0s" {
-				t.Errorf("session: %q", list[2])
+				t.Errorf("unexpected line of the session: %q", list[2])
 			}
 			if show := f.must(verb, "show", "count"); !strings.HasPrefix(show, "duty       count\n") || !strings.HasSuffix(show, "note       step 7\n") {
-				t.Errorf("show: %q", show)
+				t.Errorf("unexpected output of show: %q", show)
 			}
 			if code, _, errOut := f.run(verb, "show", "none"); code != cli.ExitFailed || errOut != "relayctl: duty none is unknown\n" {
-				t.Errorf("unknown: %d %q", code, errOut)
+				t.Errorf("show of an unknown role: exit code %d, %q", code, errOut)
 			}
 			for _, x := range []struct {
 				verb               string
 				disabled, assigned bool
 			}{{"hold", true, false}, {"unhold", false, false}, {"release", false, false}} {
 				if out := f.must(verb, x.verb, "count"); out != "done\n" {
-					t.Errorf("%s: %q", x.verb, out)
+					t.Errorf("unexpected output of %s: %q", x.verb, out)
 				}
 				var roles registry.RoleList
 				if err := json.Unmarshal([]byte(f.must(verb, "list", "--json")), &roles); err != nil {
 					t.Fatal(err)
 				}
 				if role := roles.Roles[0]; role.Disabled != x.disabled || (role.Holder != "") != x.assigned {
-					t.Errorf("after %s: %+v", x.verb, role)
+					t.Errorf("unexpected role after %s: %+v", x.verb, role)
 				}
 			}
 		})
 	}
 }
 
-// failover and its old name store an operation of the same kind and control it.
+// The command group failover, and its old name salvage, start an operation of the kind
+// salvage and set its desired state. A relative folder is rejected.
 func TestFailover(t *testing.T) {
 	for _, verb := range []string{"failover", "salvage"} {
 		t.Run(verb, func(t *testing.T) {
 			f := start(t)
 			if code, _, errOut := f.run(verb, "start", "n3", "--folder", "relative"); code != cli.ExitUsage || errOut != "relayctl: --folder: \"relative\"; an absolute path is wanted\n" {
-				t.Errorf("relative folder: %d %q", code, errOut)
+				t.Errorf("relative folder: exit code %d, %q", code, errOut)
 			}
 			if out := f.must(verb, "start", "n3", "--folder", "/var/relay/n3", "--disk-mb", "8", "--safe", "alert-update"); !strings.HasPrefix(out, "done, at revision ") {
-				t.Errorf("start: %q", out)
+				t.Errorf("unexpected output of start: %q", out)
 			}
 			for _, x := range [][2]string{{"pause", registry.DesiredPause}, {"resume", registry.DesiredRun}, {"abort", registry.DesiredAbort}} {
 				f.must(verb, x[0], "n3")
@@ -138,32 +143,35 @@
 				}
 				var spec failover.Spec
 				if len(all) != 1 || all[0].Kind != "salvage" || all[0].DesiredState != x[1] || json.Unmarshal(all[0].Spec, &spec) != nil {
-					t.Fatalf("after %s: %+v", x[0], all)
+					t.Fatalf("unexpected operations after %s: %+v", x[0], all)
 				}
 				if spec.Folder != "/var/relay/n3" || spec.DiskMB != 8 || len(spec.IdempotentClasses) != 1 {
-					t.Errorf("spec: %s", all[0].Spec)
+					t.Errorf("unexpected spec of the operation: %s", all[0].Spec)
 				}
 			}
 			if out := f.must(verb, "status"); out != "NAME  WISH   DONE   SAYS  PROGRESS\nn3    abort  false        \n" {
-				t.Errorf("status: %q", out)
+				t.Errorf("unexpected status of the aborted failover: %q", out)
 			}
 		})
 	}
 }
 
-// expirations and its old name confirm what is suspended.
+// The command expirations confirm, also under its old name lapses, prints the number of
+// suspended expirations that it confirmed.
 func TestExpirations(t *testing.T) {
 	f := start(t)
 	for _, verb := range []string{"expirations", "lapses"} {
 		if out := f.must(verb, "confirm"); out != "0 lapse\n" {
-			t.Errorf("%s confirm: %q", verb, out)
+			t.Errorf("unexpected output of %s confirm: %q", verb, out)
 		}
 		if out := f.must(verb, "confirm", "--json"); out != "{\n \"lapses\": 0\n}\n" {
-			t.Errorf("%s confirm --json: %q", verb, out)
+			t.Errorf("unexpected output of %s confirm --json: %q", verb, out)
 		}
 	}
 }
 
+// Members can be added, drained, undrained and removed. Zones can be put into regions and
+// evacuated: a dry run only prints capacities, and invalid or repeated requests are rejected.
 func TestMembersAndZones(t *testing.T) {
 	f := start(t)
 	for _, x := range [][3]string{{"m-1", "127.0.0.1:9001", "a"}, {"m-2", "127.0.0.1:9002", "b"}} {
@@ -172,77 +180,80 @@
 	f.must("members", "drain", "m-1")
 	list := f.must("members", "list", "--consistent")
 	if !strings.Contains(list, "m-1  127.0.0.1:9001  a     agent   3     draining") || !strings.Contains(list, "m-2  127.0.0.1:9002  b     agent   3     up") {
-		t.Errorf("members: %q", list)
+		t.Errorf("unexpected list of members: %q", list)
 	}
 	f.must("members", "undrain", "m-1")
 	f.must("zones", "set", "a", "north")
 	if zones := f.must("zones", "list"); zones != "ZONE  REGION  MEMBERS  DRAINING\na     north   1        0\nb             1        0\n" {
-		t.Errorf("zones: %q", zones)
+		t.Errorf("unexpected list of zones: %q", zones)
 	}
 	if out := f.must("zones", "evacuate", "b", "--dry-run"); out != "DESTINATION  NOW  LEFT  ENOUGH\n3            2    1     true\n" {
-		t.Errorf("dry run: %q", out)
+		t.Errorf("unexpected output of the dry run: %q", out)
 	}
 	if code, _, errOut := f.run("zones", "evacuate", "b", "--dry-run", "--keep", "0.6"); code != cli.ExitFailed || errOut != "relayctl: 1 destinations would not keep 0.6 of their endpoints\n" {
-		t.Errorf("dry run: %d %q", code, errOut)
+		t.Errorf("dry run with too little capacity: exit code %d, %q", code, errOut)
 	}
 	if code, _, errOut := f.run("zones", "evacuate", "b", "--rate", "0"); code != cli.ExitUsage || errOut != "relayctl: --rate: 0; above 0, up to 1000 endpoints a second\n" {
-		t.Errorf("rate: %d %q", code, errOut)
+		t.Errorf("evacuation with rate 0: exit code %d, %q", code, errOut)
 	}
 	if code, _, errOut := f.run("zones", "return", "b"); code != cli.ExitFailed || errOut != "relayctl: zone b is not being evacuated\n" {
-		t.Errorf("return: %d %q", code, errOut)
+		t.Errorf("return of a zone that is not evacuated: exit code %d, %q", code, errOut)
 	}
 	f.must("zones", "evacuate", "b")
 	if code, _, errOut := f.run("zones", "evacuate", "b"); code != cli.ExitFailed || !strings.HasPrefix(errOut, "relayctl: zone b is being evacuated already, by b-") {
-		t.Errorf("second evacuation: %d %q", code, errOut)
+		t.Errorf("second evacuation of a zone: exit code %d, %q", code, errOut)
 	}
 	f.must("zones", "hold", "b")
 	if status := f.must("zones", "status"); !strings.Contains(status, "  pause  false") {
-		t.Errorf("status: %q", status)
+		t.Errorf("unexpected status of the paused evacuation: %q", status)
 	}
 	f.must("members", "remove", "m-2")
 }
 
+// A restored snapshot brings back a removed member. status lists nodes that do not answer,
+// and fails if no node answers.
 func TestStatusAndSnapshot(t *testing.T) {
 	f := start(t)
 	f.must("members", "add", "--id", "m-1", "--address", "127.0.0.1:9001", "--zone", "a", "--flavor", "agent")
 	path := filepath.Join(t.TempDir(), "state")
 	if out := f.must("snapshot", "save", path); !strings.HasSuffix(out, " bytes in "+path+"\n") {
-		t.Errorf("save: %q", out)
+		t.Errorf("unexpected output of save: %q", out)
 	}
 	f.must("members", "remove", "m-1")
 	f.must("snapshot", "restore", path)
 	if list := f.must("members", "list", "--consistent"); !strings.Contains(list, "m-1") {
-		t.Errorf("members after the restore: %q", list)
+		t.Errorf("member m-1 is missing after the restore: %q", list)
 	}
 	if code, _, _ := f.run("snapshot", "restore", path+"-none"); code != cli.ExitUsage {
-		t.Errorf("no such file: exit code %d", code)
+		t.Errorf("restore of a missing file: exit code %d", code)
 	}
 	down := "127.0.0.1:1"
 	status := f.must("--nodes", down, "--wait", "2s", "status")
 	if !strings.HasPrefix(status, "ID ") || !strings.Contains(status, "Leader") || !strings.Contains(status, down+"  does not answer") {
-		t.Errorf("status: %q", status)
+		t.Errorf("unexpected status of one reachable and one unreachable node: %q", status)
 	}
 	var out, errOut bytes.Buffer
 	if code := Main(t.Context(), []string{"--nodes", down, "--wait", "200ms", "status"}, &out, &errOut); code != cli.ExitUnavailable || !strings.HasPrefix(errOut.String(), "relayctl: no node answers: ") {
-		t.Errorf("no node: exit code %d, %q", code, errOut.String())
+		t.Errorf("status without a reachable node: exit code %d, %q", code, errOut.String())
 	}
 	if code, _, errOut := f.run("no-such-command"); code != cli.ExitUsage || !strings.HasPrefix(errOut, `relayctl: unknown command "no-such-command"`) {
-		t.Errorf("unknown command: %d %q", code, errOut)
+		t.Errorf("unknown command: exit code %d, %q", code, errOut)
 	}
 }
 
-// A plan is read before anything is sent: its errors name the file and the key.
+// A rollout is not started if its plan cannot be read or parsed; the error of an invalid
+// plan names the file. The plan in deploy/rollout.toml is valid.
 func TestRollout(t *testing.T) {
 	f := start(t)
 	if code, _, errOut := f.run("rollout", "start", "up", "../../deploy/none.toml"); code != cli.ExitUsage {
-		t.Errorf("no such file: %d %q", code, errOut)
+		t.Errorf("start with a missing file: exit code %d, %q", code, errOut)
 	}
 	if code, _, errOut := f.run("rollout", "start", "up", "relayctl.go"); code != cli.ExitUsage || !strings.HasPrefix(errOut, "relayctl: relayctl.go: plan: ") {
-		t.Errorf("not a plan: %d %q", code, errOut)
+		t.Errorf("start with a file that is not a plan: exit code %d, %q", code, errOut)
 	}
 	f.must("rollout", "start", "up", "../../deploy/rollout.toml")
 	f.must("rollout", "pause", "up")
 	if status := f.must("rollout", "status"); !strings.Contains(status, "up    pause  false") {
-		t.Errorf("status: %q", status)
+		t.Errorf("unexpected status of the paused rollout: %q", status)
 	}
 }
--- a/internal/relayctl/roles.go
+++ b/internal/relayctl/roles.go
@@ -13,7 +13,7 @@
 	"plovershore/internal/registry"
 )
 
-// roleCommands are the commands on leader-elected roles.
+// roleCommands builds the commands on leader-elected roles.
 type roleCommands struct{ *app }
 
 func newRolesCommand(a *app) *cobra.Command {
@@ -54,7 +54,8 @@
 	return fmt.Errorf("duty %s is unknown", args[0])
 }
 
-// setDisabled disables or enables a role, in one step or several.
+// setDisabled returns a command that sends one request for each of steps, which disables
+// the role if the step is true and enables it if it is false.
 func (r roleCommands) setDisabled(verb, short string, steps ...bool) *cobra.Command {
 	return &cobra.Command{
 		Use: verb + " ROLE", Short: short, Args: cli.ExactArgs(1),
--- a/internal/relayctl/rollout.go
+++ b/internal/relayctl/rollout.go
@@ -10,7 +10,7 @@
 	"plovershore/internal/rollout"
 )
 
-// newRolloutCommand starts and controls rollouts.
+// newRolloutCommand returns the commands that start and control rollouts.
 func newRolloutCommand(a *app) *cobra.Command {
 	o := operationCommands{a, rollout.Role}
 	c := &cobra.Command{Use: "rollout", Short: "Restart a fleet's relays in waves"}
--- a/internal/relayctl/snapshot.go
+++ b/internal/relayctl/snapshot.go
@@ -13,10 +13,10 @@
 	"plovershore/internal/registry"
 )
 
-// snapshotCommands save and restore the state of the list service.
+// snapshotCommands builds the commands that save and restore the state of the list service.
 type snapshotCommands struct{ *app }
 
-// savedSnapshot is the result of a save.
+// savedSnapshot is the output of the command save with --json.
 type savedSnapshot struct {
 	Bytes int    `json:"bytes"`
 	File  string `json:"file"`
@@ -32,8 +32,8 @@
 	return c
 }
 
-// save writes the file by a rename, so that an older one is replaced only by a complete
-// one.
+// save writes the snapshot to a temporary file and renames it, so that an incomplete
+// snapshot never replaces an older file.
 func (s snapshotCommands) save(c *cobra.Command, args []string) error {
 	path := args[0]
 	var text []byte
--- a/internal/relayctl/status.go
+++ b/internal/relayctl/status.go
@@ -12,7 +12,7 @@
 	"plovershore/internal/registry"
 )
 
-// nodeTimeout is how long one node of several may take for its status.
+// nodeTimeout is the maximum time to wait for the status of one node.
 const nodeTimeout = 2 * time.Second
 
 func newStatusCommand(a *app) *cobra.Command {
@@ -28,7 +28,7 @@
 	}
 }
 
-// nodeStatuses reads the status of each node from that node.
+// nodeStatuses requests the status of each node from the node itself.
 func (a *app) nodeStatuses(c *cobra.Command) (statuses []registry.Status, unreachable []string) {
 	for _, node := range a.nodes {
 		single := &app{nodes: []string{node}, timeout: min(a.timeout, nodeTimeout)}
--- a/internal/relayctl/zones.go
+++ b/internal/relayctl/zones.go
@@ -14,10 +14,11 @@
 	"plovershore/internal/zones"
 )
 
-// startTimeFormat makes the names of a zone's successive evacuations different.
+// startTimeFormat is the format of the start time in the name of an evacuation. It makes
+// the names of a zone's successive evacuations different.
 const startTimeFormat = "20060102T150405"
 
-// zoneCommands are the commands on zones and their evacuations.
+// zoneCommands builds the commands on zones and their evacuations.
 type zoneCommands struct{ operationCommands }
 
 func newZonesCommand(a *app) *cobra.Command {
@@ -88,7 +89,9 @@
 	return z.start(c, name, spec)
 }
 
-// printCapacities prints what each destination of a zone would keep.
+// printCapacities prints the capacity that each destination with endpoints in the zone
+// would retain. It returns an error if one would retain too little, unless the evacuation
+// is forced.
 func (z zoneCommands) printCapacities(c *cobra.Command, spec *zones.Spec) error {
 	var members []registry.Member
 	if err := z.get(c, registry.MembersPath+"?consistent=1", &members); err != nil {
@@ -111,7 +114,7 @@
 	return nil
 }
 
-// zoneStateCommand is a verb that sets the desired state of a zone's evacuation.
+// zoneStateCommand returns a command that sets the desired state of a zone's evacuation.
 func (z zoneCommands) zoneStateCommand(verb, short, desired string) *cobra.Command {
 	return &cobra.Command{
 		Use: verb + " ZONE", Short: short, Args: cli.ExactArgs(1),
@@ -128,7 +131,8 @@
 	}
 }
 
-// activeEvacuation returns the evacuation of a zone that is not done; nil for none.
+// activeEvacuation returns the evacuation of a zone that is not done, or nil if there is
+// none.
 func (z zoneCommands) activeEvacuation(c *cobra.Command, zone string) (*registry.Operation, error) {
 	evacuations, err := z.list(c)
 	if err != nil {
