--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -1,6 +1,6 @@
-// Package controller is the command line of the program that runs the fleet's
-// leader-elected work, and of the runner that restarts one relay for a rollout. The
-// exit codes are those that its help names; leader election is package leader's.
+// Package controller implements the command line of the program that runs the fleet's
+// leader-elected work, and of the runner that restarts one relay for a rollout. The help
+// text names the exit codes. Leader election itself is in package leader.
 package controller
 
 import (
@@ -27,21 +27,21 @@
 	defaultTTL  = 3 * time.Second
 )
 
-// Main runs the controller's command line until it is done or ctx ends, and returns
-// the exit code of the process.
+// Main runs the controller's command line until the command is done or ctx ends, and
+// returns the exit code of the process.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := newCommand(errOut)
 	root.AddCommand(newRunnerCommand(errOut))
 	return cli.RunWithUsagePrefix(ctx, root, args, out, errOut, usagePrefix)
 }
 
-// options are the flags of the controller.
+// options are the values of the controller's flags.
 type options struct {
 	nodes           []string
 	name            string
 	ttl             time.Duration
 	roles           []string
-	oldRoles        []string // by the old name of the flag
+	oldRoles        []string // value of the flag's old name
 	operatorAddress string
 	platformAddress string
 	logFormat       string
@@ -64,7 +64,7 @@
 			return run(c, &opts, log)
 		},
 	}
-	hostname, _ := os.Hostname() // only a default
+	hostname, _ := os.Hostname() // only a default, which is empty if the name is unknown
 	flags := c.Flags()
 	flags.StringSliceVar(&opts.nodes, "nodes", []string{defaultNode}, "nodes of the list service")
 	flags.StringVar(&opts.name, "name", hostname, "this controller, for people")
--- a/internal/controller/command_test.go
+++ b/internal/controller/command_test.go
@@ -13,7 +13,7 @@
 	"plovershore/internal/registry/registrytest"
 )
 
-// buffer is an output that a test reads while the command writes.
+// syncBuffer is an output that a test can read while a command writes to it.
 type buffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -31,7 +31,8 @@
 	return b.text.String()
 }
 
-// Usage errors end the program with their exit code and the line that names the flag.
+// Invalid flags and arguments end the program with the exit code for usage errors and a
+// line that names the flag or argument.
 func TestUsageErrors(t *testing.T) {
 	for _, x := range []struct {
 		args []string
@@ -57,8 +58,8 @@
 	}
 }
 
-// --roles and its old name --duties both select what the controller acquires. When it
-// is asked to end, it releases the role and ends with 0.
+// --roles and its old name --duties both select the roles that the controller acquires. When
+// its context ends, the controller releases the role and returns exit code 0.
 func TestRolesFlagAndItsOldName(t *testing.T) {
 	for _, flag := range []string{"--roles", "--duties"} {
 		t.Run(flag, func(t *testing.T) {
@@ -70,24 +71,24 @@
 			go func() {
 				code <- Main(ctx, []string{"--nodes", group.Addrs[0], "--name", "c-1", "--ttl", "2s", flag, "count"}, &out, &errOut)
 			}()
-			registrytest.WaitFor(t, "an accepted step", func() bool {
+			registrytest.WaitFor(t, "an accepted step of the role count", func() bool {
 				return strings.Contains(errOut.String(), `msg="count accepted" controller=c-1 count=`)
 			})
 			cancel()
 			select {
 			case got := <-code:
 				if got != cli.ExitOK {
-					t.Errorf("exit code %d: %s", got, errOut.String())
+					t.Errorf("exit code %d, want 0: %s", got, errOut.String())
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatal("the controller does not end")
+				t.Fatal("the controller did not return within 20 seconds")
 			}
 			var list registry.RoleList
 			if _, err := group.Client().Do(t.Context(), "GET", registry.RolesPath, nil, &list); err != nil {
 				t.Fatal(err)
 			}
 			if len(list.Roles) != 1 || list.Roles[0].Name != "count" || list.Roles[0].Holder != "" {
-				t.Errorf("roles after the end: %+v", list.Roles)
+				t.Errorf("roles after the end of the controller: %+v; want only count, without a holder", list.Roles)
 			}
 		})
 	}
--- a/internal/controller/roles.go
+++ b/internal/controller/roles.go
@@ -13,7 +13,7 @@
 	"plovershore/internal/zones"
 )
 
-// The flag that selects the roles, and its old name.
+// Name of the flag that selects the roles, and its old name.
 const (
 	rolesFlag    = "roles"
 	oldRolesFlag = "duties"
@@ -30,7 +30,7 @@
 	}
 }
 
-// selectWork returns the work of the roles that the flags name.
+// selectWork returns the work of the roles that the flags name, which must be in known.
 func selectWork(c *cobra.Command, opts *options, known map[string]leader.Work) (map[string]leader.Work, error) {
 	flags := c.Flags()
 	flag, names := rolesFlag, opts.roles
--- a/internal/controller/runner.go
+++ b/internal/controller/runner.go
@@ -12,8 +12,8 @@
 	"plovershore/internal/rollout"
 )
 
-// runnerOptions are the flags of the runner. A relay's successive processes use its
-// two operator addresses in turn.
+// runnerOptions are the values of the runner's flags. operators are two operator addresses,
+// which successive processes of the relay use in turn.
 type runnerOptions struct {
 	listenAddress string
 	folder        string
@@ -21,8 +21,8 @@
 	process       rollout.LocalProcess
 }
 
-// newRunnerCommand runs one relay as a process of this machine and restarts it when
-// the leader of the role rollout requests it.
+// newRunnerCommand returns the command that runs one relay as a process on this machine and
+// restarts it when the holder of the role rollout requests that.
 func newRunnerCommand(errOut io.Writer) *cobra.Command {
 	var opts runnerOptions
 	c := &cobra.Command{
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -11,13 +11,13 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// server serves HTTP on one address until close, which waits for its goroutine.
+// server serves HTTP on one address until close, which waits for the serving goroutine.
 type server struct {
 	http   *http.Server
 	served chan struct{}
 }
 
-// listen serves on a new listener at an address.
+// listen opens a listener at an address and serves HTTP on it.
 func listen(address string, handler http.Handler) (*server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return serve(listener, handler), nil
 }
 
-// serve takes over the listener.
+// serve serves HTTP on a listener. The returned server closes the listener.
 func serve(listener net.Listener, handler http.Handler) *server {
 	s := &server{
 		http:   &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout},
@@ -34,7 +34,7 @@
 	}
 	go func() {
 		defer close(s.served)
-		s.http.Serve(acceptretry.NewListener(listener)) // returns http.ErrServerClosed
+		s.http.Serve(acceptretry.NewListener(listener)) // the error is http.ErrServerClosed after close
 	}()
 	return s
 }
