--- a/internal/leader/campaign.go
+++ b/internal/leader/campaign.go
@@ -40,7 +40,7 @@
 	timer := time.NewTimer(c.opts.Clock.Real(wait))
 	defer timer.Stop()
 	select {
-	case <-c.changed:
+	case <-c.wake:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -53,25 +53,25 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wait = maxWait
-	if !c.hasLease() || c.view.Revision == 0 {
+	if !c.hasLease() || c.roleList.Revision == 0 {
 		return nil, wait
 	}
-	roles := rolesByName(c.view.Roles)
-	controllers := controllerNames(c.view.Sessions)
+	roles := rolesByName(c.roleList.Roles)
+	controllers := controllerNames(c.roleList.Sessions)
 	quota := roleQuota(len(c.opts.Roles), len(controllers))
 	now := c.opts.Clock.Mono()
 	for name := range c.opts.Roles {
-		role, known := roles[name]
+		role, listed := roles[name]
 		if c.hasUnansweredGrant(role) {
 			c.startWork(name, role.Token, role.Term, role.Note)
 			continue
 		}
-		if !c.isVacant(name, role, controllers) {
+		if !c.isRequestable(name, role, controllers) {
 			continue
 		}
 		aboveQuota := len(c.grants)+len(names) >= quota
-		at := c.requestTime(name, role, known, aboveQuota, now)
-		if remaining := at.Sub(now); remaining > 0 {
+		requestAt := c.requestTime(name, role, listed, aboveQuota, now)
+		if remaining := requestAt.Sub(now); remaining > 0 {
 			wait = min(wait, remaining)
 			continue
 		}
@@ -92,7 +92,7 @@
 // isRequestable reports whether this candidate may request a role: nobody holds it, it
 // is enabled, its work does not still run in this process, and it is not reserved for
 // another controller as its successor. The caller holds c.mu.
-func (c *candidate) isVacant(name string, role registry.Role, controllers map[string]bool) bool {
+func (c *candidate) isRequestable(name string, role registry.Role, controllers map[string]bool) bool {
 	switch {
 	case role.Holder != "", role.Disabled:
 		return false
@@ -106,21 +106,21 @@
 // requestTime returns when a vacant role may be requested: immediately by a candidate
 // that is below its quota, and later by one that has its quota or if the role's work
 // has failed. The caller holds c.mu.
-func (c *candidate) requestTime(name string, role registry.Role, known, aboveQuota bool, now time.Time) time.Time {
-	at := now
-	if since := c.vacantSince[name]; known && !since.IsZero() {
-		at = since
+func (c *candidate) requestTime(name string, role registry.Role, listed, aboveQuota bool, now time.Time) time.Time {
+	requestAt := now
+	if vacantSince := c.vacantSince[name]; listed && !vacantSince.IsZero() {
+		requestAt = vacantSince
 	} else {
 		c.vacantSince[name] = now
 	}
 	if aboveQuota && role.Successor != c.opts.Name {
-		at = at.Add(aboveQuotaDelay)
+		requestAt = requestAt.Add(aboveQuotaDelay)
 	}
-	at = at.Add(c.failureDelay(role))
-	if notBefore := c.notBefore[name]; notBefore.After(at) {
-		at = notBefore
+	requestAt = requestAt.Add(c.failureDelay(role))
+	if notBefore := c.notBefore[name]; notBefore.After(requestAt) {
+		requestAt = notBefore
 	}
-	return at
+	return requestAt
 }
 
 // failureDelay returns how long to wait before requesting a role whose work has failed
--- a/internal/leader/candidate.go
+++ b/internal/leader/candidate.go
@@ -37,9 +37,9 @@
 	lastTokens      map[string]int64                // fencing token of this candidate's latest grant of each role
 	pendingReleases map[string]registry.RoleRequest // releases that the list service has not confirmed
 	notBefore       map[string]time.Time            // earliest time of the next request for a role
-	view            registry.RoleList               // the latest role list that was received
+	roleList        registry.RoleList               // the latest role list that was received
 	vacantSince     map[string]time.Time            // time at which a role was first seen without a holder
-	changed         chan struct{}                   // wakes the campaign; its capacity is 1
+	wake            chan struct{}                   // wakes the campaign; its capacity is 1
 	wg              sync.WaitGroup
 }
 
@@ -56,7 +56,7 @@
 		pendingReleases: map[string]registry.RoleRequest{},
 		notBefore:       map[string]time.Time{},
 		vacantSince:     map[string]time.Time{},
-		changed:         make(chan struct{}, 1),
+		wake:            make(chan struct{}, 1),
 	}
 }
 
@@ -99,7 +99,7 @@
 // wakeCampaign makes the campaign check the roles immediately.
 func (c *candidate) wakeCampaign() {
 	select {
-	case c.changed <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/leader/explore_test.go
+++ b/internal/leader/explore_test.go
@@ -20,9 +20,9 @@
 // registry.SessionHeartbeats, and its holders use Lease, so that its transitions are those
 // of the real code. The check explores all schedules within the bounds below.
 
-type msg struct {
+type modelMessage struct {
 	kind   string // of requests: renew, grant, effect; of responses: renewed, granted, unknown
-	who    int
+	holder int
 	token  int64
 	sentAt int
 }
@@ -32,88 +32,88 @@
 	token    int64
 	requests int
 	effects  int
-	renews   int
+	renewals int
 }
 
 type model struct {
-	st         *registry.State
-	heartbeats registry.SessionHeartbeats
-	now        int
-	changes    int // leader changes of the list service so far
-	holders    [2]modelHolder
-	msgs       []msg
-	accepted   int64 // the highest token of an accepted effect
-	wrong      string
-	path       *step
+	state          *registry.State
+	heartbeats     registry.SessionHeartbeats
+	now            int
+	leaderChanges  int // leader changes of the list service so far
+	holders        [2]modelHolder
+	messages       []modelMessage
+	newestAccepted int64 // the highest token of an accepted effect
+	violation      string
+	trace          *traceStep
 }
 
 // traceStep is the last transition to a state, with those before it. It is reported
 // with a violation.
-type step struct {
-	before *step
-	what   string
+type traceStep struct {
+	previous    *traceStep
+	description string
 }
 
-func (s *step) String() string {
+func (s *traceStep) String() string {
 	if s == nil {
 		return ""
 	}
-	return s.before.String() + "; " + s.what
+	return s.previous.String() + "; " + s.description
 }
 
 // Bounds of the exploration, and the lease duration in ticks. The limits of effects,
 // requests and renewals are for each holder.
 const (
-	modelTTL      = 3
-	modelTicks    = 6
-	modelMsgs     = 2
-	modelEffect   = 1
-	modelRequests = 1
-	modelRenews   = 1
+	modelTTL         = 3
+	modelTicksMax    = 6
+	modelMessagesMax = 2
+	modelEffectsMax  = 1
+	modelRequestsMax = 1
+	modelRenewalsMax = 1
 )
 
 func tick(n int) time.Duration { return time.Duration(n) * time.Second }
 
-func (m *model) clone(what string) *model {
+func (m *model) clone(description string) *model {
 	c := *m
-	st := *m.st
-	st.Sessions, st.Roles = maps.Clone(m.st.Sessions), maps.Clone(m.st.Roles)
-	c.st, c.heartbeats, c.msgs = &st, maps.Clone(m.heartbeats), slices.Clone(m.msgs)
-	c.path = &step{m.path, what}
+	state := *m.state
+	state.Sessions, state.Roles = maps.Clone(m.state.Sessions), maps.Clone(m.state.Roles)
+	c.state, c.heartbeats, c.messages = &state, maps.Clone(m.heartbeats), slices.Clone(m.messages)
+	c.trace = &traceStep{m.trace, description}
 	return &c
 }
 
 // key encodes the state, so that equal states have equal keys. Messages are sorted since
 // their order does not matter.
 func (m *model) key() string {
-	d := m.st.Roles["d"]
+	role := m.state.Roles["d"]
 	b := make([]byte, 0, 128)
-	put := func(v ...int64) {
-		for _, x := range v {
+	appendInts := func(values ...int64) {
+		for _, x := range values {
 			b = binary.AppendVarint(b, x)
 		}
 	}
-	put(int64(m.now), int64(m.changes), m.accepted, d.Token, int64(len(d.Holder)))
-	b = append(b, d.Holder...)
+	appendInts(int64(m.now), int64(m.leaderChanges), m.newestAccepted, role.Token, int64(len(role.Holder)))
+	b = append(b, role.Holder...)
 	for i := range m.holders {
 		h, id := &m.holders[i], fmt.Sprint(i)
-		at, heard := m.heartbeats[id]
-		_, open := m.st.Sessions[id]
-		put(int64(h.lease.expiresAt), h.token, int64(h.requests), int64(h.effects), int64(h.renews), int64(at))
-		b = append(b, flag(heard), flag(open), flag(h.lease.lost))
+		heardAt, heard := m.heartbeats[id]
+		_, open := m.state.Sessions[id]
+		appendInts(int64(h.lease.expiresAt), h.token, int64(h.requests), int64(h.effects), int64(h.renewals), int64(heardAt))
+		b = append(b, boolByte(heard), boolByte(open), boolByte(h.lease.lost))
 	}
-	all := slices.Clone(m.msgs)
-	slices.SortFunc(all, func(a, b msg) int {
-		return cmp.Or(strings.Compare(a.kind, b.kind), a.who-b.who, int(a.token-b.token), a.sentAt-b.sentAt)
+	messages := slices.Clone(m.messages)
+	slices.SortFunc(messages, func(a, b modelMessage) int {
+		return cmp.Or(strings.Compare(a.kind, b.kind), a.holder-b.holder, int(a.token-b.token), a.sentAt-b.sentAt)
 	})
-	for _, x := range all {
-		b = append(b, x.kind[0], x.kind[len(x.kind)-1], byte(x.who)) // the first and last letter identify the kind
-		put(x.token, int64(x.sentAt))
+	for _, x := range messages {
+		b = append(b, x.kind[0], x.kind[len(x.kind)-1], byte(x.holder)) // the first and last letter identify the kind
+		appendInts(x.token, int64(x.sentAt))
 	}
 	return string(b)
 }
 
-func flag(v bool) byte {
+func boolByte(v bool) byte {
 	if v {
 		return 1
 	}
@@ -122,88 +122,88 @@
 
 // successors returns all states that one transition leads to. Tokens of effects are
 // checked only if fenced is true.
-func (m *model) next(fenced bool) (all []*model) {
-	add := func(what string, f func(c *model), args ...any) {
+func (m *model) successors(fenced bool) (all []*model) {
+	add := func(description string, transition func(c *model), args ...any) {
 		if len(args) > 0 {
-			what = fmt.Sprintf(what, args...)
+			description = fmt.Sprintf(description, args...)
 		}
-		c := m.clone(what)
-		f(c)
-		c.check()
+		c := m.clone(description)
+		transition(c)
+		c.checkHolders()
 		all = append(all, c)
 	}
-	if m.now < modelTicks {
+	if m.now < modelTicksMax {
 		add("tick", func(c *model) { // sessions end as soon as they are overdue; a later end would be safer
 			c.now++
-			if ids := c.heartbeats.Overdue(c.st.Sessions, tick(c.now)); len(ids) > 0 {
-				c.st.Apply(registry.Command{Op: registry.OpSessionEnd, EndedSessions: ids, Failed: true})
+			if ids := c.heartbeats.Overdue(c.state.Sessions, tick(c.now)); len(ids) > 0 {
+				c.state.Apply(registry.Command{Op: registry.OpSessionEnd, EndedSessions: ids, Failed: true})
 			}
 		})
 	}
-	if m.changes < 1 {
-		add("new leader", func(c *model) { c.changes++; c.heartbeats = registry.SessionHeartbeats{} })
+	if m.leaderChanges < 1 {
+		add("new leader", func(c *model) { c.leaderChanges++; c.heartbeats = registry.SessionHeartbeats{} })
 	}
 	for i := range m.holders {
 		h := &m.holders[i]
-		believes := h.lease.Remaining(tick(m.now)) > 0
-		if len(m.msgs) < modelMsgs {
-			if h.renews < modelRenews && !h.lease.lost {
+		leaseValid := h.lease.Remaining(tick(m.now)) > 0
+		if len(m.messages) < modelMessagesMax {
+			if h.renewals < modelRenewalsMax && !h.lease.lost {
 				add("holder %d requests a renewal", func(c *model) {
-					c.holders[i].renews++
-					c.msgs = append(c.msgs, msg{"renew", i, 0, c.now})
+					c.holders[i].renewals++
+					c.messages = append(c.messages, modelMessage{"renew", i, 0, c.now})
 				}, i)
 			}
-			if believes && h.token == 0 && h.requests < modelRequests {
+			if leaseValid && h.token == 0 && h.requests < modelRequestsMax {
 				add("holder %d requests the role", func(c *model) {
 					c.holders[i].requests++
-					c.msgs = append(c.msgs, msg{"grant", i, 0, c.now})
+					c.messages = append(c.messages, modelMessage{"grant", i, 0, c.now})
 				}, i)
 			}
-			if believes && h.token != 0 && h.effects < modelEffect {
+			if leaseValid && h.token != 0 && h.effects < modelEffectsMax {
 				add("holder %d sends an effect", func(c *model) {
 					c.holders[i].effects++
-					c.msgs = append(c.msgs, msg{"effect", i, h.token, c.now})
+					c.messages = append(c.messages, modelMessage{"effect", i, h.token, c.now})
 				}, i)
 			}
 		}
 	}
-	for k, x := range m.msgs { // a message that is never delivered is lost
-		add("%v is delivered", func(c *model) { c.msgs = slices.Delete(c.msgs, k, k+1); c.deliver(x, fenced) }, x)
+	for k, message := range m.messages { // a message that is never delivered is lost
+		add("%v is delivered", func(c *model) { c.messages = slices.Delete(c.messages, k, k+1); c.deliver(message, fenced) }, message)
 	}
 	return all
 }
 
-func (m *model) deliver(x msg, fenced bool) {
-	id, h := fmt.Sprint(x.who), &m.holders[x.who]
-	switch x.kind {
+func (m *model) deliver(message modelMessage, fenced bool) {
+	id, h := fmt.Sprint(message.holder), &m.holders[message.holder]
+	switch message.kind {
 	case "renew":
-		if _, ok := m.st.Sessions[id]; !ok {
-			m.msgs = append(m.msgs, msg{"unknown", x.who, 0, x.sentAt})
+		if _, accepted := m.state.Sessions[id]; !accepted {
+			m.messages = append(m.messages, modelMessage{"unknown", message.holder, 0, message.sentAt})
 			return
 		}
 		m.heartbeats.Record(id, tick(m.now))
-		m.msgs = append(m.msgs, msg{"renewed", x.who, 0, x.sentAt})
+		m.messages = append(m.messages, modelMessage{"renewed", message.holder, 0, message.sentAt})
 	case "grant":
-		a := m.st.Apply(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: id}})
-		if a.Status == 200 {
-			m.msgs = append(m.msgs, msg{"granted", x.who, a.Token, x.sentAt})
+		granted := m.state.Apply(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: id}})
+		if granted.Status == 200 {
+			m.messages = append(m.messages, modelMessage{"granted", message.holder, granted.Token, message.sentAt})
 		}
 	case "effect":
-		ok := true
+		accepted := true
 		if fenced {
-			ok = m.st.Apply(registry.Command{Op: registry.OpNote, Role: "d", Token: x.token, Note: "done"}).Status == 200
+			accepted = m.state.Apply(registry.Command{Op: registry.OpNote, Role: "d", Token: message.token, Note: "done"}).Status == 200
 		}
-		if ok && x.token < m.accepted {
-			m.wrong = fmt.Sprintf("an effect of token %d was accepted after one of token %d", x.token, m.accepted)
+		if accepted && message.token < m.newestAccepted {
+			m.violation = fmt.Sprintf("an effect of token %d was accepted after one of token %d", message.token, m.newestAccepted)
 		}
-		if ok {
-			m.accepted = max(m.accepted, x.token)
+		if accepted {
+			m.newestAccepted = max(m.newestAccepted, message.token)
 		}
 	case "renewed":
-		h.lease.Renew(tick(x.sentAt))
+		h.lease.Renew(tick(message.sentAt))
 	case "granted":
 		if h.lease.Remaining(tick(m.now)) > 0 {
-			h.token = x.token
+			h.token = message.token
 		}
 	case "unknown":
 		h.lease.Invalidate()
@@ -212,49 +212,49 @@
 
 // checkHolders cancels the grants of holders whose lease has expired, and records a
 // violation if two holders with a valid lease have a grant.
-func (m *model) check() {
-	n := 0
+func (m *model) checkHolders() {
+	holding := 0
 	for i := range m.holders {
 		h := &m.holders[i]
 		if h.lease.Remaining(tick(m.now)) <= 0 {
 			h.token = 0 // as the watchdog does
 		} else if h.token != 0 {
-			n++
+			holding++
 		}
 	}
-	if n > 1 && m.wrong == "" {
-		m.wrong = "two holders have the role and a valid lease"
+	if holding > 1 && m.violation == "" {
+		m.violation = "two holders have the role and a valid lease"
 	}
 }
 
 // explore visits all reachable states. It returns the number of states visited and the
 // first state that violates an invariant, if there is one. If injectDefect is not nil, it
 // is applied to each new state.
-func explore(fenced bool, spoil func(*model)) (states int, wrong *model) {
-	first := &model{st: registry.NewState(), heartbeats: registry.SessionHeartbeats{}}
-	for i := range first.holders {
+func explore(fenced bool, injectDefect func(*model)) (states int, violating *model) {
+	initial := &model{state: registry.NewState(), heartbeats: registry.SessionHeartbeats{}}
+	for i := range initial.holders {
 		id := fmt.Sprint(i)
-		first.st.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Controller: id, TTL: tick(modelTTL)}})
-		first.heartbeats.Record(id, 0)
-		first.holders[i].lease = Lease{TTL: tick(modelTTL)}
-		first.holders[i].lease.Renew(0)
+		initial.state.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Controller: id, TTL: tick(modelTTL)}})
+		initial.heartbeats.Record(id, 0)
+		initial.holders[i].lease = Lease{TTL: tick(modelTTL)}
+		initial.holders[i].lease.Renew(0)
 	}
 	seed := maphash.MakeSeed()
-	seen := map[uint64]bool{maphash.String(seed, first.key()): true}
-	todo := []*model{first}
-	for len(todo) > 0 {
-		m := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		for _, c := range m.next(fenced) {
-			if spoil != nil {
-				spoil(c)
+	seen := map[uint64]bool{maphash.String(seed, initial.key()): true}
+	unexplored := []*model{initial}
+	for len(unexplored) > 0 {
+		m := unexplored[len(unexplored)-1]
+		unexplored = unexplored[:len(unexplored)-1]
+		for _, c := range m.successors(fenced) {
+			if injectDefect != nil {
+				injectDefect(c)
 			}
-			if c.wrong != "" {
+			if c.violation != "" {
 				return len(seen), c
 			}
 			if k := maphash.String(seed, c.key()); !seen[k] {
 				seen[k] = true
-				todo = append(todo, c)
+				unexplored = append(unexplored, c)
 			}
 		}
 	}
@@ -263,10 +263,10 @@
 
 // In no schedule within the bounds are two effects accepted out of token order, or do two
 // holders have a valid lease on the role at the same time.
-func TestModelExploration(t *testing.T) {
-	states, wrong := explore(true, nil)
-	if wrong != nil {
-		t.Fatalf("%s%v", wrong.wrong, wrong.path)
+func TestModelCheckFindsNoViolation(t *testing.T) {
+	states, violating := explore(true, nil)
+	if violating != nil {
+		t.Fatalf("%s%v", violating.violation, violating.trace)
 	}
 	t.Logf("%d states", states)
 	if states < 10000 {
@@ -276,20 +276,20 @@
 
 // The model check finds defects that the test injects: an effect accepted out of token
 // order if tokens are not checked, and two holders if leases outlive their sessions.
-func TestExplorerFindsDefects(t *testing.T) {
-	_, wrong := explore(false, nil)
-	if wrong == nil || !strings.Contains(wrong.wrong, "was accepted after") {
-		t.Fatalf("tokens are not checked: found %+v, want effects out of token order", wrong)
+func TestModelCheckFindsInjectedDefects(t *testing.T) {
+	_, violating := explore(false, nil)
+	if violating == nil || !strings.Contains(violating.violation, "was accepted after") {
+		t.Fatalf("tokens are not checked: found %+v, want effects out of token order", violating)
 	}
-	t.Log(wrong.wrong, wrong.path)
-	_, wrong = explore(true, func(m *model) { // a lease that outlives the session at the list service
+	t.Log(violating.violation, violating.trace)
+	_, violating = explore(true, func(m *model) { // a lease that outlives the session at the list service
 		for i := range m.holders {
 			if h := &m.holders[i]; h.lease.expiresAt > 0 {
-				h.lease.expiresAt = max(h.lease.expiresAt, tick(modelTicks))
+				h.lease.expiresAt = max(h.lease.expiresAt, tick(modelTicksMax))
 			}
 		}
 	})
-	if wrong == nil || !strings.Contains(wrong.wrong, "two holders") {
-		t.Fatalf("leases outlive sessions: found %+v, want two holders", wrong)
+	if violating == nil || !strings.Contains(violating.violation, "two holders") {
+		t.Fatalf("leases outlive sessions: found %+v, want two holders", violating)
 	}
 }
--- a/internal/leader/fence.go
+++ b/internal/leader/fence.go
@@ -25,10 +25,10 @@
 	if err != nil {
 		return fmt.Errorf("leader: fence: %w", err)
 	}
-	switch seen := tokens[role]; {
-	case seen > token:
-		return fmt.Errorf("%w: %s in %s: token %d, seen %d", ErrFenced, role, dir, token, seen)
-	case seen == token:
+	switch newest := tokens[role]; {
+	case newest > token:
+		return fmt.Errorf("%w: %s in %s: token %d, seen %d", ErrFenced, role, dir, token, newest)
+	case newest == token:
 		return nil
 	}
 	tokens[role] = token
--- a/internal/leader/fence_test.go
+++ b/internal/leader/fence_test.go
@@ -7,14 +7,14 @@
 
 // Fence accepts a token that is as new as the newest one recorded in the folder or newer,
 // and rejects older ones. Each role's tokens are recorded separately.
-func TestFolderFence(t *testing.T) {
+func TestFenceRejectsOlderTokens(t *testing.T) {
 	dir := t.TempDir()
-	for _, x := range []struct {
-		token int64
-		ok    bool
+	for _, call := range []struct {
+		token    int64
+		accepted bool
 	}{{5, true}, {5, true}, {4, false}, {9, true}, {5, false}, {9, true}} {
-		if err := Fence(dir, "salvage", x.token); (err == nil) != x.ok || err != nil && !errors.Is(err, ErrFenced) {
-			t.Errorf("token %d: unexpected result %v", x.token, err)
+		if err := Fence(dir, "salvage", call.token); (err == nil) != call.accepted || err != nil && !errors.Is(err, ErrFenced) {
+			t.Errorf("token %d: unexpected result %v", call.token, err)
 		}
 	}
 	if err := Fence(dir, "rollout", 1); err != nil {
--- a/internal/leader/group_test.go
+++ b/internal/leader/group_test.go
@@ -14,44 +14,44 @@
 
 // stepRecorder records the steps that holders know to be accepted, and violations of
 // their order.
-type steps struct {
-	mu         sync.Mutex
-	tokens     map[int]int64 // fencing token of each accepted step
-	violations []string
-	last       int
-	newest     int64
-	working    int
-	maxWorking int
+type stepRecorder struct {
+	mu          sync.Mutex
+	tokens      map[int]int64 // fencing token of each accepted step
+	violations  []string
+	lastStep    int
+	newestToken int64
+	working     int
+	maxWorking  int
 }
 
-func newSteps() *steps { return &steps{tokens: map[int]int64{}} }
+func newStepRecorder() *stepRecorder { return &stepRecorder{tokens: map[int]int64{}} }
 
 // countingWork returns work that continues counting from the checkpoint and returns after
 // maxSteps steps. Each step is an effect, which saves the count.
-func (s *steps) work(maxSteps int) Work {
+func (s *stepRecorder) countingWork(maxSteps int) Work {
 	return func(ctx context.Context, g *Grant) error {
 		s.mu.Lock()
 		s.working++
 		s.maxWorking = max(s.maxWorking, s.working)
 		s.mu.Unlock()
 		defer func() { s.mu.Lock(); s.working--; s.mu.Unlock() }()
-		n, _ := strconv.Atoi(g.Note) // an empty checkpoint counts as 0
+		step, _ := strconv.Atoi(g.Note) // an empty checkpoint counts as 0
 		for range maxSteps {
-			n++
-			if err := g.Save(ctx, strconv.Itoa(n)); err != nil {
+			step++
+			if err := g.Save(ctx, strconv.Itoa(step)); err != nil {
 				if ctx.Err() != nil || errors.Is(err, ErrLeaseLost) {
 					return nil
 				}
 				return err
 			}
 			s.mu.Lock()
-			if old, ok := s.tokens[n]; ok {
-				s.violations = append(s.violations, fmt.Sprintf("step %d was accepted under token %d and again under %d", n, old, g.Token))
+			if earlier, ok := s.tokens[step]; ok {
+				s.violations = append(s.violations, fmt.Sprintf("step %d was accepted under token %d and again under %d", step, earlier, g.Token))
 			}
-			if n > s.last && g.Token < s.newest {
-				s.violations = append(s.violations, fmt.Sprintf("step %d was accepted under token %d after a step under the newer token %d", n, g.Token, s.newest))
+			if step > s.lastStep && g.Token < s.newestToken {
+				s.violations = append(s.violations, fmt.Sprintf("step %d was accepted under token %d after a step under the newer token %d", step, g.Token, s.newestToken))
 			}
-			s.tokens[n], s.last, s.newest = g.Token, max(s.last, n), max(s.newest, g.Token)
+			s.tokens[step], s.lastStep, s.newestToken = g.Token, max(s.lastStep, step), max(s.newestToken, g.Token)
 			s.mu.Unlock()
 			if !Sleep(ctx, 5*time.Millisecond) {
 				return nil
@@ -63,94 +63,94 @@
 
 // checkOrder fails the test if a step was accepted twice, or after a step under a newer
 // token.
-func (s *steps) checkOrder(t *testing.T) {
+func (s *stepRecorder) checkOrder(t *testing.T) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range s.violations {
-		t.Error(d)
+	for _, violation := range s.violations {
+		t.Error(violation)
 	}
 }
 
-func (s *steps) count() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.tokens) }
+func (s *stepRecorder) count() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.tokens) }
 
 // The list service's leader is stopped three times while candidates acquire a role, renew
 // sessions, save and release. Each grant lasts only four steps, so the holder changes all
 // the time. No step is accepted twice, and the work continues after each leader change.
-func TestRegistryLeaderChangesDuringGrantsAndReleases(t *testing.T) {
-	s, all := registrytest.Start(t, 3, nil), newSteps()
-	s.Leader()
+func TestStepsAreAcceptedOnceAcrossRegistryLeaderChanges(t *testing.T) {
+	group, recorder := registrytest.Start(t, 3, nil), newStepRecorder()
+	group.Leader()
 	for i := range 3 {
-		startCandidateWith(t, s.Client(), fmt.Sprint("w", i), 400*time.Millisecond, map[string]Work{"d": all.work(4)})
+		startCandidateWith(t, group.Client(), fmt.Sprint("w", i), 400*time.Millisecond, map[string]Work{"d": recorder.countingWork(4)})
 	}
 	for range 3 {
-		before := all.count()
-		waitFor(t, "more than 8 steps before the leader stops", func() bool { return all.count() > before+8 })
-		i := s.Leader()
-		s.Stop(i)
-		before = all.count()
-		waitFor(t, "more than 8 steps under the next leader", func() bool { return all.count() > before+8 })
-		s.Start(i)
+		before := recorder.count()
+		waitFor(t, "more than 8 steps before the leader stops", func() bool { return recorder.count() > before+8 })
+		i := group.Leader()
+		group.Stop(i)
+		before = recorder.count()
+		waitFor(t, "more than 8 steps under the next leader", func() bool { return recorder.count() > before+8 })
+		group.Start(i)
 	}
-	all.checkOrder(t)
+	recorder.checkOrder(t)
 }
 
 // While two of three nodes of the list service are down, for several lease durations, the
 // holder stops its work, no other candidate starts it, and no step is accepted. The work
 // resumes when the nodes are back.
-func TestWorkStopsWithoutMajority(t *testing.T) {
-	s, all := registrytest.Start(t, 3, nil), newSteps()
-	s.Leader()
+func TestWorkStopsWithoutMajorityAndResumesWithIt(t *testing.T) {
+	group, recorder := registrytest.Start(t, 3, nil), newStepRecorder()
+	group.Leader()
 	const ttl = time.Second
 	for i := range 3 {
-		startCandidateWith(t, s.Client(), fmt.Sprint("w", i), ttl, map[string]Work{"d": all.work(1 << 30)})
+		startCandidateWith(t, group.Client(), fmt.Sprint("w", i), ttl, map[string]Work{"d": recorder.countingWork(1 << 30)})
 	}
-	waitFor(t, "the first steps", func() bool { return all.count() > 5 })
-	gone := []int{0, 1}
-	for _, i := range gone {
-		s.Stop(i)
+	waitFor(t, "the first steps", func() bool { return recorder.count() > 5 })
+	stoppedNodes := []int{0, 1}
+	for _, i := range stoppedNodes {
+		group.Stop(i)
 	}
-	waitFor(t, "the holder to stop its work", func() bool { all.mu.Lock(); defer all.mu.Unlock(); return all.working == 0 })
-	stood := all.count()
+	waitFor(t, "the holder to stop its work", func() bool { recorder.mu.Lock(); defer recorder.mu.Unlock(); return recorder.working == 0 })
+	stepsBefore := recorder.count()
 	time.Sleep(4 * ttl) // no candidate may work during this time
-	all.mu.Lock()
-	if all.working != 0 || len(all.tokens) != stood || all.maxWorking != 1 {
-		t.Errorf("without a majority: %d candidates work, %d steps grew to %d; at most %d candidates worked at once", all.working, stood, len(all.tokens), all.maxWorking)
+	recorder.mu.Lock()
+	if recorder.working != 0 || len(recorder.tokens) != stepsBefore || recorder.maxWorking != 1 {
+		t.Errorf("without a majority: %d candidates work, %d steps grew to %d; at most %d candidates worked at once", recorder.working, stepsBefore, len(recorder.tokens), recorder.maxWorking)
 	}
-	all.mu.Unlock()
-	for _, i := range gone {
-		s.Start(i)
+	recorder.mu.Unlock()
+	for _, i := range stoppedNodes {
+		group.Start(i)
 	}
-	waitFor(t, "further steps", func() bool { return all.count() > stood+5 })
-	all.checkOrder(t)
+	waitFor(t, "further steps", func() bool { return recorder.count() > stepsBefore+5 })
+	recorder.checkOrder(t)
 }
 
 // All controllers die at the same time and release nothing. A controller that starts later
 // acquires the role and continues from the last checkpoint.
-func TestRecoveryAfterAllControllersDie(t *testing.T) {
+func TestNewControllerContinuesAfterAllControllersDie(t *testing.T) {
 	_, addr := startNode(t, nil)
-	all := newSteps()
-	var cut []*proxy
+	recorder := newStepRecorder()
+	var proxies []*proxy
 	const ttl = 500 * time.Millisecond
 	for i := range 3 {
 		p := startProxy(t, addr)
-		cut = append(cut, p)
-		startCandidate(t, p.addr, fmt.Sprint("w", i), ttl, map[string]Work{"d": all.work(1 << 30)})
+		proxies = append(proxies, p)
+		startCandidate(t, p.addr, fmt.Sprint("w", i), ttl, map[string]Work{"d": recorder.countingWork(1 << 30)})
 	}
-	waitFor(t, "the first steps", func() bool { return all.count() > 5 })
-	for _, p := range cut { // the list service cannot tell a partitioned process from a dead one
+	waitFor(t, "the first steps", func() bool { return recorder.count() > 5 })
+	for _, p := range proxies { // the list service cannot tell a partitioned process from a dead one
 		p.partitioned.Store(true)
 	}
 	waitFor(t, "the list service to end all sessions", func() bool { return len(listRoles(t, addr).Sessions) == 0 })
-	d := roleState(t, addr, "d")
-	if d.Holder != "" {
-		t.Errorf("the role is still held by %s after the end of its session", d.Controller)
+	role := roleState(t, addr, "d")
+	if role.Holder != "" {
+		t.Errorf("the role is still held by %s after the end of its session", role.Controller)
 	}
-	stood, _ := strconv.Atoi(d.Note)
-	startCandidate(t, addr, "back", ttl, map[string]Work{"d": all.work(1 << 30)})
-	waitFor(t, "steps of the new controller", func() bool { n, _ := strconv.Atoi(roleState(t, addr, "d").Note); return n > stood+5 })
-	if d := roleState(t, addr, "d"); d.Controller != "back" {
-		t.Errorf("the role is held by %s, want back", d.Controller)
+	lastCount, _ := strconv.Atoi(role.Note)
+	startCandidate(t, addr, "back", ttl, map[string]Work{"d": recorder.countingWork(1 << 30)})
+	waitFor(t, "steps of the new controller", func() bool { count, _ := strconv.Atoi(roleState(t, addr, "d").Note); return count > lastCount+5 })
+	if role := roleState(t, addr, "d"); role.Controller != "back" {
+		t.Errorf("the role is held by %s, want back", role.Controller)
 	}
-	all.checkOrder(t)
+	recorder.checkOrder(t)
 }
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -18,12 +18,12 @@
 	"plovershore/internal/registry/registrytest"
 )
 
-var quiet, waitFor = registrytest.Quiet, registrytest.WaitFor
+var newDiscardLogger, waitFor = registrytest.Quiet, registrytest.WaitFor
 
-func startNode(t *testing.T, tune func(*registry.Config)) (g *registrytest.Group, addr string) {
+func startNode(t *testing.T, configure func(*registry.Config)) (group *registrytest.Group, addr string) {
 	t.Helper()
-	g = registrytest.Start(t, 1, tune)
-	return g, g.Addrs[0]
+	group = registrytest.Start(t, 1, configure)
+	return group, group.Addrs[0]
 }
 
 func newClient(t *testing.T, addr string) *client.Client { return registrytest.Client(t, addr) }
@@ -41,7 +41,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := Run(ctx, Options{Client: c, Name: name, TTL: ttl, Roles: roles, Log: quiet()}); err != nil {
+		if err := Run(ctx, Options{Client: c, Name: name, TTL: ttl, Roles: roles, Log: newDiscardLogger()}); err != nil {
 			t.Error(err)
 		}
 	}()
@@ -52,19 +52,19 @@
 
 func listRoles(t *testing.T, addr string) registry.RoleList {
 	t.Helper()
-	var l registry.RoleList
+	var list registry.RoleList
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	if _, err := newClient(t, addr).Do(ctx, http.MethodGet, registry.RolesPath, nil, &l); err != nil {
+	if _, err := newClient(t, addr).Do(ctx, http.MethodGet, registry.RolesPath, nil, &list); err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return list
 }
 
 func roleState(t *testing.T, addr, name string) registry.Role {
-	for _, d := range listRoles(t, addr).Roles {
-		if d.Name == name {
-			return d
+	for _, role := range listRoles(t, addr).Roles {
+		if role.Name == name {
+			return role
 		}
 	}
 	return registry.Role{}
@@ -72,9 +72,9 @@
 
 // workUntilCanceled returns work that stores name under the grant's token and then runs
 // until its context ends.
-func workUntilCanceled(began *sync.Map, name string) Work {
+func workUntilCanceled(namesByToken *sync.Map, name string) Work {
 	return func(ctx context.Context, g *Grant) error {
-		began.Store(g.Token, name)
+		namesByToken.Store(g.Token, name)
 		<-ctx.Done()
 		return nil
 	}
@@ -94,23 +94,23 @@
 	lostGrantResponses atomic.Int32 // number of further responses to grant requests to drop
 }
 
-func startProxy(t *testing.T, to string) *proxy {
+func startProxy(t *testing.T, target string) *proxy {
 	p := &proxy{}
-	forward := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: to})
-	forward.ErrorLog = slog.NewLogLogger(quiet().Handler(), slog.LevelDebug)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	reverseProxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: target})
+	reverseProxy.ErrorLog = slog.NewLogLogger(newDiscardLogger().Handler(), slog.LevelDebug)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p.partitioned.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		if strings.HasSuffix(r.URL.Path, "/grant") && p.lostGrantResponses.Add(-1) >= 0 {
-			forward.ServeHTTP(httptest.NewRecorder(), r)
+			reverseProxy.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
-		forward.ServeHTTP(w, r)
+		reverseProxy.ServeHTTP(w, r)
 	}))
-	s.Config.ErrorLog = slog.NewLogLogger(quiet().Handler(), slog.LevelDebug)
-	t.Cleanup(s.Close)
-	p.server = s
-	p.addr = strings.TrimPrefix(s.URL, "http://")
+	server.Config.ErrorLog = slog.NewLogLogger(newDiscardLogger().Handler(), slog.LevelDebug)
+	t.Cleanup(server.Close)
+	p.server = server
+	p.addr = strings.TrimPrefix(server.URL, "http://")
 	return p
 }
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -11,7 +11,7 @@
 // no clock: callers pass times as offsets on a monotonic clock. The zero value is an
 // expired lease. A Lease is not safe for concurrent use.
 type Lease struct {
-	TTL       time.Duration // as granted by the list service
+	TTL       time.Duration // lifetime of the session without renewal at the list service
 	expiresAt time.Duration
 	lost      bool
 }
--- a/internal/leader/operations/operations.go
+++ b/internal/leader/operations/operations.go
@@ -52,12 +52,12 @@
 
 // Pending returns the operations of a kind that are not done, including paused ones.
 func Pending(ctx context.Context, c *client.Client, kind string) ([]registry.Operation, error) {
-	all, err := list(ctx, c)
+	operations, err := list(ctx, c)
 	if err != nil {
 		return nil, err
 	}
 	var pending []registry.Operation
-	for _, op := range all {
+	for _, op := range operations {
 		if op.Kind == kind && !op.Done {
 			pending = append(pending, op)
 		}
@@ -69,11 +69,11 @@
 // Desired constant of package registry. It returns registry.DesiredAbort if the
 // operation does not exist any more.
 func DesiredState(ctx context.Context, c *client.Client, op registry.Operation) (string, error) {
-	all, err := list(ctx, c)
+	operations, err := list(ctx, c)
 	if err != nil {
 		return "", err
 	}
-	for _, current := range all {
+	for _, current := range operations {
 		if current.Kind == op.Kind && current.Name == op.Name {
 			return current.DesiredState, nil
 		}
@@ -81,9 +81,9 @@
 	return registry.DesiredAbort, nil
 }
 
-func list(ctx context.Context, c *client.Client) (all []registry.Operation, err error) {
-	_, err = c.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all)
-	return all, err
+func list(ctx context.Context, c *client.Client) (operations []registry.Operation, err error) {
+	_, err = c.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &operations)
+	return operations, err
 }
 
 // Decode decodes the spec of an operation and, if there is any, its progress.
--- a/internal/leader/operations/operations_test.go
+++ b/internal/leader/operations/operations_test.go
@@ -14,7 +14,7 @@
 	"plovershore/internal/registry/registrytest"
 )
 
-const kind = "rollout"
+const testKind = "rollout"
 
 type testSpec struct {
 	Size int `json:"size"`
@@ -24,7 +24,7 @@
 	Steps int `json:"steps"`
 }
 
-func put(t *testing.T, c *client.Client, kind, path, desired string) {
+func storeOperation(t *testing.T, c *client.Client, kind, path, desired string) {
 	t.Helper()
 	op := registry.Operation{Spec: []byte(`{"size":3}`), DesiredState: desired}
 	if _, err := c.Do(t.Context(), http.MethodPut, registry.OperationsPath+"/"+kind+"/"+path, op, nil); err != nil {
@@ -33,7 +33,7 @@
 }
 
 // startHolder runs work as the holder of a role until the test ends.
-func withGrant(t *testing.T, c *client.Client, role string, work leader.Work) {
+func startHolder(t *testing.T, c *client.Client, role string, work leader.Work) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -49,16 +49,16 @@
 
 // Run passes the pending operations of its kind, including paused ones and names with
 // characters that URLs escape. An operation that was sent as done is not pending any more.
-func TestRunAndSend(t *testing.T) {
+func TestRunPassesPendingOperationsUntilDone(t *testing.T) {
 	group := registrytest.Start(t, 1, nil)
 	c := group.Client()
-	put(t, c, kind, "plain", registry.DesiredRun)
-	put(t, c, kind, "two%20words%2Fslash", registry.DesiredPause)
-	put(t, c, "salvage", "other", registry.DesiredRun)
+	storeOperation(t, c, testKind, "plain", registry.DesiredRun)
+	storeOperation(t, c, testKind, "two%20words%2Fslash", registry.DesiredPause)
+	storeOperation(t, c, "salvage", "other", registry.DesiredRun)
 	var mu sync.Mutex
 	var names []string
-	withGrant(t, c, kind, func(ctx context.Context, g *leader.Grant) error {
-		return Run(ctx, c, kind, 5*time.Millisecond, func(ctx context.Context, pending []registry.Operation) error {
+	startHolder(t, c, testKind, func(ctx context.Context, g *leader.Grant) error {
+		return Run(ctx, c, testKind, 5*time.Millisecond, func(ctx context.Context, pending []registry.Operation) error {
 			for _, op := range pending {
 				var spec testSpec
 				var progress testProgress
@@ -77,7 +77,7 @@
 		})
 	})
 	registrytest.WaitFor(t, "both operations to be done", func() bool {
-		pending, err := Pending(t.Context(), c, kind)
+		pending, err := Pending(t.Context(), c, testKind)
 		return err == nil && len(pending) == 0
 	})
 	mu.Lock()
@@ -96,13 +96,13 @@
 
 // SendIfNew does not send an update whose message the operation has already. An update
 // without progress stores none.
-func TestSendIfNew(t *testing.T) {
+func TestSendIfNewSkipsStoredMessage(t *testing.T) {
 	c := registrytest.Start(t, 1, nil).Client()
-	put(t, c, kind, "x", registry.DesiredRun)
+	storeOperation(t, c, testKind, "x", registry.DesiredRun)
 	results := make(chan error, 10)
-	withGrant(t, c, kind, func(ctx context.Context, g *leader.Grant) error {
-		results <- SendIfNew(ctx, g, registry.Operation{Kind: kind, Name: "x", Message: "waits"}, Update{Message: "waits", Done: true})
-		results <- SendIfNew(ctx, g, registry.Operation{Kind: kind, Name: "x"}, Update{Message: "held"})
+	startHolder(t, c, testKind, func(ctx context.Context, g *leader.Grant) error {
+		results <- SendIfNew(ctx, g, registry.Operation{Kind: testKind, Name: "x", Message: "waits"}, Update{Message: "waits", Done: true})
+		results <- SendIfNew(ctx, g, registry.Operation{Kind: testKind, Name: "x"}, Update{Message: "held"})
 		<-ctx.Done()
 		return nil
 	})
@@ -111,7 +111,7 @@
 			t.Fatal(err)
 		}
 	}
-	pending, err := Pending(t.Context(), c, kind)
+	pending, err := Pending(t.Context(), c, testKind)
 	if err != nil || len(pending) != 1 || pending[0].Message != "held" || len(pending[0].Progress) != 0 {
 		t.Errorf("pending operations %+v, error %v; want 1 with message held and no progress", pending, err)
 	}
@@ -119,27 +119,27 @@
 
 // DesiredState returns the state that is stored now, not that of the operation passed to
 // it, and abort for an operation that does not exist.
-func TestDesiredState(t *testing.T) {
+func TestDesiredStateIsCurrentOrAbortIfMissing(t *testing.T) {
 	c := registrytest.Start(t, 1, nil).Client()
-	put(t, c, kind, "x", registry.DesiredRun)
-	put(t, c, kind, "x", registry.DesiredPause)
+	storeOperation(t, c, testKind, "x", registry.DesiredRun)
+	storeOperation(t, c, testKind, "x", registry.DesiredPause)
 	for name, want := range map[string]string{"x": registry.DesiredPause, "gone": registry.DesiredAbort} {
-		if got, err := DesiredState(t.Context(), c, registry.Operation{Kind: kind, Name: name, DesiredState: registry.DesiredRun}); err != nil || got != want {
+		if got, err := DesiredState(t.Context(), c, registry.Operation{Kind: testKind, Name: name, DesiredState: registry.DesiredRun}); err != nil || got != want {
 			t.Errorf("operation %s: desired state %s, error %v", name, got, err)
 		}
 	}
 }
 
 // Run returns the error of a pass, but nil if the context has ended by then.
-func TestRunErrors(t *testing.T) {
+func TestRunReturnsPassErrorUnlessCanceled(t *testing.T) {
 	c := registrytest.Start(t, 1, nil).Client()
 	failure := errors.New("failure")
-	err := Run(t.Context(), c, kind, time.Millisecond, func(context.Context, []registry.Operation) error { return failure })
+	err := Run(t.Context(), c, testKind, time.Millisecond, func(context.Context, []registry.Operation) error { return failure })
 	if !errors.Is(err, failure) {
 		t.Errorf("a pass fails: Run returned %v, want the error of the pass", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	err = Run(ctx, c, kind, time.Millisecond, func(context.Context, []registry.Operation) error {
+	err = Run(ctx, c, testKind, time.Millisecond, func(context.Context, []registry.Operation) error {
 		cancel()
 		return failure
 	})
@@ -150,7 +150,7 @@
 
 // Decode returns an error for a missing spec, and for a spec or progress that is not JSON
 // of the given type.
-func TestDecodeErrors(t *testing.T) {
+func TestDecodeRejectsMissingOrMistypedJSON(t *testing.T) {
 	for _, op := range []registry.Operation{
 		{Spec: []byte(`{"size":"big"}`)},
 		{Spec: []byte(`{"size":3}`), Progress: []byte(`{"steps":"many"}`)},
--- a/internal/leader/release.go
+++ b/internal/leader/release.go
@@ -8,7 +8,7 @@
 	"plovershore/internal/registry"
 )
 
-const resignPoll = 5 * time.Millisecond
+const resignPollInterval = 5 * time.Millisecond
 
 // release returns a role to the list service. If that fails, the campaign retries it.
 func (c *candidate) release(grant *Grant, request registry.RoleRequest) (released bool) {
@@ -56,7 +56,7 @@
 	if !c.hasLease() {
 		return stale
 	}
-	for _, role := range c.view.Roles {
+	for _, role := range c.roleList.Roles {
 		request := c.pendingReleases[role.Name]
 		held := role.Holder != "" && role.Holder == c.session
 		if held && c.grants[role.Name] == nil && role.Token == request.Token {
@@ -82,7 +82,7 @@
 	c.mu.Unlock()
 	deadline := time.Now().Add(stopTimeout + c.opts.TTL)
 	for c.grantCount() > 0 && time.Now().Before(deadline) {
-		time.Sleep(resignPoll)
+		time.Sleep(resignPollInterval)
 	}
 	c.closeSession()
 }
--- a/internal/leader/watch.go
+++ b/internal/leader/watch.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	longPoll        = 3 * time.Second // how long a request waits for a change; less than the client's response timeout
-	longPollTimeout = longPoll + 2*time.Second
+	longPollWait    = 3 * time.Second // how long a request waits for a change; less than the client's response timeout
+	longPollTimeout = longPollWait + 2*time.Second
 	pollRetryDelay  = 50 * time.Millisecond
 )
 
@@ -34,7 +34,7 @@
 func (c *candidate) pollRoles(ctx context.Context, revision int64) (list registry.RoleList, err error) {
 	ctx, cancel := context.WithTimeout(ctx, longPollTimeout)
 	defer cancel()
-	path := fmt.Sprintf("%s?after=%d&wait_ms=%d", registry.RolesPath, revision, longPoll.Milliseconds())
+	path := fmt.Sprintf("%s?after=%d&wait_ms=%d", registry.RolesPath, revision, longPollWait.Milliseconds())
 	_, err = c.opts.Client.Do(ctx, http.MethodGet, path, nil, &list)
 	return list, err
 }
@@ -44,10 +44,10 @@
 func (c *candidate) applyRoleList(list registry.RoleList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if list.Revision < c.view.Revision {
+	if list.Revision < c.roleList.Revision {
 		return // the list is from a node that lags behind
 	}
-	c.view = list
+	c.roleList = list
 	now := c.opts.Clock.Mono()
 	for _, role := range list.Roles {
 		c.cancelIfReplaced(role)
--- a/internal/leader/work.go
+++ b/internal/leader/work.go
@@ -93,8 +93,8 @@
 // roles continue.
 func callWork(ctx context.Context, work Work, grant *Grant) (err error) {
 	defer func() {
-		if cause := recover(); cause != nil {
-			err = fmt.Errorf("leader: panic: %v", cause)
+		if panicValue := recover(); panicValue != nil {
+			err = fmt.Errorf("leader: panic: %v", panicValue)
 		}
 	}()
 	return work(ctx, grant)
