--- a/internal/failover/export.go
+++ b/internal/failover/export.go
@@ -25,11 +25,11 @@
 	if !errors.Is(err, os.ErrNotExist) {
 		return 0, err
 	}
-	release, err := wal.LockFolder(spec.Folder)
+	unlock, err := wal.LockFolder(spec.Folder)
 	if err != nil {
 		return 0, err
 	}
-	defer release()
+	defer unlock()
 	if err := leader.Fence(spec.Folder, Role, g.Token); err != nil {
 		return 0, err
 	}
@@ -43,11 +43,11 @@
 // finishExport completes an export that may have been interrupted. It does nothing if the
 // folder cannot be locked: then the relay has restarted and begun an empty log there.
 func finishExport(folder, path string) error {
-	release, err := wal.LockFolder(folder)
+	unlock, err := wal.LockFolder(folder)
 	if err != nil {
 		return nil
 	}
-	defer release()
+	defer unlock()
 	_, err = wal.FinishExport(folder, path)
 	return err
 }
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -152,8 +152,8 @@
 		return m.publish(ctx, messageStuck+err.Error())
 	}
 	for m.progress.Notified < len(records) {
-		end := min(len(records), m.progress.Notified+noticesPerBatch)
-		if err := m.notifyBatch(ctx, records[m.progress.Notified:end]); err != nil {
+		batchEnd := min(len(records), m.progress.Notified+noticesPerBatch)
+		if err := m.notifyBatch(ctx, records[m.progress.Notified:batchEnd]); err != nil {
 			return err
 		}
 	}
@@ -166,25 +166,25 @@
 // notifyBatch sends the notices of some records in one request and then stores the
 // progress.
 func (m *migration) notifyBatch(ctx context.Context, records []*wal.Record) error {
-	next := m.progress
-	var lines bytes.Buffer
-	encoder := json.NewEncoder(&lines)
+	progress := m.progress
+	var body bytes.Buffer
+	encoder := json.NewEncoder(&body)
 	for _, record := range records {
 		notice := FinalNotice(record, m.spec.IdempotentClasses)
 		if notice.Outcome == discovery.Returned {
-			next.Returned++
+			progress.Returned++
 		} else {
-			next.Failed++
+			progress.Failed++
 		}
 		if err := encoder.Encode(notice); err != nil {
 			return fmt.Errorf("failover: notice: %w", err)
 		}
 	}
-	next.Notified += len(records)
-	if _, err := m.platform.Do(ctx, http.MethodPost, discovery.NoticePath, lines.Bytes(), nil); err != nil {
+	progress.Notified += len(records)
+	if _, err := m.platform.Do(ctx, http.MethodPost, discovery.NoticePath, body.Bytes(), nil); err != nil {
 		return err
 	}
-	m.progress = next
+	m.progress = progress
 	return m.publish(ctx, messageNotifying)
 }
 
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -26,12 +26,12 @@
 	"plovershore/internal/wal"
 )
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func newDiscardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func waitFor(t *testing.T, what string, cond func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(90 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
@@ -40,7 +40,7 @@
 
 // listService is a list service behind a proxy that records final notices. The proxy can
 // reject notices, or drop the responses to them.
-type store struct {
+type listService struct {
 	t    *testing.T
 	addr string
 
@@ -51,25 +51,25 @@
 	batches       int
 }
 
-func startStore(t *testing.T) *store {
+func startListService(t *testing.T) *listService {
 	t.Helper()
-	c := registry.DefaultConfig()
-	c.DataDir, c.Listen, c.Raft = filepath.Join(t.TempDir(), "data"), loopback.Free(), loopback.Free()
-	c.Peers = []registry.Peer{{ID: c.ID, Raft: c.Raft, HTTP: c.Listen}}
-	n, err := registry.Start(&c, quiet())
+	config := registry.DefaultConfig()
+	config.DataDir, config.Listen, config.Raft = filepath.Join(t.TempDir(), "data"), loopback.Free(), loopback.Free()
+	config.Peers = []registry.Peer{{ID: config.ID, Raft: config.Raft, HTTP: config.Listen}}
+	node, err := registry.Start(&config, newDiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(n.Close)
-	s := &store{t: t, notices: map[string]map[string]int{}}
-	forward := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: c.Listen})
-	forward.ErrorLog = slog.NewLogLogger(quiet().Handler(), slog.LevelDebug)
-	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	t.Cleanup(node.Close)
+	s := &listService{t: t, notices: map[string]map[string]int{}}
+	reverseProxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: config.Listen})
+	reverseProxy.ErrorLog = slog.NewLogLogger(newDiscardLogger().Handler(), slog.LevelDebug)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != discovery.NoticePath {
-			forward.ServeHTTP(w, r)
+			reverseProxy.ServeHTTP(w, r)
 			return
 		}
-		text, err := io.ReadAll(r.Body)
+		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
@@ -79,30 +79,30 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		all, err := discovery.ReadNotices(bytes.NewReader(text))
+		notices, err := discovery.ReadNotices(bytes.NewReader(body))
 		if err != nil {
 			t.Errorf("decoding notices: %v", err)
 		}
 		s.batches++
-		for _, x := range all {
-			if s.notices[x.Message] == nil {
-				s.notices[x.Message] = map[string]int{}
+		for _, notice := range notices {
+			if s.notices[notice.Message] == nil {
+				s.notices[notice.Message] = map[string]int{}
 			}
-			s.notices[x.Message][x.Outcome]++
+			s.notices[notice.Message][notice.Outcome]++
 		}
 		if s.lostResponses--; s.lostResponses >= 0 {
 			panic(http.ErrAbortHandler)
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}))
-	web.Config.ErrorLog = slog.NewLogLogger(quiet().Handler(), slog.LevelDebug)
-	t.Cleanup(web.Close)
-	s.addr = strings.TrimPrefix(web.URL, "http://")
+	server.Config.ErrorLog = slog.NewLogLogger(newDiscardLogger().Handler(), slog.LevelDebug)
+	t.Cleanup(server.Close)
+	s.addr = strings.TrimPrefix(server.URL, "http://")
 	return s
 }
 
-func (s *store) client() *client.Client {
-	c, err := client.New([]string{s.addr}, 1, quiet())
+func (s *listService) client() *client.Client {
+	c, err := client.New([]string{s.addr}, 1, newDiscardLogger())
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -110,19 +110,19 @@
 	return c
 }
 
-func (s *store) operation() (o registry.Operation) {
+func (s *listService) operation() (op registry.Operation) {
 	s.t.Helper()
-	var all []registry.Operation
-	if _, err := s.client().Do(context.Background(), http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
+	var operations []registry.Operation
+	if _, err := s.client().Do(context.Background(), http.MethodGet, registry.OperationsPath, nil, &operations); err != nil {
 		s.t.Fatal(err)
 	}
-	if len(all) == 1 {
-		o = all[0]
+	if len(operations) == 1 {
+		op = operations[0]
 	}
-	return o
+	return op
 }
 
-func (s *store) create(folder string) {
+func (s *listService) createOperation(folder string) {
 	s.t.Helper()
 	spec, err := json.Marshal(Spec{Folder: folder, DiskMB: 3})
 	if err != nil {
@@ -133,13 +133,13 @@
 	}
 }
 
-func (s *store) startController(name string) (stop func()) {
+func (s *listService) startController(name string) (stop func()) {
 	ctx, cancel := context.WithCancel(s.t.Context())
 	done := make(chan struct{})
 	c := s.client()
 	go func() {
 		defer close(done)
-		if err := leader.Run(ctx, leader.Options{Client: c, Name: name, TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: Work(c, c)}, Log: quiet()}); err != nil {
+		if err := leader.Run(ctx, leader.Options{Client: c, Name: name, TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: Work(c, c)}, Log: newDiscardLogger()}); err != nil {
 			s.t.Error(err)
 		}
 	}()
@@ -152,40 +152,40 @@
 // messages, and returns the outcome that each message's notice must have. Of every five
 // messages, two were never attempted, one has an attempt without an outcome, one has an
 // attempt that may have run, and one is complete except for its notice.
-func lostRelay(t *testing.T, n int) (folder string, want map[string]string) {
+func createLostRelayFolder(t *testing.T, n int) (folder string, wantOutcomes map[string]string) {
 	t.Helper()
-	folder, want = filepath.Join(t.TempDir(), "state"), map[string]string{}
+	folder, wantOutcomes = filepath.Join(t.TempDir(), "state"), map[string]string{}
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	l, err := wal.Open(wal.Options{Dir: folder, Limit: 3 << 20})
+	log, err := wal.Open(wal.Options{Dir: folder, Limit: 3 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop := make(chan struct{})
-	go l.Run(stop)
+	go log.Run(stop)
 	for i := range n {
 		id := fmt.Sprint("message-", i)
-		l.Submit(&wal.Record{Kind: wal.KindAccepted, ID: id, Class: "copy-order", Deadline: 1e15, Body: []byte("b")}, nil)
-		want[id] = discovery.Failed
+		log.Submit(&wal.Record{Kind: wal.KindAccepted, ID: id, Class: "copy-order", Deadline: 1e15, Body: []byte("b")}, nil)
+		wantOutcomes[id] = discovery.Failed
 		switch i % 5 {
 		case 0:
-			l.Submit(&wal.Record{Kind: wal.KindAttempt, ID: id, At: 7, Process: l.Process}, nil)
+			log.Submit(&wal.Record{Kind: wal.KindAttempt, ID: id, At: 7, Process: log.Process}, nil)
 		case 1:
-			l.Submit(&wal.Record{Kind: wal.KindAttempt, ID: id, At: 7, Process: l.Process}, nil)
-			l.Submit(&wal.Record{Kind: wal.KindOutcome, ID: id, MayHaveRun: true}, nil)
+			log.Submit(&wal.Record{Kind: wal.KindAttempt, ID: id, At: 7, Process: log.Process}, nil)
+			log.Submit(&wal.Record{Kind: wal.KindOutcome, ID: id, MayHaveRun: true}, nil)
 		case 2:
-			l.Submit(&wal.Record{Kind: wal.KindCompleting, ID: id, Notice: discovery.Failed}, nil)
+			log.Submit(&wal.Record{Kind: wal.KindCompleting, ID: id, Notice: discovery.Failed}, nil)
 		default:
-			want[id] = discovery.Returned
+			wantOutcomes[id] = discovery.Returned
 		}
 	}
 	close(stop)
-	<-l.Done()
-	return folder, want
+	<-log.Done()
+	return folder, wantOutcomes
 }
 
-func (s *store) checkNotices(want map[string]string) {
+func (s *listService) checkNotices(want map[string]string) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,44 +202,44 @@
 // Every pending message gets the same final notice, even though two responses to notices
 // are lost and the leader changes before all are sent. A relay that starts in the folder
 // afterwards finds it fenced and has no pending messages.
-func TestEveryMessageGetsOneFinalNotice(t *testing.T) {
-	s := startStore(t)
-	folder, want := lostRelay(t, 500)
+func TestEveryMessageGetsOneFinalNoticeAcrossLeaderChange(t *testing.T) {
+	s := startListService(t)
+	folder, want := createLostRelayFolder(t, 500)
 	s.lostResponses = 2
-	s.create(folder)
+	s.createOperation(folder)
 	stop := s.startController("a")
 	waitFor(t, "three batches of notices", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.batches >= 3 })
 	stop()
 	s.startController("b")
 	waitFor(t, "the end of the operation", func() bool { return s.operation().Done })
 	s.checkNotices(want)
-	var p Progress
-	if err := json.Unmarshal(s.operation().Progress, &p); err != nil || p.Pending != 500 || p.Notified != 500 || p.Returned != 200 || p.Failed != 300 {
-		t.Errorf("progress %+v, error %v; want 500 notified, 200 of them returned", p, err)
+	var progress Progress
+	if err := json.Unmarshal(s.operation().Progress, &progress); err != nil || progress.Pending != 500 || progress.Notified != 500 || progress.Returned != 200 || progress.Failed != 300 {
+		t.Errorf("progress %+v, error %v; want 500 notified, 200 of them returned", progress, err)
 	}
 	if _, err := os.Stat(folder + ".salvage"); !os.IsNotExist(err) {
 		t.Errorf("the exported log is still there: %v", err)
 	}
-	f, err := wal.ClearFence(folder)
-	if err != nil || f == nil {
-		t.Fatalf("start of the relay in its old folder: fence %v, error %v", f, err)
+	fence, err := wal.ClearFence(folder)
+	if err != nil || fence == nil {
+		t.Fatalf("start of the relay in its old folder: fence %v, error %v", fence, err)
 	}
-	l, err := wal.Open(wal.Options{Dir: folder, Limit: 3 << 20})
-	if err != nil || l.PendingUnread() != 0 {
+	log, err := wal.Open(wal.Options{Dir: folder, Limit: 3 << 20})
+	if err != nil || log.PendingUnread() != 0 {
 		t.Fatalf("start of the relay in its old folder: error %v, or pending messages", err)
 	}
-	quit := make(chan struct{})
-	close(quit)
-	l.Run(quit)
+	stopLog := make(chan struct{})
+	close(stopLog)
+	log.Run(stopLog)
 }
 
 // A message that never ran, or that may have run but is of an idempotent class, is
 // returned. One whose record has a notice already keeps that notice, and one with a corrupt
 // record fails.
-func TestFinalNotice(t *testing.T) {
-	for _, x := range []struct {
-		r    wal.Record
-		want string
+func TestFinalNoticeReturnsOnlyRepeatableMessages(t *testing.T) {
+	for _, test := range []struct {
+		record wal.Record
+		want   string
 	}{
 		{wal.Record{Class: "alert-update", UnknownOutcomeAt: 7}, discovery.Returned},
 		{wal.Record{Class: "copy-order", UnknownOutcomeAt: 7}, discovery.Failed},
@@ -247,25 +247,25 @@
 		{wal.Record{Class: "alert-update", UnknownOutcomeAt: 7, Notice: discovery.Failed}, discovery.Failed},
 		{wal.Record{Corrupted: true}, discovery.Failed},
 	} {
-		if n := FinalNotice(&x.r, []string{"alert-update"}); n.Outcome != x.want {
-			t.Errorf("record %+v: unexpected outcome %s", x.r, n.Outcome)
+		if notice := FinalNotice(&test.record, []string{"alert-update"}); notice.Outcome != test.want {
+			t.Errorf("record %+v: unexpected outcome %s", test.record, notice.Outcome)
 		}
 	}
 }
 
 // While the relay still runs and locks its folder, the operation waits, reports the
 // reason and sends no notices. It continues once the lock is free.
-func TestRunningRelayKeepsItsFolder(t *testing.T) {
-	s := startStore(t)
-	folder, want := lostRelay(t, 20)
+func TestOperationWaitsWhileRelayRuns(t *testing.T) {
+	s := startListService(t)
+	folder, want := createLostRelayFolder(t, 20)
 	lock, err := wal.OpenLock(folder, wal.LockName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := lock.TryLock(); !got {
+	if locked, err := lock.TryLock(); !locked {
 		t.Fatal(err)
 	}
-	s.create(folder)
+	s.createOperation(folder)
 	s.startController("a")
 	waitFor(t, "the message that the folder is in use", func() bool { return strings.Contains(s.operation().Message, "in use") })
 	s.mu.Lock()
@@ -280,8 +280,8 @@
 
 // A former leader, whose token is older than the one recorded in the folder, cannot export
 // the log.
-func TestOlderTokenExportsNothing(t *testing.T) {
-	folder, _ := lostRelay(t, 5)
+func TestExportRejectsOlderToken(t *testing.T) {
+	folder, _ := createLostRelayFolder(t, 5)
 	if err := leader.Fence(folder, Role, 9); err != nil {
 		t.Fatal(err)
 	}
@@ -294,9 +294,9 @@
 }
 
 // An operation with an invalid spec is done at once, with the error as its message.
-func TestInvalidOperation(t *testing.T) {
-	s := startStore(t)
-	s.create("relative")
+func TestOperationWithInvalidSpecIsDoneWithError(t *testing.T) {
+	s := startListService(t)
+	s.createOperation("relative")
 	s.startController("a")
 	waitFor(t, "the end of the operation", func() bool { return s.operation().Done })
 	if message := s.operation().Message; !strings.Contains(message, "absolute path") {
@@ -307,9 +307,9 @@
 // A leader dies after it has exported the log and before it has reported that, and then
 // the relay restarts in the folder. The next leader still sends the notices of the exported
 // messages.
-func TestExportedWithoutReport(t *testing.T) {
-	s := startStore(t)
-	folder, want := lostRelay(t, 30)
+func TestNextLeaderCompletesUnreportedExport(t *testing.T) {
+	s := startListService(t)
+	folder, want := createLostRelayFolder(t, 30)
 	if _, err := wal.Export(folder, folder+".salvage", 3<<20); err != nil {
 		t.Fatal(err)
 	}
@@ -321,10 +321,10 @@
 		t.Fatal(err)
 	}
 	defer lock.Close()
-	if got, err := lock.TryLock(); !got {
+	if locked, err := lock.TryLock(); !locked {
 		t.Fatal(err)
 	}
-	s.create(folder)
+	s.createOperation(folder)
 	s.startController("b")
 	waitFor(t, "the end of the operation", func() bool { return s.operation().Done })
 	s.checkNotices(want)
