--- a/internal/zones/evacuate.go
+++ b/internal/zones/evacuate.go
@@ -44,7 +44,7 @@
 	}
 	capacities := CapacitiesWithout(members, e.spec.Zone)
 	if len(capacities) == 0 {
-		return e.finish(ctx, messageNothing)
+		return e.finish(ctx, messageNothingUp)
 	}
 	if insufficient := Insufficient(capacities, e.spec.MinFraction); len(insufficient) > 0 && !e.spec.Force {
 		return e.finish(ctx, fmt.Sprintf("refused: %s; %.3g of it is wanted", joinCapacities(insufficient), e.spec.MinFraction))
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -30,11 +30,11 @@
 
 // Messages of an operation, as stored and shown to operators.
 const (
-	messagePaused   = "held"
-	messageWaiting  = "waits: "
-	messageNothing  = "nothing of the zone is up"
-	messageStarted  = "begins"
-	messageReturned = "returned"
+	messagePaused    = "held"
+	messageWaiting   = "waits: "
+	messageNothingUp = "nothing of the zone is up"
+	messageStarted   = "begins"
+	messageReturned  = "returned"
 )
 
 // Spec is the spec of an evacuation.
