--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -90,8 +90,8 @@
 }
 
 func (p *Plan) validate() error {
-	for _, check := range []func() error{p.validateTimes, p.validateLimits, p.validateWaves, p.validateRelays} {
-		if err := check(); err != nil {
+	for _, validate := range []func() error{p.validateTimes, p.validateLimits, p.validateWaves, p.validateRelays} {
+		if err := validate(); err != nil {
 			return fmt.Errorf("plan: %w", err)
 		}
 	}
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -29,9 +29,9 @@
 	TerminationTime   time.Duration // from SIGTERM to SIGKILL
 	OperatorAddresses [2]string     // values of ROUTER_OPERATOR that successive processes get in turn
 
-	mu      sync.Mutex
-	current *childProcess
-	address atomic.Int32 // index in OperatorAddresses of the present process's address
+	mu           sync.Mutex
+	current      *childProcess
+	addressIndex atomic.Int32 // index in OperatorAddresses of the present process's address
 }
 
 // childProcess is a process and a channel that is closed once the process has exited.
@@ -67,7 +67,7 @@
 }
 
 // Operator returns the operator address of the present process.
-func (p *LocalProcess) Operator() string { return p.OperatorAddresses[p.address.Load()] }
+func (p *LocalProcess) Operator() string { return p.OperatorAddresses[p.addressIndex.Load()] }
 
 // Restart starts the next process, waits for TakeoverTime and terminates the previous
 // process. If the next process exits within TakeoverTime, Restart keeps the previous one
@@ -78,14 +78,14 @@
 	if len(p.Command) == 0 {
 		return 0, ErrNoCommand
 	}
-	previous, previousAddress := p.current, p.address.Load()
-	nextAddress := 1 - previousAddress
-	next, err := startChild(p.newCommand(p.OperatorAddresses[nextAddress]))
+	previous, previousIndex := p.current, p.addressIndex.Load()
+	nextIndex := 1 - previousIndex
+	next, err := startChild(p.newCommand(p.OperatorAddresses[nextIndex]))
 	if err != nil {
 		return 0, err
 	}
 	p.current = next
-	p.address.Store(nextAddress)
+	p.addressIndex.Store(nextIndex)
 	if previous == nil {
 		return next.cmd.Process.Pid, nil
 	}
@@ -95,7 +95,7 @@
 	case <-takeover.C:
 	case <-next.exited:
 		p.current = previous
-		p.address.Store(previousAddress)
+		p.addressIndex.Store(previousIndex)
 		return 0, ErrExitedEarly
 	case <-ctx.Done():
 	}
--- a/internal/rollout/relay_client.go
+++ b/internal/rollout/relay_client.go
@@ -50,8 +50,8 @@
 // status reads the readiness and the metrics of a relay.
 func (c *relayClient) status(ctx context.Context, relay Relay) (RelayStatus, error) {
 	base := "http://" + cmp.Or(relay.Operator, relay.Runner)
-	_, notReady := c.do(ctx, http.MethodGet, base+"/v1/readyz", nil)
-	status := RelayStatus{Ready: notReady == nil}
+	_, readyErr := c.do(ctx, http.MethodGet, base+"/v1/readyz", nil)
+	status := RelayStatus{Ready: readyErr == nil}
 	text, err := c.do(ctx, http.MethodGet, base+"/v1/metrics", nil)
 	if err != nil {
 		return status, err
--- a/internal/rollout/settle.go
+++ b/internal/rollout/settle.go
@@ -21,13 +21,13 @@
 // has not by the end of the settle timeout, the error says which limit it does not meet.
 func (e *execution) awaitSettled(ctx context.Context, wave []Relay) error {
 	deadline := time.Now().Add(seconds(e.plan.SettleTimeout))
-	since := time.Now()
+	metSince := time.Now()
 	for {
 		unmet := e.checkWave(ctx, wave)
 		now := time.Now()
 		if unmet != nil {
-			since = now
-		} else if now.Sub(since) >= seconds(e.plan.SettleTime) {
+			metSince = now
+		} else if now.Sub(metSince) >= seconds(e.plan.SettleTime) {
 			return nil
 		}
 		if now.After(deadline) || !leader.Sleep(ctx, pollInterval) {
