--- a/internal/controller/command_test.go
+++ b/internal/controller/command_test.go
@@ -14,18 +14,18 @@
 )
 
 // syncBuffer is an output that a test can read while a command writes to it.
-type buffer struct {
+type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
@@ -33,10 +33,10 @@
 
 // Invalid flags and arguments end the program with the exit code for usage errors and a
 // line that names the flag or argument.
-func TestUsageErrors(t *testing.T) {
-	for _, x := range []struct {
-		args []string
-		line string
+func TestUsageErrorNamesFlagOrArgument(t *testing.T) {
+	for _, test := range []struct {
+		args       []string
+		wantPrefix string
 	}{
 		{[]string{"extra"}, `controller: usage: "extra" is not expected`},
 		{[]string{"--no-such-flag"}, "controller: usage: unknown flag: --no-such-flag"},
@@ -50,23 +50,23 @@
 		{[]string{"runner"}, "controller: usage: a program is wanted"},
 		{[]string{"runner", "--folder", t.TempDir(), "--listen", "127.0.0.1:0", "--operators", "a:1", "--", "true"}, "controller: usage: --operators: two are wanted"},
 	} {
-		var out, errOut buffer
-		code := Main(t.Context(), x.args, &out, &errOut)
-		if code != cli.ExitUsage || !strings.HasPrefix(errOut.String(), x.line) {
-			t.Errorf("%v: exit code %d, %q", x.args, code, errOut.String())
+		var out, errOut syncBuffer
+		code := Main(t.Context(), test.args, &out, &errOut)
+		if code != cli.ExitUsage || !strings.HasPrefix(errOut.String(), test.wantPrefix) {
+			t.Errorf("%v: exit code %d, %q", test.args, code, errOut.String())
 		}
 	}
 }
 
 // --roles and its old name --duties both select the roles that the controller acquires. When
 // its context ends, the controller releases the role and returns exit code 0.
-func TestRolesFlagAndItsOldName(t *testing.T) {
+func TestRolesFlagAndOldNameSelectRoles(t *testing.T) {
 	for _, flag := range []string{"--roles", "--duties"} {
 		t.Run(flag, func(t *testing.T) {
 			group := registrytest.Start(t, 1, nil)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			var out, errOut buffer
+			var out, errOut syncBuffer
 			code := make(chan int, 1)
 			go func() {
 				code <- Main(ctx, []string{"--nodes", group.Addrs[0], "--name", "c-1", "--ttl", "2s", flag, "count"}, &out, &errOut)
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -13,8 +13,8 @@
 
 // server serves HTTP on one address until close, which waits for the serving goroutine.
 type server struct {
-	http   *http.Server
-	served chan struct{}
+	http *http.Server
+	done chan struct{}
 }
 
 // listen opens a listener at an address and serves HTTP on it.
@@ -29,11 +29,11 @@
 // serve serves HTTP on a listener. The returned server closes the listener.
 func serve(listener net.Listener, handler http.Handler) *server {
 	s := &server{
-		http:   &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout},
-		served: make(chan struct{}),
+		http: &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout},
+		done: make(chan struct{}),
 	}
 	go func() {
-		defer close(s.served)
+		defer close(s.done)
 		s.http.Serve(acceptretry.NewListener(listener)) // the error is http.ErrServerClosed after close
 	}()
 	return s
@@ -41,7 +41,7 @@
 
 func (s *server) close() {
 	s.http.Close()
-	<-s.served
+	<-s.done
 }
 
 // operatorHandler serves the controller's metrics.
--- a/internal/relayctl/operations.go
+++ b/internal/relayctl/operations.go
@@ -94,11 +94,11 @@
 
 // list returns the operations of the kind.
 func (o operationCommands) list(c *cobra.Command) (operations []registry.Operation, err error) {
-	var all []registry.Operation
-	if err := o.get(c, registry.OperationsPath, &all); err != nil {
+	var allKinds []registry.Operation
+	if err := o.get(c, registry.OperationsPath, &allKinds); err != nil {
 		return nil, err
 	}
-	for _, op := range all {
+	for _, op := range allKinds {
 		if op.Kind == o.kind {
 			operations = append(operations, op)
 		}
--- a/internal/relayctl/relayctl.go
+++ b/internal/relayctl/relayctl.go
@@ -29,7 +29,7 @@
 // Main runs relayctl and returns the exit code of the process. moreCommands are added to
 // the root command; if one of them returns an error with an exit code, Main
 // returns that code.
-func Main(ctx context.Context, args []string, out, errOut io.Writer, more ...*cobra.Command) int {
+func Main(ctx context.Context, args []string, out, errOut io.Writer, moreCommands ...*cobra.Command) int {
 	a := &app{}
 	root := &cobra.Command{
 		Use:   "relayctl",
@@ -51,7 +51,7 @@
 		newFailoverCommand(a),
 		newRolloutCommand(a),
 	)
-	root.AddCommand(more...)
+	root.AddCommand(moreCommands...)
 	return cli.Run(ctx, root, args, out, errOut)
 }
 
--- a/internal/relayctl/relayctl_test.go
+++ b/internal/relayctl/relayctl_test.go
@@ -21,7 +21,7 @@
 	addr string
 }
 
-func start(t *testing.T) *fixture {
+func startFixture(t *testing.T) *fixture {
 	t.Helper()
 	return &fixture{t, registrytest.Start(t, 1, nil).Addrs[0]}
 }
@@ -30,13 +30,13 @@
 // error.
 func (f *fixture) run(args ...string) (code int, out, errOut string) {
 	f.t.Helper()
-	var o, e bytes.Buffer
-	code = Main(f.t.Context(), append([]string{"--nodes", f.addr}, args...), &o, &e)
-	return code, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	code = Main(f.t.Context(), append([]string{"--nodes", f.addr}, args...), &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
 // mustRun runs a command, fails the test if it does not succeed, and returns its output.
-func (f *fixture) must(args ...string) string {
+func (f *fixture) mustRun(args ...string) string {
 	f.t.Helper()
 	code, out, errOut := f.run(args...)
 	if code != cli.ExitOK {
@@ -65,19 +65,19 @@
 
 // The old names of command groups are aliases of the new ones: every command has the same
 // output and exit code under both.
-func TestOldNamesOfCommands(t *testing.T) {
-	f := start(t)
+func TestOldCommandNamesAreAliases(t *testing.T) {
+	f := startFixture(t)
 	f.grantRole("count")
-	f.must("failover", "start", "n3", "--folder", "/var/relay/n3")
+	f.mustRun("failover", "start", "n3", "--folder", "/var/relay/n3")
 	for _, names := range [][2]string{{"roles", "duties"}, {"failover", "salvage"}, {"expirations", "lapses"}} {
-		for _, rest := range [][]string{
+		for _, arguments := range [][]string{
 			{"list"}, {"show", "count"}, {"show", "none"}, {"show"}, {"status"}, {"status", "--json"}, {"status", "--follow=false"},
 			{"start", "x", "--folder", "relative"}, {"confirm"}, {"confirm", "--json"}, {"confirm", "extra"}, {"list", "--json"}, {"list", "--no-such-flag"},
 		} {
-			newCode, newOut, newErr := f.run(append([]string{names[0]}, rest...)...)
-			oldCode, oldOut, oldErr := f.run(append([]string{names[1]}, rest...)...)
+			newCode, newOut, newErr := f.run(append([]string{names[0]}, arguments...)...)
+			oldCode, oldOut, oldErr := f.run(append([]string{names[1]}, arguments...)...)
 			if newCode != oldCode || newOut != oldOut || newErr != oldErr {
-				t.Errorf("%v %v: the results differ: exit code, output, errors\n%d %q %q\n%d %q %q", names, rest, newCode, newOut, newErr, oldCode, oldOut, oldErr)
+				t.Errorf("%v %v: the results differ: exit code, output, errors\n%d %q %q\n%d %q %q", names, arguments, newCode, newOut, newErr, oldCode, oldOut, oldErr)
 			}
 		}
 	}
@@ -86,37 +86,37 @@
 // The command group roles lists and shows roles. hold disables a role, unhold enables it
 // again, and release leaves it enabled; after hold and release it has no holder. The same
 // holds under the old name duties.
-func TestRoles(t *testing.T) {
-	for _, verb := range []string{"roles", "duties"} {
-		t.Run(verb, func(t *testing.T) {
-			f := start(t)
+func TestRolesCommandsShowAndDisableRoles(t *testing.T) {
+	for _, group := range []string{"roles", "duties"} {
+		t.Run(group, func(t *testing.T) {
+			f := startFixture(t)
 			f.grantRole("count")
-			list := strings.Split(f.must(verb, "list"), "\n")
+			list := strings.Split(f.mustRun(group, "list"), "\n")
 			if strings.Join(strings.Fields(list[0]), " ") != "DUTY HOLDER TOKEN TERM FAILS HELD BACK SINCE" || !strings.HasPrefix(list[1], "count  c-1") {
 				t.Errorf("unexpected list of roles: %q", list)
 			}
 			if list[2] != "warden c-1: session s-1, time to live 5m0s" {
 				t.Errorf("unexpected line of the session: %q", list[2])
 			}
-			if show := f.must(verb, "show", "count"); !strings.HasPrefix(show, "duty       count\n") || !strings.HasSuffix(show, "note       step 7\n") {
+			if show := f.mustRun(group, "show", "count"); !strings.HasPrefix(show, "duty       count\n") || !strings.HasSuffix(show, "note       step 7\n") {
 				t.Errorf("unexpected output of show: %q", show)
 			}
-			if code, _, errOut := f.run(verb, "show", "none"); code != cli.ExitFailed || errOut != "relayctl: duty none is unknown\n" {
+			if code, _, errOut := f.run(group, "show", "none"); code != cli.ExitFailed || errOut != "relayctl: duty none is unknown\n" {
 				t.Errorf("show of an unknown role: exit code %d, %q", code, errOut)
 			}
-			for _, x := range []struct {
-				verb               string
+			for _, test := range []struct {
+				group              string
 				disabled, assigned bool
 			}{{"hold", true, false}, {"unhold", false, false}, {"release", false, false}} {
-				if out := f.must(verb, x.verb, "count"); out != "done\n" {
-					t.Errorf("unexpected output of %s: %q", x.verb, out)
+				if out := f.mustRun(group, test.group, "count"); out != "done\n" {
+					t.Errorf("unexpected output of %s: %q", test.group, out)
 				}
 				var roles registry.RoleList
-				if err := json.Unmarshal([]byte(f.must(verb, "list", "--json")), &roles); err != nil {
+				if err := json.Unmarshal([]byte(f.mustRun(group, "list", "--json")), &roles); err != nil {
 					t.Fatal(err)
 				}
-				if role := roles.Roles[0]; role.Disabled != x.disabled || (role.Holder != "") != x.assigned {
-					t.Errorf("unexpected role after %s: %+v", x.verb, role)
+				if role := roles.Roles[0]; role.Disabled != test.disabled || (role.Holder != "") != test.assigned {
+					t.Errorf("unexpected role after %s: %+v", test.group, role)
 				}
 			}
 		})
@@ -125,31 +125,31 @@
 
 // The command group failover, and its old name salvage, start an operation of the kind
 // salvage and set its desired state. A relative folder is rejected.
-func TestFailover(t *testing.T) {
-	for _, verb := range []string{"failover", "salvage"} {
-		t.Run(verb, func(t *testing.T) {
-			f := start(t)
-			if code, _, errOut := f.run(verb, "start", "n3", "--folder", "relative"); code != cli.ExitUsage || errOut != "relayctl: --folder: \"relative\"; an absolute path is wanted\n" {
+func TestFailoverCommandsControlOperation(t *testing.T) {
+	for _, group := range []string{"failover", "salvage"} {
+		t.Run(group, func(t *testing.T) {
+			f := startFixture(t)
+			if code, _, errOut := f.run(group, "start", "n3", "--folder", "relative"); code != cli.ExitUsage || errOut != "relayctl: --folder: \"relative\"; an absolute path is wanted\n" {
 				t.Errorf("relative folder: exit code %d, %q", code, errOut)
 			}
-			if out := f.must(verb, "start", "n3", "--folder", "/var/relay/n3", "--disk-mb", "8", "--safe", "alert-update"); !strings.HasPrefix(out, "done, at revision ") {
+			if out := f.mustRun(group, "start", "n3", "--folder", "/var/relay/n3", "--disk-mb", "8", "--safe", "alert-update"); !strings.HasPrefix(out, "done, at revision ") {
 				t.Errorf("unexpected output of start: %q", out)
 			}
-			for _, x := range [][2]string{{"pause", registry.DesiredPause}, {"resume", registry.DesiredRun}, {"abort", registry.DesiredAbort}} {
-				f.must(verb, x[0], "n3")
-				var all []registry.Operation
-				if err := json.Unmarshal([]byte(f.must(verb, "status", "--json")), &all); err != nil {
+			for _, verbAndState := range [][2]string{{"pause", registry.DesiredPause}, {"resume", registry.DesiredRun}, {"abort", registry.DesiredAbort}} {
+				f.mustRun(group, verbAndState[0], "n3")
+				var operations []registry.Operation
+				if err := json.Unmarshal([]byte(f.mustRun(group, "status", "--json")), &operations); err != nil {
 					t.Fatal(err)
 				}
 				var spec failover.Spec
-				if len(all) != 1 || all[0].Kind != "salvage" || all[0].DesiredState != x[1] || json.Unmarshal(all[0].Spec, &spec) != nil {
-					t.Fatalf("unexpected operations after %s: %+v", x[0], all)
+				if len(operations) != 1 || operations[0].Kind != "salvage" || operations[0].DesiredState != verbAndState[1] || json.Unmarshal(operations[0].Spec, &spec) != nil {
+					t.Fatalf("unexpected operations after %s: %+v", verbAndState[0], operations)
 				}
 				if spec.Folder != "/var/relay/n3" || spec.DiskMB != 8 || len(spec.IdempotentClasses) != 1 {
-					t.Errorf("unexpected spec of the operation: %s", all[0].Spec)
+					t.Errorf("unexpected spec of the operation: %s", operations[0].Spec)
 				}
 			}
-			if out := f.must(verb, "status"); out != "NAME  WISH   DONE   SAYS  PROGRESS\nn3    abort  false        \n" {
+			if out := f.mustRun(group, "status"); out != "NAME  WISH   DONE   SAYS  PROGRESS\nn3    abort  false        \n" {
 				t.Errorf("unexpected status of the aborted failover: %q", out)
 			}
 		})
@@ -158,36 +158,36 @@
 
 // The command expirations confirm, also under its old name lapses, prints the number of
 // suspended expirations that it confirmed.
-func TestExpirations(t *testing.T) {
-	f := start(t)
-	for _, verb := range []string{"expirations", "lapses"} {
-		if out := f.must(verb, "confirm"); out != "0 lapse\n" {
-			t.Errorf("unexpected output of %s confirm: %q", verb, out)
+func TestExpirationsConfirmPrintsCount(t *testing.T) {
+	f := startFixture(t)
+	for _, group := range []string{"expirations", "lapses"} {
+		if out := f.mustRun(group, "confirm"); out != "0 lapse\n" {
+			t.Errorf("unexpected output of %s confirm: %q", group, out)
 		}
-		if out := f.must(verb, "confirm", "--json"); out != "{\n \"lapses\": 0\n}\n" {
-			t.Errorf("unexpected output of %s confirm --json: %q", verb, out)
+		if out := f.mustRun(group, "confirm", "--json"); out != "{\n \"lapses\": 0\n}\n" {
+			t.Errorf("unexpected output of %s confirm --json: %q", group, out)
 		}
 	}
 }
 
 // Members can be added, drained, undrained and removed. Zones can be put into regions and
 // evacuated: a dry run only prints capacities, and invalid or repeated requests are rejected.
-func TestMembersAndZones(t *testing.T) {
-	f := start(t)
-	for _, x := range [][3]string{{"m-1", "127.0.0.1:9001", "a"}, {"m-2", "127.0.0.1:9002", "b"}} {
-		f.must("members", "add", "--id", x[0], "--address", x[1], "--zone", x[2], "--flavor", "agent", "--cell", "3")
+func TestMembersAndZonesCommands(t *testing.T) {
+	f := startFixture(t)
+	for _, member := range [][3]string{{"m-1", "127.0.0.1:9001", "a"}, {"m-2", "127.0.0.1:9002", "b"}} {
+		f.mustRun("members", "add", "--id", member[0], "--address", member[1], "--zone", member[2], "--flavor", "agent", "--cell", "3")
 	}
-	f.must("members", "drain", "m-1")
-	list := f.must("members", "list", "--consistent")
+	f.mustRun("members", "drain", "m-1")
+	list := f.mustRun("members", "list", "--consistent")
 	if !strings.Contains(list, "m-1  127.0.0.1:9001  a     agent   3     draining") || !strings.Contains(list, "m-2  127.0.0.1:9002  b     agent   3     up") {
 		t.Errorf("unexpected list of members: %q", list)
 	}
-	f.must("members", "undrain", "m-1")
-	f.must("zones", "set", "a", "north")
-	if zones := f.must("zones", "list"); zones != "ZONE  REGION  MEMBERS  DRAINING\na     north   1        0\nb             1        0\n" {
+	f.mustRun("members", "undrain", "m-1")
+	f.mustRun("zones", "set", "a", "north")
+	if zones := f.mustRun("zones", "list"); zones != "ZONE  REGION  MEMBERS  DRAINING\na     north   1        0\nb             1        0\n" {
 		t.Errorf("unexpected list of zones: %q", zones)
 	}
-	if out := f.must("zones", "evacuate", "b", "--dry-run"); out != "DESTINATION  NOW  LEFT  ENOUGH\n3            2    1     true\n" {
+	if out := f.mustRun("zones", "evacuate", "b", "--dry-run"); out != "DESTINATION  NOW  LEFT  ENOUGH\n3            2    1     true\n" {
 		t.Errorf("unexpected output of the dry run: %q", out)
 	}
 	if code, _, errOut := f.run("zones", "evacuate", "b", "--dry-run", "--keep", "0.6"); code != cli.ExitFailed || errOut != "relayctl: 1 destinations would not keep 0.6 of their endpoints\n" {
@@ -199,36 +199,36 @@
 	if code, _, errOut := f.run("zones", "return", "b"); code != cli.ExitFailed || errOut != "relayctl: zone b is not being evacuated\n" {
 		t.Errorf("return of a zone that is not evacuated: exit code %d, %q", code, errOut)
 	}
-	f.must("zones", "evacuate", "b")
+	f.mustRun("zones", "evacuate", "b")
 	if code, _, errOut := f.run("zones", "evacuate", "b"); code != cli.ExitFailed || !strings.HasPrefix(errOut, "relayctl: zone b is being evacuated already, by b-") {
 		t.Errorf("second evacuation of a zone: exit code %d, %q", code, errOut)
 	}
-	f.must("zones", "hold", "b")
-	if status := f.must("zones", "status"); !strings.Contains(status, "  pause  false") {
+	f.mustRun("zones", "hold", "b")
+	if status := f.mustRun("zones", "status"); !strings.Contains(status, "  pause  false") {
 		t.Errorf("unexpected status of the paused evacuation: %q", status)
 	}
-	f.must("members", "remove", "m-2")
+	f.mustRun("members", "remove", "m-2")
 }
 
 // A restored snapshot brings back a removed member. status lists nodes that do not answer,
 // and fails if no node answers.
-func TestStatusAndSnapshot(t *testing.T) {
-	f := start(t)
-	f.must("members", "add", "--id", "m-1", "--address", "127.0.0.1:9001", "--zone", "a", "--flavor", "agent")
+func TestSnapshotRestoreAndStatusOfUnreachableNodes(t *testing.T) {
+	f := startFixture(t)
+	f.mustRun("members", "add", "--id", "m-1", "--address", "127.0.0.1:9001", "--zone", "a", "--flavor", "agent")
 	path := filepath.Join(t.TempDir(), "state")
-	if out := f.must("snapshot", "save", path); !strings.HasSuffix(out, " bytes in "+path+"\n") {
+	if out := f.mustRun("snapshot", "save", path); !strings.HasSuffix(out, " bytes in "+path+"\n") {
 		t.Errorf("unexpected output of save: %q", out)
 	}
-	f.must("members", "remove", "m-1")
-	f.must("snapshot", "restore", path)
-	if list := f.must("members", "list", "--consistent"); !strings.Contains(list, "m-1") {
+	f.mustRun("members", "remove", "m-1")
+	f.mustRun("snapshot", "restore", path)
+	if list := f.mustRun("members", "list", "--consistent"); !strings.Contains(list, "m-1") {
 		t.Errorf("member m-1 is missing after the restore: %q", list)
 	}
 	if code, _, _ := f.run("snapshot", "restore", path+"-none"); code != cli.ExitUsage {
 		t.Errorf("restore of a missing file: exit code %d", code)
 	}
 	down := "127.0.0.1:1"
-	status := f.must("--nodes", down, "--wait", "2s", "status")
+	status := f.mustRun("--nodes", down, "--wait", "2s", "status")
 	if !strings.HasPrefix(status, "ID ") || !strings.Contains(status, "Leader") || !strings.Contains(status, down+"  does not answer") {
 		t.Errorf("unexpected status of one reachable and one unreachable node: %q", status)
 	}
@@ -243,17 +243,17 @@
 
 // A rollout is not started if its plan cannot be read or parsed; the error of an invalid
 // plan names the file. The plan in deploy/rollout.toml is valid.
-func TestRollout(t *testing.T) {
-	f := start(t)
+func TestRolloutStartRejectsInvalidPlan(t *testing.T) {
+	f := startFixture(t)
 	if code, _, errOut := f.run("rollout", "start", "up", "../../deploy/none.toml"); code != cli.ExitUsage {
 		t.Errorf("start with a missing file: exit code %d, %q", code, errOut)
 	}
 	if code, _, errOut := f.run("rollout", "start", "up", "relayctl.go"); code != cli.ExitUsage || !strings.HasPrefix(errOut, "relayctl: relayctl.go: plan: ") {
 		t.Errorf("start with a file that is not a plan: exit code %d, %q", code, errOut)
 	}
-	f.must("rollout", "start", "up", "../../deploy/rollout.toml")
-	f.must("rollout", "pause", "up")
-	if status := f.must("rollout", "status"); !strings.Contains(status, "up    pause  false") {
+	f.mustRun("rollout", "start", "up", "../../deploy/rollout.toml")
+	f.mustRun("rollout", "pause", "up")
+	if status := f.mustRun("rollout", "status"); !strings.Contains(status, "up    pause  false") {
 		t.Errorf("unexpected status of the paused rollout: %q", status)
 	}
 }
--- a/internal/relayctl/zones.go
+++ b/internal/relayctl/zones.go
@@ -37,13 +37,13 @@
 }
 
 func (z zoneCommands) listZones(c *cobra.Command, _ []string) error {
-	var all []registry.ZoneStatus
-	if err := z.get(c, registry.ZonesPath, &all); err != nil {
+	var statuses []registry.ZoneStatus
+	if err := z.get(c, registry.ZonesPath, &statuses); err != nil {
 		return err
 	}
-	return z.print(c, all, func(w io.Writer) {
+	return z.print(c, statuses, func(w io.Writer) {
 		fmt.Fprintln(w, "ZONE\tREGION\tMEMBERS\tDRAINING")
-		for _, zone := range all {
+		for _, zone := range statuses {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", zone.Name, zone.Region, zone.Members, zone.Draining)
 		}
 	})
