--- a/internal/leader/explore_test.go
+++ b/internal/leader/explore_test.go
@@ -22,9 +22,9 @@
 
 type modelMessage struct {
 	kind   string // of requests: renew, grant, effect; of responses: renewed, granted, unknown
-	holder int
+	holder int    // index of the holder that sends or receives it
 	token  int64
-	sentAt int
+	sentAt int // tick at which the request was sent
 }
 
 type modelHolder struct {
@@ -38,7 +38,7 @@
 type model struct {
 	state          *registry.State
 	heartbeats     registry.SessionHeartbeats
-	now            int
+	now            int // in ticks
 	leaderChanges  int // leader changes of the list service so far
 	holders        [2]modelHolder
 	messages       []modelMessage
@@ -72,7 +72,7 @@
 	modelRenewalsMax = 1
 )
 
-func tick(n int) time.Duration { return time.Duration(n) * time.Second }
+func ticks(n int) time.Duration { return time.Duration(n) * time.Second }
 
 func (m *model) clone(description string) *model {
 	c := *m
@@ -89,26 +89,26 @@
 	role := m.state.Roles["d"]
 	b := make([]byte, 0, 128)
 	appendInts := func(values ...int64) {
-		for _, x := range values {
-			b = binary.AppendVarint(b, x)
+		for _, message := range values {
+			b = binary.AppendVarint(b, message)
 		}
 	}
 	appendInts(int64(m.now), int64(m.leaderChanges), m.newestAccepted, role.Token, int64(len(role.Holder)))
 	b = append(b, role.Holder...)
 	for i := range m.holders {
 		h, id := &m.holders[i], fmt.Sprint(i)
-		heardAt, heard := m.heartbeats[id]
+		heardAt, known := m.heartbeats[id]
 		_, open := m.state.Sessions[id]
 		appendInts(int64(h.lease.expiresAt), h.token, int64(h.requests), int64(h.effects), int64(h.renewals), int64(heardAt))
-		b = append(b, boolByte(heard), boolByte(open), boolByte(h.lease.lost))
+		b = append(b, boolByte(known), boolByte(open), boolByte(h.lease.lost))
 	}
 	messages := slices.Clone(m.messages)
 	slices.SortFunc(messages, func(a, b modelMessage) int {
 		return cmp.Or(strings.Compare(a.kind, b.kind), a.holder-b.holder, int(a.token-b.token), a.sentAt-b.sentAt)
 	})
-	for _, x := range messages {
-		b = append(b, x.kind[0], x.kind[len(x.kind)-1], byte(x.holder)) // the first and last letter identify the kind
-		appendInts(x.token, int64(x.sentAt))
+	for _, message := range messages {
+		b = append(b, message.kind[0], message.kind[len(message.kind)-1], byte(message.holder)) // the first and last letter identify the kind
+		appendInts(message.token, int64(message.sentAt))
 	}
 	return string(b)
 }
@@ -135,7 +135,7 @@
 	if m.now < modelTicksMax {
 		add("tick", func(c *model) { // sessions end as soon as they are overdue; a later end would be safer
 			c.now++
-			if ids := c.heartbeats.Overdue(c.state.Sessions, tick(c.now)); len(ids) > 0 {
+			if ids := c.heartbeats.Overdue(c.state.Sessions, ticks(c.now)); len(ids) > 0 {
 				c.state.Apply(registry.Command{Op: registry.OpSessionEnd, EndedSessions: ids, Failed: true})
 			}
 		})
@@ -145,7 +145,7 @@
 	}
 	for i := range m.holders {
 		h := &m.holders[i]
-		leaseValid := h.lease.Remaining(tick(m.now)) > 0
+		leaseValid := h.lease.Remaining(ticks(m.now)) > 0
 		if len(m.messages) < modelMessagesMax {
 			if h.renewals < modelRenewalsMax && !h.lease.lost {
 				add("holder %d requests a renewal", func(c *model) {
@@ -181,7 +181,7 @@
 			m.messages = append(m.messages, modelMessage{"unknown", message.holder, 0, message.sentAt})
 			return
 		}
-		m.heartbeats.Record(id, tick(m.now))
+		m.heartbeats.Record(id, ticks(m.now))
 		m.messages = append(m.messages, modelMessage{"renewed", message.holder, 0, message.sentAt})
 	case "grant":
 		granted := m.state.Apply(registry.Command{Op: registry.OpGrant, Role: "d", Session: registry.Session{ID: id}})
@@ -200,9 +200,9 @@
 			m.newestAccepted = max(m.newestAccepted, message.token)
 		}
 	case "renewed":
-		h.lease.Renew(tick(message.sentAt))
+		h.lease.Renew(ticks(message.sentAt))
 	case "granted":
-		if h.lease.Remaining(tick(m.now)) > 0 {
+		if h.lease.Remaining(ticks(m.now)) > 0 {
 			h.token = message.token
 		}
 	case "unknown":
@@ -216,7 +216,7 @@
 	holding := 0
 	for i := range m.holders {
 		h := &m.holders[i]
-		if h.lease.Remaining(tick(m.now)) <= 0 {
+		if h.lease.Remaining(ticks(m.now)) <= 0 {
 			h.token = 0 // as the watchdog does
 		} else if h.token != 0 {
 			holding++
@@ -234,9 +234,9 @@
 	initial := &model{state: registry.NewState(), heartbeats: registry.SessionHeartbeats{}}
 	for i := range initial.holders {
 		id := fmt.Sprint(i)
-		initial.state.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Controller: id, TTL: tick(modelTTL)}})
+		initial.state.Apply(registry.Command{Op: registry.OpSession, Session: registry.Session{ID: id, Controller: id, TTL: ticks(modelTTL)}})
 		initial.heartbeats.Record(id, 0)
-		initial.holders[i].lease = Lease{TTL: tick(modelTTL)}
+		initial.holders[i].lease = Lease{TTL: ticks(modelTTL)}
 		initial.holders[i].lease.Renew(0)
 	}
 	seed := maphash.MakeSeed()
@@ -285,7 +285,7 @@
 	_, violating = explore(true, func(m *model) { // a lease that outlives the session at the list service
 		for i := range m.holders {
 			if h := &m.holders[i]; h.lease.expiresAt > 0 {
-				h.lease.expiresAt = max(h.lease.expiresAt, tick(modelTicksMax))
+				h.lease.expiresAt = max(h.lease.expiresAt, ticks(modelTicksMax))
 			}
 		}
 	})
--- a/internal/leader/group_test.go
+++ b/internal/leader/group_test.go
@@ -18,10 +18,10 @@
 	mu          sync.Mutex
 	tokens      map[int]int64 // fencing token of each accepted step
 	violations  []string
-	lastStep    int
-	newestToken int64
-	working     int
-	maxWorking  int
+	lastStep    int   // the highest accepted step
+	newestToken int64 // the newest token of an accepted step
+	working     int   // number of candidates whose work runs
+	maxWorking  int   // maximum of working so far
 }
 
 func newStepRecorder() *stepRecorder { return &stepRecorder{tokens: map[int]int64{}} }
--- a/internal/relayctl/relayctl.go
+++ b/internal/relayctl/relayctl.go
@@ -27,8 +27,8 @@
 )
 
 // Main runs relayctl and returns the exit code of the process. moreCommands are added to
-// the root command; if one of them returns an error with an exit code, Main
-// returns that code.
+// the root command; if one of them returns an error with an exit code, Main returns that
+// code.
 func Main(ctx context.Context, args []string, out, errOut io.Writer, moreCommands ...*cobra.Command) int {
 	a := &app{}
 	root := &cobra.Command{
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -62,6 +62,7 @@
 	return restarts, nil
 }
 
+// programFunc is a Program that restarts nothing but calls the function.
 type programFunc func() (int, error)
 
 func (programFunc) Operator() string { return "" }
@@ -149,10 +150,10 @@
 	return op, progress
 }
 
-// startController runs a controller. kill simulates its death: its work stops at once and
-// releases no role, so that its session has to expire.
+// startController runs a controller until the test ends. kill interrupts its rollout work,
+// wherever that is, and ends the controller.
 func (f *fleet) startController(name string) (kill func()) {
-	killed := make(chan struct{})
+	interrupted := make(chan struct{})
 	rolloutWork := Work(f.client())
 	ctx, cancel := context.WithCancel(f.t.Context())
 	c := f.client()
@@ -162,15 +163,15 @@
 		defer stop()
 		go func() {
 			select {
-			case <-killed:
+			case <-interrupted:
 				stop()
 			case <-workCtx.Done():
 			}
 		}()
 		err := rolloutWork(workCtx, g)
 		select {
-		case <-killed:
-			<-ctx.Done() // keeps the role until the session ends, as after a crash
+		case <-interrupted:
+			<-ctx.Done() // a return before the controller stops would count as the end of the work
 		default:
 		}
 		return err
@@ -182,7 +183,7 @@
 		}
 	}()
 	f.t.Cleanup(func() { cancel(); <-done })
-	return sync.OnceFunc(func() { close(killed); cancel() })
+	return sync.OnceFunc(func() { close(interrupted); cancel() })
 }
 
 func (f *fleet) checkRestartedOnce(count int) {
@@ -199,9 +200,9 @@
 	}
 }
 
-// Each relay of a plan is restarted once, and one wave at a time, even though the leader
-// dies four times during the rollout.
-func TestEachRelayRestartsOnceAcrossLeaderDeaths(t *testing.T) {
+// Each relay of a plan is restarted once, and one wave at a time, even though four leaders
+// are interrupted during the rollout and replaced by the next one.
+func TestEachRelayRestartsOnceThoughLeadersAreInterrupted(t *testing.T) {
 	f := newFleet(t, 12, 1, 3, 4)
 	f.restartDuration = 60 * time.Millisecond
 	f.putOperation(registry.DesiredRun, true)
@@ -261,9 +262,9 @@
 	for _, test := range []struct {
 		step         Step
 		wantRestarts int
-		err          error
+		wantErr      error
 	}{{Step{"a", 5}, 1, nil}, {Step{"a", 5}, 1, nil}, {Step{"a", 7}, 1, nil}, {Step{"b", 6}, 1, leader.ErrFenced}, {Step{"b", 7}, 2, nil}} {
-		if _, err := runner.restart(t.Context(), test.step); !errors.Is(err, test.err) || restarts != test.wantRestarts {
+		if _, err := runner.restart(t.Context(), test.step); !errors.Is(err, test.wantErr) || restarts != test.wantRestarts {
 			t.Errorf("step %+v: error %v, %d restarts so far", test.step, err, restarts)
 		}
 	}
