--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -69,9 +69,9 @@
 // Operator returns the operator address of the present process.
 func (p *LocalProcess) Operator() string { return p.OperatorAddresses[p.addressIndex.Load()] }
 
-// Restart starts the next process, waits for TakeoverTime and terminates the previous
-// process. If the next process exits within TakeoverTime, Restart keeps the previous one
-// and returns ErrExitedEarly.
+// Restart starts the next process, waits for TakeoverTime or the end of ctx, and terminates
+// the previous process. If the next process exits while Restart waits, Restart keeps the
+// previous one and returns ErrExitedEarly. The first call only starts a process.
 func (p *LocalProcess) Restart(ctx context.Context) (pid int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
