--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -11,13 +11,13 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// server serves HTTP on one address until close, which waits for its goroutine.
+// server serves HTTP on one address until close, which waits for the serving goroutine.
 type server struct {
-	http   *http.Server
-	served chan struct{}
+	http *http.Server
+	done chan struct{}
 }
 
-// listen serves on a new listener at an address.
+// listen opens a listener at an address and serves HTTP on it.
 func listen(address string, handler http.Handler) (*server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -26,22 +26,22 @@
 	return serve(listener, handler), nil
 }
 
-// serve takes over the listener.
+// serve serves HTTP on a listener. The returned server closes the listener.
 func serve(listener net.Listener, handler http.Handler) *server {
 	s := &server{
-		http:   &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout},
-		served: make(chan struct{}),
+		http: &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout},
+		done: make(chan struct{}),
 	}
 	go func() {
-		defer close(s.served)
-		s.http.Serve(acceptretry.NewListener(listener)) // returns http.ErrServerClosed
+		defer close(s.done)
+		s.http.Serve(acceptretry.NewListener(listener)) // the error is http.ErrServerClosed after close
 	}()
 	return s
 }
 
 func (s *server) close() {
 	s.http.Close()
-	<-s.served
+	<-s.done
 }
 
 // operatorHandler serves the controller's metrics.
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -24,14 +24,14 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func waitFor(t *testing.T, what string, cond func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after 30 s waiting for: %s", what)
 }
 
 func startNode(t *testing.T, cfg *registry.Config) *registry.Node {
@@ -73,31 +73,31 @@
 	}
 }
 
-func member(i int) registry.Registration {
+func testRegistration(i int) registry.Registration {
 	return registry.Registration{ID: fmt.Sprint("s-", i), Address: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "a", Flavor: "agent", Cell: i}
 }
 
-// relayWatch is a relay's copy of the list, by its own watch on an agent.
+// relayWatch is a relay's copy of the list, which its watch of an agent keeps up to date.
 type relayWatch struct {
-	mu    sync.Mutex
-	rev   int64
-	phase map[string]string
+	mu       sync.Mutex
+	revision int64
+	phases   map[string]string
 }
 
 func watchAsRelay(t *testing.T, addr string) *relayWatch {
-	r := &relayWatch{phase: map[string]string{}}
+	r := &relayWatch{phases: map[string]string{}}
 	w := discovery.NewWatch(addr, 1, discardLog(), func(l *discovery.List) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if l.Revision < r.rev {
-			t.Errorf("revision %d after %d", l.Revision, r.rev)
+		if l.Revision < r.revision {
+			t.Errorf("the relay was sent revision %d after %d", l.Revision, r.revision)
 		}
-		r.rev = l.Revision
+		r.revision = l.Revision
 		if l.Complete {
-			clear(r.phase)
+			clear(r.phases)
 		}
 		for _, m := range l.Members {
-			r.phase[m.ID] = m.Phase
+			r.phases[m.ID] = m.Phase
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -110,44 +110,44 @@
 func (r *relayWatch) phaseOf(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.phase[id]
+	return r.phases[id]
 }
 
-// TestGroupUnreachable checks an agent whose group is stopped: the relay's watch goes on,
-// the list survives a restart of the agent, and the changes that were missed come once
-// the group is back.
-func TestGroupUnreachable(t *testing.T) {
+// TestListSurvivesGroupOutageAndAgentRestart checks an agent whose group is stopped: the
+// agent keeps its list, serves it to relays after a restart, says how old it is, and
+// serves the changes that it missed once the group is started again.
+func TestListSurvivesGroupOutageAndAgentRestart(t *testing.T) {
 	cfg, folder := nodeConfig(t), t.TempDir()
 	node := startNode(t, cfg)
 	for i := range 3 {
-		sendChange(t, cfg.Listen, http.MethodPost, registry.MembersPath, member(i))
+		sendChange(t, cfg.Listen, http.MethodPost, registry.MembersPath, testRegistration(i))
 	}
 	a := startAgent(t, folder, cfg.Listen)
 	r := watchAsRelay(t, a.Addr())
-	waitFor(t, "the list at the relay", func() bool { return r.phaseOf("s-2") == discovery.Up })
+	waitFor(t, "the relay to have the list", func() bool { return r.phaseOf("s-2") == discovery.Up })
 	sendChange(t, cfg.Listen, http.MethodPost, registry.MembersPath+"/s-1/phase", map[string]string{"phase": discovery.Draining})
-	waitFor(t, "the drain at the relay", func() bool { return r.phaseOf("s-1") == discovery.Draining })
+	waitFor(t, "the relay to see the draining member", func() bool { return r.phaseOf("s-1") == discovery.Draining })
 	node.Close()
-	waitFor(t, "the agent to see it gone", func() bool { return !a.State().Up })
+	waitFor(t, "the agent to notice that the group is stopped", func() bool { return !a.State().Up })
 	if s := a.State(); s.Members != 3 {
-		t.Errorf("%+v", s)
+		t.Errorf("state without a group: %+v, want 3 members", s)
 	}
 	a.Close()
-	a = startAgent(t, folder, cfg.Listen) // the group is still gone
+	a = startAgent(t, folder, cfg.Listen) // the group is still stopped
 	r = watchAsRelay(t, a.Addr())
-	waitFor(t, "the last list, with the drain", func() bool { return r.phaseOf("s-1") == discovery.Draining && r.phaseOf("s-0") == discovery.Up })
+	waitFor(t, "the relay to have the saved list with the draining member", func() bool { return r.phaseOf("s-1") == discovery.Draining && r.phaseOf("s-0") == discovery.Up })
 	if s := a.State(); s.Up || s.AgeMS <= 0 {
-		t.Errorf("it does not say how old its list is: %+v", s)
+		t.Errorf("state after a restart without a group: %+v, want Up false and AgeMS above 0", s)
 	}
 	node = startNode(t, cfg)
 	defer node.Close()
 	sendChange(t, cfg.Listen, http.MethodDelete, registry.MembersPath+"/s-0", nil)
-	waitFor(t, "what changed meanwhile", func() bool { return r.phaseOf("s-0") == discovery.Removed && r.phaseOf("s-1") == discovery.Draining })
+	waitFor(t, "the relay to see the change made after the group was started again", func() bool { return r.phaseOf("s-0") == discovery.Removed && r.phaseOf("s-1") == discovery.Draining })
 	a.Close()
 }
 
-// TestNoticesSurviveRestart checks that notices that were answered with 204 stay until
-// the group has accepted them.
+// TestNoticesSurviveRestart checks that notices that were answered with 204 are kept over
+// a restart, also if the spool's last line is torn, until the group has accepted them.
 func TestNoticesSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
 	node := loopback.Free()
@@ -160,69 +160,70 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	if got := post(a, "{\"message\":\"a\",\"outcome\":\"given_up\"}\n{\"message\":\"b\",\"outcome\":\"handed_back\",\"retry_in_ms\":5}\n"); got != 204 {
-		t.Fatal(got)
+	if status := post(a, "{\"message\":\"a\",\"outcome\":\"given_up\"}\n{\"message\":\"b\",\"outcome\":\"handed_back\",\"retry_in_ms\":5}\n"); status != 204 {
+		t.Fatal(status)
 	}
-	if got := post(a, "{\"message\":\"c\",\"outcome\":\"lost\"}\n"); got != 400 {
-		t.Fatal(got)
+	if status := post(a, "{\"message\":\"c\",\"outcome\":\"lost\"}\n"); status != 400 {
+		t.Fatal(status)
 	}
 	a.Close()
-	f, _ := os.OpenFile(filepath.Join(folder, "notices"), os.O_APPEND|os.O_WRONLY, 0)
-	f.WriteString("{\"message\":\"torn")
-	f.Close()
+	file, _ := os.OpenFile(filepath.Join(folder, "notices"), os.O_APPEND|os.O_WRONLY, 0)
+	file.WriteString("{\"message\":\"torn")
+	file.Close()
 	var mu sync.Mutex
-	var got []string
-	ln, err := net.Listen("tcp", node)
+	var received []string
+	listener, err := net.Listen("tcp", node)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		all, err := discovery.ReadNotices(r.Body)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		notices, err := discovery.ReadNotices(r.Body)
 		if r.Method != http.MethodPost || err != nil {
 			w.WriteHeader(503)
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		for _, n := range all {
-			got = append(got, n.Message)
+		for _, n := range notices {
+			received = append(received, n.Message)
 		}
 		w.WriteHeader(204)
 	})}
-	go s.Serve(ln)
-	defer s.Close()
+	go server.Serve(listener)
+	defer server.Close()
 	a = startAgent(t, folder, node)
 	defer a.Close()
-	waitFor(t, "both notices", func() bool {
+	waitFor(t, "the group to receive both notices, and the spool to be empty", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return slices.Contains(got, "a") && slices.Contains(got, "b") && a.spool.count() == 0
+		return slices.Contains(received, "a") && slices.Contains(received, "b") && a.spool.count() == 0
 	})
 }
 
-// TestCorruptListIsRejected checks that every flipped bit and every torn end of the file
-// is noticed, and that the agent starts and puts the file aside.
+// TestCorruptListIsRejected checks that a list file that is cut at any byte is rejected,
+// that no flipped bit changes the decoded list, and that an agent with a corrupt list file
+// renames it and starts with an empty list.
 func TestCorruptListIsRejected(t *testing.T) {
-	k := &savedList{At: client.Position{Epoch: "e", Revision: 7}, Revision: 3, Members: map[string]discovery.Member{
+	list := &savedList{At: client.Position{Epoch: "e", Revision: 7}, Revision: 3, Members: map[string]discovery.Member{
 		"s-1": {ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
-	text, err := encodeList(k)
+	text, err := encodeList(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back, err := decodeList(text); err != nil || back.Revision != 3 || back.Members["s-1"].HostPort != "127.0.0.1:1" {
-		t.Fatalf("%+v, %v", back, err)
+	if decoded, err := decodeList(text); err != nil || decoded.Revision != 3 || decoded.Members["s-1"].HostPort != "127.0.0.1:1" {
+		t.Fatalf("decoded list %+v, error %v", decoded, err)
 	}
-	for at := range text {
-		if _, err := decodeList(text[:at]); err == nil {
-			t.Fatalf("torn at %d: used", at)
+	for offset := range text {
+		if _, err := decodeList(text[:offset]); err == nil {
+			t.Fatalf("a list file cut at byte %d was accepted", offset)
 		}
 		for bit := range 8 {
-			bad := bytes.Clone(text)
-			bad[at] ^= 1 << bit
-			if back, err := decodeList(bad); err == nil {
-				same, _ := json.Marshal(back)
-				if want, _ := json.Marshal(k); !bytes.Equal(same, want) {
-					t.Fatalf("byte %d, bit %d: used", at, bit)
+			corrupted := bytes.Clone(text)
+			corrupted[offset] ^= 1 << bit
+			if decoded, err := decodeList(corrupted); err == nil {
+				encoded, _ := json.Marshal(decoded)
+				if want, _ := json.Marshal(list); !bytes.Equal(encoded, want) {
+					t.Fatalf("a list file with bit %[2]d of byte %[1]d flipped was decoded as another list", offset, bit)
 				}
 			}
 		}
@@ -233,7 +234,7 @@
 	a := startAgent(t, folder, loopback.Free())
 	defer a.Close()
 	if _, err := os.Stat(path + ".damaged"); err != nil || a.State().Members != 0 {
-		t.Errorf("%v, %+v", err, a.State())
+		t.Errorf("renamed file: %v; state %+v, want no members", err, a.State())
 	}
 }
 
@@ -241,13 +242,13 @@
 	text, _ := encodeList(&savedList{Members: map[string]discovery.Member{}})
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if k, err := decodeList(text); err == nil && k.Members == nil {
-			t.Fatal("a list without members")
+		if list, err := decodeList(text); err == nil && list.Members == nil {
+			t.Fatal("a list was decoded whose map of members is nil")
 		}
 	})
 }
 
-// testGroup is a list service of several nodes that are started and stopped together.
+// testGroup is a list service whose nodes are started and stopped together.
 type testGroup struct {
 	t       *testing.T
 	configs []*registry.Config
@@ -284,7 +285,7 @@
 	g.nodes = nil
 }
 
-// term returns the highest term of the nodes, and whether one of them leads.
+// term returns the highest Raft term of the nodes, and whether one of them is the leader.
 func (g *testGroup) term() (highest uint64, hasLeader bool) {
 	for _, addr := range g.addrs {
 		resp, err := http.Get("http://" + addr + registry.StatusPath)
@@ -300,12 +301,13 @@
 	return highest, hasLeader
 }
 
-// TestReturningFleetCausesNoElection checks that a whole fleet of agents comes back to a
-// group that was stopped, and that the group keeps the leader that it elected.
-func TestReturningFleetCausesNoElection(t *testing.T) {
+// TestReconnectingFleetCausesNoElection checks that all 300 agents of a fleet reconnect to a
+// group that was stopped and started again, and that the load of it causes no election
+// after the first one.
+func TestReconnectingFleetCausesNoElection(t *testing.T) {
 	group := newTestGroup(t, 3)
 	group.start()
-	sendChange(t, group.addrs[0], http.MethodPost, registry.MembersPath, member(0))
+	sendChange(t, group.addrs[0], http.MethodPost, registry.MembersPath, testRegistration(0))
 	agents := make([]*Agent, 300)
 	for i := range agents {
 		a, err := Start(Options{Listen: "127.0.0.1:0", Folder: t.TempDir(), Nodes: group.addrs, Fleet: len(agents), Log: discardLog()})
@@ -315,21 +317,21 @@
 		defer a.Close()
 		agents[i] = a
 	}
-	all := func(condition func(Status) bool) func() bool {
+	allAgents := func(condition func(Status) bool) func() bool {
 		return func() bool {
 			return !slices.ContainsFunc(agents, func(a *Agent) bool { return !condition(a.State()) })
 		}
 	}
-	waitFor(t, "all agents follow", all(func(s Status) bool { return s.Up }))
+	waitFor(t, "all agents to watch the group", allAgents(func(s Status) bool { return s.Up }))
 	group.stop()
-	waitFor(t, "all agents see that the group is gone", all(func(s Status) bool { return !s.Up }))
+	waitFor(t, "all agents to notice that the group is stopped", allAgents(func(s Status) bool { return !s.Up }))
 	group.start()
-	var first uint64
-	waitFor(t, "a leader", func() (hasLeader bool) { first, hasLeader = group.term(); return hasLeader })
-	waitFor(t, "all agents are back", all(func(s Status) bool { return s.Up }))
-	sendChange(t, group.addrs[0], http.MethodPost, registry.MembersPath, member(1))
-	waitFor(t, "all have what came after", all(func(s Status) bool { return s.Members == 2 }))
-	if last, _ := group.term(); last != first {
-		t.Errorf("the return caused %d elections", last-first)
+	var firstTerm uint64
+	waitFor(t, "a leader to be elected", func() (hasLeader bool) { firstTerm, hasLeader = group.term(); return hasLeader })
+	waitFor(t, "all agents to watch the group again", allAgents(func(s Status) bool { return s.Up }))
+	sendChange(t, group.addrs[0], http.MethodPost, registry.MembersPath, testRegistration(1))
+	waitFor(t, "all agents to have the member added afterwards", allAgents(func(s Status) bool { return s.Members == 2 }))
+	if lastTerm, _ := group.term(); lastTerm != firstTerm {
+		t.Errorf("%d more elections while the agents reconnected, want none", lastTerm-firstTerm)
 	}
 }
--- a/internal/registry/config_validate.go
+++ b/internal/registry/config_validate.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// validate checks all values, and makes the node its own only peer where the
-// configuration has none. Errors name the key.
+// validate checks all values. A configuration without peers is given the node itself as
+// its only peer. Errors name the key.
 func (c *Config) validate() error {
 	if len(c.Peers) == 0 {
 		c.Peers = []Peer{{c.ID, c.Raft, c.Listen}}
@@ -37,7 +37,7 @@
 }
 
 func (c *Config) validateAddresses() error {
-	for _, x := range []struct {
+	for _, setting := range []struct {
 		key, addr string
 		optional  bool
 	}{
@@ -45,11 +45,11 @@
 		{key: "raft", addr: c.Raft},
 		{key: "operator", addr: c.Operator, optional: true},
 	} {
-		if x.optional && x.addr == "" {
+		if setting.optional && setting.addr == "" {
 			continue
 		}
-		if _, _, err := net.SplitHostPort(x.addr); err != nil {
-			return fmt.Errorf("%s: %w", x.key, err)
+		if _, _, err := net.SplitHostPort(setting.addr); err != nil {
+			return fmt.Errorf("%s: %w", setting.key, err)
 		}
 	}
 	return nil
@@ -58,7 +58,7 @@
 func (c *Config) validateExpiry() error {
 	guard := c.ExpiryGuard
 	switch {
-	case !(guard.Fraction > 0 && guard.Fraction <= 1): // NaN, too
+	case !(guard.Fraction > 0 && guard.Fraction <= 1): // written so that NaN is rejected, too
 		return fmt.Errorf("lapse.share: %v; more than 0, 1 at most", guard.Fraction)
 	case guard.ExpiredBy != expiredByLeader && guard.ExpiredBy != expiredByRole:
 		return fmt.Errorf("lapse.by: %q; %s and %s are allowed", guard.ExpiredBy, expiredByLeader, expiredByRole)
@@ -74,11 +74,11 @@
 	}
 	seen := map[string]bool{}
 	for i, p := range c.Peers {
-		for _, x := range []string{"id " + p.ID, "raft " + p.Raft, "http " + p.HTTP} {
-			if seen[x] || strings.HasSuffix(x, " ") {
-				return fmt.Errorf("peers[%d]: %s: missing, or a duplicate", i, x)
+		for _, value := range []string{"id " + p.ID, "raft " + p.Raft, "http " + p.HTTP} {
+			if seen[value] || strings.HasSuffix(value, " ") {
+				return fmt.Errorf("peers[%d]: %s: missing, or a duplicate", i, value)
 			}
-			seen[x] = true
+			seen[value] = true
 		}
 	}
 	if !slices.ContainsFunc(c.Peers, func(p Peer) bool { return p.ID == c.ID }) {
