--- a/policy/action.go
+++ b/policy/action.go
@@ -1,51 +1,53 @@
 package policy
 
-// ActionKind says what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Kinds of action, each with the fields of Action that it uses beside Kind.
+// Kinds of action. Each comment lists the fields of Action that are set beside Kind.
 const (
-	// ActionSend starts an attempt: Message, Endpoint, Deadline (when it times out), SendBy (no
-	// byte may leave later; 0 for any time), Call (sends with the same one go out together).
+	// ActionSend starts an attempt: Message, Endpoint, Deadline (when it times out), SendBy (no byte
+	// may be sent after this; 0 for no such limit), Call (sends with the same number share one call).
 	ActionSend ActionKind = iota
-	// ActionReject gives the final response that a message has not run: Message, Delay (advice to
-	// the client).
+	// ActionReject gives a client the final response that its message has not run: Message, Delay (how
+	// long the client should wait before it retries).
 	ActionReject
-	// ActionFail gives the final response that a message was not delivered and may have run: Message.
+	// ActionFail gives a client the final response that its message was not delivered and may have
+	// run: Message.
 	ActionFail
 	// ActionCancel cancels an attempt in flight: Message, Attempt.
 	ActionCancel
-	// ActionTimer asks for an EventTimer: Delay, Token.
+	// ActionTimer asks for an EventTimer after Delay: Delay, Token.
 	ActionTimer
 	// ActionHealthCheck asks for a health check: Endpoint.
 	ActionHealthCheck
 	// ActionCloseIdle closes the idle connections to an endpoint: Endpoint.
 	ActionCloseIdle
-	// ActionWatchList subscribes to list changes.
+	// ActionWatchList subscribes to changes of the endpoint list.
 	ActionWatchList
-	// ActionFetchList asks once for the whole list.
+	// ActionFetchList requests the whole endpoint list once.
 	ActionFetchList
 	// ActionLog writes a line to the log: Text.
 	ActionLog
-	// ActionStopAccepting tells clients that ask that this relay takes no new connections.
+	// ActionStopAccepting has the relay tell clients that ask that it takes no new connections.
 	ActionStopAccepting
-	// ActionReleaseClients closes clients' connections, each between requests.
+	// ActionReleaseClients closes the clients' connections, each between two requests.
 	ActionReleaseClients
-	// ActionAcceptClients takes clients again.
+	// ActionAcceptClients has the relay accept clients again after a drain.
 	ActionAcceptClients
-	// ActionSpill leaves a message to the log, as the policy forgets it: Message, Dest, Recovered,
-	// OverQuota, Ordered, Deadline (by when it has to be loaded at the latest).
+	// ActionSpill says that the policy forgets a message, which from now on only the host's log holds:
+	// Message, Dest, Recovered, OverQuota, Ordered, Deadline (when the message has to be loaded at the
+	// latest).
 	ActionSpill
-	// ActionLoad asks for spilled messages: Dest, Count. Those with the earliest Deadline come
-	// first, ordered ones as they were spilled.
+	// ActionLoad asks the host to load spilled messages: Dest, Count. The host takes those with the
+	// earliest Deadline first, and ordered ones in the order in which they were spilled.
 	ActionLoad
-	actionCount // count of the kinds
+	actionCount // number of kinds
 )
 
-// Action is something that the policy asks of its relay. Kind says which fields are set.
+// Action is something that the policy asks its host to do. Kind says which fields are set.
 type Action struct {
 	Kind     ActionKind
-	Attempt  int // from 0
+	Attempt  int // number of the attempt, from 0
 	Message  uint32
 	Endpoint Endpoint
 	Call     uint32
@@ -57,5 +59,5 @@
 	Dest     int
 	Count    int
 
-	Recovered, OverQuota, Ordered bool // of a spilled message
+	Recovered, OverQuota, Ordered bool // ActionSpill: properties of the message
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,18 +1,18 @@
 package policy
 
-// admitMessage takes a message into the queue of its destination.
+// admitMessage adds a message to the queue of its destination.
 func (p *Policy) admitMessage(event *Event) {
 	if p.messages[event.Message] != nil {
 		return
 	}
 	if event.Class < 0 || event.Class >= len(p.settings.Classes) {
-		p.emit(Action{Kind: ActionReject, Message: event.Message}) // nothing of it has run
+		p.emit(Action{Kind: ActionReject, Message: event.Message}) // it has not run
 		return
 	}
 	message := p.newMessage(event)
 	if event.Spilled {
 		p.endSpill(event)
-		message.isOverQuota = event.OverQuota // as found on arrival
+		message.isOverQuota = event.OverQuota // as judged when it first arrived
 	} else {
 		message.isOverQuota = p.exceedsQuota(event.Tenant)
 	}
@@ -26,7 +26,7 @@
 	}
 	p.markChanged(message.dest)
 	p.joinOrderedQueue(message, event.Spilled)
-	// A loaded message that is due spills no other: many may be due at once.
+	// A loaded message that was due back spills no other: many may be due at once.
 	if !event.Spilled || p.loadDeadline(message) > p.now {
 		p.spillExcess(message.dest)
 	}
@@ -51,8 +51,8 @@
 	return message
 }
 
-// exceedsQuota counts a message against its tenant's quota, of which this relay judges its own part
-// alone.
+// exceedsQuota counts a message against its tenant's quota and reports whether the quota is
+// exceeded. Each relay judges only its own equal share of the quota.
 func (p *Policy) exceedsQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(p.tenantQuotas) || p.settings.Tenants[tenant].Quota <= 0 {
 		return false
--- a/policy/attempt_outcome.go
+++ b/policy/attempt_outcome.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// unansweredSpan is the number of calls over which the fraction of unanswered ones is averaged: a few
-// that time out are chance.
+// unansweredSpan is the number of calls over which the fraction of unanswered ones is averaged, so
+// that a few chance time-outs matter little.
 const unansweredSpan = 50
 
-// completeAttempt records the outcome of an attempt for its message, call, endpoint and route. One
-// that is not the message's present attempt was recorded before, and is ignored.
+// completeAttempt records the outcome of an attempt for its message, call, endpoint and route. The
+// outcome of an attempt other than the message's current one was recorded before and is ignored.
 func (p *Policy) completeAttempt(event *Event) {
 	message := p.messages[event.Message]
 	if message == nil || message.call == nil || event.Attempt != message.attempts-1 {
@@ -22,11 +22,11 @@
 	switch {
 	case event.LocalFailure:
 		p.observeLocalFailure(message, call)
-	case !call.isObserved: // the messages of a call share one fate, which counts once
+	case !call.isObserved: // the messages of a call share its outcome, which counts once
 		call.isObserved = true
 		p.observeCall(call, event)
 	}
-	if event.RetryAfter > 0 { // with any outcome: the answer to a batch may have one too
+	if event.RetryAfter > 0 { // with any outcome, since the answer to a batch may have one too
 		p.applyRetryAfter(call.endpoint.route, event.RetryAfter)
 	}
 	p.recordOutcome(message, call, event)
@@ -40,7 +40,7 @@
 	}
 }
 
-// leaveCall ends a message's part in its call; the last one frees the call's slot.
+// leaveCall takes a message out of its call. The last message to leave frees the call slot.
 func (p *Policy) leaveCall(message *messageState) {
 	call := message.call
 	message.call = nil
@@ -53,8 +53,8 @@
 	}
 }
 
-// applyRetryAfter holds a route back until the time that its destination asked for. Recovery
-// budgets saved up meanwhile would be spent at once, so they start empty.
+// applyRetryAfter stops calls to a route for as long as its destination asked. Recovery budgets
+// that fill meanwhile would be spent at once afterwards, so they start empty.
 func (p *Policy) applyRetryAfter(route *routeState, retryAfter Time) {
 	route.retryAfterUntil = max(route.retryAfterUntil, p.now+retryAfter)
 	for _, endpoint := range route.endpoints {
@@ -62,7 +62,7 @@
 	}
 }
 
-// recordOutcome notes what an attempt's outcome means for further attempts of its message.
+// recordOutcome records what the outcome of an attempt means for further attempts of its message.
 func (p *Policy) recordOutcome(message *messageState, call *callState, event *Event) {
 	p.coolDownKey(message, event.Outcome)
 	if !event.Outcome.NeverRan() && event.Outcome != Delivered && message.unknownOutcomeAt == 0 {
@@ -81,7 +81,7 @@
 	p.spillExcess(message.dest)
 }
 
-// observeCall updates the state of an endpoint and its route by the outcome of a call.
+// observeCall updates the state of an endpoint and its route after the outcome of a call.
 func (p *Policy) observeCall(call *callState, event *Event) {
 	endpoint, route := call.endpoint, call.endpoint.route
 	route.localFailureRun = 0
@@ -96,7 +96,7 @@
 	case Rejected:
 		p.observeRejection(call, event)
 	case Cancelled:
-		if endpoint.lastSuccessAt <= call.sentAt { // else others were answered meanwhile: it says nothing
+		if endpoint.lastSuccessAt <= call.sentAt { // otherwise later answers show that it works
 			p.observeFailure(endpoint, call.sentAt, true)
 		}
 	case TimedOut:
@@ -104,15 +104,15 @@
 		p.observeFailure(endpoint, call.sentAt, true)
 	case ConnectFailed:
 		endpoint.connections = endpoint.callsInFlight
-		route.tokens.tokens++ // it took nothing of the limit
+		route.tokens.tokens++ // the call didn't count against the rate limit
 		p.observeFailure(endpoint, call.sentAt, true)
 	case Errored, ConnectionReset:
 		p.observeFailure(endpoint, call.sentAt, false)
 	}
 }
 
-// observeLimit takes over a reported limit. It counts towards the lowest of its kind while the
-// route is in use.
+// observeLimit records the limit that a route reported. It counts towards the lowest limit of its
+// kind while the route is in use.
 func (p *Policy) observeLimit(route *routeState, limit float64) {
 	if slices.Contains(route.dest.routes, route) {
 		p.lowestLimits[route.dest.kindIndex].update(route.reportedLimit, limit)
--- a/policy/call.go
+++ b/policy/call.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// unansweredThreshold is the fraction of calls without an answer above which messages with a longer
-// wait share no call with others.
+// unansweredThreshold is the fraction of unanswered calls from which on non-idempotent messages,
+// for which a call waits longer, share no call with others.
 const unansweredThreshold = 0.04
 
-// startCall makes a call with the message selected for a destination and others that may share it.
+// startCall starts a call with the destination's selected message and others that may share it,
+// unless adaptive throttling drops the message.
 func (p *Policy) startCall(dest *destination) {
 	endpoint, route := dest.nextEndpoint, dest.nextEndpoint.route
 	route.tokens.take(p.now, 1, p.paceRate(route), p.burstSize(route))
 	isTrial := endpoint.awaitsRecovery()
 	if isTrial {
-		route.history.recordRequest(p.now) // no draw: the recovery budget bounds trial calls harder
+		route.history.recordRequest(p.now) // no throttling: the recovery budget limits trial calls more
 	} else if p.drawDrop(route) {
-		if !dest.nextMessage.isRecovered { // one that an earlier process admitted only has to wait
+		if !dest.nextMessage.isRecovered { // a message that an earlier process admitted stays queued
 			p.completeUndelivered(dest.nextMessage)
 		}
 		return
@@ -37,8 +38,8 @@
 	endpoint.connections = max(endpoint.connections, (endpoint.callsInFlight+streams-1)/streams)
 }
 
-// fillCall takes messages out of the queue: the selected one, and those after it that may share its
-// call.
+// fillCall takes the messages of a new call out of the queue: the selected one, and those behind it
+// that may share its call.
 func (p *Policy) fillCall(dest *destination, isTrial bool) *callState {
 	call := &callState{endpoint: dest.nextEndpoint, sentAt: p.now, timeoutBy: math.MaxInt64}
 	for _, message := range slices.Clone(dest.queue) {
@@ -66,10 +67,11 @@
 	}
 }
 
-// mayJoinCall reports whether a message may join a call. A call ends with the earliest time-out of
-// its messages, which must leave each the time that it would wait for an answer of its own. Where
-// many calls go unanswered, non-idempotent messages share no call with others, since theirs are
-// waited for far longer; the price is more calls for as many messages.
+// mayJoinCall reports whether a message may join a call. A call ends at the earliest time-out of
+// its messages, which must leave each message the time that it would wait for an answer in a call
+// of its own. Where many calls go unanswered, non-idempotent messages share no call with others,
+// since their calls are waited for far longer; the price is more calls for the same number of
+// messages.
 func (p *Policy) mayJoinCall(message *messageState, call *callState) bool {
 	timeoutBy := min(call.timeoutBy, p.latestTimeout(message))
 	if timeoutBy < max(call.minimumWaitUntil, p.minimumWait(message, call.endpoint)) {
@@ -80,7 +82,8 @@
 	return p.unansweredFraction < unansweredThreshold || isNonIdempotent == isCallNonIdempotent
 }
 
-// addToCall puts a message into a call if every rule allows it. Nothing else does.
+// addToCall adds a message to a call if every rule allows it. Every send of a message passes
+// through here.
 func (p *Policy) addToCall(message *messageState, call *callState) {
 	if !p.maySend(message, call.endpoint) {
 		return
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -2,16 +2,16 @@
 
 import "cmp"
 
-// estimateCapacity is the calls a second that a route takes from all relays: as reported, else as
-// listed, else as its accepts from this relay suggest.
+// estimateCapacity is the number of calls a second that a route accepts from all relays: the
+// reported limit, else the listed rate, else an estimate from the accepts of this relay.
 func (p *Policy) estimateCapacity(route *routeState) float64 {
 	observed := max(route.history.acceptRate(p.now)*float64(p.settings.Relays), 1)
 	return cmp.Or(route.reportedLimit, route.nominalRate, observed)
 }
 
-// lowestReportedLimit is the lowest limit that destinations of one kind have reported; 0 for none.
-// It is the guess, on the safe side, for one that this relay has not heard from: a relay of a large
-// fleet calls most destinations seldom.
+// lowestReportedLimit is the lowest limit that destinations of the same kind have reported; 0 for
+// none. It is a cautious estimate for a destination that has not yet answered this relay: a relay
+// of a large fleet rarely calls most destinations.
 func (p *Policy) lowestReportedLimit(dest *destination) float64 {
 	lowest := &p.lowestLimits[dest.kindIndex]
 	if lowest.isStale {
@@ -29,14 +29,14 @@
 }
 
 // lowestLimit is the lowest limit that any route of a kind has reported, in calls a second; 0 for
-// none. Reports keep it up to date, so that its cost doesn't grow with the list. It is stale once
-// the route that had it has reported a higher one or is gone. The zero value is ready for use.
+// none. Each report updates it, so that its cost doesn't grow with the list. It is stale once the
+// route that reported it has reported a higher limit or is gone. The zero value is ready for use.
 type lowestLimit struct {
 	value   float64
 	isStale bool
 }
 
-// update notes that a route which reported one limit before now reports another.
+// update records that a route which reported the limit before now reports another.
 func (lowest *lowestLimit) update(before, limit float64) {
 	lowest.isStale = lowest.isStale || before == lowest.value && limit > before
 	lowest.lowerTo(limit)
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -1,7 +1,7 @@
 package policy
 
-// mayReject reports whether a message may be handed back as not run: it has surely not run, or may
-// run again.
+// mayReject reports whether a client may be told that its message has not run: the message has
+// certainly not run, or may run again without harm.
 func (p *Policy) mayReject(message *messageState) bool {
 	if message.call != nil {
 		return false
@@ -18,8 +18,8 @@
 	return false
 }
 
-// completeUndelivered gives the one final response of a message that was not delivered. Nothing
-// else does.
+// completeUndelivered gives the one final response of a message that was admitted but not
+// delivered. No other function does.
 func (p *Policy) completeUndelivered(message *messageState) {
 	if message.isCompleted {
 		return
@@ -36,8 +36,8 @@
 	p.completeMessage(message)
 }
 
-// completeMessage takes a message out of the queues; an attempt in flight still counts until its
-// outcome.
+// completeMessage takes a message out of the queues. Its attempt in flight still counts as a call
+// until the outcome is known.
 func (p *Policy) completeMessage(message *messageState) {
 	if message.isCompleted {
 		return
@@ -57,8 +57,8 @@
 	}
 }
 
-// forgetMessage drops the last trace of a completed message and lets the next one of its key have
-// its turn.
+// forgetMessage deletes the state of a completed message, and lets the next message with its key be
+// sent.
 func (p *Policy) forgetMessage(message *messageState) {
 	delete(p.messages, message.id)
 	if queue := p.orderedQueueOf(message); queue != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// withdrawMessage completes a message that no client waits for.
+// withdrawMessage completes a message that no client waits for any more.
 func (p *Policy) withdrawMessage(event *Event) {
 	if event.Spilled {
 		p.endSpill(event)
--- a/policy/connection_reuse.go
+++ b/policy/connection_reuse.go
@@ -1,28 +1,29 @@
 package policy
 
-// Connection shortage: the fraction of calls that find no connection, by kind of destination.
+// Constants of the connection shortage, which is the smoothed fraction of calls that find no
+// connection, by kind of destination.
 const (
-	// connectionShortageThreshold is the fraction above which connections are taken to run out.
+	// connectionShortageThreshold is the fraction above which connections are considered scarce.
 	connectionShortageThreshold = 0.05
-	// connectionShortageGain is the weight of one call without a connection: a relay sees few of
-	// all such calls.
+	// connectionShortageGain is the weight of one call without a connection. It is large since a relay
+	// makes only few of all calls that find none.
 	connectionShortageGain = 0.5
 	// connectionShortageSpan is the number of calls with a connection over which the fraction falls
 	// again.
 	connectionShortageSpan = 100
-	// relaysKeepingIdle is how many relays' idle connections an endpoint keeps, taken together, in
-	// a shortage.
+	// relaysKeepingIdle limits idle connections in a shortage: all relays together keep as many open
+	// at an endpoint as this number of relays would otherwise.
 	relaysKeepingIdle = 2
-	// idleChecksPerKeepAlive is how often an idle connection is examined, since its time-out may
-	// change.
+	// idleChecksPerKeepAlive is how many times an idle connection is checked within the keep-alive
+	// time, since its time-out may change.
 	idleChecksPerKeepAlive = 8
 	// ejectionConnectionRejections is the number of rejected connections in a row that count as an
-	// outage, where they span half an overload window at least: fewer are chance.
+	// outage if they span at least half an overload window; fewer may be chance.
 	ejectionConnectionRejections = 5
 )
 
-// closeIdleConnections closes the idle connections of an endpoint once their time is up, and until
-// then schedules itself anew.
+// closeIdleConnections closes the idle connections of an endpoint once their time-out has passed.
+// Until then it reschedules itself.
 func (p *Policy) closeIdleConnections(endpoint *endpointState) {
 	isIdle := endpoint.callsInFlight == 0
 	left := endpoint.idleSince + p.idleTimeout(endpoint) - p.now
@@ -37,9 +38,10 @@
 }
 
 // idleTimeout is how long an idle connection stays open. In a shortage all relays together keep no
-// more idle connections at an endpoint than two would, and this relay none where it is not likely
-// to call again within its part of the time: it would only take another's place. The price is that
-// more connections are opened.
+// more idle connections at an endpoint than two relays would otherwise, so each has a share of the
+// keep-alive time. A relay that is not likely to call again within its share keeps none, since the
+// connection would only take the place of another relay's. The price is that more connections are
+// opened.
 func (p *Policy) idleTimeout(endpoint *endpointState) Time {
 	if p.connectionShortage[endpoint.route.dest.kindIndex] <= connectionShortageThreshold {
 		return p.settings.KeepAlive
@@ -51,9 +53,9 @@
 	return timeout
 }
 
-// isConnectionRejected reports whether an endpoint had as many connections as it can hold and
-// rejected a new one with its call. That answer comes before the rate limit is checked, so it has
-// no load report where others do.
+// isConnectionRejected reports whether an endpoint rejected a call because it can hold no more
+// connections. It answers so before it checks the rate limit, so the answer has no load report
+// where others have one.
 func (p *Policy) isConnectionRejected(event *Event) bool {
 	return event.Outcome == Rejected && event.NewConnection && event.RetryAfter == 0 &&
 		p.settings.LoadReports && !event.Load.Present
@@ -69,11 +71,12 @@
 	}
 }
 
-// observeConnectionRejection backs an endpoint off for about as long as others use a connection,
-// then ever longer, each relay for a random time. Only a long run counts as an outage.
+// observeConnectionRejection backs an endpoint off, at first for about as long as other relays use
+// a connection, then for longer with each rejection in a row. The time is random, so that relays
+// don't retry together. Only a long run of rejections counts as an outage.
 func (p *Policy) observeConnectionRejection(call *callState) {
 	endpoint := call.endpoint
-	endpoint.route.tokens.tokens++ // it took nothing of the rate limit
+	endpoint.route.tokens.tokens++ // the call didn't count against the rate limit
 	endpoint.connectionRejections++
 	if endpoint.connectionRejections == 1 {
 		endpoint.connectionRejectedSince = p.now
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -1,25 +1,28 @@
 package policy
 
-// Estimates of how long an answer takes at most, from the mean and the mean deviation of the latency.
+// The bound on the time to an answer is the mean latency and its mean deviation, each times its
+// factor.
 const (
 	latencyBoundMeans      = 4
 	latencyBoundDeviations = 4
-	// minimumWaitDivisor gives the part of the bound that is enough for an answer nearly always:
-	// with all of it, messages near their deadline would each go alone and use up a limit on calls.
+	// minimumWaitDivisor divides the bound to give a time within which an answer nearly always comes.
+	// With the whole bound, messages near their deadline would each need a call of their own and use
+	// up a limit on calls.
 	minimumWaitDivisor = 2
 )
 
-// Ticks of the host between a decision and its effect.
+// Margins for the delay between a decision and its effect at the host, in ticks.
 const (
-	deadlineMarginTicks = 3 // from the final response's decision to the deadline
-	dedupMarginTicks    = 2 // from the latest retry to the end of the deduplication window
+	deadlineMarginTicks = 3 // how long before the deadline a final response is decided
+	dedupMarginTicks    = 2 // how long before the end of the deduplication window the latest retry is decided
 )
 
-// deadlineMargin is how long before its deadline a message is completed at the latest, in microseconds.
+// deadlineMargin is how long before its deadline a message is completed at the latest, in
+// microseconds.
 func (p *Policy) deadlineMargin() Time { return deadlineMarginTicks * p.settings.Tick }
 
-// checkMessage completes a message that would run out of time before the next check, or can't be
-// sent again.
+// checkMessage completes a message whose deadline is less than the margin away, or that has neither
+// a call in flight nor an attempt left.
 func (p *Policy) checkMessage(message *messageState) {
 	if message.isCompleted {
 		return
@@ -33,17 +36,17 @@
 	p.completeUndelivered(message)
 }
 
-// latestTimeout is the latest moment at which an attempt of a message may time out.
+// latestTimeout is the latest time at which an attempt of a message may time out.
 func (p *Policy) latestTimeout(message *messageState) Time {
 	return message.deadline - 2*p.deadlineMargin()
 }
 
-// attemptTimeout is when an attempt times out. Where the messages of a call have different
-// time-outs, an answer after one of them says nothing of the others, so all end with the call at
-// the latest.
+// attemptTimeout is when an attempt times out, which is at the end of its call at the latest. If
+// messages of a call had different time-outs, an answer after one of these would say nothing about
+// the other messages.
 func (p *Policy) attemptTimeout(message *messageState, call *callState) Time {
 	if message.class.Idempotency == NonIdempotent {
-		return call.timeoutBy // it has no retry to save time for
+		return call.timeoutBy // it has no retry to leave time for
 	}
 	span := float64(message.class.LatencyObjective)
 	if latency := &call.endpoint.route.latency; latency.samples > 0 {
@@ -52,7 +55,7 @@
 	return min(call.timeoutBy, p.now+Time(span))
 }
 
-// expectedLatencyBound is how long a call to an endpoint usually takes at most.
+// expectedLatencyBound is the time within which a call to an endpoint usually ends.
 func (p *Policy) expectedLatencyBound(endpoint *endpointState) Time {
 	if endpoint.latency.samples == 0 {
 		return latencyBoundMeans * p.typicalLatency(endpoint.route.dest)
@@ -60,7 +63,7 @@
 	return Time(endpoint.latency.bound())
 }
 
-// minimumWait is the moment by which an answer to a call made now has nearly always come.
+// minimumWait is the time by which an answer to a call made now has nearly always come.
 func (p *Policy) minimumWait(message *messageState, endpoint *endpointState) Time {
 	return min(p.latestTimeout(message), p.now+p.expectedLatencyBound(endpoint)/minimumWaitDivisor)
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// idleWeightDivisor gives the urgency of a message that loses nothing by waiting, as a part of its
-// weight.
+// idleWeightDivisor divides the weight of a message to give the urgency that it has even if it
+// loses nothing by waiting.
 const idleWeightDivisor = 1000
 
-// dispatch sends the messages that lose most by waiting. It examines the destinations that an event
-// or a timer has changed and those that only waited for a call slot: its cost must not grow with
-// the list.
+// dispatch sends messages, those first that lose most by waiting. It examines only the destinations
+// that an event or a timer has changed and those that waited for a call slot, so that its cost
+// doesn't grow with the number of destinations.
 func (p *Policy) dispatch() {
 	p.recheckAwaitingSlot()
 	p.examineChanged()
@@ -24,7 +24,8 @@
 
 func (p *Policy) hasFreeSlot() bool { return p.callsInFlight < p.settings.MaxCalls }
 
-// recheckAwaitingSlot has the choices that waited for a slot made anew once there is one.
+// recheckAwaitingSlot has the destinations that waited for a call slot examined again once a slot
+// is free.
 func (p *Policy) recheckAwaitingSlot() {
 	if !p.hasFreeSlot() {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// updateSaturation notes since when messages wait with every call slot taken.
+// updateSaturation records since when messages wait while every call slot is taken.
 func (p *Policy) updateSaturation() {
 	if p.hasFreeSlot() || len(p.pending) <= p.pendingInFlight {
 		p.saturatedSince = 0
@@ -82,14 +83,15 @@
 	}
 }
 
-// selectNextMessage finds the message of a destination that loses most if it waits for the queue;
-// among those that lose nothing, the one whose latency objective ends first.
+// selectNextMessage selects, of the messages of a destination that may be sent now, the one that
+// loses most if it waits until the queue is empty; among those that lose nothing, the one whose
+// latency objective ends first.
 func (p *Policy) selectNextMessage(dest *destination) {
 	dest.nextMessage = nil
 	if len(dest.queue) == 0 {
 		return
 	}
-	if p.hasOpenRoute(dest) { // else sorting would cost more than the work there is
+	if p.hasOpenRoute(dest) { // otherwise nothing may be sent and sorting is wasted
 		p.sortQueue(dest)
 		for _, message := range dest.queue {
 			if endpoint := p.selectEndpoint(message); endpoint != nil {
@@ -116,7 +118,8 @@
 	})
 }
 
-// scheduleExamination has a destination examined when time alone may let something go there.
+// scheduleExamination has a destination examined at the next time at which one of its messages may
+// become sendable without any event.
 func (p *Policy) scheduleExamination(dest *destination) {
 	at := p.nextSendTime(dest)
 	if at < math.MaxInt64 && (dest.wakeAt <= p.now || at < dest.wakeAt) {
@@ -125,8 +128,8 @@
 	}
 }
 
-// nextSendTime is the next moment at which time alone may let something go to a destination; the
-// last moment of all where there is none.
+// nextSendTime is the next time at which a message to a destination may become sendable without any
+// event; math.MaxInt64 if there is none.
 func (p *Policy) nextSendTime(dest *destination) Time {
 	next := Time(math.MaxInt64)
 	for _, route := range dest.routes {
@@ -158,19 +161,20 @@
 	return next
 }
 
-// hasTimedRule reports whether the class has a rule that ends with time: most have none, which
-// saves a long queue the rest.
+// hasTimedRule reports whether the class of a message has a rule that expires with time. Most
+// classes have none, which saves further checks on the messages of a long queue.
 func (message *messageState) hasTimedRule() bool {
 	return message.class.Ordered || message.class.Idempotency == NonIdempotent
 }
 
-// nextEligibility is when a rule of a message's class ends that may keep it from being sent.
+// nextEligibility is when a rule that may keep a message of this class from being sent expires;
+// math.MaxInt64 if there is none.
 func (p *Policy) nextEligibility(message *messageState) Time {
 	next := Time(math.MaxInt64)
 	if queue := p.orderedQueueOf(message); queue != nil && queue.cooldownUntil > p.now {
 		next = queue.cooldownUntil
 	}
-	// Once it is late, a non-idempotent message may go to an ejected endpoint.
+	// Once a non-idempotent message is late, it may go to an ejected endpoint.
 	if message.class.Idempotency == NonIdempotent && message.objectiveAt >= p.now {
 		next = min(next, message.objectiveAt+1)
 	}
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -1,11 +1,11 @@
 package policy
 
-// clientReleaseDelay is the time from the first refusal of connections until those of clients are
-// closed: it takes a while until all clients know of it.
+// clientReleaseDelay is the time from when the relay stops accepting connections until it closes
+// those of its clients: it takes a while until all clients know of the drain.
 const clientReleaseDelay = 6 * second / 10
 
-// startDrain empties the relay of its clients. Messages that it holds or still gets are delivered
-// as ever: the process goes on, and has accepted them.
+// startDrain begins to send the relay's clients away. Messages that it holds or still receives are
+// delivered as usual: the process keeps running and has accepted them.
 func (p *Policy) startDrain() {
 	if p.drainingSince > 0 {
 		return
@@ -14,7 +14,7 @@
 	p.drainingSince = since
 	p.emit(Action{Kind: ActionStopAccepting})
 	p.schedule(since+clientReleaseDelay, func() {
-		if p.drainingSince == since { // not ended meanwhile
+		if p.drainingSince == since { // the drain was not ended meanwhile
 			p.emit(Action{Kind: ActionReleaseClients})
 		}
 	})
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -4,12 +4,13 @@
 
 // Factors of the expected cost of a call.
 const (
-	otherZoneCost = 1.5 // a longer way
-	trialCost     = 2.0 // an endpoint that has not answered since its outage is the last choice
+	otherZoneCost = 1.5 // for an endpoint in another zone, which is farther away
+	trialCost     = 2.0 // for an endpoint without an answer since its outage, which is the last choice
 )
 
-// selectEndpoint picks the endpoint for a message: healthy before slow-starting before ejected,
-// then the soonest answer. It gives nil where none may be called.
+// selectEndpoint picks the endpoint for a message. It prefers healthy endpoints to those in slow
+// start, and these to ones that await recovery; among equals it picks the one that is expected to
+// answer first. It returns nil if no endpoint may be called.
 func (p *Policy) selectEndpoint(message *messageState) (selected *endpointState) {
 	lowest := math.Inf(1)
 	for _, route := range message.dest.routes {
@@ -28,8 +29,8 @@
 	return selected
 }
 
-// callCost is the expected time to an answer in microseconds, with a surcharge where another is
-// preferred.
+// callCost is the expected time to an answer in microseconds, with surcharges for an endpoint that
+// is less preferred.
 func (p *Policy) callCost(message *messageState, endpoint *endpointState) float64 {
 	latency := endpoint.latency.mean
 	if endpoint.latency.samples == 0 {
@@ -43,7 +44,7 @@
 	if endpoint.zone != p.settings.Zone {
 		cost *= otherZoneCost
 	}
-	if message.lastFailedEndpoint == endpoint { // another may do better, whatever the cause
+	if message.lastFailedEndpoint == endpoint { // another may succeed, whatever the cause
 		cost += float64(message.class.LatencyObjective)
 	}
 	if endpoint.isEjected {
@@ -55,7 +56,7 @@
 	return cost
 }
 
-// maySend checks every rule on a message and an endpoint together.
+// maySend checks every rule on a message and an endpoint, separately and together.
 func (p *Policy) maySend(message *messageState, endpoint *endpointState) bool {
 	if message.isCompleted || message.call != nil || p.hasNoAttemptLeft(message) {
 		return false
@@ -71,7 +72,7 @@
 		return false
 	}
 	if message.class.Idempotency == NonIdempotent && endpoint.awaitsRecovery() {
-		return p.now > message.objectiveAt // its one attempt that may run is not risked before it is late
+		return p.now > message.objectiveAt // its only attempt is not spent on a trial before it is late
 	}
 	return true
 }
--- a/policy/event.go
+++ b/policy/event.go
@@ -1,47 +1,47 @@
 package policy
 
-// Endpoint names one endpoint of a destination; nothing can be read from it.
+// Endpoint identifies one endpoint of a destination. The policy doesn't interpret its value.
 type Endpoint uint64
 
-// EventKind says what has happened.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// Kinds of event, each with the fields of Event that it uses beside Kind.
+// Kinds of event. Each comment lists the fields of Event that are set beside Kind.
 const (
-	// EventListUpdate brings the endpoint list: ListUpdate, Entries.
+	// EventListUpdate carries an update of the endpoint list: ListUpdate, Entries.
 	EventListUpdate EventKind = iota
-	// EventMessage brings a message: Message, Key, TimeLeft, Class, Dest, Tenant, EstimatedCost,
-	// NeverSpill; of one that an earlier process admitted Recovered, Attempts, UnknownOutcomeAt,
-	// UnknownOutcomeZone, InFlightEndpoint, InFlightSince; of one that is loaded Spilled,
-	// OverQuota.
+	// EventMessage hands over a message: Message, Key, TimeLeft, Class, Dest, Tenant, EstimatedCost,
+	// NeverSpill. A message that an earlier process admitted also has Recovered, Attempts,
+	// UnknownOutcomeAt, UnknownOutcomeZone, InFlightEndpoint, InFlightSince. One that is loaded after
+	// it was spilled also has Spilled, OverQuota.
 	EventMessage
 	// EventResponseStarted says that a response has begun to reach the client: Message, Attempt.
 	EventResponseStarted
 	// EventAttemptDone ends an attempt: Message, Attempt, Endpoint, Outcome, Final, CallsExhausted,
 	// LocalFailure, RetryAfter, Latency, Load, NewConnection.
 	EventAttemptDone
-	// EventWithdraw says that no client waits for a message: Message; of a spilled one Spilled,
-	// Dest, Class, Key.
+	// EventWithdraw says that no client waits for a message any more: Message; for a spilled message
+	// also Spilled, Dest, Class, Key.
 	EventWithdraw
 	// EventTimer says that a timer is due: Token.
 	EventTimer
 	// EventHealthChecked ends a health check: Endpoint, Outcome, Latency, Load.
 	EventHealthChecked
-	// EventDrain has the relay emptied of clients, at an operator's request.
+	// EventDrain starts a drain at an operator's request: the relay sends its clients away.
 	EventDrain
-	// EventActivate has it accept clients again.
+	// EventActivate ends a drain: the relay accepts clients again.
 	EventActivate
 )
 
-// ListUpdateKind says what an EventListUpdate holds.
+// ListUpdateKind says what the Entries of an EventListUpdate are.
 type ListUpdateKind uint8
 
 // Kinds of list update.
 const (
-	ListDelta  ListUpdateKind = iota // only changed entries
-	ListFull                         // the whole list; what is not in it is gone
-	ListCached                       // the whole list as last received, maybe old
-	ListFailed                       // the request failed; the old list stands
+	ListDelta  ListUpdateKind = iota // changed entries only
+	ListFull                         // the whole list; an endpoint that is not in it is removed
+	ListCached                       // the whole list as last received, which may be out of date
+	ListFailed                       // none: the request failed, and the previous list stays in force
 )
 
 // Readiness is the state of an endpoint in the list. The zero value is Removed.
@@ -54,14 +54,14 @@
 	Draining
 )
 
-// Entry is a line of the endpoint list.
+// Entry is one entry of the endpoint list.
 type Entry struct {
 	Endpoint Endpoint
 	Zone     int
 	Kind     int // index in Settings.Kinds
 	Dest     int
 	State    Readiness
-	Rate     float64 // calls a second that the destination, or the separate route, takes from all relays
+	Rate     float64 // calls a second that the destination, or the separate route, accepts from all relays
 }
 
 // Outcome is how an attempt or a health check ended.
@@ -70,24 +70,25 @@
 // Outcomes.
 const (
 	Delivered       Outcome = iota
-	Errored                 // answered with an error; may have run
-	Rejected                // rejected unseen; never ran
-	TimedOut                // no answer in time; may have run or still do so
-	ConnectFailed           // no connection in time; never ran
-	ConnectionReset         // the connection broke; may have run
-	Cancelled               // cancelled by the relay; may have run
-	NotSent                 // never left the relay; never ran
-	outcomeCount            // count of the outcomes
+	Errored                 // the endpoint answered with an error; the message may have run
+	Rejected                // the endpoint rejected the call unprocessed; the message never ran
+	TimedOut                // no answer came in time; the message may have run or may still be running
+	ConnectFailed           // no connection was made in time; the message never ran
+	ConnectionReset         // the connection broke during the call; the message may have run
+	Cancelled               // the relay cancelled the attempt; the message may have run
+	NotSent                 // the attempt never left the relay; the message never ran
+	outcomeCount            // number of outcomes
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == ConnectFailed || o == NotSent }
 
-// LoadReport is what an endpoint reports of its rate limit with an answer. The zero value is no report.
+// LoadReport is what an answer tells about the rate limit of its endpoint. The zero value is no
+// report.
 type LoadReport struct {
 	Remaining float64 // fraction of the limit that is left
-	Limit     float64 // calls a second; 0 where none is reported
-	Present   bool    // the answer held a report at all
+	Limit     float64 // calls a second; 0 if the report has none
+	Present   bool    // the answer had a report
 }
 
 // Event is something that has happened to the relay. Kind says which fields are set.
@@ -95,43 +96,44 @@
 	Kind           EventKind
 	ListUpdate     ListUpdateKind
 	Outcome        Outcome
-	Final          bool // EventAttemptDone: the message has had its final response
+	Final          bool // EventAttemptDone: the client has had its final response
 	CallsExhausted bool // EventAttemptDone, NotSent: all call slots were taken
-	LocalFailure   bool // EventAttemptDone, NotSent: this machine could not make the call; it is no attempt
-	Attempt        int  // from 0
+	LocalFailure   bool // EventAttemptDone, NotSent: the call failed on this machine and is no attempt
+	Attempt        int  // number of the attempt, from 0
 	Class          int  // index in Settings.Classes
 	Dest           int
-	Tenant         int // index in Settings.Tenants; anything else for none
+	Tenant         int // index in Settings.Tenants; any other value is no tenant
 	Message        uint32
 	Endpoint       Endpoint
-	Key            uint64 // 0 for none
+	Key            uint64 // orders the messages of an ordered class; 0 for none
 	Token          uint64
-	TimeLeft       Time // EventMessage: until its deadline
-	EstimatedCost  Time // EventMessage: a guess of its cost; 0 for none
+	TimeLeft       Time // EventMessage: time left until its deadline
+	EstimatedCost  Time // EventMessage: estimated cost of running it; 0 for no estimate
 	RetryAfter     Time // EventAttemptDone: how long the destination asks to wait; 0 for none
 	Latency        Time
 	Load           LoadReport
 	NewConnection  bool // EventAttemptDone: the connection was opened for this call
 	Entries        []Entry
 
-	// EventMessage, of a message that an earlier process admitted: that it is, its attempts
-	// so far, the send of the first of them that may have run (0 for none) and its zone.
+	// EventMessage, for a message that an earlier process admitted: that this is so, how many attempts
+	// it has had, when the first attempt that may have run was sent (0 for none), and the zone of that
+	// attempt's endpoint.
 	Recovered          bool
 	Attempts           int
 	UnknownOutcomeAt   Time
 	UnknownOutcomeZone int
 
-	// EventMessage, of a message that was spilled and is loaded; with it Recovered and
-	// OverQuota as the ActionSpill had them, and the rest as the log has it.
+	// EventMessage, for a message that was spilled and is now loaded. Recovered and OverQuota then
+	// have the values of its ActionSpill, and the other fields those in the host's log.
 	Spilled   bool
 	OverQuota bool
 
-	// EventMessage: it is never spilled, since it may still be withdrawn where the
-	// host cannot tell which message that is.
+	// EventMessage: the message must not be spilled, since it may still be withdrawn at a point where
+	// the host could not tell which spilled message that is.
 	NeverSpill bool
 
-	// EventMessage, where another process of this relay has the newest of these
-	// attempts in flight: its endpoint (0 for none) and its send.
+	// EventMessage, when another process of this relay has the newest attempt of the message in
+	// flight: the endpoint of that attempt (0 for none) and when it was sent.
 	InFlightEndpoint Endpoint
 	InFlightSince    Time
 }
--- a/policy/history.go
+++ b/policy/history.go
@@ -1,23 +1,23 @@
 package policy
 
-// callHistory counts requests and accepts over a rolling span. It is made by newCallHistory.
+// callHistory counts requests and accepts over a rolling span. It is created by newCallHistory.
 type callHistory struct {
 	binWidth  Time
 	bins      []historyBin
-	newestBin Time // number of the newest bin since the clock's zero
+	newestBin Time // number of the newest bin, counted from the clock's zero
 	total     historyBin
-	startedAt Time // first use
+	startedAt Time // time of the first use
 	isStarted bool
 }
 
-// historyBin counts the requests and accepts of one step of a span.
+// historyBin counts the requests and accepts of one bin of a history.
 type historyBin struct{ requests, accepts float64 }
 
 func newCallHistory(span Time, binCount int) callHistory {
 	return callHistory{binWidth: span / Time(binCount), bins: make([]historyBin, binCount)}
 }
 
-// roll drops the bins that have left the span and gives the one for now.
+// roll drops the bins that have left the span and returns the current bin.
 func (h *callHistory) roll(now Time) *historyBin {
 	current := now / h.binWidth
 	if !h.isStarted {
@@ -36,7 +36,7 @@
 	return &h.bins[h.newestBin%size]
 }
 
-// add counts a bin of another history at a moment.
+// add adds the counts of a bin of another history at a given time.
 func (h *callHistory) add(at Time, counts historyBin) {
 	bin := h.roll(at)
 	bin.requests += counts.requests
@@ -55,7 +55,7 @@
 	h.total.accepts++
 }
 
-// withdrawRequest takes back a request that was counted a moment ago.
+// withdrawRequest undoes the counting of a request that was just recorded.
 func (h *callHistory) withdrawRequest(now Time) {
 	if bin := h.roll(now); bin.requests >= 1 {
 		bin.requests--
@@ -68,7 +68,8 @@
 	return h.total.requests, h.total.accepts
 }
 
-// acceptRate is accepts a second over the span, or since the start while that is shorter.
+// acceptRate is the number of accepts a second over the span, or since the first use while that is
+// shorter.
 func (h *callHistory) acceptRate(now Time) float64 {
 	h.roll(now)
 	span := min(now-h.startedAt, h.binWidth*Time(len(h.bins)))
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// latencyGain is the weight of a new sample, as a divisor.
+// latencyGain is the divisor that gives the weight of a new sample.
 const latencyGain = 8
 
 // latencyEstimate is a smoothed mean and mean deviation of the time to an answer, in microseconds,
-// as TCP estimates its round trip. The zero value has no samples.
+// computed as TCP estimates its round-trip time. The zero value has no samples.
 type latencyEstimate struct {
 	mean, deviation float64
 	samples         int
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -2,12 +2,13 @@
 
 import "math"
 
-// reserveDivisor keeps one part in so many of MaxMessages free: a message rejected on arrival may
-// be worth more than the least one held.
+// reserveDivisor divides MaxMessages to give the number of places that are kept free: a message
+// that is rejected on arrival may be worth more than the least valuable one held.
 const reserveDivisor = 16
 
-// shedLoad rejects the least valuable messages while the relay is nearly full. Value counts the time to
-// delivery, so that messages of a destination in an outage don't take the capacity of others.
+// shedLoad rejects the least valuable messages while the relay is nearly full. The value of a
+// message takes into account when it can be delivered, so that messages of a destination in an
+// outage don't take the capacity of others.
 func (p *Policy) shedLoad() {
 	reserve := max(1, p.settings.MaxMessages/reserveDivisor)
 	for p.settings.MaxMessages > 0 && len(p.pending)+p.spill.messages > p.settings.MaxMessages-reserve {
@@ -19,7 +20,7 @@
 	}
 }
 
-// leastValuable finds the message to shed; nil where none may be rejected.
+// leastValuable returns the message to shed; nil if none may be rejected.
 func (p *Policy) leastValuable() (least *messageState) {
 	lowest := math.Inf(1)
 	p.shedPass++
@@ -35,12 +36,13 @@
 	return least
 }
 
-// queueClearTime is when the queue of a destination will be empty, estimated once in a pass.
+// queueClearTime is when the queue of a destination will be empty. It is estimated once for each
+// search for a message to shed.
 func (p *Policy) queueClearTime(dest *destination) Time {
 	if dest.queueClearPass != p.shedPass {
 		dest.queueClearPass = p.shedPass
 		start := p.nextSendTime(dest)
-		if start == math.MaxInt64 { // it waits for an outcome, not for time to pass
+		if start == math.MaxInt64 { // its next send depends on an outcome, not on time
 			start = p.now
 		}
 		dest.queueClearAt = start + p.estimateQueueTime(dest)
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -7,13 +7,14 @@
 	maxLocalFailureBackoff = 400 * second / 1000
 )
 
-// maxBackoffDoublings keeps the shift of a backoff inside its type; every bound is reached before it.
+// maxBackoffDoublings limits how often a backoff is doubled by a shift, so that it can't overflow.
+// Every backoff reaches its own bound before that.
 const maxBackoffDoublings = 8
 
-// observeLocalFailure takes back a call that this machine could not make, for one of its messages:
-// its log took no record or no connection could be opened from here. That says nothing of the
-// endpoint and was no attempt. The route backs off, ever longer, as the cause may concern this
-// destination alone: ports that are used up, say.
+// observeLocalFailure undoes, for one message, the counting of a call that this machine could not
+// make: its log took no record, or no connection could be opened from here. This says nothing about
+// the endpoint and was no attempt. The route backs off for longer each time, as the cause may
+// concern this destination alone: for example, local ports that are used up.
 func (p *Policy) observeLocalFailure(message *messageState, call *callState) {
 	message.attempts--
 	if call.isLocalFailure {
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -1,10 +1,10 @@
 package policy
 
-// pollsPerInterval is how often the endpoint list is asked for in one PollInterval: an answer may
-// be lost or late.
+// pollsPerInterval is how many times the endpoint list is requested in one PollInterval, since an
+// answer may be lost or late.
 const pollsPerInterval = 2
 
-// pollEndpointList asks for the endpoint list where changes are not pushed and the list is due.
+// pollEndpointList requests the endpoint list where changes are not pushed and a request is due.
 func (p *Policy) pollEndpointList() {
 	if !p.settings.PollList {
 		return
@@ -15,11 +15,11 @@
 	}
 }
 
-// updateEndpoints applies a list update. A draining or removed endpoint gets nothing new from this
-// moment on.
+// updateEndpoints applies a list update. A draining or removed endpoint gets no new call from then
+// on.
 func (p *Policy) updateEndpoints(event *Event) {
 	if event.ListUpdate == ListFailed {
-		return // the timer polls again
+		return // a timer requests the list again
 	}
 	listed := map[Endpoint]bool{}
 	for i := range event.Entries {
@@ -34,7 +34,7 @@
 
 func (p *Policy) updateEndpoint(entry *Entry) {
 	endpoint := p.endpoints[entry.Endpoint]
-	if endpoint != nil && endpoint.route.dest.id != entry.Dest { // it moved: its old state says nothing
+	if endpoint != nil && endpoint.route.dest.id != entry.Dest { // it moved, so its old state is useless
 		p.removeEndpoint(endpoint)
 		endpoint = nil
 	}
@@ -55,16 +55,15 @@
 }
 
 func (p *Policy) removeUnlisted(listed map[Endpoint]bool) {
-	for id, endpoint := range p.endpoints { // in any order: removals don't affect each other
+	for id, endpoint := range p.endpoints { // in any order, since removals don't affect each other
 		if !listed[id] {
 			p.removeEndpoint(endpoint)
 		}
 	}
 }
 
-// removeEndpoint drops an endpoint, healthy or not; its calls in flight still count. A separate
-// route whose Retry-After is in force is remembered, so that it binds the endpoint if it comes
-// back.
+// removeEndpoint removes an endpoint, healthy or not. Its calls in flight still count. A separate
+// route whose Retry-After is in force is remembered, so that it applies if the endpoint comes back.
 func (p *Policy) removeEndpoint(endpoint *endpointState) {
 	endpoint.state = Removed
 	route := endpoint.route
@@ -95,8 +94,8 @@
 	return endpoint
 }
 
-// setDestinationKind takes over the kind that the list gives; one that the settings don't know
-// changes nothing.
+// setDestinationKind sets the kind that the list gives a destination. A kind that the settings
+// don't have is ignored.
 func (p *Policy) setDestinationKind(dest *destination, kind int) {
 	if kind >= 0 && kind < len(p.settings.Kinds) {
 		if dest.kindIndex != kind && len(dest.routes) > 0 {
--- a/policy/ordered_queue.go
+++ b/policy/ordered_queue.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// orderedQueue holds the pending messages of one key of the ordered classes: one is sent at a time.
-// Its spilled messages have a place in it, too. The zero value is ready for use.
+// orderedQueue holds the pending messages of one key of the ordered classes in order; one is sent
+// at a time. It also knows the place of its spilled messages. The zero value is ready for use.
 type orderedQueue struct {
 	messages      []*messageState
-	cooldownUntil Time         // no first attempt before: an earlier one may still run
-	spilledCount  int          // messages that only the log holds
-	spilledIndex  int          // their place in messages
-	spilledTo     *destination // of all of them
+	cooldownUntil Time         // no message is first sent before this, since an earlier attempt may still run
+	spilledCount  int          // number of messages that only the host's log holds
+	spilledIndex  int          // index in messages at which the spilled ones belong
+	spilledTo     *destination // destination of all spilled ones
 }
 
-// orderedQueueOf gives the queue that a message takes its turn in; nil for none.
+// orderedQueueOf returns the queue of the message's key; nil for none.
 func (p *Policy) orderedQueueOf(message *messageState) *orderedQueue {
 	if !message.class.Ordered {
 		return nil
@@ -20,8 +20,8 @@
 	return p.orderedQueues[message.key]
 }
 
-// joinOrderedQueue gives a message its place among those of its key. One that comes straight behind
-// spilled ones is spilled with them.
+// joinOrderedQueue adds an ordered message to the queue of its key. A message that directly follows
+// spilled ones is spilled too.
 func (p *Policy) joinOrderedQueue(message *messageState, wasSpilled bool) {
 	if !message.isOrdered() {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// isNextInOrder reports whether an ordered message may be sent before all others of its key.
+// isNextInOrder reports whether an ordered message is the next of its key and may be sent now.
 func (p *Policy) isNextInOrder(message *messageState) bool {
 	queue := p.orderedQueues[message.key]
 	if queue == nil || queue.messages[0] != message || queue.startsSpilled() {
@@ -47,7 +47,7 @@
 	return message.attempts != 0 || queue.cooldownUntil <= p.now
 }
 
-// coolDownKey holds back a key after an attempt that may still be running.
+// coolDownKey holds back the next message of a key after an attempt that may still be running.
 func (p *Policy) coolDownKey(message *messageState, outcome Outcome) {
 	if outcome != TimedOut && outcome != ConnectionReset && outcome != Cancelled {
 		return
@@ -57,8 +57,8 @@
 	}
 }
 
-// wakeNextInOrder has the first message of a key considered, and drops an empty queue once its
-// cooldown is over.
+// wakeNextInOrder has the destination of the first message of a key examined. If the queue is
+// empty, it deletes the queue once its cooldown is over.
 func (p *Policy) wakeNextInOrder(key uint64, queue *orderedQueue) {
 	if len(queue.messages) > 0 {
 		p.markChanged(queue.messages[0].dest)
@@ -71,7 +71,8 @@
 	})
 }
 
-// insert adds a message: at the end, or one that was spilled in the place of the spilled ones.
+// insert adds a message to the queue: one that was spilled at the place of the spilled ones, any
+// other at the end.
 func (queue *orderedQueue) insert(message *messageState, wasSpilled bool) {
 	if !wasSpilled {
 		queue.messages = append(queue.messages, message)
@@ -82,14 +83,14 @@
 	queue.spilledIndex++
 }
 
-// followsSpilled reports whether a message that was just added comes straight behind spilled ones
-// that the host gives back in order with it: those of its destination.
+// followsSpilled reports whether a message that was just added directly follows spilled messages of
+// its own destination. The host can load such messages in order with it.
 func (queue *orderedQueue) followsSpilled(message *messageState) bool {
 	return queue.spilledCount > 0 && queue.spilledTo == message.dest &&
 		queue.spilledIndex == len(queue.messages)-1 && queue.messages[queue.spilledIndex] == message
 }
 
-// recordSpill counts the last message as spilled.
+// recordSpill records that the last message of the queue is spilled.
 func (queue *orderedQueue) recordSpill(message *messageState) {
 	if queue.spilledCount == 0 {
 		queue.spilledTo, queue.spilledIndex = message.dest, len(queue.messages)-1
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -4,40 +4,40 @@
 
 // Outlier detection, by a moving average of an endpoint's failures.
 const (
-	failureScoreDecay = 0.7 // weight of the past in the average
-	ejectionScore     = 0.6 // most calls fail: three in a row from a clean start pass it
+	failureScoreDecay = 0.7 // weight of the past in the moving average
+	ejectionScore     = 0.6 // exceeded when most calls fail; three failures in a row, from 0, are enough
 	failingScore      = 1 - failureScoreDecay
-	// maxBackoffFactor is the length of a backoff after a failure, in parts of the time since the
-	// first failure of the run, where relays are many.
+	// maxBackoffFactor is the length of the backoff after a failure where relays are many, as a
+	// multiple of the time since the first failure of the run.
 	maxBackoffFactor = 3.0
 )
 
-// observeSuccess counts a success. It starts the slow start of an ejected endpoint if the call left
-// after the last failure.
+// observeSuccess counts a success. For an ejected endpoint it begins the slow start if the call was
+// sent after the last failure.
 func (p *Policy) observeSuccess(endpoint *endpointState, sentAt Time) {
 	endpoint.failureScore *= failureScoreDecay
 	endpoint.lastSuccessAt = p.now
 	endpoint.lastSuccessSentAt = max(endpoint.lastSuccessSentAt, sentAt)
 	if endpoint.awaitsRecovery() && sentAt >= endpoint.lastFailureAt {
 		endpoint.recoveredAt, endpoint.recoverySentAt = p.now, sentAt
-		p.logf("dest %d: answers again, ramp", endpoint.route.dest.id)
+		p.logf("dest %d: endpoint answers again, slow start begins", endpoint.route.dest.id)
 	}
 }
 
 // observeFailure counts a failure, which backs the endpoint off and may eject it.
 func (p *Policy) observeFailure(endpoint *endpointState, sentAt Time, isUnresponsive bool) {
 	if endpoint.recoveredAt > 0 && sentAt < endpoint.recoverySentAt {
-		return // a call from before the recovery says nothing of it
+		return // a call sent before the recovery says nothing about it
 	}
 	if endpoint.lastFailureAt <= endpoint.lastSuccessAt {
 		endpoint.firstFailureAt = p.now
 	}
 	endpoint.failureScore = endpoint.failureScore*failureScoreDecay + 1 - failureScoreDecay
 	if endpoint.recoveredAt == 0 || endpoint.failureScore >= ejectionScore {
-		// Otherwise most calls pass, and one failure doesn't undo the slow start.
+		// While most calls succeed, one failure doesn't undo the slow start.
 		endpoint.lastFailureAt, endpoint.recoveredAt, endpoint.isUnresponsive = p.now, 0, isUnresponsive
 	}
-	// Two failures in a row say enough where calls are seldom.
+	// Where calls are rare, two failures in a row are enough to eject.
 	isLongRun := p.now-endpoint.firstFailureAt >= p.settings.OverloadWindow/2
 	if endpoint.isEjected || endpoint.failureScore < ejectionScore && !isLongRun {
 		backoff := p.backoffFactor(endpoint.route) * float64(p.now-endpoint.firstFailureAt)
@@ -47,8 +47,8 @@
 	p.eject(endpoint, isUnresponsive)
 }
 
-// eject limits an endpoint to trial calls, and with it those of its route that have shown no
-// success since its first failure.
+// eject limits an endpoint to trial calls, together with the endpoints of its route that have had
+// no success since its first failure.
 func (p *Policy) eject(failed *endpointState, isUnresponsive bool) {
 	for _, endpoint := range failed.route.endpoints {
 		isSuspect := !endpoint.isEjected && endpoint.lastSuccessAt < failed.firstFailureAt
@@ -61,11 +61,11 @@
 		endpoint.recoveryBudget = tokenBucket{refilledAt: p.now}
 		endpoint.nextCallCost = p.rng.Float64()
 	}
-	p.logf("dest %d: seen failing, trial calls", failed.route.dest.id)
+	p.logf("dest %d: endpoint ejected after failures, trial calls only", failed.route.dest.id)
 }
 
-// backoffFactor is the length of a backoff in parts of the age of a run of failures: less where few
-// relays send much each.
+// backoffFactor is the length of a backoff as a multiple of the time since the first failure of the
+// run. It is smaller where there are few relays that send many messages each.
 func (p *Policy) backoffFactor(route *routeState) float64 {
 	window := float64(p.settings.OverloadWindow)
 	messages := sharersPerMessage * p.estimateCapacity(route) * window / float64(second)
@@ -78,8 +78,8 @@
 	})
 }
 
-// Unavailable reports whether an endpoint gets nothing now but trial calls at most: it is not on
-// the list, drains, fails, backs off after a failure, or has asked this relay to wait.
+// Unavailable reports whether an endpoint gets at most trial calls now: it is not on the list, is
+// draining, fails, is in backoff after a failure, or has asked this relay to wait.
 func (p *Policy) Unavailable(id Endpoint, now Time) bool {
 	endpoint := p.endpoints[id]
 	if endpoint == nil || endpoint.route.retryAfterUntil > now || endpoint.state != Ready {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -4,9 +4,9 @@
 // gets back. The same settings, seed and events always give the same actions.
 //
 // The interface is in settings.go, event.go and action.go. The state is in state.go; each other
-// file holds one rule with its tuned constants. The ordinary path is adaptive throttling for each
-// destination (throttle.go) with a window on concurrent calls; a rule that departs from it names
-// its condition.
+// file holds one rule with its constants. Calls to a destination are normally limited by adaptive
+// throttling (throttle.go) and by a window on concurrent calls; a rule that departs from this says
+// under which condition.
 package policy
 
 import (
@@ -18,46 +18,47 @@
 // second is the number of Time units in a second.
 const second = Time(1e6)
 
-// seedStream is the second half of the generator's seed, so that only the first is left to the caller.
+// seedStream is the fixed second word of the random generator's seed; the caller chooses the first.
 const seedStream = 0x9e3779b97f4a7c15
 
-// minTick is the least time taken to pass between two events, where the settings give none.
+// minTick is the lower bound of Settings.Tick; it is also used where the settings give no tick.
 const minTick = second / 1000
 
-// Policy decides for one relay. Its zero value is of no use: New makes one. It is not safe for
-// concurrent use and holds nothing that needs closing.
+// Policy makes the decisions of one relay. New creates one; the zero value is not usable. A Policy
+// is not safe for concurrent use and holds nothing that needs closing.
 type Policy struct {
 	settings        Settings
-	rng             *rand.Rand // of all draws, whose order decides every later action
+	rng             *rand.Rand // source of all random draws, whose order affects every later action
 	now             Time
-	actions         []Action       // of the step that runs
-	destinations    []*destination // by number
+	actions         []Action       // emitted so far by the current Step
+	destinations    []*destination // sorted by id
 	endpoints       map[Endpoint]*endpointState
 	messages        map[uint32]*messageState
-	pending         []*messageState // not yet completed
+	pending         []*messageState // messages that are not yet completed
 	orderedQueues   map[uint64]*orderedQueue
 	timers          timerQueue[timerTask]
-	changed         []*destination // to be examined in this step
-	awaitingSlot    []*destination // could send if a call slot were free
+	changed         []*destination // destinations to be examined in this step
+	awaitingSlot    []*destination // destinations that could send if a call slot were free
 	spill           spillState
 	tenantQuotas    []tokenBucket
 	callsInFlight   int
 	lastCallID      uint32
 	pendingInFlight int  // pending messages with an attempt in flight
 	shedPass        int  // number of the latest search for a message to shed
-	timerAt         Time // for which the host was last asked for a timer
-	polledAt        Time // when the endpoint list was last asked for; 0 for never
-	// connectionShortage is the fraction of calls that found no connection, by kind of destination.
+	timerAt         Time // when the timer last requested from the host is due
+	polledAt        Time // when the endpoint list was last requested; 0 if never
+	// connectionShortage is the smoothed fraction of calls that found no connection, indexed by kind
+	// of destination.
 	connectionShortage []float64
-	lowestLimits       []lowestLimit   // by kind of destination
-	latency            latencyEstimate // of all deliveries
-	unansweredFraction float64         // of calls
-	saturatedSince     Time            // when messages began to wait with every call slot taken; 0 for not
-	drainingSince      Time            // 0 while not draining
+	lowestLimits       []lowestLimit   // lowest reported limits, indexed by kind of destination
+	latency            latencyEstimate // latency of all deliveries
+	unansweredFraction float64         // smoothed fraction of calls without an answer
+	saturatedSince     Time            // since when messages wait while no call slot is free; 0 if none do
+	drainingSince      Time            // start of the drain; 0 while not draining
 }
 
-// New makes a policy from its settings; the seed feeds all its draws. The error is that of
-// Settings.Validate.
+// New returns a policy with the given settings. All its random draws follow from the seed. The
+// error is that of Settings.Validate.
 func New(s Settings, seed uint64) (*Policy, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -79,8 +80,9 @@
 	return p, nil
 }
 
-// Step takes in the events up to now and appends the actions that follow from them to actions. Time
-// never runs backwards: an earlier now counts as the latest one seen.
+// Step processes the events that happened up to now and appends the resulting actions to actions.
+// Time never runs backwards: if now is earlier than in a previous call, the latest time seen is
+// used.
 func (p *Policy) Step(now Time, events []Event, actions []Action) []Action {
 	p.now, p.actions = max(now, p.now), actions
 	p.pollEndpointList()
@@ -122,5 +124,5 @@
 	p.emit(Action{Kind: ActionLog, Text: fmt.Sprintf(format, args...)})
 }
 
-// seconds is a span in seconds.
+// seconds converts a span of time to seconds.
 func seconds(span Time) float64 { return float64(span) / float64(second) }
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// fallbackLatencyDivisor gives the latency taken where nothing was measured yet, as a part of the
-// first class's latency objective.
+// fallbackLatencyDivisor divides the first class's latency objective to give the latency that is
+// assumed until one has been measured.
 const fallbackLatencyDivisor = 4
 
-// Estimates of how fast a queue empties.
+// Bounds on the estimated time until a queue is empty.
 const (
-	minQueueRate = 0.1 // messages a second: a stopped destination must not give an infinite time
-	maxQueueTime = 60  // seconds: beyond it the estimate says nothing more
+	minQueueRate = 0.1 // messages a second; a stopped destination must not give an infinite time
+	maxQueueTime = 60  // seconds; a longer estimate would say nothing more
 )
 
-// valueAt is the weight that a message earns if it is delivered at a moment.
+// valueAt is the weight that a message earns if it is delivered at a given time.
 func (p *Policy) valueAt(message *messageState, at Time) float64 {
 	switch {
 	case at <= message.objectiveAt:
@@ -27,8 +27,9 @@
 	return message.weight * (1 - (1-message.class.LateWeight)*late)
 }
 
-// updateDelayCosts estimates what each message of a queue loses by waiting: once for a sort, since
-// the cost of a queue must not grow faster than its length.
+// updateDelayCosts estimates what weight each message of a queue loses by waiting until the queue
+// is empty. It runs once before a sort, not for each comparison, so that its cost grows only in
+// proportion to the queue's length.
 func (p *Policy) updateDelayCosts(dest *destination) {
 	soon := p.now + p.typicalLatency(dest)
 	late := soon + p.estimateQueueTime(dest)
@@ -37,8 +38,8 @@
 	}
 }
 
-// estimateQueueTime is how long the destination takes for what waits there, as far as this relay
-// can tell.
+// estimateQueueTime estimates, from this relay's pace alone, how long the destination takes to
+// deliver the messages that wait for it.
 func (p *Policy) estimateQueueTime(dest *destination) Time {
 	rate := 0.0
 	for _, route := range dest.routes {
@@ -49,7 +50,8 @@
 	return Time(min(wait, maxQueueTime)*1e6) + p.typicalLatency(dest)
 }
 
-// typicalLatency is the mean time to an answer there, or anywhere where this destination has none yet.
+// typicalLatency is the mean latency of calls to a destination, or of all calls while this
+// destination has had no answer yet.
 func (p *Policy) typicalLatency(dest *destination) Time {
 	if len(dest.routes) > 0 && dest.routes[0].latency.samples > 0 {
 		return Time(dest.routes[0].latency.mean)
--- a/policy/resume.go
+++ b/policy/resume.go
@@ -1,7 +1,7 @@
 package policy
 
-// restoreAttempts gives a message that an earlier process admitted its attempts back. It may have
-// none left.
+// restoreAttempts restores the attempts of a message that an earlier process admitted. The message
+// is checked at once, since it may have no attempt left.
 func (p *Policy) restoreAttempts(message *messageState, event *Event) {
 	message.attempts = event.Attempts
 	if message.attempts > 0 {
@@ -15,8 +15,8 @@
 	}
 }
 
-// restoreInFlightCall counts a call that another process has in flight for a message. Messages sent
-// to one endpoint at one moment share a call.
+// restoreInFlightCall counts a call that another process has in flight for a message. Messages that
+// were sent to one endpoint at the same time share a call.
 func (p *Policy) restoreInFlightCall(message *messageState, event *Event) {
 	for _, other := range p.pending {
 		call := other.call
@@ -34,7 +34,7 @@
 
 func (p *Policy) newInFlightCall(dest *destination, event *Event) *callState {
 	endpoint := p.endpoints[event.InFlightEndpoint]
-	if endpoint == nil { // it has left the list since: what it does is counted apart
+	if endpoint == nil { // it is no longer listed, so it gets a route of its own
 		endpoint = &endpointState{id: event.InFlightEndpoint, route: newRoute(dest)}
 	}
 	p.reserveCall(endpoint)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,80 +2,82 @@
 
 import "fmt"
 
-// Time is a moment or a span in microseconds of the host's own clock.
+// Time is a point in time or a span of time in microseconds of the host's own clock.
 type Time = int64
 
-// Idempotency says what a second run of a message of a class would do. The zero value is Idempotent.
+// Idempotency says whether a message of a class may run more than once. The zero value is
+// Idempotent.
 type Idempotency uint8
 
 // Kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // the destination drops repeats inside the class's window
+	IdempotentByKey                    // the destination ignores a repeat within the class's DedupWindow
 	NonIdempotent                      // must never run twice
 )
 
 // Class is one class of message.
 type Class struct {
 	Name             string
-	LatencyObjective Time // delivered within this, a message earns its full weight
-	Deadline         Time // after this it earns nothing and must have had its final response
+	LatencyObjective Time // a message that is delivered within this time earns its full weight
+	Deadline         Time // after this time a message earns nothing and must have had its final response
 	Weight           float64
 	LateWeight       float64 // fraction of the weight left at the deadline
 	Idempotency      Idempotency
-	DedupWindow      Time // IdempotentByKey only: from the send of the first attempt that may have run
-	DedupPerZone     bool // IdempotentByKey only: only endpoints of one zone share the memory of keys
-	Ordered          bool // messages of one key go one at a time, in order of arrival
+	DedupWindow      Time // IdempotentByKey only: begins when the first attempt that may have run is sent
+	DedupPerZone     bool // IdempotentByKey only: only endpoints of the same zone recognize a repeat
+	Ordered          bool // messages with the same key are sent one at a time, in order of arrival
 }
 
-// Tenant is one of those who share the relay.
+// Tenant is one of the customers that share the relay.
 type Tenant struct {
 	Name  string
-	Quota float64 // messages a second over all relays; 0 for no limit
+	Quota float64 // messages a second over all relays together; 0 for no limit
 }
 
-// DestinationKind is a kind of destination.
+// DestinationKind holds what destinations of one kind have in common.
 type DestinationKind struct {
-	SeparateRoutes bool // its endpoints are separate routes, each with its own limit and outages
-	MaxBatch       int  // messages that may travel in one call; 0 means 1
+	SeparateRoutes bool // each endpoint is a route of its own, with its own rate limit and outages
+	MaxBatch       int  // number of messages that one call may carry; 0 means 1
 }
 
 // Settings is the configuration of a policy. It is read by New and not changed.
 type Settings struct {
-	Relays               int // relays that share the destinations, this one included
+	Relays               int // number of relays that share the destinations, this one included
 	Zone                 int
 	Classes              []Class
 	Tenants              []Tenant
 	Kinds                []DestinationKind
-	MaxCalls             int // calls in flight at once
-	MaxMessages          int // messages held at once; 0 for no limit
-	MaxResidentMessages  int // messages in memory at most, the rest spilled; 0 for all
-	MaxAttempts          int // attempts of one message; 0 for no limit
+	MaxCalls             int // maximum number of calls in flight
+	MaxMessages          int // maximum number of messages held, in memory or spilled; 0 for no limit
+	MaxResidentMessages  int // maximum number of messages in memory, the rest being spilled; 0 for no limit
+	MaxAttempts          int // maximum number of attempts of one message; 0 for no limit
 	HalvingWeight        bool
-	OverQuotaWeight      float64 // fraction of its weight that a message beyond its tenant's quota keeps
+	OverQuotaWeight      float64 // fraction of its weight that a message keeps if its tenant is over quota
 	WeightByCost         bool
-	LoadReports          bool    // answers hold load reports
-	ListedRates          bool    // list entries carry the calls a second that a destination takes
+	LoadReports          bool    // answers have load reports
+	ListedRates          bool    // list entries have the calls a second that a destination accepts
 	HealthChecks         bool    // health checks are allowed
 	Cancellation         bool    // cancelling an attempt is allowed
 	RetryAfter           bool    // a rejection tells the client when to retry
-	MaxRetryAfter        Time    // the longest such advice that clients heed
-	PollList             bool    // list changes come only when asked for
-	PollInterval         Time    // with PollList: the longest a list counts as fresh without asking
+	MaxRetryAfter        Time    // longest retry time that clients follow
+	PollList             bool    // changes of the endpoint list come only on request
+	PollInterval         Time    // with PollList: how long a list counts as up to date without a new request
 	ConnectTimeout       Time    // 0 when unknown
-	KeepAlive            Time    // idle connections close after this; 0 when unknown
-	StreamsPerConnection int     // calls that one connection carries at once; 0 means 1
-	Tick                 Time    // events come at most this often; 0 when unknown
-	ResponseSlack        Time    // time past a deadline in which a final response still counts
-	DrainGrace           Time    // time after the notification of a drain in which sends must have ended
-	SlowStartCapacity    float64 // fraction of its capacity that a destination has at least after an outage
-	SlowStartTime        Time    // by then at the latest it has all of it
-	OverloadFactor       float64 // sent more than this many times what it can do ...
-	OverloadWindow       Time    // ... for this long, a cold destination fails again
-	KeyCooldown          Time    // pause of an ordered key after an attempt with an unknown outcome
+	KeepAlive            Time    // idle connections are closed after this time; 0 when unknown
+	StreamsPerConnection int     // number of calls that one connection carries at once; 0 means 1
+	Tick                 Time    // the host calls Step at most once in this time; 0 when unknown
+	ResponseSlack        Time    // time after a deadline in which a final response still counts
+	DrainGrace           Time    // time after a drain is reported by which sends to it must end
+	SlowStartCapacity    float64 // least fraction of its capacity that a destination has after an outage
+	SlowStartTime        Time    // time after an outage by which a destination has its full capacity again
+	OverloadFactor       float64 // a cold destination fails again if it gets this many times its capacity
+	OverloadWindow       Time    // time over which the calls to a cold destination count for OverloadFactor
+	KeyCooldown          Time    // how long an unknown outcome holds back the next message of a key
 }
 
-// Validate checks the settings for impossible values. The error names the first key that has one.
+// Validate checks the settings for impossible values. The error names the first setting that has
+// one.
 func (s *Settings) Validate() error {
 	if err := s.validateTimes(); err != nil {
 		return err
@@ -140,7 +142,7 @@
 		}
 	}
 	for i, tenant := range s.Tenants {
-		if !(tenant.Quota >= 0) { // NaN is no quota either
+		if !(tenant.Quota >= 0) { // written so that NaN is refused too
 			return fmt.Errorf("Tenants[%d].Quota: %v, want 0 or more", i, tenant.Quota)
 		}
 	}
@@ -152,7 +154,7 @@
 	return nil
 }
 
-// validate checks a class; key is what errors call it.
+// validate checks a class. Errors begin with key, the class's place in the settings.
 func (c *Class) validate(key string) error {
 	switch {
 	case c.Idempotency > NonIdempotent:
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,19 +1,19 @@
 package policy
 
 // Slow start: an ejected endpoint is limited to a recovery budget, which grows with the time since
-// its first success. All relays together must not send a cold destination more than it stands in an
-// overload window.
+// its first success. All relays together must not send a cold destination more than it can stand
+// within an overload window.
 const (
-	// sharersPerMessage is the number of relays that may want to call a failing destination, for
-	// each message that came for it since the outage began.
+	// sharersPerMessage is the number of relays that are assumed to want to call a failing destination
+	// for each message that came for it since the outage began.
 	sharersPerMessage = 2.0
-	// burstDivisor gives the part of the budget that may be spent at once: a burst and the refill
-	// of one overload window together stay inside the budget.
+	// burstDivisor divides the budget to give the part that may be spent at once: a burst and the
+	// refill of one overload window together stay within the budget.
 	burstDivisor = 4
 )
 
-// recoveredFraction is the fraction of its capacity that an ejected endpoint is taken to have. Once
-// that is all of it, the ejection ends.
+// recoveredFraction is the fraction of its capacity that an ejected endpoint is assumed to have.
+// Once it reaches 1, the ejection ends.
 func (p *Policy) recoveredFraction(endpoint *endpointState) float64 {
 	fraction := p.settings.SlowStartCapacity
 	if endpoint.recoveredAt > 0 {
@@ -26,9 +26,10 @@
 	return fraction
 }
 
-// recoveryRate is this relay's part of an endpoint's recovery budget: calls a second, and how many
-// at once. The budget is shared by the relays that may have something for the destination since the
-// outage began: all where they are few, else about as many as messages have come since.
+// recoveryRate is this relay's share of an endpoint's recovery budget, as calls a second and calls
+// at once. The budget is divided among the relays that may have had a message for the destination
+// since the outage began: all relays where they are few, otherwise about sharersPerMessage for each
+// message that has come since.
 func (p *Policy) recoveryRate(endpoint *endpointState) (rate, burst float64) {
 	route := endpoint.route
 	window := seconds(max(p.settings.OverloadWindow, second))
@@ -45,8 +46,9 @@
 	return budget / window, burst
 }
 
-// recoveryCapacity is the capacity that recovery budgets go by. A low guess would be shared out to
-// next to nothing, so one without any report or list entry is raised.
+// recoveryCapacity is the capacity from which recovery budgets are computed. Where it is neither
+// reported nor listed, the estimate is raised towards the lowest limit of the kind, since a low
+// estimate divided among all relays would leave next to nothing.
 func (p *Policy) recoveryCapacity(route *routeState) float64 {
 	capacity := p.estimateCapacity(route)
 	if route.reportedLimit == 0 && route.nominalRate == 0 {
@@ -65,8 +67,9 @@
 	return count
 }
 
-// spendRecoveryBudget takes a call out of the budget. Where this relay's part is less than a call,
-// relays must not act in step: the next call then costs a random amount with a mean of one.
+// spendRecoveryBudget takes the cost of a call out of the budget. Where this relay's burst is less
+// than one call, the next call costs a random amount with a mean of one, so that relays don't call
+// in step.
 func (p *Policy) spendRecoveryBudget(endpoint *endpointState) {
 	rate, burst := p.recoveryRate(endpoint)
 	endpoint.recoveryBudget.take(p.now, endpoint.nextCallCost, rate, max(burst, endpoint.nextCallCost))
@@ -76,7 +79,7 @@
 	}
 }
 
-// mayCallEndpoint checks every rule on an endpoint alone.
+// mayCallEndpoint checks every rule that concerns the endpoint but not the message.
 func (p *Policy) mayCallEndpoint(endpoint *endpointState) bool {
 	if endpoint.state != Ready || endpoint.route.retryAfterUntil > p.now {
 		return false
@@ -84,12 +87,12 @@
 	if !endpoint.isEjected && endpoint.backoffUntil > p.now {
 		return false
 	}
-	rate, burst := p.recoveryRate(endpoint) // may end the ejection
+	rate, burst := p.recoveryRate(endpoint) // this may end the ejection
 	if !endpoint.isEjected {
 		return true
 	}
 	if endpoint.awaitsRecovery() && endpoint.isUnresponsive && endpoint.callsInFlight > 0 {
-		return false // trial calls without an answer must not take one slot after another
+		return false // unanswered trial calls must not take one slot after another
 	}
 	cost := endpoint.nextCallCost
 	return endpoint.recoveryBudget.level(p.now, rate, max(burst, cost)) >= cost
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -1,15 +1,16 @@
 package policy
 
-// Snapshot is what a policy has learned of the destinations on its list: a plain copy for the host
-// to carry to the next process of the same relay. Processes of different versions read each other's
-// JSON, so the keys stay.
+// Snapshot is a copy of what a policy has learned about the destinations on its list. The host
+// carries it to the next process of the same relay. Processes of different versions read each
+// other's JSON, so the keys must not change.
 type Snapshot struct {
 	Routes             []RouteSnapshot `json:"Lanes"`
 	Latency            LatencySnapshot `json:"Latency"`
 	ConnectionShortage []float64       `json:"Tight"`
 }
 
-// RouteSnapshot is what is known of one route. Times are those of the host that made it.
+// RouteSnapshot is what a policy knows about one route. Times are by the clock of the host that
+// made it.
 type RouteSnapshot struct {
 	Endpoints         []EndpointSnapshot  `json:"Endpoints"`
 	History           []BinSnapshot       `json:"History"`
@@ -25,7 +26,7 @@
 	Latency           LatencySnapshot     `json:"Latency"`
 }
 
-// EndpointSnapshot is what was seen of one endpoint's health.
+// EndpointSnapshot is what a policy has seen of one endpoint's health.
 type EndpointSnapshot struct {
 	Endpoint          Endpoint            `json:"Endpoint"`
 	FailureScore      float64             `json:"Score"`
@@ -43,28 +44,28 @@
 	Latency           LatencySnapshot     `json:"Latency"`
 }
 
-// BinSnapshot is one step of a call history.
+// BinSnapshot is one bin of a call history and the time at which the bin begins.
 type BinSnapshot struct {
 	At       Time    `json:"At"`
 	Requests float64 `json:"Requests"`
 	Accepts  float64 `json:"Accepts"`
 }
 
-// TokenBucketSnapshot is a token bucket.
+// TokenBucketSnapshot is the state of a token bucket.
 type TokenBucketSnapshot struct {
 	RefilledAt Time    `json:"At"`
 	Tokens     float64 `json:"Tokens"`
 	IsStarted  bool    `json:"Used"`
 }
 
-// LatencySnapshot is a smoothed mean and mean deviation in microseconds.
+// LatencySnapshot is a smoothed mean latency and its mean deviation, in microseconds.
 type LatencySnapshot struct {
 	Mean      float64 `json:"Mean"`
 	Deviation float64 `json:"Dev"`
 	Samples   int     `json:"N"`
 }
 
-// Snapshot copies what the policy has learned by now.
+// Snapshot returns a copy of what the policy has learned so far.
 func (p *Policy) Snapshot() Snapshot {
 	snapshot := Snapshot{Latency: p.latency.snapshot(), ConnectionShortage: p.connectionShortage}
 	for _, dest := range p.destinations {
@@ -114,8 +115,8 @@
 	}
 }
 
-// snapshot gives the steps that hold something, the oldest first, and the first one in any case: it
-// says when the history started.
+// snapshot returns the bins that hold something, the oldest first. The first bin of the history is
+// included even if it is empty, since its time says when the history started.
 func (h *callHistory) snapshot() []BinSnapshot {
 	if !h.isStarted {
 		return nil
@@ -140,9 +141,9 @@
 	return LatencySnapshot{Mean: l.mean, Deviation: l.deviation, Samples: l.samples}
 }
 
-// Restore takes over what an earlier policy had learned of the endpoints that are on this one's
-// list; it passes over others. clockShift is what this host's clock shows more than that one's, in
-// microseconds.
+// Restore takes over what an earlier policy had learned about the endpoints on this policy's list,
+// and ignores other endpoints. clockShift is how far this host's clock is ahead of the earlier
+// host's, in microseconds.
 func (p *Policy) Restore(snapshot Snapshot, clockShift Time) {
 	p.latency = snapshot.Latency.restored()
 	if len(snapshot.ConnectionShortage) == len(p.connectionShortage) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// restoreRoute restores the route that the snapshot's endpoints are on now.
+// restoreRoute restores the route to which the snapshot's endpoints belong now.
 func (p *Policy) restoreRoute(snapshot *RouteSnapshot, clock shiftedClock) {
 	var route *routeState
 	for i := range snapshot.Endpoints {
@@ -175,13 +176,13 @@
 	endpoint.nextCallCost = snapshot.NextCallCost
 	endpoint.isEjected = snapshot.IsEjected
 	endpoint.isUnresponsive = snapshot.IsUnresponsive
-	endpoint.backoffUntil = clock.at(snapshot.BackoffUntil)
-	endpoint.firstFailureAt = clock.at(snapshot.FirstFailureAt)
-	endpoint.lastFailureAt = clock.at(snapshot.LastFailureAt)
-	endpoint.recoveredAt = clock.at(snapshot.RecoveredAt)
-	endpoint.recoverySentAt = clock.at(snapshot.RecoverySentAt)
-	endpoint.lastSuccessAt = clock.at(snapshot.LastSuccessAt)
-	endpoint.lastSuccessSentAt = clock.at(snapshot.LastSuccessSentAt)
+	endpoint.backoffUntil = clock.convert(snapshot.BackoffUntil)
+	endpoint.firstFailureAt = clock.convert(snapshot.FirstFailureAt)
+	endpoint.lastFailureAt = clock.convert(snapshot.LastFailureAt)
+	endpoint.recoveredAt = clock.convert(snapshot.RecoveredAt)
+	endpoint.recoverySentAt = clock.convert(snapshot.RecoverySentAt)
+	endpoint.lastSuccessAt = clock.convert(snapshot.LastSuccessAt)
+	endpoint.lastSuccessSentAt = clock.convert(snapshot.LastSuccessSentAt)
 	endpoint.recoveryBudget = snapshot.RecoveryBudget.restored(clock)
 	endpoint.latency = snapshot.Latency.restored()
 }
@@ -190,35 +191,36 @@
 	route.window = snapshot.Window
 	route.reportedLimit = snapshot.ReportedLimit
 	route.paceFactor = snapshot.PaceFactor
-	if route.nominalRate == 0 { // else the list has given it
+	if route.nominalRate == 0 { // otherwise the endpoint list has set it
 		route.nominalRate = snapshot.NominalRate
 	}
-	route.retryAfterUntil = clock.at(snapshot.RetryAfterUntil)
-	route.backoffUntil = clock.at(snapshot.BackoffUntil)
-	route.rejectionRunStart = clock.at(snapshot.RejectionRunStart)
+	route.retryAfterUntil = clock.convert(snapshot.RetryAfterUntil)
+	route.backoffUntil = clock.convert(snapshot.BackoffUntil)
+	route.rejectionRunStart = clock.convert(snapshot.RejectionRunStart)
 	route.rejectionRun = snapshot.RejectionRun
 	route.tokens = snapshot.Tokens.restored(clock)
 	route.latency = snapshot.Latency.restored()
 	for _, bin := range snapshot.History {
-		route.history.add(clock.at(bin.At), historyBin{bin.Requests, bin.Accepts})
+		route.history.add(clock.convert(bin.At), historyBin{bin.Requests, bin.Accepts})
 	}
 }
 
 func (s TokenBucketSnapshot) restored(clock shiftedClock) tokenBucket {
-	return tokenBucket{refilledAt: clock.at(s.RefilledAt), tokens: s.Tokens, isStarted: s.IsStarted}
+	return tokenBucket{refilledAt: clock.convert(s.RefilledAt), tokens: s.Tokens, isStarted: s.IsStarted}
 }
 
 func (s LatencySnapshot) restored() latencyEstimate {
 	return latencyEstimate{mean: s.Mean, deviation: s.Deviation, samples: s.Samples}
 }
 
-// shiftedClock is what this host's clock shows more than another's.
+// shiftedClock is how far this host's clock is ahead of another host's.
 type shiftedClock Time
 
-// at is a moment of the other host on this one's clock; 0 stays 0, which is none.
-func (shift shiftedClock) at(moment Time) Time {
-	if moment == 0 {
+// convert translates a time of the other host's clock to this host's. A time of 0, which means
+// none, stays 0.
+func (shift shiftedClock) convert(otherTime Time) Time {
+	if otherTime == 0 {
 		return 0
 	}
-	return max(moment+Time(shift), 1)
+	return max(otherTime+Time(shift), 1)
 }
--- a/policy/spill.go
+++ b/policy/spill.go
@@ -2,34 +2,36 @@
 
 import "slices"
 
-// Bounds on the messages of one destination in memory: the cost of a queue grows with them.
+// Bounds on the number of a destination's messages in memory, since the cost of a queue grows with
+// its length.
 const (
 	maxResidentPerDestination = 512
-	minResidentPerDestination = 8 // where many destinations have a backlog
+	minResidentPerDestination = 8 // applies where many destinations have a backlog
 )
 
-// loadLeadTime is how long before its time is up a spilled message is due back: a load may wait for
-// others.
+// loadLeadTime is how long before it is needed a spilled message has to be loaded, since a load may
+// have to wait for others.
 const loadLeadTime = 2 * second
 
-// A destination asks for spilled messages once it holds less than half of its resident limit, up to
-// three quarters of it, so that each load is worth its cost.
+// Messages of a destination are loaded once it has less than half of its resident limit in memory,
+// up to three quarters of the limit, so that each load is worth its cost.
 const (
 	refillBelowDivisor  = 2
 	refillToNumerator   = 3
 	refillToDenominator = 4
 )
 
-// spillState is the state that concerns spilled messages: those that only the host's log holds.
+// spillState is the state that concerns spilled messages, which only the host's log holds.
 type spillState struct {
-	messages                 int            // spilled now
-	loadsRequested           int            // of these
-	awaitingRefill           []*destination // with spilled messages, and fewer in memory than before
-	hasSpilled               bool           // ever
-	completedSinceCompaction int            // messages, whose timers are in the way
+	messages                 int            // number of messages that are spilled now
+	loadsRequested           int            // number of spilled messages that the host was asked to load
+	awaitingRefill           []*destination // destinations with spilled messages and room in memory for more
+	hasSpilled               bool           // whether any message was ever spilled
+	completedSinceCompaction int            // number of completed messages whose timers may remain
 }
 
-// spillExcess spills what a queue holds beyond its share of the memory, the latest deadline first.
+// spillExcess spills the messages that a queue holds beyond its share of the memory, those with the
+// latest deadline first.
 func (p *Policy) spillExcess(dest *destination) {
 	for p.settings.MaxResidentMessages > 0 && p.hasExcess(dest) {
 		message := p.latestToSpill(dest)
@@ -47,9 +49,9 @@
 	return len(p.pending) > p.settings.MaxResidentMessages && len(dest.queue) > p.residentMinimum()
 }
 
-// latestToSpill is the message with the latest deadline that may be spilled; nil for none.
+// latestToSpill returns the message with the latest deadline that may be spilled; nil for none.
 func (p *Policy) latestToSpill(dest *destination) (latest *messageState) {
-	for _, message := range slices.Backward(dest.queue) { // what has just joined is often the one
+	for _, message := range slices.Backward(dest.queue) { // the newest often has the latest deadline
 		if (latest == nil || message.deadline > latest.deadline) && p.maySpill(message) {
 			latest = message
 		}
@@ -57,18 +59,20 @@
 	return latest
 }
 
-// residentLimit is how many messages of one destination are in memory at most.
+// residentLimit is the maximum number of messages of one destination in memory.
 func (p *Policy) residentLimit() int {
 	return min(maxResidentPerDestination, p.settings.MaxResidentMessages)
 }
 
-// residentMinimum is for how many of each destination there is memory where all have a backlog.
+// residentMinimum is how many messages of each destination fit in memory even if all destinations
+// have a backlog.
 func (p *Policy) residentMinimum() int {
 	return min(minResidentPerDestination, max(1, p.settings.MaxResidentMessages/len(p.destinations)))
 }
 
-// maySpill reports whether a queued message may be spilled: not one that would be due back at once
-// or is never sent again, and of an ordered key the last one alone, none of which has left yet.
+// maySpill reports whether a queued message may be spilled. It may not if it would have to be
+// loaded again at once or is never sent again. Of an ordered key only the last message may be
+// spilled, and only while no other message of the key is.
 func (p *Policy) maySpill(message *messageState) bool {
 	if message.neverSpill || p.loadDeadline(message) <= p.now || p.hasNoAttemptLeft(message) {
 		return false
@@ -80,7 +84,7 @@
 	return queue.spilledCount == 0 && queue.messages[len(queue.messages)-1] == message
 }
 
-// loadDeadline is the moment by which a spilled message has to be back.
+// loadDeadline is the time by which a spilled message has to be loaded again.
 func (p *Policy) loadDeadline(message *messageState) Time {
 	if by := p.retryBy(message); by > 0 {
 		return min(by, message.deadline-p.deadlineMargin()) - loadLeadTime
@@ -88,7 +92,7 @@
 	return message.deadline - p.deadlineMargin() - loadLeadTime
 }
 
-// spillMessage leaves a queued message to the log alone, and forgets it.
+// spillMessage spills a queued message: from now on only the host's log holds it.
 func (p *Policy) spillMessage(message *messageState) {
 	p.emit(Action{
 		Kind:      ActionSpill,
@@ -108,10 +112,10 @@
 	p.completeMessage(message)
 }
 
-// endSpill counts a message as no longer spilled: it is loaded, or withdrawn.
+// endSpill counts a message as no longer spilled, since it is loaded or withdrawn.
 func (p *Policy) endSpill(event *Event) {
 	dest := p.destination(event.Dest)
-	if dest.spilledCount == 0 { // another process's
+	if dest.spilledCount == 0 { // another process spilled it
 		return
 	}
 	dest.spilledCount--
@@ -130,7 +134,8 @@
 	p.markNeedsRefill(dest)
 }
 
-// markNeedsRefill has a destination with spilled messages considered, as it has fewer in memory now.
+// markNeedsRefill has requestLoads consider a destination with spilled messages, since it now has
+// fewer in memory.
 func (p *Policy) markNeedsRefill(dest *destination) {
 	if dest.spilledCount > 0 && !dest.needsRefill {
 		dest.needsRefill = true
@@ -138,8 +143,8 @@
 	}
 }
 
-// requestLoads asks for spilled messages of the destinations that have few in memory, as far as
-// memory allows.
+// requestLoads asks the host for spilled messages of the destinations that have few in memory, as
+// far as memory allows.
 func (p *Policy) requestLoads() {
 	for _, dest := range p.spill.awaitingRefill {
 		dest.needsRefill = false
@@ -152,8 +157,8 @@
 	p.spill.awaitingRefill = p.spill.awaitingRefill[:0]
 }
 
-// loadCount is how many more of a destination's spilled messages to ask for. One in memory is
-// always due: nothing else would send the rest.
+// loadCount is how many more of a destination's spilled messages to request. At least one message
+// has to be in memory or requested, since nothing else would cause the rest to be loaded.
 func (p *Policy) loadCount(dest *destination) int {
 	resident, count := len(dest.queue)+dest.loadsRequested, 0
 	if resident < p.residentLimit()/refillBelowDivisor {
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,49 +2,50 @@
 
 import "slices"
 
-// destination is a destination's queue, with a route for each set of endpoints that share one limit.
+// destination is the state of one destination: its queue, and a route for each set of its endpoints
+// that share one rate limit.
 type destination struct {
 	id             int
 	kind           DestinationKind
-	kindIndex      int // in Settings.Kinds
+	kindIndex      int // index of kind in Settings.Kinds
 	routes         []*routeState
-	queue          []*messageState // waiting, with no attempt in flight
+	queue          []*messageState // messages that wait, with no attempt in flight
 	callsInFlight  int
 	isChanged      bool // listed in Policy.changed
 	isAwaitingSlot bool // listed in Policy.awaitingSlot
-	wakeAt         Time // the next moment at which a timer has it examined
+	wakeAt         Time // when the next timer has the destination examined
 
-	queueClearAt   Time // when the queue will be empty, by the estimate of the pass below
-	queueClearPass int  // Policy.shedPass of that estimate
+	queueClearAt   Time // estimated time at which the queue is empty
+	queueClearPass int  // value of Policy.shedPass when queueClearAt was estimated
 
-	spilledCount   int  // messages that only the log holds
-	loadsRequested int  // of these
+	spilledCount   int  // number of messages that only the host's log holds
+	loadsRequested int  // number of spilled messages that the host was asked to load
 	needsRefill    bool // listed in spillState.awaitingRefill
 
-	nextMessage  *messageState // to be sent next; nil for none
+	nextMessage  *messageState // message to be sent next; nil for none
 	nextEndpoint *endpointState
-	nextUrgency  float64 // weight lost by each microsecond of waiting
+	nextUrgency  float64 // weight that nextMessage loses with each microsecond of waiting
 }
 
-// routeState is what shares one rate limit, one Retry-After and one call history: a destination, or
-// one endpoint of it where its kind has separate routes.
+// routeState is the state of a set of endpoints that share one rate limit, one Retry-After and one
+// call history: all endpoints of a destination or, where its kind has separate routes, one of them.
 type routeState struct {
 	dest              *destination
 	endpoints         []*endpointState
 	history           callHistory
-	window            float64 // calls in flight at most
+	window            float64 // maximum number of calls in flight
 	callsInFlight     int
-	retryAfterUntil   Time    // as the destination asked
-	backoffUntil      Time    // after a rejection without Retry-After
-	nominalRate       float64 // calls a second, from the endpoint list or a guess; 0 for none
+	retryAfterUntil   Time    // no call before this time, as the destination asked
+	backoffUntil      Time    // no call before this time, after a rejection or a local failure
+	nominalRate       float64 // calls a second, from the endpoint list or estimated; 0 for none
 	reportedLimit     float64 // calls a second, from load reports; 0 for none
-	paceFactor        float64 // of this relay's part of the capacity
+	paceFactor        float64 // factor on this relay's share of the capacity
 	paceChangedAt     Time
-	tokens            tokenBucket // for the pace
-	isPaceLimited     bool        // the pace, not the traffic, decided when the latest call left
-	rejectionRun      int         // rejections in a row
+	tokens            tokenBucket // enforces the pace
+	isPaceLimited     bool        // the pace has held a message back since the latest call
+	rejectionRun      int         // number of rejections in a row
 	rejectionRunStart Time
-	localFailureRun   int // calls in a row that this machine could not make
+	localFailureRun   int // number of calls in a row that this machine could not make
 	latency           latencyEstimate
 }
 
@@ -61,34 +62,35 @@
 	state         Readiness
 	callsInFlight int
 	connections   int
-	backoffUntil  Time // after a failure that does not eject it yet, or for want of a connection
-	idleSince     Time // end of the latest call
+	backoffUntil  Time // no call before this time, after a failure without ejection or a lack of connections
+	idleSince     Time // end of the latest call to it
 	hasIdleTimer  bool
 
-	connectionRejections    int // calls in a row that were refused a connection
+	connectionRejections    int // number of calls in a row that it rejected for lack of connections
 	connectionRejectedSince Time
 
 	failureScore      float64 // moving average: 1 for a failure, 0 for a success
-	isEjected         bool    // as an outlier, until the end of its slow start
-	isUnresponsive    bool    // the latest failure was a silence, not an answer
-	firstFailureAt    Time    // of the present run
+	isEjected         bool    // treated as an outlier, until the end of its slow start
+	isUnresponsive    bool    // no answer came at the latest failure, not even an error
+	firstFailureAt    Time    // start of the current run of failures
 	lastFailureAt     Time
 	recoveredAt       Time // first success since the latest failure; 0 for none
-	recoverySentAt    Time // when that call left
+	recoverySentAt    Time // when the call that succeeded at recoveredAt was sent
 	lastSuccessAt     Time
-	lastSuccessSentAt Time        // when the newest call that was answered left
-	recoveryBudget    tokenBucket // calls allowed while ejected
-	nextCallCost      float64     // tokens of the budget that the next call takes
+	lastSuccessSentAt Time        // send time of the newest call that succeeded
+	recoveryBudget    tokenBucket // limits the calls to it while it is ejected
+	nextCallCost      float64     // tokens of recoveryBudget that the next call takes
 	latency           latencyEstimate
 }
 
-// awaitsRecovery reports whether an endpoint is ejected and has answered nothing since: it gets
-// trial calls only.
+// awaitsRecovery reports whether an endpoint is ejected and no call to it has succeeded since. Such
+// an endpoint gets trial calls only.
 func (endpoint *endpointState) awaitsRecovery() bool {
 	return endpoint.isEjected && endpoint.recoveredAt == 0
 }
 
-// messageState is a message until its last attempt has ended, which may be after its completion.
+// messageState is the state of a message. It is kept until the last attempt has ended, which may be
+// after the completion of the message.
 type messageState struct {
 	id                 uint32
 	key                uint64
@@ -97,35 +99,35 @@
 	objectiveAt        Time // end of its latency objective
 	deadline           Time
 	weight             float64
-	delayCost          float64 // weight lost by waiting for the queue, as last estimated
+	delayCost          float64 // estimated loss of weight if it waits until the queue is empty
 	isCompleted        bool
-	isOverQuota        bool // its tenant was over its quota on arrival
+	isOverQuota        bool // its tenant was over its quota when it arrived
 	neverSpill         bool
-	isRecovered        bool // admitted by an earlier process, surely not run, and has reached nobody since
-	pendingIndex       int  // in Policy.pending
+	isRecovered        bool // an earlier process admitted it; it has not run nor reached an endpoint since
+	pendingIndex       int  // its index in Policy.pending
 	attempts           int
-	unknownOutcomeAt   Time // send of the first attempt that may have run; 0 for none
+	unknownOutcomeAt   Time // when the first attempt that may have run was sent; 0 for none
 	unknownOutcomeZone int
 	lastFailedEndpoint *endpointState
-	call               *callState // in flight; nil for none
+	call               *callState // the call in flight with it; nil for none
 }
 
-// isOrdered reports whether the message takes its turn among those of its key.
+// isOrdered reports whether the message must be sent in order with the others of its key.
 func (message *messageState) isOrdered() bool { return message.class.Ordered && message.key != 0 }
 
 // callState is a call in flight, with the messages that share it.
 type callState struct {
 	endpoint         *endpointState
 	sentAt           Time
-	timeoutBy        Time // the earliest of its messages' latest time-outs
-	minimumWaitUntil Time // by which each of its messages would nearly always have its answer
-	messagesLeft     int  // whose outcome is not yet known
-	isObserved       bool // one outcome has been counted for all its messages
+	timeoutBy        Time // the earliest of the latest time-outs that its messages allow
+	minimumWaitUntil Time // when an answer to each of its messages will nearly always have come
+	messagesLeft     int  // number of messages whose outcome is not yet known
+	isObserved       bool // the outcome of one message has been counted, for all of them
 	isLocalFailure   bool // this machine could not make the call
 	messages         []*messageState
 }
 
-// destination gives the state of a destination, which it makes if need be.
+// destination returns the state of a destination and creates it if it doesn't exist yet.
 func (p *Policy) destination(id int) *destination {
 	byID := func(dest *destination, id int) int { return dest.id - id }
 	at, ok := slices.BinarySearchFunc(p.destinations, id, byID)
@@ -136,7 +138,7 @@
 	return p.destinations[at]
 }
 
-// deleteElement removes an element that is in a slice once at most.
+// deleteElement removes an element from a slice that holds it once at most.
 func deleteElement[E comparable](elements []E, element E) []E {
 	if i := slices.Index(elements, element); i >= 0 {
 		return slices.Delete(elements, i, i+1)
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// minCompaction is the number of completed messages that is worth a compaction of the timers.
+// minCompaction is the least number of completed messages after which the timers are compacted.
 const minCompaction = 1024
 
-// timerTask is what a timer does: check a message, or anything else.
+// timerTask is what a timer does when it is due: it checks a message or calls run.
 type timerTask struct {
 	message *messageState // nil where run is set
 	run     func()
@@ -21,7 +21,7 @@
 
 func (p *Policy) schedule(at Time, run func()) { p.timers.add(at, timerTask{run: run}) }
 
-// runDueTimers runs the timers whose moment has come.
+// runDueTimers runs the timers that are due.
 func (p *Policy) runDueTimers() {
 	for task, ok := p.timers.popDue(p.now); ok; task, ok = p.timers.popDue(p.now) {
 		if task.message != nil {
@@ -32,9 +32,9 @@
 	}
 }
 
-// compactTimers drops the timers of completed messages once they are half of all: their deadlines
-// may be hours away, and memory has to be bounded. Where nothing was ever spilled, the messages in
-// memory bound them.
+// compactTimers drops the timers of completed messages once they may be half of all timers. Their
+// deadlines may be hours away, and memory has to be bounded. As long as no message has been
+// spilled, the number of messages in memory bounds the timers.
 func (p *Policy) compactTimers() {
 	if !p.spill.hasSpilled {
 		return
@@ -47,7 +47,8 @@
 	}
 }
 
-// armTimer asks the host for one timer at the next moment at which something may change by itself.
+// armTimer asks the host for one timer, at the next time at which something may change without an
+// event.
 func (p *Policy) armTimer() {
 	next := p.timers.earliest()
 	if p.settings.PollList {
@@ -60,8 +61,8 @@
 	p.emit(Action{Kind: ActionTimer, Delay: p.timerAt - p.now})
 }
 
-// timerQueue holds values for later moments; those of one moment come out in the order in which
-// they were added. The zero value is empty and ready for use.
+// timerQueue holds values that are due at later times. Values due at the same time come out in the
+// order in which they were added. The zero value is empty and ready for use.
 type timerQueue[T any] struct {
 	items    timerHeap[T]
 	sequence uint64
@@ -85,7 +86,7 @@
 func (h *timerHeap[T]) Pop() any {
 	last := len(*h) - 1
 	item := (*h)[last]
-	(*h)[last] = timerItem[T]{} // so that its value can be collected
+	(*h)[last] = timerItem[T]{} // lets the garbage collector free its value
 	*h = (*h)[:last]
 	return item
 }
@@ -95,7 +96,7 @@
 	heap.Push(&q.items, timerItem[T]{at, q.sequence, value})
 }
 
-// popDue takes out the earliest value whose moment has come.
+// popDue removes and returns the earliest value if it is due.
 func (q *timerQueue[T]) popDue(now Time) (value T, ok bool) {
 	if len(q.items) == 0 || q.items[0].at > now {
 		return value, false
@@ -103,13 +104,13 @@
 	return heap.Pop(&q.items).(timerItem[T]).value, true
 }
 
-// retain drops all values but those that keep reports true for.
+// retain drops all values for which isNeeded reports false.
 func (q *timerQueue[T]) retain(isNeeded func(T) bool) {
 	q.items = slices.DeleteFunc(q.items, func(item timerItem[T]) bool { return !isNeeded(item.value) })
 	heap.Init(&q.items)
 }
 
-// earliest is the moment of the next value; the last moment of all where the queue is empty.
+// earliest is when the next value is due; math.MaxInt64 if the queue is empty.
 func (q *timerQueue[T]) earliest() Time {
 	if len(q.items) == 0 {
 		return math.MaxInt64
--- a/policy/token_bucket.go
+++ b/policy/token_bucket.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// minRefillRate keeps the time to the next token finite, in tokens a second.
+// minRefillRate is a lower bound on the rate in tokens a second, which keeps the time to the next
+// token finite.
 const minRefillRate = 1e-6
 
-// tokenBucket is a token bucket whose rate, in tokens a second, and size the caller gives each
-// time. The zero value starts full; with refilledAt set it starts empty and fills from that moment
-// on.
+// tokenBucket is a token bucket. The caller passes its rate, in tokens a second, and its size with
+// each call. The zero value starts full; with refilledAt set, it starts empty and fills from that
+// time on.
 type tokenBucket struct {
 	refilledAt Time
 	tokens     float64
 	isStarted  bool
 }
 
-// level refills the bucket and gives its tokens.
+// level refills the bucket and returns the number of its tokens.
 func (b *tokenBucket) level(now Time, rate, size float64) float64 {
 	if !b.isStarted && b.refilledAt == 0 {
 		b.tokens = size
@@ -34,7 +35,7 @@
 	return true
 }
 
-// availableAt is the moment at which the bucket holds so many tokens.
+// availableAt is when the bucket will hold the given number of tokens.
 func (b *tokenBucket) availableAt(now Time, tokens, rate, size float64) Time {
 	level := b.level(now, rate, size)
 	if level >= tokens {
--- a/policy/window.go
+++ b/policy/window.go
@@ -3,7 +3,7 @@
 // The fraction of all call slots that one destination may take, so that others always have some.
 const (
 	maxSlotFraction        = 0.75
-	maxSlotFractionFailing = 0.5 // while it fails: its calls are the slow ones
+	maxSlotFractionFailing = 0.5 // while it fails, since its calls then take the longest
 )
 
 // hasCapacity reports whether a route's window and the destination's part of the call slots allow
@@ -17,7 +17,7 @@
 	return route.dest.callsInFlight < slots && route.callsInFlight < max(1, int(route.window))
 }
 
-// halveWindow shrinks the window on a sign of overload; it grows by one with each delivery.
+// halveWindow halves the window after a sign of overload. Each delivery makes it larger by one.
 func (route *routeState) halveWindow() { route.window = max(route.window/2, 1) }
 
 // reserveCall counts a call in flight to an endpoint.
@@ -28,7 +28,8 @@
 	endpoint.route.dest.callsInFlight++
 }
 
-// releaseCall counts a call as over and watches over the connection that it leaves idle.
+// releaseCall counts a call as ended. If no call to the endpoint is left, its connections are
+// closed after the idle time-out.
 func (p *Policy) releaseCall(endpoint *endpointState) {
 	p.callsInFlight--
 	endpoint.callsInFlight--
