--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -2,19 +2,20 @@
 
 import "testing"
 
-// TestUnknownClass: nothing is known of such a message, and nothing has run.
-func TestUnknownClass(t *testing.T) {
+// A message of an unknown class can't be sent, so it is rejected at once as not run.
+func TestMessageOfUnknownClassIsRejected(t *testing.T) {
 	r := newRig(t, baseSettings(), ready(1, 10))
 	e := r.message(0, 0)
 	e.Class = 9
 	if r.step(e); count(r.acts, ActionReject) != 1 || len(r.sends) != 0 {
-		t.Fatalf("actions %+v", r.acts)
+		t.Fatalf("actions %+v, want a rejection and no send", r.acts)
 	}
 }
 
-// TestKeptIsTried: what an earlier process took on and never sent is neither dropped by a draw nor shed for want of
-// room: it is tried, or waits until its time is up. It may go on to refuse what is new.
-func TestKeptIsTried(t *testing.T) {
+// A message that an earlier process admitted and never sent must not be dropped by adaptive
+// throttling nor shed because the relay is full: it is sent, or waits until its deadline. New
+// messages may be rejected meanwhile.
+func TestRecoveredMessagesAreSentOrHeldUntilDeadline(t *testing.T) {
 	s := baseSettings()
 	s.MaxMessages = 30
 	for seed := range uint64(20) {
@@ -29,13 +30,13 @@
 		for range 40 {
 			e := r.message(0, 0)
 			e.Recovered, e.TimeLeft = true, 10*second
-			e.Attempts = int(e.Message) % 3 // turned away before the restart
+			e.Attempts = int(e.Message) % 3 // attempts before the restart, all rejected
 			kept[e.Message], deadline[e.Message] = true, r.now+e.TimeLeft
 			events = append(events, e)
 		}
 		refused := 0
 		for end := r.now + 12*second; r.now < end; r.now += 5000 {
-			if r.now%(second/10) == 0 { // new ones press
+			if r.now%(second/10) == 0 { // new messages fill up the relay
 				events = append(events, r.message(0, 0))
 			}
 			r.step(events...)
@@ -43,9 +44,9 @@
 			for _, a := range r.acts {
 				switch a.Kind {
 				case ActionSend:
-					e := answer(a, Errored) // the draw drops nine in ten
+					e := answer(a, Errored) // errors make adaptive throttling drop nine in ten
 					if p.messages[a.Message].attempts%4 == 1 {
-						e.Outcome = ConnectFailed // nobody has seen this one
+						e.Outcome = ConnectFailed // this attempt has reached no endpoint
 					} else {
 						sent[a.Message] = true
 					}
@@ -55,13 +56,13 @@
 					if !kept[a.Message] {
 						refused++
 					} else if !sent[a.Message] && r.now < deadline[a.Message]-4*s.Tick {
-						t.Fatalf("seed %d: message %d is ended %d ms before its time, never sent", seed, a.Message, (deadline[a.Message]-r.now)/1000)
+						t.Fatalf("seed %d: recovered message %d had its final response %d ms before its deadline and was never sent", seed, a.Message, (deadline[a.Message]-r.now)/1000)
 					}
 				}
 			}
 		}
 		if len(sent) == 0 || refused == 0 {
-			t.Errorf("seed %d: %d sent, %d new ones refused", seed, len(sent), refused)
+			t.Errorf("seed %d: %d recovered messages sent and %d new ones rejected, want some of each", seed, len(sent), refused)
 		}
 	}
 }
--- a/policy/call_test.go
+++ b/policy/call_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestBatchOfOneTurn: what waits for one endpoint shares a call and a slot, and the call counts once.
-func TestBatchOfOneTurn(t *testing.T) {
+// Messages that wait for one endpoint in the same step share one call, which takes one slot and
+// counts once.
+func TestMessagesOfOneStepShareOneCallAndSlot(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
 	r := newRig(t, s, ready(1, 10))
@@ -22,9 +23,9 @@
 	}
 }
 
-// TestCallEndsInTime: the messages of a call share one fate, so that none of them is waited for beyond the time
-// of another, whichever leads the call.
-func TestCallEndsInTime(t *testing.T) {
+// The messages of a call share its outcome, so no attempt of the call may time out after the
+// deadline of another of its messages, whichever message comes first.
+func TestCallTimesOutBeforeEarliestDeadline(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
 	unsafe := s.Classes[0]
@@ -37,7 +38,7 @@
 		first := Time(math.MaxInt64)
 		for range 3 {
 			e := r.message(rng.IntN(2), 0)
-			e.TimeLeft = 3*second + Time(rng.Int64N(20*second)) // each leaves the others their time
+			e.TimeLeft = 3*second + Time(rng.Int64N(20*second)) // long enough that any of them may share a call with the others
 			first = min(first, r.now+e.TimeLeft)
 			events = append(events, e)
 		}
@@ -47,16 +48,17 @@
 		}
 		for _, a := range r.sends {
 			if a.Call != r.sends[0].Call || a.Deadline >= first || a.Deadline <= r.now {
-				t.Errorf("seed %d: message %d of call %d is waited for until %d, the first deadline of call %d is at %d",
+				t.Errorf("seed %d: message %d of call %d times out at %d, want the same call for all and a time-out before the earliest deadline of call %d, %d",
 					seed, a.Message, a.Call, a.Deadline, r.sends[0].Call, first)
 			}
 		}
 	}
 }
 
-// TestCallCutsNobodyShort: a message whose time is nearly up shares no call, whether it leads or follows: its end would
-// be that of others, which have more time and may not be sent again.
-func TestCallCutsNobodyShort(t *testing.T) {
+// A message near its deadline must share no call with others, whether it comes first or second: the
+// call would end at its time-out, and the others would lose time that they have and may not be sent
+// again.
+func TestMessageNearDeadlineDoesNotShortenOtherAttempts(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
 	unsafe := s.Classes[0]
@@ -83,19 +85,19 @@
 			}
 			for _, a := range sends {
 				if a.Message == far.Message && a.Deadline < 1000*second+s.Classes[0].LatencyObjective {
-					t.Errorf("class %d, near first %v: the far one is waited for %d ms", class, nearFirst, (a.Deadline-1000*second)/1000)
+					t.Errorf("class %d, near deadline first %v: the other message times out after only %d ms", class, nearFirst, (a.Deadline-1000*second)/1000)
 				}
 			}
 			if len(sends) != 2 {
-				t.Errorf("class %d, near first %v: %d sends", class, nearFirst, len(sends))
+				t.Errorf("class %d, near deadline first %v: %d sends, want 2", class, nearFirst, len(sends))
 			}
 		}
 	}
 }
 
-// TestHangingCallsAreNotShared: where many calls end in silence, an unsafe message, for which a call is waited
-// for far longer, does not hold up others in it; where few do, it shares its call as ever.
-func TestHangingCallsAreNotShared(t *testing.T) {
+// Where many calls go unanswered, a non-idempotent message, whose call is waited for far longer,
+// must not hold up other messages in its call. Where few do, it shares calls as usual.
+func TestNonIdempotentMessagesShareNoCallWhenManyGoUnanswered(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 4
 	unsafe := s.Classes[0]
@@ -104,21 +106,21 @@
 	for _, hang := range []bool{false, true} {
 		r := newRig(t, s, ready(1, 1000))
 		ep := r.p.endpoints[1]
-		for i := range 100 { // one in five is called off, or none
+		for i := range 100 { // one call in five is cancelled, or none is
 			o := Delivered
 			if hang && i%5 == 0 {
-				o, ep.lastSuccessAt = Cancelled, r.now // others were answered since
+				o, ep.lastSuccessAt = Cancelled, r.now // a later call was answered, so the cancellation blames nobody
 			}
 			r.p.observeCall(&callState{endpoint: ep, sentAt: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: o, Latency: second / 10})
 		}
-		r.p.endpoints[1].route.window = 1 // one call with all, or none
+		r.p.endpoints[1].route.window = 1 // room for a single call
 		r.step(r.message(0, 0), r.message(1, 0), r.message(0, 0), r.message(1, 0))
 		kinds := map[Idempotency]int{}
 		for _, a := range r.sends {
 			kinds[r.p.messages[a.Message].class.Idempotency]++
 		}
 		if len(r.sends) < 2 || (len(kinds) == 1) != hang {
-			t.Errorf("hanging %v: sent %v of each kind", hang, kinds)
+			t.Errorf("many unanswered calls %v: messages sent in one call by idempotency: %v", hang, kinds)
 		}
 	}
 }
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// walkedLeastLimit is the lowest reported limit as a walk over all lanes finds it.
+// scanLowestLimit finds the lowest reported limit of a kind by looking at every route.
 func walkedLeastLimit(p *Policy, kindAt int) (least float64) {
 	for _, d := range p.destinations {
 		for _, l := range d.routes {
@@ -17,17 +17,17 @@
 	return least
 }
 
-// Guards the lowest limit that is kept up by reports, against lists that change
-// under it: endpoints that come, leave and move, destinations that change their
-// kind, reports from endpoints that have left, limits that rise and fall.
-func TestLeastLimitKeptUp(t *testing.T) {
+// The lowest limit that is updated with each report must equal that of a full scan while lists
+// change: endpoints come, leave and move, destinations change their kind, endpoints report after
+// they have left, and limits rise and fall.
+func TestLowestReportedLimitMatchesFullScan(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		s := baseSettings()
 		s.Kinds = []DestinationKind{{MaxBatch: 1}, {MaxBatch: 2, SeparateRoutes: true}}
 		s.MaxCalls, s.MaxMessages = 64, 0
 		r := newSeededRig(t, s, seed)
-		var out []Action // sends that are not answered
+		var out []Action // sends that have no outcome yet
 		for range 300 {
 			var events []Event
 			switch rng.IntN(4) {
@@ -59,7 +59,7 @@
 			out = append(out, r.sends...)
 			for kindAt := range s.Kinds {
 				if got, want := r.p.lowestReportedLimit(&destination{kindIndex: kindAt}), walkedLeastLimit(r.p, kindAt); got != want {
-					t.Fatalf("seed %d: the lowest limit of kind %d is held to be %v, and is %v", seed, kindAt, got, want)
+					t.Fatalf("seed %d: lowest reported limit of kind %d is %v, the full scan finds %v", seed, kindAt, got, want)
 				}
 			}
 		}
--- a/policy/connection_reuse_test.go
+++ b/policy/connection_reuse_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// crowd has a relay of a fleet of 80 find no room for a connection so many times in a row.
+// rejectConnections has an endpoint answer one call of a relay in a fleet of 80, and then reject
+// the given number of calls in a row for lack of connections.
 func crowd(t *testing.T, times int) *rig {
 	t.Helper()
 	s := baseSettings()
@@ -13,7 +14,7 @@
 	e.Load = LoadReport{Remaining: 1, Limit: 1000, Present: true}
 	r.step(e)
 	for range times {
-		if len(r.sends) == 0 { // a trial call may follow at once
+		if len(r.sends) == 0 { // a trial call may have followed at once
 			r.untilSend()
 		}
 		e = answer(r.sends[0], Rejected)
@@ -23,8 +24,8 @@
 	return r
 }
 
-// TestIdleGivenBack: where connections run out, idle ones are given back, the sooner the more relays there are.
-func TestIdleGivenBack(t *testing.T) {
+// In a connection shortage, idle connections close early: the more relays there are, the earlier.
+func TestIdleConnectionsCloseEarlyInShortage(t *testing.T) {
 	for _, tight := range []float64{0, 1} {
 		s := baseSettings()
 		s.Relays = 50
@@ -34,19 +35,20 @@
 		r.now += second / 10
 		closes := 0
 		r.step(answer(r.sends[0], Delivered))
-		for range 40 { // two seconds, of ten that connections live
+		for range 40 { // two seconds, of the keep-alive time of ten
 			r.now += second / 20
 			closes += count(r.step(), ActionCloseIdle)
 		}
 		if closes != int(tight) {
-			t.Errorf("share without connection %v: %d times given back", tight, closes)
+			t.Errorf("connection shortage %v: idle connections closed %d times in two seconds", tight, closes)
 		}
 	}
 }
 
-// A full table of connections is told by a 503 with no report on a new connection: one is enough for a relay of a
-// large fleet to keep idle ones for a short time. Refusals of any other sort tell nothing of it.
-func TestFullTableShortensIdleTime(t *testing.T) {
+// An endpoint that can hold no more connections rejects a call on a new connection with a 503 that
+// has no load report. One such rejection is enough for a relay of a large fleet to keep idle
+// connections only for a short time. Rejections of any other form say nothing about connections.
+func TestConnectionRejectionShortensIdleTimeout(t *testing.T) {
 	for _, c := range []struct {
 		relays      int
 		fresh, told bool
@@ -66,45 +68,47 @@
 			r.now += second
 		}
 		if short := r.p.idleTimeout(r.p.endpoints[1]) < s.KeepAlive/4; short != c.full {
-			t.Errorf("%+v: idle connections kept for %d", c, r.p.idleTimeout(r.p.endpoints[1]))
+			t.Errorf("%+v: idle connections are kept for %d µs", c, r.p.idleTimeout(r.p.endpoints[1]))
 		}
 	}
 }
 
-// Where others hold the connections, an endpoint is asked again soon and is not held to be out: each call of a large
-// fleet opens one, and some chance on some find no room. A long run is an outage, as of one that is shut.
-func TestNoRoomIsNoOutage(t *testing.T) {
+// An endpoint whose connections are all taken by other relays is called again soon and is not
+// ejected: in a large fleet each call opens a connection, and a few in a row may find none by
+// chance. A long run of such rejections is an outage, as of an endpoint that is shut down.
+func TestOnlyManyConnectionRejectionsEject(t *testing.T) {
 	r := crowd(t, 2)
 	ep := r.p.endpoints[1]
 	if ep.isEjected || ep.failureScore > 0 || ep.route.nominalRate != 1000 || ep.route.paceFactor < 1 {
-		t.Errorf("after two: sick %v, score %v, nominal %v, boost %v", ep.isEjected, ep.failureScore, ep.route.nominalRate, ep.route.paceFactor)
+		t.Errorf("after two rejections: ejected %v, failure score %v, nominal rate %v, pace factor %v", ep.isEjected, ep.failureScore, ep.route.nominalRate, ep.route.paceFactor)
 	}
 	if gap := ep.backoffUntil - r.now; gap <= 0 || gap > second {
-		t.Errorf("rests for %d", gap)
+		t.Errorf("backoff of %d µs, want more than 0 and at most a second", gap)
 	}
 	r.untilSend()
 	e := answer(r.sends[0], Delivered)
 	e.Attempt = r.p.messages[e.Message].attempts - 1
 	r.step(e)
 	if ep.connectionRejections != 0 {
-		t.Error("a success does not end the run")
+		t.Error("a success does not reset the number of rejected connections in a row")
 	}
 	if r = crowd(t, 12); !r.p.endpoints[1].isEjected {
-		t.Error("twelve in a row are no outage")
+		t.Error("twelve rejected connections in a row do not eject the endpoint")
 	}
 }
 
-// A relay that calls an endpoint seldom keeps no idle connection where tables are full: it would be of no use to it.
-func TestSeldomCallerKeepsNoConnection(t *testing.T) {
+// A relay that rarely calls an endpoint keeps no idle connection to it in a connection shortage,
+// since the connection would be of no use to the relay.
+func TestRareCallerKeepsNoIdleConnectionInShortage(t *testing.T) {
 	r := crowd(t, 1)
 	ep := r.p.endpoints[1]
 	if got := r.p.idleTimeout(ep); got > r.p.settings.Tick {
-		t.Errorf("kept for %d at a call in seconds", got)
+		t.Errorf("a relay with rare calls keeps idle connections for %d µs, want a tick at most", got)
 	}
 	for range 100 {
 		ep.route.history.recordRequest(r.now)
 	}
 	if got, part := r.p.idleTimeout(ep), r.p.settings.KeepAlive/40; got != part {
-		t.Errorf("kept for %d at many calls, want %d", got, part)
+		t.Errorf("a relay with many calls keeps idle connections for %d µs, want %d", got, part)
 	}
 }
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -2,28 +2,29 @@
 
 import "testing"
 
-// TestDrain: the no comes at once and the release later, once however often it is asked; an end of the drain
-// before the release calls it off, and what is held goes out all the while.
-func TestDrain(t *testing.T) {
+// At a drain the relay stops accepting connections at once and releases its clients later, once
+// each even if the drain is requested twice. If the drain ends before the release, the release does
+// not happen. Messages are sent all the time.
+func TestDrainReleasesClientsOnceUnlessEnded(t *testing.T) {
 	r := newRig(t, baseSettings(), ready(1, 1000))
 	if a := r.step(Event{Kind: EventDrain}, Event{Kind: EventDrain}); count(a, ActionStopAccepting) != 1 || count(a, ActionReleaseClients) != 0 {
-		t.Errorf("at once: %+v", a)
+		t.Errorf("at the start of the drain: %+v", a)
 	}
 	r.now += clientReleaseDelay / 2
 	if a := r.step(r.message(0, 0)); count(a, ActionSend) != 1 || count(a, ActionReleaseClients) != 0 {
-		t.Errorf("before the release: %+v", a)
+		t.Errorf("before the release of the clients: %+v", a)
 	}
 	r.now += clientReleaseDelay/2 + 1
 	if a := r.step(Event{Kind: EventTimer}); count(a, ActionReleaseClients) != 1 {
-		t.Errorf("then: %+v", a)
+		t.Errorf("no release of the clients after the delay: %+v", a)
 	}
 	if a := r.step(Event{Kind: EventActivate}, Event{Kind: EventActivate}); count(a, ActionAcceptClients) != 1 {
-		t.Errorf("taken back: %+v", a)
+		t.Errorf("at the end of the drain: %+v", a)
 	}
 	r.step(Event{Kind: EventDrain})
 	r.step(Event{Kind: EventActivate})
 	r.now += 2 * clientReleaseDelay
 	if a := r.step(Event{Kind: EventTimer}); count(a, ActionReleaseClients) != 0 {
-		t.Errorf("a release that was called off: %+v", a)
+		t.Errorf("clients released after the drain has ended: %+v", a)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// fleetDay is a day on which one destination of a fleet goes down for a while and comes back cold. What is counted is
-// what all relays together send it.
+// fleetScenario describes a run in which one destination of a fleet fails for a while and comes
+// back cold. The test counts what all relays together send it.
 type fleetDay struct {
 	relays    int
 	capacity  float64 // calls a second
-	endpoints int     // that share it
-	load      float64 // messages handed in, as a part of the capacity
-	reports   bool    // answers tell the limit; else the list does
-	outage    Outcome // what calls come to meanwhile
+	endpoints int     // number of endpoints that share the capacity
+	load      float64 // rate of new messages, as a fraction of the capacity
+	reports   bool    // answers report the limit; otherwise the list does
+	outage    Outcome // outcome of calls during the outage
 	seed      uint64
 }
 
@@ -37,9 +37,9 @@
 	s.ListedRates, s.LoadReports, s.HealthChecks = !d.reports, d.reports, false
 	s.SlowStartCapacity, s.SlowStartTime, s.OverloadFactor, s.OverloadWindow = 0.19, 13*second, 2.5, 3*second
 	s.Classes = []Class{
-		{Name: "safe", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, LateWeight: 0.3},
-		{Name: "keyed", LatencyObjective: 3 * second, Deadline: 15 * second, Weight: 1, LateWeight: 0.3, Idempotency: IdempotentByKey, DedupWindow: 6 * second},
-		{Name: "once", LatencyObjective: 3 * second, Deadline: 12 * second, Weight: 2, LateWeight: 0.3, Idempotency: NonIdempotent},
+		{Name: "idempotent", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, LateWeight: 0.3},
+		{Name: "idempotent by key", LatencyObjective: 3 * second, Deadline: 15 * second, Weight: 1, LateWeight: 0.3, Idempotency: IdempotentByKey, DedupWindow: 6 * second},
+		{Name: "non-idempotent", LatencyObjective: 3 * second, Deadline: 12 * second, Weight: 2, LateWeight: 0.3, Idempotency: NonIdempotent},
 	}
 	return s
 }
@@ -49,7 +49,7 @@
 	*rig
 	set     Settings
 	weight  float64
-	told    bool // a call there has failed or was refused since the outage began
+	told    bool // whether a call has failed or was rejected since the outage began
 	flights []fleetCall
 	timers  []Time
 	tries   map[uint32]int
@@ -60,7 +60,8 @@
 	due   Time
 }
 
-// fleetWorld is the destination and its fleet; arrivals are the calls that have reached it since its return.
+// fleetSimulation simulates the destination and the relays of its fleet. Its arrivals are the calls
+// that have reached the destination since its return.
 type fleetWorld struct {
 	day      fleetDay
 	set      Settings
@@ -85,7 +86,7 @@
 	sum := 0.0
 	for k := range d.relays {
 		r := &fleetRelay{rig: newSeededRig(t, w.set, d.seed<<16+uint64(k), entries...), set: w.set, tries: map[uint32]int{},
-			weight: 0.1 + w.rng.ExpFloat64()} // some get several times the mean
+			weight: 0.1 + w.rng.ExpFloat64()} // some relays get several times the mean traffic
 		sum += r.weight
 		w.relays = append(w.relays, r)
 	}
@@ -95,7 +96,7 @@
 	return w
 }
 
-// present is the share of its capacity that the destination has.
+// capacityFraction is the fraction of its capacity that the destination has at a given time.
 func (w *fleetWorld) present(at Time) float64 {
 	if at < fleetBack {
 		return 1
@@ -104,7 +105,7 @@
 	return min(1, s+(1-s)*float64(at-fleetBack)/float64(w.set.SlowStartTime))
 }
 
-// answer is what becomes of a call, and when its relay hears of it.
+// respond decides the outcome of a call and when its relay learns of it.
 func (w *fleetWorld) answer(r *fleetRelay, now Time, a Action) fleetCall {
 	e := Event{Kind: EventAttemptDone, Message: a.Message, Endpoint: a.Endpoint, Attempt: r.tries[a.Message], Outcome: w.day.outage}
 	r.tries[a.Message]++
@@ -135,7 +136,7 @@
 	return fleetCall{e, now + took}
 }
 
-// tick takes one relay over what has come for it.
+// stepRelay has one relay process the outcomes, new messages and timers that are due.
 func (w *fleetWorld) tick(r *fleetRelay, now Time, fresh int) {
 	var events []Event
 	still := r.flights[:0]
@@ -184,7 +185,7 @@
 	}
 }
 
-// cancel ends an attempt that its relay calls off.
+// cancel ends an attempt that its relay has cancelled.
 func (r *fleetRelay) cancel(now Time, a Action) {
 	for i := range r.flights {
 		if f := &r.flights[i]; f.event.Message == a.Message && f.event.Attempt == a.Attempt {
@@ -193,7 +194,7 @@
 	}
 }
 
-// run plays the day.
+// run simulates the whole scenario.
 func (w *fleetWorld) run() {
 	for now := fleetStart; now < fleetBack+w.set.SlowStartTime; now += fleetTick {
 		fresh := map[*fleetRelay]int{}
@@ -213,7 +214,8 @@
 	}
 }
 
-// fleetWindow is what came in one fall time, against what may.
+// fleetWindow holds the calls that reached the destination in one overload window, and how many
+// may.
 type fleetWindow struct {
 	from, to  Time
 	all, told int
@@ -221,13 +223,15 @@
 }
 
 func (f fleetWindow) String() string {
-	return fmt.Sprintf("%d calls (%d of relays that knew) from %d to %d ms after the return, at most %.1f", f.all, f.told,
+	return fmt.Sprintf("%d calls (%d of relays that knew of the outage) from %d to %d ms after the return, want at most %.1f", f.all, f.told,
 		(f.from-fleetBack)/1000, (f.to-fleetBack)/1000, f.bound)
 }
 
-// bound is what a cold destination stands in the fall time that ends then: the settings' budget, and what is put down to
-// chance. The budget goes by the capacity in the middle of that time, as a sum over it would. Where more is asked for
-// than the destination can do at all, chance comes on top of a queue at each relay: there it goes by the present one.
+// bound is the number of calls that a cold destination can stand in the overload window that ends
+// at a given time: the budget of the settings plus an allowance for chance. The budget uses the
+// capacity in the middle of the window, which equals the sum over the window. Where more messages
+// come than the destination can serve at all, each relay has a queue besides the chance variation,
+// so the capacity at the end of the window is used.
 func (w *fleetWorld) bound(to Time) float64 {
 	from := max(to-w.set.OverloadWindow, fleetBack)
 	at := from + (to-from)/2
@@ -238,7 +242,7 @@
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// worst is the window that comes nearest to its bound, or goes furthest beyond it.
+// worstWindow returns the window that has the most calls in relation to its bound.
 func (w *fleetWorld) worst() (worst fleetWindow) {
 	first, told := 0, 0
 	for i, a := range w.arrivals {
@@ -259,14 +263,15 @@
 	return worst
 }
 
-// broken reports whether the destination fell and the rule holds the relays to be at fault: over two thirds of what felled
-// it came from those that knew of the outage.
+// isViolation reports whether the destination was overloaded and the relays are at fault: more than
+// two thirds of the calls came from relays that knew of the outage.
 func (f fleetWindow) broken() bool { return float64(f.all) > f.bound && 3*f.told > 2*f.all }
 
-// TestFleetStaysUnderTheFall: whatever the size of the fleet and of the destination, and whatever the outage looked
-// like, all relays together never send a cold destination more than it stands in a fall time. Where relays are so many
-// that most have not heard of the outage yet, it may fall, but not by those that have.
-func TestFleetStaysUnderTheFall(t *testing.T) {
+// Whatever the size of the fleet and of the destination and the kind of the outage, all relays
+// together never send a cold destination more than it can stand in an overload window. Where there
+// are so many relays that most have not noticed the outage yet, it may be overloaded, but not by
+// those that have.
+func TestFleetDoesNotOverloadRecoveringDestination(t *testing.T) {
 	for _, relays := range []int{20, 30, 300} {
 		for _, capacity := range []float64{3, 8, 25, 120} {
 			for i, outage := range []Outcome{Errored, TimedOut, ConnectFailed, Rejected} {
@@ -274,19 +279,19 @@
 					d := fleetDay{relays: relays, capacity: capacity, endpoints: 1 + (i+int(k))%2, load: []float64{0.5, 0.9, 1.3}[k/2],
 						reports: k%2 == 0, outage: outage, seed: 100 + k/2}
 					if relays > 100 && d.load > 1 {
-						continue // most of what comes is from those that have not heard yet
+						continue // most calls are from relays that have not noticed the outage
 					}
 					t.Run(d.String(), func(t *testing.T) {
 						t.Parallel()
 						w := newFleet(t, d)
 						w.run()
 						x := w.worst()
-						t.Logf("%d accepted after the return; %v", w.accepted, x)
+						t.Logf("%d calls accepted after the return; worst window: %v", w.accepted, x)
 						if relays < 100 && float64(x.all) > x.bound || x.broken() {
-							t.Errorf("fell: %v", x)
+							t.Errorf("the destination was overloaded: %v", x)
 						}
 						if w.accepted == 0 {
-							t.Error("none accepted after the return: the day tests nothing")
+							t.Error("no call was accepted after the return, so the scenario tests nothing")
 						}
 					})
 				}
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -8,42 +8,43 @@
 	"testing"
 )
 
-// mutant is a copy of the module in which one text gives way to another; without a text it is the module itself.
+// mutant is a copy of the package in which the text old is replaced by new. The test run has to
+// fail in it. Without a text it is an unchanged copy, in which the tests have to pass.
 type mutant struct{ name, old, new, run string }
 
-// mutants take out one guard each, and name the test that has to see it.
+// mutants remove one guard each, and name the test that has to fail without it.
 var mutants = []mutant{
-	{"none", "", "", ""},
-	{"drain", "endpoint.state != Ready || endpoint.route", "endpoint.route", "TestRules"},
-	{"wait", " || endpoint.route.retryAfterUntil > p.now {", " {", "TestRules"},
-	{"unsafe", "if message.unknownOutcomeAt == 0 || message.class.Idempotency == Idempotent {",
-		"if message.unknownOutcomeAt == 0 || message.class.Idempotency != IdempotentByKey {", "TestRules"},
-	{"dedup window", " || p.now > p.retryBy(message)", "", "TestRules"},
-	{"dedup zone", "isPerZone && endpoint.zone != message.unknownOutcomeZone", "isPerZone && false", "TestRules"},
-	{"order", "queue.messages[0] != message || ", "", "TestRules"},
-	{"rest of a key", "message.attempts != 0 || queue.cooldownUntil <= p.now", "true", "TestRules"},
-	{"answer in time", "p.now < message.deadline-p.deadlineMargin() && (message.call", "(message.call", "TestRules"},
-	{"attempts", "p.settings.MaxAttempts > 0 && message.attempts >= p.settings.MaxAttempts", "false", "TestRules"},
-	{"refusal", "return !message.class.DedupPerZone && p.now", "return p.now", "TestRules"},
-	{"budget", "return endpoint.recoveryBudget.level(p.now, rate, max(burst, cost)) >= cost",
-		"return endpoint.recoveryBudget.level(p.now, rate, max(burst, cost)) >= -99", "TestFailBackBudget"},
-	{"outage", "endpoint.isEjected || endpoint.failureScore < ejectionScore", "true", "TestPartialSuccessKeepsTheBudget"},
-	{"order behind spilled", " || queue.startsSpilled()", "", "TestRulesWithBacklog"},
-	{"order of spilled", "queue.spilledCount == 0 && queue.messages[len(queue.messages)-1] == message", "queue != nil", "TestRulesWithBacklog"},
-	{"window of spilled", "min(by, message.deadline-p.deadlineMargin())", "max(by, message.deadline-p.deadlineMargin())", "TestSpilledState"},
-	{"one in memory", "max(count, p.residentMinimum()-resident)", "count", "TestRulesWithBacklog"},
-	{"calling off", "p.cancelIfStuck(call)\n\t}\n\troute.isPaceLimited", "}\n\troute.isPaceLimited", "TestReclaim"},
+	{"unchanged copy", "", "", ""},
+	{"no send to a draining endpoint", "endpoint.state != Ready || endpoint.route", "endpoint.route", "TestRulesHoldOverRandomEvents"},
+	{"Retry-After", " || endpoint.route.retryAfterUntil > p.now {", " {", "TestRulesHoldOverRandomEvents"},
+	{"no retry of non-idempotent messages", "if message.unknownOutcomeAt == 0 || message.class.Idempotency == Idempotent {",
+		"if message.unknownOutcomeAt == 0 || message.class.Idempotency != IdempotentByKey {", "TestRulesHoldOverRandomEvents"},
+	{"dedup window", " || p.now > p.retryBy(message)", "", "TestRulesHoldOverRandomEvents"},
+	{"dedup zone", "isPerZone && endpoint.zone != message.unknownOutcomeZone", "isPerZone && false", "TestRulesHoldOverRandomEvents"},
+	{"order of a key", "queue.messages[0] != message || ", "", "TestRulesHoldOverRandomEvents"},
+	{"key cooldown", "message.attempts != 0 || queue.cooldownUntil <= p.now", "true", "TestRulesHoldOverRandomEvents"},
+	{"response before deadline", "p.now < message.deadline-p.deadlineMargin() && (message.call", "(message.call", "TestRulesHoldOverRandomEvents"},
+	{"limit on attempts", "p.settings.MaxAttempts > 0 && message.attempts >= p.settings.MaxAttempts", "false", "TestRulesHoldOverRandomEvents"},
+	{"no rejection after a possible run", "return !message.class.DedupPerZone && p.now", "return p.now", "TestRulesHoldOverRandomEvents"},
+	{"recovery budget", "return endpoint.recoveryBudget.level(p.now, rate, max(burst, cost)) >= cost",
+		"return endpoint.recoveryBudget.level(p.now, rate, max(burst, cost)) >= -99", "TestRecoveryBudgetLimitsCallsAfterOutage"},
+	{"ejection threshold", "endpoint.isEjected || endpoint.failureScore < ejectionScore", "true", "TestFailuresAfterOneSuccessRestartSlowStart"},
+	{"order behind spilled messages", " || queue.startsSpilled()", "", "TestRulesHoldWithSpilledMessages"},
+	{"order of spilled messages", "queue.spilledCount == 0 && queue.messages[len(queue.messages)-1] == message", "queue != nil", "TestRulesHoldWithSpilledMessages"},
+	{"load before the dedup window ends", "min(by, message.deadline-p.deadlineMargin())", "max(by, message.deadline-p.deadlineMargin())", "TestSpillKeepsMessageState"},
+	{"one message in memory", "max(count, p.residentMinimum()-resident)", "count", "TestRulesHoldWithSpilledMessages"},
+	{"cancellation of stuck calls", "p.cancelIfStuck(call)\n\t}\n\troute.isPaceLimited", "}\n\troute.isPaceLimited", "TestStuckCallIsCancelledWhenSlotsRunOut"},
 }
 
-// TestGuardsMatter takes one guard at a time out of a copy of the module and expects TestRules, or the named
-// test, to fail: the checker can tell, and no second path hides the loss.
-func TestGuardsMatter(t *testing.T) {
+// Each mutant is the package without one guard, and the test that is named for it has to fail. This
+// shows that the test notices the loss, and that no second check hides it.
+func TestRemovingAGuardFailsItsTest(t *testing.T) {
 	if os.Getenv("POLICY_MUTANT") != "" {
-		t.Skip("a mutant does not mutate")
+		t.Skip("this is the run of a mutant, which makes no further mutants")
 	}
 	goTool, err := exec.LookPath("go")
 	if err != nil {
-		t.Fatal("the go tool is needed: ", err)
+		t.Fatal("the go tool was not found: ", err)
 	}
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
@@ -55,17 +56,18 @@
 	}
 }
 
-// write copies the module; the guard's text has to stand exactly once in it.
+// write copies the package with the mutant's change. The text to be replaced has to stand exactly
+// once in the sources.
 func (m mutant) write(t *testing.T, dir string) {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d files, error %v", len(files), err)
+		t.Fatalf("found %d source files, error %v", len(files), err)
 	}
 	guards := 0
 	for _, f := range files {
 		if f == "example_test.go" {
-			continue // it imports the module by name
+			continue // it imports the package by its path, which the copy doesn't have
 		}
 		text, err := os.ReadFile(f)
 		if err != nil {
@@ -80,19 +82,19 @@
 		}
 	}
 	if m.old != "" && guards != 1 {
-		t.Fatalf("%q stands %d times in the module", m.old, guards)
+		t.Fatalf("%q stands %d times in the sources, want once", m.old, guards)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "go.mod"), []byte("module mutant\n\ngo 1.24\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// check runs the test that has to fail, by its own word and not for want of a build.
+// check runs the mutant's test, which has to fail as a test and not because the copy doesn't build.
 func (m mutant) check(t *testing.T, goTool, dir string) {
 	t.Helper()
 	run := m.run
 	if run == "" {
-		run = "TestRules|TestFailBackBudget|TestReclaim"
+		run = "TestRulesHoldOverRandomEvents|TestRecoveryBudgetLimitsCallsAfterOutage|TestStuckCallIsCancelledWhenSlotsRunOut"
 	}
 	cmd := exec.Command(goTool, "test", "-vet=off", "-run", "^("+run+")$", ".")
 	cmd.Dir = dir
@@ -100,9 +102,9 @@
 	out, err := cmd.CombinedOutput()
 	switch {
 	case m.old == "" && err != nil:
-		t.Fatalf("the copy itself fails:\n%s", out)
+		t.Fatalf("the tests fail in the unchanged copy:\n%s", out)
 	case m.old != "" && err == nil:
-		t.Fatalf("without the guard %s still passes", m.run)
+		t.Fatalf("%s passes without the guard", m.run)
 	case m.old != "" && !strings.Contains(string(out), "--- FAIL"):
 		t.Fatalf("the mutant does not build:\n%s", out)
 	}
--- a/policy/layout_test.go
+++ b/policy/layout_test.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// sourceFiles lists the files of the package without its tests.
+// sourceFiles returns the names of the package's files, without its tests.
 func sourceFiles(t *testing.T) (files []string) {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
@@ -28,9 +28,9 @@
 	return files
 }
 
-// TestLimits holds the module's own limits on its text: no line over 110 columns and no file over 220 lines that are
-// not blank; the package comment names the files of the interface.
-func TestLimits(t *testing.T) {
+// No line of a source file has more than 110 columns and no file more than 220 non-blank lines, and
+// the package comment names the files of the interface.
+func TestSourceFilesKeepSizeLimits(t *testing.T) {
 	for _, f := range sourceFiles(t) {
 		text, err := os.ReadFile(f)
 		if err != nil {
@@ -42,11 +42,11 @@
 				n++
 			}
 			if w := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); w > 110 {
-				t.Errorf("%s: line %d has %d columns", f, i+1, w)
+				t.Errorf("%s: line %d has %d columns, want at most 110", f, i+1, w)
 			}
 		}
 		if n > 220 {
-			t.Errorf("%s: %d lines that are not blank, at most 220", f, n)
+			t.Errorf("%s: %d non-blank lines, want at most 220", f, n)
 		}
 	}
 	text, err := os.ReadFile("policy.go")
@@ -59,13 +59,13 @@
 	}
 	for _, f := range []string{"settings.go", "event.go", "action.go", "state.go", "throttle.go"} {
 		if _, err := os.Stat(f); err != nil || !strings.Contains(comment, f) {
-			t.Errorf("the package comment does not name %s, or it is gone: %v", f, err)
+			t.Errorf("the package comment does not name %s, or the file does not exist: %v", f, err)
 		}
 	}
 }
 
-// TestDeployedDecisions: the deployment names every file of decisions, and no other.
-func TestDeployedDecisions(t *testing.T) {
+// The deployment's settings list every file that makes decisions, and no other.
+func TestDeploymentListsAllDecisionFiles(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 	for _, m := range regexp.MustCompile(`"([^"]*)"`).FindAllStringSubmatch(list[1], -1) {
 		listed = append(listed, m[1])
 	}
-	// These hold the interface, plain state and containers; they decide nothing.
+	// These files hold the interface, plain state and containers, and make no decisions.
 	passive := []string{"settings.go", "event.go", "action.go", "state.go", "snapshot.go", "history.go", "latency.go", "token_bucket.go"}
 	var want []string
 	for _, f := range sourceFiles(t) {
@@ -89,6 +89,6 @@
 	slices.Sort(listed)
 	slices.Sort(want)
 	if !slices.Equal(listed, want) {
-		t.Errorf("listed %q\nwant   %q", listed, want)
+		t.Errorf("balancer.toml lists %q\nwant                %q", listed, want)
 	}
 }
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestShedLatest: with the room nearly full the message that opens latest is handed back, not the next arrival.
-func TestShedLatest(t *testing.T) {
+// When the relay is nearly full, it rejects the message that would be delivered last, not the next
+// one to arrive.
+func TestShedsMessageThatIsDeliveredLast(t *testing.T) {
 	s := baseSettings()
 	s.MaxMessages = 16
 	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 4}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 4})
@@ -22,11 +23,11 @@
 		if a.Kind == ActionReject {
 			refused++
 			if dest[a.Message] != 0 {
-				t.Errorf("message %d of the destination that opens soon was shed", a.Message)
+				t.Errorf("message %d, whose destination can be called again first, was shed", a.Message)
 			}
 		}
 	}
 	if refused != 1 {
-		t.Fatalf("%d refused, want 1", refused)
+		t.Fatalf("%d messages rejected, want 1", refused)
 	}
 }
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A call that the machine could not make uses up no try and no request of the formula,
-// and blames nobody: however many there are, the message is sent once calls can be made,
-// soon, and meanwhile they come no closer than a moment apart.
-func TestUnmadeCalls(t *testing.T) {
+// A call that this machine could not make counts neither as an attempt nor as a request of adaptive
+// throttling, and is not blamed on the endpoint. However many there are, the message is sent soon
+// after calls can be made again. Until then the calls are at least a backoff apart.
+func TestLocalFailuresCountAsNoAttempts(t *testing.T) {
 	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
 		s := baseSettings()
 		s.MaxAttempts = 4
@@ -24,17 +24,17 @@
 			tries++
 			r.step(e)
 			if len(r.sends) > 0 {
-				t.Fatalf("repeat %v: sent again at once", repeat)
+				t.Fatalf("idempotency %v: the message was sent again at once", repeat)
 			}
 		}
 		if tries < 5 || tries > 30 {
-			t.Errorf("repeat %v: %d calls in 3 s that could not be made", repeat, tries)
+			t.Errorf("idempotency %v: %d calls tried in 3 s, want 5 to 30", repeat, tries)
 		}
 		if req, _ := r.p.endpoints[1].route.history.totals(r.now); req > 1 {
-			t.Errorf("repeat %v: %v requests are counted", repeat, req)
+			t.Errorf("idempotency %v: %v requests are counted, want 1 at most", repeat, req)
 		}
 		if ep := r.p.endpoints[1]; ep.isEjected || ep.failureScore > 0 {
-			t.Errorf("repeat %v: the endpoint is blamed", repeat)
+			t.Errorf("idempotency %v: the endpoint was charged with the failures", repeat)
 		}
 		cleared := r.now
 		for len(r.sends) == 0 && r.now < cleared+second {
@@ -42,11 +42,11 @@
 			r.step(Event{Kind: EventTimer})
 		}
 		if len(r.sends) != 1 {
-			t.Fatalf("repeat %v: %d sends within a second", repeat, len(r.sends))
+			t.Fatalf("idempotency %v: %d sends within a second after calls can be made again, want 1", repeat, len(r.sends))
 		}
 		r.step(answer(r.sends[0], Delivered))
 		if len(r.p.messages) != 0 {
-			t.Errorf("repeat %v: it is held on", repeat)
+			t.Errorf("idempotency %v: the message is still held after its delivery", repeat)
 		}
 	}
 }
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// TestChanceOfAShare: few relays let a few arrivals close together pass, each of many only one: what a fleet has saved
-// up by the end of an outage must stay near what chance moves a second of its calls.
-func TestChanceOfAShare(t *testing.T) {
+// In a small fleet each relay lets several messages that arrive together pass at once, in a large
+// fleet only one: what all relays have saved up by the end of an outage must stay near the random
+// variation of a second's calls.
+func TestBurstSizeShrinksWithFleetSize(t *testing.T) {
 	for _, c := range []struct{ relays, want int }{{2, 3}, {12, 1}, {80, 1}} {
 		s := baseSettings()
 		s.Relays = c.relays
@@ -15,13 +16,14 @@
 		r.p.endpoints[1].route.window = 5
 		r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
 		if len(r.sends) != c.want {
-			t.Errorf("%d relays: %d of 3 calls passed at once", c.relays, len(r.sends))
+			t.Errorf("%d relays: %d of 3 calls sent at once", c.relays, len(r.sends))
 		}
 	}
 }
 
-// TestFleetKeepsToALimit: relays that are all refused come down to less than the limit together, however many.
-func TestFleetKeepsToALimit(t *testing.T) {
+// Relays whose calls are all rejected slow down to less than the limit together, however many they
+// are.
+func TestRejectionsBringFleetPaceBelowLimit(t *testing.T) {
 	for _, n := range []int{2, 80, 400} {
 		s := baseSettings()
 		s.Relays = n
@@ -32,14 +34,15 @@
 				&Event{Kind: EventAttemptDone, Outcome: Rejected, Load: LoadReport{Limit: 20, Present: true}})
 		}
 		if all := r.p.paceRate(ep.route) * float64(n); all > 20 || all < 5 {
-			t.Errorf("%d relays send %v a second together, limit 20", n, all)
+			t.Errorf("%d relays together send %v calls a second, want 5 to the limit of 20", n, all)
 		}
 	}
 }
 
-// TestPaceOfSeldomCallers: one refusal brings relays that call seldom down to the limit together, and what they
-// grow by on one report stays inside the allowance that it told of. One that calls often goes on in small steps.
-func TestPaceOfSeldomCallers(t *testing.T) {
+// One rejection brings relays that rarely call down to the limit together, and the step up after a
+// success is the fraction of the limit that its report said was left. A relay that calls often
+// changes its pace in small steps.
+func TestPaceStepGrowsWithTimeSinceLastStep(t *testing.T) {
 	for _, n := range []int{2, 80, 300} {
 		s := baseSettings()
 		s.Relays = n
@@ -54,24 +57,25 @@
 			return before, r.p.paceRate(l)
 		}
 		if _, each := book(Rejected, 0, s.OverloadWindow); each*float64(n) > 20.001 {
-			t.Errorf("%d relays: after one refusal each they send %v a second together, limit 20", n, each*float64(n))
+			t.Errorf("%d relays: after one rejection each they together send %v calls a second, limit 20", n, each*float64(n))
 		}
 		for _, left := range []float64{0, 0.2, 0.4} {
 			if was, now := book(Delivered, left, s.OverloadWindow); math.Abs(now/was-1-left) > 0.001 {
-				t.Errorf("%d relays: with %v of the allowance left the pace goes from %v to %v", n, left, was, now)
+				t.Errorf("%d relays: a success with %v of the limit left changes the pace from %v to %v", n, left, was, now)
 			}
 		}
 		if was, now := book(Delivered, 0, s.Tick); now < was*1.07 {
-			t.Errorf("%d relays: a frequent caller goes from %v to %v with a success", n, was, now)
+			t.Errorf("%d relays: a success changes the pace of a relay that calls often from %v to %v", n, was, now)
 		}
 		if was, now := book(Rejected, 0, s.Tick); now < was*0.72 {
-			t.Errorf("%d relays: a frequent caller goes from %v to %v with a refusal", n, was, now)
+			t.Errorf("%d relays: a rejection changes the pace of a relay that calls often from %v to %v", n, was, now)
 		}
 	}
 }
 
-// TestNoConnectionSpendsNoToken: a call that found no connection took nothing of the limit.
-func TestNoConnectionSpendsNoToken(t *testing.T) {
+// A call that found no connection did not count against the rate limit, so it must not cost a pace
+// token.
+func TestCallWithoutConnectionSpendsNoPaceToken(t *testing.T) {
 	s := baseSettings()
 	s.Relays = 80
 	r := newRig(t, s, ready(1, 20))
@@ -82,6 +86,6 @@
 		r.untilSend()
 	}
 	if r.now > began+second {
-		t.Errorf("the next call waits %d ms for a token", (r.now-began)/1000)
+		t.Errorf("the next call was sent only after %d ms", (r.now-began)/1000)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkStep shows what a message and its answer cost by the size of the fleet; nothing asserts a time.
+// BenchmarkStep measures what a message and its answer cost with few and with many endpoints. No
+// test asserts a time.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 700} {
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
--- a/policy/priority_test.go
+++ b/policy/priority_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// TestWorthOrder: what loses most by waiting goes first; what is over its tenant's share goes last.
-func TestWorthOrder(t *testing.T) {
+// The message that loses most weight by waiting is sent first, and messages of a tenant over its
+// quota are last.
+func TestMessageThatLosesMostByWaitingGoesFirst(t *testing.T) {
 	s := baseSettings()
-	s.Classes = append(s.Classes, Class{Name: "dear", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 3, LateWeight: 0.3})
+	s.Classes = append(s.Classes, Class{Name: "valuable", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 3, LateWeight: 0.3})
 	s.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 100}}
 	r := newRig(t, s, ready(1, 2))
 	r.step(r.message(0, 0)) // takes the window of one
@@ -24,16 +25,16 @@
 	r.step(answer(first, Delivered))
 	q := r.p.destinations[0].queue
 	if len(r.sends) == 0 || len(q) < 2 {
-		t.Fatalf("%d sends, %d left in the queue", len(r.sends), len(q))
+		t.Fatalf("%d sends and %d messages left in the queue, want at least 1 and 2", len(r.sends), len(q))
 	}
-	if m := r.p.messages[r.sends[0].Message]; m.class.Name != "dear" || m.weight < 3 || q[len(q)-1].weight > 0.5 {
-		t.Fatalf("first %s of worth %v, last worth %v", m.class.Name, m.weight, q[len(q)-1].weight)
+	if m := r.p.messages[r.sends[0].Message]; m.class.Name != "valuable" || m.weight < 3 || q[len(q)-1].weight > 0.5 {
+		t.Fatalf("the first message sent has class %s and weight %v, the last in the queue has weight %v", m.class.Name, m.weight, q[len(q)-1].weight)
 	}
 }
 
-// TestClosedQueueCostsNothing: what waits for a destination that nothing may go to is not weighed at each event;
-// where the queue is long that would cost more than the work there is.
-func TestClosedQueueCostsNothing(t *testing.T) {
+// A queue must not be evaluated at each event while nothing may be sent to its destination: with a
+// long queue that would cost more than the useful work.
+func TestQueueIsNotSortedWhileWindowIsFull(t *testing.T) {
 	r := newRig(t, baseSettings(), ready(1, 2))
 	r.step(r.message(0, 0)) // takes the window of one
 	for range 50 {
@@ -41,7 +42,7 @@
 	}
 	for _, m := range r.p.destinations[0].queue {
 		if m.delayCost != 0 {
-			t.Fatal("a queue was weighed while its window was full")
+			t.Fatal("the queue was evaluated while its window was full")
 		}
 	}
 }
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestRestAfterARefusal: the first rest after an untold refusal is this relay's turn at the limit, but no longer
-// than a message has to its aim.
-func TestRestAfterARefusal(t *testing.T) {
+// The first backoff after a rejection without Retry-After is about the time in which every relay
+// can make one call within the limit, but no longer than the latency objective.
+func TestBackoffAfterRejectionIsAboutOneTurnAtTheLimit(t *testing.T) {
 	for _, n := range []int{2, 7, 400} {
 		s := baseSettings()
 		s.Relays = n
@@ -13,14 +13,15 @@
 		r.p.observeCall(&callState{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: Rejected})
 		turn := min(Time(n)*second/4, 2*second)
 		if rest := l.backoffUntil - r.now; rest < turn/2 || rest > turn*3/2 {
-			t.Errorf("%d relays: a rest of %d ms at 4 calls a second", n, rest/1000)
+			t.Errorf("%d relays: backoff of %d ms at a limit of 4 calls a second", n, rest/1000)
 		}
 	}
 }
 
-// Two refusals far apart with no success between are the word of one that is shut, unless they report a limit: a relay
-// of a large fleet calls so seldom that two of its calls in a row often meet a limit that the others have used up.
-func TestRefusalByALimitIsNoOutage(t *testing.T) {
+// Two rejections far apart without a success between them are a sign of an outage, unless they
+// report a limit: a relay of a large fleet calls so rarely that two of its calls in a row often
+// meet a limit that the other relays have used up.
+func TestRejectionsWithLoadReportDoNotEject(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		s := baseSettings()
 		s.Relays = 80
@@ -33,13 +34,13 @@
 			r.now += s.OverloadWindow
 		}
 		if sick := r.p.endpoints[1].isEjected; sick == told {
-			t.Errorf("report %v: held to be out %v", told, sick)
+			t.Errorf("load report %v: ejected %v", told, sick)
 		}
 	}
 }
 
-// TestWaitWithAnyOutcome: a wait binds whatever became of the message whose answer told it.
-func TestWaitWithAnyOutcome(t *testing.T) {
+// A Retry-After stops further calls whatever the outcome of the attempt that carried it.
+func TestRetryAfterAppliesWithAnyOutcome(t *testing.T) {
 	for _, o := range []Outcome{Delivered, Rejected, Errored} {
 		r := newRig(t, baseSettings(), ready(1, 1000))
 		r.step(r.message(0, 0))
@@ -53,7 +54,7 @@
 			r.step()
 		}
 		if r.now < told+second || len(r.sends) == 0 {
-			t.Errorf("outcome %v: sent %d ms after the word of a wait of 1000", o, (r.now-told)/1000)
+			t.Errorf("outcome %v: the next send came %d ms after a Retry-After of 1000 ms, or none did", o, (r.now-told)/1000)
 		}
 	}
 }
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -2,31 +2,31 @@
 
 import "testing"
 
-// A message that an earlier process took on keeps its past: what may have run
-// goes out again only as its class allows, and its attempts count on.
-func TestResume(t *testing.T) {
+// A message that an earlier process admitted keeps its history: if it may have run, it is sent
+// again only as its class allows, and its attempts are counted on.
+func TestRecoveredMessageKeepsItsAttempts(t *testing.T) {
 	set := Settings{Relays: 1, MaxCalls: 8, MaxAttempts: 3, Tick: 5000, ListedRates: true, RetryAfter: true,
 		SlowStartCapacity: 0.2, SlowStartTime: 10 * second, OverloadFactor: 2, OverloadWindow: 3 * second, Kinds: []DestinationKind{{MaxBatch: 1}},
 		Classes: []Class{
-			{Name: "safe", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: Idempotent},
-			{Name: "keyed", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: IdempotentByKey, DedupWindow: 5 * second},
-			{Name: "unsafe", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent}}}
+			{Name: "idempotent", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: Idempotent},
+			{Name: "idempotent by key", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: IdempotentByKey, DedupWindow: 5 * second},
+			{Name: "non-idempotent", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent}}}
 	now := 100 * second
 	for name, x := range map[string]struct {
 		class, tries int
 		doubt, left  Time
 		want         ActionKind
 	}{
-		"new":                       {class: 2, left: 9 * second, want: ActionSend},
-		"unsafe, may have run":      {class: 2, tries: 1, doubt: now - second, left: 9 * second, want: ActionFail},
-		"unsafe, never ran":         {class: 2, tries: 2, left: 9 * second, want: ActionSend},
-		"unsafe, never ran, used":   {class: 2, tries: 3, left: 9 * second, want: ActionReject},
-		"keyed, in its window":      {class: 1, tries: 1, doubt: now - 2*second, left: 9 * second, want: ActionSend},
-		"keyed, window over":        {class: 1, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActionFail},
-		"safe, may have run":        {class: 0, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActionSend},
-		"overdue":                   {class: 0, tries: 1, left: -second, want: ActionReject},
-		"unsafe, overdue, in doubt": {class: 2, tries: 1, doubt: now - 6*second, left: -second, want: ActionFail},
-		"overdue, never tried":      {class: 2, left: 0, want: ActionReject},
+		"new":                          {class: 2, left: 9 * second, want: ActionSend},
+		"non-idempotent, may have run": {class: 2, tries: 1, doubt: now - second, left: 9 * second, want: ActionFail},
+		"non-idempotent, never ran":    {class: 2, tries: 2, left: 9 * second, want: ActionSend},
+		"non-idempotent, never ran, no attempt left":      {class: 2, tries: 3, left: 9 * second, want: ActionReject},
+		"idempotent by key, within its window":            {class: 1, tries: 1, doubt: now - 2*second, left: 9 * second, want: ActionSend},
+		"idempotent by key, window over":                  {class: 1, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActionFail},
+		"idempotent, may have run":                        {class: 0, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActionSend},
+		"past its deadline":                               {class: 0, tries: 1, left: -second, want: ActionReject},
+		"non-idempotent, past its deadline, may have run": {class: 2, tries: 1, doubt: now - 6*second, left: -second, want: ActionFail},
+		"past its deadline, never sent":                   {class: 2, left: 0, want: ActionReject},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, err := New(set, 42)
@@ -49,37 +49,37 @@
 			if x.want != ActionSend {
 				return
 			}
-			// The attempt counts on from those before: its outcome bears their number.
+			// The new attempt's number follows those of the earlier attempts.
 			after := p.Step(now+second/10, []Event{{Kind: EventAttemptDone, Message: 1, Attempt: x.tries, Endpoint: 7,
 				Outcome: Delivered, Final: true, Latency: second / 10}}, nil)
 			for _, a := range after {
 				if a.Kind != ActionTimer && a.Kind != ActionLog {
-					t.Errorf("still to do: %v", a.Kind)
+					t.Errorf("action %v after the delivery, want none", a.Kind)
 				}
 			}
 		})
 	}
 }
 
-// A message whose call another process has out keeps its slot and is not sent again until that call is over;
-// what then becomes of it goes by the outcome, as with a call of one's own.
-func TestResumeOut(t *testing.T) {
+// A message whose call another process has in flight keeps its call slot and is not sent again
+// until that call ends. Then the outcome decides what happens to it, as for a call of this process.
+func TestRecoveredMessageInFlightIsNotSentAgain(t *testing.T) {
 	set := baseSettings()
 	set.MaxCalls = 3
-	set.Classes = append(set.Classes, Class{Name: "once", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent})
+	set.Classes = append(set.Classes, Class{Name: "non-idempotent", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent})
 	out := func(id uint32, at Time) Event {
 		return Event{Kind: EventMessage, Message: id, Class: 1, TimeLeft: 9 * second, Attempts: 1, InFlightEndpoint: 1, InFlightSince: at}
 	}
 	for name, x := range map[string]struct {
 		outcome Outcome
 		want    ActionKind
-	}{"turned away": {Rejected, ActionSend}, "may have run": {Cancelled, ActionFail}} {
+	}{"rejected": {Rejected, ActionSend}, "may have run": {Cancelled, ActionFail}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, set, ready(1, 1000))
 			r.p.endpoints[1].route.window = 8
-			acts := r.step(out(90, r.now-second), out(91, r.now-second), out(92, r.now-2*second)) // one call with two, and another
+			acts := r.step(out(90, r.now-second), out(91, r.now-second), out(92, r.now-2*second)) // one call with two messages, and another with one
 			if len(r.sends) != 0 || r.p.callsInFlight != 2 || r.p.endpoints[1].callsInFlight != 2 {
-				t.Fatalf("%d calls, %d there: %+v", r.p.callsInFlight, r.p.endpoints[1].callsInFlight, acts)
+				t.Fatalf("%d calls in flight, %d to the endpoint, want 2 and no send: %+v", r.p.callsInFlight, r.p.endpoints[1].callsInFlight, acts)
 			}
 			for _, id := range []uint32{90, 91} {
 				r.step(Event{Kind: EventAttemptDone, Message: id, Endpoint: 1, Outcome: Delivered, Final: true})
@@ -93,7 +93,7 @@
 				acts = r.step(Event{Kind: EventTimer})
 			}
 			if count(acts, x.want) != 1 {
-				t.Errorf("want %v: %+v", x.want, acts)
+				t.Errorf("want one action of kind %v: %+v", x.want, acts)
 			}
 		})
 	}
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// baseSettings returns settings for a relay with one safe class and one kind of destination.
+// baseSettings returns settings for a relay with one idempotent class and one kind of destination.
 func baseSettings() Settings {
 	return Settings{Relays: 2, MaxCalls: 8, MaxMessages: 100, MaxAttempts: 9, HalvingWeight: true, OverQuotaWeight: 0.1,
 		LoadReports: true, ListedRates: true, HealthChecks: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * second, Tick: 5000,
@@ -11,7 +11,8 @@
 		Classes: []Class{{Name: "m", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, LateWeight: 0.3}}}
 }
 
-// rig drives a policy by hand: a steady host that answers as told.
+// rig drives a policy step by step, in the place of its host. It keeps the actions of the latest
+// step and the times of all sends.
 type rig struct {
 	t      *testing.T
 	p      *Policy
@@ -55,7 +56,8 @@
 	return Event{Kind: EventMessage, Message: r.next - 1, Class: class, Dest: dest, TimeLeft: r.p.settings.Classes[class].Deadline}
 }
 
-// untilSend has messages come until one is sent.
+// stepUntilSend lets time pass, with a new message whenever none is pending, until something is
+// sent.
 func (r *rig) untilSend() {
 	r.t.Helper()
 	for i := 0; ; i++ {
@@ -68,7 +70,7 @@
 			return
 		}
 		if i == 10000 {
-			r.t.Fatal("nothing is sent")
+			r.t.Fatal("nothing was sent in 10000 steps")
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The checker below keeps books of its own, from the events it hands out and the actions it gets back.
+// The checker below keeps its own records, from the events that it passes to a policy and the
+// actions that it gets back, and checks every action against the rules.
 
 type heldMsg struct {
 	class, dest, zone  int
@@ -33,7 +34,7 @@
 type checker struct {
 	set      Settings
 	eps      map[Endpoint]Entry
-	badSince map[Endpoint]Time // told draining or gone
+	badSince map[Endpoint]Time // since when the list has it draining or removed
 	msgs     map[uint32]*heldMsg
 	flights  []flight
 	timers   []flight
@@ -121,7 +122,7 @@
 	}
 }
 
-// action checks an action against the rules and notes it.
+// checkAction checks an action against the rules and records it.
 func (c *checker) action(now Time, a Action) {
 	m := c.msgs[a.Message]
 	switch a.Kind {
@@ -143,7 +144,7 @@
 func (c *checker) sent(now Time, a Action, m *heldMsg) {
 	c.sends++
 	if m == nil {
-		c.fault(now, "send of unknown %d", a.Message)
+		c.fault(now, "send of unknown message %d", a.Message)
 		return
 	}
 	c.checkState(now, a, m)
@@ -151,59 +152,59 @@
 	c.checkRepeat(now, a, m)
 	c.checkOrder(now, a, m)
 	if !m.doubt {
-		m.firstDoubt = now // it counts from this send if this attempt may have run
+		m.firstDoubt = now // if this attempt may have run, the window counts from this send
 	}
 	m.tries++
 	m.out, m.at = true, a.Endpoint
 	c.flights = append(c.flights, flight{msg: a.Message, attempt: m.tries - 1, at: a.Endpoint, cut: a.Deadline})
 }
 
-// checkState holds what a message's own state says of a send.
+// checkState checks a send against the message's own state.
 func (c *checker) checkState(now Time, a Action, m *heldMsg) {
 	x, known := c.eps[a.Endpoint]
 	switch {
 	case m.done:
-		c.fault(now, "send of %d after its end", a.Message)
+		c.fault(now, "send of message %d after its completion", a.Message)
 	case m.spilled:
-		c.fault(now, "send of %d, which is spilled", a.Message)
+		c.fault(now, "send of message %d, which is spilled", a.Message)
 	case m.out:
-		c.fault(now, "two attempts of %d at once", a.Message)
+		c.fault(now, "two attempts of message %d at once", a.Message)
 	case !known || x.Dest != m.dest:
-		c.fault(now, "send of %d to an endpoint of another destination", a.Message)
+		c.fault(now, "send of message %d to an endpoint of another destination", a.Message)
 	case a.Deadline > m.deadline:
-		c.fault(now, "attempt of %d outlives its deadline", a.Message)
+		c.fault(now, "attempt of message %d times out after its deadline", a.Message)
 	case c.set.MaxAttempts > 0 && m.tries >= c.set.MaxAttempts:
-		c.fault(now, "attempt %d of %d", m.tries, a.Message)
+		c.fault(now, "attempt %d of message %d is over the limit", m.tries, a.Message)
 	}
 }
 
-// checkEndpoint holds what the list and a told wait say of a send.
+// checkEndpoint checks a send against the endpoint list and any Retry-After.
 func (c *checker) checkEndpoint(now Time, a Action) {
 	if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
-		c.fault(now, "drain: send of %d to %d", a.Message, a.Endpoint)
+		c.fault(now, "drain: send of message %d to draining or removed endpoint %d", a.Message, a.Endpoint)
 	}
 	if now < c.waits[c.route(a.Endpoint)] {
-		c.fault(now, "wait: send of %d to %d", a.Message, a.Endpoint)
+		c.fault(now, "Retry-After: send of message %d to endpoint %d", a.Message, a.Endpoint)
 	}
 }
 
-// checkRepeat holds what the class says of a message that may have run.
+// checkRepeat checks a send against the class's rules on a message that may have run.
 func (c *checker) checkRepeat(now Time, a Action, m *heldMsg) {
 	cl := &c.set.Classes[m.class]
 	if m.doubt && cl.Idempotency == NonIdempotent {
-		c.fault(now, "unsafe %d sent again", a.Message)
+		c.fault(now, "non-idempotent message %d, which may have run, is sent again", a.Message)
 	}
 	if m.doubt && cl.Idempotency == IdempotentByKey {
 		if now > m.firstDoubt+cl.DedupWindow {
-			c.fault(now, "keyed %d sent outside its window", a.Message)
+			c.fault(now, "message %d, which may have run, is sent again after its deduplication window", a.Message)
 		}
 		if cl.DedupPerZone && c.eps[a.Endpoint].Zone != m.zone {
-			c.fault(now, "keyed %d left its zone", a.Message)
+			c.fault(now, "message %d, which may have run, is sent again to another zone", a.Message)
 		}
 	}
 }
 
-// checkOrder holds that messages of a key go one at a time, in order.
+// checkOrder checks that messages of a key are sent one at a time, in order.
 func (c *checker) checkOrder(now Time, a Action, m *heldMsg) {
 	if !c.set.Classes[m.class].Ordered || m.key == 0 {
 		return
@@ -211,22 +212,22 @@
 	for _, id := range c.order[m.key] {
 		o := c.msgs[id]
 		if o.seq < m.seq && (!o.done || o.out) {
-			c.fault(now, "order: %d before %d", a.Message, id)
+			c.fault(now, "order: message %d is sent before message %d is finished", a.Message, id)
 		}
 	}
 	if m.tries == 0 && now < c.rest[m.key] {
-		c.fault(now, "order: %d inside the rest of its key", a.Message)
+		c.fault(now, "order: message %d is sent during the cooldown of its key", a.Message)
 	}
 }
 
 func (c *checker) responded(now Time, a Action, m *heldMsg) {
 	if m == nil || m.done || m.spilled {
-		c.fault(now, "second answer for %d", a.Message)
+		c.fault(now, "second final response for message %d", a.Message)
 		return
 	}
 	m.done = true
 	if now > m.deadline+c.set.ResponseSlack {
-		c.fault(now, "late answer for %d", a.Message)
+		c.fault(now, "late final response for message %d", a.Message)
 	}
 	if a.Kind == ActionFail {
 		c.failed++
@@ -236,17 +237,17 @@
 	cl := &c.set.Classes[m.class]
 	open := m.doubt || m.out
 	if open && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.DedupPerZone) {
-		c.fault(now, "refused %d which may have run", a.Message)
+		c.fault(now, "rejection of message %d, which may have run", a.Message)
 	}
 }
 
 func (c *checker) spilled(now Time, a Action, m *heldMsg) {
-	if m != nil && m.done && m.withdrawn { // in the same turn, after it was spilled
+	if m != nil && m.done && m.withdrawn { // it was withdrawn in the same step, after it was spilled
 		c.log.gone = append(c.log.gone, Event{Kind: EventWithdraw, Message: a.Message, Spilled: true, Dest: m.dest, Class: m.class, Key: m.key})
 		return
 	}
 	if m == nil || m.done || m.spilled || m.out {
-		c.fault(now, "spill of %d, which cannot be: %+v", a.Message, m)
+		c.fault(now, "spill of message %d, which can't be spilled: %+v", a.Message, m)
 		return
 	}
 	m.spilled = true
@@ -255,10 +256,10 @@
 
 func (c *checker) healthCheck(now Time, a Action) {
 	if now < c.waits[c.route(a.Endpoint)] {
-		c.fault(now, "wait: probe to %d", a.Endpoint)
+		c.fault(now, "Retry-After: health check of endpoint %d", a.Endpoint)
 	}
 	if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
-		c.fault(now, "drain: probe to %d", a.Endpoint)
+		c.fault(now, "drain: health check of draining or removed endpoint %d", a.Endpoint)
 	}
 	c.probes = append(c.probes, a.Endpoint)
 }
@@ -266,13 +267,13 @@
 func (c *checker) finish(now Time) {
 	for id, m := range c.msgs {
 		if !m.done && now > m.deadline+c.set.ResponseSlack {
-			c.fault(now, "no answer for %d", id)
+			c.fault(now, "no final response for message %d", id)
 			m.done = true
 		}
 	}
 	n := len(c.flights)
 	if most := c.set.MaxCalls; n > most*maxBatch(c.set) {
-		c.fault(now, "%d attempts out with %d slots", n, most)
+		c.fault(now, "%d attempts in flight with %d call slots", n, most)
 	}
 }
 
@@ -284,7 +285,7 @@
 	return b
 }
 
-// testSettings draws legal settings; every kind of class is among them.
+// randomSettings returns random legal settings with classes of every kind.
 func testSettings(r *rand.Rand) Settings {
 	s := Settings{Relays: 1 + r.IntN(4), MaxCalls: 1 + r.IntN(12), MaxMessages: r.IntN(80), MaxAttempts: r.IntN(9),
 		HalvingWeight: r.IntN(2) == 0, OverQuotaWeight: 0.2, ListedRates: r.IntN(2) == 0, HealthChecks: r.IntN(2) == 0,
@@ -294,24 +295,24 @@
 		Kinds:   []DestinationKind{{MaxBatch: 1 + r.IntN(4)}, {SeparateRoutes: true, MaxBatch: 1}},
 		Tenants: []Tenant{{Name: "a", Quota: 3}, {Name: "b"}},
 		Classes: []Class{
-			{Name: "safe", LatencyObjective: second, Deadline: 6 * second, Weight: 1, LateWeight: 0.2},
-			{Name: "keyed", LatencyObjective: 2 * second, Deadline: 9 * second, Weight: 2, LateWeight: 0.3, Idempotency: IdempotentByKey,
+			{Name: "idempotent", LatencyObjective: second, Deadline: 6 * second, Weight: 1, LateWeight: 0.2},
+			{Name: "idempotent by key", LatencyObjective: 2 * second, Deadline: 9 * second, Weight: 2, LateWeight: 0.3, Idempotency: IdempotentByKey,
 				DedupWindow: 3 * second / 2},
-			{Name: "zoned", LatencyObjective: 2 * second, Deadline: 9 * second, Weight: 2, LateWeight: 0.3, Idempotency: IdempotentByKey,
+			{Name: "idempotent by key in its zone", LatencyObjective: 2 * second, Deadline: 9 * second, Weight: 2, LateWeight: 0.3, Idempotency: IdempotentByKey,
 				DedupWindow: 3 * second, DedupPerZone: true},
-			{Name: "unsafe", LatencyObjective: 2 * second, Deadline: 7 * second, Weight: 3, LateWeight: 0.3, Idempotency: NonIdempotent},
+			{Name: "non-idempotent", LatencyObjective: 2 * second, Deadline: 7 * second, Weight: 3, LateWeight: 0.3, Idempotency: NonIdempotent},
 			{Name: "ordered", LatencyObjective: second, Deadline: 8 * second, Weight: 1, LateWeight: 0.3, Ordered: true},
 		}}
 	return s
 }
 
-// play runs a seeded random legal day against a policy and returns the checker and all that was asked.
+// runRandomEvents runs a policy over random legal events and returns the checker and all actions.
 func play(t testing.TB, seed uint64, steps int) (*checker, []string) {
 	t.Helper()
 	return playResident(t, seed, steps, 0)
 }
 
-// playResident is play with so many messages in memory at most.
+// runWithResidentLimit is runRandomEvents with a limit on the messages in memory.
 func playResident(t testing.TB, seed uint64, steps, resident int) (*checker, []string) {
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 7))
@@ -335,7 +336,7 @@
 		d.checker.oneInMemory(d.now, p)
 		d.events = nil
 		d.now = d.checker.until(d.now, d.now+5000*(1+Time(r.IntN(20))))
-		if r.IntN(100) == 0 { // a restart
+		if r.IntN(100) == 0 { // the relay restarts
 			if p, err = New(set, seed+uint64(step)); err != nil {
 				t.Fatal(err)
 			}
@@ -355,16 +356,16 @@
 	return d.checker, trace
 }
 
-// day draws the events of a seeded random legal day.
+// randomEvents generates random legal events from a seed.
 type day struct {
 	rng      *rand.Rand
 	set      Settings
 	checker  *checker
 	now      Time
 	entries  []Entry
-	events   []Event // of the next step
+	events   []Event // events of the next step
 	next     uint32  // number of the next message
-	seq      int     // of messages, in order of arrival
+	seq      int     // sequence number of the latest message, in order of arrival
 	outcomes map[int]Outcome
 }
 
@@ -381,7 +382,7 @@
 	d.events = append(d.events, e)
 }
 
-// restart closes the books of this life; the list may be old.
+// restart begins new records for a restarted policy. Its first list may be out of date.
 func (d *day) restart() {
 	old := d.checker
 	d.checker = newChecker(d.set)
@@ -427,7 +428,7 @@
 	}
 }
 
-// endFlights ends some attempts, and all whose time is up.
+// endAttempts ends some attempts at random, and all whose time-out has passed.
 func (d *day) endFlights() {
 	var still []flight
 	for _, f := range d.checker.flights {
@@ -438,14 +439,14 @@
 		e := d.outcome(f)
 		d.checker.resolved(d.now, e)
 		d.events = append(d.events, e)
-		if d.rng.IntN(20) == 0 { // repeated, and about what was never sent
+		if d.rng.IntN(20) == 0 { // the event repeated, and one for a message that was never sent
 			d.events = append(d.events, e, Event{Kind: EventAttemptDone, Message: d.next + 9, Endpoint: 5})
 		}
 	}
 	d.checker.flights = still
 }
 
-// outcome draws how an attempt ends.
+// randomOutcome returns a random outcome for an attempt.
 func (d *day) outcome(f flight) Event {
 	m := d.checker.msgs[f.msg]
 	e := Event{Kind: EventAttemptDone, Message: f.msg, Attempt: f.attempt, Endpoint: f.at, Latency: second / 5}
@@ -474,7 +475,7 @@
 	d.checker.probes = nil
 }
 
-// withdraw now and then takes the newest message back.
+// withdraw sometimes withdraws the newest message.
 func (d *day) withdraw() {
 	if d.rng.IntN(50) != 0 || d.next <= 1 {
 		return
@@ -498,7 +499,8 @@
 	d.checker.timers = later
 }
 
-// until is the next moment of the day: a timer or a time-out that comes due is not passed over.
+// nextTime is the time of the next step. It skips no timer, time-out or load deadline that is due
+// earlier.
 func (c *checker) until(now, then Time) Time {
 	for _, tm := range c.timers {
 		then = min(then, max(tm.due, now+1))
@@ -519,8 +521,8 @@
 	return Ready
 }
 
-// TestRules holds every rule as a property over seeded random legal days.
-func TestRules(t *testing.T) {
+// Every rule of the checker holds for policies that run over random legal events.
+func TestRulesHoldOverRandomEvents(t *testing.T) {
 	var sends, refused, failed int
 	for seed := range uint64(90) {
 		c, _ := play(t, seed, 400)
@@ -532,21 +534,21 @@
 		sends, refused, failed = sends+c.sends, refused+c.refused, failed+c.failed
 	}
 	if sends < 5000 || refused < 100 || failed < 100 {
-		t.Fatalf("the days test nothing: %d sends, %d refused, %d failed", sends, refused, failed)
+		t.Fatalf("too few events to test anything: %d sends, %d rejected, %d failed", sends, refused, failed)
 	}
 }
 
-// TestSameEventsSameActions: the seed and the events settle every action.
-func TestSameEventsSameActions(t *testing.T) {
+// The settings, the seed and the events determine every action.
+func TestSameSeedAndEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(5) {
 		_, a := play(t, seed, 300)
 		_, b := play(t, seed, 300)
 		if len(a) == 0 || len(a) != len(b) {
-			t.Fatalf("seed %d: %d and %d actions", seed, len(a), len(b))
+			t.Fatalf("seed %d: %d actions in the first run, %d in the second", seed, len(a), len(b))
 		}
 		for i := range a {
 			if a[i] != b[i] {
-				t.Fatalf("seed %d: %s against %s", seed, a[i], b[i])
+				t.Fatalf("seed %d: action %s in the first run, %s in the second", seed, a[i], b[i])
 			}
 		}
 	}
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestSettingsThatCannotBe(t *testing.T) {
+func TestNewRejectsImpossibleSettings(t *testing.T) {
 	for _, c := range []struct {
 		key    string
 		change func(*Settings)
@@ -24,10 +24,10 @@
 		s := baseSettings()
 		c.change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), c.key) {
-			t.Errorf("%s: error %v", c.key, err)
+			t.Errorf("%s: error %v, want one that names the setting", c.key, err)
 		}
 	}
 	if _, err := New(baseSettings(), 1); err != nil {
-		t.Errorf("good settings: %v", err)
+		t.Errorf("possible settings were rejected: %v", err)
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// outage sends a message each 100 ms; the destination answers with o from the first second to the twelfth.
+// runOutage sends a message each 100 ms for 40 s. From the first second to the twelfth each attempt
+// ends with outcome o.
 func outage(t *testing.T, s Settings, rate float64, o Outcome) *rig {
 	r := newRig(t, s, ready(1, rate/2), ready(2, rate/2))
 	start := r.now
@@ -48,9 +49,10 @@
 	return r
 }
 
-// TestFailBackBudget: after an outage seen, this relay's part of the budget holds in any window of the fall
-// time, from the return on, with the capacity at its slowest ramp.
-func TestFailBackBudget(t *testing.T) {
+// After an outage that the relay has noticed, it keeps to its share of the recovery budget in every
+// overload window from the return on, for a destination that regains its capacity as slowly as the
+// settings allow.
+func TestRecoveryBudgetLimitsCallsAfterOutage(t *testing.T) {
 	for _, o := range []Outcome{Errored, TimedOut, ConnectFailed, ConnectionReset, Rejected} {
 		s := baseSettings()
 		r := outage(t, s, 20, o)
@@ -73,26 +75,26 @@
 			}
 			share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(from-back)/float64(s.SlowStartTime)
 			most := s.OverloadFactor * share * 20 * 3 / float64(s.Relays)
-			if float64(n) > most+2 { // a trial at each endpoint is the allowance for chance
+			if float64(n) > most+2 { // one trial call at each endpoint is the allowance for chance
 				t.Errorf("outcome %d: %d calls in the 3 s from %d ms after the return, want at most %.1f", o, n,
 					(from-back)/1000, most)
 			}
 		}
 		if early == 0 || early > 60 || late < 50 {
-			t.Errorf("outcome %d: %d calls in the outage and %d after it: trials or the return are missing", o, early, late)
+			t.Errorf("outcome %d: %d calls during the outage, want 1 to 60, and %d after it, want at least 50", o, early, late)
 		}
 	}
 }
 
-// TestFleetBudget: after an outage that every relay has seen, all relays together stay inside the budget of a
-// cold destination, for two relays and for hundreds.
-func TestFleetBudget(t *testing.T) {
+// After an outage that every relay has noticed, all relays together keep to the recovery budget of
+// a cold destination, whether they are two or hundreds.
+func TestFleetStaysWithinRecoveryBudget(t *testing.T) {
 	for _, n := range []int{2, 50, 400} {
 		s := baseSettings()
 		s.Relays, s.MaxMessages = n, 1000
 		const rate = 20.0
 		back := 1012 * second
-		calls := make([]float64, 40) // by half seconds from the return on
+		calls := make([]float64, 40) // calls in each half second from the return on
 		for k := range n {
 			p, err := New(s, uint64(k))
 			if err != nil {
@@ -133,8 +135,8 @@
 	}
 }
 
-// TestTrialsUseMessages: a trial call is a message that waits; an unsafe one only once it is late.
-func TestTrialsUseMessages(t *testing.T) {
+// A trial call carries a message that waits, a non-idempotent one only once it is late.
+func TestTrialCallsUseWaitingMessages(t *testing.T) {
 	for _, unsafe := range []bool{false, true} {
 		s := baseSettings()
 		if unsafe {
@@ -151,14 +153,15 @@
 			r.step()
 		}
 		if len(r.sends) != 1 || unsafe && r.now <= start+s.Classes[0].LatencyObjective {
-			t.Errorf("unsafe %v: %d sends after %d ms", unsafe, len(r.sends), (r.now-start)/1000)
+			t.Errorf("non-idempotent %v: %d sends after %d ms", unsafe, len(r.sends), (r.now-start)/1000)
 		}
 	}
 }
 
-// A relay of a large fleet meets an outage at a destination that it has never heard from. Its trial calls are paced by
-// the lowest limit that others of the kind reported, not by one call a second for all relays together.
-func TestTrialsWhereNothingWasHeard(t *testing.T) {
+// A relay of a large fleet finds a destination failing that has never answered it. Its trial calls
+// are paced by the lowest limit that other destinations of the same kind have reported, not by one
+// call a second for all relays together.
+func TestTrialCallsArePacedByLowestReportedLimit(t *testing.T) {
 	s := baseSettings()
 	s.Relays, s.ListedRates, s.Kinds = 80, false, []DestinationKind{{MaxBatch: 1}, {MaxBatch: 1}}
 	entry := func(id Endpoint, dest, kind int) Entry {
@@ -172,10 +175,10 @@
 		r.step(e)
 	}
 	if r.p.estimateCapacity(r.p.endpoints[3].route) != 1 || r.p.lowestReportedLimit(r.p.endpoints[4].route.dest) != 0 {
-		t.Error("the guess goes beyond trial calls, or beyond the kind")
+		t.Error("the lowest limit is used beyond recovery budgets, or for another kind")
 	}
 	tries := 0
-	for range 20000 { // it fails for 100 s
+	for range 20000 { // the destination fails for 100 s
 		if r.now += s.Tick; len(r.p.pending) == 0 {
 			r.step(r.message(0, 2))
 		} else {
@@ -189,6 +192,6 @@
 		}
 	}
 	if tries < 10 || tries > 40 {
-		t.Errorf("%d tries in 100 s", tries)
+		t.Errorf("%d trial calls in 100 s, want 10 to 40", tries)
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// snapshotText is the JSON that earlier versions write, with every key, and that they have to be able to read.
+// snapshotText is the JSON that earlier versions write and read, with every key.
 const snapshotText = `{
 	"Lanes": [
 		{
@@ -46,7 +46,7 @@
 	"Tight": [0.125]
 }`
 
-// fullSnapshot is what snapshotText says.
+// fullSnapshot returns the snapshot that snapshotText encodes.
 func fullSnapshot() Snapshot {
 	bucket := TokenBucketSnapshot{RefilledAt: 1, Tokens: 2.5, IsStarted: true}
 	latency := LatencySnapshot{Mean: 3.5, Deviation: 4.5, Samples: 5}
@@ -59,25 +59,25 @@
 	return Snapshot{Routes: []RouteSnapshot{route}, Latency: latency, ConnectionShortage: []float64{0.125}}
 }
 
-// TestSnapshotText: a snapshot is written with the keys of earlier versions, byte for byte, and read from them. A
-// field that is new has to be added here: each one of the full snapshot is set.
-func TestSnapshotText(t *testing.T) {
+// A snapshot is written with the keys of earlier versions, byte for byte, and can be read from
+// them. A new field has to be added to the full snapshot, all of whose fields are set.
+func TestSnapshotJSONIsThatOfEarlierVersions(t *testing.T) {
 	var want bytes.Buffer
 	if err := json.Compact(&want, []byte(snapshotText)); err != nil {
 		t.Fatal(err)
 	}
 	got, err := json.Marshal(fullSnapshot())
 	if err != nil || string(got) != want.String() {
-		t.Errorf("error %v, written as\n%s\nwant\n%s", err, got, want.Bytes())
+		t.Errorf("marshal: error %v, got\n%s\nwant\n%s", err, got, want.Bytes())
 	}
 	var read Snapshot
 	if err := json.Unmarshal([]byte(snapshotText), &read); err != nil || !reflect.DeepEqual(read, fullSnapshot()) {
-		t.Errorf("error %v, read as %+v", err, read)
+		t.Errorf("unmarshal: error %v, got %+v", err, read)
 	}
 	checkAllSet(t, "Snapshot", reflect.ValueOf(fullSnapshot()))
 }
 
-// checkAllSet reports fields that are zero.
+// checkAllSet reports fields that have their zero value.
 func checkAllSet(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
@@ -95,9 +95,9 @@
 	}
 }
 
-// What one policy has learned holds for the next: a told wait, the window, the history and an outage, by the
-// new host's clock. An endpoint that is not on its list is passed over.
-func TestRecall(t *testing.T) {
+// A restored policy has the Retry-After, the window, the history and the ejection of the earlier
+// one, with all times by the new host's clock. Endpoints that are not on its list are ignored.
+func TestRestoreAppliesSnapshotByNewClock(t *testing.T) {
 	old := newRig(t, baseSettings(), ready(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10}, Entry{Endpoint: 3, Dest: 2, State: Ready})
 	old.step(old.message(0, 0))
 	old.step(Event{Kind: EventAttemptDone, Message: old.sends[0].Message, Endpoint: 1, Outcome: Rejected, RetryAfter: 3 * second})
@@ -112,20 +112,20 @@
 	r.now = old.now + shift
 	r.p.Restore(old.p.Snapshot(), shift)
 	if got, want := r.p.endpoints[1].route.retryAfterUntil, old.p.endpoints[1].route.retryAfterUntil+shift; got != want {
-		t.Errorf("wait until %d, want %d", got, want)
+		t.Errorf("Retry-After until %d, want %d", got, want)
 	}
 	ep := r.p.endpoints[2]
 	if req, _ := ep.route.history.totals(r.now); req != 6 || ep.route.window != 5 || !ep.isEjected || ep.lastFailureAt != old.p.endpoints[2].lastFailureAt+shift {
-		t.Errorf("%v requests, window %v, sick %v since %d", req, ep.route.window, ep.isEjected, ep.lastFailureAt)
+		t.Errorf("%v requests in the history, window %v, ejected %v, last failure at %d", req, ep.route.window, ep.isEjected, ep.lastFailureAt)
 	}
 	if req, _ := ep.route.history.totals(r.now + historySpan); req != 0 {
-		t.Errorf("%v requests after the span", req)
+		t.Errorf("%v requests in the history after its span, want 0", req)
 	}
 	r.step(r.message(0, 0))
 	if len(r.sends) != 0 {
-		t.Error("sent against a told wait")
+		t.Error("a message was sent during the restored Retry-After")
 	}
 	if r.now = old.p.endpoints[1].route.backoffUntil + shift + second; len(r.step(Event{Kind: EventTimer})) == 0 || len(r.sends) != 1 {
-		t.Error("not sent after the wait")
+		t.Error("the message was not sent after the restored Retry-After")
 	}
 }
--- a/policy/spill_bench_test.go
+++ b/policy/spill_bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// host answers for a backlog without a log: what is asked for comes back at once, as new messages.
+// benchHost plays the host's part for spilled messages without a log: a load returns new messages
+// at once.
 type host struct {
 	p     *Policy
 	now   Time
@@ -52,8 +53,9 @@
 
 var benchBounds = map[string]int{"all": 0, "bounded": 5000}
 
-// BenchmarkAdmitDown hands messages in for a destination that is down and has so many already.
-func BenchmarkAdmitDown(b *testing.B) {
+// BenchmarkAdmitWhileDown admits messages for a destination that is down and already has a backlog
+// of the given size.
+func BenchmarkAdmitWhileDown(b *testing.B) {
 	for _, held := range []int{100, 1000, 10_000, 50_000} {
 		for _, name := range []string{"all", "bounded"} {
 			b.Run(fmt.Sprintf("%s/held=%d", name, held), func(b *testing.B) {
@@ -67,8 +69,9 @@
 	}
 }
 
-// BenchmarkWorkOff delivers what a destination has when it is back, with the loads that go with it.
-func BenchmarkWorkOff(b *testing.B) {
+// BenchmarkDeliverBacklog delivers the backlog of a destination that is back, with the loads of
+// spilled messages that this needs.
+func BenchmarkDeliverBacklog(b *testing.B) {
 	for _, held := range []int{1000, 10_000, 50_000} {
 		for _, name := range []string{"all", "bounded"} {
 			b.Run(fmt.Sprintf("%s/held=%d", name, held), func(b *testing.B) {
@@ -81,7 +84,7 @@
 						a := h.sends[0]
 						h.sends = h.sends[1:]
 						events = append(events, Event{Kind: EventAttemptDone, Message: a.Message, Endpoint: 1, Outcome: Delivered, Final: true, Latency: second / 10})
-						events = append(events, h.message()) // so that as many are held all the time
+						events = append(events, h.message()) // keeps the size of the backlog constant
 						n++
 					}
 					events, h.due = append(events, h.due...), nil
--- a/policy/spill_test.go
+++ b/policy/spill_test.go
@@ -8,17 +8,19 @@
 	"testing"
 )
 
-// hostLog is the host's part of a backlog in the simplest form: a list, searched anew each time.
+// hostLog is the simplest form of the host's log of spilled messages: a list that is searched anew
+// each time.
 type hostLog struct {
-	entries []Action // as spilled
+	entries []Action // spilled messages, in the order in which they were spilled
 	asked   map[int]int
-	gone    []Event // of what was withdrawn in the turn that spilled it
+	gone    []Event // withdrawals of messages that the same step spilled
 }
 
 func (l *hostLog) spill(a Action) { l.entries = append(l.entries, a) }
 
-// take gives what is due, with all of the same destination that was spilled in order before it, then what is
-// asked for, the earliest first and those in order as they were spilled.
+// takeLoads removes and returns the messages to load: first those that are due, each after all
+// ordered messages of its destination that were spilled before it, then those that were requested,
+// the earliest deadline first and ordered ones in the order in which they were spilled.
 func (l *hostLog) take(now Time) (out []Action) {
 	take := func(i int) {
 		if a := l.entries[i]; l.asked[a.Dest] > 0 {
@@ -27,7 +29,7 @@
 		out = append(out, l.entries[i])
 		l.entries = slices.Delete(l.entries, i, i+1)
 	}
-	first := func(dest int) int { // of those in order
+	first := func(dest int) int { // index of the first ordered message of a destination
 		return slices.IndexFunc(l.entries, func(a Action) bool { return a.Ordered && a.Dest == dest })
 	}
 	for {
@@ -57,7 +59,8 @@
 	return out
 }
 
-// load gives messages back, at once what is due and some time what is asked for.
+// loadSpilled returns the events for loaded messages: those that are due at once, those that were
+// requested after a random time.
 func (c *checker) load(now Time, r *rand.Rand) (events []Event) {
 	events, c.log.gone = c.log.gone, nil
 	if len(c.log.entries) == 0 {
@@ -86,8 +89,8 @@
 	return events
 }
 
-// oneInMemory holds that a destination with spilled messages has one in memory or asked for: nothing else would
-// ever send them.
+// checkResident checks that a destination with spilled messages has one in memory or requested,
+// since nothing else would ever cause the rest to be sent.
 func (c *checker) oneInMemory(now Time, p *Policy) {
 	spilled, memory := map[int]int{}, map[int]int{}
 	for _, m := range c.msgs {
@@ -99,66 +102,67 @@
 	}
 	for dest, n := range spilled {
 		if memory[dest] == 0 && c.log.asked[dest] == 0 {
-			c.fault(now, "%d spilled of destination %d, none in memory or asked for", n, dest)
+			c.fault(now, "%d messages of destination %d are spilled, and none is in memory or requested", n, dest)
 		}
 		if d := p.destination(dest); d.spilledCount != n && len(c.log.gone) == 0 {
-			c.fault(now, "the policy counts %d spilled of destination %d, there are %d", d.spilledCount, dest, n)
+			c.fault(now, "the policy counts %d spilled messages of destination %d, there are %d", d.spilledCount, dest, n)
 		}
 	}
 }
 
-// TestRulesWithBacklog holds every rule, one end for each message and the order of keys among them, over days on
-// which most of what waits is spilled.
-func TestRulesWithBacklog(t *testing.T) {
+// Every rule, a single final response for each message and the order of keys hold over random
+// events in which most of the waiting messages are spilled.
+func TestRulesHoldWithSpilledMessages(t *testing.T) {
 	for _, resident := range []int{1, 2, 7, 30} {
 		var sends, refused, failed, loads int
 		for seed := range uint64(40) {
 			c, _ := playResident(t, seed, 400, resident)
 			for i, e := range c.errs {
 				if i < 3 {
-					t.Errorf("%d in memory, seed %d: %s", resident, seed, e)
+					t.Errorf("limit of %d in memory, seed %d: %s", resident, seed, e)
 				}
 			}
 			sends, refused, failed, loads = sends+c.sends, refused+c.refused, failed+c.failed, loads+c.loads
 		}
-		t.Logf("%d in memory: %d sends, %d refused, %d failed, %d loads", resident, sends, refused, failed, loads)
+		t.Logf("limit of %d in memory: %d sends, %d rejected, %d failed, %d loads", resident, sends, refused, failed, loads)
 		if sends < 2000 || refused < 50 || failed < 50 || loads < 50 {
-			t.Errorf("%d in memory: the days test nothing: %d sends, %d refused, %d failed, %d loads", resident, sends, refused, failed, loads)
+			t.Errorf("limit of %d in memory: too few events to test anything: %d sends, %d rejected, %d failed, %d loads", resident, sends, refused, failed, loads)
 		}
 	}
 }
 
-// TestBacklogNeverReached: a policy whose bound is never reached does what one without it does, action by
-// action and so draw by draw.
-func TestBacklogNeverReached(t *testing.T) {
+// A policy whose limit on messages in memory is never reached takes the same actions as one without
+// a limit, and so makes the same random draws.
+func TestUnreachedResidentLimitChangesNoAction(t *testing.T) {
 	for seed := range uint64(20) {
 		_, a := playResident(t, seed, 300, 0)
 		_, b := playResident(t, seed, 300, maxResidentPerDestination-1)
 		if len(a) == 0 || len(a) != len(b) {
-			t.Fatalf("seed %d: %d and %d actions", seed, len(a), len(b))
+			t.Fatalf("seed %d: %d actions without a limit, %d with one", seed, len(a), len(b))
 		}
 		for i := range a {
 			if a[i] != b[i] {
-				t.Fatalf("seed %d: %s against %s", seed, a[i], b[i])
+				t.Fatalf("seed %d: action %s without a limit, %s with one", seed, a[i], b[i])
 			}
 		}
 	}
 }
 
-// backlogRig is a policy with so many in memory, and a destination that is not there.
+// newSpillRig returns a rig whose policy keeps a limited number of messages in memory, and whose
+// list has no endpoints, so that nothing can be sent.
 func backlogRig(t *testing.T, resident int) *rig {
 	set := baseSettings()
 	set.MaxMessages, set.MaxResidentMessages = 0, resident
 	set.Classes = append(set.Classes,
-		Class{Name: "keyed", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Idempotency: IdempotentByKey, DedupWindow: 60 * second},
-		Class{Name: "unsafe", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Idempotency: NonIdempotent},
+		Class{Name: "idempotent by key", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Idempotency: IdempotentByKey, DedupWindow: 60 * second},
+		Class{Name: "non-idempotent", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Idempotency: NonIdempotent},
 		Class{Name: "ordered", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Ordered: true})
 	set.Classes[0].Deadline = 3600 * second
 	return newRig(t, set)
 }
 
-// TestMemoryIsBounded: what a policy knows does not grow with what is spilled, nor does what it put off.
-func TestMemoryIsBounded(t *testing.T) {
+// Neither the messages nor the timers in memory grow with the number of spilled messages.
+func TestMessagesAndTimersInMemoryAreBounded(t *testing.T) {
 	for _, resident := range []int{2, 100, 5000} {
 		r := backlogRig(t, resident)
 		for range 30 * 1000 {
@@ -166,19 +170,19 @@
 			r.step(r.message(0, 7))
 		}
 		if n := len(r.p.messages); n > resident || n > maxResidentPerDestination {
-			t.Errorf("%d in memory: %d messages", resident, n)
+			t.Errorf("limit of %d in memory: %d messages in memory", resident, n)
 		}
 		if n := len(r.p.timers.items); n > 2*minCompaction+2*resident {
-			t.Errorf("%d in memory: %d things put off", resident, n)
+			t.Errorf("limit of %d in memory: %d timers", resident, n)
 		}
 		if n := r.p.spill.messages + len(r.p.pending); n != 30*1000 {
-			t.Errorf("%d held of %d", n, 30*1000)
+			t.Errorf("%d messages held, want %d", n, 30*1000)
 		}
 	}
 }
 
-// TestEarliestStays: what is spilled is what has most time.
-func TestEarliestStays(t *testing.T) {
+// The messages with the latest deadlines are spilled.
+func TestMessagesWithEarliestDeadlinesStayInMemory(t *testing.T) {
 	r := backlogRig(t, 3)
 	for _, left := range []Time{50, 10, 90, 20, 70, 30, 60} {
 		e := r.message(0, 7)
@@ -190,13 +194,13 @@
 		left = append(left, (m.deadline-r.now)/second)
 	}
 	if slices.Sort(left); fmt.Sprint(left) != "[10 20 30]" {
-		t.Errorf("in memory: %v s left", left)
+		t.Errorf("seconds left to the deadlines of the messages in memory: %v", left)
 	}
 }
 
-// TestLoadedAsRoomIsMade: what is spilled is asked for as the destination takes what is in memory, and no more
-// than there is room for.
-func TestLoadedAsRoomIsMade(t *testing.T) {
+// Spilled messages are requested as the destination takes those in memory, and no more than fit in
+// memory.
+func TestSpilledMessagesAreLoadedWithinResidentLimit(t *testing.T) {
 	r := backlogRig(t, 20)
 	for range 100 {
 		r.step(r.message(0, 7))
@@ -209,7 +213,7 @@
 			case ActionLoad:
 				asked += a.Count
 				if n := len(r.p.pending) + asked; n > 20 {
-					t.Fatalf("%d in memory and asked for", n)
+					t.Fatalf("%d messages in memory or requested, want 20 at most", n)
 				}
 			case ActionSend:
 				next = append(next, a)
@@ -231,14 +235,15 @@
 		r.now += second / 10
 		acts = r.step(append(events, Event{Kind: EventTimer})...)
 	}
-	if r.p.spill.messages != 0 || r.p.spill.loadsRequested != 0 || len(r.sentAt) < 95 { // the formula may drop one here and there
-		t.Errorf("%d spilled, %d asked for, %d sent of 100", r.p.spill.messages, r.p.spill.loadsRequested, len(r.sentAt))
+	if r.p.spill.messages != 0 || r.p.spill.loadsRequested != 0 || len(r.sentAt) < 95 { // adaptive throttling may drop a few
+		t.Errorf("%d messages still spilled, %d requested, %d of 100 sent", r.p.spill.messages, r.p.spill.loadsRequested, len(r.sentAt))
 	}
 }
 
-// TestSpilledState: that a message is untried since a restart, and that its tenant was over its share, comes back
-// as it went; a keyed one in doubt is asked back before its window ends, and an unsafe one in doubt stays.
-func TestSpilledState(t *testing.T) {
+// A spilled message keeps that it was recovered and that its tenant was over quota. One that is
+// idempotent by key and may have run is loaded before its deduplication window ends. A
+// non-idempotent one that may have run is not spilled but fails.
+func TestSpillKeepsMessageState(t *testing.T) {
 	r := backlogRig(t, 1)
 	e := r.message(2, 7)
 	e.Recovered = true
@@ -255,22 +260,23 @@
 		}
 	}
 	if !kept || !window {
-		t.Errorf("kept %v, back before its window ends %v: %+v", kept, window, acts)
+		t.Errorf("spilled as recovered %v, to be loaded before its window ends %v: %+v", kept, window, acts)
 	}
 	e.Spilled, e.OverQuota = true, true
 	r.step(e)
 	if m := r.p.messages[e.Message]; m != nil && (!m.isRecovered || !m.isOverQuota || m.weight >= 1) {
-		t.Errorf("came back as %+v", m)
+		t.Errorf("the loaded message has the state %+v", m)
 	}
 	doubt := r.message(2, 7)
 	doubt.Attempts, doubt.UnknownOutcomeAt = 1, r.now-second
 	if acts = r.step(doubt); count(acts, ActionFail) != 1 || strings.Contains(fmt.Sprint(acts), fmt.Sprintf("Kind:%d", ActionSpill)) {
-		t.Errorf("an unsafe message in doubt: %+v", acts)
+		t.Errorf("a non-idempotent message that may have run did not simply fail: %+v", acts)
 	}
 }
 
-// TestOrderThroughBacklog: while one of a key is spilled, later ones follow it, and they are sent in turn.
-func TestOrderThroughBacklog(t *testing.T) {
+// While a message of a key is spilled, later messages of the key are spilled too, and loaded
+// messages are back in their order.
+func TestSpilledMessagesOfAKeyKeepTheirOrder(t *testing.T) {
 	r := backlogRig(t, 1)
 	msg := func(left Time) Event {
 		e := r.message(3, 7)
@@ -285,17 +291,17 @@
 		if a.Kind == ActionSpill {
 			spilled = append(spilled, a.Message)
 			if !a.Ordered {
-				t.Error("not told to keep its order")
+				t.Error("a message of a key was spilled without Ordered")
 			}
 		}
 	}
 	if fmt.Sprint(spilled) != fmt.Sprint([]uint32{second2.Message, third.Message}) {
-		t.Fatalf("spilled %v", spilled)
+		t.Fatalf("spilled %v, want the second and third message", spilled)
 	}
 	second2.Spilled, third.Spilled = true, true
 	r.step(second2, third)
 	line := r.p.orderedQueues[9]
 	if len(line.messages) != 3 || line.messages[1].id != second2.Message || line.messages[2].id != third.Message || line.spilledCount != 0 {
-		t.Errorf("line %+v", line)
+		t.Errorf("ordered queue %+v", line)
 	}
 }
--- a/policy/stuck_calls_test.go
+++ b/policy/stuck_calls_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// TestReclaim: calls that never come back do not hold the last slots while messages wait, and a call to an
-// endpoint that has answered others since does not count against it.
-func TestReclaim(t *testing.T) {
+// Calls that are never answered must not hold the last slots while messages wait. The cancellation
+// of a call does not count against an endpoint that has answered other calls since.
+func TestStuckCallIsCancelledWhenSlotsRunOut(t *testing.T) {
 	s := baseSettings()
 	s.MaxCalls = 2
 	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 1000}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 1000})
-	for dest := range 2 { // both have answered once, so what is usual is known
+	for dest := range 2 { // one answer each, from which the expected latency is known
 		r.step(r.message(0, dest))
 		r.now += second / 10
 		r.step(answer(r.sends[0], Delivered))
@@ -16,7 +16,7 @@
 	r.now += second
 	r.step(r.message(0, 0), r.message(0, 1), r.message(0, 1))
 	if r.p.callsInFlight != 2 {
-		t.Fatalf("%d calls out, want both slots taken", r.p.callsInFlight)
+		t.Fatalf("%d calls in flight, want 2", r.p.callsInFlight)
 	}
 	cancels := 0
 	for range 400 {
@@ -28,20 +28,20 @@
 		}
 	}
 	if cancels == 0 {
-		t.Fatal("no overdue call was called off")
+		t.Fatal("no overdue call was cancelled")
 	}
 	ep := r.p.endpoints[1]
 	ep.lastSuccessAt = r.now
 	before := ep.failureScore
 	r.p.observeCall(&callState{endpoint: ep, sentAt: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: Cancelled})
 	if ep.failureScore != before {
-		t.Error("a call called off counted against an endpoint that has answered since")
+		t.Error("a cancelled call counted against an endpoint that has answered since")
 	}
 }
 
-// TestReclaimMixedBatch: a call that an unsafe message shares is waited for as long as one of its own, whatever
-// message leads it: called off, the unsafe one has had its only try.
-func TestReclaimMixedBatch(t *testing.T) {
+// A call that a non-idempotent message shares is waited for as long as a call of its own, whichever
+// message comes first: once cancelled, the non-idempotent message can't be sent again.
+func TestBatchWithNonIdempotentMessageIsCancelledLater(t *testing.T) {
 	s := baseSettings()
 	s.MaxCalls = 1
 	s.Kinds[0].MaxBatch = 2
@@ -50,13 +50,13 @@
 	s.Classes = append(s.Classes, unsafe)
 	calledOff := func(class int) Time {
 		r := newRig(t, s, ready(1, 1000))
-		r.step(r.message(0, 0)) // what is usual is known
+		r.step(r.message(0, 0)) // one answer, from which the expected latency is known
 		r.now += second / 10
 		r.step(answer(r.sends[0], Delivered))
 		r.now += second
 		r.step(r.message(0, 0), r.message(class, 0), r.message(0, 0))
 		if len(r.sends) != 2 || r.p.callsInFlight != 1 || r.p.messages[r.sends[0].Message].class.Idempotency != Idempotent {
-			t.Fatalf("%d sends in %d calls, want 2 in 1 led by a safe one", len(r.sends), r.p.callsInFlight)
+			t.Fatalf("%d sends in %d calls, want 2 in 1 whose first message is idempotent", len(r.sends), r.p.callsInFlight)
 		}
 		for start := r.now; ; r.step() {
 			if count(r.acts, ActionCancel) > 0 {
@@ -66,18 +66,18 @@
 		}
 	}
 	if safe, mixed := calledOff(0), calledOff(1); mixed < 3*safe {
-		t.Errorf("called off after %d ms, with an unsafe message after %d ms", safe/1000, mixed/1000)
+		t.Errorf("cancelled after %d ms, with a non-idempotent message after %d ms", safe/1000, mixed/1000)
 	}
 }
 
-// TestHungUnsafeCall: an unsafe call that hangs where calls sent much later are answered gives its place back
-// before its deadline; where nothing sent later was answered, or only just later, it is waited for.
-func TestHungUnsafeCall(t *testing.T) {
+// A non-idempotent call that hangs, where a call sent much later was answered, is cancelled before
+// its deadline. If no later call was answered, or only one sent shortly after, it is waited for.
+func TestStuckNonIdempotentCallIsCancelledAfterLaterSuccess(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].Idempotency = NonIdempotent
 	for later, want := range map[Time]bool{0: false, second / 10: false, 5 * second: true} {
 		r := newRig(t, s, ready(1, 1000))
-		r.step(r.message(0, 0)) // what is usual is known, and the window has room for two
+		r.step(r.message(0, 0)) // one answer: the expected latency is known and the window is 2
 		r.now += second / 10
 		r.step(answer(r.sends[0], Delivered))
 		r.now += second
@@ -100,14 +100,14 @@
 			r.now += second / 100
 		}
 		if called := off > 0; called != want {
-			t.Errorf("another sent %d ms later: called off %v, after %d ms", later/1000, called, off/1000)
+			t.Errorf("other call sent %d ms later: cancelled %v, after %d ms", later/1000, called, off/1000)
 		}
 	}
 }
 
-// TestHungCallIsLookedAtAgain: that a call sent much later was answered is seen within one patience, also where
-// no slot was wanted when the hung call was last looked at.
-func TestHungCallIsLookedAtAgain(t *testing.T) {
+// The answer to a call that was sent much later is noticed within one expected latency bound, even
+// if no slot was needed when the stuck call was last checked.
+func TestStuckCallIsRecheckedAfterLaterSuccess(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].Idempotency = NonIdempotent
 	r := newRig(t, s, ready(1, 1000))
@@ -128,17 +128,19 @@
 			return
 		}
 	}
-	t.Error("not called off")
+	t.Error("the stuck call was not cancelled")
 }
 
-// TestManyOverdue: where a third of the slots is held by calls that hang, unsafe ones too are called off sooner:
-// waited for as long as a single one is (TestReclaimMixedBatch), they would leave no slot to what can be delivered.
-func TestManyOverdue(t *testing.T) {
+// Where a third of the slots is held by overdue calls, non-idempotent ones too are cancelled
+// sooner. If each were waited for as long as a single one
+// (TestBatchWithNonIdempotentMessageIsCancelledLater), no slot would be left for messages that can
+// be delivered.
+func TestNonIdempotentCallsAreCancelledSoonerWhenManyAreOverdue(t *testing.T) {
 	s := baseSettings()
 	s.MaxCalls = 4
 	s.Classes[0].Idempotency = NonIdempotent
 	r := newRig(t, s, ready(1, 1000), Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 1000})
-	for dest := range 2 { // what is usual is known, and the windows have room
+	for dest := range 2 { // one answer each: the expected latency is known and the windows are 2
 		r.step(r.message(0, dest))
 		r.now += second / 10
 		r.step(answer(r.sends[0], Delivered))
@@ -146,13 +148,13 @@
 	r.now += second
 	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 1), r.message(0, 1), r.message(0, 0))
 	if r.p.callsInFlight != 4 || r.p.countOverdueCalls() != 0 {
-		t.Fatalf("%d calls out, %d overdue", r.p.callsInFlight, r.p.countOverdueCalls())
+		t.Fatalf("%d calls in flight, %d of them overdue, want 4 and 0", r.p.callsInFlight, r.p.countOverdueCalls())
 	}
 	start, patience := r.now, r.p.expectedLatencyBound(r.p.endpoints[1])
 	for r.step(); count(r.acts, ActionCancel) == 0 && r.now < start+10*second; r.step() {
 		r.now += 5000
 	}
 	if after := r.now - start; after < 2*patience || after > 3*patience {
-		t.Errorf("called off after %d ms, patience %d ms", after/1000, patience/1000)
+		t.Errorf("cancelled after %d ms, want two to three times the expected latency bound of %d ms", after/1000, patience/1000)
 	}
 }
--- a/policy/throttle_test.go
+++ b/policy/throttle_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-func TestDropChance(t *testing.T) {
+func TestDropProbability(t *testing.T) {
 	for _, c := range []struct{ req, acc, want float64 }{
 		{0, 0, 0},        // no history
 		{10, 10, 0},      // all accepted
-		{10, 5, 0},       // just K times the accepts
-		{20, 5, 6. / 21}, // past it, two accepts to its credit
-		{1000, 0, 0.9},   // dead: the cap
-		{3, 0, 0},        // hardly asked: that tells nothing
+		{10, 5, 0},       // exactly K requests for each accept
+		{20, 5, 6. / 21}, // more than K requests for each accept, with two accepts credited
+		{1000, 0, 0.9},   // no accepts: the maximum
+		{3, 0, 0},        // too few requests to prove anything
 	} {
 		if got := dropProbability(c.req, c.acc); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("dropChance(%v, %v) = %v, want %v", c.req, c.acc, got, c.want)
+			t.Errorf("dropProbability(%v, %v) = %v, want %v", c.req, c.acc, got, c.want)
 		}
 	}
 }
 
-// TestLocalDropsCount: a draw is a request whether or not it passes.
-func TestLocalDropsCount(t *testing.T) {
+// A request counts in the history whether or not it is dropped.
+func TestDroppedRequestsAreCounted(t *testing.T) {
 	r := newRig(t, baseSettings(), ready(1, 10))
 	l := r.p.endpoints[1].route
 	drops := 0
@@ -31,12 +31,13 @@
 		}
 	}
 	if req, _ := l.history.totals(r.now); req != 200 || drops < 140 || drops > 195 {
-		t.Fatalf("%v requests counted, %d drops of 200", req, drops)
+		t.Fatalf("%v requests counted and %d dropped, want 200 and 140 to 195", req, drops)
 	}
 }
 
-// TestDropIsAnswered: a first try that is dropped is refused in the same turn, with a time to come again.
-func TestDropIsAnswered(t *testing.T) {
+// A message that throttling drops at its first attempt is rejected in the same step, with a time
+// after which to retry.
+func TestDroppedMessageIsRejectedWithRetryTime(t *testing.T) {
 	r := newRig(t, baseSettings(), ready(1, 1000))
 	for range 200 {
 		r.p.endpoints[1].route.history.recordRequest(r.now)
@@ -49,7 +50,7 @@
 			if a.Kind == ActionReject {
 				refused++
 				if a.Delay <= 0 {
-					t.Fatalf("refused with no time to come again: %+v", a)
+					t.Fatalf("rejected without a retry time: %+v", a)
 				}
 			}
 		}
@@ -57,10 +58,10 @@
 			r.step(answer(r.sends[0], Delivered))
 		}
 		if len(r.p.pending) > 0 {
-			t.Fatal("a message was neither sent nor answered")
+			t.Fatal("a message was neither sent nor rejected")
 		}
 	}
 	if refused < 25 {
-		t.Errorf("%d of 50 refused, want about 9 in 10", refused)
+		t.Errorf("%d of 50 messages rejected, want about 9 in 10", refused)
 	}
 }
--- a/policy/window_test.go
+++ b/policy/window_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestWindow: it starts at one, grows by one with each success, and halves on a refusal or a time-out.
-func TestWindow(t *testing.T) {
+// The window starts at one, grows by one with each delivery, and halves on a rejection or a
+// time-out.
+func TestWindowGrowsWithDeliveriesAndHalvesOnOverload(t *testing.T) {
 	r := newRig(t, baseSettings(), ready(1, 1000))
 	l := r.p.endpoints[1].route
 	var burst []Event
@@ -12,12 +13,12 @@
 	}
 	r.step(burst...)
 	if len(r.sends) != 1 {
-		t.Fatalf("%d calls in the first turn, want 1", len(r.sends))
+		t.Fatalf("%d calls in the first step, want 1", len(r.sends))
 	}
 	r.now += second / 10
 	r.step(answer(r.sends[0], Delivered))
 	if len(r.sends) != 2 || l.window != 2 {
-		t.Fatalf("%d calls after a success, window %v, want 2 and 2", len(r.sends), l.window)
+		t.Fatalf("%d calls after a delivery, window %v, want 2 and 2", len(r.sends), l.window)
 	}
 	for _, o := range []Outcome{Rejected, TimedOut} {
 		l.window = 6
@@ -29,8 +30,8 @@
 	}
 }
 
-// TestSlotsAtOneDestination: three quarters of the slots at most, half while it fails.
-func TestSlotsAtOneDestination(t *testing.T) {
+// One destination takes at most three quarters of the call slots, and half of them while it fails.
+func TestOneDestinationCannotTakeAllSlots(t *testing.T) {
 	for _, failing := range []bool{false, true} {
 		r := newRig(t, baseSettings(), ready(1, 1000))
 		l := r.p.endpoints[1].route
@@ -43,7 +44,7 @@
 			r.step(r.message(0, 0), r.message(0, 0))
 		}
 		if l.dest.callsInFlight != want {
-			t.Errorf("failing %v: %d calls out of 8 slots, want %d", failing, l.dest.callsInFlight, want)
+			t.Errorf("failing %v: %d of 8 call slots taken, want %d", failing, l.dest.callsInFlight, want)
 		}
 	}
 }
