--- a/cmd/sim-adapter/convert.go
+++ b/cmd/sim-adapter/convert.go
@@ -13,11 +13,11 @@
 	reportLimit     = "x1" // calls a second
 )
 
-// Meanings of an event's fields.
+// Values in the fields of events.
 const (
-	flagEstimate       = 1    // EvCall: the cost is estimated
-	noteCallsExhausted = 1    // EvResolved, StatusMoot: all call slots were taken
-	microsPerMilli     = 1000 // EvResolved, StatusFull: the note is in milliseconds
+	flagEstimate       = 1    // bit in Flags of an EvCall: Estimate is set
+	noteCallsExhausted = 1    // Note of an EvResolved with StatusMoot: all call slots were taken
+	microsPerMilli     = 1000 // converts the Note of an EvResolved with StatusFull, which is in milliseconds
 )
 
 var outcomes = map[wire.Status]policy.Outcome{
@@ -51,7 +51,8 @@
 	policy.ActionLog:         wire.ActLog,
 }
 
-// toPolicyEvent converts a record for an instance; false is for one that no policy takes.
+// toPolicyEvent converts an event for the policy of an instance. It returns false for a kind of event that
+// policies don't take.
 func (h *host) toPolicyEvent(target *instance, event *wire.Event) (policy.Event, bool) {
 	converted := policy.Event{
 		Message:  event.Ticket,
@@ -121,7 +122,7 @@
 	}
 }
 
-// reportValue is a value of a load report; 0 where it has none there.
+// reportValue returns the value at an index of a load report; 0 if the report has no such value.
 func reportValue(event *wire.Event, index int) float64 {
 	if index < 0 || index >= event.ReportFields {
 		return 0
@@ -144,8 +145,8 @@
 	return converted
 }
 
-// toWireAction converts an action of an instance. A kind that the protocol doesn't have keeps the code 0, which
-// the encoder reports.
+// toWireAction converts an action of an instance. A kind that the protocol doesn't have gets the code 0, for
+// which the encoder returns an error.
 func toWireAction(id uint16, action *policy.Action) wire.Action {
 	return wire.Action{
 		Code:     actionCodes[action.Kind],
--- a/cmd/sim-adapter/host.go
+++ b/cmd/sim-adapter/host.go
@@ -10,23 +10,23 @@
 	"plovershore/policy"
 )
 
-// maxLists is how many lists the protocol numbers.
+// maxLists is the number of lists that the protocol can number.
 const maxLists = 16
 
 // instance is one hosted relay.
 type instance struct {
 	policy         *policy.Policy
-	remainingIndex int // of the fraction of the limit that is left, in a load report; -1 for none
-	limitIndex     int // of the limit; -1 for none
+	remainingIndex int // index in a load report of the fraction of the limit that is left; -1 for none
+	limitIndex     int // index in a load report of the limit; -1 for none
 	events         []policy.Event
-	isQueued       bool // in host.order
+	isQueued       bool // listed in host.order
 }
 
-// host keeps the instances of one process apart, and the lists that they share.
+// host holds the instances that run in this process and the endpoint lists that they share.
 type host struct {
 	instances map[uint16]*instance
 	lists     [maxLists][]policy.Entry
-	order     []uint16 // instances with events in this frame, by first event
+	order     []uint16 // ids of the instances with events in this frame, in order of their first event
 	actions   []policy.Action
 	reply     []wire.Action
 	encoded   []byte
@@ -56,7 +56,7 @@
 	return h.encoded, err
 }
 
-// step runs an instance's policy over the events of this frame.
+// step runs the policy of an instance with the instance's events of this frame.
 func (h *host) step(now policy.Time, id uint16, target *instance) {
 	h.actions = target.policy.Step(now, target.events, h.actions[:0])
 	target.events, target.isQueued = target.events[:0], false
@@ -65,7 +65,7 @@
 	}
 }
 
-// handleEvent changes the host's own tables, or queues an event for its instance.
+// handleEvent applies an event that concerns the host itself, and queues any other for its instance.
 func (h *host) handleEvent(event *wire.Event) {
 	switch event.Code {
 	case wire.EvTable:
@@ -79,7 +79,7 @@
 	}
 }
 
-// queueEvent queues an event for its instance; one for an instance that has ended is dropped.
+// queueEvent queues an event for its instance. An event for an instance that doesn't run is dropped.
 func (h *host) queueEvent(event *wire.Event) {
 	target := h.instances[event.Relay]
 	if target == nil {
@@ -96,7 +96,8 @@
 	}
 }
 
-// startInstance starts an instance in place of any earlier one; settings that are wrong are reported as a bug.
+// startInstance starts an instance, which replaces an earlier one of the same relay. If its settings are
+// invalid, an ActBug reports them and no instance of the relay runs.
 func (h *host) startInstance(event *wire.Event) {
 	started, err := newInstance(event)
 	if err != nil {
@@ -107,7 +108,7 @@
 	h.instances[event.Relay] = started
 }
 
-// newInstance makes an instance from its settings text and seed.
+// newInstance creates an instance from its settings text and seed.
 func newInstance(event *wire.Event) (*instance, error) {
 	text, err := wire.ParseSettings(event.Text)
 	if err != nil {
--- a/cmd/sim-adapter/host_test.go
+++ b/cmd/sim-adapter/host_test.go
@@ -58,7 +58,7 @@
 	b := make([]byte, 24)
 	be.PutUint32(b, addr)
 	b[11] = 1
-	be.PutUint32(b[12:], 0x41a00000) // 20 a second
+	be.PutUint32(b[12:], 0x41a00000) // 20 calls a second, as a float32
 	return b
 }
 
@@ -80,7 +80,7 @@
 	return out.Bytes(), err
 }
 
-// sends lists relay, message and address of each send in a stream of replies.
+// decodeSends returns the relay, message and address of each send in a stream of replies.
 func sends(t *testing.T, out []byte) (got [][3]uint32) {
 	t.Helper()
 	for len(out) > 0 {
@@ -96,8 +96,9 @@
 	return got
 }
 
-// TestListNumberReusedInOneBatch: each instance takes the list as it stood at its own event.
-func TestListNumberReusedInOneBatch(t *testing.T) {
+// If a list number is used twice in a batch, each instance gets the list as it was at the instance's own
+// EvSync.
+func TestReusedListNumberGivesEachInstanceItsOwnList(t *testing.T) {
 	tail := append(append([]byte(settingsText), entry(1)...), entry(2)...)
 	n := len(settingsText)
 	out, err := run(t, batch(1e6, tail, up(0, 1, settingsText, 0), up(1, 2, settingsText, 0), table(3, n, 1), sync(0, 3),
@@ -110,8 +111,8 @@
 	}
 }
 
-// TestRestartInOneBatch: the second life knows nothing of the first, not even its messages.
-func TestRestartInOneBatch(t *testing.T) {
+// An instance that is restarted within a batch knows nothing of its predecessor, not even its messages.
+func TestRestartedInstanceForgetsItsMessages(t *testing.T) {
 	tail := append([]byte(settingsText), entry(1)...)
 	n := len(settingsText)
 	out, err := run(t, batch(1e6, tail, up(0, 1, settingsText, 0), table(0, n, 1), sync(0, 0), call(0, 10),
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestStoppedStaysSilent: no action for a relay that died in the batch.
-func TestStoppedStaysSilent(t *testing.T) {
+// There is no action of a relay that was stopped within the batch.
+func TestInstanceStoppedInBatchTakesNoAction(t *testing.T) {
 	tail := append([]byte(settingsText), entry(1)...)
 	out, err := run(t, batch(1e6, tail, up(0, 1, settingsText, 0), table(0, len(settingsText), 1), sync(0, 0), call(0, 10),
 		record(100, 0)))
@@ -134,8 +135,8 @@
 	}
 }
 
-// TestSameBytes: the same stream gives the same reply, byte for byte, and others in the process change nothing.
-func TestSameBytes(t *testing.T) {
+// The same input gives the same replies, byte for byte, and other relays in the process change nothing.
+func TestSameInputGivesSameReplyBytes(t *testing.T) {
 	stream := func(relays int) []byte {
 		r := rand.New(rand.NewPCG(1, 2))
 		tail := append(append([]byte(settingsText), entry(1)...), entry(2)...)
@@ -160,7 +161,7 @@
 	a, err := run(t, stream(2))
 	b, err2 := run(t, stream(2))
 	if err != nil || err2 != nil || len(a) < 51*8+4*24 || !bytes.Equal(a, b) {
-		t.Fatalf("%d and %d bytes, errors %v, %v", len(a), len(b), err, err2)
+		t.Fatalf("replies of %d and %d bytes that are too short or differ, errors %v and %v", len(a), len(b), err, err2)
 	}
 	alone, err := run(t, stream(1))
 	if err != nil {
@@ -173,37 +174,37 @@
 		}
 	}
 	if one := sends(t, alone); len(one) == 0 || len(one) != len(both) {
-		t.Fatalf("%d sends alone, %d with company", len(one), len(both))
+		t.Fatalf("%d sends of a relay that runs alone, %d beside another relay", len(one), len(both))
 	}
 }
 
-// TestBadSettingsAreAFault: the wire's own way of saying it, with the key.
-func TestBadSettingsAreAFault(t *testing.T) {
+// Invalid settings are reported with an ActBug, which is the protocol's action for that.
+func TestInvalidSettingsAreReportedAsBug(t *testing.T) {
 	for from, to := range map[string]string{`"calls_out":4`: `"calls_out":0`, `"retryable"`: `"sometimes"`,
 		`"fall_us":3000000`: `"fall_us":-1`} {
 		text := strings.Replace(settingsText, from, to, 1)
 		out, err := run(t, batch(1e6, []byte(text), up(4, 1, text, 0)))
 		if err != nil || be.Uint32(out[4:]) != 1 || out[8] != 100 || be.Uint16(out[9:]) != 4 || len(out) <= 32 {
-			t.Errorf("%s: reply %s, error %v", to, hex.EncodeToString(out), err)
+			t.Errorf("settings with %s: reply %s, error %v, want a single ActBug of relay 4 with a text", to, hex.EncodeToString(out), err)
 		}
 	}
 }
 
-func TestMalformedFrameEndsWithOneLine(t *testing.T) {
+func TestMalformedFrameGivesOneLineError(t *testing.T) {
 	out, err := run(t, append(batch(1e6, nil), batch(2e6, nil, record(7, 0))...))
 	if err == nil || !strings.Contains(err.Error(), "frame 1: record 0") || strings.Contains(err.Error(), "\n") {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want one line that names frame 1 and record 0", err)
 	}
 	if !bytes.Equal(out, make([]byte, 8)) {
 		t.Fatalf("output %x, want the first reply alone", out)
 	}
 	if out, err := run(t, nil); err != nil || len(out) != 0 {
-		t.Fatalf("clean end: %x, %v", out, err)
+		t.Fatalf("empty input: output %x, error %v, want neither", out, err)
 	}
 }
 
-// TestUnknownRelay: an event for a life that is over is no fault and wakes nobody.
-func TestUnknownRelay(t *testing.T) {
+// An event for a relay that doesn't run any more is no error and causes no action.
+func TestEventForUnknownRelayIsIgnored(t *testing.T) {
 	out, err := run(t, batch(1e6, nil, call(9, 1)))
 	if err != nil || !bytes.Equal(out, make([]byte, 8)) {
 		t.Fatalf("reply %x, error %v", out, err)
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,5 +1,6 @@
-// Command sim-adapter hosts one policy for each relay and carries frames on
-// standard input and output to it and back. It decides nothing.
+// Command sim-adapter runs the policies of simulated relays, one for each relay. It reads frames of events from
+// standard input, passes the events to the policies, and writes their actions as frames to standard output. It
+// makes no decisions of its own.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	}
 }
 
-// serve answers frames until the input ends; a clean end gives nil.
+// serve answers frames until the input ends. It returns nil if the input ends between two frames.
 func serve(in io.Reader, out *bufio.Writer) error {
 	h := newHost()
 	for n := 0; ; n++ {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings maps the settings text, as the simulator and a deployment both give it, to the settings of
-// package policy. It decides nothing.
+// Package settings converts the settings text, which the simulator and a deployment both provide, to the
+// settings of package policy. It makes no decisions.
 package settings
 
 import (
@@ -9,7 +9,7 @@
 	"plovershore/policy"
 )
 
-// Values of the settings text.
+// Values in the settings text. Each comment names the key of the value.
 const (
 	lateHalving     = "halving"    // specifics.late
 	valueByWork     = "work"       // value_by
@@ -19,14 +19,14 @@
 	groupAll        = "all"        // classes[].group
 )
 
-// idempotencies maps classes[].repeat.
+// idempotencies maps the values of classes[].repeat to those of package policy.
 var idempotencies = map[string]policy.Idempotency{
 	"retryable": policy.Idempotent,
 	"dedup":     policy.IdempotentByKey,
 	"fragile":   policy.NonIdempotent,
 }
 
-// ToPolicy maps the settings text to a policy's settings. The error names the key of an unknown value.
+// ToPolicy converts the settings text to a policy's settings. The error names the key of an unknown value.
 func ToPolicy(s *wire.Settings) (policy.Settings, error) {
 	mapped := policy.Settings{
 		Relays:               s.Balancers,
@@ -91,7 +91,8 @@
 	}, nil
 }
 
-// toKind gives a kind of destination; the lists that go by the kind may be shorter than the list of kinds.
+// toKind returns the settings of one kind of destination. The lists with a value for each kind may be shorter
+// than the list of kinds; a kind without a value gets the default.
 func toKind(specifics *wire.Specifics, index int) policy.DestinationKind {
 	kind := policy.DestinationKind{MaxBatch: 1}
 	if index < len(specifics.OwnLimits) {
--- a/internal/wire/action.go
+++ b/internal/wire/action.go
@@ -5,15 +5,15 @@
 // ActionCode is the kind of an action.
 type ActionCode uint8
 
-// Codes of actions, with the fields of Action that each uses.
+// Codes of actions. Each comment lists the fields of Action that are used beside Code.
 const (
 	ActDeliver     ActionCode = 20  // send a message: Relay, Ticket, Endpoint, At (when it times out)
-	ActReject      ActionCode = 30  // final response, not run: Relay, Ticket, After (advice to the client)
-	ActLog         ActionCode = 40  // Relay, Text
+	ActReject      ActionCode = 30  // final response that the message has not run: Relay, Ticket, After (advice to the client)
+	ActLog         ActionCode = 40  // write a line to the log: Relay, Text
 	ActListen      ActionCode = 50  // subscribe to list changes, or end that: Relay, On
 	ActRemind      ActionCode = 60  // start a timer: Relay, After, Token
-	ActLose        ActionCode = 70  // final response, may have run: Relay, Ticket
-	ActHealthCheck ActionCode = 80  // Relay, Endpoint
+	ActLose        ActionCode = 70  // final response that the message may have run: Relay, Ticket
+	ActHealthCheck ActionCode = 80  // start a health check: Relay, Endpoint
 	ActRead        ActionCode = 90  // ask for the whole list: Relay
 	ActBug         ActionCode = 100 // the instance can't go on: Relay, Text
 	ActClose       ActionCode = 110 // close idle connections: Relay, Endpoint
@@ -34,7 +34,7 @@
 	Text     string
 }
 
-// AppendReply encodes a reply frame. The error is for an unknown code.
+// AppendReply appends an encoded reply frame to dst. It returns an error for an unknown action code.
 func AppendReply(dst []byte, actions []Action) ([]byte, error) {
 	start := len(dst)
 	dst = append(dst, make([]byte, replyHeader+actionSize*len(actions))...)
@@ -52,7 +52,7 @@
 	return dst, nil
 }
 
-// tailText is the text of an action that has one; it goes into the tail.
+// tailText returns the text that an action puts into the tail, if any.
 func (a *Action) tailText() string {
 	if a.Code == ActLog || a.Code == ActBug {
 		return a.Text
@@ -60,7 +60,7 @@
 	return ""
 }
 
-// encode writes an action into its record, where a text begins at an offset of the tail.
+// encode writes an action into its record. textOffset is where the action's text, if any, begins in the tail.
 func (a *Action) encode(record []byte, textOffset int) error {
 	record[0] = byte(a.Code)
 	byteOrder.PutUint16(record[1:], a.Relay)
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -8,19 +8,19 @@
 // EventCode is the kind of an event.
 type EventCode uint8
 
-// Codes of events, with the fields of Event that each uses.
+// Codes of events. Each comment lists the fields of Event that are set beside Code.
 const (
 	EvUp       EventCode = 10  // an instance starts: Relay, Token (its seed), Text (its settings)
 	EvSync     EventCode = 20  // a list update: Relay, Kind, Token (its version), Sheet
-	EvCall     EventCode = 30  // a message: Relay, Ticket, Subject, Grace, Flags, Class, Dest, Tenant, Estimate
-	EvBegun    EventCode = 40  // a response has begun: Relay, Ticket, Attempt, Endpoint, Took
+	EvCall     EventCode = 30  // a new message: Relay, Ticket, Subject, Grace, Flags, Class, Dest, Tenant, Estimate
+	EvBegun    EventCode = 40  // a response has begun to reach the client: Relay, Ticket, Attempt, Endpoint, Took
 	EvResolved EventCode = 50  // an attempt has ended: Relay, Ticket, Attempt, Endpoint, Note, Took, Status, Settled, Report
 	EvExpired  EventCode = 60  // a message was withdrawn: Relay, Ticket
 	EvAlarm    EventCode = 70  // a timer is due: Relay, Token
 	EvHealth   EventCode = 80  // a health check has ended: Relay, Endpoint, Status, Took, Report
-	EvDatagram EventCode = 90  // a datagram has come: Relay, Text
+	EvDatagram EventCode = 90  // a datagram has arrived: Relay, Text
 	EvPowerOff EventCode = 100 // an instance ends: Relay
-	EvTable    EventCode = 110 // a list that later EvSync refer to: Sheet, Entries
+	EvTable    EventCode = 110 // an endpoint list to which later EvSync refer: Sheet, Entries
 )
 
 // SyncKind is the kind of a list update.
@@ -40,26 +40,26 @@
 // Statuses.
 const (
 	StatusOK     Status = 0
-	StatusMoot   Status = 249 // not sent
+	StatusMoot   Status = 249 // the attempt was not sent
 	StatusCancel Status = 250
 	StatusReset  Status = 251
 	StatusNoConn Status = 252
-	StatusLate   Status = 253 // timed out
-	StatusFull   Status = 254 // rejected
+	StatusLate   Status = 253 // the attempt timed out
+	StatusFull   Status = 254 // the endpoint rejected the call
 	StatusError  Status = 255
 )
 
 func (s Status) isKnown() bool { return s == StatusOK || s >= StatusMoot }
 
-// Entry is a line of a list.
+// Entry is one entry of an endpoint list.
 type Entry struct {
 	Endpoint uint64 // four bytes of address and two of port
 	Zone     uint16
 	Kind     uint8
 	Dest     uint16
 	State    uint8
-	Nominal  float32 // calls a second
-	CameUp   uint64  // microseconds
+	Nominal  float32 // calls a second that the destination accepts
+	CameUp   uint64  // when the endpoint came up, in microseconds
 }
 
 // Event is one decoded record. Code says which fields are set; times are in microseconds.
@@ -70,7 +70,7 @@
 	Sheet        uint8 // number of a list
 	Status       Status
 	Attempt      uint8
-	Settled      bool // the message has had its final response
+	Settled      bool // the client has had its final response
 	Class        uint16
 	Flags        uint16 // bit 0: Estimate is set
 	Dest         uint16
@@ -78,12 +78,12 @@
 	Tenant       uint32
 	Grace        uint32 // time left until the deadline
 	Estimate     uint32 // expected cost
-	Note         uint32 // of StatusFull: milliseconds to wait; of StatusMoot: 1 where all call slots were taken
+	Note         uint32 // StatusFull: milliseconds to wait before a retry; StatusMoot: 1 if all call slots were taken
 	Took         uint32
 	Endpoint     uint64
 	Subject      uint64 // key of a message
 	Token        uint64
-	ReportFields int // values in Report
+	ReportFields int // number of values in Report
 	Report       [maxValues]float32
 	Text         []byte
 	Entries      []Entry
@@ -151,7 +151,7 @@
 		if e.Sheet > maxList {
 			return fmt.Errorf("sync: list number %d, at most %d", e.Sheet, maxList)
 		}
-	case SyncFailed: // it has no list
+	case SyncFailed: // a failed request has no list
 	default:
 		return fmt.Errorf("sync: unknown kind %d", e.Kind)
 	}
@@ -218,7 +218,8 @@
 	return nil
 }
 
-// decodeReport reads a load report: the number of its values, and room for all.
+// decodeReport decodes a load report: the number of its values, and a fixed number of fields, of which only the
+// first that many are values.
 func (e *Event) decodeReport(report []byte) error {
 	e.ReportFields = int(report[0])
 	if e.ReportFields > maxValues {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Settings is the settings text of one relay as it comes. Unknown keys are ignored. Times are in microseconds.
+// Settings is the decoded settings text of one relay. Unknown keys are ignored. Times are in microseconds.
 type Settings struct {
 	Accounts        []Account `json:"accounts"`
 	Balancers       int       `json:"balancers"`
@@ -14,7 +14,7 @@
 	Discovery       string    `json:"discovery"`
 	Kinds           []string  `json:"kinds"`
 	Limits          Limits    `json:"limits"`
-	OverQuotaWeight float64   `json:"over_share_worth"` // 1 where the text has none
+	OverQuotaWeight float64   `json:"over_share_worth"` // 1 if the text has no value
 	Report          Report    `json:"report"`
 	Safety          Safety    `json:"safety"`
 	Specifics       Specifics `json:"specifics"`
@@ -24,7 +24,7 @@
 	Zone            int       `json:"zone"`
 }
 
-// Account is a tenant.
+// Account is a tenant of the relay.
 type Account struct {
 	Name          string  `json:"name"`
 	Quota         float64 `json:"quota_per_s"` // messages a second
@@ -63,7 +63,7 @@
 	Fields []string `json:"fields"`
 }
 
-// Safety says what destinations stand.
+// Safety says what destinations can stand, and which time margins a relay has to keep.
 type Safety struct {
 	ResponseSlack     int64   `json:"answer_slack_us"`
 	PollInterval      int64   `json:"ask_every_us"`
@@ -75,7 +75,7 @@
 	KeyCooldown       int64   `json:"settle_after_doubt_us"`
 }
 
-// Specifics holds what goes by the kind of destination, and the rest.
+// Specifics holds the settings that differ by kind of destination, and some others.
 type Specifics struct {
 	CallsOut  int    `json:"calls_out"`
 	KindBatch []int  `json:"kind_batch"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,8 +1,9 @@
-// Package wire is the codec of the binary frames and of the settings text that the host of simulated relays speaks.
-// It checks every bound and decides nothing. Records and fields have the names that the protocol gives them.
+// Package wire encodes and decodes the binary frames and the settings text that the simulator exchanges with
+// the host of simulated relays. It checks every bound and makes no decisions. Records and fields have the names
+// that the simulator's protocol gives them.
 //
-// A batch goes in and a reply comes out, each as a header, records of one size and a tail that records refer to by
-// offset and length. All numbers are big-endian.
+// The host reads batches of events and writes replies with actions. Each frame has a header, records of a fixed
+// size, and a tail to which records refer by offset and length. All numbers are big-endian.
 package wire
 
 import (
@@ -22,15 +23,16 @@
 
 // Bounds of the protocol.
 const (
-	maxList      = 15 // number of a list
+	maxList      = 15 // highest number of a list
 	maxBody      = 1 << 30
-	maxValues    = 4 // of a load report
+	maxValues    = 4 // number of values in a load report
 	maxReadiness = 2
 )
 
 var byteOrder = binary.BigEndian
 
-// ReadBatch reads and decodes one frame, with the host's clock in microseconds. A clean end of input gives io.EOF.
+// ReadBatch reads and decodes one frame. It returns the clock in the frame's header, in microseconds, and the
+// events. The error is io.EOF if the input ends between two frames.
 func ReadBatch(r io.Reader) (clock uint64, events []Event, err error) {
 	var header [batchHeader]byte
 	n, err := io.ReadFull(r, header[:])
@@ -47,7 +49,8 @@
 	if uint64(count)*eventSize > uint64(size) {
 		return 0, nil, fmt.Errorf("batch header: %d records do not fit in %d bytes", count, size)
 	}
-	// Read in bounded steps, so that a corrupt length cannot claim memory that the input never fills.
+	// ReadAll allocates memory as it reads, so that a corrupt length can't claim memory that the input never
+	// fills.
 	body, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil {
 		return 0, nil, fmt.Errorf("batch body: %w", err)
@@ -75,7 +78,8 @@
 	return events, nil
 }
 
-// sliceTail gives the part of a tail that a reference of offset and length names, in units of so many bytes.
+// sliceTail returns the part of a tail to which a reference points. The reference has an offset in bytes and a
+// length in units of the given number of bytes.
 func sliceTail(tail, reference []byte, unit int) ([]byte, error) {
 	offset, length := uint64(byteOrder.Uint32(reference)), uint64(byteOrder.Uint32(reference[4:]))
 	size := length * uint64(unit)
@@ -85,7 +89,7 @@
 	return tail[offset : offset+size], nil
 }
 
-// An endpoint is four bytes of address and two of port.
+// An endpoint is encoded as four bytes of address and two bytes of port.
 
 func readEndpoint(b []byte) uint64 {
 	return uint64(byteOrder.Uint32(b))<<16 | uint64(byteOrder.Uint16(b[4:]))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,13 +18,13 @@
 	return b
 }
 
-// pad writes a record of 48 bytes that begins as given.
+// newRecord returns a record of 48 bytes that begins with the given bytes.
 func pad(t testing.TB, s string) []byte {
 	b := unhex(t, s)
 	return append(b, make([]byte, eventSize-len(b))...)
 }
 
-// frame builds a batch of records and a tail.
+// newFrame returns a batch frame with records and a tail.
 func frame(clock uint64, tail []byte, records ...[]byte) []byte {
 	b := make([]byte, batchHeader)
 	byteOrder.PutUint64(b, clock)
@@ -36,8 +36,8 @@
 	return append(b, tail...)
 }
 
-// TestKnownBatch decodes the frame that the wire page lays out.
-func TestKnownBatch(t *testing.T) {
+// TestReadBatchDecodesDocumentedFrame decodes the example frame of the protocol's documentation.
+func TestReadBatchDecodesDocumentedFrame(t *testing.T) {
 	clock, ev, err := ReadBatch(bytes.NewReader(frame(0x805c5a, nil,
 		pad(t, "1e 0003 5d3a91c4 91f03b7c55d20a64 0003a980 0001 0000 42640000 00000000 00002ee0"),
 		pad(t, "46 0003 000000000000004d"), pad(t, "3c 0005 0e6f2b19"))))
@@ -47,14 +47,14 @@
 	c := ev[0]
 	if c.Code != EvCall || c.Relay != 3 || c.Ticket != 0x5d3a91c4 || c.Subject != 0x91f03b7c55d20a64 ||
 		c.Grace != 0x3a980 || c.Flags != 1 || c.Class != 0 || c.Dest != 57 || c.Estimate != 12000 {
-		t.Errorf("call %+v", c)
+		t.Errorf("message event %+v", c)
 	}
 	if ev[1].Token != 0x4d || ev[2].Relay != 5 || ev[2].Ticket != 0x0e6f2b19 {
-		t.Errorf("alarm %+v, lapsed %+v", ev[1], ev[2])
+		t.Errorf("timer event %+v, withdrawal event %+v", ev[1], ev[2])
 	}
 }
 
-func TestKnownList(t *testing.T) {
+func TestReadBatchDecodesListEntries(t *testing.T) {
 	tail := unhex(t, `0a124a07 1f43 0000 00 0039 01 3f800000 0000000000000000
 		0a9011f2 1f6c 0001 02 0039 02 3fc00000 00000000005d1420`)
 	_, ev, err := ReadBatch(bytes.NewReader(frame(1, tail, pad(t, "6e 0f 00000000 00000002"),
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestKnownOutcome(t *testing.T) {
+func TestReadBatchDecodesAttemptOutcome(t *testing.T) {
 	_, ev, err := ReadBatch(bytes.NewReader(frame(1, nil,
 		pad(t, "32 0003 5d3a91c4 0a124a07 1f43 07 00000019 00004844 fe 01 02 3ecccccd 3fa00000 00000000 00000000"))))
 	if err != nil {
@@ -77,12 +77,12 @@
 	e := ev[0]
 	if e.Attempt != 7 || e.Note != 25 || e.Took != 0x4844 || e.Status != StatusFull || !e.Settled || e.ReportFields != 2 ||
 		e.Report[1] != 1.25 || e.Endpoint != 0x0a124a071f43 {
-		t.Errorf("outcome %+v", e)
+		t.Errorf("attempt event %+v", e)
 	}
 }
 
-// TestKnownReply encodes the reply that the wire page lays out.
-func TestKnownReply(t *testing.T) {
+// TestAppendReplyEncodesDocumentedFrame encodes the example reply of the protocol's documentation.
+func TestAppendReplyEncodesDocumentedFrame(t *testing.T) {
 	got, err := AppendReply(nil, []Action{
 		{Code: ActDeliver, Relay: 3, Ticket: 0x5d3a91c4, Endpoint: 0x0a124a071f43, At: 0x8194da},
 		{Code: ActRemind, Relay: 3, After: 500000, Token: 0x4d},
@@ -99,11 +99,11 @@
 		t.Errorf("got  %x\nwant %x", got, want)
 	}
 	if _, err := AppendReply(nil, []Action{{Code: 1}}); err == nil {
-		t.Error("an unknown action code passed")
+		t.Error("an unknown action code was encoded")
 	}
 }
 
-func TestEveryAction(t *testing.T) {
+func TestAppendReplyEncodesEachActionCode(t *testing.T) {
 	for _, c := range []struct {
 		a    Action
 		want string
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestReadBatchRejectsMalformedFrames(t *testing.T) {
 	call := pad(t, "1e 0003 5d3a91c4")
 	nan := append([]byte(nil), call...)
 	byteOrder.PutUint32(nan[23:], math.Float32bits(float32(math.NaN())))
@@ -137,33 +137,33 @@
 		in   []byte
 		want string
 	}{
-		"short header":     {make([]byte, 7), "header"},
-		"short body":       {frame(1, nil, call)[:40], "body"},
-		"too many records": {long, "records"},
-		"huge":             {huge, "length"},
-		"unknown code":     {frame(1, nil, pad(t, "07")), "code 7"},
-		"list number":      {frame(1, nil, pad(t, "6e 10")), "list number 16"},
-		"sync list number": {frame(1, nil, pad(t, "14 0003 04 0000000000000001 10")), "list number 16"},
-		"sync kind":        {frame(1, nil, pad(t, "14 0003 02")), "kind 2"},
-		"entries outside":  {frame(1, make([]byte, 30), pad(t, "6e 00 00000000 00000002")), "outside the tail"},
-		"offset outside":   {frame(1, nil, pad(t, "0a 0003 0000000000000001 ffffffff ffffffff")), "outside the tail"},
-		"readiness":        {frame(1, append(make([]byte, 11), append([]byte{9}, make([]byte, 12)...)...), pad(t, "6e 00 00000000 00000001")), "readiness 9"},
-		"status":           {frame(1, nil, pad(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 10")), "status 16"},
-		"report":           {frame(1, nil, pad(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 00 00 05")), "report of 5"},
-		"destination":      {frame(1, nil, nan), "destination"},
+		"short header":                       {make([]byte, 7), "header"},
+		"short body":                         {frame(1, nil, call)[:40], "body"},
+		"too many records":                   {long, "records"},
+		"body too long":                      {huge, "length"},
+		"unknown event code":                 {frame(1, nil, pad(t, "07")), "code 7"},
+		"list number too large":              {frame(1, nil, pad(t, "6e 10")), "list number 16"},
+		"list number of an update too large": {frame(1, nil, pad(t, "14 0003 04 0000000000000001 10")), "list number 16"},
+		"unknown kind of update":             {frame(1, nil, pad(t, "14 0003 02")), "kind 2"},
+		"entries outside the tail":           {frame(1, make([]byte, 30), pad(t, "6e 00 00000000 00000002")), "outside the tail"},
+		"text outside the tail":              {frame(1, nil, pad(t, "0a 0003 0000000000000001 ffffffff ffffffff")), "outside the tail"},
+		"unknown readiness":                  {frame(1, append(make([]byte, 11), append([]byte{9}, make([]byte, 12)...)...), pad(t, "6e 00 00000000 00000001")), "readiness 9"},
+		"unknown status":                     {frame(1, nil, pad(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 10")), "status 16"},
+		"too many report values":             {frame(1, nil, pad(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 00 00 05")), "report of 5"},
+		"destination is no number":           {frame(1, nil, nan), "destination"},
 	} {
 		if _, _, err := ReadBatch(bytes.NewReader(c.in)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want one that says %q", name, err, c.want)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than one line: %v", name, err)
+			t.Errorf("%s: the error has more than one line: %v", name, err)
 		}
 	}
 	if _, _, err := ReadBatch(bytes.NewReader(nil)); err != io.EOF {
-		t.Errorf("clean end: %v", err)
+		t.Errorf("empty input: error %v, want io.EOF", err)
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestParseSettingsReadsKnownKeysAndRejectsBadText(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"balancers":2,"unknown":[1],"classes":[{"repeat":"dedup","dedup_window_us":5}],
 		"limits":{"most_held":7},"specifics":{"calls_out":9,"own_limits":[true]},"safety":{"fall_us":3}}`))
 	if err != nil || s.Balancers != 2 || s.Classes[0].Window != 5 || s.Limits.MaxMessages != 7 || s.Specifics.CallsOut != 9 ||
@@ -172,12 +172,13 @@
 	}
 	for _, bad := range []string{"", "[]", `{"balancers":"two"}`, "{"} {
 		if _, err := ParseSettings([]byte(bad)); err == nil {
-			t.Errorf("%q passed", bad)
+			t.Errorf("ParseSettings(%q) gave no error", bad)
 		}
 	}
 }
 
-// FuzzReadBatch: no input makes the decoder panic, and what it takes it takes in whole.
+// FuzzReadBatch checks that no input makes the decoder panic, and that it decodes no more records than the
+// input holds.
 func FuzzReadBatch(f *testing.F) {
 	f.Add(frame(1, nil, pad(f, "1e 0003 5d3a91c4"), pad(f, "3c 0005 0e6f2b19")))
 	f.Add(frame(1, make([]byte, 24), pad(f, "6e 0f 00000000 00000001"), pad(f, "0a 0001 0000000000000001 00000000 00000002")))
@@ -186,7 +187,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		_, ev, err := ReadBatch(bytes.NewReader(in))
 		if err == nil && len(in) < batchHeader+len(ev)*eventSize {
-			t.Fatalf("%d events out of %d bytes", len(ev), len(in))
+			t.Fatalf("decoded %d events from %d bytes", len(ev), len(in))
 		}
 	})
 }
