--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,7 +6,7 @@
 		return
 	}
 	if event.Class < 0 || event.Class >= len(p.settings.Classes) {
-		p.emit(Action{Kind: ActionReject, Message: event.Message}) // it has not run
+		p.emit(Action{Kind: ActionReject, Message: event.Message}) // nothing was sent, so it has not run
 		return
 	}
 	message := p.newMessage(event)
--- a/policy/call_test.go
+++ b/policy/call_test.go
@@ -109,7 +109,7 @@
 		for i := range 100 { // one call in five is cancelled, or none is
 			o := Delivered
 			if hang && i%5 == 0 {
-				o, ep.lastSuccessAt = Cancelled, r.now // a later call was answered, so the cancellation blames nobody
+				o, ep.lastSuccessAt = Cancelled, r.now // a later call was answered, so the cancellation says nothing about the endpoint
 			}
 			r.p.observeCall(&callState{endpoint: ep, sentAt: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: o, Latency: second / 10})
 		}
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -46,7 +46,7 @@
 // the other messages.
 func (p *Policy) attemptTimeout(message *messageState, call *callState) Time {
 	if message.class.Idempotency == NonIdempotent {
-		return call.timeoutBy // it has no retry to leave time for
+		return call.timeoutBy // a non-idempotent message has no retry to leave time for
 	}
 	span := float64(message.class.LatencyObjective)
 	if latency := &call.endpoint.route.latency; latency.samples > 0 {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -20,7 +20,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := 100 * second // the host's own clock, never the module's
+	now := 100 * second // by the host's clock; the policy has none of its own
 	actions := p.Step(now, []policy.Event{
 		{Kind: policy.EventListUpdate, ListUpdate: policy.ListFull,
 			Entries: []policy.Entry{{Endpoint: 7, Dest: 1, State: policy.Ready, Rate: 20}}},
@@ -34,8 +34,8 @@
 	now += second / 5
 	actions = p.Step(now, []policy.Event{{Kind: policy.EventAttemptDone, Message: 1, Attempt: 0, Endpoint: 7,
 		Outcome: policy.Delivered, Final: true, Latency: second / 5}}, actions[:0])
-	fmt.Println("still to do:", len(actions))
+	fmt.Println("further actions:", len(actions))
 	// Output:
 	// send message 1 to endpoint 7
-	// still to do: 0
+	// further actions: 0
 }
--- a/policy/priority_test.go
+++ b/policy/priority_test.go
@@ -9,7 +9,7 @@
 	s.Classes = append(s.Classes, Class{Name: "valuable", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 3, LateWeight: 0.3})
 	s.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 100}}
 	r := newRig(t, s, ready(1, 2))
-	r.step(r.message(0, 0)) // takes the window of one
+	r.step(r.message(0, 0)) // takes the only place in the window, which is 1
 	first := r.sends[0]
 	var events []Event
 	for i := range 6 {
@@ -36,7 +36,7 @@
 // long queue that would cost more than the useful work.
 func TestQueueIsNotSortedWhileWindowIsFull(t *testing.T) {
 	r := newRig(t, baseSettings(), ready(1, 2))
-	r.step(r.message(0, 0)) // takes the window of one
+	r.step(r.message(0, 0)) // takes the only place in the window, which is 1
 	for range 50 {
 		r.step(r.message(0, 0))
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -71,7 +71,7 @@
 	DrainGrace           Time    // time after a drain is reported by which sends to it must end
 	SlowStartCapacity    float64 // least fraction of its capacity that a destination has after an outage
 	SlowStartTime        Time    // time after an outage by which a destination has its full capacity again
-	OverloadFactor       float64 // a cold destination fails again if it gets this many times its capacity
+	OverloadFactor       float64 // a cold destination fails again above this many times its capacity
 	OverloadWindow       Time    // time over which the calls to a cold destination count for OverloadFactor
 	KeyCooldown          Time    // how long an unknown outcome holds back the next message of a key
 }
--- a/policy/spill.go
+++ b/policy/spill.go
@@ -6,7 +6,7 @@
 // its length.
 const (
 	maxResidentPerDestination = 512
-	minResidentPerDestination = 8 // applies where many destinations have a backlog
+	minResidentPerDestination = 8 // fits in memory even where many destinations have a backlog
 )
 
 // loadLeadTime is how long before it is needed a spilled message has to be loaded, since a load may
