--- a/policy/call_test.go
+++ b/policy/call_test.go
@@ -11,13 +11,13 @@
 func TestMessagesOfOneStepShareOneCallAndSlot(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
-	r := newRig(t, s, ready(1, 10))
-	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
+	r := newRig(t, s, readyEntry(1, 10))
+	r.step(r.newMessage(0, 0), r.newMessage(0, 0), r.newMessage(0, 0))
 	if len(r.sends) != 3 || r.p.callsInFlight != 1 {
 		t.Fatalf("%d sends in %d calls, want 3 in 1", len(r.sends), r.p.callsInFlight)
 	}
 	r.now += second / 5
-	r.step(answer(r.sends[0], Delivered))
+	r.step(attemptDone(r.sends[0], Delivered))
 	if r.p.callsInFlight != 1 {
 		t.Fatal("the slot was freed before the call's last outcome")
 	}
@@ -28,18 +28,18 @@
 func TestCallTimesOutBeforeEarliestDeadline(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
-	unsafe := s.Classes[0]
-	unsafe.Idempotency = NonIdempotent
-	s.Classes = append(s.Classes, unsafe)
+	nonIdempotent := s.Classes[0]
+	nonIdempotent.Idempotency = NonIdempotent
+	s.Classes = append(s.Classes, nonIdempotent)
 	for seed := range 200 {
 		rng := rand.New(rand.NewPCG(uint64(seed), 1))
-		r := newRig(t, s, ready(1, 1000))
+		r := newRig(t, s, readyEntry(1, 1000))
 		var events []Event
-		first := Time(math.MaxInt64)
+		earliestDeadline := Time(math.MaxInt64)
 		for range 3 {
-			e := r.message(rng.IntN(2), 0)
+			e := r.newMessage(rng.IntN(2), 0)
 			e.TimeLeft = 3*second + Time(rng.Int64N(20*second)) // long enough that any of them may share a call with the others
-			first = min(first, r.now+e.TimeLeft)
+			earliestDeadline = min(earliestDeadline, r.now+e.TimeLeft)
 			events = append(events, e)
 		}
 		r.step(events...)
@@ -47,9 +47,9 @@
 			t.Fatalf("seed %d: %d sends in %d calls, want 3 in 1", seed, len(r.sends), r.p.callsInFlight)
 		}
 		for _, a := range r.sends {
-			if a.Call != r.sends[0].Call || a.Deadline >= first || a.Deadline <= r.now {
+			if a.Call != r.sends[0].Call || a.Deadline >= earliestDeadline || a.Deadline <= r.now {
 				t.Errorf("seed %d: message %d of call %d times out at %d, want the same call for all and a time-out before the earliest deadline of call %d, %d",
-					seed, a.Message, a.Call, a.Deadline, r.sends[0].Call, first)
+					seed, a.Message, a.Call, a.Deadline, r.sends[0].Call, earliestDeadline)
 			}
 		}
 	}
@@ -61,30 +61,30 @@
 func TestMessageNearDeadlineDoesNotShortenOtherAttempts(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
-	unsafe := s.Classes[0]
-	unsafe.Idempotency = NonIdempotent
-	s.Classes = append(s.Classes, unsafe)
+	nonIdempotent := s.Classes[0]
+	nonIdempotent.Idempotency = NonIdempotent
+	s.Classes = append(s.Classes, nonIdempotent)
 	for _, class := range []int{0, 1} {
 		for _, nearFirst := range []bool{false, true} {
-			r := newRig(t, s, ready(1, 1000))
-			near, far := r.message(0, 0), r.message(class, 0)
-			near.TimeLeft = second / 5
-			events := []Event{far, near}
+			r := newRig(t, s, readyEntry(1, 1000))
+			nearDeadline, farDeadline := r.newMessage(0, 0), r.newMessage(class, 0)
+			nearDeadline.TimeLeft = second / 5
+			events := []Event{farDeadline, nearDeadline}
 			if nearFirst {
-				events = []Event{near, far}
+				events = []Event{nearDeadline, farDeadline}
 			}
 			r.step(events...)
 			var sends []Action
-			for end := r.now + second; r.now < end && len(sends) < 2; r.now += 5000 {
+			for endTime := r.now + second; r.now < endTime && len(sends) < 2; r.now += 5000 {
 				sends = append(sends, r.sends...)
 				events = nil
 				for _, a := range r.sends {
-					events = append(events, answer(a, Delivered))
+					events = append(events, attemptDone(a, Delivered))
 				}
 				r.step(events...)
 			}
 			for _, a := range sends {
-				if a.Message == far.Message && a.Deadline < 1000*second+s.Classes[0].LatencyObjective {
+				if a.Message == farDeadline.Message && a.Deadline < 1000*second+s.Classes[0].LatencyObjective {
 					t.Errorf("class %d, near deadline first %v: the other message times out after only %d ms", class, nearFirst, (a.Deadline-1000*second)/1000)
 				}
 			}
@@ -100,27 +100,27 @@
 func TestNonIdempotentMessagesShareNoCallWhenManyGoUnanswered(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 4
-	unsafe := s.Classes[0]
-	unsafe.Idempotency = NonIdempotent
-	s.Classes = append(s.Classes, unsafe)
-	for _, hang := range []bool{false, true} {
-		r := newRig(t, s, ready(1, 1000))
-		ep := r.p.endpoints[1]
+	nonIdempotent := s.Classes[0]
+	nonIdempotent.Idempotency = NonIdempotent
+	s.Classes = append(s.Classes, nonIdempotent)
+	for _, manyUnanswered := range []bool{false, true} {
+		r := newRig(t, s, readyEntry(1, 1000))
+		endpoint := r.p.endpoints[1]
 		for i := range 100 { // one call in five is cancelled, or none is
-			o := Delivered
-			if hang && i%5 == 0 {
-				o, ep.lastSuccessAt = Cancelled, r.now // a later call was answered, so the cancellation says nothing about the endpoint
+			outcome := Delivered
+			if manyUnanswered && i%5 == 0 {
+				outcome, endpoint.lastSuccessAt = Cancelled, r.now // a later call was answered, so the cancellation says nothing about the endpoint
 			}
-			r.p.observeCall(&callState{endpoint: ep, sentAt: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: o, Latency: second / 10})
+			r.p.observeCall(&callState{endpoint: endpoint, sentAt: r.now - second}, &Event{Kind: EventAttemptDone, Outcome: outcome, Latency: second / 10})
 		}
 		r.p.endpoints[1].route.window = 1 // room for a single call
-		r.step(r.message(0, 0), r.message(1, 0), r.message(0, 0), r.message(1, 0))
-		kinds := map[Idempotency]int{}
+		r.step(r.newMessage(0, 0), r.newMessage(1, 0), r.newMessage(0, 0), r.newMessage(1, 0))
+		sentByIdempotency := map[Idempotency]int{}
 		for _, a := range r.sends {
-			kinds[r.p.messages[a.Message].class.Idempotency]++
+			sentByIdempotency[r.p.messages[a.Message].class.Idempotency]++
 		}
-		if len(r.sends) < 2 || (len(kinds) == 1) != hang {
-			t.Errorf("many unanswered calls %v: messages sent in one call by idempotency: %v", hang, kinds)
+		if len(r.sends) < 2 || (len(sentByIdempotency) == 1) != manyUnanswered {
+			t.Errorf("many unanswered calls %v: messages sent in one call by idempotency: %v", manyUnanswered, sentByIdempotency)
 		}
 	}
 }
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -6,15 +6,15 @@
 )
 
 // scanLowestLimit finds the lowest reported limit of a kind by looking at every route.
-func walkedLeastLimit(p *Policy, kindAt int) (least float64) {
-	for _, d := range p.destinations {
-		for _, l := range d.routes {
-			if d.kindIndex == kindAt && l.reportedLimit > 0 && (least == 0 || l.reportedLimit < least) {
-				least = l.reportedLimit
+func scanLowestLimit(p *Policy, kindIndex int) (lowest float64) {
+	for _, dest := range p.destinations {
+		for _, route := range dest.routes {
+			if dest.kindIndex == kindIndex && route.reportedLimit > 0 && (lowest == 0 || route.reportedLimit < lowest) {
+				lowest = route.reportedLimit
 			}
 		}
 	}
-	return least
+	return lowest
 }
 
 // The lowest limit that is updated with each report must equal that of a full scan while lists
@@ -27,39 +27,39 @@
 		s.Kinds = []DestinationKind{{MaxBatch: 1}, {MaxBatch: 2, SeparateRoutes: true}}
 		s.MaxCalls, s.MaxMessages = 64, 0
 		r := newSeededRig(t, s, seed)
-		var out []Action // sends that have no outcome yet
+		var inFlight []Action // sends that have no outcome yet
 		for range 300 {
 			var events []Event
 			switch rng.IntN(4) {
 			case 0:
 				dest := rng.IntN(6)
-				x := Entry{Endpoint: Endpoint(1 + rng.IntN(12)), Dest: dest, Kind: dest % 2, State: Readiness(rng.IntN(3))}
+				entry := Entry{Endpoint: Endpoint(1 + rng.IntN(12)), Dest: dest, Kind: dest % 2, State: Readiness(rng.IntN(3))}
 				if rng.IntN(10) == 0 {
-					x.Kind = rng.IntN(2)
+					entry.Kind = rng.IntN(2)
 				}
-				events = append(events, Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: []Entry{x}})
+				events = append(events, Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: []Entry{entry}})
 			case 1:
-				r.next++
-				events = append(events, Event{Kind: EventMessage, Message: r.next, Dest: rng.IntN(6), TimeLeft: 10 * second, Tenant: -1})
+				r.nextMessage++
+				events = append(events, Event{Kind: EventMessage, Message: r.nextMessage, Dest: rng.IntN(6), TimeLeft: 10 * second, Tenant: -1})
 			default:
-				if len(out) == 0 {
+				if len(inFlight) == 0 {
 					break
 				}
-				at := rng.IntN(len(out))
-				send := out[at]
-				out[at] = out[len(out)-1]
-				out = out[:len(out)-1]
-				if m := r.p.messages[send.Message]; m != nil && m.call != nil {
-					events = append(events, Event{Kind: EventAttemptDone, Message: send.Message, Attempt: m.attempts - 1, Endpoint: send.Endpoint,
+				index := rng.IntN(len(inFlight))
+				send := inFlight[index]
+				inFlight[index] = inFlight[len(inFlight)-1]
+				inFlight = inFlight[:len(inFlight)-1]
+				if message := r.p.messages[send.Message]; message != nil && message.call != nil {
+					events = append(events, Event{Kind: EventAttemptDone, Message: send.Message, Attempt: message.attempts - 1, Endpoint: send.Endpoint,
 						Outcome: []Outcome{Delivered, Rejected, Errored}[rng.IntN(3)], Latency: 1000, Load: LoadReport{Present: true, Limit: float64(rng.IntN(4))}})
 				}
 			}
 			r.now += Time(rng.IntN(200_000))
 			r.step(events...)
-			out = append(out, r.sends...)
-			for kindAt := range s.Kinds {
-				if got, want := r.p.lowestReportedLimit(&destination{kindIndex: kindAt}), walkedLeastLimit(r.p, kindAt); got != want {
-					t.Fatalf("seed %d: lowest reported limit of kind %d is %v, the full scan finds %v", seed, kindAt, got, want)
+			inFlight = append(inFlight, r.sends...)
+			for kindIndex := range s.Kinds {
+				if got, want := r.p.lowestReportedLimit(&destination{kindIndex: kindIndex}), scanLowestLimit(r.p, kindIndex); got != want {
+					t.Fatalf("seed %d: lowest reported limit of kind %d is %v, the full scan finds %v", seed, kindIndex, got, want)
 				}
 			}
 		}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -51,18 +51,18 @@
 
 // sendMostUrgent makes a call to the destination whose next message loses most by waiting.
 func (p *Policy) sendMostUrgent() {
-	most := 0
+	mostUrgent := 0
 	for i, dest := range p.awaitingSlot {
-		if dest.nextUrgency > p.awaitingSlot[most].nextUrgency {
-			most = i
+		if dest.nextUrgency > p.awaitingSlot[mostUrgent].nextUrgency {
+			mostUrgent = i
 		}
 	}
-	dest := p.awaitingSlot[most]
+	dest := p.awaitingSlot[mostUrgent]
 	p.startCall(dest)
 	p.selectNextMessage(dest)
 	if dest.nextMessage == nil {
 		dest.isAwaitingSlot = false
-		p.awaitingSlot = slices.Delete(p.awaitingSlot, most, most+1)
+		p.awaitingSlot = slices.Delete(p.awaitingSlot, mostUrgent, mostUrgent+1)
 	}
 }
 
@@ -121,9 +121,9 @@
 // scheduleExamination has a destination examined at the next time at which one of its messages may
 // become sendable without any event.
 func (p *Policy) scheduleExamination(dest *destination) {
-	at := p.nextSendTime(dest)
-	if at < math.MaxInt64 && (dest.wakeAt <= p.now || at < dest.wakeAt) {
-		dest.wakeAt = max(at, p.now+p.settings.Tick)
+	sendAt := p.nextSendTime(dest)
+	if sendAt < math.MaxInt64 && (dest.wakeAt <= p.now || sendAt < dest.wakeAt) {
+		dest.wakeAt = max(sendAt, p.now+p.settings.Tick)
 		p.schedule(dest.wakeAt, func() { p.markChanged(dest) })
 	}
 }
@@ -148,14 +148,14 @@
 	tokenAt := route.tokens.availableAt(p.now, 1, p.paceRate(route), p.burstSize(route))
 	routeAt := max(route.backoffUntil, route.retryAfterUntil, tokenAt)
 	for _, endpoint := range route.endpoints {
-		at := max(routeAt, endpoint.backoffUntil)
+		openAt := max(routeAt, endpoint.backoffUntil)
 		if endpoint.isEjected {
 			rate, burst := p.recoveryRate(endpoint)
 			cost := endpoint.nextCallCost
-			at = max(at, endpoint.recoveryBudget.availableAt(p.now, cost, rate, max(burst, cost)))
+			openAt = max(openAt, endpoint.recoveryBudget.availableAt(p.now, cost, rate, max(burst, cost)))
 		}
-		if at > p.now {
-			next = min(next, at)
+		if openAt > p.now {
+			next = min(next, openAt)
 		}
 	}
 	return next
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -6,25 +6,25 @@
 // each even if the drain is requested twice. If the drain ends before the release, the release does
 // not happen. Messages are sent all the time.
 func TestDrainReleasesClientsOnceUnlessEnded(t *testing.T) {
-	r := newRig(t, baseSettings(), ready(1, 1000))
-	if a := r.step(Event{Kind: EventDrain}, Event{Kind: EventDrain}); count(a, ActionStopAccepting) != 1 || count(a, ActionReleaseClients) != 0 {
+	r := newRig(t, baseSettings(), readyEntry(1, 1000))
+	if a := r.step(Event{Kind: EventDrain}, Event{Kind: EventDrain}); countActions(a, ActionStopAccepting) != 1 || countActions(a, ActionReleaseClients) != 0 {
 		t.Errorf("at the start of the drain: %+v", a)
 	}
 	r.now += clientReleaseDelay / 2
-	if a := r.step(r.message(0, 0)); count(a, ActionSend) != 1 || count(a, ActionReleaseClients) != 0 {
+	if a := r.step(r.newMessage(0, 0)); countActions(a, ActionSend) != 1 || countActions(a, ActionReleaseClients) != 0 {
 		t.Errorf("before the release of the clients: %+v", a)
 	}
 	r.now += clientReleaseDelay/2 + 1
-	if a := r.step(Event{Kind: EventTimer}); count(a, ActionReleaseClients) != 1 {
+	if a := r.step(Event{Kind: EventTimer}); countActions(a, ActionReleaseClients) != 1 {
 		t.Errorf("no release of the clients after the delay: %+v", a)
 	}
-	if a := r.step(Event{Kind: EventActivate}, Event{Kind: EventActivate}); count(a, ActionAcceptClients) != 1 {
+	if a := r.step(Event{Kind: EventActivate}, Event{Kind: EventActivate}); countActions(a, ActionAcceptClients) != 1 {
 		t.Errorf("at the end of the drain: %+v", a)
 	}
 	r.step(Event{Kind: EventDrain})
 	r.step(Event{Kind: EventActivate})
 	r.now += 2 * clientReleaseDelay
-	if a := r.step(Event{Kind: EventTimer}); count(a, ActionReleaseClients) != 0 {
+	if a := r.step(Event{Kind: EventTimer}); countActions(a, ActionReleaseClients) != 0 {
 		t.Errorf("clients released after the drain has ended: %+v", a)
 	}
 }
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -10,7 +10,7 @@
 
 // mutant is a copy of the package in which the text old is replaced by new. The test run has to
 // fail in it. Without a text it is an unchanged copy, in which the tests have to pass.
-type mutant struct{ name, old, new, run string }
+type mutant struct{ name, old, new, test string }
 
 // mutants remove one guard each, and name the test that has to fail without it.
 var mutants = []mutant{
@@ -29,9 +29,9 @@
 	{"recovery budget", "return endpoint.recoveryBudget.level(p.now, rate, max(burst, cost)) >= cost",
 		"return endpoint.recoveryBudget.level(p.now, rate, max(burst, cost)) >= -99", "TestRecoveryBudgetLimitsCallsAfterOutage"},
 	{"ejection threshold", "endpoint.isEjected || endpoint.failureScore < ejectionScore", "true", "TestFailuresAfterOneSuccessRestartSlowStart"},
-	{"order behind spilled messages", " || queue.startsSpilled()", "", "TestRulesHoldWithSpilledMessages"},
+	{"order behind spilled messages", " || queue.startsWithSpilled()", "", "TestRulesHoldWithSpilledMessages"},
 	{"order of spilled messages", "queue.spilledCount == 0 && queue.messages[len(queue.messages)-1] == message", "queue != nil", "TestRulesHoldWithSpilledMessages"},
-	{"load before the dedup window ends", "min(by, message.deadline-p.deadlineMargin())", "max(by, message.deadline-p.deadlineMargin())", "TestSpillKeepsMessageState"},
+	{"load before the dedup window ends", "min(latestRetry, message.deadline-p.deadlineMargin())", "max(latestRetry, message.deadline-p.deadlineMargin())", "TestSpillKeepsMessageState"},
 	{"one message in memory", "max(count, p.residentMinimum()-resident)", "count", "TestRulesHoldWithSpilledMessages"},
 	{"cancellation of stuck calls", "p.cancelIfStuck(call)\n\t}\n\troute.isPaceLimited", "}\n\troute.isPaceLimited", "TestStuckCallIsCancelledWhenSlotsRunOut"},
 }
@@ -50,15 +50,15 @@
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			m.write(t, dir)
-			m.check(t, goTool, dir)
+			m.writeModule(t, dir)
+			m.runTest(t, goTool, dir)
 		})
 	}
 }
 
 // write copies the package with the mutant's change. The text to be replaced has to stand exactly
 // once in the sources.
-func (m mutant) write(t *testing.T, dir string) {
+func (m mutant) writeModule(t *testing.T, dir string) {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
@@ -90,13 +90,13 @@
 }
 
 // check runs the mutant's test, which has to fail as a test and not because the copy doesn't build.
-func (m mutant) check(t *testing.T, goTool, dir string) {
+func (m mutant) runTest(t *testing.T, goTool, dir string) {
 	t.Helper()
-	run := m.run
-	if run == "" {
-		run = "TestRulesHoldOverRandomEvents|TestRecoveryBudgetLimitsCallsAfterOutage|TestStuckCallIsCancelledWhenSlotsRunOut"
+	testNames := m.test
+	if testNames == "" {
+		testNames = "TestRulesHoldOverRandomEvents|TestRecoveryBudgetLimitsCallsAfterOutage|TestStuckCallIsCancelledWhenSlotsRunOut"
 	}
-	cmd := exec.Command(goTool, "test", "-vet=off", "-run", "^("+run+")$", ".")
+	cmd := exec.Command(goTool, "test", "-vet=off", "-run", "^("+testNames+")$", ".")
 	cmd.Dir = dir
 	cmd.Env = append(os.Environ(), "POLICY_MUTANT=1", "GOFLAGS=", "GOWORK=off")
 	out, err := cmd.CombinedOutput()
@@ -104,7 +104,7 @@
 	case m.old == "" && err != nil:
 		t.Fatalf("the tests fail in the unchanged copy:\n%s", out)
 	case m.old != "" && err == nil:
-		t.Fatalf("%s passes without the guard", m.run)
+		t.Fatalf("%s passes without the guard", m.test)
 	case m.old != "" && !strings.Contains(string(out), "--- FAIL"):
 		t.Fatalf("the mutant does not build:\n%s", out)
 	}
--- a/policy/layout_test.go
+++ b/policy/layout_test.go
@@ -36,17 +36,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := 0
+		nonBlank := 0
 		for i, line := range strings.Split(string(text), "\n") {
 			if strings.TrimSpace(line) != "" {
-				n++
+				nonBlank++
 			}
-			if w := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); w > 110 {
-				t.Errorf("%s: line %d has %d columns, want at most 110", f, i+1, w)
+			if columns := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); columns > 110 {
+				t.Errorf("%s: line %d has %d columns, want at most 110", f, i+1, columns)
 			}
 		}
-		if n > 220 {
-			t.Errorf("%s: %d non-blank lines, want at most 220", f, n)
+		if nonBlank > 220 {
+			t.Errorf("%s: %d non-blank lines, want at most 220", f, nonBlank)
 		}
 	}
 	text, err := os.ReadFile("policy.go")
@@ -79,10 +79,10 @@
 		listed = append(listed, m[1])
 	}
 	// These files hold the interface, plain state and containers, and make no decisions.
-	passive := []string{"settings.go", "event.go", "action.go", "state.go", "snapshot.go", "history.go", "latency.go", "token_bucket.go"}
+	nonDeciding := []string{"settings.go", "event.go", "action.go", "state.go", "snapshot.go", "history.go", "latency.go", "token_bucket.go"}
 	var want []string
 	for _, f := range sourceFiles(t) {
-		if !slices.Contains(passive, f) {
+		if !slices.Contains(nonDeciding, f) {
 			want = append(want, "policy/"+f)
 		}
 	}
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -11,23 +11,23 @@
 	r.p.endpoints[1].route.backoffUntil = r.now + 15*second
 	r.p.endpoints[2].route.backoffUntil = r.now + second
 	var events []Event
-	dest := map[uint32]int{}
+	destOf := map[uint32]int{}
 	for i := range 16 {
-		e := r.message(0, i%2)
-		dest[e.Message] = i % 2
+		e := r.newMessage(0, i%2)
+		destOf[e.Message] = i % 2
 		events = append(events, e)
 	}
 	r.step(events...)
-	refused := 0
-	for _, a := range r.acts {
+	rejected := 0
+	for _, a := range r.actions {
 		if a.Kind == ActionReject {
-			refused++
-			if dest[a.Message] != 0 {
+			rejected++
+			if destOf[a.Message] != 0 {
 				t.Errorf("message %d, whose destination can be called again first, was shed", a.Message)
 			}
 		}
 	}
-	if refused != 1 {
-		t.Fatalf("%d messages rejected, want 1", refused)
+	if rejected != 1 {
+		t.Fatalf("%d messages rejected, want 1", rejected)
 	}
 }
--- a/policy/ordered_queue.go
+++ b/policy/ordered_queue.go
@@ -41,7 +41,7 @@
 // isNextInOrder reports whether an ordered message is the next of its key and may be sent now.
 func (p *Policy) isNextInOrder(message *messageState) bool {
 	queue := p.orderedQueues[message.key]
-	if queue == nil || queue.messages[0] != message || queue.startsSpilled() {
+	if queue == nil || queue.messages[0] != message || queue.startsWithSpilled() {
 		return false
 	}
 	return message.attempts != 0 || queue.cooldownUntil <= p.now
@@ -78,8 +78,8 @@
 		queue.messages = append(queue.messages, message)
 		return
 	}
-	at := min(queue.spilledIndex, len(queue.messages))
-	queue.messages = slices.Insert(queue.messages, at, message)
+	index := min(queue.spilledIndex, len(queue.messages))
+	queue.messages = slices.Insert(queue.messages, index, message)
 	queue.spilledIndex++
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// startsSpilled reports whether spilled messages come before all that are in memory.
-func (queue *orderedQueue) startsSpilled() bool {
+// startsWithSpilled reports whether spilled messages come before all that are in memory.
+func (queue *orderedQueue) startsWithSpilled() bool {
 	return queue.spilledCount > 0 && queue.spilledIndex == 0
 }
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -34,10 +34,10 @@
 
 // lowerPace lowers the pace of a route after a rejection.
 func (p *Policy) lowerPace(route *routeState) {
-	even := math.Pow(float64(p.settings.Relays), relayExponent-1) // factor of an equal share
+	evenFactor := math.Pow(float64(p.settings.Relays), relayExponent-1) // factor of an equal share
 	step := route.paceFactor * paceDecrease
 	weight := p.paceStepWeight(route)
-	route.paceFactor = max(step*math.Pow(min(1, even/step), weight), minPaceFactor*even)
+	route.paceFactor = max(step*math.Pow(min(1, evenFactor/step), weight), minPaceFactor*evenFactor)
 }
 
 // paceStepWeight is the time since the last step of a route's pace in overload windows, at most 1.
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -12,9 +12,9 @@
 	for _, c := range []struct{ relays, want int }{{2, 3}, {12, 1}, {80, 1}} {
 		s := baseSettings()
 		s.Relays = c.relays
-		r := newRig(t, s, ready(1, 18))
+		r := newRig(t, s, readyEntry(1, 18))
 		r.p.endpoints[1].route.window = 5
-		r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
+		r.step(r.newMessage(0, 0), r.newMessage(0, 0), r.newMessage(0, 0))
 		if len(r.sends) != c.want {
 			t.Errorf("%d relays: %d of 3 calls sent at once", c.relays, len(r.sends))
 		}
@@ -24,17 +24,17 @@
 // Relays whose calls are all rejected slow down to less than the limit together, however many they
 // are.
 func TestRejectionsBringFleetPaceBelowLimit(t *testing.T) {
-	for _, n := range []int{2, 80, 400} {
+	for _, relays := range []int{2, 80, 400} {
 		s := baseSettings()
-		s.Relays = n
-		r := newRig(t, s, ready(1, 20))
-		ep := r.p.endpoints[1]
+		s.Relays = relays
+		r := newRig(t, s, readyEntry(1, 20))
+		endpoint := r.p.endpoints[1]
 		for range 100 {
-			r.p.observeCall(&callState{endpoint: ep, sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}},
+			r.p.observeCall(&callState{endpoint: endpoint, sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}},
 				&Event{Kind: EventAttemptDone, Outcome: Rejected, Load: LoadReport{Limit: 20, Present: true}})
 		}
-		if all := r.p.paceRate(ep.route) * float64(n); all > 20 || all < 5 {
-			t.Errorf("%d relays together send %v calls a second, want 5 to the limit of 20", n, all)
+		if fleetPace := r.p.paceRate(endpoint.route) * float64(relays); fleetPace > 20 || fleetPace < 5 {
+			t.Errorf("%d relays together send %v calls a second, want 5 to the limit of 20", relays, fleetPace)
 		}
 	}
 }
@@ -43,32 +43,32 @@
 // success is the fraction of the limit that its report said was left. A relay that calls often
 // changes its pace in small steps.
 func TestPaceStepGrowsWithTimeSinceLastStep(t *testing.T) {
-	for _, n := range []int{2, 80, 300} {
+	for _, relays := range []int{2, 80, 300} {
 		s := baseSettings()
-		s.Relays = n
-		r := newRig(t, s, ready(1, 20))
-		l := r.p.endpoints[1].route
-		book := func(o Outcome, left float64, gap Time) (before, after float64) {
-			r.now += gap
+		s.Relays = relays
+		r := newRig(t, s, readyEntry(1, 20))
+		route := r.p.endpoints[1].route
+		observe := func(outcome Outcome, remaining float64, elapsed Time) (before, after float64) {
+			r.now += elapsed
 			r.step()
-			l.isPaceLimited, before = true, r.p.paceRate(l)
+			route.isPaceLimited, before = true, r.p.paceRate(route)
 			r.p.observeCall(&callState{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}},
-				&Event{Kind: EventAttemptDone, Outcome: o, Load: LoadReport{Remaining: left, Limit: 20, Present: true}})
-			return before, r.p.paceRate(l)
+				&Event{Kind: EventAttemptDone, Outcome: outcome, Load: LoadReport{Remaining: remaining, Limit: 20, Present: true}})
+			return before, r.p.paceRate(route)
 		}
-		if _, each := book(Rejected, 0, s.OverloadWindow); each*float64(n) > 20.001 {
-			t.Errorf("%d relays: after one rejection each they together send %v calls a second, limit 20", n, each*float64(n))
+		if _, pace := observe(Rejected, 0, s.OverloadWindow); pace*float64(relays) > 20.001 {
+			t.Errorf("%d relays: after one rejection each they together send %v calls a second, limit 20", relays, pace*float64(relays))
 		}
-		for _, left := range []float64{0, 0.2, 0.4} {
-			if was, now := book(Delivered, left, s.OverloadWindow); math.Abs(now/was-1-left) > 0.001 {
-				t.Errorf("%d relays: a success with %v of the limit left changes the pace from %v to %v", n, left, was, now)
+		for _, remaining := range []float64{0, 0.2, 0.4} {
+			if before, after := observe(Delivered, remaining, s.OverloadWindow); math.Abs(after/before-1-remaining) > 0.001 {
+				t.Errorf("%d relays: a success with %v of the limit left changes the pace from %v to %v", relays, remaining, before, after)
 			}
 		}
-		if was, now := book(Delivered, 0, s.Tick); now < was*1.07 {
-			t.Errorf("%d relays: a success changes the pace of a relay that calls often from %v to %v", n, was, now)
+		if before, after := observe(Delivered, 0, s.Tick); after < before*1.07 {
+			t.Errorf("%d relays: a success changes the pace of a relay that calls often from %v to %v", relays, before, after)
 		}
-		if was, now := book(Rejected, 0, s.Tick); now < was*0.72 {
-			t.Errorf("%d relays: a rejection changes the pace of a relay that calls often from %v to %v", n, was, now)
+		if before, after := observe(Rejected, 0, s.Tick); after < before*0.72 {
+			t.Errorf("%d relays: a rejection changes the pace of a relay that calls often from %v to %v", relays, before, after)
 		}
 	}
 }
@@ -78,14 +78,14 @@
 func TestCallWithoutConnectionSpendsNoPaceToken(t *testing.T) {
 	s := baseSettings()
 	s.Relays = 80
-	r := newRig(t, s, ready(1, 20))
-	r.untilSend()
-	began := r.now
-	r.step(answer(r.sends[0], ConnectFailed))
+	r := newRig(t, s, readyEntry(1, 20))
+	r.stepUntilSend()
+	failedAt := r.now
+	r.step(attemptDone(r.sends[0], ConnectFailed))
 	if len(r.sends) == 0 {
-		r.untilSend()
+		r.stepUntilSend()
 	}
-	if r.now > began+second {
-		t.Errorf("the next call was sent only after %d ms", (r.now-began)/1000)
+	if r.now > failedAt+second {
+		t.Errorf("the next call was sent only after %d ms", (r.now-failedAt)/1000)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -17,12 +17,12 @@
 			}
 			now := second
 			p.Step(now, []Event{{Kind: EventListUpdate, ListUpdate: ListCached, Entries: list}}, nil)
-			var acts []Action
+			var actions []Action
 			for i := range b.N {
 				now += 5000
 				id := uint32(i + 1)
-				acts = p.Step(now, []Event{{Kind: EventMessage, Message: id, Dest: i % n, TimeLeft: 20 * second}}, acts[:0])
-				acts = p.Step(now, []Event{{Kind: EventAttemptDone, Message: id, Final: true, Latency: 1000}}, acts[:0])
+				actions = p.Step(now, []Event{{Kind: EventMessage, Message: id, Dest: i % n, TimeLeft: 20 * second}}, actions[:0])
+				actions = p.Step(now, []Event{{Kind: EventAttemptDone, Message: id, Final: true, Latency: 1000}}, actions[:0])
 			}
 		})
 	}
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -13,17 +13,17 @@
 )
 
 // valueAt is the weight that a message earns if it is delivered at a given time.
-func (p *Policy) valueAt(message *messageState, at Time) float64 {
+func (p *Policy) valueAt(message *messageState, deliveredAt Time) float64 {
 	switch {
-	case at <= message.objectiveAt:
+	case deliveredAt <= message.objectiveAt:
 		return message.weight
-	case at > message.deadline:
+	case deliveredAt > message.deadline:
 		return 0
 	case p.settings.HalvingWeight:
-		halvings := float64(at-message.objectiveAt) / float64(max(message.class.LatencyObjective, 1))
+		halvings := float64(deliveredAt-message.objectiveAt) / float64(max(message.class.LatencyObjective, 1))
 		return message.weight * max(message.class.LateWeight, math.Exp2(-halvings))
 	}
-	late := float64(at-message.objectiveAt) / float64(max(message.deadline-message.objectiveAt, 1))
+	late := float64(deliveredAt-message.objectiveAt) / float64(max(message.deadline-message.objectiveAt, 1))
 	return message.weight * (1 - (1-message.class.LateWeight)*late)
 }
 
@@ -31,10 +31,10 @@
 // is empty. It runs once before a sort, not for each comparison, so that its cost grows only in
 // proportion to the queue's length.
 func (p *Policy) updateDelayCosts(dest *destination) {
-	soon := p.now + p.typicalLatency(dest)
-	late := soon + p.estimateQueueTime(dest)
+	earliestDelivery := p.now + p.typicalLatency(dest)
+	latestDelivery := earliestDelivery + p.estimateQueueTime(dest)
 	for _, message := range dest.queue {
-		message.delayCost = p.valueAt(message, soon) - p.valueAt(message, late)
+		message.delayCost = p.valueAt(message, earliestDelivery) - p.valueAt(message, latestDelivery)
 	}
 }
 
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -5,15 +5,15 @@
 // The first backoff after a rejection without Retry-After is about the time in which every relay
 // can make one call within the limit, but no longer than the latency objective.
 func TestBackoffAfterRejectionIsAboutOneTurnAtTheLimit(t *testing.T) {
-	for _, n := range []int{2, 7, 400} {
+	for _, relays := range []int{2, 7, 400} {
 		s := baseSettings()
-		s.Relays = n
-		r := newRig(t, s, ready(1, 4))
-		l := r.p.endpoints[1].route
+		s.Relays = relays
+		r := newRig(t, s, readyEntry(1, 4))
+		route := r.p.endpoints[1].route
 		r.p.observeCall(&callState{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: Rejected})
-		turn := min(Time(n)*second/4, 2*second)
-		if rest := l.backoffUntil - r.now; rest < turn/2 || rest > turn*3/2 {
-			t.Errorf("%d relays: backoff of %d ms at a limit of 4 calls a second", n, rest/1000)
+		turn := min(Time(relays)*second/4, 2*second)
+		if backoff := route.backoffUntil - r.now; backoff < turn/2 || backoff > turn*3/2 {
+			t.Errorf("%d relays: backoff of %d ms at a limit of 4 calls a second", relays, backoff/1000)
 		}
 	}
 }
@@ -22,39 +22,39 @@
 // report a limit: a relay of a large fleet calls so rarely that two of its calls in a row often
 // meet a limit that the other relays have used up.
 func TestRejectionsWithLoadReportDoNotEject(t *testing.T) {
-	for _, told := range []bool{false, true} {
+	for _, hasReport := range []bool{false, true} {
 		s := baseSettings()
 		s.Relays = 80
-		r := newRig(t, s, ready(1, 1000))
+		r := newRig(t, s, readyEntry(1, 1000))
 		for range 2 {
-			r.untilSend()
-			e := answer(r.sends[0], Rejected)
-			e.Attempt, e.Load = r.p.messages[e.Message].attempts-1, LoadReport{Limit: 1000, Present: told}
+			r.stepUntilSend()
+			e := attemptDone(r.sends[0], Rejected)
+			e.Attempt, e.Load = r.p.messages[e.Message].attempts-1, LoadReport{Limit: 1000, Present: hasReport}
 			r.step(e)
 			r.now += s.OverloadWindow
 		}
-		if sick := r.p.endpoints[1].isEjected; sick == told {
-			t.Errorf("load report %v: ejected %v", told, sick)
+		if isEjected := r.p.endpoints[1].isEjected; isEjected == hasReport {
+			t.Errorf("load report %v: ejected %v", hasReport, isEjected)
 		}
 	}
 }
 
 // A Retry-After stops further calls whatever the outcome of the attempt that carried it.
 func TestRetryAfterAppliesWithAnyOutcome(t *testing.T) {
-	for _, o := range []Outcome{Delivered, Rejected, Errored} {
-		r := newRig(t, baseSettings(), ready(1, 1000))
-		r.step(r.message(0, 0))
-		e := answer(r.sends[0], o)
+	for _, outcome := range []Outcome{Delivered, Rejected, Errored} {
+		r := newRig(t, baseSettings(), readyEntry(1, 1000))
+		r.step(r.newMessage(0, 0))
+		e := attemptDone(r.sends[0], outcome)
 		e.RetryAfter = second
 		r.now += second / 10
-		told := r.now
-		r.step(e, r.message(0, 0))
-		for len(r.sends) == 0 && r.now < told+10*second {
+		receivedAt := r.now
+		r.step(e, r.newMessage(0, 0))
+		for len(r.sends) == 0 && r.now < receivedAt+10*second {
 			r.now += second / 100
 			r.step()
 		}
-		if r.now < told+second || len(r.sends) == 0 {
-			t.Errorf("outcome %v: the next send came %d ms after a Retry-After of 1000 ms, or none did", o, (r.now-told)/1000)
+		if r.now < receivedAt+second || len(r.sends) == 0 {
+			t.Errorf("outcome %v: the next send came %d ms after a Retry-After of 1000 ms, or none did", outcome, (r.now-receivedAt)/1000)
 		}
 	}
 }
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -5,37 +5,37 @@
 // A message that an earlier process admitted keeps its history: if it may have run, it is sent
 // again only as its class allows, and its attempts are counted on.
 func TestRecoveredMessageKeepsItsAttempts(t *testing.T) {
-	set := Settings{Relays: 1, MaxCalls: 8, MaxAttempts: 3, Tick: 5000, ListedRates: true, RetryAfter: true,
+	settings := Settings{Relays: 1, MaxCalls: 8, MaxAttempts: 3, Tick: 5000, ListedRates: true, RetryAfter: true,
 		SlowStartCapacity: 0.2, SlowStartTime: 10 * second, OverloadFactor: 2, OverloadWindow: 3 * second, Kinds: []DestinationKind{{MaxBatch: 1}},
 		Classes: []Class{
 			{Name: "idempotent", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: Idempotent},
 			{Name: "idempotent by key", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: IdempotentByKey, DedupWindow: 5 * second},
 			{Name: "non-idempotent", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent}}}
 	now := 100 * second
-	for name, x := range map[string]struct {
-		class, tries int
-		doubt, left  Time
-		want         ActionKind
+	for name, test := range map[string]struct {
+		class, attempts            int
+		unknownOutcomeAt, timeLeft Time
+		want                       ActionKind
 	}{
-		"new":                          {class: 2, left: 9 * second, want: ActionSend},
-		"non-idempotent, may have run": {class: 2, tries: 1, doubt: now - second, left: 9 * second, want: ActionFail},
-		"non-idempotent, never ran":    {class: 2, tries: 2, left: 9 * second, want: ActionSend},
-		"non-idempotent, never ran, no attempt left":      {class: 2, tries: 3, left: 9 * second, want: ActionReject},
-		"idempotent by key, within its window":            {class: 1, tries: 1, doubt: now - 2*second, left: 9 * second, want: ActionSend},
-		"idempotent by key, window over":                  {class: 1, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActionFail},
-		"idempotent, may have run":                        {class: 0, tries: 1, doubt: now - 6*second, left: 9 * second, want: ActionSend},
-		"past its deadline":                               {class: 0, tries: 1, left: -second, want: ActionReject},
-		"non-idempotent, past its deadline, may have run": {class: 2, tries: 1, doubt: now - 6*second, left: -second, want: ActionFail},
-		"past its deadline, never sent":                   {class: 2, left: 0, want: ActionReject},
+		"new":                          {class: 2, timeLeft: 9 * second, want: ActionSend},
+		"non-idempotent, may have run": {class: 2, attempts: 1, unknownOutcomeAt: now - second, timeLeft: 9 * second, want: ActionFail},
+		"non-idempotent, never ran":    {class: 2, attempts: 2, timeLeft: 9 * second, want: ActionSend},
+		"non-idempotent, never ran, no attempt left":      {class: 2, attempts: 3, timeLeft: 9 * second, want: ActionReject},
+		"idempotent by key, within its window":            {class: 1, attempts: 1, unknownOutcomeAt: now - 2*second, timeLeft: 9 * second, want: ActionSend},
+		"idempotent by key, window over":                  {class: 1, attempts: 1, unknownOutcomeAt: now - 6*second, timeLeft: 9 * second, want: ActionFail},
+		"idempotent, may have run":                        {class: 0, attempts: 1, unknownOutcomeAt: now - 6*second, timeLeft: 9 * second, want: ActionSend},
+		"past its deadline":                               {class: 0, attempts: 1, timeLeft: -second, want: ActionReject},
+		"non-idempotent, past its deadline, may have run": {class: 2, attempts: 1, unknownOutcomeAt: now - 6*second, timeLeft: -second, want: ActionFail},
+		"past its deadline, never sent":                   {class: 2, timeLeft: 0, want: ActionReject},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, err := New(set, 42)
+			p, err := New(settings, 42)
 			if err != nil {
 				t.Fatal(err)
 			}
 			actions := p.Step(now, []Event{
 				{Kind: EventListUpdate, ListUpdate: ListFull, Entries: []Entry{{Endpoint: 7, Dest: 1, State: Ready, Rate: 20}}},
-				{Kind: EventMessage, Message: 1, Class: x.class, Dest: 1, TimeLeft: x.left, Attempts: x.tries, UnknownOutcomeAt: x.doubt},
+				{Kind: EventMessage, Message: 1, Class: test.class, Dest: 1, TimeLeft: test.timeLeft, Attempts: test.attempts, UnknownOutcomeAt: test.unknownOutcomeAt},
 			}, nil)
 			var got []ActionKind
 			for _, a := range actions {
@@ -43,14 +43,14 @@
 					got = append(got, a.Kind)
 				}
 			}
-			if len(got) != 1 || got[0] != x.want {
-				t.Fatalf("actions %v, want %v", got, x.want)
+			if len(got) != 1 || got[0] != test.want {
+				t.Fatalf("actions %v, want %v", got, test.want)
 			}
-			if x.want != ActionSend {
+			if test.want != ActionSend {
 				return
 			}
 			// The new attempt's number follows those of the earlier attempts.
-			after := p.Step(now+second/10, []Event{{Kind: EventAttemptDone, Message: 1, Attempt: x.tries, Endpoint: 7,
+			after := p.Step(now+second/10, []Event{{Kind: EventAttemptDone, Message: 1, Attempt: test.attempts, Endpoint: 7,
 				Outcome: Delivered, Final: true, Latency: second / 10}}, nil)
 			for _, a := range after {
 				if a.Kind != ActionTimer && a.Kind != ActionLog {
@@ -64,36 +64,36 @@
 // A message whose call another process has in flight keeps its call slot and is not sent again
 // until that call ends. Then the outcome decides what happens to it, as for a call of this process.
 func TestRecoveredMessageInFlightIsNotSentAgain(t *testing.T) {
-	set := baseSettings()
-	set.MaxCalls = 3
-	set.Classes = append(set.Classes, Class{Name: "non-idempotent", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent})
-	out := func(id uint32, at Time) Event {
-		return Event{Kind: EventMessage, Message: id, Class: 1, TimeLeft: 9 * second, Attempts: 1, InFlightEndpoint: 1, InFlightSince: at}
+	settings := baseSettings()
+	settings.MaxCalls = 3
+	settings.Classes = append(settings.Classes, Class{Name: "non-idempotent", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent})
+	inFlight := func(id uint32, sentAt Time) Event {
+		return Event{Kind: EventMessage, Message: id, Class: 1, TimeLeft: 9 * second, Attempts: 1, InFlightEndpoint: 1, InFlightSince: sentAt}
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		outcome Outcome
 		want    ActionKind
 	}{"rejected": {Rejected, ActionSend}, "may have run": {Cancelled, ActionFail}} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, set, ready(1, 1000))
+			r := newRig(t, settings, readyEntry(1, 1000))
 			r.p.endpoints[1].route.window = 8
-			acts := r.step(out(90, r.now-second), out(91, r.now-second), out(92, r.now-2*second)) // one call with two messages, and another with one
+			actions := r.step(inFlight(90, r.now-second), inFlight(91, r.now-second), inFlight(92, r.now-2*second)) // one call with two messages, and another with one
 			if len(r.sends) != 0 || r.p.callsInFlight != 2 || r.p.endpoints[1].callsInFlight != 2 {
-				t.Fatalf("%d calls in flight, %d to the endpoint, want 2 and no send: %+v", r.p.callsInFlight, r.p.endpoints[1].callsInFlight, acts)
+				t.Fatalf("%d calls in flight, %d to the endpoint, want 2 and no send: %+v", r.p.callsInFlight, r.p.endpoints[1].callsInFlight, actions)
 			}
 			for _, id := range []uint32{90, 91} {
 				r.step(Event{Kind: EventAttemptDone, Message: id, Endpoint: 1, Outcome: Delivered, Final: true})
 			}
-			acts = r.step(Event{Kind: EventAttemptDone, Message: 92, Endpoint: 1, Outcome: x.outcome})
+			actions = r.step(Event{Kind: EventAttemptDone, Message: 92, Endpoint: 1, Outcome: test.outcome})
 			for range 40 {
-				if count(acts, x.want) > 0 {
+				if countActions(actions, test.want) > 0 {
 					break
 				}
 				r.now += second / 10
-				acts = r.step(Event{Kind: EventTimer})
+				actions = r.step(Event{Kind: EventTimer})
 			}
-			if count(acts, x.want) != 1 {
-				t.Errorf("want one action of kind %v: %+v", x.want, acts)
+			if countActions(actions, test.want) != 1 {
+				t.Errorf("want one action of kind %v: %+v", test.want, actions)
 			}
 		})
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -7,29 +7,29 @@
 // may always run again, has none.
 func TestRetryIsSentWithinDedupWindow(t *testing.T) {
 	s := baseSettings()
-	keyed := s.Classes[0]
-	keyed.Idempotency, keyed.DedupWindow = IdempotentByKey, 5*second
-	s.Classes = append(s.Classes, keyed)
+	byKey := s.Classes[0]
+	byKey.Idempotency, byKey.DedupWindow = IdempotentByKey, 5*second
+	s.Classes = append(s.Classes, byKey)
 	for _, c := range []struct {
-		class int
-		first Outcome
-		bound bool
+		class        int
+		firstOutcome Outcome
+		wantSendBy   bool
 	}{{1, ConnectionReset, true}, {1, TimedOut, true}, {1, Rejected, false}, {0, ConnectionReset, false}} {
-		r := newRig(t, s, ready(1, 1000))
-		r.step(r.message(c.class, 0))
-		sent := r.now
-		if by := r.sends[0].SendBy; by != 0 {
-			t.Errorf("class %d: the first attempt has SendBy %d, want 0", c.class, by)
+		r := newRig(t, s, readyEntry(1, 1000))
+		r.step(r.newMessage(c.class, 0))
+		sentAt := r.now
+		if sendBy := r.sends[0].SendBy; sendBy != 0 {
+			t.Errorf("class %d: the first attempt has SendBy %d, want 0", c.class, sendBy)
 		}
 		r.now += second / 10
-		events := []Event{answer(r.sends[0], c.first)}
+		events := []Event{attemptDone(r.sends[0], c.firstOutcome)}
 		for r.step(events...); len(r.sends) == 0; r.step() {
-			if r.now += 5000; r.now > sent+5*second {
-				t.Fatalf("class %d after outcome %d: never sent again", c.class, c.first)
+			if r.now += 5000; r.now > sentAt+5*second {
+				t.Fatalf("class %d after outcome %d: never sent again", c.class, c.firstOutcome)
 			}
 		}
-		if by := r.sends[0].SendBy; (by != 0) != c.bound || by > sent+keyed.DedupWindow || c.bound && by < r.now {
-			t.Errorf("class %d after outcome %d: the retry has SendBy %d, the window ends at %d", c.class, c.first, by, sent+keyed.DedupWindow)
+		if sendBy := r.sends[0].SendBy; (sendBy != 0) != c.wantSendBy || sendBy > sentAt+byKey.DedupWindow || c.wantSendBy && sendBy < r.now {
+			t.Errorf("class %d after outcome %d: the retry has SendBy %d, the window ends at %d", c.class, c.firstOutcome, sendBy, sentAt+byKey.DedupWindow)
 		}
 	}
 }
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -14,13 +14,13 @@
 // rig drives a policy step by step, in the place of its host. It keeps the actions of the latest
 // step and the times of all sends.
 type rig struct {
-	t      *testing.T
-	p      *Policy
-	now    Time
-	acts   []Action
-	next   uint32
-	sends  []Action
-	sentAt []Time
+	t           *testing.T
+	p           *Policy
+	now         Time
+	actions     []Action
+	nextMessage uint32
+	sends       []Action
+	sendTimes   []Time
 }
 
 func newRig(t *testing.T, s Settings, entries ...Entry) *rig {
@@ -34,35 +34,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, p: p, now: 1000 * second, next: 1}
+	r := &rig{t: t, p: p, now: 1000 * second, nextMessage: 1}
 	r.step(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: entries})
 	return r
 }
 
 func (r *rig) step(events ...Event) []Action {
-	r.acts = r.p.Step(r.now, events, nil)
+	r.actions = r.p.Step(r.now, events, nil)
 	r.sends = nil
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if a.Kind == ActionSend {
 			r.sends = append(r.sends, a)
-			r.sentAt = append(r.sentAt, r.now)
+			r.sendTimes = append(r.sendTimes, r.now)
 		}
 	}
-	return r.acts
+	return r.actions
 }
 
-func (r *rig) message(class, dest int) Event {
-	r.next++
-	return Event{Kind: EventMessage, Message: r.next - 1, Class: class, Dest: dest, TimeLeft: r.p.settings.Classes[class].Deadline}
+func (r *rig) newMessage(class, dest int) Event {
+	r.nextMessage++
+	return Event{Kind: EventMessage, Message: r.nextMessage - 1, Class: class, Dest: dest, TimeLeft: r.p.settings.Classes[class].Deadline}
 }
 
 // stepUntilSend lets time pass, with a new message whenever none is pending, until something is
 // sent.
-func (r *rig) untilSend() {
+func (r *rig) stepUntilSend() {
 	r.t.Helper()
 	for i := 0; ; i++ {
 		if r.now += r.p.settings.Tick; len(r.p.pending) == 0 {
-			r.step(r.message(0, 0))
+			r.step(r.newMessage(0, 0))
 		} else {
 			r.step()
 		}
@@ -75,19 +75,21 @@
 	}
 }
 
-func count(acts []Action, k ActionKind) int {
+func countActions(actions []Action, kind ActionKind) int {
 	n := 0
-	for _, a := range acts {
-		if a.Kind == k {
+	for _, a := range actions {
+		if a.Kind == kind {
 			n++
 		}
 	}
 	return n
 }
 
-func ready(id Endpoint, rate float64) Entry { return Entry{Endpoint: id, State: Ready, Rate: rate} }
+func readyEntry(id Endpoint, rate float64) Entry {
+	return Entry{Endpoint: id, State: Ready, Rate: rate}
+}
 
-func answer(a Action, o Outcome) Event {
-	return Event{Kind: EventAttemptDone, Message: a.Message, Endpoint: a.Endpoint, Attempt: a.Attempt, Outcome: o,
-		Latency: second / 10, Final: o == Delivered}
+func attemptDone(a Action, outcome Outcome) Event {
+	return Event{Kind: EventAttemptDone, Message: a.Message, Endpoint: a.Endpoint, Attempt: a.Attempt, Outcome: outcome,
+		Latency: second / 10, Final: outcome == Delivered}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,290 +9,290 @@
 // The checker below keeps its own records, from the events that it passes to a policy and the
 // actions that it gets back, and checks every action against the rules.
 
-type heldMsg struct {
-	class, dest, zone  int
-	key                uint64
-	seq                int
-	deadline           Time
-	tries              int
-	out                bool
-	firstDoubt         Time
-	doubt, done        bool
-	at                 Endpoint
-	tenant             int
-	spilled, withdrawn bool
-}
-
-type flight struct {
-	msg     uint32
-	attempt int
-	at      Endpoint
-	cut     Time
-	due     Time
+type checkedMessage struct {
+	class, dest, mayHaveRunZone int
+	key                         uint64
+	sequence                    int
+	deadline                    Time
+	attempts                    int
+	inFlight                    bool
+	firstMayHaveRunAt           Time
+	mayHaveRun, isCompleted     bool
+	endpoint                    Endpoint
+	tenant                      int
+	isSpilled, isWithdrawn      bool
+}
+
+type pendingItem struct {
+	message   uint32
+	attempt   int
+	endpoint  Endpoint
+	timeoutAt Time
+	dueAt     Time
 }
 
 type checker struct {
-	set      Settings
-	eps      map[Endpoint]Entry
-	badSince map[Endpoint]Time // since when the list has it draining or removed
-	msgs     map[uint32]*heldMsg
-	flights  []flight
-	timers   []flight
-	waits    map[string]Time
-	order    map[uint64][]uint32
-	rest     map[uint64]Time
-	probes   []Endpoint
-	errs     []string
-	sends    int
-	refused  int
-	failed   int
-	log      hostLog
-	loads    int
+	settings        Settings
+	endpoints       map[Endpoint]Entry
+	unusableSince   map[Endpoint]Time // since when the list has it draining or removed
+	messages        map[uint32]*checkedMessage
+	attempts        []pendingItem
+	timers          []pendingItem
+	retryAfterUntil map[string]Time
+	keyOrder        map[uint64][]uint32
+	cooldownUntil   map[uint64]Time
+	healthChecks    []Endpoint
+	violations      []string
+	sends           int
+	rejected        int
+	failed          int
+	log             hostLog
+	loads           int
 }
 
 func newChecker(s Settings) *checker {
-	return &checker{set: s, eps: map[Endpoint]Entry{}, badSince: map[Endpoint]Time{}, msgs: map[uint32]*heldMsg{},
-		waits: map[string]Time{}, order: map[uint64][]uint32{}, rest: map[uint64]Time{}, log: hostLog{asked: map[int]int{}}}
+	return &checker{settings: s, endpoints: map[Endpoint]Entry{}, unusableSince: map[Endpoint]Time{}, messages: map[uint32]*checkedMessage{},
+		retryAfterUntil: map[string]Time{}, keyOrder: map[uint64][]uint32{}, cooldownUntil: map[uint64]Time{}, log: hostLog{requested: map[int]int{}}}
 }
 
-func (c *checker) fault(now Time, format string, args ...any) {
-	c.errs = append(c.errs, fmt.Sprintf("%d: ", now)+fmt.Sprintf(format, args...))
+func (c *checker) addViolation(now Time, format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%d: ", now)+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) route(e Endpoint) string {
-	x := c.eps[e]
-	if c.set.Kinds[x.Kind].SeparateRoutes {
-		return fmt.Sprintf("e%d", e)
+func (c *checker) routeKey(endpoint Endpoint) string {
+	entry := c.endpoints[endpoint]
+	if c.settings.Kinds[entry.Kind].SeparateRoutes {
+		return fmt.Sprintf("e%d", endpoint)
 	}
-	return fmt.Sprintf("d%d", x.Dest)
+	return fmt.Sprintf("d%d", entry.Dest)
 }
 
-func (c *checker) list(now Time, e Event) {
+func (c *checker) updateList(now Time, e Event) {
 	if e.ListUpdate == ListFailed {
 		return
 	}
-	seen := map[Endpoint]bool{}
-	for _, x := range e.Entries {
-		seen[x.Endpoint] = true
-		if x.State == Ready {
-			delete(c.badSince, x.Endpoint)
-		} else if _, ok := c.badSince[x.Endpoint]; !ok {
-			c.badSince[x.Endpoint] = now
+	listed := map[Endpoint]bool{}
+	for _, entry := range e.Entries {
+		listed[entry.Endpoint] = true
+		if entry.State == Ready {
+			delete(c.unusableSince, entry.Endpoint)
+		} else if _, ok := c.unusableSince[entry.Endpoint]; !ok {
+			c.unusableSince[entry.Endpoint] = now
 		}
-		c.eps[x.Endpoint] = x
+		c.endpoints[entry.Endpoint] = entry
 	}
 	if e.ListUpdate == ListFull || e.ListUpdate == ListCached {
-		for id := range c.eps {
-			if _, bad := c.badSince[id]; !seen[id] && !bad {
-				c.badSince[id] = now
+		for id := range c.endpoints {
+			if _, bad := c.unusableSince[id]; !listed[id] && !bad {
+				c.unusableSince[id] = now
 			}
 		}
 	}
 }
 
-func (c *checker) arrive(now Time, e Event, seq int) {
-	m := &heldMsg{class: e.Class, dest: e.Dest, key: e.Key, seq: seq, deadline: now + e.TimeLeft}
-	c.msgs[e.Message] = m
-	if c.set.Classes[e.Class].Ordered && e.Key != 0 {
-		c.order[e.Key] = append(c.order[e.Key], e.Message)
+func (c *checker) addMessage(now Time, e Event, sequence int) {
+	message := &checkedMessage{class: e.Class, dest: e.Dest, key: e.Key, sequence: sequence, deadline: now + e.TimeLeft}
+	c.messages[e.Message] = message
+	if c.settings.Classes[e.Class].Ordered && e.Key != 0 {
+		c.keyOrder[e.Key] = append(c.keyOrder[e.Key], e.Message)
 	}
 }
 
-func (c *checker) resolved(now Time, e Event) {
-	m := c.msgs[e.Message]
-	m.out = false
+func (c *checker) recordOutcome(now Time, e Event) {
+	m := c.messages[e.Message]
+	m.inFlight = false
 	switch e.Outcome {
 	case Delivered:
-		m.done = true
+		m.isCompleted = true
 	case Errored, TimedOut, ConnectionReset, Cancelled:
-		if !m.doubt {
-			m.doubt = true
-			m.zone = c.eps[e.Endpoint].Zone
+		if !m.mayHaveRun {
+			m.mayHaveRun = true
+			m.mayHaveRunZone = c.endpoints[e.Endpoint].Zone
 		}
 	}
-	if !m.doubt {
-		m.firstDoubt = 0
+	if !m.mayHaveRun {
+		m.firstMayHaveRunAt = 0
 	}
 	if e.Outcome == TimedOut || e.Outcome == ConnectionReset || e.Outcome == Cancelled {
-		c.rest[m.key] = max(c.rest[m.key], now+c.set.KeyCooldown)
+		c.cooldownUntil[m.key] = max(c.cooldownUntil[m.key], now+c.settings.KeyCooldown)
 	}
 	if e.Outcome == Rejected && e.RetryAfter > 0 {
-		r := c.route(e.Endpoint)
-		c.waits[r] = max(c.waits[r], now+e.RetryAfter)
+		route := c.routeKey(e.Endpoint)
+		c.retryAfterUntil[route] = max(c.retryAfterUntil[route], now+e.RetryAfter)
 	}
 }
 
 // checkAction checks an action against the rules and records it.
-func (c *checker) action(now Time, a Action) {
-	m := c.msgs[a.Message]
+func (c *checker) checkAction(now Time, a Action) {
+	m := c.messages[a.Message]
 	switch a.Kind {
 	case ActionSend:
-		c.sent(now, a, m)
+		c.checkSend(now, a, m)
 	case ActionReject, ActionFail:
-		c.responded(now, a, m)
+		c.checkResponse(now, a, m)
 	case ActionSpill:
-		c.spilled(now, a, m)
+		c.checkSpill(now, a, m)
 	case ActionLoad:
-		c.log.asked[a.Dest] += a.Count
+		c.log.requested[a.Dest] += a.Count
 	case ActionTimer:
-		c.timers = append(c.timers, flight{due: now + a.Delay})
+		c.timers = append(c.timers, pendingItem{dueAt: now + a.Delay})
 	case ActionHealthCheck:
-		c.healthCheck(now, a)
+		c.checkHealthCheck(now, a)
 	}
 }
 
-func (c *checker) sent(now Time, a Action, m *heldMsg) {
+func (c *checker) checkSend(now Time, a Action, m *checkedMessage) {
 	c.sends++
 	if m == nil {
-		c.fault(now, "send of unknown message %d", a.Message)
+		c.addViolation(now, "send of unknown message %d", a.Message)
 		return
 	}
 	c.checkState(now, a, m)
 	c.checkEndpoint(now, a)
 	c.checkRepeat(now, a, m)
 	c.checkOrder(now, a, m)
-	if !m.doubt {
-		m.firstDoubt = now // if this attempt may have run, the window counts from this send
+	if !m.mayHaveRun {
+		m.firstMayHaveRunAt = now // if this attempt may have run, the window counts from this send
 	}
-	m.tries++
-	m.out, m.at = true, a.Endpoint
-	c.flights = append(c.flights, flight{msg: a.Message, attempt: m.tries - 1, at: a.Endpoint, cut: a.Deadline})
+	m.attempts++
+	m.inFlight, m.endpoint = true, a.Endpoint
+	c.attempts = append(c.attempts, pendingItem{message: a.Message, attempt: m.attempts - 1, endpoint: a.Endpoint, timeoutAt: a.Deadline})
 }
 
 // checkState checks a send against the message's own state.
-func (c *checker) checkState(now Time, a Action, m *heldMsg) {
-	x, known := c.eps[a.Endpoint]
+func (c *checker) checkState(now Time, a Action, m *checkedMessage) {
+	entry, known := c.endpoints[a.Endpoint]
 	switch {
-	case m.done:
-		c.fault(now, "send of message %d after its completion", a.Message)
-	case m.spilled:
-		c.fault(now, "send of message %d, which is spilled", a.Message)
-	case m.out:
-		c.fault(now, "two attempts of message %d at once", a.Message)
-	case !known || x.Dest != m.dest:
-		c.fault(now, "send of message %d to an endpoint of another destination", a.Message)
+	case m.isCompleted:
+		c.addViolation(now, "send of message %d after its completion", a.Message)
+	case m.isSpilled:
+		c.addViolation(now, "send of message %d, which is spilled", a.Message)
+	case m.inFlight:
+		c.addViolation(now, "two attempts of message %d at once", a.Message)
+	case !known || entry.Dest != m.dest:
+		c.addViolation(now, "send of message %d to an endpoint of another destination", a.Message)
 	case a.Deadline > m.deadline:
-		c.fault(now, "attempt of message %d times out after its deadline", a.Message)
-	case c.set.MaxAttempts > 0 && m.tries >= c.set.MaxAttempts:
-		c.fault(now, "attempt %d of message %d is over the limit", m.tries, a.Message)
+		c.addViolation(now, "attempt of message %d times out after its deadline", a.Message)
+	case c.settings.MaxAttempts > 0 && m.attempts >= c.settings.MaxAttempts:
+		c.addViolation(now, "attempt %d of message %d is over the limit", m.attempts, a.Message)
 	}
 }
 
 // checkEndpoint checks a send against the endpoint list and any Retry-After.
 func (c *checker) checkEndpoint(now Time, a Action) {
-	if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
-		c.fault(now, "drain: send of message %d to draining or removed endpoint %d", a.Message, a.Endpoint)
+	if since, bad := c.unusableSince[a.Endpoint]; bad && now > since+c.settings.DrainGrace {
+		c.addViolation(now, "drain: send of message %d to draining or removed endpoint %d", a.Message, a.Endpoint)
 	}
-	if now < c.waits[c.route(a.Endpoint)] {
-		c.fault(now, "Retry-After: send of message %d to endpoint %d", a.Message, a.Endpoint)
+	if now < c.retryAfterUntil[c.routeKey(a.Endpoint)] {
+		c.addViolation(now, "Retry-After: send of message %d to endpoint %d", a.Message, a.Endpoint)
 	}
 }
 
 // checkRepeat checks a send against the class's rules on a message that may have run.
-func (c *checker) checkRepeat(now Time, a Action, m *heldMsg) {
-	cl := &c.set.Classes[m.class]
-	if m.doubt && cl.Idempotency == NonIdempotent {
-		c.fault(now, "non-idempotent message %d, which may have run, is sent again", a.Message)
-	}
-	if m.doubt && cl.Idempotency == IdempotentByKey {
-		if now > m.firstDoubt+cl.DedupWindow {
-			c.fault(now, "message %d, which may have run, is sent again after its deduplication window", a.Message)
+func (c *checker) checkRepeat(now Time, a Action, m *checkedMessage) {
+	class := &c.settings.Classes[m.class]
+	if m.mayHaveRun && class.Idempotency == NonIdempotent {
+		c.addViolation(now, "non-idempotent message %d, which may have run, is sent again", a.Message)
+	}
+	if m.mayHaveRun && class.Idempotency == IdempotentByKey {
+		if now > m.firstMayHaveRunAt+class.DedupWindow {
+			c.addViolation(now, "message %d, which may have run, is sent again after its deduplication window", a.Message)
 		}
-		if cl.DedupPerZone && c.eps[a.Endpoint].Zone != m.zone {
-			c.fault(now, "message %d, which may have run, is sent again to another zone", a.Message)
+		if class.DedupPerZone && c.endpoints[a.Endpoint].Zone != m.mayHaveRunZone {
+			c.addViolation(now, "message %d, which may have run, is sent again to another zone", a.Message)
 		}
 	}
 }
 
 // checkOrder checks that messages of a key are sent one at a time, in order.
-func (c *checker) checkOrder(now Time, a Action, m *heldMsg) {
-	if !c.set.Classes[m.class].Ordered || m.key == 0 {
+func (c *checker) checkOrder(now Time, a Action, m *checkedMessage) {
+	if !c.settings.Classes[m.class].Ordered || m.key == 0 {
 		return
 	}
-	for _, id := range c.order[m.key] {
-		o := c.msgs[id]
-		if o.seq < m.seq && (!o.done || o.out) {
-			c.fault(now, "order: message %d is sent before message %d is finished", a.Message, id)
+	for _, id := range c.keyOrder[m.key] {
+		other := c.messages[id]
+		if other.sequence < m.sequence && (!other.isCompleted || other.inFlight) {
+			c.addViolation(now, "order: message %d is sent before message %d is finished", a.Message, id)
 		}
 	}
-	if m.tries == 0 && now < c.rest[m.key] {
-		c.fault(now, "order: message %d is sent during the cooldown of its key", a.Message)
+	if m.attempts == 0 && now < c.cooldownUntil[m.key] {
+		c.addViolation(now, "order: message %d is sent during the cooldown of its key", a.Message)
 	}
 }
 
-func (c *checker) responded(now Time, a Action, m *heldMsg) {
-	if m == nil || m.done || m.spilled {
-		c.fault(now, "second final response for message %d", a.Message)
+func (c *checker) checkResponse(now Time, a Action, m *checkedMessage) {
+	if m == nil || m.isCompleted || m.isSpilled {
+		c.addViolation(now, "second final response for message %d", a.Message)
 		return
 	}
-	m.done = true
-	if now > m.deadline+c.set.ResponseSlack {
-		c.fault(now, "late final response for message %d", a.Message)
+	m.isCompleted = true
+	if now > m.deadline+c.settings.ResponseSlack {
+		c.addViolation(now, "late final response for message %d", a.Message)
 	}
 	if a.Kind == ActionFail {
 		c.failed++
 		return
 	}
-	c.refused++
-	cl := &c.set.Classes[m.class]
-	open := m.doubt || m.out
-	if open && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.DedupPerZone) {
-		c.fault(now, "rejection of message %d, which may have run", a.Message)
+	c.rejected++
+	class := &c.settings.Classes[m.class]
+	mayRunOrHaveRun := m.mayHaveRun || m.inFlight
+	if mayRunOrHaveRun && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupPerZone) {
+		c.addViolation(now, "rejection of message %d, which may have run", a.Message)
 	}
 }
 
-func (c *checker) spilled(now Time, a Action, m *heldMsg) {
-	if m != nil && m.done && m.withdrawn { // it was withdrawn in the same step, after it was spilled
-		c.log.gone = append(c.log.gone, Event{Kind: EventWithdraw, Message: a.Message, Spilled: true, Dest: m.dest, Class: m.class, Key: m.key})
+func (c *checker) checkSpill(now Time, a Action, m *checkedMessage) {
+	if m != nil && m.isCompleted && m.isWithdrawn { // it was withdrawn in the same step, after it was spilled
+		c.log.withdrawals = append(c.log.withdrawals, Event{Kind: EventWithdraw, Message: a.Message, Spilled: true, Dest: m.dest, Class: m.class, Key: m.key})
 		return
 	}
-	if m == nil || m.done || m.spilled || m.out {
-		c.fault(now, "spill of message %d, which can't be spilled: %+v", a.Message, m)
+	if m == nil || m.isCompleted || m.isSpilled || m.inFlight {
+		c.addViolation(now, "spill of message %d, which can't be spilled: %+v", a.Message, m)
 		return
 	}
-	m.spilled = true
+	m.isSpilled = true
 	c.log.spill(a)
 }
 
-func (c *checker) healthCheck(now Time, a Action) {
-	if now < c.waits[c.route(a.Endpoint)] {
-		c.fault(now, "Retry-After: health check of endpoint %d", a.Endpoint)
+func (c *checker) checkHealthCheck(now Time, a Action) {
+	if now < c.retryAfterUntil[c.routeKey(a.Endpoint)] {
+		c.addViolation(now, "Retry-After: health check of endpoint %d", a.Endpoint)
 	}
-	if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
-		c.fault(now, "drain: health check of draining or removed endpoint %d", a.Endpoint)
+	if since, bad := c.unusableSince[a.Endpoint]; bad && now > since+c.settings.DrainGrace {
+		c.addViolation(now, "drain: health check of draining or removed endpoint %d", a.Endpoint)
 	}
-	c.probes = append(c.probes, a.Endpoint)
+	c.healthChecks = append(c.healthChecks, a.Endpoint)
 }
 
-func (c *checker) finish(now Time) {
-	for id, m := range c.msgs {
-		if !m.done && now > m.deadline+c.set.ResponseSlack {
-			c.fault(now, "no final response for message %d", id)
-			m.done = true
+func (c *checker) checkDeadlines(now Time) {
+	for id, m := range c.messages {
+		if !m.isCompleted && now > m.deadline+c.settings.ResponseSlack {
+			c.addViolation(now, "no final response for message %d", id)
+			m.isCompleted = true
 		}
 	}
-	n := len(c.flights)
-	if most := c.set.MaxCalls; n > most*maxBatch(c.set) {
-		c.fault(now, "%d attempts in flight with %d call slots", n, most)
+	inFlight := len(c.attempts)
+	if slots := c.settings.MaxCalls; inFlight > slots*maxBatch(c.settings) {
+		c.addViolation(now, "%d attempts in flight with %d call slots", inFlight, slots)
 	}
 }
 
 func maxBatch(s Settings) int {
-	b := 1
-	for _, k := range s.Kinds {
-		b = max(b, k.MaxBatch)
+	largest := 1
+	for _, kind := range s.Kinds {
+		largest = max(largest, kind.MaxBatch)
 	}
-	return b
+	return largest
 }
 
 // randomSettings returns random legal settings with classes of every kind.
-func testSettings(r *rand.Rand) Settings {
-	s := Settings{Relays: 1 + r.IntN(4), MaxCalls: 1 + r.IntN(12), MaxMessages: r.IntN(80), MaxAttempts: r.IntN(9),
-		HalvingWeight: r.IntN(2) == 0, OverQuotaWeight: 0.2, ListedRates: r.IntN(2) == 0, HealthChecks: r.IntN(2) == 0,
-		Cancellation: r.IntN(2) == 0, RetryAfter: true, MaxRetryAfter: 2 * second, KeepAlive: 5 * second,
+func randomSettings(rng *rand.Rand) Settings {
+	s := Settings{Relays: 1 + rng.IntN(4), MaxCalls: 1 + rng.IntN(12), MaxMessages: rng.IntN(80), MaxAttempts: rng.IntN(9),
+		HalvingWeight: rng.IntN(2) == 0, OverQuotaWeight: 0.2, ListedRates: rng.IntN(2) == 0, HealthChecks: rng.IntN(2) == 0,
+		Cancellation: rng.IntN(2) == 0, RetryAfter: true, MaxRetryAfter: 2 * second, KeepAlive: 5 * second,
 		ConnectTimeout: second, Tick: 5000, ResponseSlack: 20000, DrainGrace: 0, SlowStartCapacity: 0.2,
 		SlowStartTime: 8 * second, OverloadFactor: 2, OverloadWindow: 3 * second, KeyCooldown: second / 2,
-		Kinds:   []DestinationKind{{MaxBatch: 1 + r.IntN(4)}, {SeparateRoutes: true, MaxBatch: 1}},
+		Kinds:   []DestinationKind{{MaxBatch: 1 + rng.IntN(4)}, {SeparateRoutes: true, MaxBatch: 1}},
 		Tenants: []Tenant{{Name: "a", Quota: 3}, {Name: "b"}},
 		Classes: []Class{
 			{Name: "idempotent", LatencyObjective: second, Deadline: 6 * second, Weight: 1, LateWeight: 0.2},
@@ -307,69 +307,69 @@
 }
 
 // runRandomEvents runs a policy over random legal events and returns the checker and all actions.
-func play(t testing.TB, seed uint64, steps int) (*checker, []string) {
+func runRandomEvents(t testing.TB, seed uint64, steps int) (*checker, []string) {
 	t.Helper()
-	return playResident(t, seed, steps, 0)
+	return runWithResidentLimit(t, seed, steps, 0)
 }
 
 // runWithResidentLimit is runRandomEvents with a limit on the messages in memory.
-func playResident(t testing.TB, seed uint64, steps, resident int) (*checker, []string) {
+func runWithResidentLimit(t testing.TB, seed uint64, steps, resident int) (*checker, []string) {
 	t.Helper()
-	r := rand.New(rand.NewPCG(seed, 7))
-	set := testSettings(r)
-	set.MaxResidentMessages = resident
-	p, err := New(set, seed)
+	rng := rand.New(rand.NewPCG(seed, 7))
+	settings := randomSettings(rng)
+	settings.MaxResidentMessages = resident
+	p, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &day{rng: r, set: set, checker: newChecker(set), next: 1, outcomes: map[int]Outcome{}}
-	d.now = Time(r.Int64N(int64(1000 * second)))
-	d.makeList()
-	d.update(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: d.entries})
+	run := &randomEvents{rng: rng, settings: settings, checker: newChecker(settings), next: 1, outcomes: map[int]Outcome{}}
+	run.now = Time(rng.Int64N(int64(1000 * second)))
+	run.makeList()
+	run.updateList(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: run.entries})
 	var trace []string
 	for step := range steps {
-		for _, a := range p.Step(d.now, d.events, nil) {
-			trace = append(trace, fmt.Sprintf("%d %+v", d.now, a))
-			d.checker.action(d.now, a)
+		for _, a := range p.Step(run.now, run.events, nil) {
+			trace = append(trace, fmt.Sprintf("%d %+v", run.now, a))
+			run.checker.checkAction(run.now, a)
 		}
-		d.checker.finish(d.now)
-		d.checker.oneInMemory(d.now, p)
-		d.events = nil
-		d.now = d.checker.until(d.now, d.now+5000*(1+Time(r.IntN(20))))
-		if r.IntN(100) == 0 { // the relay restarts
-			if p, err = New(set, seed+uint64(step)); err != nil {
+		run.checker.checkDeadlines(run.now)
+		run.checker.checkResident(run.now, p)
+		run.events = nil
+		run.now = run.checker.nextTime(run.now, run.now+5000*(1+Time(rng.IntN(20))))
+		if rng.IntN(100) == 0 { // the relay restarts
+			if p, err = New(settings, seed+uint64(step)); err != nil {
 				t.Fatal(err)
 			}
-			d.restart()
+			run.restart()
 		}
-		d.changeList()
-		if r.IntN(40) == 0 {
-			d.outcomes[r.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[r.IntN(5)]
+		run.changeList()
+		if rng.IntN(40) == 0 {
+			run.outcomes[rng.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[rng.IntN(5)]
 		}
-		d.newMessages()
-		d.events = append(d.events, d.checker.load(d.now, r)...)
-		d.endFlights()
-		d.endHealthChecks()
-		d.withdraw()
-		d.runTimers()
+		run.newMessages()
+		run.events = append(run.events, run.checker.loadSpilled(run.now, rng)...)
+		run.endAttempts()
+		run.endHealthChecks()
+		run.withdraw()
+		run.fireTimers()
 	}
-	return d.checker, trace
+	return run.checker, trace
 }
 
 // randomEvents generates random legal events from a seed.
-type day struct {
+type randomEvents struct {
 	rng      *rand.Rand
-	set      Settings
+	settings Settings
 	checker  *checker
 	now      Time
 	entries  []Entry
 	events   []Event // events of the next step
 	next     uint32  // number of the next message
-	seq      int     // sequence number of the latest message, in order of arrival
+	sequence int     // sequence number of the latest message, in order of arrival
 	outcomes map[int]Outcome
 }
 
-func (d *day) makeList() {
+func (d *randomEvents) makeList() {
 	for i := range 10 {
 		dest := d.rng.IntN(4)
 		d.entries = append(d.entries, Entry{Endpoint: Endpoint(100 + i), Zone: d.rng.IntN(2), Kind: dest % 2, Dest: dest, State: Ready,
@@ -377,21 +377,21 @@
 	}
 }
 
-func (d *day) update(e Event) {
-	d.checker.list(d.now, e)
+func (d *randomEvents) updateList(e Event) {
+	d.checker.updateList(d.now, e)
 	d.events = append(d.events, e)
 }
 
 // restart begins new records for a restarted policy. Its first list may be out of date.
-func (d *day) restart() {
+func (d *randomEvents) restart() {
 	old := d.checker
-	d.checker = newChecker(d.set)
-	d.checker.errs, d.checker.loads = old.errs, old.loads
-	d.checker.sends, d.checker.refused, d.checker.failed = old.sends, old.refused, old.failed
-	d.update(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: d.entries})
+	d.checker = newChecker(d.settings)
+	d.checker.violations, d.checker.loads = old.violations, old.loads
+	d.checker.sends, d.checker.rejected, d.checker.failed = old.sends, old.rejected, old.failed
+	d.updateList(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: d.entries})
 }
 
-func (d *day) changeList() {
+func (d *randomEvents) changeList() {
 	if d.rng.IntN(30) != 0 {
 		return
 	}
@@ -402,56 +402,56 @@
 	switch d.rng.IntN(4) {
 	case 0:
 		e = Event{Kind: EventListUpdate, ListUpdate: ListFull}
-		for _, x := range d.entries {
-			if x.State != Removed {
-				e.Entries = append(e.Entries, x)
+		for _, entry := range d.entries {
+			if entry.State != Removed {
+				e.Entries = append(e.Entries, entry)
 			}
 		}
 	case 1:
 		e = Event{Kind: EventListUpdate, ListUpdate: ListFailed}
-		d.entries[i].State = d.checker.stateOf(d.entries[i].Endpoint)
+		d.entries[i].State = d.checker.listedState(d.entries[i].Endpoint)
 	}
-	d.update(e)
+	d.updateList(e)
 }
 
-func (d *day) newMessages() {
+func (d *randomEvents) newMessages() {
 	for range d.rng.IntN(4) {
-		e := Event{Kind: EventMessage, Message: d.next, Class: d.rng.IntN(len(d.set.Classes)), Dest: d.rng.IntN(5), Tenant: d.rng.IntN(3)}
-		if d.set.Classes[e.Class].Ordered {
+		e := Event{Kind: EventMessage, Message: d.next, Class: d.rng.IntN(len(d.settings.Classes)), Dest: d.rng.IntN(5), Tenant: d.rng.IntN(3)}
+		if d.settings.Classes[e.Class].Ordered {
 			e.Key = uint64(d.rng.IntN(3))
 		}
-		e.TimeLeft = Time(float64(d.set.Classes[e.Class].Deadline) * (0.05 + 0.95*d.rng.Float64()))
-		d.seq++
+		e.TimeLeft = Time(float64(d.settings.Classes[e.Class].Deadline) * (0.05 + 0.95*d.rng.Float64()))
+		d.sequence++
 		d.next++
-		d.checker.arrive(d.now, e, d.seq)
+		d.checker.addMessage(d.now, e, d.sequence)
 		d.events = append(d.events, e)
 	}
 }
 
 // endAttempts ends some attempts at random, and all whose time-out has passed.
-func (d *day) endFlights() {
-	var still []flight
-	for _, f := range d.checker.flights {
-		if d.rng.IntN(4) != 0 && f.cut > d.now {
-			still = append(still, f)
+func (d *randomEvents) endAttempts() {
+	var remaining []pendingItem
+	for _, f := range d.checker.attempts {
+		if d.rng.IntN(4) != 0 && f.timeoutAt > d.now {
+			remaining = append(remaining, f)
 			continue
 		}
-		e := d.outcome(f)
-		d.checker.resolved(d.now, e)
+		e := d.randomOutcome(f)
+		d.checker.recordOutcome(d.now, e)
 		d.events = append(d.events, e)
 		if d.rng.IntN(20) == 0 { // the event repeated, and one for a message that was never sent
 			d.events = append(d.events, e, Event{Kind: EventAttemptDone, Message: d.next + 9, Endpoint: 5})
 		}
 	}
-	d.checker.flights = still
+	d.checker.attempts = remaining
 }
 
 // randomOutcome returns a random outcome for an attempt.
-func (d *day) outcome(f flight) Event {
-	m := d.checker.msgs[f.msg]
-	e := Event{Kind: EventAttemptDone, Message: f.msg, Attempt: f.attempt, Endpoint: f.at, Latency: second / 5}
+func (d *randomEvents) randomOutcome(f pendingItem) Event {
+	m := d.checker.messages[f.message]
+	e := Event{Kind: EventAttemptDone, Message: f.message, Attempt: f.attempt, Endpoint: f.endpoint, Latency: second / 5}
 	switch {
-	case f.cut <= d.now:
+	case f.timeoutAt <= d.now:
 		e.Outcome = TimedOut
 	case d.rng.IntN(5) == 0:
 		e.Outcome = Outcome(d.rng.IntN(int(outcomeCount)))
@@ -461,39 +461,39 @@
 	if e.Outcome == Rejected && d.rng.IntN(2) == 0 {
 		e.RetryAfter = Time(d.rng.Int64N(int64(3 * second)))
 	}
-	e.Final = m.done || e.Outcome == Delivered
+	e.Final = m.isCompleted || e.Outcome == Delivered
 	if d.rng.IntN(2) == 0 {
 		e.Load = LoadReport{Remaining: d.rng.Float64(), Limit: 10 * d.rng.Float64()}
 	}
 	return e
 }
 
-func (d *day) endHealthChecks() {
-	for _, ep := range d.checker.probes {
+func (d *randomEvents) endHealthChecks() {
+	for _, ep := range d.checker.healthChecks {
 		d.events = append(d.events, Event{Kind: EventHealthChecked, Endpoint: ep, Outcome: Outcome(d.rng.IntN(int(outcomeCount)))})
 	}
-	d.checker.probes = nil
+	d.checker.healthChecks = nil
 }
 
 // withdraw sometimes withdraws the newest message.
-func (d *day) withdraw() {
+func (d *randomEvents) withdraw() {
 	if d.rng.IntN(50) != 0 || d.next <= 1 {
 		return
 	}
 	id := d.next - 1
-	if m := d.checker.msgs[id]; m != nil && !m.done && !m.spilled {
-		m.done, m.withdrawn = true, true
+	if m := d.checker.messages[id]; m != nil && !m.isCompleted && !m.isSpilled {
+		m.isCompleted, m.isWithdrawn = true, true
 		d.events = append(d.events, Event{Kind: EventWithdraw, Message: id})
 	}
 }
 
-func (d *day) runTimers() {
-	var later []flight
-	for _, tm := range d.checker.timers {
-		if tm.due <= d.now {
+func (d *randomEvents) fireTimers() {
+	var later []pendingItem
+	for _, timer := range d.checker.timers {
+		if timer.dueAt <= d.now {
 			d.events = append(d.events, Event{Kind: EventTimer})
 		} else {
-			later = append(later, tm)
+			later = append(later, timer)
 		}
 	}
 	d.checker.timers = later
@@ -501,21 +501,21 @@
 
 // nextTime is the time of the next step. It skips no timer, time-out or load deadline that is due
 // earlier.
-func (c *checker) until(now, then Time) Time {
-	for _, tm := range c.timers {
-		then = min(then, max(tm.due, now+1))
+func (c *checker) nextTime(now, next Time) Time {
+	for _, timer := range c.timers {
+		next = min(next, max(timer.dueAt, now+1))
 	}
-	for _, f := range c.flights {
-		then = min(then, max(f.cut, now+1))
+	for _, f := range c.attempts {
+		next = min(next, max(f.timeoutAt, now+1))
 	}
 	for _, a := range c.log.entries {
-		then = min(then, max(a.Deadline, now+1))
+		next = min(next, max(a.Deadline, now+1))
 	}
-	return then
+	return next
 }
 
-func (c *checker) stateOf(e Endpoint) Readiness {
-	if _, bad := c.badSince[e]; bad {
+func (c *checker) listedState(e Endpoint) Readiness {
+	if _, bad := c.unusableSince[e]; bad {
 		return Draining
 	}
 	return Ready
@@ -523,26 +523,26 @@
 
 // Every rule of the checker holds for policies that run over random legal events.
 func TestRulesHoldOverRandomEvents(t *testing.T) {
-	var sends, refused, failed int
+	var sends, rejected, failed int
 	for seed := range uint64(90) {
-		c, _ := play(t, seed, 400)
-		for i, e := range c.errs {
+		c, _ := runRandomEvents(t, seed, 400)
+		for i, e := range c.violations {
 			if i < 3 {
 				t.Errorf("seed %d: %s", seed, e)
 			}
 		}
-		sends, refused, failed = sends+c.sends, refused+c.refused, failed+c.failed
+		sends, rejected, failed = sends+c.sends, rejected+c.rejected, failed+c.failed
 	}
-	if sends < 5000 || refused < 100 || failed < 100 {
-		t.Fatalf("too few events to test anything: %d sends, %d rejected, %d failed", sends, refused, failed)
+	if sends < 5000 || rejected < 100 || failed < 100 {
+		t.Fatalf("too few events to test anything: %d sends, %d rejected, %d failed", sends, rejected, failed)
 	}
 }
 
 // The settings, the seed and the events determine every action.
 func TestSameSeedAndEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(5) {
-		_, a := play(t, seed, 300)
-		_, b := play(t, seed, 300)
+		_, a := runRandomEvents(t, seed, 300)
+		_, b := runRandomEvents(t, seed, 300)
 		if len(a) == 0 || len(a) != len(b) {
 			t.Fatalf("seed %d: %d actions in the first run, %d in the second", seed, len(a), len(b))
 		}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -52,8 +52,8 @@
 func (p *Policy) recoveryCapacity(route *routeState) float64 {
 	capacity := p.estimateCapacity(route)
 	if route.reportedLimit == 0 && route.nominalRate == 0 {
-		atMost := max(capacity, float64(p.settings.Relays))
-		return min(max(capacity, p.lowestReportedLimit(route.dest)), atMost)
+		upperBound := max(capacity, float64(p.settings.Relays))
+		return min(max(capacity, p.lowestReportedLimit(route.dest)), upperBound)
 	}
 	return capacity
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -4,44 +4,44 @@
 
 // runOutage sends a message each 100 ms for 40 s. From the first second to the twelfth each attempt
 // ends with outcome o.
-func outage(t *testing.T, s Settings, rate float64, o Outcome) *rig {
-	r := newRig(t, s, ready(1, rate/2), ready(2, rate/2))
+func runOutage(t *testing.T, s Settings, rate float64, outcome Outcome) *rig {
+	r := newRig(t, s, readyEntry(1, rate/2), readyEntry(2, rate/2))
 	start := r.now
-	type out struct {
-		a   Action
-		due Time
-		o   Outcome
+	type sentAttempt struct {
+		a       Action
+		dueAt   Time
+		outcome Outcome
 	}
-	var flights []out
-	tries := map[uint32]int{}
+	var inFlight []sentAttempt
+	attempts := map[uint32]int{}
 	for r.now < start+40*second {
 		var events []Event
-		var still []out
-		for _, f := range flights {
-			if f.due > r.now {
-				still = append(still, f)
+		var remaining []sentAttempt
+		for _, f := range inFlight {
+			if f.dueAt > r.now {
+				remaining = append(remaining, f)
 				continue
 			}
-			events = append(events, answer(f.a, f.o))
+			events = append(events, attemptDone(f.a, f.outcome))
 		}
-		flights = still
+		inFlight = remaining
 		if (r.now-start)%(second/10) == 0 {
-			events = append(events, r.message(0, 0))
+			events = append(events, r.newMessage(0, 0))
 		}
 		r.step(events...)
-		for _, a := range r.acts {
+		for _, a := range r.actions {
 			switch a.Kind {
 			case ActionSend:
-				a.Attempt = tries[a.Message]
-				tries[a.Message]++
-				f := out{a, r.now + second/5, Delivered}
-				if at := r.now - start; at > second && at < 12*second {
-					f.o = o
-					if o == TimedOut {
-						f.due = a.Deadline
+				a.Attempt = attempts[a.Message]
+				attempts[a.Message]++
+				f := sentAttempt{a, r.now + second/5, Delivered}
+				if elapsed := r.now - start; elapsed > second && elapsed < 12*second {
+					f.outcome = outcome
+					if outcome == TimedOut {
+						f.dueAt = a.Deadline
 					}
 				}
-				flights = append(flights, f)
+				inFlight = append(inFlight, f)
 			}
 		}
 		r.now += 5000
@@ -53,35 +53,35 @@
 // overload window from the return on, for a destination that regains its capacity as slowly as the
 // settings allow.
 func TestRecoveryBudgetLimitsCallsAfterOutage(t *testing.T) {
-	for _, o := range []Outcome{Errored, TimedOut, ConnectFailed, ConnectionReset, Rejected} {
+	for _, outcome := range []Outcome{Errored, TimedOut, ConnectFailed, ConnectionReset, Rejected} {
 		s := baseSettings()
-		r := outage(t, s, 20, o)
-		start, back := 1000*second, 1012*second
-		early, late := 0, 0
-		for _, at := range r.sentAt {
-			if at > start+6*second && at < back {
-				early++
+		r := runOutage(t, s, 20, outcome)
+		start, outageEnd := 1000*second, 1012*second
+		callsInOutage, callsAfterRecovery := 0, 0
+		for _, at := range r.sendTimes {
+			if at > start+6*second && at < outageEnd {
+				callsInOutage++
 			}
-			if at > back+15*second {
-				late++
+			if at > outageEnd+15*second {
+				callsAfterRecovery++
 			}
 		}
-		for from := back; from < back+s.SlowStartTime; from += second / 4 {
-			n := 0
-			for _, at := range r.sentAt {
+		for from := outageEnd; from < outageEnd+s.SlowStartTime; from += second / 4 {
+			calls := 0
+			for _, at := range r.sendTimes {
 				if at >= from && at < from+s.OverloadWindow {
-					n++
+					calls++
 				}
 			}
-			share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(from-back)/float64(s.SlowStartTime)
-			most := s.OverloadFactor * share * 20 * 3 / float64(s.Relays)
-			if float64(n) > most+2 { // one trial call at each endpoint is the allowance for chance
-				t.Errorf("outcome %d: %d calls in the 3 s from %d ms after the return, want at most %.1f", o, n,
-					(from-back)/1000, most)
+			capacityFraction := s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(from-outageEnd)/float64(s.SlowStartTime)
+			budget := s.OverloadFactor * capacityFraction * 20 * 3 / float64(s.Relays)
+			if float64(calls) > budget+2 { // one trial call at each endpoint is the allowance for chance
+				t.Errorf("outcome %d: %d calls in the 3 s from %d ms after the return, want at most %.1f", outcome, calls,
+					(from-outageEnd)/1000, budget)
 			}
 		}
-		if early == 0 || early > 60 || late < 50 {
-			t.Errorf("outcome %d: %d calls during the outage, want 1 to 60, and %d after it, want at least 50", o, early, late)
+		if callsInOutage == 0 || callsInOutage > 60 || callsAfterRecovery < 50 {
+			t.Errorf("outcome %d: %d calls during the outage, want 1 to 60, and %d after it, want at least 50", outcome, callsInOutage, callsAfterRecovery)
 		}
 	}
 }
@@ -89,34 +89,34 @@
 // After an outage that every relay has noticed, all relays together keep to the recovery budget of
 // a cold destination, whether they are two or hundreds.
 func TestFleetStaysWithinRecoveryBudget(t *testing.T) {
-	for _, n := range []int{2, 50, 400} {
+	for _, relays := range []int{2, 50, 400} {
 		s := baseSettings()
-		s.Relays, s.MaxMessages = n, 1000
+		s.Relays, s.MaxMessages = relays, 1000
 		const rate = 20.0
-		back := 1012 * second
+		outageEnd := 1012 * second
 		calls := make([]float64, 40) // calls in each half second from the return on
-		for k := range n {
-			p, err := New(s, uint64(k))
+		for relay := range relays {
+			p, err := New(s, uint64(relay))
 			if err != nil {
 				t.Fatal(err)
 			}
-			now := 1000*second + Time(k)*1000
-			events := []Event{{Kind: EventListUpdate, ListUpdate: ListCached, Entries: []Entry{ready(1, rate)}}}
-			for i := range max(1, 240/n) { // twelve seconds of traffic, spread over the relays
+			now := 1000*second + Time(relay)*1000
+			events := []Event{{Kind: EventListUpdate, ListUpdate: ListCached, Entries: []Entry{readyEntry(1, rate)}}}
+			for i := range max(1, 240/relays) { // twelve seconds of traffic, spread over the relays
 				events = append(events, Event{Kind: EventMessage, Message: uint32(i + 1), TimeLeft: 30 * second})
 			}
-			tries := map[uint32]int{}
-			for now < back+10*second {
-				acts := p.Step(now, events, nil)
+			attempts := map[uint32]int{}
+			for now < outageEnd+10*second {
+				actions := p.Step(now, events, nil)
 				events = nil
-				for _, a := range acts {
+				for _, a := range actions {
 					if a.Kind == ActionSend {
-						if at := (now - back) * 2 / second; now >= back {
-							calls[at]++
+						if halfSecond := (now - outageEnd) * 2 / second; now >= outageEnd {
+							calls[halfSecond]++
 						}
-						e := answer(a, ConnectFailed)
-						e.Attempt = tries[a.Message]
-						tries[a.Message]++
+						e := attemptDone(a, ConnectFailed)
+						e.Attempt = attempts[a.Message]
+						attempts[a.Message]++
 						events = append(events, e)
 					}
 				}
@@ -128,8 +128,8 @@
 			for _, c := range calls[from : from+6] {
 				sum += c
 			}
-			if most := s.OverloadFactor * s.SlowStartCapacity * rate * 3; sum > most*1.25 {
-				t.Errorf("%d relays: %v calls in 3 s from %d ms after the return, budget %v", n, sum, from*500, most)
+			if budget := s.OverloadFactor * s.SlowStartCapacity * rate * 3; sum > budget*1.25 {
+				t.Errorf("%d relays: %v calls in 3 s from %d ms after the return, budget %v", relays, sum, from*500, budget)
 			}
 		}
 	}
@@ -137,23 +137,23 @@
 
 // A trial call carries a message that waits, a non-idempotent one only once it is late.
 func TestTrialCallsUseWaitingMessages(t *testing.T) {
-	for _, unsafe := range []bool{false, true} {
+	for _, nonIdempotent := range []bool{false, true} {
 		s := baseSettings()
-		if unsafe {
+		if nonIdempotent {
 			s.Classes[0].Idempotency = NonIdempotent
 		}
-		r := newRig(t, s, ready(1, 10))
+		r := newRig(t, s, readyEntry(1, 10))
 		for range 3 {
 			r.p.observeFailure(r.p.endpoints[1], r.now, true)
 		}
 		start := r.now
-		r.step(r.message(0, 0))
+		r.step(r.newMessage(0, 0))
 		for len(r.sends) == 0 && r.now < start+19*second {
 			r.now += second / 20
 			r.step()
 		}
-		if len(r.sends) != 1 || unsafe && r.now <= start+s.Classes[0].LatencyObjective {
-			t.Errorf("non-idempotent %v: %d sends after %d ms", unsafe, len(r.sends), (r.now-start)/1000)
+		if len(r.sends) != 1 || nonIdempotent && r.now <= start+s.Classes[0].LatencyObjective {
+			t.Errorf("non-idempotent %v: %d sends after %d ms", nonIdempotent, len(r.sends), (r.now-start)/1000)
 		}
 	}
 }
@@ -169,29 +169,29 @@
 	}
 	r := newRig(t, s, entry(1, 0, 0), entry(2, 1, 0), entry(3, 2, 0), entry(4, 3, 1))
 	for dest, limit := range []float64{30, 90} {
-		r.step(r.message(0, dest))
-		e := answer(r.sends[0], Delivered)
+		r.step(r.newMessage(0, dest))
+		e := attemptDone(r.sends[0], Delivered)
 		e.Load = LoadReport{Remaining: 1, Limit: limit, Present: true}
 		r.step(e)
 	}
 	if r.p.estimateCapacity(r.p.endpoints[3].route) != 1 || r.p.lowestReportedLimit(r.p.endpoints[4].route.dest) != 0 {
 		t.Error("the lowest limit is used beyond recovery budgets, or for another kind")
 	}
-	tries := 0
+	trialCalls := 0
 	for range 20000 { // the destination fails for 100 s
 		if r.now += s.Tick; len(r.p.pending) == 0 {
-			r.step(r.message(0, 2))
+			r.step(r.newMessage(0, 2))
 		} else {
 			r.step()
 		}
 		for len(r.sends) > 0 {
-			e := answer(r.sends[0], ConnectFailed)
+			e := attemptDone(r.sends[0], ConnectFailed)
 			e.Attempt = r.p.messages[e.Message].attempts - 1
 			r.step(e)
-			tries++
+			trialCalls++
 		}
 	}
-	if tries < 10 || tries > 40 {
-		t.Errorf("%d trial calls in 100 s, want 10 to 40", tries)
+	if trialCalls < 10 || trialCalls > 40 {
+		t.Errorf("%d trial calls in 100 s, want 10 to 40", trialCalls)
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -98,30 +98,30 @@
 // A restored policy has the Retry-After, the window, the history and the ejection of the earlier
 // one, with all times by the new host's clock. Endpoints that are not on its list are ignored.
 func TestRestoreAppliesSnapshotByNewClock(t *testing.T) {
-	old := newRig(t, baseSettings(), ready(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10}, Entry{Endpoint: 3, Dest: 2, State: Ready})
-	old.step(old.message(0, 0))
+	old := newRig(t, baseSettings(), readyEntry(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10}, Entry{Endpoint: 3, Dest: 2, State: Ready})
+	old.step(old.newMessage(0, 0))
 	old.step(Event{Kind: EventAttemptDone, Message: old.sends[0].Message, Endpoint: 1, Outcome: Rejected, RetryAfter: 3 * second})
-	l := old.p.endpoints[2].route
-	l.window, old.p.endpoints[2].isEjected, old.p.endpoints[2].lastFailureAt = 5, true, old.now-second
+	route := old.p.endpoints[2].route
+	route.window, old.p.endpoints[2].isEjected, old.p.endpoints[2].lastFailureAt = 5, true, old.now-second
 	for range 6 {
 		old.now += second / 4
-		l.history.recordRequest(old.now)
+		route.history.recordRequest(old.now)
 	}
 	const shift = 77 * second
-	r := newRig(t, baseSettings(), ready(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10})
+	r := newRig(t, baseSettings(), readyEntry(1, 10), Entry{Endpoint: 2, Dest: 1, State: Ready, Rate: 10})
 	r.now = old.now + shift
 	r.p.Restore(old.p.Snapshot(), shift)
 	if got, want := r.p.endpoints[1].route.retryAfterUntil, old.p.endpoints[1].route.retryAfterUntil+shift; got != want {
 		t.Errorf("Retry-After until %d, want %d", got, want)
 	}
-	ep := r.p.endpoints[2]
-	if req, _ := ep.route.history.totals(r.now); req != 6 || ep.route.window != 5 || !ep.isEjected || ep.lastFailureAt != old.p.endpoints[2].lastFailureAt+shift {
-		t.Errorf("%v requests in the history, window %v, ejected %v, last failure at %d", req, ep.route.window, ep.isEjected, ep.lastFailureAt)
+	endpoint := r.p.endpoints[2]
+	if requests, _ := endpoint.route.history.totals(r.now); requests != 6 || endpoint.route.window != 5 || !endpoint.isEjected || endpoint.lastFailureAt != old.p.endpoints[2].lastFailureAt+shift {
+		t.Errorf("%v requests in the history, window %v, ejected %v, last failure at %d", requests, endpoint.route.window, endpoint.isEjected, endpoint.lastFailureAt)
 	}
-	if req, _ := ep.route.history.totals(r.now + historySpan); req != 0 {
-		t.Errorf("%v requests in the history after its span, want 0", req)
+	if requests, _ := endpoint.route.history.totals(r.now + historySpan); requests != 0 {
+		t.Errorf("%v requests in the history after its span, want 0", requests)
 	}
-	r.step(r.message(0, 0))
+	r.step(r.newMessage(0, 0))
 	if len(r.sends) != 0 {
 		t.Error("a message was sent during the restored Retry-After")
 	}
--- a/policy/spill.go
+++ b/policy/spill.go
@@ -86,8 +86,8 @@
 
 // loadDeadline is the time by which a spilled message has to be loaded again.
 func (p *Policy) loadDeadline(message *messageState) Time {
-	if by := p.retryBy(message); by > 0 {
-		return min(by, message.deadline-p.deadlineMargin()) - loadLeadTime
+	if latestRetry := p.retryBy(message); latestRetry > 0 {
+		return min(latestRetry, message.deadline-p.deadlineMargin()) - loadLeadTime
 	}
 	return message.deadline - p.deadlineMargin() - loadLeadTime
 }
--- a/policy/spill_test.go
+++ b/policy/spill_test.go
@@ -11,9 +11,9 @@
 // hostLog is the simplest form of the host's log of spilled messages: a list that is searched anew
 // each time.
 type hostLog struct {
-	entries []Action // spilled messages, in the order in which they were spilled
-	asked   map[int]int
-	gone    []Event // withdrawals of messages that the same step spilled
+	entries     []Action // spilled messages, in the order in which they were spilled
+	requested   map[int]int
+	withdrawals []Event // withdrawals of messages that the same step spilled
 }
 
 func (l *hostLog) spill(a Action) { l.entries = append(l.entries, a) }
@@ -21,15 +21,15 @@
 // takeLoads removes and returns the messages to load: first those that are due, each after all
 // ordered messages of its destination that were spilled before it, then those that were requested,
 // the earliest deadline first and ordered ones in the order in which they were spilled.
-func (l *hostLog) take(now Time) (out []Action) {
+func (l *hostLog) takeLoads(now Time) (loads []Action) {
 	take := func(i int) {
-		if a := l.entries[i]; l.asked[a.Dest] > 0 {
-			l.asked[a.Dest]--
+		if a := l.entries[i]; l.requested[a.Dest] > 0 {
+			l.requested[a.Dest]--
 		}
-		out = append(out, l.entries[i])
+		loads = append(loads, l.entries[i])
 		l.entries = slices.Delete(l.entries, i, i+1)
 	}
-	first := func(dest int) int { // index of the first ordered message of a destination
+	firstOrdered := func(dest int) int { // index of the first ordered message of a destination
 		return slices.IndexFunc(l.entries, func(a Action) bool { return a.Ordered && a.Dest == dest })
 	}
 	for {
@@ -38,15 +38,15 @@
 			break
 		}
 		if l.entries[i].Ordered {
-			i = first(l.entries[i].Dest)
+			i = firstOrdered(l.entries[i].Dest)
 		}
 		take(i)
 	}
 	for dest := range 5 {
-		for l.asked[dest] > 0 {
-			best, line := -1, first(dest)
+		for l.requested[dest] > 0 {
+			best, nextOrdered := -1, firstOrdered(dest)
 			for i, a := range l.entries {
-				if a.Dest == dest && (!a.Ordered || i == line) && (best < 0 || a.Deadline < l.entries[best].Deadline) {
+				if a.Dest == dest && (!a.Ordered || i == nextOrdered) && (best < 0 || a.Deadline < l.entries[best].Deadline) {
 					best = i
 				}
 			}
@@ -56,56 +56,56 @@
 			take(best)
 		}
 	}
-	return out
+	return loads
 }
 
 // loadSpilled returns the events for loaded messages: those that are due at once, those that were
 // requested after a random time.
-func (c *checker) load(now Time, r *rand.Rand) (events []Event) {
-	events, c.log.gone = c.log.gone, nil
+func (c *checker) loadSpilled(now Time, rng *rand.Rand) (events []Event) {
+	events, c.log.withdrawals = c.log.withdrawals, nil
 	if len(c.log.entries) == 0 {
 		return events
 	}
-	was := c.log.asked
-	if r.IntN(3) == 0 {
-		c.log.asked = map[int]int{}
+	requested := c.log.requested
+	if rng.IntN(3) == 0 {
+		c.log.requested = map[int]int{}
 	}
-	before := was
-	for _, a := range c.log.take(now) {
-		m := c.msgs[a.Message]
-		m.spilled = false
+	remaining := requested
+	for _, a := range c.log.takeLoads(now) {
+		m := c.messages[a.Message]
+		m.isSpilled = false
 		c.loads++
 		e := Event{Kind: EventMessage, Message: a.Message, Class: m.class, Dest: m.dest, Tenant: m.tenant, Key: m.key,
-			TimeLeft: m.deadline - now, Attempts: m.tries, Spilled: true, Recovered: a.Recovered, OverQuota: a.OverQuota}
-		if m.doubt {
-			e.UnknownOutcomeAt, e.UnknownOutcomeZone = m.firstDoubt, m.zone
+			TimeLeft: m.deadline - now, Attempts: m.attempts, Spilled: true, Recovered: a.Recovered, OverQuota: a.OverQuota}
+		if m.mayHaveRun {
+			e.UnknownOutcomeAt, e.UnknownOutcomeZone = m.firstMayHaveRunAt, m.mayHaveRunZone
 		}
-		if len(c.log.asked) == 0 && before[a.Dest] > 0 {
-			before[a.Dest]--
+		if len(c.log.requested) == 0 && remaining[a.Dest] > 0 {
+			remaining[a.Dest]--
 		}
 		events = append(events, e)
 	}
-	c.log.asked = was
+	c.log.requested = requested
 	return events
 }
 
 // checkResident checks that a destination with spilled messages has one in memory or requested,
 // since nothing else would ever cause the rest to be sent.
-func (c *checker) oneInMemory(now Time, p *Policy) {
-	spilled, memory := map[int]int{}, map[int]int{}
-	for _, m := range c.msgs {
-		if m.spilled {
+func (c *checker) checkResident(now Time, p *Policy) {
+	spilled, resident := map[int]int{}, map[int]int{}
+	for _, m := range c.messages {
+		if m.isSpilled {
 			spilled[m.dest]++
-		} else if !m.done {
-			memory[m.dest]++
+		} else if !m.isCompleted {
+			resident[m.dest]++
 		}
 	}
-	for dest, n := range spilled {
-		if memory[dest] == 0 && c.log.asked[dest] == 0 {
-			c.fault(now, "%d messages of destination %d are spilled, and none is in memory or requested", n, dest)
+	for dest, count := range spilled {
+		if resident[dest] == 0 && c.log.requested[dest] == 0 {
+			c.addViolation(now, "%d messages of destination %d are spilled, and none is in memory or requested", count, dest)
 		}
-		if d := p.destination(dest); d.spilledCount != n && len(c.log.gone) == 0 {
-			c.fault(now, "the policy counts %d spilled messages of destination %d, there are %d", d.spilledCount, dest, n)
+		if state := p.destination(dest); state.spilledCount != count && len(c.log.withdrawals) == 0 {
+			c.addViolation(now, "the policy counts %d spilled messages of destination %d, there are %d", state.spilledCount, dest, count)
 		}
 	}
 }
@@ -114,19 +114,19 @@
 // events in which most of the waiting messages are spilled.
 func TestRulesHoldWithSpilledMessages(t *testing.T) {
 	for _, resident := range []int{1, 2, 7, 30} {
-		var sends, refused, failed, loads int
+		var sends, rejected, failed, loads int
 		for seed := range uint64(40) {
-			c, _ := playResident(t, seed, 400, resident)
-			for i, e := range c.errs {
+			c, _ := runWithResidentLimit(t, seed, 400, resident)
+			for i, e := range c.violations {
 				if i < 3 {
 					t.Errorf("limit of %d in memory, seed %d: %s", resident, seed, e)
 				}
 			}
-			sends, refused, failed, loads = sends+c.sends, refused+c.refused, failed+c.failed, loads+c.loads
+			sends, rejected, failed, loads = sends+c.sends, rejected+c.rejected, failed+c.failed, loads+c.loads
 		}
-		t.Logf("limit of %d in memory: %d sends, %d rejected, %d failed, %d loads", resident, sends, refused, failed, loads)
-		if sends < 2000 || refused < 50 || failed < 50 || loads < 50 {
-			t.Errorf("limit of %d in memory: too few events to test anything: %d sends, %d rejected, %d failed, %d loads", resident, sends, refused, failed, loads)
+		t.Logf("limit of %d in memory: %d sends, %d rejected, %d failed, %d loads", resident, sends, rejected, failed, loads)
+		if sends < 2000 || rejected < 50 || failed < 50 || loads < 50 {
+			t.Errorf("limit of %d in memory: too few events to test anything: %d sends, %d rejected, %d failed, %d loads", resident, sends, rejected, failed, loads)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 // a limit, and so makes the same random draws.
 func TestUnreachedResidentLimitChangesNoAction(t *testing.T) {
 	for seed := range uint64(20) {
-		_, a := playResident(t, seed, 300, 0)
-		_, b := playResident(t, seed, 300, maxResidentPerDestination-1)
+		_, a := runWithResidentLimit(t, seed, 300, 0)
+		_, b := runWithResidentLimit(t, seed, 300, maxResidentPerDestination-1)
 		if len(a) == 0 || len(a) != len(b) {
 			t.Fatalf("seed %d: %d actions without a limit, %d with one", seed, len(a), len(b))
 		}
@@ -150,24 +150,24 @@
 
 // newSpillRig returns a rig whose policy keeps a limited number of messages in memory, and whose
 // list has no endpoints, so that nothing can be sent.
-func backlogRig(t *testing.T, resident int) *rig {
-	set := baseSettings()
-	set.MaxMessages, set.MaxResidentMessages = 0, resident
-	set.Classes = append(set.Classes,
+func newSpillRig(t *testing.T, resident int) *rig {
+	settings := baseSettings()
+	settings.MaxMessages, settings.MaxResidentMessages = 0, resident
+	settings.Classes = append(settings.Classes,
 		Class{Name: "idempotent by key", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Idempotency: IdempotentByKey, DedupWindow: 60 * second},
 		Class{Name: "non-idempotent", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Idempotency: NonIdempotent},
 		Class{Name: "ordered", LatencyObjective: 2 * second, Deadline: 3600 * second, Weight: 1, Ordered: true})
-	set.Classes[0].Deadline = 3600 * second
-	return newRig(t, set)
+	settings.Classes[0].Deadline = 3600 * second
+	return newRig(t, settings)
 }
 
 // Neither the messages nor the timers in memory grow with the number of spilled messages.
 func TestMessagesAndTimersInMemoryAreBounded(t *testing.T) {
 	for _, resident := range []int{2, 100, 5000} {
-		r := backlogRig(t, resident)
+		r := newSpillRig(t, resident)
 		for range 30 * 1000 {
 			r.now += second / 1000
-			r.step(r.message(0, 7))
+			r.step(r.newMessage(0, 7))
 		}
 		if n := len(r.p.messages); n > resident || n > maxResidentPerDestination {
 			t.Errorf("limit of %d in memory: %d messages in memory", resident, n)
@@ -183,9 +183,9 @@
 
 // The messages with the latest deadlines are spilled.
 func TestMessagesWithEarliestDeadlinesStayInMemory(t *testing.T) {
-	r := backlogRig(t, 3)
+	r := newSpillRig(t, 3)
 	for _, left := range []Time{50, 10, 90, 20, 70, 30, 60} {
-		e := r.message(0, 7)
+		e := r.newMessage(0, 7)
 		e.TimeLeft = left * second
 		r.step(e)
 	}
@@ -201,42 +201,42 @@
 // Spilled messages are requested as the destination takes those in memory, and no more than fit in
 // memory.
 func TestSpilledMessagesAreLoadedWithinResidentLimit(t *testing.T) {
-	r := backlogRig(t, 20)
+	r := newSpillRig(t, 20)
 	for range 100 {
-		r.step(r.message(0, 7))
+		r.step(r.newMessage(0, 7))
 	}
-	acts := r.step(Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: []Entry{{Endpoint: 1, Dest: 7, State: Ready, Rate: 1000}}})
-	asked, next := 0, []Action{}
+	actions := r.step(Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: []Entry{{Endpoint: 1, Dest: 7, State: Ready, Rate: 1000}}})
+	requested, sends := 0, []Action{}
 	for range 2000 {
-		for _, a := range acts {
+		for _, a := range actions {
 			switch a.Kind {
 			case ActionLoad:
-				asked += a.Count
-				if n := len(r.p.pending) + asked; n > 20 {
+				requested += a.Count
+				if n := len(r.p.pending) + requested; n > 20 {
 					t.Fatalf("%d messages in memory or requested, want 20 at most", n)
 				}
 			case ActionSend:
-				next = append(next, a)
+				sends = append(sends, a)
 			}
 		}
-		if len(next) == 0 && asked == 0 {
+		if len(sends) == 0 && requested == 0 {
 			break
 		}
 		var events []Event
-		for _, a := range next {
-			events = append(events, answer(a, Delivered))
+		for _, a := range sends {
+			events = append(events, attemptDone(a, Delivered))
 		}
-		next = nil
-		for ; asked > 0; asked-- {
-			e := r.message(0, 7)
+		sends = nil
+		for ; requested > 0; requested-- {
+			e := r.newMessage(0, 7)
 			e.Spilled = true
 			events = append(events, e)
 		}
 		r.now += second / 10
-		acts = r.step(append(events, Event{Kind: EventTimer})...)
+		actions = r.step(append(events, Event{Kind: EventTimer})...)
 	}
-	if r.p.spill.messages != 0 || r.p.spill.loadsRequested != 0 || len(r.sentAt) < 95 { // adaptive throttling may drop a few
-		t.Errorf("%d messages still spilled, %d requested, %d of 100 sent", r.p.spill.messages, r.p.spill.loadsRequested, len(r.sentAt))
+	if r.p.spill.messages != 0 || r.p.spill.loadsRequested != 0 || len(r.sendTimes) < 95 { // adaptive throttling may drop a few
+		t.Errorf("%d messages still spilled, %d requested, %d of 100 sent", r.p.spill.messages, r.p.spill.loadsRequested, len(r.sendTimes))
 	}
 }
 
@@ -244,50 +244,50 @@
 // idempotent by key and may have run is loaded before its deduplication window ends. A
 // non-idempotent one that may have run is not spilled but fails.
 func TestSpillKeepsMessageState(t *testing.T) {
-	r := backlogRig(t, 1)
-	e := r.message(2, 7)
-	e.Recovered = true
-	keyed := r.message(1, 7)
-	keyed.Attempts, keyed.UnknownOutcomeAt = 1, r.now-second
-	acts := r.step(r.message(0, 7), e, keyed)
-	var kept, window bool
-	for _, a := range acts {
-		if a.Kind == ActionSpill && a.Message == e.Message {
-			kept = a.Recovered
+	r := newSpillRig(t, 1)
+	recovered := r.newMessage(2, 7)
+	recovered.Recovered = true
+	byKey := r.newMessage(1, 7)
+	byKey.Attempts, byKey.UnknownOutcomeAt = 1, r.now-second
+	actions := r.step(r.newMessage(0, 7), recovered, byKey)
+	var spilledAsRecovered, loadedInWindow bool
+	for _, a := range actions {
+		if a.Kind == ActionSpill && a.Message == recovered.Message {
+			spilledAsRecovered = a.Recovered
 		}
-		if a.Kind == ActionSpill && a.Message == keyed.Message {
-			window = a.Deadline < r.now+59*second
+		if a.Kind == ActionSpill && a.Message == byKey.Message {
+			loadedInWindow = a.Deadline < r.now+59*second
 		}
 	}
-	if !kept || !window {
-		t.Errorf("spilled as recovered %v, to be loaded before its window ends %v: %+v", kept, window, acts)
+	if !spilledAsRecovered || !loadedInWindow {
+		t.Errorf("spilled as recovered %v, to be loaded before its window ends %v: %+v", spilledAsRecovered, loadedInWindow, actions)
 	}
-	e.Spilled, e.OverQuota = true, true
-	r.step(e)
-	if m := r.p.messages[e.Message]; m != nil && (!m.isRecovered || !m.isOverQuota || m.weight >= 1) {
+	recovered.Spilled, recovered.OverQuota = true, true
+	r.step(recovered)
+	if m := r.p.messages[recovered.Message]; m != nil && (!m.isRecovered || !m.isOverQuota || m.weight >= 1) {
 		t.Errorf("the loaded message has the state %+v", m)
 	}
-	doubt := r.message(2, 7)
-	doubt.Attempts, doubt.UnknownOutcomeAt = 1, r.now-second
-	if acts = r.step(doubt); count(acts, ActionFail) != 1 || strings.Contains(fmt.Sprint(acts), fmt.Sprintf("Kind:%d", ActionSpill)) {
-		t.Errorf("a non-idempotent message that may have run did not simply fail: %+v", acts)
+	mayHaveRun := r.newMessage(2, 7)
+	mayHaveRun.Attempts, mayHaveRun.UnknownOutcomeAt = 1, r.now-second
+	if actions = r.step(mayHaveRun); countActions(actions, ActionFail) != 1 || strings.Contains(fmt.Sprint(actions), fmt.Sprintf("Kind:%d", ActionSpill)) {
+		t.Errorf("a non-idempotent message that may have run did not simply fail: %+v", actions)
 	}
 }
 
 // While a message of a key is spilled, later messages of the key are spilled too, and loaded
 // messages are back in their order.
 func TestSpilledMessagesOfAKeyKeepTheirOrder(t *testing.T) {
-	r := backlogRig(t, 1)
-	msg := func(left Time) Event {
-		e := r.message(3, 7)
-		e.Key, e.TimeLeft = 9, left
+	r := newSpillRig(t, 1)
+	newKeyMessage := func(timeLeft Time) Event {
+		e := r.newMessage(3, 7)
+		e.Key, e.TimeLeft = 9, timeLeft
 		return e
 	}
-	first, second2, third := msg(500*second), msg(400*second), msg(3*second/2)
-	acts := append(slices.Clone(r.step(first)), r.step(second2)...)
-	acts = append(acts, r.step(third)...)
+	first, middle, last := newKeyMessage(500*second), newKeyMessage(400*second), newKeyMessage(3*second/2)
+	actions := append(slices.Clone(r.step(first)), r.step(middle)...)
+	actions = append(actions, r.step(last)...)
 	var spilled []uint32
-	for _, a := range acts {
+	for _, a := range actions {
 		if a.Kind == ActionSpill {
 			spilled = append(spilled, a.Message)
 			if !a.Ordered {
@@ -295,13 +295,13 @@
 			}
 		}
 	}
-	if fmt.Sprint(spilled) != fmt.Sprint([]uint32{second2.Message, third.Message}) {
+	if fmt.Sprint(spilled) != fmt.Sprint([]uint32{middle.Message, last.Message}) {
 		t.Fatalf("spilled %v, want the second and third message", spilled)
 	}
-	second2.Spilled, third.Spilled = true, true
-	r.step(second2, third)
-	line := r.p.orderedQueues[9]
-	if len(line.messages) != 3 || line.messages[1].id != second2.Message || line.messages[2].id != third.Message || line.spilledCount != 0 {
-		t.Errorf("ordered queue %+v", line)
+	middle.Spilled, last.Spilled = true, true
+	r.step(middle, last)
+	queue := r.p.orderedQueues[9]
+	if len(queue.messages) != 3 || queue.messages[1].id != middle.Message || queue.messages[2].id != last.Message || queue.spilledCount != 0 {
+		t.Errorf("ordered queue %+v", queue)
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -130,12 +130,12 @@
 // destination returns the state of a destination and creates it if it doesn't exist yet.
 func (p *Policy) destination(id int) *destination {
 	byID := func(dest *destination, id int) int { return dest.id - id }
-	at, ok := slices.BinarySearchFunc(p.destinations, id, byID)
+	index, ok := slices.BinarySearchFunc(p.destinations, id, byID)
 	if !ok {
 		dest := &destination{id: id, kind: DestinationKind{MaxBatch: 1}}
-		p.destinations = slices.Insert(p.destinations, at, dest)
+		p.destinations = slices.Insert(p.destinations, index, dest)
 	}
-	return p.destinations[at]
+	return p.destinations[index]
 }
 
 // deleteElement removes an element from a slice that holds it once at most.
--- a/policy/stuck_calls.go
+++ b/policy/stuck_calls.go
@@ -32,7 +32,7 @@
 func (p *Policy) cancelIfStuck(call *callState) {
 	wait := p.expectedLatencyBound(call.endpoint) + 1
 	nextCheck := p.now + wait // by then a later call may have been answered
-	waitsFrom := max(call.sentAt, cmp.Or(p.saturatedSince, p.now))
+	waitStart := max(call.sentAt, cmp.Or(p.saturatedSince, p.now))
 	if call.hasNonIdempotent() {
 		wait *= nonIdempotentWaitFactor
 		if p.hasManyOverdueCalls() {
@@ -40,10 +40,10 @@
 		}
 		// If the endpoint were only paused or slow, the later call would be held up too.
 		if call.endpoint.lastSuccessSentAt > call.sentAt+wait {
-			waitsFrom = call.sentAt
+			waitStart = call.sentAt
 		}
 	}
-	cancelAt := waitsFrom + wait
+	cancelAt := waitStart + wait
 	if call.messagesLeft > 0 && cancelAt > p.now {
 		p.schedule(min(cancelAt, nextCheck), func() { p.cancelIfStuck(call) })
 		return
