--- a/cmd/sim-adapter/host_test.go
+++ b/cmd/sim-adapter/host_test.go
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	if got := decodeSends(t, out); len(got) != 2 || got[0] != [3]uint32{0, 10, 1} || got[1] != [3]uint32{1, 11, 2} {
-		t.Fatalf("sends %v", got)
+		t.Fatalf("sends %v, want message 10 to address 1 and message 11 to address 2", got)
 	}
 }
 
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	if got := decodeSends(t, out); len(got) != 1 || got[0][1] != 12 {
-		t.Fatalf("sends %v", got)
+		t.Fatalf("sends %v, want message 12 alone", got)
 	}
 }
 
@@ -131,7 +131,7 @@
 	out, err := serveInput(t, newBatch(1e6, tail, startRecord(0, 1, settingsText, 0), listRecord(0, len(settingsText), 1), listUpdateRecord(0, 0), messageRecord(0, 10),
 		newRecord(100, 0)))
 	if err != nil || !bytes.Equal(out, make([]byte, 8)) {
-		t.Fatalf("reply %x, error %v", out, err)
+		t.Fatalf("reply %x, error %v, want an empty reply", out, err)
 	}
 }
 
@@ -207,6 +207,6 @@
 func TestEventForUnknownRelayIsIgnored(t *testing.T) {
 	out, err := serveInput(t, newBatch(1e6, nil, messageRecord(9, 1)))
 	if err != nil || !bytes.Equal(out, make([]byte, 8)) {
-		t.Fatalf("reply %x, error %v", out, err)
+		t.Fatalf("reply %x, error %v, want an empty reply", out, err)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -19,9 +19,9 @@
 	seed         uint64
 }
 
-func (d fleetScenario) String() string {
-	return fmt.Sprintf("%d relays, %v calls/s, %d endpoints, load %v, reports %v, outcome %d, seed %d", d.relays, d.capacity,
-		d.endpoints, d.load, d.reportsLimit, d.outage, d.seed)
+func (scenario fleetScenario) String() string {
+	return fmt.Sprintf("%d relays, %v calls/s, %d endpoints, load %v, reports %v, outcome %d, seed %d", scenario.relays, scenario.capacity,
+		scenario.endpoints, scenario.load, scenario.reportsLimit, scenario.outage, scenario.seed)
 }
 
 const (
@@ -84,8 +84,8 @@
 		entries = append(entries, readyEntry(Endpoint(i+1), scenario.capacity/float64(scenario.endpoints)))
 	}
 	sum := 0.0
-	for k := range scenario.relays {
-		r := &fleetRelay{rig: newSeededRig(t, sim.settings, scenario.seed<<16+uint64(k), entries...), settings: sim.settings, attempts: map[uint32]int{},
+	for relay := range scenario.relays {
+		r := &fleetRelay{rig: newSeededRig(t, sim.settings, scenario.seed<<16+uint64(relay), entries...), settings: sim.settings, attempts: map[uint32]int{},
 			weight: 0.1 + sim.rng.ExpFloat64()} // some relays get several times the mean traffic
 		sum += r.weight
 		sim.relays = append(sim.relays, r)
@@ -140,18 +140,18 @@
 func (sim *fleetSimulation) stepRelay(r *fleetRelay, now Time, newMessages int) {
 	var events []Event
 	remaining := r.calls[:0]
-	for _, f := range r.calls {
-		if f.dueAt > now {
-			remaining = append(remaining, f)
+	for _, call := range r.calls {
+		if call.dueAt > now {
+			remaining = append(remaining, call)
 			continue
 		}
-		if f.event.Outcome != Delivered && now >= outageStart {
+		if call.event.Outcome != Delivered && now >= outageStart {
 			r.knowsOutage = true
 		}
-		if f.event.Outcome == Delivered && now >= outageEnd {
+		if call.event.Outcome == Delivered && now >= outageEnd {
 			sim.accepted++
 		}
-		events = append(events, f.event)
+		events = append(events, call.event)
 	}
 	r.calls = remaining
 	for range newMessages {
@@ -188,8 +188,8 @@
 // cancel ends an attempt that its relay has cancelled.
 func (r *fleetRelay) cancel(now Time, a Action) {
 	for i := range r.calls {
-		if f := &r.calls[i]; f.event.Message == a.Message && f.event.Attempt == a.Attempt {
-			f.event.Outcome, f.event.Final, f.dueAt = Cancelled, false, now+fleetTick
+		if call := &r.calls[i]; call.event.Message == a.Message && call.event.Attempt == a.Attempt {
+			call.event.Outcome, call.event.Final, call.dueAt = Cancelled, false, now+fleetTick
 		}
 	}
 }
@@ -222,9 +222,9 @@
 	bound                float64
 }
 
-func (f fleetWindow) String() string {
-	return fmt.Sprintf("%d calls (%d of relays that knew of the outage) from %d to %d ms after the return, want at most %.1f", f.calls, f.informedCalls,
-		(f.from-outageEnd)/1000, (f.to-outageEnd)/1000, f.bound)
+func (window fleetWindow) String() string {
+	return fmt.Sprintf("%d calls (%d of relays that knew of the outage) from %d to %d ms after the return, want at most %.1f", window.calls, window.informedCalls,
+		(window.from-outageEnd)/1000, (window.to-outageEnd)/1000, window.bound)
 }
 
 // bound is the number of calls that a cold destination can stand in the overload window that ends
@@ -265,8 +265,8 @@
 
 // isViolation reports whether the destination was overloaded and the relays are at fault: more than
 // two thirds of the calls came from relays that knew of the outage.
-func (f fleetWindow) isViolation() bool {
-	return float64(f.calls) > f.bound && 3*f.informedCalls > 2*f.calls
+func (window fleetWindow) isViolation() bool {
+	return float64(window.calls) > window.bound && 3*window.informedCalls > 2*window.calls
 }
 
 // Whatever the size of the fleet and of the destination and the kind of the outage, all relays
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -322,42 +322,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run := &randomEvents{rng: rng, settings: settings, checker: newChecker(settings), next: 1, outcomes: map[int]Outcome{}}
-	run.now = Time(rng.Int64N(int64(1000 * second)))
-	run.makeList()
-	run.updateList(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: run.entries})
+	generator := &eventGenerator{rng: rng, settings: settings, checker: newChecker(settings), next: 1, outcomes: map[int]Outcome{}}
+	generator.now = Time(rng.Int64N(int64(1000 * second)))
+	generator.makeList()
+	generator.updateList(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: generator.entries})
 	var trace []string
 	for step := range steps {
-		for _, a := range p.Step(run.now, run.events, nil) {
-			trace = append(trace, fmt.Sprintf("%d %+v", run.now, a))
-			run.checker.checkAction(run.now, a)
+		for _, a := range p.Step(generator.now, generator.events, nil) {
+			trace = append(trace, fmt.Sprintf("%d %+v", generator.now, a))
+			generator.checker.checkAction(generator.now, a)
 		}
-		run.checker.checkDeadlines(run.now)
-		run.checker.checkResident(run.now, p)
-		run.events = nil
-		run.now = run.checker.nextTime(run.now, run.now+5000*(1+Time(rng.IntN(20))))
+		generator.checker.checkDeadlines(generator.now)
+		generator.checker.checkResident(generator.now, p)
+		generator.events = nil
+		generator.now = generator.checker.nextTime(generator.now, generator.now+5000*(1+Time(rng.IntN(20))))
 		if rng.IntN(100) == 0 { // the relay restarts
 			if p, err = New(settings, seed+uint64(step)); err != nil {
 				t.Fatal(err)
 			}
-			run.restart()
+			generator.restart()
 		}
-		run.changeList()
+		generator.changeList()
 		if rng.IntN(40) == 0 {
-			run.outcomes[rng.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[rng.IntN(5)]
+			generator.outcomes[rng.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[rng.IntN(5)]
 		}
-		run.newMessages()
-		run.events = append(run.events, run.checker.loadSpilled(run.now, rng)...)
-		run.endAttempts()
-		run.endHealthChecks()
-		run.withdraw()
-		run.fireTimers()
+		generator.newMessages()
+		generator.events = append(generator.events, generator.checker.loadSpilled(generator.now, rng)...)
+		generator.endAttempts()
+		generator.endHealthChecks()
+		generator.withdraw()
+		generator.fireTimers()
 	}
-	return run.checker, trace
+	return generator.checker, trace
 }
 
-// randomEvents generates random legal events from a seed.
-type randomEvents struct {
+// eventGenerator generates random legal events from a seed.
+type eventGenerator struct {
 	rng      *rand.Rand
 	settings Settings
 	checker  *checker
@@ -369,134 +369,134 @@
 	outcomes map[int]Outcome
 }
 
-func (d *randomEvents) makeList() {
+func (g *eventGenerator) makeList() {
 	for i := range 10 {
-		dest := d.rng.IntN(4)
-		d.entries = append(d.entries, Entry{Endpoint: Endpoint(100 + i), Zone: d.rng.IntN(2), Kind: dest % 2, Dest: dest, State: Ready,
-			Rate: 1 + 9*d.rng.Float64()})
+		dest := g.rng.IntN(4)
+		g.entries = append(g.entries, Entry{Endpoint: Endpoint(100 + i), Zone: g.rng.IntN(2), Kind: dest % 2, Dest: dest, State: Ready,
+			Rate: 1 + 9*g.rng.Float64()})
 	}
 }
 
-func (d *randomEvents) updateList(e Event) {
-	d.checker.updateList(d.now, e)
-	d.events = append(d.events, e)
+func (g *eventGenerator) updateList(e Event) {
+	g.checker.updateList(g.now, e)
+	g.events = append(g.events, e)
 }
 
 // restart begins new records for a restarted policy. Its first list may be out of date.
-func (d *randomEvents) restart() {
-	old := d.checker
-	d.checker = newChecker(d.settings)
-	d.checker.violations, d.checker.loads = old.violations, old.loads
-	d.checker.sends, d.checker.rejected, d.checker.failed = old.sends, old.rejected, old.failed
-	d.updateList(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: d.entries})
+func (g *eventGenerator) restart() {
+	old := g.checker
+	g.checker = newChecker(g.settings)
+	g.checker.violations, g.checker.loads = old.violations, old.loads
+	g.checker.sends, g.checker.rejected, g.checker.failed = old.sends, old.rejected, old.failed
+	g.updateList(Event{Kind: EventListUpdate, ListUpdate: ListCached, Entries: g.entries})
 }
 
-func (d *randomEvents) changeList() {
-	if d.rng.IntN(30) != 0 {
+func (g *eventGenerator) changeList() {
+	if g.rng.IntN(30) != 0 {
 		return
 	}
-	i := d.rng.IntN(len(d.entries))
-	d.entries = append([]Entry(nil), d.entries...)
-	d.entries[i].State = Readiness(d.rng.IntN(3))
-	e := Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: d.entries[i : i+1]}
-	switch d.rng.IntN(4) {
+	i := g.rng.IntN(len(g.entries))
+	g.entries = append([]Entry(nil), g.entries...)
+	g.entries[i].State = Readiness(g.rng.IntN(3))
+	e := Event{Kind: EventListUpdate, ListUpdate: ListDelta, Entries: g.entries[i : i+1]}
+	switch g.rng.IntN(4) {
 	case 0:
 		e = Event{Kind: EventListUpdate, ListUpdate: ListFull}
-		for _, entry := range d.entries {
+		for _, entry := range g.entries {
 			if entry.State != Removed {
 				e.Entries = append(e.Entries, entry)
 			}
 		}
 	case 1:
 		e = Event{Kind: EventListUpdate, ListUpdate: ListFailed}
-		d.entries[i].State = d.checker.listedState(d.entries[i].Endpoint)
+		g.entries[i].State = g.checker.listedState(g.entries[i].Endpoint)
 	}
-	d.updateList(e)
+	g.updateList(e)
 }
 
-func (d *randomEvents) newMessages() {
-	for range d.rng.IntN(4) {
-		e := Event{Kind: EventMessage, Message: d.next, Class: d.rng.IntN(len(d.settings.Classes)), Dest: d.rng.IntN(5), Tenant: d.rng.IntN(3)}
-		if d.settings.Classes[e.Class].Ordered {
-			e.Key = uint64(d.rng.IntN(3))
+func (g *eventGenerator) newMessages() {
+	for range g.rng.IntN(4) {
+		e := Event{Kind: EventMessage, Message: g.next, Class: g.rng.IntN(len(g.settings.Classes)), Dest: g.rng.IntN(5), Tenant: g.rng.IntN(3)}
+		if g.settings.Classes[e.Class].Ordered {
+			e.Key = uint64(g.rng.IntN(3))
 		}
-		e.TimeLeft = Time(float64(d.settings.Classes[e.Class].Deadline) * (0.05 + 0.95*d.rng.Float64()))
-		d.sequence++
-		d.next++
-		d.checker.addMessage(d.now, e, d.sequence)
-		d.events = append(d.events, e)
+		e.TimeLeft = Time(float64(g.settings.Classes[e.Class].Deadline) * (0.05 + 0.95*g.rng.Float64()))
+		g.sequence++
+		g.next++
+		g.checker.addMessage(g.now, e, g.sequence)
+		g.events = append(g.events, e)
 	}
 }
 
 // endAttempts ends some attempts at random, and all whose time-out has passed.
-func (d *randomEvents) endAttempts() {
+func (g *eventGenerator) endAttempts() {
 	var remaining []pendingItem
-	for _, f := range d.checker.attempts {
-		if d.rng.IntN(4) != 0 && f.timeoutAt > d.now {
+	for _, f := range g.checker.attempts {
+		if g.rng.IntN(4) != 0 && f.timeoutAt > g.now {
 			remaining = append(remaining, f)
 			continue
 		}
-		e := d.randomOutcome(f)
-		d.checker.recordOutcome(d.now, e)
-		d.events = append(d.events, e)
-		if d.rng.IntN(20) == 0 { // the event repeated, and one for a message that was never sent
-			d.events = append(d.events, e, Event{Kind: EventAttemptDone, Message: d.next + 9, Endpoint: 5})
+		e := g.randomOutcome(f)
+		g.checker.recordOutcome(g.now, e)
+		g.events = append(g.events, e)
+		if g.rng.IntN(20) == 0 { // the event repeated, and one for a message that was never sent
+			g.events = append(g.events, e, Event{Kind: EventAttemptDone, Message: g.next + 9, Endpoint: 5})
 		}
 	}
-	d.checker.attempts = remaining
+	g.checker.attempts = remaining
 }
 
 // randomOutcome returns a random outcome for an attempt.
-func (d *randomEvents) randomOutcome(f pendingItem) Event {
-	m := d.checker.messages[f.message]
+func (g *eventGenerator) randomOutcome(f pendingItem) Event {
+	m := g.checker.messages[f.message]
 	e := Event{Kind: EventAttemptDone, Message: f.message, Attempt: f.attempt, Endpoint: f.endpoint, Latency: second / 5}
 	switch {
-	case f.timeoutAt <= d.now:
+	case f.timeoutAt <= g.now:
 		e.Outcome = TimedOut
-	case d.rng.IntN(5) == 0:
-		e.Outcome = Outcome(d.rng.IntN(int(outcomeCount)))
+	case g.rng.IntN(5) == 0:
+		e.Outcome = Outcome(g.rng.IntN(int(outcomeCount)))
 	default:
-		e.Outcome = d.outcomes[m.dest]
+		e.Outcome = g.outcomes[m.dest]
 	}
-	if e.Outcome == Rejected && d.rng.IntN(2) == 0 {
-		e.RetryAfter = Time(d.rng.Int64N(int64(3 * second)))
+	if e.Outcome == Rejected && g.rng.IntN(2) == 0 {
+		e.RetryAfter = Time(g.rng.Int64N(int64(3 * second)))
 	}
 	e.Final = m.isCompleted || e.Outcome == Delivered
-	if d.rng.IntN(2) == 0 {
-		e.Load = LoadReport{Remaining: d.rng.Float64(), Limit: 10 * d.rng.Float64()}
+	if g.rng.IntN(2) == 0 {
+		e.Load = LoadReport{Remaining: g.rng.Float64(), Limit: 10 * g.rng.Float64()}
 	}
 	return e
 }
 
-func (d *randomEvents) endHealthChecks() {
-	for _, ep := range d.checker.healthChecks {
-		d.events = append(d.events, Event{Kind: EventHealthChecked, Endpoint: ep, Outcome: Outcome(d.rng.IntN(int(outcomeCount)))})
+func (g *eventGenerator) endHealthChecks() {
+	for _, ep := range g.checker.healthChecks {
+		g.events = append(g.events, Event{Kind: EventHealthChecked, Endpoint: ep, Outcome: Outcome(g.rng.IntN(int(outcomeCount)))})
 	}
-	d.checker.healthChecks = nil
+	g.checker.healthChecks = nil
 }
 
 // withdraw sometimes withdraws the newest message.
-func (d *randomEvents) withdraw() {
-	if d.rng.IntN(50) != 0 || d.next <= 1 {
+func (g *eventGenerator) withdraw() {
+	if g.rng.IntN(50) != 0 || g.next <= 1 {
 		return
 	}
-	id := d.next - 1
-	if m := d.checker.messages[id]; m != nil && !m.isCompleted && !m.isSpilled {
+	id := g.next - 1
+	if m := g.checker.messages[id]; m != nil && !m.isCompleted && !m.isSpilled {
 		m.isCompleted, m.isWithdrawn = true, true
-		d.events = append(d.events, Event{Kind: EventWithdraw, Message: id})
+		g.events = append(g.events, Event{Kind: EventWithdraw, Message: id})
 	}
 }
 
-func (d *randomEvents) fireTimers() {
+func (g *eventGenerator) fireTimers() {
 	var later []pendingItem
-	for _, timer := range d.checker.timers {
-		if timer.dueAt <= d.now {
-			d.events = append(d.events, Event{Kind: EventTimer})
+	for _, timer := range g.checker.timers {
+		if timer.dueAt <= g.now {
+			g.events = append(g.events, Event{Kind: EventTimer})
 		} else {
 			later = append(later, timer)
 		}
 	}
-	d.checker.timers = later
+	g.checker.timers = later
 }
 
 // nextTime is the time of the next step. It skips no timer, time-out or load deadline that is due
