--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -16,7 +16,7 @@
 	lost      bool
 }
 
-// Renew extends the lease after the list service has confirmed a renewal. sendTimes
+// Renew extends the lease after the list service has confirmed a renewal. sentAt
 // is when the renewal was requested: the list service counts from a later moment.
 func (l *Lease) Renew(sentAt time.Duration) {
 	l.expiresAt = max(l.expiresAt, sentAt+time.Duration(float64(l.TTL)*(1-driftMargin)))
