--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkStep shows what a message and its answer cost by the size of the fleet; nothing asserts a time.
+// BenchmarkStep measures what a message and its answer cost with few and with many endpoints. No
+// test asserts a time.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 700} {
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
@@ -16,12 +17,12 @@
 			}
 			now := second
 			p.Step(now, []Event{{Kind: EventListUpdate, ListUpdate: ListCached, Entries: list}}, nil)
-			var acts []Action
+			var actions []Action
 			for i := range b.N {
 				now += 5000
 				id := uint32(i + 1)
-				acts = p.Step(now, []Event{{Kind: EventMessage, Message: id, Dest: i % n, TimeLeft: 20 * second}}, acts[:0])
-				acts = p.Step(now, []Event{{Kind: EventAttemptDone, Message: id, Final: true, Latency: 1000}}, acts[:0])
+				actions = p.Step(now, []Event{{Kind: EventMessage, Message: id, Dest: i % n, TimeLeft: 20 * second}}, actions[:0])
+				actions = p.Step(now, []Event{{Kind: EventAttemptDone, Message: id, Final: true, Latency: 1000}}, actions[:0])
 			}
 		})
 	}
