--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -1,19 +1,19 @@
 package wal
 
-// batch is records that are written by one call.
+// batch is a group of records that are written by one call.
 type batch struct {
 	buffer          []byte
 	entries         []batchEntry
-	pending         map[string]bool // by message: whether it is pending after the batch's records of it
-	checkpointBytes int64           // that the batch adds to the next checkpoint at most
-	seq             uint64          // of the last record
-	needsSync       bool            // some record has to survive a loss of power at once
+	pending         map[string]bool // whether a message is pending after the batch's records, by its id
+	checkpointBytes int64           // upper bound of the bytes that the batch adds to the next checkpoint
+	seq             uint64          // sequence number of the last record
+	needsSync       bool            // some record must be synced before its write is reported as done
 }
 
 // batchEntry is a record in a batch's buffer.
 type batchEntry struct {
 	record *Record
-	index  int // among the records that were handed in together
+	index  int // position among the records passed to appendBatch
 	offset int
 	size   int
 	seq    uint64
@@ -26,7 +26,8 @@
 }
 
 // mustSync reports whether a record has to be synced before its write is reported as done.
-// Where it does not, a loss of power only makes a message's outcome unknown.
+// If a record that need not be is lost with the power, its message only gets an unknown
+// outcome.
 func mustSync(r *Record) bool {
 	switch r.Kind {
 	case KindAttempt:
@@ -37,9 +38,9 @@
 	return true
 }
 
-// appendRecords writes records in order, as many by one call as go together, each where
-// there is space for it and for a checkpoint. It gives an error or nil for each, valid
-// until the next call.
+// appendRecords writes records in order, in batches that are as large as possible. It only
+// writes a record if it leaves enough space for a checkpoint. It returns an error or nil
+// for each record; the slice is valid until the next call.
 func (s *store) appendRecords(records []*Record) []error {
 	s.results = append(s.results[:0], make([]error, len(records))...)
 	for from := 0; from < len(records); {
@@ -48,7 +49,8 @@
 	return s.results
 }
 
-// appendBatch writes the first records, as many as go together, and counts them.
+// appendBatch writes as many of the first records as fit in one batch, and returns their
+// number.
 func (s *store) appendBatch(records []*Record, results []error) (n int) {
 	if s.handoff != nil {
 		for i, r := range records {
@@ -91,7 +93,7 @@
 	}
 }
 
-// prepareAppend makes the segment ready for a batch that begins with a record.
+// prepareAppend prepares the segment for a batch that begins with the record first.
 func (s *store) prepareAppend(first *Record) error {
 	if s.syncer.err == nil && (s.segment.file == nil || s.segment.file.size > s.segmentLimit()) {
 		if err := s.startSegment(); err != nil {
@@ -119,23 +121,24 @@
 	return nil
 }
 
-// encodeBatch puts the first records into the batch, as many as go together, and counts
-// those that it dealt with.
+// encodeBatch encodes as many of the first records as fit in one batch, and returns how
+// many it handled.
 func (s *store) encodeBatch(records []*Record, results []error) (n int) {
 	b := &s.batch
 	b.reset(s.seq)
 	if s.syncer.enabled {
 		b.seq++
 		start := &Record{Kind: kindBatchStart, ID: NoMessage, At: int64(s.syncedSeq)}
-		b.buffer, _ = appendRecord(b.buffer, start, b.seq, s.salt, nil) // it is short
+		// The record is short, so that it cannot fail to be encoded.
+		b.buffer, _ = appendRecord(b.buffer, start, b.seq, s.salt, nil)
 	}
 	for n < len(records) && (len(b.buffer) < maxBatchBytes || n == 0) {
 		r := records[n]
 		if n > 0 && s.needsCheckpoint(r, int64(len(b.buffer)), b.checkpointBytes) {
-			break // once these are written
+			break // the checkpoint is made after these records are written
 		}
 		err := s.addToBatch(r, n)
-		if err == ErrFull && r.Kind.isFact() { // nothing may come ahead of it
+		if err == ErrFull && r.Kind.isFact() { // no later record may be written before a fact
 			fillErrors(results[n:len(records)], ErrFull)
 			return len(records)
 		}
@@ -162,8 +165,8 @@
 	return nil
 }
 
-// admit checks a record against the log and the batch so far. Errors: ErrNotPending and
-// ErrFull.
+// admit checks whether a record can be written after those already in the batch. It
+// returns ErrNotPending or ErrFull if not.
 func (s *store) admit(r *Record) error {
 	b := &s.batch
 	if r.ID != NoMessage && r.Kind != KindAccepted && !s.isPendingInBatch(r.ID) {
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// isPendingInBatch reports whether a message is pending after the records of the batch.
+// isPendingInBatch reports whether a message is pending after the records in the batch.
 func (s *store) isPendingInBatch(id string) bool {
 	if pending, ok := s.batch.pending[id]; ok {
 		return pending
@@ -191,7 +194,7 @@
 	return ok
 }
 
-// applyBatch changes the state by the batch that was written.
+// applyBatch applies the records of a batch to the state after it was written.
 func (s *store) applyBatch() {
 	f := s.segment.file
 	for _, e := range s.batch.entries {
@@ -200,7 +203,7 @@
 		if e.record.Kind != KindAccepted {
 			continue
 		}
-		if i, ok := s.index.find(k); ok && s.index.at(i).seq == e.seq { // else the id was pending already
+		if i, ok := s.index.find(k); ok && s.index.at(i).seq == e.seq { // otherwise a message with this id was already pending
 			e.record.Ref = s.index.ref(i)
 		}
 	}
@@ -215,22 +218,22 @@
 	return s.index.keyOf(r.ID)
 }
 
-// storeStamp notes the last record beside the log.
+// storeStamp stores the last record's sequence number and the time in the stamp file.
 func (s *store) storeStamp() {
 	now := s.options.Clock()
 	s.lastTime = max(s.lastTime, s.clock.at(now))
 	s.stampFile.Store(Stamp{ID: stampIDOf(s.salt), Seq: s.seq, At: s.lastTime, Clock: now})
 }
 
-// appendSingly writes the records of a batch that failed one by one, except new messages:
-// on a disk that is nearly full, a small record may still fit.
+// appendSingly writes the records of a failed batch one by one, except for new messages. A
+// small record may still fit on a disk that is nearly full.
 func (s *store) appendSingly(results []error, err error) {
 	entries := append([]batchEntry(nil), s.batch.entries...)
 	if len(entries) == 1 {
 		results[entries[0].index] = err
 		return
 	}
-	factFailed := false // it has to come before all later records
+	factFailed := false // a fact that failed must be written before any later record
 	for _, e := range entries {
 		if factFailed || e.record.Kind == KindAccepted {
 			results[e.index] = err
--- a/internal/wal/capacity.go
+++ b/internal/wal/capacity.go
@@ -1,35 +1,37 @@
 package wal
 
-// Parts of the folder's limit, in bytes.
+// Parts of the folder's limit that are reserved, in bytes.
 const (
-	roundingReserve   = 16 << 10 // never used: file sizes are rounded up
-	completionReserve = 64 << 10 // for records of messages that were accepted already
+	roundingReserve   = 16 << 10 // stays unused, since file sizes are rounded up
+	completionReserve = 64 << 10 // for records of messages that are already accepted
 )
 
-// Bounds of segments and checkpoints, in bytes.
+// Limits on segments and checkpoints, in bytes.
 const (
-	minCompactionBytes   = 1 << 20 // a shorter log is not worth a checkpoint
+	minCompactionBytes   = 1 << 20 // a shorter log gets no checkpoint
 	maxSegmentBytes      = 16 << 20
 	minSegmentBytes      = 64 << 10
-	segmentsPerLimit     = 6         // a segment takes up at most this part of the limit, which bounds the open files
-	compactionsPerLimit  = 3         // a log of this part of the limit is worth a checkpoint
-	maxBatchBytes        = 256 << 10 // written by one call
-	checkpointSliceBytes = 128 << 10 // of a checkpoint, written between two batches
+	segmentsPerLimit     = 6         // a segment takes up at most this fraction of the limit, which bounds the number of open files
+	compactionsPerLimit  = 3         // a log of this fraction of the limit may get a checkpoint
+	maxBatchBytes        = 256 << 10 // maximum size of a batch
+	checkpointSliceBytes = 128 << 10 // size of the part of a checkpoint that is written between two batches
 )
 
-// A log is compacted once it is this many times as long as its next checkpoint.
+// compactionFactor is how many times as long as its next checkpoint the log has to be
+// before it is compacted.
 const compactionFactor = 4
 
-// recordOverhead is what a record's numbers and lengths take up at most.
+// recordOverhead is the maximum size of a record's numbers and lengths in bytes.
 const recordOverhead = 64
 
-// maxRecordSize is what a record takes up at most.
+// maxRecordSize returns an upper bound of a record's size in bytes.
 func maxRecordSize(r *Record) int64 {
 	texts := len(r.ID) + len(r.Class) + len(r.Tenant) + len(r.Key) + len(r.Endpoint) + len(r.Notice) + len(r.Body)
 	return int64(recordHeadSize+texts) + recordOverhead
 }
 
-// maxCheckpointBytes is what a record adds to the next checkpoint at most.
+// maxCheckpointBytes returns an upper bound of the bytes that a record adds to the next
+// checkpoint.
 func maxCheckpointBytes(r *Record) int64 {
 	if r.Kind == KindAccepted {
 		return maxRecordSize(r) + stateReserveBytes
@@ -37,8 +39,9 @@
 	return 0
 }
 
-// hasSpace reports whether there is space for a record and for a checkpoint, after other
-// bytes of the same batch and what that adds to the checkpoint.
+// hasSpace reports whether there is space for a record and for the next checkpoint.
+// batchBytes is the size of the records before it in the same batch, checkpointBytes what
+// those add to the checkpoint.
 func (s *store) hasSpace(r *Record, batchBytes, checkpointBytes int64) bool {
 	if s.spaceReserved {
 		return true
@@ -50,13 +53,14 @@
 	return s.usage.bytes+batchBytes+maxRecordSize(r)+s.checkpointBytes+checkpointBytes+maxCheckpointBytes(r) <= free
 }
 
-// exceedsLimit reports whether a new message would not fit after a checkpoint either, so
-// that none is tried for it.
+// exceedsLimit reports whether a new message would not fit even after a checkpoint. In
+// that case no checkpoint is made for it.
 func (s *store) exceedsLimit(r *Record, checkpointBytes int64) bool {
 	if r.Kind != KindAccepted || s.spaceReserved {
 		return false
 	}
-	// The checkpoint is written beside the one before.
+	// The factor is 2, since the new checkpoint is written while the previous one still
+	// exists.
 	needed := 2 * (s.checkpointBytes + checkpointBytes + maxCheckpointBytes(r))
 	return needed > s.limit-s.usage.quarantined-roundingReserve-completionReserve
 }
@@ -66,7 +70,7 @@
 	return !s.exceedsLimit(r, checkpointBytes) && !s.hasSpace(r, batchBytes, checkpointBytes)
 }
 
-// logBytes is what the segments take up.
+// logBytes returns the total size of the segments.
 func (s *store) logBytes() (n int64) {
 	for _, f := range s.segments {
 		n += f.size
@@ -74,12 +78,12 @@
 	return n
 }
 
-// compactionThreshold is how long a log has to be for a checkpoint, in bytes.
+// compactionThreshold returns the log size in bytes above which a checkpoint may be made.
 func (s *store) compactionThreshold() int64 {
 	return min(minCompactionBytes, s.limit/compactionsPerLimit)
 }
 
-// segmentLimit is how long a segment becomes before the next one begins, in bytes.
+// segmentLimit returns the size in bytes above which the next segment begins.
 func (s *store) segmentLimit() int64 {
 	return max(minSegmentBytes, min(maxSegmentBytes, s.limit/segmentsPerLimit))
 }
--- a/internal/wal/checkpoint.go
+++ b/internal/wal/checkpoint.go
@@ -7,32 +7,33 @@
 )
 
 // checkpointWriter writes a checkpoint in slices, between the batches of the log. The
-// checkpoint is fuzzy: it may include records that came after it was begun. Each message
-// carries the sequence number of the last record that its state includes, and records up
-// to that are ignored when the log is read.
+// checkpoint may include records that were written after it was begun. Each message in it
+// carries the sequence number of the last record that its state includes; a restart
+// ignores the message's records up to that one.
 //
-// An entry's record counts as moved to the checkpoint as soon as it is written there;
-// only what a restart finds waits until the checkpoint is installed.
+// A message can be read from the new file as soon as it is written there. Only a restart
+// ignores the checkpoint until it is installed.
 type checkpointWriter struct {
 	store           *store
 	file            *logFile
 	path            string
-	segment         uint32 // the first that the checkpoint does not cover
-	nextEntry       uint32 // in the index
-	endEntry        uint32 // entries that there were at the beginning
-	records         uint64 // so far
+	segment         uint32 // the first segment that the checkpoint does not cover
+	nextEntry       uint32 // position in the index of the next entry to write
+	endEntry        uint32 // number of entries in the index at the beginning
+	records         uint64 // number of records written so far
 	buffer          []byte
 	reader          messageReader
 	verifiedBytes   int64
 	verifiedRecords uint64
-	complete        bool // all is written
+	complete        bool // all records are written
 }
 
-// entriesPerSlice bounds the time of a slice that finds few entries in use.
+// entriesPerSlice limits the entries that one slice visits, so that it ends soon even if
+// few of them are in use.
 const entriesPerSlice = 1 << 16
 
-// startCheckpoint begins a checkpoint, where none is being written. What is recorded from
-// here on goes into a new segment.
+// startCheckpoint begins a checkpoint, unless one is already being written. Later records
+// go into a new segment.
 func (s *store) startCheckpoint() error {
 	if s.pendingCheckpoint != nil || s.syncer.err != nil || s.handoff != nil {
 		return s.syncer.err
@@ -40,7 +41,7 @@
 	current := s.segment.file
 	isEmpty := current != nil && current.size == headerSize
 	if isEmpty && s.checkpointFile != nil && s.checkpointFile.number == current.number {
-		return nil // nothing was recorded since the last one
+		return nil // nothing was recorded since the last checkpoint
 	}
 	if !isEmpty {
 		if err := s.startSegment(); err != nil {
@@ -59,11 +60,12 @@
 	return w.add(&Record{Kind: KindOwner, ID: NoMessage, Process: s.process, HandoffOffset: s.handoffOffset}, nil)
 }
 
-// abortCheckpoint gives up a checkpoint because of an error, and delays the next one.
+// abortCheckpoint abandons the checkpoint because of an error and delays the next one.
 func (s *store) abortCheckpoint(err error) error {
 	s.checkpointRetryBytes = s.logBytes() + s.compactionThreshold()/4
 	if w := s.pendingCheckpoint; w != nil {
-		// Entries may refer to the file by now: it stays open until a checkpoint succeeds.
+		// The file stays open until a later checkpoint is installed, as entries may
+		// already refer to it.
 		s.pendingCheckpoint = nil
 		if err := s.fs.Remove(w.path); err == nil {
 			s.usage.resize(w.path, 0)
@@ -72,8 +74,8 @@
 	return fmt.Errorf("wal: checkpoint: %w", err)
 }
 
-// stepCheckpoint writes or verifies a slice of about sliceBytes, or installs the checkpoint.
-// done is true once it is installed, has failed, or there is none.
+// stepCheckpoint writes or verifies a slice of about sliceBytes, or installs the
+// checkpoint. done is true if it was installed, if it failed, or if there is none.
 func (s *store) stepCheckpoint(sliceBytes int) (done bool, err error) {
 	w := s.pendingCheckpoint
 	switch {
@@ -94,7 +96,8 @@
 	return false, nil
 }
 
-// finishCheckpoint makes a checkpoint at once, or finishes the one that is being written.
+// finishCheckpoint completes the checkpoint that is being written, or begins and completes
+// one.
 func (s *store) finishCheckpoint() error {
 	if s.pendingCheckpoint == nil {
 		if err := s.startCheckpoint(); err != nil {
@@ -108,8 +111,8 @@
 	}
 }
 
-// compact continues a checkpoint, or begins one that is due. It reports whether there is
-// more to do.
+// compact continues the checkpoint that is being written, or begins one if it is due. It
+// reports whether there is more to do.
 func (s *store) compact() (more bool) {
 	if s.handoff != nil || s.syncer.err != nil {
 		return false
@@ -133,7 +136,8 @@
 
 func (s *store) logCheckpointFailure(err error) { s.logger.Error("checkpoint failed", "err", err) }
 
-// add encodes a record into the buffer. message is that of a kindMessageState record.
+// add encodes a record into the buffer. message is the encoded message of a
+// kindMessageState record.
 func (w *checkpointWriter) add(r *Record, message []byte) (err error) {
 	w.buffer, err = appendRecord(w.buffer, r, w.records+1, w.store.salt, message)
 	if err == nil {
@@ -142,14 +146,14 @@
 	return err
 }
 
-// relocatedRecord is where an entry's record stands in the buffer.
+// relocatedRecord is the position of an entry's record in the buffer.
 type relocatedRecord struct {
 	entry        uint32
 	offset, size int
 }
 
-// writeSlice writes the messages of the next entries, and the checkpoint's end after the
-// last one.
+// writeSlice writes the messages of the next entries and, after the last one, the
+// checkpoint's end record.
 func (w *checkpointWriter) writeSlice(sliceBytes int) error {
 	relocated, err := w.encodeEntries(sliceBytes)
 	if err != nil {
@@ -175,7 +179,8 @@
 	return nil
 }
 
-// encodeEntries puts the next entries' messages into the buffer, up to about sliceBytes.
+// encodeEntries encodes the messages of the next entries into the buffer, up to about
+// sliceBytes.
 func (w *checkpointWriter) encodeEntries(sliceBytes int) (relocated []relocatedRecord, err error) {
 	var r Record
 	for visited := 0; w.nextEntry < w.endEntry && len(w.buffer) < sliceBytes && visited < entriesPerSlice; visited++ {
@@ -189,7 +194,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Kind, r.At, r.Latency = kindMessageState, int64(e.seq), int64(e.lastSeq()) // see appendMessageState
+		r.Kind, r.At, r.Latency = kindMessageState, int64(e.seq), int64(e.lastSeq()) // At and Latency hold sequence numbers: see appendMessageState
 		start := len(w.buffer)
 		if err := w.add(&r, message); err != nil {
 			return nil, err
@@ -199,8 +204,8 @@
 	return relocated, nil
 }
 
-// readEntry reads an entry's message. One whose record cannot be read any more is lost,
-// where its id at least is certain.
+// readEntry reads an entry's message. If its record can no longer be read but its id is
+// valid, the message is marked as lost and has no body.
 func (w *checkpointWriter) readEntry(i uint32, r *Record) (message []byte, err error) {
 	s := w.store
 	message, err = s.readRecord(i, &w.reader, r)
@@ -232,7 +237,7 @@
 	return s.syncer.syncFile(w.file)
 }
 
-// verifySlice reads a slice of what was written.
+// verifySlice reads back a slice of what was written.
 func (w *checkpointWriter) verifySlice(sliceBytes int) error {
 	scan := w.reader.scannerOf(w.file)
 	scan.size = w.file.size
@@ -248,7 +253,7 @@
 	return nil
 }
 
-// install puts the checkpoint in force and removes the files that it replaces.
+// install gives the checkpoint its final name and removes the files that it replaces.
 func (w *checkpointWriter) install() error {
 	s := w.store
 	name := checkpointName(w.segment)
@@ -267,7 +272,7 @@
 	return nil
 }
 
-// removeReplaced closes and removes the files that the checkpoint covers.
+// removeReplaced closes and removes the files that the checkpoint replaces.
 func (w *checkpointWriter) removeReplaced() {
 	s := w.store
 	var segments []*logFile
--- a/internal/wal/conversion.go
+++ b/internal/wal/conversion.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// convertLegacy converts a legacy log to the present format. Other processes see it happen
-// in one step: the log's folder replaces the legacy file, and a legacy program cannot open
-// a folder.
+// convertLegacy converts a legacy log to the current format. Other processes see one
+// atomic step: the log's folder replaces the legacy file. A legacy program fails to open a
+// folder.
 func (s *store) convertLegacy() error {
 	folder := s.dir
 	s.dir = folder + temporarySuffix
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// writeConverted makes a checkpoint in a temporary folder.
+// writeConverted writes a checkpoint into a temporary folder.
 func (s *store) writeConverted() error {
 	if err := s.fs.Remove(s.dir); err != nil {
 		return err
@@ -35,8 +35,8 @@
 	return s.finishCheckpoint()
 }
 
-// installConverted renames the legacy file out of the way and the temporary folder into
-// its place.
+// installConverted renames the legacy file and then renames the temporary folder to the
+// legacy file's name.
 func (s *store) installConverted() error {
 	converted := s.dir + temporarySuffix
 	if s.syncer.enabled {
--- a/internal/wal/decode.go
+++ b/internal/wal/decode.go
@@ -5,8 +5,8 @@
 	"encoding/binary"
 )
 
-// payloadDecoder reads fields off the front of a payload. Once one is too short, failed
-// is set and all later fields are zero.
+// payloadDecoder decodes fields from the start of a payload. If the payload is too short
+// for a field, failed is set and this and all later fields are zero.
 type payloadDecoder struct {
 	remaining []byte
 	failed    bool
@@ -28,7 +28,7 @@
 	return v
 }
 
-// skip drops n bytes, where there are as many.
+// skip drops the next n bytes. It fails if there are fewer.
 func (d *payloadDecoder) skip(n int) bool {
 	if n <= 0 || n > len(d.remaining) {
 		d.fail()
@@ -63,8 +63,9 @@
 	return s
 }
 
-// decodePayload reads all of a record of r.Kind except its message, whose encoded form
-// is returned where the record has one.
+// decodePayload decodes a payload into r, whose Kind is set. It does not decode the
+// message that an accepted record or a message state contains, but returns it in encoded
+// form.
 func decodePayload(r *Record, payload []byte) (message []byte, ok bool) {
 	d := payloadDecoder{remaining: payload}
 	r.HandoffOffset = int64(d.uvarint())
@@ -98,7 +99,7 @@
 	return nil, !d.failed
 }
 
-// messageState reads what appendMessageState wrote.
+// messageState decodes what appendMessageState encodes.
 func (d *payloadDecoder) messageState(r *Record) {
 	r.HandoffOffset = 0
 	r.At = int64(d.uvarint())
@@ -115,7 +116,7 @@
 	r.Corrupted = d.bool()
 }
 
-// outcome reads what appendOutcome wrote.
+// outcome decodes what appendOutcome encodes.
 func (d *payloadDecoder) outcome(r *Record) {
 	r.MayHaveRun = d.bool()
 	r.OutcomeCode = d.byte()
@@ -125,7 +126,7 @@
 	r.LocalFailure = len(d.remaining) > 0 && d.bool()
 }
 
-// decodeMessage reads what appendMessage wrote.
+// decodeMessage decodes what appendMessage encodes.
 func decodeMessage(r *Record, message []byte) bool {
 	d := payloadDecoder{remaining: message}
 	r.Class = d.string()
--- a/internal/wal/encode.go
+++ b/internal/wal/encode.go
@@ -6,21 +6,22 @@
 	"hash/crc32"
 )
 
-// A record is a head of fixed size, the id of its message and a payload. One checksum
-// covers the head and the id, another the payload, so that corruption of a body leaves
-// certain which message it was. Checksums are salted with the log's random owner: bytes
-// that a client sends can never be read as a record, nor can a record of another relay.
+// A record consists of a head of fixed size, the message's id and a payload. One checksum
+// covers the head and the id, another one the payload, so that a record with a corrupted
+// body still tells its message's id. Checksums start from a salt, which is part of the
+// log's random owner id: neither a client's bytes nor a record of another relay can be
+// taken for a record of this log.
 const (
 	recordMark         = "\xf7TR2"
 	recordHeadSize     = 28
 	maxRecordHeadBytes = recordHeadSize + maxIDBytes
 	maxIDBytes         = 256
-	maxRecordBytes     = 160 << 10 // of id and payload; longer than any record
+	maxRecordBytes     = 160 << 10 // maximum size of id and payload together; no valid record reaches it
 )
 
-// Offsets in the head of a record.
+// Byte offsets of the fields in the head of a record.
 const (
-	recordLengthAt       = 4 // of id and payload
+	recordLengthAt       = 4 // size of id and payload together
 	recordSeqAt          = 8
 	recordKindAt         = 16
 	recordIDLengthAt     = 18
@@ -28,7 +29,7 @@
 	recordChecksumAt     = 24
 )
 
-// kindsByNumber gives the kinds as records store them.
+// kindsByNumber lists the kinds by the number that stands for each in a record.
 var kindsByNumber = []Kind{
 	1:  KindAccepted,
 	2:  KindAttempt,
@@ -51,19 +52,19 @@
 	return numbers
 }()
 
-// appendRecord encodes r at the end of b. message is the encoded message of a
-// kindMessageState record.
+// appendRecord appends the encoded r to b. message is the encoded message that a
+// kindMessageState record contains; nil for other kinds.
 func appendRecord(b []byte, r *Record, seq uint64, salt uint32, message []byte) ([]byte, error) {
 	if len(r.ID) > maxIDBytes {
 		return b, fmt.Errorf("wal: id of %d bytes is too long", len(r.ID))
 	}
 	start := len(b)
 	b = append(b, recordMark...)
-	b = append(b, 0, 0, 0, 0) // the length
+	b = append(b, 0, 0, 0, 0) // reserves space for the length
 	b = binary.BigEndian.AppendUint64(b, seq)
 	b = append(b, numberOfKind[r.Kind], 0)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(r.ID)))
-	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // the checksums
+	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // reserves space for the two checksums
 	b = append(b, r.ID...)
 	payload := len(b)
 	b = appendPayload(b, r, message)
@@ -78,7 +79,8 @@
 	return b, nil
 }
 
-// headChecksum covers the head of the record at the start of b, and its id.
+// headChecksum returns the checksum of the head and the id of the record at the start of
+// b.
 func headChecksum(b []byte, salt uint32, idLength int) uint32 {
 	sum := crc32.Update(salt, castagnoli, b[recordLengthAt:recordHeadChecksumAt])
 	return crc32.Update(sum, castagnoli, b[recordHeadSize:recordHeadSize+idLength])
@@ -114,9 +116,9 @@
 	return b
 }
 
-// appendMessageState encodes the state of a checkpoint's message. At and Latency hold
-// sequence numbers there: of the message's accepted record, and of the last record that
-// the state includes.
+// appendMessageState appends the state of a message in a checkpoint. Two fields of r hold
+// sequence numbers here: At that of the message's accepted record, Latency that of the
+// last record that the state includes.
 func appendMessageState(b []byte, r *Record) []byte {
 	b = binary.AppendUvarint(b, uint64(r.At))
 	b = binary.AppendUvarint(b, uint64(r.Latency))
@@ -138,13 +140,13 @@
 	b = binary.AppendVarint(b, r.RetryAt)
 	b = binary.AppendVarint(b, r.Latency)
 	b = appendBool(b, r.CallsExhausted)
-	if r.LocalFailure { // older programs neither write nor read it
+	if r.LocalFailure { // older programs neither write nor read this field
 		b = appendBool(b, true)
 	}
 	return b
 }
 
-// appendMessage encodes what a message is, apart from its state.
+// appendMessage appends the message itself, without its state.
 func appendMessage(b []byte, r *Record) []byte {
 	b = appendString(b, r.Class)
 	b = appendString(b, r.Tenant)
--- a/internal/wal/export.go
+++ b/internal/wal/export.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Errors of migrating a log, and of the tools that look at one.
+// Errors of moving a log to another relay, and of the tools that read a log.
 var (
-	// ErrInUse: a running relay has the folder.
+	// ErrInUse: a running relay uses the folder.
 	ErrInUse = errors.New("wal: in use by a running relay")
-	// ErrMigrating: an export was cut short and has to be repeated.
+	// ErrMigrating: an export was interrupted and must be repeated.
 	ErrMigrating = errors.New("wal: is being moved, its export was cut short and has to be made again")
-	// ErrNotEmpty: the folder to import into has messages, or is fenced.
+	// ErrNotEmpty: the folder to import into contains messages or is fenced.
 	ErrNotEmpty = errors.New("wal: the folder holds a log already")
 	// ErrNotExport: the file is not an exported log.
 	ErrNotExport = errors.New("not an exported log")
@@ -25,17 +25,18 @@
 	ErrCorruptExport = errors.New("damaged")
 )
 
-// errCheckpointCount: an export found another number of checkpoints than one.
+// errCheckpointCount: the folder to export does not contain exactly one checkpoint.
 var errCheckpointCount = errors.New("not one checkpoint")
 
-// fenceTokenBytes is the length of a fence's random token.
+// fenceTokenBytes is the length of a fence's random token in bytes.
 const fenceTokenBytes = 8
 
-// Export moves a folder's log into the file to. The pending messages are written there and
-// synced, then the folder is fenced, then the file gets its name and the log is removed.
-// An export that was cut short anywhere can be repeated, and at no moment are there two
-// logs that a relay would serve from. limit is that of the folder, in bytes. The caller
-// holds the folder's lock. os.ErrExist where the file exists and is not this export.
+// Export moves a folder's log into the file named to. It writes the pending messages to a
+// temporary file and syncs it, fences the folder, gives the file its final name, and
+// removes the log. An export that was interrupted at any point can be repeated. At no time
+// are there two logs that a relay would use. limit is the folder's limit in bytes. The
+// caller holds the folder's lock. Export returns os.ErrExist if the file exists and is not
+// from this export.
 func Export(dir, to string, limit int64) (*RecoveryReport, error) {
 	if _, err := os.Stat(to); err == nil {
 		return resumeExport(dir, to)
@@ -51,13 +52,13 @@
 	return report, err
 }
 
-// resumeExport finishes an export whose file has its name already.
+// resumeExport finishes an export whose file already has its final name.
 func resumeExport(dir, to string) (*RecoveryReport, error) {
 	exported, err := FinishExport(dir, to)
 	if err != nil {
 		return nil, err
 	}
-	if !exported { // the file is something else, which is not overwritten
+	if !exported { // the file is not from this export and must not be overwritten
 		return nil, fmt.Errorf("wal: export: %s: %w", to, os.ErrExist)
 	}
 	records, err := ReadExport(to)
@@ -92,9 +93,10 @@
 	return json.Marshal(Fence{Token: hex.EncodeToString(token[:]), To: to, At: time.Now().UTC()})
 }
 
-// FinishExport removes the log of a folder that was exported to a file: its fence names
-// the file, and the file has its name, so that all is in there. It reports whether the
-// fence does. The caller holds the folder's lock.
+// FinishExport removes the log of a folder that was exported to the file named to. That
+// file is complete, since it gets its name only after the fence names it. It returns false
+// and does nothing if the fence does not name the file. The caller holds the folder's
+// lock.
 func FinishExport(dir, to string) (bool, error) {
 	fence, err := ReadFence(dir)
 	if err != nil || fence == nil || fence.To != to {
@@ -111,7 +113,7 @@
 	return true, nil
 }
 
-// runSteps runs functions in order, up to the first error.
+// runSteps runs functions in order until one returns an error.
 func runSteps(steps ...func() error) error {
 	for _, step := range steps {
 		if err := step(); err != nil {
--- a/internal/wal/fence.go
+++ b/internal/wal/fence.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// FenceName is a file that tells a relay that what its folder held belongs to another now.
+// FenceName is a file that tells a relay that the folder's log was exported and now
+// belongs to another relay.
 const FenceName = "relay.fence"
 
 // Fence is the content of a fence file.
 type Fence struct {
-	Token string    `json:"token"` // of the migration
-	To    string    `json:"to"`    // the file that the log was exported to
+	Token string    `json:"token"` // random id of the migration
+	To    string    `json:"to"`    // file that the log was exported to
 	At    time.Time `json:"at"`
 }
 
-// ReadFence reads a folder's fence; nil where it has none.
+// ReadFence reads a folder's fence. It returns nil if there is none.
 func ReadFence(dir string) (*Fence, error) {
 	path := filepath.Join(dir, FenceName)
 	text, err := os.ReadFile(path)
@@ -36,9 +37,10 @@
 	return f, nil
 }
 
-// ClearFence removes a folder's fence, so that a relay may begin empty there, and returns
-// it; nil where there is none. The caller holds the lock. ErrMigrating where a log is still
-// there: its export was cut short, and until it is repeated the log is nobody's.
+// ClearFence removes and returns a folder's fence, so that a relay can start there with an
+// empty log. It returns nil if there is no fence. The caller holds the lock. It returns
+// ErrMigrating if the folder still has its log: the export was interrupted, and no relay
+// may use the log until the export is repeated.
 func ClearFence(dir string) (*Fence, error) {
 	f, err := ReadFence(dir)
 	if f == nil || err != nil {
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -2,51 +2,54 @@
 
 import "io"
 
-// FS is what the log needs of a file system. An implementation's errors match those of
-// package os by errors.Is. It is used from one goroutine at a time.
+// FS is the part of a file system that the log needs. Its errors match those of package os
+// with errors.Is. The log calls it from one goroutine at a time.
 type FS interface {
-	// Open opens a file; os.ErrNotExist where it is missing and mode does not create it.
+	// Open opens a file. It returns os.ErrNotExist if the file is missing and mode does
+	// not create it.
 	Open(name string, mode Mode) (File, error)
-	// Rename renames a file or a folder atomically and replaces a file of the new name.
+	// Rename atomically renames a file or a folder. It replaces an existing file with the
+	// new name.
 	Rename(from, to string) error
-	// Remove removes a file, or a folder with all it holds. That it is missing is no error.
+	// Remove removes a file, or a folder with its contents. A missing file is not an
+	// error.
 	Remove(name string) error
-	// MakeDir makes a folder. That it exists already is no error.
+	// MakeDir creates a folder. A folder that already exists is not an error.
 	MakeDir(name string) error
-	// Stat gives a file's size in bytes, or that it is a folder.
+	// Stat returns a file's size in bytes, or dir true for a folder.
 	Stat(name string) (size int64, dir bool, err error)
-	// List gives the names in a folder, in no order.
+	// List returns the names in a folder, in no particular order.
 	List(dir string) ([]string, error)
-	// SyncDir makes the names in a folder survive a loss of power.
+	// SyncDir makes the names in a folder durable, so that they survive a loss of power.
 	SyncDir(dir string) error
-	// OpenStampFile opens a stamp's file, and creates it where it is missing.
+	// OpenStampFile opens a stamp's file and creates it if it is missing.
 	OpenStampFile(name string) (StampFile, error)
 }
 
-// Mode is how a file is opened.
+// Mode says how Open opens a file.
 type Mode int
 
-// Modes.
+// The modes of Open.
 const (
-	ModeRead   Mode = iota // only to read
-	ModeWrite              // to read and write; the file has to exist
-	ModeCreate             // to read and write; the file is created, or emptied where it exists
+	ModeRead   Mode = iota // read only
+	ModeWrite              // read and write; the file must exist
+	ModeCreate             // read and write; the file is created, or emptied if it exists
 )
 
-// File is an open file. Its methods are those of os.File, except where they say otherwise.
-// Whoever opened it closes it.
+// File is an open file. Its methods behave as those of os.File unless stated otherwise.
+// Whoever opened the file closes it.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
-	// Truncate cuts the file off, or extends it with zeros, to size bytes.
+	// Truncate cuts the file to size bytes, or extends it with zeros.
 	Truncate(size int64) error
-	// Size is the file's present size in bytes.
+	// Size returns the file's current size in bytes.
 	Size() (int64, error)
-	// Sync makes the data, and what is needed to read it, survive a loss of power.
+	// Sync makes the data, and the metadata needed to read it, survive a loss of power.
 	Sync() error
-	// TryLock takes the file's lock among processes, until the file is closed. It
-	// reports false where another has it.
+	// TryLock takes the file's lock, which excludes other processes until the file is
+	// closed. It returns false if another process holds the lock.
 	TryLock() (bool, error)
-	// Close releases the file and its lock.
+	// Close closes the file and releases its lock.
 	Close() error
 }
--- a/internal/wal/handoff.go
+++ b/internal/wal/handoff.go
@@ -7,35 +7,39 @@
 	"path/filepath"
 )
 
-// During an upgrade the old process lives on for a while: its calls end, and clients that
-// it still has submit messages. The log belongs to the new process by then, so the old
-// one records these events in a log of its own, the handoff log, which the new one
-// follows. Its records are those of the log.
+// During an upgrade the old process keeps running for a while: its calls end, and clients
+// that are still connected to it submit messages. The log belongs to the new process by
+// then. So the old process records these events in a log of its own, the handoff log,
+// which the new process reads as it grows. Its records have the same format as those of
+// the log.
 
-// handoffReadBytes is how much of a handoff log is read at a time; longer than any record.
+// handoffReadBytes is the number of bytes that are read from a handoff log at a time. No
+// record is longer.
 const handoffReadBytes = 256 << 10
 
-// errHandoffHead: a handoff log does not begin with the record of its owner.
+// errHandoffHead: a handoff log does not begin with its owner record.
 var errHandoffHead = errors.New("its head cannot be read")
 
-// HandoffLog is the handoff log of another process, as its successor follows it. Log.Handoff
-// gives it; its user closes it or hands it to Log.FinishHandoff. It is for one goroutine.
+// HandoffLog is the handoff log of another process, as read by that process's successor.
+// Log.Handoff provides it. Its user closes it or passes it to Log.FinishHandoff. It is not
+// safe for concurrent use.
 type HandoffLog struct {
-	Process  int   // that writes it
-	Capacity int64 // bytes that it may take up
+	Process  int   // number of the process that writes it
+	Capacity int64 // maximum size in bytes
 	file     File
-	offset   int64 // read up to here
+	offset   int64 // read up to this offset
 	decoder  recordDecoder
 	buffer   []byte
 }
 
-// recordDecoder decodes records of one file.
+// recordDecoder decodes the records of one file.
 type recordDecoder struct {
 	legacy bool
 	salt   uint32
 }
 
-// decode reads the record at the start of b. size is 0 where there is no complete one.
+// decode decodes the record at the start of b. size is 0 if there is no complete valid
+// record.
 func (d recordDecoder) decode(b []byte) (r *Record, size int) {
 	if d.legacy {
 		return decodeLegacy(b)
@@ -57,13 +61,13 @@
 	return r, int(rec.size)
 }
 
-// Read gives the records since the last call, each with its HandoffOffset.
+// Read returns the records written since the last call, each with its HandoffOffset.
 func (h *HandoffLog) Read() (records []*Record) {
 	if h.buffer == nil {
 		h.buffer = make([]byte, handoffReadBytes)
 	}
 	for {
-		n, _ := h.file.ReadAt(h.buffer, h.offset) // its end is no error: more may come
+		n, _ := h.file.ReadAt(h.buffer, h.offset) // reaching the end is not an error, since the log may still grow
 		used := 0
 		for used < n {
 			r, size := h.decoder.decode(h.buffer[used:n])
@@ -81,20 +85,20 @@
 	}
 }
 
-// OwnerExited reports whether the process that writes the log is gone, so that nothing
-// more will come.
+// OwnerExited reports whether the process that writes the log has exited, so that the log
+// no longer grows.
 func (h *HandoffLog) OwnerExited() bool {
 	locked, err := h.file.TryLock()
 	return locked && err == nil
 }
 
-// Offset is the place in the file up to which it was read.
+// Offset returns the file offset up to which the log was read.
 func (h *HandoffLog) Offset() int64 { return h.offset }
 
-// Close closes the file. The process that writes it may live on.
+// Close closes the file. It does not affect the process that writes it.
 func (h *HandoffLog) Close() { h.file.Close() }
 
-// readHeader reads the header, and counts its valid copies.
+// readHeader reads the header and returns the number of its valid copies.
 func (h *HandoffLog) readHeader() (valid int) {
 	b := make([]byte, headerSize)
 	n, _ := h.file.ReadAt(b, 0)
@@ -105,7 +109,7 @@
 	return valid
 }
 
-// firstOffset is the place of the first record.
+// firstOffset returns the offset of the first record.
 func (h *HandoffLog) firstOffset() int64 {
 	if h.decoder.legacy {
 		return 0
@@ -113,7 +117,7 @@
 	return headerSize
 }
 
-// readOwner reads the first record, which says whose log it is.
+// readOwner reads the first record, which identifies the process that writes the log.
 func (h *HandoffLog) readOwner() error {
 	h.readHeader()
 	for _, r := range h.Read() {
@@ -128,8 +132,9 @@
 	return nil
 }
 
-// openHandoff looks for a handoff log. That of a process that exited is given as records,
-// to be merged into the log; that of a living one is given back, to be followed.
+// openHandoff looks for a handoff log. If its process has exited, openHandoff returns the
+// log's records, to be merged into this log. If the process is alive, it returns the open
+// handoff log.
 func (s *store) openHandoff() (living *HandoffLog, late []*Record, err error) {
 	f, err := s.fs.Open(filepath.Join(s.options.Dir, HandoffName), ModeWrite)
 	if errors.Is(err, os.ErrNotExist) {
@@ -160,8 +165,8 @@
 	return h, nil, nil
 }
 
-// readAbandonedHandoff gives the records of a process that exited which the log does not
-// include yet. Corruption there may have concerned any pending message.
+// readAbandonedHandoff returns those records of an exited process that the log does not
+// include yet. Corruption in the handoff log may have affected any pending message.
 func (s *store) readAbandonedHandoff(h *HandoffLog, size int64) (late []*Record) {
 	if h.readHeader() == 0 && !h.decoder.legacy {
 		h.decoder.salt = s.salt
@@ -179,9 +184,9 @@
 	return late
 }
 
-// skipHandoffCorruption reports what cannot be read at a handoff log's offset, and moves
-// the offset to the next record. isEnd is true where just the end of the log is torn,
-// which was never reported as written.
+// skipHandoffCorruption reports the range at the handoff log's offset that cannot be read,
+// and moves the offset to the next record. isEnd is true if only the end of the log is
+// torn; such a write was never reported as done.
 func (s *store) skipHandoffCorruption(h *HandoffLog, size int64) (isEnd bool) {
 	scan := &scanner{file: h.file, size: size, salt: h.decoder.salt}
 	var next int64
@@ -205,8 +210,8 @@
 	return false
 }
 
-// isTornEnd reports whether what stands at the offset is the beginning of a record, as a
-// kill in the middle of its write leaves it, or nothing at all.
+// isTornEnd reports whether the bytes from the offset on are the start of a record whose
+// write was interrupted by a kill, or are all zero.
 func (h *HandoffLog) isTornEnd(scan *scanner) bool {
 	b := scan.window(h.offset, maxRecordHeadBytes)
 	if scan.allZeros(h.offset, scan.size) {
@@ -219,13 +224,14 @@
 	return status == recordTorn || len(b) < recordHeadSize
 }
 
-// mergeHandoff records what an exited process left in its handoff log, and removes that.
+// mergeHandoff appends an exited process's remaining records to the log and removes the
+// handoff log.
 func (s *store) mergeHandoff(late []*Record) error {
 	path := filepath.Join(s.options.Dir, HandoffName)
 	if _, _, err := s.fs.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
-	s.spaceReserved = true // the handoff log takes it up already
+	s.spaceReserved = true // the handoff log already takes up the space
 	defer func() { s.spaceReserved = false }()
 	for _, r := range late {
 		if r.Kind == KindOwner || r.Kind == KindHandoff {
@@ -235,7 +241,7 @@
 			return fmt.Errorf("wal: handoff log not merged: %w", err)
 		}
 	}
-	if len(s.recovery.Corruptions) > 0 { // the consequences stand nowhere else
+	if len(s.recovery.Corruptions) > 0 { // the consequences are not recorded anywhere else yet
 		if err := s.finishCheckpoint(); err != nil {
 			return err
 		}
@@ -246,8 +252,8 @@
 	return nil
 }
 
-// finishHandoff removes the handoff log of a process that exited since the start, all of
-// which the log includes.
+// finishHandoff removes the handoff log of a process that has exited since the start. The
+// log already includes all of it.
 func (s *store) finishHandoff(h *HandoffLog) {
 	s.limit += h.Capacity
 	if err := s.fs.Remove(filepath.Join(s.options.Dir, HandoffName)); err != nil {
--- a/internal/wal/handoffwriter.go
+++ b/internal/wal/handoffwriter.go
@@ -7,18 +7,18 @@
 	"path/filepath"
 )
 
-// Parts of the limit for a handoff log.
+// Sizes of a handoff log.
 const (
 	handoffReserve   = 16 << 10           // bytes that are never used for new messages
-	minHandoffBytes  = 2 * handoffReserve // it gets at least
-	handoffsPerLimit = 4                  // it gets at most this part of the limit
+	minHandoffBytes  = 2 * handoffReserve // minimum capacity
+	handoffsPerLimit = 4                  // the capacity is at most this fraction of the folder's limit
 )
 
 // errHandoffLocked: another process has a handoff log in the folder.
 var errHandoffLocked = errors.New("locked by another process")
 
-// handoffWriter writes the handoff log of this process. The lock on its file tells that
-// the process lives.
+// handoffWriter writes the handoff log of this process. The lock on its file shows other
+// processes that this one is alive.
 type handoffWriter struct {
 	file     File
 	size     int64
@@ -28,8 +28,8 @@
 	buffer   []byte
 }
 
-// startHandoff ends this process's ownership of the log with a record. All that it appends from
-// here on goes into a handoff log. Where it fails, the log is left as it was.
+// startHandoff ends this process's ownership of the log with the record r. Records that
+// are appended later go into a handoff log. If startHandoff fails, the log is unchanged.
 func (s *store) startHandoff(r *Record) error {
 	if err := s.finishCheckpoint(); err != nil {
 		return err
@@ -50,15 +50,16 @@
 	return nil
 }
 
-// handoffCapacity is how long a handoff log may become. The next process makes
-// checkpoints, too: what it needs for that is not given away.
+// handoffCapacity returns the maximum size of the handoff log. It leaves the space that
+// the next process needs for its checkpoints.
 func (s *store) handoffCapacity() int64 {
 	limit := s.limit - s.usage.quarantined
 	free := limit - 2*s.checkpointBytes - roundingReserve - completionReserve
 	return max(min(limit/handoffsPerLimit, free), minHandoffBytes)
 }
 
-// beginHandoff locks the handoff log, writes its head, and then ends the log.
+// beginHandoff locks the handoff log, writes its header and owner record, and then ends
+// the log.
 func (s *store) beginHandoff(w *handoffWriter, r *Record) error {
 	locked, err := w.file.TryLock()
 	if err != nil {
@@ -78,7 +79,7 @@
 	return s.appendRecords([]*Record{r})[0]
 }
 
-// append writes a record; ErrFull where there is no space for it.
+// append writes a record. It returns ErrFull if there is no space for it.
 func (w *handoffWriter) append(r *Record) error {
 	var err error
 	if w.buffer, err = appendRecord(w.buffer[:0], r, w.seq+1, w.salt, nil); err != nil {
--- a/internal/wal/header.go
+++ b/internal/wal/header.go
@@ -14,7 +14,7 @@
 	headerSize     = 2 * headerCopySize
 )
 
-// Offsets in a copy of the header.
+// Byte offsets of the fields in a copy of the header.
 const (
 	headerVersionAt        = 8
 	headerKindAt           = 10
@@ -33,10 +33,12 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ownerID is drawn at random for each log and stands in the header of all its files.
+// ownerID is a random id that is drawn once for each log and stored in the header of all
+// its files.
 type ownerID [headerProcessAt - headerOwnerAt]byte
 
-// salt is the part of an owner that the checksums of its records, and the stamp, contain.
+// salt returns the part of the owner id that starts the checksums of the log's records and
+// identifies the log in the stamp.
 func (o ownerID) salt() uint32 { return binary.BigEndian.Uint32(o[:4]) }
 
 type fileKind uint8
@@ -47,25 +49,25 @@
 	fileHandoff
 )
 
-// String names the kind as a RecoveryReport does.
+// String returns the kind's name in a RecoveryReport.
 func (k fileKind) String() string {
 	return [...]string{"", "segment", "checkpoint", "side log"}[min(k, fileHandoff)]
 }
 
-// header is what a file says of itself.
+// header is the decoded header of a file of records.
 type header struct {
 	version        uint16
 	kind           fileKind
-	durable        bool   // written with SurvivesPowerLoss
-	number         uint32 // of a segment; of a checkpoint, the first segment that it does not cover
-	firstSeq       uint64 // sequence number of its first record; of a checkpoint, the first that it does not cover
+	durable        bool   // the file was written with SurvivesPowerLoss
+	number         uint32 // of a segment: its number; of a checkpoint: the first segment that it does not cover
+	firstSeq       uint64 // of a segment: its first record's sequence number; of a checkpoint: the first that it does not cover
 	owner          ownerID
 	process        uint32
-	createdAt      int64 // wall clock: Unix microseconds
-	createdLogTime int64 // the same moment in log time; 0 where an older program created the file
+	createdAt      int64 // wall-clock time of the file's creation, in Unix microseconds
+	createdLogTime int64 // log time of the file's creation; 0 if an older program created the file
 }
 
-// encode gives both copies.
+// encode returns the header as it is stored: two equal copies.
 func (h *header) encode() []byte {
 	b := make([]byte, headerCopySize, headerSize)
 	copy(b, fileMagic)
@@ -84,12 +86,12 @@
 	return append(b, b...)
 }
 
-// sealHeaderCopy writes the checksum of one copy.
+// sealHeaderCopy stores the checksum in one copy of a header.
 func sealHeaderCopy(b []byte) {
 	binary.BigEndian.PutUint32(b[headerChecksumAt:], crc32.Checksum(b[:headerChecksumAt], castagnoli))
 }
 
-// decodeHeader reads the first valid copy and counts the valid ones.
+// decodeHeader decodes the first valid copy and returns the number of valid copies.
 func decodeHeader(b []byte) (h header, valid int) {
 	for at := 0; at+headerCopySize <= len(b) && at < headerSize; at += headerCopySize {
 		c := b[at : at+headerCopySize]
--- a/internal/wal/import.go
+++ b/internal/wal/import.go
@@ -15,10 +15,11 @@
 // importSuffix marks an exported file that is being imported.
 const importSuffix = ".importing"
 
-// Import puts an exported log into a folder that holds none, and consumes the file, so
-// that it cannot be imported twice. An import that was cut short is repeated from
-// FILE.importing. The caller holds the folder's lock. Errors: ErrNotEmpty, ErrNotExport
-// and ErrCorruptExport, with a report of what was found.
+// Import moves an exported log into a folder that has no log. It renames and finally
+// removes the file, so that the log cannot be imported twice. An interrupted import is
+// repeated from FILE.importing. The caller holds the folder's lock. Import returns
+// ErrNotEmpty, ErrNotExport or ErrCorruptExport; with the last one it also returns a
+// report of what was found.
 func Import(from, dir string) (*RecoveryReport, error) {
 	if err := checkImportFolder(dir); err != nil {
 		return nil, err
@@ -44,7 +45,7 @@
 	return &r.recovery, nil
 }
 
-// checkImportFolder refuses a folder that is fenced or has messages.
+// checkImportFolder returns an error if a folder is fenced or contains messages.
 func checkImportFolder(dir string) error {
 	fence, err := ReadFence(dir)
 	if fence != nil || err != nil {
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// installImport makes a log of an exported checkpoint, beside the folder at first. h is
-// the checkpoint's header.
+// installImport builds a log from an exported checkpoint, in a temporary folder that is
+// then renamed. h is the checkpoint's header.
 func installImport(claimed, dir string, h header) error {
 	folder := filepath.Join(dir, FolderName)
 	temporary := folder + temporarySuffix
@@ -82,8 +83,9 @@
 	)
 }
 
-// ReadExport gives the pending messages of an exported log, the oldest first. An attempt
-// without an outcome has an unknown one. Errors: ErrNotExport and ErrCorruptExport.
+// ReadExport returns the pending messages of an exported log, oldest first. An attempt
+// without an outcome counts as one with an unknown outcome. It returns ErrNotExport or
+// ErrCorruptExport if the file is not a complete exported log.
 func ReadExport(file string) ([]*Record, error) {
 	r, _, err := replayExport(file)
 	if r != nil {
@@ -111,7 +113,7 @@
 }
 
 // replayExport reads an exported log, which is a checkpoint. The caller closes the
-// replayer's files, where there is one.
+// replayer's files if the replayer is not nil.
 func replayExport(path string) (*replayer, header, error) {
 	f, err := openLogFile(OS{}, filepath.Dir(path), filepath.Base(path))
 	if err != nil {
--- a/internal/wal/index.go
+++ b/internal/wal/index.go
@@ -2,15 +2,15 @@
 
 import "hash/maphash"
 
-// index finds the entry of each pending message. It holds neither ids nor bodies: a
-// message is known by 96 bits of two seeded hashes of its id, and all else is read from
-// its record. So it takes some 56 bytes a message and holds no pointers that the garbage
-// collector would have to follow.
+// index finds the entry of each pending message. It contains neither ids nor bodies: it
+// identifies a message by 96 bits of two seeded hashes of its id, and the rest is read
+// from the message's record. An entry takes about 56 bytes and contains no pointers for
+// the garbage collector to follow.
 type index struct {
 	seeds       [2]maphash.Seed
-	slots       []uint32 // open addressing by hash: an entry's place + 1, 0 for none
+	slots       []uint32 // hash table with open addressing: position of an entry plus 1, or 0 for an empty slot
 	chunks      []*[chunkSize]entry
-	entryCount  uint32 // entries in use or free
+	entryCount  uint32 // number of entries, in use or free
 	freeEntries []uint32
 	live        int
 	details     map[uint32]*entryDetail
@@ -18,7 +18,7 @@
 
 const (
 	chunkSize    = 4096
-	initialSlots = 1024 // a power of two, as each doubling leaves it
+	initialSlots = 1024 // a power of two, and still one after each doubling
 )
 
 // indexKey is the hash of a message's id.
@@ -30,13 +30,13 @@
 // entry is one pending message.
 type entry struct {
 	a                  uint64
-	seq                uint64 // of its accepted record: older messages have smaller ones
+	seq                uint64 // sequence number of its accepted record; older messages have smaller ones
 	unknownOutcomeAt   int64
 	b                  uint32
-	fileRef            uint32 // the file that holds its record; 0 where corruption took that
+	fileRef            uint32 // file that holds its record; 0 if corruption destroyed the record
 	offset             uint32
-	size               uint32 // of the record
-	stateSeq           uint32 // sequence number of its last record, counted from seq
+	size               uint32 // size of the record
+	stateSeq           uint32 // sequence number of the last record that the state includes, minus seq
 	attempts           uint8
 	flags              uint8
 	unknownOutcomeZone int16
@@ -44,12 +44,12 @@
 
 const (
 	entryLive      = 1 << iota
-	entryFromStart // pending when the log was opened
-	entryRead      // handed out to the relay
-	entryDetailed  // index.details has more
+	entryFromStart // the message was pending when the log was opened
+	entryRead      // the message was returned to the relay
+	entryDetailed  // the entry has an entryDetail in index.details
 )
 
-// entryDetail is the state that few messages have at any time.
+// entryDetail is the part of the state that few messages have at any time.
 type entryDetail struct {
 	inFlightSince    int64
 	inFlightZone     int
@@ -57,7 +57,7 @@
 	inFlightEndpoint string
 	notice           string
 	retryMS          int64
-	corruptedID      string // the message's id, where its record is lost
+	corruptedID      string // the message's id, if its record is lost
 }
 
 func newIndex() *index {
@@ -78,11 +78,11 @@
 
 func (x *index) at(i uint32) *entry { return &x.chunks[i/chunkSize][i%chunkSize] }
 
-// ref gives the reference of the entry in a place.
+// ref returns the reference to the entry at position i.
 func (x *index) ref(i uint32) Ref { return Ref(uint16(x.at(i).seq))<<32 | Ref(i+1) }
 
-// resolve gives the place of the entry that a reference names; ok is false where there
-// is none any more.
+// resolve returns the position of the entry that a reference identifies. ok is false if
+// that entry no longer exists.
 func (x *index) resolve(r Ref) (i uint32, ok bool) {
 	if uint32(r) == 0 {
 		return 0, false
@@ -94,7 +94,7 @@
 	return i, x.ref(i) == r
 }
 
-// find gives the place of a key's entry; ok is false where there is none.
+// find returns the position of a key's entry. ok is false if there is none.
 func (x *index) find(k indexKey) (i uint32, ok bool) {
 	mask := uint64(len(x.slots) - 1)
 	for s := k.a & mask; x.slots[s] != 0; s = (s + 1) & mask {
@@ -105,7 +105,7 @@
 	return 0, false
 }
 
-// add makes an entry for a key that has none.
+// add creates an entry for a key that has none.
 func (x *index) add(k indexKey) (uint32, *entry) {
 	if 4*(x.live+1) > 3*len(x.slots) {
 		x.grow()
@@ -118,7 +118,7 @@
 	return i, e
 }
 
-// allocate gives a place that is free.
+// allocate returns a free position.
 func (x *index) allocate() (i uint32) {
 	if n := len(x.freeEntries); n > 0 {
 		i, x.freeEntries = x.freeEntries[n-1], x.freeEntries[:n-1]
@@ -132,7 +132,7 @@
 	return i
 }
 
-// insert puts the entry in place i, whose key begins with hash, into the slots.
+// insert puts position i into the hash table. hash is the first part of its entry's key.
 func (x *index) insert(i uint32, hash uint64) {
 	mask := uint64(len(x.slots) - 1)
 	s := hash & mask
@@ -152,8 +152,8 @@
 	}
 }
 
-// remove deletes an entry. The entries after it in its run of slots move up, so that no
-// tombstone has to stay.
+// remove deletes an entry. Later entries of the same run of slots move up to fill the gap,
+// so no marker for a deleted entry is needed.
 func (x *index) remove(i uint32) {
 	mask := uint64(len(x.slots) - 1)
 	s := x.at(i).a & mask
@@ -175,7 +175,7 @@
 	x.live--
 }
 
-// detail gives the entry's detail, made where there is none.
+// detail returns the entry's detail and creates it if there is none.
 func (x *index) detail(i uint32) *entryDetail {
 	e := x.at(i)
 	if e.flags&entryDetailed == 0 {
@@ -185,7 +185,7 @@
 	return x.details[i]
 }
 
-// dropEmptyDetail removes a detail that holds nothing any more.
+// dropEmptyDetail removes an entry's detail if all its fields are zero.
 func (x *index) dropEmptyDetail(i uint32) {
 	if d := x.details[i]; d != nil && *d == (entryDetail{}) {
 		delete(x.details, i)
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Inspect reports what opening a state folder would find, and changes nothing there. fs is
-// nil for the operating system's. The folder may be in use: then the log may end in the
-// middle of a write.
+// Inspect reports what opening a state folder would find, without changing anything there.
+// fs is nil for the operating system's file system. The folder may be in use; the log may
+// then end in an incomplete write.
 func Inspect(fs FS, dir string) (*RecoveryReport, error) {
 	if fs == nil {
 		fs = OS{}
@@ -23,10 +23,10 @@
 	return &s.recovery, nil
 }
 
-// Dump calls each with every valid record of a state folder, in the order of the files,
-// those of the handoff log last. It stops where each returns false. fs is nil for the
-// operating system's. offset is the record's place in the file in bytes; seq is 0 in files
-// of the legacy format.
+// Dump calls each for every valid record of a state folder, file by file and the handoff
+// log last. It stops when each returns false. fs is nil for the operating system's file
+// system. offset is the record's file offset in bytes; seq is 0 in files of the legacy
+// format.
 func Dump(fs FS, dir string, each func(file string, offset int64, seq uint64, r *Record) bool) error {
 	if fs == nil {
 		fs = OS{}
@@ -38,7 +38,7 @@
 	for _, name := range append(names, HandoffName) {
 		f, err := openLogFile(fs, dir, name)
 		if errors.Is(err, os.ErrNotExist) {
-			continue // removed meanwhile: a checkpoint covers it
+			continue // a checkpoint has replaced the file meanwhile
 		}
 		if err != nil {
 			return err
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// recordFiles lists the files of a log, checkpoints first, relative to the state folder.
+// recordFiles lists the files of a log relative to the state folder, checkpoints first.
 func recordFiles(fs FS, dir string) (paths []string, err error) {
 	folder := filepath.Join(dir, FolderName)
 	_, isDir, err := fs.Stat(folder)
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	if !isDir {
-		return []string{FolderName}, nil // of the legacy format
+		return []string{FolderName}, nil // a file of the legacy format
 	}
 	names, err := fs.List(folder)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return paths, nil
 }
 
-// dumpFile calls each with the records of a file, and reports whether each wants more.
+// dumpFile calls each for the records of a file. It returns false if each returned false.
 func dumpFile(f *logFile, each func(file string, offset int64, seq uint64, r *Record) bool) bool {
 	decoder := recordDecoder{legacy: f.validHeaders == 0, salt: f.owner.salt()}
 	scan := scanner{file: f.file, size: f.size, salt: decoder.salt}
--- a/internal/wal/legacy.go
+++ b/internal/wal/legacy.go
@@ -13,9 +13,9 @@
 	"slices"
 )
 
-// The legacy format is one file of records. Each is a mark, the payload's length and
-// checksum, and the payload: a line of JSON and the body. It is read and converted, and
-// never written.
+// The legacy format is a single file of records. A record consists of a mark, the
+// payload's length and checksum, and the payload: a line of JSON followed by the body.
+// This program reads and converts the format but never writes it.
 const (
 	legacyMark           = "\xf7TRW"
 	legacyHeadSize       = 12
@@ -30,12 +30,13 @@
 	return len(b) >= legacyHeadSize && string(b[:len(legacyMark)]) == legacyMark
 }
 
-// legacyRecordSize is what the head at the start of b gives as the record's size.
+// legacyRecordSize returns the size of a record according to the head at the start of b.
 func legacyRecordSize(b []byte) int64 {
 	return legacyHeadSize + int64(binary.BigEndian.Uint32(b[legacyLengthAt:]))
 }
 
-// decodeLegacy reads the record at the start of b. size is 0 where there is none.
+// decodeLegacy decodes the record at the start of b. size is 0 if there is no valid
+// record.
 func decodeLegacy(b []byte) (r *Record, size int) {
 	if !hasLegacyHead(b) {
 		return nil, 0
@@ -57,7 +58,7 @@
 	return r, int(end)
 }
 
-// readLegacyFiles reads the log of a legacy program. Files that are missing are empty.
+// readLegacyFiles reads the log files of a legacy program. A missing file counts as empty.
 func readLegacyFiles(fs FS, dir string, names ...string) (*state, error) {
 	s := newState()
 	for _, name := range names {
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// replayLegacy applies the records of a legacy file, and counts them.
+// replayLegacy applies the records of a legacy file and returns their number.
 func (s *state) replayLegacy(f *logFile) (records int) {
 	scan := scanner{file: f.file, size: f.size}
 	for off := int64(0); off < f.size; {
@@ -107,12 +108,13 @@
 	return records
 }
 
-// legacyIDPattern matches the ids in what is left of legacy records.
+// legacyIDPattern matches the ids in damaged legacy records.
 var legacyIDPattern = regexp.MustCompile(`"id":"([^"\\]+)"`)
 
-// addLegacyCorruption notes a stretch that cannot be read. It may have held an attempt
-// of any pending message, or its completion. A record of which only the end is missing,
-// as a kill in the middle of its write leaves it, concerns just the message that it names.
+// addLegacyCorruption reports a range that cannot be read. It may have held an attempt or
+// the completion of any pending message. But if only the end of a record is missing,
+// because a kill interrupted its write, this affects only the message whose id can still
+// be read.
 func (s *state) addLegacyCorruption(scan *scanner, f *logFile, off, end int64) {
 	b := scan.window(off, int(min(end-off, maxLegacyWindowBytes)))
 	var ids []string
@@ -132,8 +134,8 @@
 	s.recovery.addCorruption(c)
 }
 
-// readLegacyMessage puts the id of an entry's legacy record into r, and gives its message
-// as the present format encodes it.
+// readLegacyMessage sets r's id from an entry's legacy record, and returns the message as
+// the current format encodes it.
 func readLegacyMessage(f *logFile, e *entry, scan *scanner, r *Record) (message []byte, err error) {
 	stored, size := decodeLegacy(scan.window(int64(e.offset), int(e.size)))
 	if size == 0 {
@@ -143,13 +145,13 @@
 	return appendMessage(nil, stored), nil
 }
 
-// resyncLegacy gives the first place from off on where a legacy record stands; the end of
-// the file where there is none.
+// resyncLegacy returns the first offset from off on at which a valid legacy record begins,
+// or the end of the file if there is none.
 func (s *scanner) resyncLegacy(off int64) int64 {
 	for off < s.size {
 		b := s.window(off, resyncSearchBytes)
 		if len(b) == 0 {
-			break // unreadable
+			break // the read failed
 		}
 		i := bytes.Index(b, []byte(legacyMark))
 		if i < 0 {
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -8,21 +8,21 @@
 	"syscall"
 )
 
-// Names of locks in the state folder. They are advisory locks on open files, which the
-// kernel frees when their process dies, however it dies.
+// Names of the lock files in the state folder. The locks are advisory locks on open files.
+// The kernel releases them when their process dies for any reason.
 const (
-	// LockName is held by the one process that sends calls, completes messages and
+	// LockName is locked by the one process that sends calls, completes messages and
 	// writes the log.
 	LockName = "relay.lock"
-	// SuccessorLockName is held by a process that is ready to take over.
+	// SuccessorLockName is locked by a process that is ready to take over.
 	SuccessorLockName = "relay.next"
 )
 
-// Lock is a lock on a file of its own, which may be taken and released again and again.
-// Make it by OpenLock, whose caller closes it. It is for one goroutine at a time.
+// Lock is a lock on a file that can be locked and unlocked repeatedly. OpenLock creates
+// it, and its caller closes it. It is not safe for concurrent use.
 type Lock struct{ f *os.File }
 
-// OpenLock opens a lock's file, and creates it where it is missing. The lock is not taken.
+// OpenLock opens a lock file and creates it if it is missing. It does not take the lock.
 func OpenLock(dir, name string) (*Lock, error) {
 	f, err := os.OpenFile(filepath.Join(dir, name), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return &Lock{f}, nil
 }
 
-// TryLock takes the lock, or reports false where another has it.
+// TryLock takes the lock, or returns false if another process holds it.
 func (l *Lock) TryLock() (bool, error) { return tryLock(l.f) }
 
 // Unlock releases the lock.
@@ -68,9 +68,9 @@
 	}
 }
 
-// LockFolder takes a state folder's locks for a tool, and creates nothing there. release
-// releases them. ErrInUse where a relay has the folder, or an old process of one still
-// writes its handoff log.
+// LockFolder takes a state folder's locks for a command-line tool. It creates no files.
+// release releases the locks. It returns ErrInUse if a relay uses the folder, or a relay's
+// previous process still writes its handoff log.
 func LockFolder(dir string) (release func(), err error) {
 	info, err := os.Stat(dir)
 	if err != nil {
@@ -98,7 +98,8 @@
 	return release, nil
 }
 
-// lockExisting locks a file until it is closed; nil where it is missing.
+// lockExisting opens a file and locks it until it is closed. It returns nil if the file is
+// missing.
 func lockExisting(path string) (*os.File, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -9,54 +9,58 @@
 	"plovershore/internal/mailbox"
 )
 
-// Log is an open log. Open makes it, Run serves it and closes it.
+// Log is an open log. Open creates it; Run serves it and closes it.
 //
-// Only the goroutine of Run touches the files. Methods that say "on the log's goroutine"
-// may be called before Run, from a function given to Do, or from the done function of a
-// record. Such functions run in the order in which their records were submitted, and must
-// not block. All other methods may be called from any goroutine.
+// Only the goroutine of Run accesses the files. Methods documented as "on the log's
+// goroutine" may be called before Run starts, from a function passed to Do, or from the
+// done function of a record. Those functions run in the order in which their records were
+// submitted and must not block. All other methods may be called from any goroutine.
 //
 // After a KindHandoff record, the log belongs to the next process.
 type Log struct {
-	// Handoff is the handoff log of the process before; nil where that does not live.
+	// Handoff is the handoff log of the previous process, or nil if that process has
+	// exited.
 	Handoff *HandoffLog
-	// Process is this process's number among those that opened the log, from 1.
+	// Process is this process's number among those that have opened the log, counted from
+	// 1.
 	Process int
-	// PolicySnapshot is the state of the policy of the process that handed the log off;
-	// nil where none did.
+	// PolicySnapshot is the policy state of the process that handed the log off, or nil if
+	// no process did.
 	PolicySnapshot []byte
-	// Recovery is what Open found.
+	// Recovery reports what Open found.
 	Recovery RecoveryReport
-	// ClockSetBack is by how much the wall clock was behind the log at the start, where
-	// nothing else could tell how long no process ran: it was set back, and how long
-	// that was is not known. Else 0.
+	// ClockSetBack is by how much the wall clock was behind the log's time at the start,
+	// if the wall clock alone could tell how long no process ran. The wall clock was set
+	// back then, and the length of the pause is unknown. It is 0 otherwise.
 	ClockSetBack time.Duration
 
-	store         *store
-	requests      *mailbox.Mailbox[request]
-	done          chan struct{}
-	unread        []uint32 // entries that were pending at the start and were not read yet, the oldest first
+	store    *store
+	requests *mailbox.Mailbox[request]
+	done     chan struct{}
+	// Entries that were pending at the start and have not been read yet, oldest first.
+	unread        []uint32
 	startReader   messageReader
 	refReader     messageReader
-	deferred      []request // facts that could not be written yet, in order
-	deferredErr   error     // why
+	deferred      []request // facts (see Kind.isFact) that could not be written yet, in order
+	deferredErr   error     // why they could not be written
 	deferredCount atomic.Int64
 }
 
-// request is a record to write and a function to call with the result, or a function to
-// run on the log's goroutine.
+// request is either a record to write with a function to call with the result, or a
+// function to run on the log's goroutine.
 type request struct {
 	record *Record
 	done   func(error) // may be nil
 	run    func()
 }
 
-// messageWindowBytes is how much Read reads at a time: what it wants stands wherever it
-// was written, and rarely in a row.
+// messageWindowBytes is how much Read reads at a time. It is small since the messages that
+// Read looks for are rarely stored next to each other.
 const messageWindowBytes = 8 << 10
 
-// Open recovers what a folder holds and makes it ready. The caller holds the folder's lock
-// and then calls Run. Errors: ErrNewerVersion, ErrSyncFailed and those of the file system.
+// Open recovers the contents of a folder and prepares it for writing. The caller holds the
+// folder's lock and then calls Run. Open returns ErrNewerVersion, ErrSyncFailed or an
+// error of the file system.
 func Open(o Options) (*Log, error) {
 	s := newStore(o)
 	handoff, err := s.open()
@@ -78,7 +82,8 @@
 	return l, nil
 }
 
-// markFromStart gives the entries that are pending at the start, the oldest first.
+// markFromStart marks the entries that are pending at the start and returns them, oldest
+// first.
 func (s *store) markFromStart() []uint32 {
 	order := make([]uint32, 0, s.index.live)
 	for i := range s.index.entryCount {
@@ -93,21 +98,21 @@
 	return order
 }
 
-// Time is the log time, by which records are stamped, in microseconds. It runs on with real
-// time, also over the ends of processes and however the wall clock is set. Any goroutine
-// may call it, also after a handoff.
+// Time returns the log time in microseconds, which stamps the records. It advances with
+// real time, also while no process runs and when the wall clock is set. Any goroutine may
+// call it, also after a handoff.
 func (l *Log) Time() int64 { return l.store.clock.now() }
 
-// UnwrittenRecords is how many records of what has happened could not be written yet. Any
-// goroutine may call it.
+// UnwrittenRecords returns how many records of past events (see Submit) are waiting to be
+// written since earlier writes failed. Any goroutine may call it.
 func (l *Log) UnwrittenRecords() int64 { return l.deferredCount.Load() }
 
-// PendingUnread is how many messages were pending at the start and were not read yet. On
-// the log's goroutine.
+// PendingUnread returns how many of the messages that were pending at the start have not
+// been read yet. It is called on the log's goroutine.
 func (l *Log) PendingUnread() int { return len(l.unread) }
 
-// Next reads up to limit messages that were pending at the start, the oldest first; none
-// once all are read. On the log's goroutine.
+// Next reads up to limit messages that were pending at the start, oldest first. It returns
+// none once all have been read. It is called on the log's goroutine.
 func (l *Log) Next(limit int) (records []*Record) {
 	if l.belongsToSuccessor() {
 		return nil
@@ -115,7 +120,7 @@
 	for len(l.unread) > 0 && len(records) < limit {
 		i := l.unread[0]
 		l.unread = l.unread[1:]
-		if l.isUnread(i) { // else it was completed since, or fetched
+		if l.isUnread(i) { // otherwise Fetch has read it or it was completed meanwhile
 			records = append(records, l.readEntry(i))
 		}
 	}
@@ -142,8 +147,9 @@
 	return r
 }
 
-// Fetch reads one message that was pending at the start ahead of its turn; nil where there
-// is none, or it was read already. On the log's goroutine.
+// Fetch reads one message that was pending at the start before Next reaches it. It returns
+// nil if there is no such message or it was already read. It is called on the log's
+// goroutine.
 func (l *Log) Fetch(id string) *Record {
 	i, ok := l.find(id)
 	if !ok || !l.isUnread(i) {
@@ -152,8 +158,8 @@
 	return l.readEntry(i)
 }
 
-// IsPending reports whether a message is pending and has no final notice yet. On the log's
-// goroutine.
+// IsPending reports whether a message is pending and has no final notice yet. It is called
+// on the log's goroutine.
 func (l *Log) IsPending(id string) bool {
 	i, ok := l.find(id)
 	if !ok {
@@ -163,7 +169,7 @@
 	return d == nil || d.notice == ""
 }
 
-// find gives the entry of a message; none after a handoff.
+// find returns the index entry of a message. After a handoff it finds none.
 func (l *Log) find(id string) (i uint32, ok bool) {
 	if l.belongsToSuccessor() {
 		return 0, false
@@ -171,9 +177,9 @@
 	return l.store.index.find(l.store.index.keyOf(id))
 }
 
-// Read reads pending messages with their present state. In the result, nil stands for one
-// that is pending no longer, and a record with no id for one that cannot be read at
-// present. On the log's goroutine.
+// Read reads pending messages with their current state. The result is nil for a message
+// that is no longer pending, and a record without an id for one that cannot be read now.
+// It is called on the log's goroutine.
 func (l *Log) Read(refs []Ref) []*Record {
 	records := make([]*Record, len(refs))
 	for _, n := range l.inFileOrder(refs) {
@@ -189,8 +195,8 @@
 	return records
 }
 
-// inFileOrder gives the indices in refs of those that are pending, in the order in which
-// their records stand in the files.
+// inFileOrder returns the positions in refs of the messages that are still pending, in the
+// order of their records in the files.
 func (l *Log) inFileOrder(refs []Ref) []int {
 	if l.belongsToSuccessor() {
 		return nil
@@ -201,7 +207,9 @@
 			order = append(order, n)
 		}
 	}
-	entryOf := func(n int) *entry { return l.store.index.at(uint32(refs[n]) - 1) } // it is resolved: see Ref
+	// The refs were resolved above, so their low 32 bits are a valid index position plus 1
+	// (see Ref).
+	entryOf := func(n int) *entry { return l.store.index.at(uint32(refs[n]) - 1) }
 	slices.SortFunc(order, func(a, b int) int {
 		x, y := entryOf(a), entryOf(b)
 		return cmp.Or(cmp.Compare(x.fileRef, y.fileRef), cmp.Compare(x.offset, y.offset))
@@ -209,21 +217,21 @@
 	return order
 }
 
-// Submit queues a record to be written, and returns at once. done may be nil; it is called
-// on the log's goroutine with the result: nil, ErrFull, ErrNotPending, ErrSyncFailed, or an
+// Submit queues a record to be written and returns at once. done may be nil. It is called
+// on the log's goroutine with the result: nil, ErrFull, ErrNotPending, ErrSyncFailed or an
 // error of the file system.
 //
-// A record of something that has happened (an outcome, a final notice, a completion, an
-// owner) is retained where it cannot be written, and retried before all later records:
-// done is called once it is written, or cannot be any more. All other records fail
-// meanwhile.
+// A record of a past event (an outcome, a final notice, a completion or an owner) that
+// cannot be written is kept and retried before all later records. done is called once it
+// is written or the log gives up on it. Until then all other records fail.
 func (l *Log) Submit(r *Record, done func(error)) { l.requests.Put(request{record: r, done: done}) }
 
-// Do runs f on the log's goroutine, after all that was submitted before. It returns at once.
+// Do runs f on the log's goroutine after everything that was submitted before. It returns
+// at once.
 func (l *Log) Do(f func()) { l.requests.Put(request{run: f}) }
 
-// FinishHandoff removes a handoff log whose process has exited, once all of it is recorded
-// here, and closes it. On the log's goroutine.
+// FinishHandoff closes and removes the handoff log of a process that has exited, once this
+// log includes all of it. It is called on the log's goroutine.
 func (l *Log) FinishHandoff(h *HandoffLog) { l.store.finishHandoff(h) }
 
 // Done is closed once Run has returned.
--- a/internal/wal/logclock.go
+++ b/internal/wal/logclock.go
@@ -6,25 +6,26 @@
 	"plovershore/internal/clock"
 )
 
-// Records are stamped with log time: microseconds that run on with real time over the
-// ends and starts of processes, also where the machine's wall clock is set meanwhile. In
-// a new folder it begins as the wall clock's Unix time; after the wall clock was stepped
-// the two differ.
+// Records are stamped with log time, in microseconds. It advances with real time, also
+// between the end of a process and the start of the next one, and it ignores changes of
+// the machine's wall clock. In a new folder it starts as the wall clock's Unix time; it
+// differs from that once the wall clock is changed.
 
-// clockAnchor is one moment in log time and by the machine's clocks.
+// clockAnchor is one instant as log time and as a reading of the machine's clocks.
 type clockAnchor struct {
-	logTime int64 // 0 where none is known
+	logTime int64 // 0 if no such instant is known
 	clock   clock.Reading
 }
 
-// latestAnchor gives the latest moment of which a reading is known: the stamp's or, where
-// a log was moved here without one, the creation of a file.
+// latestAnchor returns the latest instant that the folder has a clock reading of. This is
+// the time of the stamp or, if the log was moved here without a stamp, the creation of its
+// newest file.
 func latestAnchor(stamp Stamp, files []*logFile) (latest clockAnchor) {
 	if stamp.Clock != (clock.Reading{}) {
 		return clockAnchor{stamp.At, stamp.Clock}
 	}
 	if stamp != (Stamp{}) {
-		return latest // of an older program, whose log time was the wall clock's
+		return latest // an older program wrote the stamp; its log time was the wall clock's time
 	}
 	for _, f := range files {
 		if f.validHeaders > 0 && f.createdLogTime > latest.logTime {
@@ -34,18 +35,18 @@
 	return latest
 }
 
-// logClock gives the log time. Any goroutine may use it.
+// logClock returns the log time. It is safe for concurrent use.
 type logClock struct {
 	read    func() clock.Reading
 	start   clockAnchor
 	setBack time.Duration // see Log.ClockSetBack
 }
 
-// newLogClock continues from the latest moment that is known. The log time has reached
-// minimum in any case.
+// newLogClock continues the log time from a known instant, but starts no earlier than
+// minimum, which records have already reached.
 func newLogClock(read func() clock.Reading, known clockAnchor, minimum int64) logClock {
 	now := read()
-	if known.logTime == 0 { // of an older program, whose log time was the wall clock's
+	if known.logTime == 0 { // an older program wrote the log; its log time was the wall clock's time
 		known = clockAnchor{minimum, clock.Reading{Wall: minimum}}
 	}
 	passed, exact := now.Since(known.clock)
@@ -61,5 +62,5 @@
 
 func (c *logClock) now() int64 { return c.at(c.read()) }
 
-// at is the log time of a reading that this process made.
+// at returns the log time of a clock reading that this process made.
 func (c *logClock) at(r clock.Reading) int64 { return c.start.logTime + r.Mono - c.start.clock.Mono }
--- a/internal/wal/logend.go
+++ b/internal/wal/logend.go
@@ -2,21 +2,22 @@
 
 import "fmt"
 
-// assessEnd decides what the files left open, once all their records are applied: what
-// the gaps affect, whether the end of the log is torn or corrupted, and whether the last
-// segment is missing.
+// assessEnd settles what could not be decided before all records were applied: which
+// messages the gaps affect, whether the log's end is torn or corrupted, and whether the
+// last segment is missing.
 func (r *replayer) assessEnd() {
 	for _, g := range r.gaps {
 		r.addLoss(g.Corruption, g.to+1)
 	}
 	r.gaps = nil
 	r.assessTail()
-	if r.stampedSeq == 0 { // else the stamp has shown it already
+	if r.stampedSeq == 0 { // otherwise the stamp has already shown any missing record
 		r.assessLastSegment()
 	}
 }
 
-// addLoss reports corruption that may have concerned any message accepted before a record.
+// addLoss reports corruption that may have affected any message that was accepted before
+// the record with the sequence number before.
 func (r *replayer) addLoss(c Corruption, before uint64) {
 	c.Affected = r.suspectAll(before)
 	r.recovery.addCorruption(c)
@@ -24,11 +25,11 @@
 
 func (r *replayer) assessTail() {
 	c := r.tailCorruption()
-	isRecord := r.end.bytes > 0 && r.end.status == recordTorn // its head is certain
+	isRecord := r.end.bytes > 0 && r.end.status == recordTorn // the head of the record is valid
 	if isRecord {
 		c.IDs = []string{string(r.end.record.id)}
 	}
-	unknown := r.stampedSeq == 0 // which record was the last
+	unknown := r.stampedSeq == 0 // it is not known which record was the last
 	missing := uint64(0)
 	if r.stampedSeq > r.seq {
 		missing = r.stampedSeq - r.seq
@@ -52,7 +53,7 @@
 	}
 }
 
-// tailCorruption describes what stands after the last record.
+// tailCorruption describes the bytes after the last valid record.
 func (r *replayer) tailCorruption() Corruption {
 	c := Corruption{Offset: r.end.offset, Bytes: r.end.bytes, IDs: r.end.ids, Reason: "unreadable end"}
 	if r.last != nil {
@@ -64,15 +65,17 @@
 	return c
 }
 
-// assessLastSegment notes, by the seals, that the last segment is empty or missing.
+// assessLastSegment uses the seals to detect that the last segment was emptied or is
+// missing.
 func (r *replayer) assessLastSegment() {
 	if r.last != nil && r.last.validHeaders == 0 && r.last.number == r.previousSeal {
-		// The seal was written after its header.
+		// The seal is written after the header of the segment that it names, so the header
+		// once was valid.
 		r.last.corrupted = true
 		r.addLoss(Corruption{File: r.last.name, Bytes: r.last.size, Reason: "segment emptied"}, r.seq+1)
 	}
 	if r.sealedNext != 0 && (r.last == nil || r.last.number < r.sealedNext) {
 		r.addLoss(Corruption{File: segmentName(r.sealedNext), Reason: reasonSegmentMissing}, r.seq+1)
-		r.nextSegment = r.sealedNext + 1 // so that a later start still sees that it is missing
+		r.nextSegment = r.sealedNext + 1 // a later start still detects the missing segment by its number
 	}
 }
--- a/internal/wal/logfile.go
+++ b/internal/wal/logfile.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// Names of files in the log's folder, and suffixes beside it.
+// Names of files in the log's folder, and suffixes of names next to the folder.
 const (
 	segmentSuffix      = ".seg"
 	checkpointSuffix   = ".ckp"
-	temporarySuffix    = ".new"  // being written: of no use to anyone else
-	legacySuffix       = ".old"  // a legacy log while it is converted
-	secondLegacySuffix = ".old2" // likewise, where the legacy program ran again meanwhile
-	quarantinePrefix   = "aside" // a corrupted file, kept for a person to look at
+	temporarySuffix    = ".new"  // the file or folder is still being written; other processes ignore it
+	legacySuffix       = ".old"  // a legacy log during its conversion
+	secondLegacySuffix = ".old2" // a second legacy log, if the legacy program ran again during the conversion
+	quarantinePrefix   = "aside" // a corrupted file that is kept for an operator to look at
 	stampName          = "mark"
 )
 
-// fileNumberDigits is the length of a file's number in its name, in hexadecimal.
+// fileNumberDigits is the number of hexadecimal digits of a file's number in its name.
 const fileNumberDigits = 8
 
 func segmentName(number uint32) string { return fmt.Sprintf("%08x%s", number, segmentSuffix) }
 
 func checkpointName(number uint32) string { return fmt.Sprintf("%08x%s", number, checkpointSuffix) }
 
-// fileNumber reads a file's number out of its name.
+// fileNumber parses a file's number from its name.
 func fileNumber(name, suffix string) (uint32, bool) {
 	text, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(text) != fileNumberDigits {
@@ -37,19 +37,19 @@
 
 // logFile is an open file of records.
 type logFile struct {
-	ref  uint32 // names it in the index's entries, from 1
+	ref  uint32 // identifies the file in the index's entries, from 1
 	name string
 	file File
 	size int64
 	header
 	salt         uint32
-	validHeaders int  // valid copies of its header
-	legacy       bool // of the legacy format
-	corrupted    bool // quarantined when it is no longer needed
+	validHeaders int  // number of valid copies of the header
+	legacy       bool // the file has the legacy format
+	corrupted    bool // the file is quarantined instead of removed once it is obsolete
 }
 
-// openLogFile opens a file to read it, and reads its header. Errors: ErrNewerVersion and
-// those of the file system.
+// openLogFile opens a file for reading and reads its header. It returns ErrNewerVersion or
+// an error of the file system.
 func openLogFile(fs FS, dir, name string) (*logFile, error) {
 	f, err := fs.Open(filepath.Join(dir, name), ModeRead)
 	if err != nil {
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("wal: %w", err)
 	}
 	b := make([]byte, headerSize)
-	n, _ := f.ReadAt(b, 0) // a shorter file has no valid header
+	n, _ := f.ReadAt(b, 0) // a file that is too short has no valid header
 	l.header, l.validHeaders = decodeHeader(b[:n])
 	if l.validHeaders > 0 && l.version > formatVersion {
 		f.Close()
@@ -70,8 +70,9 @@
 	return l, nil
 }
 
-// diskBlock is what a file's size is rounded up to in the count against the folder's limit.
+// diskBlock is the unit in bytes to which file sizes are rounded up when they count
+// against the folder's limit.
 const diskBlock = 512
 
-// blockBytes rounds a file's size up to whole blocks.
+// blockBytes rounds a size up to whole blocks.
 func blockBytes(n int64) int64 { return (n + diskBlock - 1) / diskBlock * diskBlock }
--- a/internal/wal/message.go
+++ b/internal/wal/message.go
@@ -5,15 +5,16 @@
 	"fmt"
 )
 
-// errRecordMismatch: the file does not hold the record that the index expects there.
+// errRecordMismatch: the file does not contain the record that the index expects at that
+// position.
 var errRecordMismatch = errors.New("wal: record is not where it was")
 
 func errUnreadableNow(f *logFile, offset uint32) error {
 	return fmt.Errorf("wal: %s at %d: unreadable now", f.name, offset)
 }
 
-// messageReader reads messages from their files through one window. Its zero value is
-// ready to use, for one goroutine.
+// messageReader reads messages from log files through one buffer. The zero value is ready
+// to use, by one goroutine at a time.
 type messageReader struct {
 	scanner scanner
 	fileRef uint32
@@ -27,8 +28,9 @@
 	return &m.scanner
 }
 
-// readMessage reads an entry as the relay gets it. Where its record cannot be read, the
-// result has the id, if that is certain, and the state.
+// readMessage returns the message of an index entry with its state. If its record cannot
+// be read, it returns an error and a Record with the state, and with the id if the id's
+// checksum is valid.
 func (s *state) readMessage(i uint32, reader *messageReader) (*Record, error) {
 	r := &Record{}
 	message, err := s.readRecord(i, reader, r)
@@ -41,7 +43,7 @@
 	return r, err
 }
 
-// readRecord puts an entry's id and state into r, and gives its encoded message, which is
+// readRecord stores an entry's id and state in r and returns its encoded message, which is
 // valid until the reader's next call.
 func (s *state) readRecord(i uint32, reader *messageReader, r *Record) (message []byte, err error) {
 	e := s.index.at(i)
@@ -74,7 +76,7 @@
 	return message, nil
 }
 
-// readState puts an entry's state into r, and the id where that is all that is left.
+// readState stores an entry's state in r, and its id if corruption left nothing else.
 func (s *state) readState(i uint32, r *Record) {
 	e := s.index.at(i)
 	*r = Record{
--- a/internal/wal/osfs.go
+++ b/internal/wal/osfs.go
@@ -10,17 +10,18 @@
 	"unsafe"
 )
 
-// OS is the operating system's file system. The zero value is ready to use, by any
-// number of goroutines.
+// OS is the file system of the operating system. The zero value is ready to use. It is
+// safe for concurrent use.
 type OS struct{}
 
-// Permissions: the log holds what clients sent.
+// Permissions of files and folders. Only the owner has access, since the log holds
+// clients' messages.
 const (
 	fileMode = 0o600
 	dirMode  = 0o700
 )
 
-// Open is os.OpenFile.
+// Open opens a file with os.OpenFile.
 func (OS) Open(name string, mode Mode) (File, error) {
 	flag := os.O_RDONLY
 	switch mode {
@@ -36,13 +37,13 @@
 	return osFile{f}, nil
 }
 
-// Rename is os.Rename.
+// Rename calls os.Rename.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove is os.RemoveAll.
+// Remove calls os.RemoveAll.
 func (OS) Remove(name string) error { return os.RemoveAll(name) }
 
-// MakeDir is os.Mkdir; that the folder exists already is no error.
+// MakeDir calls os.Mkdir. A folder that already exists is not an error.
 func (OS) MakeDir(name string) error {
 	if err := os.Mkdir(name, dirMode); !errors.Is(err, os.ErrExist) {
 		return err
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// Stat is os.Stat.
+// Stat calls os.Stat.
 func (OS) Stat(name string) (size int64, dir bool, err error) {
 	info, err := os.Stat(name)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return info.Size(), info.IsDir(), nil
 }
 
-// List gives the names in a folder, in no order.
+// List returns the names in a folder, in no particular order.
 func (OS) List(dir string) ([]string, error) {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return f.Readdirnames(-1)
 }
 
-// SyncDir makes the names in a folder survive a loss of power.
+// SyncDir syncs a folder, so that the names in it survive a loss of power.
 func (OS) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -79,8 +80,9 @@
 	return f.Sync()
 }
 
-// OpenStampFile maps the file into memory. Its bytes are written first: a store into a
-// hole of a full disk would end the process by a signal.
+// OpenStampFile maps the file into memory. It writes the file's bytes first: if they were
+// a hole in the file and the disk was full, a store to the mapping would kill the process
+// with a signal.
 func (OS) OpenStampFile(name string) (StampFile, error) {
 	f, err := os.OpenFile(filepath.Clean(name), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -121,12 +123,13 @@
 
 func (f osFile) TryLock() (bool, error) { return tryLock(f.File) }
 
-// mappedStamp is a page of the kernel's cache: a store costs no system call and survives
-// the process.
+// mappedStamp is a stamp file that is mapped into memory. A store needs no system call,
+// and the kernel keeps the stored values after the process dies.
 type mappedStamp struct{ page []byte }
 
-// Store writes the id last of the first three words, since with another id beside them
-// they are void, and the second copy of the time last of all.
+// Store writes the words in an order that lets a reader detect an incomplete stamp. Of the
+// first three words the owner id comes last: a reader ignores the time and the sequence
+// number if the id is another log's. The second copy of the time comes last of all words.
 func (m *mappedStamp) Store(s Stamp) {
 	words := s.words()
 	for _, i := range [...]int{stampTime, stampSeq, stampOwner, stampWall, stampMono, stampBootLow, stampBootHigh, stampTimeCopy} {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -1,83 +1,84 @@
 package wal
 
-// NoMessage stands for the message id in a record that is about no message.
+// NoMessage is the message id of a record that is not about a message.
 const NoMessage = "-"
 
-// Kind says what a record is about.
+// Kind says what event or state a record describes.
 type Kind string
 
-// Kinds of records. The texts are part of the legacy file format and of Dump's output.
+// Kinds of records. The strings are stored in the legacy file format and printed by Dump.
 const (
-	KindAccepted   Kind = "taken"   // a message, with its state where it comes from a checkpoint
+	KindAccepted   Kind = "taken"   // a message was accepted; a message that is read back also carries its state
 	KindAttempt    Kind = "attempt" // an attempt is about to be sent
-	KindOutcome    Kind = "outcome" // the outcome of the attempt in flight
-	KindCompleting Kind = "ending"  // the message's final notice is to be sent
+	KindOutcome    Kind = "outcome" // the attempt in flight has ended with this outcome
+	KindCompleting Kind = "ending"  // the final notice of the message is about to be sent
 	KindCompleted  Kind = "end"     // the message is completed
-	KindOwner      Kind = "mark"    // which process writes from here on, and how much of a handoff log is included
-	KindHandoff    Kind = "pass"    // the last record of a process that handed the log off: its policy's state
+	KindOwner      Kind = "mark"    // the process that writes from here on, and how much of the handoff log the log includes
+	KindHandoff    Kind = "pass"    // last record of a process that handed the log off: the state of its policy
 
 	kindMessageState  Kind = "held"  // in a checkpoint: a message and its state
-	kindBatchStart    Kind = "batch" // first record of a batch that is synced as one
-	kindSegmentSeal   Kind = "seal"  // last record of a segment: the number of the next one
-	kindCheckpointEnd Kind = "total" // last record of a checkpoint: how many records precede it
+	kindBatchStart    Kind = "batch" // first record of a batch that is synced as a unit
+	kindSegmentSeal   Kind = "seal"  // last record of a segment: the number of the next segment
+	kindCheckpointEnd Kind = "total" // last record of a checkpoint: the number of records before it
 )
 
-// isFact reports whether a record is about something that has happened already. Such a
-// record is retained while the disk refuses it, and is written before all later ones.
+// isFact reports whether a record describes something that has already happened. If the
+// disk refuses such a record, the log keeps it in memory and writes it before all later
+// ones.
 func (k Kind) isFact() bool {
 	return k == KindOutcome || k == KindCompleting || k == KindCompleted || k == KindOwner
 }
 
-// Record is one entry of the log. Times are log time in microseconds (see Log.Time).
-// The JSON names are stored in logs of the legacy format.
+// Record is one entry of the log. Times are log time in microseconds (see Log.Time). The
+// JSON names are stored in logs of the legacy format.
 type Record struct {
 	Kind         Kind   `json:"kind"`
-	ID           string `json:"id"` // of the message, or NoMessage
+	ID           string `json:"id"` // the message's id, or NoMessage
 	Class        string `json:"class,omitempty"`
 	Tenant       string `json:"tenant,omitempty"`
 	Key          string `json:"key,omitempty"` // idempotency key
 	Dest         int    `json:"dest,omitempty"`
 	Deadline     int64  `json:"deadline,omitempty"`
-	At           int64  `json:"at,omitempty"`     // attempt: when it is sent
-	Zone         int    `json:"zone,omitempty"`   // attempt: zone of its endpoint
-	Endpoint     string `json:"to,omitempty"`     // attempt: its endpoint
-	Process      int    `json:"by,omitempty"`     // attempt, owner: the process, counted over those that opened the log
+	At           int64  `json:"at,omitempty"`     // attempt: time of sending
+	Zone         int    `json:"zone,omitempty"`   // attempt: zone of the endpoint
+	Endpoint     string `json:"to,omitempty"`     // attempt: name of the endpoint
+	Process      int    `json:"by,omitempty"`     // attempt, owner: number of the process, counting those that have opened the log
 	MayHaveRun   bool   `json:"ran,omitempty"`    // outcome: the attempt may have run
-	LocalFailure bool   `json:"unmade,omitempty"` // outcome: this machine could not make the call, so it does not count as an attempt
+	LocalFailure bool   `json:"unmade,omitempty"` // outcome: this machine failed to make the call, so it does not count as an attempt
 	Notice       string `json:"notice,omitempty"` // completing: the final notice
 	RetryMS      int64  `json:"retry_ms,omitempty"`
 
-	// The state of a message, as earlier records left it.
+	// State of the message after its earlier records.
 
 	Attempts           int    `json:"tries,omitempty"`
-	UnknownOutcomeAt   int64  `json:"doubt,omitempty"` // when the first attempt that may have run was sent; 0 for none
+	UnknownOutcomeAt   int64  `json:"doubt,omitempty"` // time of sending of the first attempt that may have run; 0 for none
 	UnknownOutcomeZone int    `json:"doubt_in,omitempty"`
-	InFlightSince      int64  `json:"out,omitempty"` // when the attempt without an outcome was sent; 0 for none
+	InFlightSince      int64  `json:"out,omitempty"` // time of sending of the attempt that has no outcome yet; 0 for none
 	InFlightZone       int    `json:"out_in,omitempty"`
 	InFlightEndpoint   string `json:"out_to,omitempty"`
 	InFlightProcess    int    `json:"out_by,omitempty"`
-	Corrupted          bool   `json:"lost,omitempty"` // corruption left nothing but the id
+	Corrupted          bool   `json:"lost,omitempty"` // corruption destroyed everything but the id
 
-	// Of a handoff log.
+	// Fields that concern the handoff log.
 
-	HandoffOffset   int64 `json:"side,omitempty"` // with this record, the log includes the handoff log up to here
-	HandoffCapacity int64 `json:"room,omitempty"` // owner: bytes that the handoff log may take up
-	OutcomeCode     uint8 `json:"what,omitempty"` // outcome, completed: the attempt's outcome in the policy's numbering
-	RetryAt         int64 `json:"wait,omitempty"` // end of the Retry-After of its endpoint
-	Latency         int64 `json:"took,omitempty"` // of the attempt, in microseconds
+	HandoffOffset   int64 `json:"side,omitempty"` // up to this byte the log includes the handoff log, once this record is applied
+	HandoffCapacity int64 `json:"room,omitempty"` // owner: maximum size of the handoff log in bytes
+	OutcomeCode     uint8 `json:"what,omitempty"` // outcome, completed: the attempt's outcome, as numbered by the policy
+	RetryAt         int64 `json:"wait,omitempty"` // time until which the endpoint's Retry-After holds calls back
+	Latency         int64 `json:"took,omitempty"` // duration of the attempt in microseconds
 	CallsExhausted  bool  `json:"slots,omitempty"`
 
 	Body []byte `json:"-"`
-	Ref  Ref    `json:"-"` // accepted: set once the record is written or was read
-	Sync bool   `json:"-"` // attempt: it must survive a loss of power before it is sent
+	Ref  Ref    `json:"-"` // accepted: set once the record is written or read
+	Sync bool   `json:"-"` // attempt: the record must be synced before the attempt is sent
 
-	livingProcess int // owner: the process whose handoff log is followed; 0 for none
+	livingProcess int // owner: the process whose handoff log this one follows; 0 for none
 }
 
-// Ref names a pending message of an open log. It is valid until the message is completed
-// or the log is closed; 0 names none.
+// Ref identifies a pending message of an open log. It is valid until the message is
+// completed or the log is closed. 0 refers to no message.
 //
-// The low 32 bits are the message's place in the index, from 1. Above them stand 16 bits
-// of its record's sequence number, so that a later message in the same place has another
-// Ref.
+// The low 32 bits are the message's position in the index plus 1. The next 16 bits come
+// from the sequence number of its record, so that a later message at the same position has
+// another Ref.
 type Ref uint64
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -11,16 +11,16 @@
 	"strings"
 )
 
-// readState reads whatever a state folder holds, and changes nothing there.
+// readState reads the log in a state folder without changing anything there.
 func readState(fs FS, dir string) (*state, error) {
 	folder := filepath.Join(dir, FolderName)
 	_, isDir, err := fs.Stat(folder)
-	if err == nil && isDir { // a legacy log beside it was converted
+	if err == nil && isDir { // a legacy log next to the folder has already been converted
 		return readFolder(fs, folder)
 	}
 	if err == nil || hasInterruptedConversion(fs, folder) {
-		// A conversion was cut short between its steps; where the legacy program ran
-		// again since, its new file comes last.
+		// A conversion was interrupted between its steps. If the legacy program ran again
+		// since then, it wrote a new file, which comes last.
 		return readLegacyFiles(fs, dir, FolderName+legacySuffix, FolderName+secondLegacySuffix, FolderName)
 	}
 	if errors.Is(err, os.ErrNotExist) {
@@ -38,7 +38,7 @@
 	return false
 }
 
-// readFolder reads a folder of segments and checkpoints. One that is missing is empty.
+// readFolder reads a folder of segments and checkpoints. A missing folder counts as empty.
 func readFolder(fs FS, dir string) (*state, error) {
 	files, err := openFolder(fs, dir)
 	if err != nil {
@@ -46,7 +46,9 @@
 	}
 	stamp := readStamp(fs, filepath.Join(dir, stampName))
 	owner, known := electOwner(files.all(), stamp.salt())
-	if !known && stamp.hasOwner() { // no header can be read: the stamp tells whose records these are
+	// No header can be read. The stamp tells the salt that the records' checksums start
+	// from.
+	if !known && stamp.hasOwner() {
 		binary.BigEndian.PutUint32(owner[:], stamp.salt())
 		known = true
 	}
@@ -67,9 +69,9 @@
 	return s, nil
 }
 
-// folderFiles are the open files of a log's folder.
+// folderFiles holds the open files of a log's folder.
 type folderFiles struct {
-	names       []string // of all that is in the folder
+	names       []string // names of all files in the folder
 	segments    []*logFile
 	checkpoints []*logFile
 	maxNumber   uint32
@@ -102,7 +104,7 @@
 	return files, nil
 }
 
-// add takes in a file. kind and number are those by its name, and count where its header
+// add adds an open file. kind and number come from its name and are used if its header
 // cannot be read.
 func (f *folderFiles) add(file *logFile, kind fileKind, number uint32) {
 	if file.validHeaders == 0 {
@@ -124,8 +126,8 @@
 	}
 }
 
-// electOwner gives the owner that most files name; where two are named as often, the one
-// that the stamp belongs to.
+// electOwner returns the owner that most files name. If two are named equally often, it
+// returns the one whose log the stamp belongs to.
 func electOwner(files []*logFile, stampSalt uint32) (owner ownerID, known bool) {
 	votes := map[ownerID]int{}
 	for _, f := range files {
@@ -162,14 +164,16 @@
 	return foreign
 }
 
-// sort orders the segments, and the checkpoints from the newest on.
+// sort sorts the segments in ascending and the checkpoints in descending order of their
+// numbers.
 func (f *folderFiles) sort() {
 	slices.SortStableFunc(f.segments, func(a, b *logFile) int { return cmp.Compare(a.number, b.number) })
 	slices.SortStableFunc(f.checkpoints, func(a, b *logFile) int { return cmp.Compare(b.number, a.number) })
 }
 
-// replay gives the state after the newest checkpoint that is complete and the segments
-// after it; where none is, from the base that leaves the fewest corruptions.
+// replay returns the state after the newest complete checkpoint and the segments that
+// follow it. If no checkpoint is complete, it chooses the one that leads to the fewest
+// corruptions.
 func (f *folderFiles) replay(owner ownerID, stampedSeq uint64, foreign []Corruption) (best *state) {
 	for _, base := range f.bases() {
 		r, complete := f.replayFrom(base, owner, stampedSeq)
@@ -184,8 +188,9 @@
 	return best
 }
 
-// bases gives the checkpoints that the log can be read from; nil stands for none, where
-// the segments may reach back to the first record.
+// bases returns the checkpoints from which the log can be replayed. A nil element stands
+// for a replay without a checkpoint; it is included if there is no checkpoint or the
+// segments begin with the log's first record.
 func (f *folderFiles) bases() []*logFile {
 	bases := slices.Clone(f.checkpoints)
 	if len(f.checkpoints) == 0 || len(f.segments) > 0 && f.segments[0].firstSeq == 1 {
@@ -194,8 +199,8 @@
 	return bases
 }
 
-// replayFrom applies a checkpoint, which may be nil, and the segments after it. complete
-// is false where part of the checkpoint cannot be read.
+// replayFrom applies the checkpoint base, which may be nil, and the segments after it.
+// complete is false if part of the checkpoint cannot be read.
 func (f *folderFiles) replayFrom(base *logFile, owner ownerID, stampedSeq uint64) (r *replayer, complete bool) {
 	r = newReplayer(owner, stampedSeq)
 	complete = true
@@ -205,7 +210,7 @@
 		r.addFile(base)
 		r.checkpointFile = base
 		complete = r.replayCheckpoint(base)
-		if base.validHeaders == 0 { // its name tells what it covers
+		if base.validHeaders == 0 { // the checkpoint's name tells the first segment that it does not cover
 			r.seq = f.seqBefore(first)
 		}
 	}
@@ -214,7 +219,9 @@
 			r.replaySegment(segment, f.segments[n+1:])
 		}
 	}
-	if base != nil && r.last == nil { // the segment is older than the checkpoint
+	// A checkpoint is written after the segment that follows it was created, so that
+	// segment is missing.
+	if base != nil && r.last == nil {
 		c := Corruption{File: segmentName(first), Reason: reasonSegmentMissing}
 		r.gaps = append(r.gaps, gap{Corruption: c, from: r.seq + 1, to: r.seq + 1})
 	}
@@ -222,8 +229,8 @@
 	return r, complete
 }
 
-// seqBefore gives the sequence number of the last record before a segment; 0 where no
-// header tells.
+// seqBefore returns the sequence number of the last record before a segment, or 0 if no
+// valid header tells it.
 func (f *folderFiles) seqBefore(number uint32) uint64 {
 	for _, segment := range f.segments {
 		if segment.number >= number && segment.validHeaders > 0 {
--- a/internal/wal/repair.go
+++ b/internal/wal/repair.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Repair opens a folder as a relay would, so that the consequences of corruption are
-// decided and a valid checkpoint holds the rest. Corrupted files are quarantined within
-// limit, in bytes. The caller holds the folder's lock. ErrInUse where the process that
-// handed the log off still lives.
+// Repair opens a folder as a relay would. It records the consequences of corruption and
+// writes everything else into a valid checkpoint. It keeps corrupted files in quarantine
+// as far as limit, the folder's limit in bytes, allows. The caller holds the folder's
+// lock. It returns ErrInUse if the process that handed the log off is still alive.
 func Repair(dir string, limit int64) (*RecoveryReport, error) {
 	s := newStore(Options{Dir: dir, Limit: limit, Durability: SurvivesPowerLoss})
 	handoff, err := s.open()
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -5,18 +5,18 @@
 // replayer rebuilds a log's state from its files.
 type replayer struct {
 	*state
-	stampedSeq   uint64   // sequence number of the last record by the stamp; 0 where that is unknown
-	nextFileSeq  uint64   // of the first record of the next file; 0 for none
-	previousSeal uint32   // the segment that the seal before the last one named, while it has no record itself
-	last         *logFile // the last segment; nil where there is none
-	end          fileTail // of it
+	stampedSeq   uint64   // sequence number of the last record according to the stamp; 0 if unknown
+	nextFileSeq  uint64   // sequence number of the first record in the next file; 0 if unknown
+	previousSeal uint32   // segment named by the seal that precedes the last segment, if the last segment has no record; else 0
+	last         *logFile // the last segment; nil if there is none
+	end          fileTail // the bytes after the last record of the last segment
 	gaps         []gap
 }
 
-// gap is a run of records that are missing.
+// gap is a range of sequence numbers whose records are missing.
 type gap struct {
 	Corruption
-	from, to uint64 // sequence numbers
+	from, to uint64 // first and last sequence number
 }
 
 func newReplayer(owner ownerID, stampedSeq uint64) *replayer {
@@ -25,13 +25,13 @@
 	return r
 }
 
-// fileTail is what stands in a file after its last record.
+// fileTail describes the bytes of a file after its last record.
 type fileTail struct {
 	offset, bytes int64
 	status        recordStatus
-	record        rawRecord // where the status is recordTorn
-	zeros         bool      // nothing but zeros
-	unsynced      bool      // a loss of power took it before it was reported as written
+	record        rawRecord // set if status is recordTorn
+	zeros         bool      // all bytes are zero
+	unsynced      bool      // lost with the power before the write was reported as done
 	ids           []string
 }
 
@@ -40,13 +40,13 @@
 	*replayer
 	file    *logFile
 	scan    scanner
-	seq     *uint64 // of the last record applied
+	seq     *uint64 // sequence number of the last record applied
 	summary FileReport
-	skipped Corruption // the unreadable stretch before the next record
+	skipped Corruption // unreadable range before the next record
 }
 
-// replayFile applies the records of a file. seq is the sequence number of the last record
-// before it, and becomes that of its own last one.
+// replayFile applies the records of a file. On entry *seq is the sequence number of the
+// last record before the file, on return that of the file's last record.
 func (r *replayer) replayFile(f *logFile, seq *uint64) (FileReport, fileTail) {
 	p := fileReplay{
 		replayer: r,
@@ -55,14 +55,14 @@
 		seq:      seq,
 		summary:  FileReport{Name: f.name, Kind: f.kind.String(), Bytes: f.size, First: f.firstSeq},
 	}
-	if f.size < headerSize { // it was created, and never written
+	if f.size < headerSize { // the file was created but nothing was written to it
 		return p.summary, fileTail{bytes: f.size, status: recordUnreadable, zeros: true}
 	}
 	tail := p.applyRecords(p.checkHeader())
 	return p.summary, tail
 }
 
-// checkHeader reports a corrupted header, and gives the place of the first record.
+// checkHeader reports a corrupted header and returns the offset of the first record.
 func (p *fileReplay) checkHeader() int64 {
 	switch p.file.validHeaders {
 	case 0:
@@ -76,7 +76,8 @@
 	return headerSize
 }
 
-// applyRecords applies the records from off on, and gives what stands after the last one.
+// applyRecords applies the records from offset off on, and describes the bytes after the
+// last one.
 func (p *fileReplay) applyRecords(off int64) fileTail {
 	for off < p.file.size {
 		rec, status := p.scan.record(off)
@@ -94,7 +95,7 @@
 			off = end
 			continue
 		}
-		if rec.seq > *p.seq { // not a second copy, nor out of place
+		if rec.seq > *p.seq { // otherwise it is a second copy or in the wrong place
 			p.addSkipped(&rec, off)
 			*p.seq = rec.seq
 			p.applyRecord(&rec, status, off)
@@ -104,7 +105,7 @@
 	return p.skippedTail()
 }
 
-// unsyncedTail is the tail that begins at off, where a loss of power took it.
+// unsyncedTail describes a tail from off on that was not yet synced when power was lost.
 func (p *fileReplay) unsyncedTail(off int64) fileTail {
 	return fileTail{
 		offset:   off,
@@ -115,7 +116,8 @@
 	}
 }
 
-// skippedTail is the unreadable stretch after which no record came.
+// skippedTail describes the unreadable range at the end of the file, if no record follows
+// it.
 func (p *fileReplay) skippedTail() fileTail {
 	if p.skipped.Bytes == 0 {
 		return fileTail{}
@@ -129,17 +131,17 @@
 	}
 }
 
-// tailAt is the tail that begins at off.
+// tailAt describes the tail that begins at off.
 func (p *fileReplay) tailAt(off int64, status recordStatus, ids []string) fileTail {
 	tail := fileTail{offset: off, bytes: p.file.size - off, status: status, zeros: p.scan.allZeros(off, p.file.size), ids: ids}
 	if status == recordTorn {
 		tail.record, _ = p.scan.record(off)
-		tail.record.id = append([]byte(nil), tail.record.id...) // it outlives the window
+		tail.record.id = append([]byte(nil), tail.record.id...) // copies the id, since the scanner reuses its buffer
 	}
 	return tail
 }
 
-// addSkipped notes what is missing before a record, by its sequence number.
+// addSkipped reports what is missing before a record, judged by its sequence number.
 func (p *fileReplay) addSkipped(rec *rawRecord, off int64) {
 	missing := rec.seq - *p.seq - 1
 	switch {
@@ -153,7 +155,7 @@
 	case p.file.validHeaders == 0 && p.skipped.Bytes > 0 && p.skipped.Offset == 0:
 		p.file.corrupted = true
 		p.recovery.addCorruption(p.skipped)
-	case p.skipped.Bytes > 0: // a write that failed, and was repeated
+	case p.skipped.Bytes > 0: // a failed write whose records were written again
 		p.recovery.addTorn(p.skipped)
 	}
 	p.skipped = Corruption{}
@@ -177,12 +179,12 @@
 	p.recovery.addCorruption(c)
 }
 
-// wasSynced reports whether the record with a sequence number, in a file that is synced
-// batch by batch, was reported as written: the next file, the stamp or a later record
-// says so. Other records may be there in part without being corrupted: the log ends before
-// them.
+// wasSynced reports whether the record with the sequence number seq was reported as
+// written, in a file that is synced after each batch. It was if the next file, the stamp
+// or a later record shows so. Otherwise the log ends before this record: any records from
+// here on were not synced when power was lost, so their absence is not corruption.
 func (r *replayer) wasSynced(scan *scanner, off int64, seq uint64) bool {
-	if r.nextFileSeq != 0 { // it was decided when the next file was begun
+	if r.nextFileSeq != 0 { // the header of the next file decides, since this file was synced before it
 		return r.nextFileSeq > seq
 	}
 	if r.stampedSeq >= seq {
@@ -205,14 +207,14 @@
 	return false
 }
 
-// replayCheckpoint applies a checkpoint. complete is false where part of it cannot be read.
+// replayCheckpoint applies a checkpoint. complete is false if part of it cannot be read.
 func (r *replayer) replayCheckpoint(f *logFile) (complete bool) {
-	records := uint64(0) // a checkpoint numbers its records itself
+	records := uint64(0) // the records of a checkpoint have their own numbers
 	before := len(r.recovery.Corruptions)
 	summary, tail := r.replayFile(f, &records)
 	r.recovery.Files = append(r.recovery.Files, summary)
 	complete = len(r.recovery.Corruptions) == before && len(r.gaps) == 0 && tail.bytes == 0 && summary.Records > 0
-	for _, g := range r.gaps { // messages that are gone; no other message is affected
+	for _, g := range r.gaps { // these messages are lost; no other message is affected
 		g.Reason = fmt.Sprintf("%d records of the checkpoint unreadable", g.to-g.from+1)
 		r.recovery.addCorruption(g.Corruption)
 	}
@@ -228,7 +230,7 @@
 	return complete
 }
 
-// replaySegment applies a segment; later are the segments after it.
+// replaySegment applies a segment. later holds the segments after it.
 func (r *replayer) replaySegment(f *logFile, later []*logFile) {
 	r.nextFileSeq = firstSeqAfter(f, later)
 	if r.last != nil && r.last.number == f.number {
@@ -249,8 +251,8 @@
 	}
 }
 
-// firstSeqAfter gives the sequence number of the first record after a segment; 0 where no
-// later header says.
+// firstSeqAfter returns the sequence number of the first record after a segment, or 0 if
+// no later segment has a valid header.
 func firstSeqAfter(f *logFile, later []*logFile) uint64 {
 	for _, next := range later {
 		if next.validHeaders > 0 && next.number != f.number {
@@ -260,25 +262,26 @@
 	return 0
 }
 
-// addTail notes what stands after the last record of the segment before next.
+// addTail reports the bytes after the last record of the segment before next.
 func (r *replayer) addTail(next *logFile) {
 	if r.end.bytes == 0 {
 		return
 	}
 	c := Corruption{File: r.last.name, Offset: r.end.offset, Bytes: r.end.bytes}
 	isMissingRecord := r.end.status == recordTorn && next.validHeaders > 0 && r.end.record.seq == r.seq+1 && next.firstSeq == r.seq+2
-	if isMissingRecord { // the one record between the two segments
+	if isMissingRecord { // the torn record is the only one between the two segments
 		r.applyCorrupted(&r.end.record, &c)
 		r.recovery.addCorruption(c)
 		r.seq++
 		return
 	}
-	// What was torn was repeated in the next segment, or its sequence number is missing there.
+	// Either the torn records were written again to the next segment, or the check of that
+	// segment's sequence numbers reports them as missing.
 	c.Reason, c.IDs = reasonTornEnd, r.end.ids
 	r.recovery.addTorn(c)
 }
 
-// addMissingBefore notes records and segments that are missing before a segment.
+// addMissingBefore reports records and segments that are missing before a segment.
 func (r *replayer) addMissingBefore(f *logFile) {
 	switch {
 	case f.validHeaders > 0 && f.firstSeq > r.seq+1:
@@ -286,7 +289,7 @@
 		c := Corruption{File: f.name, Reason: fmt.Sprintf("%d records missing before it", f.firstSeq-r.seq-1)}
 		r.gaps = append(r.gaps, gap{Corruption: c, from: r.seq + 1, to: f.firstSeq - 1})
 		r.seq = f.firstSeq - 1
-	case r.sealedNext != 0 && f.number > r.sealedNext: // how many records it held is not known
+	case r.sealedNext != 0 && f.number > r.sealedNext: // the number of records in the missing segment is unknown
 		c := Corruption{File: segmentName(r.sealedNext), Reason: reasonSegmentMissing}
 		r.gaps = append(r.gaps, gap{Corruption: c, from: r.seq + 1, to: r.seq})
 	}
--- a/internal/wal/run.go
+++ b/internal/wal/run.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	maxBatchRecords       = 512                   // that are written together
-	deferredRetryInterval = 25 * time.Millisecond // of records that could not be written
+	maxBatchRecords       = 512                   // maximum number of records in a batch
+	deferredRetryInterval = 25 * time.Millisecond // pause before records that could not be written are retried
 )
 
-// Run serves the log until stop is closed and everything submitted before is written, and
-// then closes it. It is called once; its caller waits for Done.
+// Run serves the log until stop is closed and everything submitted before is written. Then
+// it closes the log. It is called once; its caller waits for Done.
 func (l *Log) Run(stop <-chan struct{}) {
 	defer close(l.done)
 	defer l.store.close()
@@ -47,8 +47,8 @@
 	}
 }
 
-// wait returns when there may be requests, at the timeout, or when stop is closed, which
-// it reports.
+// wait returns when there may be requests, when the timeout fires, or when stop is closed.
+// It reports whether stop was closed.
 func (l *Log) wait(stop <-chan struct{}, timeout <-chan time.Time) (stopped bool) {
 	select {
 	case <-l.requests.Ready():
@@ -59,8 +59,8 @@
 	return false
 }
 
-// processBatch carries out the first requests, as many as go together, and counts them.
-// records is scratch space.
+// processBatch processes the first requests, as many as can be written together, and
+// returns their number. It uses records as scratch space.
 func (l *Log) processBatch(requests []request, records *[]*Record) (n int) {
 	*records = (*records)[:0]
 	for n < min(len(requests), maxBatchRecords) && requests[n].isWrite() {
@@ -83,10 +83,10 @@
 	return n
 }
 
-// isWrite reports whether a request can be written together with others.
+// isWrite reports whether a request can be written in a batch with others.
 func (r *request) isWrite() bool { return r.record != nil && r.record.Kind != KindHandoff }
 
-// processSingle runs a function or hands the log off.
+// processSingle runs a function, or hands the log off.
 func (l *Log) processSingle(r request) {
 	if r.run != nil {
 		r.run()
@@ -106,7 +106,8 @@
 	}
 }
 
-// complete reports the result of a record, or defers the record.
+// complete reports the result of a record to its submitter, or keeps the record for a
+// retry.
 func (l *Log) complete(r request, err error) {
 	refused := err != nil && !errors.Is(err, ErrNotPending)
 	if refused && r.record.Kind.isFact() && !errors.Is(err, ErrSyncFailed) {
@@ -129,7 +130,8 @@
 	l.store.logger.Error("record not written", "kind", r.record.Kind, "message", r.record.ID, "err", err)
 }
 
-// writeDeferred writes the records that were deferred, and reports whether none is left.
+// writeDeferred retries the records that could not be written, and reports whether all are
+// written now.
 func (l *Log) writeDeferred() bool {
 	if len(l.deferred) == 0 {
 		return true
@@ -156,8 +158,9 @@
 	return true
 }
 
-// abandonDeferred retries once more, and reports what is not recorded at the end of the
-// process: the next one finds those messages as they are in the log.
+// abandonDeferred retries the remaining records once more as the process ends, and reports
+// those that still cannot be written. The next process then finds their messages as they
+// were before these records.
 func (l *Log) abandonDeferred() {
 	if l.writeDeferred() {
 		return
--- a/internal/wal/scanner.go
+++ b/internal/wal/scanner.go
@@ -10,23 +10,23 @@
 
 const (
 	scanWindowBytes   = 256 << 10
-	maxIDSearchBytes  = 64 << 10 // of a corrupted stretch that is searched for ids
-	maxReadableIDs    = 32       // that are reported of one stretch
+	maxIDSearchBytes  = 64 << 10 // bytes of an unreadable range that are searched for ids
+	maxReadableIDs    = 32       // maximum number of ids that are reported for one unreadable range
 	resyncSearchBytes = scanWindowBytes / 2
 )
 
-// scanner reads a file through a window, so that memory does not grow with the file.
-// Its zero value apart from file and size reads with the salt 0 and the default window.
+// scanner reads a file through a buffer, so that memory use does not grow with the file.
+// If only file and size are set, it reads with the salt 0 and the default buffer size.
 type scanner struct {
 	file         File
 	size         int64
 	salt         uint32
-	windowBytes  int // read at a time, unless more is wanted; 0 for scanWindowBytes
+	windowBytes  int // minimum size of a read; 0 for scanWindowBytes
 	buffer       []byte
-	bufferOffset int64 // place of buffer[0] in the file
+	bufferOffset int64 // file offset of buffer[0]
 }
 
-// window gives the want bytes at off, or fewer at the end of the file and where a read
+// window returns the want bytes at off, or fewer at the end of the file or if a read
 // fails. They are valid until the next call.
 func (s *scanner) window(off int64, want int) []byte {
 	want = int(min(int64(want), s.size-off))
@@ -38,7 +38,8 @@
 		if cap(s.buffer) < size {
 			s.buffer = make([]byte, 0, size)
 		}
-		n, _ := s.file.ReadAt(s.buffer[:int(min(int64(size), s.size-off))], off) // what cannot be read counts as corrupted
+		// Bytes that cannot be read count as corrupted, so the error is not needed.
+		n, _ := s.file.ReadAt(s.buffer[:int(min(int64(size), s.size-off))], off)
 		s.bufferOffset, s.buffer = off, s.buffer[:n]
 		if n < want {
 			return s.buffer
@@ -47,27 +48,27 @@
 	return s.buffer[off-s.bufferOffset:][:want]
 }
 
-// recordStatus is what can be said of the bytes at a place.
+// recordStatus says how much of the record at an offset is valid.
 type recordStatus int
 
 const (
 	recordValid      recordStatus = iota
-	payloadCorrupted              // head and id are certain, the payload is not
-	recordTorn                    // likewise, and the file ends before the record does
-	recordUnreadable              // nothing is certain
+	payloadCorrupted              // head and id are valid, the payload is not
+	recordTorn                    // head and id are valid, but the file ends before the record does
+	recordUnreadable              // nothing is valid
 )
 
-// rawRecord is a record as it stands in a file. Its slices are valid until the scanner's
-// next call.
+// rawRecord is a record as stored in a file. Its slices are valid until the scanner's next
+// call.
 type rawRecord struct {
-	size    int64 // with its head
+	size    int64 // including the head
 	seq     uint64
-	kind    Kind // empty where this program does not know it
+	kind    Kind // empty if this program does not know the kind
 	id      []byte
 	payload []byte
 }
 
-// record reads the record at off.
+// record reads the record at offset off.
 func (s *scanner) record(off int64) (r rawRecord, status recordStatus) {
 	b := s.window(off, maxRecordHeadBytes)
 	if len(b) < recordHeadSize || string(b[:recordLengthAt]) != recordMark {
@@ -89,7 +90,7 @@
 		return r, recordTorn
 	}
 	b = s.window(off, int(r.size))
-	if int64(len(b)) < r.size { // a read failed
+	if int64(len(b)) < r.size { // the read failed
 		return r, recordUnreadable
 	}
 	r.id, r.payload = b[recordHeadSize:recordHeadSize+idLength], b[recordHeadSize+idLength:]
@@ -100,13 +101,13 @@
 	return r, recordValid
 }
 
-// resync gives the first place from off on where a record's head is certain and its
-// sequence number is at least minSeq; the end of the file where there is none.
+// resync returns the first offset from off on at which a record has a valid head and a
+// sequence number of at least minSeq, or the end of the file if there is none.
 func (s *scanner) resync(off int64, minSeq uint64) int64 {
 	for off < s.size {
 		b := s.window(off, resyncSearchBytes)
 		if len(b) == 0 {
-			break // unreadable
+			break // the read failed
 		}
 		i := bytes.Index(b, []byte(recordMark))
 		if i < 0 {
@@ -122,7 +123,7 @@
 	return s.size
 }
 
-// allZeros reports whether a stretch holds nothing but zeros.
+// allZeros reports whether the bytes in a range are all zero.
 func (s *scanner) allZeros(from, to int64) bool {
 	for from < to {
 		b := s.window(from, int(min(to-from, resyncSearchBytes)))
@@ -139,11 +140,11 @@
 	return true
 }
 
-// idPattern matches what may be ids in a stretch that cannot be read.
+// idPattern matches byte strings that may be message ids.
 var idPattern = regexp.MustCompile(`[!-~]{6,256}`)
 
-// readableIDs gives ids that can be read in a corrupted stretch. They may be wrong, and
-// help a person who looks for a message.
+// readableIDs returns strings from a corrupted range that look like ids. They may be
+// wrong; they help an operator to search for a message.
 func (s *scanner) readableIDs(from, to int64) (ids []string) {
 	b := s.window(from, int(min(to-from, maxIDSearchBytes)))
 	for at := 0; len(ids) < maxReadableIDs; {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -9,12 +9,12 @@
 
 // segmentWriter appends to the current segment.
 type segmentWriter struct {
-	file *logFile // nil before the first segment of this process
-	torn bool     // a write that failed may have left something after the end
+	file *logFile // nil until this process has started its first segment
+	torn bool     // a failed write may have left bytes after the end of the segment
 }
 
-// write puts b at the end of the segment. The end moves by advance, once b's records are
-// applied.
+// write writes b at the end of the segment. advanceSegment moves the end past it after the
+// records in b have been applied.
 func (w *segmentWriter) write(b []byte) error {
 	if err := w.repairEnd(); err != nil {
 		return err
@@ -30,9 +30,10 @@
 	return nil
 }
 
-// repairEnd cuts off what a failed write may have left. Nothing more is written before
-// that: complete records may be among it whose write was reported as failed, and after a
-// shorter write they would be read as recorded.
+// repairEnd cuts off bytes that a failed write may have left, before anything else is
+// written. They may contain complete records whose writes were reported as failed. A
+// shorter write over them would leave some of these records behind it, and a restart would
+// read them as recorded.
 func (w *segmentWriter) repairEnd() error {
 	if !w.torn {
 		return nil
@@ -44,9 +45,9 @@
 	return nil
 }
 
-// startSegment begins the next segment. The one before is synced first and ends with a
-// seal that names the new one, which is synced before anything is recorded there: so a
-// loss of power can only take the end of the last segment.
+// startSegment begins the next segment. It first syncs the current one and ends it with a
+// seal that names the next one. The seal is synced before the next segment gets its first
+// record, so a loss of power can only damage the end of the last segment.
 func (s *store) startSegment() error {
 	if err := s.segment.repairEnd(); err != nil {
 		return err
@@ -77,8 +78,9 @@
 	return nil
 }
 
-// sealSegment ends the current segment with the number of the next one. Errors: those of
-// the sync; that the seal cannot be written is no error, as readers do without it.
+// sealSegment ends the current segment with a record that holds the number of the next
+// one. A failure to write the seal is only logged, as readers do not need it. It returns
+// the error of the sync.
 func (s *store) sealSegment(next uint32) error {
 	if err := s.writeOwnRecord(&Record{Kind: kindSegmentSeal, ID: NoMessage, At: int64(next)}); err != nil {
 		s.logger.Warn("segment not sealed", "file", s.segment.file.name, "err", err)
@@ -86,12 +88,12 @@
 	return s.syncer.syncFile(s.segment.file)
 }
 
-// newHeader is that of a file whose first record is the next one of the log.
+// newHeader returns the header of a file that begins with the log's next record.
 func (s *store) newHeader(kind fileKind, number uint32) header {
 	return header{kind: kind, durable: s.syncer.enabled, number: number, firstSeq: s.seq + 1, owner: s.owner, process: uint32(s.process)}
 }
 
-// stampHeader puts the present moment into a header.
+// stampHeader sets a header's creation time to the current time.
 func (s *store) stampHeader(h *header) {
 	now := s.options.Clock()
 	h.createdAt, h.createdLogTime = now.Wall, s.clock.at(now)
@@ -123,7 +125,8 @@
 	}
 }
 
-// writeOwnRecord writes a record about the log itself, whatever space there is.
+// writeOwnRecord writes a record about the log itself, without checking the limit of the
+// folder.
 func (s *store) writeOwnRecord(r *Record) error {
 	b, err := appendRecord(nil, r, s.seq+1, s.salt, nil)
 	if err != nil {
@@ -138,7 +141,8 @@
 	return nil
 }
 
-// advanceSegment moves the end of the segment past n bytes that were written.
+// advanceSegment moves the end of the current segment forward by the n bytes that were
+// written.
 func (s *store) advanceSegment(n int) {
 	f := s.segment.file
 	f.size += int64(n)
--- a/internal/wal/stamp.go
+++ b/internal/wal/stamp.go
@@ -6,26 +6,27 @@
 	"plovershore/internal/clock"
 )
 
-// Stamp stands beside the log: whose log it is, the sequence number of its last record,
-// and when that was written. It shows that records are missing at the end of the log,
-// and how long no process ran.
+// Stamp is a note in a file next to the log: the log's owner, the sequence number of its
+// last record, and the time of that record. It shows whether records are missing at the
+// end of the log, and how long no process ran.
 type Stamp struct {
 	ID, Seq uint64
 	At      int64         // log time in microseconds
-	Clock   clock.Reading // the same moment by the machine's clocks
+	Clock   clock.Reading // the same instant on the machine's clocks
 }
 
-// StampFile keeps a stamp beyond the end of the process. Whoever opened it closes it.
+// StampFile stores a stamp that survives the end of the process. Whoever opened it closes
+// it.
 type StampFile interface {
-	// Store replaces the stamp. It is called after each batch, so it has to be cheap.
+	// Store replaces the stamp. It is called after each batch, so it must be cheap.
 	Store(Stamp)
-	// Close releases the file; the stamp stays.
+	// Close closes the file, which keeps the stamp.
 	Close() error
 }
 
-// Words of a stamp in its file, each of eight bytes in the machine's byte order. A program
-// from before there were readings of clocks writes the first three alone; the second copy
-// of the time shows that the readings are of the same moment.
+// Words of a stamp in its file, each of eight bytes in the machine's byte order. Older
+// programs write only the first three. If the second copy of the time equals the first,
+// the clock readings belong to that time.
 const (
 	stampOwner = iota
 	stampSeq
@@ -42,7 +43,7 @@
 	stampSize       = stampFieldBytes * stampWords
 )
 
-// stampOwnerFlag tells a stamp's ID from the zeros of a new file.
+// stampOwnerFlag distinguishes a stamp's ID from the zeros of a new file.
 const stampOwnerFlag = 1 << 32
 
 func stampIDOf(salt uint32) uint64 { return uint64(salt) | stampOwnerFlag }
@@ -50,7 +51,7 @@
 // hasOwner reports whether the stamp was ever written.
 func (s Stamp) hasOwner() bool { return s.ID>>32 == stampOwnerFlag>>32 }
 
-// salt is that of the owner of the stamp's log.
+// salt returns the salt of the owner of the stamp's log.
 func (s Stamp) salt() uint32 { return uint32(s.ID) }
 
 func (s Stamp) words() [stampWords]uint64 {
@@ -67,7 +68,7 @@
 	}
 }
 
-// Bytes is a stamp as its file stores it.
+// Bytes returns the stamp as its file stores it.
 func (s Stamp) Bytes() []byte {
 	var b []byte
 	for _, w := range s.words() {
@@ -76,8 +77,8 @@
 	return b
 }
 
-// parseStamp reads what Bytes gives, or its beginning as an older program writes it. The
-// stamp is zero where b is shorter.
+// parseStamp decodes what Bytes returns, or the first words of it as an older program
+// writes them. It returns a zero stamp if b is shorter.
 func parseStamp(b []byte) (s Stamp) {
 	if len(b) < legacyStampSize {
 		return s
@@ -92,7 +93,7 @@
 	return s
 }
 
-// readStamp reads a stamp's file without creating or mapping it. The stamp is zero where
+// readStamp reads a stamp file without creating or mapping it. It returns a zero stamp if
 // the file cannot be read.
 func readStamp(fs FS, name string) Stamp {
 	f, err := fs.Open(name, ModeRead)
@@ -101,11 +102,11 @@
 	}
 	defer f.Close()
 	b := make([]byte, stampSize)
-	n, _ := f.ReadAt(b, 0) // an older program's file is shorter
+	n, _ := f.ReadAt(b, 0) // the file of an older program is shorter
 	return parseStamp(b[:n])
 }
 
-// noStampFile stands for a stamp file that could not be opened.
+// noStampFile replaces a stamp file that could not be opened.
 type noStampFile struct{}
 
 func (noStampFile) Store(Stamp)  {}
--- a/internal/wal/state.go
+++ b/internal/wal/state.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// state is what a log holds: its pending messages, and where each one's record is.
-// Records change it by apply, the same way when they are written and when they are read
-// at a start.
+// state is the content of a log: its pending messages and the position of each one's
+// record. It changes only by apply, in the same way when a record is written as when it is
+// read at a start.
 type state struct {
 	index           *index
 	files           map[uint32]*logFile // by logFile.ref
 	lastFileRef     uint32
-	segments        []*logFile // after the checkpoint, in order
-	checkpointFile  *logFile   // nil where there is none
-	obsolete        []string   // files that the checkpoint has replaced
+	segments        []*logFile // the segments after the checkpoint, in order
+	checkpointFile  *logFile   // nil if there is none
+	obsolete        []string   // files that the checkpoint replaced
 	nextSegment     uint32
 	owner           ownerID
 	salt            uint32
-	seq             uint64 // of the last record
-	syncedSeq       uint64 // the log says of itself that it was synced up to here
-	sealedNext      uint32 // the next segment by the last record, where that is a seal; else 0
-	process         int    // the last that owned the log
-	lastTime        int64  // log time of the last record, as far as it is known
+	seq             uint64 // sequence number of the last record
+	syncedSeq       uint64 // sequence number up to which the log was synced, according to its batch start records
+	sealedNext      uint32 // number of the next segment if the last record is a seal; 0 otherwise
+	process         int    // number of the last process that owned the log
+	lastTime        int64  // log time of the last record that has a known time
 	clockAnchor     clockAnchor
-	handoffOffset   int64  // the log includes the handoff log up to here
-	policySnapshot  []byte // state of the policy of the process that handed the log off
-	checkpointBytes int64  // that a checkpoint takes up at most
+	handoffOffset   int64  // up to this byte the log includes the handoff log
+	policySnapshot  []byte // policy state of the process that handed the log off
+	checkpointBytes int64  // maximum size of a checkpoint of this state
 	recovery        RecoveryReport
 }
 
@@ -47,20 +47,20 @@
 	}
 }
 
-// recordPlace is where a record stands.
+// recordPlace is the position of a record.
 type recordPlace struct {
 	file         *logFile
 	offset, size int64
 }
 
-// maxAttempts is the most attempts that an entry counts.
+// maxAttempts is the highest number of attempts that an entry can count.
 const maxAttempts = math.MaxUint8
 
-// stateReserveBytes is by how much a message's record may grow in a checkpoint, beside the
-// endpoint of its attempt in flight.
+// stateReserveBytes is by how many bytes a message's record may grow when a checkpoint
+// stores it, not counting the endpoint of its attempt in flight.
 const stateReserveBytes = 128
 
-// entryBytes is what an entry's record takes up in a checkpoint at most.
+// entryBytes returns the maximum size of an entry's record in a checkpoint.
 func (s *state) entryBytes(i uint32) int64 {
 	e := s.index.at(i)
 	n := int64(e.size) + stateReserveBytes
@@ -71,7 +71,7 @@
 	return n
 }
 
-// apply changes the state by one record. The key and the id are those of its message.
+// apply changes the state by one record. k and id identify the record's message.
 func (s *state) apply(k indexKey, id []byte, seq uint64, r *Record, place recordPlace) {
 	s.handoffOffset = max(s.handoffOffset, r.HandoffOffset)
 	switch r.Kind {
@@ -94,7 +94,7 @@
 func (s *state) applyToMessage(k indexKey, id []byte, seq uint64, r *Record, place recordPlace) {
 	i, known := s.index.find(k)
 	if known && r.Kind != kindMessageState && s.index.at(i).includes(seq) {
-		return // the checkpoint was written later than this
+		return // the checkpoint's state of the message already includes this record
 	}
 	switch r.Kind {
 	case KindAccepted, kindMessageState:
@@ -108,7 +108,7 @@
 		}
 		return
 	}
-	if !known { // corruption took its first record
+	if !known { // corruption destroyed the message's first record
 		i = s.addCorrupted(k, id, seq-1)
 	}
 	if r.Kind == KindAttempt {
@@ -119,16 +119,17 @@
 	e.stateSeq = uint32(min(seq-e.seq, math.MaxUint32))
 }
 
-// includes reports whether the entry's state includes a record.
+// includes reports whether the entry's state already includes the record with the sequence
+// number seq.
 func (e *entry) includes(seq uint64) bool { return seq <= e.lastSeq() }
 
-// lastSeq is the sequence number of the last record that the entry's state includes.
+// lastSeq returns the sequence number of the last record that the entry's state includes.
 func (e *entry) lastSeq() uint64 { return e.seq + uint64(e.stateSeq) }
 
 func (s *state) addMessage(k indexKey, id []byte, seq uint64, r *Record, place recordPlace) {
 	i, e := s.index.add(k)
 	e.seq = seq
-	if r.Kind == kindMessageState { // see appendMessageState
+	if r.Kind == kindMessageState { // At and Latency hold sequence numbers: see appendMessageState
 		e.seq = uint64(r.At)
 		e.stateSeq = uint32(min(uint64(r.Latency)-uint64(r.At), math.MaxUint32))
 	}
@@ -147,7 +148,7 @@
 	s.checkpointBytes += s.entryBytes(i)
 }
 
-// addCorrupted adds a message of which only the id is left.
+// addCorrupted adds a message of which corruption left only the id.
 func (s *state) addCorrupted(k indexKey, id []byte, seq uint64) uint32 {
 	i, e := s.index.add(k)
 	e.seq = seq
@@ -156,14 +157,14 @@
 	return i
 }
 
-// markCorrupted notes that an entry's record cannot be read any more.
+// markCorrupted notes that an entry's record can no longer be read.
 func (s *state) markCorrupted(i uint32, id string) {
 	s.checkpointBytes -= s.entryBytes(i)
 	s.index.detail(i).corruptedID = id
 	s.checkpointBytes += s.entryBytes(i)
 }
 
-// relocate notes that an entry's record stands in another place now.
+// relocate notes that an entry's record is now stored at another position.
 func (s *state) relocate(i uint32, place recordPlace) {
 	s.checkpointBytes -= s.entryBytes(i)
 	e := s.index.at(i)
@@ -219,8 +220,9 @@
 	s.index.dropEmptyDetail(i)
 }
 
-// resolveInFlight turns attempts of processes that exited into unknown outcomes: nobody
-// saw how they ended. Attempts after the record seq are left as they are.
+// resolveInFlight gives an unknown outcome to attempts of processes that have exited,
+// since no process recorded how they ended. It leaves attempts alone that were recorded
+// after the record seq.
 func (s *state) resolveInFlight(exited func(process int) bool, seq uint64) {
 	for i, d := range s.index.details {
 		if d.inFlightSince != 0 && exited(d.inFlightProcess) && seq > s.index.at(i).lastSeq() {
@@ -229,14 +231,16 @@
 	}
 }
 
-// assumedSendTime stands for the time of an attempt whose record corruption may have
-// taken.
+// assumedSendTime is the time of sending of an attempt that may have been made but whose
+// record may be lost to corruption.
 const assumedSendTime = 1
 
-// suspect treats a message as sent, since corruption may have taken the record of an
+// suspect treats a message as sent, since corruption may have destroyed the record of an
 // attempt.
 func (s *state) suspect(i uint32) {
-	s.countAttempt(i) // one: at most one is in flight at a time, and a stretch is mostly one record
+	// Counts one attempt: a message has at most one in flight at a time, and a corrupted
+	// range mostly covers one record.
+	s.countAttempt(i)
 	e := s.index.at(i)
 	if e.unknownOutcomeAt != 0 {
 		return
@@ -247,8 +251,8 @@
 	}
 }
 
-// suspectAll suspects each message accepted before the record with a sequence number, and
-// counts them.
+// suspectAll treats each message as sent that was accepted before the record with the
+// sequence number before. It returns their number.
 func (s *state) suspectAll(before uint64) (n int) {
 	for i := range s.index.entryCount {
 		if e := s.index.at(i); e.flags&entryLive != 0 && e.seq < before {
@@ -259,11 +263,12 @@
 	return n
 }
 
-// unknownNotice stands for the final notice of a message where corruption took it.
+// unknownNotice stands for the final notice of a message if corruption destroyed the
+// notice.
 const unknownNotice = "lost"
 
-// applyCorrupted changes the state by a record of which only the head is certain, and
-// completes the report of it.
+// applyCorrupted changes the state by a record of which only the head and the id are
+// valid, and completes the report of the corruption.
 func (s *state) applyCorrupted(r *rawRecord, c *Corruption) {
 	k := s.index.keyOfBytes(r.id)
 	c.Reason, c.IDs = reasonDamagedRecord(r.kind), []string{string(r.id)}
@@ -283,7 +288,9 @@
 		}
 		s.suspect(i)
 		c.Affected = 1
-		if r.kind == KindCompleting { // it was over, with a notice that nobody knows: it is not sent again
+		// The message has ended with a notice that is no longer known, so it is not sent
+		// again.
+		if r.kind == KindCompleting {
 			s.index.detail(i).notice = unknownNotice
 		}
 	case KindOwner:
@@ -291,7 +298,7 @@
 	}
 }
 
-// summarize completes the recovery report, once all records are applied.
+// summarize completes the recovery report after all records have been applied.
 func (s *state) summarize() {
 	s.recovery.Pending, s.recovery.Seq, s.recovery.Process = s.index.live, s.seq, s.process
 	for _, d := range s.index.details {
--- a/internal/wal/store.go
+++ b/internal/wal/store.go
@@ -9,31 +9,31 @@
 	"plovershore/internal/clock"
 )
 
-// store is an open log without its goroutine: each call does one thing and returns. It is
-// for one goroutine at a time.
+// store is an open log without its goroutine. Its calls are synchronous. It is not safe
+// for concurrent use.
 type store struct {
 	*state
 	options   Options
 	fs        FS
 	logger    *slog.Logger
-	dir       string // of the segments
-	limit     int64  // bytes that the folder may take up
+	dir       string // the folder of segments and checkpoints
+	limit     int64  // maximum size of the state folder in bytes
 	clock     logClock
 	segment   segmentWriter
 	syncer    syncer
 	usage     diskUsage
-	stampFile StampFile // nil until the folder is ready
+	stampFile StampFile // nil until the folder is prepared
 
 	batch         batch
-	results       []error // of appendRecords
-	spaceReserved bool    // what is written takes up space that is counted already
+	results       []error // result slice of appendRecords, for reuse
+	spaceReserved bool    // records being written now use space that already counts as used
 
-	pendingCheckpoint    *checkpointWriter // nil where none is being written
-	checkpointRetryBytes int64             // how long the log has to be for a checkpoint after one that failed
+	pendingCheckpoint    *checkpointWriter // nil if none is being written
+	checkpointRetryBytes int64             // minimum log size for the next checkpoint after one that failed
 
-	ownerRecord     *Record        // of this process, until it is written ahead of its first record
-	inheritedPolicy []byte         // state.policySnapshot at the start; the owner record clears that one
-	handoff         *handoffWriter // where records go once the log belongs to the next process; else nil
+	ownerRecord     *Record        // this process's owner record, until it is written before the process's first other record
+	inheritedPolicy []byte         // state.policySnapshot at the start, which the owner record then clears
+	handoff         *handoffWriter // receives the records once the log belongs to the next process; nil before
 }
 
 func newStore(o Options) *store {
@@ -58,8 +58,8 @@
 	}
 }
 
-// open recovers what the folder holds and makes it ready. Where the process before still
-// lives, its handoff log is returned, and its attempts stay in flight.
+// open recovers the contents of the folder and prepares it for writing. If the previous
+// process is still alive, open returns its handoff log, and its attempts stay in flight.
 func (s *store) open() (handoff *HandoffLog, err error) {
 	if err := s.recoverState(); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	return handoff, nil
 }
 
-// recoverState reads the folder, or the file of a legacy program.
+// recoverState reads the log's folder, or the log file of a legacy program.
 func (s *store) recoverState() (err error) {
 	if s.state, err = readState(s.fs, s.options.Dir); err != nil {
 		return err
@@ -125,7 +125,7 @@
 	return s.fs.SyncDir(s.options.Dir)
 }
 
-// logRecovery names what was found corrupted.
+// logRecovery logs the corruption that was found.
 func (s *store) logRecovery() {
 	for _, c := range s.recovery.Corruptions {
 		s.logCorruption(c)
@@ -144,8 +144,9 @@
 		"file", c.File, "offset", c.Offset, "bytes", c.Bytes, "reason", c.Reason, "affected", c.Affected, "ids", c.IDs)
 }
 
-// finishInterruptedWrites completes what an earlier process may have left half done: a
-// conversion, and, with SurvivesPowerLoss, writes that were read here and never synced.
+// finishInterruptedWrites completes what an earlier process may have left unfinished: a
+// conversion and, with SurvivesPowerLoss, the sync of records that were read at this
+// start.
 func (s *store) finishInterruptedWrites() error {
 	if s.recovery.OlderFormat {
 		return nil
@@ -163,7 +164,7 @@
 	return s.syncer.syncDir(s.dir)
 }
 
-// prepareFolder makes the folder ready for this process to write to.
+// prepareFolder prepares the folder so that this process can write to it.
 func (s *store) prepareFolder() (err error) {
 	if s.owner == (ownerID{}) {
 		rand.Read(s.owner[:]) // never fails
@@ -182,8 +183,8 @@
 	return err
 }
 
-// takeOwnership makes this process the log's owner. Attempts of processes other than the
-// living one have unknown outcomes.
+// takeOwnership makes this process the owner of the log. Attempts in flight get unknown
+// outcomes, except for those of the previous process if that is still alive.
 func (s *store) takeOwnership(living int) {
 	s.resolveInFlight(func(process int) bool { return process != living }, s.seq+1)
 	s.process++
@@ -197,12 +198,12 @@
 	s.obsolete = nil
 }
 
-// maxSegmentsAtStart is how many segments a start leaves without a checkpoint.
+// maxSegmentsAtStart is the number of segments above which a start begins a checkpoint.
 const maxSegmentsAtStart = 2
 
-// checkpointAtStart begins a checkpoint where the log is long. Where it was corrupted, the
-// checkpoint is finished at once: the consequences are recorded before anything is built
-// on them.
+// checkpointAtStart begins a checkpoint if the log is long. If the log was corrupted, it
+// finishes the checkpoint at once, so that the consequences of the corruption are recorded
+// before any later record depends on them.
 func (s *store) checkpointAtStart() {
 	var err error
 	if len(s.recovery.Corruptions) > 0 {
@@ -215,7 +216,6 @@
 	}
 }
 
-// close closes what is open.
 func (s *store) close() {
 	if s.handoff != nil {
 		s.handoff.file.Close()
--- a/internal/wal/syncer.go
+++ b/internal/wal/syncer.go
@@ -5,17 +5,17 @@
 	"log/slog"
 )
 
-// syncer syncs files and folders of a log that has to survive a loss of power; for any
-// other it does nothing.
+// syncer syncs the files and folders of a log that has to survive a loss of power. It does
+// nothing for other logs.
 //
-// A failure is final: the kernel may count the page as clean by then, so that a second
-// try would report a success that was none.
+// A failure is final. The kernel may have marked the pages as clean after the failed sync,
+// so that a second sync would report success without having written them.
 type syncer struct {
 	enabled   bool
 	fs        FS
 	logger    *slog.Logger
 	onFailure func(error) // may be nil
-	err       error       // ErrSyncFailed, once a sync has failed
+	err       error       // an ErrSyncFailed after the first sync that failed
 }
 
 func (s *syncer) syncFile(f *logFile) error {
--- a/internal/wal/usage.go
+++ b/internal/wal/usage.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// diskUsage is what the files of a state folder take up, except the handoff log, which
-// has a bound of its own. Its zero value does not work; see countUsage.
+// diskUsage counts the sizes of the files in a state folder. It does not count the handoff
+// log, which has its own limit. countUsage creates it; the zero value is not usable.
 type diskUsage struct {
-	sizes       map[string]int64 // by path
-	bytes       int64            // of all files, in whole blocks
-	quarantined int64            // of corrupted files that are kept, in whole blocks
+	sizes       map[string]int64 // size of each file, by path
+	bytes       int64            // total size of all files, in whole blocks
+	quarantined int64            // total size of quarantined files, in whole blocks
 }
 
 func newDiskUsage() diskUsage { return diskUsage{sizes: map[string]int64{}} }
 
-// countUsage counts the files of a state folder and of the log's folder in it.
+// countUsage counts the files in a state folder and in the log's folder in it.
 func countUsage(fs FS, stateDir, logDir string) (diskUsage, error) {
 	u := newDiskUsage()
 	names, err := fs.List(stateDir)
@@ -30,7 +30,7 @@
 			u.count(fs, filepath.Join(stateDir, name))
 		}
 	}
-	names, _ = fs.List(logDir) // what cannot be listed is counted once it is written
+	names, _ = fs.List(logDir) // a file that is not listed is counted when it is written
 	for _, name := range names {
 		path := filepath.Join(logDir, name)
 		u.count(fs, path)
@@ -51,7 +51,7 @@
 	}
 }
 
-// resize notes the size of a file; 0 where it was removed.
+// resize records a file's new size; 0 stands for a removed file.
 func (u *diskUsage) resize(path string, size int64) {
 	u.bytes += blockBytes(size) - blockBytes(u.sizes[path])
 	if size == 0 {
@@ -61,8 +61,8 @@
 	u.sizes[path] = size
 }
 
-// removeFile removes a file of the log. One that is corrupted is quarantined, where there
-// is space for it.
+// removeFile removes a file of the log. If the file is corrupted, it is quarantined
+// instead, as far as there is space.
 func (s *store) removeFile(name string) {
 	path := filepath.Join(s.dir, name)
 	if s.shouldQuarantine(name, path) && s.quarantine(name, path) {
@@ -75,7 +75,7 @@
 	s.usage.resize(path, 0)
 }
 
-// quarantineFraction is the part of the limit that corrupted files may take up.
+// quarantineFraction: quarantined files take up at most the limit divided by this number.
 const quarantineFraction = 8
 
 func (s *store) shouldQuarantine(name, path string) bool {
@@ -90,10 +90,10 @@
 	return false
 }
 
-// quarantine renames a corrupted file, and reports whether it did.
+// quarantine renames a corrupted file to keep it, and reports whether it did.
 func (s *store) quarantine(name, path string) bool {
 	to := filepath.Join(s.dir, quarantinePrefix+"-"+name)
-	if _, _, err := s.fs.Stat(to); err == nil { // an earlier one of that name is kept
+	if _, _, err := s.fs.Stat(to); err == nil { // keeps an earlier quarantined file of the same name
 		return false
 	}
 	if err := s.fs.Rename(path, to); err != nil {
