--- a/internal/wal/cutfs/cut.go
+++ b/internal/wal/cutfs/cut.go
@@ -8,14 +8,15 @@
 	"slices"
 )
 
-// Pending counts the changes that a power cut may lose.
+// Pending returns the number of changes that a power cut may lose.
 func (f *FS) Pending() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.pending())
 }
 
-// pending gives the changes that a power cut may lose, in their order.
+// pending returns the changes that a power cut may lose, in the order in which they were
+// made.
 func (f *FS) pending() (changes []*change) {
 	seen := map[*inode]bool{}
 	addData := func(node *inode) {
@@ -37,8 +38,9 @@
 	return changes
 }
 
-// Cut gives the file system as it comes up after a power cut that kept those pending
-// changes for which survives says so, by their place in the order. f itself stays as it is.
+// Cut returns the file system as it is after a power cut. survives says for each pending
+// change, by its position in the order, whether the power cut kept it. f itself is
+// unchanged.
 func (f *FS) Cut(survives func(i int) bool) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,7 +60,7 @@
 	return after
 }
 
-// dataByInode is what files hold after a power cut.
+// dataByInode holds the contents of files after a power cut.
 type dataByInode map[*inode][]byte
 
 func (d dataByInode) of(node *inode) []byte {
@@ -68,7 +70,7 @@
 	return d[node]
 }
 
-// afterCut gives the names and the contents that a power cut leaves.
+// afterCut returns the names and contents that are left after a power cut.
 func (f *FS) afterCut(survives func(i int) bool) (map[string]*inode, dataByInode) {
 	names, contents := maps.Clone(f.durableNames), dataByInode{}
 	for i, c := range f.pending() {
@@ -85,7 +87,8 @@
 	return names, contents
 }
 
-// hasDurableFolder reports whether all folders above a name survived a cut that left names.
+// hasDurableFolder reports whether all parent folders of a name are among the names left
+// after a power cut.
 func (f *FS) hasDurableFolder(name string, names map[string]*inode) bool {
 	for dir := filepath.Dir(name); f.durableNames[dir] == nil && dir != filepath.Dir(dir); dir = filepath.Dir(dir) {
 		if names[dir] == nil && f.names[dir] != nil {
--- a/internal/wal/cutfs/disk.go
+++ b/internal/wal/cutfs/disk.go
@@ -12,25 +12,29 @@
 	"plovershore/internal/wal"
 )
 
-// Disk is a file system over a real folder whose process may be killed in place of a power
-// cut: what was not synced is in memory alone, and reaches the folder in part and in any
-// order, as the seed draws it. OnDisk makes it. It is for one process at a time, and for
-// any number of goroutines. There is nothing to close.
+// Disk is a file system over a real folder. Killing its process has the effect of a power
+// cut: changes that were not synced are only in memory, and a random part of them reaches
+// the folder in random order, according to the seed. OnDisk creates it. Only one process
+// at a time may use the folder. It is safe for concurrent use by goroutines and need not
+// be closed.
 type Disk struct {
 	*FS
 	dir    string
 	mu     sync.Mutex // guards the fields below and the real files
 	random *rand.Rand
-	paths  map[*inode]string // where each durable file stands
+	paths  map[*inode]string // path in the real folder of each durable file
 }
 
-// leakOdds: one operation in so many has a pending change become durable of itself.
+// leakOdds: a pending change becomes durable without a sync at one in this many
+// operations.
 const leakOdds = 4
 
-// seedStream keeps the draws of a Disk apart from those of tests with the same seed.
+// seedStream separates the random numbers of a Disk from those of a test with the same
+// seed.
 const seedStream = 11
 
-// OnDisk reads a folder as the last process left it. Errors: those of the real file system.
+// OnDisk reads a folder as the last process left it. It returns the errors of the real
+// file system.
 func OnDisk(dir string, seed uint64) (*Disk, error) {
 	dir = filepath.Clean(dir)
 	d := &Disk{FS: New(dir), dir: dir, random: rand.New(rand.NewPCG(seed, seedStream)), paths: map[*inode]string{}}
@@ -47,7 +51,7 @@
 	return d, nil
 }
 
-// read takes in a file or a folder as it stands in the real folder.
+// read loads a file or a folder from the real folder.
 func (d *Disk) read(path string, isDir bool) (err error) {
 	node := &inode{dir: isDir}
 	if !isDir {
@@ -61,7 +65,8 @@
 	return nil
 }
 
-// leak has some pending change become durable of itself, as it may at any time.
+// leak sometimes makes a random pending change durable without a sync, as a real disk may
+// do at any time.
 func (d *Disk) leak() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,8 +95,8 @@
 	return d.update(c.inode)
 }
 
-// update makes the real folder show what is durable: the names, and the contents of the
-// files that changed.
+// update writes the durable state to the real folder: the names, and the contents of the
+// files in changed.
 func (d *Disk) update(changed ...*inode) error {
 	durable := map[*inode]string{}
 	for name, node := range d.durableNames {
@@ -114,7 +119,7 @@
 	return nil
 }
 
-// updateNames removes and renames real files to what is durable.
+// updateNames removes and renames real files to match the durable names.
 func (d *Disk) updateNames(durable map[*inode]string) error {
 	for node, path := range d.paths {
 		switch name := durable[node]; {
@@ -136,9 +141,9 @@
 	return nil
 }
 
-// updateFile makes a real file or folder as it is durable. It overwrites what is there and
-// then cuts the file to its length: a kill in between leaves nothing that was not there
-// before, or is now.
+// updateFile writes the durable contents of a file, or creates a folder. It overwrites the
+// file in place and then truncates it: if a kill interrupts this, each byte of the file is
+// still from the old or the new contents.
 func updateFile(path string, node *inode) error {
 	if node.dir {
 		return os.MkdirAll(path, 0o700)
@@ -154,7 +159,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// Open is that of wal.FS.
+// Open implements wal.FS.
 func (d *Disk) Open(name string, mode wal.Mode) (wal.File, error) {
 	f, err := d.FS.Open(name, mode)
 	if err != nil {
@@ -163,7 +168,7 @@
 	return &diskFile{f.(*file), d}, nil
 }
 
-// SyncDir is that of wal.FS.
+// SyncDir implements wal.FS.
 func (d *Disk) SyncDir(dir string) error {
 	if err := d.FS.SyncDir(dir); err != nil {
 		return err
@@ -171,7 +176,7 @@
 	return d.updateSynced()
 }
 
-// updateSynced shows what a sync made durable.
+// updateSynced writes what a sync made durable to the real folder.
 func (d *Disk) updateSynced(changed ...*inode) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -186,7 +191,7 @@
 	disk *Disk
 }
 
-// Sync is that of wal.File.
+// Sync implements wal.File.
 func (x *diskFile) Sync() error {
 	if err := x.file.Sync(); err != nil {
 		return err
--- a/internal/wal/cutfs/file.go
+++ b/internal/wal/cutfs/file.go
@@ -7,14 +7,14 @@
 	"plovershore/internal/wal"
 )
 
-// file is an open file. Its methods are those of wal.File.
+// file is an open file. It implements wal.File.
 type file struct {
 	fs    *FS
 	inode *inode
 	name  string
 }
 
-// ReadAt is that of wal.File.
+// ReadAt implements wal.File.
 func (x *file) ReadAt(b []byte, off int64) (int, error) {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
@@ -28,7 +28,7 @@
 	return n, nil
 }
 
-// WriteAt is that of wal.File. Each sector is a change of its own.
+// WriteAt implements wal.File. Each sector that it writes is a separate change.
 func (x *file) WriteAt(b []byte, off int64) (int, error) {
 	err := x.fs.before(OpWrite, x.name)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return len(b), err
 }
 
-// overwrite puts b into data at off, and extends data where it is too short.
+// overwrite copies b into data at off. It extends data if necessary.
 func overwrite(data, b []byte, off int64) []byte {
 	if n := int(off) + len(b); n > len(data) {
 		data = append(data, make([]byte, n-len(data))...)
@@ -59,7 +59,7 @@
 	return data
 }
 
-// Truncate is that of wal.File.
+// Truncate implements wal.File.
 func (x *file) Truncate(size int64) error {
 	if err := x.fs.before(OpTruncate, x.name); err != nil {
 		return err
@@ -78,15 +78,15 @@
 	return append(data, make([]byte, size-int64(len(data)))...)
 }
 
-// Size is that of wal.File.
+// Size implements wal.File.
 func (x *file) Size() (int64, error) {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
 	return int64(len(x.inode.data)), nil
 }
 
-// Sync is that of wal.File. After a failure it does as several kernels do: the changes
-// count as written, and may never become durable.
+// Sync implements wal.File. After a failure it behaves as several kernels do: the changes
+// count as written but may never become durable.
 func (x *file) Sync() error {
 	if err := x.fs.before(OpSync, x.name); err != nil {
 		return err
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// TryLock is that of wal.File.
+// TryLock implements wal.File.
 func (x *file) TryLock() (bool, error) {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
@@ -108,7 +108,7 @@
 	return true, nil
 }
 
-// Close is that of wal.File.
+// Close implements wal.File.
 func (x *file) Close() error {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
@@ -118,10 +118,10 @@
 	return nil
 }
 
-// stampFile is an open wal.StampFile.
+// stampFile implements wal.StampFile.
 type stampFile struct{ file *file }
 
-// Store is that of wal.StampFile. A stamp that cannot be stored is lost.
+// Store implements wal.StampFile. If Before returns an error, the stamp is dropped.
 func (s *stampFile) Store(stamp wal.Stamp) {
 	f := s.file
 	if f.fs.before(OpStamp, f.name) != nil {
@@ -134,5 +134,5 @@
 	f.inode.unsynced = []*change{f.fs.number(&change{inode: f.inode, data: b})}
 }
 
-// Close is that of wal.StampFile.
+// Close implements wal.StampFile.
 func (s *stampFile) Close() error { return nil }
--- a/internal/wal/cutfs/fs.go
+++ b/internal/wal/cutfs/fs.go
@@ -1,8 +1,8 @@
-// Package cutfs is a file system in memory that can lose its power. It guarantees what
-// POSIX does and no more: data is durable once its file was synced, a name once its folder
-// was. Of all else a power cut keeps any part, in pieces of a sector and in any order. It
-// also fails where its user says so. It is for tests of the log and for a relay under
-// fault injection, never for one in service.
+// Package cutfs is an in-memory file system that simulates power cuts. It guarantees no
+// more than POSIX: data is durable once its file was synced, and a name once its folder
+// was synced. A power cut keeps any part of all other changes, in units of a sector and in
+// any order. Operations can also be made to fail. The package is for tests of the log and
+// for relays under fault injection, and must not be used in production.
 package cutfs
 
 import (
@@ -15,10 +15,10 @@
 	"plovershore/internal/wal"
 )
 
-// Sector is what a disk writes completely or not at all, in bytes.
+// Sector is the number of bytes that a disk writes atomically.
 const Sector = 512
 
-// Operations, as FS.Before gets them.
+// Operations that are passed to FS.Before.
 const (
 	OpWrite    = "write"
 	OpTruncate = "truncate"
@@ -31,49 +31,51 @@
 	OpStamp    = "mark"
 )
 
-// inode is a file or a folder, whatever its names.
+// inode is a file or a folder, independent of its names.
 type inode struct {
 	dir       bool
-	data      []byte // as programs see it
+	data      []byte // current contents, as programs see them
 	durable   []byte
-	unsynced  []*change // of its data
+	unsynced  []*change // changes of the data since the last sync
 	lockOwner *file
 }
 
-// change is something that a power cut may lose: part of a write, a new size, or a change
-// of names.
+// change is something that a power cut may lose: part of a write, a new file size, or a
+// change of names.
 type change struct {
 	seq   int
 	inode *inode
 	off   int64
-	data  []byte // nil for a new size, which is off
+	data  []byte // nil if the change sets the file size, which is then in off
 	name  *nameChange
 }
 
-// nameChange is a file that was created (from is empty), removed (to is empty) or renamed.
+// nameChange is the creation (from is empty), removal (to is empty) or renaming of a file
+// or folder.
 type nameChange struct {
 	from, to string
 	inode    *inode
 }
 
-// FS is a file system in memory. New makes it; its zero value does not work. Any number of
-// goroutines may use it. There is nothing to close.
+// FS is an in-memory file system. New creates it; the zero value is not usable. It is safe
+// for concurrent use and need not be closed.
 type FS struct {
 	mu            sync.Mutex
-	names         map[string]*inode // as programs see them
+	names         map[string]*inode // current names, as programs see them
 	durableNames  map[string]*inode
 	unsyncedNames []*change
-	seq           int // of the last change
+	seq           int // number of the last change
 
-	// Before is called ahead of each change, with the operation (OpWrite and so on) and
-	// the file's name. An error becomes that of the change. It may cut the file system.
-	// It is set while no other goroutine uses the file system; nil for none.
+	// Before is called ahead of each change with the operation (OpWrite and so on) and the
+	// file's name. If it returns an error, the change fails with that error. It may call
+	// Cut. It must only be set while no other goroutine uses the file system. It may be
+	// nil.
 	Before func(operation, name string) error
-	// Short has a write that fails leave its first half behind.
+	// Short makes a failing write store the first half of its data.
 	Short bool
 }
 
-// New makes a file system that holds one folder, which is durable.
+// New creates a file system that contains one durable folder.
 func New(dir string) *FS {
 	root := &inode{dir: true}
 	return &FS{names: map[string]*inode{dir: root}, durableNames: map[string]*inode{dir: root}}
@@ -86,14 +88,14 @@
 	return f.Before(operation, name)
 }
 
-// number gives a change its place in the order.
+// number assigns the next sequence number to a change.
 func (f *FS) number(c *change) *change {
 	f.seq++
 	c.seq = f.seq
 	return c
 }
 
-// changeNames carries out a change of names.
+// changeNames applies a change of names and records it as unsynced.
 func (f *FS) changeNames(n *nameChange) {
 	n.apply(f.names)
 	f.unsyncedNames = append(f.unsyncedNames, f.number(&change{name: n}))
@@ -103,7 +105,7 @@
 	return &os.PathError{Op: operation, Path: name, Err: os.ErrNotExist}
 }
 
-// Open is that of wal.FS.
+// Open implements wal.FS.
 func (f *FS) Open(name string, mode wal.Mode) (wal.File, error) {
 	name = filepath.Clean(name)
 	if mode == wal.ModeCreate {
@@ -118,7 +120,7 @@
 	return &file{fs: f, inode: node, name: name}, nil
 }
 
-// create creates a file, or empties it.
+// create creates a file, or empties an existing one.
 func (f *FS) create(name string) (wal.File, error) {
 	if err := f.before(OpCreate, name); err != nil {
 		return nil, err
@@ -139,7 +141,7 @@
 	return &file{fs: f, inode: node, name: name}, nil
 }
 
-// Rename is that of wal.FS.
+// Rename implements wal.FS.
 func (f *FS) Rename(from, to string) error {
 	if err := f.before(OpRename, to); err != nil {
 		return err
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// Remove is that of wal.FS.
+// Remove implements wal.FS.
 func (f *FS) Remove(name string) error {
 	if err := f.before(OpRemove, name); err != nil {
 		return err
@@ -167,7 +169,7 @@
 	return nil
 }
 
-// MakeDir is that of wal.FS.
+// MakeDir implements wal.FS.
 func (f *FS) MakeDir(name string) error {
 	f.mu.Lock()
 	known := f.names[name] != nil
@@ -184,7 +186,7 @@
 	return nil
 }
 
-// apply changes names. Those in a folder go with it.
+// apply changes names. Renaming or removing a folder includes everything in it.
 func (n *nameChange) apply(names map[string]*inode) {
 	if n.from == "" {
 		names[n.to] = n.inode
@@ -200,18 +202,18 @@
 	if n.to == "" {
 		return
 	}
-	renamed[""] = n.inode // its first name may not be durable
+	renamed[""] = n.inode // the old name may be missing, as it need not have become durable
 	for suffix, node := range renamed {
 		names[n.to+suffix] = node
 	}
 }
 
-// concerns reports whether a change is of names in a folder.
+// concerns reports whether the change adds or removes a name in the folder dir.
 func (n *nameChange) concerns(dir string) bool {
 	return n.from != "" && filepath.Dir(n.from) == dir || n.to != "" && filepath.Dir(n.to) == dir
 }
 
-// Stat is that of wal.FS.
+// Stat implements wal.FS.
 func (f *FS) Stat(name string) (size int64, dir bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -222,7 +224,7 @@
 	return int64(len(node.data)), node.dir, nil
 }
 
-// List is that of wal.FS.
+// List implements wal.FS.
 func (f *FS) List(dir string) (names []string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -238,7 +240,7 @@
 	return names, nil
 }
 
-// SyncDir is that of wal.FS.
+// SyncDir implements wal.FS.
 func (f *FS) SyncDir(dir string) error {
 	if err := f.before(OpSyncDir, dir); err != nil {
 		return err
@@ -255,7 +257,7 @@
 	return nil
 }
 
-// OpenStampFile is that of wal.FS. The stamp may become durable at any time, or never.
+// OpenStampFile implements wal.FS. The stamp may become durable at any time, or never.
 func (f *FS) OpenStampFile(name string) (wal.StampFile, error) {
 	opened, err := f.Open(name, wal.ModeWrite)
 	if err != nil {
