--- a/internal/wal/command/command.go
+++ b/internal/wal/command/command.go
@@ -1,6 +1,6 @@
-// Package command is `relayctl wal`, which looks at a relay's log and migrates it. Only
-// repair, export and import change anything. Exit codes are part of its interface; package
-// wal decides what counts as corrupted.
+// Package command implements `relayctl wal`, which inspects a relay's log and moves it to
+// another relay. Only repair, export and import change anything. The exit codes are part
+// of the command's interface; package wal decides what counts as corrupted.
 package command
 
 import (
@@ -15,38 +15,38 @@
 	"plovershore/internal/wal"
 )
 
-// Exit codes.
+// Exit codes of the command.
 const (
-	Sound   = 0 // or done
-	Damaged = 1 // or it could not be done
+	Sound   = 0 // the log has no damage, or the command succeeded
+	Damaged = 1 // the log is damaged, or the command failed
 	Usage   = 2
-	InUse   = 3 // by a running relay
+	InUse   = 3 // a running relay uses the folder
 )
 
-// Error is an error with an exit code of its own.
+// Error is an error with its own exit code.
 type Error struct {
 	Code int
 	Err  error
 }
 
-// Error is the text of the error within.
+// Error returns the text of the wrapped error.
 func (e *Error) Error() string { return e.Err.Error() }
 
-// Unwrap gives the error within.
+// Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// ExitCode is what the process exits with.
+// ExitCode returns the exit code of the process.
 func (e *Error) ExitCode() int { return e.Code }
 
 var errDamaged = errors.New("the log is damaged")
 
-// defaultDiskMB is the relay's disk_mb where the user does not say.
+// defaultDiskMB is the relay's disk_mb in megabytes if --disk-mb does not give it.
 const defaultDiskMB = 3
 
-// bytesPerMBShift turns megabytes into bytes.
+// bytesPerMBShift is the shift that converts megabytes to bytes.
 const bytesPerMBShift = 20
 
-// withExitCode gives an error of package wal its exit code.
+// withExitCode adds the exit code to an error of package wal.
 func withExitCode(err error) error {
 	switch {
 	case err == nil:
@@ -59,7 +59,7 @@
 	return &Error{Damaged, err}
 }
 
-// exactArgs wants one argument for each name.
+// exactArgs requires exactly one argument for each name.
 func exactArgs(names ...string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != len(names) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// New makes the command.
+// New creates the command.
 func New() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "wal",
@@ -84,10 +84,11 @@
 	return root
 }
 
-// runFunc is what a command does with its arguments.
+// runFunc runs a subcommand with its arguments.
 type runFunc func(c *cobra.Command, args []string) error
 
-// withFolderLock runs a function while the state folder, which is an argument, is locked.
+// withFolderLock returns run wrapped so that it holds the locks of the state folder, which
+// is the argument at position folderArg.
 func withFolderLock(folderArg int, run runFunc) runFunc {
 	return func(c *cobra.Command, args []string) error {
 		release, err := wal.LockFolder(args[folderArg])
@@ -135,7 +136,7 @@
 	}
 }
 
-// dumpedRecord is a line of the dump.
+// dumpedRecord is one line of the dump.
 type dumpedRecord struct {
 	File      string `json:"file"`
 	Offset    int64  `json:"offset"`
--- a/internal/wal/command/print.go
+++ b/internal/wal/command/print.go
@@ -10,10 +10,10 @@
 	"plovershore/internal/wal"
 )
 
-// printer prints reports as the --json flag says.
+// printer prints reports as a table, or as JSON with the --json flag.
 type printer struct{ asJSON bool }
 
-// printResult prints a report, or gives the error its exit code.
+// printResult prints a report, or returns err with its exit code.
 func (p *printer) printResult(out io.Writer, r *wal.RecoveryReport, err error) error {
 	if err != nil {
 		return withExitCode(err)
@@ -30,7 +30,7 @@
 	return e.Encode(r)
 }
 
-// printTable prints a report for a person. Its lines are part of the command's interface.
+// printTable prints a report as text. The lines are part of the command's interface.
 func printTable(out io.Writer, r *wal.RecoveryReport) error {
 	var text strings.Builder
 	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
@@ -38,7 +38,7 @@
 	for _, f := range r.Files {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\n", f.Name, f.Kind, f.Bytes, f.Records, f.First)
 	}
-	table.Flush() // a builder takes everything
+	table.Flush() // writing to a strings.Builder never fails
 	fmt.Fprintf(&text, "owed %d, records %d, last number %d, %d bytes on disk\n", r.Pending, r.Records, r.Seq, r.Bytes)
 	for _, c := range r.Torn {
 		fmt.Fprintf(&text, "never booked: %s at %d: %d bytes: %s %s\n", c.File, c.Offset, c.Bytes, c.Reason, strings.Join(c.IDs, " "))
