--- a/internal/wal/baseline/baseline.go
+++ b/internal/wal/baseline/baseline.go
@@ -1,6 +1,7 @@
-// Package baseline is the relay's log as it was before package wal: one file that is read
-// whole, rewritten in one go, and written by one call for each record. It exists to be
-// measured beside package wal and for nothing else: it does not detect corruption.
+// Package baseline is an earlier implementation of the relay's log, from before package
+// wal. It reads a single file as a whole, rewrites it as a whole, and writes each record
+// with one call. It exists only for benchmarks against package wal. It does not detect
+// corruption.
 package baseline
 
 import (
@@ -17,35 +18,36 @@
 
 const fileName = "baseline.wal"
 
-// Bounds, in bytes.
+// Limits and reserves, in bytes.
 const (
-	roundingReserve    = 16 << 10 // of the limit, never used
-	completionReserve  = 64 << 10 // of the limit, for messages that were accepted already
+	roundingReserve    = 16 << 10 // part of the limit that stays unused
+	completionReserve  = 64 << 10 // part of the limit that is reserved for messages that are already accepted
 	minCompactionBytes = 1 << 20  // a shorter file is not rewritten
-	stateReserveBytes  = 256      // by which a message's record may grow
-	recordOverhead     = 160      // of the JSON beside the message's own texts
+	stateReserveBytes  = 256      // by how much a message's record may grow
+	recordOverhead     = 160      // size of a record's JSON without the message's own texts
 )
 
-// A file is rewritten once it is this many times as long as what is pending.
+// compactionFactor is how many times as long as the pending messages a file has to be
+// before it is rewritten.
 const compactionFactor = 4
 
-// request is a record to write and a function to call with the result.
+// request is a record to write with a function to call with the result.
 type request struct {
 	record *wal.Record
 	done   func(error) // may be nil
 }
 
-// message is one that is pending.
+// message is a pending message.
 type message struct {
 	record *wal.Record
-	order  int // in which it was accepted
+	order  int // position in the order of acceptance
 	size   int64
 }
 
-// Log is an open log. Open makes it, Run serves it and closes it.
+// Log is an open log. Open creates it; Run serves it and closes it.
 type Log struct {
-	WriteCalls int64 // calls of the file system to write; read it once Done is closed
-	Bytes      int64 // written; read it once Done is closed
+	WriteCalls int64 // number of write calls to the file system; read it once Done is closed
+	Bytes      int64 // number of bytes written; read it once Done is closed
 
 	path         string
 	limit        int64
@@ -59,9 +61,9 @@
 	buffer       []byte
 }
 
-// Open reads the log of a folder and rewrites it. It gives the pending messages, the oldest
-// first. limit is the size of the file in bytes. Errors: those of the file system, and one
-// where the file cannot be read to its end.
+// Open reads the log in a folder and rewrites it. It returns the pending messages, oldest
+// first. limit is the maximum size of the file in bytes. It returns the errors of the file
+// system, and an error if the file cannot be read to its end.
 func Open(dir string, limit int64) (*Log, []*wal.Record, error) {
 	l := &Log{
 		path:     filepath.Join(dir, fileName),
@@ -118,7 +120,7 @@
 	}
 }
 
-// maxSize is what a message's record takes up at most.
+// maxSize returns an upper bound of the size of a message's record.
 func maxSize(r *wal.Record) int64 {
 	texts := len(r.Body) + len(r.ID) + len(r.Key) + len(r.Class) + len(r.Tenant)
 	return int64(recordHeadSize + texts + recordOverhead + stateReserveBytes)
@@ -133,7 +135,7 @@
 	return messages
 }
 
-// compact rewrites the file with what is pending.
+// compact rewrites the file with the pending messages.
 func (l *Log) compact() error {
 	var text []byte
 	for _, m := range l.inOrder() {
@@ -165,15 +167,15 @@
 	l.Bytes += int64(bytes)
 }
 
-// Submit queues a record to be written, and returns at once. done may be nil; it is called
+// Submit queues a record to be written and returns at once. done may be nil. It is called
 // on Run's goroutine with the result: nil, wal.ErrFull or an error of the file system.
 func (l *Log) Submit(r *wal.Record, done func(error)) { l.requests.Put(request{r, done}) }
 
 // Done is closed once Run has returned.
 func (l *Log) Done() <-chan struct{} { return l.done }
 
-// Run serves the log until stop is closed and everything submitted before is written, and
-// then closes it.
+// Run serves the log until stop is closed and everything submitted before is written. Then
+// it closes the log.
 func (l *Log) Run(stop <-chan struct{}) {
 	defer close(l.done)
 	defer func() { l.file.Close() }()
--- a/internal/wal/baseline/codec.go
+++ b/internal/wal/baseline/codec.go
@@ -10,8 +10,8 @@
 	"plovershore/internal/wal"
 )
 
-// A record is a mark, the length and the checksum of its payload, and the payload: a line
-// of JSON and the body.
+// A record consists of a mark, the payload's length and checksum, and the payload: a line
+// of JSON followed by the body.
 const (
 	recordMark       = "\xf7TRW"
 	recordHeadSize   = 12
@@ -19,13 +19,13 @@
 	recordChecksumAt = 8
 )
 
-// encode appends a record to b.
+// encode appends an encoded record to b.
 func encode(b []byte, r *wal.Record) []byte {
-	line, _ := json.Marshal(r) // plain data
+	line, _ := json.Marshal(r) // a Record can always be marshaled
 	start := len(b)
 	b = append(b, recordMark...)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(line)+1+len(r.Body)))
-	b = append(b, 0, 0, 0, 0) // the checksum
+	b = append(b, 0, 0, 0, 0) // reserves space for the checksum
 	b = append(b, line...)
 	b = append(b, '\n')
 	b = append(b, r.Body...)
@@ -33,7 +33,7 @@
 	return b
 }
 
-// decode reads the record at the start of b. size is 0 where there is none.
+// decode decodes the record at the start of b. size is 0 if there is no valid record.
 func decode(b []byte) (r *wal.Record, size int) {
 	if len(b) < recordHeadSize || string(b[:recordLengthAt]) != recordMark {
 		return nil, 0
