--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -1,27 +1,28 @@
-// Package backlog indexes the messages that were spilled from memory to the log. For each
-// destination it returns them in the order of the times by which they have to be loaded,
-// ordered ones first in, first out; and it knows what is due first over all destinations.
-// A message takes 16 bytes without pointers, and a growing slice's spare capacity.
+// Package backlog indexes messages that were spilled from memory to the log. For each
+// destination it returns the messages in the order of the times by which they must be
+// loaded, but ordered messages first in, first out. It also returns the messages that are
+// due first over all destinations. A message takes 16 bytes without pointers, plus the
+// spare capacity of a growing slice.
 package backlog
 
 import "math"
 
 // Entry is one spilled message.
 type Entry struct {
-	LoadBy     int64  // when it has to be loaded at the latest, in µs of the caller's clock
-	Index      uint32 // its place in the log
-	Generation uint16 // tells whether that place still holds it
+	LoadBy     int64  // latest time at which it must be loaded, in µs of the caller's clock
+	Index      uint32 // position in the log's index
+	Generation uint16 // shows whether that position still holds the message
 	Flags      Flags
 }
 
-// Flags is what the caller has to know of a message when it is loaded.
+// Flags holds what the caller needs to know about a message when it is loaded.
 type Flags uint8
 
 // Flags of an entry.
 const (
-	Recovered Flags = 1 << iota // a restart recovered it
-	OverQuota                   // its tenant was over its quota
-	Ordered                     // first in, first out among those of its destination with this flag
+	Recovered Flags = 1 << iota // the message was recovered after a restart
+	OverQuota                   // the message's tenant was over its quota
+	Ordered                     // returned first in, first out among the ordered messages of its destination
 )
 
 // Item is an entry with its destination.
@@ -30,27 +31,27 @@
 	Dest int
 }
 
-// Store is an index of spilled messages. The zero value is empty. It is not safe for
-// concurrent use.
+// Store is an index of spilled messages. The zero value is an empty store. It is not safe
+// for concurrent use.
 type Store struct {
-	queues map[int]*queue // by destination; none is empty
-	due    []*queue       // a heap by nextDue
+	queues map[int]*queue // by destination; no queue is empty
+	due    []*queue       // heap ordered by nextDue
 	count  int
 }
 
 // queue holds the entries of one destination.
 type queue struct {
 	dest       int
-	heapIndex  int     // in Store.due
-	heap       []Entry // by LoadBy
-	fifo       []Entry // ordered entries
-	fifoMinima []int64 // LoadBy of each in fifo that is less than all behind it
+	heapIndex  int     // position in Store.due
+	heap       []Entry // heap of unordered entries, by LoadBy
+	fifo       []Entry // ordered entries, first in, first out
+	fifoMinima []int64 // LoadBy of each entry of fifo that is not greater than any LoadBy behind it
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (s *Store) Len() int { return s.count }
 
-// CountFor is the number of entries of one destination.
+// CountFor returns the number of entries of one destination.
 func (s *Store) CountFor(dest int) int {
 	if q := s.queues[dest]; q != nil {
 		return len(q.heap) + len(q.fifo)
@@ -58,7 +59,7 @@
 	return 0
 }
 
-// Next is the earliest LoadBy; ok is false in an empty store.
+// Next returns the earliest LoadBy. ok is false if the store is empty.
 func (s *Store) Next() (at int64, ok bool) {
 	if len(s.due) == 0 {
 		return 0, false
@@ -82,8 +83,8 @@
 	s.fixHeap(q)
 }
 
-// TakeDue removes and returns up to limit entries that have to be loaded by now, the
-// earliest first, with the ordered ones before them.
+// TakeDue removes and returns up to limit entries that must be loaded by now, earliest
+// first. If an ordered entry is due, the ordered entries before it are returned first.
 func (s *Store) TakeDue(now int64, limit int) (items []Item) {
 	for len(items) < limit && len(s.due) > 0 && s.due[0].nextDue() <= now {
 		q := s.due[0]
@@ -99,7 +100,7 @@
 	return items
 }
 
-// Take removes and returns up to limit entries of a destination, the earliest first.
+// Take removes and returns up to limit entries of a destination, earliest first.
 func (s *Store) Take(dest, limit int) (items []Item) {
 	q := s.queues[dest]
 	for q != nil && len(items) < limit && len(q.heap)+len(q.fifo) > 0 {
@@ -115,7 +116,7 @@
 	return items
 }
 
-// afterRemove restores the index after an entry of a queue was removed.
+// afterRemove updates the index after an entry was removed from a queue.
 func (s *Store) afterRemove(q *queue) {
 	s.count--
 	s.fixHeap(q)
@@ -131,7 +132,7 @@
 	delete(s.queues, q.dest)
 }
 
-// fixHeap moves a queue to its place in the heap of due queues.
+// fixHeap moves a queue to its position in the heap of due queues.
 func (s *Store) fixHeap(q *queue) {
 	for q.heapIndex > 0 && q.nextDue() < s.due[(q.heapIndex-1)/2].nextDue() {
 		s.swap(q.heapIndex, (q.heapIndex-1)/2)
@@ -153,7 +154,7 @@
 	s.due[a].heapIndex, s.due[b].heapIndex = a, b
 }
 
-// nextDue is the earliest LoadBy of the queue.
+// nextDue returns the earliest LoadBy in the queue.
 func (q *queue) nextDue() int64 {
 	at := int64(math.MaxInt64)
 	if len(q.heap) > 0 {
@@ -177,7 +178,7 @@
 	q.fifoMinima = append(q.fifoMinima, e.LoadBy)
 }
 
-// popFIFO removes the first ordered entry.
+// popFIFO removes and returns the first ordered entry.
 func (q *queue) popFIFO() Entry {
 	e := q.fifo[0]
 	if q.fifoMinima[0] == e.LoadBy {
@@ -202,7 +203,7 @@
 	}
 }
 
-const minShrinkCapacity = 1024 // entries of a slice that are not worth giving back
+const minShrinkCapacity = 1024 // number of entries below which a slice keeps its unused capacity
 
 func (q *queue) popHeap() Entry {
 	e := q.heap[0]
