--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// model is a store in the plainest form: all items in the order in which they came.
+// model is a simple reference implementation of Store: a list of all items in the order in
+// which they were added.
 type model []Item
 
 func (m *model) remove(i int) Item {
@@ -18,12 +19,13 @@
 	return x
 }
 
-// front is the first of those in order of a destination; -1 for none.
+// front returns the position of the first ordered item of a destination, or -1 if there is
+// none.
 func (m model) front(dest int) int {
 	return slices.IndexFunc(m, func(x Item) bool { return x.Dest == dest && x.Flags&Ordered != 0 })
 }
 
-// earliest is what may be taken next of a destination.
+// earliest returns the position of an item that Take may return next for a destination.
 func (m model) earliest(dest int) int {
 	best := -1
 	for i, x := range m {
@@ -43,20 +45,22 @@
 	return at, len(m) > 0
 }
 
-// A store gives what a plain list of all would give.
+// A store returns the same items as the reference model.
 func TestStoreOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Store
 		var m model
 		ref := uint32(0)
-		same := func(got Item, what string) { // of equal moments any may come first, but of those in order the first
+		// Removes an item that the store returned from the model. Of several items with
+		// the same LoadBy any may come first, but only the first of the ordered ones.
+		same := func(got Item, what string) {
 			t.Helper()
 			i := slices.IndexFunc(m, func(x Item) bool { return x == got })
 			if i < 0 {
-				t.Fatalf("%s gives %+v, which is not there", what, got)
+				t.Fatalf("%s returned %+v, which is not in the store", what, got)
 			}
 			if got.Flags&Ordered != 0 && i != m.front(got.Dest) {
-				t.Fatalf("%s gives %+v before %+v", what, got, m[m.front(got.Dest)])
+				t.Fatalf("%s returned %+v before %+v", what, got, m[m.front(got.Dest)])
 			}
 			m.remove(i)
 		}
@@ -73,11 +77,11 @@
 				want := min(n, s.CountFor(dest))
 				got := s.Take(dest, n)
 				if len(got) != want {
-					t.Fatalf("%d of %d", len(got), want)
+					t.Fatalf("Take returned %d items, want %d", len(got), want)
 				}
 				for _, x := range got {
 					if i := m.earliest(dest); m[i].LoadBy != x.LoadBy {
-						t.Fatalf("takes %+v before %+v", x, m[i])
+						t.Fatalf("Take returned %+v before %+v", x, m[i])
 					}
 					same(x, "take")
 				}
@@ -87,23 +91,23 @@
 				got := s.TakeDue(now, n)
 				for _, x := range got {
 					if at, _ := m.next(); at > now {
-						t.Fatalf("gives %+v at %d: the first is due at %d", x, now, at)
+						t.Fatalf("TakeDue returned %+v at %d, but the first item is due at %d", x, now, at)
 					}
-					if x.LoadBy > now { // only where one in order behind it is due
+					if x.LoadBy > now { // allowed only for an ordered item before another one that is due
 						if !slices.ContainsFunc(m, func(y Item) bool { return y.Dest == x.Dest && y.Flags&Ordered != 0 && y.LoadBy <= now }) || x.Flags&Ordered == 0 {
-							t.Fatalf("gives %+v at %d", x, now)
+							t.Fatalf("TakeDue returned %+v at %d, before it is due", x, now)
 						}
 					}
 					same(x, "due")
 				}
 				if at, ok := m.next(); len(got) < n && ok && at <= now {
-					t.Fatalf("gives %d of %d, and one is due at %d", len(got), n, at)
+					t.Fatalf("TakeDue returned %d of at most %d items although one is due at %d", len(got), n, at)
 				}
 			},
 			"": func(t *rapid.T) {
 				at, ok := s.Next()
 				if want, any := m.next(); s.Len() != len(m) || ok != any || at != want {
-					t.Fatalf("%d items, first at %d (%v); want %d, %d (%v)", s.Len(), at, ok, len(m), want, any)
+					t.Fatalf("%d items, the first due at %d (%v); want %d items, the first due at %d (%v)", s.Len(), at, ok, len(m), want, any)
 				}
 				for dest := range 5 {
 					n := 0
@@ -113,7 +117,7 @@
 						}
 					}
 					if s.CountFor(dest) != n {
-						t.Fatalf("%d of destination %d, want %d", s.CountFor(dest), dest, n)
+						t.Fatalf("%d items of destination %d, want %d", s.CountFor(dest), dest, n)
 					}
 				}
 			},
@@ -121,7 +125,8 @@
 	})
 }
 
-// A million messages take up 16 bytes each and what a growing slice spares, and give that back.
+// A million messages take 16 bytes each plus the spare capacity of growing slices, and the
+// store frees this memory when they are removed.
 func TestStoreMemory(t *testing.T) {
 	heap := func() int64 {
 		runtime.GC()
@@ -137,19 +142,19 @@
 		s.Add(i%600, Entry{LoadBy: r.Int64N(1e12), Index: uint32(i)})
 	}
 	if per := float64(heap()-before) / n; per > 26 {
-		t.Errorf("%.1f bytes a message", per)
+		t.Errorf("%.1f bytes per message, want at most 26", per)
 	} else {
-		t.Logf("%.1f bytes a message", per)
+		t.Logf("%.1f bytes per message", per)
 	}
 	last := int64(-1)
 	for _, x := range s.TakeDue(1e12, n) {
 		if x.LoadBy < last {
-			t.Fatal("out of order")
+			t.Fatal("items are not ordered by LoadBy")
 		}
 		last = x.LoadBy
 	}
 	if left := heap() - before; left > 1<<20 || s.Len() != 0 {
-		t.Errorf("%d bytes and %d messages left", left, s.Len())
+		t.Errorf("%d bytes and %d messages are left after all were removed", left, s.Len())
 	}
 	runtime.KeepAlive(&s)
 }
--- a/internal/wal/command/command_test.go
+++ b/internal/wal/command/command_test.go
@@ -63,14 +63,14 @@
 	dir := t.TempDir()
 	writeMessages(t, dir, "one-message", "two-message")
 	if code, out := runWAL("verify", dir); code != Sound || !strings.Contains(out, "owed 2") {
-		t.Errorf("sound: %d, %s", code, out)
+		t.Errorf("verify of a valid log: code %d, %s", code, out)
 	}
 	if code, out := runWAL("dump", dir, "--id", "two-message"); code != Sound || strings.Count(out, "\n") != 1 || !strings.Contains(out, `"kind":"taken"`) {
-		t.Errorf("dump: %d, %s", code, out)
+		t.Errorf("dump of one message: code %d, %s", code, out)
 	}
 	for _, bad := range [][]string{{"verify"}, {"verify", filepath.Join(dir, "none")}, {"export", dir}} {
 		if code, out := runWAL(bad...); code != Usage {
-			t.Errorf("%v: %d, %s", bad, code, out)
+			t.Errorf("arguments %v: code %d, %s", bad, code, out)
 		}
 	}
 	lock, err := wal.OpenLock(dir, wal.LockName)
@@ -81,10 +81,10 @@
 		t.Fatal(err)
 	}
 	if code, out := runWAL("verify", dir); code != InUse {
-		t.Errorf("in use: %d, %s", code, out)
+		t.Errorf("verify of a folder in use: code %d, %s", code, out)
 	}
 	if code, out := runWAL("stats", dir); code != Sound {
-		t.Errorf("stats of one in use: %d, %s", code, out)
+		t.Errorf("stats of a folder in use: code %d, %s", code, out)
 	}
 	lock.Close()
 	seg := filepath.Join(dir, wal.FolderName, "00000001.seg")
@@ -99,63 +99,64 @@
 	before, _ := os.ReadDir(filepath.Join(dir, wal.FolderName))
 	code, out := runWAL("verify", dir)
 	if code != Damaged || !strings.Contains(out, "LOST: one-message") || !strings.Contains(out, "00000001.seg") {
-		t.Errorf("damaged: %d, %s", code, out)
+		t.Errorf("verify of a corrupted log: code %d, %s", code, out)
 	}
 	if after, _ := os.ReadDir(filepath.Join(dir, wal.FolderName)); len(after) != len(before) {
-		t.Error("verify has changed the folder")
+		t.Error("verify changed the folder")
 	}
 	if code, out := runWAL("repair", dir); code != Sound {
-		t.Errorf("repair: %d, %s", code, out)
+		t.Errorf("repair: code %d, %s", code, out)
 	}
 	if code, out := runWAL("verify", dir); code != Damaged || !strings.Contains(out, "LOST: one-message") || strings.Contains(out, "DAMAGED") {
-		t.Errorf("the loss is told until its notice is out: %d, %s", code, out)
+		t.Errorf("verify after repair must report the lost message until its notice is sent: code %d, %s", code, out)
 	}
 }
 
-// A log that is migrated is in one place at any time: its folder's relay begins empty, and
-// the file is imported once.
+// An exported log is in one place at any time: the folder's relay starts with an empty
+// log, and the file can be imported only once.
 func TestMigration(t *testing.T) {
 	from, to, file := t.TempDir(), t.TempDir(), filepath.Join(t.TempDir(), "moved")
 	writeMessages(t, from, "one", "two")
 	if code, out := runWAL("export", from, file); code != 0 {
-		t.Fatalf("export: %d, %s", code, out)
+		t.Fatalf("export: code %d, %s", code, out)
 	}
 	if _, err := os.Stat(filepath.Join(from, wal.FolderName)); !os.IsNotExist(err) {
-		t.Error("the log is still there")
+		t.Error("the exported log is still in the folder")
 	}
 	if f, err := wal.ClearFence(from); f == nil || err != nil {
-		t.Errorf("fence: %v, %v", f, err)
+		t.Errorf("ClearFence after the export: fence %v, error %v", f, err)
 	}
 	if ids := pendingMessages(t, from); len(ids) != 0 {
-		t.Errorf("the first relay still has %v", ids)
+		t.Errorf("the exporting relay still has the messages %v", ids)
 	}
 	writeMessages(t, from, "three")
 	if code, out := runWAL("import", file, from); code == 0 || !strings.Contains(out, "holds a log already") {
-		t.Errorf("into a folder that owes: %d, %s", code, out)
+		t.Errorf("import into a folder with pending messages: code %d, %s", code, out)
 	}
 	if code, out := runWAL("import", file, to); code != 0 {
-		t.Fatalf("import: %d, %s", code, out)
+		t.Fatalf("import: code %d, %s", code, out)
 	}
 	if ids := pendingMessages(t, to); len(ids) != 2 || ids[0] != "one=body of one" {
-		t.Errorf("moved: %v", ids)
+		t.Errorf("imported messages: %v", ids)
 	}
 	if code, out := runWAL("import", file, t.TempDir()); code != Usage {
-		t.Errorf("a second time: %d, %s", code, out)
+		t.Errorf("second import of the same file: code %d, %s", code, out)
 	}
-	// Interrupted after the fence: nobody serves from it, and the export can be repeated.
+	// An export is interrupted after the fence was written: no relay may use the log, and
+	// the export can be repeated.
 	if err := os.WriteFile(filepath.Join(to, wal.FenceName), []byte(`{"token":"x"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := wal.ClearFence(to); !errors.Is(err, wal.ErrMigrating) {
-		t.Errorf("in the middle of a move: %v", err)
+		t.Errorf("ClearFence during an export: %v", err)
 	}
 	if code, out := runWAL("export", to, file); code != 0 {
-		t.Fatalf("export again: %d, %s", code, out)
+		t.Fatalf("repeated export: code %d, %s", code, out)
 	}
 }
 
-// An export that was interrupted before the log was removed is finished when it is repeated;
-// a file of something else is not overwritten.
+// Repeating an export that was interrupted before the log was removed completes it. A file
+// that is not from this export is not overwritten.
 func TestMigrationInterrupted(t *testing.T) {
 	dir, file := t.TempDir(), filepath.Join(t.TempDir(), "moved")
 	writeMessages(t, dir, "one", "two")
@@ -163,7 +164,7 @@
 		t.Fatal(err)
 	}
 	if code, out := runWAL("export", dir, file); code != Usage || !strings.Contains(out, "exists") {
-		t.Errorf("over another file: %d, %s", code, out)
+		t.Errorf("export to an existing file: code %d, %s", code, out)
 	}
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
@@ -172,24 +173,24 @@
 		t.Fatal(err)
 	}
 	if code, out := runWAL("export", dir, file); code != 0 {
-		t.Fatalf("export: %d, %s", code, out)
+		t.Fatalf("export: code %d, %s", code, out)
 	}
-	if err := os.Rename(filepath.Join(dir, "kept"), filepath.Join(dir, wal.FolderName)); err != nil { // as if it had not gone yet
+	if err := os.Rename(filepath.Join(dir, "kept"), filepath.Join(dir, wal.FolderName)); err != nil { // as if the export had not removed it yet
 		t.Fatal(err)
 	}
 	if _, err := wal.ClearFence(dir); !errors.Is(err, wal.ErrMigrating) {
-		t.Errorf("in the middle: %v", err)
+		t.Errorf("ClearFence during an export: %v", err)
 	}
 	if code, out := runWAL("export", dir, file); code != 0 || !strings.Contains(out, "owed 2") {
-		t.Errorf("again: %d, %s", code, out)
+		t.Errorf("repeated export: code %d, %s", code, out)
 	}
 	if f, err := wal.ClearFence(dir); f == nil || err != nil {
-		t.Errorf("after it: %v, %v", f, err)
+		t.Errorf("ClearFence after the export: fence %v, error %v", f, err)
 	}
 }
 
-// What the command prints of folders that the program before the renames wrote is what
-// that program's command printed.
+// The folders were written by the program before its packages were renamed. The command
+// prints the same about them as that program's command did.
 func TestOutputOfRecordedFolders(t *testing.T) {
 	recorded := filepath.Join("..", "testdata", "state-dd19e87")
 	for _, name := range []string{"killed", "handed-on"} {
--- a/internal/wal/corruption_test.go
+++ b/internal/wal/corruption_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// buildFolder writes the sample records, with a checkpoint after so many of them, and
-// gives the folder's files by name.
+// buildFolder writes the sample records, with a checkpoint before the record at position
+// checkpoint (none if it is negative). It returns the contents of the log's files by name.
 func buildFolder(t *testing.T, checkpoint int) (dir string, text map[string][]byte) {
 	t.Helper()
 	dir = t.TempDir()
@@ -40,7 +40,7 @@
 	return dir, text
 }
 
-// writeFolder makes a state folder of a log's files.
+// writeFolder creates a state folder with a log that has the given files.
 func writeFolder(t *testing.T, text map[string][]byte) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -55,9 +55,9 @@
 	return dir
 }
 
-// checkSafe checks what holds whatever was corrupted: nothing that was sent or completed
-// comes back as never sent, nothing is missing without a report, and the folder gives the
-// same when it is opened again.
+// checkSafe checks what must hold for any corruption: a message that was sent or completed
+// is not recovered as unsent, a missing message is reported, and opening the folder again
+// gives the same result.
 func checkSafe(t *testing.T, dir, what string) {
 	t.Helper()
 	l, owed := openTest(t, dir, 1<<20)
@@ -66,34 +66,34 @@
 		have[r.ID] = r
 		fit := !r.Corrupted && r.UnknownOutcomeAt == 0 && r.Notice == ""
 		switch r.ID {
-		case "a": // its one attempt never ran; where corruption took that outcome, it may have
+		case "a": // its only attempt did not run; if that outcome is lost, it may have run
 		case "b", "c", "d":
 			if fit {
-				t.Fatalf("%s: %s comes back as never sent: %+v; found %+v", what, r.ID, r, l.Recovery)
+				t.Fatalf("%s: %s is recovered as never sent: %+v; the recovery found %+v", what, r.ID, r, l.Recovery)
 			}
 		case "e":
 			if fit {
-				t.Fatalf("%s: e was over, and comes back as fit to be sent; found %+v", what, l.Recovery)
+				t.Fatalf("%s: e has its final notice, but is recovered as one that may be sent; the recovery found %+v", what, l.Recovery)
 			}
 		default:
-			t.Fatalf("%s: %q was never taken on", what, r.ID)
+			t.Fatalf("%s: recovered %q, which was never accepted", what, r.ID)
 		}
 	}
 	for _, id := range []string{"a", "b", "c", "e"} {
 		if have[id] == nil && l.Recovery.Sound() {
-			t.Fatalf("%s: %s is gone, and nobody was told", what, id)
+			t.Fatalf("%s: %s is missing, but no corruption was reported", what, id)
 		}
 	}
 	l.store.close()
 	again, then := openTest(t, dir, 1<<20)
 	if got, want := describe(then), describe(owed); !slices.Equal(got, want) {
-		t.Fatalf("%s: first %q, then %q", what, want, got)
+		t.Fatalf("%s: recovered %q at the first start, %q at the second", what, want, got)
 	}
 	again.store.close()
 }
 
-// A bit is flipped in each byte of each kind of record, in segments and in a checkpoint.
-// The attempts of b and c and the completions of d and e must not be hidden.
+// A single bit is flipped in every byte of a log with every kind of record, in segments
+// and in a checkpoint. This must not hide that b and c were sent and that d and e ended.
 func TestFlippedBitAnywhere(t *testing.T) {
 	for _, at := range []int{-1, 8, 12} {
 		_, text := buildFolder(t, at)
@@ -106,14 +106,14 @@
 					}
 					corrupted[name] = slices.Clone(b)
 					corrupted[name][i] ^= 1 << bit
-					checkSafe(t, writeFolder(t, corrupted), fmt.Sprintf("checkpoint at %d: %s, byte %d, bit %d", at, name, i, bit))
+					checkSafe(t, writeFolder(t, corrupted), fmt.Sprintf("checkpoint before record %d: bit flipped in %s, byte %d, bit %d", at, name, i, bit))
 				}
 			}
 		}
 	}
 }
 
-// A file is cut at any byte, with and without zeros after it.
+// Each file of a log is truncated at every byte, with and without zeros after the cut.
 func TestCutAndZerosAnywhere(t *testing.T) {
 	for _, at := range []int{-1, 8} {
 		_, text := buildFolder(t, at)
@@ -128,15 +128,15 @@
 						corrupted[n] = x
 					}
 					corrupted[name] = append(slices.Clone(b[:i]), make([]byte, zeros)...)
-					checkSafe(t, writeFolder(t, corrupted), fmt.Sprintf("checkpoint at %d: %s cut at %d, %d zeros", at, name, i, zeros))
+					checkSafe(t, writeFolder(t, corrupted), fmt.Sprintf("checkpoint before record %d: %s truncated to %d bytes, followed by %d zeros", at, name, i, zeros))
 				}
 			}
 		}
 	}
 }
 
-// A kill in the middle of a write leaves the stamp behind the complete records: nothing is
-// corrupted, and no message is treated as sent.
+// A kill during a write leaves incomplete bytes after the last record that the stamp
+// counts. This is not corruption, and no message is treated as sent because of it.
 func TestTornWriteIsNoCorruption(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
@@ -151,7 +151,7 @@
 		}
 		report, err := Inspect(nil, dir)
 		if err != nil || !report.Sound() || len(report.Torn) != 1 || report.Pending != 2 {
-			t.Fatalf("%v, %+v", err, report)
+			t.Fatalf("error %v; the report must have one torn write and 2 pending messages: %+v", err, report)
 		}
 		if err := l.store.segment.file.file.Truncate(whole); err != nil {
 			t.Fatal(err)
@@ -159,8 +159,8 @@
 	}
 }
 
-// Complete records that are missing at the end are detected though the rest is valid: the
-// stamp has the sequence number of the last one.
+// If complete records are missing at the end of the log, the rest of the log is valid. The
+// stamp, which has the last record's sequence number, still shows that they are missing.
 func TestMissingEndIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
@@ -173,16 +173,16 @@
 	l.store.close()
 	l, owed := openTest(t, dir, 1<<20)
 	if len(owed) != 2 || owed[1].UnknownOutcomeAt == 0 || l.Recovery.Sound() {
-		t.Fatalf("%q, found %+v", describe(owed), l.Recovery)
+		t.Fatalf("the lost attempt of b was not detected: recovered %q, found %+v", describe(owed), l.Recovery)
 	}
 	mustAppend(t, l, accepted("c", "C"))
 	l.store.close()
 	if _, owed = openTest(t, dir, 1<<20); len(owed) != 3 || owed[2].UnknownOutcomeAt != 0 {
-		t.Errorf("then %q", describe(owed))
+		t.Errorf("after another record and start: recovered %q", describe(owed))
 	}
 }
 
-// buildSegments gives the files of a log of several segments.
+// buildSegments returns the files of a log with several segments, by name.
 func buildSegments(t *testing.T) (text map[string][]byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -205,13 +205,13 @@
 		text[filepath.Base(path)] = b
 	}
 	if len(text) < 5 {
-		t.Fatalf("%d files", len(text))
+		t.Fatalf("the log has %d files, want at least 5", len(text))
 	}
 	return text
 }
 
-// A segment is missing, swapped, duplicated, emptied, or from another relay, with the
-// stamp and without it.
+// A segment is missing, empty, duplicated, swapped with another one or from another relay,
+// with and without the stamp.
 func TestSegmentsOutOfPlace(t *testing.T) {
 	text, foreign := buildSegments(t), buildSegments(t)
 	var names []string
@@ -235,8 +235,8 @@
 		for i, name := range names {
 			check(name+" missing", func(m map[string][]byte) { delete(m, name) })
 			check(name+" emptied", func(m map[string][]byte) { m[name] = nil })
-			check(name+" doubled", func(m map[string][]byte) { m["0000ffff"+segmentSuffix] = m[name] })
-			check(name+" of another relay", func(m map[string][]byte) { m[name] = foreign[name] })
+			check(name+" duplicated", func(m map[string][]byte) { m["0000ffff"+segmentSuffix] = m[name] })
+			check(name+" replaced by one of another relay", func(m map[string][]byte) { m[name] = foreign[name] })
 			for _, other := range names[i+1:] {
 				check(name+" and "+other+" swapped", func(m map[string][]byte) { m[name], m[other] = m[other], m[name] })
 			}
@@ -244,11 +244,12 @@
 	}
 	dir := writeFolder(t, text)
 	if report, err := Inspect(nil, dir); err != nil || !report.Sound() {
-		t.Errorf("untouched: %v, %+v", err, report)
+		t.Errorf("unchanged folder: error %v, report %+v", err, report)
 	}
 }
 
-// A corrupted body loses its message and gives the id; other messages are not affected.
+// Corruption of a message's body loses this message but not its id, and no other message
+// is affected.
 func TestCorruptedBodyAffectsItsMessage(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
@@ -265,31 +266,32 @@
 	}
 	l, owed := openTest(t, dir, 1<<20)
 	if len(owed) != 3 || owed[0].UnknownOutcomeAt != 0 || owed[2].UnknownOutcomeAt != 0 || !owed[1].Corrupted || owed[1].ID != "second-one" {
-		t.Fatalf("%q", describe(owed))
+		t.Fatalf("recovered %q", describe(owed))
 	}
 	if !slices.Equal(l.Recovery.LostIDs, []string{"second-one"}) {
-		t.Errorf("lost %v", l.Recovery.LostIDs)
+		t.Errorf("lost ids: %v", l.Recovery.LostIDs)
 	}
-	// The corrupted file is kept, and the loss is known until its notice is sent.
+	// The corrupted file is kept, and the loss is reported until the message's notice is
+	// sent.
 	if err := l.store.finishCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
 	if kept, _ := filepath.Glob(filepath.Join(dir, FolderName, quarantinePrefix+"-*")); len(kept) != 1 {
-		t.Errorf("kept aside: %v", kept)
+		t.Errorf("files in quarantine: %v, want one", kept)
 	}
 	l.store.close()
 	l, owed = openTest(t, dir, 1<<20)
 	if len(owed) != 3 || !owed[1].Corrupted || !slices.Equal(l.Recovery.LostIDs, []string{"second-one"}) || len(l.Recovery.Corruptions) > 0 {
-		t.Fatalf("then %q, found %+v", describe(owed), l.Recovery)
+		t.Fatalf("after a checkpoint and another start: recovered %q, found %+v", describe(owed), l.Recovery)
 	}
 	mustAppend(t, l, &Record{Kind: KindCompleting, ID: "second-one", Notice: "given-up"}, &Record{Kind: KindCompleted, ID: "second-one"})
 	l.store.close()
 	if _, owed = openTest(t, dir, 1<<20); len(owed) != 2 {
-		t.Errorf("at last %q", describe(owed))
+		t.Errorf("after the completion: recovered %q", describe(owed))
 	}
 }
 
-// A folder of a newer version is refused, and left as it is.
+// Opening a folder of a newer format version fails and leaves the folder unchanged.
 func TestNewerFormatIsRefused(t *testing.T) {
 	_, text := buildFolder(t, -1)
 	h, _ := decodeHeader(text[segmentName(1)])
@@ -301,18 +303,19 @@
 	copy(text[segmentName(1)], b)
 	dir := writeFolder(t, text)
 	if _, err := Open(Options{Dir: dir, Limit: 1 << 20}); !errors.Is(err, ErrNewerVersion) || !strings.Contains(err.Error(), segmentName(1)) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want ErrNewerVersion with the file's name", err)
 	}
 	if got, err := os.ReadFile(filepath.Join(dir, FolderName, segmentName(1))); err != nil || !slices.Equal(got, text[segmentName(1)]) {
-		t.Error("changed")
+		t.Error("the segment was changed")
 	}
 }
 
-// Bytes that a client sends are never read as a record, though they look like one.
+// Bytes in a message's body are never read as a record, even if they have a record's
+// format.
 func TestBodyIsNeverReadAsRecord(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	forged, err := appendRecord(nil, &Record{Kind: KindCompleted, ID: "victim"}, 3, 0, nil) // it does not know the salt
+	forged, err := appendRecord(nil, &Record{Kind: KindCompleted, ID: "victim"}, 3, 0, nil) // a client does not know the salt
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -323,12 +326,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b[strings.Index(string(b), "carrier")-1] ^= 1 // its head is corrupted: what follows is searched for records
+	b[strings.Index(string(b), "carrier")-1] ^= 1 // the head is corrupted, so the bytes after it are searched for records
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, owed := openTest(t, dir, 1<<20); !slices.ContainsFunc(owed, func(r *Record) bool { return r.ID == "victim" && !r.Corrupted }) {
-		t.Errorf("%q", describe(owed))
+		t.Errorf("the message that the forged record names is not pending: recovered %q", describe(owed))
 	}
 }
 
@@ -359,7 +362,7 @@
 		dir := writeFolder(t, text)
 		l, err := Open(Options{Dir: dir, Limit: 1 << 20})
 		if err != nil {
-			return // newer, or no files
+			return // a newer version, or no readable files
 		}
 		first := describe(l.Next(1 << 20))
 		if err := l.store.appendRecords([]*Record{accepted("after", "x")})[0]; err != nil && !errors.Is(err, ErrFull) {
@@ -372,7 +375,7 @@
 		}
 		defer l.store.close()
 		if then := l.Next(1 << 20); len(then) < len(first) {
-			t.Fatalf("%d owed, then %d", len(first), len(then))
+			t.Fatalf("%d messages were recovered first, only %d later", len(first), len(then))
 		}
 	})
 }
@@ -387,10 +390,10 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, n := (recordDecoder{salt: 7}).decode(b); n > len(b) || (r == nil) != (n == 0) {
-			t.Fatalf("%d bytes of %d: %+v", n, len(b), r)
+			t.Fatalf("decoded %d of %d bytes as %+v", n, len(b), r)
 		}
 		var r Record
-		for _, k := range kindsByNumber { // a payload without a checksum
+		for _, k := range kindsByNumber { // payloads that are not protected by a checksum
 			r = Record{Kind: k}
 			decodePayload(&r, b)
 		}
--- a/internal/wal/handoff_test.go
+++ b/internal/wal/handoff_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// copyFolder gives a second folder with the same files, as change returns them.
+// copyFolder copies a folder. change returns the contents of each copied file.
 func copyFolder(t *testing.T, from string, change func(name string, b []byte) []byte) (to string) {
 	t.Helper()
 	to = t.TempDir()
@@ -41,17 +41,18 @@
 	return to
 }
 
-// A kill at any byte of the log or the handoff log during a handoff loses no message,
-// duplicates none, and adds nothing to its state.
+// A kill during a handoff, which truncates the log or the handoff log at any byte, loses
+// no message that was accepted before, duplicates none, and leaves a state that another
+// start does not change.
 func TestHandoffLogCut(t *testing.T) {
 	whole := t.TempDir()
 	l, _ := openTest(t, whole, 1<<20)
 	mustAppend(t, l, accepted("a", "A"), accepted("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
-	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")}); err != nil {
+	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("policy")}); err != nil {
 		t.Fatal(err)
 	}
 	mustAppend(t, l, accepted("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
-	l.store.close() // killed
+	l.store.close() // the process is killed
 	sizes := map[string]int{}
 	copyFolder(t, whole, func(name string, b []byte) []byte { sizes[name] = len(b); return b })
 	for name, size := range sizes {
@@ -70,24 +71,24 @@
 			l, second := openTest(t, dir, 1<<20)
 			l.store.close()
 			if !slices.Equal(describe(first), describe(second)) {
-				t.Fatalf("%s cut at %d: %v, then %v", name, cut, describe(first), describe(second))
+				t.Fatalf("%s cut at %d: recovered %v at the first start, %v at the second", name, cut, describe(first), describe(second))
 			}
 			if name == HandoffName && (len(first) < 2 || first[0].ID != "a" || first[1].ID != "b" || first[1].Attempts < 1) {
-				t.Fatalf("%s cut at %d: %v", name, cut, describe(first))
+				t.Fatalf("%s cut at %d: recovered %v", name, cut, describe(first))
 			}
 		}
 	}
 	l, owed := openTest(t, whole, 1<<20)
-	if len(owed) != 3 || owed[1].UnknownOutcomeAt != 0 || string(l.PolicySnapshot) != "memory" {
-		t.Errorf("whole: %v, memory %q", describe(owed), l.PolicySnapshot)
+	if len(owed) != 3 || owed[1].UnknownOutcomeAt != 0 || string(l.PolicySnapshot) != "policy" {
+		t.Errorf("complete files: recovered %v, policy snapshot %q", describe(owed), l.PolicySnapshot)
 	}
 	if _, err := os.Stat(filepath.Join(whole, HandoffName)); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the side log of a dead process is still there: %v", err)
+		t.Errorf("the handoff log of an exited process was not removed: %v", err)
 	}
 }
 
-// A record of the handoff log is merged once: what the next process recorded since is not
-// undone by reading it again.
+// A record of the handoff log is merged once. Reading the handoff log again after a
+// restart does not undo what the next process recorded since.
 func TestHandoffLogRecordedOnce(t *testing.T) {
 	dir := t.TempDir()
 	old, _ := openTest(t, dir, 1<<20)
@@ -98,19 +99,19 @@
 	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, accepted("b", "B"))
 	next, owed := openTest(t, dir, 1<<20)
 	if next.Handoff == nil || len(owed) != 1 || owed[0].InFlightEndpoint != "s-1" {
-		t.Fatalf("%v, side log %v", describe(owed), next.Handoff)
+		t.Fatalf("recovered %v, handoff log %v", describe(owed), next.Handoff)
 	}
-	mustAppend(t, next, next.Handoff.Read()[1:]...) // without the owner record
+	mustAppend(t, next, next.Handoff.Read()[1:]...) // skips the owner record
 	mustAppend(t, next, &Record{Kind: KindAttempt, ID: "a", At: 9, Endpoint: "s-1", Process: next.Process}, &Record{Kind: KindCompleted, ID: "b"})
-	next.store.close() // killed, and the old one, too
+	next.store.close() // both processes are killed
 	old.store.close()
 	next.Handoff.Close()
 	if _, owed := openTest(t, dir, 1<<20); len(owed) != 1 || owed[0].ID != "a" || owed[0].Attempts != 2 || owed[0].UnknownOutcomeAt != 9 {
-		t.Errorf("%v", describe(owed))
+		t.Errorf("recovered %v", describe(owed))
 	}
 }
 
-// While two processes write, both logs and a checkpoint stay within the limit.
+// While two processes write, both logs and the next checkpoint stay within the limit.
 func TestHandoffLogBounded(t *testing.T) {
 	const limit = 1 << 20
 	for _, full := range []bool{false, true} {
@@ -130,7 +131,7 @@
 			old.store.appendRecords([]*Record{accepted("o"+strconv.Itoa(i), body)})
 			next.store.appendRecords([]*Record{accepted("n"+strconv.Itoa(i), body)})
 			if size := diskSize(t, dir); size+next.store.checkpointBytes > limit {
-				t.Fatalf("full %v: %d on disk, %d for a checkpoint", full, size, next.store.checkpointBytes)
+				t.Fatalf("full %v: %d bytes on disk and %d for a checkpoint exceed the limit", full, size, next.store.checkpointBytes)
 			}
 		}
 		for i := range 50 { // completions still fit
@@ -142,8 +143,8 @@
 	}
 }
 
-// Corruption in the handoff log of a process that exited has pending messages treated as
-// sent.
+// If the handoff log of an exited process is corrupted, the pending messages are treated
+// as sent.
 func TestHandoffLogCorrupted(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
@@ -164,18 +165,18 @@
 	})
 	l, owed := openTest(t, changed, 1<<20)
 	for _, r := range owed {
-		if (r.ID == "a" || r.ID == "b") && r.UnknownOutcomeAt == 0 { // c was accepted there
-			t.Errorf("byte %d of the side log: %v", at, describe(owed))
+		if (r.ID == "a" || r.ID == "b") && r.UnknownOutcomeAt == 0 { // c was accepted in the handoff log itself
+			t.Errorf("byte %d of the handoff log is corrupted, but a or b counts as unsent: %v", at, describe(owed))
 		}
 	}
 	if l.Recovery.Sound() {
-		t.Error("nobody was told")
+		t.Error("no corruption was reported")
 	}
 }
 
-// legacyRecord is a record as a legacy program writes it.
+// legacyRecord returns a record as a legacy program writes it.
 func legacyRecord(r *Record) []byte {
-	line, _ := json.Marshal(r) // plain data
+	line, _ := json.Marshal(r) // a Record can always be marshaled
 	payload := append(append(line, '\n'), r.Body...)
 	b := append([]byte(legacyMark), 0, 0, 0, 0, 0, 0, 0, 0)
 	binary.BigEndian.PutUint32(b[4:], uint32(len(payload)))
@@ -190,13 +191,13 @@
 	return b
 }
 
-// The log of a legacy program is converted at the first start with its state, also where
-// its process lives on and writes a handoff log of the legacy format.
+// The first start converts a legacy log with its state, also if the legacy process is
+// still alive and writes a handoff log in the legacy format.
 func TestLegacyConversion(t *testing.T) {
 	for _, living := range []bool{false, true} {
 		dir := t.TempDir()
 		b := legacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, sampleRecords()...)...)
-		b = append(b, legacyLog(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("memory")})...)
+		b = append(b, legacyLog(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("policy")})...)
 		if err := os.WriteFile(filepath.Join(dir, FolderName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -215,40 +216,40 @@
 		}
 		l, owed := openTest(t, dir, 1<<20)
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 handed-back"}
-		if living { // its attempts stay in flight
+		if living { // attempts of the living process stay in flight
 			want = []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 0 ", "e E 0 0 handed-back"}
 			if l.Handoff == nil || l.Handoff.Process != 1 || len(l.Handoff.Read()) != 2 {
-				t.Fatalf("side log %+v", l.Handoff)
+				t.Fatalf("handoff log: %+v", l.Handoff)
 			}
 		} else {
 			want = append(want, "f F 0 0 ")
 		}
-		if got := describe(owed); !slices.Equal(got, want) || string(l.PolicySnapshot) != "memory" || l.Process != 2 {
-			t.Fatalf("living %v: got %q, memory %q, by %d", living, got, l.PolicySnapshot, l.Process)
+		if got := describe(owed); !slices.Equal(got, want) || string(l.PolicySnapshot) != "policy" || l.Process != 2 {
+			t.Fatalf("living %v: recovered %q, policy snapshot %q, process %d", living, got, l.PolicySnapshot, l.Process)
 		}
 		if info, err := os.Stat(filepath.Join(dir, FolderName)); err != nil || !info.IsDir() {
-			t.Fatalf("an older program would take the log for its own: %v", err)
+			t.Fatalf("a legacy program could still open the log as a file: %v", err)
 		}
 		mustAppend(t, l, &Record{Kind: KindCompleted, ID: "e"})
 		l.store.close()
 		f.Close()
 		if l, owed = openTest(t, dir, 1<<20); living && len(owed) != len(want) || !living && len(owed) != len(want)-1 || !l.Recovery.Sound() {
-			t.Errorf("living %v, opened again: %q, found %+v", living, describe(owed), l.Recovery)
+			t.Errorf("living %v, second start: recovered %q, found %+v", living, describe(owed), l.Recovery)
 		}
 		l.store.close()
 	}
 }
 
-// A kill between any two steps of the conversion loses nothing, also where the legacy
-// program ran in between.
+// A kill between any two steps of the conversion loses nothing, also if the legacy program
+// ran again in between.
 func TestLegacyConversionInterrupted(t *testing.T) {
 	old := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, accepted("a", "A"), accepted("b", "B"), &Record{Kind: KindCompleted, ID: "b"})
 	later := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, accepted("z", "Z"))
 	for what, files := range map[string]map[string][]byte{
-		"before the first":       {FolderName: old, FolderName + temporarySuffix + "/x": []byte("half")},
-		"between":                {FolderName + legacySuffix: old, FolderName + temporarySuffix + "/x": []byte("half")},
-		"and the older one ran":  {FolderName + legacySuffix: old, FolderName: later},
-		"and that was cut again": {FolderName + legacySuffix: old, FolderName + secondLegacySuffix: later},
+		"temporary folder written":     {FolderName: old, FolderName + temporarySuffix + "/x": []byte("half")},
+		"legacy file renamed":          {FolderName + legacySuffix: old, FolderName + temporarySuffix + "/x": []byte("half")},
+		"legacy program ran again":     {FolderName + legacySuffix: old, FolderName: later},
+		"conversion interrupted again": {FolderName + legacySuffix: old, FolderName + secondLegacySuffix: later},
 	} {
 		dir := t.TempDir()
 		for name, b := range files {
@@ -266,18 +267,18 @@
 		for n := range 2 {
 			l, owed := openTest(t, dir, 1<<20)
 			if got := describe(owed); !slices.Equal(got, want) {
-				t.Fatalf("%s, opened %d times: %q", what, n+1, got)
+				t.Fatalf("%s, opened %d times: recovered %q", what, n+1, got)
 			}
 			l.store.close()
 		}
 		names, err := os.ReadDir(dir)
 		if err != nil || len(names) != 1 {
-			t.Errorf("%s: left %v, %v", what, names, err)
+			t.Errorf("%s: files left in the folder: %v, error %v", what, names, err)
 		}
 	}
 }
 
-// A flipped bit in a legacy log never hides an attempt either.
+// A flipped bit in a legacy log must not hide an attempt or a completion.
 func TestFlippedBitInLegacyLog(t *testing.T) {
 	sound := legacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, sampleRecords()...)...)
 	head := len(legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}))
@@ -288,11 +289,12 @@
 		if err := os.WriteFile(filepath.Join(dir, FolderName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		checkSafe(t, dir, fmt.Sprintf("byte %d", at))
+		checkSafe(t, dir, fmt.Sprintf("bit flipped in byte %d", at))
 	}
 }
 
-// There is one writer at any time: another process gets the lock once the owner has died.
+// Only one process at a time holds the lock. Another one gets it after the owner has
+// closed its file, as the kernel does when the owner dies.
 func TestOneOwner(t *testing.T) {
 	dir := t.TempDir()
 	a, err := OpenLock(dir, LockName)
@@ -308,10 +310,10 @@
 		t.Fatal(err)
 	}
 	if got, _ := b.TryLock(); got {
-		t.Fatal("two owners")
+		t.Fatal("the lock was taken twice")
 	}
 	a.Close()
 	if got, err := b.TryLock(); !got {
-		t.Errorf("the dead one's lock: %v", err)
+		t.Errorf("the lock of a closed file was not free: %v", err)
 	}
 }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -14,7 +14,7 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// openTest opens a folder without a goroutine.
+// openTest opens a log without starting its goroutine, and returns its pending messages.
 func openTest(t testing.TB, dir string, limit int64) (*Log, []*Record) {
 	t.Helper()
 	l, err := Open(Options{Dir: dir, Limit: limit, Log: discardLogger()})
@@ -29,7 +29,7 @@
 	t.Helper()
 	for _, r := range recs {
 		if err := l.store.appendRecords([]*Record{r})[0]; err != nil {
-			t.Fatalf("%s of %s: %v", r.Kind, r.ID, err)
+			t.Fatalf("append %s record of %s: %v", r.Kind, r.ID, err)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	return all
 }
 
-// sampleRecords is a history with every kind of record.
+// sampleRecords returns a history with every kind of record that concerns a message.
 func sampleRecords() []*Record {
 	return []*Record{accepted("a", "A\n\x00"), accepted("b", ""), accepted("c", "C"), accepted("d", "D"), accepted("e", "E"),
 		{Kind: KindAttempt, ID: "a", At: 100, Zone: 1, Endpoint: "s-1", Process: 1},
@@ -57,12 +57,12 @@
 		{Kind: KindAttempt, ID: "b", At: 200, Zone: 1, Endpoint: "s-1", Process: 1},
 		{Kind: KindOutcome, ID: "b", MayHaveRun: true},
 		{Kind: KindAttempt, ID: "b", At: 300, Zone: 0, Endpoint: "s-2", Process: 1},
-		{Kind: KindAttempt, ID: "c", At: 400, Zone: 1, Endpoint: "s-1", Process: 1}, // no outcome: it may have run
+		{Kind: KindAttempt, ID: "c", At: 400, Zone: 1, Endpoint: "s-1", Process: 1}, // it has no outcome, so it may have run
 		{Kind: KindCompleted, ID: "d"},
 		{Kind: KindCompleting, ID: "e", Notice: "handed-back", RetryMS: 20}}
 }
 
-// Pending messages come back with their state, in order, from segments and from a
+// Pending messages are recovered in order with their state, from segments and from a
 // checkpoint, however often the folder is opened.
 func TestRecovers(t *testing.T) {
 	dir := t.TempDir()
@@ -72,13 +72,13 @@
 	for n := range 4 {
 		l, owed := openTest(t, dir, 1<<20)
 		if got := describe(owed); !slices.Equal(got, want) {
-			t.Fatalf("opened %d times: got %q", n+1, got)
+			t.Fatalf("opened %d times: recovered %q", n+1, got)
 		}
 		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.UnknownOutcomeZone != 1 {
-			t.Errorf("got %+v", r)
+			t.Errorf("message b has the fields %+v", r)
 		}
 		if !l.Recovery.Sound() || len(l.Recovery.Torn) > 0 {
-			t.Fatalf("found %+v", l.Recovery)
+			t.Fatalf("the recovery found %+v", l.Recovery)
 		}
 		if n == 1 {
 			if err := l.store.finishCheckpoint(); err != nil {
@@ -88,8 +88,9 @@
 	}
 }
 
-// A checkpoint that is written while messages come and go holds each as it was at some
-// moment, and later records are applied once.
+// While a checkpoint is written, messages are accepted and completed. The checkpoint may
+// hold each message at a different point of its history; later records are still applied
+// exactly once.
 func TestCheckpointWhileAppending(t *testing.T) {
 	for _, every := range []int{1, 3, 7} {
 		dir := t.TempDir()
@@ -108,7 +109,7 @@
 			case 0:
 				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process})
 			case 1:
-				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, accepted(id, "again")) // an id that comes again
+				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, accepted(id, "again")) // the same id is accepted again
 			case 2:
 				mustAppend(t, l, accepted("new"+strconv.Itoa(i), "n"))
 			case 3:
@@ -124,12 +125,12 @@
 		want := describe(stateAfterRestart(t, l))
 		_, owed := openTest(t, dir, 64<<20)
 		if got := describe(owed); !slices.Equal(got, want) || steps < 10 {
-			t.Fatalf("%d steps: %d owed, want %d", steps, len(got), len(want))
+			t.Fatalf("after %d checkpoint slices: %d pending messages differ from the %d expected ones", steps, len(got), len(want))
 		}
 	}
 }
 
-// stateAfterRestart is what an open log holds, as a restart has to find it.
+// stateAfterRestart returns the messages that a restart of an open log should recover.
 func stateAfterRestart(t *testing.T, l *Log) (recs []*Record) {
 	t.Helper()
 	type at struct {
@@ -155,7 +156,8 @@
 	return recs
 }
 
-// resolveInFlight turns an attempt without an outcome into an unknown outcome, as a start does.
+// resolveInFlight gives an attempt without an outcome an unknown outcome, as a restart
+// does.
 func (r *Record) resolveInFlight() {
 	if r.InFlightSince == 0 {
 		return
@@ -166,7 +168,7 @@
 	r.InFlightSince, r.InFlightZone, r.InFlightEndpoint, r.InFlightProcess = 0, 0, "", 0
 }
 
-// logFiles gives the paths of the log's own files with a suffix.
+// logFiles returns the paths of the log's files with a suffix, without quarantined files.
 func logFiles(t *testing.T, dir, suffix string) (names []string) {
 	t.Helper()
 	all, err := os.ReadDir(filepath.Join(dir, FolderName))
@@ -195,8 +197,8 @@
 	return n
 }
 
-// All files together stay within the limit at every moment, and accepted messages can be
-// completed even when nothing more fits.
+// The files together never exceed the limit, and accepted messages can be completed even
+// if no more new ones fit.
 func TestFolderStaysWithinLimit(t *testing.T) {
 	const limit = 1 << 20
 	dir := t.TempDir()
@@ -212,15 +214,15 @@
 		}
 	}
 	if n == 0 {
-		t.Fatal("nothing fits")
+		t.Fatal("not even one message fits")
 	}
-	for round := range 9000 { // far more than fits without a checkpoint
+	for round := range 9000 { // far more records than fit without a checkpoint
 		id := strconv.Itoa(round % n)
 		mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(round) + 1, Endpoint: "endpoint"}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 		l.store.compact()
 		if round%64 == 0 {
 			if size := diskSize(t, dir); size > limit || size != l.store.usage.bytes {
-				t.Fatalf("round %d: %d bytes on disk, held to be %d", round, size, l.store.usage.bytes)
+				t.Fatalf("round %d: %d bytes on disk, the log counts %d", round, size, l.store.usage.bytes)
 			}
 		}
 	}
@@ -228,7 +230,7 @@
 		mustAppend(t, l, &Record{Kind: KindCompleted, ID: strconv.Itoa(i)})
 	}
 	if l.store.checkpointBytes != 0 {
-		t.Errorf("%d bytes owed by nobody", l.store.checkpointBytes)
+		t.Errorf("%d bytes are reserved for a checkpoint although no message is pending", l.store.checkpointBytes)
 	}
 	mustAppend(t, l, accepted("next", body))
 }
--- a/internal/wal/logclock_test.go
+++ b/internal/wal/logclock_test.go
@@ -11,12 +11,13 @@
 	"plovershore/internal/wal"
 )
 
-// machineClock is the clocks of a machine that a test boots and whose wall clock it steps.
+// machineClock simulates the clocks of a machine that reboots and whose wall clock is
+// changed.
 type machineClock struct {
 	boot  byte
-	shift time.Duration // of the wall clock
-	mono  time.Duration // of the monotonic one, since the boot
-	slept time.Duration // that no clock of this process shows
+	shift time.Duration // offset of the wall clock
+	mono  time.Duration // offset of the monotonic clock, which starts at the boot
+	slept time.Duration // simulated time that passed on both clocks while no process ran
 }
 
 func (m *machineClock) read() clock.Reading {
@@ -27,7 +28,8 @@
 	return r
 }
 
-// runOnce opens a log, has it record one message, and gives the log time at its start and end.
+// runOnce opens a log and records one message. It returns the log time at the start and at
+// the end, and ClockSetBack.
 func runOnce(t *testing.T, dir, id string, m *machineClock) (began, ended int64, behind time.Duration) {
 	t.Helper()
 	l, err := wal.Open(wal.Options{Dir: dir, Limit: 3 << 20, Clock: m.read})
@@ -42,9 +44,10 @@
 	return began, l.Time(), l.ClockSetBack
 }
 
-// Log time runs on with real time over the ends of processes and over boots, however the
-// wall clock is set. Only where that was set back over a boot it is not known how long no
-// process ran, and log time stands still for that long.
+// Log time advances with real time between processes and over reboots, however the wall
+// clock is changed. The exception is a reboot during which the wall clock is set back: it
+// is not known then how long no process ran, and log time does not advance for that
+// period.
 func TestLogTime(t *testing.T) {
 	const gap, slack = time.Minute, int64(5e6)
 	for _, x := range []struct {
@@ -53,12 +56,12 @@
 		passed time.Duration
 		behind time.Duration
 	}{
-		{"nothing", func(m *machineClock) {}, gap, 0},
-		{"stepped forward", func(m *machineClock) { m.shift = time.Hour }, gap, 0},
-		{"stepped back", func(m *machineClock) { m.shift = -time.Hour }, gap, 0},
-		{"stepped back by less than has passed", func(m *machineClock) { m.shift = -gap / 2 }, gap, 0},
-		{"booted", func(m *machineClock) { m.boot, m.mono = 2, -time.Hour }, gap, 0},
-		{"booted and set back", func(m *machineClock) { m.boot, m.shift = 2, -time.Hour }, 0, time.Hour - gap},
+		{"clocks unchanged", func(m *machineClock) {}, gap, 0},
+		{"wall clock set forward", func(m *machineClock) { m.shift = time.Hour }, gap, 0},
+		{"wall clock set back", func(m *machineClock) { m.shift = -time.Hour }, gap, 0},
+		{"wall clock set back by less than has passed", func(m *machineClock) { m.shift = -gap / 2 }, gap, 0},
+		{"rebooted", func(m *machineClock) { m.boot, m.mono = 2, -time.Hour }, gap, 0},
+		{"rebooted and wall clock set back", func(m *machineClock) { m.boot, m.shift = 2, -time.Hour }, 0, time.Hour - gap},
 	} {
 		for _, running := range []time.Duration{0, time.Hour, -time.Hour} {
 			dir, m := t.TempDir(), &machineClock{boot: 1}
@@ -72,23 +75,23 @@
 			m.slept += gap
 			began, _, behind := runOnce(t, dir, "third", m)
 			if off := began - ended - x.passed.Microseconds(); off < 0 || off > slack {
-				t.Errorf("%s, stepped by %v before: %d µs have passed, want %d", x.what, running, began-ended, x.passed.Microseconds())
+				t.Errorf("%s, wall clock changed by %v before: %d µs of log time passed, want %d", x.what, running, began-ended, x.passed.Microseconds())
 			}
 			if off := (behind - x.behind).Abs(); off > time.Duration(slack)*time.Microsecond || (behind > 0) != (x.behind > 0) {
-				t.Errorf("%s, stepped by %v before: behind by %v, want %v", x.what, running, behind, x.behind)
+				t.Errorf("%s, wall clock changed by %v before: the clock was set back by %v, want %v", x.what, running, behind, x.behind)
 			}
 		}
 	}
 }
 
-// When a log whose time differs from the wall clock is migrated to another machine, its
-// messages keep the time that they have left.
+// A log whose time differs from the wall clock is moved to another machine. The time until
+// its messages' deadlines stays the same.
 func TestLogTimeAfterMigration(t *testing.T) {
 	for _, shift := range []time.Duration{0, time.Hour, -time.Hour} {
 		from, to, file := t.TempDir(), t.TempDir(), filepath.Join(t.TempDir(), "moved")
 		m := &machineClock{shift: shift}
 		l, err := wal.Open(wal.Options{Dir: from, Limit: 3 << 20, Clock: func() clock.Reading {
-			r := clock.Read() // of this boot, which Export finds as well
+			r := clock.Read() // with the real boot id, which Export reads too
 			r.Wall += m.shift.Microseconds()
 			return r
 		}})
@@ -111,17 +114,18 @@
 		}
 		recs := l.Next(1)
 		if len(recs) != 1 {
-			t.Fatalf("%d messages", len(recs))
+			t.Fatalf("recovered %d messages, want 1", len(recs))
 		}
 		if left := recs[0].Deadline - l.Time(); left < 15e6 || left > 20e6 {
-			t.Errorf("clock off by %v: %d µs are left of 20 s", shift, left)
+			t.Errorf("wall clock off by %v: %d µs of 20 s are left until the deadline", shift, left)
 		}
 		l.Close()
 	}
 }
 
-// The stamp of a legacy program has no reading of the clocks, and one that a legacy program
-// overwrote is void: then the wall clock counts, as it did.
+// The stamp of a legacy program has no clock readings. If a legacy program overwrote a
+// stamp, the old clock readings in it are invalid. In both cases log time continues with
+// the wall clock, as it did in legacy programs.
 func TestLogTimeOfLegacyStamp(t *testing.T) {
 	for _, cut := range []bool{true, false} {
 		dir, m := t.TempDir(), &machineClock{boot: 1}
@@ -133,7 +137,7 @@
 		}
 		if cut {
 			text = text[:24]
-		} else { // the legacy program ran for another second, by the wall clock
+		} else { // the legacy program ran for another second of wall-clock time
 			binary.NativeEndian.PutUint64(text[16:], uint64(ended+time.Second.Microseconds()))
 		}
 		if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -142,7 +146,7 @@
 		m.shift = time.Hour
 		began, _, behind := runOnce(t, dir, "second", m)
 		if off := began - ended - time.Hour.Microseconds(); off < 0 || off > 5e6 || behind != 0 {
-			t.Errorf("cut %v: %d µs have passed, behind by %v", cut, began-ended, behind)
+			t.Errorf("stamp shortened %v: %d µs of log time passed, the clock was set back by %v", cut, began-ended, behind)
 		}
 	}
 }
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -16,10 +16,10 @@
 	"plovershore/internal/wal/cutfs"
 )
 
-// guarantees is what a log has reported as recorded, and the records that it was given last
-// and has not answered, which may or may not be recorded.
+// guarantees is what a log has reported as recorded. unanswered holds the records whose
+// result the log has not reported yet; they may or may not be recorded.
 type guarantees struct {
-	pending    map[string]string // body by id
+	pending    map[string]string // body by message id
 	mayHaveRun map[string]bool   // an attempt is in flight or may have run
 	completed  map[string]bool
 	unanswered []*wal.Record
@@ -47,12 +47,12 @@
 	}
 }
 
-// holds gives an error where the records of a folder break a guarantee.
+// holds returns an error if the recovered records violate a guarantee.
 func (p *guarantees) holds(recs []*wal.Record) error {
 	have := map[string]*wal.Record{}
 	for _, r := range recs {
 		if have[r.ID] != nil {
-			return fmt.Errorf("%s is there twice", r.ID)
+			return fmt.Errorf("%s was recovered twice", r.ID)
 		}
 		have[r.ID] = r
 	}
@@ -62,16 +62,16 @@
 	for id, body := range p.pending {
 		switch r := have[id]; {
 		case r == nil && !isUnanswered(id, wal.KindCompleted):
-			return fmt.Errorf("%s was accepted, and is missing", id)
+			return fmt.Errorf("%s was accepted but is missing", id)
 		case r != nil && (string(r.Body) != body && !isUnanswered(id, wal.KindAccepted) || r.Corrupted):
-			return fmt.Errorf("%s came back with %d bytes, lost %v", id, len(r.Body), r.Corrupted)
+			return fmt.Errorf("%s was recovered with a body of %d bytes, corrupted: %v", id, len(r.Body), r.Corrupted)
 		case r != nil && p.mayHaveRun[id] && r.UnknownOutcomeAt == 0 && r.InFlightSince == 0 && !isUnanswered(id, wal.KindOutcome, wal.KindAccepted):
-			return fmt.Errorf("%s was sent, and comes back as one that was not", id)
+			return fmt.Errorf("%s was sent but is recovered as unsent", id)
 		}
 	}
 	for id := range have {
 		if p.completed[id] && !isUnanswered(id, wal.KindAccepted) {
-			return fmt.Errorf("%s was completed, and is there again", id)
+			return fmt.Errorf("%s was completed but is pending again", id)
 		}
 	}
 	return nil
@@ -87,7 +87,7 @@
 	return l, l.Next(1 << 20), nil
 }
 
-// appendOneByOne appends records to an open log one by one, and counts the errors.
+// appendOneByOne appends records one by one and returns the number of errors.
 func appendOneByOne(l *wal.Log, p *guarantees, recs []*wal.Record) (errs int) {
 	for _, r := range recs {
 		p.unanswered = []*wal.Record{r}
@@ -122,7 +122,7 @@
 			recs = append(recs, &wal.Record{Kind: wal.KindCompleted, ID: id})
 			live = slices.Delete(live, at, at+1)
 			out[id] = false
-			if r.IntN(4) == 0 { // an id that comes again
+			if r.IntN(4) == 0 { // the same id is accepted again
 				live = append(live, id)
 				recs = append(recs, &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "once", Dest: 1, Deadline: 1e15, Body: []byte("again")})
 			}
@@ -134,15 +134,16 @@
 	return recs
 }
 
-// checkAfterCut opens what a cut left, twice, and compares it with the guarantees.
+// checkAfterCut opens the folder twice after a power cut and checks the guarantees. keep
+// says which pending changes survive the cut.
 func checkAfterCut(fs *cutfs.FS, p *guarantees, keep func(int) bool) error {
 	after := fs.Cut(keep)
 	l, recs, err := openAfterCut(after, wal.SurvivesPowerLoss)
 	if err != nil {
-		return fmt.Errorf("not opened: %w", err)
+		return fmt.Errorf("open after the cut: %w", err)
 	}
 	if !l.Recovery.Sound() {
-		return fmt.Errorf("a cut alone is told as damage: %+v, lost %v", l.Recovery.Corruptions, l.Recovery.LostIDs)
+		return fmt.Errorf("a power cut without corruption is reported as corruption: %+v, lost ids %v", l.Recovery.Corruptions, l.Recovery.LostIDs)
 	}
 	if err := p.holds(recs); err != nil {
 		return err
@@ -150,11 +151,11 @@
 	l.Close()
 	l, again, err := openAfterCut(after, wal.SurvivesPowerLoss)
 	if err != nil {
-		return fmt.Errorf("not opened again: %w", err)
+		return fmt.Errorf("second open after the cut: %w", err)
 	}
 	defer l.Close()
 	if a, b := describeAll(recs), describeAll(again); !slices.Equal(a, b) {
-		return fmt.Errorf("%v, then %v", a, b)
+		return fmt.Errorf("recovered %v at the first start, %v at the second", a, b)
 	}
 	return nil
 }
@@ -166,13 +167,14 @@
 	return all
 }
 
-// forEachCut calls f with each choice of the changes that survive, where they are few; else
-// with every prefix, all but each one, each one alone, and some at random.
+// forEachCut calls f with choices of which of n changes survive a power cut: with all
+// choices if n is at most 6, otherwise with every prefix, all but each one, each one
+// alone, and some at random.
 func forEachCut(n int, r *rand.Rand, f func(keep func(int) bool) error) error {
 	if n <= 6 {
 		for set := range 1 << n {
 			if err := f(func(i int) bool { return set>>i&1 == 1 }); err != nil {
-				return fmt.Errorf("set %b of %d: %w", set, n, err)
+				return fmt.Errorf("set %b of %d changes survives: %w", set, n, err)
 			}
 		}
 		return nil
@@ -181,7 +183,7 @@
 		for what, keep := range map[string]func(int) bool{"the first": func(i int) bool { return i < at }, "all but": func(i int) bool { return i != at },
 			"only": func(i int) bool { return i == at }} {
 			if err := f(keep); err != nil {
-				return fmt.Errorf("%s %d of %d: %w", what, at, n, err)
+				return fmt.Errorf("%s change %d of %d survives: %w", what, at, n, err)
 			}
 		}
 	}
@@ -193,14 +195,14 @@
 			kept[i] = draw.IntN(2) == 0
 		}
 		if err := f(func(i int) bool { return kept[i] }); err != nil {
-			return fmt.Errorf("drawn by %d: %w", seed, err)
+			return fmt.Errorf("changes drawn with seed %d survive: %w", seed, err)
 		}
 	}
 	return nil
 }
 
-// Power is lost before every change of the file system, in a short history with a
-// checkpoint in it, and again during the recovery after that.
+// Power is lost before every change of the file system in a short history that includes a
+// checkpoint, and again during the recovery from such a loss.
 func TestPowerLostAtEveryPoint(t *testing.T) {
 	for seed := range uint64(4) {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -215,7 +217,7 @@
 			if err := forEachCut(fs.Pending(), r, func(keep func(int) bool) error { tried++; return checkAfterCut(fs, p, keep) }); err != nil {
 				t.Fatalf("seed %d, point %d, before %s of %s: %v", seed, points, what, name, err)
 			}
-			if points%5 == 0 { // and once more, in the middle of the recovery
+			if points%5 == 0 { // cuts the power a second time, during the recovery
 				again := fs.Cut(func(int) bool { return r.IntN(2) == 0 })
 				again.Before = func(what, name string) error {
 					hook := again.Before
@@ -247,12 +249,12 @@
 		l.Close()
 		t.Logf("seed %d: %d points, %d cuts", seed, points, tried)
 		if points < 50 || tried < 500 {
-			t.Errorf("%d points, %d cuts", points, tried)
+			t.Errorf("only %d points and %d cuts were tested, want at least 50 and 500", points, tried)
 		}
 	}
 }
 
-// The same over longer histories, opened again and again, with cuts at random.
+// As the test above, but with longer histories, several restarts and random cuts.
 func TestPowerLostOverLongHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
@@ -264,12 +266,13 @@
 				t.Fatal(err)
 			}
 			if err := p.holds(recs); err != nil {
-				t.Fatalf("incarnation %d: %v", incarnation, err)
+				t.Fatalf("start %d: %v", incarnation, err)
 			}
 			if !l.Recovery.Sound() {
-				t.Fatalf("incarnation %d: %+v", incarnation, l.Recovery)
+				t.Fatalf("start %d: the recovery found %+v", incarnation, l.Recovery)
 			}
-			// The records that were not answered are recorded, or are not.
+			// What the log recovered replaces the guarantees, since each unanswered record
+			// may or may not be recorded.
 			q := newGuarantees()
 			for _, x := range recs {
 				q.pending[x.ID] = string(x.Body)
@@ -296,12 +299,12 @@
 					if cut == nil {
 						cut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
 					}
-					return syscall.EIO // the machine is gone; what it says does not count
+					return syscall.EIO // the power is off, so the results of these calls do not count
 				}
 				return nil
 			}
 			for i := 0; len(todo) > 0; i++ {
-				n := min(len(todo), 1+r.IntN(8)) // a batch may be recorded in part
+				n := min(len(todo), 1+r.IntN(8)) // only part of a batch may be recorded
 				p.unanswered = todo[:n]
 				errs := l.AppendAll(todo[:n])
 				if cut != nil {
@@ -327,24 +330,25 @@
 	})
 }
 
-// The checker itself detects a log that answers before it has synced.
+// The checks in this file detect a log that reports records as done before it has synced
+// them.
 func TestForgottenSyncIsCaught(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 4))
 	fs := cutfs.New(cutDir)
 	p := newGuarantees()
-	l, _, err := openAfterCut(fs, wal.SurvivesCrash) // the defect: nothing is synced
+	l, _, err := openAfterCut(fs, wal.SurvivesCrash) // the simulated defect: nothing is synced
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	appendOneByOne(l, p, history(r, 20))
 	if err := forEachCut(fs.Pending(), r, func(keep func(int) bool) error { return checkAfterCut(fs, p, keep) }); err == nil {
-		t.Fatal("not caught")
+		t.Fatal("no cut violated a guarantee although nothing was synced")
 	}
 }
 
-// A sync that fails is final: nothing is accepted after it, and nothing that was recorded
-// before is lost.
+// After a sync has failed, the log accepts no record any more, and what was recorded
+// before is not lost.
 func TestFailedSyncIsFinal(t *testing.T) {
 	fs := cutfs.New(cutDir)
 	var told error
@@ -362,11 +366,11 @@
 		return nil
 	}
 	if errs := appendOneByOne(l, p, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(told, wal.ErrSyncFailed) {
-		t.Fatalf("%d refused, told %v", errs, told)
+		t.Fatalf("%d records were refused, OnFailure got %v", errs, told)
 	}
-	fs.Before = nil // it would work again
+	fs.Before = nil // a sync would succeed again from here on
 	if errs := appendOneByOne(l, p, recs[20:]); errs != len(recs)-20 {
-		t.Errorf("%d of %d refused after a failed sync", errs, len(recs)-20)
+		t.Errorf("%d of %d records were refused after a failed sync", errs, len(recs)-20)
 	}
 	l.Close()
 	if err := checkAfterCut(fs, p, func(int) bool { return false }); err != nil {
@@ -374,8 +378,8 @@
 	}
 }
 
-// Any call may fail, completely or in part: what was recorded stays, and once calls succeed
-// again, the log goes on.
+// Any file system call may fail, completely or in part. What was recorded stays recorded,
+// and the log works again once calls succeed.
 func TestFailingCalls(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS} {
 		for _, short := range []bool{false, true} {
@@ -398,7 +402,7 @@
 				refused := 0
 				for i, x := range recs {
 					if _, owed := p.pending[x.ID]; owed && x.Kind == wal.KindAccepted {
-						continue // its completion was refused: it is pending still, and is not accepted again
+						continue // its completion was refused, so it is still pending and not accepted again
 					}
 					if err := l.AppendNow(x); err == nil {
 						p.add(x)
@@ -415,7 +419,7 @@
 				fs.Before = nil
 				p.unanswered = nil
 				if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: "last", Class: "once", Body: []byte("z")}); err != nil {
-					t.Fatalf("with room again: %v", err)
+					t.Fatalf("append after calls succeed again: %v", err)
 				}
 				p.add(&wal.Record{Kind: wal.KindAccepted, ID: "last", Body: []byte("z")})
 				l.Close()
@@ -424,7 +428,7 @@
 					t.Fatal(err)
 				}
 				if err := p.holds(got); err != nil || !back.Recovery.Sound() || refused == 0 {
-					t.Fatalf("%v, short %v, seed %d: %v; %d refused; found %+v", errno, short, seed, err, refused, back.Recovery)
+					t.Fatalf("%v, short writes %v, seed %d: %v; %d records refused; the recovery found %+v", errno, short, seed, err, refused, back.Recovery)
 				}
 				back.Close()
 			}
--- a/internal/wal/read_test.go
+++ b/internal/wal/read_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// A reference gives its message with its present state, in any order, before a checkpoint
-// moves the record, while it does and after, and names no other message once its own is
-// completed.
+// Read returns a message with its current state in any order of references, before, during
+// and after a checkpoint that moves the record. The reference of a completed message does
+// not refer to a later one.
 func TestReadByReference(t *testing.T) {
 	l, _ := openTest(t, t.TempDir(), 64<<20)
 	const n = 3000
@@ -19,13 +19,13 @@
 		recs[i] = accepted(fmt.Sprint("m", i), strings.Repeat("b", i%300)+fmt.Sprint(i))
 		mustAppend(t, l, recs[i])
 		if recs[i].Ref == 0 {
-			t.Fatalf("%s has no reference", recs[i].ID)
+			t.Fatalf("%s has no reference after its write", recs[i].ID)
 		}
 	}
-	again := accepted("m7", "again") // pending already: a reference gives the first
+	again := accepted("m7", "again") // m7 is already pending, so the first record keeps the reference
 	mustAppend(t, l, again)
 	if again.Ref != 0 {
-		t.Error("a second record of one message has a reference")
+		t.Error("a second record of a pending message got a reference")
 	}
 	mustAppend(t, l, &Record{Kind: KindAttempt, ID: "m5", At: 100, Zone: 1, Endpoint: "s-1", Process: l.Process}, &Record{Kind: KindOutcome, ID: "m5", MayHaveRun: true})
 	check := func(when string) {
@@ -37,14 +37,14 @@
 		}
 		for k, r := range l.Read(refs) {
 			if i := order[k]; r == nil || r.ID != recs[i].ID || string(r.Body) != string(recs[i].Body) || r.Ref != recs[i].Ref {
-				t.Fatalf("%s: reference of m%d gives %+v", when, i, r)
+				t.Fatalf("%s: the reference of m%d returns %+v", when, i, r)
 			}
 		}
 		if r := l.Read([]Ref{recs[5].Ref})[0]; r.Attempts != 1 || r.UnknownOutcomeAt != 100 || r.UnknownOutcomeZone != 1 {
-			t.Fatalf("%s: state %+v", when, r)
+			t.Fatalf("%s: m5 has the state %+v", when, r)
 		}
 	}
-	check("in segments")
+	check("record in a segment")
 	if err := l.store.startCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
@@ -52,32 +52,33 @@
 		if _, err := l.store.stepCheckpoint(64 << 10); err != nil {
 			t.Fatal(err)
 		}
-		check("beside a checkpoint")
+		check("while a checkpoint is written")
 	}
-	check("in the checkpoint")
+	check("record in the checkpoint")
 	mustAppend(t, l, &Record{Kind: KindCompleted, ID: "m9"})
 	if r := l.Read([]Ref{recs[9].Ref, 0, 1 << 30}); !slices.Equal(r, []*Record{nil, nil, nil}) {
-		t.Errorf("references to nothing give %+v", r)
+		t.Errorf("references to no message return %+v", r)
 	}
-	mustAppend(t, l, accepted("new", "")) // in the place of m9
+	mustAppend(t, l, accepted("new", "")) // reuses the position of m9 in the index
 	if r := l.Read([]Ref{recs[9].Ref}); r[0] != nil {
-		t.Errorf("a reference of a message that is over gives %+v", r[0])
+		t.Errorf("the reference of a completed message returns %+v", r[0])
 	}
 }
 
-// IsPending tells whether a client that submits a message again is answered from the log.
+// A client that submits a message again is answered from the log only if IsPending is
+// true. It is false once the final notice is recorded.
 func TestIsPending(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, accepted("held", ""), accepted("over", ""), accepted("ending", ""), &Record{Kind: KindCompleted, ID: "over"},
-		&Record{Kind: KindCompleting, ID: "ending", Notice: "handed-back"})
-	for id, want := range map[string]bool{"held": true, "over": false, "ending": false, "never": false} {
+	mustAppend(t, l, accepted("pending", ""), accepted("completed", ""), accepted("completing", ""), &Record{Kind: KindCompleted, ID: "completed"},
+		&Record{Kind: KindCompleting, ID: "completing", Notice: "handed-back"})
+	for id, want := range map[string]bool{"pending": true, "completed": false, "completing": false, "unknown": false} {
 		if l.IsPending(id) != want {
-			t.Errorf("%s: owed %v", id, !want)
+			t.Errorf("%s: IsPending is %v", id, !want)
 		}
 	}
-	if r := l.Fetch("held"); r != nil {
-		t.Errorf("fetched as owed at the start: %+v", r)
+	if r := l.Fetch("pending"); r != nil {
+		t.Errorf("Fetch returned a message that was not pending at the start: %+v", r)
 	}
 	l.store.close()
 	l, err := Open(Options{Dir: dir, Limit: 1 << 20, Log: discardLogger()})
@@ -85,7 +86,7 @@
 		t.Fatal(err)
 	}
 	defer l.store.close()
-	if r := l.Fetch("held"); r == nil || r.Ref == 0 || l.Read([]Ref{r.Ref})[0].ID != "held" {
-		t.Errorf("fetched %+v", r)
+	if r := l.Fetch("pending"); r == nil || r.Ref == 0 || l.Read([]Ref{r.Ref})[0].ID != "pending" {
+		t.Errorf("Fetch returned %+v", r)
 	}
 }
--- a/internal/wal/recorded_test.go
+++ b/internal/wal/recorded_test.go
@@ -17,8 +17,8 @@
 	recordedLimit = 128 << 10
 )
 
-// recordedClock goes on by a millisecond at each reading, as the clock of the program
-// that wrote the folders did, and of the same boot.
+// recordedClock returns a clock that advances by a millisecond at each reading, with the
+// same boot id as the clock of the program that wrote the folders.
 func recordedClock() func() clock.Reading {
 	sinceStart := int64(40_000_000)
 	return func() clock.Reading {
@@ -69,7 +69,8 @@
 	return messages
 }
 
-// describeMessages gives each message as the text that the folders' program wrote of it.
+// describeMessages returns each message as JSON, in the form in which the program that
+// wrote the folders printed it.
 func describeMessages(t *testing.T, messages []recordedMessage) (lines []string) {
 	t.Helper()
 	for _, m := range messages {
@@ -90,8 +91,8 @@
 	}
 }
 
-// openRecorded opens a folder with the present code and compares what it finds with
-// what the program that wrote the folder found.
+// openRecorded opens a folder with the current code and compares the result with what the
+// program that wrote the folder found.
 func openRecorded(t *testing.T, dir string, want recordedState) *wal.Log {
 	t.Helper()
 	l, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: recordedClock()})
@@ -100,13 +101,13 @@
 	}
 	t.Cleanup(l.Close)
 	if now := l.Time(); now != want.Now {
-		t.Errorf("the log's time is %d, want %d", now, want.Now)
+		t.Errorf("log time %d, want %d", now, want.Now)
 	}
 	if l.Process != want.Process || string(l.PolicySnapshot) != want.Policy || l.ClockSetBack != 0 {
 		t.Errorf("process %d with the policy snapshot %q, clock set back by %v; want %d with %q", l.Process, l.PolicySnapshot, l.ClockSetBack, want.Process, want.Policy)
 	}
 	if !l.Recovery.Sound() || len(l.Recovery.Torn) > 0 {
-		t.Errorf("recovery found %+v", l.Recovery)
+		t.Errorf("the recovery found %+v", l.Recovery)
 	}
 	if l.PendingUnread() != len(want.Records) {
 		t.Errorf("%d messages pending, want %d", l.PendingUnread(), len(want.Records))
@@ -115,9 +116,9 @@
 	return l
 }
 
-// Folders of the program before the packages were renamed hold the same messages,
-// attempts, unknown outcomes and deadlines, also after a checkpoint of the present
-// code and another start.
+// The folders were written by the program before its packages were renamed. The current
+// code recovers the same messages, attempts, unknown outcomes and deadlines from them,
+// also after a checkpoint and another start.
 func TestRecordedFolders(t *testing.T) {
 	for _, name := range []string{"killed", "handed-on"} {
 		t.Run(name, func(t *testing.T) {
@@ -141,8 +142,8 @@
 	}
 }
 
-// While the process that handed the log on lives, its attempts stay in flight and its
-// handoff log is followed.
+// While the process that handed the log off is alive, its attempts stay in flight and its
+// handoff log is read.
 func TestRecordedHandoff(t *testing.T) {
 	dir, want := copyRecordedFolder(t, "handed-on"), readRecordedState(t, "handed-on-living.json")
 	before, err := wal.OS{}.Open(filepath.Join(dir, wal.HandoffName), wal.ModeWrite)
