--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -19,13 +19,13 @@
 	return x
 }
 
-// front returns the position of the first ordered item of a destination, or -1 if there is
-// none.
+// firstOrdered returns the position of the first ordered item of a destination,
+// or -1 if there is none.
 func (m model) front(dest int) int {
 	return slices.IndexFunc(m, func(x Item) bool { return x.Dest == dest && x.Flags&Ordered != 0 })
 }
 
-// earliest returns the position of an item that Take may return next for a destination.
+// nextOf returns the position of an item that Take may return next for a destination.
 func (m model) earliest(dest int) int {
 	best := -1
 	for i, x := range m {
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -25,9 +25,8 @@
 	b.checkpointBytes, b.seq, b.needsSync = 0, seq, false
 }
 
-// mustSync reports whether a record has to be synced before its write is reported as done.
-// If a record that need not be is lost with the power, its message only gets an unknown
-// outcome.
+// mustSync reports whether a record has to be synced before its write is reported as done. If
+// a record that need not be is lost with the power, its message only gets an unknown outcome.
 func mustSync(r *Record) bool {
 	switch r.Kind {
 	case KindAttempt:
@@ -49,8 +48,7 @@
 	return s.results
 }
 
-// appendBatch writes as many of the first records as fit in one batch, and returns their
-// number.
+// appendBatch writes as many of the first records as fit in one batch, and returns their number.
 func (s *store) appendBatch(records []*Record, results []error) (n int) {
 	if s.handoff != nil {
 		for i, r := range records {
@@ -121,8 +119,8 @@
 	return nil
 }
 
-// encodeBatch encodes as many of the first records as fit in one batch, and returns how
-// many it handled.
+// encodeBatch encodes as many of the first records as fit in one batch, and
+// returns how many it handled.
 func (s *store) encodeBatch(records []*Record, results []error) (n int) {
 	b := &s.batch
 	b.reset(s.seq)
@@ -138,7 +136,7 @@
 			break // the checkpoint is made after these records are written
 		}
 		err := s.addToBatch(r, n)
-		if err == ErrFull && r.Kind.isFact() { // no later record may be written before a fact
+		if err == ErrFull && r.Kind.isFact() { // no later record may be written before it
 			fillErrors(results[n:len(records)], ErrFull)
 			return len(records)
 		}
@@ -233,7 +231,7 @@
 		results[entries[0].index] = err
 		return
 	}
-	factFailed := false // a fact that failed must be written before any later record
+	factFailed := false // it must be written before any later record
 	for _, e := range entries {
 		if factFailed || e.record.Kind == KindAccepted {
 			results[e.index] = err
--- a/internal/wal/baseline/baseline.go
+++ b/internal/wal/baseline/baseline.go
@@ -1,7 +1,6 @@
-// Package baseline is an earlier implementation of the relay's log, from before package
-// wal. It reads a single file as a whole, rewrites it as a whole, and writes each record
-// with one call. It exists only for benchmarks against package wal. It does not detect
-// corruption.
+// Package baseline is an earlier implementation of the relay's log, from before package wal.
+// It reads a single file as a whole, rewrites it as a whole, and writes each record with one
+// call. It exists only for benchmarks against package wal. It does not detect corruption.
 package baseline
 
 import (
--- a/internal/wal/capacity.go
+++ b/internal/wal/capacity.go
@@ -30,8 +30,7 @@
 	return int64(recordHeadSize+texts) + recordOverhead
 }
 
-// maxCheckpointBytes returns an upper bound of the bytes that a record adds to the next
-// checkpoint.
+// maxCheckpointBytes returns an upper bound of the bytes that a record adds to the next checkpoint.
 func maxCheckpointBytes(r *Record) int64 {
 	if r.Kind == KindAccepted {
 		return maxRecordSize(r) + stateReserveBytes
@@ -59,8 +58,7 @@
 	if r.Kind != KindAccepted || s.spaceReserved {
 		return false
 	}
-	// The factor is 2, since the new checkpoint is written while the previous one still
-	// exists.
+	// The factor is 2, since the new checkpoint is written while the previous one still exists.
 	needed := 2 * (s.checkpointBytes + checkpointBytes + maxCheckpointBytes(r))
 	return needed > s.limit-s.usage.quarantined-roundingReserve-completionReserve
 }
--- a/internal/wal/checkpoint.go
+++ b/internal/wal/checkpoint.go
@@ -96,8 +96,7 @@
 	return false, nil
 }
 
-// finishCheckpoint completes the checkpoint that is being written, or begins and completes
-// one.
+// finishCheckpoint completes the checkpoint that is being written, or begins and completes one.
 func (s *store) finishCheckpoint() error {
 	if s.pendingCheckpoint == nil {
 		if err := s.startCheckpoint(); err != nil {
@@ -179,8 +178,7 @@
 	return nil
 }
 
-// encodeEntries encodes the messages of the next entries into the buffer, up to about
-// sliceBytes.
+// encodeEntries encodes the messages of the next entries into the buffer, up to about sliceBytes.
 func (w *checkpointWriter) encodeEntries(sliceBytes int) (relocated []relocatedRecord, err error) {
 	var r Record
 	for visited := 0; w.nextEntry < w.endEntry && len(w.buffer) < sliceBytes && visited < entriesPerSlice; visited++ {
--- a/internal/wal/corruption_test.go
+++ b/internal/wal/corruption_test.go
@@ -55,9 +55,9 @@
 	return dir
 }
 
-// checkSafe checks what must hold for any corruption: a message that was sent or completed
-// is not recovered as unsent, a missing message is reported, and opening the folder again
-// gives the same result.
+// checkRecoveryIsSafe checks what must hold for any corruption: a message that was sent
+// or completed is not recovered as unsent, a missing message is reported, and opening
+// the folder again gives the same result.
 func checkSafe(t *testing.T, dir, what string) {
 	t.Helper()
 	l, owed := openTest(t, dir, 1<<20)
@@ -248,8 +248,8 @@
 	}
 }
 
-// Corruption of a message's body loses this message but not its id, and no other message
-// is affected.
+// Corruption of a message's body loses this message but not its id, and no
+// other message is affected.
 func TestCorruptedBodyAffectsItsMessage(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
@@ -271,8 +271,7 @@
 	if !slices.Equal(l.Recovery.LostIDs, []string{"second-one"}) {
 		t.Errorf("lost ids: %v", l.Recovery.LostIDs)
 	}
-	// The corrupted file is kept, and the loss is reported until the message's notice is
-	// sent.
+	// The corrupted file is kept, and the loss is reported until the message's notice is sent.
 	if err := l.store.finishCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
@@ -310,12 +309,11 @@
 	}
 }
 
-// Bytes in a message's body are never read as a record, even if they have a record's
-// format.
+// Bytes in a message's body are never read as a record, even if they have a record's format.
 func TestBodyIsNeverReadAsRecord(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
-	forged, err := appendRecord(nil, &Record{Kind: KindCompleted, ID: "victim"}, 3, 0, nil) // a client does not know the salt
+	forged, err := appendRecord(nil, &Record{Kind: KindCompleted, ID: "victim"}, 3, 0, nil) // a client does not know the checksum seed
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wal/cutfs/cut.go
+++ b/internal/wal/cutfs/cut.go
@@ -15,8 +15,8 @@
 	return len(f.pending())
 }
 
-// pending returns the changes that a power cut may lose, in the order in which they were
-// made.
+// pendingChanges returns the changes that a power cut may lose, in the order in
+// which they were made.
 func (f *FS) pending() (changes []*change) {
 	seen := map[*inode]bool{}
 	addData := func(node *inode) {
@@ -39,8 +39,7 @@
 }
 
 // Cut returns the file system as it is after a power cut. survives says for each pending
-// change, by its position in the order, whether the power cut kept it. f itself is
-// unchanged.
+// change, by its position in the order, whether the power cut kept it. f itself is unchanged.
 func (f *FS) Cut(survives func(i int) bool) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/wal/cutfs/disk.go
+++ b/internal/wal/cutfs/disk.go
@@ -12,11 +12,10 @@
 	"plovershore/internal/wal"
 )
 
-// Disk is a file system over a real folder. Killing its process has the effect of a power
-// cut: changes that were not synced are only in memory, and a random part of them reaches
-// the folder in random order, according to the seed. OnDisk creates it. Only one process
-// at a time may use the folder. It is safe for concurrent use by goroutines and need not
-// be closed.
+// Disk is a file system over a real folder. Killing its process has the effect of a power cut:
+// changes that were not synced are only in memory, and a random part of them reaches the folder
+// in random order, according to the seed. OnDisk creates it. Only one process at a time may use
+// the folder. It is safe for concurrent use by goroutines and need not be closed.
 type Disk struct {
 	*FS
 	dir    string
@@ -25,16 +24,13 @@
 	paths  map[*inode]string // path in the real folder of each durable file
 }
 
-// leakOdds: a pending change becomes durable without a sync at one in this many
-// operations.
+// persistOdds: a pending change becomes durable without a sync at one in this many operations.
 const leakOdds = 4
 
-// seedStream separates the random numbers of a Disk from those of a test with the same
-// seed.
+// seedStream separates the random numbers of a Disk from those of a test with the same seed.
 const seedStream = 11
 
-// OnDisk reads a folder as the last process left it. It returns the errors of the real
-// file system.
+// OnDisk reads a folder as the last process left it. It returns the errors of the real file system.
 func OnDisk(dir string, seed uint64) (*Disk, error) {
 	dir = filepath.Clean(dir)
 	d := &Disk{FS: New(dir), dir: dir, random: rand.New(rand.NewPCG(seed, seedStream)), paths: map[*inode]string{}}
@@ -51,7 +47,7 @@
 	return d, nil
 }
 
-// read loads a file or a folder from the real folder.
+// load loads a file or a folder from the real folder.
 func (d *Disk) read(path string, isDir bool) (err error) {
 	node := &inode{dir: isDir}
 	if !isDir {
@@ -65,8 +61,8 @@
 	return nil
 }
 
-// leak sometimes makes a random pending change durable without a sync, as a real disk may
-// do at any time.
+// persistRandomChange sometimes makes a random pending change durable without a sync, as
+// a real disk may do at any time.
 func (d *Disk) leak() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/wal/cutfs/fs.go
+++ b/internal/wal/cutfs/fs.go
@@ -40,8 +40,8 @@
 	lockOwner *file
 }
 
-// change is something that a power cut may lose: part of a write, a new file size, or a
-// change of names.
+// change is something that a power cut may lose: part of a write, a new file size,
+// or a change of names.
 type change struct {
 	seq   int
 	inode *inode
@@ -50,8 +50,8 @@
 	name  *nameChange
 }
 
-// nameChange is the creation (from is empty), removal (to is empty) or renaming of a file
-// or folder.
+// nameChange is the creation (from is empty), removal (to is empty) or
+// renaming of a file or folder.
 type nameChange struct {
 	from, to string
 	inode    *inode
@@ -67,11 +67,10 @@
 	seq           int // number of the last change
 
 	// Before is called ahead of each change with the operation (OpWrite and so on) and the
-	// file's name. If it returns an error, the change fails with that error. It may call
-	// Cut. It must only be set while no other goroutine uses the file system. It may be
-	// nil.
+	// file's name. If it returns an error, the change fails with that error. It may call Cut.
+	// It must only be set while no other goroutine uses the file system. It may be nil.
 	Before func(operation, name string) error
-	// Short makes a failing write store the first half of its data.
+	// ShortWrites makes a failing write store the first half of its data.
 	Short bool
 }
 
@@ -88,7 +87,7 @@
 	return f.Before(operation, name)
 }
 
-// number assigns the next sequence number to a change.
+// assignSeq assigns the next sequence number to a change.
 func (f *FS) number(c *change) *change {
 	f.seq++
 	c.seq = f.seq
@@ -208,7 +207,7 @@
 	}
 }
 
-// concerns reports whether the change adds or removes a name in the folder dir.
+// affects reports whether the change adds or removes a name in the folder dir.
 func (n *nameChange) concerns(dir string) bool {
 	return n.from != "" && filepath.Dir(n.from) == dir || n.to != "" && filepath.Dir(n.to) == dir
 }
--- a/internal/wal/decode.go
+++ b/internal/wal/decode.go
@@ -63,9 +63,8 @@
 	return s
 }
 
-// decodePayload decodes a payload into r, whose Kind is set. It does not decode the
-// message that an accepted record or a message state contains, but returns it in encoded
-// form.
+// decodePayload decodes a payload into r, whose Kind is set. It does not decode the message
+// that an accepted record or a message state contains, but returns it in encoded form.
 func decodePayload(r *Record, payload []byte) (message []byte, ok bool) {
 	d := payloadDecoder{remaining: payload}
 	r.HandoffOffset = int64(d.uvarint())
--- a/internal/wal/encode.go
+++ b/internal/wal/encode.go
@@ -8,7 +8,7 @@
 
 // A record consists of a head of fixed size, the message's id and a payload. One checksum
 // covers the head and the id, another one the payload, so that a record with a corrupted
-// body still tells its message's id. Checksums start from a salt, which is part of the
+// body still tells its message's id. Checksums start from a seed, which is part of the
 // log's random owner id: neither a client's bytes nor a record of another relay can be
 // taken for a record of this log.
 const (
@@ -79,8 +79,7 @@
 	return b, nil
 }
 
-// headChecksum returns the checksum of the head and the id of the record at the start of
-// b.
+// headChecksum returns the checksum of the head and the id of the record at the start of b.
 func headChecksum(b []byte, salt uint32, idLength int) uint32 {
 	sum := crc32.Update(salt, castagnoli, b[recordLengthAt:recordHeadChecksumAt])
 	return crc32.Update(sum, castagnoli, b[recordHeadSize:recordHeadSize+idLength])
--- a/internal/wal/export.go
+++ b/internal/wal/export.go
@@ -93,10 +93,9 @@
 	return json.Marshal(Fence{Token: hex.EncodeToString(token[:]), To: to, At: time.Now().UTC()})
 }
 
-// FinishExport removes the log of a folder that was exported to the file named to. That
-// file is complete, since it gets its name only after the fence names it. It returns false
-// and does nothing if the fence does not name the file. The caller holds the folder's
-// lock.
+// FinishExport removes the log of a folder that was exported to the file named to. That file
+// is complete, since it gets its name only after the fence names it. It returns false and
+// does nothing if the fence does not name the file. The caller holds the folder's lock.
 func FinishExport(dir, to string) (bool, error) {
 	fence, err := ReadFence(dir)
 	if err != nil || fence == nil || fence.To != to {
--- a/internal/wal/export_test.go
+++ b/internal/wal/export_test.go
@@ -1,7 +1,6 @@
 package wal
 
-// The methods below give tests of package wal_test access to the store without the log's
-// goroutine.
+// The methods below give tests of package wal_test access to the store without the log's goroutine.
 
 func (l *Log) AppendNow(r *Record) error     { return l.store.appendRecords([]*Record{r})[0] }
 func (l *Log) AppendAll(r []*Record) []error { return l.store.appendRecords(r) }
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -5,14 +5,12 @@
 // FS is the part of a file system that the log needs. Its errors match those of package os
 // with errors.Is. The log calls it from one goroutine at a time.
 type FS interface {
-	// Open opens a file. It returns os.ErrNotExist if the file is missing and mode does
-	// not create it.
+	// Open opens a file. It returns os.ErrNotExist if the file is missing and
+	// mode does not create it.
 	Open(name string, mode Mode) (File, error)
-	// Rename atomically renames a file or a folder. It replaces an existing file with the
-	// new name.
+	// Rename atomically renames a file or a folder. It replaces an existing file with the new name.
 	Rename(from, to string) error
-	// Remove removes a file, or a folder with its contents. A missing file is not an
-	// error.
+	// Remove removes a file, or a folder with its contents. A missing file is not an error.
 	Remove(name string) error
 	// MakeDir creates a folder. A folder that already exists is not an error.
 	MakeDir(name string) error
--- a/internal/wal/handoff.go
+++ b/internal/wal/handoff.go
@@ -8,10 +8,9 @@
 )
 
 // During an upgrade the old process keeps running for a while: its calls end, and clients
-// that are still connected to it submit messages. The log belongs to the new process by
-// then. So the old process records these events in a log of its own, the handoff log,
-// which the new process reads as it grows. Its records have the same format as those of
-// the log.
+// that are still connected to it submit messages. The log belongs to the new process by then.
+// So the old process records these events in a log of its own, the handoff log, which the new
+// process reads as it grows. Its records have the same format as those of the log.
 
 // handoffReadBytes is the number of bytes that are read from a handoff log at a time. No
 // record is longer.
@@ -38,8 +37,7 @@
 	salt   uint32
 }
 
-// decode decodes the record at the start of b. size is 0 if there is no complete valid
-// record.
+// decode decodes the record at the start of b. size is 0 if there is no complete valid record.
 func (d recordDecoder) decode(b []byte) (r *Record, size int) {
 	if d.legacy {
 		return decodeLegacy(b)
@@ -85,8 +83,8 @@
 	}
 }
 
-// OwnerExited reports whether the process that writes the log has exited, so that the log
-// no longer grows.
+// OwnerExited reports whether the process that writes the log has exited, so that
+// the log no longer grows.
 func (h *HandoffLog) OwnerExited() bool {
 	locked, err := h.file.TryLock()
 	return locked && err == nil
@@ -132,9 +130,8 @@
 	return nil
 }
 
-// openHandoff looks for a handoff log. If its process has exited, openHandoff returns the
-// log's records, to be merged into this log. If the process is alive, it returns the open
-// handoff log.
+// openHandoff looks for a handoff log. If its process has exited, openHandoff returns the log's
+// records, to be merged into this log. If the process is alive, it returns the open handoff log.
 func (s *store) openHandoff() (living *HandoffLog, late []*Record, err error) {
 	f, err := s.fs.Open(filepath.Join(s.options.Dir, HandoffName), ModeWrite)
 	if errors.Is(err, os.ErrNotExist) {
@@ -224,8 +221,8 @@
 	return status == recordTorn || len(b) < recordHeadSize
 }
 
-// mergeHandoff appends an exited process's remaining records to the log and removes the
-// handoff log.
+// mergeHandoff appends an exited process's remaining records to the log and
+// removes the handoff log.
 func (s *store) mergeHandoff(late []*Record) error {
 	path := filepath.Join(s.options.Dir, HandoffName)
 	if _, _, err := s.fs.Stat(path); errors.Is(err, os.ErrNotExist) {
--- a/internal/wal/handoff_test.go
+++ b/internal/wal/handoff_test.go
@@ -143,8 +143,7 @@
 	}
 }
 
-// If the handoff log of an exited process is corrupted, the pending messages are treated
-// as sent.
+// If the handoff log of an exited process is corrupted, the pending messages are treated as sent.
 func TestHandoffLogCorrupted(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTest(t, dir, 1<<20)
--- a/internal/wal/handoffwriter.go
+++ b/internal/wal/handoffwriter.go
@@ -58,8 +58,7 @@
 	return max(min(limit/handoffsPerLimit, free), minHandoffBytes)
 }
 
-// beginHandoff locks the handoff log, writes its header and owner record, and then ends
-// the log.
+// beginHandoff locks the handoff log, writes its header and owner record, and then ends the log.
 func (s *store) beginHandoff(w *handoffWriter, r *Record) error {
 	locked, err := w.file.TryLock()
 	if err != nil {
--- a/internal/wal/header.go
+++ b/internal/wal/header.go
@@ -33,11 +33,10 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ownerID is a random id that is drawn once for each log and stored in the header of all
-// its files.
+// ownerID is a random id that is drawn once for each log and stored in the header of all its files.
 type ownerID [headerProcessAt - headerOwnerAt]byte
 
-// salt returns the part of the owner id that starts the checksums of the log's records and
+// checksumSeed returns the part of the owner id that starts the checksums of the log's records and
 // identifies the log in the stamp.
 func (o ownerID) salt() uint32 { return binary.BigEndian.Uint32(o[:4]) }
 
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -23,10 +23,9 @@
 	return &s.recovery, nil
 }
 
-// Dump calls each for every valid record of a state folder, file by file and the handoff
-// log last. It stops when each returns false. fs is nil for the operating system's file
-// system. offset is the record's file offset in bytes; seq is 0 in files of the legacy
-// format.
+// Dump calls each for every valid record of a state folder, file by file and the handoff log
+// last. It stops when each returns false. fs is nil for the operating system's file system.
+// offset is the record's file offset in bytes; seq is 0 in files of the legacy format.
 func Dump(fs FS, dir string, each func(file string, offset int64, seq uint64, r *Record) bool) error {
 	if fs == nil {
 		fs = OS{}
--- a/internal/wal/legacy.go
+++ b/internal/wal/legacy.go
@@ -35,8 +35,7 @@
 	return legacyHeadSize + int64(binary.BigEndian.Uint32(b[legacyLengthAt:]))
 }
 
-// decodeLegacy decodes the record at the start of b. size is 0 if there is no valid
-// record.
+// decodeLegacy decodes the record at the start of b. size is 0 if there is no valid record.
 func decodeLegacy(b []byte) (r *Record, size int) {
 	if !hasLegacyHead(b) {
 		return nil, 0
@@ -111,10 +110,9 @@
 // legacyIDPattern matches the ids in damaged legacy records.
 var legacyIDPattern = regexp.MustCompile(`"id":"([^"\\]+)"`)
 
-// addLegacyCorruption reports a range that cannot be read. It may have held an attempt or
-// the completion of any pending message. But if only the end of a record is missing,
-// because a kill interrupted its write, this affects only the message whose id can still
-// be read.
+// addLegacyCorruption reports a range that cannot be read. It may have held an attempt or the
+// completion of any pending message. But if only the end of a record is missing, because a
+// kill interrupted its write, this affects only the message whose id can still be read.
 func (s *state) addLegacyCorruption(scan *scanner, f *logFile, off, end int64) {
 	b := scan.window(off, int(min(end-off, maxLegacyWindowBytes)))
 	var ids []string
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -11,8 +11,8 @@
 // Names of the lock files in the state folder. The locks are advisory locks on open files.
 // The kernel releases them when their process dies for any reason.
 const (
-	// LockName is locked by the one process that sends calls, completes messages and
-	// writes the log.
+	// LockName is locked by the one process that sends calls, completes
+	// messages and writes the log.
 	LockName = "relay.lock"
 	// SuccessorLockName is locked by a process that is ready to take over.
 	SuccessorLockName = "relay.next"
@@ -98,8 +98,7 @@
 	return release, nil
 }
 
-// lockExisting opens a file and locks it until it is closed. It returns nil if the file is
-// missing.
+// lockExisting opens a file and locks it until it is closed. It returns nil if the file is missing.
 func lockExisting(path string) (*os.File, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -18,20 +18,18 @@
 //
 // After a KindHandoff record, the log belongs to the next process.
 type Log struct {
-	// Handoff is the handoff log of the previous process, or nil if that process has
-	// exited.
+	// Handoff is the handoff log of the previous process, or nil if that process has exited.
 	Handoff *HandoffLog
-	// Process is this process's number among those that have opened the log, counted from
-	// 1.
+	// Process is this process's number among those that have opened the log, counted from 1.
 	Process int
-	// PolicySnapshot is the policy state of the process that handed the log off, or nil if
-	// no process did.
+	// PolicySnapshot is the policy state of the process that handed the log off, or
+	// nil if no process did.
 	PolicySnapshot []byte
 	// Recovery reports what Open found.
 	Recovery RecoveryReport
-	// ClockSetBack is by how much the wall clock was behind the log's time at the start,
-	// if the wall clock alone could tell how long no process ran. The wall clock was set
-	// back then, and the length of the pause is unknown. It is 0 otherwise.
+	// ClockSetBack is the time by which the wall clock was behind the log time at the
+	// start. It is only set if the machine's other clocks could not tell how long no
+	// process ran, so that the length of this pause is unknown. It is 0 otherwise.
 	ClockSetBack time.Duration
 
 	store    *store
@@ -41,7 +39,7 @@
 	unread        []uint32
 	startReader   messageReader
 	refReader     messageReader
-	deferred      []request // facts (see Kind.isFact) that could not be written yet, in order
+	deferred      []request // records of past events that could not be written yet, in order
 	deferredErr   error     // why they could not be written
 	deferredCount atomic.Int64
 }
@@ -82,8 +80,7 @@
 	return l, nil
 }
 
-// markFromStart marks the entries that are pending at the start and returns them, oldest
-// first.
+// markPendingAtStart marks the entries that are pending at the start and returns them, oldest first.
 func (s *store) markFromStart() []uint32 {
 	order := make([]uint32, 0, s.index.live)
 	for i := range s.index.entryCount {
@@ -147,9 +144,8 @@
 	return r
 }
 
-// Fetch reads one message that was pending at the start before Next reaches it. It returns
-// nil if there is no such message or it was already read. It is called on the log's
-// goroutine.
+// Fetch reads one message that was pending at the start before Next reaches it. It returns nil
+// if there is no such message or it was already read. It is called on the log's goroutine.
 func (l *Log) Fetch(id string) *Record {
 	i, ok := l.find(id)
 	if !ok || !l.isUnread(i) {
@@ -207,8 +203,8 @@
 			order = append(order, n)
 		}
 	}
-	// The refs were resolved above, so their low 32 bits are a valid index position plus 1
-	// (see Ref).
+	// The refs were resolved above, so their low 32 bits are a valid index
+	// position plus 1 (see Ref).
 	entryOf := func(n int) *entry { return l.store.index.at(uint32(refs[n]) - 1) }
 	slices.SortFunc(order, func(a, b int) int {
 		x, y := entryOf(a), entryOf(b)
@@ -226,8 +222,7 @@
 // is written or the log gives up on it. Until then all other records fail.
 func (l *Log) Submit(r *Record, done func(error)) { l.requests.Put(request{record: r, done: done}) }
 
-// Do runs f on the log's goroutine after everything that was submitted before. It returns
-// at once.
+// Do runs f on the log's goroutine after everything that was submitted before. It returns at once.
 func (l *Log) Do(f func()) { l.requests.Put(request{run: f}) }
 
 // FinishHandoff closes and removes the handoff log of a process that has exited, once this
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -14,7 +14,7 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// openTest opens a log without starting its goroutine, and returns its pending messages.
+// openTestLog opens a log without starting its goroutine, and returns its pending messages.
 func openTest(t testing.TB, dir string, limit int64) (*Log, []*Record) {
 	t.Helper()
 	l, err := Open(Options{Dir: dir, Limit: limit, Log: discardLogger()})
@@ -88,9 +88,8 @@
 	}
 }
 
-// While a checkpoint is written, messages are accepted and completed. The checkpoint may
-// hold each message at a different point of its history; later records are still applied
-// exactly once.
+// While a checkpoint is written, messages are accepted and completed. The checkpoint may hold
+// each message at a different point of its history; later records are still applied exactly once.
 func TestCheckpointWhileAppending(t *testing.T) {
 	for _, every := range []int{1, 3, 7} {
 		dir := t.TempDir()
@@ -130,7 +129,7 @@
 	}
 }
 
-// stateAfterRestart returns the messages that a restart of an open log should recover.
+// expectedAfterRestart returns the messages that a restart of an open log should recover.
 func stateAfterRestart(t *testing.T, l *Log) (recs []*Record) {
 	t.Helper()
 	type at struct {
@@ -156,8 +155,7 @@
 	return recs
 }
 
-// resolveInFlight gives an attempt without an outcome an unknown outcome, as a restart
-// does.
+// resolveInFlight gives an attempt without an outcome an unknown outcome, as a restart does.
 func (r *Record) resolveInFlight() {
 	if r.InFlightSince == 0 {
 		return
--- a/internal/wal/logclock.go
+++ b/internal/wal/logclock.go
@@ -17,9 +17,8 @@
 	clock   clock.Reading
 }
 
-// latestAnchor returns the latest instant that the folder has a clock reading of. This is
-// the time of the stamp or, if the log was moved here without a stamp, the creation of its
-// newest file.
+// latestAnchor returns the latest instant that the folder has a clock reading of. This is the time
+// of the stamp or, if the log was moved here without a stamp, the creation of its newest file.
 func latestAnchor(stamp Stamp, files []*logFile) (latest clockAnchor) {
 	if stamp.Clock != (clock.Reading{}) {
 		return clockAnchor{stamp.At, stamp.Clock}
@@ -62,5 +61,5 @@
 
 func (c *logClock) now() int64 { return c.at(c.read()) }
 
-// at returns the log time of a clock reading that this process made.
+// timeAt returns the log time of a clock reading that this process made.
 func (c *logClock) at(r clock.Reading) int64 { return c.start.logTime + r.Mono - c.start.clock.Mono }
--- a/internal/wal/logclock_test.go
+++ b/internal/wal/logclock_test.go
@@ -11,8 +11,7 @@
 	"plovershore/internal/wal"
 )
 
-// machineClock simulates the clocks of a machine that reboots and whose wall clock is
-// changed.
+// machineClock simulates the clocks of a machine that reboots and whose wall clock is changed.
 type machineClock struct {
 	boot  byte
 	shift time.Duration // offset of the wall clock
@@ -44,10 +43,9 @@
 	return began, l.Time(), l.ClockSetBack
 }
 
-// Log time advances with real time between processes and over reboots, however the wall
-// clock is changed. The exception is a reboot during which the wall clock is set back: it
-// is not known then how long no process ran, and log time does not advance for that
-// period.
+// Log time advances with real time between processes and over reboots, however the wall clock
+// is changed. The exception is a reboot during which the wall clock is set back: it is not
+// known then how long no process ran, and log time does not advance for that period.
 func TestLogTime(t *testing.T) {
 	const gap, slack = time.Minute, int64(5e6)
 	for _, x := range []struct {
--- a/internal/wal/logend.go
+++ b/internal/wal/logend.go
@@ -65,12 +65,11 @@
 	return c
 }
 
-// assessLastSegment uses the seals to detect that the last segment was emptied or is
-// missing.
+// assessLastSegment uses the seals to detect that the last segment was emptied or is missing.
 func (r *replayer) assessLastSegment() {
 	if r.last != nil && r.last.validHeaders == 0 && r.last.number == r.previousSeal {
-		// The seal is written after the header of the segment that it names, so the header
-		// once was valid.
+		// The seal is written after the header of the segment that it names, so the
+		// header once was valid.
 		r.last.corrupted = true
 		r.addLoss(Corruption{File: r.last.name, Bytes: r.last.size, Reason: "segment emptied"}, r.seq+1)
 	}
--- a/internal/wal/message.go
+++ b/internal/wal/message.go
@@ -5,8 +5,7 @@
 	"fmt"
 )
 
-// errRecordMismatch: the file does not contain the record that the index expects at that
-// position.
+// errRecordMismatch: the file does not contain the record that the index expects at that position.
 var errRecordMismatch = errors.New("wal: record is not where it was")
 
 func errUnreadableNow(f *logFile, offset uint32) error {
--- a/internal/wal/osfs.go
+++ b/internal/wal/osfs.go
@@ -80,9 +80,8 @@
 	return f.Sync()
 }
 
-// OpenStampFile maps the file into memory. It writes the file's bytes first: if they were
-// a hole in the file and the disk was full, a store to the mapping would kill the process
-// with a signal.
+// OpenStampFile maps the file into memory. It writes the file's bytes first: if they were a hole
+// in the file and the disk was full, a store to the mapping would kill the process with a signal.
 func (OS) OpenStampFile(name string) (StampFile, error) {
 	f, err := os.OpenFile(filepath.Clean(name), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// holds returns an error if the recovered records violate a guarantee.
+// check returns an error if the recovered records violate a guarantee.
 func (p *guarantees) holds(recs []*wal.Record) error {
 	have := map[string]*wal.Record{}
 	for _, r := range recs {
@@ -167,7 +167,7 @@
 	return all
 }
 
-// forEachCut calls f with choices of which of n changes survive a power cut: with all
+// forEachPowerCut calls f with choices of which of n changes survive a power cut: with all
 // choices if n is at most 6, otherwise with every prefix, all but each one, each one
 // alone, and some at random.
 func forEachCut(n int, r *rand.Rand, f func(keep func(int) bool) error) error {
@@ -330,8 +330,7 @@
 	})
 }
 
-// The checks in this file detect a log that reports records as done before it has synced
-// them.
+// The checks in this file detect a log that reports records as done before it has synced them.
 func TestForgottenSyncIsCaught(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 4))
 	fs := cutfs.New(cutDir)
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -22,9 +22,8 @@
 	kindCheckpointEnd Kind = "total" // last record of a checkpoint: the number of records before it
 )
 
-// isFact reports whether a record describes something that has already happened. If the
-// disk refuses such a record, the log keeps it in memory and writes it before all later
-// ones.
+// isFact reports whether a record describes something that has already happened. If the disk
+// refuses such a record, the log keeps it in memory and writes it before all later ones.
 func (k Kind) isFact() bool {
 	return k == KindOutcome || k == KindCompleting || k == KindCompleted || k == KindOwner
 }
@@ -64,7 +63,7 @@
 	HandoffOffset   int64 `json:"side,omitempty"` // up to this byte the log includes the handoff log, once this record is applied
 	HandoffCapacity int64 `json:"room,omitempty"` // owner: maximum size of the handoff log in bytes
 	OutcomeCode     uint8 `json:"what,omitempty"` // outcome, completed: the attempt's outcome, as numbered by the policy
-	RetryAt         int64 `json:"wait,omitempty"` // time until which the endpoint's Retry-After holds calls back
+	RetryAt         int64 `json:"wait,omitempty"` // time until which the endpoint's Retry-After delays further calls
 	Latency         int64 `json:"took,omitempty"` // duration of the attempt in microseconds
 	CallsExhausted  bool  `json:"slots,omitempty"`
 
@@ -78,7 +77,6 @@
 // Ref identifies a pending message of an open log. It is valid until the message is
 // completed or the log is closed. 0 refers to no message.
 //
-// The low 32 bits are the message's position in the index plus 1. The next 16 bits come
-// from the sequence number of its record, so that a later message at the same position has
-// another Ref.
+// The low 32 bits are the message's position in the index plus 1. The next 16 bits come from the
+// sequence number of its record, so that a later message at the same position has another Ref.
 type Ref uint64
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -46,8 +46,7 @@
 	}
 	stamp := readStamp(fs, filepath.Join(dir, stampName))
 	owner, known := electOwner(files.all(), stamp.salt())
-	// No header can be read. The stamp tells the salt that the records' checksums start
-	// from.
+	// No header can be read. The stamp tells the seed that the records' checksums start from.
 	if !known && stamp.hasOwner() {
 		binary.BigEndian.PutUint32(owner[:], stamp.salt())
 		known = true
@@ -104,8 +103,8 @@
 	return files, nil
 }
 
-// add adds an open file. kind and number come from its name and are used if its header
-// cannot be read.
+// add adds an open file. kind and number come from its name and are used if its
+// header cannot be read.
 func (f *folderFiles) add(file *logFile, kind fileKind, number uint32) {
 	if file.validHeaders == 0 {
 		file.kind, file.number = kind, number
@@ -164,16 +163,14 @@
 	return foreign
 }
 
-// sort sorts the segments in ascending and the checkpoints in descending order of their
-// numbers.
+// sort sorts the segments in ascending and the checkpoints in descending order of their numbers.
 func (f *folderFiles) sort() {
 	slices.SortStableFunc(f.segments, func(a, b *logFile) int { return cmp.Compare(a.number, b.number) })
 	slices.SortStableFunc(f.checkpoints, func(a, b *logFile) int { return cmp.Compare(b.number, a.number) })
 }
 
-// replay returns the state after the newest complete checkpoint and the segments that
-// follow it. If no checkpoint is complete, it chooses the one that leads to the fewest
-// corruptions.
+// replay returns the state after the newest complete checkpoint and the segments that follow
+// it. If no checkpoint is complete, it chooses the one that leads to the fewest corruptions.
 func (f *folderFiles) replay(owner ownerID, stampedSeq uint64, foreign []Corruption) (best *state) {
 	for _, base := range f.bases() {
 		r, complete := f.replayFrom(base, owner, stampedSeq)
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -76,8 +76,7 @@
 	return headerSize
 }
 
-// applyRecords applies the records from offset off on, and describes the bytes after the
-// last one.
+// applyRecords applies the records from offset off on, and describes the bytes after the last one.
 func (p *fileReplay) applyRecords(off int64) fileTail {
 	for off < p.file.size {
 		rec, status := p.scan.record(off)
@@ -116,8 +115,7 @@
 	}
 }
 
-// skippedTail describes the unreadable range at the end of the file, if no record follows
-// it.
+// skippedTail describes the unreadable range at the end of the file, if no record follows it.
 func (p *fileReplay) skippedTail() fileTail {
 	if p.skipped.Bytes == 0 {
 		return fileTail{}
--- a/internal/wal/run.go
+++ b/internal/wal/run.go
@@ -106,8 +106,7 @@
 	}
 }
 
-// complete reports the result of a record to its submitter, or keeps the record for a
-// retry.
+// complete reports the result of a record to its submitter, or keeps the record for a retry.
 func (l *Log) complete(r request, err error) {
 	refused := err != nil && !errors.Is(err, ErrNotPending)
 	if refused && r.record.Kind.isFact() && !errors.Is(err, ErrSyncFailed) {
@@ -130,8 +129,8 @@
 	l.store.logger.Error("record not written", "kind", r.record.Kind, "message", r.record.ID, "err", err)
 }
 
-// writeDeferred retries the records that could not be written, and reports whether all are
-// written now.
+// writeDeferred retries the records that could not be written, and reports
+// whether all are written now.
 func (l *Log) writeDeferred() bool {
 	if len(l.deferred) == 0 {
 		return true
--- a/internal/wal/scanner.go
+++ b/internal/wal/scanner.go
@@ -16,7 +16,7 @@
 )
 
 // scanner reads a file through a buffer, so that memory use does not grow with the file.
-// If only file and size are set, it reads with the salt 0 and the default buffer size.
+// If only file and size are set, it reads with the checksum seed 0 and the default buffer size.
 type scanner struct {
 	file         File
 	size         int64
@@ -58,8 +58,7 @@
 	recordUnreadable              // nothing is valid
 )
 
-// rawRecord is a record as stored in a file. Its slices are valid until the scanner's next
-// call.
+// rawRecord is a record as stored in a file. Its slices are valid until the scanner's next call.
 type rawRecord struct {
 	size    int64 // including the head
 	seq     uint64
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -125,8 +125,7 @@
 	}
 }
 
-// writeOwnRecord writes a record about the log itself, without checking the limit of the
-// folder.
+// writeOwnRecord writes a record about the log itself, without checking the limit of the folder.
 func (s *store) writeOwnRecord(r *Record) error {
 	b, err := appendRecord(nil, r, s.seq+1, s.salt, nil)
 	if err != nil {
@@ -141,8 +140,7 @@
 	return nil
 }
 
-// advanceSegment moves the end of the current segment forward by the n bytes that were
-// written.
+// advanceSegment moves the end of the current segment forward by the n bytes that were written.
 func (s *store) advanceSegment(n int) {
 	f := s.segment.file
 	f.size += int64(n)
--- a/internal/wal/stamp.go
+++ b/internal/wal/stamp.go
@@ -15,8 +15,7 @@
 	Clock   clock.Reading // the same instant on the machine's clocks
 }
 
-// StampFile stores a stamp that survives the end of the process. Whoever opened it closes
-// it.
+// StampFile stores a stamp that survives the end of the process. Whoever opened it closes it.
 type StampFile interface {
 	// Store replaces the stamp. It is called after each batch, so it must be cheap.
 	Store(Stamp)
@@ -51,7 +50,7 @@
 // hasOwner reports whether the stamp was ever written.
 func (s Stamp) hasOwner() bool { return s.ID>>32 == stampOwnerFlag>>32 }
 
-// salt returns the salt of the owner of the stamp's log.
+// checksumSeed returns the checksum seed of the log that the stamp belongs to.
 func (s Stamp) salt() uint32 { return uint32(s.ID) }
 
 func (s Stamp) words() [stampWords]uint64 {
--- a/internal/wal/state.go
+++ b/internal/wal/state.go
@@ -5,9 +5,8 @@
 	"slices"
 )
 
-// state is the content of a log: its pending messages and the position of each one's
-// record. It changes only by apply, in the same way when a record is written as when it is
-// read at a start.
+// state is the content of a log: its pending messages and the position of each one's record. It
+// changes only by apply, in the same way when a record is written as when it is read at a start.
 type state struct {
 	index           *index
 	files           map[uint32]*logFile // by logFile.ref
@@ -60,7 +59,7 @@
 // stores it, not counting the endpoint of its attempt in flight.
 const stateReserveBytes = 128
 
-// entryBytes returns the maximum size of an entry's record in a checkpoint.
+// maxEntryBytes returns the maximum size of an entry's record in a checkpoint.
 func (s *state) entryBytes(i uint32) int64 {
 	e := s.index.at(i)
 	n := int64(e.size) + stateReserveBytes
@@ -119,8 +118,8 @@
 	e.stateSeq = uint32(min(seq-e.seq, math.MaxUint32))
 }
 
-// includes reports whether the entry's state already includes the record with the sequence
-// number seq.
+// includes reports whether the entry's state already includes the record with
+// the sequence number seq.
 func (e *entry) includes(seq uint64) bool { return seq <= e.lastSeq() }
 
 // lastSeq returns the sequence number of the last record that the entry's state includes.
@@ -235,8 +234,8 @@
 // record may be lost to corruption.
 const assumedSendTime = 1
 
-// suspect treats a message as sent, since corruption may have destroyed the record of an
-// attempt.
+// assumeSent treats a message as sent, since corruption may have destroyed the
+// record of an attempt.
 func (s *state) suspect(i uint32) {
 	// Counts one attempt: a message has at most one in flight at a time, and a corrupted
 	// range mostly covers one record.
@@ -251,7 +250,7 @@
 	}
 }
 
-// suspectAll treats each message as sent that was accepted before the record with the
+// assumeAllSent treats each message as sent that was accepted before the record with the
 // sequence number before. It returns their number.
 func (s *state) suspectAll(before uint64) (n int) {
 	for i := range s.index.entryCount {
@@ -263,8 +262,7 @@
 	return n
 }
 
-// unknownNotice stands for the final notice of a message if corruption destroyed the
-// notice.
+// unknownNotice stands for the final notice of a message if corruption destroyed the notice.
 const unknownNotice = "lost"
 
 // applyCorrupted changes the state by a record of which only the head and the id are
@@ -288,8 +286,7 @@
 		}
 		s.suspect(i)
 		c.Affected = 1
-		// The message has ended with a notice that is no longer known, so it is not sent
-		// again.
+		// The message has ended with a notice that is no longer known, so it is not sent again.
 		if r.kind == KindCompleting {
 			s.index.detail(i).notice = unknownNotice
 		}
--- a/internal/wal/store.go
+++ b/internal/wal/store.go
@@ -145,8 +145,7 @@
 }
 
 // finishInterruptedWrites completes what an earlier process may have left unfinished: a
-// conversion and, with SurvivesPowerLoss, the sync of records that were read at this
-// start.
+// conversion and, with SurvivesPowerLoss, the sync of records that were read at this start.
 func (s *store) finishInterruptedWrites() error {
 	if s.recovery.OlderFormat {
 		return nil
@@ -183,7 +182,7 @@
 	return err
 }
 
-// takeOwnership makes this process the owner of the log. Attempts in flight get unknown
+// becomeOwner makes this process the owner of the log. Attempts in flight get unknown
 // outcomes, except for those of the previous process if that is still alive.
 func (s *store) takeOwnership(living int) {
 	s.resolveInFlight(func(process int) bool { return process != living }, s.seq+1)
