--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -60,7 +60,7 @@
 }
 
 // Next returns the earliest LoadBy. ok is false if the store is empty.
-func (s *Store) Next() (at int64, ok bool) {
+func (s *Store) Next() (loadBy int64, ok bool) {
 	if len(s.due) == 0 {
 		return 0, false
 	}
@@ -156,14 +156,14 @@
 
 // nextDue returns the earliest LoadBy in the queue.
 func (q *queue) nextDue() int64 {
-	at := int64(math.MaxInt64)
+	earliest := int64(math.MaxInt64)
 	if len(q.heap) > 0 {
-		at = q.heap[0].LoadBy
+		earliest = q.heap[0].LoadBy
 	}
 	if len(q.fifoMinima) > 0 {
-		at = min(at, q.fifoMinima[0])
+		earliest = min(earliest, q.fifoMinima[0])
 	}
-	return at
+	return earliest
 }
 
 func (q *queue) add(e Entry) {
@@ -194,12 +194,12 @@
 func (q *queue) pushHeap(e Entry) {
 	q.heap = append(q.heap, e)
 	for i := len(q.heap) - 1; i > 0; {
-		up := (i - 1) / 2
-		if q.heap[up].LoadBy <= q.heap[i].LoadBy {
+		parent := (i - 1) / 2
+		if q.heap[parent].LoadBy <= q.heap[i].LoadBy {
 			return
 		}
-		q.heap[up], q.heap[i] = q.heap[i], q.heap[up]
-		i = up
+		q.heap[parent], q.heap[i] = q.heap[i], q.heap[parent]
+		i = parent
 	}
 }
 
--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -21,15 +21,15 @@
 
 // firstOrdered returns the position of the first ordered item of a destination,
 // or -1 if there is none.
-func (m model) front(dest int) int {
+func (m model) firstOrdered(dest int) int {
 	return slices.IndexFunc(m, func(x Item) bool { return x.Dest == dest && x.Flags&Ordered != 0 })
 }
 
 // nextOf returns the position of an item that Take may return next for a destination.
-func (m model) earliest(dest int) int {
+func (m model) nextOf(dest int) int {
 	best := -1
 	for i, x := range m {
-		if x.Dest == dest && (x.Flags&Ordered == 0 || i == m.front(dest)) && (best < 0 || x.LoadBy < m[best].LoadBy) {
+		if x.Dest == dest && (x.Flags&Ordered == 0 || i == m.firstOrdered(dest)) && (best < 0 || x.LoadBy < m[best].LoadBy) {
 			best = i
 		}
 	}
@@ -46,28 +46,28 @@
 }
 
 // A store returns the same items as the reference model.
-func TestStoreOrder(t *testing.T) {
+func TestStoreMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Store
 		var m model
-		ref := uint32(0)
+		index := uint32(0)
 		// Removes an item that the store returned from the model. Of several items with
 		// the same LoadBy any may come first, but only the first of the ordered ones.
-		same := func(got Item, what string) {
+		removeFromModel := func(got Item, method string) {
 			t.Helper()
 			i := slices.IndexFunc(m, func(x Item) bool { return x == got })
 			if i < 0 {
-				t.Fatalf("%s returned %+v, which is not in the store", what, got)
+				t.Fatalf("%s returned %+v, which is not in the store", method, got)
 			}
-			if got.Flags&Ordered != 0 && i != m.front(got.Dest) {
-				t.Fatalf("%s returned %+v before %+v", what, got, m[m.front(got.Dest)])
+			if got.Flags&Ordered != 0 && i != m.firstOrdered(got.Dest) {
+				t.Fatalf("%s returned %+v before %+v", method, got, m[m.firstOrdered(got.Dest)])
 			}
 			m.remove(i)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
-				ref++
-				x := Item{Entry{LoadBy: rapid.Int64Range(0, 30).Draw(t, "at"), Index: ref, Flags: Flags(rapid.IntRange(0, 7).Draw(t, "flags"))},
+				index++
+				x := Item{Entry{LoadBy: rapid.Int64Range(0, 30).Draw(t, "at"), Index: index, Flags: Flags(rapid.IntRange(0, 7).Draw(t, "flags"))},
 					rapid.IntRange(0, 4).Draw(t, "dest")}
 				s.Add(x.Dest, x.Entry)
 				m = append(m, x)
@@ -80,10 +80,10 @@
 					t.Fatalf("Take returned %d items, want %d", len(got), want)
 				}
 				for _, x := range got {
-					if i := m.earliest(dest); m[i].LoadBy != x.LoadBy {
+					if i := m.nextOf(dest); m[i].LoadBy != x.LoadBy {
 						t.Fatalf("Take returned %+v before %+v", x, m[i])
 					}
-					same(x, "take")
+					removeFromModel(x, "take")
 				}
 			},
 			"due": func(t *rapid.T) {
@@ -98,7 +98,7 @@
 							t.Fatalf("TakeDue returned %+v at %d, before it is due", x, now)
 						}
 					}
-					same(x, "due")
+					removeFromModel(x, "due")
 				}
 				if at, ok := m.next(); len(got) < n && ok && at <= now {
 					t.Fatalf("TakeDue returned %d of at most %d items although one is due at %d", len(got), n, at)
@@ -106,8 +106,8 @@
 			},
 			"": func(t *rapid.T) {
 				at, ok := s.Next()
-				if want, any := m.next(); s.Len() != len(m) || ok != any || at != want {
-					t.Fatalf("%d items, the first due at %d (%v); want %d items, the first due at %d (%v)", s.Len(), at, ok, len(m), want, any)
+				if want, wantOK := m.next(); s.Len() != len(m) || ok != wantOK || at != want {
+					t.Fatalf("%d items, the first due at %d (%v); want %d items, the first due at %d (%v)", s.Len(), at, ok, len(m), want, wantOK)
 				}
 				for dest := range 5 {
 					n := 0
@@ -127,24 +127,24 @@
 
 // A million messages take 16 bytes each plus the spare capacity of growing slices, and the
 // store frees this memory when they are removed.
-func TestStoreMemory(t *testing.T) {
-	heap := func() int64 {
+func TestStoreUsesAndFreesBoundedMemory(t *testing.T) {
+	heapBytes := func() int64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return int64(m.HeapAlloc)
 	}
 	const n = 1_000_000
-	before := heap()
+	before := heapBytes()
 	var s Store
 	r := rand.New(rand.NewPCG(1, 2))
 	for i := range n {
 		s.Add(i%600, Entry{LoadBy: r.Int64N(1e12), Index: uint32(i)})
 	}
-	if per := float64(heap()-before) / n; per > 26 {
-		t.Errorf("%.1f bytes per message, want at most 26", per)
+	if bytesPerMessage := float64(heapBytes()-before) / n; bytesPerMessage > 26 {
+		t.Errorf("%.1f bytes per message, want at most 26", bytesPerMessage)
 	} else {
-		t.Logf("%.1f bytes per message", per)
+		t.Logf("%.1f bytes per message", bytesPerMessage)
 	}
 	last := int64(-1)
 	for _, x := range s.TakeDue(1e12, n) {
@@ -153,7 +153,7 @@
 		}
 		last = x.LoadBy
 	}
-	if left := heap() - before; left > 1<<20 || s.Len() != 0 {
+	if left := heapBytes() - before; left > 1<<20 || s.Len() != 0 {
 		t.Errorf("%d bytes and %d messages are left after all were removed", left, s.Len())
 	}
 	runtime.KeepAlive(&s)
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -128,7 +128,7 @@
 		b.seq++
 		start := &Record{Kind: kindBatchStart, ID: NoMessage, At: int64(s.syncedSeq)}
 		// The record is short, so that it cannot fail to be encoded.
-		b.buffer, _ = appendRecord(b.buffer, start, b.seq, s.salt, nil)
+		b.buffer, _ = appendRecord(b.buffer, start, b.seq, s.checksumSeed, nil)
 	}
 	for n < len(records) && (len(b.buffer) < maxBatchBytes || n == 0) {
 		r := records[n]
@@ -136,7 +136,7 @@
 			break // the checkpoint is made after these records are written
 		}
 		err := s.addToBatch(r, n)
-		if err == ErrFull && r.Kind.isFact() { // no later record may be written before it
+		if err == ErrFull && r.Kind.isPastEvent() { // no later record may be written before it
 			fillErrors(results[n:len(records)], ErrFull)
 			return len(records)
 		}
@@ -154,7 +154,7 @@
 	}
 	start := len(b.buffer)
 	var err error
-	if b.buffer, err = appendRecord(b.buffer, r, b.seq+1, s.salt, nil); err != nil {
+	if b.buffer, err = appendRecord(b.buffer, r, b.seq+1, s.checksumSeed, nil); err != nil {
 		return err
 	}
 	b.seq++
@@ -201,7 +201,7 @@
 		if e.record.Kind != KindAccepted {
 			continue
 		}
-		if i, ok := s.index.find(k); ok && s.index.at(i).seq == e.seq { // otherwise a message with this id was already pending
+		if i, ok := s.index.find(k); ok && s.index.entryAt(i).seq == e.seq { // otherwise a message with this id was already pending
 			e.record.Ref = s.index.ref(i)
 		}
 	}
@@ -219,8 +219,8 @@
 // storeStamp stores the last record's sequence number and the time in the stamp file.
 func (s *store) storeStamp() {
 	now := s.options.Clock()
-	s.lastTime = max(s.lastTime, s.clock.at(now))
-	s.stampFile.Store(Stamp{ID: stampIDOf(s.salt), Seq: s.seq, At: s.lastTime, Clock: now})
+	s.lastTime = max(s.lastTime, s.clock.timeAt(now))
+	s.stampFile.Store(Stamp{ID: stampIDOf(s.checksumSeed), Seq: s.seq, At: s.lastTime, Clock: now})
 }
 
 // appendSingly writes the records of a failed batch one by one, except for new messages. A
@@ -231,15 +231,15 @@
 		results[entries[0].index] = err
 		return
 	}
-	factFailed := false // it must be written before any later record
+	pastEventFailed := false // it must be written before any later record
 	for _, e := range entries {
-		if factFailed || e.record.Kind == KindAccepted {
+		if pastEventFailed || e.record.Kind == KindAccepted {
 			results[e.index] = err
 			continue
 		}
 		result := []error{nil}
 		s.appendBatch([]*Record{e.record}, result)
 		results[e.index] = result[0]
-		factFailed = result[0] != nil && e.record.Kind.isFact()
+		pastEventFailed = result[0] != nil && e.record.Kind.isPastEvent()
 	}
 }
--- a/internal/wal/checkpoint.go
+++ b/internal/wal/checkpoint.go
@@ -138,7 +138,7 @@
 // add encodes a record into the buffer. message is the encoded message of a
 // kindMessageState record.
 func (w *checkpointWriter) add(r *Record, message []byte) (err error) {
-	w.buffer, err = appendRecord(w.buffer, r, w.records+1, w.store.salt, message)
+	w.buffer, err = appendRecord(w.buffer, r, w.records+1, w.store.checksumSeed, message)
 	if err == nil {
 		w.records++
 	}
@@ -184,7 +184,7 @@
 	for visited := 0; w.nextEntry < w.endEntry && len(w.buffer) < sliceBytes && visited < entriesPerSlice; visited++ {
 		i := w.nextEntry
 		w.nextEntry++
-		e := w.store.index.at(i)
+		e := w.store.index.entryAt(i)
 		if e.flags&entryLive == 0 {
 			continue
 		}
--- a/internal/wal/cutfs/cut.go
+++ b/internal/wal/cutfs/cut.go
@@ -12,12 +12,12 @@
 func (f *FS) Pending() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.pending())
+	return len(f.pendingChanges())
 }
 
 // pendingChanges returns the changes that a power cut may lose, in the order in
 // which they were made.
-func (f *FS) pending() (changes []*change) {
+func (f *FS) pendingChanges() (changes []*change) {
 	seen := map[*inode]bool{}
 	addData := func(node *inode) {
 		if !seen[node] {
@@ -51,7 +51,7 @@
 			continue
 		}
 		if copies[node] == nil {
-			data := contents.of(node)
+			data := contents.contentsOf(node)
 			copies[node] = &inode{dir: node.dir, data: data, durable: bytes.Clone(data)}
 		}
 		after.names[name], after.durableNames[name] = copies[node], copies[node]
@@ -62,7 +62,7 @@
 // dataByInode holds the contents of files after a power cut.
 type dataByInode map[*inode][]byte
 
-func (d dataByInode) of(node *inode) []byte {
+func (d dataByInode) contentsOf(node *inode) []byte {
 	if _, ok := d[node]; !ok {
 		d[node] = bytes.Clone(node.durable)
 	}
@@ -72,15 +72,15 @@
 // afterCut returns the names and contents that are left after a power cut.
 func (f *FS) afterCut(survives func(i int) bool) (map[string]*inode, dataByInode) {
 	names, contents := maps.Clone(f.durableNames), dataByInode{}
-	for i, c := range f.pending() {
+	for i, c := range f.pendingChanges() {
 		switch {
 		case !survives(i):
 		case c.name != nil:
 			c.name.apply(names)
 		case c.data == nil:
-			contents[c.inode] = resize(contents.of(c.inode), c.off)
+			contents[c.inode] = resize(contents.contentsOf(c.inode), c.off)
 		default:
-			contents[c.inode] = overwrite(contents.of(c.inode), c.data, c.off)
+			contents[c.inode] = overwrite(contents.contentsOf(c.inode), c.data, c.off)
 		}
 	}
 	return names, contents
--- a/internal/wal/cutfs/disk.go
+++ b/internal/wal/cutfs/disk.go
@@ -25,7 +25,7 @@
 }
 
 // persistOdds: a pending change becomes durable without a sync at one in this many operations.
-const leakOdds = 4
+const persistOdds = 4
 
 // seedStream separates the random numbers of a Disk from those of a test with the same seed.
 const seedStream = 11
@@ -38,17 +38,17 @@
 		if err != nil || path == dir {
 			return err
 		}
-		return d.read(path, info.IsDir())
+		return d.load(path, info.IsDir())
 	})
 	if err != nil {
 		return nil, fmt.Errorf("cutfs: %w", err)
 	}
-	d.Before = func(string, string) error { return d.leak() }
+	d.Before = func(string, string) error { return d.persistRandomChange() }
 	return d, nil
 }
 
 // load loads a file or a folder from the real folder.
-func (d *Disk) read(path string, isDir bool) (err error) {
+func (d *Disk) load(path string, isDir bool) (err error) {
 	node := &inode{dir: isDir}
 	if !isDir {
 		if node.data, err = os.ReadFile(path); err != nil {
@@ -63,23 +63,23 @@
 
 // persistRandomChange sometimes makes a random pending change durable without a sync, as
 // a real disk may do at any time.
-func (d *Disk) leak() error {
+func (d *Disk) persistRandomChange() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.random.IntN(leakOdds) > 0 {
+	if d.random.IntN(persistOdds) > 0 {
 		return nil
 	}
 	d.FS.mu.Lock()
 	defer d.FS.mu.Unlock()
-	pending := d.pending()
+	pending := d.pendingChanges()
 	if len(pending) == 0 {
 		return nil
 	}
 	c := pending[d.random.IntN(len(pending))]
-	isLeaked := func(other *change) bool { return other == c }
+	isPersisted := func(other *change) bool { return other == c }
 	if c.name != nil {
 		c.name.apply(d.durableNames)
-		d.unsyncedNames = slices.DeleteFunc(d.unsyncedNames, isLeaked)
+		d.unsyncedNames = slices.DeleteFunc(d.unsyncedNames, isPersisted)
 		return d.update()
 	}
 	if c.data == nil {
@@ -87,7 +87,7 @@
 	} else {
 		c.inode.durable = overwrite(c.inode.durable, c.data, c.off)
 	}
-	c.inode.unsynced = slices.DeleteFunc(c.inode.unsynced, isLeaked)
+	c.inode.unsynced = slices.DeleteFunc(c.inode.unsynced, isPersisted)
 	return d.update(c.inode)
 }
 
--- a/internal/wal/cutfs/file.go
+++ b/internal/wal/cutfs/file.go
@@ -32,7 +32,7 @@
 func (x *file) WriteAt(b []byte, off int64) (int, error) {
 	err := x.fs.before(OpWrite, x.name)
 	if err != nil {
-		if !x.fs.Short {
+		if !x.fs.ShortWrites {
 			return 0, err
 		}
 		b = b[:len(b)/2]
@@ -40,12 +40,12 @@
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
 	x.inode.data = overwrite(x.inode.data, b, off)
-	for done := 0; done < len(b); {
-		at := off + int64(done)
-		n := min(len(b)-done, Sector-int(at%Sector))
-		piece := &change{inode: x.inode, off: at, data: bytes.Clone(b[done : done+n])}
-		x.inode.unsynced = append(x.inode.unsynced, x.fs.number(piece))
-		done += n
+	for written := 0; written < len(b); {
+		offset := off + int64(written)
+		n := min(len(b)-written, Sector-int(offset%Sector))
+		sector := &change{inode: x.inode, off: offset, data: bytes.Clone(b[written : written+n])}
+		x.inode.unsynced = append(x.inode.unsynced, x.fs.assignSeq(sector))
+		written += n
 	}
 	return len(b), err
 }
@@ -67,7 +67,7 @@
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
 	x.inode.data = resize(x.inode.data, size)
-	x.inode.unsynced = append(x.inode.unsynced, x.fs.number(&change{inode: x.inode, off: size}))
+	x.inode.unsynced = append(x.inode.unsynced, x.fs.assignSeq(&change{inode: x.inode, off: size}))
 	return nil
 }
 
@@ -131,7 +131,7 @@
 	defer f.fs.mu.Unlock()
 	b := stamp.Bytes()
 	f.inode.data = b
-	f.inode.unsynced = []*change{f.fs.number(&change{inode: f.inode, data: b})}
+	f.inode.unsynced = []*change{f.fs.assignSeq(&change{inode: f.inode, data: b})}
 }
 
 // Close implements wal.StampFile.
--- a/internal/wal/cutfs/fs.go
+++ b/internal/wal/cutfs/fs.go
@@ -71,7 +71,7 @@
 	// It must only be set while no other goroutine uses the file system. It may be nil.
 	Before func(operation, name string) error
 	// ShortWrites makes a failing write store the first half of its data.
-	Short bool
+	ShortWrites bool
 }
 
 // New creates a file system that contains one durable folder.
@@ -88,7 +88,7 @@
 }
 
 // assignSeq assigns the next sequence number to a change.
-func (f *FS) number(c *change) *change {
+func (f *FS) assignSeq(c *change) *change {
 	f.seq++
 	c.seq = f.seq
 	return c
@@ -97,7 +97,7 @@
 // changeNames applies a change of names and records it as unsynced.
 func (f *FS) changeNames(n *nameChange) {
 	n.apply(f.names)
-	f.unsyncedNames = append(f.unsyncedNames, f.number(&change{name: n}))
+	f.unsyncedNames = append(f.unsyncedNames, f.assignSeq(&change{name: n}))
 }
 
 func errNotExist(operation, name string) error {
@@ -135,7 +135,7 @@
 		f.changeNames(&nameChange{to: name, inode: node})
 	} else if len(node.data) > 0 {
 		node.data = nil
-		node.unsynced = append(node.unsynced, f.number(&change{inode: node}))
+		node.unsynced = append(node.unsynced, f.assignSeq(&change{inode: node}))
 	}
 	return &file{fs: f, inode: node, name: name}, nil
 }
@@ -208,7 +208,7 @@
 }
 
 // affects reports whether the change adds or removes a name in the folder dir.
-func (n *nameChange) concerns(dir string) bool {
+func (n *nameChange) affects(dir string) bool {
 	return n.from != "" && filepath.Dir(n.from) == dir || n.to != "" && filepath.Dir(n.to) == dir
 }
 
@@ -247,7 +247,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unsyncedNames = slices.DeleteFunc(f.unsyncedNames, func(c *change) bool {
-		if !c.name.concerns(dir) {
+		if !c.name.affects(dir) {
 			return false
 		}
 		c.name.apply(f.durableNames)
--- a/internal/wal/encode.go
+++ b/internal/wal/encode.go
@@ -21,12 +21,12 @@
 
 // Byte offsets of the fields in the head of a record.
 const (
-	recordLengthAt       = 4 // size of id and payload together
-	recordSeqAt          = 8
-	recordKindAt         = 16
-	recordIDLengthAt     = 18
-	recordHeadChecksumAt = 20
-	recordChecksumAt     = 24
+	recordLengthOffset       = 4 // size of id and payload together
+	recordSeqOffset          = 8
+	recordKindOffset         = 16
+	recordIDLengthOffset     = 18
+	recordHeadChecksumOffset = 20
+	recordChecksumOffset     = 24
 )
 
 // kindsByNumber lists the kinds by the number that stands for each in a record.
@@ -54,7 +54,7 @@
 
 // appendRecord appends the encoded r to b. message is the encoded message that a
 // kindMessageState record contains; nil for other kinds.
-func appendRecord(b []byte, r *Record, seq uint64, salt uint32, message []byte) ([]byte, error) {
+func appendRecord(b []byte, r *Record, seq uint64, checksumSeed uint32, message []byte) ([]byte, error) {
 	if len(r.ID) > maxIDBytes {
 		return b, fmt.Errorf("wal: id of %d bytes is too long", len(r.ID))
 	}
@@ -72,16 +72,16 @@
 	if length > maxRecordBytes {
 		return b[:start], fmt.Errorf("wal: record of %d bytes is too long", length)
 	}
-	binary.BigEndian.PutUint32(b[start+recordLengthAt:], uint32(length))
-	sum := headChecksum(b[start:], salt, len(r.ID))
-	binary.BigEndian.PutUint32(b[start+recordHeadChecksumAt:], sum)
-	binary.BigEndian.PutUint32(b[start+recordChecksumAt:], crc32.Update(sum, castagnoli, b[payload:]))
+	binary.BigEndian.PutUint32(b[start+recordLengthOffset:], uint32(length))
+	sum := headChecksum(b[start:], checksumSeed, len(r.ID))
+	binary.BigEndian.PutUint32(b[start+recordHeadChecksumOffset:], sum)
+	binary.BigEndian.PutUint32(b[start+recordChecksumOffset:], crc32.Update(sum, castagnoli, b[payload:]))
 	return b, nil
 }
 
 // headChecksum returns the checksum of the head and the id of the record at the start of b.
-func headChecksum(b []byte, salt uint32, idLength int) uint32 {
-	sum := crc32.Update(salt, castagnoli, b[recordLengthAt:recordHeadChecksumAt])
+func headChecksum(b []byte, checksumSeed uint32, idLength int) uint32 {
+	sum := crc32.Update(checksumSeed, castagnoli, b[recordLengthOffset:recordHeadChecksumOffset])
 	return crc32.Update(sum, castagnoli, b[recordHeadSize:recordHeadSize+idLength])
 }
 
--- a/internal/wal/handoff.go
+++ b/internal/wal/handoff.go
@@ -33,8 +33,8 @@
 
 // recordDecoder decodes the records of one file.
 type recordDecoder struct {
-	legacy bool
-	salt   uint32
+	legacy       bool
+	checksumSeed uint32
 }
 
 // decode decodes the record at the start of b. size is 0 if there is no complete valid record.
@@ -42,7 +42,7 @@
 	if d.legacy {
 		return decodeLegacy(b)
 	}
-	scan := scanner{buffer: b, size: int64(len(b)), salt: d.salt}
+	scan := scanner{buffer: b, size: int64(len(b)), checksumSeed: d.checksumSeed}
 	rec, status := scan.record(0)
 	if status != recordValid {
 		return nil, 0
@@ -102,7 +102,7 @@
 	n, _ := h.file.ReadAt(b, 0)
 	head, valid := decodeHeader(b[:n])
 	h.decoder.legacy = n >= len(legacyMark) && string(b[:len(legacyMark)]) == legacyMark
-	h.decoder.salt = head.owner.salt()
+	h.decoder.checksumSeed = head.owner.checksumSeed()
 	h.offset = h.firstOffset()
 	return valid
 }
@@ -132,7 +132,7 @@
 
 // openHandoff looks for a handoff log. If its process has exited, openHandoff returns the log's
 // records, to be merged into this log. If the process is alive, it returns the open handoff log.
-func (s *store) openHandoff() (living *HandoffLog, late []*Record, err error) {
+func (s *store) openHandoff() (followed *HandoffLog, unmerged []*Record, err error) {
 	f, err := s.fs.Open(filepath.Join(s.options.Dir, HandoffName), ModeWrite)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil, nil
@@ -164,13 +164,13 @@
 
 // readAbandonedHandoff returns those records of an exited process that the log does not
 // include yet. Corruption in the handoff log may have affected any pending message.
-func (s *store) readAbandonedHandoff(h *HandoffLog, size int64) (late []*Record) {
+func (s *store) readAbandonedHandoff(h *HandoffLog, size int64) (unmerged []*Record) {
 	if h.readHeader() == 0 && !h.decoder.legacy {
-		h.decoder.salt = s.salt
+		h.decoder.checksumSeed = s.checksumSeed
 	}
 	h.offset = max(s.handoffOffset, h.offset)
 	for h.offset < size {
-		late = append(late, h.Read()...)
+		unmerged = append(unmerged, h.Read()...)
 		if h.offset >= size {
 			break
 		}
@@ -178,14 +178,14 @@
 			break
 		}
 	}
-	return late
+	return unmerged
 }
 
 // skipHandoffCorruption reports the range at the handoff log's offset that cannot be read,
 // and moves the offset to the next record. isEnd is true if only the end of the log is
 // torn; such a write was never reported as done.
 func (s *store) skipHandoffCorruption(h *HandoffLog, size int64) (isEnd bool) {
-	scan := &scanner{file: h.file, size: size, salt: h.decoder.salt}
+	scan := &scanner{file: h.file, size: size, checksumSeed: h.decoder.checksumSeed}
 	var next int64
 	var ids []string
 	if h.decoder.legacy {
@@ -200,7 +200,7 @@
 		s.recovery.addTorn(c)
 		return true
 	}
-	c.Affected = s.suspectAll(s.seq + 1)
+	c.Affected = s.assumeAllSent(s.seq + 1)
 	s.recovery.addCorruption(c)
 	s.logCorruption(c)
 	h.offset = next
@@ -223,14 +223,14 @@
 
 // mergeHandoff appends an exited process's remaining records to the log and
 // removes the handoff log.
-func (s *store) mergeHandoff(late []*Record) error {
+func (s *store) mergeHandoff(unmerged []*Record) error {
 	path := filepath.Join(s.options.Dir, HandoffName)
 	if _, _, err := s.fs.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	s.spaceReserved = true // the handoff log already takes up the space
 	defer func() { s.spaceReserved = false }()
-	for _, r := range late {
+	for _, r := range unmerged {
 		if r.Kind == KindOwner || r.Kind == KindHandoff {
 			continue
 		}
--- a/internal/wal/handoff_test.go
+++ b/internal/wal/handoff_test.go
@@ -44,93 +44,93 @@
 // A kill during a handoff, which truncates the log or the handoff log at any byte, loses
 // no message that was accepted before, duplicates none, and leaves a state that another
 // start does not change.
-func TestHandoffLogCut(t *testing.T) {
-	whole := t.TempDir()
-	l, _ := openTest(t, whole, 1<<20)
-	mustAppend(t, l, accepted("a", "A"), accepted("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
+func TestTruncationDuringHandoffLosesNoMessage(t *testing.T) {
+	original := t.TempDir()
+	l, _ := openTestLog(t, original, 1<<20)
+	mustAppend(t, l, acceptedRecord("a", "A"), acceptedRecord("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
 	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("policy")}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, l, accepted("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
+	mustAppend(t, l, acceptedRecord("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
 	l.store.close() // the process is killed
 	sizes := map[string]int{}
-	copyFolder(t, whole, func(name string, b []byte) []byte { sizes[name] = len(b); return b })
+	copyFolder(t, original, func(name string, b []byte) []byte { sizes[name] = len(b); return b })
 	for name, size := range sizes {
 		if strings.HasSuffix(name, stampName) {
 			continue
 		}
 		for cut := range size {
-			dir := copyFolder(t, whole, func(n string, b []byte) []byte {
+			dir := copyFolder(t, original, func(n string, b []byte) []byte {
 				if n == name {
 					return b[:cut]
 				}
 				return b
 			})
-			l, first := openTest(t, dir, 1<<20)
+			l, first := openTestLog(t, dir, 1<<20)
 			l.store.close()
-			l, second := openTest(t, dir, 1<<20)
+			l, second := openTestLog(t, dir, 1<<20)
 			l.store.close()
-			if !slices.Equal(describe(first), describe(second)) {
-				t.Fatalf("%s cut at %d: recovered %v at the first start, %v at the second", name, cut, describe(first), describe(second))
+			if !slices.Equal(describeRecords(first), describeRecords(second)) {
+				t.Fatalf("%s cut at %d: recovered %v at the first start, %v at the second", name, cut, describeRecords(first), describeRecords(second))
 			}
 			if name == HandoffName && (len(first) < 2 || first[0].ID != "a" || first[1].ID != "b" || first[1].Attempts < 1) {
-				t.Fatalf("%s cut at %d: recovered %v", name, cut, describe(first))
+				t.Fatalf("%s cut at %d: recovered %v", name, cut, describeRecords(first))
 			}
 		}
 	}
-	l, owed := openTest(t, whole, 1<<20)
-	if len(owed) != 3 || owed[1].UnknownOutcomeAt != 0 || string(l.PolicySnapshot) != "policy" {
-		t.Errorf("complete files: recovered %v, policy snapshot %q", describe(owed), l.PolicySnapshot)
+	l, pending := openTestLog(t, original, 1<<20)
+	if len(pending) != 3 || pending[1].UnknownOutcomeAt != 0 || string(l.PolicySnapshot) != "policy" {
+		t.Errorf("complete files: recovered %v, policy snapshot %q", describeRecords(pending), l.PolicySnapshot)
 	}
-	if _, err := os.Stat(filepath.Join(whole, HandoffName)); !errors.Is(err, os.ErrNotExist) {
+	if _, err := os.Stat(filepath.Join(original, HandoffName)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the handoff log of an exited process was not removed: %v", err)
 	}
 }
 
 // A record of the handoff log is merged once. Reading the handoff log again after a
 // restart does not undo what the next process recorded since.
-func TestHandoffLogRecordedOnce(t *testing.T) {
+func TestHandoffLogIsMergedOnce(t *testing.T) {
 	dir := t.TempDir()
-	old, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, old, accepted("a", "A"), &Record{Kind: KindAttempt, ID: "a", At: 5, Endpoint: "s-1", Process: old.Process})
+	old, _ := openTestLog(t, dir, 1<<20)
+	mustAppend(t, old, acceptedRecord("a", "A"), &Record{Kind: KindAttempt, ID: "a", At: 5, Endpoint: "s-1", Process: old.Process})
 	if err := old.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, accepted("b", "B"))
-	next, owed := openTest(t, dir, 1<<20)
-	if next.Handoff == nil || len(owed) != 1 || owed[0].InFlightEndpoint != "s-1" {
-		t.Fatalf("recovered %v, handoff log %v", describe(owed), next.Handoff)
+	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, acceptedRecord("b", "B"))
+	next, pending := openTestLog(t, dir, 1<<20)
+	if next.Handoff == nil || len(pending) != 1 || pending[0].InFlightEndpoint != "s-1" {
+		t.Fatalf("recovered %v, handoff log %v", describeRecords(pending), next.Handoff)
 	}
 	mustAppend(t, next, next.Handoff.Read()[1:]...) // skips the owner record
 	mustAppend(t, next, &Record{Kind: KindAttempt, ID: "a", At: 9, Endpoint: "s-1", Process: next.Process}, &Record{Kind: KindCompleted, ID: "b"})
 	next.store.close() // both processes are killed
 	old.store.close()
 	next.Handoff.Close()
-	if _, owed := openTest(t, dir, 1<<20); len(owed) != 1 || owed[0].ID != "a" || owed[0].Attempts != 2 || owed[0].UnknownOutcomeAt != 9 {
-		t.Errorf("recovered %v", describe(owed))
+	if _, pending := openTestLog(t, dir, 1<<20); len(pending) != 1 || pending[0].ID != "a" || pending[0].Attempts != 2 || pending[0].UnknownOutcomeAt != 9 {
+		t.Errorf("recovered %v", describeRecords(pending))
 	}
 }
 
 // While two processes write, both logs and the next checkpoint stay within the limit.
-func TestHandoffLogBounded(t *testing.T) {
+func TestBothLogsStayWithinLimitDuringHandoff(t *testing.T) {
 	const limit = 1 << 20
 	for _, full := range []bool{false, true} {
 		dir := t.TempDir()
-		old, _ := openTest(t, dir, limit)
+		old, _ := openTestLog(t, dir, limit)
 		body := strings.Repeat("b", 8<<10)
 		for i := 0; full || i < 4; i++ {
-			if old.store.appendRecords([]*Record{accepted(strconv.Itoa(i), body)})[0] != nil {
+			if old.store.appendRecords([]*Record{acceptedRecord(strconv.Itoa(i), body)})[0] != nil {
 				break
 			}
 		}
 		if err := old.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte(strings.Repeat("m", 8<<10))}); err != nil {
 			t.Fatal(err)
 		}
-		next, _ := openTest(t, dir, limit)
+		next, _ := openTestLog(t, dir, limit)
 		for i := range 400 {
-			old.store.appendRecords([]*Record{accepted("o"+strconv.Itoa(i), body)})
-			next.store.appendRecords([]*Record{accepted("n"+strconv.Itoa(i), body)})
-			if size := diskSize(t, dir); size+next.store.checkpointBytes > limit {
+			old.store.appendRecords([]*Record{acceptedRecord("o"+strconv.Itoa(i), body)})
+			next.store.appendRecords([]*Record{acceptedRecord("n"+strconv.Itoa(i), body)})
+			if size := folderSize(t, dir); size+next.store.checkpointBytes > limit {
 				t.Fatalf("full %v: %d bytes on disk and %d for a checkpoint exceed the limit", full, size, next.store.checkpointBytes)
 			}
 		}
@@ -144,28 +144,28 @@
 }
 
 // If the handoff log of an exited process is corrupted, the pending messages are treated as sent.
-func TestHandoffLogCorrupted(t *testing.T) {
+func TestCorruptedHandoffLogMarksPendingMessagesAsSent(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, accepted("a", "A"), accepted("b", "B"))
+	l, _ := openTestLog(t, dir, 1<<20)
+	mustAppend(t, l, acceptedRecord("a", "A"), acceptedRecord("b", "B"))
 	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, l, accepted("c", "C"), accepted("d", "D"))
+	mustAppend(t, l, acceptedRecord("c", "C"), acceptedRecord("d", "D"))
 	l.store.close()
-	at := -1
-	changed := copyFolder(t, dir, func(name string, b []byte) []byte {
+	corruptedAt := -1
+	corrupted := copyFolder(t, dir, func(name string, b []byte) []byte {
 		if name == HandoffName {
-			at = strings.Index(string(b), recordMark+"\x00\x00\x00") + 40
-			at = strings.Index(string(b[at:]), recordMark) + at + 6
-			b[at] ^= 1
+			corruptedAt = strings.Index(string(b), recordMark+"\x00\x00\x00") + 40
+			corruptedAt = strings.Index(string(b[corruptedAt:]), recordMark) + corruptedAt + 6
+			b[corruptedAt] ^= 1
 		}
 		return b
 	})
-	l, owed := openTest(t, changed, 1<<20)
-	for _, r := range owed {
+	l, pending := openTestLog(t, corrupted, 1<<20)
+	for _, r := range pending {
 		if (r.ID == "a" || r.ID == "b") && r.UnknownOutcomeAt == 0 { // c was accepted in the handoff log itself
-			t.Errorf("byte %d of the handoff log is corrupted, but a or b counts as unsent: %v", at, describe(owed))
+			t.Errorf("byte %d of the handoff log is corrupted, but a or b counts as unsent: %v", corruptedAt, describeRecords(pending))
 		}
 	}
 	if l.Recovery.Sound() {
@@ -192,30 +192,30 @@
 
 // The first start converts a legacy log with its state, also if the legacy process is
 // still alive and writes a handoff log in the legacy format.
-func TestLegacyConversion(t *testing.T) {
-	for _, living := range []bool{false, true} {
+func TestOpenConvertsLegacyLog(t *testing.T) {
+	for _, alive := range []bool{false, true} {
 		dir := t.TempDir()
 		b := legacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, sampleRecords()...)...)
 		b = append(b, legacyLog(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("policy")})...)
 		if err := os.WriteFile(filepath.Join(dir, FolderName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		side := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1, HandoffCapacity: 32 << 10}, accepted("f", "F"))
-		if err := os.WriteFile(filepath.Join(dir, HandoffName), side, 0o600); err != nil {
+		handoffLog := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1, HandoffCapacity: 32 << 10}, acceptedRecord("f", "F"))
+		if err := os.WriteFile(filepath.Join(dir, HandoffName), handoffLog, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		f, err := OS{}.Open(filepath.Join(dir, HandoffName), ModeWrite)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if living {
+		if alive {
 			if got, err := f.TryLock(); !got {
 				t.Fatal(err)
 			}
 		}
-		l, owed := openTest(t, dir, 1<<20)
+		l, pending := openTestLog(t, dir, 1<<20)
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 handed-back"}
-		if living { // attempts of the living process stay in flight
+		if alive { // attempts of the living process stay in flight
 			want = []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 0 ", "e E 0 0 handed-back"}
 			if l.Handoff == nil || l.Handoff.Process != 1 || len(l.Handoff.Read()) != 2 {
 				t.Fatalf("handoff log: %+v", l.Handoff)
@@ -223,8 +223,8 @@
 		} else {
 			want = append(want, "f F 0 0 ")
 		}
-		if got := describe(owed); !slices.Equal(got, want) || string(l.PolicySnapshot) != "policy" || l.Process != 2 {
-			t.Fatalf("living %v: recovered %q, policy snapshot %q, process %d", living, got, l.PolicySnapshot, l.Process)
+		if got := describeRecords(pending); !slices.Equal(got, want) || string(l.PolicySnapshot) != "policy" || l.Process != 2 {
+			t.Fatalf("living %v: recovered %q, policy snapshot %q, process %d", alive, got, l.PolicySnapshot, l.Process)
 		}
 		if info, err := os.Stat(filepath.Join(dir, FolderName)); err != nil || !info.IsDir() {
 			t.Fatalf("a legacy program could still open the log as a file: %v", err)
@@ -232,8 +232,8 @@
 		mustAppend(t, l, &Record{Kind: KindCompleted, ID: "e"})
 		l.store.close()
 		f.Close()
-		if l, owed = openTest(t, dir, 1<<20); living && len(owed) != len(want) || !living && len(owed) != len(want)-1 || !l.Recovery.Sound() {
-			t.Errorf("living %v, second start: recovered %q, found %+v", living, describe(owed), l.Recovery)
+		if l, pending = openTestLog(t, dir, 1<<20); alive && len(pending) != len(want) || !alive && len(pending) != len(want)-1 || !l.Recovery.Sound() {
+			t.Errorf("living %v, second start: recovered %q, found %+v", alive, describeRecords(pending), l.Recovery)
 		}
 		l.store.close()
 	}
@@ -241,14 +241,14 @@
 
 // A kill between any two steps of the conversion loses nothing, also if the legacy program
 // ran again in between.
-func TestLegacyConversionInterrupted(t *testing.T) {
-	old := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, accepted("a", "A"), accepted("b", "B"), &Record{Kind: KindCompleted, ID: "b"})
-	later := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, accepted("z", "Z"))
-	for what, files := range map[string]map[string][]byte{
-		"temporary folder written":     {FolderName: old, FolderName + temporarySuffix + "/x": []byte("half")},
-		"legacy file renamed":          {FolderName + legacySuffix: old, FolderName + temporarySuffix + "/x": []byte("half")},
-		"legacy program ran again":     {FolderName + legacySuffix: old, FolderName: later},
-		"conversion interrupted again": {FolderName + legacySuffix: old, FolderName + secondLegacySuffix: later},
+func TestInterruptedLegacyConversionLosesNothing(t *testing.T) {
+	firstLog := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, acceptedRecord("a", "A"), acceptedRecord("b", "B"), &Record{Kind: KindCompleted, ID: "b"})
+	secondLog := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, acceptedRecord("z", "Z"))
+	for state, files := range map[string]map[string][]byte{
+		"temporary folder written":     {FolderName: firstLog, FolderName + temporarySuffix + "/x": []byte("half")},
+		"legacy file renamed":          {FolderName + legacySuffix: firstLog, FolderName + temporarySuffix + "/x": []byte("half")},
+		"legacy program ran again":     {FolderName + legacySuffix: firstLog, FolderName: secondLog},
+		"conversion interrupted again": {FolderName + legacySuffix: firstLog, FolderName + secondLegacySuffix: secondLog},
 	} {
 		dir := t.TempDir()
 		for name, b := range files {
@@ -264,55 +264,55 @@
 			want = append(want, "z Z 0 0 ")
 		}
 		for n := range 2 {
-			l, owed := openTest(t, dir, 1<<20)
-			if got := describe(owed); !slices.Equal(got, want) {
-				t.Fatalf("%s, opened %d times: recovered %q", what, n+1, got)
+			l, pending := openTestLog(t, dir, 1<<20)
+			if got := describeRecords(pending); !slices.Equal(got, want) {
+				t.Fatalf("%s, opened %d times: recovered %q", state, n+1, got)
 			}
 			l.store.close()
 		}
 		names, err := os.ReadDir(dir)
 		if err != nil || len(names) != 1 {
-			t.Errorf("%s: files left in the folder: %v, error %v", what, names, err)
+			t.Errorf("%s: files left in the folder: %v, error %v", state, names, err)
 		}
 	}
 }
 
 // A flipped bit in a legacy log must not hide an attempt or a completion.
-func TestFlippedBitInLegacyLog(t *testing.T) {
-	sound := legacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, sampleRecords()...)...)
-	head := len(legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}))
-	for at := head; at < len(sound); at++ {
-		b := slices.Clone(sound)
-		b[at] ^= 1 << (at % 8)
+func TestFlippedBitInLegacyLogNeverHidesSentMessage(t *testing.T) {
+	valid := legacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, sampleRecords()...)...)
+	headSize := len(legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}))
+	for offset := headSize; offset < len(valid); offset++ {
+		b := slices.Clone(valid)
+		b[offset] ^= 1 << (offset % 8)
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, FolderName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		checkSafe(t, dir, fmt.Sprintf("bit flipped in byte %d", at))
+		checkRecoveryIsSafe(t, dir, fmt.Sprintf("bit flipped in byte %d", offset))
 	}
 }
 
 // Only one process at a time holds the lock. Another one gets it after the owner has
 // closed its file, as the kernel does when the owner dies.
-func TestOneOwner(t *testing.T) {
+func TestLockHasOneOwnerUntilItsFileCloses(t *testing.T) {
 	dir := t.TempDir()
-	a, err := OpenLock(dir, LockName)
+	owner, err := OpenLock(dir, LockName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := OpenLock(dir, LockName)
+	other, err := OpenLock(dir, LockName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	if got, err := a.TryLock(); !got {
+	defer other.Close()
+	if locked, err := owner.TryLock(); !locked {
 		t.Fatal(err)
 	}
-	if got, _ := b.TryLock(); got {
+	if locked, _ := other.TryLock(); locked {
 		t.Fatal("the lock was taken twice")
 	}
-	a.Close()
-	if got, err := b.TryLock(); !got {
+	owner.Close()
+	if locked, err := other.TryLock(); !locked {
 		t.Errorf("the lock of a closed file was not free: %v", err)
 	}
 }
--- a/internal/wal/handoffwriter.go
+++ b/internal/wal/handoffwriter.go
@@ -20,12 +20,12 @@
 // handoffWriter writes the handoff log of this process. The lock on its file shows other
 // processes that this one is alive.
 type handoffWriter struct {
-	file     File
-	size     int64
-	capacity int64
-	seq      uint64
-	salt     uint32
-	buffer   []byte
+	file         File
+	size         int64
+	capacity     int64
+	seq          uint64
+	checksumSeed uint32
+	buffer       []byte
 }
 
 // startHandoff ends this process's ownership of the log with the record r. Records that
@@ -39,7 +39,7 @@
 	if err != nil {
 		return fmt.Errorf("wal: handoff log: %w", err)
 	}
-	w := &handoffWriter{file: f, capacity: s.handoffCapacity(), salt: s.salt, size: headerSize}
+	w := &handoffWriter{file: f, capacity: s.handoffCapacity(), checksumSeed: s.checksumSeed, size: headerSize}
 	if err := s.beginHandoff(w, r); err != nil {
 		f.Close()
 		s.fs.Remove(path)
@@ -81,7 +81,7 @@
 // append writes a record. It returns ErrFull if there is no space for it.
 func (w *handoffWriter) append(r *Record) error {
 	var err error
-	if w.buffer, err = appendRecord(w.buffer[:0], r, w.seq+1, w.salt, nil); err != nil {
+	if w.buffer, err = appendRecord(w.buffer[:0], r, w.seq+1, w.checksumSeed, nil); err != nil {
 		return err
 	}
 	free := w.capacity
--- a/internal/wal/header.go
+++ b/internal/wal/header.go
@@ -16,16 +16,16 @@
 
 // Byte offsets of the fields in a copy of the header.
 const (
-	headerVersionAt        = 8
-	headerKindAt           = 10
-	headerDurableAt        = 11
-	headerNumberAt         = 12
-	headerFirstSeqAt       = 16
-	headerOwnerAt          = 24
-	headerProcessAt        = 40
-	headerCreatedAt        = 44
-	headerCreatedLogTimeAt = 52
-	headerChecksumAt       = 60
+	headerVersionOffset        = 8
+	headerKindOffset           = 10
+	headerDurableOffset        = 11
+	headerNumberOffset         = 12
+	headerFirstSeqOffset       = 16
+	headerOwnerOffset          = 24
+	headerProcessOffset        = 40
+	headerCreatedOffset        = 44
+	headerCreatedLogTimeOffset = 52
+	headerChecksumOffset       = 60
 )
 
 var (
@@ -34,11 +34,11 @@
 )
 
 // ownerID is a random id that is drawn once for each log and stored in the header of all its files.
-type ownerID [headerProcessAt - headerOwnerAt]byte
+type ownerID [headerProcessOffset - headerOwnerOffset]byte
 
 // checksumSeed returns the part of the owner id that starts the checksums of the log's records and
 // identifies the log in the stamp.
-func (o ownerID) salt() uint32 { return binary.BigEndian.Uint32(o[:4]) }
+func (o ownerID) checksumSeed() uint32 { return binary.BigEndian.Uint32(o[:4]) }
 
 type fileKind uint8
 
@@ -70,35 +70,35 @@
 func (h *header) encode() []byte {
 	b := make([]byte, headerCopySize, headerSize)
 	copy(b, fileMagic)
-	binary.BigEndian.PutUint16(b[headerVersionAt:], formatVersion)
-	b[headerKindAt] = byte(h.kind)
+	binary.BigEndian.PutUint16(b[headerVersionOffset:], formatVersion)
+	b[headerKindOffset] = byte(h.kind)
 	if h.durable {
-		b[headerDurableAt] = 1
+		b[headerDurableOffset] = 1
 	}
-	binary.BigEndian.PutUint32(b[headerNumberAt:], h.number)
-	binary.BigEndian.PutUint64(b[headerFirstSeqAt:], h.firstSeq)
-	copy(b[headerOwnerAt:headerProcessAt], h.owner[:])
-	binary.BigEndian.PutUint32(b[headerProcessAt:], h.process)
-	binary.BigEndian.PutUint64(b[headerCreatedAt:], uint64(h.createdAt))
-	binary.BigEndian.PutUint64(b[headerCreatedLogTimeAt:], uint64(h.createdLogTime))
+	binary.BigEndian.PutUint32(b[headerNumberOffset:], h.number)
+	binary.BigEndian.PutUint64(b[headerFirstSeqOffset:], h.firstSeq)
+	copy(b[headerOwnerOffset:headerProcessOffset], h.owner[:])
+	binary.BigEndian.PutUint32(b[headerProcessOffset:], h.process)
+	binary.BigEndian.PutUint64(b[headerCreatedOffset:], uint64(h.createdAt))
+	binary.BigEndian.PutUint64(b[headerCreatedLogTimeOffset:], uint64(h.createdLogTime))
 	sealHeaderCopy(b)
 	return append(b, b...)
 }
 
 // sealHeaderCopy stores the checksum in one copy of a header.
 func sealHeaderCopy(b []byte) {
-	binary.BigEndian.PutUint32(b[headerChecksumAt:], crc32.Checksum(b[:headerChecksumAt], castagnoli))
+	binary.BigEndian.PutUint32(b[headerChecksumOffset:], crc32.Checksum(b[:headerChecksumOffset], castagnoli))
 }
 
 // decodeHeader decodes the first valid copy and returns the number of valid copies.
 func decodeHeader(b []byte) (h header, valid int) {
-	for at := 0; at+headerCopySize <= len(b) && at < headerSize; at += headerCopySize {
-		c := b[at : at+headerCopySize]
-		if !isValidHeaderCopy(c) {
+	for offset := 0; offset+headerCopySize <= len(b) && offset < headerSize; offset += headerCopySize {
+		headerCopy := b[offset : offset+headerCopySize]
+		if !isValidHeaderCopy(headerCopy) {
 			continue
 		}
 		if valid++; valid == 1 {
-			h = parseHeaderCopy(c)
+			h = parseHeaderCopy(headerCopy)
 		}
 	}
 	return h, valid
@@ -106,19 +106,19 @@
 
 func isValidHeaderCopy(b []byte) bool {
 	return bytes.Equal(b[:len(fileMagic)], fileMagic) &&
-		crc32.Checksum(b[:headerChecksumAt], castagnoli) == binary.BigEndian.Uint32(b[headerChecksumAt:])
+		crc32.Checksum(b[:headerChecksumOffset], castagnoli) == binary.BigEndian.Uint32(b[headerChecksumOffset:])
 }
 
 func parseHeaderCopy(b []byte) header {
 	return header{
-		version:        binary.BigEndian.Uint16(b[headerVersionAt:]),
-		kind:           fileKind(b[headerKindAt]),
-		durable:        b[headerDurableAt] == 1,
-		number:         binary.BigEndian.Uint32(b[headerNumberAt:]),
-		firstSeq:       binary.BigEndian.Uint64(b[headerFirstSeqAt:]),
-		owner:          ownerID(b[headerOwnerAt:headerProcessAt]),
-		process:        binary.BigEndian.Uint32(b[headerProcessAt:]),
-		createdAt:      int64(binary.BigEndian.Uint64(b[headerCreatedAt:])),
-		createdLogTime: int64(binary.BigEndian.Uint64(b[headerCreatedLogTimeAt:])),
+		version:        binary.BigEndian.Uint16(b[headerVersionOffset:]),
+		kind:           fileKind(b[headerKindOffset]),
+		durable:        b[headerDurableOffset] == 1,
+		number:         binary.BigEndian.Uint32(b[headerNumberOffset:]),
+		firstSeq:       binary.BigEndian.Uint64(b[headerFirstSeqOffset:]),
+		owner:          ownerID(b[headerOwnerOffset:headerProcessOffset]),
+		process:        binary.BigEndian.Uint32(b[headerProcessOffset:]),
+		createdAt:      int64(binary.BigEndian.Uint64(b[headerCreatedOffset:])),
+		createdLogTime: int64(binary.BigEndian.Uint64(b[headerCreatedLogTimeOffset:])),
 	}
 }
--- a/internal/wal/import.go
+++ b/internal/wal/import.go
@@ -32,14 +32,14 @@
 	if err != nil {
 		return &r.recovery, fmt.Errorf("wal: import: %w", err)
 	}
-	claimed := from
+	importing := from
 	if !strings.HasSuffix(from, importSuffix) {
-		claimed = from + importSuffix
-		if err := os.Rename(from, claimed); err != nil {
+		importing = from + importSuffix
+		if err := os.Rename(from, importing); err != nil {
 			return nil, fmt.Errorf("wal: import: %w", err)
 		}
 	}
-	if err := installImport(claimed, dir, h); err != nil {
+	if err := installImport(importing, dir, h); err != nil {
 		return nil, fmt.Errorf("wal: import: %w", err)
 	}
 	return &r.recovery, nil
@@ -66,20 +66,20 @@
 
 // installImport builds a log from an exported checkpoint, in a temporary folder that is
 // then renamed. h is the checkpoint's header.
-func installImport(claimed, dir string, h header) error {
+func installImport(importing, dir string, h header) error {
 	folder := filepath.Join(dir, FolderName)
 	temporary := folder + temporarySuffix
 	h.kind = fileSegment
 	return runSteps(
 		func() error { return os.RemoveAll(temporary) },
 		func() error { return os.Mkdir(temporary, dirMode) },
-		func() error { return copyFile(claimed, filepath.Join(temporary, checkpointName(h.number))) },
+		func() error { return copyFile(importing, filepath.Join(temporary, checkpointName(h.number))) },
 		func() error { return writeSynced(filepath.Join(temporary, segmentName(h.number)), h.encode()) },
 		func() error { return OS{}.SyncDir(temporary) },
 		func() error { return os.RemoveAll(folder) },
 		func() error { return os.Rename(temporary, folder) },
 		func() error { return OS{}.SyncDir(dir) },
-		func() error { return os.Remove(claimed) },
+		func() error { return os.Remove(importing) },
 	)
 }
 
@@ -99,7 +99,7 @@
 	for i := range r.index.entryCount {
 		order = append(order, i)
 	}
-	slices.SortFunc(order, func(a, b uint32) int { return cmp.Compare(r.index.at(a).seq, r.index.at(b).seq) })
+	slices.SortFunc(order, func(a, b uint32) int { return cmp.Compare(r.index.entryAt(a).seq, r.index.entryAt(b).seq) })
 	var records []*Record
 	var reader messageReader
 	for _, i := range order {
@@ -123,7 +123,7 @@
 		f.file.Close()
 		return nil, header{}, fmt.Errorf("%s: %w", path, ErrNotExport)
 	}
-	f.salt = f.owner.salt()
+	f.checksumSeed = f.owner.checksumSeed()
 	r := newReplayer(f.owner, 0)
 	r.addFile(f)
 	complete := r.replayCheckpoint(f)
--- a/internal/wal/index.go
+++ b/internal/wal/index.go
@@ -23,16 +23,16 @@
 
 // indexKey is the hash of a message's id.
 type indexKey struct {
-	a uint64
-	b uint32
+	hash64 uint64
+	hash32 uint32
 }
 
 // entry is one pending message.
 type entry struct {
-	a                  uint64
+	hash64             uint64
 	seq                uint64 // sequence number of its accepted record; older messages have smaller ones
 	unknownOutcomeAt   int64
-	b                  uint32
+	hash32             uint32
 	fileRef            uint32 // file that holds its record; 0 if corruption destroyed the record
 	offset             uint32
 	size               uint32 // size of the record
@@ -43,10 +43,10 @@
 }
 
 const (
-	entryLive      = 1 << iota
-	entryFromStart // the message was pending when the log was opened
-	entryRead      // the message was returned to the relay
-	entryDetailed  // the entry has an entryDetail in index.details
+	entryLive           = 1 << iota
+	entryPendingAtStart // the message was pending when the log was opened
+	entryRead           // the message was returned to the relay
+	entryDetailed       // the entry has an entryDetail in index.details
 )
 
 // entryDetail is the part of the state that few messages have at any time.
@@ -76,10 +76,10 @@
 	return indexKey{maphash.String(x.seeds[0], id), uint32(maphash.String(x.seeds[1], id))}
 }
 
-func (x *index) at(i uint32) *entry { return &x.chunks[i/chunkSize][i%chunkSize] }
+func (x *index) entryAt(i uint32) *entry { return &x.chunks[i/chunkSize][i%chunkSize] }
 
 // ref returns the reference to the entry at position i.
-func (x *index) ref(i uint32) Ref { return Ref(uint16(x.at(i).seq))<<32 | Ref(i+1) }
+func (x *index) ref(i uint32) Ref { return Ref(uint16(x.entryAt(i).seq))<<32 | Ref(i+1) }
 
 // resolve returns the position of the entry that a reference identifies. ok is false if
 // that entry no longer exists.
@@ -88,7 +88,7 @@
 		return 0, false
 	}
 	i = uint32(r) - 1
-	if i >= x.entryCount || x.at(i).flags&entryLive == 0 {
+	if i >= x.entryCount || x.entryAt(i).flags&entryLive == 0 {
 		return 0, false
 	}
 	return i, x.ref(i) == r
@@ -97,8 +97,8 @@
 // find returns the position of a key's entry. ok is false if there is none.
 func (x *index) find(k indexKey) (i uint32, ok bool) {
 	mask := uint64(len(x.slots) - 1)
-	for s := k.a & mask; x.slots[s] != 0; s = (s + 1) & mask {
-		if i = x.slots[s] - 1; x.at(i).a == k.a && x.at(i).b == k.b {
+	for s := k.hash64 & mask; x.slots[s] != 0; s = (s + 1) & mask {
+		if i = x.slots[s] - 1; x.entryAt(i).hash64 == k.hash64 && x.entryAt(i).hash32 == k.hash32 {
 			return i, true
 		}
 	}
@@ -111,9 +111,9 @@
 		x.grow()
 	}
 	i := x.allocate()
-	e := x.at(i)
-	*e = entry{a: k.a, b: k.b, flags: entryLive}
-	x.insert(i, k.a)
+	e := x.entryAt(i)
+	*e = entry{hash64: k.hash64, hash32: k.hash32, flags: entryLive}
+	x.insert(i, k.hash64)
 	x.live++
 	return i, e
 }
@@ -147,7 +147,7 @@
 	x.slots = make([]uint32, 2*len(old))
 	for _, s := range old {
 		if s != 0 {
-			x.insert(s-1, x.at(s-1).a)
+			x.insert(s-1, x.entryAt(s-1).hash64)
 		}
 	}
 }
@@ -156,28 +156,28 @@
 // so no marker for a deleted entry is needed.
 func (x *index) remove(i uint32) {
 	mask := uint64(len(x.slots) - 1)
-	s := x.at(i).a & mask
+	s := x.entryAt(i).hash64 & mask
 	for x.slots[s] != i+1 {
 		s = (s + 1) & mask
 	}
 	for next := (s + 1) & mask; x.slots[next] != 0; next = (next + 1) & mask {
-		home := x.at(x.slots[next]-1).a & mask
+		home := x.entryAt(x.slots[next]-1).hash64 & mask
 		if (next-home)&mask >= (next-s)&mask {
 			x.slots[s], s = x.slots[next], next
 		}
 	}
 	x.slots[s] = 0
-	if x.at(i).flags&entryDetailed != 0 {
+	if x.entryAt(i).flags&entryDetailed != 0 {
 		delete(x.details, i)
 	}
-	*x.at(i) = entry{}
+	*x.entryAt(i) = entry{}
 	x.freeEntries = append(x.freeEntries, i)
 	x.live--
 }
 
 // detail returns the entry's detail and creates it if there is none.
 func (x *index) detail(i uint32) *entryDetail {
-	e := x.at(i)
+	e := x.entryAt(i)
 	if e.flags&entryDetailed == 0 {
 		e.flags |= entryDetailed
 		x.details[i] = &entryDetail{}
@@ -189,6 +189,6 @@
 func (x *index) dropEmptyDetail(i uint32) {
 	if d := x.details[i]; d != nil && *d == (entryDetail{}) {
 		delete(x.details, i)
-		x.at(i).flags &^= entryDetailed
+		x.entryAt(i).flags &^= entryDetailed
 	}
 }
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -81,8 +81,8 @@
 
 // dumpFile calls each for the records of a file. It returns false if each returned false.
 func dumpFile(f *logFile, each func(file string, offset int64, seq uint64, r *Record) bool) bool {
-	decoder := recordDecoder{legacy: f.validHeaders == 0, salt: f.owner.salt()}
-	scan := scanner{file: f.file, size: f.size, salt: decoder.salt}
+	decoder := recordDecoder{legacy: f.validHeaders == 0, checksumSeed: f.owner.checksumSeed()}
+	scan := scanner{file: f.file, size: f.size, checksumSeed: decoder.checksumSeed}
 	off := int64(0)
 	if !decoder.legacy {
 		off = headerSize
--- a/internal/wal/legacy.go
+++ b/internal/wal/legacy.go
@@ -19,8 +19,8 @@
 const (
 	legacyMark           = "\xf7TRW"
 	legacyHeadSize       = 12
-	legacyLengthAt       = 4
-	legacyChecksumAt     = 8
+	legacyLengthOffset   = 4
+	legacyChecksumOffset = 8
 	maxLegacyRecordBytes = 128 << 10
 	maxLegacyWindowBytes = legacyHeadSize + maxLegacyRecordBytes
 )
@@ -32,7 +32,7 @@
 
 // legacyRecordSize returns the size of a record according to the head at the start of b.
 func legacyRecordSize(b []byte) int64 {
-	return legacyHeadSize + int64(binary.BigEndian.Uint32(b[legacyLengthAt:]))
+	return legacyHeadSize + int64(binary.BigEndian.Uint32(b[legacyLengthOffset:]))
 }
 
 // decodeLegacy decodes the record at the start of b. size is 0 if there is no valid record.
@@ -45,7 +45,7 @@
 		return nil, 0
 	}
 	payload := b[legacyHeadSize:end]
-	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(b[legacyChecksumAt:]) {
+	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(b[legacyChecksumOffset:]) {
 		return nil, 0
 	}
 	line, body, ok := bytes.Cut(payload, []byte{'\n'})
@@ -123,11 +123,11 @@
 	isTorn := hasLegacyHead(b) && legacyRecordSize(b) > end-off
 	if isTorn && len(ids) == 1 {
 		if i, ok := s.index.find(s.index.keyOf(ids[0])); ok {
-			s.suspect(i)
+			s.assumeSent(i)
 			c.Affected = 1
 		}
 	} else {
-		c.Affected = s.suspectAll(s.seq + 1)
+		c.Affected = s.assumeAllSent(s.seq + 1)
 	}
 	s.recovery.addCorruption(c)
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -74,23 +74,23 @@
 		store:          s,
 		requests:       mailbox.New[request](),
 		done:           make(chan struct{}),
-		unread:         s.markFromStart(),
+		unread:         s.markPendingAtStart(),
 		refReader:      messageReader{scanner: scanner{windowBytes: messageWindowBytes}},
 	}
 	return l, nil
 }
 
 // markPendingAtStart marks the entries that are pending at the start and returns them, oldest first.
-func (s *store) markFromStart() []uint32 {
+func (s *store) markPendingAtStart() []uint32 {
 	order := make([]uint32, 0, s.index.live)
 	for i := range s.index.entryCount {
-		if e := s.index.at(i); e.flags&entryLive != 0 {
-			e.flags |= entryFromStart
+		if e := s.index.entryAt(i); e.flags&entryLive != 0 {
+			e.flags |= entryPendingAtStart
 			order = append(order, i)
 		}
 	}
 	slices.SortFunc(order, func(a, b uint32) int {
-		return cmp.Or(cmp.Compare(s.index.at(a).seq, s.index.at(b).seq), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(s.index.entryAt(a).seq, s.index.entryAt(b).seq), cmp.Compare(a, b))
 	})
 	return order
 }
@@ -130,7 +130,7 @@
 func (l *Log) belongsToSuccessor() bool { return l.store.handoff != nil }
 
 func (l *Log) isUnread(i uint32) bool {
-	return l.store.index.at(i).flags&(entryFromStart|entryRead) == entryFromStart
+	return l.store.index.entryAt(i).flags&(entryPendingAtStart|entryRead) == entryPendingAtStart
 }
 
 func (l *Log) readEntry(i uint32) *Record {
@@ -140,7 +140,7 @@
 		r.Corrupted = true
 	}
 	r.Ref = l.store.index.ref(i)
-	l.store.index.at(i).flags |= entryRead
+	l.store.index.entryAt(i).flags |= entryRead
 	return r
 }
 
@@ -205,7 +205,7 @@
 	}
 	// The refs were resolved above, so their low 32 bits are a valid index
 	// position plus 1 (see Ref).
-	entryOf := func(n int) *entry { return l.store.index.at(uint32(refs[n]) - 1) }
+	entryOf := func(n int) *entry { return l.store.index.entryAt(uint32(refs[n]) - 1) }
 	slices.SortFunc(order, func(a, b int) int {
 		x, y := entryOf(a), entryOf(b)
 		return cmp.Or(cmp.Compare(x.fileRef, y.fileRef), cmp.Compare(x.offset, y.offset))
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -15,7 +15,7 @@
 func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // openTestLog opens a log without starting its goroutine, and returns its pending messages.
-func openTest(t testing.TB, dir string, limit int64) (*Log, []*Record) {
+func openTestLog(t testing.TB, dir string, limit int64) (*Log, []*Record) {
 	t.Helper()
 	l, err := Open(Options{Dir: dir, Limit: limit, Log: discardLogger()})
 	if err != nil {
@@ -34,24 +34,24 @@
 	}
 }
 
-func accepted(id string, body string) *Record {
+func acceptedRecord(id string, body string) *Record {
 	return &Record{Kind: KindAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
 }
 
-func describe(recs []*Record) (all []string) {
+func describeRecords(recs []*Record) (lines []string) {
 	for _, r := range recs {
-		s := fmt.Sprintf("%s %s %d %d %s", r.ID, r.Body, r.Attempts, r.UnknownOutcomeAt, r.Notice)
+		line := fmt.Sprintf("%s %s %d %d %s", r.ID, r.Body, r.Attempts, r.UnknownOutcomeAt, r.Notice)
 		if r.Corrupted {
-			s += "lost"
+			line += "lost"
 		}
-		all = append(all, s)
+		lines = append(lines, line)
 	}
-	return all
+	return lines
 }
 
 // sampleRecords returns a history with every kind of record that concerns a message.
 func sampleRecords() []*Record {
-	return []*Record{accepted("a", "A\n\x00"), accepted("b", ""), accepted("c", "C"), accepted("d", "D"), accepted("e", "E"),
+	return []*Record{acceptedRecord("a", "A\n\x00"), acceptedRecord("b", ""), acceptedRecord("c", "C"), acceptedRecord("d", "D"), acceptedRecord("e", "E"),
 		{Kind: KindAttempt, ID: "a", At: 100, Zone: 1, Endpoint: "s-1", Process: 1},
 		{Kind: KindOutcome, ID: "a", MayHaveRun: false},
 		{Kind: KindAttempt, ID: "b", At: 200, Zone: 1, Endpoint: "s-1", Process: 1},
@@ -64,17 +64,17 @@
 
 // Pending messages are recovered in order with their state, from segments and from a
 // checkpoint, however often the folder is opened.
-func TestRecovers(t *testing.T) {
+func TestOpenRecoversPendingMessages(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := openTest(t, dir, 1<<20)
+	l, _ := openTestLog(t, dir, 1<<20)
 	mustAppend(t, l, sampleRecords()...)
 	want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 handed-back"}
 	for n := range 4 {
-		l, owed := openTest(t, dir, 1<<20)
-		if got := describe(owed); !slices.Equal(got, want) {
+		l, pending := openTestLog(t, dir, 1<<20)
+		if got := describeRecords(pending); !slices.Equal(got, want) {
 			t.Fatalf("opened %d times: recovered %q", n+1, got)
 		}
-		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.UnknownOutcomeZone != 1 {
+		if r := pending[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.UnknownOutcomeZone != 1 {
 			t.Errorf("message b has the fields %+v", r)
 		}
 		if !l.Recovery.Sound() || len(l.Recovery.Torn) > 0 {
@@ -90,69 +90,69 @@
 
 // While a checkpoint is written, messages are accepted and completed. The checkpoint may hold
 // each message at a different point of its history; later records are still applied exactly once.
-func TestCheckpointWhileAppending(t *testing.T) {
-	for _, every := range []int{1, 3, 7} {
+func TestCheckpointWhileAppendingKeepsEveryRecord(t *testing.T) {
+	for _, appendsPerSlice := range []int{1, 3, 7} {
 		dir := t.TempDir()
-		l, _ := openTest(t, dir, 64<<20)
+		l, _ := openTestLog(t, dir, 64<<20)
 		const n = 3000
 		for i := range n {
-			mustAppend(t, l, accepted(strconv.Itoa(i), strings.Repeat("b", 300)))
+			mustAppend(t, l, acceptedRecord(strconv.Itoa(i), strings.Repeat("b", 300)))
 		}
 		if err := l.store.startCheckpoint(); err != nil {
 			t.Fatal(err)
 		}
-		steps := 0
+		checkpointSteps := 0
 		for i := 0; l.store.pendingCheckpoint != nil; i++ {
 			id := strconv.Itoa(i % n)
 			switch i % 4 {
 			case 0:
 				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process})
 			case 1:
-				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, accepted(id, "again")) // the same id is accepted again
+				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, acceptedRecord(id, "again")) // the same id is accepted again
 			case 2:
-				mustAppend(t, l, accepted("new"+strconv.Itoa(i), "n"))
+				mustAppend(t, l, acceptedRecord("new"+strconv.Itoa(i), "n"))
 			case 3:
 				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 			}
-			if i%every == 0 {
-				steps++
+			if i%appendsPerSlice == 0 {
+				checkpointSteps++
 				if _, err := l.store.stepCheckpoint(4 << 10); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		want := describe(stateAfterRestart(t, l))
-		_, owed := openTest(t, dir, 64<<20)
-		if got := describe(owed); !slices.Equal(got, want) || steps < 10 {
-			t.Fatalf("after %d checkpoint slices: %d pending messages differ from the %d expected ones", steps, len(got), len(want))
+		want := describeRecords(expectedAfterRestart(t, l))
+		_, pending := openTestLog(t, dir, 64<<20)
+		if got := describeRecords(pending); !slices.Equal(got, want) || checkpointSteps < 10 {
+			t.Fatalf("after %d checkpoint slices: %d pending messages differ from the %d expected ones", checkpointSteps, len(got), len(want))
 		}
 	}
 }
 
 // expectedAfterRestart returns the messages that a restart of an open log should recover.
-func stateAfterRestart(t *testing.T, l *Log) (recs []*Record) {
+func expectedAfterRestart(t *testing.T, l *Log) (records []*Record) {
 	t.Helper()
-	type at struct {
+	type orderedRecord struct {
 		r   *Record
 		seq uint64
 	}
-	var all []at
-	var from messageReader
+	var ordered []orderedRecord
+	var reader messageReader
 	for i := range l.store.index.entryCount {
-		if e := l.store.index.at(i); e.flags&entryLive != 0 {
-			r, err := l.store.readMessage(i, &from)
+		if e := l.store.index.entryAt(i); e.flags&entryLive != 0 {
+			r, err := l.store.readMessage(i, &reader)
 			if err != nil {
 				t.Fatal(err)
 			}
 			r.resolveInFlight()
-			all = append(all, at{r, e.seq})
+			ordered = append(ordered, orderedRecord{r, e.seq})
 		}
 	}
-	slices.SortFunc(all, func(a, b at) int { return int(a.seq) - int(b.seq) })
-	for _, x := range all {
-		recs = append(recs, x.r)
+	slices.SortFunc(ordered, func(a, b orderedRecord) int { return int(a.seq) - int(b.seq) })
+	for _, x := range ordered {
+		records = append(records, x.r)
 	}
-	return recs
+	return records
 }
 
 // resolveInFlight gives an attempt without an outcome an unknown outcome, as a restart does.
@@ -181,7 +181,7 @@
 	return names
 }
 
-func diskSize(t *testing.T, dir string) (n int64) {
+func folderSize(t *testing.T, dir string) (n int64) {
 	t.Helper()
 	err := filepath.Walk(dir, func(_ string, info os.FileInfo, err error) error {
 		if err == nil && !info.IsDir() {
@@ -197,14 +197,14 @@
 
 // The files together never exceed the limit, and accepted messages can be completed even
 // if no more new ones fit.
-func TestFolderStaysWithinLimit(t *testing.T) {
+func TestFilesStayWithinLimit(t *testing.T) {
 	const limit = 1 << 20
 	dir := t.TempDir()
-	l, _ := openTest(t, dir, limit)
+	l, _ := openTestLog(t, dir, limit)
 	body := strings.Repeat("b", 64<<10)
 	n := 0
 	for ; ; n++ {
-		if err := l.store.appendRecords([]*Record{accepted(strconv.Itoa(n), body)})[0]; err != nil {
+		if err := l.store.appendRecords([]*Record{acceptedRecord(strconv.Itoa(n), body)})[0]; err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
@@ -219,7 +219,7 @@
 		mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(round) + 1, Endpoint: "endpoint"}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 		l.store.compact()
 		if round%64 == 0 {
-			if size := diskSize(t, dir); size > limit || size != l.store.usage.bytes {
+			if size := folderSize(t, dir); size > limit || size != l.store.usage.bytes {
 				t.Fatalf("round %d: %d bytes on disk, the log counts %d", round, size, l.store.usage.bytes)
 			}
 		}
@@ -230,5 +230,5 @@
 	if l.store.checkpointBytes != 0 {
 		t.Errorf("%d bytes are reserved for a checkpoint although no message is pending", l.store.checkpointBytes)
 	}
-	mustAppend(t, l, accepted("next", body))
+	mustAppend(t, l, acceptedRecord("next", body))
 }
--- a/internal/wal/logclock.go
+++ b/internal/wal/logclock.go
@@ -59,7 +59,9 @@
 	return c
 }
 
-func (c *logClock) now() int64 { return c.at(c.read()) }
+func (c *logClock) now() int64 { return c.timeAt(c.read()) }
 
 // timeAt returns the log time of a clock reading that this process made.
-func (c *logClock) at(r clock.Reading) int64 { return c.start.logTime + r.Mono - c.start.clock.Mono }
+func (c *logClock) timeAt(r clock.Reading) int64 {
+	return c.start.logTime + r.Mono - c.start.clock.Mono
+}
--- a/internal/wal/logfile.go
+++ b/internal/wal/logfile.go
@@ -42,7 +42,7 @@
 	file File
 	size int64
 	header
-	salt         uint32
+	checksumSeed uint32
 	validHeaders int  // number of valid copies of the header
 	legacy       bool // the file has the legacy format
 	corrupted    bool // the file is quarantined instead of removed once it is obsolete
--- a/internal/wal/message.go
+++ b/internal/wal/message.go
@@ -22,7 +22,7 @@
 func (m *messageReader) scannerOf(f *logFile) *scanner {
 	if m.fileRef != f.ref || m.scanner.file != f.file {
 		m.fileRef = f.ref
-		m.scanner = scanner{file: f.file, salt: f.salt, windowBytes: m.scanner.windowBytes, buffer: m.scanner.buffer[:0]}
+		m.scanner = scanner{file: f.file, checksumSeed: f.checksumSeed, windowBytes: m.scanner.windowBytes, buffer: m.scanner.buffer[:0]}
 	}
 	return &m.scanner
 }
@@ -45,7 +45,7 @@
 // readRecord stores an entry's id and state in r and returns its encoded message, which is
 // valid until the reader's next call.
 func (s *state) readRecord(i uint32, reader *messageReader, r *Record) (message []byte, err error) {
-	e := s.index.at(i)
+	e := s.index.entryAt(i)
 	s.readState(i, r)
 	if r.Corrupted {
 		return nil, nil
@@ -77,7 +77,7 @@
 
 // readState stores an entry's state in r, and its id if corruption left nothing else.
 func (s *state) readState(i uint32, r *Record) {
-	e := s.index.at(i)
+	e := s.index.entryAt(i)
 	*r = Record{
 		Kind:               KindAccepted,
 		Attempts:           int(e.attempts),
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -48,19 +48,19 @@
 }
 
 // check returns an error if the recovered records violate a guarantee.
-func (p *guarantees) holds(recs []*wal.Record) error {
-	have := map[string]*wal.Record{}
+func (p *guarantees) check(recs []*wal.Record) error {
+	recovered := map[string]*wal.Record{}
 	for _, r := range recs {
-		if have[r.ID] != nil {
+		if recovered[r.ID] != nil {
 			return fmt.Errorf("%s was recovered twice", r.ID)
 		}
-		have[r.ID] = r
+		recovered[r.ID] = r
 	}
 	isUnanswered := func(id string, kinds ...wal.Kind) bool {
 		return slices.ContainsFunc(p.unanswered, func(r *wal.Record) bool { return r.ID == id && slices.Contains(kinds, r.Kind) })
 	}
 	for id, body := range p.pending {
-		switch r := have[id]; {
+		switch r := recovered[id]; {
 		case r == nil && !isUnanswered(id, wal.KindCompleted):
 			return fmt.Errorf("%s was accepted but is missing", id)
 		case r != nil && (string(r.Body) != body && !isUnanswered(id, wal.KindAccepted) || r.Corrupted):
@@ -69,7 +69,7 @@
 			return fmt.Errorf("%s was sent but is recovered as unsent", id)
 		}
 	}
-	for id := range have {
+	for id := range recovered {
 		if p.completed[id] && !isUnanswered(id, wal.KindAccepted) {
 			return fmt.Errorf("%s was completed but is pending again", id)
 		}
@@ -79,8 +79,8 @@
 
 const cutDir = "/state"
 
-func openAfterCut(fs *cutfs.FS, promise wal.Durability) (*wal.Log, []*wal.Record, error) {
-	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: promise, FS: fs})
+func openCutLog(fs *cutfs.FS, durability wal.Durability) (*wal.Log, []*wal.Record, error) {
+	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: durability, FS: fs})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -102,33 +102,33 @@
 	return errs
 }
 
-func history(r *rand.Rand, n int) (recs []*wal.Record) {
-	live := []string{}
-	out := map[string]bool{}
+func randomHistory(r *rand.Rand, n int) (recs []*wal.Record) {
+	pendingIDs := []string{}
+	inFlight := map[string]bool{}
 	for i := range n {
-		if len(live) == 0 || r.IntN(3) == 0 {
+		if len(pendingIDs) == 0 || r.IntN(3) == 0 {
 			id := fmt.Sprintf("m-%d", i)
-			live = append(live, id)
+			pendingIDs = append(pendingIDs, id)
 			recs = append(recs, &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "once", Dest: 1, Deadline: 1e15, Body: []byte(strings.Repeat(string(rune('a'+i%26)), r.IntN(1200)))})
 			continue
 		}
-		at := r.IntN(len(live))
-		id := live[at]
+		position := r.IntN(len(pendingIDs))
+		id := pendingIDs[position]
 		switch {
-		case out[id] && r.IntN(2) == 0:
+		case inFlight[id] && r.IntN(2) == 0:
 			recs = append(recs, &wal.Record{Kind: wal.KindOutcome, ID: id, MayHaveRun: r.IntN(2) == 0})
-			out[id] = false
-		case out[id] || r.IntN(4) == 0:
+			inFlight[id] = false
+		case inFlight[id] || r.IntN(4) == 0:
 			recs = append(recs, &wal.Record{Kind: wal.KindCompleted, ID: id})
-			live = slices.Delete(live, at, at+1)
-			out[id] = false
+			pendingIDs = slices.Delete(pendingIDs, position, position+1)
+			inFlight[id] = false
 			if r.IntN(4) == 0 { // the same id is accepted again
-				live = append(live, id)
+				pendingIDs = append(pendingIDs, id)
 				recs = append(recs, &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "once", Dest: 1, Deadline: 1e15, Body: []byte("again")})
 			}
 		default:
 			recs = append(recs, &wal.Record{Kind: wal.KindAttempt, ID: id, At: int64(i + 1), Process: 1, Endpoint: "s-1", Sync: true})
-			out[id] = true
+			inFlight[id] = true
 		}
 	}
 	return recs
@@ -136,20 +136,20 @@
 
 // checkAfterCut opens the folder twice after a power cut and checks the guarantees. keep
 // says which pending changes survive the cut.
-func checkAfterCut(fs *cutfs.FS, p *guarantees, keep func(int) bool) error {
-	after := fs.Cut(keep)
-	l, recs, err := openAfterCut(after, wal.SurvivesPowerLoss)
+func checkAfterCut(fs *cutfs.FS, p *guarantees, survives func(int) bool) error {
+	cut := fs.Cut(survives)
+	l, recs, err := openCutLog(cut, wal.SurvivesPowerLoss)
 	if err != nil {
 		return fmt.Errorf("open after the cut: %w", err)
 	}
 	if !l.Recovery.Sound() {
 		return fmt.Errorf("a power cut without corruption is reported as corruption: %+v, lost ids %v", l.Recovery.Corruptions, l.Recovery.LostIDs)
 	}
-	if err := p.holds(recs); err != nil {
+	if err := p.check(recs); err != nil {
 		return err
 	}
 	l.Close()
-	l, again, err := openAfterCut(after, wal.SurvivesPowerLoss)
+	l, again, err := openCutLog(cut, wal.SurvivesPowerLoss)
 	if err != nil {
 		return fmt.Errorf("second open after the cut: %w", err)
 	}
@@ -170,7 +170,7 @@
 // forEachPowerCut calls f with choices of which of n changes survive a power cut: with all
 // choices if n is at most 6, otherwise with every prefix, all but each one, each one
 // alone, and some at random.
-func forEachCut(n int, r *rand.Rand, f func(keep func(int) bool) error) error {
+func forEachPowerCut(n int, r *rand.Rand, f func(survives func(int) bool) error) error {
 	if n <= 6 {
 		for set := range 1 << n {
 			if err := f(func(i int) bool { return set>>i&1 == 1 }); err != nil {
@@ -179,22 +179,22 @@
 		}
 		return nil
 	}
-	for at := range n + 1 {
-		for what, keep := range map[string]func(int) bool{"the first": func(i int) bool { return i < at }, "all but": func(i int) bool { return i != at },
-			"only": func(i int) bool { return i == at }} {
-			if err := f(keep); err != nil {
-				return fmt.Errorf("%s change %d of %d survives: %w", what, at, n, err)
+	for position := range n + 1 {
+		for choice, survives := range map[string]func(int) bool{"the first": func(i int) bool { return i < position }, "all but number": func(i int) bool { return i != position },
+			"only number": func(i int) bool { return i == position }} {
+			if err := f(survives); err != nil {
+				return fmt.Errorf("%s %d of %d changes survive: %w", choice, position, n, err)
 			}
 		}
 	}
 	for range 4 {
 		seed := r.Uint64()
-		draw := rand.New(rand.NewPCG(seed, 1))
-		kept := make([]bool, n)
-		for i := range kept {
-			kept[i] = draw.IntN(2) == 0
+		random := rand.New(rand.NewPCG(seed, 1))
+		survivors := make([]bool, n)
+		for i := range survivors {
+			survivors[i] = random.IntN(2) == 0
 		}
-		if err := f(func(i int) bool { return kept[i] }); err != nil {
+		if err := f(func(i int) bool { return survivors[i] }); err != nil {
 			return fmt.Errorf("changes drawn with seed %d survive: %w", seed, err)
 		}
 	}
@@ -203,32 +203,32 @@
 
 // Power is lost before every change of the file system in a short history that includes a
 // checkpoint, and again during the recovery from such a loss.
-func TestPowerLostAtEveryPoint(t *testing.T) {
+func TestPowerLossBeforeEveryChangeKeepsGuarantees(t *testing.T) {
 	for seed := range uint64(4) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		fs := cutfs.New(cutDir)
 		p := newGuarantees()
-		points, tried := 0, 0
-		fs.Before = func(what, name string) error {
+		points, cuts := 0, 0
+		fs.Before = func(operation, name string) error {
 			points++
 			hook := fs.Before
 			fs.Before = nil
 			defer func() { fs.Before = hook }()
-			if err := forEachCut(fs.Pending(), r, func(keep func(int) bool) error { tried++; return checkAfterCut(fs, p, keep) }); err != nil {
-				t.Fatalf("seed %d, point %d, before %s of %s: %v", seed, points, what, name, err)
+			if err := forEachPowerCut(fs.Pending(), r, func(survives func(int) bool) error { cuts++; return checkAfterCut(fs, p, survives) }); err != nil {
+				t.Fatalf("seed %d, point %d, before %s of %s: %v", seed, points, operation, name, err)
 			}
 			if points%5 == 0 { // cuts the power a second time, during the recovery
-				again := fs.Cut(func(int) bool { return r.IntN(2) == 0 })
-				again.Before = func(what, name string) error {
-					hook := again.Before
-					again.Before = nil
-					defer func() { again.Before = hook }()
-					if err := checkAfterCut(again, p, func(int) bool { return r.IntN(2) == 0 }); err != nil {
-						t.Fatalf("seed %d, point %d, in the recovery before %s of %s: %v", seed, points, what, name, err)
+				secondCut := fs.Cut(func(int) bool { return r.IntN(2) == 0 })
+				secondCut.Before = func(operation, name string) error {
+					hook := secondCut.Before
+					secondCut.Before = nil
+					defer func() { secondCut.Before = hook }()
+					if err := checkAfterCut(secondCut, p, func(int) bool { return r.IntN(2) == 0 }); err != nil {
+						t.Fatalf("seed %d, point %d, in the recovery before %s of %s: %v", seed, points, operation, name, err)
 					}
 					return nil
 				}
-				l, _, err := openAfterCut(again, wal.SurvivesPowerLoss)
+				l, _, err := openCutLog(secondCut, wal.SurvivesPowerLoss)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -236,36 +236,36 @@
 			}
 			return nil
 		}
-		l, _, err := openAfterCut(fs, wal.SurvivesPowerLoss)
+		l, _, err := openCutLog(fs, wal.SurvivesPowerLoss)
 		if err != nil {
 			t.Fatal(err)
 		}
-		recs := history(r, 24)
+		recs := randomHistory(r, 24)
 		appendOneByOne(l, p, recs[:12])
 		if err := l.CheckpointNow(); err != nil {
 			t.Fatal(err)
 		}
 		appendOneByOne(l, p, recs[12:])
 		l.Close()
-		t.Logf("seed %d: %d points, %d cuts", seed, points, tried)
-		if points < 50 || tried < 500 {
-			t.Errorf("only %d points and %d cuts were tested, want at least 50 and 500", points, tried)
+		t.Logf("seed %d: %d points, %d cuts", seed, points, cuts)
+		if points < 50 || cuts < 500 {
+			t.Errorf("only %d points and %d cuts were tested, want at least 50 and 500", points, cuts)
 		}
 	}
 }
 
 // As the test above, but with longer histories, several restarts and random cuts.
-func TestPowerLostOverLongHistories(t *testing.T) {
+func TestPowerLossInLongHistoriesKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 		fs := cutfs.New(cutDir)
 		p := newGuarantees()
 		for incarnation := range rapid.IntRange(1, 4).Draw(t, "incarnations") {
-			l, recs, err := openAfterCut(fs, wal.SurvivesPowerLoss)
+			l, recs, err := openCutLog(fs, wal.SurvivesPowerLoss)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := p.holds(recs); err != nil {
+			if err := p.check(recs); err != nil {
 				t.Fatalf("start %d: %v", incarnation, err)
 			}
 			if !l.Recovery.Sound() {
@@ -273,29 +273,29 @@
 			}
 			// What the log recovered replaces the guarantees, since each unanswered record
 			// may or may not be recorded.
-			q := newGuarantees()
+			recovered := newGuarantees()
 			for _, x := range recs {
-				q.pending[x.ID] = string(x.Body)
-				q.mayHaveRun[x.ID] = x.UnknownOutcomeAt != 0
+				recovered.pending[x.ID] = string(x.Body)
+				recovered.mayHaveRun[x.ID] = x.UnknownOutcomeAt != 0
 			}
-			maps.Copy(q.completed, p.completed)
+			maps.Copy(recovered.completed, p.completed)
 			for id := range p.pending {
-				if _, ok := q.pending[id]; !ok {
-					q.completed[id] = true
+				if _, ok := recovered.pending[id]; !ok {
+					recovered.completed[id] = true
 				}
 			}
-			for id := range q.pending {
-				delete(q.completed, id)
+			for id := range recovered.pending {
+				delete(recovered.completed, id)
 			}
-			p = q
-			todo := history(r, rapid.IntRange(1, 300).Draw(t, "records"))
-			for i := range todo {
-				todo[i].ID = fmt.Sprint(incarnation, "-", todo[i].ID)
+			p = recovered
+			remaining := randomHistory(r, rapid.IntRange(1, 300).Draw(t, "records"))
+			for i := range remaining {
+				remaining[i].ID = fmt.Sprint(incarnation, "-", remaining[i].ID)
 			}
-			stop := rapid.IntRange(0, 200).Draw(t, "cut after")
+			changesLeft := rapid.IntRange(0, 200).Draw(t, "cut after")
 			var cut *cutfs.FS
 			fs.Before = func(string, string) error {
-				if stop--; stop < 0 {
+				if changesLeft--; changesLeft < 0 {
 					if cut == nil {
 						cut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
 					}
@@ -303,20 +303,20 @@
 				}
 				return nil
 			}
-			for i := 0; len(todo) > 0; i++ {
-				n := min(len(todo), 1+r.IntN(8)) // only part of a batch may be recorded
-				p.unanswered = todo[:n]
-				errs := l.AppendAll(todo[:n])
+			for i := 0; len(remaining) > 0; i++ {
+				n := min(len(remaining), 1+r.IntN(8)) // only part of a batch may be recorded
+				p.unanswered = remaining[:n]
+				errs := l.AppendAll(remaining[:n])
 				if cut != nil {
 					break
 				}
 				p.unanswered = nil
 				for k, err := range errs {
 					if err == nil {
-						p.add(todo[k])
+						p.add(remaining[k])
 					}
 				}
-				if todo = todo[n:]; i%10 == 9 {
+				if remaining = remaining[n:]; i%10 == 9 {
 					l.Compact()
 				}
 			}
@@ -331,41 +331,41 @@
 }
 
 // The checks in this file detect a log that reports records as done before it has synced them.
-func TestForgottenSyncIsCaught(t *testing.T) {
+func TestPowerLossCheckDetectsMissingSync(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 4))
 	fs := cutfs.New(cutDir)
 	p := newGuarantees()
-	l, _, err := openAfterCut(fs, wal.SurvivesCrash) // the simulated defect: nothing is synced
+	l, _, err := openCutLog(fs, wal.SurvivesCrash) // the simulated defect: nothing is synced
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	appendOneByOne(l, p, history(r, 20))
-	if err := forEachCut(fs.Pending(), r, func(keep func(int) bool) error { return checkAfterCut(fs, p, keep) }); err == nil {
+	appendOneByOne(l, p, randomHistory(r, 20))
+	if err := forEachPowerCut(fs.Pending(), r, func(survives func(int) bool) error { return checkAfterCut(fs, p, survives) }); err == nil {
 		t.Fatal("no cut violated a guarantee although nothing was synced")
 	}
 }
 
 // After a sync has failed, the log accepts no record any more, and what was recorded
 // before is not lost.
-func TestFailedSyncIsFinal(t *testing.T) {
+func TestLogRefusesRecordsAfterFailedSync(t *testing.T) {
 	fs := cutfs.New(cutDir)
-	var told error
-	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: wal.SurvivesPowerLoss, FS: fs, OnFailure: func(err error) { told = err }})
+	var reported error
+	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: wal.SurvivesPowerLoss, FS: fs, OnFailure: func(err error) { reported = err }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := newGuarantees()
-	recs := history(rand.New(rand.NewPCG(5, 5)), 40)
+	recs := randomHistory(rand.New(rand.NewPCG(5, 5)), 40)
 	appendOneByOne(l, p, recs[:20])
-	fs.Before = func(what, _ string) error {
-		if what == "sync" {
+	fs.Before = func(operation, _ string) error {
+		if operation == "sync" {
 			return syscall.EIO
 		}
 		return nil
 	}
-	if errs := appendOneByOne(l, p, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(told, wal.ErrSyncFailed) {
-		t.Fatalf("%d records were refused, OnFailure got %v", errs, told)
+	if errs := appendOneByOne(l, p, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(reported, wal.ErrSyncFailed) {
+		t.Fatalf("%d records were refused, OnFailure got %v", errs, reported)
 	}
 	fs.Before = nil // a sync would succeed again from here on
 	if errs := appendOneByOne(l, p, recs[20:]); errs != len(recs)-20 {
@@ -379,28 +379,28 @@
 
 // Any file system call may fail, completely or in part. What was recorded stays recorded,
 // and the log works again once calls succeed.
-func TestFailingCalls(t *testing.T) {
+func TestFailingFileSystemCallsLoseNoRecord(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS} {
 		for _, short := range []bool{false, true} {
 			for seed := range uint64(40) {
 				r := rand.New(rand.NewPCG(seed, 6))
 				fs := cutfs.New(cutDir)
-				fs.Short = short
+				fs.ShortWrites = short
 				p := newGuarantees()
-				l, _, err := openAfterCut(fs, wal.SurvivesCrash)
+				l, _, err := openCutLog(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
-				recs := history(r, 200)
-				fs.Before = func(what, _ string) error {
-					if what != "mark" && r.IntN(4) == 0 {
+				recs := randomHistory(r, 200)
+				fs.Before = func(operation, _ string) error {
+					if operation != "mark" && r.IntN(4) == 0 {
 						return errno
 					}
 					return nil
 				}
 				refused := 0
 				for i, x := range recs {
-					if _, owed := p.pending[x.ID]; owed && x.Kind == wal.KindAccepted {
+					if _, isPending := p.pending[x.ID]; isPending && x.Kind == wal.KindAccepted {
 						continue // its completion was refused, so it is still pending and not accepted again
 					}
 					if err := l.AppendNow(x); err == nil {
@@ -422,14 +422,14 @@
 				}
 				p.add(&wal.Record{Kind: wal.KindAccepted, ID: "last", Body: []byte("z")})
 				l.Close()
-				back, got, err := openAfterCut(fs, wal.SurvivesCrash)
+				reopened, recovered, err := openCutLog(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := p.holds(got); err != nil || !back.Recovery.Sound() || refused == 0 {
-					t.Fatalf("%v, short writes %v, seed %d: %v; %d records refused; the recovery found %+v", errno, short, seed, err, refused, back.Recovery)
+				if err := p.check(recovered); err != nil || !reopened.Recovery.Sound() || refused == 0 {
+					t.Fatalf("%v, short writes %v, seed %d: %v; %d records refused; the recovery found %+v", errno, short, seed, err, refused, reopened.Recovery)
 				}
-				back.Close()
+				reopened.Close()
 			}
 		}
 	}
--- a/internal/wal/read_test.go
+++ b/internal/wal/read_test.go
@@ -11,24 +11,24 @@
 // Read returns a message with its current state in any order of references, before, during
 // and after a checkpoint that moves the record. The reference of a completed message does
 // not refer to a later one.
-func TestReadByReference(t *testing.T) {
-	l, _ := openTest(t, t.TempDir(), 64<<20)
+func TestReadFollowsReferencesAcrossCheckpoint(t *testing.T) {
+	l, _ := openTestLog(t, t.TempDir(), 64<<20)
 	const n = 3000
 	recs := make([]*Record, n)
 	for i := range n {
-		recs[i] = accepted(fmt.Sprint("m", i), strings.Repeat("b", i%300)+fmt.Sprint(i))
+		recs[i] = acceptedRecord(fmt.Sprint("m", i), strings.Repeat("b", i%300)+fmt.Sprint(i))
 		mustAppend(t, l, recs[i])
 		if recs[i].Ref == 0 {
 			t.Fatalf("%s has no reference after its write", recs[i].ID)
 		}
 	}
-	again := accepted("m7", "again") // m7 is already pending, so the first record keeps the reference
-	mustAppend(t, l, again)
-	if again.Ref != 0 {
+	duplicate := acceptedRecord("m7", "again") // m7 is already pending, so the first record keeps the reference
+	mustAppend(t, l, duplicate)
+	if duplicate.Ref != 0 {
 		t.Error("a second record of a pending message got a reference")
 	}
 	mustAppend(t, l, &Record{Kind: KindAttempt, ID: "m5", At: 100, Zone: 1, Endpoint: "s-1", Process: l.Process}, &Record{Kind: KindOutcome, ID: "m5", MayHaveRun: true})
-	check := func(when string) {
+	checkAll := func(when string) {
 		t.Helper()
 		order := rand.New(rand.NewPCG(1, 2)).Perm(n)
 		refs := make([]Ref, n)
@@ -44,7 +44,7 @@
 			t.Fatalf("%s: m5 has the state %+v", when, r)
 		}
 	}
-	check("record in a segment")
+	checkAll("record in a segment")
 	if err := l.store.startCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
@@ -52,14 +52,14 @@
 		if _, err := l.store.stepCheckpoint(64 << 10); err != nil {
 			t.Fatal(err)
 		}
-		check("while a checkpoint is written")
+		checkAll("while a checkpoint is written")
 	}
-	check("record in the checkpoint")
+	checkAll("record in the checkpoint")
 	mustAppend(t, l, &Record{Kind: KindCompleted, ID: "m9"})
 	if r := l.Read([]Ref{recs[9].Ref, 0, 1 << 30}); !slices.Equal(r, []*Record{nil, nil, nil}) {
 		t.Errorf("references to no message return %+v", r)
 	}
-	mustAppend(t, l, accepted("new", "")) // reuses the position of m9 in the index
+	mustAppend(t, l, acceptedRecord("new", "")) // reuses the position of m9 in the index
 	if r := l.Read([]Ref{recs[9].Ref}); r[0] != nil {
 		t.Errorf("the reference of a completed message returns %+v", r[0])
 	}
@@ -67,10 +67,10 @@
 
 // A client that submits a message again is answered from the log only if IsPending is
 // true. It is false once the final notice is recorded.
-func TestIsPending(t *testing.T) {
+func TestIsPendingIsFalseOnceCompletionBegins(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, accepted("pending", ""), accepted("completed", ""), accepted("completing", ""), &Record{Kind: KindCompleted, ID: "completed"},
+	l, _ := openTestLog(t, dir, 1<<20)
+	mustAppend(t, l, acceptedRecord("pending", ""), acceptedRecord("completed", ""), acceptedRecord("completing", ""), &Record{Kind: KindCompleted, ID: "completed"},
 		&Record{Kind: KindCompleting, ID: "completing", Notice: "handed-back"})
 	for id, want := range map[string]bool{"pending": true, "completed": false, "completing": false, "unknown": false} {
 		if l.IsPending(id) != want {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -22,9 +22,9 @@
 	kindCheckpointEnd Kind = "total" // last record of a checkpoint: the number of records before it
 )
 
-// isFact reports whether a record describes something that has already happened. If the disk
+// isPastEvent reports whether a record describes something that has already happened. If the disk
 // refuses such a record, the log keeps it in memory and writes it before all later ones.
-func (k Kind) isFact() bool {
+func (k Kind) isPastEvent() bool {
 	return k == KindOutcome || k == KindCompleting || k == KindCompleted || k == KindOwner
 }
 
--- a/internal/wal/recorded_test.go
+++ b/internal/wal/recorded_test.go
@@ -62,7 +62,7 @@
 	return dir
 }
 
-func withText(records []*wal.Record) (messages []recordedMessage) {
+func withBodyText(records []*wal.Record) (messages []recordedMessage) {
 	for _, r := range records {
 		messages = append(messages, recordedMessage{*r, string(r.Body)})
 	}
@@ -112,14 +112,14 @@
 	if l.PendingUnread() != len(want.Records) {
 		t.Errorf("%d messages pending, want %d", l.PendingUnread(), len(want.Records))
 	}
-	compareMessages(t, "pending messages", want.Records, withText(l.Next(100)))
+	compareMessages(t, "pending messages", want.Records, withBodyText(l.Next(100)))
 	return l
 }
 
 // The folders were written by the program before its packages were renamed. The current
 // code recovers the same messages, attempts, unknown outcomes and deadlines from them,
 // also after a checkpoint and another start.
-func TestRecordedFolders(t *testing.T) {
+func TestOpenRecoversFoldersOfEarlierVersion(t *testing.T) {
 	for _, name := range []string{"killed", "handed-on"} {
 		t.Run(name, func(t *testing.T) {
 			dir, want := copyRecordedFolder(t, name), readRecordedState(t, name+".json")
@@ -131,27 +131,27 @@
 				t.Fatal(err)
 			}
 			l.Close()
-			again, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: recordedClock()})
+			reopened, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: recordedClock()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer again.Close()
+			defer reopened.Close()
 			later := recordedMessage{Record: wal.Record{Kind: wal.KindAccepted, ID: "later", Class: "plain", Deadline: want.Now + 1}}
-			compareMessages(t, "after a checkpoint and another start", append(want.Records, later), withText(again.Next(100)))
+			compareMessages(t, "after a checkpoint and another start", append(want.Records, later), withBodyText(reopened.Next(100)))
 		})
 	}
 }
 
 // While the process that handed the log off is alive, its attempts stay in flight and its
 // handoff log is read.
-func TestRecordedHandoff(t *testing.T) {
+func TestOpenFollowsHandoffLogOfEarlierVersion(t *testing.T) {
 	dir, want := copyRecordedFolder(t, "handed-on"), readRecordedState(t, "handed-on-living.json")
-	before, err := wal.OS{}.Open(filepath.Join(dir, wal.HandoffName), wal.ModeWrite)
+	handoffFile, err := wal.OS{}.Open(filepath.Join(dir, wal.HandoffName), wal.ModeWrite)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer before.Close()
-	if locked, err := before.TryLock(); !locked {
+	defer handoffFile.Close()
+	if locked, err := handoffFile.TryLock(); !locked {
 		t.Fatalf("the handoff log is not locked: %v", err)
 	}
 	l := openRecorded(t, dir, want)
@@ -159,7 +159,7 @@
 		t.Fatal("no handoff log")
 	}
 	defer l.Handoff.Close()
-	compareMessages(t, "handoff log", want.Handoff, withText(l.Handoff.Read()))
+	compareMessages(t, "handoff log", want.Handoff, withBodyText(l.Handoff.Read()))
 	if l.Handoff.Process != 1 || l.Handoff.Capacity != want.Handoff[0].HandoffCapacity || l.Handoff.OwnerExited() {
 		t.Errorf("handoff log of process %d with %d bytes, exited %v", l.Handoff.Process, l.Handoff.Capacity, l.Handoff.OwnerExited())
 	}
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -45,14 +45,14 @@
 		return nil, err
 	}
 	stamp := readStamp(fs, filepath.Join(dir, stampName))
-	owner, known := electOwner(files.all(), stamp.salt())
+	owner, known := electOwner(files.all(), stamp.checksumSeed())
 	// No header can be read. The stamp tells the seed that the records' checksums start from.
 	if !known && stamp.hasOwner() {
-		binary.BigEndian.PutUint32(owner[:], stamp.salt())
+		binary.BigEndian.PutUint32(owner[:], stamp.checksumSeed())
 		known = true
 	}
-	foreign := files.dropForeign(owner.salt())
-	if !known || stamp.salt() != owner.salt() {
+	foreign := files.dropForeign(owner.checksumSeed())
+	if !known || stamp.checksumSeed() != owner.checksumSeed() {
 		stamp = Stamp{}
 	}
 	files.sort()
@@ -127,35 +127,35 @@
 
 // electOwner returns the owner that most files name. If two are named equally often, it
 // returns the one whose log the stamp belongs to.
-func electOwner(files []*logFile, stampSalt uint32) (owner ownerID, known bool) {
+func electOwner(files []*logFile, stampSeed uint32) (owner ownerID, known bool) {
 	votes := map[ownerID]int{}
 	for _, f := range files {
 		if f.validHeaders == 0 {
 			continue
 		}
 		votes[f.owner] += 2
-		if f.owner.salt() == stampSalt {
+		if f.owner.checksumSeed() == stampSeed {
 			votes[f.owner]++
 		}
 	}
 	most := 0
-	for o, n := range votes {
-		if n > most || n == most && string(o[:]) < string(owner[:]) {
-			owner, most = o, n
+	for candidate, n := range votes {
+		if n > most || n == most && string(candidate[:]) < string(owner[:]) {
+			owner, most = candidate, n
 		}
 	}
 	return owner, most > 0
 }
 
 // dropForeign closes and reports the files of other owners.
-func (f *folderFiles) dropForeign(salt uint32) (foreign []Corruption) {
+func (f *folderFiles) dropForeign(checksumSeed uint32) (foreign []Corruption) {
 	isForeign := func(file *logFile) bool {
-		if file.validHeaders > 0 && file.owner.salt() != salt {
+		if file.validHeaders > 0 && file.owner.checksumSeed() != checksumSeed {
 			foreign = append(foreign, Corruption{File: file.name, Bytes: file.size, Reason: "of another relay"})
 			file.file.Close()
 			return true
 		}
-		file.salt = salt
+		file.checksumSeed = checksumSeed
 		return false
 	}
 	f.segments = slices.DeleteFunc(f.segments, isForeign)
@@ -218,9 +218,9 @@
 	}
 	// A checkpoint is written after the segment that follows it was created, so that
 	// segment is missing.
-	if base != nil && r.last == nil {
+	if base != nil && r.lastSegment == nil {
 		c := Corruption{File: segmentName(first), Reason: reasonSegmentMissing}
-		r.gaps = append(r.gaps, gap{Corruption: c, from: r.seq + 1, to: r.seq + 1})
+		r.gaps = append(r.gaps, gap{Corruption: c, firstSeq: r.seq + 1, lastSeq: r.seq + 1})
 	}
 	r.assessEnd()
 	return r, complete
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -8,20 +8,20 @@
 	stampedSeq   uint64   // sequence number of the last record according to the stamp; 0 if unknown
 	nextFileSeq  uint64   // sequence number of the first record in the next file; 0 if unknown
 	previousSeal uint32   // segment named by the seal that precedes the last segment, if the last segment has no record; else 0
-	last         *logFile // the last segment; nil if there is none
-	end          fileTail // the bytes after the last record of the last segment
+	lastSegment  *logFile // the last segment; nil if there is none
+	tail         fileTail // the bytes after the last record of the last segment
 	gaps         []gap
 }
 
 // gap is a range of sequence numbers whose records are missing.
 type gap struct {
 	Corruption
-	from, to uint64 // first and last sequence number
+	firstSeq, lastSeq uint64 // first and last sequence number
 }
 
 func newReplayer(owner ownerID, stampedSeq uint64) *replayer {
 	r := &replayer{state: newState(), stampedSeq: stampedSeq}
-	r.owner, r.salt = owner, owner.salt()
+	r.owner, r.checksumSeed = owner, owner.checksumSeed()
 	return r
 }
 
@@ -51,7 +51,7 @@
 	p := fileReplay{
 		replayer: r,
 		file:     f,
-		scan:     scanner{file: f.file, size: f.size, salt: f.salt},
+		scan:     scanner{file: f.file, size: f.size, checksumSeed: f.checksumSeed},
 		seq:      seq,
 		summary:  FileReport{Name: f.name, Kind: f.kind.String(), Bytes: f.size, First: f.firstSeq},
 	}
@@ -149,7 +149,7 @@
 			c = Corruption{File: p.file.name, Offset: off, Reason: fmt.Sprintf("%d records missing", missing)}
 		}
 		p.file.corrupted = true
-		p.gaps = append(p.gaps, gap{Corruption: c, from: *p.seq + 1, to: rec.seq - 1})
+		p.gaps = append(p.gaps, gap{Corruption: c, firstSeq: *p.seq + 1, lastSeq: rec.seq - 1})
 	case p.file.validHeaders == 0 && p.skipped.Bytes > 0 && p.skipped.Offset == 0:
 		p.file.corrupted = true
 		p.recovery.addCorruption(p.skipped)
@@ -213,7 +213,7 @@
 	r.recovery.Files = append(r.recovery.Files, summary)
 	complete = len(r.recovery.Corruptions) == before && len(r.gaps) == 0 && tail.bytes == 0 && summary.Records > 0
 	for _, g := range r.gaps { // these messages are lost; no other message is affected
-		g.Reason = fmt.Sprintf("%d records of the checkpoint unreadable", g.to-g.from+1)
+		g.Reason = fmt.Sprintf("%d records of the checkpoint unreadable", g.lastSeq-g.firstSeq+1)
 		r.recovery.addCorruption(g.Corruption)
 	}
 	r.gaps = nil
@@ -231,7 +231,7 @@
 // replaySegment applies a segment. later holds the segments after it.
 func (r *replayer) replaySegment(f *logFile, later []*logFile) {
 	r.nextFileSeq = firstSeqAfter(f, later)
-	if r.last != nil && r.last.number == f.number {
+	if r.lastSegment != nil && r.lastSegment.number == f.number {
 		r.recovery.addTorn(Corruption{File: f.name, Bytes: f.size, Reason: "a second copy of a segment"})
 		return
 	}
@@ -241,9 +241,9 @@
 	r.addFile(f)
 	r.segments = append(r.segments, f)
 	var summary FileReport
-	summary, r.end = r.replayFile(f, &r.seq)
+	summary, r.tail = r.replayFile(f, &r.seq)
 	r.recovery.Files = append(r.recovery.Files, summary)
-	r.last = f
+	r.lastSegment = f
 	if summary.Records > 0 {
 		r.previousSeal = 0
 	}
@@ -262,20 +262,20 @@
 
 // addTail reports the bytes after the last record of the segment before next.
 func (r *replayer) addTail(next *logFile) {
-	if r.end.bytes == 0 {
+	if r.tail.bytes == 0 {
 		return
 	}
-	c := Corruption{File: r.last.name, Offset: r.end.offset, Bytes: r.end.bytes}
-	isMissingRecord := r.end.status == recordTorn && next.validHeaders > 0 && r.end.record.seq == r.seq+1 && next.firstSeq == r.seq+2
+	c := Corruption{File: r.lastSegment.name, Offset: r.tail.offset, Bytes: r.tail.bytes}
+	isMissingRecord := r.tail.status == recordTorn && next.validHeaders > 0 && r.tail.record.seq == r.seq+1 && next.firstSeq == r.seq+2
 	if isMissingRecord { // the torn record is the only one between the two segments
-		r.applyCorrupted(&r.end.record, &c)
+		r.applyCorrupted(&r.tail.record, &c)
 		r.recovery.addCorruption(c)
 		r.seq++
 		return
 	}
 	// Either the torn records were written again to the next segment, or the check of that
 	// segment's sequence numbers reports them as missing.
-	c.Reason, c.IDs = reasonTornEnd, r.end.ids
+	c.Reason, c.IDs = reasonTornEnd, r.tail.ids
 	r.recovery.addTorn(c)
 }
 
@@ -285,10 +285,10 @@
 	case f.validHeaders > 0 && f.firstSeq > r.seq+1:
 		f.corrupted = true
 		c := Corruption{File: f.name, Reason: fmt.Sprintf("%d records missing before it", f.firstSeq-r.seq-1)}
-		r.gaps = append(r.gaps, gap{Corruption: c, from: r.seq + 1, to: f.firstSeq - 1})
+		r.gaps = append(r.gaps, gap{Corruption: c, firstSeq: r.seq + 1, lastSeq: f.firstSeq - 1})
 		r.seq = f.firstSeq - 1
 	case r.sealedNext != 0 && f.number > r.sealedNext: // the number of records in the missing segment is unknown
 		c := Corruption{File: segmentName(r.sealedNext), Reason: reasonSegmentMissing}
-		r.gaps = append(r.gaps, gap{Corruption: c, from: r.seq + 1, to: r.seq})
+		r.gaps = append(r.gaps, gap{Corruption: c, firstSeq: r.seq + 1, lastSeq: r.seq})
 	}
 }
--- a/internal/wal/run.go
+++ b/internal/wal/run.go
@@ -108,8 +108,8 @@
 
 // complete reports the result of a record to its submitter, or keeps the record for a retry.
 func (l *Log) complete(r request, err error) {
-	refused := err != nil && !errors.Is(err, ErrNotPending)
-	if refused && r.record.Kind.isFact() && !errors.Is(err, ErrSyncFailed) {
+	failed := err != nil && !errors.Is(err, ErrNotPending)
+	if failed && r.record.Kind.isPastEvent() && !errors.Is(err, ErrSyncFailed) {
 		if len(l.deferred) == 0 {
 			l.store.logger.Error("log not writable", "kind", r.record.Kind, "message", r.record.ID, "err", err)
 		}
@@ -117,7 +117,7 @@
 		l.deferredCount.Store(int64(len(l.deferred)))
 		return
 	}
-	if refused {
+	if failed {
 		l.logUnwritten(r, err)
 	}
 	if r.done != nil {
--- a/internal/wal/scanner.go
+++ b/internal/wal/scanner.go
@@ -20,7 +20,7 @@
 type scanner struct {
 	file         File
 	size         int64
-	salt         uint32
+	checksumSeed uint32
 	windowBytes  int // minimum size of a read; 0 for scanWindowBytes
 	buffer       []byte
 	bufferOffset int64 // file offset of buffer[0]
@@ -70,18 +70,18 @@
 // record reads the record at offset off.
 func (s *scanner) record(off int64) (r rawRecord, status recordStatus) {
 	b := s.window(off, maxRecordHeadBytes)
-	if len(b) < recordHeadSize || string(b[:recordLengthAt]) != recordMark {
+	if len(b) < recordHeadSize || string(b[:recordLengthOffset]) != recordMark {
 		return r, recordUnreadable
 	}
-	length, idLength := int(binary.BigEndian.Uint32(b[recordLengthAt:])), int(binary.BigEndian.Uint16(b[recordIDLengthAt:]))
+	length, idLength := int(binary.BigEndian.Uint32(b[recordLengthOffset:])), int(binary.BigEndian.Uint16(b[recordIDLengthOffset:]))
 	if length > maxRecordBytes || idLength > length || recordHeadSize+idLength > len(b) {
 		return r, recordUnreadable
 	}
-	if headChecksum(b, s.salt, idLength) != binary.BigEndian.Uint32(b[recordHeadChecksumAt:]) {
+	if headChecksum(b, s.checksumSeed, idLength) != binary.BigEndian.Uint32(b[recordHeadChecksumOffset:]) {
 		return r, recordUnreadable
 	}
-	r = rawRecord{size: int64(recordHeadSize + length), seq: binary.BigEndian.Uint64(b[recordSeqAt:])}
-	if k := int(b[recordKindAt]); k > 0 && k < len(kindsByNumber) {
+	r = rawRecord{size: int64(recordHeadSize + length), seq: binary.BigEndian.Uint64(b[recordSeqOffset:])}
+	if k := int(b[recordKindOffset]); k > 0 && k < len(kindsByNumber) {
 		r.kind = kindsByNumber[k]
 	}
 	if off+r.size > s.size {
@@ -93,8 +93,8 @@
 		return r, recordUnreadable
 	}
 	r.id, r.payload = b[recordHeadSize:recordHeadSize+idLength], b[recordHeadSize+idLength:]
-	sum := crc32.Update(binary.BigEndian.Uint32(b[recordHeadChecksumAt:]), castagnoli, r.payload)
-	if sum != binary.BigEndian.Uint32(b[recordChecksumAt:]) || r.kind == "" {
+	sum := crc32.Update(binary.BigEndian.Uint32(b[recordHeadChecksumOffset:]), castagnoli, r.payload)
+	if sum != binary.BigEndian.Uint32(b[recordChecksumOffset:]) || r.kind == "" {
 		return r, payloadCorrupted
 	}
 	return r, recordValid
@@ -146,18 +146,18 @@
 // wrong; they help an operator to search for a message.
 func (s *scanner) readableIDs(from, to int64) (ids []string) {
 	b := s.window(from, int(min(to-from, maxIDSearchBytes)))
-	for at := 0; len(ids) < maxReadableIDs; {
-		i := bytes.Index(b[at:], []byte(recordMark))
+	for offset := 0; len(ids) < maxReadableIDs; {
+		i := bytes.Index(b[offset:], []byte(recordMark))
 		if i < 0 {
 			return ids
 		}
-		head := at + i
-		at = head + recordHeadSize
-		if at > len(b) {
+		head := offset + i
+		offset = head + recordHeadSize
+		if offset > len(b) {
 			return ids
 		}
-		length := int(binary.BigEndian.Uint16(b[head+recordIDLengthAt:]))
-		if id := b[at:min(len(b), at+length)]; len(id) > 0 && idPattern.Match(id) {
+		length := int(binary.BigEndian.Uint16(b[head+recordIDLengthOffset:]))
+		if id := b[offset:min(len(b), offset+length)]; len(id) > 0 && idPattern.Match(id) {
 			ids = append(ids, string(id))
 		}
 	}
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -96,7 +96,7 @@
 // stampHeader sets a header's creation time to the current time.
 func (s *store) stampHeader(h *header) {
 	now := s.options.Clock()
-	h.createdAt, h.createdLogTime = now.Wall, s.clock.at(now)
+	h.createdAt, h.createdLogTime = now.Wall, s.clock.timeAt(now)
 }
 
 // createFile creates a file of the log and writes its header.
@@ -106,7 +106,7 @@
 		return nil, fmt.Errorf("wal: %w", err)
 	}
 	s.stampHeader(&h)
-	file := &logFile{name: filepath.Base(path), file: f, header: h, salt: s.salt, validHeaders: headerSize / headerCopySize, size: headerSize}
+	file := &logFile{name: filepath.Base(path), file: f, header: h, checksumSeed: s.checksumSeed, validHeaders: headerSize / headerCopySize, size: headerSize}
 	if _, err = f.WriteAt(h.encode(), 0); err == nil {
 		err = s.syncer.syncFile(file)
 	}
@@ -127,7 +127,7 @@
 
 // writeOwnRecord writes a record about the log itself, without checking the limit of the folder.
 func (s *store) writeOwnRecord(r *Record) error {
-	b, err := appendRecord(nil, r, s.seq+1, s.salt, nil)
+	b, err := appendRecord(nil, r, s.seq+1, s.checksumSeed, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/wal/stamp.go
+++ b/internal/wal/stamp.go
@@ -45,13 +45,13 @@
 // stampOwnerFlag distinguishes a stamp's ID from the zeros of a new file.
 const stampOwnerFlag = 1 << 32
 
-func stampIDOf(salt uint32) uint64 { return uint64(salt) | stampOwnerFlag }
+func stampIDOf(checksumSeed uint32) uint64 { return uint64(checksumSeed) | stampOwnerFlag }
 
 // hasOwner reports whether the stamp was ever written.
 func (s Stamp) hasOwner() bool { return s.ID>>32 == stampOwnerFlag>>32 }
 
 // checksumSeed returns the checksum seed of the log that the stamp belongs to.
-func (s Stamp) salt() uint32 { return uint32(s.ID) }
+func (s Stamp) checksumSeed() uint32 { return uint32(s.ID) }
 
 func (s Stamp) words() [stampWords]uint64 {
 	boot := s.Clock.Boot
--- a/internal/wal/state.go
+++ b/internal/wal/state.go
@@ -16,7 +16,7 @@
 	obsolete        []string   // files that the checkpoint replaced
 	nextSegment     uint32
 	owner           ownerID
-	salt            uint32
+	checksumSeed    uint32
 	seq             uint64 // sequence number of the last record
 	syncedSeq       uint64 // sequence number up to which the log was synced, according to its batch start records
 	sealedNext      uint32 // number of the next segment if the last record is a seal; 0 otherwise
@@ -60,8 +60,8 @@
 const stateReserveBytes = 128
 
 // maxEntryBytes returns the maximum size of an entry's record in a checkpoint.
-func (s *state) entryBytes(i uint32) int64 {
-	e := s.index.at(i)
+func (s *state) maxEntryBytes(i uint32) int64 {
+	e := s.index.entryAt(i)
 	n := int64(e.size) + stateReserveBytes
 	if e.flags&entryDetailed != 0 {
 		d := s.index.details[i]
@@ -92,7 +92,7 @@
 
 func (s *state) applyToMessage(k indexKey, id []byte, seq uint64, r *Record, place recordPlace) {
 	i, known := s.index.find(k)
-	if known && r.Kind != kindMessageState && s.index.at(i).includes(seq) {
+	if known && r.Kind != kindMessageState && s.index.entryAt(i).includes(seq) {
 		return // the checkpoint's state of the message already includes this record
 	}
 	switch r.Kind {
@@ -114,7 +114,7 @@
 		s.lastTime = max(s.lastTime, r.At)
 	}
 	s.update(i, r)
-	e := s.index.at(i)
+	e := s.index.entryAt(i)
 	e.stateSeq = uint32(min(seq-e.seq, math.MaxUint32))
 }
 
@@ -144,7 +144,7 @@
 			d.corruptedID, e.fileRef = string(id), 0
 		}
 	}
-	s.checkpointBytes += s.entryBytes(i)
+	s.checkpointBytes += s.maxEntryBytes(i)
 }
 
 // addCorrupted adds a message of which corruption left only the id.
@@ -152,33 +152,33 @@
 	i, e := s.index.add(k)
 	e.seq = seq
 	s.index.detail(i).corruptedID = string(id)
-	s.checkpointBytes += s.entryBytes(i)
+	s.checkpointBytes += s.maxEntryBytes(i)
 	return i
 }
 
 // markCorrupted notes that an entry's record can no longer be read.
 func (s *state) markCorrupted(i uint32, id string) {
-	s.checkpointBytes -= s.entryBytes(i)
+	s.checkpointBytes -= s.maxEntryBytes(i)
 	s.index.detail(i).corruptedID = id
-	s.checkpointBytes += s.entryBytes(i)
+	s.checkpointBytes += s.maxEntryBytes(i)
 }
 
 // relocate notes that an entry's record is now stored at another position.
 func (s *state) relocate(i uint32, place recordPlace) {
-	s.checkpointBytes -= s.entryBytes(i)
-	e := s.index.at(i)
+	s.checkpointBytes -= s.maxEntryBytes(i)
+	e := s.index.entryAt(i)
 	e.fileRef, e.offset, e.size = place.file.ref, uint32(place.offset), uint32(place.size)
-	s.checkpointBytes += s.entryBytes(i)
+	s.checkpointBytes += s.maxEntryBytes(i)
 }
 
 func (s *state) removeEntry(i uint32) {
-	s.checkpointBytes -= s.entryBytes(i)
+	s.checkpointBytes -= s.maxEntryBytes(i)
 	s.index.remove(i)
 }
 
 // update changes an entry by a record of its message.
 func (s *state) update(i uint32, r *Record) {
-	s.checkpointBytes -= s.entryBytes(i)
+	s.checkpointBytes -= s.maxEntryBytes(i)
 	switch r.Kind {
 	case KindAttempt:
 		s.updateAttempt(i, r)
@@ -188,7 +188,7 @@
 		d := s.index.detail(i)
 		d.notice, d.retryMS = r.Notice, r.RetryMS
 	}
-	s.checkpointBytes += s.entryBytes(i)
+	s.checkpointBytes += s.maxEntryBytes(i)
 }
 
 func (s *state) updateAttempt(i uint32, r *Record) {
@@ -199,7 +199,7 @@
 }
 
 func (s *state) countAttempt(i uint32) {
-	e := s.index.at(i)
+	e := s.index.entryAt(i)
 	e.attempts = uint8(min(int(e.attempts)+1, maxAttempts))
 }
 
@@ -208,7 +208,7 @@
 	if d == nil {
 		return
 	}
-	e := s.index.at(i)
+	e := s.index.entryAt(i)
 	if r.MayHaveRun && e.unknownOutcomeAt == 0 {
 		e.unknownOutcomeAt, e.unknownOutcomeZone = d.inFlightSince, int16(d.inFlightZone)
 	}
@@ -224,7 +224,7 @@
 // after the record seq.
 func (s *state) resolveInFlight(exited func(process int) bool, seq uint64) {
 	for i, d := range s.index.details {
-		if d.inFlightSince != 0 && exited(d.inFlightProcess) && seq > s.index.at(i).lastSeq() {
+		if d.inFlightSince != 0 && exited(d.inFlightProcess) && seq > s.index.entryAt(i).lastSeq() {
 			s.update(i, &Record{Kind: KindOutcome, MayHaveRun: true})
 		}
 	}
@@ -236,11 +236,11 @@
 
 // assumeSent treats a message as sent, since corruption may have destroyed the
 // record of an attempt.
-func (s *state) suspect(i uint32) {
+func (s *state) assumeSent(i uint32) {
 	// Counts one attempt: a message has at most one in flight at a time, and a corrupted
 	// range mostly covers one record.
 	s.countAttempt(i)
-	e := s.index.at(i)
+	e := s.index.entryAt(i)
 	if e.unknownOutcomeAt != 0 {
 		return
 	}
@@ -252,10 +252,10 @@
 
 // assumeAllSent treats each message as sent that was accepted before the record with the
 // sequence number before. It returns their number.
-func (s *state) suspectAll(before uint64) (n int) {
+func (s *state) assumeAllSent(before uint64) (n int) {
 	for i := range s.index.entryCount {
-		if e := s.index.at(i); e.flags&entryLive != 0 && e.seq < before {
-			s.suspect(i)
+		if e := s.index.entryAt(i); e.flags&entryLive != 0 && e.seq < before {
+			s.assumeSent(i)
 			n++
 		}
 	}
@@ -284,7 +284,7 @@
 		if !known {
 			i = s.addCorrupted(k, r.id, r.seq-1)
 		}
-		s.suspect(i)
+		s.assumeSent(i)
 		c.Affected = 1
 		// The message has ended with a notice that is no longer known, so it is not sent again.
 		if r.kind == KindCompleting {
--- a/internal/wal/store.go
+++ b/internal/wal/store.go
@@ -72,7 +72,7 @@
 	if err := s.finishInterruptedWrites(); err != nil {
 		return nil, err
 	}
-	handoff, late, err := s.openHandoff()
+	handoff, unmerged, err := s.openHandoff()
 	if err != nil {
 		return nil, err
 	}
@@ -80,13 +80,13 @@
 		return nil, err
 	}
 	s.inheritedPolicy = s.policySnapshot
-	living := 0
+	livingProcess := 0
 	if handoff != nil {
-		living = handoff.Process
-	} else if err := s.mergeHandoff(late); err != nil {
+		livingProcess = handoff.Process
+	} else if err := s.mergeHandoff(unmerged); err != nil {
 		return nil, err
 	}
-	s.takeOwnership(living)
+	s.becomeOwner(livingProcess)
 	s.removeObsolete()
 	s.checkpointAtStart()
 	return handoff, nil
@@ -167,7 +167,7 @@
 func (s *store) prepareFolder() (err error) {
 	if s.owner == (ownerID{}) {
 		rand.Read(s.owner[:]) // never fails
-		s.salt = s.owner.salt()
+		s.checksumSeed = s.owner.checksumSeed()
 	}
 	if s.recovery.OlderFormat {
 		if err := s.convertLegacy(); err != nil {
@@ -184,10 +184,10 @@
 
 // becomeOwner makes this process the owner of the log. Attempts in flight get unknown
 // outcomes, except for those of the previous process if that is still alive.
-func (s *store) takeOwnership(living int) {
-	s.resolveInFlight(func(process int) bool { return process != living }, s.seq+1)
+func (s *store) becomeOwner(livingProcess int) {
+	s.resolveInFlight(func(process int) bool { return process != livingProcess }, s.seq+1)
 	s.process++
-	s.ownerRecord = &Record{Kind: KindOwner, ID: NoMessage, Process: s.process, HandoffOffset: s.handoffOffset, livingProcess: living}
+	s.ownerRecord = &Record{Kind: KindOwner, ID: NoMessage, Process: s.process, HandoffOffset: s.handoffOffset, livingProcess: livingProcess}
 }
 
 func (s *store) removeObsolete() {
--- a/internal/wal/usage.go
+++ b/internal/wal/usage.go
@@ -92,17 +92,17 @@
 
 // quarantine renames a corrupted file to keep it, and reports whether it did.
 func (s *store) quarantine(name, path string) bool {
-	to := filepath.Join(s.dir, quarantinePrefix+"-"+name)
-	if _, _, err := s.fs.Stat(to); err == nil { // keeps an earlier quarantined file of the same name
+	target := filepath.Join(s.dir, quarantinePrefix+"-"+name)
+	if _, _, err := s.fs.Stat(target); err == nil { // keeps an earlier quarantined file of the same name
 		return false
 	}
-	if err := s.fs.Rename(path, to); err != nil {
+	if err := s.fs.Rename(path, target); err != nil {
 		return false
 	}
 	size := s.usage.sizes[path]
 	s.usage.resize(path, 0)
-	s.usage.resize(to, size)
+	s.usage.resize(target, size)
 	s.usage.quarantined += blockBytes(size)
-	s.logger.Warn("corrupted file kept", "file", to)
+	s.logger.Warn("corrupted file kept", "file", target)
 	return true
 }
