--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -36,7 +36,7 @@
 	return best
 }
 
-func (m model) next() (at int64, ok bool) {
+func (m model) earliestLoadBy() (at int64, ok bool) {
 	for i, x := range m {
 		if i == 0 || x.LoadBy < at {
 			at = x.LoadBy
@@ -51,7 +51,7 @@
 		var s Store
 		var m model
 		index := uint32(0)
-		// Removes an item that the store returned from the model. Of several items with
+		// Removes from the model an item that the store returned. Of several items with
 		// the same LoadBy any may come first, but only the first of the ordered ones.
 		removeFromModel := func(got Item, method string) {
 			t.Helper()
@@ -90,7 +90,7 @@
 				now, n := rapid.Int64Range(-1, 31).Draw(t, "now"), rapid.IntRange(0, 8).Draw(t, "n")
 				got := s.TakeDue(now, n)
 				for _, x := range got {
-					if at, _ := m.next(); at > now {
+					if at, _ := m.earliestLoadBy(); at > now {
 						t.Fatalf("TakeDue returned %+v at %d, but the first item is due at %d", x, now, at)
 					}
 					if x.LoadBy > now { // allowed only for an ordered item before another one that is due
@@ -100,13 +100,13 @@
 					}
 					removeFromModel(x, "due")
 				}
-				if at, ok := m.next(); len(got) < n && ok && at <= now {
+				if at, ok := m.earliestLoadBy(); len(got) < n && ok && at <= now {
 					t.Fatalf("TakeDue returned %d of at most %d items although one is due at %d", len(got), n, at)
 				}
 			},
 			"": func(t *rapid.T) {
 				at, ok := s.Next()
-				if want, wantOK := m.next(); s.Len() != len(m) || ok != wantOK || at != want {
+				if want, wantOK := m.earliestLoadBy(); s.Len() != len(m) || ok != wantOK || at != want {
 					t.Fatalf("%d items, the first due at %d (%v); want %d items, the first due at %d (%v)", s.Len(), at, ok, len(m), want, wantOK)
 				}
 				for dest := range 5 {
--- a/internal/wal/capacity.go
+++ b/internal/wal/capacity.go
@@ -11,8 +11,8 @@
 	minCompactionBytes   = 1 << 20 // a shorter log gets no checkpoint
 	maxSegmentBytes      = 16 << 20
 	minSegmentBytes      = 64 << 10
-	segmentsPerLimit     = 6         // a segment takes up at most this fraction of the limit, which bounds the number of open files
-	compactionsPerLimit  = 3         // a log of this fraction of the limit may get a checkpoint
+	segmentsPerLimit     = 6         // a segment takes up at most the limit divided by this, which bounds the number of open files
+	compactionsPerLimit  = 3         // a log longer than the limit divided by this may get a checkpoint
 	maxBatchBytes        = 256 << 10 // maximum size of a batch
 	checkpointSliceBytes = 128 << 10 // size of the part of a checkpoint that is written between two batches
 )
--- a/internal/wal/corruption_test.go
+++ b/internal/wal/corruption_test.go
@@ -11,12 +11,12 @@
 )
 
 // buildFolder writes the sample records, with a checkpoint before the record at position
-// checkpoint (none if it is negative). It returns the contents of the log's files by name.
+// checkpointBefore (none if it is negative). It returns the contents of the log's files by name.
 func buildFolder(t *testing.T, checkpointBefore int) (dir string, files map[string][]byte) {
 	t.Helper()
 	dir = t.TempDir()
 	l, _ := openTestLog(t, dir, 1<<20)
-	for i, r := range sampleRecords() {
+	for i, r := range newSampleRecords() {
 		if i == checkpointBefore {
 			if err := l.store.finishCheckpoint(); err != nil {
 				t.Fatal(err)
@@ -140,7 +140,7 @@
 func TestTornWriteIsNotReportedAsCorruption(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTestLog(t, dir, 1<<20)
-	mustAppend(t, l, acceptedRecord("a", "A"), acceptedRecord("b", "B"))
+	mustAppend(t, l, newAcceptedRecord("a", "A"), newAcceptedRecord("b", "B"))
 	validSize := l.store.segment.file.size
 	for _, torn := range [][]byte{{0xf7}, []byte(recordMark + "\x00\x00"), func() []byte {
 		b, _ := appendRecord(nil, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, l.store.seq+1, l.store.checksumSeed, nil)
@@ -164,7 +164,7 @@
 func TestStampDetectsMissingLastRecords(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTestLog(t, dir, 1<<20)
-	mustAppend(t, l, acceptedRecord("a", "A"), acceptedRecord("b", "B"))
+	mustAppend(t, l, newAcceptedRecord("a", "A"), newAcceptedRecord("b", "B"))
 	validSize := l.store.segment.file.size
 	mustAppend(t, l, &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s"}, &Record{Kind: KindOutcome, ID: "b"})
 	if err := l.store.segment.file.file.Truncate(validSize); err != nil {
@@ -175,7 +175,7 @@
 	if len(pending) != 2 || pending[1].UnknownOutcomeAt == 0 || l.Recovery.Sound() {
 		t.Fatalf("the lost attempt of b was not detected: recovered %q, found %+v", describeRecords(pending), l.Recovery)
 	}
-	mustAppend(t, l, acceptedRecord("c", "C"))
+	mustAppend(t, l, newAcceptedRecord("c", "C"))
 	l.store.close()
 	if _, pending = openTestLog(t, dir, 1<<20); len(pending) != 3 || pending[2].UnknownOutcomeAt != 0 {
 		t.Errorf("after another record and start: recovered %q", describeRecords(pending))
@@ -187,7 +187,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	l, _ := openTestLog(t, dir, 1<<20)
-	for i, r := range sampleRecords() {
+	for i, r := range newSampleRecords() {
 		if i%3 == 2 {
 			if err := l.store.startSegment(); err != nil {
 				t.Fatal(err)
@@ -197,7 +197,7 @@
 	}
 	l.store.close()
 	files = map[string][]byte{}
-	for _, path := range append(logFiles(t, dir, segmentSuffix), filepath.Join(dir, FolderName, stampName)) {
+	for _, path := range append(listLogFiles(t, dir, segmentSuffix), filepath.Join(dir, FolderName, stampName)) {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -255,8 +255,8 @@
 func TestCorruptedBodyAffectsOnlyItsMessage(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTestLog(t, dir, 1<<20)
-	mustAppend(t, l, acceptedRecord("first-one", "A"), acceptedRecord("second-one", strings.Repeat("body", 40)), acceptedRecord("third-one", "C"))
-	path := logFiles(t, dir, segmentSuffix)[0]
+	mustAppend(t, l, newAcceptedRecord("first-one", "A"), newAcceptedRecord("second-one", strings.Repeat("body", 40)), newAcceptedRecord("third-one", "C"))
+	path := listLogFiles(t, dir, segmentSuffix)[0]
 	l.store.close()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -319,8 +319,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, l, acceptedRecord("carrier", string(forged)), acceptedRecord("victim", "V"))
-	path := logFiles(t, dir, segmentSuffix)[0]
+	mustAppend(t, l, newAcceptedRecord("carrier", string(forged)), newAcceptedRecord("victim", "V"))
+	path := listLogFiles(t, dir, segmentSuffix)[0]
 	l.store.close()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -341,7 +341,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, r := range sampleRecords() {
+	for _, r := range newSampleRecords() {
 		l.store.appendRecords([]*Record{r})
 	}
 	l.store.close()
@@ -365,7 +365,7 @@
 			return // a newer version, or no readable files
 		}
 		first := describeRecords(l.Next(1 << 20))
-		if err := l.store.appendRecords([]*Record{acceptedRecord("after", "x")})[0]; err != nil && !errors.Is(err, ErrFull) {
+		if err := l.store.appendRecords([]*Record{newAcceptedRecord("after", "x")})[0]; err != nil && !errors.Is(err, ErrFull) {
 			t.Fatal(err)
 		}
 		l.store.close()
@@ -381,7 +381,7 @@
 }
 
 func FuzzRecord(f *testing.F) {
-	for _, r := range sampleRecords() {
+	for _, r := range newSampleRecords() {
 		b, err := appendRecord(nil, r, 1, 7, nil)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/wal/handoff_test.go
+++ b/internal/wal/handoff_test.go
@@ -47,11 +47,11 @@
 func TestTruncationDuringHandoffLosesNoMessage(t *testing.T) {
 	original := t.TempDir()
 	l, _ := openTestLog(t, original, 1<<20)
-	mustAppend(t, l, acceptedRecord("a", "A"), acceptedRecord("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
+	mustAppend(t, l, newAcceptedRecord("a", "A"), newAcceptedRecord("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
 	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("policy")}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, l, acceptedRecord("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
+	mustAppend(t, l, newAcceptedRecord("c", "C"), &Record{Kind: KindOutcome, ID: "b"})
 	l.store.close() // the process is killed
 	sizes := map[string]int{}
 	copyFolder(t, original, func(name string, b []byte) []byte { sizes[name] = len(b); return b })
@@ -92,11 +92,11 @@
 func TestHandoffLogIsMergedOnce(t *testing.T) {
 	dir := t.TempDir()
 	old, _ := openTestLog(t, dir, 1<<20)
-	mustAppend(t, old, acceptedRecord("a", "A"), &Record{Kind: KindAttempt, ID: "a", At: 5, Endpoint: "s-1", Process: old.Process})
+	mustAppend(t, old, newAcceptedRecord("a", "A"), &Record{Kind: KindAttempt, ID: "a", At: 5, Endpoint: "s-1", Process: old.Process})
 	if err := old.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, acceptedRecord("b", "B"))
+	mustAppend(t, old, &Record{Kind: KindOutcome, ID: "a"}, newAcceptedRecord("b", "B"))
 	next, pending := openTestLog(t, dir, 1<<20)
 	if next.Handoff == nil || len(pending) != 1 || pending[0].InFlightEndpoint != "s-1" {
 		t.Fatalf("recovered %v, handoff log %v", describeRecords(pending), next.Handoff)
@@ -119,7 +119,7 @@
 		old, _ := openTestLog(t, dir, limit)
 		body := strings.Repeat("b", 8<<10)
 		for i := 0; full || i < 4; i++ {
-			if old.store.appendRecords([]*Record{acceptedRecord(strconv.Itoa(i), body)})[0] != nil {
+			if old.store.appendRecords([]*Record{newAcceptedRecord(strconv.Itoa(i), body)})[0] != nil {
 				break
 			}
 		}
@@ -128,9 +128,9 @@
 		}
 		next, _ := openTestLog(t, dir, limit)
 		for i := range 400 {
-			old.store.appendRecords([]*Record{acceptedRecord("o"+strconv.Itoa(i), body)})
-			next.store.appendRecords([]*Record{acceptedRecord("n"+strconv.Itoa(i), body)})
-			if size := folderSize(t, dir); size+next.store.checkpointBytes > limit {
+			old.store.appendRecords([]*Record{newAcceptedRecord("o"+strconv.Itoa(i), body)})
+			next.store.appendRecords([]*Record{newAcceptedRecord("n"+strconv.Itoa(i), body)})
+			if size := measureFolderSize(t, dir); size+next.store.checkpointBytes > limit {
 				t.Fatalf("full %v: %d bytes on disk and %d for a checkpoint exceed the limit", full, size, next.store.checkpointBytes)
 			}
 		}
@@ -147,11 +147,11 @@
 func TestCorruptedHandoffLogMarksPendingMessagesAsSent(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTestLog(t, dir, 1<<20)
-	mustAppend(t, l, acceptedRecord("a", "A"), acceptedRecord("b", "B"))
+	mustAppend(t, l, newAcceptedRecord("a", "A"), newAcceptedRecord("b", "B"))
 	if err := l.store.startHandoff(&Record{Kind: KindHandoff, ID: NoMessage}); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, l, acceptedRecord("c", "C"), acceptedRecord("d", "D"))
+	mustAppend(t, l, newAcceptedRecord("c", "C"), newAcceptedRecord("d", "D"))
 	l.store.close()
 	corruptedAt := -1
 	corrupted := copyFolder(t, dir, func(name string, b []byte) []byte {
@@ -173,8 +173,8 @@
 	}
 }
 
-// legacyRecord returns a record as a legacy program writes it.
-func legacyRecord(r *Record) []byte {
+// encodeLegacyRecord encodes a record as a legacy program writes it.
+func encodeLegacyRecord(r *Record) []byte {
 	line, _ := json.Marshal(r) // a Record can always be marshaled
 	payload := append(append(line, '\n'), r.Body...)
 	b := append([]byte(legacyMark), 0, 0, 0, 0, 0, 0, 0, 0)
@@ -183,9 +183,9 @@
 	return append(b, payload...)
 }
 
-func legacyLog(recs ...*Record) (b []byte) {
+func encodeLegacyLog(recs ...*Record) (b []byte) {
 	for _, r := range recs {
-		b = append(b, legacyRecord(r)...)
+		b = append(b, encodeLegacyRecord(r)...)
 	}
 	return b
 }
@@ -195,12 +195,12 @@
 func TestOpenConvertsLegacyLog(t *testing.T) {
 	for _, alive := range []bool{false, true} {
 		dir := t.TempDir()
-		b := legacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, sampleRecords()...)...)
-		b = append(b, legacyLog(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("policy")})...)
+		b := encodeLegacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, newSampleRecords()...)...)
+		b = append(b, encodeLegacyLog(&Record{Kind: KindHandoff, ID: NoMessage, Body: []byte("policy")})...)
 		if err := os.WriteFile(filepath.Join(dir, FolderName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		handoffLog := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1, HandoffCapacity: 32 << 10}, acceptedRecord("f", "F"))
+		handoffLog := encodeLegacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1, HandoffCapacity: 32 << 10}, newAcceptedRecord("f", "F"))
 		if err := os.WriteFile(filepath.Join(dir, HandoffName), handoffLog, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -242,8 +242,8 @@
 // A kill between any two steps of the conversion loses nothing, also if the legacy program
 // ran again in between.
 func TestInterruptedLegacyConversionLosesNothing(t *testing.T) {
-	firstLog := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, acceptedRecord("a", "A"), acceptedRecord("b", "B"), &Record{Kind: KindCompleted, ID: "b"})
-	secondLog := legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, acceptedRecord("z", "Z"))
+	firstLog := encodeLegacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, newAcceptedRecord("a", "A"), newAcceptedRecord("b", "B"), &Record{Kind: KindCompleted, ID: "b"})
+	secondLog := encodeLegacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}, newAcceptedRecord("z", "Z"))
 	for state, files := range map[string]map[string][]byte{
 		"temporary folder written":     {FolderName: firstLog, FolderName + temporarySuffix + "/x": []byte("half")},
 		"legacy file renamed":          {FolderName + legacySuffix: firstLog, FolderName + temporarySuffix + "/x": []byte("half")},
@@ -279,8 +279,8 @@
 
 // A flipped bit in a legacy log must not hide an attempt or a completion.
 func TestFlippedBitInLegacyLogNeverHidesSentMessage(t *testing.T) {
-	valid := legacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, sampleRecords()...)...)
-	headSize := len(legacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}))
+	valid := encodeLegacyLog(append([]*Record{{Kind: KindOwner, ID: NoMessage, Process: 1}}, newSampleRecords()...)...)
+	headSize := len(encodeLegacyLog(&Record{Kind: KindOwner, ID: NoMessage, Process: 1}))
 	for offset := headSize; offset < len(valid); offset++ {
 		b := slices.Clone(valid)
 		b[offset] ^= 1 << (offset % 8)
--- a/internal/wal/handoffwriter.go
+++ b/internal/wal/handoffwriter.go
@@ -11,7 +11,7 @@
 const (
 	handoffReserve   = 16 << 10           // bytes that are never used for new messages
 	minHandoffBytes  = 2 * handoffReserve // minimum capacity
-	handoffsPerLimit = 4                  // the capacity is at most this fraction of the folder's limit
+	handoffsPerLimit = 4                  // the capacity is at most the folder's limit divided by this
 )
 
 // errHandoffLocked: another process has a handoff log in the folder.
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -12,12 +12,12 @@
 	"testing"
 )
 
-func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func newDiscardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // openTestLog opens a log without starting its goroutine, and returns its pending messages.
 func openTestLog(t testing.TB, dir string, limit int64) (*Log, []*Record) {
 	t.Helper()
-	l, err := Open(Options{Dir: dir, Limit: limit, Log: discardLogger()})
+	l, err := Open(Options{Dir: dir, Limit: limit, Log: newDiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-func acceptedRecord(id string, body string) *Record {
+func newAcceptedRecord(id string, body string) *Record {
 	return &Record{Kind: KindAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
 }
 
@@ -49,9 +49,9 @@
 	return lines
 }
 
-// sampleRecords returns a history with every kind of record that concerns a message.
-func sampleRecords() []*Record {
-	return []*Record{acceptedRecord("a", "A\n\x00"), acceptedRecord("b", ""), acceptedRecord("c", "C"), acceptedRecord("d", "D"), acceptedRecord("e", "E"),
+// newSampleRecords returns a history with every kind of record that concerns a message.
+func newSampleRecords() []*Record {
+	return []*Record{newAcceptedRecord("a", "A\n\x00"), newAcceptedRecord("b", ""), newAcceptedRecord("c", "C"), newAcceptedRecord("d", "D"), newAcceptedRecord("e", "E"),
 		{Kind: KindAttempt, ID: "a", At: 100, Zone: 1, Endpoint: "s-1", Process: 1},
 		{Kind: KindOutcome, ID: "a", MayHaveRun: false},
 		{Kind: KindAttempt, ID: "b", At: 200, Zone: 1, Endpoint: "s-1", Process: 1},
@@ -67,7 +67,7 @@
 func TestOpenRecoversPendingMessages(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTestLog(t, dir, 1<<20)
-	mustAppend(t, l, sampleRecords()...)
+	mustAppend(t, l, newSampleRecords()...)
 	want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 handed-back"}
 	for n := range 4 {
 		l, pending := openTestLog(t, dir, 1<<20)
@@ -96,7 +96,7 @@
 		l, _ := openTestLog(t, dir, 64<<20)
 		const n = 3000
 		for i := range n {
-			mustAppend(t, l, acceptedRecord(strconv.Itoa(i), strings.Repeat("b", 300)))
+			mustAppend(t, l, newAcceptedRecord(strconv.Itoa(i), strings.Repeat("b", 300)))
 		}
 		if err := l.store.startCheckpoint(); err != nil {
 			t.Fatal(err)
@@ -108,9 +108,9 @@
 			case 0:
 				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process})
 			case 1:
-				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, acceptedRecord(id, "again")) // the same id is accepted again
+				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, newAcceptedRecord(id, "again")) // the same id is accepted again
 			case 2:
-				mustAppend(t, l, acceptedRecord("new"+strconv.Itoa(i), "n"))
+				mustAppend(t, l, newAcceptedRecord("new"+strconv.Itoa(i), "n"))
 			case 3:
 				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 			}
@@ -121,7 +121,7 @@
 				}
 			}
 		}
-		want := describeRecords(expectedAfterRestart(t, l))
+		want := describeRecords(readExpectedMessages(t, l))
 		_, pending := openTestLog(t, dir, 64<<20)
 		if got := describeRecords(pending); !slices.Equal(got, want) || checkpointSteps < 10 {
 			t.Fatalf("after %d checkpoint slices: %d pending messages differ from the %d expected ones", checkpointSteps, len(got), len(want))
@@ -129,8 +129,8 @@
 	}
 }
 
-// expectedAfterRestart returns the messages that a restart of an open log should recover.
-func expectedAfterRestart(t *testing.T, l *Log) (records []*Record) {
+// readExpectedMessages returns the messages that a restart of an open log should recover.
+func readExpectedMessages(t *testing.T, l *Log) (records []*Record) {
 	t.Helper()
 	type orderedRecord struct {
 		r   *Record
@@ -166,8 +166,8 @@
 	r.InFlightSince, r.InFlightZone, r.InFlightEndpoint, r.InFlightProcess = 0, 0, "", 0
 }
 
-// logFiles returns the paths of the log's files with a suffix, without quarantined files.
-func logFiles(t *testing.T, dir, suffix string) (names []string) {
+// listLogFiles returns the paths of the log's files with a suffix, without quarantined files.
+func listLogFiles(t *testing.T, dir, suffix string) (names []string) {
 	t.Helper()
 	all, err := os.ReadDir(filepath.Join(dir, FolderName))
 	if err != nil {
@@ -181,7 +181,7 @@
 	return names
 }
 
-func folderSize(t *testing.T, dir string) (n int64) {
+func measureFolderSize(t *testing.T, dir string) (n int64) {
 	t.Helper()
 	err := filepath.Walk(dir, func(_ string, info os.FileInfo, err error) error {
 		if err == nil && !info.IsDir() {
@@ -202,33 +202,33 @@
 	dir := t.TempDir()
 	l, _ := openTestLog(t, dir, limit)
 	body := strings.Repeat("b", 64<<10)
-	n := 0
-	for ; ; n++ {
-		if err := l.store.appendRecords([]*Record{acceptedRecord(strconv.Itoa(n), body)})[0]; err != nil {
+	accepted := 0
+	for ; ; accepted++ {
+		if err := l.store.appendRecords([]*Record{newAcceptedRecord(strconv.Itoa(accepted), body)})[0]; err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
 			break
 		}
 	}
-	if n == 0 {
+	if accepted == 0 {
 		t.Fatal("not even one message fits")
 	}
 	for round := range 9000 { // far more records than fit without a checkpoint
-		id := strconv.Itoa(round % n)
+		id := strconv.Itoa(round % accepted)
 		mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(round) + 1, Endpoint: "endpoint"}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 		l.store.compact()
 		if round%64 == 0 {
-			if size := folderSize(t, dir); size > limit || size != l.store.usage.bytes {
+			if size := measureFolderSize(t, dir); size > limit || size != l.store.usage.bytes {
 				t.Fatalf("round %d: %d bytes on disk, the log counts %d", round, size, l.store.usage.bytes)
 			}
 		}
 	}
-	for i := range n {
+	for i := range accepted {
 		mustAppend(t, l, &Record{Kind: KindCompleted, ID: strconv.Itoa(i)})
 	}
 	if l.store.checkpointBytes != 0 {
 		t.Errorf("%d bytes are reserved for a checkpoint although no message is pending", l.store.checkpointBytes)
 	}
-	mustAppend(t, l, acceptedRecord("next", body))
+	mustAppend(t, l, newAcceptedRecord("next", body))
 }
--- a/internal/wal/logclock_test.go
+++ b/internal/wal/logclock_test.go
@@ -27,9 +27,9 @@
 	return r
 }
 
-// runOnce opens a log and records one message. It returns the log time at the start and at
+// recordOneMessage opens a log and records one message. It returns the log time at the start and at
 // the end, and ClockSetBack.
-func runOnce(t *testing.T, dir, id string, m *machineClock) (start, end int64, setBack time.Duration) {
+func recordOneMessage(t *testing.T, dir, id string, m *machineClock) (start, end int64, setBack time.Duration) {
 	t.Helper()
 	l, err := wal.Open(wal.Options{Dir: dir, Limit: 3 << 20, Clock: m.read})
 	if err != nil {
@@ -63,15 +63,15 @@
 	} {
 		for _, earlierShift := range []time.Duration{0, time.Hour, -time.Hour} {
 			dir, m := t.TempDir(), &machineClock{boot: 1}
-			runOnce(t, dir, "first", m)
+			recordOneMessage(t, dir, "first", m)
 			m.shift += earlierShift
-			_, end, _ := runOnce(t, dir, "second", m)
-			before := m.shift
+			_, end, _ := recordOneMessage(t, dir, "second", m)
+			shiftSoFar := m.shift
 			m.shift = 0
 			test.change(m)
-			m.shift += before
+			m.shift += shiftSoFar
 			m.elapsed += pause
-			start, _, setBack := runOnce(t, dir, "third", m)
+			start, _, setBack := recordOneMessage(t, dir, "third", m)
 			if deviation := start - end - test.wantElapsed.Microseconds(); deviation < 0 || deviation > slack {
 				t.Errorf("%s, wall clock changed by %v before: %d µs of log time passed, want %d", test.name, earlierShift, start-end, test.wantElapsed.Microseconds())
 			}
@@ -127,7 +127,7 @@
 func TestLogTimeAfterLegacyStampFollowsWallClock(t *testing.T) {
 	for _, shortened := range []bool{true, false} {
 		dir, m := t.TempDir(), &machineClock{boot: 1}
-		_, end, _ := runOnce(t, dir, "first", m)
+		_, end, _ := recordOneMessage(t, dir, "first", m)
 		path := filepath.Join(dir, wal.FolderName, "mark")
 		content, err := os.ReadFile(path)
 		if err != nil {
@@ -142,7 +142,7 @@
 			t.Fatal(err)
 		}
 		m.shift = time.Hour
-		start, _, setBack := runOnce(t, dir, "second", m)
+		start, _, setBack := recordOneMessage(t, dir, "second", m)
 		if deviation := start - end - time.Hour.Microseconds(); deviation < 0 || deviation > 5e6 || setBack != 0 {
 			t.Errorf("stamp shortened %v: %d µs of log time passed, the clock was set back by %v", shortened, start-end, setBack)
 		}
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -29,26 +29,26 @@
 	return &guarantees{pending: map[string]string{}, mayHaveRun: map[string]bool{}, completed: map[string]bool{}}
 }
 
-func (p *guarantees) add(r *wal.Record) {
+func (g *guarantees) add(r *wal.Record) {
 	switch r.Kind {
 	case wal.KindAccepted:
-		p.pending[r.ID] = string(r.Body)
-		delete(p.completed, r.ID)
+		g.pending[r.ID] = string(r.Body)
+		delete(g.completed, r.ID)
 	case wal.KindAttempt:
-		p.mayHaveRun[r.ID] = true
+		g.mayHaveRun[r.ID] = true
 	case wal.KindOutcome:
 		if !r.MayHaveRun {
-			delete(p.mayHaveRun, r.ID)
+			delete(g.mayHaveRun, r.ID)
 		}
 	case wal.KindCompleted:
-		delete(p.pending, r.ID)
-		delete(p.mayHaveRun, r.ID)
-		p.completed[r.ID] = true
+		delete(g.pending, r.ID)
+		delete(g.mayHaveRun, r.ID)
+		g.completed[r.ID] = true
 	}
 }
 
 // check returns an error if the recovered records violate a guarantee.
-func (p *guarantees) check(recs []*wal.Record) error {
+func (g *guarantees) check(recs []*wal.Record) error {
 	recovered := map[string]*wal.Record{}
 	for _, r := range recs {
 		if recovered[r.ID] != nil {
@@ -57,20 +57,20 @@
 		recovered[r.ID] = r
 	}
 	isUnanswered := func(id string, kinds ...wal.Kind) bool {
-		return slices.ContainsFunc(p.unanswered, func(r *wal.Record) bool { return r.ID == id && slices.Contains(kinds, r.Kind) })
+		return slices.ContainsFunc(g.unanswered, func(r *wal.Record) bool { return r.ID == id && slices.Contains(kinds, r.Kind) })
 	}
-	for id, body := range p.pending {
+	for id, body := range g.pending {
 		switch r := recovered[id]; {
 		case r == nil && !isUnanswered(id, wal.KindCompleted):
 			return fmt.Errorf("%s was accepted but is missing", id)
 		case r != nil && (string(r.Body) != body && !isUnanswered(id, wal.KindAccepted) || r.Corrupted):
 			return fmt.Errorf("%s was recovered with a body of %d bytes, corrupted: %v", id, len(r.Body), r.Corrupted)
-		case r != nil && p.mayHaveRun[id] && r.UnknownOutcomeAt == 0 && r.InFlightSince == 0 && !isUnanswered(id, wal.KindOutcome, wal.KindAccepted):
+		case r != nil && g.mayHaveRun[id] && r.UnknownOutcomeAt == 0 && r.InFlightSince == 0 && !isUnanswered(id, wal.KindOutcome, wal.KindAccepted):
 			return fmt.Errorf("%s was sent but is recovered as unsent", id)
 		}
 	}
 	for id := range recovered {
-		if p.completed[id] && !isUnanswered(id, wal.KindAccepted) {
+		if g.completed[id] && !isUnanswered(id, wal.KindAccepted) {
 			return fmt.Errorf("%s was completed but is pending again", id)
 		}
 	}
@@ -88,13 +88,13 @@
 }
 
 // appendOneByOne appends records one by one and returns the number of errors.
-func appendOneByOne(l *wal.Log, p *guarantees, recs []*wal.Record) (errs int) {
+func appendOneByOne(l *wal.Log, g *guarantees, recs []*wal.Record) (errs int) {
 	for _, r := range recs {
-		p.unanswered = []*wal.Record{r}
+		g.unanswered = []*wal.Record{r}
 		err := l.AppendNow(r)
-		p.unanswered = nil
+		g.unanswered = nil
 		if err == nil {
-			p.add(r)
+			g.add(r)
 		} else {
 			errs++
 		}
@@ -102,7 +102,7 @@
 	return errs
 }
 
-func randomHistory(r *rand.Rand, n int) (recs []*wal.Record) {
+func drawHistory(r *rand.Rand, n int) (recs []*wal.Record) {
 	pendingIDs := []string{}
 	inFlight := map[string]bool{}
 	for i := range n {
@@ -136,31 +136,31 @@
 
 // checkAfterCut opens the folder twice after a power cut and checks the guarantees. keep
 // says which pending changes survive the cut.
-func checkAfterCut(fs *cutfs.FS, p *guarantees, survives func(int) bool) error {
-	cut := fs.Cut(survives)
-	l, recs, err := openCutLog(cut, wal.SurvivesPowerLoss)
+func checkAfterCut(fs *cutfs.FS, g *guarantees, survives func(int) bool) error {
+	afterCut := fs.Cut(survives)
+	l, recs, err := openCutLog(afterCut, wal.SurvivesPowerLoss)
 	if err != nil {
 		return fmt.Errorf("open after the cut: %w", err)
 	}
 	if !l.Recovery.Sound() {
 		return fmt.Errorf("a power cut without corruption is reported as corruption: %+v, lost ids %v", l.Recovery.Corruptions, l.Recovery.LostIDs)
 	}
-	if err := p.check(recs); err != nil {
+	if err := g.check(recs); err != nil {
 		return err
 	}
 	l.Close()
-	l, again, err := openCutLog(cut, wal.SurvivesPowerLoss)
+	l, again, err := openCutLog(afterCut, wal.SurvivesPowerLoss)
 	if err != nil {
 		return fmt.Errorf("second open after the cut: %w", err)
 	}
 	defer l.Close()
-	if a, b := describeAll(recs), describeAll(again); !slices.Equal(a, b) {
+	if a, b := summarizeRecords(recs), summarizeRecords(again); !slices.Equal(a, b) {
 		return fmt.Errorf("recovered %v at the first start, %v at the second", a, b)
 	}
 	return nil
 }
 
-func describeAll(recs []*wal.Record) (all []string) {
+func summarizeRecords(recs []*wal.Record) (all []string) {
 	for _, r := range recs {
 		all = append(all, fmt.Sprint(r.ID, len(r.Body), r.Attempts, r.UnknownOutcomeAt, r.Notice))
 	}
@@ -207,28 +207,28 @@
 	for seed := range uint64(4) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		fs := cutfs.New(cutDir)
-		p := newGuarantees()
+		g := newGuarantees()
 		points, cuts := 0, 0
 		fs.Before = func(operation, name string) error {
 			points++
 			hook := fs.Before
 			fs.Before = nil
 			defer func() { fs.Before = hook }()
-			if err := forEachPowerCut(fs.Pending(), r, func(survives func(int) bool) error { cuts++; return checkAfterCut(fs, p, survives) }); err != nil {
+			if err := forEachPowerCut(fs.Pending(), r, func(survives func(int) bool) error { cuts++; return checkAfterCut(fs, g, survives) }); err != nil {
 				t.Fatalf("seed %d, point %d, before %s of %s: %v", seed, points, operation, name, err)
 			}
 			if points%5 == 0 { // cuts the power a second time, during the recovery
-				secondCut := fs.Cut(func(int) bool { return r.IntN(2) == 0 })
-				secondCut.Before = func(operation, name string) error {
-					hook := secondCut.Before
-					secondCut.Before = nil
-					defer func() { secondCut.Before = hook }()
-					if err := checkAfterCut(secondCut, p, func(int) bool { return r.IntN(2) == 0 }); err != nil {
+				afterCut := fs.Cut(func(int) bool { return r.IntN(2) == 0 })
+				afterCut.Before = func(operation, name string) error {
+					hook := afterCut.Before
+					afterCut.Before = nil
+					defer func() { afterCut.Before = hook }()
+					if err := checkAfterCut(afterCut, g, func(int) bool { return r.IntN(2) == 0 }); err != nil {
 						t.Fatalf("seed %d, point %d, in the recovery before %s of %s: %v", seed, points, operation, name, err)
 					}
 					return nil
 				}
-				l, _, err := openCutLog(secondCut, wal.SurvivesPowerLoss)
+				l, _, err := openCutLog(afterCut, wal.SurvivesPowerLoss)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -240,12 +240,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		recs := randomHistory(r, 24)
-		appendOneByOne(l, p, recs[:12])
+		recs := drawHistory(r, 24)
+		appendOneByOne(l, g, recs[:12])
 		if err := l.CheckpointNow(); err != nil {
 			t.Fatal(err)
 		}
-		appendOneByOne(l, p, recs[12:])
+		appendOneByOne(l, g, recs[12:])
 		l.Close()
 		t.Logf("seed %d: %d points, %d cuts", seed, points, cuts)
 		if points < 50 || cuts < 500 {
@@ -259,13 +259,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 		fs := cutfs.New(cutDir)
-		p := newGuarantees()
+		g := newGuarantees()
 		for incarnation := range rapid.IntRange(1, 4).Draw(t, "incarnations") {
 			l, recs, err := openCutLog(fs, wal.SurvivesPowerLoss)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := p.check(recs); err != nil {
+			if err := g.check(recs); err != nil {
 				t.Fatalf("start %d: %v", incarnation, err)
 			}
 			if !l.Recovery.Sound() {
@@ -278,8 +278,8 @@
 				recovered.pending[x.ID] = string(x.Body)
 				recovered.mayHaveRun[x.ID] = x.UnknownOutcomeAt != 0
 			}
-			maps.Copy(recovered.completed, p.completed)
-			for id := range p.pending {
+			maps.Copy(recovered.completed, g.completed)
+			for id := range g.pending {
 				if _, ok := recovered.pending[id]; !ok {
 					recovered.completed[id] = true
 				}
@@ -287,17 +287,17 @@
 			for id := range recovered.pending {
 				delete(recovered.completed, id)
 			}
-			p = recovered
-			remaining := randomHistory(r, rapid.IntRange(1, 300).Draw(t, "records"))
+			g = recovered
+			remaining := drawHistory(r, rapid.IntRange(1, 300).Draw(t, "records"))
 			for i := range remaining {
 				remaining[i].ID = fmt.Sprint(incarnation, "-", remaining[i].ID)
 			}
 			changesLeft := rapid.IntRange(0, 200).Draw(t, "cut after")
-			var cut *cutfs.FS
+			var afterCut *cutfs.FS
 			fs.Before = func(string, string) error {
 				if changesLeft--; changesLeft < 0 {
-					if cut == nil {
-						cut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
+					if afterCut == nil {
+						afterCut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
 					}
 					return syscall.EIO // the power is off, so the results of these calls do not count
 				}
@@ -305,15 +305,15 @@
 			}
 			for i := 0; len(remaining) > 0; i++ {
 				n := min(len(remaining), 1+r.IntN(8)) // only part of a batch may be recorded
-				p.unanswered = remaining[:n]
+				g.unanswered = remaining[:n]
 				errs := l.AppendAll(remaining[:n])
-				if cut != nil {
+				if afterCut != nil {
 					break
 				}
-				p.unanswered = nil
+				g.unanswered = nil
 				for k, err := range errs {
 					if err == nil {
-						p.add(remaining[k])
+						g.add(remaining[k])
 					}
 				}
 				if remaining = remaining[n:]; i%10 == 9 {
@@ -322,10 +322,10 @@
 			}
 			fs.Before = nil
 			l.Close()
-			if cut == nil {
-				cut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
+			if afterCut == nil {
+				afterCut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
 			}
-			fs = cut
+			fs = afterCut
 		}
 	})
 }
@@ -334,14 +334,14 @@
 func TestPowerLossCheckDetectsMissingSync(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 4))
 	fs := cutfs.New(cutDir)
-	p := newGuarantees()
+	g := newGuarantees()
 	l, _, err := openCutLog(fs, wal.SurvivesCrash) // the simulated defect: nothing is synced
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	appendOneByOne(l, p, randomHistory(r, 20))
-	if err := forEachPowerCut(fs.Pending(), r, func(survives func(int) bool) error { return checkAfterCut(fs, p, survives) }); err == nil {
+	appendOneByOne(l, g, drawHistory(r, 20))
+	if err := forEachPowerCut(fs.Pending(), r, func(survives func(int) bool) error { return checkAfterCut(fs, g, survives) }); err == nil {
 		t.Fatal("no cut violated a guarantee although nothing was synced")
 	}
 }
@@ -355,24 +355,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newGuarantees()
-	recs := randomHistory(rand.New(rand.NewPCG(5, 5)), 40)
-	appendOneByOne(l, p, recs[:20])
+	g := newGuarantees()
+	recs := drawHistory(rand.New(rand.NewPCG(5, 5)), 40)
+	appendOneByOne(l, g, recs[:20])
 	fs.Before = func(operation, _ string) error {
 		if operation == "sync" {
 			return syscall.EIO
 		}
 		return nil
 	}
-	if errs := appendOneByOne(l, p, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(reported, wal.ErrSyncFailed) {
+	if errs := appendOneByOne(l, g, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(reported, wal.ErrSyncFailed) {
 		t.Fatalf("%d records were refused, OnFailure got %v", errs, reported)
 	}
 	fs.Before = nil // a sync would succeed again from here on
-	if errs := appendOneByOne(l, p, recs[20:]); errs != len(recs)-20 {
+	if errs := appendOneByOne(l, g, recs[20:]); errs != len(recs)-20 {
 		t.Errorf("%d of %d records were refused after a failed sync", errs, len(recs)-20)
 	}
 	l.Close()
-	if err := checkAfterCut(fs, p, func(int) bool { return false }); err != nil {
+	if err := checkAfterCut(fs, g, func(int) bool { return false }); err != nil {
 		t.Error(err)
 	}
 }
@@ -386,12 +386,12 @@
 				r := rand.New(rand.NewPCG(seed, 6))
 				fs := cutfs.New(cutDir)
 				fs.ShortWrites = short
-				p := newGuarantees()
+				g := newGuarantees()
 				l, _, err := openCutLog(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
-				recs := randomHistory(r, 200)
+				recs := drawHistory(r, 200)
 				fs.Before = func(operation, _ string) error {
 					if operation != "mark" && r.IntN(4) == 0 {
 						return errno
@@ -399,12 +399,12 @@
 					return nil
 				}
 				refused := 0
-				for i, x := range recs {
-					if _, isPending := p.pending[x.ID]; isPending && x.Kind == wal.KindAccepted {
+				for i, record := range recs {
+					if _, isPending := g.pending[record.ID]; isPending && record.Kind == wal.KindAccepted {
 						continue // its completion was refused, so it is still pending and not accepted again
 					}
-					if err := l.AppendNow(x); err == nil {
-						p.add(x)
+					if err := l.AppendNow(record); err == nil {
+						g.add(record)
 					} else {
 						refused++
 					}
@@ -416,17 +416,17 @@
 					}
 				}
 				fs.Before = nil
-				p.unanswered = nil
+				g.unanswered = nil
 				if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: "last", Class: "once", Body: []byte("z")}); err != nil {
 					t.Fatalf("append after calls succeed again: %v", err)
 				}
-				p.add(&wal.Record{Kind: wal.KindAccepted, ID: "last", Body: []byte("z")})
+				g.add(&wal.Record{Kind: wal.KindAccepted, ID: "last", Body: []byte("z")})
 				l.Close()
 				reopened, recovered, err := openCutLog(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := p.check(recovered); err != nil || !reopened.Recovery.Sound() || refused == 0 {
+				if err := g.check(recovered); err != nil || !reopened.Recovery.Sound() || refused == 0 {
 					t.Fatalf("%v, short writes %v, seed %d: %v; %d records refused; the recovery found %+v", errno, short, seed, err, refused, reopened.Recovery)
 				}
 				reopened.Close()
--- a/internal/wal/read_test.go
+++ b/internal/wal/read_test.go
@@ -16,13 +16,13 @@
 	const n = 3000
 	recs := make([]*Record, n)
 	for i := range n {
-		recs[i] = acceptedRecord(fmt.Sprint("m", i), strings.Repeat("b", i%300)+fmt.Sprint(i))
+		recs[i] = newAcceptedRecord(fmt.Sprint("m", i), strings.Repeat("b", i%300)+fmt.Sprint(i))
 		mustAppend(t, l, recs[i])
 		if recs[i].Ref == 0 {
 			t.Fatalf("%s has no reference after its write", recs[i].ID)
 		}
 	}
-	duplicate := acceptedRecord("m7", "again") // m7 is already pending, so the first record keeps the reference
+	duplicate := newAcceptedRecord("m7", "again") // m7 is already pending, so the first record keeps the reference
 	mustAppend(t, l, duplicate)
 	if duplicate.Ref != 0 {
 		t.Error("a second record of a pending message got a reference")
@@ -59,7 +59,7 @@
 	if r := l.Read([]Ref{recs[9].Ref, 0, 1 << 30}); !slices.Equal(r, []*Record{nil, nil, nil}) {
 		t.Errorf("references to no message return %+v", r)
 	}
-	mustAppend(t, l, acceptedRecord("new", "")) // reuses the position of m9 in the index
+	mustAppend(t, l, newAcceptedRecord("new", "")) // reuses the position of m9 in the index
 	if r := l.Read([]Ref{recs[9].Ref}); r[0] != nil {
 		t.Errorf("the reference of a completed message returns %+v", r[0])
 	}
@@ -70,7 +70,7 @@
 func TestIsPendingIsFalseOnceCompletionBegins(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTestLog(t, dir, 1<<20)
-	mustAppend(t, l, acceptedRecord("pending", ""), acceptedRecord("completed", ""), acceptedRecord("completing", ""), &Record{Kind: KindCompleted, ID: "completed"},
+	mustAppend(t, l, newAcceptedRecord("pending", ""), newAcceptedRecord("completed", ""), newAcceptedRecord("completing", ""), &Record{Kind: KindCompleted, ID: "completed"},
 		&Record{Kind: KindCompleting, ID: "completing", Notice: "handed-back"})
 	for id, want := range map[string]bool{"pending": true, "completed": false, "completing": false, "unknown": false} {
 		if l.IsPending(id) != want {
@@ -81,7 +81,7 @@
 		t.Errorf("Fetch returned a message that was not pending at the start: %+v", r)
 	}
 	l.store.close()
-	l, err := Open(Options{Dir: dir, Limit: 1 << 20, Log: discardLogger()})
+	l, err := Open(Options{Dir: dir, Limit: 1 << 20, Log: newDiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wal/recorded_test.go
+++ b/internal/wal/recorded_test.go
@@ -17,9 +17,9 @@
 	recordedLimit = 128 << 10
 )
 
-// recordedClock returns a clock that advances by a millisecond at each reading, with the
+// newRecordedClock returns a clock that advances by a millisecond at each reading, with the
 // same boot id as the clock of the program that wrote the folders.
-func recordedClock() func() clock.Reading {
+func newRecordedClock() func() clock.Reading {
 	sinceStart := int64(40_000_000)
 	return func() clock.Reading {
 		sinceStart += 1000
@@ -62,7 +62,7 @@
 	return dir
 }
 
-func withBodyText(records []*wal.Record) (messages []recordedMessage) {
+func addBodyText(records []*wal.Record) (messages []recordedMessage) {
 	for _, r := range records {
 		messages = append(messages, recordedMessage{*r, string(r.Body)})
 	}
@@ -95,7 +95,7 @@
 // program that wrote the folder found.
 func openRecorded(t *testing.T, dir string, want recordedState) *wal.Log {
 	t.Helper()
-	l, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: recordedClock()})
+	l, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: newRecordedClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	if l.PendingUnread() != len(want.Records) {
 		t.Errorf("%d messages pending, want %d", l.PendingUnread(), len(want.Records))
 	}
-	compareMessages(t, "pending messages", want.Records, withBodyText(l.Next(100)))
+	compareMessages(t, "pending messages", want.Records, addBodyText(l.Next(100)))
 	return l
 }
 
@@ -131,13 +131,13 @@
 				t.Fatal(err)
 			}
 			l.Close()
-			reopened, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: recordedClock()})
+			reopened, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: newRecordedClock()})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer reopened.Close()
 			later := recordedMessage{Record: wal.Record{Kind: wal.KindAccepted, ID: "later", Class: "plain", Deadline: want.Now + 1}}
-			compareMessages(t, "after a checkpoint and another start", append(want.Records, later), withBodyText(reopened.Next(100)))
+			compareMessages(t, "after a checkpoint and another start", append(want.Records, later), addBodyText(reopened.Next(100)))
 		})
 	}
 }
@@ -159,7 +159,7 @@
 		t.Fatal("no handoff log")
 	}
 	defer l.Handoff.Close()
-	compareMessages(t, "handoff log", want.Handoff, withBodyText(l.Handoff.Read()))
+	compareMessages(t, "handoff log", want.Handoff, addBodyText(l.Handoff.Read()))
 	if l.Handoff.Process != 1 || l.Handoff.Capacity != want.Handoff[0].HandoffCapacity || l.Handoff.OwnerExited() {
 		t.Errorf("handoff log of process %d with %d bytes, exited %v", l.Handoff.Process, l.Handoff.Capacity, l.Handoff.OwnerExited())
 	}
