--- a/internal/wal/import.go
+++ b/internal/wal/import.go
@@ -17,9 +17,9 @@
 
 // Import moves an exported log into a folder that has no log. It renames and finally
 // removes the file, so that the log cannot be imported twice. An interrupted import is
-// repeated from FILE.importing. The caller holds the folder's lock. Import returns
-// ErrNotEmpty, ErrNotExport or ErrCorruptExport; with the last one it also returns a
-// report of what was found.
+// repeated from FILE.importing. The caller holds the folder's lock. Import returns a
+// report of what was found in the file, also together with ErrCorruptExport. Its other
+// errors are ErrNotEmpty, ErrNotExport and those of the file system.
 func Import(from, dir string) (*RecoveryReport, error) {
 	if err := checkImportFolder(dir); err != nil {
 		return nil, err
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -134,8 +134,8 @@
 	return recs
 }
 
-// checkAfterCut opens the folder twice after a power cut and checks the guarantees. keep
-// says which pending changes survive the cut.
+// checkAfterCut opens the folder twice after a power cut and checks the guarantees.
+// survives says which pending changes survive the cut.
 func checkAfterCut(fs *cutfs.FS, g *guarantees, survives func(int) bool) error {
 	afterCut := fs.Cut(survives)
 	l, recs, err := openCutLog(afterCut, wal.SurvivesPowerLoss)
