--- a/internal/wal/cutfs/cut.go
+++ b/internal/wal/cutfs/cut.go
@@ -8,15 +8,16 @@
 	"slices"
 )
 
-// Pending counts the changes that a power cut may lose.
+// Pending returns the number of changes that a power cut may lose.
 func (f *FS) Pending() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.pending())
+	return len(f.pendingChanges())
 }
 
-// pending gives the changes that a power cut may lose, in their order.
-func (f *FS) pending() (changes []*change) {
+// pendingChanges returns the changes that a power cut may lose, in the order in
+// which they were made.
+func (f *FS) pendingChanges() (changes []*change) {
 	seen := map[*inode]bool{}
 	addData := func(node *inode) {
 		if !seen[node] {
@@ -37,8 +38,8 @@
 	return changes
 }
 
-// Cut gives the file system as it comes up after a power cut that kept those pending
-// changes for which survives says so, by their place in the order. f itself stays as it is.
+// Cut returns the file system as it is after a power cut. survives says for each pending
+// change, by its position in the order, whether the power cut kept it. f itself is unchanged.
 func (f *FS) Cut(survives func(i int) bool) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,7 +51,7 @@
 			continue
 		}
 		if copies[node] == nil {
-			data := contents.of(node)
+			data := contents.contentsOf(node)
 			copies[node] = &inode{dir: node.dir, data: data, durable: bytes.Clone(data)}
 		}
 		after.names[name], after.durableNames[name] = copies[node], copies[node]
@@ -58,34 +59,35 @@
 	return after
 }
 
-// dataByInode is what files hold after a power cut.
+// dataByInode holds the contents of files after a power cut.
 type dataByInode map[*inode][]byte
 
-func (d dataByInode) of(node *inode) []byte {
+func (d dataByInode) contentsOf(node *inode) []byte {
 	if _, ok := d[node]; !ok {
 		d[node] = bytes.Clone(node.durable)
 	}
 	return d[node]
 }
 
-// afterCut gives the names and the contents that a power cut leaves.
+// afterCut returns the names and contents that are left after a power cut.
 func (f *FS) afterCut(survives func(i int) bool) (map[string]*inode, dataByInode) {
 	names, contents := maps.Clone(f.durableNames), dataByInode{}
-	for i, c := range f.pending() {
+	for i, c := range f.pendingChanges() {
 		switch {
 		case !survives(i):
 		case c.name != nil:
 			c.name.apply(names)
 		case c.data == nil:
-			contents[c.inode] = resize(contents.of(c.inode), c.off)
+			contents[c.inode] = resize(contents.contentsOf(c.inode), c.off)
 		default:
-			contents[c.inode] = overwrite(contents.of(c.inode), c.data, c.off)
+			contents[c.inode] = overwrite(contents.contentsOf(c.inode), c.data, c.off)
 		}
 	}
 	return names, contents
 }
 
-// hasDurableFolder reports whether all folders above a name survived a cut that left names.
+// hasDurableFolder reports whether all parent folders of a name are among the names left
+// after a power cut.
 func (f *FS) hasDurableFolder(name string, names map[string]*inode) bool {
 	for dir := filepath.Dir(name); f.durableNames[dir] == nil && dir != filepath.Dir(dir); dir = filepath.Dir(dir) {
 		if names[dir] == nil && f.names[dir] != nil {
--- a/internal/wal/header.go
+++ b/internal/wal/header.go
@@ -14,18 +14,18 @@
 	headerSize     = 2 * headerCopySize
 )
 
-// Offsets in a copy of the header.
+// Byte offsets of the fields in a copy of the header.
 const (
-	headerVersionAt        = 8
-	headerKindAt           = 10
-	headerDurableAt        = 11
-	headerNumberAt         = 12
-	headerFirstSeqAt       = 16
-	headerOwnerAt          = 24
-	headerProcessAt        = 40
-	headerCreatedAt        = 44
-	headerCreatedLogTimeAt = 52
-	headerChecksumAt       = 60
+	headerVersionOffset        = 8
+	headerKindOffset           = 10
+	headerDurableOffset        = 11
+	headerNumberOffset         = 12
+	headerFirstSeqOffset       = 16
+	headerOwnerOffset          = 24
+	headerProcessOffset        = 40
+	headerCreatedOffset        = 44
+	headerCreatedLogTimeOffset = 52
+	headerChecksumOffset       = 60
 )
 
 var (
@@ -33,11 +33,12 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ownerID is drawn at random for each log and stands in the header of all its files.
-type ownerID [headerProcessAt - headerOwnerAt]byte
+// ownerID is a random id that is drawn once for each log and stored in the header of all its files.
+type ownerID [headerProcessOffset - headerOwnerOffset]byte
 
-// salt is the part of an owner that the checksums of its records, and the stamp, contain.
-func (o ownerID) salt() uint32 { return binary.BigEndian.Uint32(o[:4]) }
+// checksumSeed returns the part of the owner id that starts the checksums of the log's records and
+// identifies the log in the stamp.
+func (o ownerID) checksumSeed() uint32 { return binary.BigEndian.Uint32(o[:4]) }
 
 type fileKind uint8
 
@@ -47,57 +48,57 @@
 	fileHandoff
 )
 
-// String names the kind as a RecoveryReport does.
+// String returns the kind's name in a RecoveryReport.
 func (k fileKind) String() string {
 	return [...]string{"", "segment", "checkpoint", "side log"}[min(k, fileHandoff)]
 }
 
-// header is what a file says of itself.
+// header is the decoded header of a file of records.
 type header struct {
 	version        uint16
 	kind           fileKind
-	durable        bool   // written with SurvivesPowerLoss
-	number         uint32 // of a segment; of a checkpoint, the first segment that it does not cover
-	firstSeq       uint64 // sequence number of its first record; of a checkpoint, the first that it does not cover
+	durable        bool   // the file was written with SurvivesPowerLoss
+	number         uint32 // of a segment: its number; of a checkpoint: the first segment that it does not cover
+	firstSeq       uint64 // of a segment: its first record's sequence number; of a checkpoint: the first that it does not cover
 	owner          ownerID
 	process        uint32
-	createdAt      int64 // wall clock: Unix microseconds
-	createdLogTime int64 // the same moment in log time; 0 where an older program created the file
+	createdAt      int64 // wall-clock time of the file's creation, in Unix microseconds
+	createdLogTime int64 // log time of the file's creation; 0 if an older program created the file
 }
 
-// encode gives both copies.
+// encode returns the header as it is stored: two equal copies.
 func (h *header) encode() []byte {
 	b := make([]byte, headerCopySize, headerSize)
 	copy(b, fileMagic)
-	binary.BigEndian.PutUint16(b[headerVersionAt:], formatVersion)
-	b[headerKindAt] = byte(h.kind)
+	binary.BigEndian.PutUint16(b[headerVersionOffset:], formatVersion)
+	b[headerKindOffset] = byte(h.kind)
 	if h.durable {
-		b[headerDurableAt] = 1
+		b[headerDurableOffset] = 1
 	}
-	binary.BigEndian.PutUint32(b[headerNumberAt:], h.number)
-	binary.BigEndian.PutUint64(b[headerFirstSeqAt:], h.firstSeq)
-	copy(b[headerOwnerAt:headerProcessAt], h.owner[:])
-	binary.BigEndian.PutUint32(b[headerProcessAt:], h.process)
-	binary.BigEndian.PutUint64(b[headerCreatedAt:], uint64(h.createdAt))
-	binary.BigEndian.PutUint64(b[headerCreatedLogTimeAt:], uint64(h.createdLogTime))
+	binary.BigEndian.PutUint32(b[headerNumberOffset:], h.number)
+	binary.BigEndian.PutUint64(b[headerFirstSeqOffset:], h.firstSeq)
+	copy(b[headerOwnerOffset:headerProcessOffset], h.owner[:])
+	binary.BigEndian.PutUint32(b[headerProcessOffset:], h.process)
+	binary.BigEndian.PutUint64(b[headerCreatedOffset:], uint64(h.createdAt))
+	binary.BigEndian.PutUint64(b[headerCreatedLogTimeOffset:], uint64(h.createdLogTime))
 	sealHeaderCopy(b)
 	return append(b, b...)
 }
 
-// sealHeaderCopy writes the checksum of one copy.
+// sealHeaderCopy stores the checksum in one copy of a header.
 func sealHeaderCopy(b []byte) {
-	binary.BigEndian.PutUint32(b[headerChecksumAt:], crc32.Checksum(b[:headerChecksumAt], castagnoli))
+	binary.BigEndian.PutUint32(b[headerChecksumOffset:], crc32.Checksum(b[:headerChecksumOffset], castagnoli))
 }
 
-// decodeHeader reads the first valid copy and counts the valid ones.
+// decodeHeader decodes the first valid copy and returns the number of valid copies.
 func decodeHeader(b []byte) (h header, valid int) {
-	for at := 0; at+headerCopySize <= len(b) && at < headerSize; at += headerCopySize {
-		c := b[at : at+headerCopySize]
-		if !isValidHeaderCopy(c) {
+	for offset := 0; offset+headerCopySize <= len(b) && offset < headerSize; offset += headerCopySize {
+		headerCopy := b[offset : offset+headerCopySize]
+		if !isValidHeaderCopy(headerCopy) {
 			continue
 		}
 		if valid++; valid == 1 {
-			h = parseHeaderCopy(c)
+			h = parseHeaderCopy(headerCopy)
 		}
 	}
 	return h, valid
@@ -105,19 +106,19 @@
 
 func isValidHeaderCopy(b []byte) bool {
 	return bytes.Equal(b[:len(fileMagic)], fileMagic) &&
-		crc32.Checksum(b[:headerChecksumAt], castagnoli) == binary.BigEndian.Uint32(b[headerChecksumAt:])
+		crc32.Checksum(b[:headerChecksumOffset], castagnoli) == binary.BigEndian.Uint32(b[headerChecksumOffset:])
 }
 
 func parseHeaderCopy(b []byte) header {
 	return header{
-		version:        binary.BigEndian.Uint16(b[headerVersionAt:]),
-		kind:           fileKind(b[headerKindAt]),
-		durable:        b[headerDurableAt] == 1,
-		number:         binary.BigEndian.Uint32(b[headerNumberAt:]),
-		firstSeq:       binary.BigEndian.Uint64(b[headerFirstSeqAt:]),
-		owner:          ownerID(b[headerOwnerAt:headerProcessAt]),
-		process:        binary.BigEndian.Uint32(b[headerProcessAt:]),
-		createdAt:      int64(binary.BigEndian.Uint64(b[headerCreatedAt:])),
-		createdLogTime: int64(binary.BigEndian.Uint64(b[headerCreatedLogTimeAt:])),
+		version:        binary.BigEndian.Uint16(b[headerVersionOffset:]),
+		kind:           fileKind(b[headerKindOffset]),
+		durable:        b[headerDurableOffset] == 1,
+		number:         binary.BigEndian.Uint32(b[headerNumberOffset:]),
+		firstSeq:       binary.BigEndian.Uint64(b[headerFirstSeqOffset:]),
+		owner:          ownerID(b[headerOwnerOffset:headerProcessOffset]),
+		process:        binary.BigEndian.Uint32(b[headerProcessOffset:]),
+		createdAt:      int64(binary.BigEndian.Uint64(b[headerCreatedOffset:])),
+		createdLogTime: int64(binary.BigEndian.Uint64(b[headerCreatedLogTimeOffset:])),
 	}
 }
--- a/internal/wal/import.go
+++ b/internal/wal/import.go
@@ -15,10 +15,11 @@
 // importSuffix marks an exported file that is being imported.
 const importSuffix = ".importing"
 
-// Import puts an exported log into a folder that holds none, and consumes the file, so
-// that it cannot be imported twice. An import that was cut short is repeated from
-// FILE.importing. The caller holds the folder's lock. Errors: ErrNotEmpty, ErrNotExport
-// and ErrCorruptExport, with a report of what was found.
+// Import moves an exported log into a folder that has no log. It renames and finally
+// removes the file, so that the log cannot be imported twice. An interrupted import is
+// repeated from FILE.importing. The caller holds the folder's lock. Import returns a
+// report of what was found in the file, also together with ErrCorruptExport. Its other
+// errors are ErrNotEmpty, ErrNotExport and those of the file system.
 func Import(from, dir string) (*RecoveryReport, error) {
 	if err := checkImportFolder(dir); err != nil {
 		return nil, err
@@ -31,20 +32,20 @@
 	if err != nil {
 		return &r.recovery, fmt.Errorf("wal: import: %w", err)
 	}
-	claimed := from
+	importing := from
 	if !strings.HasSuffix(from, importSuffix) {
-		claimed = from + importSuffix
-		if err := os.Rename(from, claimed); err != nil {
+		importing = from + importSuffix
+		if err := os.Rename(from, importing); err != nil {
 			return nil, fmt.Errorf("wal: import: %w", err)
 		}
 	}
-	if err := installImport(claimed, dir, h); err != nil {
+	if err := installImport(importing, dir, h); err != nil {
 		return nil, fmt.Errorf("wal: import: %w", err)
 	}
 	return &r.recovery, nil
 }
 
-// checkImportFolder refuses a folder that is fenced or has messages.
+// checkImportFolder returns an error if a folder is fenced or contains messages.
 func checkImportFolder(dir string) error {
 	fence, err := ReadFence(dir)
 	if fence != nil || err != nil {
@@ -63,27 +64,28 @@
 	return nil
 }
 
-// installImport makes a log of an exported checkpoint, beside the folder at first. h is
-// the checkpoint's header.
-func installImport(claimed, dir string, h header) error {
+// installImport builds a log from an exported checkpoint, in a temporary folder that is
+// then renamed. h is the checkpoint's header.
+func installImport(importing, dir string, h header) error {
 	folder := filepath.Join(dir, FolderName)
 	temporary := folder + temporarySuffix
 	h.kind = fileSegment
 	return runSteps(
 		func() error { return os.RemoveAll(temporary) },
 		func() error { return os.Mkdir(temporary, dirMode) },
-		func() error { return copyFile(claimed, filepath.Join(temporary, checkpointName(h.number))) },
+		func() error { return copyFile(importing, filepath.Join(temporary, checkpointName(h.number))) },
 		func() error { return writeSynced(filepath.Join(temporary, segmentName(h.number)), h.encode()) },
 		func() error { return OS{}.SyncDir(temporary) },
 		func() error { return os.RemoveAll(folder) },
 		func() error { return os.Rename(temporary, folder) },
 		func() error { return OS{}.SyncDir(dir) },
-		func() error { return os.Remove(claimed) },
+		func() error { return os.Remove(importing) },
 	)
 }
 
-// ReadExport gives the pending messages of an exported log, the oldest first. An attempt
-// without an outcome has an unknown one. Errors: ErrNotExport and ErrCorruptExport.
+// ReadExport returns the pending messages of an exported log, oldest first. An attempt
+// without an outcome counts as one with an unknown outcome. It returns ErrNotExport or
+// ErrCorruptExport if the file is not a complete exported log.
 func ReadExport(file string) ([]*Record, error) {
 	r, _, err := replayExport(file)
 	if r != nil {
@@ -97,7 +99,7 @@
 	for i := range r.index.entryCount {
 		order = append(order, i)
 	}
-	slices.SortFunc(order, func(a, b uint32) int { return cmp.Compare(r.index.at(a).seq, r.index.at(b).seq) })
+	slices.SortFunc(order, func(a, b uint32) int { return cmp.Compare(r.index.entryAt(a).seq, r.index.entryAt(b).seq) })
 	var records []*Record
 	var reader messageReader
 	for _, i := range order {
@@ -111,7 +113,7 @@
 }
 
 // replayExport reads an exported log, which is a checkpoint. The caller closes the
-// replayer's files, where there is one.
+// replayer's files if the replayer is not nil.
 func replayExport(path string) (*replayer, header, error) {
 	f, err := openLogFile(OS{}, filepath.Dir(path), filepath.Base(path))
 	if err != nil {
@@ -121,7 +123,7 @@
 		f.file.Close()
 		return nil, header{}, fmt.Errorf("%s: %w", path, ErrNotExport)
 	}
-	f.salt = f.owner.salt()
+	f.checksumSeed = f.owner.checksumSeed()
 	r := newReplayer(f.owner, 0)
 	r.addFile(f)
 	complete := r.replayCheckpoint(f)
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -12,12 +12,12 @@
 	"testing"
 )
 
-func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func newDiscardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// openTest opens a folder without a goroutine.
-func openTest(t testing.TB, dir string, limit int64) (*Log, []*Record) {
+// openTestLog opens a log without starting its goroutine, and returns its pending messages.
+func openTestLog(t testing.TB, dir string, limit int64) (*Log, []*Record) {
 	t.Helper()
-	l, err := Open(Options{Dir: dir, Limit: limit, Log: discardLogger()})
+	l, err := Open(Options{Dir: dir, Limit: limit, Log: newDiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,56 +29,56 @@
 	t.Helper()
 	for _, r := range recs {
 		if err := l.store.appendRecords([]*Record{r})[0]; err != nil {
-			t.Fatalf("%s of %s: %v", r.Kind, r.ID, err)
+			t.Fatalf("append %s record of %s: %v", r.Kind, r.ID, err)
 		}
 	}
 }
 
-func accepted(id string, body string) *Record {
+func newAcceptedRecord(id string, body string) *Record {
 	return &Record{Kind: KindAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
 }
 
-func describe(recs []*Record) (all []string) {
+func describeRecords(recs []*Record) (lines []string) {
 	for _, r := range recs {
-		s := fmt.Sprintf("%s %s %d %d %s", r.ID, r.Body, r.Attempts, r.UnknownOutcomeAt, r.Notice)
+		line := fmt.Sprintf("%s %s %d %d %s", r.ID, r.Body, r.Attempts, r.UnknownOutcomeAt, r.Notice)
 		if r.Corrupted {
-			s += "lost"
+			line += "lost"
 		}
-		all = append(all, s)
+		lines = append(lines, line)
 	}
-	return all
+	return lines
 }
 
-// sampleRecords is a history with every kind of record.
-func sampleRecords() []*Record {
-	return []*Record{accepted("a", "A\n\x00"), accepted("b", ""), accepted("c", "C"), accepted("d", "D"), accepted("e", "E"),
+// newSampleRecords returns a history with every kind of record that concerns a message.
+func newSampleRecords() []*Record {
+	return []*Record{newAcceptedRecord("a", "A\n\x00"), newAcceptedRecord("b", ""), newAcceptedRecord("c", "C"), newAcceptedRecord("d", "D"), newAcceptedRecord("e", "E"),
 		{Kind: KindAttempt, ID: "a", At: 100, Zone: 1, Endpoint: "s-1", Process: 1},
 		{Kind: KindOutcome, ID: "a", MayHaveRun: false},
 		{Kind: KindAttempt, ID: "b", At: 200, Zone: 1, Endpoint: "s-1", Process: 1},
 		{Kind: KindOutcome, ID: "b", MayHaveRun: true},
 		{Kind: KindAttempt, ID: "b", At: 300, Zone: 0, Endpoint: "s-2", Process: 1},
-		{Kind: KindAttempt, ID: "c", At: 400, Zone: 1, Endpoint: "s-1", Process: 1}, // no outcome: it may have run
+		{Kind: KindAttempt, ID: "c", At: 400, Zone: 1, Endpoint: "s-1", Process: 1}, // it has no outcome, so it may have run
 		{Kind: KindCompleted, ID: "d"},
 		{Kind: KindCompleting, ID: "e", Notice: "handed-back", RetryMS: 20}}
 }
 
-// Pending messages come back with their state, in order, from segments and from a
+// Pending messages are recovered in order with their state, from segments and from a
 // checkpoint, however often the folder is opened.
-func TestRecovers(t *testing.T) {
+func TestOpenRecoversPendingMessages(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := openTest(t, dir, 1<<20)
-	mustAppend(t, l, sampleRecords()...)
+	l, _ := openTestLog(t, dir, 1<<20)
+	mustAppend(t, l, newSampleRecords()...)
 	want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 handed-back"}
 	for n := range 4 {
-		l, owed := openTest(t, dir, 1<<20)
-		if got := describe(owed); !slices.Equal(got, want) {
-			t.Fatalf("opened %d times: got %q", n+1, got)
+		l, pending := openTestLog(t, dir, 1<<20)
+		if got := describeRecords(pending); !slices.Equal(got, want) {
+			t.Fatalf("opened %d times: recovered %q", n+1, got)
 		}
-		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.UnknownOutcomeZone != 1 {
-			t.Errorf("got %+v", r)
+		if r := pending[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.UnknownOutcomeZone != 1 {
+			t.Errorf("message b has the fields %+v", r)
 		}
 		if !l.Recovery.Sound() || len(l.Recovery.Torn) > 0 {
-			t.Fatalf("found %+v", l.Recovery)
+			t.Fatalf("the recovery found %+v", l.Recovery)
 		}
 		if n == 1 {
 			if err := l.store.finishCheckpoint(); err != nil {
@@ -88,74 +88,74 @@
 	}
 }
 
-// A checkpoint that is written while messages come and go holds each as it was at some
-// moment, and later records are applied once.
-func TestCheckpointWhileAppending(t *testing.T) {
-	for _, every := range []int{1, 3, 7} {
+// While a checkpoint is written, messages are accepted and completed. The checkpoint may hold
+// each message at a different point of its history; later records are still applied exactly once.
+func TestCheckpointWhileAppendingKeepsEveryRecord(t *testing.T) {
+	for _, appendsPerSlice := range []int{1, 3, 7} {
 		dir := t.TempDir()
-		l, _ := openTest(t, dir, 64<<20)
+		l, _ := openTestLog(t, dir, 64<<20)
 		const n = 3000
 		for i := range n {
-			mustAppend(t, l, accepted(strconv.Itoa(i), strings.Repeat("b", 300)))
+			mustAppend(t, l, newAcceptedRecord(strconv.Itoa(i), strings.Repeat("b", 300)))
 		}
 		if err := l.store.startCheckpoint(); err != nil {
 			t.Fatal(err)
 		}
-		steps := 0
+		checkpointSteps := 0
 		for i := 0; l.store.pendingCheckpoint != nil; i++ {
 			id := strconv.Itoa(i % n)
 			switch i % 4 {
 			case 0:
 				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process})
 			case 1:
-				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, accepted(id, "again")) // an id that comes again
+				mustAppend(t, l, &Record{Kind: KindCompleted, ID: id}, newAcceptedRecord(id, "again")) // the same id is accepted again
 			case 2:
-				mustAppend(t, l, accepted("new"+strconv.Itoa(i), "n"))
+				mustAppend(t, l, newAcceptedRecord("new"+strconv.Itoa(i), "n"))
 			case 3:
 				mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(i + 1), Process: l.Process}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 			}
-			if i%every == 0 {
-				steps++
+			if i%appendsPerSlice == 0 {
+				checkpointSteps++
 				if _, err := l.store.stepCheckpoint(4 << 10); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		want := describe(stateAfterRestart(t, l))
-		_, owed := openTest(t, dir, 64<<20)
-		if got := describe(owed); !slices.Equal(got, want) || steps < 10 {
-			t.Fatalf("%d steps: %d owed, want %d", steps, len(got), len(want))
+		want := describeRecords(readExpectedMessages(t, l))
+		_, pending := openTestLog(t, dir, 64<<20)
+		if got := describeRecords(pending); !slices.Equal(got, want) || checkpointSteps < 10 {
+			t.Fatalf("after %d checkpoint slices: %d pending messages differ from the %d expected ones", checkpointSteps, len(got), len(want))
 		}
 	}
 }
 
-// stateAfterRestart is what an open log holds, as a restart has to find it.
-func stateAfterRestart(t *testing.T, l *Log) (recs []*Record) {
+// readExpectedMessages returns the messages that a restart of an open log should recover.
+func readExpectedMessages(t *testing.T, l *Log) (records []*Record) {
 	t.Helper()
-	type at struct {
+	type orderedRecord struct {
 		r   *Record
 		seq uint64
 	}
-	var all []at
-	var from messageReader
+	var ordered []orderedRecord
+	var reader messageReader
 	for i := range l.store.index.entryCount {
-		if e := l.store.index.at(i); e.flags&entryLive != 0 {
-			r, err := l.store.readMessage(i, &from)
+		if e := l.store.index.entryAt(i); e.flags&entryLive != 0 {
+			r, err := l.store.readMessage(i, &reader)
 			if err != nil {
 				t.Fatal(err)
 			}
 			r.resolveInFlight()
-			all = append(all, at{r, e.seq})
+			ordered = append(ordered, orderedRecord{r, e.seq})
 		}
 	}
-	slices.SortFunc(all, func(a, b at) int { return int(a.seq) - int(b.seq) })
-	for _, x := range all {
-		recs = append(recs, x.r)
+	slices.SortFunc(ordered, func(a, b orderedRecord) int { return int(a.seq) - int(b.seq) })
+	for _, x := range ordered {
+		records = append(records, x.r)
 	}
-	return recs
+	return records
 }
 
-// resolveInFlight turns an attempt without an outcome into an unknown outcome, as a start does.
+// resolveInFlight gives an attempt without an outcome an unknown outcome, as a restart does.
 func (r *Record) resolveInFlight() {
 	if r.InFlightSince == 0 {
 		return
@@ -166,8 +166,8 @@
 	r.InFlightSince, r.InFlightZone, r.InFlightEndpoint, r.InFlightProcess = 0, 0, "", 0
 }
 
-// logFiles gives the paths of the log's own files with a suffix.
-func logFiles(t *testing.T, dir, suffix string) (names []string) {
+// listLogFiles returns the paths of the log's files with a suffix, without quarantined files.
+func listLogFiles(t *testing.T, dir, suffix string) (names []string) {
 	t.Helper()
 	all, err := os.ReadDir(filepath.Join(dir, FolderName))
 	if err != nil {
@@ -181,7 +181,7 @@
 	return names
 }
 
-func diskSize(t *testing.T, dir string) (n int64) {
+func measureFolderSize(t *testing.T, dir string) (n int64) {
 	t.Helper()
 	err := filepath.Walk(dir, func(_ string, info os.FileInfo, err error) error {
 		if err == nil && !info.IsDir() {
@@ -195,40 +195,40 @@
 	return n
 }
 
-// All files together stay within the limit at every moment, and accepted messages can be
-// completed even when nothing more fits.
-func TestFolderStaysWithinLimit(t *testing.T) {
+// The files together never exceed the limit, and accepted messages can be completed even
+// if no more new ones fit.
+func TestFilesStayWithinLimit(t *testing.T) {
 	const limit = 1 << 20
 	dir := t.TempDir()
-	l, _ := openTest(t, dir, limit)
+	l, _ := openTestLog(t, dir, limit)
 	body := strings.Repeat("b", 64<<10)
-	n := 0
-	for ; ; n++ {
-		if err := l.store.appendRecords([]*Record{accepted(strconv.Itoa(n), body)})[0]; err != nil {
+	accepted := 0
+	for ; ; accepted++ {
+		if err := l.store.appendRecords([]*Record{newAcceptedRecord(strconv.Itoa(accepted), body)})[0]; err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
 			break
 		}
 	}
-	if n == 0 {
-		t.Fatal("nothing fits")
+	if accepted == 0 {
+		t.Fatal("not even one message fits")
 	}
-	for round := range 9000 { // far more than fits without a checkpoint
-		id := strconv.Itoa(round % n)
+	for round := range 9000 { // far more records than fit without a checkpoint
+		id := strconv.Itoa(round % accepted)
 		mustAppend(t, l, &Record{Kind: KindAttempt, ID: id, At: int64(round) + 1, Endpoint: "endpoint"}, &Record{Kind: KindOutcome, ID: id, MayHaveRun: true})
 		l.store.compact()
 		if round%64 == 0 {
-			if size := diskSize(t, dir); size > limit || size != l.store.usage.bytes {
-				t.Fatalf("round %d: %d bytes on disk, held to be %d", round, size, l.store.usage.bytes)
+			if size := measureFolderSize(t, dir); size > limit || size != l.store.usage.bytes {
+				t.Fatalf("round %d: %d bytes on disk, the log counts %d", round, size, l.store.usage.bytes)
 			}
 		}
 	}
-	for i := range n {
+	for i := range accepted {
 		mustAppend(t, l, &Record{Kind: KindCompleted, ID: strconv.Itoa(i)})
 	}
 	if l.store.checkpointBytes != 0 {
-		t.Errorf("%d bytes owed by nobody", l.store.checkpointBytes)
+		t.Errorf("%d bytes are reserved for a checkpoint although no message is pending", l.store.checkpointBytes)
 	}
-	mustAppend(t, l, accepted("next", body))
+	mustAppend(t, l, newAcceptedRecord("next", body))
 }
--- a/internal/wal/message.go
+++ b/internal/wal/message.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// errRecordMismatch: the file does not hold the record that the index expects there.
+// errRecordMismatch: the file does not contain the record that the index expects at that position.
 var errRecordMismatch = errors.New("wal: record is not where it was")
 
 func errUnreadableNow(f *logFile, offset uint32) error {
 	return fmt.Errorf("wal: %s at %d: unreadable now", f.name, offset)
 }
 
-// messageReader reads messages from their files through one window. Its zero value is
-// ready to use, for one goroutine.
+// messageReader reads messages from log files through one buffer. The zero value is ready
+// to use, by one goroutine at a time.
 type messageReader struct {
 	scanner scanner
 	fileRef uint32
@@ -22,13 +22,14 @@
 func (m *messageReader) scannerOf(f *logFile) *scanner {
 	if m.fileRef != f.ref || m.scanner.file != f.file {
 		m.fileRef = f.ref
-		m.scanner = scanner{file: f.file, salt: f.salt, windowBytes: m.scanner.windowBytes, buffer: m.scanner.buffer[:0]}
+		m.scanner = scanner{file: f.file, checksumSeed: f.checksumSeed, windowBytes: m.scanner.windowBytes, buffer: m.scanner.buffer[:0]}
 	}
 	return &m.scanner
 }
 
-// readMessage reads an entry as the relay gets it. Where its record cannot be read, the
-// result has the id, if that is certain, and the state.
+// readMessage returns the message of an index entry with its state. If its record cannot
+// be read, it returns an error and a Record with the state, and with the id if the id's
+// checksum is valid.
 func (s *state) readMessage(i uint32, reader *messageReader) (*Record, error) {
 	r := &Record{}
 	message, err := s.readRecord(i, reader, r)
@@ -41,10 +42,10 @@
 	return r, err
 }
 
-// readRecord puts an entry's id and state into r, and gives its encoded message, which is
+// readRecord stores an entry's id and state in r and returns its encoded message, which is
 // valid until the reader's next call.
 func (s *state) readRecord(i uint32, reader *messageReader, r *Record) (message []byte, err error) {
-	e := s.index.at(i)
+	e := s.index.entryAt(i)
 	s.readState(i, r)
 	if r.Corrupted {
 		return nil, nil
@@ -74,9 +75,9 @@
 	return message, nil
 }
 
-// readState puts an entry's state into r, and the id where that is all that is left.
+// readState stores an entry's state in r, and its id if corruption left nothing else.
 func (s *state) readState(i uint32, r *Record) {
-	e := s.index.at(i)
+	e := s.index.entryAt(i)
 	*r = Record{
 		Kind:               KindAccepted,
 		Attempts:           int(e.attempts),
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -16,10 +16,10 @@
 	"plovershore/internal/wal/cutfs"
 )
 
-// guarantees is what a log has reported as recorded, and the records that it was given last
-// and has not answered, which may or may not be recorded.
+// guarantees is what a log has reported as recorded. unanswered holds the records whose
+// result the log has not reported yet; they may or may not be recorded.
 type guarantees struct {
-	pending    map[string]string // body by id
+	pending    map[string]string // body by message id
 	mayHaveRun map[string]bool   // an attempt is in flight or may have run
 	completed  map[string]bool
 	unanswered []*wal.Record
@@ -29,49 +29,49 @@
 	return &guarantees{pending: map[string]string{}, mayHaveRun: map[string]bool{}, completed: map[string]bool{}}
 }
 
-func (p *guarantees) add(r *wal.Record) {
+func (g *guarantees) add(r *wal.Record) {
 	switch r.Kind {
 	case wal.KindAccepted:
-		p.pending[r.ID] = string(r.Body)
-		delete(p.completed, r.ID)
+		g.pending[r.ID] = string(r.Body)
+		delete(g.completed, r.ID)
 	case wal.KindAttempt:
-		p.mayHaveRun[r.ID] = true
+		g.mayHaveRun[r.ID] = true
 	case wal.KindOutcome:
 		if !r.MayHaveRun {
-			delete(p.mayHaveRun, r.ID)
+			delete(g.mayHaveRun, r.ID)
 		}
 	case wal.KindCompleted:
-		delete(p.pending, r.ID)
-		delete(p.mayHaveRun, r.ID)
-		p.completed[r.ID] = true
+		delete(g.pending, r.ID)
+		delete(g.mayHaveRun, r.ID)
+		g.completed[r.ID] = true
 	}
 }
 
-// holds gives an error where the records of a folder break a guarantee.
-func (p *guarantees) holds(recs []*wal.Record) error {
-	have := map[string]*wal.Record{}
+// check returns an error if the recovered records violate a guarantee.
+func (g *guarantees) check(recs []*wal.Record) error {
+	recovered := map[string]*wal.Record{}
 	for _, r := range recs {
-		if have[r.ID] != nil {
-			return fmt.Errorf("%s is there twice", r.ID)
+		if recovered[r.ID] != nil {
+			return fmt.Errorf("%s was recovered twice", r.ID)
 		}
-		have[r.ID] = r
+		recovered[r.ID] = r
 	}
 	isUnanswered := func(id string, kinds ...wal.Kind) bool {
-		return slices.ContainsFunc(p.unanswered, func(r *wal.Record) bool { return r.ID == id && slices.Contains(kinds, r.Kind) })
+		return slices.ContainsFunc(g.unanswered, func(r *wal.Record) bool { return r.ID == id && slices.Contains(kinds, r.Kind) })
 	}
-	for id, body := range p.pending {
-		switch r := have[id]; {
+	for id, body := range g.pending {
+		switch r := recovered[id]; {
 		case r == nil && !isUnanswered(id, wal.KindCompleted):
-			return fmt.Errorf("%s was accepted, and is missing", id)
+			return fmt.Errorf("%s was accepted but is missing", id)
 		case r != nil && (string(r.Body) != body && !isUnanswered(id, wal.KindAccepted) || r.Corrupted):
-			return fmt.Errorf("%s came back with %d bytes, lost %v", id, len(r.Body), r.Corrupted)
-		case r != nil && p.mayHaveRun[id] && r.UnknownOutcomeAt == 0 && r.InFlightSince == 0 && !isUnanswered(id, wal.KindOutcome, wal.KindAccepted):
-			return fmt.Errorf("%s was sent, and comes back as one that was not", id)
+			return fmt.Errorf("%s was recovered with a body of %d bytes, corrupted: %v", id, len(r.Body), r.Corrupted)
+		case r != nil && g.mayHaveRun[id] && r.UnknownOutcomeAt == 0 && r.InFlightSince == 0 && !isUnanswered(id, wal.KindOutcome, wal.KindAccepted):
+			return fmt.Errorf("%s was sent but is recovered as unsent", id)
 		}
 	}
-	for id := range have {
-		if p.completed[id] && !isUnanswered(id, wal.KindAccepted) {
-			return fmt.Errorf("%s was completed, and is there again", id)
+	for id := range recovered {
+		if g.completed[id] && !isUnanswered(id, wal.KindAccepted) {
+			return fmt.Errorf("%s was completed but is pending again", id)
 		}
 	}
 	return nil
@@ -79,22 +79,22 @@
 
 const cutDir = "/state"
 
-func openAfterCut(fs *cutfs.FS, promise wal.Durability) (*wal.Log, []*wal.Record, error) {
-	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: promise, FS: fs})
+func openCutLog(fs *cutfs.FS, durability wal.Durability) (*wal.Log, []*wal.Record, error) {
+	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: durability, FS: fs})
 	if err != nil {
 		return nil, nil, err
 	}
 	return l, l.Next(1 << 20), nil
 }
 
-// appendOneByOne appends records to an open log one by one, and counts the errors.
-func appendOneByOne(l *wal.Log, p *guarantees, recs []*wal.Record) (errs int) {
+// appendOneByOne appends records one by one and returns the number of errors.
+func appendOneByOne(l *wal.Log, g *guarantees, recs []*wal.Record) (errs int) {
 	for _, r := range recs {
-		p.unanswered = []*wal.Record{r}
+		g.unanswered = []*wal.Record{r}
 		err := l.AppendNow(r)
-		p.unanswered = nil
+		g.unanswered = nil
 		if err == nil {
-			p.add(r)
+			g.add(r)
 		} else {
 			errs++
 		}
@@ -102,131 +102,133 @@
 	return errs
 }
 
-func history(r *rand.Rand, n int) (recs []*wal.Record) {
-	live := []string{}
-	out := map[string]bool{}
+func drawHistory(r *rand.Rand, n int) (recs []*wal.Record) {
+	pendingIDs := []string{}
+	inFlight := map[string]bool{}
 	for i := range n {
-		if len(live) == 0 || r.IntN(3) == 0 {
+		if len(pendingIDs) == 0 || r.IntN(3) == 0 {
 			id := fmt.Sprintf("m-%d", i)
-			live = append(live, id)
+			pendingIDs = append(pendingIDs, id)
 			recs = append(recs, &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "once", Dest: 1, Deadline: 1e15, Body: []byte(strings.Repeat(string(rune('a'+i%26)), r.IntN(1200)))})
 			continue
 		}
-		at := r.IntN(len(live))
-		id := live[at]
+		position := r.IntN(len(pendingIDs))
+		id := pendingIDs[position]
 		switch {
-		case out[id] && r.IntN(2) == 0:
+		case inFlight[id] && r.IntN(2) == 0:
 			recs = append(recs, &wal.Record{Kind: wal.KindOutcome, ID: id, MayHaveRun: r.IntN(2) == 0})
-			out[id] = false
-		case out[id] || r.IntN(4) == 0:
+			inFlight[id] = false
+		case inFlight[id] || r.IntN(4) == 0:
 			recs = append(recs, &wal.Record{Kind: wal.KindCompleted, ID: id})
-			live = slices.Delete(live, at, at+1)
-			out[id] = false
-			if r.IntN(4) == 0 { // an id that comes again
-				live = append(live, id)
+			pendingIDs = slices.Delete(pendingIDs, position, position+1)
+			inFlight[id] = false
+			if r.IntN(4) == 0 { // the same id is accepted again
+				pendingIDs = append(pendingIDs, id)
 				recs = append(recs, &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "once", Dest: 1, Deadline: 1e15, Body: []byte("again")})
 			}
 		default:
 			recs = append(recs, &wal.Record{Kind: wal.KindAttempt, ID: id, At: int64(i + 1), Process: 1, Endpoint: "s-1", Sync: true})
-			out[id] = true
+			inFlight[id] = true
 		}
 	}
 	return recs
 }
 
-// checkAfterCut opens what a cut left, twice, and compares it with the guarantees.
-func checkAfterCut(fs *cutfs.FS, p *guarantees, keep func(int) bool) error {
-	after := fs.Cut(keep)
-	l, recs, err := openAfterCut(after, wal.SurvivesPowerLoss)
+// checkAfterCut opens the folder twice after a power cut and checks the guarantees.
+// survives says which pending changes survive the cut.
+func checkAfterCut(fs *cutfs.FS, g *guarantees, survives func(int) bool) error {
+	afterCut := fs.Cut(survives)
+	l, recs, err := openCutLog(afterCut, wal.SurvivesPowerLoss)
 	if err != nil {
-		return fmt.Errorf("not opened: %w", err)
+		return fmt.Errorf("open after the cut: %w", err)
 	}
 	if !l.Recovery.Sound() {
-		return fmt.Errorf("a cut alone is told as damage: %+v, lost %v", l.Recovery.Corruptions, l.Recovery.LostIDs)
+		return fmt.Errorf("a power cut without corruption is reported as corruption: %+v, lost ids %v", l.Recovery.Corruptions, l.Recovery.LostIDs)
 	}
-	if err := p.holds(recs); err != nil {
+	if err := g.check(recs); err != nil {
 		return err
 	}
 	l.Close()
-	l, again, err := openAfterCut(after, wal.SurvivesPowerLoss)
+	l, again, err := openCutLog(afterCut, wal.SurvivesPowerLoss)
 	if err != nil {
-		return fmt.Errorf("not opened again: %w", err)
+		return fmt.Errorf("second open after the cut: %w", err)
 	}
 	defer l.Close()
-	if a, b := describeAll(recs), describeAll(again); !slices.Equal(a, b) {
-		return fmt.Errorf("%v, then %v", a, b)
+	if a, b := summarizeRecords(recs), summarizeRecords(again); !slices.Equal(a, b) {
+		return fmt.Errorf("recovered %v at the first start, %v at the second", a, b)
 	}
 	return nil
 }
 
-func describeAll(recs []*wal.Record) (all []string) {
+func summarizeRecords(recs []*wal.Record) (all []string) {
 	for _, r := range recs {
 		all = append(all, fmt.Sprint(r.ID, len(r.Body), r.Attempts, r.UnknownOutcomeAt, r.Notice))
 	}
 	return all
 }
 
-// forEachCut calls f with each choice of the changes that survive, where they are few; else
-// with every prefix, all but each one, each one alone, and some at random.
-func forEachCut(n int, r *rand.Rand, f func(keep func(int) bool) error) error {
+// forEachPowerCut calls f with choices of which of n changes survive a power cut: with all
+// choices if n is at most 6, otherwise with every prefix, all but each one, each one
+// alone, and some at random.
+func forEachPowerCut(n int, r *rand.Rand, f func(survives func(int) bool) error) error {
 	if n <= 6 {
 		for set := range 1 << n {
 			if err := f(func(i int) bool { return set>>i&1 == 1 }); err != nil {
-				return fmt.Errorf("set %b of %d: %w", set, n, err)
+				return fmt.Errorf("set %b of %d changes survives: %w", set, n, err)
 			}
 		}
 		return nil
 	}
-	for at := range n + 1 {
-		for what, keep := range map[string]func(int) bool{"the first": func(i int) bool { return i < at }, "all but": func(i int) bool { return i != at },
-			"only": func(i int) bool { return i == at }} {
-			if err := f(keep); err != nil {
-				return fmt.Errorf("%s %d of %d: %w", what, at, n, err)
+	for position := range n + 1 {
+		for choice, survives := range map[string]func(int) bool{"the first": func(i int) bool { return i < position }, "all but number": func(i int) bool { return i != position },
+			"only number": func(i int) bool { return i == position }} {
+			if err := f(survives); err != nil {
+				return fmt.Errorf("%s %d of %d changes survive: %w", choice, position, n, err)
 			}
 		}
 	}
 	for range 4 {
 		seed := r.Uint64()
-		draw := rand.New(rand.NewPCG(seed, 1))
-		kept := make([]bool, n)
-		for i := range kept {
-			kept[i] = draw.IntN(2) == 0
+		random := rand.New(rand.NewPCG(seed, 1))
+		survivors := make([]bool, n)
+		for i := range survivors {
+			survivors[i] = random.IntN(2) == 0
 		}
-		if err := f(func(i int) bool { return kept[i] }); err != nil {
-			return fmt.Errorf("drawn by %d: %w", seed, err)
+		if err := f(func(i int) bool { return survivors[i] }); err != nil {
+			return fmt.Errorf("changes drawn with seed %d survive: %w", seed, err)
 		}
 	}
 	return nil
 }
 
-// Power is lost before every change of the file system, in a short history with a
-// checkpoint in it, and again during the recovery after that.
-func TestPowerLostAtEveryPoint(t *testing.T) {
+// Power is lost before every change of the file system in a short history that includes a
+// checkpoint, and again during the recovery from such a loss.
+func TestPowerLossBeforeEveryChangeKeepsGuarantees(t *testing.T) {
 	for seed := range uint64(4) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		fs := cutfs.New(cutDir)
-		p := newGuarantees()
-		points, tried := 0, 0
-		fs.Before = func(what, name string) error {
+		g := newGuarantees()
+		points, cuts := 0, 0
+		fs.Before = func(operation, name string) error {
 			points++
 			hook := fs.Before
 			fs.Before = nil
 			defer func() { fs.Before = hook }()
-			if err := forEachCut(fs.Pending(), r, func(keep func(int) bool) error { tried++; return checkAfterCut(fs, p, keep) }); err != nil {
-				t.Fatalf("seed %d, point %d, before %s of %s: %v", seed, points, what, name, err)
+			if err := forEachPowerCut(fs.Pending(), r, func(survives func(int) bool) error { cuts++; return checkAfterCut(fs, g, survives) }); err != nil {
+				t.Fatalf("seed %d, point %d, before %s of %s: %v", seed, points, operation, name, err)
 			}
-			if points%5 == 0 { // and once more, in the middle of the recovery
-				again := fs.Cut(func(int) bool { return r.IntN(2) == 0 })
-				again.Before = func(what, name string) error {
-					hook := again.Before
-					again.Before = nil
-					defer func() { again.Before = hook }()
-					if err := checkAfterCut(again, p, func(int) bool { return r.IntN(2) == 0 }); err != nil {
-						t.Fatalf("seed %d, point %d, in the recovery before %s of %s: %v", seed, points, what, name, err)
+			if points%5 == 0 { // cuts the power a second time, during the recovery
+				afterCut := fs.Cut(func(int) bool { return r.IntN(2) == 0 })
+				afterCut.Before = func(operation, name string) error {
+					hook := afterCut.Before
+					afterCut.Before = nil
+					defer func() { afterCut.Before = hook }()
+					if err := checkAfterCut(afterCut, g, func(int) bool { return r.IntN(2) == 0 }); err != nil {
+						t.Fatalf("seed %d, point %d, in the recovery before %s of %s: %v", seed, points, operation, name, err)
 					}
 					return nil
 				}
-				l, _, err := openAfterCut(again, wal.SurvivesPowerLoss)
+				l, _, err := openCutLog(afterCut, wal.SurvivesPowerLoss)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -234,174 +236,175 @@
 			}
 			return nil
 		}
-		l, _, err := openAfterCut(fs, wal.SurvivesPowerLoss)
+		l, _, err := openCutLog(fs, wal.SurvivesPowerLoss)
 		if err != nil {
 			t.Fatal(err)
 		}
-		recs := history(r, 24)
-		appendOneByOne(l, p, recs[:12])
+		recs := drawHistory(r, 24)
+		appendOneByOne(l, g, recs[:12])
 		if err := l.CheckpointNow(); err != nil {
 			t.Fatal(err)
 		}
-		appendOneByOne(l, p, recs[12:])
+		appendOneByOne(l, g, recs[12:])
 		l.Close()
-		t.Logf("seed %d: %d points, %d cuts", seed, points, tried)
-		if points < 50 || tried < 500 {
-			t.Errorf("%d points, %d cuts", points, tried)
+		t.Logf("seed %d: %d points, %d cuts", seed, points, cuts)
+		if points < 50 || cuts < 500 {
+			t.Errorf("only %d points and %d cuts were tested, want at least 50 and 500", points, cuts)
 		}
 	}
 }
 
-// The same over longer histories, opened again and again, with cuts at random.
-func TestPowerLostOverLongHistories(t *testing.T) {
+// As the test above, but with longer histories, several restarts and random cuts.
+func TestPowerLossInLongHistoriesKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 		fs := cutfs.New(cutDir)
-		p := newGuarantees()
+		g := newGuarantees()
 		for incarnation := range rapid.IntRange(1, 4).Draw(t, "incarnations") {
-			l, recs, err := openAfterCut(fs, wal.SurvivesPowerLoss)
+			l, recs, err := openCutLog(fs, wal.SurvivesPowerLoss)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := p.holds(recs); err != nil {
-				t.Fatalf("incarnation %d: %v", incarnation, err)
+			if err := g.check(recs); err != nil {
+				t.Fatalf("start %d: %v", incarnation, err)
 			}
 			if !l.Recovery.Sound() {
-				t.Fatalf("incarnation %d: %+v", incarnation, l.Recovery)
+				t.Fatalf("start %d: the recovery found %+v", incarnation, l.Recovery)
 			}
-			// The records that were not answered are recorded, or are not.
-			q := newGuarantees()
+			// What the log recovered replaces the guarantees, since each unanswered record
+			// may or may not be recorded.
+			recovered := newGuarantees()
 			for _, x := range recs {
-				q.pending[x.ID] = string(x.Body)
-				q.mayHaveRun[x.ID] = x.UnknownOutcomeAt != 0
+				recovered.pending[x.ID] = string(x.Body)
+				recovered.mayHaveRun[x.ID] = x.UnknownOutcomeAt != 0
 			}
-			maps.Copy(q.completed, p.completed)
-			for id := range p.pending {
-				if _, ok := q.pending[id]; !ok {
-					q.completed[id] = true
+			maps.Copy(recovered.completed, g.completed)
+			for id := range g.pending {
+				if _, ok := recovered.pending[id]; !ok {
+					recovered.completed[id] = true
 				}
 			}
-			for id := range q.pending {
-				delete(q.completed, id)
+			for id := range recovered.pending {
+				delete(recovered.completed, id)
 			}
-			p = q
-			todo := history(r, rapid.IntRange(1, 300).Draw(t, "records"))
-			for i := range todo {
-				todo[i].ID = fmt.Sprint(incarnation, "-", todo[i].ID)
+			g = recovered
+			remaining := drawHistory(r, rapid.IntRange(1, 300).Draw(t, "records"))
+			for i := range remaining {
+				remaining[i].ID = fmt.Sprint(incarnation, "-", remaining[i].ID)
 			}
-			stop := rapid.IntRange(0, 200).Draw(t, "cut after")
-			var cut *cutfs.FS
+			changesLeft := rapid.IntRange(0, 200).Draw(t, "cut after")
+			var afterCut *cutfs.FS
 			fs.Before = func(string, string) error {
-				if stop--; stop < 0 {
-					if cut == nil {
-						cut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
+				if changesLeft--; changesLeft < 0 {
+					if afterCut == nil {
+						afterCut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
 					}
-					return syscall.EIO // the machine is gone; what it says does not count
+					return syscall.EIO // the power is off, so the results of these calls do not count
 				}
 				return nil
 			}
-			for i := 0; len(todo) > 0; i++ {
-				n := min(len(todo), 1+r.IntN(8)) // a batch may be recorded in part
-				p.unanswered = todo[:n]
-				errs := l.AppendAll(todo[:n])
-				if cut != nil {
+			for i := 0; len(remaining) > 0; i++ {
+				n := min(len(remaining), 1+r.IntN(8)) // only part of a batch may be recorded
+				g.unanswered = remaining[:n]
+				errs := l.AppendAll(remaining[:n])
+				if afterCut != nil {
 					break
 				}
-				p.unanswered = nil
+				g.unanswered = nil
 				for k, err := range errs {
 					if err == nil {
-						p.add(todo[k])
+						g.add(remaining[k])
 					}
 				}
-				if todo = todo[n:]; i%10 == 9 {
+				if remaining = remaining[n:]; i%10 == 9 {
 					l.Compact()
 				}
 			}
 			fs.Before = nil
 			l.Close()
-			if cut == nil {
-				cut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
+			if afterCut == nil {
+				afterCut = fs.Cut(func(int) bool { return r.IntN(2) == 0 })
 			}
-			fs = cut
+			fs = afterCut
 		}
 	})
 }
 
-// The checker itself detects a log that answers before it has synced.
-func TestForgottenSyncIsCaught(t *testing.T) {
+// The checks in this file detect a log that reports records as done before it has synced them.
+func TestPowerLossCheckDetectsMissingSync(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 4))
 	fs := cutfs.New(cutDir)
-	p := newGuarantees()
-	l, _, err := openAfterCut(fs, wal.SurvivesCrash) // the defect: nothing is synced
+	g := newGuarantees()
+	l, _, err := openCutLog(fs, wal.SurvivesCrash) // the simulated defect: nothing is synced
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	appendOneByOne(l, p, history(r, 20))
-	if err := forEachCut(fs.Pending(), r, func(keep func(int) bool) error { return checkAfterCut(fs, p, keep) }); err == nil {
-		t.Fatal("not caught")
+	appendOneByOne(l, g, drawHistory(r, 20))
+	if err := forEachPowerCut(fs.Pending(), r, func(survives func(int) bool) error { return checkAfterCut(fs, g, survives) }); err == nil {
+		t.Fatal("no cut violated a guarantee although nothing was synced")
 	}
 }
 
-// A sync that fails is final: nothing is accepted after it, and nothing that was recorded
-// before is lost.
-func TestFailedSyncIsFinal(t *testing.T) {
+// After a sync has failed, the log accepts no record any more, and what was recorded
+// before is not lost.
+func TestLogRefusesRecordsAfterFailedSync(t *testing.T) {
 	fs := cutfs.New(cutDir)
-	var told error
-	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: wal.SurvivesPowerLoss, FS: fs, OnFailure: func(err error) { told = err }})
+	var reported error
+	l, err := wal.Open(wal.Options{Dir: cutDir, Limit: 1 << 20, Durability: wal.SurvivesPowerLoss, FS: fs, OnFailure: func(err error) { reported = err }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newGuarantees()
-	recs := history(rand.New(rand.NewPCG(5, 5)), 40)
-	appendOneByOne(l, p, recs[:20])
-	fs.Before = func(what, _ string) error {
-		if what == "sync" {
+	g := newGuarantees()
+	recs := drawHistory(rand.New(rand.NewPCG(5, 5)), 40)
+	appendOneByOne(l, g, recs[:20])
+	fs.Before = func(operation, _ string) error {
+		if operation == "sync" {
 			return syscall.EIO
 		}
 		return nil
 	}
-	if errs := appendOneByOne(l, p, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(told, wal.ErrSyncFailed) {
-		t.Fatalf("%d refused, told %v", errs, told)
+	if errs := appendOneByOne(l, g, []*wal.Record{{Kind: wal.KindAccepted, ID: "x", Class: "once"}}); errs != 1 || !errors.Is(reported, wal.ErrSyncFailed) {
+		t.Fatalf("%d records were refused, OnFailure got %v", errs, reported)
 	}
-	fs.Before = nil // it would work again
-	if errs := appendOneByOne(l, p, recs[20:]); errs != len(recs)-20 {
-		t.Errorf("%d of %d refused after a failed sync", errs, len(recs)-20)
+	fs.Before = nil // a sync would succeed again from here on
+	if errs := appendOneByOne(l, g, recs[20:]); errs != len(recs)-20 {
+		t.Errorf("%d of %d records were refused after a failed sync", errs, len(recs)-20)
 	}
 	l.Close()
-	if err := checkAfterCut(fs, p, func(int) bool { return false }); err != nil {
+	if err := checkAfterCut(fs, g, func(int) bool { return false }); err != nil {
 		t.Error(err)
 	}
 }
 
-// Any call may fail, completely or in part: what was recorded stays, and once calls succeed
-// again, the log goes on.
-func TestFailingCalls(t *testing.T) {
+// Any file system call may fail, completely or in part. What was recorded stays recorded,
+// and the log works again once calls succeed.
+func TestFailingFileSystemCallsLoseNoRecord(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS} {
 		for _, short := range []bool{false, true} {
 			for seed := range uint64(40) {
 				r := rand.New(rand.NewPCG(seed, 6))
 				fs := cutfs.New(cutDir)
-				fs.Short = short
-				p := newGuarantees()
-				l, _, err := openAfterCut(fs, wal.SurvivesCrash)
+				fs.ShortWrites = short
+				g := newGuarantees()
+				l, _, err := openCutLog(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
-				recs := history(r, 200)
-				fs.Before = func(what, _ string) error {
-					if what != "mark" && r.IntN(4) == 0 {
+				recs := drawHistory(r, 200)
+				fs.Before = func(operation, _ string) error {
+					if operation != "mark" && r.IntN(4) == 0 {
 						return errno
 					}
 					return nil
 				}
 				refused := 0
-				for i, x := range recs {
-					if _, owed := p.pending[x.ID]; owed && x.Kind == wal.KindAccepted {
-						continue // its completion was refused: it is pending still, and is not accepted again
+				for i, record := range recs {
+					if _, isPending := g.pending[record.ID]; isPending && record.Kind == wal.KindAccepted {
+						continue // its completion was refused, so it is still pending and not accepted again
 					}
-					if err := l.AppendNow(x); err == nil {
-						p.add(x)
+					if err := l.AppendNow(record); err == nil {
+						g.add(record)
 					} else {
 						refused++
 					}
@@ -413,20 +416,20 @@
 					}
 				}
 				fs.Before = nil
-				p.unanswered = nil
+				g.unanswered = nil
 				if err := l.AppendNow(&wal.Record{Kind: wal.KindAccepted, ID: "last", Class: "once", Body: []byte("z")}); err != nil {
-					t.Fatalf("with room again: %v", err)
+					t.Fatalf("append after calls succeed again: %v", err)
 				}
-				p.add(&wal.Record{Kind: wal.KindAccepted, ID: "last", Body: []byte("z")})
+				g.add(&wal.Record{Kind: wal.KindAccepted, ID: "last", Body: []byte("z")})
 				l.Close()
-				back, got, err := openAfterCut(fs, wal.SurvivesCrash)
+				reopened, recovered, err := openCutLog(fs, wal.SurvivesCrash)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := p.holds(got); err != nil || !back.Recovery.Sound() || refused == 0 {
-					t.Fatalf("%v, short %v, seed %d: %v; %d refused; found %+v", errno, short, seed, err, refused, back.Recovery)
+				if err := g.check(recovered); err != nil || !reopened.Recovery.Sound() || refused == 0 {
+					t.Fatalf("%v, short writes %v, seed %d: %v; %d records refused; the recovery found %+v", errno, short, seed, err, refused, reopened.Recovery)
 				}
-				back.Close()
+				reopened.Close()
 			}
 		}
 	}
--- a/internal/wal/recorded_test.go
+++ b/internal/wal/recorded_test.go
@@ -17,9 +17,9 @@
 	recordedLimit = 128 << 10
 )
 
-// recordedClock goes on by a millisecond at each reading, as the clock of the program
-// that wrote the folders did, and of the same boot.
-func recordedClock() func() clock.Reading {
+// newRecordedClock returns a clock that advances by a millisecond at each reading, with the
+// same boot id as the clock of the program that wrote the folders.
+func newRecordedClock() func() clock.Reading {
 	sinceStart := int64(40_000_000)
 	return func() clock.Reading {
 		sinceStart += 1000
@@ -62,14 +62,15 @@
 	return dir
 }
 
-func withText(records []*wal.Record) (messages []recordedMessage) {
+func addBodyText(records []*wal.Record) (messages []recordedMessage) {
 	for _, r := range records {
 		messages = append(messages, recordedMessage{*r, string(r.Body)})
 	}
 	return messages
 }
 
-// describeMessages gives each message as the text that the folders' program wrote of it.
+// describeMessages returns each message as JSON, in the form in which the program that
+// wrote the folders printed it.
 func describeMessages(t *testing.T, messages []recordedMessage) (lines []string) {
 	t.Helper()
 	for _, m := range messages {
@@ -90,35 +91,35 @@
 	}
 }
 
-// openRecorded opens a folder with the present code and compares what it finds with
-// what the program that wrote the folder found.
+// openRecorded opens a folder with the current code and compares the result with what the
+// program that wrote the folder found.
 func openRecorded(t *testing.T, dir string, want recordedState) *wal.Log {
 	t.Helper()
-	l, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: recordedClock()})
+	l, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: newRecordedClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
 	if now := l.Time(); now != want.Now {
-		t.Errorf("the log's time is %d, want %d", now, want.Now)
+		t.Errorf("log time %d, want %d", now, want.Now)
 	}
 	if l.Process != want.Process || string(l.PolicySnapshot) != want.Policy || l.ClockSetBack != 0 {
 		t.Errorf("process %d with the policy snapshot %q, clock set back by %v; want %d with %q", l.Process, l.PolicySnapshot, l.ClockSetBack, want.Process, want.Policy)
 	}
 	if !l.Recovery.Sound() || len(l.Recovery.Torn) > 0 {
-		t.Errorf("recovery found %+v", l.Recovery)
+		t.Errorf("the recovery found %+v", l.Recovery)
 	}
 	if l.PendingUnread() != len(want.Records) {
 		t.Errorf("%d messages pending, want %d", l.PendingUnread(), len(want.Records))
 	}
-	compareMessages(t, "pending messages", want.Records, withText(l.Next(100)))
+	compareMessages(t, "pending messages", want.Records, addBodyText(l.Next(100)))
 	return l
 }
 
-// Folders of the program before the packages were renamed hold the same messages,
-// attempts, unknown outcomes and deadlines, also after a checkpoint of the present
-// code and another start.
-func TestRecordedFolders(t *testing.T) {
+// The folders were written by the program before its packages were renamed. The current
+// code recovers the same messages, attempts, unknown outcomes and deadlines from them,
+// also after a checkpoint and another start.
+func TestOpenRecoversFoldersOfEarlierVersion(t *testing.T) {
 	for _, name := range []string{"killed", "handed-on"} {
 		t.Run(name, func(t *testing.T) {
 			dir, want := copyRecordedFolder(t, name), readRecordedState(t, name+".json")
@@ -130,27 +131,27 @@
 				t.Fatal(err)
 			}
 			l.Close()
-			again, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: recordedClock()})
+			reopened, err := wal.Open(wal.Options{Dir: dir, Limit: recordedLimit, Clock: newRecordedClock()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer again.Close()
+			defer reopened.Close()
 			later := recordedMessage{Record: wal.Record{Kind: wal.KindAccepted, ID: "later", Class: "plain", Deadline: want.Now + 1}}
-			compareMessages(t, "after a checkpoint and another start", append(want.Records, later), withText(again.Next(100)))
+			compareMessages(t, "after a checkpoint and another start", append(want.Records, later), addBodyText(reopened.Next(100)))
 		})
 	}
 }
 
-// While the process that handed the log on lives, its attempts stay in flight and its
-// handoff log is followed.
-func TestRecordedHandoff(t *testing.T) {
+// While the process that handed the log off is alive, its attempts stay in flight and its
+// handoff log is read.
+func TestOpenFollowsHandoffLogOfEarlierVersion(t *testing.T) {
 	dir, want := copyRecordedFolder(t, "handed-on"), readRecordedState(t, "handed-on-living.json")
-	before, err := wal.OS{}.Open(filepath.Join(dir, wal.HandoffName), wal.ModeWrite)
+	handoffFile, err := wal.OS{}.Open(filepath.Join(dir, wal.HandoffName), wal.ModeWrite)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer before.Close()
-	if locked, err := before.TryLock(); !locked {
+	defer handoffFile.Close()
+	if locked, err := handoffFile.TryLock(); !locked {
 		t.Fatalf("the handoff log is not locked: %v", err)
 	}
 	l := openRecorded(t, dir, want)
@@ -158,7 +159,7 @@
 		t.Fatal("no handoff log")
 	}
 	defer l.Handoff.Close()
-	compareMessages(t, "handoff log", want.Handoff, withText(l.Handoff.Read()))
+	compareMessages(t, "handoff log", want.Handoff, addBodyText(l.Handoff.Read()))
 	if l.Handoff.Process != 1 || l.Handoff.Capacity != want.Handoff[0].HandoffCapacity || l.Handoff.OwnerExited() {
 		t.Errorf("handoff log of process %d with %d bytes, exited %v", l.Handoff.Process, l.Handoff.Capacity, l.Handoff.OwnerExited())
 	}
