--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -9,11 +9,12 @@
 	"plovershore/policy"
 )
 
-// errDuplicateSubmission answers a submission of an id whose first one has no answer yet.
+// errDuplicateSubmission is sent to a client that submits an id while an earlier
+// submission of the same id has no response yet.
 var errDuplicateSubmission = errors.New("id is being handed in already")
 
-// admit shows a submitted message to the policy, unless this process can answer it
-// alone. Whether the policy accepts it shows in its next step.
+// admit responds to a submitted message where the policy is not needed for that, and
+// otherwise submits it to the policy, which decides in its next step.
 func (r *Relay) admit(q *putRequest) {
 	deadline := r.clock.policyTime(q.receivedAt.Add(q.timeLeft))
 	q.record.Deadline = r.clock.logTime(deadline)
@@ -24,7 +25,7 @@
 		r.acceptForSuccessor(q)
 	case r.shutdown.isRunning() && !isTransferred:
 		r.rejectBusy(q, shutdownRetryMS, rejectedStopping)
-	case known != nil && known.isAcknowledged, known == nil && q.isPending: // accepted before
+	case known != nil && known.isAcknowledged, known == nil && q.isPending: // it was accepted before
 		q.respond(responseOK)
 	case known != nil:
 		r.recordRejection(q, rejectedDuplicate)
@@ -36,7 +37,8 @@
 	}
 }
 
-// submitToPolicy asks the policy in its next step whether a message is accepted.
+// submitToPolicy registers a message and has the policy decide in its next step whether
+// it is accepted.
 func (r *Relay) submitToPolicy(q *putRequest, deadline policy.Time) {
 	m := r.newMessage(q.record)
 	m.request, m.receivedAt = q, q.receivedAt
@@ -46,8 +48,9 @@
 		Dest: q.record.Dest, Tenant: q.tenant, TimeLeft: deadline - r.clock.now()})
 }
 
-// acknowledge ends a client's wait for its answer. What waited for that goes on; a
-// message whose client left before its answer is withdrawn.
+// acknowledge handles the end of a client's wait for its response. If the response was
+// sent, the batch, completion or spill that waited for it proceeds. If the client left
+// before the response, its message is withdrawn.
 func (r *Relay) acknowledge(q *putRequest, isSent bool) {
 	m := r.messages.unanswered[q]
 	if m == nil {
@@ -69,7 +72,7 @@
 	r.spillIfReady(m)
 }
 
-// rejectUnlogged rejects a message that the log could not take.
+// rejectUnlogged rejects a message that could not be written to the log.
 func (r *Relay) rejectUnlogged(q *putRequest) {
 	if m := r.messages.unanswered[q]; m != nil {
 		delete(r.messages.unanswered, q)
@@ -78,8 +81,8 @@
 	r.rejectBusy(q, 0, rejectedLog)
 }
 
-// rejectBusy rejects a message that was never accepted; its client may retry it after
-// so many ms, 0 for any time.
+// rejectBusy rejects a message that was never accepted. Its client may submit it again
+// after retryMS milliseconds; 0 gives no time.
 func (r *Relay) rejectBusy(q *putRequest, retryMS int64, why rejection) {
 	r.recordRejection(q, why)
 	r.metrics.countUndelivered(q.class, discovery.Returned)
@@ -93,7 +96,8 @@
 		"left_ms", q.timeLeft.Milliseconds(), "pending", r.messages.pending)
 }
 
-// withdraw takes back a message whose client was not told that it is accepted.
+// withdraw removes a message whose client was not told that it is accepted, from the log
+// and from the policy.
 func (r *Relay) withdraw(m *message) {
 	r.log.Debug("message withdrawn", "message", m.record.ID, "class", m.record.Class, "dest", m.record.Dest)
 	if m.isLogged {
@@ -107,7 +111,7 @@
 	r.removeFromBatch(m)
 }
 
-// removeFromBatch cancels the send that a message waits for.
+// removeFromBatch cancels the pending send of a message, if it has one.
 func (r *Relay) removeFromBatch(m *message) {
 	b := m.pendingBatch
 	if b == nil {
@@ -116,10 +120,10 @@
 	m.pendingBatch = nil
 	b.remove(m)
 	r.queueNotSent(m, b.endpoint)
-	r.startBatch(b) // it may have been the last one that the others waited for
+	r.startBatch(b) // the others may have waited for the acknowledgement of this message only
 }
 
-// accept logs a message; its client is answered once that is done.
+// accept logs a message. Its client gets the response once the log has written it.
 func (r *Relay) accept(m *message) {
 	q := m.request
 	m.request, m.isLogged = nil, true
@@ -128,7 +132,8 @@
 	r.logAccepted(q)
 }
 
-// logAccepted logs a message and answers its client.
+// logAccepted logs a message and then responds to its client. If logging fails, the loop
+// is told to reject the message.
 func (r *Relay) logAccepted(q *putRequest) {
 	r.wal.Submit(q.record, func(err error) {
 		if err != nil {
@@ -139,7 +144,7 @@
 	})
 }
 
-// newMessage makes a message that is pending here.
+// newMessage creates a message and registers it as pending in this process.
 func (r *Relay) newMessage(rec *wal.Record) *message {
 	t := &r.messages
 	t.lastNumber++
@@ -149,13 +154,14 @@
 	return m
 }
 
-// markCompleted records that a message is completed, other than by the policy.
+// markCompleted records that a message was completed without a decision of the policy.
 func (r *Relay) markCompleted(m *message) {
 	m.isCompleted = true
 	r.forgetMessage(m)
 }
 
-// forgetMessage drops a message that the policy no longer has, once its call is over.
+// forgetMessage drops a message that the policy no longer tracks. While a call or a batch
+// still refers to the message, its number stays known.
 func (r *Relay) forgetMessage(m *message) {
 	if !m.isTransferred {
 		r.messages.pending--
@@ -167,14 +173,15 @@
 	}
 }
 
-// transferMessage leaves a message to the process that owns the relay now.
+// transferMessage records that the process that now owns the relay is responsible for a
+// message.
 func (r *Relay) transferMessage(m *message) {
 	m.isTransferred = true
 	r.messages.pending--
 	r.clearDeadline(m)
 }
 
-// clearDeadline takes a message out of the overdue counter.
+// clearDeadline removes a message from the overdue counter.
 func (r *Relay) clearDeadline(m *message) {
 	r.overdue.remove(m.deadlineSpan)
 	m.deadlineSpan = 0
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -9,8 +9,8 @@
 	"plovershore/policy"
 )
 
-// queueNotSent tells the policy of an attempt that never left this process, in the
-// next round of the loop. The endpoint may be nil.
+// queueNotSent has the loop tell the policy, in its next round, that an attempt was never
+// sent. The endpoint may be nil.
 func (r *Relay) queueNotSent(m *message, ep *endpoint) {
 	e := attemptNotSentEvent{message: m}
 	if ep != nil {
@@ -19,9 +19,10 @@
 	r.mailbox.Put(e)
 }
 
-// addToBatch puts a send with those that the policy makes in the same call, as many
-// as one call to the endpoint may carry. Two calls of one step stay two: each has a
-// result of its own, and the messages of one must not wait for those of the other.
+// addToBatch adds a send to the batch of the policy's call, or to a new batch once that
+// one is full: the endpoint's maxBatch and maxBodyBytes limit what a call may carry.
+// Two calls of one step are never merged: each has its own result, and the messages of
+// one must not wait for those of the other.
 func (r *Relay) addToBatch(m *message, a *policy.Action) {
 	ep := r.endpoints.byNumber[a.Endpoint]
 	if ep == nil {
@@ -42,8 +43,9 @@
 	r.step.batches = append(r.step.batches, b)
 }
 
-// startBatch logs the attempts of a batch and then makes its call, unless a client is
-// still to be acknowledged: a message that may yet be withdrawn must not go out.
+// startBatch logs the attempts of a batch and then makes its call. It does nothing while
+// the client of one of the messages is not acknowledged, since that message may still be
+// withdrawn and must not be sent before; acknowledge calls startBatch again.
 func (r *Relay) startBatch(b *batch) {
 	for _, s := range b.sends {
 		if !s.message.isAcknowledged {
@@ -62,8 +64,8 @@
 	r.logAndRun(c, time.Duration(limit)*time.Microsecond)
 }
 
-// newCall makes an empty call to an endpoint, on connections that are not kept idle
-// for longer than calls there have shown to be safe.
+// newCall creates an empty call to an endpoint. It first limits the idle timeout of the
+// connections there to what the observed resets have shown to be safe.
 func (r *Relay) newCall(ep *endpoint) *call {
 	now := r.clock.now()
 	keep := maxIdleTime(&r.cfg.Policy)
@@ -72,14 +74,15 @@
 	return &call{endpoint: ep, transport: ep.transport, ctx: ctx, cancel: stop}
 }
 
-// fillCall moves what may still be sent from a batch to its call. It returns when
-// the last of the attempts times out, in µs from now: one connection carries them all.
+// fillCall moves the messages that may still be sent from a batch to its call. It returns
+// the timeout of the call in µs, which is the longest of its attempts' timeouts, since
+// one connection carries them all.
 func (r *Relay) fillCall(b *batch, c *call) (limit policy.Time) {
 	now := r.clock.now()
 	for _, s := range slices.Clone(b.sends) {
 		m := s.message
 		if r.isTooLateToSend(m) {
-			continue // it stays in the batch
+			continue // the message stays in the batch, and the next process recovers it
 		}
 		m.pendingBatch = nil
 		b.remove(m)
@@ -97,26 +100,26 @@
 	return limit
 }
 
-// canSend reports whether nothing has happened since the policy's step that rules a
-// send out.
+// canSend reports whether a send that the policy decided on is still allowed: its time
+// limits, the endpoint's state and the message may have changed since that step.
 func canSend(s *send, ep *endpoint, now policy.Time) bool {
 	isExpired := s.timeoutAt <= now || s.sendBy != 0 && s.sendBy <= now
 	isUsable := !ep.isStopped && ep.cell == s.message.record.Dest && ep.retryAfterUntil <= now
 	return isUsable && !isExpired && !s.message.isCompleted
 }
 
-// callRun is a call whose attempts are being logged. Its fields are the log
-// goroutine's until the call runs.
+// callRun is a call whose attempts are being logged. Only the log's goroutine may use its
+// fields until the call runs.
 type callRun struct {
 	call    *call
 	limit   time.Duration
-	results []outcome     // one for each part
-	records []*wal.Record // of the attempts that could be logged
-	parts   []int         // their places in the call
+	results []outcome     // one for each message of the call
+	records []*wal.Record // messages whose attempts could be logged
+	parts   []int         // indexes of those messages in call.messages
 }
 
-// logAndRun has the attempts of a call logged. Once the last of them is, the call runs
-// with those that could be, on a goroutine of its own.
+// logAndRun logs the attempts of a call. After the last of them the call runs, on its own
+// goroutine, with the messages whose attempts could be logged.
 func (r *Relay) logAndRun(c *call, limit time.Duration) {
 	at := r.clock.logTime(r.clock.now())
 	run := &callRun{call: c, limit: limit, results: make([]outcome, len(c.messages))}
@@ -139,7 +142,7 @@
 	}
 }
 
-// runCall makes a call and tells the loop of its results.
+// runCall makes a call and posts its results to the loop.
 func (r *Relay) runCall(run *callRun, addr string) {
 	c := run.call
 	if len(run.records) > 0 {
@@ -174,7 +177,7 @@
 	if c.endpoint.updateLiveness(o, now) {
 		c.endpoint.transport.CloseIdleConnections()
 	}
-	if c.transport != c.endpoint.transport { // replaced meanwhile: its connection is of no more use
+	if c.transport != c.endpoint.transport { // it was replaced during the call, so its connections are not used again
 		c.transport.CloseIdleConnections()
 	}
 	for i := range c.messages {
@@ -184,8 +187,8 @@
 	}
 }
 
-// finishAttempt handles the outcome of an attempt: it tells the policy, logs it and,
-// where that settles the message, completes it. The endpoint may be nil.
+// finishAttempt handles the outcome of an attempt: it reports it to the policy, logs it
+// and, if the outcome is final, completes the message. The endpoint may be nil.
 func (r *Relay) finishAttempt(m *message, ep *endpoint, attempt int, o *outcome) {
 	e := attemptDoneEvent(m, ep, attempt, o)
 	if o.isLocalFailure {
@@ -226,8 +229,8 @@
 	return e
 }
 
-// outcomeRecord is the log's record of an outcome. Where another process owns the
-// relay, it carries what that one's policy has to know.
+// outcomeRecord returns the log record of an outcome. If another process owns the relay
+// now, the record also carries what the policy of that process needs.
 func (r *Relay) outcomeRecord(m *message, o *outcome) *wal.Record {
 	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.record.ID, MayHaveRun: !o.kind.NeverRan(), LocalFailure: o.isLocalFailure}
 	if o.isFinal {
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	loadBatchSize  = 2000             // messages that are read at a time: the loop goes on in between
-	loadRetryDelay = policy.Time(1e6) // after a message could not be read
+	loadBatchSize  = 2000             // messages read at a time, so that the loop handles events in between
+	loadRetryDelay = policy.Time(1e6) // delay before a message that could not be read is tried again
 )
 
-// spillState is what the loop knows of spilled messages: those that are in the log
-// alone, not in memory.
+// spillState tracks the spilled messages: pending messages that are in the log but not in
+// memory.
 type spillState struct {
 	store      backlog.Store
-	requested  map[int]int    // how many the policy wants loaded, by destination
-	reading    []backlog.Item // that are being read from the log
-	unreadable []backlog.Item // that could not be read; LoadBy is when they are tried again
-	isLogged   bool           // this process has logged that it spills
+	requested  map[int]int    // number of messages the policy wants loaded, by destination
+	reading    []backlog.Item // messages being read from the log now
+	unreadable []backlog.Item // messages that could not be read; LoadBy is the time of the next try
+	isLogged   bool           // the log line about the first spill was written
 }
 
-// count is how many messages are spilled.
+// count returns the number of spilled messages.
 func (s *spillState) count() int { return s.store.Len() + len(s.reading) + len(s.unreadable) }
 
-// untilNext is how long the loop may wait until the next message has to be loaded.
+// untilNext returns how long the loop may wait before a message has to be loaded.
 func (s *spillState) untilNext(now policy.Time) time.Duration {
 	wait := time.Hour
 	if at, ok := s.store.Next(); ok && len(s.reading) == 0 {
@@ -39,7 +39,7 @@
 	return wait
 }
 
-// request records that the policy wants so many messages of a destination loaded.
+// request records that the policy wants count more messages of a destination loaded.
 func (s *spillState) request(dest, count int) {
 	if s.requested == nil {
 		s.requested = map[int]int{}
@@ -47,7 +47,8 @@
 	s.requested[dest] += count
 }
 
-// loadStarted records that one requested message of a destination is being loaded.
+// loadStarted reduces the requested number of a destination by one, for a message that
+// is being loaded.
 func (s *spillState) loadStarted(dest int) {
 	if n := s.requested[dest]; n > 1 {
 		s.requested[dest] = n - 1
@@ -56,7 +57,7 @@
 	}
 }
 
-// retryUnreadable puts back what could not be read some time ago.
+// retryUnreadable returns unreadable messages to the store once their delay has passed.
 func (s *spillState) retryUnreadable(now policy.Time) {
 	left := s.unreadable[:0]
 	for _, item := range s.unreadable {
@@ -69,7 +70,8 @@
 	s.unreadable = left
 }
 
-// take removes what is to be loaded next: what is due, then what is requested.
+// take removes up to loadBatchSize messages from the store for loading: first those that
+// are due, then those that the policy requested.
 func (s *spillState) take(now policy.Time) []backlog.Item {
 	s.retryUnreadable(now)
 	items := s.store.TakeDue(now, loadBatchSize)
@@ -89,10 +91,11 @@
 	return items
 }
 
-// spill has a message kept in the log alone, as soon as it is logged and acknowledged.
+// spill has a message dropped from memory and kept only in the log. That happens once the
+// message is logged and its client is acknowledged.
 func (r *Relay) spill(a *policy.Action) {
 	m := r.messages.byNumber[a.Message]
-	if m == nil || m.isCompleted { // it was withdrawn in the step that spilled it
+	if m == nil || m.isCompleted { // it was withdrawn after the policy decided to spill it
 		r.mailbox.Put(spilledWithdrawnEvent{message: a.Message, dest: a.Dest})
 		return
 	}
@@ -113,12 +116,13 @@
 	return f
 }
 
-// spillIfReady drops a message that is to be spilled from memory, if it can be by now.
+// spillIfReady spills a message if the policy has asked for that and nothing prevents it
+// any more.
 func (r *Relay) spillIfReady(m *message) {
 	if m.pendingSpill == nil || !m.isAcknowledged || m.isCompleted || r.ownership.isTransferred {
 		return
 	}
-	if m.record.Ref == 0 { // an older message of this id is still being completed: it can have no record
+	if m.record.Ref == 0 { // the log has no record of it, because an older message of this id is still being completed
 		r.metrics.countUndelivered(m.class, discovery.Failed)
 		r.failMessage(m)
 		r.mailbox.Put(spilledWithdrawnEvent{message: m.number, dest: m.record.Dest})
@@ -136,7 +140,8 @@
 	r.metrics.spilled.Store(int64(r.spilled.count()))
 }
 
-// loadSpilled has the log read what is due and what is requested, one batch at a time.
+// loadSpilled has the log read the messages that are due or requested, one batch at a
+// time.
 func (r *Relay) loadSpilled() {
 	s := &r.spilled
 	if r.ownership.isTransferred || len(s.reading) > 0 || s.count() == 0 {
@@ -155,22 +160,22 @@
 	w.Do(func() { r.mailbox.Put(spilledLoadedEvent{log: w, items: items, records: w.Read(refs)}) })
 }
 
-// readmitLoaded takes up what the log has read.
+// readmitLoaded returns the spilled messages that the log has read to the policy.
 func (r *Relay) readmitLoaded(e spilledLoadedEvent) {
 	if e.log != r.wal || r.ownership.isTransferred {
-		return // of a log that was handed off
+		return // the messages are from a log that was handed off
 	}
 	s := &r.spilled
 	s.reading = nil
 	for i, rec := range e.records {
 		item := e.items[i]
-		if rec != nil && rec.ID == "" { // unreadable: another one instead, and this one again later
+		if rec != nil && rec.ID == "" { // unreadable: load another message instead and retry this one later
 			item.LoadBy = r.clock.now() + loadRetryDelay
 			s.unreadable = append(s.unreadable, item)
 			s.request(item.Dest, 1)
 			continue
 		}
-		r.messages.pending-- // it is counted anew, or completed
+		r.messages.pending-- // readmit counts it again, unless it is no longer pending
 		if rec == nil {
 			r.log.Error("spilled message is not pending", "dest", item.Dest)
 			r.step.add(policy.Event{Kind: policy.EventWithdraw, Spilled: true, Dest: item.Dest})
@@ -181,7 +186,7 @@
 	r.metrics.spilled.Store(int64(s.count()))
 }
 
-// readmit gives a loaded message back to the policy, with its state.
+// readmit returns a loaded message to the policy, with the state that the log has of it.
 func (r *Relay) readmit(rec *wal.Record, item backlog.Item) {
 	m := r.newMessage(rec)
 	m.isAcknowledged, m.isLogged, m.attempts = true, true, rec.Attempts
@@ -192,7 +197,7 @@
 		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number, Spilled: true, Dest: item.Dest})
 		return
 	}
-	if rec.InFlightSince != 0 { // its outcome could not be logged: it may have run
+	if rec.InFlightSince != 0 { // the outcome of its last attempt could not be logged, so that attempt may have run
 		if rec.UnknownOutcomeAt == 0 {
 			rec.UnknownOutcomeAt, rec.UnknownOutcomeZone = rec.InFlightSince, rec.InFlightZone
 		}
@@ -204,7 +209,8 @@
 	r.step.add(e)
 }
 
-// releaseSpilled leaves the spilled messages to the next process.
+// releaseSpilled drops the spilled messages from this process; the next process recovers
+// them from the log.
 func (r *Relay) releaseSpilled() {
 	r.messages.pending -= r.spilled.count()
 	r.spilled = spillState{}
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -14,20 +14,20 @@
 	"plovershore/policy"
 )
 
-// responseRemainderTimeout bounds the wait for what follows a status line with
-// 200: it means nothing to a call of one message, and for longer it is not worth
-// the slot, since to open another connection takes less.
+// responseRemainderTimeout bounds the wait for the rest of a response after a
+// status line with 200. The rest does not matter to a call of one message, and
+// opening another connection takes less time than a longer wait would.
 const responseRemainderTimeout = 200 * time.Millisecond
 
 // Stages of a call.
 const (
-	callWaiting int32 = iota // for a connection: if it is stopped now, it has never run
-	callSending              // bytes may be under way
-	callWritten              // the last byte is written
-	callStopped              // stopped before its first byte
+	callWaiting int32 = iota // waiting for a connection; a call stopped in this stage has never run
+	callSending              // bytes may have been written
+	callWritten              // the last byte of the request is written
+	callStopped              // stopped before its first byte was written
 )
 
-// Why a call ends before its response, as the cause of its context.
+// Causes of a call's context where the call ends before its response.
 var (
 	errCancelled        = errors.New("cancelled")
 	errEndpointDraining = errors.New("endpoint draining")
@@ -39,45 +39,46 @@
 type callMessage struct {
 	message   *message
 	attempt   int  // number of the attempt, from 0
-	isDropped bool // the policy does not wait for it any more
+	isDropped bool // the policy has cancelled the attempt
 }
 
-// call is one HTTP call in flight and the messages that it carries. They share
-// its connection, its slot and, unless the response tells them apart, its
-// outcome. The loop owns it; stage and isBroken are set by the goroutine that
-// runs it, and the context by both.
+// call is one HTTP call in flight and the messages that it carries. The messages
+// share its connection, its slot and, unless the response names a state for each
+// message, its outcome. The loop owns the call; stage and isBroken are set by the
+// goroutine that runs it, and the context is ended by both.
 type call struct {
 	messages    []callMessage
 	endpoint    *endpoint
-	transport   *http.Transport // of the endpoint, as it was when the call began
-	sendBy      time.Time       // its first byte must be sent before; zero for no limit
+	transport   *http.Transport // the endpoint's transport when the call began
+	sendBy      time.Time       // the first byte must be sent before this time; zero for no limit
 	stage       atomic.Int32
 	isBroken    atomic.Bool // the connection broke before the last byte was written
 	ctx         context.Context
 	cancel      context.CancelCauseFunc
-	onWritten   func() // called when its last byte is written; nil for none
-	isAbandoned bool   // from before this process took the log back: its outcome is not recorded
+	onWritten   func() // called when the last byte of the request is written; nil for none
+	isAbandoned bool   // it began before this process reclaimed the log: its outcome is ignored
 }
 
 // outcome is the result of a call for one message, or of a health check.
 type outcome struct {
 	kind            policy.Outcome
 	retryAfter      policy.Time // 0 for none
-	callsExhausted  bool        // not sent, since all slots of the endpoint were taken
+	callsExhausted  bool        // not run, since all call slots of the endpoint were taken
 	isFinal         bool        // the message is completed
 	latency         policy.Time
 	load            policy.LoadReport
 	status          int // of the HTTP response; 0 for none
 	err             error
-	idleTime        time.Duration // how long its connection had been idle; 0 for a new one or one in use
-	isNewConnection bool          // its connection was opened for it
-	isUnlogged      bool          // the attempt could not be logged and so was not made
-	isLocalFailure  bool          // this machine could not make the call: it does not count as an attempt
+	idleTime        time.Duration // how long the connection was idle before the call; 0 for a new connection or one in use
+	isNewConnection bool          // the connection was opened for this call
+	isUnlogged      bool          // the attempt could not be logged and was therefore not made
+	isLocalFailure  bool          // this machine could not make the call, so it does not count as an attempt
 }
 
-// dropMessage gives up the wait for one message. A call that other messages wait
-// for goes on, since to close its connection would end them all. But one of which
-// no byte is written is stopped, as the message may be completed.
+// dropMessage gives up the attempt of one message. If no byte of the call is
+// written yet, the call is stopped, since the message may be completed already.
+// Otherwise the call goes on for its other messages, if it has any that are not
+// dropped: closing its connection would end their attempts too.
 func (c *call) dropMessage(m *message) {
 	isAwaited := false
 	for i := range c.messages {
@@ -97,9 +98,9 @@
 	}
 }
 
-// run makes the call and returns when its connection is free of it: after the
-// complete response, or with the connection closed. It returns one outcome for
-// each record, in their order.
+// run makes the call and returns one outcome for each record, in their order. When
+// it returns, the call no longer uses the connection: the response was read to its
+// end, or the connection is closed.
 func (c *call) run(transport *http.Transport, hostPort string, records []*wal.Record, timeout time.Duration, loadFields []string) []outcome {
 	began := time.Now()
 	ctx, cancel := context.WithTimeoutCause(c.ctx, timeout, context.DeadlineExceeded)
@@ -123,18 +124,18 @@
 	if len(records) > 1 && o.status == http.StatusOK {
 		return c.readBatchResponse(ctx, resp, o, records, x.conn.Load())
 	}
-	io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)) // read to its end, the connection can carry the next call
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)) // a connection can be reused only if the response was read to its end
 	return forAll(o)
 }
 
-// classifyError maps a call without a complete response to an outcome. That it
-// never ran is claimed only where it is certain: without a connection, or with
-// one that broke before the last byte.
+// classifyError returns the outcome of a call without a complete response. The
+// outcome says that the call never ran only where that is certain: the call had no
+// connection, or its connection broke before the last byte was written.
 func (c *call) classifyError(ctx context.Context, conn *endpointConn) policy.Outcome {
 	switch stage := c.stage.Load(); {
 	case stage == callStopped && !isCancelled(ctx):
 		return policy.NotSent
-	case stage == callStopped || stage == callWaiting: // no connection came up
+	case stage == callStopped || stage == callWaiting: // there was no connection
 		return policy.ConnectFailed
 	case stage == callSending && c.isBroken.Load() && ctx.Err() == nil:
 		return policy.ConnectFailed
@@ -145,25 +146,25 @@
 	case ctx.Err() != nil:
 		return policy.TimedOut
 	case conn != nil && conn.hasMalformedResponse():
-		return policy.Errored // the endpoint is there, and its other connections are sound
+		return policy.Errored // the endpoint responds, so its other connections can still be used
 	}
 	return policy.ConnectionReset
 }
 
 func isCancelled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errCancelled) }
 
-// exchange is what net/http reports of a call while it runs. net/http calls its
-// methods from goroutines of its own.
+// exchange records what net/http reports about a call while it runs. net/http calls
+// its methods from its own goroutines.
 type exchange struct {
 	call            *call
 	cancel          context.CancelFunc
-	isSingle        bool // the call carries one message, whose outcome the status line decides
+	isSingle        bool // the call carries one message: the status line decides its outcome
 	idleTime        atomic.Int64
 	isNewConnection atomic.Bool
 	conn            atomic.Pointer[endpointConn]
 }
 
-// gotConn decides whether the call may still be sent on its connection.
+// gotConn stops the call if it may no longer be sent, or not on this connection.
 func (x *exchange) gotConn(info httptrace.GotConnInfo) {
 	c := x.call
 	x.idleTime.Store(int64(info.IdleTime))
--- a/internal/relay/call_response.go
+++ b/internal/relay/call_response.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	maxResponseBytes = 1 << 20          // of a response's body that are read
-	maxRetryAfter    = 10 * time.Minute // a longer Retry-After is cut to this
+	maxResponseBytes = 1 << 20          // maximum number of bytes read of a response's body
+	maxRetryAfter    = 10 * time.Minute // a longer Retry-After is reduced to this
 )
 
 // States of a message in the response to a batch.
@@ -25,7 +25,7 @@
 	batchAccepted = "accepted"
 	batchDeferred = "deferred"
 	batchExpired  = "expired"
-	batchNoMore   = "no_more" // all its attempts are used
+	batchNoMore   = "no_more" // the message has no attempts left
 )
 
 // classifyResponse sets the outcome of a call from the status and the headers of
@@ -43,18 +43,18 @@
 		if resp.Header.Get("Slots-Taken") == "1" {
 			o.kind, o.callsExhausted = policy.NotSent, true
 		}
-	case http.StatusGatewayTimeout: // all attempts of the message are used
+	case http.StatusGatewayTimeout: // the message has no attempts left
 		o.kind = policy.NotSent
 	case http.StatusGone:
 		o.kind, o.isFinal = policy.NotSent, true
-	default: // 500, and what the protocol does not name: it may have run
+	default: // 500 and statuses that the protocol does not define: the message may have run
 		o.kind = policy.Errored
 	}
 }
 
-// readBatchResponse gives each message of a batch its outcome by the body of the
-// response; common is what they share. A message that the body does not name may
-// have run.
+// readBatchResponse reads the body of a batch's response and returns the outcome of
+// each message. common holds the fields that are the same for all. A message that the
+// body does not name may have run, so its outcome is Errored.
 func (c *call) readBatchResponse(ctx context.Context, resp *http.Response, common outcome, records []*wal.Record, conn *endpointConn) []outcome {
 	common.kind, common.isFinal = policy.Errored, false
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
@@ -88,7 +88,8 @@
 	return slices.Repeat([]outcome{common}, count)
 }
 
-// parseBatchStates returns the states that a batch's response gives, by message.
+// parseBatchStates parses the body of a batch's response and returns the states by
+// message id.
 func parseBatchStates(text []byte) (map[string]string, error) {
 	var items []struct {
 		ID    string `json:"id"`
@@ -104,18 +105,18 @@
 	return states, nil
 }
 
-// parseRetryAfter parses seconds with decimals, up to maxRetryAfter. It returns 0
-// for what is no such number.
+// parseRetryAfter parses a decimal number of seconds and limits it to maxRetryAfter. It
+// returns 0 if s is not a positive number.
 func parseRetryAfter(s string) policy.Time {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
-	if err != nil || !(seconds > 0) { // also true for NaN
+	if err != nil || !(seconds > 0) { // the second condition is also true for NaN
 		return 0
 	}
 	return policy.Time(min(seconds, maxRetryAfter.Seconds()) * 1e6)
 }
 
-// parseLoadReport parses a load report such as x0=0.4,x1=25. It is empty where
-// the settings name no fields.
+// parseLoadReport parses a load report such as x0=0.4,x1=25. The result is empty if
+// fields, the field names in the settings, is empty.
 func parseLoadReport(s string, fields []string) (load policy.LoadReport) {
 	if len(fields) == 0 {
 		return load
@@ -123,7 +124,7 @@
 	for field := range strings.SplitSeq(s, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(field), "=")
 		value, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(value >= 0) { // also true for NaN
+		if err != nil || !(value >= 0) { // the second condition is also true for NaN
 			continue
 		}
 		switch name {
--- a/internal/relay/client_connection.go
+++ b/internal/relay/client_connection.go
@@ -10,27 +10,28 @@
 
 // clientConn is the connection of one client. Its fields are guarded by the
 // mutex of the clientServer. A connection is closed by ending its reader's wait
-// for the next request: a request whose first byte was read by then is still
-// answered.
+// for the next request, so that a request whose first byte was read before is
+// still answered.
 type clientConn struct {
 	net.Conn
-	pendingRequests    int       // requests begun and not answered
-	hasReceivedRequest bool      // a request has begun on it
-	commandDeadline    time.Time // for its next valid command; zero for none
-	idleSince          time.Time // the connect or the last response
-	isReleased         bool      // it closes after the response to the last request begun
-	isStopped          bool      // no further command on it is executed
-	isPeerGone         bool      // the client has closed it, or its sending side, and may still read a response
+	pendingRequests    int       // number of requests whose first byte was read and that are not answered
+	hasReceivedRequest bool      // the first byte of a request was read
+	commandDeadline    time.Time // when the next valid command must be complete; zero for no limit
+	idleSince          time.Time // time of the connect or of the last response
+	isReleased         bool      // it is closed once all requests that have begun are answered
+	isStopped          bool      // no further command is executed on it
+	isPeerGone         bool      // the client has closed it, or only its sending side and may still read a response
 }
 
-// release ends the wait for a next request. The caller holds the mutex.
+// release ends the reader's wait for the next request, so that the connection is
+// closed. The caller holds the mutex.
 func (cc *clientConn) release() {
 	cc.isReleased = true
 	cc.limitReadUntil(pastDeadline)
 }
 
-// limitReadUntil sets the reader's deadline unless the reader is to end
-// already. The caller holds the mutex.
+// limitReadUntil sets the reader's deadline, unless the reader was already stopped.
+// The caller holds the mutex.
 func (cc *clientConn) limitReadUntil(deadline time.Time) {
 	if !cc.isStopped {
 		cc.SetReadDeadline(deadline)
@@ -50,16 +51,16 @@
 	cc.limitReadUntil(deadline)
 }
 
-// finishCommandRead records that a command was read, valid or not.
+// finishCommandRead records that a command, valid or not, was read completely.
 func (c *clientServer) finishCommandRead(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cc.limitReadUntil(cc.commandDeadline)
 }
 
-// recordValidCommand extends the time for the next command. A connection that
-// submits messages is a client's and may stay idle without limit; a PING gives
-// one more commandTimeout.
+// recordValidCommand extends the deadline of the next command. A connection that
+// has submitted a message belongs to a client and may stay idle without limit. On
+// other connections a PING extends the deadline by one commandTimeout.
 func (c *clientServer) recordValidCommand(cc *clientConn, isPut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,14 +70,14 @@
 	case !cc.commandDeadline.IsZero():
 		cc.commandDeadline = time.Now().Add(c.commandTimeout)
 	}
-	if cc.pendingRequests == 1 && !c.isClosing { // with more, the next command is being read under its own deadline
+	if cc.pendingRequests == 1 && !c.isClosing { // otherwise the next command is already being read, with its own deadline
 		cc.limitReadUntil(cc.commandDeadline)
 	}
 }
 
-// finishRequest records that a request was answered. After the last one on a
-// connection that is to close, the reader ends as soon as nothing is unread:
-// requests that were sent ahead are answered too.
+// finishRequest records that a request was answered. On a connection that is to be
+// closed, the reader ends after the last request, once no bytes are unread:
+// requests that the client pipelined are answered too.
 func (c *clientServer) finishRequest(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,13 +88,13 @@
 	}
 }
 
-// extendForUnread gives a reader whose wait has ended a little time for a
-// request that had arrived by then.
+// extendForUnread extends the deadline of a reader whose wait has ended although
+// bytes of a request had already arrived.
 func (c *clientServer) extendForUnread(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	deadline := time.Now().Add(clientTimeout)
-	if !c.conns[cc] { // evicted, and yet it holds a descriptor
+	if !c.conns[cc] { // it is evicted and still holds a descriptor that a new connection needs
 		deadline = time.Now().Add(evictedReadTimeout)
 	}
 	if !cc.commandDeadline.IsZero() {
@@ -102,8 +103,9 @@
 	cc.limitReadUntil(deadline)
 }
 
-// recordReadError records why the reader ends. A deadline is the server's own
-// and says nothing about the client.
+// recordReadError records that the client has closed the connection or its sending
+// side, if the read error says so. An expired deadline was set by the server and
+// says nothing about the client.
 func (c *clientServer) recordReadError(cc *clientConn, err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return
@@ -120,7 +122,7 @@
 	return cc.isPeerGone
 }
 
-// stopReading ends the reader; it will not be given more time.
+// stopReading ends the reader. Its deadline is not extended after that.
 func (c *clientServer) stopReading(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,10 +131,11 @@
 }
 
 // closeGracefully shuts down the sending side, so that the peer receives all
-// that was written: a close with unread bytes resets the connection, and a
-// response under way may be lost with it. What the peer sends until it closes
-// its side is dropped, for up to clientTimeout and maxSkippedBytes. An evicted
-// connection does not wait for the peer. The caller closes the connection.
+// that was written: closing a connection with unread bytes resets it, and a
+// response that is still in transit may be lost. Until the peer closes its side,
+// its bytes are read and dropped, for up to clientTimeout and maxSkippedBytes. On
+// an evicted connection it does not wait for the peer. The caller closes the
+// connection.
 func (c *clientServer) closeGracefully(cc *clientConn) {
 	writer, ok := cc.Conn.(interface{ CloseWrite() error })
 	if !ok || writer.CloseWrite() != nil {
--- a/internal/relay/client_server.go
+++ b/internal/relay/client_server.go
@@ -9,48 +9,50 @@
 )
 
 const (
-	// commandTimeout bounds the time in which a command is to be complete, and
-	// a connection without messages is to send its next one. Peers that stop
-	// within a command must see the connection closed within 3 s.
+	// commandTimeout is the time in which a command must be complete, and in which
+	// a connection without messages must send its next command. If a peer stops
+	// within a command, its connection must be closed within 3 s.
 	commandTimeout = 2500 * time.Millisecond
 	// clientTimeout is how long clients wait for a response before they submit
-	// the message elsewhere, as the protocol has it.
+	// the message to another relay. The protocol defines it.
 	clientTimeout = 400 * time.Millisecond
 	// clientWriteTimeout bounds a write to a client that does not read. It is
-	// well above clientTimeout: the client has left by then.
+	// well above clientTimeout, after which the client no longer waits.
 	clientWriteTimeout = 2 * time.Second
 )
 
-// pastDeadline as a deadline ends a wait at once.
+// pastDeadline is a deadline in the past: setting it ends a read or accept at once.
 var pastDeadline = time.Unix(1, 0)
 
-// clientServer accepts the connections of clients, submits the messages that
-// come on them and writes the responses. Create it with newClientServer and end
+// clientServer accepts the connections of clients, submits the messages that it
+// receives on them and writes the responses. Create it with newClientServer and end
 // it with close. Its methods may be called by several goroutines.
 type clientServer struct {
 	cfg    *Config
 	log    *slog.Logger
-	submit func(*putRequest) // gives a message to the relay's loop, which responds; must not block
-	// onResponded is called once for each submitted message, except those that
-	// wait for their response when the server is closed. delivered is false where
-	// the client left before the response, or got BUSY because it came too late.
+	submit func(*putRequest) // passes a message to the relay's loop, which responds; must not block
+	// onResponded is called once for each submitted message, except those whose
+	// response is still missing when the server is closed. delivered is false if
+	// the client left before the response, if the response could not be written, or
+	// if the message was accepted only after clientTimeout, so that the client got
+	// BUSY instead.
 	onResponded func(q *putRequest, delivered bool)
-	// commandTimeout bounds the time for a whole command. A connection within a
-	// command may be exempt from eviction; without the bound its peer could hold
-	// the slot for ever. A peer that sends nothing, or nothing but PING, could do
-	// so too: until its first message the time counts from the connect or from
-	// the last PING.
+	// commandTimeout bounds the time for a whole command. A connection with an
+	// incomplete command may be exempt from eviction, so without the bound its peer
+	// could hold the slot for ever. A peer that sends nothing or only PING could do
+	// so too: before the first message of a connection, the time counts from the
+	// connect or from the last PING.
 	commandTimeout time.Duration
-	// clientTimeout is the age of a request from which on its client has
-	// submitted the message elsewhere, so that it is not accepted here.
+	// clientTimeout is the age of a request after which its client submits the
+	// message to another relay, so that it must not be accepted here any more.
 	clientTimeout time.Duration
 	accept4       func(fd, flags int) (int, syscall.Sockaddr, error) // the system call; tests replace it
 
 	mu         sync.Mutex
-	maxConns   int                  // limit on open connections, see connection_limit.go
-	conns      map[*clientConn]bool // the connections that are not evicted
-	evicted    map[*clientConn]bool // evicted and not closed yet
-	openConns  int                  // slots in use, those of evicted connections included
+	maxConns   int                  // limit on open connections; see connection_limit.go
+	conns      map[*clientConn]bool // connections that are not evicted
+	evicted    map[*clientConn]bool // connections that are evicted and not closed yet
+	openConns  int                  // number of slots in use, including those of evicted connections
 	isClosing  bool                 // connections are closed after their next response
 	isDraining bool                 // PING is answered with errDraining
 	slotFreed  chan struct{}        // capacity 1: signals that a descriptor was freed
@@ -77,8 +79,8 @@
 	}
 }
 
-// startConnection serves a new connection in a goroutine of its own. Where no
-// slot is free in time it is closed unread.
+// startConnection serves a new connection in its own goroutine. If no slot becomes
+// free in time, the connection is closed unread.
 func (c *clientServer) startConnection(conn net.Conn) {
 	if !c.reserveSlot() {
 		conn.Close()
@@ -93,7 +95,7 @@
 		c.freeSlot(cc)
 		return
 	}
-	if c.isClosing { // one request, as for connections that were new when the closing began
+	if c.isClosing { // one request is allowed, as drainConnections allows to new connections
 		cc.isReleased, cc.commandDeadline = true, time.Now().Add(clientTimeout)
 	}
 	cc.limitReadUntil(cc.commandDeadline)
@@ -126,15 +128,15 @@
 	c.sessions.Wait()
 }
 
-// connectionCount is the number of open connections that are not evicted.
+// connectionCount returns the number of open connections that are not evicted.
 func (c *clientServer) connectionCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
 }
 
-// drainConnections closes idle connections now, and each other one, as well as
-// those that are accepted later, after its response.
+// drainConnections closes idle connections now. All others, and those that are
+// accepted later, are closed after their next response.
 func (c *clientServer) drainConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,15 +146,16 @@
 		case cc.pendingRequests > 0:
 		case cc.hasReceivedRequest:
 			cc.release()
-		default: // new: its first request may be under way
+		default: // a new connection, whose first request may be in transit
 			cc.isReleased = true
 			cc.limitReadUntil(time.Now().Add(clientTimeout))
 		}
 	}
 }
 
-// setDraining has PING fail, or succeed again. Back in service, connections are
-// kept open as before; those that were released meanwhile still close.
+// setDraining makes PING fail, or succeed again. When it ends the draining,
+// connections stay open after their responses again, except those that were
+// released before.
 func (c *clientServer) setDraining(isDraining bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +165,7 @@
 	}
 }
 
-// pingFails reports whether PING is to fail.
+// pingFails reports whether PING is answered with errDraining.
 func (c *clientServer) pingFails() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/client_session.go
+++ b/internal/relay/client_session.go
@@ -16,25 +16,25 @@
 	errServerClosed = errors.New("server closed")
 )
 
-// command is one command as it was read, or the error instead.
+// command is one command as it was read from a connection, or the error of reading it.
 type command struct {
 	args       [][]byte
 	err        error
 	receivedAt time.Time
 }
 
-// clientSession answers the commands of one connection in order. A goroutine of
-// its own reads them, so that a client that leaves before its response is
-// noticed; run waits for its end.
+// clientSession answers the commands of one connection in order. A separate goroutine,
+// the reader, reads the commands, so that the session notices a client that leaves
+// before its response. run waits until the reader has ended.
 type clientSession struct {
 	server    *clientServer
 	conn      *clientConn
 	commands  chan command  // closed by the reader when it ends
 	done      chan struct{} // closed when no further command is executed
-	pipelined *command      // read before the previous response was ready; nil for none
+	pipelined *command      // command read before the previous response was ready; nil for none
 }
 
-// serveConnection answers a connection's commands until it is to be closed.
+// serveConnection answers a connection's commands until it must be closed.
 func (c *clientServer) serveConnection(cc *clientConn) {
 	s := &clientSession{server: c, conn: cc, commands: make(chan command), done: make(chan struct{})}
 	s.run()
@@ -60,7 +60,8 @@
 	}
 }
 
-// readCommands reads commands until the connection, or its deadline, ends.
+// readCommands reads commands until the connection ends, its deadline passes or the
+// position of the next command is unknown.
 func (s *clientSession) readCommands() {
 	defer close(s.commands)
 	in := bufio.NewReader(s.conn)
@@ -83,7 +84,8 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request.
+// awaitRequest waits for the first byte of a request. It reports false if the
+// connection ends, or its deadline passes without unread bytes.
 func (s *clientSession) awaitRequest(in *bufio.Reader) bool {
 	for {
 		_, err := in.Peek(1)
@@ -98,7 +100,7 @@
 	}
 }
 
-// nextCommand waits for a command; it reports false once the reader has ended.
+// nextCommand waits for a command. It reports false once the reader has ended.
 func (s *clientSession) nextCommand() (command, bool) {
 	if cmd := s.pipelined; cmd != nil {
 		s.pipelined = nil
@@ -108,13 +110,12 @@
 	return cmd, ok
 }
 
-// execute answers one command. It reports false where the connection is to be
-// closed.
+// execute answers one command. It reports false if the connection must be closed.
 func (s *clientSession) execute(cmd command) bool {
 	switch {
 	case errors.Is(cmd.err, errArgumentTooLong):
 		return s.write(errorResponse(cmd.err))
-	case cmd.err != nil: // the position in the stream is lost
+	case cmd.err != nil: // the position of the next command in the stream is unknown
 		s.write(errorResponse(cmd.err))
 		return false
 	}
@@ -128,7 +129,7 @@
 	}
 }
 
-// executePing answers a health check of the clients' front.
+// executePing answers PING, the health check of the front end that clients connect to.
 func (s *clientSession) executePing(cmd command) bool {
 	s.server.recordValidCommand(s.conn, false)
 	switch {
@@ -150,12 +151,12 @@
 	s.server.submit(q)
 	r, err := s.awaitResponse(q)
 	if errors.Is(err, errServerClosed) {
-		return false // nothing is known of the message, so nothing is said of it
+		return false // whether the message is accepted is unknown, so the client gets no response
 	}
 	isTooLate := r == responseOK && time.Since(cmd.receivedAt) >= s.server.clientTimeout
 	if errors.Is(err, errPeerGone) || isTooLate {
-		// The message is withdrawn before the client can know of it, should it
-		// still read: to submit it again is harmless.
+		// The message is withdrawn before BUSY is written, so that a client that
+		// still reads can safely submit it again.
 		s.server.onResponded(q, false)
 		return s.write(busyResponse(0))
 	}
@@ -164,9 +165,9 @@
 	return isWritten
 }
 
-// awaitResponse waits for the response of the loop. A command that is read
-// meanwhile is executed next. It returns errPeerGone where the client leaves
-// before the response and errServerClosed where close comes before it.
+// awaitResponse waits for the response of the loop. A command that is read meanwhile
+// is executed next. It returns errPeerGone if the client leaves before the response,
+// and errServerClosed if the server is closed before it.
 func (s *clientSession) awaitResponse(q *putRequest) (response, error) {
 	select {
 	case r := <-q.responses:
@@ -188,7 +189,7 @@
 	}
 }
 
-// write sends a response; it reports false where that fails.
+// write sends a response and reports whether that succeeded.
 func (s *clientSession) write(r response) bool {
 	s.conn.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	_, err := io.WriteString(s.conn, string(r))
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -7,23 +7,23 @@
 	"plovershore/policy"
 )
 
-// policyClockOrigin is the policy's time at the start of the process, so that what an
-// earlier process did has a time above 0.
+// policyClockOrigin is the policy's time at the start of the process: one hour, so that
+// events of an earlier process have times above 0.
 const policyClockOrigin = policy.Time(3600e6)
 
 const (
-	alignTolerance = policy.Time(1e3) // between the readings of the policy's clock around one of the log's
+	alignTolerance = policy.Time(1e3) // maximum time between the two readings of the policy's clock around that of the log's
 	alignAttempts  = 100
 )
 
-// relayClock converts between the policy's clock, which counts µs from the start of
-// the process, Go's time, and the log's time, which outlives the process.
+// relayClock converts between three clocks: the policy's clock, which counts µs from the
+// start of the process; Go's time; and the log's time, which continues across processes.
 type relayClock struct {
 	startedAt time.Time
-	logOffset int64 // µs from the policy's clock to the log's time
+	logOffset int64 // the log's time minus the policy's time, in µs
 }
 
-// now is the present by the policy's clock.
+// now returns the current time of the policy's clock.
 func (c *relayClock) now() policy.Time { return c.policyTime(time.Now()) }
 
 func (c *relayClock) policyTime(t time.Time) policy.Time {
@@ -38,8 +38,8 @@
 
 func (c *relayClock) fromLogTime(us int64) policy.Time { return us - c.logOffset }
 
-// alignTo sets the offset to the log's time. Both clocks run with real time; a reading
-// that was interrupted is repeated.
+// alignTo sets the offset between the policy's clock and the log's time, which advance at
+// the same rate. A reading that was interrupted is repeated.
 func (c *relayClock) alignTo(w *wal.Log) {
 	for range alignAttempts {
 		before, logged := c.now(), w.Time()
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -19,43 +19,44 @@
 	"plovershore/policy"
 )
 
-// Limits are those of the relay's machine. In the configuration a limit of 0 stands for
-// its default.
+// Limits are the resources that the relay may use on its machine. In the configuration
+// file, 0 selects the default of a limit.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // 1 by default
-	MemoryMB int     `json:"memory_mb"` // 192 MiB by default
-	Sockets  int     `json:"sockets"`   // descriptors; 1024 by default
-	DiskMB   int     `json:"disk_mb"`   // of the log, in MiB; 3 by default
+	Cores    float64 `json:"cores"`     // default 1
+	MemoryMB int     `json:"memory_mb"` // in MiB; default 192
+	Sockets  int     `json:"sockets"`   // file descriptors; default 1024
+	DiskMB   int     `json:"disk_mb"`   // size of the log in MiB; default 3
 }
 
-// ConnectHook is called before each connect to an endpoint; its error is the connect's.
+// ConnectHook is called before each connect to an endpoint. If it returns an error, the
+// connect fails with that error.
 type ConnectHook func(network, address string, conn syscall.RawConn) error
 
-// Config is the configuration of a relay. LoadConfig makes it; it is not changed once
-// the relay runs.
+// Config is the configuration of a relay, as LoadConfig returns it. It must not be changed
+// while the relay runs.
 type Config struct {
-	Name       string // of the relay, unique in its fleet
+	Name       string // name of the relay, unique in its fleet
 	Listen     string // address for clients
 	Discovery  string // address of the discovery service
-	StateDir   string // holds the log and outlasts the process
+	StateDir   string // directory of the log; it must be kept when the process ends
 	Operator   string // address for operators; empty for none
-	Seed       uint64 // of the policy's random choices
+	Seed       uint64 // seed of the policy's random choices
 	Limits     Limits
-	KnownList  *discovery.List // the endpoint list as this relay last had it; may be old or nil
+	KnownList  *discovery.List // the last endpoint list that this relay had; may be outdated, or nil
 	Policy     policy.Settings
 	Durability wal.Durability // what an accepted message survives
-	FS         wal.FS         // of the log; nil for the operating system's
-	Connect    ConnectHook    // nil for none
+	FS         wal.FS         // file system of the log; nil for that of the operating system
+	Connect    ConnectHook    // called before each connect; nil for none
 
-	// Indexes in the policy's settings, by name.
+	// Indexes in the policy's settings, by the names in the settings.
 	zones, kinds, classes, tenants map[string]int
 
-	loadFields []string // of a load report
+	loadFields []string // names of the fields of a load report
 }
 
-// LoadConfig reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN,
-// ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_OPERATOR take precedence over it. An error
-// names the key that is wrong.
+// LoadConfig reads the configuration file that ROUTER_CONFIG names. ROUTER_NAME,
+// ROUTER_LISTEN, ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_OPERATOR override its values.
+// An error names the invalid key.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -68,10 +69,11 @@
 	return parseConfig(text, getenv)
 }
 
-// WatchDiscoveryAddress reads the file that ROUTER_CONFIG names again at each signal and
-// sends discovery's address as it stands there: the environment is as old as the
-// process. An unusable file is logged and otherwise ignored. The goroutine that watches
-// ends when signals is closed; Run receives what it sends.
+// WatchDiscoveryAddress reads the configuration file again at each signal and sends the
+// address of the discovery service in it, regardless of ROUTER_DISCOVERY: the environment
+// of a process cannot change after its start. An invalid file is logged and otherwise
+// ignored. The caller passes the returned channel to Run. The goroutine that sends to it
+// ends when signals is closed.
 func WatchDiscoveryAddress(signals <-chan os.Signal, getenv func(string) string, log *slog.Logger) <-chan string {
 	addresses := make(chan string)
 	go func() {
@@ -104,7 +106,7 @@
 	return file.Discovery, nil
 }
 
-// configFile is the configuration file.
+// configFile is the JSON object in the configuration file.
 type configFile struct {
 	Name        string          `json:"name"`
 	Listen      string          `json:"listen"`
@@ -119,7 +121,8 @@
 	MaxResident *int            `json:"resident"`
 }
 
-// parseConfig reads a configuration file and what the environment sets instead.
+// parseConfig parses a configuration file and applies the environment variables that
+// override it.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	file, err := parseConfigFile(text)
 	if err != nil {
@@ -171,7 +174,8 @@
 	return file, nil
 }
 
-// applyEnvironment sets what the environment has and checks that nothing is missing.
+// applyEnvironment applies the environment variables and returns an error if a required
+// value is set neither there nor in the file.
 func (c *Config) applyEnvironment(getenv func(string) string) error {
 	for _, v := range []struct {
 		env, key string
@@ -210,8 +214,8 @@
 	return nil
 }
 
-// parseDurability reads what an accepted message survives: the end of the process, which
-// is the default, or a loss of power.
+// parseDurability parses what an accepted message must survive: the end of the process,
+// which is the default, or a loss of power.
 func parseDurability(text string) (wal.Durability, error) {
 	switch text {
 	case "", "process":
@@ -223,17 +227,18 @@
 }
 
 const (
-	residentMessageBytes = 2 << 10 // estimate of a message in memory
+	residentMessageBytes = 2 << 10 // estimated memory of one message
 	minMaxResident       = 1000
 )
 
-// defaultMaxResident is how many messages may be in memory where the configuration says
-// nothing: as many as fill a quarter of it, and not so few that a busy hour meets it.
+// defaultMaxResident returns how many messages may be in memory if the configuration does
+// not say: as many as fill a quarter of the memory, but at least minMaxResident, so that
+// a busy hour does not reach the limit.
 func defaultMaxResident(memoryMB int) int {
 	return max(memoryMB<<20/4/residentMessageBytes, minMaxResident)
 }
 
-// parseSettings reads the settings object and the names in it.
+// parseSettings parses the settings object and indexes the names in it.
 func (c *Config) parseSettings(text []byte) error {
 	s, err := wire.ParseSettings(text)
 	if err != nil {
@@ -245,8 +250,8 @@
 	if err := c.Policy.Validate(); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
-	// On sockets a connection carries one call at a time, whatever the
-	// simulator's connections carry.
+	// A real connection carries one call at a time, unlike the connections of the
+	// simulator, which uses the same settings.
 	c.Policy.StreamsPerConnection = 1
 	var names struct {
 		Localities []string `json:"localities"`
@@ -274,7 +279,7 @@
 	return index
 }
 
-// indexOf is the index of a name, or -1 for one that the settings don't have.
+// indexOf returns the index of a name, or -1 if the settings don't have it.
 func indexOf(index map[string]int, name string) int {
 	if i, ok := index[name]; ok {
 		return i
@@ -282,7 +287,7 @@
 	return -1
 }
 
-// parseSeed takes 64 bits in hexadecimal, or a plain number.
+// parseSeed parses a JSON string of up to 64 bits in hexadecimal, or a decimal number.
 func parseSeed(raw json.RawMessage) (uint64, error) {
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
 		return 0, errors.New("missing")
@@ -294,7 +299,7 @@
 	return strconv.ParseUint(string(raw), 10, 64)
 }
 
-// applyDefaults sets the limits that are left out and rejects impossible ones.
+// applyDefaults sets the limits that are 0 to their defaults and rejects impossible ones.
 func (l *Limits) applyDefaults() error {
 	switch {
 	case l.Cores < 0:
@@ -314,20 +319,20 @@
 }
 
 const (
-	reservedSockets = 32 // descriptors of the runtime, the log, the listener and discovery
-	minSockets      = 64 // descriptors that a relay needs at least
+	reservedSockets = 32 // file descriptors for the runtime, the log, the listener and discovery
+	minSockets      = 64 // minimum number of file descriptors of a relay
 )
 
-// socketBudget splits the descriptors between clients and endpoints. A call in flight
-// needs one, so the endpoints get as many as there may be calls, as long as the clients
-// keep half.
+// socketBudget splits the file descriptors between connections of clients and connections
+// to endpoints. Each call in flight needs one, so the endpoints get enough for the maximum
+// number of calls, but at most half.
 func (c *Config) socketBudget() (clients, endpoints int) {
 	free := c.Limits.Sockets - reservedSockets - c.maxOperatorConns()
 	endpoints = min(max(free/4, c.Policy.MaxCalls+8), free/2)
 	return free - endpoints, endpoints
 }
 
-// maxOperatorConns is how many connections the operator address may hold.
+// maxOperatorConns returns how many connections the operator address may have open.
 func (c *Config) maxOperatorConns() int {
 	if c.Operator == "" {
 		return 0
@@ -340,7 +345,7 @@
 	return c.Policy.Classes[class].Idempotency == policy.IdempotentByKey
 }
 
-// isNonIdempotent reports whether messages of a class may not have their effect twice.
+// isNonIdempotent reports whether messages of a class must not take effect twice.
 func (c *Config) isNonIdempotent(class string) bool {
 	i, ok := c.classes[class]
 	return ok && c.Policy.Classes[i].Idempotency == policy.NonIdempotent
--- a/internal/relay/connection_limit.go
+++ b/internal/relay/connection_limit.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// The clients' connections are limited so that a flood of them does not take
-// the descriptors of calls, log and discovery. A new connection at the limit
-// evicts the one that is worth least; an evicted one still holds its descriptor
-// until it is closed, for which some slots are set aside.
+// The number of clients' connections is limited, so that a flood of them does not
+// take the descriptors that calls, the log and discovery need. A new connection at
+// the limit evicts the connection with the lowest evictionRank. An evicted
+// connection holds its descriptor until it is closed, so some slots are reserved
+// for evicted connections.
 
 const (
-	// closingSlotsDivisor: one in so many of the slots is for connections that
-	// are evicted and not closed yet.
+	// closingSlotsDivisor is the total number of slots divided by the number that
+	// is reserved for connections that are evicted and not closed yet.
 	closingSlotsDivisor = 8
-	// spareSlots may be used on top of the limit while evicted connections close.
+	// spareSlots is the number of slots beyond the limit that may be used while
+	// evicted connections are being closed.
 	spareSlots = 4
-	// maxSlotWait is how long a new connection waits for a slot. Others wait in
-	// the listener's backlog meanwhile, and their clients give up after
-	// clientTimeout.
+	// maxSlotWait is how long a new connection waits for a slot. Meanwhile other
+	// new connections wait in the listener's backlog, and their clients give up
+	// after clientTimeout.
 	maxSlotWait = 100 * time.Millisecond
-	// evictionGrace protects a connection that is new or was just answered: its
-	// next request may be under way.
+	// evictionGrace is how long a connection that is new or was just answered is
+	// not evicted, since its next request may be in transit.
 	evictionGrace = 20 * time.Millisecond
-	// evictedReadTimeout is what an evicted connection has for the rest of a
-	// command that had begun to arrive.
+	// evictedReadTimeout is how long an evicted connection may take to send the
+	// rest of a command whose first bytes had already arrived.
 	evictedReadTimeout = 50 * time.Millisecond
 )
 
-// reserveSlot counts a new connection in once there is a descriptor for it,
-// evicting another where the limit is reached. It reports false where no slot
-// is freed within maxSlotWait.
+// reserveSlot waits for a slot for a new connection and reserves it. At the limit it
+// evicts another connection. It reports false if no slot is freed within maxSlotWait.
 func (c *clientServer) reserveSlot() bool {
 	limit := time.NewTimer(maxSlotWait)
 	defer limit.Stop()
@@ -48,8 +49,9 @@
 	}
 }
 
-// tryReserveSlot reserves a slot if there is one. Otherwise retryAfter is when
-// the next attempt may succeed, 0 for never.
+// tryReserveSlot reserves a slot if there is one. Otherwise retryAfter is the time
+// after which the next attempt may succeed, or 0 if no connection can be evicted and
+// none is being closed.
 func (c *clientServer) tryReserveSlot() (reserved bool, retryAfter time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +59,7 @@
 	if len(c.conns) >= limit {
 		retryAfter = c.evictConnection()
 		nothingEvicted := retryAfter == 0 && len(c.conns) >= limit
-		if nothingEvicted && c.openConns <= len(c.conns) { // and none is closing
+		if nothingEvicted && c.openConns <= len(c.conns) { // and no evicted connection is being closed
 			return false, 0
 		}
 	}
@@ -68,7 +70,7 @@
 	return false, cmp.Or(retryAfter, maxSlotWait)
 }
 
-// freeSlot gives back the slot of a connection that is closed.
+// freeSlot frees the slot of a closed connection.
 func (c *clientServer) freeSlot(cc *clientConn) {
 	c.mu.Lock()
 	delete(c.conns, cc)
@@ -77,12 +79,12 @@
 	c.mu.Unlock()
 	select {
 	case c.slotFreed <- struct{}{}:
-	default: // signalled already
+	default: // a signal is already pending
 	}
 }
 
-// divideCapacity limits this process to its part of the connections while so
-// many processes of this relay share the machine.
+// divideCapacity limits this process to its share of the connections, where the
+// given number of processes of this relay run on the machine.
 func (c *clientServer) divideCapacity(processes int) {
 	maxConns, _ := c.cfg.socketBudget()
 	c.mu.Lock()
@@ -90,14 +92,14 @@
 	c.maxConns = maxConns / processes
 }
 
-// evictionRank orders connections by what their loss costs, the least first.
+// evictionRank orders connections by the cost of evicting them, lowest cost first.
 type evictionRank int
 
 const (
-	evictStopped        evictionRank = iota // only waits for its peer to close
-	evictIdle                               // clients open another when they need one
-	evictPartialCommand                     // within a command, and no message came on it before
-	evictNever                              // a request of a client is in progress
+	evictStopped        evictionRank = iota // the connection only waits for its peer to close
+	evictIdle                               // no request in progress; clients open another connection when they need one
+	evictPartialCommand                     // a command is incomplete, and no message was submitted on the connection before
+	evictNever                              // a client's request is in progress
 )
 
 func (cc *clientConn) evictionRank() evictionRank {
@@ -112,10 +114,10 @@
 	return evictNever
 }
 
-// evictConnection evicts the connection with the least rank, of several the one
-// idle for longest. Where all that could go are within their grace period none
-// is evicted, and the result is when the first of them leaves it. The caller
-// holds mu.
+// evictConnection evicts the connection with the lowest rank, and among several of
+// them the one that has been idle for longest. If all connections that could be
+// evicted are within their grace period, it evicts none and returns the time until
+// the first grace period ends; otherwise it returns 0. The caller holds mu.
 func (c *clientServer) evictConnection() time.Duration {
 	var victim *clientConn
 	minGrace := time.Duration(0)
@@ -137,14 +139,14 @@
 	delete(c.conns, victim)
 	c.evicted[victim] = true
 	if victim.isStopped {
-		victim.SetReadDeadline(pastDeadline) // ends the wait for its peer
+		victim.SetReadDeadline(pastDeadline) // ends the wait for the peer to close
 	} else {
 		victim.release()
 	}
 	return 0
 }
 
-// isEvictedBefore reports whether cc is to be evicted rather than other.
+// isEvictedBefore reports whether cc must be evicted before other.
 func (cc *clientConn) isEvictedBefore(other *clientConn) bool {
 	rank, otherRank := cc.evictionRank(), other.evictionRank()
 	return rank < otherRank || rank == otherRank && cc.idleSince.Before(other.idleSince)
--- a/internal/relay/connection_pool.go
+++ b/internal/relay/connection_pool.go
@@ -8,21 +8,22 @@
 	"sync/atomic"
 )
 
-// connectionPool limits the connections to all endpoints together. Each endpoint
-// has its own idle connections, so that they can be closed alone; with many
-// endpoints they would add up to more descriptors than the process has.
+// connectionPool limits the total number of connections to endpoints. Each endpoint
+// has its own transport with idle connections, so that they can be closed
+// separately; with many endpoints their sum could exceed the descriptors of the
+// process.
 //
-// The loop owns it; openConns is also changed by the goroutines that dial and
+// The loop owns the pool; openConns is also changed by the goroutines that dial and
 // close connections.
 type connectionPool struct {
-	maxConns  int          // open connections, those being dialled included; 0 for no limit
-	openConns atomic.Int64 // now
-	endpoints []*endpoint  // that may have connections, roughly the least recently used first
+	maxConns  int          // limit on open connections, including those being dialled; 0 for none
+	openConns atomic.Int64 // current number of connections, including those being dialled
+	endpoints []*endpoint  // endpoints that may have connections, roughly the least recently used first
 }
 
 // prepareCall records that a call to the endpoint is about to begin. At the limit
-// it closes idle connections of other endpoints to make place for the one that
-// the call may open.
+// it closes idle connections of other endpoints, so that the call may open a new
+// connection.
 func (p *connectionPool) prepareCall(ep *endpoint) {
 	if ep.countedTransport != ep.transport {
 		p.countConnections(ep.transport)
@@ -36,7 +37,8 @@
 	p.closeLeastRecentlyUsed(ep)
 }
 
-// countConnections makes openConns include the connections of a transport.
+// countConnections replaces the transport's DialContext by one that includes its
+// connections in openConns.
 func (p *connectionPool) countConnections(transport *http.Transport) {
 	dial := transport.DialContext
 	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -53,11 +55,11 @@
 	}
 }
 
-// closeLeastRecentlyUsed closes idle connections of endpoints, the least
-// recently used first, until the pool is below its limit or each endpoint was
-// looked at once. An endpoint that was used since it was enqueued goes to the
-// end; except, the one that is about to be called, and those with calls in
-// flight, are passed over.
+// closeLeastRecentlyUsed closes idle connections of endpoints, the least recently
+// used first, until the pool is below its limit or each endpoint was considered
+// once. It skips except, which is about to be called, endpoints with calls in
+// flight and endpoints that were used since they were enqueued; these move to the
+// end of the queue.
 func (p *connectionPool) closeLeastRecentlyUsed(except *endpoint) {
 	for n := len(p.endpoints); p.isFull() && n > 0; n-- {
 		ep := p.endpoints[0]
--- a/internal/relay/endpoint_conn.go
+++ b/internal/relay/endpoint_conn.go
@@ -9,43 +9,43 @@
 
 const (
 	readBufferBytes    = 4 << 10
-	maxStatusLineBytes = 256 // what follows is not kept
+	maxStatusLineBytes = 256 // the rest of a longer status line is not kept
 )
 
-// errUnexpectedBytes reports a connection on which bytes came that answer no
-// request. It carries no further call.
+// errUnexpectedBytes reports that bytes which belong to no response were received on
+// a connection. Such a connection carries no further call.
 var errUnexpectedBytes = errors.New("bytes on the connection that answer nothing")
 
-// endpointConn is a connection to an endpoint. It adds what net/http does not
-// do:
+// endpointConn is a connection to an endpoint. It adds two functions that net/http
+// does not have:
 //
-// It keeps the status line of the newest response. net/http reports nothing of a
-// response whose header it cannot read to its end, but a call of one message is
-// delivered once the status line says so.
+// It keeps the status line of the newest response. net/http reports nothing about a
+// response whose header it cannot read completely, but a call of one message is
+// delivered once the status line says 200.
 //
-// It makes sure that a response answers the call in flight. As soon as a
-// response is complete, net/http gives the connection to the next waiting call,
-// and would read bytes that came behind that response as the answer to the next
-// request. So Read returns one byte at a time and keeps the rest back, and the
-// connection becomes stale where bytes are left.
+// It ensures that a response belongs to the call in flight. As soon as a response
+// is complete, net/http passes the connection to the next waiting call, and would
+// read bytes received after that response as the response to the next request.
+// Read therefore returns one byte at a time and holds back the rest. If bytes are
+// left when a response is complete, the connection becomes stale.
 //
-// It may be used by several goroutines, as a net.Conn.
+// Like any net.Conn it may be used by several goroutines.
 type endpointConn struct {
 	net.Conn
-	onClose    func() // called at each Close; nil for none
-	readBuffer []byte // used by Read alone
+	onClose    func() // called by each Close; nil for none
+	readBuffer []byte // used by Read only
 
 	mu               sync.Mutex
 	unread           []byte // the part of readBuffer that Read has not returned
-	isRequestStarted bool   // the newest call has begun to write its request
-	isStale          bool   // errUnexpectedBytes
-	readErr          error  // follows the unread bytes
-	statusLine       []byte // of the newest response, as far as Read has returned it
+	isRequestStarted bool   // the newest call has begun writing its request
+	isStale          bool   // reads and writes fail with errUnexpectedBytes
+	readErr          error  // read error that Read returns after the unread bytes
+	statusLine       []byte // status line of the newest response, as far as Read has returned it
 	isReadDone       bool   // Read has returned an error
-	onStatusOK       func() // called once when a complete status line says 200; nil for none
+	onStatusOK       func() // called once, when a complete status line says 200; nil for none
 }
 
-// Close closes the connection and frees its place in the pool.
+// Close closes the connection and calls onClose.
 func (c *endpointConn) Close() error {
 	err := c.Conn.Close()
 	if c.onClose != nil {
@@ -55,8 +55,8 @@
 }
 
 // assignCall prepares the connection for a call. onStatusOK is called once the
-// status line of its response says 200 and may be nil. It reports false where
-// bytes wait on the connection already, so that it can carry no call.
+// status line of the response says 200; it may be nil. assignCall reports false if
+// there are already unread bytes, so that the connection can carry no call.
 func (c *endpointConn) assignCall(onStatusOK func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,8 +65,8 @@
 	return !c.isStale
 }
 
-// Write writes to the endpoint; it fails with errUnexpectedBytes on a stale
-// connection.
+// Write writes to the endpoint. On a stale connection it fails with
+// errUnexpectedBytes.
 func (c *endpointConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	isStale := c.isStale
@@ -78,8 +78,8 @@
 	return c.Conn.Write(b)
 }
 
-// Read returns at most one byte of the response; it fails with
-// errUnexpectedBytes on a stale connection.
+// Read returns at most one byte of the response. On a stale connection it fails
+// with errUnexpectedBytes.
 func (c *endpointConn) Read(b []byte) (int, error) {
 	for len(b) > 0 {
 		if n, err := c.nextByte(b); n > 0 || err != nil {
@@ -97,7 +97,8 @@
 	return 0, nil
 }
 
-// nextByte returns the next unread byte; 0 and no error where there is none.
+// nextByte copies the next unread byte to b and returns 1. If there is none, it
+// returns 0 and the read error, if any.
 func (c *endpointConn) nextByte(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,8 +116,8 @@
 	return 1, nil
 }
 
-// appendStatusLine keeps a byte of the status line and calls onStatusOK at its
-// end. The caller holds the mutex.
+// appendStatusLine appends a byte to the status line, if that is not complete, and
+// calls onStatusOK when it ends and says 200. The caller holds the mutex.
 func (c *endpointConn) appendStatusLine(b byte) {
 	n := len(c.statusLine)
 	if n >= maxStatusLineBytes || n > 0 && c.statusLine[n-1] == '\n' {
@@ -129,8 +130,8 @@
 	}
 }
 
-// hasMalformedResponse reports whether a response has begun and the connection
-// still stands. Where the call fails, the fault is then in the response.
+// hasMalformedResponse reports whether a response has begun and the connection has
+// no read error. If the call has failed, the response must then be malformed.
 func (c *endpointConn) hasMalformedResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/endpoint_table.go
+++ b/internal/relay/endpoint_table.go
@@ -6,25 +6,26 @@
 	"plovershore/policy"
 )
 
-// Endpoints that left discovery's list are remembered for a while.
+// Endpoints that are no longer in discovery's list are kept for a while.
 const (
-	removedEndpointRetention     = policy.Time(600e6) // at least
-	removedEndpointSweepInterval = policy.Time(60e6)  // so that an update of the list doesn't cost a walk over all
+	removedEndpointRetention     = policy.Time(600e6) // minimum time that a removed endpoint is kept
+	removedEndpointSweepInterval = policy.Time(60e6)  // not at each update of the list, since a sweep visits all endpoints
 )
 
-// endpointTable holds the endpoints that the loop knows, with indexes so that neither
-// the gauges nor a Retry-After walks the whole list.
+// endpointTable holds the endpoints that the loop knows. Its indexes let the gauges and a
+// Retry-After be processed without visiting all endpoints.
 type endpointTable struct {
 	byID       map[string]*endpoint
 	byNumber   map[policy.Endpoint]*endpoint
-	byCell     map[int][]*endpoint // by destination
+	byCell     map[int][]*endpoint // endpoints by destination
 	lastNumber policy.Endpoint
-	listed     int // how many discovery's list names
-	// maybeUnavailable holds each endpoint that the policy may avoid now; it avoids no
-	// other. The policy begins to avoid one with an update of the list or of a call
-	// there, or to a sibling; by time alone it only ceases to.
+	listed     int // number of endpoints in discovery's list
+	// maybeUnavailable holds all endpoints that the policy might avoid now. The policy
+	// starts to avoid an endpoint only after a list update or after the result of a call
+	// to it or to another endpoint of its destination. It may stop avoiding one without
+	// an event, as time passes.
 	maybeUnavailable map[*endpoint]bool
-	sweptAt          policy.Time // when removed endpoints were last looked for
+	sweptAt          policy.Time // time of the last sweep for removed endpoints
 }
 
 func newEndpointTable() endpointTable {
@@ -32,13 +33,13 @@
 		byCell: map[int][]*endpoint{}, maybeUnavailable: map[*endpoint]bool{}}
 }
 
-// nextNumber gives a number that no endpoint had before.
+// nextNumber returns a number that no endpoint had before.
 func (t *endpointTable) nextNumber() policy.Endpoint {
 	t.lastNumber++
 	return t.lastNumber
 }
 
-// numberOf gives the policy's number of an endpoint, listed or not.
+// numberOf returns the policy's number of an endpoint, or a new number for an unknown id.
 func (t *endpointTable) numberOf(id string) policy.Endpoint {
 	if ep := t.byID[id]; ep != nil {
 		return ep.number
@@ -46,7 +47,7 @@
 	return t.nextNumber()
 }
 
-// setListed records whether discovery's list names an endpoint.
+// setListed records whether an endpoint is in discovery's list.
 func (t *endpointTable) setListed(ep *endpoint, listed bool) {
 	if ep.isListed == listed {
 		return
@@ -74,25 +75,26 @@
 	}
 }
 
-// checkAvailability has an endpoint checked when the gauges are published next.
+// checkAvailability has an endpoint checked when the gauges are next published.
 func (t *endpointTable) checkAvailability(ep *endpoint) { t.maybeUnavailable[ep] = true }
 
-// checkAvailabilityOfCell does so for all that serve a destination.
+// checkAvailabilityOfCell calls checkAvailability for all endpoints of a destination.
 func (t *endpointTable) checkAvailabilityOfCell(cell int) {
 	for _, ep := range t.byCell[cell] {
 		t.checkAvailability(ep)
 	}
 }
 
-// checkAvailabilityOfAll does so for all, where the policy's state was replaced.
+// checkAvailabilityOfAll calls checkAvailability for all endpoints, after the policy's
+// state was replaced.
 func (t *endpointTable) checkAvailabilityOfAll() {
 	for _, ep := range t.byID {
 		t.checkAvailability(ep)
 	}
 }
 
-// forgetRemoved drops the endpoints that were removed long ago: a list whose members
-// change must not fill the memory.
+// forgetRemoved drops endpoints that were removed longer ago than
+// removedEndpointRetention, so that a list with changing members does not fill the memory.
 func (r *Relay) forgetRemoved() {
 	now := r.clock.now()
 	if now-r.endpoints.sweptAt < removedEndpointSweepInterval {
@@ -106,7 +108,7 @@
 	}
 }
 
-// forgetEndpoint drops an endpoint that was removed long ago.
+// forgetEndpoint removes an endpoint from the table and from the connection pool.
 func (r *Relay) forgetEndpoint(ep *endpoint) {
 	r.endpoints.setListed(ep, false)
 	r.endpoints.removeFromCell(ep)
@@ -116,8 +118,8 @@
 	delete(r.endpoints.byNumber, ep.number)
 }
 
-// countUnavailable counts the listed endpoints that get nothing now but trial calls at
-// most. Those that do get calls need no further check.
+// countUnavailable counts the listed endpoints that get no calls now, except perhaps trial
+// calls. An endpoint that gets calls is not checked again until checkAvailability.
 func (r *Relay) countUnavailable(now policy.Time) int {
 	n := 0
 	for ep := range r.endpoints.maybeUnavailable {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -7,79 +7,79 @@
 	"plovershore/policy"
 )
 
-// event is something that the loop is told through its mailbox. handle runs on the
-// loop's goroutine; what the policy has to know of the event is appended to the
-// events of its next step.
+// event is sent to the loop through its mailbox. handle runs on the loop's goroutine. If
+// the policy has to know of the event, handle appends a policy.Event to those of the next
+// step.
 type event interface{ handle(r *Relay) }
 
-// submitEvent is a message that a client submits.
+// submitEvent reports that a client has submitted a message.
 type submitEvent struct {
 	request      *putRequest
-	isLogChecked bool // the log was asked whether it is pending already
+	isLogChecked bool // the log was already asked whether the message is pending
 }
 
-// acknowledgedEvent is the end of a client's wait for its answer.
+// acknowledgedEvent reports the end of a client's wait for its response.
 type acknowledgedEvent struct {
 	request *putRequest
-	isSent  bool // the answer was written; else the client left before it
+	isSent  bool // the response was written; otherwise the client left before it
 }
 
-// logRejectedEvent is a message that the log could not take.
+// logRejectedEvent reports that a message could not be written to the log.
 type logRejectedEvent struct{ request *putRequest }
 
-// listEvent is a list update of discovery.
+// listEvent reports a list update from discovery.
 type listEvent struct{ list *discovery.List }
 
-// discoveryRejectedEvent is a call that discovery rejected.
+// discoveryRejectedEvent reports that discovery rejected a call.
 type discoveryRejectedEvent struct{}
 
-// noticeAcceptedEvent is a completion notice that discovery accepted.
+// noticeAcceptedEvent reports that discovery accepted a completion notice.
 type noticeAcceptedEvent struct{ messageID string }
 
-// callDoneEvent is the end of a call.
+// callDoneEvent reports the end of a call.
 type callDoneEvent struct {
 	call    *call
-	results []outcome // one for each of its parts
+	results []outcome // one for each message of the call
 }
 
-// attemptNotSentEvent is an attempt that never left this process.
+// attemptNotSentEvent reports that an attempt was never sent.
 type attemptNotSentEvent struct {
 	message  *message
-	endpoint policy.Endpoint // 0 where it is no longer known
+	endpoint policy.Endpoint // 0 if the endpoint is no longer known
 }
 
-// healthCheckDoneEvent is the result of a health check.
+// healthCheckDoneEvent reports the result of a health check.
 type healthCheckDoneEvent struct {
 	endpoint policy.Endpoint
 	result   outcome
 }
 
-// operatorEvent is a command of the operators: policy.EventDrain or policy.EventActivate.
+// operatorEvent passes an operator's command on: policy.EventDrain or policy.EventActivate.
 type operatorEvent struct{ command policy.EventKind }
 
-// stopEvent asks for a graceful shutdown.
+// stopEvent requests a graceful shutdown.
 type stopEvent struct{}
 
-// logFailedEvent says that the log can take nothing more.
+// logFailedEvent reports that the log failed and accepts no more records.
 type logFailedEvent struct{ err error }
 
-// handoffRejectedEvent is a message that the previous process accepted but that the
-// log has no room for.
+// handoffRejectedEvent reports that the log has no space for a message that the previous
+// process accepted.
 type handoffRejectedEvent struct{ message *message }
 
-// handoffDoneEvent is the end of handing the log to the next process.
+// handoffDoneEvent reports whether handing the log to the next process succeeded.
 type handoffDoneEvent struct{ isTransferred bool }
 
-// recoveredEvent holds messages that were pending at the start.
+// recoveredEvent holds messages that were pending at the start and are now read.
 type recoveredEvent struct {
-	log     *wal.Log // that they were read from
+	log     *wal.Log // the log that they were read from
 	records []*wal.Record
-	unread  int // how many are still to be read; -1 for one that was read out of turn
+	unread  int // number of messages still to be read; -1 if checkLogFor read this one ahead of its turn
 }
 
 // spilledLoadedEvent holds spilled messages that were read from the log.
 type spilledLoadedEvent struct {
-	log     *wal.Log // that they were read from
+	log     *wal.Log // the log that they were read from
 	items   []backlog.Item
 	records []*wal.Record // one for each item
 }
@@ -111,7 +111,7 @@
 	r.updateList(e.list, kind)
 }
 
-func (discoveryRejectedEvent) handle(*Relay) {} // matters before the first list alone
+func (discoveryRejectedEvent) handle(*Relay) {} // only awaitFirstList uses it
 
 func (e noticeAcceptedEvent) handle(r *Relay) {
 	r.wal.Submit(&wal.Record{Kind: wal.KindCompleted, ID: e.messageID}, nil)
@@ -120,7 +120,7 @@
 func (e callDoneEvent) handle(r *Relay) { r.finishCall(e.call, e.results) }
 
 func (e attemptNotSentEvent) handle(r *Relay) {
-	if r.ownership.isTransferred { // the message is the next process's
+	if r.ownership.isTransferred { // the next process is responsible for the message
 		return
 	}
 	ep := r.endpoints.byNumber[e.endpoint]
@@ -133,7 +133,7 @@
 }
 
 func (e operatorEvent) handle(r *Relay) {
-	if r.shutdown.isRunning() { // it is not taken into service again
+	if r.shutdown.isRunning() { // a process that shuts down is neither drained nor activated
 		return
 	}
 	r.log.Info("operator command", "drain", e.command == policy.EventDrain)
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -9,16 +9,16 @@
 	"plovershore/policy"
 )
 
-// policyHandoff is the body of the record that hands the log to the next process, which
-// may run another version of the program: the JSON names are fixed.
+// policyHandoff is the body of the record that hands the log to the next process. That
+// process may run another version of the program, so the JSON names must not change.
 type policyHandoff struct {
-	PolicyTime  policy.Time                `json:"Now"`  // by the policy's clock
-	LogTime     int64                      `json:"Wall"` // the same moment by the log's time
-	EndpointIDs map[policy.Endpoint]string `json:"IDs"`  // by the numbers in the snapshot
+	PolicyTime  policy.Time                `json:"Now"`  // time of the export by the policy's clock
+	LogTime     int64                      `json:"Wall"` // the same time by the log's clock
+	EndpointIDs map[policy.Endpoint]string `json:"IDs"`  // ids of the endpoints, by their numbers in the snapshot
 	Snapshot    policy.Snapshot            `json:"Memory"`
 }
 
-// exportPolicy takes what the policy has learned, for another process.
+// exportPolicy returns a snapshot of the policy's state for another process.
 func (r *Relay) exportPolicy() policyHandoff {
 	now := r.clock.now()
 	h := policyHandoff{PolicyTime: now, LogTime: r.clock.logTime(now), EndpointIDs: map[policy.Endpoint]string{}, Snapshot: r.policy.Snapshot()}
@@ -28,7 +28,7 @@
 	return h
 }
 
-// importPolicy gives the policy what the previous process's has learned.
+// importPolicy restores the snapshot of the previous process into the policy.
 func (r *Relay) importPolicy(text []byte) {
 	var h policyHandoff
 	if err := json.Unmarshal(text, &h); err != nil {
@@ -38,7 +38,7 @@
 	for i := range h.Snapshot.Routes {
 		endpoints := h.Snapshot.Routes[i].Endpoints
 		for j := range endpoints {
-			number := policy.Endpoint(0) // of none
+			number := policy.Endpoint(0) // the number of no endpoint
 			if ep := r.endpoints.byID[h.EndpointIDs[endpoints[j].Endpoint]]; ep != nil {
 				number = ep.number
 			}
@@ -49,9 +49,9 @@
 	r.endpoints.checkAvailabilityOfAll()
 }
 
-// transferOwnership ends this process's ownership. From here on it begins no call and decides
-// nothing. Messages whose calls are in flight stay here until those end; all others are
-// the next process's, which finds them in the log.
+// transferOwnership ends this process's ownership. After it, this process begins no call
+// and makes no policy decision. Messages with calls in flight stay here until the calls
+// end. The next process is responsible for all others and recovers them from the log.
 func (r *Relay) transferOwnership() {
 	r.log.Info("handing off", "pending", r.messages.pending, "calls", r.callsInFlight)
 	snapshot, err := json.Marshal(r.exportPolicy())
@@ -80,11 +80,12 @@
 	})
 }
 
-// transferMessages leaves all messages without a call in flight to the next process.
+// transferMessages makes the next process responsible for all messages without a call in
+// flight.
 func (r *Relay) transferMessages() {
 	r.releaseSpilled()
 	for _, m := range r.messages.byNumber {
-		if e := m.pendingCompletion; e != nil { // its acknowledgement is just being written
+		if e := m.pendingCompletion; e != nil { // its client's response is being written now
 			m.pendingCompletion = nil
 			r.logCompletion(m, e.Notice, e.RetryMS)
 		}
@@ -95,7 +96,8 @@
 	}
 }
 
-// finishHandoff handles the end of a handoff. Where it failed, the ownership stays here.
+// finishHandoff handles the end of a handoff. If it failed, this process reclaims the
+// ownership.
 func (r *Relay) finishHandoff(isTransferred bool) {
 	r.ownership.isUnlocked = isTransferred
 	if isTransferred {
@@ -105,20 +107,20 @@
 	r.ownership.err = r.reclaim()
 }
 
-// acceptForSuccessor accepts a message for the process that owns the relay now, which
-// learns of it from the handoff log.
+// acceptForSuccessor accepts a message for the process that owns the relay now. That
+// process reads the message from the handoff log.
 func (r *Relay) acceptForSuccessor(q *putRequest) {
 	m := &message{record: q.record, class: q.class, isLogged: true, isTransferred: true}
 	r.messages.byID[q.record.ID], r.messages.unanswered[q] = m, m
 	r.logAccepted(q)
 }
 
-// reclaim takes the ownership back as at a start. The next process may have done
-// anything meanwhile: this process's calls are given up, and the log tells what is
-// pending.
+// reclaim takes the ownership back in the same way as a start does. The next process may
+// have done anything in the meantime, so this process's calls are abandoned and the
+// pending messages are recovered from the log.
 func (r *Relay) reclaim() error {
 	old := r.exportPolicy()
-	r.closeLog() // the handoff log with it, which the next opening folds in
+	r.closeLog() // this closes the handoff log too; openLog merges it into the log
 	r.abandonCalls()
 	decider, err := policy.New(r.cfg.Policy, r.cfg.Seed+1)
 	if err != nil {
@@ -155,8 +157,8 @@
 	}
 }
 
-// forgetAllMessages empties the memory of messages, before the log is read anew. Their
-// numbers are not used again.
+// forgetAllMessages drops all messages from memory before the log is read again. Their
+// numbers are not reused.
 func (r *Relay) forgetAllMessages() {
 	last := r.messages.lastNumber
 	r.messages = newMessageTable()
@@ -166,7 +168,8 @@
 	r.overdue, r.pendingNotices = overdueCounter{}, nil
 }
 
-// completeListEvent tells the policy of all listed endpoints, as it was told of them last.
+// completeListEvent returns a complete list update with the last known entries of all
+// listed endpoints.
 func (r *Relay) completeListEvent() policy.Event {
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListFull}
 	for _, ep := range r.endpoints.byID {
--- a/internal/relay/health_check.go
+++ b/internal/relay/health_check.go
@@ -14,7 +14,8 @@
 	healthCheckTimeout = 2 * time.Second // a health check that takes longer has failed
 )
 
-// checkHealth asks an endpoint whether it is alive.
+// checkHealth sends a health check to an endpoint and returns its result. The outcome is
+// Delivered if the endpoint answers 200.
 func checkHealth(ctx context.Context, transport *http.Transport, hostPort string) outcome {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
--- a/internal/relay/idle_resets.go
+++ b/internal/relay/idle_resets.go
@@ -8,43 +8,44 @@
 	"plovershore/policy"
 )
 
-// A middlebox between a relay and an endpoint may drop an idle connection long
-// before the keep-alive of the settings, without notice: the next call on it is
-// reset after it was written, and may then have run. How long a connection may
-// stand idle is therefore learned from the calls.
+// A middlebox between a relay and an endpoint may silently drop an idle connection
+// long before the keep-alive time in the settings. The next call on the connection
+// is then reset after it was written, and may have run. The relay therefore learns
+// from the results of its calls how long a connection may be idle.
 
 const (
-	minTrackedIdle  = 64 * time.Millisecond // a connection idle for less is as good as one in use
-	idleBucketCount = 12                    // each covers twice the idle time of the one before, the last about two minutes and more
-	resetWeight     = 0.25                  // of the newest call in the moving average of its bucket
-	// maxResetRate is the rate of resets above which connections idle for so long
-	// are not used: one reset in a bucket exceeds it.
+	minTrackedIdle  = 64 * time.Millisecond // shorter idle times are not tracked, like those of a connection in use
+	idleBucketCount = 12                    // each bucket covers twice the range of the previous one; the last one starts at about two minutes
+	resetWeight     = 0.25                  // weight of the newest call in the moving average of its bucket
+	// maxResetRate is the rate of resets above which connections with the idle time
+	// of a bucket are not used. A single recent reset in a bucket exceeds it.
 	maxResetRate = 0.2
-	// resetRateHalfLife is how fast an observation loses weight, so that longer
-	// idle times are tried again.
+	// resetRateHalfLife is the time in which a rate halves if there are no calls, so
+	// that longer idle times are tried again.
 	resetRateHalfLife = 10 * time.Second
 )
 
-// idleResetTracker keeps the rate of calls that were reset, by how long their
-// connection had been idle. The zero value is ready to use. It is not safe for
+// idleResetTracker tracks the rate of calls that were reset, by how long their
+// connections had been idle. The zero value is ready to use. It is not safe for
 // concurrent use.
 type idleResetTracker struct {
 	resetRates [idleBucketCount]float64     // moving averages as of updatedAt
-	updatedAt  [idleBucketCount]policy.Time // of the last call
+	updatedAt  [idleBucketCount]policy.Time // time of the last call in the bucket
 }
 
-// bucketOf returns the bucket of an idle time, or -1 for one too short to matter.
+// bucketOf returns the bucket of an idle time, or -1 if it is less than minTrackedIdle.
 func bucketOf(idle time.Duration) int {
 	return min(bits.Len64(uint64(idle/minTrackedIdle)), idleBucketCount) - 1
 }
 
-// resetRate is the rate of a bucket, decayed by the time since its last call.
+// resetRate returns the rate of a bucket, decayed by the time since its last call.
 func (t *idleResetTracker) resetRate(bucket int, now policy.Time) float64 {
 	age := time.Duration(now-t.updatedAt[bucket]) * time.Microsecond
 	return t.resetRates[bucket] * math.Exp2(-age.Seconds()/resetRateHalfLife.Seconds())
 }
 
-// record takes the result of a call on a connection that had been idle so long.
+// record updates the rates with a call on a connection that had been idle for the given
+// time.
 func (t *idleResetTracker) record(idle time.Duration, isReset bool, now policy.Time) {
 	bucket := bucketOf(idle)
 	if bucket < 0 {
@@ -57,7 +58,7 @@
 	t.resetRates[bucket], t.updatedAt[bucket] = rate, now
 }
 
-// maxIdle is how long a connection may be idle and still be used, at most the
+// maxIdle returns how long a connection may be idle and still be used. It is at most the
 // configured time.
 func (t *idleResetTracker) maxIdle(configured time.Duration, now policy.Time) time.Duration {
 	for bucket := range idleBucketCount {
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -5,14 +5,15 @@
 	"plovershore/policy"
 )
 
-// updateList handles an update of the endpoint list.
+// updateList applies an update of the endpoint list. An update that is not a delta stops
+// sending to all endpoints that it does not contain.
 func (r *Relay) updateList(l *discovery.List, kind policy.ListUpdateKind) {
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: kind}
 	listed := map[string]bool{}
 	for i := range l.Members {
 		m := &l.Members[i]
 		if m.Validate() != nil {
-			continue // in the configuration's list; discovery's is checked already
+			continue // possible only in the configured list; discovery's list was validated when it was received
 		}
 		listed[m.ID] = true
 		e.Entries = append(e.Entries, r.updateMember(m))
@@ -29,7 +30,7 @@
 	r.forgetRemoved()
 }
 
-// updateMember handles one entry of the list and returns it as the policy is told.
+// updateMember applies one entry of the list and returns the entry for the policy.
 func (r *Relay) updateMember(m *discovery.Member) policy.Entry {
 	ep := r.endpoints.byID[m.ID]
 	if ep == nil {
@@ -62,8 +63,8 @@
 	return entry
 }
 
-// setAddress gives an endpoint the address and destination of its entry. Nothing new
-// goes to the old address.
+// setAddress sets the address and the destination of an endpoint. Calls that still wait
+// for a connection to the old address are stopped.
 func (r *Relay) setAddress(ep *endpoint, m *discovery.Member) {
 	r.stopSending(ep)
 	ep.transport = newTransport(r.cfg, r.idleConns, maxIdleTime(&r.cfg.Policy))
@@ -71,8 +72,8 @@
 	r.endpoints.setCell(ep, m.Cell)
 }
 
-// stopSending lets nothing new go to an endpoint. A call that still waits for a
-// connection there is stopped, since it would begin too late.
+// stopSending prevents new calls to an endpoint. It also stops calls that still wait for a
+// connection there, since they would begin only now.
 func (r *Relay) stopSending(ep *endpoint) {
 	if !ep.isStopped {
 		ep.isStopped, ep.stoppedAt = true, r.clock.now()
@@ -85,9 +86,9 @@
 	}
 }
 
-// applyRetryAfter lets nothing new go to an endpoint, and to those that share its limit,
-// before a Retry-After is over. The policy begins no call in that time, but one that it
-// began before may still wait for its connection or for acknowledgements.
+// applyRetryAfter prevents new calls to an endpoint, and to those that share its limit,
+// until a Retry-After is over. The policy begins no call in that time, but a call that it
+// began before may still be waiting for a connection or for acknowledgements.
 func (r *Relay) applyRetryAfter(ep *endpoint, wait policy.Time) {
 	kinds, kind := r.cfg.Policy.Kinds, ep.policyEntry.Kind
 	affected := r.endpoints.byCell[ep.cell]
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -10,20 +10,22 @@
 	"time"
 )
 
-// soReusePort is SO_REUSEPORT, which package syscall does not define on every
-// port. It lets the next process of a rolling upgrade listen at the same address.
+// soReusePort is the socket option SO_REUSEPORT, which package syscall does not
+// define for every architecture. With it, two processes of a relay can listen at the
+// same address during a rolling upgrade.
 const soReusePort = 0xf
 
-// acceptRetryDelay is the pause after a failed accept: short enough that a
-// client does not notice, long enough not to spin while descriptors are short.
+// acceptRetryDelay is the pause after a failed accept. It is short enough that a
+// client does not notice, and long enough to avoid a busy loop while descriptors
+// are exhausted.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// Bounds of acceptQueued. The listener closes behind it, and the kernel resets
-// what was not accepted, so it puts up with more errors than serve.
+// Limits of acceptQueued. The listener is closed after it, and the kernel resets the
+// connections that were not accepted, so acceptQueued tolerates many errors.
 const (
-	shortageRetryDelay = 5 * time.Millisecond   // between two attempts while descriptors or memory are short
-	maxShortageWait    = 500 * time.Millisecond // the sum of such delays: clients have given up by then
-	maxAcceptErrors    = 10000                  // errors of single connections: more than any listener's backlog
+	shortageRetryDelay = 5 * time.Millisecond   // pause between two attempts while descriptors or memory are exhausted
+	maxShortageWait    = 500 * time.Millisecond // maximum sum of these pauses: clients give up after clientTimeout
+	maxAcceptErrors    = 10000                  // maximum errors of single connections; more than the backlog of any listener
 )
 
 // listenReusePort listens at a TCP address that another process of this relay
@@ -46,7 +48,7 @@
 }
 
 // serve accepts connections until the listener is closed or stopListening is
-// called. Other errors are logged and do not end it: descriptors may be short
+// called. Other errors are logged and do not end it: descriptors may be exhausted
 // for a moment, or a client may have left before it was accepted.
 func (c *clientServer) serve(ln net.Listener) error {
 	for {
@@ -86,7 +88,7 @@
 			case err == nil:
 			case isAcceptError(err) && failures < maxAcceptErrors:
 				failures++
-			case errors.Is(err, syscall.EAGAIN): // the backlog is empty
+			case errors.Is(err, syscall.EAGAIN): // there are no more queued connections
 				return
 			case isShortage(err) && waited < maxShortageWait:
 				waited += shortageRetryDelay
@@ -116,8 +118,9 @@
 	return nil
 }
 
-// connFromFile duplicates the file's descriptor into a net.Conn. For a moment
-// that takes a second descriptor, so it waits while they are short.
+// connFromFile returns a net.Conn with a duplicate of the file's descriptor. Until
+// the file is closed, that takes a second descriptor, so connFromFile waits while
+// descriptors are exhausted, for up to maxShortageWait.
 func connFromFile(file *os.File) (net.Conn, error) {
 	conn, err := net.FileConn(file)
 	for waited := time.Duration(0); err != nil && isShortage(err) && waited < maxShortageWait; waited += shortageRetryDelay {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -7,9 +7,8 @@
 	"plovershore/policy"
 )
 
-// loop runs the relay until it is shut down. It is the one goroutine that the policy
-// belongs to: it handles the events in the mailbox, steps the policy and carries out
-// its actions.
+// loop runs the relay until it is shut down. Only its goroutine uses the policy: it
+// handles the events in the mailbox, steps the policy and carries out its actions.
 func (r *Relay) loop(ln *net.TCPListener) error {
 	r.shutdown.listener = ln
 	timer := time.NewTimer(time.Hour)
@@ -31,29 +30,29 @@
 	}
 }
 
-// maxWait is how long the loop may wait for events before something else is due.
+// maxWait returns how long the loop may wait for events before something else is due.
 func (r *Relay) maxWait() time.Duration {
 	now := r.clock.now()
 	wait := min(r.timers.untilNext(now), r.ownership.pollInterval(), r.spilled.untilNext(now))
 	if r.shutdown.isRunning() {
 		wait = min(wait, shutdownCheckInterval)
 	}
-	if r.cfg.Operator != "" { // endpoints become available again by time alone
+	if r.cfg.Operator != "" { // endpoints may become available again without an event
 		wait = min(wait, metricsMaxAge)
 	}
 	return max(wait, 0)
 }
 
-// runOnce is one round of the loop.
+// runOnce runs one round of the loop.
 func (r *Relay) runOnce(events []event) error {
 	r.checkWallClock()
-	if r.ownership.handoff != nil { // after the mailbox was emptied: what was accepted there before is known here
+	if r.ownership.handoff != nil { // read after the mailbox was emptied, so that this process knows what the previous one accepted before
 		r.readHandoffLog()
 	}
 	for _, e := range events {
 		e.handle(r)
 	}
-	if r.ownership.isTransferred { // the next process decides
+	if r.ownership.isTransferred { // the next process's policy decides
 		r.step.events, r.timers = nil, nil
 	}
 	r.fireTimers()
@@ -66,7 +65,7 @@
 	return r.checkOwnership()
 }
 
-// fireTimers tells the policy that timers have expired.
+// fireTimers tells the policy if timers have expired.
 func (r *Relay) fireTimers() {
 	if r.timers.removeDue(r.clock.now()) {
 		r.step.add(policy.Event{Kind: policy.EventTimer})
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	metricsMaxAge      = 250 * time.Millisecond // gauges are this old at most
-	metricsMinInterval = policy.Time(100e3)     // between two computations of the gauges
+	metricsMaxAge      = 250 * time.Millisecond // maximum age of the published gauges
+	metricsMinInterval = policy.Time(100e3)     // minimum time between two publications of the gauges
 )
 
-// metrics are the figures of the operator address. Counters start at 0 with the process;
-// gauges are as the loop last published them. All may be read at any time from any
-// goroutine.
+// metrics holds the metrics that the operator address serves. Counters start at 0 with
+// the process; gauges have the values that the loop last published. Any goroutine may read
+// them at any time.
 type metrics struct {
-	lanes []laneMetrics // by class, as in the settings
+	lanes []laneMetrics // by the index of the class in the settings
 
 	// Counters.
 	rejections    map[rejection]*atomic.Int64
-	clockSteps    atomic.Int64 // of the wall clock
+	clockSteps    atomic.Int64 // steps of the wall clock
 	localFailures atomic.Int64 // attempts that this machine could not make
 	loaded        atomic.Int64 // spilled messages that were read back
 
@@ -33,32 +33,33 @@
 	members     atomic.Int64
 	unavailable atomic.Int64
 	spilled     atomic.Int64
-	overdue     atomic.Int64 // messages held past their deadline
-	logWaiting  atomic.Int64 // records that the log could not write yet
-	logUnread   atomic.Int64 // messages pending at the start that are still to be read
+	overdue     atomic.Int64 // messages pending past their deadlines
+	logWaiting  atomic.Int64 // records not yet written to the log
+	logUnread   atomic.Int64 // messages pending at the start that are not yet read
 	logDamaged  atomic.Int64
 	logLost     atomic.Int64
 	logAffected atomic.Int64
 
-	waitingFor atomic.Value // what keeps the relay from being ready; a string, empty for nothing
+	waitingFor atomic.Value // a string that says why the relay is not ready; empty if it is
 }
 
-// rejection is why a message was not accepted. Its text stands in figures and log lines.
+// rejection is the reason why a message was not accepted. Its text is part of metric
+// names and log lines.
 type rejection string
 
 const (
-	rejectedStopping  rejection = "stopping" // the process shuts down
-	rejectedFull      rejection = "full"     // as many messages are pending as the settings allow
-	rejectedDuplicate rejection = "twice"    // another submission of its id has no answer yet
-	rejectedLog       rejection = "log"      // the log could not take it
-	rejectedPolicy    rejection = "policy"   // shed, to be retried
-	rejectedExpired   rejection = "hopeless" // it can't be delivered in its time
+	rejectedStopping  rejection = "stopping" // the process is shutting down
+	rejectedFull      rejection = "full"     // the number of pending messages has reached the limit in the settings
+	rejectedDuplicate rejection = "twice"    // an earlier submission of the same id has no response yet
+	rejectedLog       rejection = "log"      // the message could not be written to the log
+	rejectedPolicy    rejection = "policy"   // the policy rejects the message, and the client may retry it
+	rejectedExpired   rejection = "hopeless" // the message can't be delivered before its deadline
 )
 
-// rejections lists all of them in the order of the figures.
+// rejections lists all reasons in the order of their metrics.
 var rejections = []rejection{rejectedStopping, rejectedFull, rejectedDuplicate, rejectedLog, rejectedPolicy, rejectedExpired}
 
-// laneMetrics are the counters of one class of messages.
+// laneMetrics holds the counters of one class of messages.
 type laneMetrics struct {
 	name                                  string
 	completed, rejected, failed, upstream atomic.Int64
@@ -75,8 +76,8 @@
 	return m
 }
 
-// countUndelivered counts the completion of a message that was not delivered. A class
-// that the settings no longer name has no lane.
+// countUndelivered counts the completion of a message that was not delivered. A class that
+// is no longer in the settings has index -1 and no counters.
 func (m *metrics) countUndelivered(class int, outcome string) {
 	if class < 0 {
 		return
@@ -94,38 +95,39 @@
 	}
 }
 
-// countWritten counts a message whose call is written completely.
+// countWritten counts a message whose call was written completely to an endpoint.
 func (m *metrics) countWritten(class int) {
 	if class >= 0 {
 		m.lanes[class].upstream.Add(1)
 	}
 }
 
-// publishedGauges is what the loop remembers of the gauges.
+// publishedGauges records the last publication of the gauges.
 type publishedGauges struct {
-	at      policy.Time // when they were last published
-	overdue int         // overdue messages then
+	at      policy.Time // time of the last publication
+	overdue int         // overdue messages at that time
 }
 
-// publishDueMetrics publishes the gauges if somebody may read them and they are not new.
+// publishDueMetrics publishes the gauges if there is an operator address and
+// metricsMinInterval has passed since the last publication.
 func (r *Relay) publishDueMetrics() {
 	if r.cfg.Operator != "" && r.clock.now()-r.published.at >= metricsMinInterval {
 		r.publishMetrics()
 	}
 }
 
-// publishMetrics publishes the gauges.
+// publishMetrics updates the gauges to the loop's current state.
 func (r *Relay) publishMetrics() {
 	r.published.at = r.clock.now()
 	r.metrics.members.Store(int64(r.endpoints.listed))
 	r.metrics.unavailable.Store(int64(r.countUnavailable(r.published.at)))
-	r.metrics.pending.Store(int64(r.messages.pending - len(r.messages.remoteCalls))) // the other process counts those
+	r.metrics.pending.Store(int64(r.messages.pending - len(r.messages.remoteCalls))) // the other process counts messages whose calls it has in flight
 	r.metrics.logWaiting.Store(r.wal.UnwrittenRecords())
 	r.publishOverdue()
 }
 
-// publishOverdue publishes how many messages are overdue, and logs when there are some
-// for the first time or none any more.
+// publishOverdue publishes the number of overdue messages. It logs when the number changes
+// from 0 or to 0.
 func (r *Relay) publishOverdue() {
 	n := r.overdue.count(r.published.at)
 	if (n > 0) != (r.published.overdue > 0) {
@@ -135,7 +137,7 @@
 	r.metrics.overdue.Store(int64(n))
 }
 
-// metricsWriter writes the Prometheus text format.
+// metricsWriter encodes metrics in the Prometheus text format.
 type metricsWriter struct{ bytes.Buffer }
 
 func (w *metricsWriter) header(name, kind, help string) {
@@ -152,7 +154,7 @@
 	fmt.Fprintf(w, "%s %d\n", name, value.Load())
 }
 
-// lanes writes a counter that each class of messages has.
+// lanes writes a counter of each class of messages.
 func (w *metricsWriter) lanes(lanes []laneMetrics, name, help string, value func(*laneMetrics) *atomic.Int64) {
 	w.header(name, "counter", help)
 	for i := range lanes {
@@ -160,7 +162,7 @@
 	}
 }
 
-// text writes all figures in the Prometheus text format. docs/on-call.md explains them.
+// text returns all metrics in the Prometheus text format. docs/on-call.md explains them.
 func (m *metrics) text() []byte {
 	w := &metricsWriter{}
 	w.lanes(m.lanes, "app_completed", "Messages delivered.", func(l *laneMetrics) *atomic.Int64 { return &l.completed })
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -10,12 +10,12 @@
 )
 
 // completionNotice is a notice to the platform that a message is completed. It is sent
-// once the log has the completion: otherwise the next process would go on with the
-// message. It waits no longer than the message's deadline, after which no process sends
-// the message.
+// once the completion is logged: before that, a next process would send the message
+// again. It is sent at the message's deadline at the latest, since after the deadline no
+// process sends the message.
 type completionNotice struct {
 	notice discovery.Notice
-	sendBy policy.Time // when it is sent in any case
+	sendBy policy.Time // when the notice is sent even if the completion is not logged
 	isSent atomic.Bool // set by the log's goroutine or the loop
 }
 
@@ -47,8 +47,8 @@
 	r.logCompletion(m, discovery.Failed, 0)
 }
 
-// sendDueNotices sends the notices whose completions the log doesn't have by their
-// messages' deadlines.
+// sendDueNotices sends the notices whose messages' deadlines have passed although their
+// completions are not logged.
 func (r *Relay) sendDueNotices() {
 	now, unsent := r.clock.now(), r.pendingNotices[:0]
 	for _, n := range r.pendingNotices {
--- a/internal/relay/openlog.go
+++ b/internal/relay/openlog.go
@@ -4,8 +4,8 @@
 	"plovershore/internal/wal"
 )
 
-// openLog opens the log and recovers from it the pending messages, what the previous
-// process's policy has learned and, if that process lives, its calls.
+// openLog opens the log and recovers the pending messages, the policy snapshot of the
+// previous process and, if that process still runs, its calls in flight.
 func (r *Relay) openLog() (pending int, err error) {
 	if err := r.clearFence(); err != nil {
 		return 0, err
@@ -19,7 +19,7 @@
 	r.ownership.handoff, r.ownership.process, r.ownership.stopLog = w.Handoff, w.Process, make(chan struct{})
 	r.messages.remoteCalls = map[string]*message{}
 	r.clock.alignTo(w)
-	r.recovery.isGapUnknown = w.ClockSetBack > 0 && w.Handoff == nil // a previous process that lives has seen all time pass
+	r.recovery.isGapUnknown = w.ClockSetBack > 0 && w.Handoff == nil // while the previous process runs, there is no gap
 	if w.ClockSetBack > 0 {
 		r.log.Warn("clock set back while no process ran", "by", w.ClockSetBack)
 	}
@@ -32,7 +32,7 @@
 	unread := w.PendingUnread()
 	r.recovery.isRunning = unread > 0
 	r.metrics.logUnread.Store(int64(unread))
-	go w.Run(r.ownership.stopLog) // closeLog waits for its end
+	go w.Run(r.ownership.stopLog) // closeLog waits until Run returns
 	r.restore(records, false)
 	if r.recovery.isRunning {
 		r.readNextPending()
@@ -40,8 +40,8 @@
 	return pending, nil
 }
 
-// clearFence removes the mark of a state folder whose messages were migrated to another
-// relay.
+// clearFence removes the file that marks a state folder whose messages were migrated to
+// another relay.
 func (r *Relay) clearFence() error {
 	fence, err := wal.ClearFence(r.cfg.StateDir)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// countCorruptions publishes what the log found corrupted.
+// countCorruptions counts the corruptions that the log found when it was opened.
 func (r *Relay) countCorruptions() {
 	found := &r.wal.Recovery
 	for _, c := range found.Corruptions {
@@ -63,7 +63,7 @@
 	r.metrics.logLost.Add(int64(len(found.LostIDs)))
 }
 
-// closeLog ends the log's goroutine, once all is written.
+// closeLog ends the log's goroutine and waits until all records are written.
 func (r *Relay) closeLog() {
 	if r.ownership.stopLog != nil {
 		close(r.ownership.stopLog)
--- a/internal/relay/operator.go
+++ b/internal/relay/operator.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	maxOperatorConns = 32      // where there are descriptors enough
-	maxOperatorBody  = 4 << 10 // bytes of a request body that are read and dropped; no request needs one
+	maxOperatorConns = 32      // limit if there are enough descriptors
+	maxOperatorBody  = 4 << 10 // maximum bytes of a request body; bodies are dropped, since no request needs one
 	operatorTimeout  = 2 * time.Second
 )
 
-// operator serves the operator address, for the operators of the relay and their tools.
-// It is apart from the clients and from the loop: it reads what the loop has published,
-// so that it answers at once however busy the relay is.
+// operator serves the operator address, which operators of the relay and their tools use.
+// It shares nothing with the clients' connections, and instead of asking the loop it reads
+// what the loop has published, so that it answers at once even if the relay is busy.
 type operator struct {
-	addr     string // that it listens at
+	addr     string // address that it listens at
 	log      *slog.Logger
 	metrics  *metrics
-	ready    *atomic.Bool // what readyz answers
+	ready    *atomic.Bool // whether readyz answers 200
 	command  func(policy.EventKind)
 	maxConns int
 	server   *http.Server
@@ -41,11 +41,11 @@
 
 type operatorConn struct {
 	openedAt   time.Time
-	isComplete bool // its request has come
+	isComplete bool // the request was received completely
 }
 
-// startOperator serves cfg.Operator until close. command is called with
-// policy.EventDrain and policy.EventActivate.
+// startOperator listens at cfg.Operator and serves it until close is called. command is
+// called with policy.EventDrain or policy.EventActivate when an operator requests that.
 func startOperator(cfg *Config, log *slog.Logger, metrics *metrics, ready *atomic.Bool, command func(policy.EventKind)) (*operator, error) {
 	ln, _, err := listenWithRetry(log, nil, func() (net.Listener, error) { return net.Listen("tcp", cfg.Operator) })
 	if err != nil {
@@ -78,17 +78,17 @@
 		},
 		ErrorLog: slog.NewLogLogger(o.log.Handler(), slog.LevelDebug),
 	}
-	server.SetKeepAlivesEnabled(false) // one request a connection
+	server.SetKeepAlivesEnabled(false) // one request per connection
 	return server
 }
 
-// close ends the server with all its connections, and waits for it.
+// close closes the server and all its connections and waits until it has ended.
 func (o *operator) close() {
 	o.server.Close()
 	<-o.done
 }
 
-// routes are the requests; ServeMux answers 404 and 405 to all others.
+// routes returns the handler of all requests; ServeMux answers 404 or 405 to unknown ones.
 func (o *operator) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readyz", o.onceComplete(o.writeReadiness))
@@ -108,7 +108,8 @@
 	return mux
 }
 
-// writeReadiness answers 200, or 503 with what the relay waits for.
+// writeReadiness answers 200 if the relay is ready, and otherwise 503 with what the relay
+// waits for.
 func (o *operator) writeReadiness(w http.ResponseWriter) {
 	if o.ready.Load() {
 		io.WriteString(w, "ready\n")
@@ -127,8 +128,8 @@
 // operatorConnKey is the key of a request's net.Conn in its context.
 type operatorConnKey struct{}
 
-// onceComplete has a request act only once all of it has come: one that breaks off in
-// its body must not drain a relay.
+// onceComplete returns a handler that calls act only after the whole request was received:
+// a request that is cut off within its body must not drain a relay.
 func (o *operator) onceComplete(act func(http.ResponseWriter)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxOperatorBody)); err != nil {
@@ -150,8 +151,9 @@
 	}
 }
 
-// track bounds the connections. A new one takes the place of the oldest whose request
-// is not complete: a peer that keeps its connection and sends nothing shuts nobody out.
+// track limits the number of connections. At the limit, a new connection replaces the one
+// that closeOldest closes, so that peers that keep connections open and send nothing do
+// not lock others out.
 func (o *operator) track(conn net.Conn, state http.ConnState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -166,8 +168,8 @@
 	}
 }
 
-// closeOldest closes the oldest connection whose request is not complete, or the oldest
-// of all. The caller holds mu.
+// closeOldest closes the oldest connection whose request is not complete. If all are
+// complete, it closes the oldest of them. The caller holds mu.
 func (o *operator) closeOldest() {
 	var oldest net.Conn
 	for conn, c := range o.conns {
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -3,18 +3,18 @@
 import "plovershore/policy"
 
 const (
-	overdueSpan  = policy.Time(250e3) // messages with deadlines in one span are counted together
-	overdueGrace = policy.Time(500e3) // completing a message may take so long after its deadline
+	overdueSpan  = policy.Time(250e3) // length of a span; messages with deadlines in the same span are counted together
+	overdueGrace = policy.Time(500e3) // how long after its deadline the completion of a message may take
 )
 
-// overdueCounter counts the pending messages whose deadlines have passed. It works out
-// deadlines from the request alone, not from what the log and the policy have, so that a
-// fault there shows. The zero value is empty.
+// overdueCounter counts the pending messages whose deadlines have passed. It has its own
+// copy of the deadlines, independent of those in the log and in the policy, so that a
+// fault there becomes visible. The zero value is empty.
 type overdueCounter struct {
-	pending map[policy.Time]int // by the span of their deadlines
+	pending map[policy.Time]int // number of messages by the span of their deadlines
 }
 
-// add counts a message in and returns the span to remove it from; it is never 0.
+// add adds a message and returns its span, which is never 0, for remove.
 func (o *overdueCounter) add(deadline policy.Time) (span policy.Time) {
 	if o.pending == nil {
 		o.pending = map[policy.Time]int{}
@@ -24,7 +24,7 @@
 	return span
 }
 
-// remove counts a message out. Span 0 stands for one that was never counted.
+// remove removes a message of a span. Span 0 stands for a message that was never added.
 func (o *overdueCounter) remove(span policy.Time) {
 	switch n := o.pending[span]; {
 	case n > 1:
@@ -34,7 +34,7 @@
 	}
 }
 
-// count is the number of messages whose deadlines and grace have passed.
+// count returns the number of messages whose deadlines passed more than overdueGrace ago.
 func (o *overdueCounter) count(now policy.Time) (total int) {
 	for span, n := range o.pending {
 		if (span+1)*overdueSpan+overdueGrace <= now {
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -7,34 +7,36 @@
 	"plovershore/internal/wal"
 )
 
-// During an upgrade two processes of one relay run over one state folder. At each
-// moment one of them owns it: it holds the lock, its policy decides, it alone begins
-// calls. This file acquires and watches the ownership; handoff.go hands it to the next
-// process and reclaims it where that dies; predecessor.go follows the previous process
-// while it finishes its calls.
+// During an upgrade two processes of a relay run with the same state folder. At any time
+// one of them owns the relay: it holds the lock, its policy decides, and only it begins
+// calls. This file acquires and monitors the ownership. handoff.go hands it to the next
+// process and reclaims it if that process exits. predecessor.go handles the results of the
+// previous process while that finishes its calls.
 
 const (
-	ownershipCheckInterval = 50 * time.Millisecond // how often the owner looks for a next process
-	lockPollInterval       = 5 * time.Millisecond  // how often the next process tries the lock
-	handoffPollInterval    = 10 * time.Millisecond // how often a handoff log is read: a Retry-After binds 100 ms later
-	handoffRetryDelay      = 2 * time.Second       // after a handoff that failed
+	ownershipCheckInterval = 50 * time.Millisecond // interval at which the owner checks for a next process
+	lockPollInterval       = 5 * time.Millisecond  // interval at which the next process tries the lock
+	handoffPollInterval    = 10 * time.Millisecond // interval of reading a handoff log; a Retry-After in it must be obeyed within 100 ms
+	handoffRetryDelay      = 2 * time.Second       // delay after a failed handoff
 )
 
-// ownership is what a process knows of who owns the relay. The loop owns it.
+// ownership is the state of a process that concerns which process owns the relay. Only
+// the loop uses it.
 type ownership struct {
-	lock          *wal.Lock       // held by the owner
-	successorLock *wal.Lock       // held by the process that waits for lock
-	isTransferred bool            // the other process owns the relay, or is just taking over
-	isUnlocked    bool            // lock was released to it
-	handoff       *wal.HandoffLog // of the previous process, while that lives
+	lock          *wal.Lock       // held by the process that owns the relay
+	successorLock *wal.Lock       // held by the next process while it waits for lock
+	isTransferred bool            // the next process owns the relay or is taking over
+	isUnlocked    bool            // this process has released lock to the next one
+	handoff       *wal.HandoffLog // handoff log of the previous process, while that runs; otherwise nil
 	nextCheck     time.Time
 	process       int   // this process's number in the log
-	isSharing     bool  // the limits are split with another process
-	err           error // what this process can't go on without
+	isSharing     bool  // the limits are halved, since another process runs
+	err           error // error after which this process can't continue
 	stopLog       chan struct{}
 }
 
-// acquire returns true with the lock, or false once stop is closed.
+// acquire waits for the lock of the state folder. It returns true once it holds the lock,
+// or false if stop is closed before.
 func (o *ownership) acquire(dir string, stop <-chan struct{}) (bool, error) {
 	var err error
 	if o.lock, err = wal.OpenLock(dir, wal.LockName); err != nil {
@@ -74,7 +76,8 @@
 	o.successorLock.Close()
 }
 
-// pollInterval is how long the loop may wait at most.
+// pollInterval returns how long the loop may wait before it must check the ownership or
+// read the handoff log.
 func (o *ownership) pollInterval() time.Duration {
 	if o.handoff != nil {
 		return handoffPollInterval
@@ -82,8 +85,8 @@
 	return ownershipCheckInterval
 }
 
-// checkOwnership looks whether another process wants to take over, or whether the one
-// that did has died.
+// checkOwnership hands the relay off if a next process waits for it, and reclaims it if
+// the next process has exited.
 func (r *Relay) checkOwnership() error {
 	o := &r.ownership
 	if o.err != nil {
@@ -107,8 +110,9 @@
 	return nil
 }
 
-// reclaimIfExited reclaims the ownership if the next process has exited. That one
-// releases the successor's lock only once it holds the owner's.
+// reclaimIfExited reclaims the ownership if the next process has exited, which is so if
+// neither lock is held: that process releases the successor's lock only once it holds the
+// owner's.
 func (r *Relay) reclaimIfExited() error {
 	isOwner, err := r.ownership.lock.TryLock()
 	if isOwner {
@@ -121,7 +125,8 @@
 	return nil
 }
 
-// splitLimits halves what two processes use together, and undoes that.
+// splitLimits halves the connection and memory limits while two processes run, and
+// restores them after that.
 func (r *Relay) splitLimits() {
 	isSharing := r.ownership.handoff != nil || r.ownership.isTransferred
 	if isSharing == r.ownership.isSharing {
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -6,10 +6,11 @@
 	"plovershore/policy"
 )
 
-// readHandoffLog handles what the previous process has written to its handoff log.
+// readHandoffLog handles the new records in the handoff log of the previous process. If
+// that process has exited, it then ends the handoff.
 func (r *Relay) readHandoffLog() {
 	handoff := r.ownership.handoff
-	hasExited := handoff.OwnerExited() // first: nothing can be written after it
+	hasExited := handoff.OwnerExited() // checked before reading, so that an exited process's records are all read
 	for _, rec := range handoff.Read() {
 		r.applyHandoffRecord(rec)
 	}
@@ -31,26 +32,27 @@
 func (r *Relay) applyHandoffRecord(rec *wal.Record) {
 	m := r.messages.byID[rec.ID]
 	switch remote := r.messages.remoteCalls[rec.ID]; {
-	case rec.Kind == wal.KindAccepted && m == nil && r.recoverOutOfSight(rec.ID): // its client submitted it again
+	case rec.Kind == wal.KindAccepted && m == nil && r.recoverOutOfSight(rec.ID): // already pending here: its client had submitted it again
 		r.wal.Submit(rec, nil)
 	case rec.Kind == wal.KindAccepted && m == nil:
 		r.acceptFromPredecessor(rec)
 	case remote != nil && (rec.Kind == wal.KindOutcome || rec.Kind == wal.KindCompleted):
 		r.finishRemoteAttempt(remote, rec)
-	case m != nil && rec.Kind == wal.KindCompleted: // its client left before it was acknowledged
+	case m != nil && rec.Kind == wal.KindCompleted: // its client left before the response
 		r.markCompleted(m)
 		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number})
 		r.wal.Submit(rec, nil)
 	}
 }
 
-// acceptFromPredecessor takes over a message that the previous process has accepted.
+// acceptFromPredecessor registers and logs a message that the previous process accepted
+// after the handoff.
 func (r *Relay) acceptFromPredecessor(rec *wal.Record) {
 	logged := *rec
 	rec.HandoffOffset = 0
 	r.restore([]*wal.Record{rec}, true)
 	m := r.messages.byID[rec.ID]
-	if m == nil { // it was completed at once
+	if m == nil { // restore has completed it
 		return
 	}
 	r.wal.Submit(&logged, func(err error) {
@@ -80,8 +82,9 @@
 	}
 }
 
-// returnUnlogged gives back a message that the previous process has accepted but that
-// the log has no room for: no attempt of it can be logged either. It was never sent.
+// returnUnlogged returns a message to the platform that the previous process accepted but
+// that the log has no space for. No attempt of it could be logged either, so it was never
+// sent.
 func (r *Relay) returnUnlogged(m *message) {
 	if m.isCompleted {
 		return
--- a/internal/relay/put_request.go
+++ b/internal/relay/put_request.go
@@ -12,19 +12,19 @@
 
 const (
 	putArguments  = 5       // MSG.PUT, a routing key that is always zero, the id, the fields and the body
-	maxTokenBytes = 256     // of an id or an idempotency key
+	maxTokenBytes = 256     // maximum length of an id or an idempotency key
 	maxDeadlineMS = 1e9     // about 11 days
 	maxDest       = 1 << 16 // the highest destination number
-	noTenant      = -1      // where the settings name no tenants
+	noTenant      = -1      // tenant of a message if the settings name no tenants
 )
 
-// putRequest is a message that a client submits. It is answered exactly once.
+// putRequest is a message that a client submits. It is responded to exactly once.
 type putRequest struct {
 	record     *wal.Record
 	class      int           // index in the settings
 	tenant     int           // index in the settings, or noTenant
-	receivedAt time.Time     // when its last byte was read
-	timeLeft   time.Duration // from receivedAt to the message's deadline
+	receivedAt time.Time     // when the last byte of the command was read
+	timeLeft   time.Duration // time from receivedAt to the message's deadline
 	isPending  bool          // the log already holds this message
 	responses  chan response // capacity 1, so that respond never blocks
 }
@@ -32,8 +32,8 @@
 // respond sends the one response to the client.
 func (q *putRequest) respond(r response) { q.responses <- r }
 
-// parsePutRequest parses the arguments of MSG.PUT. The error names the field
-// that is invalid and is sent to the client as it is.
+// parsePutRequest parses the arguments of MSG.PUT. An error names the invalid field
+// and is sent to the client unchanged.
 func (c *Config) parsePutRequest(args [][]byte, now time.Time) (*putRequest, error) {
 	if len(args) != putArguments {
 		return nil, fmt.Errorf("MSG.PUT takes %d arguments, %d came", putArguments-1, len(args)-1)
@@ -57,8 +57,8 @@
 	return q, nil
 }
 
-// parsePutFields splits text such as c=plain,d=1500. A name that comes twice
-// has its last value.
+// parsePutFields parses fields such as c=plain,d=1500. If a name occurs more than
+// once, its last value is used.
 func parsePutFields(text string) (map[string]string, error) {
 	fields := map[string]string{}
 	for field := range strings.SplitSeq(text, ",") {
@@ -87,7 +87,7 @@
 	}
 	q.record.Tenant = fields["t"]
 	ms, err := strconv.ParseFloat(fields["d"], 64)
-	if err != nil || !(ms >= 0 && ms <= maxDeadlineMS) { // also false for NaN
+	if err != nil || !(ms >= 0 && ms <= maxDeadlineMS) { // NaN fails the comparisons too
 		return fmt.Errorf("d: %q is no time in milliseconds", fields["d"])
 	}
 	q.timeLeft = time.Duration(ms * float64(time.Millisecond))
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -8,12 +8,13 @@
 	"plovershore/policy"
 )
 
-// recoveryBatchSize is how many pending messages are read at a time after a start:
-// clients are served in between.
+// recoveryBatchSize is how many pending messages are read at a time after a start, so
+// that clients are served in between.
 const recoveryBatchSize = 2000
 
-// restore recovers messages that an earlier process left pending. With neverSpill they
-// stay in memory, since they may still be withdrawn.
+// restore registers messages that an earlier process left pending and reports them to the
+// policy. neverSpill keeps them in memory; it is set for messages that may still be
+// withdrawn.
 func (r *Relay) restore(records []*wal.Record, neverSpill bool) {
 	for _, rec := range records {
 		m := r.newMessage(rec)
@@ -24,7 +25,7 @@
 		e := r.recoveredMessageEvent(m)
 		e.Recovered, e.NeverSpill = true, neverSpill
 		if r.recovery.isGapUnknown && rec.UnknownOutcomeAt != 0 {
-			e.UnknownOutcomeAt = 1 // nobody knows how long ago: its deduplication window counts as over
+			e.UnknownOutcomeAt = 1 // the earliest time, so that its deduplication window counts as over, since its age is unknown
 		}
 		if rec.InFlightSince != 0 {
 			m.hasRemoteCall, r.messages.remoteCalls[rec.ID] = true, m
@@ -36,18 +37,18 @@
 	}
 }
 
-// completeRecovered completes a message that the policy is not to decide on, and
-// reports whether it is such a one.
+// completeRecovered completes a recovered message that needs no decision of the policy. It
+// reports whether the message was completed.
 func (r *Relay) completeRecovered(m *message) bool {
 	rec := m.record
 	switch {
-	case rec.Notice != "": // completed already, but the platform has not accepted the notice
+	case rec.Notice != "": // it is completed already, but the platform has not accepted the notice
 		r.markCompleted(m)
 		r.notices.Put(discovery.Notice{Message: rec.ID, Outcome: rec.Notice, RetryMS: rec.RetryMS})
-	case rec.Corrupted: // its client is told
+	case rec.Corrupted: // the notice tells its client of the loss
 		r.failMessage(m)
 		r.log.Error("message lost to log corruption", "message", rec.ID)
-	case m.class < 0: // the settings no longer say whether it may be repeated
+	case m.class < 0: // its class is no longer in the settings, so whether it may be retried is unknown
 		r.failMessage(m)
 	default:
 		return false
@@ -55,8 +56,8 @@
 	return true
 }
 
-// recoveredMessageEvent tells the policy of a message that the log has had for a while,
-// with its state.
+// recoveredMessageEvent returns the policy's event of a message that was read from the
+// log, with the state that the log has of it, and adds the message to the overdue counter.
 func (r *Relay) recoveredMessageEvent(m *message) policy.Event {
 	rec := m.record
 	e := policy.Event{Kind: policy.EventMessage, Message: m.number, Class: m.class, Dest: rec.Dest, Tenant: -1,
@@ -71,7 +72,8 @@
 	return e
 }
 
-// readNextPending has the log read more of what was pending at the start.
+// readNextPending has the log read the next batch of messages that were pending at the
+// start.
 func (r *Relay) readNextPending() {
 	w := r.wal
 	w.Do(func() {
@@ -80,13 +82,14 @@
 	})
 }
 
-// restoreRead recovers what the log has read.
+// restoreRead recovers messages that the log has read and requests the next batch. After
+// the last batch the relay becomes ready.
 func (r *Relay) restoreRead(e recoveredEvent) {
 	if e.log != r.wal || r.ownership.isTransferred {
-		return // of a log that was handed off
+		return // the messages are from a log that was handed off
 	}
 	r.restore(e.records, false)
-	if e.unread < 0 { // it was read out of turn
+	if e.unread < 0 { // checkLogFor read it ahead of its turn
 		return
 	}
 	r.metrics.logUnread.Store(int64(e.unread))
@@ -100,8 +103,9 @@
 	}
 }
 
-// checkLogFor asks the log whether a submitted message is pending already but not in
-// memory: not read yet since the start, or spilled. It is admitted once that is known.
+// checkLogFor asks the log whether a submitted message is already pending but not in
+// memory, because it was not read yet since the start or is spilled. The submission is
+// handled again once the log has answered.
 func (r *Relay) checkLogFor(q *putRequest) {
 	w := r.wal
 	w.Do(func() {
@@ -114,8 +118,9 @@
 }
 
 // recoverOutOfSight reports whether a message that the previous process accepted is
-// pending here already but not in memory, and recovers it where it was not read yet. It
-// waits for the log, which never waits for the loop.
+// already pending here but not in memory. It recovers the message if it was not read yet
+// since the start. It blocks the loop until the log has answered; this cannot deadlock,
+// since the log never waits for the loop.
 func (r *Relay) recoverOutOfSight(id string) bool {
 	if !r.recovery.isRunning && r.spilled.count() == 0 {
 		return false
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,57 +20,57 @@
 	"plovershore/policy"
 )
 
-// message is what the loop knows of a message, from its submission until it is
+// message is the loop's state of a message, from its submission until it is
 // completed and its last call has returned.
 type message struct {
-	number            uint32 // the policy's number of it
-	class             int    // index in the settings; -1 where they no longer name it
+	number            uint32 // the policy's number of the message
+	class             int    // index in the settings; -1 if the settings no longer have the class
 	record            *wal.Record
-	request           *putRequest // until it is answered
-	isAcknowledged    bool        // its client knows that it is accepted
-	isLogged          bool        // it is submitted to the log
-	isCompleted       bool        // the policy completed it, or was told that it is
-	isTransferred     bool        // another process of this relay is responsible for it
-	hasRemoteCall     bool        // another process of this relay has its call in flight
+	request           *putRequest // the client's request until the policy's decision; then nil
+	isAcknowledged    bool        // the client was told that the message is accepted
+	isLogged          bool        // the message was submitted to the log
+	isCompleted       bool        // the policy has completed the message or was told that it is completed
+	isTransferred     bool        // another process of this relay is responsible for the message
+	hasRemoteCall     bool        // another process of this relay has a call of the message in flight
 	attempts          int
-	pendingBatch      *batch         // a send that waits for acknowledgements
-	pendingCompletion *wal.Record    // its completion, likewise
-	pendingSpill      *backlog.Entry // its spill to the log, likewise
+	pendingBatch      *batch         // batch whose send waits for acknowledgements; nil for none
+	pendingCompletion *wal.Record    // completion that waits for the acknowledgement; nil for none
+	pendingSpill      *backlog.Entry // spill that waits for the acknowledgement; nil for none
 	call              *call
-	receivedAt        time.Time   // when its request came, or when this process recovered it
-	deadlineSpan      policy.Time // its span in the overdue counter; 0 for none
+	receivedAt        time.Time   // when its request was received, or when this process recovered the message
+	deadlineSpan      policy.Time // span in the overdue counter; 0 for none
 }
 
-// batch is what one policy step sends to one endpoint as one call. It goes out
-// once the clients of all its messages are acknowledged.
+// batch holds the messages that one policy step sends to an endpoint in one call. It
+// is sent once the clients of all its messages are acknowledged.
 type batch struct {
 	endpoint   *endpoint
-	callNumber uint32 // of the call, as the policy numbers it
+	callNumber uint32 // the policy's number of the call
 	sends      []send
-	bodyBytes  int // upper bound of its body
+	bodyBytes  int // upper bound of the body's size
 }
 
-// send is one message's place in a batch.
+// send is one message of a batch, with the time limits of its attempt.
 type send struct {
 	message   *message
-	timeoutAt policy.Time // when the attempt times out
-	sendBy    policy.Time // no byte of it may go out later; 0 for no limit
+	timeoutAt policy.Time // time at which the attempt times out
+	sendBy    policy.Time // the first byte must be sent before this time; 0 for no limit
 }
 
 func (b *batch) remove(m *message) {
 	b.sends = slices.DeleteFunc(b.sends, func(s send) bool { return s.message == m })
 }
 
-// Relay is one running relay. All fields belong to the goroutine of its loop
-// unless their types say otherwise; others reach it through the mailbox.
+// Relay is one running relay. Unless their types say otherwise, only the loop's
+// goroutine may use its fields; other goroutines send events to the mailbox.
 type Relay struct {
 	cfg     *Config
 	log     *slog.Logger
-	ctx     context.Context // ends with the process's part of all calls
+	ctx     context.Context // done when Run ends; ends all calls and background goroutines
 	mailbox *mailbox.Mailbox[event]
 	clients *clientServer
 	metrics *metrics
-	ready   *atomic.Bool // what readyz answers
+	ready   *atomic.Bool // whether readyz answers 200
 
 	clock     relayClock
 	wallClock clockWatch
@@ -78,37 +78,37 @@
 	policy     *policy.Policy
 	step       policyStep
 	timers     timerQueue
-	isDraining bool // the policy has this process reject clients
+	isDraining bool // the policy has told this process to stop accepting clients
 
 	messages  messageTable
 	overdue   overdueCounter
 	spilled   spillState
 	endpoints endpointTable
 
-	idleConns     int              // kept for each endpoint at most
-	pool          connectionPool   // the connections to all endpoints
-	idle          idleResetTracker // of all endpoints together
+	idleConns     int              // maximum idle connections to each endpoint
+	pool          connectionPool   // connections to all endpoints
+	idle          idleResetTracker // resets of calls to all endpoints together
 	callsInFlight int
 
 	wal            *wal.Log
 	recovery       recoveryState
 	notices        *discovery.Notices
-	pendingNotices []*completionNotice // whose completions may not be in the log yet
+	pendingNotices []*completionNotice // notices whose completions may not be logged yet
 
 	ownership      ownership
 	shutdown       shutdownState
-	deferredEvents []event // that came before the loop ran
+	deferredEvents []event // events received before the loop ran
 	published      publishedGauges
-	background     sync.WaitGroup // goroutines that end with ctx
+	background     sync.WaitGroup // goroutines that end after ctx is done
 }
 
-// messageTable holds the messages in memory.
+// messageTable holds the messages that are in memory.
 type messageTable struct {
 	byNumber    map[uint32]*message
 	byID        map[string]*message
-	unanswered  map[*putRequest]*message // whose clients have no answer yet
-	remoteCalls map[string]*message      // whose calls another process has in flight
-	pending     int                      // accepted and not completed, spilled ones among them
+	unanswered  map[*putRequest]*message // messages whose clients have no response yet
+	remoteCalls map[string]*message      // messages whose calls the previous process has in flight, by id
+	pending     int                      // number of messages not completed, including spilled ones
 	lastNumber  uint32
 }
 
@@ -116,13 +116,13 @@
 	return messageTable{byNumber: map[uint32]*message{}, byID: map[string]*message{}, unanswered: map[*putRequest]*message{}}
 }
 
-// recoveryState tells what is still unknown of the time before this process.
+// recoveryState describes what this process does not know yet of the previous one.
 type recoveryState struct {
 	isRunning    bool // pending messages are still being read from the log
-	isGapUnknown bool // how long no process ran before this one
+	isGapUnknown bool // it is unknown how long no process ran before this one
 }
 
-// newRelay makes a relay with neither log nor clients.
+// newRelay creates a relay without a log and without a server for clients.
 func newRelay(ctx context.Context, cfg *Config, log *slog.Logger, decider *policy.Policy) *Relay {
 	return &Relay{cfg: cfg, log: log, ctx: ctx, policy: decider,
 		mailbox:   mailbox.New[event](),
--- a/internal/relay/resp.go
+++ b/internal/relay/resp.go
@@ -8,21 +8,20 @@
 	"strconv"
 )
 
-// Clients speak a subset of RESP2: a command is an array of bulk strings. The
-// package has its own reader because sizes must be checked before memory is
-// allocated for them.
+// Clients use a subset of RESP2: a command is an array of bulk strings. This package
+// has its own parser, since it must check sizes before it allocates memory for them.
 
 // Limits on the size of a command.
 const (
 	maxArguments       = 16
-	maxArgumentBytes   = 4 << 10  // of each argument but the last
-	maxBodyBytes       = 64 << 10 // of the last argument, a message's body
-	maxSkippedBytes    = 1 << 20  // an oversized argument up to this length is skipped and the connection goes on
-	maxLengthLineBytes = 32       // of a line that holds a count or a length
+	maxArgumentBytes   = 4 << 10  // maximum size of each argument except the last
+	maxBodyBytes       = 64 << 10 // maximum size of the last argument, a message's body
+	maxSkippedBytes    = 1 << 20  // oversized arguments up to this size are skipped, and the connection stays open
+	maxLengthLineBytes = 32       // maximum size of a line that holds a count or a length
 )
 
-// errArgumentTooLong reports a command that was skipped because an argument
-// exceeds its limit. The reader stands at the start of the next command.
+// errArgumentTooLong reports a command that was skipped because an argument exceeds
+// its limit. The position in the stream is then the start of the next command.
 var errArgumentTooLong = errors.New("argument too long")
 
 // readCommand reads the arguments of one command. After an error other than
@@ -85,7 +84,7 @@
 	return arg, nil
 }
 
-// readLineEnd reads the CR LF behind a bulk string.
+// readLineEnd reads the CR LF after a bulk string.
 func readLineEnd(r *bufio.Reader) error {
 	var end [2]byte
 	if _, err := io.ReadFull(r, end[:]); err != nil {
@@ -97,7 +96,8 @@
 	return nil
 }
 
-// readLength reads a line that holds a type byte and a number.
+// readLength reads a line that consists of the type byte kind and a number, and returns
+// the number.
 func readLength(r *bufio.Reader, kind byte) (int, error) {
 	var line [maxLengthLineBytes]byte
 	for n := range line {
--- a/internal/relay/responses.go
+++ b/internal/relay/responses.go
@@ -14,11 +14,11 @@
 	responsePong response = "+PONG\r\n" // the relay accepts messages
 )
 
-// errDraining is the answer to PING while the relay accepts no messages.
+// errDraining is the response to PING while the relay is draining.
 var errDraining = errors.New("draining")
 
-// busyResponse rejects a message that the client may submit again after
-// retryAfterMS milliseconds, to any relay; 0 or less gives no time.
+// busyResponse rejects a message. The client may submit it again, to any relay, after
+// retryAfterMS milliseconds; 0 or less gives no time.
 func busyResponse(retryAfterMS int64) response {
 	if retryAfterMS <= 0 {
 		return "-BUSY\r\n"
@@ -26,8 +26,8 @@
 	return response("-BUSY " + strconv.FormatInt(retryAfterMS, 10) + "\r\n")
 }
 
-// errorResponse reports err. Bytes that would end the line or are not plain
-// ASCII are replaced.
+// errorResponse sends the text of err to the client. Characters that are not printable
+// ASCII are replaced by question marks, since they could end the line.
 func errorResponse(err error) response {
 	text := strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
@@ -38,7 +38,7 @@
 	return response("-ERR " + text + "\r\n")
 }
 
-// bulkStringResponse returns the argument of a PING to its client.
+// bulkStringResponse is the response to a PING with an argument, which it returns.
 func bulkStringResponse(text []byte) response {
 	return response("$" + strconv.Itoa(len(text)) + "\r\n" + string(text) + "\r\n")
 }
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -8,23 +8,23 @@
 
 const (
 	startRetryInterval = 50 * time.Millisecond
-	listenTimeout      = 5 * time.Second // after which an address in use is a mistake in the configuration
-	reopenTimeout      = time.Second     // the loop stands still meanwhile
+	listenTimeout      = 5 * time.Second // an address that is in use for longer is a configuration error
+	reopenTimeout      = time.Second     // short, since the loop is blocked during the retries
 )
 
-// transientRetry repeats an operation of a start while it fails for a reason that may
-// pass. Ending the relay instead would only have it started again, with its pending
-// messages waiting for longer.
+// transientRetry repeats an operation of the start while it fails with a transient error.
+// If the process ended instead, it would only be started again, and the pending messages
+// would wait longer.
 type transientRetry struct {
 	log         *slog.Logger
-	operation   string // in the log
+	operation   string // name of the operation in log lines
 	stop        <-chan struct{}
-	timeout     time.Duration // 0 for none
+	timeout     time.Duration // 0 for no limit
 	isTransient func(error) bool
 }
 
-// run calls attempt until it succeeds, fails with an error that is not transient, or
-// the timeout is over. It returns false without an error once stop is closed.
+// run calls attempt until it succeeds, until it fails with an error that is not transient
+// or until the timeout is over. It returns false and no error if stop is closed before.
 func (t transientRetry) run(attempt func() error) (ok bool, err error) {
 	began := time.Now()
 	for isFirst := true; ; isFirst = false {
@@ -55,7 +55,7 @@
 	return ok && isOwner, err
 }
 
-// openLogWithRetry opens the log once the disk lets it.
+// openLogWithRetry opens the log, and retries that while the disk has transient errors.
 func (r *Relay) openLogWithRetry(stop <-chan struct{}) (pending int, ok bool, err error) {
 	retry := transientRetry{log: r.log, operation: "open_log", stop: stop, isTransient: isTransientDiskError}
 	ok, err = retry.run(func() (err error) {
@@ -67,7 +67,8 @@
 	return pending, ok, err
 }
 
-// listenWithRetry listens at an address that another process may still have.
+// listenWithRetry opens a listener, and retries that while another process still uses the
+// address.
 func listenWithRetry[L net.Listener](log *slog.Logger, stop <-chan struct{}, open func() (L, error)) (ln L, ok bool, err error) {
 	retry := transientRetry{log: log, operation: "listen", stop: stop, timeout: listenTimeout, isTransient: isTransientListenError}
 	ok, err = retry.run(func() (err error) {
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// Phases of a graceful shutdown, as times since it began. A relay is killed 3.7 s
+// Phases of a graceful shutdown, as times since its beginning. The process is killed 3.7 s
 // after SIGTERM.
 const (
-	// closeListenerAfter ends the listener: front ends go on opening connections
-	// for a while after they are told to stop.
+	// closeListenerAfter is when the listener is closed. Front ends go on opening
+	// connections for a while after they are told to stop.
 	closeListenerAfter = 1000 * time.Millisecond
-	// stopUnsafeCallsAfter ends new calls of non-idempotent messages: one that is
-	// cut short has an unknown outcome and can't be retried.
+	// stopUnsafeCallsAfter is when no new calls of non-idempotent messages begin any
+	// more: a call that is cut off has an unknown outcome and can't be retried.
 	stopUnsafeCallsAfter = 1200 * time.Millisecond
-	// stopCallsAfter ends all new calls.
+	// stopCallsAfter is when no new calls begin any more.
 	stopCallsAfter = 2200 * time.Millisecond
-	// abandonCallsAfter ends the process; calls still in flight stay open in the log.
+	// abandonCallsAfter is when the process ends. Calls that are still in flight have no
+	// outcome in the log.
 	abandonCallsAfter = 3300 * time.Millisecond
 
-	// shutdownRetryMS tells rejected clients when to come again, to another relay.
+	// shutdownRetryMS is the time in ms after which rejected clients should submit their
+	// messages to another relay.
 	shutdownRetryMS = 400
-	// shutdownCheckInterval is how often the loop looks for the next phase.
+	// shutdownCheckInterval is how often the loop checks whether the next phase is due.
 	shutdownCheckInterval = 20 * time.Millisecond
 )
 
@@ -29,12 +31,12 @@
 type shutdownState struct {
 	startedAt time.Time        // zero while the relay runs
 	listener  *net.TCPListener // nil once it is closing
-	cause     error            // the log failure that began it; nil for a planned one
+	cause     error            // the log failure that caused the shutdown; nil if it was requested
 }
 
 func (s *shutdownState) isRunning() bool { return !s.startedAt.IsZero() }
 
-// elapsed is how long ago the shutdown began; 0 before.
+// elapsed returns the time since the shutdown began, or 0 before it.
 func (s *shutdownState) elapsed() time.Duration {
 	if !s.isRunning() {
 		return 0
@@ -42,8 +44,8 @@
 	return time.Since(s.startedAt)
 }
 
-// handleLogFailure begins a shutdown: accepted messages are safe, but no more can be
-// accepted.
+// handleLogFailure requests a shutdown. Messages already accepted are in the log, but no
+// more can be accepted.
 func (r *Relay) handleLogFailure(err error) {
 	r.log.Error("log failed, shutting down", "err", err)
 	if r.shutdown.cause == nil {
@@ -53,14 +55,14 @@
 	}
 }
 
-// beginShutdown starts a graceful shutdown, once.
+// beginShutdown begins a graceful shutdown, unless one is running.
 func (r *Relay) beginShutdown() {
 	if r.shutdown.isRunning() {
 		return
 	}
 	r.shutdown.startedAt = time.Now()
 	r.log.Info("stopping", "pending", r.messages.pending, "calls", r.callsInFlight)
-	if r.ownership.isTransferred { // the next process listens at the address, too
+	if r.ownership.isTransferred { // the next process listens at the same address
 		r.closeListener()
 	}
 	r.clients.drainConnections()
@@ -89,16 +91,17 @@
 	return true
 }
 
-// isIdle reports whether nobody waits for this process. Ending it with a connection
-// open would reset that, and lose the answer on it.
+// isIdle reports whether the process can end without harm: it has nothing to send and no
+// open connections. Ending it with an open connection would reset the connection, and a
+// response on it could be lost.
 func (r *Relay) isIdle(elapsed time.Duration) bool {
 	nothingToSend := r.messages.pending == 0 || elapsed >= stopCallsAfter
 	return nothingToSend && len(r.messages.unanswered) == 0 && r.callsInFlight == 0 && r.clients.connectionCount() == 0
 }
 
-// isTooLateToSend reports whether a message's call may no longer begin, since the
-// process will not see its result. The policy goes on counting it as in flight; the
-// next process recovers the message from the log.
+// isTooLateToSend reports whether a message's call may no longer begin, because the
+// process may end before its result. The policy continues to count the call as in
+// flight; the next process recovers the message from the log.
 func (r *Relay) isTooLateToSend(m *message) bool {
 	if !r.shutdown.isRunning() {
 		return false
--- a/internal/relay/socket.go
+++ b/internal/relay/socket.go
@@ -6,15 +6,14 @@
 	"syscall"
 )
 
-// hasUnreadBytes reports whether bytes wait on the socket. A read deadline and
-// the first byte of a request may come together, so that a read that timed out
-// does not prove that there is nothing.
+// hasUnreadBytes reports whether the socket has unread bytes. A read can time out at
+// the moment when bytes arrive, so a timeout does not prove that there are none.
 func hasUnreadBytes(conn net.Conn) bool {
 	var b [1]byte
 	return receiveNow(conn, b[:], syscall.MSG_PEEK) > 0
 }
 
-// discardUnread drops the bytes that wait on the socket, up to about
+// discardUnread reads and drops the unread bytes of the socket, up to about
 // maxSkippedBytes, without waiting for more.
 func discardUnread(conn net.Conn) {
 	b := make([]byte, maxArgumentBytes)
@@ -28,7 +27,7 @@
 }
 
 // receiveNow receives into b without waiting and regardless of the connection's
-// read deadline. It returns 0 or less where nothing waits.
+// read deadline. It returns 0 or less if there are no unread bytes.
 func receiveNow(conn net.Conn, b []byte, flags int) (n int) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -11,12 +11,12 @@
 	"plovershore/policy"
 )
 
-// firstListTimeout is how long a start waits for discovery's list.
+// firstListTimeout is how long a start waits for the first list from discovery.
 const firstListTimeout = 1500 * time.Millisecond
 
-// Run serves until stop is closed and the shutdown is complete, or until something
-// fails that a relay can't go on without. discoveryMoves gives new addresses of
-// discovery.
+// Run runs a relay until stop is closed and the shutdown is complete, or until a failure
+// without which it can't continue. It receives new addresses of the discovery service from
+// discoveryAddresses.
 func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, discoveryAddresses <-chan string) error {
 	decider, err := policy.New(cfg.Policy, cfg.Seed)
 	if err != nil {
@@ -39,7 +39,7 @@
 	r.pool.maxConns = conns
 	r.startDiscovery(discoveryAddresses)
 	r.awaitFirstList(firstListTimeout)
-	r.stepPolicy() // the list alone
+	r.stepPolicy() // the policy needs the list before any message
 	r.clients = newClientServer(cfg, log, func(q *putRequest) { r.mailbox.Put(submitEvent{request: q}) },
 		func(q *putRequest, ok bool) { r.mailbox.Put(acknowledgedEvent{request: q, isSent: ok}) })
 	defer r.clients.close()
@@ -57,8 +57,8 @@
 	return r.serve(stop, pending)
 }
 
-// goBackground runs f on a goroutine that Run waits for. It has to return soon after
-// the relay's context ends.
+// goBackground runs f on a goroutine that Run waits for. f must return soon after the
+// relay's context is done.
 func (r *Relay) goBackground(f func()) {
 	r.background.Add(1)
 	go func() {
@@ -67,8 +67,8 @@
 	}()
 }
 
-// startDiscovery follows discovery's list, sends it the completion notices, and
-// follows its address.
+// startDiscovery starts the goroutines that watch discovery's list, send the completion
+// notices to discovery and switch both to new addresses of discovery.
 func (r *Relay) startDiscovery(addresses <-chan string) {
 	r.notices = discovery.NewNotices(r.cfg.Discovery, r.log, func(id string) { r.mailbox.Put(noticeAcceptedEvent{id}) })
 	r.goBackground(func() { r.notices.Run(r.ctx) })
@@ -90,11 +90,11 @@
 	})
 }
 
-// recoverPending opens the log and recovers what an earlier process left pending; ok
-// is false where stop was closed first.
+// recoverPending opens the log and recovers the messages that an earlier process left
+// pending. ok is false if stop was closed before the log was open.
 func (r *Relay) recoverPending(stop <-chan struct{}) (pending int, ok bool, err error) {
 	r.metrics.waitingFor.Store("reads what is owed")
-	r.takeListUpdates() // the wait may have been long: an endpoint that drained since gets nothing
+	r.takeListUpdates() // the wait for the lock may have been long: endpoints that are draining by now must get no calls
 	r.stepPolicy()
 	pending, ok, err = r.openLogWithRetry(stop)
 	if err != nil || !ok {
@@ -132,9 +132,9 @@
 	return r.loop(ln)
 }
 
-// awaitFirstList waits a while for the complete list: the one in the configuration may
-// be old, and an endpoint that drained since must not be sent to. Where discovery is
-// silent, or rejects calls, the old one has to do.
+// awaitFirstList waits for the complete list, up to timeout: the list in the configuration
+// may be outdated, and an endpoint that is draining by now must get no calls. If discovery
+// does not answer in time or rejects calls, the configured list is used.
 func (r *Relay) awaitFirstList(timeout time.Duration) {
 	limit := time.NewTimer(timeout)
 	defer limit.Stop()
@@ -152,8 +152,9 @@
 	}
 }
 
-// takeListUpdates handles the list updates in the mailbox and leaves all else for the
-// loop. It reports whether the list is as current as it can be for now.
+// takeListUpdates handles the list updates in the mailbox and defers all other events
+// until the loop runs. It reports whether the list is as current as it can be: an update
+// came, or discovery rejected a call and there is a configured list.
 func (r *Relay) takeListUpdates() (isCurrent bool) {
 	for _, e := range r.mailbox.TakeAll(nil) {
 		switch e := e.(type) {
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -9,8 +9,8 @@
 	"plovershore/policy"
 )
 
-// policyStep collects the input of the policy's next step and holds the output of the
-// one that is being carried out.
+// policyStep holds the events for the policy's next step, and the actions and batches of
+// the step that is being carried out.
 type policyStep struct {
 	events  []policy.Event
 	actions []policy.Action
@@ -20,9 +20,9 @@
 // add appends an event to those of the next step.
 func (s *policyStep) add(e policy.Event) { s.events = append(s.events, e) }
 
-// stepPolicy lets the policy decide on the collected events and carries out its
-// actions: completions first, so that a rejected message is not logged; then the
-// accepted messages are logged, so that no send comes before; then all else.
+// stepPolicy passes the collected events to the policy and carries out its actions. Final
+// responses come first, so that a rejected message is not logged. Then the accepted
+// messages are logged, before the attempts to send them. Then all other actions follow.
 func (r *Relay) stepPolicy() {
 	events := r.step.events
 	r.step.events = nil
@@ -52,7 +52,7 @@
 	}
 }
 
-// submittedMessages finds the messages of these events whose clients have no answer.
+// submittedMessages returns the messages of these events whose clients wait for a response.
 func (r *Relay) submittedMessages(events []policy.Event) []*message {
 	submitted := make([]*message, 0, len(events))
 	for i := range events {
@@ -66,7 +66,7 @@
 	return submitted
 }
 
-// complete carries out the policy's final response to a message.
+// complete carries out the policy's decision to return a message or to fail it.
 func (r *Relay) complete(a *policy.Action, result string) {
 	m := r.messages.byNumber[a.Message]
 	if m == nil || m.isCompleted {
@@ -89,7 +89,7 @@
 	r.logCompletion(m, result, retryMS)
 }
 
-// rejectSubmitted answers the client of a message that was never accepted.
+// rejectSubmitted rejects a message of which the client does not have a response yet.
 func (r *Relay) rejectSubmitted(m *message, result string, retryMS int64) {
 	q := m.request
 	m.request = nil
@@ -104,10 +104,11 @@
 	r.forgetMessage(m)
 }
 
-// errGivenUp answers a submission that can't be delivered in its time.
+// errGivenUp is sent to the client of a message that can't be delivered before its
+// deadline.
 var errGivenUp = errors.New("given up")
 
-// apply carries out an action that is no final response.
+// apply carries out an action that does not complete a message.
 func (r *Relay) apply(now policy.Time, a *policy.Action) {
 	switch a.Kind {
 	case policy.ActionSend:
@@ -146,7 +147,7 @@
 	}
 }
 
-// cancelAttempt gives up the newest attempt of a message; an older one has ended.
+// cancelAttempt cancels an attempt if it is the message's newest; older ones have ended.
 func (r *Relay) cancelAttempt(a *policy.Action) {
 	m := r.messages.byNumber[a.Message]
 	switch {
@@ -158,8 +159,8 @@
 	}
 }
 
-// startHealthCheck checks an endpoint on a goroutine of its own, which ends with the
-// relay's context at the latest.
+// startHealthCheck checks an endpoint on a new goroutine, which ends when the relay's
+// context is done at the latest.
 func (r *Relay) startHealthCheck(number policy.Endpoint) {
 	ep := r.endpoints.byNumber[number]
 	if ep == nil || ep.isStopped {
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -7,8 +7,8 @@
 	"plovershore/policy"
 )
 
-// timerQueue holds the timers that the policy asked for, earliest first. Each
-// distinct moment fires once.
+// timerQueue holds the expiry times of the timers that the policy requested, earliest
+// first. Timers with the same time expire as one.
 type timerQueue []policy.Time
 
 func (q *timerQueue) add(at policy.Time) {
@@ -17,7 +17,7 @@
 	}
 }
 
-// untilNext is how long the loop may wait for the first timer.
+// untilNext returns the time until the first timer, or an hour if there is none.
 func (q timerQueue) untilNext(now policy.Time) time.Duration {
 	if len(q) == 0 {
 		return time.Hour
@@ -25,7 +25,7 @@
 	return time.Duration(q[0]-now+1) * time.Microsecond
 }
 
-// removeDue removes the timers that have expired and reports whether there were any.
+// removeDue removes expired timers and reports whether there were any.
 func (q *timerQueue) removeDue(now policy.Time) bool {
 	n := 0
 	for n < len(*q) && (*q)[n] <= now {
--- a/internal/relay/transport.go
+++ b/internal/relay/transport.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// keepAliveMarginDivisor: one part in so many of the endpoints' keep-alive
-	// is left unused, so that an idle connection is closed from this side first.
+	// keepAliveMarginDivisor is the endpoints' keep-alive time divided by the margin
+	// that is subtracted from it, so that this side closes an idle connection first.
 	keepAliveMarginDivisor = 10
 	maxResponseHeaderBytes = 64 << 10
 )
 
-// newTransport makes the connections of one endpoint. Each endpoint has a
-// transport of its own, so that its idle connections can be closed alone.
+// newTransport creates a transport for the connections to one endpoint. Each endpoint
+// has its own transport, so that its idle connections can be closed separately.
 func newTransport(cfg *Config, maxIdleConns int, idleTimeout time.Duration) *http.Transport {
 	connectTimeout := time.Duration(cfg.Policy.ConnectTimeout) * time.Microsecond
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: cfg.Connect}
@@ -29,7 +29,7 @@
 			}
 			return &endpointConn{Conn: conn}, nil
 		},
-		MaxIdleConnsPerHost:    maxIdleConns, // the default of 2 would close the others after each burst
+		MaxIdleConnsPerHost:    maxIdleConns, // the default of 2 would close all other connections after each burst
 		IdleConnTimeout:        idleTimeout,
 		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		DisableCompression:     true,
@@ -37,9 +37,9 @@
 	}
 }
 
-// maxIdleTime is how long a connection may stand idle by the settings. A request
-// that is written while the endpoint closes its connection ends as a reset, so
-// this side closes first.
+// maxIdleTime returns how long a connection may be idle according to the settings. A
+// request that is written while the endpoint closes the connection ends with a reset,
+// so this side must close the connection first.
 func maxIdleTime(set *policy.Settings) time.Duration {
 	keepAlive := time.Duration(set.KeepAlive) * time.Microsecond
 	return keepAlive - keepAlive/keepAliveMarginDivisor
--- a/internal/relay/wallclock.go
+++ b/internal/relay/wallclock.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// minClockStep is the least change between the wall clock and the monotonic one
-// that counts as a step. The kernel slews both alike, so that a clock that is only
-// set right slowly shows no change at all.
+// minClockStep is the smallest change between the wall clock and the monotonic clock
+// that counts as a step. The kernel slews both clocks alike, so a gradual correction
+// shows no change.
 const minClockStep = 10 * time.Millisecond
 
-// clockWatch notices steps of the machine's wall clock. Nothing is decided by it:
-// it is there so that a log tells which times in it can be compared.
+// clockWatch detects steps of the machine's wall clock. No decision depends on it; it
+// lets a reader of the log tell which times in the log can be compared.
 type clockWatch struct {
-	startedAt time.Time     // with its monotonic reading
-	offset    time.Duration // of the wall clock by now, against the monotonic one since startedAt
+	startedAt time.Time     // includes the monotonic reading
+	offset    time.Duration // sum of the wall clock's steps since startedAt
 }
 
 func newClockWatch() clockWatch { return clockWatch{startedAt: time.Now()} }
 
-// detectStep compares the clocks and returns the step since the last call; 0 for none.
+// detectStep returns the wall clock's step since the last call; 0 for none.
 func (w *clockWatch) detectStep(now time.Time) time.Duration {
 	wall := now.Round(0).Sub(w.startedAt.Round(0)) // Round strips the monotonic reading
 	step := wall - now.Sub(w.startedAt) - w.offset
@@ -30,7 +30,7 @@
 	return step
 }
 
-// checkWallClock logs and counts a step of the wall clock.
+// checkWallClock logs and counts a step of the wall clock, if there was one.
 func (r *Relay) checkWallClock() {
 	step := r.wallClock.detectStep(time.Now())
 	if step == 0 {
