--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -159,7 +159,7 @@
 	r.mailbox.Put(callDoneEvent{call: c, results: run.results})
 }
 
-// finishCall handles the results of a call.
+// finishCall records the results of a call and finishes the attempts of its messages.
 func (r *Relay) finishCall(c *call, results []outcome) {
 	delete(c.endpoint.calls, c)
 	r.callsInFlight--
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -32,7 +32,7 @@
 	errCancelled        = errors.New("cancelled")
 	errEndpointDraining = errors.New("endpoint draining")
 	errRetryAfter       = errors.New("endpoint asked to retry later")
-	errSendByExceeded   = errors.New("no connection before the latest time to send")
+	errSendByExceeded   = errors.New("no connection before the send-by time")
 )
 
 // callMessage is one message in a call.
@@ -62,12 +62,12 @@
 // outcome is the result of a call for one message, or of a health check.
 type outcome struct {
 	kind            policy.Outcome
-	retryAfter      policy.Time // 0 for none
+	retryAfter      policy.Time // Retry-After of the response; 0 for none
 	callsExhausted  bool        // not run, since all call slots of the endpoint were taken
 	isFinal         bool        // the message is completed
 	latency         policy.Time
 	load            policy.LoadReport
-	status          int // of the HTTP response; 0 for none
+	status          int // status code of the HTTP response; 0 for none
 	err             error
 	idleTime        time.Duration // how long the connection was idle before the call; 0 for a new connection or one in use
 	isNewConnection bool          // the connection was opened for this call
--- a/internal/relay/call_request.go
+++ b/internal/relay/call_request.go
@@ -63,7 +63,7 @@
 	}
 	body, err := json.Marshal(items)
 	if err != nil {
-		return nil, fmt.Errorf("batch: %w", err)
+		return nil, fmt.Errorf("encode batch: %w", err)
 	}
 	req, err := newPost(ctx, hostPort, batchPath, body, timeout)
 	if err != nil {
--- a/internal/relay/call_response.go
+++ b/internal/relay/call_response.go
@@ -84,7 +84,7 @@
 }
 
 func failBatch(common outcome, err error, count int) []outcome {
-	common.err = fmt.Errorf("answer to a batch: %w", err)
+	common.err = fmt.Errorf("batch response: %w", err)
 	return slices.Repeat([]outcome{common}, count)
 }
 
--- a/internal/relay/client_server.go
+++ b/internal/relay/client_server.go
@@ -57,7 +57,7 @@
 	isDraining bool                 // PING is answered with errDraining
 	slotFreed  chan struct{}        // capacity 1: signals that a descriptor was freed
 	isClosed   bool
-	closed     chan struct{}  // closed by close
+	closed     chan struct{}  // closed by the method close
 	sessions   sync.WaitGroup // the connections' goroutines
 }
 
--- a/internal/relay/client_session.go
+++ b/internal/relay/client_session.go
@@ -71,7 +71,7 @@
 		s.server.finishCommandRead(s.conn)
 		if errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, new(net.Error)) {
 			s.server.recordReadError(s.conn, err)
-			return // nobody would read a response
+			return // the client left or ran out of time within the command: it gets no response
 		}
 		select {
 		case s.commands <- command{args, err, time.Now()}:
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -44,7 +44,7 @@
 	Limits     Limits
 	KnownList  *discovery.List // the last endpoint list that this relay had; may be outdated, or nil
 	Policy     policy.Settings
-	Durability wal.Durability // what an accepted message survives
+	Durability wal.Durability // which failures an accepted message survives
 	FS         wal.FS         // file system of the log; nil for that of the operating system
 	Connect    ConnectHook    // called before each connect; nil for none
 
--- a/internal/relay/endpoint_conn.go
+++ b/internal/relay/endpoint_conn.go
@@ -14,7 +14,7 @@
 
 // errUnexpectedBytes reports that bytes which belong to no response were received on
 // a connection. Such a connection carries no further call.
-var errUnexpectedBytes = errors.New("bytes on the connection that answer nothing")
+var errUnexpectedBytes = errors.New("unexpected bytes on the connection")
 
 // endpointConn is a connection to an endpoint. It adds two functions that net/http
 // does not have:
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -53,7 +53,7 @@
 // and makes no policy decision. Messages with calls in flight stay here until the calls
 // end. The next process is responsible for all others and recovers them from the log.
 func (r *Relay) transferOwnership() {
-	r.log.Info("handing off", "pending", r.messages.pending, "calls", r.callsInFlight)
+	r.log.Info("handing off to the next process", "pending", r.messages.pending, "calls", r.callsInFlight)
 	snapshot, err := json.Marshal(r.exportPolicy())
 	if err != nil {
 		r.log.Error("policy snapshot not handed off", "err", err)
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -101,7 +101,7 @@
 	})
 }
 
-// acceptNext accepts one connection, or returns EAGAIN where none is queued.
+// acceptNext accepts one connection, or returns EAGAIN if none is queued.
 func (c *clientServer) acceptNext(fd int) error {
 	accepted, _, err := c.accept4(fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	if err != nil {
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -19,7 +19,7 @@
 	isSent atomic.Bool // set by the log's goroutine or the loop
 }
 
-// send sends the notice, once.
+// send sends the notice unless it was sent before.
 func (n *completionNotice) send(to *discovery.Notices) {
 	if n.isSent.CompareAndSwap(false, true) {
 		to.Put(n.notice)
@@ -41,7 +41,7 @@
 	})
 }
 
-// failMessage completes a message as failed.
+// failMessage completes a message as failed and has the platform notified.
 func (r *Relay) failMessage(m *message) {
 	r.markCompleted(m)
 	r.logCompletion(m, discovery.Failed, 0)
--- a/internal/relay/operator.go
+++ b/internal/relay/operator.go
@@ -60,7 +60,7 @@
 			log.Error("operator address failed", "err", err)
 		}
 	}()
-	log.Info("operator address", "listen", o.addr)
+	log.Info("serving operator address", "listen", o.addr)
 	return o, nil
 }
 
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -28,7 +28,8 @@
 	r.splitLimits()
 }
 
-// applyHandoffRecord handles one record of the handoff log.
+// applyHandoffRecord applies one record of the handoff log: a newly accepted message, the
+// outcome of a call or the withdrawal of a message.
 func (r *Relay) applyHandoffRecord(rec *wal.Record) {
 	m := r.messages.byID[rec.ID]
 	switch remote := r.messages.remoteCalls[rec.ID]; {
--- a/internal/relay/put_request.go
+++ b/internal/relay/put_request.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	putArguments  = 5       // MSG.PUT, a routing key that is always zero, the id, the fields and the body
+	putArguments  = 5       // the command's name, a routing key that is always zero, the id, the fields and the body
 	maxTokenBytes = 256     // maximum length of an id or an idempotency key
 	maxDeadlineMS = 1e9     // about 11 days
 	maxDest       = 1 << 16 // the highest destination number
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// acquireOwnership waits for the lock of the state folder.
+// acquireOwnership waits for the lock of the state folder. ok is false if stop was closed
+// before.
 func (r *Relay) acquireOwnership(stop <-chan struct{}) (ok bool, err error) {
 	isOwner := false
 	retry := transientRetry{log: r.log, operation: "lock", stop: stop, isTransient: isTransientDiskError}
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -15,7 +15,7 @@
 const firstListTimeout = 1500 * time.Millisecond
 
 // Run runs a relay until stop is closed and the shutdown is complete, or until a failure
-// without which it can't continue. It receives new addresses of the discovery service from
+// after which it cannot continue. It receives new addresses of the discovery service from
 // discoveryAddresses.
 func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, discoveryAddresses <-chan string) error {
 	decider, err := policy.New(cfg.Policy, cfg.Seed)
