--- a/internal/relay/client_connection.go
+++ b/internal/relay/client_connection.go
@@ -51,7 +51,7 @@
 	cc.limitReadUntil(deadline)
 }
 
-// finishCommandRead records that a command, valid or not, was read completely.
+// finishCommandRead records that reading a command has ended, with or without an error.
 func (c *clientServer) finishCommandRead(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
