--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -18,16 +18,16 @@
 func (r *Relay) admit(q *putRequest) {
 	deadline := r.clock.policyTime(q.receivedAt.Add(q.timeLeft))
 	q.record.Deadline = r.clock.logTime(deadline)
-	known := r.messages.byID[q.record.ID]
+	existing := r.messages.byID[q.record.ID]
 	isTransferred, limit := r.ownership.isTransferred, r.cfg.Policy.MaxMessages
 	switch {
-	case isTransferred && known == nil && !q.isPending:
+	case isTransferred && existing == nil && !q.isPending:
 		r.acceptForSuccessor(q)
 	case r.shutdown.isRunning() && !isTransferred:
 		r.rejectBusy(q, shutdownRetryMS, rejectedStopping)
-	case known != nil && known.isAcknowledged, known == nil && q.isPending: // it was accepted before
+	case existing != nil && existing.isAcknowledged, existing == nil && q.isPending: // it was accepted before
 		q.respond(responseOK)
-	case known != nil:
+	case existing != nil:
 		r.recordRejection(q, rejectedDuplicate)
 		q.respond(errorResponse(errDuplicateSubmission))
 	case limit > 0 && r.messages.pending >= limit:
@@ -48,10 +48,10 @@
 		Dest: q.record.Dest, Tenant: q.tenant, TimeLeft: deadline - r.clock.now()})
 }
 
-// acknowledge handles the end of a client's wait for its response. If the response was
+// handleResponseDone handles the end of a client's wait for its response. If the response was
 // sent, the batch, completion or spill that waited for it proceeds. If the client left
 // before the response, its message is withdrawn.
-func (r *Relay) acknowledge(q *putRequest, isSent bool) {
+func (r *Relay) handleResponseDone(q *putRequest, isSent bool) {
 	m := r.messages.unanswered[q]
 	if m == nil {
 		return
@@ -78,21 +78,21 @@
 		delete(r.messages.unanswered, q)
 		r.withdraw(m)
 	}
-	r.rejectBusy(q, 0, rejectedLog)
+	r.rejectBusy(q, 0, rejectedNotLogged)
 }
 
 // rejectBusy rejects a message that was never accepted. Its client may submit it again
 // after retryMS milliseconds; 0 gives no time.
-func (r *Relay) rejectBusy(q *putRequest, retryMS int64, why rejection) {
-	r.recordRejection(q, why)
+func (r *Relay) rejectBusy(q *putRequest, retryMS int64, reason rejection) {
+	r.recordRejection(q, reason)
 	r.metrics.countUndelivered(q.class, discovery.Returned)
 	q.respond(busyResponse(retryMS))
 }
 
 // recordRejection logs and counts why a message was not accepted.
-func (r *Relay) recordRejection(q *putRequest, why rejection) {
-	r.metrics.rejections[why].Add(1)
-	r.log.Debug("message rejected", "reason", why, "message", q.record.ID, "class", q.record.Class, "dest", q.record.Dest,
+func (r *Relay) recordRejection(q *putRequest, reason rejection) {
+	r.metrics.rejections[reason].Add(1)
+	r.log.Debug("message rejected", "reason", reason, "message", q.record.ID, "class", q.record.Class, "dest", q.record.Dest,
 		"left_ms", q.timeLeft.Milliseconds(), "pending", r.messages.pending)
 }
 
@@ -146,11 +146,11 @@
 
 // newMessage creates a message and registers it as pending in this process.
 func (r *Relay) newMessage(rec *wal.Record) *message {
-	t := &r.messages
-	t.lastNumber++
-	m := &message{number: t.lastNumber, record: rec, class: indexOf(r.cfg.classes, rec.Class), receivedAt: time.Now()}
-	t.byNumber[m.number], t.byID[rec.ID] = m, m
-	t.pending++
+	table := &r.messages
+	table.lastNumber++
+	m := &message{number: table.lastNumber, record: rec, class: indexOf(r.cfg.classes, rec.Class), receivedAt: time.Now()}
+	table.byNumber[m.number], table.byID[rec.ID] = m, m
+	table.pending++
 	return m
 }
 
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -45,7 +45,7 @@
 
 // startBatch logs the attempts of a batch and then makes its call. It does nothing while
 // the client of one of the messages is not acknowledged, since that message may still be
-// withdrawn and must not be sent before; acknowledge calls startBatch again.
+// withdrawn and must not be sent before; handleResponseDone calls startBatch again.
 func (r *Relay) startBatch(b *batch) {
 	for _, s := range b.sends {
 		if !s.message.isAcknowledged {
@@ -53,7 +53,7 @@
 		}
 	}
 	c := r.newCall(b.endpoint)
-	limit := r.fillCall(b, c)
+	timeout := r.fillCall(b, c)
 	if len(c.messages) == 0 {
 		c.cancel(nil)
 		return
@@ -61,23 +61,23 @@
 	b.endpoint.calls[c] = true
 	r.callsInFlight++
 	r.pool.prepareCall(b.endpoint)
-	r.logAndRun(c, time.Duration(limit)*time.Microsecond)
+	r.logAndRun(c, time.Duration(timeout)*time.Microsecond)
 }
 
 // newCall creates an empty call to an endpoint. It first limits the idle timeout of the
 // connections there to what the observed resets have shown to be safe.
 func (r *Relay) newCall(ep *endpoint) *call {
 	now := r.clock.now()
-	keep := maxIdleTime(&r.cfg.Policy)
-	ep.setIdleTimeout(r.cfg, r.idleConns, min(ep.idleResets.maxIdle(keep, now), r.idle.maxIdle(keep, now)))
-	ctx, stop := context.WithCancelCause(r.ctx)
-	return &call{endpoint: ep, transport: ep.transport, ctx: ctx, cancel: stop}
+	maxIdle := maxIdleTime(&r.cfg.Policy)
+	ep.setIdleTimeout(r.cfg, r.idleConns, min(ep.idleResets.maxIdle(maxIdle, now), r.idleResets.maxIdle(maxIdle, now)))
+	ctx, cancel := context.WithCancelCause(r.ctx)
+	return &call{endpoint: ep, transport: ep.transport, ctx: ctx, cancel: cancel}
 }
 
 // fillCall moves the messages that may still be sent from a batch to its call. It returns
 // the timeout of the call in µs, which is the longest of its attempts' timeouts, since
 // one connection carries them all.
-func (r *Relay) fillCall(b *batch, c *call) (limit policy.Time) {
+func (r *Relay) fillCall(b *batch, c *call) (timeout policy.Time) {
 	now := r.clock.now()
 	for _, s := range slices.Clone(b.sends) {
 		m := s.message
@@ -91,13 +91,13 @@
 			continue
 		}
 		c.messages = append(c.messages, callMessage{message: m, attempt: m.attempts - 1})
-		if by := r.clock.processTime(s.sendBy); s.sendBy != 0 && (c.sendBy.IsZero() || by.Before(c.sendBy)) {
-			c.sendBy = by
+		if sendBy := r.clock.processTime(s.sendBy); s.sendBy != 0 && (c.sendBy.IsZero() || sendBy.Before(c.sendBy)) {
+			c.sendBy = sendBy
 		}
-		limit = max(limit, s.timeoutAt-now)
+		timeout = max(timeout, s.timeoutAt-now)
 		m.call = c
 	}
-	return limit
+	return timeout
 }
 
 // canSend reports whether a send that the policy decided on is still allowed: its time
@@ -111,31 +111,31 @@
 // callRun is a call whose attempts are being logged. Only the log's goroutine may use its
 // fields until the call runs.
 type callRun struct {
-	call    *call
-	limit   time.Duration
-	results []outcome     // one for each message of the call
-	records []*wal.Record // messages whose attempts could be logged
-	parts   []int         // indexes of those messages in call.messages
+	call           *call
+	timeout        time.Duration
+	results        []outcome     // one for each message of the call
+	records        []*wal.Record // messages whose attempts could be logged
+	messageIndexes []int         // indexes of those messages in call.messages
 }
 
 // logAndRun logs the attempts of a call. After the last of them the call runs, on its own
 // goroutine, with the messages whose attempts could be logged.
-func (r *Relay) logAndRun(c *call, limit time.Duration) {
-	at := r.clock.logTime(r.clock.now())
-	run := &callRun{call: c, limit: limit, results: make([]outcome, len(c.messages))}
-	last := len(c.messages) - 1
+func (r *Relay) logAndRun(c *call, timeout time.Duration) {
+	startedAt := r.clock.logTime(r.clock.now())
+	run := &callRun{call: c, timeout: timeout, results: make([]outcome, len(c.messages))}
+	lastIndex := len(c.messages) - 1
 	addr := c.endpoint.hostPort
 	for i := range c.messages {
 		rec := c.messages[i].message.record
-		attempt := &wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.endpoint.zone, Endpoint: c.endpoint.id,
+		attempt := &wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: startedAt, Zone: c.endpoint.zone, Endpoint: c.endpoint.id,
 			Process: r.ownership.process, Sync: r.cfg.isNonIdempotent(rec.Class)}
 		r.wal.Submit(attempt, func(err error) {
 			if err != nil {
 				run.results[i] = outcome{kind: policy.NotSent, err: err, isUnlogged: true, isLocalFailure: true}
 			} else {
-				run.records, run.parts = append(run.records, rec), append(run.parts, i)
+				run.records, run.messageIndexes = append(run.records, rec), append(run.messageIndexes, i)
 			}
-			if i == last {
+			if i == lastIndex {
 				r.goBackground(func() { r.runCall(run, addr) })
 			}
 		})
@@ -147,12 +147,12 @@
 	c := run.call
 	if len(run.records) > 0 {
 		c.onWritten = func() {
-			for _, i := range run.parts {
+			for _, i := range run.messageIndexes {
 				r.metrics.countWritten(c.messages[i].message.class)
 			}
 		}
-		for i, o := range c.run(c.transport, addr, run.records, run.limit, r.cfg.loadFields) {
-			run.results[run.parts[i]] = o
+		for i, o := range c.run(c.transport, addr, run.records, run.timeout, r.cfg.loadFields) {
+			run.results[run.messageIndexes[i]] = o
 		}
 	}
 	c.cancel(nil)
@@ -167,9 +167,9 @@
 		return
 	}
 	o, now := &results[0], r.clock.now()
-	if reset := o.kind == policy.ConnectionReset; reset || o.status != 0 {
-		c.endpoint.idleResets.record(o.idleTime, reset, now)
-		r.idle.record(o.idleTime, reset, now)
+	if isReset := o.kind == policy.ConnectionReset; isReset || o.status != 0 {
+		c.endpoint.idleResets.record(o.idleTime, isReset, now)
+		r.idleResets.record(o.idleTime, isReset, now)
 	}
 	if o.retryAfter > 0 {
 		r.applyRetryAfter(c.endpoint, o.retryAfter)
@@ -181,9 +181,9 @@
 		c.transport.CloseIdleConnections()
 	}
 	for i := range c.messages {
-		p := &c.messages[i]
-		p.message.call = nil
-		r.finishAttempt(p.message, c.endpoint, p.attempt, &results[i])
+		cm := &c.messages[i]
+		cm.message.call = nil
+		r.finishAttempt(cm.message, c.endpoint, cm.attempt, &results[i])
 	}
 }
 
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -30,8 +30,8 @@
 // untilNext returns how long the loop may wait before a message has to be loaded.
 func (s *spillState) untilNext(now policy.Time) time.Duration {
 	wait := time.Hour
-	if at, ok := s.store.Next(); ok && len(s.reading) == 0 {
-		wait = min(wait, time.Duration(at-now+1)*time.Microsecond)
+	if loadBy, ok := s.store.Next(); ok && len(s.reading) == 0 {
+		wait = min(wait, time.Duration(loadBy-now+1)*time.Microsecond)
 	}
 	for _, item := range s.unreadable {
 		wait = min(wait, time.Duration(item.LoadBy-now+1)*time.Microsecond)
@@ -39,17 +39,17 @@
 	return wait
 }
 
-// request records that the policy wants count more messages of a destination loaded.
-func (s *spillState) request(dest, count int) {
+// requestLoad records that the policy wants count more messages of a destination loaded.
+func (s *spillState) requestLoad(dest, count int) {
 	if s.requested == nil {
 		s.requested = map[int]int{}
 	}
 	s.requested[dest] += count
 }
 
-// loadStarted reduces the requested number of a destination by one, for a message that
+// recordLoadStarted reduces the requested number of a destination by one, for a message that
 // is being loaded.
-func (s *spillState) loadStarted(dest int) {
+func (s *spillState) recordLoadStarted(dest int) {
 	if n := s.requested[dest]; n > 1 {
 		s.requested[dest] = n - 1
 	} else {
@@ -59,33 +59,33 @@
 
 // retryUnreadable returns unreadable messages to the store once their delay has passed.
 func (s *spillState) retryUnreadable(now policy.Time) {
-	left := s.unreadable[:0]
+	remaining := s.unreadable[:0]
 	for _, item := range s.unreadable {
 		if item.LoadBy > now {
-			left = append(left, item)
+			remaining = append(remaining, item)
 		} else {
 			s.store.Add(item.Dest, item.Entry)
 		}
 	}
-	s.unreadable = left
+	s.unreadable = remaining
 }
 
-// take removes up to loadBatchSize messages from the store for loading: first those that
+// takeForLoading removes up to loadBatchSize messages from the store for loading: first those that
 // are due, then those that the policy requested.
-func (s *spillState) take(now policy.Time) []backlog.Item {
+func (s *spillState) takeForLoading(now policy.Time) []backlog.Item {
 	s.retryUnreadable(now)
 	items := s.store.TakeDue(now, loadBatchSize)
 	for _, item := range items {
-		s.loadStarted(item.Dest)
+		s.recordLoadStarted(item.Dest)
 	}
 	for dest, count := range s.requested {
-		left := loadBatchSize - len(items)
-		if left <= 0 {
+		remaining := loadBatchSize - len(items)
+		if remaining <= 0 {
 			break
 		}
-		for _, item := range s.store.Take(dest, min(count, left)) {
+		for _, item := range s.store.Take(dest, min(count, remaining)) {
 			items = append(items, item)
-			s.loadStarted(dest)
+			s.recordLoadStarted(dest)
 		}
 	}
 	return items
@@ -99,11 +99,11 @@
 		r.mailbox.Put(spilledWithdrawnEvent{message: a.Message, dest: a.Dest})
 		return
 	}
-	m.pendingSpill = &backlog.Entry{LoadBy: a.Deadline, Flags: flagsOf(a)}
+	m.pendingSpill = &backlog.Entry{LoadBy: a.Deadline, Flags: backlogFlags(a)}
 	r.spillIfReady(m)
 }
 
-func flagsOf(a *policy.Action) (f backlog.Flags) {
+func backlogFlags(a *policy.Action) (f backlog.Flags) {
 	if a.Recovered {
 		f |= backlog.Recovered
 	}
@@ -147,7 +147,7 @@
 	if r.ownership.isTransferred || len(s.reading) > 0 || s.count() == 0 {
 		return
 	}
-	items := s.take(r.clock.now())
+	items := s.takeForLoading(r.clock.now())
 	if len(items) == 0 {
 		return
 	}
@@ -172,7 +172,7 @@
 		if rec != nil && rec.ID == "" { // unreadable: load another message instead and retry this one later
 			item.LoadBy = r.clock.now() + loadRetryDelay
 			s.unreadable = append(s.unreadable, item)
-			s.request(item.Dest, 1)
+			s.requestLoad(item.Dest, 1)
 			continue
 		}
 		r.messages.pending-- // readmit counts it again, unless it is no longer pending
@@ -209,9 +209,9 @@
 	r.step.add(e)
 }
 
-// releaseSpilled drops the spilled messages from this process; the next process recovers
+// transferSpilled drops the spilled messages from this process; the next process recovers
 // them from the log.
-func (r *Relay) releaseSpilled() {
+func (r *Relay) transferSpilled() {
 	r.messages.pending -= r.spilled.count()
 	r.spilled = spillState{}
 	r.metrics.spilled.Store(0)
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -452,7 +452,7 @@
 					if s != responseOK {
 						t.Fatal(s)
 					}
-					r.mailbox.Put(acknowledgedEvent{request: q, isSent: true})
+					r.mailbox.Put(responseDoneEvent{request: q, isSent: true})
 					return true
 				default:
 					return false
@@ -486,8 +486,8 @@
 	if r.turn(); len(r.messages.byNumber) != 3 || r.spilled.count() != 0 {
 		t.Fatalf("%d in memory, %d spilled before any client has heard", len(r.messages.byNumber), r.spilled.count())
 	}
-	r.mailbox.Put(acknowledgedEvent{request: qs[1], isSent: true})
-	r.mailbox.Put(acknowledgedEvent{request: qs[2]})
+	r.mailbox.Put(responseDoneEvent{request: qs[1], isSent: true})
+	r.mailbox.Put(responseDoneEvent{request: qs[2]})
 	if r.turn(); len(r.messages.byNumber) != 1 || r.spilled.count() != 1 || r.messages.pending != 2 || r.messages.byID["m1"] != nil || r.messages.byID["m2"] != nil {
 		t.Fatalf("%d in memory, %d spilled, %d held", len(r.messages.byNumber), r.spilled.count(), r.messages.pending)
 	}
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -82,11 +82,11 @@
 func (c *call) dropMessage(m *message) {
 	isAwaited := false
 	for i := range c.messages {
-		x := &c.messages[i]
-		x.isDropped = x.isDropped || x.message == m
-		isAwaited = isAwaited || !x.isDropped
+		cm := &c.messages[i]
+		cm.isDropped = cm.isDropped || cm.message == m
+		isAwaited = isAwaited || !cm.isDropped
 	}
-	if unsent := c.stage.CompareAndSwap(callWaiting, callStopped); unsent || !isAwaited {
+	if isUnsent := c.stage.CompareAndSwap(callWaiting, callStopped); isUnsent || !isAwaited {
 		c.cancel(errCancelled)
 	}
 }
@@ -102,30 +102,30 @@
 // it returns, the call no longer uses the connection: the response was read to its
 // end, or the connection is closed.
 func (c *call) run(transport *http.Transport, hostPort string, records []*wal.Record, timeout time.Duration, loadFields []string) []outcome {
-	began := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeoutCause(c.ctx, timeout, context.DeadlineExceeded)
 	defer cancel()
-	x := &exchange{call: c, cancel: cancel, isSingle: len(records) == 1}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.gotConn, WroteRequest: x.wroteRequest})
-	forAll := func(o outcome) []outcome { return slices.Repeat([]outcome{o}, len(records)) }
+	trace := &callTrace{call: c, cancel: cancel, isSingle: len(records) == 1}
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: trace.gotConn, WroteRequest: trace.wroteRequest})
+	repeatOutcome := func(o outcome) []outcome { return slices.Repeat([]outcome{o}, len(records)) }
 	req, err := newCallRequest(ctx, hostPort, records, timeout)
 	if err != nil {
-		return forAll(outcome{kind: policy.NotSent, err: err})
+		return repeatOutcome(outcome{kind: policy.NotSent, err: err})
 	}
 	resp, err := transport.RoundTrip(req)
-	o := outcome{latency: time.Since(began).Microseconds(), idleTime: time.Duration(x.idleTime.Load()), isNewConnection: x.isNewConnection.Load()}
+	o := outcome{latency: time.Since(startedAt).Microseconds(), idleTime: time.Duration(trace.idleTime.Load()), isNewConnection: trace.isNewConnection.Load()}
 	if err != nil {
-		x.setFailure(ctx, &o, err)
-		return forAll(o)
+		trace.setFailure(ctx, &o, err)
+		return repeatOutcome(o)
 	}
 	defer resp.Body.Close()
 	o.status = resp.StatusCode
 	classifyResponse(resp, &o, loadFields)
 	if len(records) > 1 && o.status == http.StatusOK {
-		return c.readBatchResponse(ctx, resp, o, records, x.conn.Load())
+		return c.readBatchResponse(ctx, resp, o, records, trace.conn.Load())
 	}
 	io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)) // a connection can be reused only if the response was read to its end
-	return forAll(o)
+	return repeatOutcome(o)
 }
 
 // classifyError returns the outcome of a call without a complete response. The
@@ -153,9 +153,9 @@
 
 func isCancelled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errCancelled) }
 
-// exchange records what net/http reports about a call while it runs. net/http calls
+// callTrace records what net/http reports about a call while it runs. net/http calls
 // its methods from its own goroutines.
-type exchange struct {
+type callTrace struct {
 	call            *call
 	cancel          context.CancelFunc
 	isSingle        bool // the call carries one message: the status line decides its outcome
@@ -165,15 +165,15 @@
 }
 
 // gotConn stops the call if it may no longer be sent, or not on this connection.
-func (x *exchange) gotConn(info httptrace.GotConnInfo) {
-	c := x.call
-	x.idleTime.Store(int64(info.IdleTime))
-	x.isNewConnection.Store(!info.Reused)
+func (t *callTrace) gotConn(info httptrace.GotConnInfo) {
+	c := t.call
+	t.idleTime.Store(int64(info.IdleTime))
+	t.isNewConnection.Store(!info.Reused)
 	if conn, ok := info.Conn.(*endpointConn); ok {
-		x.conn.Store(conn)
+		t.conn.Store(conn)
 		var onStatusOK func()
-		if x.isSingle {
-			onStatusOK = func() { time.AfterFunc(responseRemainderTimeout, x.cancel) }
+		if t.isSingle {
+			onStatusOK = func() { time.AfterFunc(responseRemainderTimeout, t.cancel) }
 		}
 		if !conn.assignCall(onStatusOK) {
 			c.cancelIfWaiting(errUnexpectedBytes)
@@ -183,12 +183,12 @@
 		c.cancelIfWaiting(errSendByExceeded)
 	}
 	if !c.stage.CompareAndSwap(callWaiting, callSending) && c.stage.Load() == callStopped {
-		x.cancel()
+		t.cancel()
 	}
 }
 
-func (x *exchange) wroteRequest(info httptrace.WroteRequestInfo) {
-	c := x.call
+func (t *callTrace) wroteRequest(info httptrace.WroteRequestInfo) {
+	c := t.call
 	if info.Err != nil {
 		c.isBroken.Store(true)
 		return
@@ -199,13 +199,13 @@
 }
 
 // setFailure sets the outcome of a call for which net/http has no response.
-func (x *exchange) setFailure(ctx context.Context, o *outcome, err error) {
-	c, conn := x.call, x.conn.Load()
+func (t *callTrace) setFailure(ctx context.Context, o *outcome, err error) {
+	c, conn := t.call, t.conn.Load()
 	o.kind, o.err = c.classifyError(ctx, conn), err
-	if o.kind == policy.ConnectFailed && c.stage.Load() == callWaiting && isLocal(err) {
+	if o.kind == policy.ConnectFailed && c.stage.Load() == callWaiting && isLocalError(err) {
 		o.kind, o.isLocalFailure = policy.NotSent, true
 	}
-	if x.isSingle && conn != nil && c.stage.Load() == callWritten && conn.hasStatusOK() {
+	if t.isSingle && conn != nil && c.stage.Load() == callWritten && conn.hasStatusOK() {
 		o.kind, o.isFinal, o.status = policy.Delivered, true, http.StatusOK
 	}
 }
--- a/internal/relay/client_session.go
+++ b/internal/relay/client_session.go
@@ -64,10 +64,10 @@
 // position of the next command is unknown.
 func (s *clientSession) readCommands() {
 	defer close(s.commands)
-	in := bufio.NewReader(s.conn)
-	for s.awaitRequest(in) {
+	reader := bufio.NewReader(s.conn)
+	for s.awaitRequest(reader) {
 		s.server.beginRequest(s.conn)
-		args, err := readCommand(in)
+		args, err := readCommand(reader)
 		s.server.finishCommandRead(s.conn)
 		if errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, new(net.Error)) {
 			s.server.recordReadError(s.conn, err)
@@ -86,9 +86,9 @@
 
 // awaitRequest waits for the first byte of a request. It reports false if the
 // connection ends, or its deadline passes without unread bytes.
-func (s *clientSession) awaitRequest(in *bufio.Reader) bool {
+func (s *clientSession) awaitRequest(reader *bufio.Reader) bool {
 	for {
-		_, err := in.Peek(1)
+		_, err := reader.Peek(1)
 		if err == nil {
 			return true
 		}
@@ -149,18 +149,18 @@
 	}
 	s.server.recordValidCommand(s.conn, true)
 	s.server.submit(q)
-	r, err := s.awaitResponse(q)
+	resp, err := s.awaitResponse(q)
 	if errors.Is(err, errServerClosed) {
 		return false // whether the message is accepted is unknown, so the client gets no response
 	}
-	isTooLate := r == responseOK && time.Since(cmd.receivedAt) >= s.server.clientTimeout
+	isTooLate := resp == responseOK && time.Since(cmd.receivedAt) >= s.server.clientTimeout
 	if errors.Is(err, errPeerGone) || isTooLate {
 		// The message is withdrawn before BUSY is written, so that a client that
 		// still reads can safely submit it again.
 		s.server.onResponded(q, false)
 		return s.write(busyResponse(0))
 	}
-	isWritten := s.write(r)
+	isWritten := s.write(resp)
 	s.server.onResponded(q, isWritten)
 	return isWritten
 }
@@ -170,20 +170,20 @@
 // and errServerClosed if the server is closed before it.
 func (s *clientSession) awaitResponse(q *putRequest) (response, error) {
 	select {
-	case r := <-q.responses:
-		return r, nil
+	case resp := <-q.responses:
+		return resp, nil
 	case <-s.server.closed:
 		return "", errServerClosed
-	case next, isOpen := <-s.commands:
+	case cmd, isOpen := <-s.commands:
 		if isOpen {
-			s.pipelined = &next
+			s.pipelined = &cmd
 		} else if s.server.isPeerGone(s.conn) {
 			return "", errPeerGone
 		}
 	}
 	select {
-	case r := <-q.responses:
-		return r, nil
+	case resp := <-q.responses:
+		return resp, nil
 	case <-s.server.closed:
 		return "", errServerClosed
 	}
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -38,12 +38,12 @@
 
 func (c *relayClock) fromLogTime(us int64) policy.Time { return us - c.logOffset }
 
-// alignTo sets the offset between the policy's clock and the log's time, which advance at
+// alignToLog sets the offset between the policy's clock and the log's time, which advance at
 // the same rate. A reading that was interrupted is repeated.
-func (c *relayClock) alignTo(w *wal.Log) {
+func (c *relayClock) alignToLog(w *wal.Log) {
 	for range alignAttempts {
-		before, logged := c.now(), w.Time()
-		c.logOffset = logged - before
+		before, logTime := c.now(), w.Time()
+		c.logOffset = logTime - before
 		if c.now()-before < alignTolerance {
 			return
 		}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -327,9 +327,9 @@
 // to endpoints. Each call in flight needs one, so the endpoints get enough for the maximum
 // number of calls, but at most half.
 func (c *Config) socketBudget() (clients, endpoints int) {
-	free := c.Limits.Sockets - reservedSockets - c.maxOperatorConns()
-	endpoints = min(max(free/4, c.Policy.MaxCalls+8), free/2)
-	return free - endpoints, endpoints
+	available := c.Limits.Sockets - reservedSockets - c.maxOperatorConns()
+	endpoints = min(max(available/4, c.Policy.MaxCalls+8), available/2)
+	return available - endpoints, endpoints
 }
 
 // maxOperatorConns returns how many connections the operator address may have open.
--- a/internal/relay/connection_limit.go
+++ b/internal/relay/connection_limit.go
@@ -33,8 +33,8 @@
 // reserveSlot waits for a slot for a new connection and reserves it. At the limit it
 // evicts another connection. It reports false if no slot is freed within maxSlotWait.
 func (c *clientServer) reserveSlot() bool {
-	limit := time.NewTimer(maxSlotWait)
-	defer limit.Stop()
+	timer := time.NewTimer(maxSlotWait)
+	defer timer.Stop()
 	for {
 		reserved, retryAfter := c.tryReserveSlot()
 		if reserved || retryAfter == 0 {
@@ -43,7 +43,7 @@
 		select {
 		case <-c.slotFreed:
 		case <-time.After(retryAfter):
-		case <-limit.C:
+		case <-timer.C:
 			return false
 		}
 	}
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -304,7 +304,7 @@
 		if s := <-q.responses; s != responseOK {
 			t.Fatal(s)
 		}
-		r.acknowledge(q, true)
+		r.handleResponseDone(q, true)
 	}
 	failing.Store(true)
 	due := taken["timely"].record.Deadline
--- a/internal/relay/endpoint_table.go
+++ b/internal/relay/endpoint_table.go
@@ -67,11 +67,11 @@
 }
 
 func (t *endpointTable) removeFromCell(ep *endpoint) {
-	rest := slices.DeleteFunc(t.byCell[ep.cell], func(x *endpoint) bool { return x == ep })
-	if len(rest) == 0 {
+	remaining := slices.DeleteFunc(t.byCell[ep.cell], func(x *endpoint) bool { return x == ep })
+	if len(remaining) == 0 {
 		delete(t.byCell, ep.cell)
 	} else {
-		t.byCell[ep.cell] = rest
+		t.byCell[ep.cell] = remaining
 	}
 }
 
@@ -93,9 +93,9 @@
 	}
 }
 
-// forgetRemoved drops endpoints that were removed longer ago than
+// forgetRemovedEndpoints drops endpoints that were removed longer ago than
 // removedEndpointRetention, so that a list with changing members does not fill the memory.
-func (r *Relay) forgetRemoved() {
+func (r *Relay) forgetRemovedEndpoints() {
 	now := r.clock.now()
 	if now-r.endpoints.sweptAt < removedEndpointSweepInterval {
 		return
@@ -121,16 +121,16 @@
 // countUnavailable counts the listed endpoints that get no calls now, except perhaps trial
 // calls. An endpoint that gets calls is not checked again until checkAvailability.
 func (r *Relay) countUnavailable(now policy.Time) int {
-	n := 0
+	count := 0
 	for ep := range r.endpoints.maybeUnavailable {
 		switch {
 		case !ep.isListed:
 			delete(r.endpoints.maybeUnavailable, ep)
 		case ep.isStopped || r.policy.Unavailable(ep.number, now):
-			n++
+			count++
 		default:
 			delete(r.endpoints.maybeUnavailable, ep)
 		}
 	}
-	return n
+	return count
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -18,8 +18,8 @@
 	isLogChecked bool // the log was already asked whether the message is pending
 }
 
-// acknowledgedEvent reports the end of a client's wait for its response.
-type acknowledgedEvent struct {
+// responseDoneEvent reports the end of a client's wait for its response.
+type responseDoneEvent struct {
 	request *putRequest
 	isSent  bool // the response was written; otherwise the client left before it
 }
@@ -74,7 +74,7 @@
 type recoveredEvent struct {
 	log     *wal.Log // the log that they were read from
 	records []*wal.Record
-	unread  int // number of messages still to be read; -1 if checkLogFor read this one ahead of its turn
+	unread  int // number of messages still to be read; -1 if checkPendingInLog read this one ahead of its turn
 }
 
 // spilledLoadedEvent holds spilled messages that were read from the log.
@@ -91,15 +91,15 @@
 }
 
 func (e submitEvent) handle(r *Relay) {
-	isUnread := r.recovery.isRunning || r.spilled.count() > 0
-	if isUnread && !e.isLogChecked && !r.ownership.isTransferred && r.messages.byID[e.request.record.ID] == nil {
-		r.checkLogFor(e.request)
+	mayBeOnlyInLog := r.recovery.isRunning || r.spilled.count() > 0
+	if mayBeOnlyInLog && !e.isLogChecked && !r.ownership.isTransferred && r.messages.byID[e.request.record.ID] == nil {
+		r.checkPendingInLog(e.request)
 		return
 	}
 	r.admit(e.request)
 }
 
-func (e acknowledgedEvent) handle(r *Relay) { r.acknowledge(e.request, e.isSent) }
+func (e responseDoneEvent) handle(r *Relay) { r.handleResponseDone(e.request, e.isSent) }
 
 func (e logRejectedEvent) handle(r *Relay) { r.rejectUnlogged(e.request) }
 
@@ -148,7 +148,7 @@
 
 func (e handoffDoneEvent) handle(r *Relay) { r.finishHandoff(e.isTransferred) }
 
-func (e recoveredEvent) handle(r *Relay) { r.restoreRead(e) }
+func (e recoveredEvent) handle(r *Relay) { r.handleRecovered(e) }
 
 func (e spilledLoadedEvent) handle(r *Relay) { r.readmitLoaded(e) }
 
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -234,7 +234,7 @@
 	go w.Run(stop)
 	r := newRelay(t.Context(), cfg, quietLog(), decider)
 	r.wal, r.idleConns = w, 2
-	r.clock.alignTo(r.wal)
+	r.clock.alignToLog(r.wal)
 	t.Cleanup(func() { close(stop); <-w.Done() })
 	return r
 }
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -29,9 +29,9 @@
 }
 
 // importPolicy restores the snapshot of the previous process into the policy.
-func (r *Relay) importPolicy(text []byte) {
+func (r *Relay) importPolicy(data []byte) {
 	var h policyHandoff
-	if err := json.Unmarshal(text, &h); err != nil {
+	if err := json.Unmarshal(data, &h); err != nil {
 		r.log.Error("policy snapshot unreadable", "err", err)
 		return
 	}
@@ -83,7 +83,7 @@
 // transferMessages makes the next process responsible for all messages without a call in
 // flight.
 func (r *Relay) transferMessages() {
-	r.releaseSpilled()
+	r.transferSpilled()
 	for _, m := range r.messages.byNumber {
 		if e := m.pendingCompletion; e != nil { // its client's response is being written now
 			m.pendingCompletion = nil
@@ -104,7 +104,7 @@
 		return
 	}
 	r.ownership.nextCheck = time.Now().Add(handoffRetryDelay)
-	r.ownership.err = r.reclaim()
+	r.ownership.fatalErr = r.reclaim()
 }
 
 // acceptForSuccessor accepts a message for the process that owns the relay now. That
@@ -119,19 +119,19 @@
 // have done anything in the meantime, so this process's calls are abandoned and the
 // pending messages are recovered from the log.
 func (r *Relay) reclaim() error {
-	old := r.exportPolicy()
+	exported := r.exportPolicy()
 	r.closeLog() // this closes the handoff log too; openLog merges it into the log
 	r.abandonCalls()
-	decider, err := policy.New(r.cfg.Policy, r.cfg.Seed+1)
+	newPolicy, err := policy.New(r.cfg.Policy, r.cfg.Seed+1)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
-	r.policy = decider
+	r.policy = newPolicy
 	r.forgetAllMessages()
 	r.ownership.isTransferred, r.ownership.isUnlocked = false, false
 	r.step.events, r.timers = []policy.Event{r.completeListEvent()}, nil
 	r.stepPolicy()
-	r.policy.Restore(old.Snapshot, 0)
+	r.policy.Restore(exported.Snapshot, 0)
 	r.endpoints.checkAvailabilityOfAll()
 	var pending int
 	retry := transientRetry{log: r.log, operation: "open_log", timeout: reopenTimeout, isTransient: isTransientDiskError}
@@ -160,9 +160,9 @@
 // forgetAllMessages drops all messages from memory before the log is read again. Their
 // numbers are not reused.
 func (r *Relay) forgetAllMessages() {
-	last := r.messages.lastNumber
+	lastNumber := r.messages.lastNumber
 	r.messages = newMessageTable()
-	r.messages.lastNumber = last
+	r.messages.lastNumber = lastNumber
 	r.spilled = spillState{}
 	r.metrics.spilled.Store(0)
 	r.overdue, r.pendingNotices = overdueCounter{}, nil
--- a/internal/relay/health_check.go
+++ b/internal/relay/health_check.go
@@ -17,7 +17,7 @@
 // checkHealth sends a health check to an endpoint and returns its result. The outcome is
 // Delivered if the endpoint answers 200.
 func checkHealth(ctx context.Context, transport *http.Transport, hostPort string) outcome {
-	began := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+hostPort+healthCheckPath, nil)
@@ -25,7 +25,7 @@
 		return outcome{kind: policy.NotSent, err: err}
 	}
 	resp, err := transport.RoundTrip(req)
-	o := outcome{latency: time.Since(began).Microseconds()}
+	o := outcome{latency: time.Since(startedAt).Microseconds()}
 	if err != nil {
 		o.err, o.kind = err, policy.ConnectionReset
 		if ctx.Err() != nil {
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -7,11 +7,11 @@
 
 // updateList applies an update of the endpoint list. An update that is not a delta stops
 // sending to all endpoints that it does not contain.
-func (r *Relay) updateList(l *discovery.List, kind policy.ListUpdateKind) {
+func (r *Relay) updateList(list *discovery.List, kind policy.ListUpdateKind) {
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: kind}
 	listed := map[string]bool{}
-	for i := range l.Members {
-		m := &l.Members[i]
+	for i := range list.Members {
+		m := &list.Members[i]
 		if m.Validate() != nil {
 			continue // possible only in the configured list; discovery's list was validated when it was received
 		}
@@ -27,7 +27,7 @@
 		}
 	}
 	r.step.add(e)
-	r.forgetRemoved()
+	r.forgetRemovedEndpoints()
 }
 
 // updateMember applies one entry of the list and returns the entry for the policy.
@@ -89,15 +89,15 @@
 // applyRetryAfter prevents new calls to an endpoint, and to those that share its limit,
 // until a Retry-After is over. The policy begins no call in that time, but a call that it
 // began before may still be waiting for a connection or for acknowledgements.
-func (r *Relay) applyRetryAfter(ep *endpoint, wait policy.Time) {
+func (r *Relay) applyRetryAfter(ep *endpoint, retryAfter policy.Time) {
 	kinds, kind := r.cfg.Policy.Kinds, ep.policyEntry.Kind
 	affected := r.endpoints.byCell[ep.cell]
 	if kind >= 0 && kind < len(kinds) && kinds[kind].SeparateRoutes {
 		affected = []*endpoint{ep}
 	}
-	until := r.clock.now() + wait
+	endsAt := r.clock.now() + retryAfter
 	for _, ep := range affected {
-		ep.retryAfterUntil = max(ep.retryAfterUntil, until)
+		ep.retryAfterUntil = max(ep.retryAfterUntil, endsAt)
 		for c := range ep.calls {
 			c.cancelIfWaiting(errRetryAfter)
 		}
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -100,7 +100,7 @@
 			}
 			d.step()
 			r.publishMetrics()
-			members, avoided := r.walked(r.published.at)
+			members, avoided := r.walked(r.published.publishedAt)
 			if got, was := r.metrics.members.Load(), r.metrics.unavailable.Load(); got != members || was != avoided {
 				t.Fatalf("seed %d, step %d: %d members, %d avoided; a walk says %d and %d", seed, step, got, was, members, avoided)
 			}
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -20,7 +20,7 @@
 // the process; gauges have the values that the loop last published. Any goroutine may read
 // them at any time.
 type metrics struct {
-	lanes []laneMetrics // by the index of the class in the settings
+	classes []classMetrics // by the index of the class in the settings
 
 	// Counters.
 	rejections    map[rejection]*atomic.Int64
@@ -48,30 +48,30 @@
 type rejection string
 
 const (
-	rejectedStopping  rejection = "stopping" // the process is shutting down
-	rejectedFull      rejection = "full"     // the number of pending messages has reached the limit in the settings
-	rejectedDuplicate rejection = "twice"    // an earlier submission of the same id has no response yet
-	rejectedLog       rejection = "log"      // the message could not be written to the log
-	rejectedPolicy    rejection = "policy"   // the policy rejects the message, and the client may retry it
-	rejectedExpired   rejection = "hopeless" // the message can't be delivered before its deadline
+	rejectedStopping      rejection = "stopping" // the process is shutting down
+	rejectedFull          rejection = "full"     // the number of pending messages has reached the limit in the settings
+	rejectedDuplicate     rejection = "twice"    // an earlier submission of the same id has no response yet
+	rejectedNotLogged     rejection = "log"      // the message could not be written to the log
+	rejectedPolicy        rejection = "policy"   // the policy rejects the message, and the client may retry it
+	rejectedUndeliverable rejection = "hopeless" // the message can't be delivered before its deadline
 )
 
 // rejections lists all reasons in the order of their metrics.
-var rejections = []rejection{rejectedStopping, rejectedFull, rejectedDuplicate, rejectedLog, rejectedPolicy, rejectedExpired}
+var rejections = []rejection{rejectedStopping, rejectedFull, rejectedDuplicate, rejectedNotLogged, rejectedPolicy, rejectedUndeliverable}
 
-// laneMetrics holds the counters of one class of messages.
-type laneMetrics struct {
-	name                                  string
-	completed, rejected, failed, upstream atomic.Int64
+// classMetrics holds the counters of one class of messages.
+type classMetrics struct {
+	name                                 string
+	completed, rejected, failed, written atomic.Int64
 }
 
 func newMetrics(classes []policy.Class) *metrics {
-	m := &metrics{lanes: make([]laneMetrics, len(classes)), rejections: map[rejection]*atomic.Int64{}}
-	for _, why := range rejections {
-		m.rejections[why] = &atomic.Int64{}
+	m := &metrics{classes: make([]classMetrics, len(classes)), rejections: map[rejection]*atomic.Int64{}}
+	for _, reason := range rejections {
+		m.rejections[reason] = &atomic.Int64{}
 	}
 	for i := range classes {
-		m.lanes[i].name = classes[i].Name
+		m.classes[i].name = classes[i].Name
 	}
 	return m
 }
@@ -83,44 +83,44 @@
 		return
 	}
 	if outcome == discovery.Returned {
-		m.lanes[class].rejected.Add(1)
+		m.classes[class].rejected.Add(1)
 	} else {
-		m.lanes[class].failed.Add(1)
+		m.classes[class].failed.Add(1)
 	}
 }
 
 func (m *metrics) countDelivered(class int) {
 	if class >= 0 {
-		m.lanes[class].completed.Add(1)
+		m.classes[class].completed.Add(1)
 	}
 }
 
 // countWritten counts a message whose call was written completely to an endpoint.
 func (m *metrics) countWritten(class int) {
 	if class >= 0 {
-		m.lanes[class].upstream.Add(1)
+		m.classes[class].written.Add(1)
 	}
 }
 
 // publishedGauges records the last publication of the gauges.
 type publishedGauges struct {
-	at      policy.Time // time of the last publication
-	overdue int         // overdue messages at that time
+	publishedAt policy.Time // time of the last publication
+	overdue     int         // overdue messages at that time
 }
 
 // publishDueMetrics publishes the gauges if there is an operator address and
 // metricsMinInterval has passed since the last publication.
 func (r *Relay) publishDueMetrics() {
-	if r.cfg.Operator != "" && r.clock.now()-r.published.at >= metricsMinInterval {
+	if r.cfg.Operator != "" && r.clock.now()-r.published.publishedAt >= metricsMinInterval {
 		r.publishMetrics()
 	}
 }
 
 // publishMetrics updates the gauges to the loop's current state.
 func (r *Relay) publishMetrics() {
-	r.published.at = r.clock.now()
+	r.published.publishedAt = r.clock.now()
 	r.metrics.members.Store(int64(r.endpoints.listed))
-	r.metrics.unavailable.Store(int64(r.countUnavailable(r.published.at)))
+	r.metrics.unavailable.Store(int64(r.countUnavailable(r.published.publishedAt)))
 	r.metrics.pending.Store(int64(r.messages.pending - len(r.messages.remoteCalls))) // the other process counts messages whose calls it has in flight
 	r.metrics.logWaiting.Store(r.wal.UnwrittenRecords())
 	r.publishOverdue()
@@ -129,7 +129,7 @@
 // publishOverdue publishes the number of overdue messages. It logs when the number changes
 // from 0 or to 0.
 func (r *Relay) publishOverdue() {
-	n := r.overdue.count(r.published.at)
+	n := r.overdue.count(r.published.publishedAt)
 	if (n > 0) != (r.published.overdue > 0) {
 		r.log.Warn("overdue messages", "count", n, "pending", r.messages.pending)
 	}
@@ -154,23 +154,23 @@
 	fmt.Fprintf(w, "%s %d\n", name, value.Load())
 }
 
-// lanes writes a counter of each class of messages.
-func (w *metricsWriter) lanes(lanes []laneMetrics, name, help string, value func(*laneMetrics) *atomic.Int64) {
+// classCounter writes a counter of each class of messages.
+func (w *metricsWriter) classCounter(lanes []classMetrics, name, help string, value func(*classMetrics) *atomic.Int64) {
 	w.header(name, "counter", help)
 	for i := range lanes {
 		fmt.Fprintf(w, "%s{lane=%s} %d\n", name, strconv.Quote(lanes[i].name), value(&lanes[i]).Load())
 	}
 }
 
-// text returns all metrics in the Prometheus text format. docs/on-call.md explains them.
-func (m *metrics) text() []byte {
+// prometheusText returns all metrics in the Prometheus text format. docs/on-call.md explains them.
+func (m *metrics) prometheusText() []byte {
 	w := &metricsWriter{}
-	w.lanes(m.lanes, "app_completed", "Messages delivered.", func(l *laneMetrics) *atomic.Int64 { return &l.completed })
-	w.lanes(m.lanes, "app_rejected", "Messages refused or handed back.", func(l *laneMetrics) *atomic.Int64 { return &l.rejected })
-	w.lanes(m.lanes, "app_failed", "Messages failed.", func(l *laneMetrics) *atomic.Int64 { return &l.failed })
-	w.lanes(m.lanes, "app_upstream_requests", "Messages written whole to endpoints.", func(l *laneMetrics) *atomic.Int64 { return &l.upstream })
-	for _, why := range rejections {
-		w.counter("app_refused_"+string(why), "Requests that were not taken on: "+string(why)+".", m.rejections[why])
+	w.classCounter(m.classes, "app_completed", "Messages delivered.", func(c *classMetrics) *atomic.Int64 { return &c.completed })
+	w.classCounter(m.classes, "app_rejected", "Messages refused or handed back.", func(c *classMetrics) *atomic.Int64 { return &c.rejected })
+	w.classCounter(m.classes, "app_failed", "Messages failed.", func(c *classMetrics) *atomic.Int64 { return &c.failed })
+	w.classCounter(m.classes, "app_upstream_requests", "Messages written whole to endpoints.", func(c *classMetrics) *atomic.Int64 { return &c.written })
+	for _, reason := range rejections {
+		w.counter("app_refused_"+string(reason), "Requests that were not taken on: "+string(reason)+".", m.rejections[reason])
 	}
 	w.counter("app_clock_steps", "Steps of the machine's wall clock since the start.", &m.clockSteps)
 	w.counter("app_unmade", "Attempts that this machine could not make: no record in the log, or no connection from here.", &m.localFailures)
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -15,12 +15,12 @@
 	m := newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}})
 	n := int64(0)
 	next := func() int64 { n++; return n }
-	for i := range m.lanes {
-		lane := &m.lanes[i]
+	for i := range m.classes {
+		lane := &m.classes[i]
 		lane.completed.Store(next())
 		lane.rejected.Store(next())
 		lane.failed.Store(next())
-		lane.upstream.Store(next())
+		lane.written.Store(next())
 	}
 	for _, why := range rejections {
 		m.rejections[why].Store(next())
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := string(m.text()); got != string(want) {
+	if got := string(m.prometheusText()); got != string(want) {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := string(newMetrics([]policy.Class{{Name: "plain"}}).text())
+	text := string(newMetrics([]policy.Class{{Name: "plain"}}).prometheusText())
 	names := regexp.MustCompile(`app_[a-z_]+`).FindAllString(string(page), -1)
 	if len(names) < 15 {
 		t.Fatalf("the page names %d figures", len(names))
--- a/internal/relay/openlog.go
+++ b/internal/relay/openlog.go
@@ -18,8 +18,8 @@
 	r.wal = w
 	r.ownership.handoff, r.ownership.process, r.ownership.stopLog = w.Handoff, w.Process, make(chan struct{})
 	r.messages.remoteCalls = map[string]*message{}
-	r.clock.alignTo(w)
-	r.recovery.isGapUnknown = w.ClockSetBack > 0 && w.Handoff == nil // while the previous process runs, there is no gap
+	r.clock.alignToLog(w)
+	r.recovery.isDowntimeUnknown = w.ClockSetBack > 0 && w.Handoff == nil // while the previous process runs, there is no gap
 	if w.ClockSetBack > 0 {
 		r.log.Warn("clock set back while no process ran", "by", w.ClockSetBack)
 	}
@@ -33,7 +33,7 @@
 	r.recovery.isRunning = unread > 0
 	r.metrics.logUnread.Store(int64(unread))
 	go w.Run(r.ownership.stopLog) // closeLog waits until Run returns
-	r.restore(records, false)
+	r.restoreMessages(records, false)
 	if r.recovery.isRunning {
 		r.readNextPending()
 	}
@@ -55,12 +55,12 @@
 
 // countCorruptions counts the corruptions that the log found when it was opened.
 func (r *Relay) countCorruptions() {
-	found := &r.wal.Recovery
-	for _, c := range found.Corruptions {
+	recovery := &r.wal.Recovery
+	for _, c := range recovery.Corruptions {
 		r.metrics.logDamaged.Add(1)
 		r.metrics.logAffected.Add(int64(c.Affected))
 	}
-	r.metrics.logLost.Add(int64(len(found.LostIDs)))
+	r.metrics.logLost.Add(int64(len(recovery.LostIDs)))
 }
 
 // closeLog ends the log's goroutine and waits until all records are written.
--- a/internal/relay/operator.go
+++ b/internal/relay/operator.go
@@ -22,10 +22,10 @@
 	operatorTimeout  = 2 * time.Second
 )
 
-// operator serves the operator address, which operators of the relay and their tools use.
+// operatorServer serves the operator address, which operators of the relay and their tools use.
 // It shares nothing with the clients' connections, and instead of asking the loop it reads
 // what the loop has published, so that it answers at once even if the relay is busy.
-type operator struct {
+type operatorServer struct {
 	addr     string // address that it listens at
 	log      *slog.Logger
 	metrics  *metrics
@@ -40,18 +40,18 @@
 }
 
 type operatorConn struct {
-	openedAt   time.Time
-	isComplete bool // the request was received completely
+	openedAt          time.Time
+	isRequestComplete bool // the request was received completely
 }
 
 // startOperator listens at cfg.Operator and serves it until close is called. command is
 // called with policy.EventDrain or policy.EventActivate when an operator requests that.
-func startOperator(cfg *Config, log *slog.Logger, metrics *metrics, ready *atomic.Bool, command func(policy.EventKind)) (*operator, error) {
+func startOperator(cfg *Config, log *slog.Logger, metrics *metrics, ready *atomic.Bool, command func(policy.EventKind)) (*operatorServer, error) {
 	ln, _, err := listenWithRetry(log, nil, func() (net.Listener, error) { return net.Listen("tcp", cfg.Operator) })
 	if err != nil {
 		return nil, fmt.Errorf("operator: %w", err)
 	}
-	o := &operator{addr: ln.Addr().String(), log: log, metrics: metrics, ready: ready, command: command,
+	o := &operatorServer{addr: ln.Addr().String(), log: log, metrics: metrics, ready: ready, command: command,
 		maxConns: cfg.maxOperatorConns(), done: make(chan struct{}), conns: map[net.Conn]*operatorConn{}}
 	o.server = o.newServer()
 	go func() {
@@ -64,7 +64,7 @@
 	return o, nil
 }
 
-func (o *operator) newServer() *http.Server {
+func (o *operatorServer) newServer() *http.Server {
 	server := &http.Server{
 		Handler:           o.routes(),
 		ReadHeaderTimeout: operatorTimeout,
@@ -72,7 +72,7 @@
 		WriteTimeout:      operatorTimeout,
 		IdleTimeout:       operatorTimeout,
 		MaxHeaderBytes:    8 << 10,
-		ConnState:         o.track,
+		ConnState:         o.trackConn,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, operatorConnKey{}, c)
 		},
@@ -83,25 +83,25 @@
 }
 
 // close closes the server and all its connections and waits until it has ended.
-func (o *operator) close() {
+func (o *operatorServer) close() {
 	o.server.Close()
 	<-o.done
 }
 
 // routes returns the handler of all requests; ServeMux answers 404 or 405 to unknown ones.
-func (o *operator) routes() http.Handler {
+func (o *operatorServer) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/readyz", o.onceComplete(o.writeReadiness))
-	mux.HandleFunc("GET /v1/metrics", o.onceComplete(func(w http.ResponseWriter) {
+	mux.HandleFunc("GET /v1/readyz", o.afterCompleteRequest(o.writeReadiness))
+	mux.HandleFunc("GET /v1/metrics", o.afterCompleteRequest(func(w http.ResponseWriter) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		w.Write(o.metrics.text())
+		w.Write(o.metrics.prometheusText())
 	}))
 	// Both commands are idempotent.
-	mux.HandleFunc("POST /v1/relay/drain", o.onceComplete(func(w http.ResponseWriter) {
+	mux.HandleFunc("POST /v1/relay/drain", o.afterCompleteRequest(func(w http.ResponseWriter) {
 		o.command(policy.EventDrain)
 		io.WriteString(w, "draining\n")
 	}))
-	mux.HandleFunc("POST /v1/relay/activate", o.onceComplete(func(w http.ResponseWriter) {
+	mux.HandleFunc("POST /v1/relay/activate", o.afterCompleteRequest(func(w http.ResponseWriter) {
 		o.command(policy.EventActivate)
 		io.WriteString(w, "active\n")
 	}))
@@ -110,14 +110,14 @@
 
 // writeReadiness answers 200 if the relay is ready, and otherwise 503 with what the relay
 // waits for.
-func (o *operator) writeReadiness(w http.ResponseWriter) {
+func (o *operatorServer) writeReadiness(w http.ResponseWriter) {
 	if o.ready.Load() {
 		io.WriteString(w, "ready\n")
 		return
 	}
 	text := "not ready"
-	if why, ok := o.metrics.waitingFor.Load().(string); ok && why != "" {
-		text += ": " + why
+	if reason, ok := o.metrics.waitingFor.Load().(string); ok && reason != "" {
+		text += ": " + reason
 	}
 	if n := o.metrics.logUnread.Load(); n > 0 {
 		text += fmt.Sprintf(": %d owed messages are still to be read", n)
@@ -128,33 +128,33 @@
 // operatorConnKey is the key of a request's net.Conn in its context.
 type operatorConnKey struct{}
 
-// onceComplete returns a handler that calls act only after the whole request was received:
+// afterCompleteRequest returns a handler that calls handle only after the whole request was received:
 // a request that is cut off within its body must not drain a relay.
-func (o *operator) onceComplete(act func(http.ResponseWriter)) http.HandlerFunc {
+func (o *operatorServer) afterCompleteRequest(handle func(http.ResponseWriter)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxOperatorBody)); err != nil {
 			http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 		if conn, ok := r.Context().Value(operatorConnKey{}).(net.Conn); ok {
-			o.markComplete(conn)
+			o.markRequestComplete(conn)
 		}
-		act(w)
+		handle(w)
 	}
 }
 
-func (o *operator) markComplete(conn net.Conn) {
+func (o *operatorServer) markRequestComplete(conn net.Conn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if c := o.conns[conn]; c != nil {
-		c.isComplete = true
+		c.isRequestComplete = true
 	}
 }
 
-// track limits the number of connections. At the limit, a new connection replaces the one
+// trackConn limits the number of connections. At the limit, a new connection replaces the one
 // that closeOldest closes, so that peers that keep connections open and send nothing do
 // not lock others out.
-func (o *operator) track(conn net.Conn, state http.ConnState) {
+func (o *operatorServer) trackConn(conn net.Conn, state http.ConnState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch state {
@@ -170,12 +170,12 @@
 
 // closeOldest closes the oldest connection whose request is not complete. If all are
 // complete, it closes the oldest of them. The caller holds mu.
-func (o *operator) closeOldest() {
+func (o *operatorServer) closeOldest() {
 	var oldest net.Conn
 	for conn, c := range o.conns {
-		best := o.conns[oldest]
-		isOlder := best != nil && best.isComplete == c.isComplete && c.openedAt.Before(best.openedAt)
-		if best == nil || best.isComplete && !c.isComplete || isOlder {
+		oldestConn := o.conns[oldest]
+		isOlder := oldestConn != nil && oldestConn.isRequestComplete == c.isRequestComplete && c.openedAt.Before(oldestConn.openedAt)
+		if oldestConn == nil || oldestConn.isRequestComplete && !c.isRequestComplete || isOlder {
 			oldest = conn
 		}
 	}
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -18,7 +18,7 @@
 )
 
 // serveOperator runs the operator address alone.
-func serveOperator(t *testing.T) (*operator, *atomic.Bool) {
+func serveOperator(t *testing.T) (*operatorServer, *atomic.Bool) {
 	t.Helper()
 	ready := &atomic.Bool{}
 	o, err := startOperator(&Config{Operator: "127.0.0.1:0", Limits: Limits{Sockets: 1024}}, quietLog(),
@@ -98,7 +98,7 @@
 	f.countUndelivered(1, discovery.Failed)
 	f.countUndelivered(-1, discovery.Failed) // of a class that is no more
 	f.pending.Store(14)
-	text := string(f.text())
+	text := string(f.prometheusText())
 	for _, want := range []string{`app_completed{lane="plain"} 0`, `app_completed{lane="once"} 1`, `app_rejected{lane="plain"} 1`,
 		`app_failed{lane="once"} 1`, `app_failed{lane="plain"} 0`, `app_upstream_requests{lane="once"} 1`, "app_pending 14",
 		"app_members 0", "app_members_unavailable 0"} {
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -31,7 +31,7 @@
 	nextCheck     time.Time
 	process       int   // this process's number in the log
 	isSharing     bool  // the limits are halved, since another process runs
-	err           error // error after which this process can't continue
+	fatalErr      error // error after which this process can't continue
 	stopLog       chan struct{}
 }
 
@@ -46,8 +46,8 @@
 		o.lock.Close()
 		return false, err
 	}
-	tick := time.NewTicker(lockPollInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(lockPollInterval)
+	defer ticker.Stop()
 	isSuccessor := false
 	for {
 		isOwner, err := o.lock.TryLock()
@@ -66,7 +66,7 @@
 		case <-stop:
 			o.close()
 			return false, nil
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -89,8 +89,8 @@
 // the next process has exited.
 func (r *Relay) checkOwnership() error {
 	o := &r.ownership
-	if o.err != nil {
-		return o.err
+	if o.fatalErr != nil {
+		return o.fatalErr
 	}
 	if time.Now().Before(o.nextCheck) {
 		return nil
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -32,13 +32,13 @@
 // outcome of a call or the withdrawal of a message.
 func (r *Relay) applyHandoffRecord(rec *wal.Record) {
 	m := r.messages.byID[rec.ID]
-	switch remote := r.messages.remoteCalls[rec.ID]; {
-	case rec.Kind == wal.KindAccepted && m == nil && r.recoverOutOfSight(rec.ID): // already pending here: its client had submitted it again
+	switch remoteMessage := r.messages.remoteCalls[rec.ID]; {
+	case rec.Kind == wal.KindAccepted && m == nil && r.recoverIfNotInMemory(rec.ID): // already pending here: its client had submitted it again
 		r.wal.Submit(rec, nil)
 	case rec.Kind == wal.KindAccepted && m == nil:
 		r.acceptFromPredecessor(rec)
-	case remote != nil && (rec.Kind == wal.KindOutcome || rec.Kind == wal.KindCompleted):
-		r.finishRemoteAttempt(remote, rec)
+	case remoteMessage != nil && (rec.Kind == wal.KindOutcome || rec.Kind == wal.KindCompleted):
+		r.finishRemoteAttempt(remoteMessage, rec)
 	case m != nil && rec.Kind == wal.KindCompleted: // its client left before the response
 		r.markCompleted(m)
 		r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: m.number})
@@ -49,14 +49,14 @@
 // acceptFromPredecessor registers and logs a message that the previous process accepted
 // after the handoff.
 func (r *Relay) acceptFromPredecessor(rec *wal.Record) {
-	logged := *rec
+	logRecord := *rec
 	rec.HandoffOffset = 0
-	r.restore([]*wal.Record{rec}, true)
+	r.restoreMessages([]*wal.Record{rec}, true)
 	m := r.messages.byID[rec.ID]
-	if m == nil { // restore has completed it
+	if m == nil { // restoreMessages has completed it
 		return
 	}
-	r.wal.Submit(&logged, func(err error) {
+	r.wal.Submit(&logRecord, func(err error) {
 		if err != nil {
 			r.mailbox.Put(handoffRejectedEvent{m})
 		}
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -12,10 +12,10 @@
 // that clients are served in between.
 const recoveryBatchSize = 2000
 
-// restore registers messages that an earlier process left pending and reports them to the
+// restoreMessages registers messages that an earlier process left pending and reports them to the
 // policy. neverSpill keeps them in memory; it is set for messages that may still be
 // withdrawn.
-func (r *Relay) restore(records []*wal.Record, neverSpill bool) {
+func (r *Relay) restoreMessages(records []*wal.Record, neverSpill bool) {
 	for _, rec := range records {
 		m := r.newMessage(rec)
 		m.isAcknowledged, m.isLogged, m.attempts = true, true, rec.Attempts
@@ -24,7 +24,7 @@
 		}
 		e := r.recoveredMessageEvent(m)
 		e.Recovered, e.NeverSpill = true, neverSpill
-		if r.recovery.isGapUnknown && rec.UnknownOutcomeAt != 0 {
+		if r.recovery.isDowntimeUnknown && rec.UnknownOutcomeAt != 0 {
 			e.UnknownOutcomeAt = 1 // the earliest time, so that its deduplication window counts as over, since its age is unknown
 		}
 		if rec.InFlightSince != 0 {
@@ -62,8 +62,8 @@
 	rec := m.record
 	e := policy.Event{Kind: policy.EventMessage, Message: m.number, Class: m.class, Dest: rec.Dest, Tenant: -1,
 		TimeLeft: r.clock.fromLogTime(rec.Deadline) - r.clock.now(), Attempts: rec.Attempts, UnknownOutcomeZone: rec.UnknownOutcomeZone}
-	if t, ok := r.cfg.tenants[rec.Tenant]; ok {
-		e.Tenant = t
+	if tenant, ok := r.cfg.tenants[rec.Tenant]; ok {
+		e.Tenant = tenant
 	}
 	if rec.UnknownOutcomeAt != 0 {
 		e.UnknownOutcomeAt = max(r.clock.fromLogTime(rec.UnknownOutcomeAt), 1)
@@ -82,14 +82,14 @@
 	})
 }
 
-// restoreRead recovers messages that the log has read and requests the next batch. After
+// handleRecovered recovers messages that the log has read and requests the next batch. After
 // the last batch the relay becomes ready.
-func (r *Relay) restoreRead(e recoveredEvent) {
+func (r *Relay) handleRecovered(e recoveredEvent) {
 	if e.log != r.wal || r.ownership.isTransferred {
 		return // the messages are from a log that was handed off
 	}
-	r.restore(e.records, false)
-	if e.unread < 0 { // checkLogFor read it ahead of its turn
+	r.restoreMessages(e.records, false)
+	if e.unread < 0 { // checkPendingInLog read it ahead of its turn
 		return
 	}
 	r.metrics.logUnread.Store(int64(e.unread))
@@ -103,10 +103,10 @@
 	}
 }
 
-// checkLogFor asks the log whether a submitted message is already pending but not in
+// checkPendingInLog asks the log whether a submitted message is already pending but not in
 // memory, because it was not read yet since the start or is spilled. The submission is
 // handled again once the log has answered.
-func (r *Relay) checkLogFor(q *putRequest) {
+func (r *Relay) checkPendingInLog(q *putRequest) {
 	w := r.wal
 	w.Do(func() {
 		if rec := w.Fetch(q.record.ID); rec != nil {
@@ -117,11 +117,11 @@
 	})
 }
 
-// recoverOutOfSight reports whether a message that the previous process accepted is
+// recoverIfNotInMemory reports whether a message that the previous process accepted is
 // already pending here but not in memory. It recovers the message if it was not read yet
 // since the start. It blocks the loop until the log has answered; this cannot deadlock,
 // since the log never waits for the loop.
-func (r *Relay) recoverOutOfSight(id string) bool {
+func (r *Relay) recoverIfNotInMemory(id string) bool {
 	if !r.recovery.isRunning && r.spilled.count() == 0 {
 		return false
 	}
@@ -136,7 +136,7 @@
 	})
 	<-done
 	if rec != nil {
-		r.restore([]*wal.Record{rec}, false)
+		r.restoreMessages([]*wal.Record{rec}, false)
 	}
 	return isPending
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -87,7 +87,7 @@
 
 	idleConns     int              // maximum idle connections to each endpoint
 	pool          connectionPool   // connections to all endpoints
-	idle          idleResetTracker // resets of calls to all endpoints together
+	idleResets    idleResetTracker // resets of calls to all endpoints together
 	callsInFlight int
 
 	wal            *wal.Log
@@ -118,13 +118,13 @@
 
 // recoveryState describes what this process does not know yet of the previous one.
 type recoveryState struct {
-	isRunning    bool // pending messages are still being read from the log
-	isGapUnknown bool // it is unknown how long no process ran before this one
+	isRunning         bool // pending messages are still being read from the log
+	isDowntimeUnknown bool // it is unknown how long no process ran before this one
 }
 
 // newRelay creates a relay without a log and without a server for clients.
-func newRelay(ctx context.Context, cfg *Config, log *slog.Logger, decider *policy.Policy) *Relay {
-	return &Relay{cfg: cfg, log: log, ctx: ctx, policy: decider,
+func newRelay(ctx context.Context, cfg *Config, log *slog.Logger, relayPolicy *policy.Policy) *Relay {
+	return &Relay{cfg: cfg, log: log, ctx: ctx, policy: relayPolicy,
 		mailbox:   mailbox.New[event](),
 		metrics:   newMetrics(cfg.Policy.Classes),
 		ready:     &atomic.Bool{},
--- a/internal/relay/resp.go
+++ b/internal/relay/resp.go
@@ -36,7 +36,7 @@
 		return nil, fmt.Errorf("command of %d arguments", count)
 	}
 	args := make([][]byte, 0, count)
-	tooLong := false
+	isTooLong := false
 	for i := range count {
 		limit := maxArgumentBytes
 		if i == count-1 {
@@ -46,10 +46,10 @@
 		if err != nil && !errors.Is(err, errArgumentTooLong) {
 			return nil, unexpectedEOF(err)
 		}
-		tooLong = tooLong || err != nil
+		isTooLong = isTooLong || err != nil
 		args = append(args, arg)
 	}
-	if tooLong {
+	if isTooLong {
 		return nil, errArgumentTooLong
 	}
 	return args, nil
@@ -86,11 +86,11 @@
 
 // readLineEnd reads the CR LF after a bulk string.
 func readLineEnd(r *bufio.Reader) error {
-	var end [2]byte
-	if _, err := io.ReadFull(r, end[:]); err != nil {
+	var lineEnd [2]byte
+	if _, err := io.ReadFull(r, lineEnd[:]); err != nil {
 		return err
 	}
-	if end != [2]byte{'\r', '\n'} {
+	if lineEnd != [2]byte{'\r', '\n'} {
 		return errors.New("argument without its end")
 	}
 	return nil
@@ -112,18 +112,18 @@
 			continue
 		}
 		if n < 2 || line[n-1] != '\r' || line[0] != kind {
-			return 0, errNoLength(kind)
+			return 0, newLengthError(kind)
 		}
-		v, err := strconv.Atoi(string(line[1 : n-1]))
+		length, err := strconv.Atoi(string(line[1 : n-1]))
 		if err != nil {
-			return 0, errNoLength(kind)
+			return 0, newLengthError(kind)
 		}
-		return v, nil
+		return length, nil
 	}
-	return 0, errNoLength(kind)
+	return 0, newLengthError(kind)
 }
 
-func errNoLength(kind byte) error { return fmt.Errorf("expected %q and a number", kind) }
+func newLengthError(kind byte) error { return fmt.Errorf("expected %q and a number", kind) }
 
 // unexpectedEOF turns an io.EOF inside a command into io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -603,10 +603,10 @@
 	r.timers = []policy.Time{due}
 	r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "m", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
 	r.stepPolicy()
-	r.apply(due, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
-	r.apply(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // that one again is no third
-	r.apply(due, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // the policy goes by this one; the other comes all the same
-	for range 3 {                                                          // as the loop goes on, with no event but the timer's
+	r.applyAction(due, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
+	r.applyAction(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // that one again is no third
+	r.applyAction(due, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // the policy goes by this one; the other comes all the same
+	for range 3 {                                                                // as the loop goes on, with no event but the timer's
 		if r.fireTimers(); len(r.step.events) > 0 {
 			r.stepPolicy()
 		}
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -26,10 +26,10 @@
 // run calls attempt until it succeeds, until it fails with an error that is not transient
 // or until the timeout is over. It returns false and no error if stop is closed before.
 func (t transientRetry) run(attempt func() error) (ok bool, err error) {
-	began := time.Now()
+	startedAt := time.Now()
 	for isFirst := true; ; isFirst = false {
 		err = attempt()
-		isTimedOut := t.timeout > 0 && time.Since(began) >= t.timeout
+		isTimedOut := t.timeout > 0 && time.Since(startedAt) >= t.timeout
 		if err == nil || !t.isTransient(err) || isTimedOut {
 			return err == nil, err
 		}
@@ -70,10 +70,10 @@
 
 // listenWithRetry opens a listener, and retries that while another process still uses the
 // address.
-func listenWithRetry[L net.Listener](log *slog.Logger, stop <-chan struct{}, open func() (L, error)) (ln L, ok bool, err error) {
+func listenWithRetry[L net.Listener](log *slog.Logger, stop <-chan struct{}, listen func() (L, error)) (ln L, ok bool, err error) {
 	retry := transientRetry{log: log, operation: "listen", stop: stop, timeout: listenTimeout, isTransient: isTransientListenError}
 	ok, err = retry.run(func() (err error) {
-		ln, err = open()
+		ln, err = listen()
 		return err
 	})
 	return ln, ok, err
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -18,12 +18,12 @@
 // after which it cannot continue. It receives new addresses of the discovery service from
 // discoveryAddresses.
 func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, discoveryAddresses <-chan string) error {
-	decider, err := policy.New(cfg.Policy, cfg.Seed)
+	relayPolicy, err := policy.New(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := newRelay(ctx, cfg, log, decider)
+	r := newRelay(ctx, cfg, log, relayPolicy)
 	defer r.background.Wait()
 	defer cancel()
 	r.metrics.waitingFor.Store("waits for the list of endpoints")
@@ -41,7 +41,7 @@
 	r.awaitFirstList(firstListTimeout)
 	r.stepPolicy() // the policy needs the list before any message
 	r.clients = newClientServer(cfg, log, func(q *putRequest) { r.mailbox.Put(submitEvent{request: q}) },
-		func(q *putRequest, ok bool) { r.mailbox.Put(acknowledgedEvent{request: q, isSent: ok}) })
+		func(q *putRequest, ok bool) { r.mailbox.Put(responseDoneEvent{request: q, isSent: ok}) })
 	defer r.clients.close()
 
 	r.metrics.waitingFor.Store("waits for the process that owns the log")
@@ -136,8 +136,8 @@
 // may be outdated, and an endpoint that is draining by now must get no calls. If discovery
 // does not answer in time or rejects calls, the configured list is used.
 func (r *Relay) awaitFirstList(timeout time.Duration) {
-	limit := time.NewTimer(timeout)
-	defer limit.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	if r.cfg.KnownList != nil {
 		r.updateList(r.cfg.KnownList, policy.ListCached)
 	}
@@ -145,7 +145,7 @@
 		select {
 		case <-r.mailbox.Ready():
 			isCurrent = r.takeListUpdates()
-		case <-limit.C:
+		case <-timer.C:
 			r.log.Warn("no endpoint list from discovery, using the configured one")
 			return
 		}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -32,9 +32,9 @@
 	for i := range r.step.actions {
 		switch a := &r.step.actions[i]; a.Kind {
 		case policy.ActionReject:
-			r.complete(a, discovery.Returned)
+			r.completeMessage(a, discovery.Returned)
 		case policy.ActionFail:
-			r.complete(a, discovery.Failed)
+			r.completeMessage(a, discovery.Failed)
 		}
 	}
 	for _, m := range submitted {
@@ -43,7 +43,7 @@
 		}
 	}
 	for i := range r.step.actions {
-		r.apply(now, &r.step.actions[i])
+		r.applyAction(now, &r.step.actions[i])
 	}
 	batches := r.step.batches
 	r.step.batches = nil
@@ -66,8 +66,8 @@
 	return submitted
 }
 
-// complete carries out the policy's decision to return a message or to fail it.
-func (r *Relay) complete(a *policy.Action, result string) {
+// completeMessage carries out the policy's decision to return a message or to fail it.
+func (r *Relay) completeMessage(a *policy.Action, result string) {
 	m := r.messages.byNumber[a.Message]
 	if m == nil || m.isCompleted {
 		return
@@ -98,7 +98,7 @@
 		r.recordRejection(q, rejectedPolicy)
 		q.respond(busyResponse(retryMS))
 	} else {
-		r.recordRejection(q, rejectedExpired)
+		r.recordRejection(q, rejectedUndeliverable)
 		q.respond(errorResponse(errGivenUp))
 	}
 	r.forgetMessage(m)
@@ -108,8 +108,8 @@
 // deadline.
 var errGivenUp = errors.New("given up")
 
-// apply carries out an action that does not complete a message.
-func (r *Relay) apply(now policy.Time, a *policy.Action) {
+// applyAction carries out an action that does not complete a message.
+func (r *Relay) applyAction(now policy.Time, a *policy.Action) {
 	switch a.Kind {
 	case policy.ActionSend:
 		if m := r.messages.byNumber[a.Message]; m != nil {
@@ -141,7 +141,7 @@
 	case policy.ActionSpill:
 		r.spill(a)
 	case policy.ActionLoad:
-		r.spilled.request(a.Dest, a.Count)
+		r.spilled.requestLoad(a.Dest, a.Count)
 	case policy.ActionLog:
 		r.log.Info("policy", "text", a.Text)
 	}
@@ -166,8 +166,8 @@
 	if ep == nil || ep.isStopped {
 		return
 	}
-	conns, addr := ep.transport, ep.hostPort
+	transport, addr := ep.transport, ep.hostPort
 	go func() {
-		r.mailbox.Put(healthCheckDoneEvent{endpoint: number, result: checkHealth(r.ctx, conns, addr)})
+		r.mailbox.Put(healthCheckDoneEvent{endpoint: number, result: checkHealth(r.ctx, transport, addr)})
 	}()
 }
--- a/internal/relay/syserrors.go
+++ b/internal/relay/syserrors.go
@@ -39,8 +39,8 @@
 // isAcceptError reports whether an error of accept concerns only one connection.
 func isAcceptError(err error) bool { return matchesAny(err, acceptErrors) }
 
-// isLocal reports whether a call could not be made because of this machine.
-func isLocal(err error) bool { return matchesAny(err, localErrors) }
+// isLocalError reports whether a call could not be made because of this machine.
+func isLocalError(err error) bool { return matchesAny(err, localErrors) }
 
 // isTransientDiskError reports whether an error of a file operation may be temporary.
 func isTransientDiskError(err error) bool { return matchesAny(err, transientDiskErrors) }
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -11,9 +11,9 @@
 // first. Timers with the same time expire as one.
 type timerQueue []policy.Time
 
-func (q *timerQueue) add(at policy.Time) {
-	if i, found := slices.BinarySearch(*q, at); !found {
-		*q = slices.Insert(*q, i, at)
+func (q *timerQueue) add(expiry policy.Time) {
+	if i, found := slices.BinarySearch(*q, expiry); !found {
+		*q = slices.Insert(*q, i, expiry)
 	}
 }
 
--- a/internal/relay/transport.go
+++ b/internal/relay/transport.go
@@ -40,8 +40,8 @@
 // maxIdleTime returns how long a connection may be idle according to the settings. A
 // request that is written while the endpoint closes the connection ends with a reset,
 // so this side must close the connection first.
-func maxIdleTime(set *policy.Settings) time.Duration {
-	keepAlive := time.Duration(set.KeepAlive) * time.Microsecond
+func maxIdleTime(settings *policy.Settings) time.Duration {
+	keepAlive := time.Duration(settings.KeepAlive) * time.Microsecond
 	return keepAlive - keepAlive/keepAliveMarginDivisor
 }
 
--- a/internal/relay/wallclock.go
+++ b/internal/relay/wallclock.go
@@ -14,19 +14,19 @@
 // lets a reader of the log tell which times in the log can be compared.
 type clockWatch struct {
 	startedAt time.Time     // includes the monotonic reading
-	offset    time.Duration // sum of the wall clock's steps since startedAt
+	totalStep time.Duration // sum of the wall clock's steps since startedAt
 }
 
 func newClockWatch() clockWatch { return clockWatch{startedAt: time.Now()} }
 
 // detectStep returns the wall clock's step since the last call; 0 for none.
 func (w *clockWatch) detectStep(now time.Time) time.Duration {
-	wall := now.Round(0).Sub(w.startedAt.Round(0)) // Round strips the monotonic reading
-	step := wall - now.Sub(w.startedAt) - w.offset
+	wallElapsed := now.Round(0).Sub(w.startedAt.Round(0)) // Round strips the monotonic reading
+	step := wallElapsed - now.Sub(w.startedAt) - w.totalStep
 	if step.Abs() < minClockStep {
 		return 0
 	}
-	w.offset += step
+	w.totalStep += step
 	return step
 }
 
@@ -37,5 +37,5 @@
 		return
 	}
 	r.metrics.clockSteps.Add(1)
-	r.log.Warn("wall clock stepped", slog.Duration("by", step), slog.Duration("since_start", r.wallClock.offset), "pending", r.messages.pending)
+	r.log.Warn("wall clock stepped", slog.Duration("by", step), slog.Duration("since_start", r.wallClock.totalStep), "pending", r.messages.pending)
 }
