--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -60,7 +60,7 @@
 	}
 	b.endpoint.calls[c] = true
 	r.callsInFlight++
-	r.pool.prepareCall(b.endpoint)
+	r.connPool.prepareCall(b.endpoint)
 	r.logAndRun(c, time.Duration(timeout)*time.Microsecond)
 }
 
--- a/internal/relay/client_server.go
+++ b/internal/relay/client_server.go
@@ -48,17 +48,17 @@
 	clientTimeout time.Duration
 	accept4       func(fd, flags int) (int, syscall.Sockaddr, error) // the system call; tests replace it
 
-	mu         sync.Mutex
-	maxConns   int                  // limit on open connections; see connection_limit.go
-	conns      map[*clientConn]bool // connections that are not evicted
-	evicted    map[*clientConn]bool // connections that are evicted and not closed yet
-	openConns  int                  // number of slots in use, including those of evicted connections
-	isClosing  bool                 // connections are closed after their next response
-	isDraining bool                 // PING is answered with errDraining
-	slotFreed  chan struct{}        // capacity 1: signals that a descriptor was freed
-	isClosed   bool
-	closed     chan struct{}  // closed by the method close
-	sessions   sync.WaitGroup // the connections' goroutines
+	mu             sync.Mutex
+	maxConns       int                  // limit on open connections; see connection_limit.go
+	conns          map[*clientConn]bool // connections that are not evicted
+	evicted        map[*clientConn]bool // connections that are evicted and not closed yet
+	openConns      int                  // number of slots in use, including those of evicted connections
+	isClosing      bool                 // connections are closed after their next response
+	isDraining     bool                 // PING is answered with errDraining
+	slotFreed      chan struct{}        // capacity 1: signals that a descriptor was freed
+	isClosed       bool
+	closed         chan struct{}  // closed by the method close
+	connGoroutines sync.WaitGroup // the connections' goroutines
 }
 
 func newClientServer(cfg *Config, log *slog.Logger, submit func(*putRequest), onResponded func(*putRequest, bool)) *clientServer {
@@ -100,10 +100,10 @@
 	}
 	cc.limitReadUntil(cc.commandDeadline)
 	c.conns[cc] = true
-	c.sessions.Add(1)
+	c.connGoroutines.Add(1)
 	c.mu.Unlock()
 	go func() {
-		defer c.sessions.Done()
+		defer c.connGoroutines.Done()
 		c.serveConnection(cc)
 		c.closeGracefully(cc)
 		cc.Close()
@@ -125,7 +125,7 @@
 		cc.Close()
 	}
 	c.mu.Unlock()
-	c.sessions.Wait()
+	c.connGoroutines.Wait()
 }
 
 // connectionCount returns the number of open connections that are not evicted.
--- a/internal/relay/endpoint_table.go
+++ b/internal/relay/endpoint_table.go
@@ -113,7 +113,7 @@
 	r.endpoints.setListed(ep, false)
 	r.endpoints.removeFromCell(ep)
 	delete(r.endpoints.maybeUnavailable, ep)
-	r.pool.endpoints = slices.DeleteFunc(r.pool.endpoints, func(x *endpoint) bool { return x == ep })
+	r.connPool.endpoints = slices.DeleteFunc(r.connPool.endpoints, func(x *endpoint) bool { return x == ep })
 	delete(r.endpoints.byID, ep.id)
 	delete(r.endpoints.byNumber, ep.number)
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -155,10 +155,10 @@
 }
 
 // classCounter writes a counter of each class of messages.
-func (w *metricsWriter) classCounter(lanes []classMetrics, name, help string, value func(*classMetrics) *atomic.Int64) {
+func (w *metricsWriter) classCounter(classes []classMetrics, name, help string, value func(*classMetrics) *atomic.Int64) {
 	w.header(name, "counter", help)
-	for i := range lanes {
-		fmt.Fprintf(w, "%s{lane=%s} %d\n", name, strconv.Quote(lanes[i].name), value(&lanes[i]).Load())
+	for i := range classes {
+		fmt.Fprintf(w, "%s{lane=%s} %d\n", name, strconv.Quote(classes[i].name), value(&classes[i]).Load())
 	}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -86,7 +86,7 @@
 	endpoints endpointTable
 
 	idleConns     int              // maximum idle connections to each endpoint
-	pool          connectionPool   // connections to all endpoints
+	connPool      connectionPool   // connections to all endpoints
 	idleResets    idleResetTracker // resets of calls to all endpoints together
 	callsInFlight int
 
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -36,7 +36,7 @@
 	}
 	_, conns := cfg.socketBudget()
 	r.idleConns = max(2, (conns-cfg.Policy.MaxCalls)/40)
-	r.pool.maxConns = conns
+	r.connPool.maxConns = conns
 	r.startDiscovery(discoveryAddresses)
 	r.awaitFirstList(firstListTimeout)
 	r.stepPolicy() // the policy needs the list before any message
