--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -9,8 +9,8 @@
 	"plovershore/policy"
 )
 
-// queueNotSent tells the policy of an attempt that never left this process, in the
-// next round of the loop. The endpoint may be nil.
+// queueNotSent has the loop tell the policy, in its next round, that an attempt was never
+// sent. The endpoint may be nil.
 func (r *Relay) queueNotSent(m *message, ep *endpoint) {
 	e := attemptNotSentEvent{message: m}
 	if ep != nil {
@@ -19,9 +19,10 @@
 	r.mailbox.Put(e)
 }
 
-// addToBatch puts a send with those that the policy makes in the same call, as many
-// as one call to the endpoint may carry. Two calls of one step stay two: each has a
-// result of its own, and the messages of one must not wait for those of the other.
+// addToBatch adds a send to the batch of the policy's call, or to a new batch once that
+// one is full: the endpoint's maxBatch and maxBodyBytes limit what a call may carry.
+// Two calls of one step are never merged: each has its own result, and the messages of
+// one must not wait for those of the other.
 func (r *Relay) addToBatch(m *message, a *policy.Action) {
 	ep := r.endpoints.byNumber[a.Endpoint]
 	if ep == nil {
@@ -42,8 +43,9 @@
 	r.step.batches = append(r.step.batches, b)
 }
 
-// startBatch logs the attempts of a batch and then makes its call, unless a client is
-// still to be acknowledged: a message that may yet be withdrawn must not go out.
+// startBatch logs the attempts of a batch and then makes its call. It does nothing while
+// the client of one of the messages is not acknowledged, since that message may still be
+// withdrawn and must not be sent before; handleResponseDone calls startBatch again.
 func (r *Relay) startBatch(b *batch) {
 	for _, s := range b.sends {
 		if !s.message.isAcknowledged {
@@ -51,35 +53,36 @@
 		}
 	}
 	c := r.newCall(b.endpoint)
-	limit := r.fillCall(b, c)
+	timeout := r.fillCall(b, c)
 	if len(c.messages) == 0 {
 		c.cancel(nil)
 		return
 	}
 	b.endpoint.calls[c] = true
 	r.callsInFlight++
-	r.pool.prepareCall(b.endpoint)
-	r.logAndRun(c, time.Duration(limit)*time.Microsecond)
+	r.connPool.prepareCall(b.endpoint)
+	r.logAndRun(c, time.Duration(timeout)*time.Microsecond)
 }
 
-// newCall makes an empty call to an endpoint, on connections that are not kept idle
-// for longer than calls there have shown to be safe.
+// newCall creates an empty call to an endpoint. It first limits the idle timeout of the
+// connections there to what the observed resets have shown to be safe.
 func (r *Relay) newCall(ep *endpoint) *call {
 	now := r.clock.now()
-	keep := maxIdleTime(&r.cfg.Policy)
-	ep.setIdleTimeout(r.cfg, r.idleConns, min(ep.idleResets.maxIdle(keep, now), r.idle.maxIdle(keep, now)))
-	ctx, stop := context.WithCancelCause(r.ctx)
-	return &call{endpoint: ep, transport: ep.transport, ctx: ctx, cancel: stop}
+	maxIdle := maxIdleTime(&r.cfg.Policy)
+	ep.setIdleTimeout(r.cfg, r.idleConns, min(ep.idleResets.maxIdle(maxIdle, now), r.idleResets.maxIdle(maxIdle, now)))
+	ctx, cancel := context.WithCancelCause(r.ctx)
+	return &call{endpoint: ep, transport: ep.transport, ctx: ctx, cancel: cancel}
 }
 
-// fillCall moves what may still be sent from a batch to its call. It returns when
-// the last of the attempts times out, in µs from now: one connection carries them all.
-func (r *Relay) fillCall(b *batch, c *call) (limit policy.Time) {
+// fillCall moves the messages that may still be sent from a batch to its call. It returns
+// the timeout of the call in µs, which is the longest of its attempts' timeouts, since
+// one connection carries them all.
+func (r *Relay) fillCall(b *batch, c *call) (timeout policy.Time) {
 	now := r.clock.now()
 	for _, s := range slices.Clone(b.sends) {
 		m := s.message
 		if r.isTooLateToSend(m) {
-			continue // it stays in the batch
+			continue // the message stays in the batch, and the next process recovers it
 		}
 		m.pendingBatch = nil
 		b.remove(m)
@@ -88,75 +91,75 @@
 			continue
 		}
 		c.messages = append(c.messages, callMessage{message: m, attempt: m.attempts - 1})
-		if by := r.clock.processTime(s.sendBy); s.sendBy != 0 && (c.sendBy.IsZero() || by.Before(c.sendBy)) {
-			c.sendBy = by
+		if sendBy := r.clock.processTime(s.sendBy); s.sendBy != 0 && (c.sendBy.IsZero() || sendBy.Before(c.sendBy)) {
+			c.sendBy = sendBy
 		}
-		limit = max(limit, s.timeoutAt-now)
+		timeout = max(timeout, s.timeoutAt-now)
 		m.call = c
 	}
-	return limit
+	return timeout
 }
 
-// canSend reports whether nothing has happened since the policy's step that rules a
-// send out.
+// canSend reports whether a send that the policy decided on is still allowed: its time
+// limits, the endpoint's state and the message may have changed since that step.
 func canSend(s *send, ep *endpoint, now policy.Time) bool {
 	isExpired := s.timeoutAt <= now || s.sendBy != 0 && s.sendBy <= now
 	isUsable := !ep.isStopped && ep.cell == s.message.record.Dest && ep.retryAfterUntil <= now
 	return isUsable && !isExpired && !s.message.isCompleted
 }
 
-// callRun is a call whose attempts are being logged. Its fields are the log
-// goroutine's until the call runs.
+// callRun is a call whose attempts are being logged. Only the log's goroutine may use its
+// fields until the call runs.
 type callRun struct {
-	call    *call
-	limit   time.Duration
-	results []outcome     // one for each part
-	records []*wal.Record // of the attempts that could be logged
-	parts   []int         // their places in the call
+	call           *call
+	timeout        time.Duration
+	results        []outcome     // one for each message of the call
+	records        []*wal.Record // messages whose attempts could be logged
+	messageIndexes []int         // indexes of those messages in call.messages
 }
 
-// logAndRun has the attempts of a call logged. Once the last of them is, the call runs
-// with those that could be, on a goroutine of its own.
-func (r *Relay) logAndRun(c *call, limit time.Duration) {
-	at := r.clock.logTime(r.clock.now())
-	run := &callRun{call: c, limit: limit, results: make([]outcome, len(c.messages))}
-	last := len(c.messages) - 1
+// logAndRun logs the attempts of a call. After the last of them the call runs, on its own
+// goroutine, with the messages whose attempts could be logged.
+func (r *Relay) logAndRun(c *call, timeout time.Duration) {
+	startedAt := r.clock.logTime(r.clock.now())
+	run := &callRun{call: c, timeout: timeout, results: make([]outcome, len(c.messages))}
+	lastIndex := len(c.messages) - 1
 	addr := c.endpoint.hostPort
 	for i := range c.messages {
 		rec := c.messages[i].message.record
-		attempt := &wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: at, Zone: c.endpoint.zone, Endpoint: c.endpoint.id,
+		attempt := &wal.Record{Kind: wal.KindAttempt, ID: rec.ID, At: startedAt, Zone: c.endpoint.zone, Endpoint: c.endpoint.id,
 			Process: r.ownership.process, Sync: r.cfg.isNonIdempotent(rec.Class)}
 		r.wal.Submit(attempt, func(err error) {
 			if err != nil {
 				run.results[i] = outcome{kind: policy.NotSent, err: err, isUnlogged: true, isLocalFailure: true}
 			} else {
-				run.records, run.parts = append(run.records, rec), append(run.parts, i)
+				run.records, run.messageIndexes = append(run.records, rec), append(run.messageIndexes, i)
 			}
-			if i == last {
+			if i == lastIndex {
 				r.goBackground(func() { r.runCall(run, addr) })
 			}
 		})
 	}
 }
 
-// runCall makes a call and tells the loop of its results.
+// runCall makes a call and posts its results to the loop.
 func (r *Relay) runCall(run *callRun, addr string) {
 	c := run.call
 	if len(run.records) > 0 {
 		c.onWritten = func() {
-			for _, i := range run.parts {
+			for _, i := range run.messageIndexes {
 				r.metrics.countWritten(c.messages[i].message.class)
 			}
 		}
-		for i, o := range c.run(c.transport, addr, run.records, run.limit, r.cfg.loadFields) {
-			run.results[run.parts[i]] = o
+		for i, o := range c.run(c.transport, addr, run.records, run.timeout, r.cfg.loadFields) {
+			run.results[run.messageIndexes[i]] = o
 		}
 	}
 	c.cancel(nil)
 	r.mailbox.Put(callDoneEvent{call: c, results: run.results})
 }
 
-// finishCall handles the results of a call.
+// finishCall records the results of a call and finishes the attempts of its messages.
 func (r *Relay) finishCall(c *call, results []outcome) {
 	delete(c.endpoint.calls, c)
 	r.callsInFlight--
@@ -164,9 +167,9 @@
 		return
 	}
 	o, now := &results[0], r.clock.now()
-	if reset := o.kind == policy.ConnectionReset; reset || o.status != 0 {
-		c.endpoint.idleResets.record(o.idleTime, reset, now)
-		r.idle.record(o.idleTime, reset, now)
+	if isReset := o.kind == policy.ConnectionReset; isReset || o.status != 0 {
+		c.endpoint.idleResets.record(o.idleTime, isReset, now)
+		r.idleResets.record(o.idleTime, isReset, now)
 	}
 	if o.retryAfter > 0 {
 		r.applyRetryAfter(c.endpoint, o.retryAfter)
@@ -174,18 +177,18 @@
 	if c.endpoint.updateLiveness(o, now) {
 		c.endpoint.transport.CloseIdleConnections()
 	}
-	if c.transport != c.endpoint.transport { // replaced meanwhile: its connection is of no more use
+	if c.transport != c.endpoint.transport { // it was replaced during the call, so its connections are not used again
 		c.transport.CloseIdleConnections()
 	}
 	for i := range c.messages {
-		p := &c.messages[i]
-		p.message.call = nil
-		r.finishAttempt(p.message, c.endpoint, p.attempt, &results[i])
+		cm := &c.messages[i]
+		cm.message.call = nil
+		r.finishAttempt(cm.message, c.endpoint, cm.attempt, &results[i])
 	}
 }
 
-// finishAttempt handles the outcome of an attempt: it tells the policy, logs it and,
-// where that settles the message, completes it. The endpoint may be nil.
+// finishAttempt handles the outcome of an attempt: it reports it to the policy, logs it
+// and, if the outcome is final, completes the message. The endpoint may be nil.
 func (r *Relay) finishAttempt(m *message, ep *endpoint, attempt int, o *outcome) {
 	e := attemptDoneEvent(m, ep, attempt, o)
 	if o.isLocalFailure {
@@ -226,8 +229,8 @@
 	return e
 }
 
-// outcomeRecord is the log's record of an outcome. Where another process owns the
-// relay, it carries what that one's policy has to know.
+// outcomeRecord returns the log record of an outcome. If another process owns the relay
+// now, the record also carries what the policy of that process needs.
 func (r *Relay) outcomeRecord(m *message, o *outcome) *wal.Record {
 	rec := &wal.Record{Kind: wal.KindOutcome, ID: m.record.ID, MayHaveRun: !o.kind.NeverRan(), LocalFailure: o.isLocalFailure}
 	if o.isFinal {
--- a/internal/relay/operator.go
+++ b/internal/relay/operator.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	maxOperatorConns = 32      // where there are descriptors enough
-	maxOperatorBody  = 4 << 10 // bytes of a request body that are read and dropped; no request needs one
+	maxOperatorConns = 32      // limit if there are enough descriptors
+	maxOperatorBody  = 4 << 10 // maximum bytes of a request body; bodies are dropped, since no request needs one
 	operatorTimeout  = 2 * time.Second
 )
 
-// operator serves the operator address, for the operators of the relay and their tools.
-// It is apart from the clients and from the loop: it reads what the loop has published,
-// so that it answers at once however busy the relay is.
-type operator struct {
-	addr     string // that it listens at
+// operatorServer serves the operator address, which operators of the relay and their tools use.
+// It shares nothing with the clients' connections, and instead of asking the loop it reads
+// what the loop has published, so that it answers at once even if the relay is busy.
+type operatorServer struct {
+	addr     string // address that it listens at
 	log      *slog.Logger
 	metrics  *metrics
-	ready    *atomic.Bool // what readyz answers
+	ready    *atomic.Bool // whether readyz answers 200
 	command  func(policy.EventKind)
 	maxConns int
 	server   *http.Server
@@ -40,18 +40,18 @@
 }
 
 type operatorConn struct {
-	openedAt   time.Time
-	isComplete bool // its request has come
+	openedAt          time.Time
+	isRequestComplete bool // the request was received completely
 }
 
-// startOperator serves cfg.Operator until close. command is called with
-// policy.EventDrain and policy.EventActivate.
-func startOperator(cfg *Config, log *slog.Logger, metrics *metrics, ready *atomic.Bool, command func(policy.EventKind)) (*operator, error) {
+// startOperator listens at cfg.Operator and serves it until close is called. command is
+// called with policy.EventDrain or policy.EventActivate when an operator requests that.
+func startOperator(cfg *Config, log *slog.Logger, metrics *metrics, ready *atomic.Bool, command func(policy.EventKind)) (*operatorServer, error) {
 	ln, _, err := listenWithRetry(log, nil, func() (net.Listener, error) { return net.Listen("tcp", cfg.Operator) })
 	if err != nil {
 		return nil, fmt.Errorf("operator: %w", err)
 	}
-	o := &operator{addr: ln.Addr().String(), log: log, metrics: metrics, ready: ready, command: command,
+	o := &operatorServer{addr: ln.Addr().String(), log: log, metrics: metrics, ready: ready, command: command,
 		maxConns: cfg.maxOperatorConns(), done: make(chan struct{}), conns: map[net.Conn]*operatorConn{}}
 	o.server = o.newServer()
 	go func() {
@@ -60,11 +60,11 @@
 			log.Error("operator address failed", "err", err)
 		}
 	}()
-	log.Info("operator address", "listen", o.addr)
+	log.Info("serving operator address", "listen", o.addr)
 	return o, nil
 }
 
-func (o *operator) newServer() *http.Server {
+func (o *operatorServer) newServer() *http.Server {
 	server := &http.Server{
 		Handler:           o.routes(),
 		ReadHeaderTimeout: operatorTimeout,
@@ -72,51 +72,52 @@
 		WriteTimeout:      operatorTimeout,
 		IdleTimeout:       operatorTimeout,
 		MaxHeaderBytes:    8 << 10,
-		ConnState:         o.track,
+		ConnState:         o.trackConn,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, operatorConnKey{}, c)
 		},
 		ErrorLog: slog.NewLogLogger(o.log.Handler(), slog.LevelDebug),
 	}
-	server.SetKeepAlivesEnabled(false) // one request a connection
+	server.SetKeepAlivesEnabled(false) // one request per connection
 	return server
 }
 
-// close ends the server with all its connections, and waits for it.
-func (o *operator) close() {
+// close closes the server and all its connections and waits until it has ended.
+func (o *operatorServer) close() {
 	o.server.Close()
 	<-o.done
 }
 
-// routes are the requests; ServeMux answers 404 and 405 to all others.
-func (o *operator) routes() http.Handler {
+// routes returns the handler of all requests; ServeMux answers 404 or 405 to unknown ones.
+func (o *operatorServer) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/readyz", o.onceComplete(o.writeReadiness))
-	mux.HandleFunc("GET /v1/metrics", o.onceComplete(func(w http.ResponseWriter) {
+	mux.HandleFunc("GET /v1/readyz", o.afterCompleteRequest(o.writeReadiness))
+	mux.HandleFunc("GET /v1/metrics", o.afterCompleteRequest(func(w http.ResponseWriter) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		w.Write(o.metrics.text())
+		w.Write(o.metrics.prometheusText())
 	}))
 	// Both commands are idempotent.
-	mux.HandleFunc("POST /v1/relay/drain", o.onceComplete(func(w http.ResponseWriter) {
+	mux.HandleFunc("POST /v1/relay/drain", o.afterCompleteRequest(func(w http.ResponseWriter) {
 		o.command(policy.EventDrain)
 		io.WriteString(w, "draining\n")
 	}))
-	mux.HandleFunc("POST /v1/relay/activate", o.onceComplete(func(w http.ResponseWriter) {
+	mux.HandleFunc("POST /v1/relay/activate", o.afterCompleteRequest(func(w http.ResponseWriter) {
 		o.command(policy.EventActivate)
 		io.WriteString(w, "active\n")
 	}))
 	return mux
 }
 
-// writeReadiness answers 200, or 503 with what the relay waits for.
-func (o *operator) writeReadiness(w http.ResponseWriter) {
+// writeReadiness answers 200 if the relay is ready, and otherwise 503 with what the relay
+// waits for.
+func (o *operatorServer) writeReadiness(w http.ResponseWriter) {
 	if o.ready.Load() {
 		io.WriteString(w, "ready\n")
 		return
 	}
 	text := "not ready"
-	if why, ok := o.metrics.waitingFor.Load().(string); ok && why != "" {
-		text += ": " + why
+	if reason, ok := o.metrics.waitingFor.Load().(string); ok && reason != "" {
+		text += ": " + reason
 	}
 	if n := o.metrics.logUnread.Load(); n > 0 {
 		text += fmt.Sprintf(": %d owed messages are still to be read", n)
@@ -127,32 +128,33 @@
 // operatorConnKey is the key of a request's net.Conn in its context.
 type operatorConnKey struct{}
 
-// onceComplete has a request act only once all of it has come: one that breaks off in
-// its body must not drain a relay.
-func (o *operator) onceComplete(act func(http.ResponseWriter)) http.HandlerFunc {
+// afterCompleteRequest returns a handler that calls handle only after the whole request was received:
+// a request that is cut off within its body must not drain a relay.
+func (o *operatorServer) afterCompleteRequest(handle func(http.ResponseWriter)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxOperatorBody)); err != nil {
 			http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 		if conn, ok := r.Context().Value(operatorConnKey{}).(net.Conn); ok {
-			o.markComplete(conn)
+			o.markRequestComplete(conn)
 		}
-		act(w)
+		handle(w)
 	}
 }
 
-func (o *operator) markComplete(conn net.Conn) {
+func (o *operatorServer) markRequestComplete(conn net.Conn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if c := o.conns[conn]; c != nil {
-		c.isComplete = true
+		c.isRequestComplete = true
 	}
 }
 
-// track bounds the connections. A new one takes the place of the oldest whose request
-// is not complete: a peer that keeps its connection and sends nothing shuts nobody out.
-func (o *operator) track(conn net.Conn, state http.ConnState) {
+// trackConn limits the number of connections. At the limit, a new connection replaces the one
+// that closeOldest closes, so that peers that keep connections open and send nothing do
+// not lock others out.
+func (o *operatorServer) trackConn(conn net.Conn, state http.ConnState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch state {
@@ -166,14 +168,14 @@
 	}
 }
 
-// closeOldest closes the oldest connection whose request is not complete, or the oldest
-// of all. The caller holds mu.
-func (o *operator) closeOldest() {
+// closeOldest closes the oldest connection whose request is not complete. If all are
+// complete, it closes the oldest of them. The caller holds mu.
+func (o *operatorServer) closeOldest() {
 	var oldest net.Conn
 	for conn, c := range o.conns {
-		best := o.conns[oldest]
-		isOlder := best != nil && best.isComplete == c.isComplete && c.openedAt.Before(best.openedAt)
-		if best == nil || best.isComplete && !c.isComplete || isOlder {
+		oldestConn := o.conns[oldest]
+		isOlder := oldestConn != nil && oldestConn.isRequestComplete == c.isRequestComplete && c.openedAt.Before(oldestConn.openedAt)
+		if oldestConn == nil || oldestConn.isRequestComplete && !c.isRequestComplete || isOlder {
 			oldest = conn
 		}
 	}
