--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -18,7 +18,7 @@
 	"plovershore/internal/registry/registrytest"
 )
 
-var newDiscardLogger, waitFor = registrytest.Quiet, registrytest.WaitFor
+var newDiscardLogger, waitFor = registrytest.DiscardLog, registrytest.WaitFor
 
 func startNode(t *testing.T, configure func(*registry.Config)) (group *registrytest.Group, addr string) {
 	t.Helper()
--- a/internal/leader/operations/operations_test.go
+++ b/internal/leader/operations/operations_test.go
@@ -39,7 +39,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		opts := leader.Options{Client: c, Name: "c-1", TTL: 3 * time.Second, Roles: map[string]leader.Work{role: work}, Log: registrytest.Quiet()}
+		opts := leader.Options{Client: c, Name: "c-1", TTL: 3 * time.Second, Roles: map[string]leader.Work{role: work}, Log: registrytest.DiscardLog()}
 		if err := leader.Run(ctx, opts); err != nil {
 			t.Error(err)
 		}
--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -25,7 +25,7 @@
 )
 
 // Quiet returns a logger that discards everything.
-func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func DiscardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // WaitFor waits until a condition holds. It fails the test with a message that names what
 // if that takes longer than 30 s.
@@ -83,7 +83,7 @@
 // Start starts node i with its data folder.
 func (g *Group) Start(i int) {
 	g.t.Helper()
-	n, err := registry.Start(g.configs[i], Quiet())
+	n, err := registry.Start(g.configs[i], DiscardLog())
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 // Client returns a client of the nodes at some addresses. It is closed when the test ends.
 func Client(t testing.TB, addrs ...string) *client.Client {
 	t.Helper()
-	c, err := client.New(addrs, 1, Quiet())
+	c, err := client.New(addrs, 1, DiscardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -93,7 +93,7 @@
 	done, c := make(chan struct{}), f.client()
 	go func() {
 		defer close(done)
-		if err := leader.Run(ctx, leader.Options{Client: c, Name: name, TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: Work(c)}, Log: registrytest.Quiet()}); err != nil {
+		if err := leader.Run(ctx, leader.Options{Client: c, Name: name, TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: Work(c)}, Log: registrytest.DiscardLog()}); err != nil {
 			f.t.Error(err)
 		}
 	}()
@@ -225,7 +225,7 @@
 		done, c := make(chan struct{}), f.client()
 		go func() {
 			defer close(done)
-			leader.Run(ctx, leader.Options{Client: c, Name: "w", TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: w}, Log: registrytest.Quiet()}) // ends when its context is canceled
+			leader.Run(ctx, leader.Options{Client: c, Name: "w", TTL: 3 * time.Second, Roles: map[string]leader.Work{Role: w}, Log: registrytest.DiscardLog()}) // ends when its context is canceled
 		}()
 		return func() { cancel(); <-done }
 	}(func(ctx context.Context, g *leader.Grant) error {
