--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -24,7 +24,7 @@
 	statusTimeout = time.Second
 )
 
-// Quiet returns a logger that discards everything.
+// DiscardLog returns a logger that discards everything.
 func DiscardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // WaitFor waits until a condition holds. It fails the test with a message that names what
