--- a/internal/faultlab/capacity/agent.go
+++ b/internal/faultlab/capacity/agent.go
@@ -26,13 +26,13 @@
 		return Quantity{Role: role, Name: name, Unit: unit, SizeUnit: sizeUnit, Target: target, Budget: budget}
 	}
 	return []job{
-		{name: "agent", sizes: memberSizes, smoke: smokeSizes, run: agentChanges, quantities: []Quantity{
+		{name: "agent", sizes: memberSizes, smoke: smokeSizes, run: measureAgentChanges, quantities: []Quantity{
 			quantity("agent", "processor for a change", "ms", list, targetMembers, 0), quantity("agent", "handed to files and sockets for a change", "KB", list, targetMembers, 0),
 			quantity("agent", "from a change's answer until the agent has it", "ms", list, targetMembers, 16_000), quantity("agent", "memory, after the changes", "MB", list, targetMembers, budgetMemory),
 			quantity("agent", "memory, most so far", "MB", list, targetMembers, budgetMemory),
 			quantity("agent", "from its first start until it has the list", "ms", list, targetMembers, 0),
 			quantity("agent", "bytes that it sends for a whole list", "KB", list, targetMembers, 0)}},
-		{name: "notices", sizes: []int{100, 300, 1000, 3000, 10_000}, smoke: []int{10, 100}, run: notices, quantities: []Quantity{
+		{name: "notices", sizes: []int{100, 300, 1000, 3000, 10_000}, smoke: []int{10, 100}, run: measureNotices, quantities: []Quantity{
 			quantity("agent", "taking notices, one a call, 16 callers", "ms", "notices", 10_000, 0), quantity("agent", "processor for them", "ms", "notices", 10_000, 0),
 			quantity("list service", "processor for them, one node", "ms", "notices", 10_000, 0)}},
 	}
@@ -66,7 +66,7 @@
 }
 
 func (a *agentProcess) status(ctx context.Context) (s agent.Status, err error) {
-	text, err := get(ctx, "http://"+a.listen+"/v1/status")
+	text, err := httpGet(ctx, "http://"+a.listen+"/v1/status")
 	if err == nil {
 		err = json.Unmarshal(text, &s)
 	}
@@ -74,16 +74,16 @@
 }
 
 // follows waits until the agent is at a revision of the group.
-func (a *agentProcess) follows(ctx context.Context, revision int64) error {
-	_, err := await(ctx, a.Process, "agent follows", time.Now(), func() bool {
+func (a *agentProcess) awaitRevision(ctx context.Context, revision int64) error {
+	_, err := awaitCondition(ctx, a.Process, "agent follows", time.Now(), func() bool {
 		s, err := a.status(ctx)
 		return err == nil && s.At.Revision >= revision
 	})
 	return err
 }
 
-// agentChanges measures what one change costs an agent with a list of so many.
-func agentChanges(ctx context.Context, e *environment, size int) ([]float64, error) {
+// measureAgentChanges measures what one change costs an agent with a list of so many.
+func measureAgentChanges(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, 1, size)
 	if err != nil {
 		return nil, err
@@ -95,28 +95,28 @@
 		return nil, err
 	}
 	defer a.close()
-	if err := a.follows(ctx, int64(size)); err != nil {
+	if err := a.awaitRevision(ctx, int64(size)); err != nil {
 		return nil, err
 	}
-	started := time.Since(began)
-	before, err := usageOf(a.Process)
+	startTime := time.Since(began)
+	before, err := readUsage(a.Process)
 	if err != nil {
 		return nil, err
 	}
 	changes := scaled(e, 3, 20)
-	var waited time.Duration
+	var lag time.Duration
 	for n := range changes {
-		answer, err := change(ctx, g.client, n%size, n)
+		result, err := changeMember(ctx, g.client, n%size, n)
 		if err != nil {
 			return nil, err
 		}
 		answered := time.Now()
-		if err := a.follows(ctx, answer.Revision); err != nil {
+		if err := a.awaitRevision(ctx, result.Revision); err != nil {
 			return nil, err
 		}
-		waited += time.Since(answered)
+		lag += time.Since(answered)
 	}
-	after, err := usageOf(a.Process)
+	after, err := readUsage(a.Process)
 	if err != nil {
 		return nil, err
 	}
@@ -124,14 +124,14 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := get(ctx, "http://"+a.listen+discovery.ListPath)
-	each := float64(changes)
-	return []float64{(after.cpu - before.cpu).Seconds() * 1e3 / each, (after.written - before.written) / 1e3 / each, waited.Seconds() * 1e3 / each,
-		after.rss / 1e6, peak / 1e6, started.Seconds() * 1e3, float64(len(text)) / 1e3}, err
+	text, err := httpGet(ctx, "http://"+a.listen+discovery.ListPath)
+	changeCount := float64(changes)
+	return []float64{(after.cpu - before.cpu).Seconds() * 1e3 / changeCount, (after.writtenBytes - before.writtenBytes) / 1e3 / changeCount, lag.Seconds() * 1e3 / changeCount,
+		after.rssBytes / 1e6, peak / 1e6, startTime.Seconds() * 1e3, float64(len(text)) / 1e3}, err
 }
 
 // notices has an agent take notices and pass them on to a group of one.
-func notices(ctx context.Context, e *environment, size int) ([]float64, error) {
+func measureNotices(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, 1, 310)
 	if err != nil {
 		return nil, err
@@ -142,10 +142,10 @@
 		return nil, err
 	}
 	defer a.close()
-	if err := a.follows(ctx, 310); err != nil {
+	if err := a.awaitRevision(ctx, 310); err != nil {
 		return nil, err
 	}
-	before, err := usageOf(a.Process)
+	before, err := readUsage(a.Process)
 	nodeBefore, nodeErr := g.usage()
 	if err != nil || nodeErr != nil {
 		return nil, fmt.Errorf("notices: %w, %w", err, nodeErr)
@@ -155,13 +155,13 @@
 		return nil, err
 	}
 	took := time.Since(began)
-	if _, err := await(ctx, a.Process, "notices passed on", time.Now(), func() bool {
+	if _, err := awaitCondition(ctx, a.Process, "notices passed on", time.Now(), func() bool {
 		s, err := a.status(ctx)
 		return err == nil && s.Spooled == 0
 	}); err != nil {
 		return nil, err
 	}
-	after, err := usageOf(a.Process)
+	after, err := readUsage(a.Process)
 	if err != nil {
 		return nil, err
 	}
@@ -171,11 +171,11 @@
 
 // sendNotices has 16 callers send so many notices, each in a call of its own.
 func sendNotices(ctx context.Context, addr string, size int) error {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: relayWriter, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: parallelClients, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	defer client.CloseIdleConnections()
 	group, ctx := errgroup.WithContext(ctx)
 	var next atomic.Int64
-	for range relayWriter {
+	for range parallelClients {
 		group.Go(func() error {
 			for i := int(next.Add(1)); i <= size; i = int(next.Add(1)) {
 				text, err := json.Marshal(discovery.Notice{Message: messageID(i), Outcome: discovery.Failed})
--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -10,10 +10,10 @@
 // Guards the slopes that plans are made from: every job runs at small sizes, its
 // values are finite and its exponents such as a cost can have, and all of it
 // within its time.
-func TestSmoke(t *testing.T) {
+func TestEveryJobGivesValidMeasurementsAtSmallSizes(t *testing.T) {
 	t.Setenv(programEnv, "1")
-	self, began := os.Args[0], time.Now()
-	result, err := Run(t.Context(), Options{Smoke: true, Out: t.TempDir(), Printf: t.Logf, Relay: self, Registry: self, Controller: self})
+	testProgram, began := os.Args[0], time.Now()
+	result, err := Run(t.Context(), Options{Smoke: true, Out: t.TempDir(), Printf: t.Logf, Relay: testProgram, Registry: testProgram, Controller: testProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,14 +34,14 @@
 	if err := result.Save(path); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := Load(path); err != nil || len(again.Capacity) != len(result.Capacity) {
+	if loaded, err := Load(path); err != nil || len(loaded.Capacity) != len(result.Capacity) {
 		t.Errorf("read back: %v", err)
 	}
 	t.Logf("all took %v", time.Since(began))
 }
 
 // A job that is not there is told with those that are.
-func TestUnknownJob(t *testing.T) {
+func TestRunRejectsUnknownJobName(t *testing.T) {
 	if _, err := Run(t.Context(), Options{Only: []string{"none"}, Printf: t.Logf}); err == nil {
 		t.Error("taken")
 	}
--- a/internal/faultlab/capacity/fit.go
+++ b/internal/faultlab/capacity/fit.go
@@ -9,12 +9,12 @@
 
 // fit works out all of a measurement that follows from its sizes and values.
 func (m *Measurement) fit() {
-	sizes, values := m.pairs(-1)
+	sizes, values := m.points(-1)
 	m.Intercept, m.Slope = stat.LinearRegression(sizes, values, nil, false)
 	m.SlopeMin, m.SlopeMax = m.Slope, m.Slope
 	plays := len(m.Values[0])
 	for play := range plays {
-		x, y := m.pairs(play)
+		x, y := m.points(play)
 		_, slope := stat.LinearRegression(x, y, nil, false)
 		m.SlopeMin, m.SlopeMax = min(m.SlopeMin, slope), max(m.SlopeMax, slope)
 	}
@@ -37,7 +37,7 @@
 }
 
 // pairs gives sizes and values of one play; of all for a negative play.
-func (m *Measurement) pairs(play int) (sizes, values []float64) {
+func (m *Measurement) points(play int) (sizes, values []float64) {
 	for i, size := range m.Sizes {
 		for k, v := range m.Values[i] {
 			if play < 0 || k == play {
--- a/internal/faultlab/capacity/fit_test.go
+++ b/internal/faultlab/capacity/fit_test.go
@@ -6,7 +6,7 @@
 )
 
 // measured makes a measurement of a function, with one play for each factor.
-func measured(f func(size float64) float64, factors ...float64) *Measurement {
+func newTestMeasurement(f func(size float64) float64, factors ...float64) *Measurement {
 	m := &Measurement{Job: "test", Quantity: Quantity{Name: "cost", Target: 100_000, Budget: 1000}, Sizes: []float64{100, 1000, 10_000, 31_000}}
 	for _, size := range m.Sizes {
 		var plays []float64
@@ -19,7 +19,7 @@
 	return m
 }
 
-func near(t *testing.T, what string, got, want float64) {
+func checkNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-6*max(1, math.Abs(want)) {
 		t.Errorf("%s: %v, want %v", what, got, want)
@@ -27,17 +27,17 @@
 }
 
 // A straight line gives its own slope and base, and the spread of its plays.
-func TestFitLine(t *testing.T) {
-	m := measured(func(size float64) float64 { return 0.02 * size }, 1, 0.5, 1.5)
-	near(t, "slope", m.Slope, 0.02)
-	near(t, "least slope", m.SlopeMin, 0.01)
-	near(t, "largest slope", m.SlopeMax, 0.03)
-	near(t, "exponent", m.Exponent, 1)
-	near(t, "at the target", m.AtTarget, 2000)
-	near(t, "ratio", m.Ratio, 2)
-	base := measured(func(size float64) float64 { return 50 + 0.02*size }, 1)
-	near(t, "base", base.Intercept, 50)
-	near(t, "with its base", base.WithBase, 2050)
+func TestFitOfLineGivesSlopeInterceptAndSpread(t *testing.T) {
+	m := newTestMeasurement(func(size float64) float64 { return 0.02 * size }, 1, 0.5, 1.5)
+	checkNear(t, "slope", m.Slope, 0.02)
+	checkNear(t, "least slope", m.SlopeMin, 0.01)
+	checkNear(t, "largest slope", m.SlopeMax, 0.03)
+	checkNear(t, "exponent", m.Exponent, 1)
+	checkNear(t, "at the target", m.AtTarget, 2000)
+	checkNear(t, "ratio", m.Ratio, 2)
+	base := newTestMeasurement(func(size float64) float64 { return 50 + 0.02*size }, 1)
+	checkNear(t, "base", base.Intercept, 50)
+	checkNear(t, "with its base", base.WithBase, 2050)
 	if base.Exponent > 0.9 {
 		t.Errorf("a line with a base has exponent %v", base.Exponent)
 	}
@@ -47,19 +47,19 @@
 }
 
 // A curve shows by its exponent, and the power law leads where the line does not.
-func TestFitCurve(t *testing.T) {
+func TestFitOfPowerLawGivesExponentAndPrediction(t *testing.T) {
 	for _, exponent := range []float64{0.5, 2} {
-		m := measured(func(size float64) float64 { return 3 * math.Pow(size, exponent) }, 1)
-		near(t, "exponent", m.Exponent, exponent)
-		near(t, "exponent at the top", m.TopExponent, exponent)
-		near(t, "by the power law", m.ByPower, 3*math.Pow(m.Target, exponent))
+		m := newTestMeasurement(func(size float64) float64 { return 3 * math.Pow(size, exponent) }, 1)
+		checkNear(t, "exponent", m.Exponent, exponent)
+		checkNear(t, "exponent at the top", m.TopExponent, exponent)
+		checkNear(t, "by the power law", m.ByPower, 3*math.Pow(m.Target, exponent))
 	}
 }
 
 // What cannot be a measurement is told.
-func TestCheck(t *testing.T) {
+func TestCheckRejectsInvalidMeasurement(t *testing.T) {
 	line := func(size float64) float64 { return size }
-	for name, spoil := range map[string]func(*Measurement){
+	for name, invalidate := range map[string]func(*Measurement){
 		"not a number": func(m *Measurement) { m.Values[1][0] = math.NaN() },
 		"no end":       func(m *Measurement) { m.Values[1][0] = math.Inf(1) },
 		"negative":     func(m *Measurement) { m.Values[1][0] = -1 },
@@ -68,8 +68,8 @@
 		"exponent":     func(m *Measurement) { m.Exponent = 5 },
 		"slope":        func(m *Measurement) { m.Slope = math.NaN() },
 	} {
-		m := measured(line, 1)
-		if spoil(m); m.Check() == nil {
+		m := newTestMeasurement(line, 1)
+		if invalidate(m); m.Check() == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
--- a/internal/faultlab/capacity/list.go
+++ b/internal/faultlab/capacity/list.go
@@ -36,29 +36,31 @@
 func memberList(size, letters int) *discovery.List {
 	l := &discovery.List{Revision: int64(size), Complete: true, Members: make([]discovery.Member, size)}
 	for i := range l.Members {
-		l.Members[i] = member(i, letters)
+		l.Members[i] = testMember(i, letters)
 	}
 	return l
 }
 
-func member(i, letters int) discovery.Member {
+func testMember(i, letters int) discovery.Member {
 	return discovery.Member{ID: fmt.Sprintf("s-%0*d", letters-2, i), HostPort: fmt.Sprintf("10.%d.%d.%d:6379", i>>16&255, i>>8&255, i&255),
 		Locality: fmt.Sprintf("z-%d", i%targetZones), Flavor: "agent", Cell: i, Phase: discovery.Up, Size: 1}
 }
 
 func listJobs() []job {
-	of := func(name string, letters int) job {
+	newJob := func(name string, letters int) job {
 		quantity := func(what, unit string) Quantity {
 			return Quantity{Role: "relay", Name: fmt.Sprintf("%s, ids of %d letters", what, letters), Unit: unit, SizeUnit: "members", Target: targetMembers}
 		}
 		return job{name: name, sizes: memberSizes, smoke: smokeSizes,
 			quantities: []Quantity{quantity("reading a whole list", "ms"), quantity("allocated to read it", "MB"), quantity("allocations to read it", "thousand"), quantity("bytes of it", "KB")},
-			run:        func(_ context.Context, _ *environment, size int) ([]float64, error) { return parseList(size, letters) }}
+			run: func(_ context.Context, _ *environment, size int) ([]float64, error) {
+				return measureListParsing(size, letters)
+			}}
 	}
-	return []job{of("parse", shortID), of("parse-long", longID)}
+	return []job{newJob("parse", shortID), newJob("parse-long", longID)}
 }
 
-func parseList(size, letters int) ([]float64, error) {
+func measureListParsing(size, letters int) ([]float64, error) {
 	text, err := json.Marshal(memberList(size, letters))
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
@@ -75,7 +77,7 @@
 	}
 	took := time.Since(began)
 	runtime.ReadMemStats(&after)
-	each := float64(rounds)
-	return []float64{took.Seconds() * 1e3 / each, float64(after.TotalAlloc-before.TotalAlloc) / 1e6 / each,
-		float64(after.Mallocs-before.Mallocs) / 1e3 / each, float64(len(text)) / 1e3}, nil
+	count := float64(rounds)
+	return []float64{took.Seconds() * 1e3 / count, float64(after.TotalAlloc-before.TotalAlloc) / 1e6 / count,
+		float64(after.Mallocs-before.Mallocs) / 1e3 / count, float64(len(text)) / 1e3}, nil
 }
--- a/internal/faultlab/capacity/list_server.go
+++ b/internal/faultlab/capacity/list_server.go
@@ -92,7 +92,7 @@
 // known is the list as a relay has it that missed the last change of one member:
 // its watch begins with that change, so a start does not wait for a change that
 // never comes.
-func (s *listServer) known() *discovery.List {
+func (s *listServer) previousList() *discovery.List {
 	return &discovery.List{Revision: s.list.Revision - 1, Complete: true, Members: s.list.Members}
 }
 
@@ -122,11 +122,11 @@
 	if from < s.list.Revision {
 		json.NewEncoder(w).Encode(discovery.List{Revision: s.list.Revision, Members: s.list.Members[:1]})
 	}
-	quiet := time.NewTicker(watchIdleInterval)
-	defer quiet.Stop()
+	idleTicker := time.NewTicker(watchIdleInterval)
+	defer idleTicker.Stop()
 	for out.Flush() == nil {
 		select {
-		case <-quiet.C:
+		case <-idleTicker.C:
 			io.WriteString(w, "\n")
 		case <-ctx.Done():
 			return
--- a/internal/faultlab/capacity/main_test.go
+++ b/internal/faultlab/capacity/main_test.go
@@ -20,13 +20,13 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(programEnv) != "" {
-		os.Exit(program(os.Args[1:]))
+		os.Exit(runProgram(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
 // program runs what its arguments are of: a relay has none.
-func program(args []string) int {
+func runProgram(args []string) int {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
 	switch {
@@ -39,9 +39,9 @@
 }
 
 func runRelay(ctx context.Context) int {
-	cfg, err := relay.LoadConfig(os.Getenv)
+	config, err := relay.LoadConfig(os.Getenv)
 	if err == nil {
-		err = relay.Run(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)), ctx.Done(), nil)
+		err = relay.Run(config, slog.New(slog.NewTextHandler(os.Stderr, nil)), ctx.Done(), nil)
 	}
 	if err != nil {
 		slog.Error("relay ended", "err", err)
--- a/internal/faultlab/capacity/measurement.go
+++ b/internal/faultlab/capacity/measurement.go
@@ -52,7 +52,7 @@
 // Check returns why a measurement cannot be used: a value that is not
 // finite or less than nothing, or an exponent outside of any known cost.
 func (m *Measurement) Check() error {
-	const mostExponent = 3.5
+	const maxExponent = 3.5
 	if len(m.Sizes) < 2 || len(m.Values) != len(m.Sizes) {
 		return fmt.Errorf("%s: %s: %d sizes, %d rows of values", m.Job, m.Name, len(m.Sizes), len(m.Values))
 	}
@@ -71,7 +71,7 @@
 			return fmt.Errorf("%s: %s: the fit is not finite", m.Job, m.Name)
 		}
 	}
-	if math.Abs(m.Exponent) > mostExponent {
+	if math.Abs(m.Exponent) > maxExponent {
 		return fmt.Errorf("%s: %s: exponent %.2f", m.Job, m.Name, m.Exponent)
 	}
 	return nil
--- a/internal/faultlab/capacity/registry.go
+++ b/internal/faultlab/capacity/registry.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	groupWait   = 60 * time.Second
-	memberOwner = "bench" // who registered all members
+	groupTimeout = 60 * time.Second
+	memberHolder = "bench" // who registered all members
 )
 
 // group is a list service of real processes with so many members.
 type group struct {
-	program string
-	nodes   []string // addresses
-	files   []string
-	procs   []*process.Process
-	log     *os.File
-	client  *client.Client
+	program     string
+	nodes       []string // addresses
+	configFiles []string
+	procs       []*process.Process
+	log         *os.File
+	client      *client.Client
 }
 
 // startGroup runs a group of so many nodes and has it hold so many members. In a
@@ -50,10 +50,10 @@
 	if g.log, err = os.Create(filepath.Join(e.dir, "nodes.log")); err != nil {
 		return g, fmt.Errorf("group: %w", err)
 	}
-	if err := g.configure(e.dir, nodes); err != nil {
+	if err := g.writeConfigs(e.dir, nodes); err != nil {
 		return g, err
 	}
-	for i, file := range g.files {
+	for i, file := range g.configFiles {
 		p, err := process.Start(fmt.Sprint("node ", i), g.program, []string{"serve", "--config", file}, nil, g.log)
 		if err != nil {
 			return g, err
@@ -63,10 +63,10 @@
 	if g.client, err = client.New(g.nodes, 1, slog.New(slog.DiscardHandler)); err != nil {
 		return g, err
 	}
-	return g, g.restore(ctx, members)
+	return g, g.restoreMembers(ctx, members)
 }
 
-func (g *group) configure(dir string, nodes int) error {
+func (g *group) writeConfigs(dir string, nodes int) error {
 	var peers strings.Builder
 	var raft []string
 	for i := range nodes {
@@ -79,21 +79,21 @@
 		if err := os.WriteFile(data+".toml", []byte(text), 0o600); err != nil {
 			return fmt.Errorf("group: %w", err)
 		}
-		g.files = append(g.files, data+".toml")
+		g.configFiles = append(g.configFiles, data+".toml")
 	}
 	return nil
 }
 
 // restore gives the group its members by a backup of a group that had them, and
 // waits until every node has them.
-func (g *group) restore(ctx context.Context, members int) error {
-	ctx, cancel := context.WithTimeout(ctx, groupWait)
+func (g *group) restoreMembers(ctx context.Context, members int) error {
+	ctx, cancel := context.WithTimeout(ctx, groupTimeout)
 	defer cancel()
 	s := registry.NewState()
 	s.Epoch, s.Revision = "bench", int64(members)
 	for i := range members {
-		m := member(i, shortID)
-		s.Members[m.ID] = registry.Member{Member: m, TTL: 24 * time.Hour, Holder: memberOwner, Since: int64(i + 1), Changed: int64(i + 1)}
+		m := testMember(i, shortID)
+		s.Members[m.ID] = registry.Member{Member: m, TTL: 24 * time.Hour, Holder: memberHolder, Since: int64(i + 1), Changed: int64(i + 1)}
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -104,7 +104,7 @@
 	}
 	for _, node := range g.nodes {
 		for {
-			status, err := statusOf(ctx, node)
+			status, err := nodeStatus(ctx, node)
 			if err == nil && status.Members == members && !status.Stale {
 				break
 			}
@@ -117,15 +117,15 @@
 	return nil
 }
 
-func statusOf(ctx context.Context, node string) (s registry.Status, err error) {
-	text, err := get(ctx, "http://"+node+registry.StatusPath)
+func nodeStatus(ctx context.Context, node string) (s registry.Status, err error) {
+	text, err := httpGet(ctx, "http://"+node+registry.StatusPath)
 	if err == nil {
 		err = json.Unmarshal(text, &s)
 	}
 	return s, err
 }
 
-func get(ctx context.Context, url string) ([]byte, error) {
+func httpGet(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, fmt.Errorf("get: %w", err)
@@ -146,9 +146,9 @@
 }
 
 // leader gives the place of the node that leads.
-func (g *group) leader(ctx context.Context) (int, error) {
+func (g *group) leaderIndex(ctx context.Context) (int, error) {
 	for i, node := range g.nodes {
-		if s, err := statusOf(ctx, node); err == nil && s.RaftRole == "Leader" {
+		if s, err := nodeStatus(ctx, node); err == nil && s.RaftRole == "Leader" {
 			return i, nil
 		}
 	}
@@ -168,20 +168,20 @@
 }
 
 // usage adds up what all nodes use.
-func (g *group) usage() (all usage, err error) {
+func (g *group) usage() (sum usage, err error) {
 	for _, p := range g.procs {
-		u, err := usageOf(p)
+		u, err := readUsage(p)
 		if err != nil {
-			return all, err
+			return sum, err
 		}
-		all.cpu, all.rss, all.written = all.cpu+u.cpu, all.rss+u.rss, all.written+u.written
+		sum.cpu, sum.rssBytes, sum.writtenBytes = sum.cpu+u.cpu, sum.rssBytes+u.rssBytes, sum.writtenBytes+u.writtenBytes
 	}
-	return all, nil
+	return sum, nil
 }
 
 // idle gives the processor time of all nodes while nobody calls them, in % of a
 // core.
-func (g *group) idle(ctx context.Context, span time.Duration) (float64, error) {
+func (g *group) measureIdleCPU(ctx context.Context, span time.Duration) (float64, error) {
 	before, err := g.usage()
 	if err != nil {
 		return 0, err
@@ -197,12 +197,12 @@
 
 // repeat has clients ask side by side for a span, each call as ask says, and
 // gives how many calls were answered.
-func (g *group) repeat(ctx context.Context, clients int, span time.Duration, request func(ctx context.Context, c *client.Client, caller, n int) error) (float64, error) {
+func (g *group) runClients(ctx context.Context, clients int, span time.Duration, request func(ctx context.Context, c *client.Client, caller, n int) error) (float64, error) {
 	var answered atomic.Int64
 	end := time.Now().Add(span)
-	all, ctx := errgroup.WithContext(ctx)
+	clientGroup, ctx := errgroup.WithContext(ctx)
 	for caller := range clients {
-		all.Go(func() error {
+		clientGroup.Go(func() error {
 			c, err := client.New(g.nodes, 1, slog.New(slog.DiscardHandler))
 			if err != nil {
 				return err
@@ -217,15 +217,15 @@
 			return nil
 		})
 	}
-	err := all.Wait()
+	err := clientGroup.Wait()
 	return float64(answered.Load()), err
 }
 
 // change moves a member to another zone, so that it is a change of the list.
-func change(ctx context.Context, c *client.Client, which, n int) (registry.Result, error) {
-	m := member(which, shortID)
-	var a registry.Result
-	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: m.ID, Address: m.HostPort, Zone: fmt.Sprint("moved-", n),
-		Flavor: m.Flavor, Cell: m.Cell, TTLMS: (24 * time.Hour).Milliseconds(), Holder: memberOwner}, &a)
-	return a, err
+func changeMember(ctx context.Context, c *client.Client, index, zoneNumber int) (registry.Result, error) {
+	m := testMember(index, shortID)
+	var result registry.Result
+	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: m.ID, Address: m.HostPort, Zone: fmt.Sprint("moved-", zoneNumber),
+		Flavor: m.Flavor, Cell: m.Cell, TTLMS: (24 * time.Hour).Milliseconds(), Holder: memberHolder}, &result)
+	return result, err
 }
--- a/internal/faultlab/capacity/registry_jobs.go
+++ b/internal/faultlab/capacity/registry_jobs.go
@@ -14,11 +14,11 @@
 	groupNodes       = 3
 	writers          = 16
 	memberTTL        = 15.0 // seconds, as README has members registered
-	heartbeatsEach   = 3.0  // heartbeats of a member in its time to live
-	targetHeartbeats = targetMembers * heartbeatsEach / memberTTL
-	watchersFew      = 3000 // members
+	heartbeatsPerTTL = 3.0  // heartbeats of a member in its time to live
+	targetHeartbeats = targetMembers * heartbeatsPerTTL / memberTTL
+	fewMembers       = 3000 // members
 	writesTimed      = 20
-	readRequests     = 4
+	readers          = 4
 )
 
 func registryJobs() []job {
@@ -33,28 +33,28 @@
 				quantity("from a write to the last watcher, longest of 20", "ms", watchers, targetRelays),
 				quantity("memory of three nodes as the last watcher has its list", "MB", watchers, targetRelays)},
 			run: func(ctx context.Context, e *environment, size int) ([]float64, error) {
-				return watchGroup(ctx, e, scaled(e, 100, members), size)
+				return measureWatchers(ctx, e, scaled(e, 100, members), size)
 			}}
 	}
 	return []job{
-		{name: "registry-write", sizes: memberSizes, smoke: smokeSizes, run: writeGroup, quantities: []Quantity{
+		{name: "registry-write", sizes: memberSizes, smoke: smokeSizes, run: measureGroupWrites, quantities: []Quantity{
 			quantity("time of the group for a change, 16 writers", "us", list, targetMembers), quantity("processor of three nodes for a change", "us", list, targetMembers),
 			quantity("handed by three nodes to files and sockets for a change", "KB", list, targetMembers), quantity("memory of a node", "MB", list, targetMembers)}},
-		{name: "registry-beat", sizes: memberSizes, smoke: smokeSizes, run: heartbeatGroup, quantities: []Quantity{
+		{name: "registry-beat", sizes: memberSizes, smoke: smokeSizes, run: measureGroupHeartbeats, quantities: []Quantity{
 			quantity("processor of three nodes that nobody asks", "% of a core", list, targetMembers),
 			quantity("time of the group for a heartbeat, 16 clients", "us", list, targetMembers), quantity("processor of three nodes for a heartbeat", "us", list, targetMembers),
 			quantity("processor of three nodes for one of a batch of 100", "us", list, targetMembers),
 			{Role: "list service", Name: "processor if each member sends its own, 3 in 15 s", Unit: "cores", SizeUnit: list, Target: targetMembers}}},
-		{name: "registry-list", sizes: memberSizes, smoke: smokeSizes, run: listGroup, quantities: []Quantity{
+		{name: "registry-list", sizes: memberSizes, smoke: smokeSizes, run: measureGroupReads, quantities: []Quantity{
 			quantity("time of the group for a whole list, 4 readers", "ms", list, targetMembers), quantity("processor of three nodes for it", "ms", list, targetMembers),
 			quantity("backup, bytes", "MB", list, targetMembers), quantity("backup, time", "ms", list, targetMembers)}},
-		watch("registry-watch-3000", watchersFew),
+		watch("registry-watch-3000", fewMembers),
 		watch("registry-watch-31000", targetMembers),
 	}
 }
 
-// writeGroup measures changes of members, as many as 16 writers get answered.
-func writeGroup(ctx context.Context, e *environment, size int) ([]float64, error) {
+// measureGroupWrites measures changes of members, as many as 16 writers get answered.
+func measureGroupWrites(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, size)
 	if err != nil {
 		return nil, err
@@ -65,40 +65,40 @@
 		return nil, err
 	}
 	span := scaled(e, 200*time.Millisecond, 3*time.Second)
-	n, err := g.repeat(ctx, writers, span, func(ctx context.Context, c *client.Client, caller, n int) error {
-		_, err := change(ctx, c, caller, n)
+	n, err := g.runClients(ctx, writers, span, func(ctx context.Context, c *client.Client, caller, n int) error {
+		_, err := changeMember(ctx, c, caller, n)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
 	after, err := g.usage()
-	return []float64{span.Seconds() * 1e6 / n, float64((after.cpu - before.cpu).Microseconds()) / n, (after.written - before.written) / 1e3 / n, after.rss / 1e6 / groupNodes}, err
+	return []float64{span.Seconds() * 1e6 / n, float64((after.cpu - before.cpu).Microseconds()) / n, (after.writtenBytes - before.writtenBytes) / 1e3 / n, after.rssBytes / 1e6 / groupNodes}, err
 }
 
-// heartbeatGroup measures heartbeats: one in each call, then a hundred.
-func heartbeatGroup(ctx context.Context, e *environment, size int) ([]float64, error) {
+// measureGroupHeartbeats measures heartbeats: one in each call, then a hundred.
+func measureGroupHeartbeats(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, size)
 	if err != nil {
 		return nil, err
 	}
 	defer g.close()
-	idle, err := g.idle(ctx, scaled(e, 200*time.Millisecond, 3*time.Second))
+	idle, err := g.measureIdleCPU(ctx, scaled(e, 200*time.Millisecond, 3*time.Second))
 	if err != nil {
 		return nil, err
 	}
 	span := scaled(e, 200*time.Millisecond, 2*time.Second)
-	beats := func(each int) (calls, cpu float64, err error) {
+	measureBatch := func(batchSize int) (calls, cpuPerCall float64, err error) {
 		before, err := g.usage()
 		if err != nil {
 			return 0, 0, err
 		}
-		calls, err = g.repeat(ctx, writers, span, func(ctx context.Context, c *client.Client, caller, n int) error {
-			var all []registry.Heartbeat
-			for i := range each {
-				all = append(all, registry.Heartbeat{ID: member(((n*each+i)*writers+caller)%size, shortID).ID, Holder: memberOwner})
+		calls, err = g.runClients(ctx, writers, span, func(ctx context.Context, c *client.Client, caller, n int) error {
+			var batch []registry.Heartbeat
+			for i := range batchSize {
+				batch = append(batch, registry.Heartbeat{ID: testMember(((n*batchSize+i)*writers+caller)%size, shortID).ID, Holder: memberHolder})
 			}
-			_, err := c.Do(ctx, http.MethodPost, registry.HeartbeatsPath, all, nil)
+			_, err := c.Do(ctx, http.MethodPost, registry.HeartbeatsPath, batch, nil)
 			return err
 		})
 		if err != nil {
@@ -107,16 +107,16 @@
 		after, err := g.usage()
 		return calls, float64((after.cpu - before.cpu).Microseconds()) / calls, err
 	}
-	calls, single, err := beats(1)
+	calls, singleCPU, err := measureBatch(1)
 	if err != nil {
 		return nil, err
 	}
-	_, batch, err := beats(100)
-	return []float64{idle, span.Seconds() * 1e6 / calls, single, batch / 100, single * heartbeatsEach * float64(size) / memberTTL / 1e6}, err
+	_, batchCPU, err := measureBatch(100)
+	return []float64{idle, span.Seconds() * 1e6 / calls, singleCPU, batchCPU / 100, singleCPU * heartbeatsPerTTL * float64(size) / memberTTL / 1e6}, err
 }
 
-// listGroup measures complete lists and a backup.
-func listGroup(ctx context.Context, e *environment, size int) ([]float64, error) {
+// measureGroupReads measures complete lists and a backup.
+func measureGroupReads(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, size)
 	if err != nil {
 		return nil, err
@@ -127,8 +127,8 @@
 		return nil, err
 	}
 	span := scaled(e, 200*time.Millisecond, 2*time.Second)
-	n, err := g.repeat(ctx, readRequests, span, func(ctx context.Context, _ *client.Client, caller, n int) error {
-		_, err := get(ctx, "http://"+g.nodes[(caller+n)%len(g.nodes)]+discovery.ListPath)
+	n, err := g.runClients(ctx, readers, span, func(ctx context.Context, _ *client.Client, caller, n int) error {
+		_, err := httpGet(ctx, "http://"+g.nodes[(caller+n)%len(g.nodes)]+discovery.ListPath)
 		return err
 	})
 	if err != nil {
@@ -138,8 +138,8 @@
 	if err != nil {
 		return nil, err
 	}
-	var text []byte
+	var snapshot []byte
 	began := time.Now()
-	_, err = g.client.Do(ctx, http.MethodGet, registry.SnapshotPath, nil, &text)
-	return []float64{span.Seconds() * 1e3 / n, (after.cpu - before.cpu).Seconds() * 1e3 / n, float64(len(text)) / 1e6, time.Since(began).Seconds() * 1e3}, err
+	_, err = g.client.Do(ctx, http.MethodGet, registry.SnapshotPath, nil, &snapshot)
+	return []float64{span.Seconds() * 1e3 / n, (after.cpu - before.cpu).Seconds() * 1e3 / n, float64(len(snapshot)) / 1e6, time.Since(began).Seconds() * 1e3}, err
 }
--- a/internal/faultlab/capacity/relay.go
+++ b/internal/faultlab/capacity/relay.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	startWait    = 60 * time.Second
-	readyEvery   = time.Millisecond
+	startTimeout = 60 * time.Second
+	pollInterval = time.Millisecond
 	relaySockets = 4096
 )
 
@@ -34,26 +34,26 @@
 // relayProcess is a real relay.
 type relayProcess struct {
 	*process.Process
-	listen, operator, state string
-	program, config         string
-	log                     *os.File
+	listen, operator, stateDir string
+	program, configPath        string
+	log                        *os.File
 }
 
 // newRelay writes the configuration of a relay of the environment's program; it
 // does not start it. known is the list that the relay has from before; nil for
 // none.
 func (e *environment) newRelay(server string, known *discovery.List, limits relayLimits) (*relayProcess, error) {
-	r := &relayProcess{listen: loopback.Free(), operator: loopback.Free(), state: filepath.Join(e.dir, "state"),
-		program: e.Relay, config: filepath.Join(e.dir, "config.json")}
+	r := &relayProcess{listen: loopback.Free(), operator: loopback.Free(), stateDir: filepath.Join(e.dir, "state"),
+		program: e.Relay, configPath: filepath.Join(e.dir, "config.json")}
 	text, err := json.Marshal(map[string]any{
-		"name": "relay-1", "listen": r.listen, "operator": r.operator, "discovery": server, "known": known, "state": r.state, "seed": "0000000000000001",
+		"name": "relay-1", "listen": r.listen, "operator": r.operator, "discovery": server, "known": known, "state": r.stateDir, "seed": "0000000000000001",
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": limits.memoryMB, "sockets": relaySockets, "disk_mb": limits.diskMB},
-		"settings": relaySettings(policySlots, limits.messages),
+		"settings": relaySettings(callSlots, limits.messages),
 	})
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	if err := errors.Join(os.WriteFile(r.config, text, 0o600), os.MkdirAll(r.state, 0o700)); err != nil {
+	if err := errors.Join(os.WriteFile(r.configPath, text, 0o600), os.MkdirAll(r.stateDir, 0o700)); err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	if r.log, err = os.Create(filepath.Join(e.dir, "relay.log")); err != nil {
@@ -64,7 +64,7 @@
 
 // start runs a process of the relay.
 func (r *relayProcess) start() (err error) {
-	r.Process, err = process.Start("relay", r.program, nil, []string{"ROUTER_CONFIG=" + r.config}, r.log)
+	r.Process, err = process.Start("relay", r.program, nil, []string{"ROUTER_CONFIG=" + r.configPath}, r.log)
 	return err
 }
 
@@ -81,7 +81,7 @@
 }
 
 // serves reports whether the relay answers clients.
-func (r *relayProcess) serves() bool {
+func (r *relayProcess) isServing() bool {
 	c, err := net.DialTimeout("tcp4", r.listen, time.Second)
 	if err != nil {
 		return false
@@ -100,14 +100,14 @@
 		began := time.Now()
 		c, err := net.DialTimeout("tcp4", r.listen, time.Second)
 		if err != nil {
-			return startWait
+			return startTimeout
 		}
-		c.SetDeadline(time.Now().Add(startWait))
+		c.SetDeadline(time.Now().Add(startTimeout))
 		c.Write(putRequest(-i, unknownDestination))
 		_, err = bufio.NewReader(c).ReadString('\n')
 		c.Close()
 		if err != nil {
-			return startWait
+			return startTimeout
 		}
 		longest = max(longest, time.Since(began))
 		time.Sleep(20 * time.Millisecond)
@@ -116,7 +116,7 @@
 }
 
 // ready reports whether the relay says that it is.
-func (r *relayProcess) ready() bool {
+func (r *relayProcess) isReady() bool {
 	text, err := r.get("/v1/readyz")
 	return err == nil && text == "ready\n"
 }
@@ -150,8 +150,8 @@
 }
 
 // await waits for a condition, and gives how long it took from a moment on.
-func await(ctx context.Context, p *process.Process, what string, from time.Time, done func() bool) (time.Duration, error) {
-	for limit := time.Now().Add(startWait); time.Now().Before(limit); {
+func awaitCondition(ctx context.Context, p *process.Process, what string, from time.Time, done func() bool) (time.Duration, error) {
+	for limit := time.Now().Add(startTimeout); time.Now().Before(limit); {
 		if done() {
 			return time.Since(from), nil
 		}
@@ -160,32 +160,32 @@
 			return 0, fmt.Errorf("%s: the process ended", what)
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(readyEvery):
+		case <-time.After(pollInterval):
 		}
 	}
-	return 0, fmt.Errorf("%s: not within %v", what, startWait)
+	return 0, fmt.Errorf("%s: not within %v", what, startTimeout)
 }
 
 // load is what a process used over a span.
-type load struct {
-	core  float64 // % of one
-	rss   float64 // bytes, at the end
-	bytes float64 // a second, at the list server
+type processLoad struct {
+	corePercent        float64 // % of one
+	rssBytes           float64 // bytes, at the end
+	listBytesPerSecond float64 // a second, at the list server
 }
 
 // observe measures a process over a span in which it has no work.
-func observe(ctx context.Context, p *process.Process, s *listServer, span time.Duration) (load, error) {
-	before, err := usageOf(p)
+func measureLoad(ctx context.Context, p *process.Process, s *listServer, span time.Duration) (processLoad, error) {
+	before, err := readUsage(p)
 	if err != nil {
-		return load{}, err
+		return processLoad{}, err
 	}
-	bytes, began := s.bytes.Load(), time.Now()
+	bytesBefore, began := s.bytes.Load(), time.Now()
 	select {
 	case <-time.After(span):
 	case <-ctx.Done():
-		return load{}, ctx.Err()
+		return processLoad{}, ctx.Err()
 	}
-	after, err := usageOf(p)
+	after, err := readUsage(p)
 	took := time.Since(began).Seconds()
-	return load{core: (after.cpu - before.cpu).Seconds() / took * 100, rss: after.rss, bytes: float64(s.bytes.Load()-bytes) / took}, err
+	return processLoad{corePercent: (after.cpu - before.cpu).Seconds() / took * 100, rssBytes: after.rssBytes, listBytesPerSecond: float64(s.bytes.Load()-bytesBefore) / took}, err
 }
--- a/internal/faultlab/capacity/relay_jobs.go
+++ b/internal/faultlab/capacity/relay_jobs.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	bodySize           = 200     // bytes
-	relayWriter        = 16      // clients that hand messages in side by side
+	bodyBytes          = 200     // bytes
+	parallelClients    = 16      // clients that hand messages in side by side
 	unknownDestination = 1 << 16 // the largest that the relay takes; in no list
 
-	largeMemory = 8192
-	largeDisk   = 4096 // MB
+	largeMemoryMB = 8192
+	largeDiskMB   = 4096 // MB
 )
 
 // inFlightSizes go beyond what a relay of that memory keeps there: the rest is in its log.
@@ -35,19 +35,19 @@
 	}
 	return []job{
 		{name: "relay-idle", sizes: []int{300, 1000, 3000, 10_000, 30_000}, // a complete list of 31,000 is over what the relay reads
-			smoke: smokeSizes, run: relayIdle, quantities: []Quantity{
+			smoke: smokeSizes, run: measureIdleRelay, quantities: []Quantity{
 				quantity("idle", "% of a core", list, targetMembers, budgetCore), quantity("memory, steady", "MB", list, targetMembers, budgetMemory),
 				quantity("memory, most since the start", "MB", list, targetMembers, budgetMemory), quantity("bytes with its agent at a start", "KB", list, targetMembers, 0),
 				quantity("bytes with its agent, idle", "KB/s", list, targetMembers, budgetBytes), quantity("from its first start until it serves, its turn in the fleet included", "ms", list, targetMembers, 0)}},
-		{name: "relay-down", sizes: memberSizes, smoke: smokeSizes, run: relayDown, quantities: []Quantity{
+		{name: "relay-down", sizes: memberSizes, smoke: smokeSizes, run: measureUnreachableDestinations, quantities: []Quantity{
 			quantity("processor with 2,000 owed to 589 destinations that refuse", "% of a core", list, targetMembers, 100),
 			quantity("until all is read, the same", "ms", list, targetMembers, 10_000),
 			quantity("longest wait for an answer meanwhile, the same", "ms", list, targetMembers, 400)}},
-		{name: "relay-held", sizes: inFlightSizes, smoke: []int{300, 3000}, run: relayInFlight, quantities: []Quantity{
+		{name: "relay-held", sizes: inFlightSizes, smoke: []int{300, 3000}, run: measurePendingInRelay, quantities: []Quantity{
 			quantity("memory for messages of 200 bytes to destinations that are down", "MB", inFlight, targetInFlight, budgetMemory),
 			quantity("disk for them", "MB", inFlight, targetInFlight, 0), quantity("processor time to take them on", "ms", inFlight, targetInFlight, 0),
 			quantity("processor while they wait", "% of a core", inFlight, targetInFlight, 0)}},
-		{name: "relay-start", sizes: inFlightSizes, smoke: []int{300, 3000}, run: relayStart, quantities: []Quantity{
+		{name: "relay-start", sizes: inFlightSizes, smoke: []int{300, 3000}, run: measureRelayStart, quantities: []Quantity{
 			quantity("from a start after SIGKILL until it serves", "ms", inFlight, targetInFlight, 10_000),
 			quantity("from a start after SIGKILL until all is read", "ms", inFlight, targetInFlight, 10_000),
 			quantity("memory once all is read", "MB", inFlight, targetInFlight, budgetMemory), quantity("most memory by then", "MB", inFlight, targetInFlight, budgetMemory),
@@ -55,8 +55,8 @@
 	}
 }
 
-// relayIdle runs a relay with a list and no traffic.
-func relayIdle(ctx context.Context, e *environment, size int) ([]float64, error) {
+// measureIdleRelay runs a relay with a list and no traffic.
+func measureIdleRelay(ctx context.Context, e *environment, size int) ([]float64, error) {
 	s, err := newListServer(memberList(size, shortID))
 	if err != nil {
 		return nil, err
@@ -71,18 +71,18 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	started, err := await(ctx, r.Process, "relay serves", began, r.serves)
+	startTime, err := awaitCondition(ctx, r.Process, "relay serves", began, r.isServing)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := await(ctx, r.Process, "watch", began, func() bool { return s.watches.Load() > 0 }); err != nil {
+	if _, err := awaitCondition(ctx, r.Process, "watch", began, func() bool { return s.watches.Load() > 0 }); err != nil {
 		return nil, err
 	}
 	bytes := s.bytes.Load()
-	if _, err := observe(ctx, r.Process, s, scaled(e, 200*time.Millisecond, 2*time.Second)); err != nil { // the start's garbage
+	if _, err := measureLoad(ctx, r.Process, s, scaled(e, 200*time.Millisecond, 2*time.Second)); err != nil { // the start's garbage
 		return nil, err
 	}
-	idle, err := observe(ctx, r.Process, s, scaled(e, 500*time.Millisecond, 10*time.Second))
+	idle, err := measureLoad(ctx, r.Process, s, scaled(e, 500*time.Millisecond, 10*time.Second))
 	if err != nil {
 		return nil, err
 	}
@@ -90,18 +90,18 @@
 		return nil, fmt.Errorf("relay: %v members of %d (%w)", members, size, err)
 	}
 	peak, err := peakRSS(r.PID)
-	return []float64{idle.core, idle.rss / 1e6, peak / 1e6, float64(bytes) / 1e3, idle.bytes / 1e3, started.Seconds() * 1e3}, err
+	return []float64{idle.corePercent, idle.rssBytes / 1e6, peak / 1e6, float64(bytes) / 1e3, idle.listBytesPerSecond / 1e3, startTime.Seconds() * 1e3}, err
 }
 
-// relayInFlight has a relay take messages for destinations that refuse connections.
-func relayInFlight(ctx context.Context, e *environment, size int) ([]float64, error) {
-	l := refusingList(destinationsDown)
-	s, err := newListServer(l)
+// measurePendingInRelay has a relay take messages for destinations that refuse connections.
+func measurePendingInRelay(ctx context.Context, e *environment, size int) ([]float64, error) {
+	members := refusingList(destinationsDown)
+	s, err := newListServer(members)
 	if err != nil {
 		return nil, err
 	}
 	defer s.close()
-	r, err := e.newRelay(s.addr, s.known(), relayLimits{memoryMB: budgetMemory, diskMB: largeDisk, messages: size*2 + 1000})
+	r, err := e.newRelay(s.addr, s.previousList(), relayLimits{memoryMB: budgetMemory, diskMB: largeDiskMB, messages: size*2 + 1000})
 	if err != nil {
 		return nil, err
 	}
@@ -109,23 +109,23 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	if _, err := await(ctx, r.Process, "relay ready", time.Now(), func() bool { return r.serves() && r.ready() }); err != nil {
+	if _, err := awaitCondition(ctx, r.Process, "relay ready", time.Now(), func() bool { return r.isServing() && r.isReady() }); err != nil {
 		return nil, err
 	}
-	before, err := usageOf(r.Process)
+	before, err := readUsage(r.Process)
 	if err != nil {
 		return nil, err
 	}
-	disk := process.DiskUse(r.state)
-	if err := submitAll(ctx, r.listen, size); err != nil {
+	disk := process.DiskUse(r.stateDir)
+	if err := submitMessages(ctx, r.listen, size); err != nil {
 		return nil, err
 	}
-	taken, err := usageOf(r.Process)
+	afterSubmit, err := readUsage(r.Process)
 	if err != nil {
 		return nil, err
 	}
-	disk = process.DiskUse(r.state) - disk
-	wait, err := observe(ctx, r.Process, s, scaled(e, 500*time.Millisecond, 5*time.Second))
+	disk = process.DiskUse(r.stateDir) - disk
+	waiting, err := measureLoad(ctx, r.Process, s, scaled(e, 500*time.Millisecond, 5*time.Second))
 	if err != nil {
 		return nil, err
 	}
@@ -133,9 +133,9 @@
 	if err == nil && pending < 0.95*float64(size) {
 		err = fmt.Errorf("relay: %v messages held of %d", pending, size)
 	}
-	each := float64(size) / max(pending, 1)
-	return []float64{max(0, wait.rss-before.rss) / 1e6 * each, float64(disk) / 1e6 * each,
-		(taken.cpu - before.cpu).Seconds() * 1e3, wait.core}, err
+	scale := float64(size) / max(pending, 1)
+	return []float64{max(0, waiting.rssBytes-before.rssBytes) / 1e6 * scale, float64(disk) / 1e6 * scale,
+		(afterSubmit.cpu - before.cpu).Seconds() * 1e3, waiting.corePercent}, err
 }
 
 // refusingList is a list of which the first destinations, as many as are down at
@@ -148,44 +148,44 @@
 	return l
 }
 
-// relayDown starts a relay with messages pending for destinations that refuse, in a
+// measureUnreachableDestinations starts a relay with messages pending for destinations that refuse, in a
 // list of so many members.
-func relayDown(ctx context.Context, e *environment, size int) ([]float64, error) {
-	l := refusingList(size)
-	s, err := newListServer(l)
+func measureUnreachableDestinations(ctx context.Context, e *environment, size int) ([]float64, error) {
+	members := refusingList(size)
+	s, err := newListServer(members)
 	if err != nil {
 		return nil, err
 	}
 	defer s.close()
-	r, err := e.newRelay(s.addr, s.known(), relayLimits{memoryMB: largeMemory, diskMB: largeDisk, messages: 10_000})
+	r, err := e.newRelay(s.addr, s.previousList(), relayLimits{memoryMB: largeMemoryMB, diskMB: largeDiskMB, messages: 10_000})
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	if err := fillLog(r.state, scaled(e, 200, 2000), min(size, destinationsDown)); err != nil {
+	if err := writePendingLog(r.stateDir, scaled(e, 200, 2000), min(size, destinationsDown)); err != nil {
 		return nil, err
 	}
 	began := time.Now()
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	all, err := await(ctx, r.Process, "all is read", began, r.ready)
+	readTime, err := awaitCondition(ctx, r.Process, "all is read", began, r.isReady)
 	if err != nil {
 		return nil, err
 	}
 	longest := make(chan time.Duration, 1)
-	asking, stop := context.WithCancel(ctx)
+	probeCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go func() { longest <- r.longestAnswer(asking) }()
-	busy, err := observe(ctx, r.Process, s, scaled(e, 300*time.Millisecond, 5*time.Second))
+	go func() { longest <- r.longestAnswer(probeCtx) }()
+	busy, err := measureLoad(ctx, r.Process, s, scaled(e, 300*time.Millisecond, 5*time.Second))
 	stop()
-	return []float64{busy.core, all.Seconds() * 1e3, (<-longest).Seconds() * 1e3}, err
+	return []float64{busy.corePercent, readTime.Seconds() * 1e3, (<-longest).Seconds() * 1e3}, err
 }
 
-// submitAll has clients hand in so many messages, all of which must be taken.
-func submitAll(ctx context.Context, addr string, size int) error {
+// submitMessages has clients hand in so many messages, all of which must be taken.
+func submitMessages(ctx context.Context, addr string, size int) error {
 	group, ctx := errgroup.WithContext(ctx)
-	for client := range relayWriter {
+	for client := range parallelClients {
 		group.Go(func() error {
 			c, err := net.DialTimeout("tcp4", addr, time.Second)
 			if err != nil {
@@ -195,7 +195,7 @@
 			stop := context.AfterFunc(ctx, func() { c.Close() })
 			defer stop()
 			in := bufio.NewReader(c)
-			for i := client; i < size; i += relayWriter {
+			for i := client; i < size; i += parallelClients {
 				if _, err := c.Write(putRequest(i, i%destinationsDown)); err != nil {
 					return fmt.Errorf("client: %w", err)
 				}
@@ -213,75 +213,75 @@
 	return group.Wait()
 }
 
-var messageBody = strings.Repeat("b", bodySize)
+var messageBody = strings.Repeat("b", bodyBytes)
 
 func messageID(i int) string { return fmt.Sprintf("%016x", uint64(i+1)*0x9e3779b97f4a7c15) }
 
 // putRequest is MSG.PUT of one message.
 func putRequest(i, destination int) []byte {
-	out := []byte("*5\r\n")
-	for _, s := range []string{"MSG.PUT", "0000000000000000", messageID(i), fmt.Sprintf("c=alert-update,d=%d,dest=%d", classTime/1000, destination), messageBody} {
-		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(s), s)
+	request := []byte("*5\r\n")
+	for _, argument := range []string{"MSG.PUT", "0000000000000000", messageID(i), fmt.Sprintf("c=alert-update,d=%d,dest=%d", messageTimeLeft/1000, destination), messageBody} {
+		request = fmt.Appendf(request, "$%d\r\n%s\r\n", len(argument), argument)
 	}
-	return out
+	return request
 }
 
-// relayStart starts a relay over a log that a killed one left: so many messages
+// measureRelayStart starts a relay over a log that a killed one left: so many messages
 // are pending, for destinations that refuse connections.
-func relayStart(ctx context.Context, e *environment, size int) ([]float64, error) {
-	l := refusingList(destinationsDown)
-	s, err := newListServer(l)
+func measureRelayStart(ctx context.Context, e *environment, size int) ([]float64, error) {
+	members := refusingList(destinationsDown)
+	s, err := newListServer(members)
 	if err != nil {
 		return nil, err
 	}
 	defer s.close()
-	r, err := e.newRelay(s.addr, s.known(), relayLimits{memoryMB: budgetMemory, diskMB: largeDisk, messages: size*2 + 1000})
+	r, err := e.newRelay(s.addr, s.previousList(), relayLimits{memoryMB: budgetMemory, diskMB: largeDiskMB, messages: size*2 + 1000})
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	if err := fillLog(r.state, size, destinationsDown); err != nil {
+	if err := writePendingLog(r.stateDir, size, destinationsDown); err != nil {
 		return nil, err
 	}
 	began := time.Now()
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	serves, err := await(ctx, r.Process, "relay serves", began, r.serves)
+	serveTime, err := awaitCondition(ctx, r.Process, "relay serves", began, r.isServing)
 	if err != nil {
 		return nil, err
 	}
-	all, err := await(ctx, r.Process, "all is read", began, r.ready)
+	readTime, err := awaitCondition(ctx, r.Process, "all is read", began, r.isReady)
 	if err != nil {
 		return nil, err
 	}
-	u, err := r.Measure(r.state)
+	usage, err := r.Measure(r.stateDir)
 	if err != nil {
 		return nil, err
 	}
 	peak, err := peakRSS(r.PID)
-	return []float64{serves.Seconds() * 1e3, all.Seconds() * 1e3, float64(u.RSS) / 1e6, peak / 1e6, float64(u.Disk) / 1e6}, err
+	return []float64{serveTime.Seconds() * 1e3, readTime.Seconds() * 1e3, float64(usage.RSS) / 1e6, peak / 1e6, float64(usage.Disk) / 1e6}, err
 }
 
-// fillLog writes the log of a relay that took so many messages for the first
+// writePendingLog writes the log of a relay that took so many messages for the first
 // destinations of its list and was killed.
-func fillLog(state string, size, destinations int) error {
-	w, err := wal.Open(wal.Options{Dir: state, Limit: largeDisk << 20})
+func writePendingLog(state string, size, destinations int) error {
+	w, err := wal.Open(wal.Options{Dir: state, Limit: largeDiskMB << 20})
 	if err != nil {
 		return err
 	}
 	stop := make(chan struct{})
 	go w.Run(stop)
-	deadline := time.Now().UnixMicro() + classTime
+	deadline := time.Now().UnixMicro() + messageTimeLeft
 	var mu sync.Mutex
-	var failed error
+	var firstErr error
 	for i := range size {
 		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: messageID(i), Class: "alert-update", Dest: i % destinations, Deadline: deadline, Body: []byte(messageBody)},
 			func(err error) {
 				mu.Lock()
 				defer mu.Unlock()
-				if failed == nil {
-					failed = err
+				if firstErr == nil {
+					firstErr = err
 				}
 			})
 	}
@@ -289,5 +289,5 @@
 	<-w.Done()
 	mu.Lock()
 	defer mu.Unlock()
-	return failed
+	return firstErr
 }
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const smokeAtOnce = 4 // jobs
+const smokeParallelJobs = 4 // jobs
 
 // Options say what is measured and by which programs.
 type Options struct {
@@ -69,17 +69,17 @@
 // the figures of another; only a smoke run, whose figures are not kept, has
 // several at once.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	chosen, err := choose(o.Only)
+	selected, err := selectJobs(o.Only)
 	if err != nil {
 		return nil, err
 	}
-	measured, failed := make([][]Measurement, len(chosen)), make([]error, len(chosen))
+	measured, failed := make([][]Measurement, len(selected)), make([]error, len(selected))
 	var group errgroup.Group
 	group.SetLimit(1)
 	if o.Smoke {
-		group.SetLimit(smokeAtOnce)
+		group.SetLimit(smokeParallelJobs)
 	}
-	for i, j := range chosen {
+	for i, j := range selected {
 		group.Go(func() error {
 			began := time.Now()
 			measured[i], failed[i] = j.measure(ctx, o)
@@ -95,7 +95,7 @@
 	}
 	group.Wait()
 	result := &Result{}
-	for i := range chosen {
+	for i := range selected {
 		result.Capacity = append(result.Capacity, measured[i]...)
 		if failed[i] != nil {
 			result.Notes = append(result.Notes, failed[i].Error())
@@ -105,7 +105,7 @@
 }
 
 // choose gives the jobs of some names; all for none.
-func choose(names []string) (chosen []job, err error) {
+func selectJobs(names []string) (selected []job, err error) {
 	for _, name := range names {
 		if !slices.Contains(Names(), name) {
 			return nil, fmt.Errorf("capacity: no job %q; there are %s", name, strings.Join(Names(), ", "))
@@ -113,10 +113,10 @@
 	}
 	for _, j := range jobs() {
 		if len(names) == 0 || slices.Contains(names, j.name) {
-			chosen = append(chosen, j)
+			selected = append(selected, j)
 		}
 	}
-	return chosen, nil
+	return selected, nil
 }
 
 // measure runs a job at all sizes. Sizes at which it failed are left out; what
@@ -129,50 +129,50 @@
 	if len(o.Sizes) > 0 {
 		sizes = o.Sizes
 	}
-	out := make([]Measurement, len(j.quantities))
+	measurements := make([]Measurement, len(j.quantities))
 	for i, q := range j.quantities {
-		out[i] = Measurement{Job: j.name, Quantity: q}
+		measurements[i] = Measurement{Job: j.name, Quantity: q}
 	}
 	var failed error
 	for _, size := range sizes {
-		values, err := j.at(ctx, o, size, plays)
+		values, err := j.measureSize(ctx, o, size, plays)
 		if err != nil {
 			failed = fmt.Errorf("at %d: %w", size, err)
 			break
 		}
-		for i := range out {
-			out[i].Sizes = append(out[i].Sizes, float64(size))
-			out[i].Values = append(out[i].Values, values[i])
+		for i := range measurements {
+			measurements[i].Sizes = append(measurements[i].Sizes, float64(size))
+			measurements[i].Values = append(measurements[i].Values, values[i])
 		}
 	}
-	if len(out[0].Sizes) < 2 {
+	if len(measurements[0].Sizes) < 2 {
 		return nil, failed
 	}
-	for i := range out {
-		out[i].fit()
+	for i := range measurements {
+		measurements[i].fit()
 	}
-	return out, failed
+	return measurements, failed
 }
 
 // at gives the values of all plays at one size, by quantity.
-func (j *job) at(ctx context.Context, o Options, size, plays int) ([][]float64, error) {
+func (j *job) measureSize(ctx context.Context, o Options, size, plays int) ([][]float64, error) {
 	values := make([][]float64, len(j.quantities))
 	for range plays {
-		got, err := j.once(ctx, o, size)
+		runValues, err := j.runOnce(ctx, o, size)
 		if err != nil {
 			return nil, err
 		}
-		for i, v := range got {
+		for i, v := range runValues {
 			values[i] = append(values[i], v)
 		}
 	}
 	for i, q := range j.quantities {
-		o.Printf("%-16s %-52s %9d  %s %s", j.name, q.Name, size, numbers(values[i]), q.Unit)
+		o.Printf("%-16s %-52s %9d  %s %s", j.name, q.Name, size, formatValues(values[i]), q.Unit)
 	}
 	return values, nil
 }
 
-func (j *job) once(ctx context.Context, o Options, size int) ([]float64, error) {
+func (j *job) runOnce(ctx context.Context, o Options, size int) ([]float64, error) {
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
@@ -184,17 +184,17 @@
 	if dir, err = filepath.Abs(dir); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
-	got, err := j.run(ctx, &environment{Options: o, dir: dir}, size)
-	if err == nil && len(got) != len(j.quantities) {
-		err = fmt.Errorf("%d values of %d quantities", len(got), len(j.quantities))
+	values, err := j.run(ctx, &environment{Options: o, dir: dir}, size)
+	if err == nil && len(values) != len(j.quantities) {
+		err = fmt.Errorf("%d values of %d quantities", len(values), len(j.quantities))
 	}
-	return got, err
+	return values, err
 }
 
-func numbers(values []float64) string {
-	var text []string
+func formatValues(values []float64) string {
+	var texts []string
 	for _, v := range values {
-		text = append(text, fmt.Sprintf("%.5g", v))
+		texts = append(texts, fmt.Sprintf("%.5g", v))
 	}
-	return strings.Join(text, " ")
+	return strings.Join(texts, " ")
 }
--- a/internal/faultlab/capacity/usage.go
+++ b/internal/faultlab/capacity/usage.go
@@ -15,22 +15,22 @@
 
 // usage is what one process or several use.
 type usage struct {
-	cpu     time.Duration
-	rss     float64 // bytes
-	written float64 // bytes that it handed to the kernel, for files and sockets
+	cpu          time.Duration
+	rssBytes     float64 // bytes
+	writtenBytes float64 // bytes that it handed to the kernel, for files and sockets
 }
 
-// usageOf reads what a process uses from the kernel's process files. Its
+// readUsage reads what a process uses from the kernel's process files. Its
 // processor time is that of its threads, in nanoseconds: the process's own
 // figure counts in hundredths of a second.
-func usageOf(p *process.Process) (usage, error) {
+func readUsage(p *process.Process) (usage, error) {
 	u, err := p.Measure("")
 	if err != nil {
 		return usage{}, err
 	}
-	all := usage{rss: float64(u.RSS)}
-	if all.cpu, err = threadTime(p.PID); err != nil {
-		return all, err
+	result := usage{rssBytes: float64(u.RSS)}
+	if result.cpu, err = threadCPUTime(p.PID); err != nil {
+		return result, err
 	}
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", p.PID))
 	if err != nil {
@@ -38,15 +38,15 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		if v, ok := strings.CutPrefix(line, "wchar: "); ok {
-			all.written, err = strconv.ParseFloat(strings.TrimSpace(v), 64)
+			result.writtenBytes, err = strconv.ParseFloat(strings.TrimSpace(v), 64)
 		}
 	}
-	return all, err
+	return result, err
 }
 
-// threadTime adds up the processor time of a process's threads. Programs in Go
+// threadCPUTime adds up the processor time of a process's threads. Programs in Go
 // keep theirs, so none is missed.
-func threadTime(pid int) (sum time.Duration, err error) {
+func threadCPUTime(pid int) (sum time.Duration, err error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
 		return 0, fmt.Errorf("measure: process %d has no threads", pid)
@@ -56,11 +56,11 @@
 		if err != nil {
 			continue // ended meanwhile
 		}
-		var ran int64
-		if _, err := fmt.Sscan(string(text), &ran); err != nil {
+		var runNanos int64
+		if _, err := fmt.Sscan(string(text), &runNanos); err != nil {
 			return 0, fmt.Errorf("measure: %s: %w", file, err)
 		}
-		sum += time.Duration(ran)
+		sum += time.Duration(runNanos)
 	}
 	return sum, nil
 }
@@ -73,8 +73,8 @@
 	}
 	for line := range bytes.Lines(text) {
 		if v, ok := bytes.CutPrefix(line, []byte("VmHWM:")); ok {
-			f := strings.Fields(string(v))
-			n, err := strconv.ParseFloat(f[0], 64)
+			fields := strings.Fields(string(v))
+			n, err := strconv.ParseFloat(fields[0], 64)
 			return n * 1024, err
 		}
 	}
--- a/internal/faultlab/capacity/watchers.go
+++ b/internal/faultlab/capacity/watchers.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	watchTimeout = 60 * time.Second
-	dialsAtOnce  = 50
+	watchTimeout     = 60 * time.Second
+	maxParallelDials = 50
 )
 
 // watcherSet is many watchers of a group, of which it is known when the last one has
@@ -26,26 +26,26 @@
 	close context.CancelFunc
 	wg    sync.WaitGroup
 
-	mu       sync.Mutex
-	awaited  int64
-	arrived  int
-	last     time.Time
-	all      chan struct{}
-	failed   error
-	revision map[int]int64 // that each watcher is at
+	mu          sync.Mutex
+	awaited     int64
+	arrived     int
+	lastArrival time.Time
+	allArrived  chan struct{}
+	failed      error
+	revisions   map[int]int64 // that each watcher is at
 }
 
 // newWatcherSet opens so many watches, each from nothing.
 func newWatcherSet(ctx context.Context, nodes []string, size int) *watcherSet {
-	c := &watcherSet{size: size, revision: map[int]int64{}}
+	c := &watcherSet{size: size, revisions: map[int]int64{}}
 	ctx, c.close = context.WithCancel(ctx)
-	c.expect(1)
-	dials := make(chan struct{}, dialsAtOnce)
+	c.startAwaiting(1)
+	dialSlots := make(chan struct{}, maxParallelDials)
 	for i := range size {
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			if err := c.watch(ctx, dials, i, nodes[i%len(nodes)]); err != nil && ctx.Err() == nil {
+			if err := c.watch(ctx, dialSlots, i, nodes[i%len(nodes)]); err != nil && ctx.Err() == nil {
 				c.mu.Lock()
 				c.failed = err
 				c.mu.Unlock()
@@ -56,21 +56,21 @@
 }
 
 // expect counts anew the watchers that have received a revision.
-func (c *watcherSet) expect(revision int64) {
+func (c *watcherSet) startAwaiting(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.awaited, c.arrived, c.all = revision, 0, make(chan struct{})
+	c.awaited, c.arrived, c.allArrived = revision, 0, make(chan struct{})
 }
 
 // wait waits until all have, and gives the moment of the last.
 func (c *watcherSet) wait(ctx context.Context) (time.Time, error) {
 	c.mu.Lock()
-	all := c.all
+	allArrived := c.allArrived
 	c.mu.Unlock()
 	limit := time.NewTimer(watchTimeout)
 	defer limit.Stop()
 	select {
-	case <-all:
+	case <-allArrived:
 	case <-limit.C:
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -80,28 +80,28 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last, nil
+	return c.lastArrival, nil
 }
 
 func (c *watcherSet) recordRevision(watcher int, revision int64, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if revision >= c.awaited && c.revision[watcher] < c.awaited {
+	if revision >= c.awaited && c.revisions[watcher] < c.awaited {
 		c.arrived++
-		c.last = at
+		c.lastArrival = at
 		if c.arrived == c.size {
-			close(c.all)
+			close(c.allArrived)
 		}
 	}
-	c.revision[watcher] = revision
+	c.revisions[watcher] = revision
 }
 
 // watch reads one watch to its end. Lists are read past, not kept: what a
 // watcher makes of them is not the group's cost.
-func (c *watcherSet) watch(ctx context.Context, dials chan struct{}, watcher int, node string) error {
-	dials <- struct{}{}
+func (c *watcherSet) watch(ctx context.Context, dialSlots chan struct{}, watcher int, node string) error {
+	dialSlots <- struct{}{}
 	conn, err := net.DialTimeout("tcp4", node, watchTimeout)
-	<-dials
+	<-dialSlots
 	if err != nil {
 		return fmt.Errorf("watcher: %w", err)
 	}
@@ -129,10 +129,10 @@
 	}
 }
 
-// watchGroup measures how long so many watchers take to have the complete list, and
+// measureWatchers measures how long so many watchers take to have the complete list, and
 // the way of a change to the last of them once they have it.
-func watchGroup(ctx context.Context, e *environment, members, watchers int) ([]float64, error) {
-	g, err := e.startGroup(ctx, groupNodes, members)
+func measureWatchers(ctx context.Context, e *environment, memberCount, watcherCount int) ([]float64, error) {
+	g, err := e.startGroup(ctx, groupNodes, memberCount)
 	if err != nil {
 		return nil, err
 	}
@@ -142,38 +142,38 @@
 		return nil, err
 	}
 	began := time.Now()
-	c := newWatcherSet(ctx, g.nodes, watchers)
-	defer func() { c.close(); c.wg.Wait() }()
-	last, err := c.wait(ctx)
+	watchers := newWatcherSet(ctx, g.nodes, watcherCount)
+	defer func() { watchers.close(); watchers.wg.Wait() }()
+	last, err := watchers.wait(ctx)
 	if err != nil {
 		return nil, err
 	}
-	opened := last.Sub(began)
+	openTime := last.Sub(began)
 	after, err := g.usage()
 	if err != nil {
 		return nil, err
 	}
-	var took []float64
+	var writeTimes []float64
 	for n := range scaled(e, 3, writesTimed) {
-		leader, err := g.leader(ctx)
+		leader, err := g.leaderIndex(ctx)
 		if err != nil {
 			return nil, err
 		}
-		status, err := statusOf(ctx, g.nodes[leader])
+		status, err := nodeStatus(ctx, g.nodes[leader])
 		if err != nil {
 			return nil, err
 		}
-		c.expect(status.Revision + 1)
-		wrote := time.Now()
-		if _, err := change(ctx, g.client, n, n); err != nil {
+		watchers.startAwaiting(status.Revision + 1)
+		writeTime := time.Now()
+		if _, err := changeMember(ctx, g.client, n, n); err != nil {
 			return nil, err
 		}
-		last, err := c.wait(ctx)
+		last, err := watchers.wait(ctx)
 		if err != nil {
 			return nil, err
 		}
-		took = append(took, last.Sub(wrote).Seconds()*1e3)
+		writeTimes = append(writeTimes, last.Sub(writeTime).Seconds()*1e3)
 	}
-	slices.Sort(took)
-	return []float64{opened.Seconds() * 1e3, took[len(took)/2], took[len(took)-1], max(0, after.rss-before.rss) / 1e6}, nil
+	slices.Sort(writeTimes)
+	return []float64{openTime.Seconds() * 1e3, writeTimes[len(writeTimes)/2], writeTimes[len(writeTimes)-1], max(0, after.rssBytes-before.rssBytes) / 1e6}, nil
 }
