--- a/internal/faultlab/link/accept.go
+++ b/internal/faultlab/link/accept.go
@@ -23,7 +23,7 @@
 			return
 		case err != nil:
 			time.Sleep(acceptBackoff)
-		case l.takeFiller(client.RemoteAddr().String()):
+		case l.closeFiller(client.RemoteAddr().String()):
 			client.Close()
 		default:
 			l.wg.Add(1)
@@ -32,8 +32,8 @@
 	}
 }
 
-// takeFiller closes one of the link's own connections, if it is one.
-func (l *Link) takeFiller(remoteAddr string) bool {
+// closeFiller closes one of the link's own connections, if it is one.
+func (l *Link) closeFiller(remoteAddr string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	filler, ok := l.fillers[remoteAddr]
@@ -52,9 +52,9 @@
 	l.fillQueue()
 	for {
 		l.mu.Lock()
-		isCut, gone, changed := l.isCut(), l.closed || l.refusing, l.changed
+		isCut, ended, changed := l.isCut(), l.closed || l.refusing, l.changed
 		l.mu.Unlock()
-		if gone {
+		if ended {
 			return false
 		}
 		if !isCut {
@@ -104,9 +104,9 @@
 	defer l.net.remove(key)
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
-	gone := l.closed || l.refusing
+	ended := l.closed || l.refusing
 	l.mu.Unlock()
-	if gone {
+	if ended {
 		c.abort()
 	}
 	c.run()
--- a/internal/faultlab/link/forward.go
+++ b/internal/faultlab/link/forward.go
@@ -9,9 +9,9 @@
 
 // piece is what one read returned.
 type piece struct {
-	bytes []byte
-	at    time.Time
-	err   error // the side that sends has ended
+	bytes  []byte
+	readAt time.Time
+	err    error // the side that sends has ended
 }
 
 // forward passes one direction on until the side that sends has ended.
@@ -39,11 +39,11 @@
 		if d == ToServer {
 			c.recordSent(buf[:n], now, err)
 		}
-		if n > 0 && !c.queue(pieces, piece{bytes: append([]byte(nil), buf[:n]...), at: now}) {
+		if n > 0 && !c.queue(pieces, piece{bytes: append([]byte(nil), buf[:n]...), readAt: now}) {
 			return
 		}
 		if err != nil {
-			c.queue(pieces, piece{at: now, err: err})
+			c.queue(pieces, piece{readAt: now, err: err})
 			return
 		}
 	}
@@ -112,7 +112,7 @@
 		faults, changed := c.link.currentFaults(d)
 		var due <-chan time.Time
 		if !faults.Cut {
-			left := time.Until(p.at.Add(faults.delayOf(len(p.bytes), drawn)))
+			left := time.Until(p.readAt.Add(faults.delayOf(len(p.bytes), drawn)))
 			if left <= 0 {
 				return c.ctx.Err() == nil
 			}
--- a/internal/faultlab/link/link_test.go
+++ b/internal/faultlab/link/link_test.go
@@ -11,7 +11,7 @@
 )
 
 // echo answers each byte on every connection, and gives its address.
-func echo(t *testing.T) string {
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -30,9 +30,9 @@
 	return ln.Addr().String()
 }
 
-func testLink(t *testing.T, swallowed OnCallLost) *Link {
+func startTestLink(t *testing.T, onCallLost OnCallLost) *Link {
 	t.Helper()
-	l, err := NewNet().Listen("a", "b", "127.0.0.1:0", echo(t), 1, swallowed)
+	l, err := NewNet().Listen("a", "b", "127.0.0.1:0", startEchoServer(t), 1, onCallLost)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	return l
 }
 
-func dial(t *testing.T, l *Link) net.Conn {
+func dialLink(t *testing.T, l *Link) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", l.Addr())
 	if err != nil {
@@ -51,7 +51,7 @@
 	return c
 }
 
-func ask(t *testing.T, c net.Conn, s string) {
+func checkEcho(t *testing.T, c net.Conn, s string) {
 	t.Helper()
 	io.WriteString(c, s)
 	b := make([]byte, len(s))
@@ -60,8 +60,8 @@
 	}
 }
 
-// silentFor reports that nothing comes and nothing ends for a while.
-func silentFor(t *testing.T, c net.Conn) {
+// checkSilent reports that nothing comes and nothing ends for a while.
+func checkSilent(t *testing.T, c net.Conn) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	if n, err := c.Read(make([]byte, 1)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -70,22 +70,22 @@
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 }
 
-func TestACutSaysNothingAndHealsWithNoByteLost(t *testing.T) {
+func TestCutIsSilentAndLosesNoBytesOnceHealed(t *testing.T) {
 	for _, d := range []Direction{ToServer, ToClient} {
-		l := testLink(t, nil)
-		c := dial(t, l)
-		ask(t, c, "before")
+		l := startTestLink(t, nil)
+		c := dialLink(t, l)
+		checkEcho(t, c, "before")
 		l.SetFaults(d, Faults{Cut: true})
 		io.WriteString(c, "during")
-		silentFor(t, c)
+		checkSilent(t, c)
 		// The accept queue fills a moment after the cut: then nothing comes up.
-		for end := time.Now().Add(10 * time.Second); ; {
-			n, err := net.DialTimeout("tcp4", l.Addr(), 100*time.Millisecond)
+		for limit := time.Now().Add(10 * time.Second); ; {
+			probe, err := net.DialTimeout("tcp4", l.Addr(), 100*time.Millisecond)
 			if err != nil {
 				break
 			}
-			n.Close()
-			if time.Now().After(end) {
+			probe.Close()
+			if time.Now().After(limit) {
 				t.Fatal("new connections come up over a cut link")
 			}
 		}
@@ -94,14 +94,14 @@
 		if _, err := io.ReadFull(c, b); err != nil || string(b) != "during" {
 			t.Fatalf("got %q, %v", b, err)
 		}
-		ask(t, dial(t, l), "after")
+		checkEcho(t, dialLink(t, l), "after")
 	}
 }
 
-func TestRefuseResetsAndListensAgain(t *testing.T) {
-	l := testLink(t, nil)
-	c := dial(t, l)
-	ask(t, c, "x")
+func TestRefusingResetsConnectionsUntilLinkListensAgain(t *testing.T) {
+	l := startTestLink(t, nil)
+	c := dialLink(t, l)
+	checkEcho(t, c, "x")
 	if err := l.SetRefusing(true); err != nil {
 		t.Fatal(err)
 	}
@@ -114,81 +114,81 @@
 	if err := l.SetRefusing(false); err != nil {
 		t.Fatal(err)
 	}
-	ask(t, dial(t, l), "again")
+	checkEcho(t, dialLink(t, l), "again")
 }
 
-func TestHalfOpenIsSilentOnTheNearSide(t *testing.T) {
-	l := testLink(t, nil)
-	c := dial(t, l)
-	ask(t, c, "x")
+func TestHalfOpenKeepsClientSideOpenAndSilent(t *testing.T) {
+	l := startTestLink(t, nil)
+	c := dialLink(t, l)
+	checkEcho(t, c, "x")
 	l.HalfOpen()
 	io.WriteString(c, "into the void")
-	silentFor(t, c)
-	ask(t, dial(t, l), "a new one is fine")
+	checkSilent(t, c)
+	checkEcho(t, dialLink(t, l), "a new one is fine")
 }
 
-func TestDelayIsOfEachByteAndKeepsOrder(t *testing.T) {
-	l := testLink(t, nil)
+func TestDelayedBytesArriveLateAndInOrder(t *testing.T) {
+	l := startTestLink(t, nil)
 	const delay = 60 * time.Millisecond
 	l.SetFaults(ToServer, Faults{Delay: delay, Jitter: delay})
-	c := dial(t, l)
+	c := dialLink(t, l)
 	began := time.Now()
-	ask(t, c, "0123456789")
+	checkEcho(t, c, "0123456789")
 	if took := time.Since(began); took < delay {
 		t.Errorf("took %v", took)
 	}
 }
 
-func TestWhatNeverGotThroughIsTold(t *testing.T) {
-	told := make(chan string, 1)
-	l := testLink(t, func(_ *Link, written []byte, _ time.Time) { told <- string(written) })
-	c := dial(t, l)
-	ask(t, c, "heard")
+func TestLinkReportsCallThatNeverReachedServer(t *testing.T) {
+	lostCalls := make(chan string, 1)
+	l := startTestLink(t, func(_ *Link, written []byte, _ time.Time) { lostCalls <- string(written) })
+	c := dialLink(t, l)
+	checkEcho(t, c, "heard")
 	l.SetFaults(ToServer, Faults{Cut: true})
 	io.WriteString(c, "swallowed")
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		open := l.openConns()
 		open[0].mu.Lock()
-		read := len(open[0].written)
+		recorded := len(open[0].written)
 		open[0].mu.Unlock()
-		if read == len("swallowed") {
+		if recorded == len("swallowed") {
 			break
 		}
-		if time.Now().After(end) {
+		if time.Now().After(limit) {
 			t.Fatal("the link never read it")
 		}
 	}
 	l.ResetConns(1)
-	if got := <-told; got != "swallowed" {
+	if got := <-lostCalls; got != "swallowed" {
 		t.Errorf("got %q", got)
 	}
 }
 
 // The kernel gives one local port to connections that go to different places,
 // so a connection is known by both ends.
-func TestAConnectionIsKnownByBothEnds(t *testing.T) {
-	n := NewNet()
-	one, two := &Conn{}, &Conn{}
-	n.conns[connKey{"127.0.0.1:4000", "127.0.0.1:1"}] = one
-	n.conns[connKey{"127.0.0.1:4000", "127.0.0.1:2"}] = two
-	if n.Find(pair{"127.0.0.1:4000", "127.0.0.1:1"}) != one || n.Find(pair{"127.0.0.1:4000", "127.0.0.1:2"}) != two {
+func TestFindTellsApartConnectionsWithTheSameClientPort(t *testing.T) {
+	links := NewNet()
+	first, second := &Conn{}, &Conn{}
+	links.conns[connKey{"127.0.0.1:4000", "127.0.0.1:1"}] = first
+	links.conns[connKey{"127.0.0.1:4000", "127.0.0.1:2"}] = second
+	if links.Find(fakeConn{"127.0.0.1:4000", "127.0.0.1:1"}) != first || links.Find(fakeConn{"127.0.0.1:4000", "127.0.0.1:2"}) != second {
 		t.Error("one taken for the other")
 	}
 }
 
 // pair is a connection of which only the addresses count.
-type pair [2]string
+type fakeConn [2]string
 
-func (p pair) Read([]byte) (int, error)         { return 0, io.EOF }
-func (p pair) Write([]byte) (int, error)        { return 0, io.EOF }
-func (p pair) Close() error                     { return nil }
-func (p pair) RemoteAddr() net.Addr             { return addr(p[0]) }
-func (p pair) LocalAddr() net.Addr              { return addr(p[1]) }
-func (p pair) SetDeadline(time.Time) error      { return nil }
-func (p pair) SetReadDeadline(time.Time) error  { return nil }
-func (p pair) SetWriteDeadline(time.Time) error { return nil }
+func (p fakeConn) Read([]byte) (int, error)         { return 0, io.EOF }
+func (p fakeConn) Write([]byte) (int, error)        { return 0, io.EOF }
+func (p fakeConn) Close() error                     { return nil }
+func (p fakeConn) RemoteAddr() net.Addr             { return fakeAddr(p[0]) }
+func (p fakeConn) LocalAddr() net.Addr              { return fakeAddr(p[1]) }
+func (p fakeConn) SetDeadline(time.Time) error      { return nil }
+func (p fakeConn) SetReadDeadline(time.Time) error  { return nil }
+func (p fakeConn) SetWriteDeadline(time.Time) error { return nil }
 
-type addr string
+type fakeAddr string
 
-func (a addr) Network() string { return "tcp" }
-func (a addr) String() string  { return string(a) }
+func (a fakeAddr) Network() string { return "tcp" }
+func (a fakeAddr) String() string  { return string(a) }
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -20,14 +20,14 @@
 // the kernel ends a child whose parent-death signal is set when the thread that
 // started it ends, so that must not be one of the runtime's choosing.
 var starter = sync.OnceValue(func() chan<- func() {
-	work := make(chan func())
+	starts := make(chan func())
 	go func() { // lives as long as the lab
 		runtime.LockOSThread()
-		for f := range work {
-			f()
+		for start := range starts {
+			start()
 		}
 	}()
-	return work
+	return starts
 })
 
 const outputGrace = 2 * time.Second // for output that a process's own children hold open
--- a/internal/faultlab/simrelay/relays/attempt.go
+++ b/internal/faultlab/simrelay/relays/attempt.go
@@ -87,7 +87,7 @@
 	}
 	r.updateCounts(func(c *simrelay.Counts) { c.Calls++ })
 	started.began = time.Now()
-	r.arrivals.settle(started, started.endsAt.Sub(started.began))
+	r.arrivals.drawOutcome(started, started.endsAt.Sub(started.began))
 	heap.Push(&r.inFlight, started)
 }
 
--- a/internal/faultlab/simrelay/relays/list.go
+++ b/internal/faultlab/simrelay/relays/list.go
@@ -25,7 +25,7 @@
 	zones, flavors map[string]int
 	byID           map[string]*endpoint
 	byNumber       map[policy.Endpoint]*endpoint
-	last           policy.Endpoint
+	lastNumber     policy.Endpoint
 	hash           uint64
 	members        int
 	revision       int64
@@ -42,16 +42,16 @@
 
 // indexByName maps each name to its index.
 func indexByName(names []string) map[string]int {
-	all := make(map[string]int, len(names))
+	indexes := make(map[string]int, len(names))
 	for i, name := range names {
-		all[name] = i
+		indexes[name] = i
 	}
-	return all
+	return indexes
 }
 
 // indexOf is a name's index, or -1.
-func indexOf(all map[string]int, name string) int {
-	if i, ok := all[name]; ok {
+func indexOf(indexes map[string]int, name string) int {
+	if i, ok := indexes[name]; ok {
 		return i
 	}
 	return -1
@@ -78,37 +78,37 @@
 }
 
 // applyMember applies one line of the list; if noted is set, its change is recorded.
-func (l *list) applyMember(m *discovery.Member, noted bool) policy.Entry {
-	x := l.byID[m.ID]
-	if x == nil {
-		l.last++
-		x = &endpoint{number: l.last, id: m.ID, phase: discovery.Removed}
-		l.byID[m.ID], l.byNumber[x.number] = x, x
+func (l *list) applyMember(m *discovery.Member, recordChange bool) policy.Entry {
+	known := l.byID[m.ID]
+	if known == nil {
+		l.lastNumber++
+		known = &endpoint{number: l.lastNumber, id: m.ID, phase: discovery.Removed}
+		l.byID[m.ID], l.byNumber[known.number] = known, known
 	}
-	if noted && (x.phase != m.Phase || x.size != m.Size) {
+	if recordChange && (known.phase != m.Phase || known.size != m.Size) {
 		l.pendingKeys = append(l.pendingKeys, simrelay.ChangeKey(m.ID, m.Phase, m.Size))
 	}
-	l.uncount(x)
-	x.phase, x.size = m.Phase, m.Size
-	entry := policy.Entry{Endpoint: x.number, Zone: indexOf(l.zones, m.Locality), Kind: indexOf(l.flavors, m.Flavor), Dest: m.Cell,
+	l.excludeFromHash(known)
+	known.phase, known.size = m.Phase, m.Size
+	entry := policy.Entry{Endpoint: known.number, Zone: indexOf(l.zones, m.Locality), Kind: indexOf(l.flavors, m.Flavor), Dest: m.Cell,
 		State: policy.Ready, Rate: m.Size}
 	switch m.Phase {
 	case discovery.Draining:
 		entry.State = policy.Draining
 	case discovery.Removed:
-		entry.State, entry.Dest = policy.Removed, x.destination
+		entry.State, entry.Dest = policy.Removed, known.destination
 		return entry
 	}
-	x.hostPort, x.destination, x.hash = m.HostPort, m.Cell, simrelay.MemberHash(m)
-	l.hash += x.hash
+	known.hostPort, known.destination, known.hash = m.HostPort, m.Cell, simrelay.MemberHash(m)
+	l.hash += known.hash
 	l.members++
 	return entry
 }
 
 // uncount takes a member out of the hash and the number of members.
-func (l *list) uncount(x *endpoint) {
-	if x.phase != discovery.Removed {
-		l.hash -= x.hash
+func (l *list) excludeFromHash(known *endpoint) {
+	if known.phase != discovery.Removed {
+		l.hash -= known.hash
 		l.members--
 	}
 }
@@ -119,10 +119,10 @@
 	for i := range update.Members {
 		listed[update.Members[i].ID] = true
 	}
-	for id, x := range l.byID {
-		if !listed[id] && x.phase != discovery.Removed {
-			l.uncount(x)
-			x.phase = discovery.Removed
+	for id, known := range l.byID {
+		if !listed[id] && known.phase != discovery.Removed {
+			l.excludeFromHash(known)
+			known.phase = discovery.Removed
 			l.pendingKeys = append(l.pendingKeys, simrelay.ChangeKey(id, discovery.Removed, 0))
 		}
 	}
--- a/internal/faultlab/simrelay/relays/message.go
+++ b/internal/faultlab/simrelay/relays/message.go
@@ -27,9 +27,9 @@
 // receiveDue takes the messages that are due.
 func (r *relay) receiveDue(now time.Time) {
 	a := &r.arrivals
-	for !a.next.IsZero() && !a.next.After(now) {
-		r.onLateness(now.Sub(a.next))
-		a.next = a.next.Add(a.drawGap())
+	for !a.nextAt.IsZero() && !a.nextAt.After(now) {
+		r.onLateness(now.Sub(a.nextAt))
+		a.nextAt = a.nextAt.Add(a.drawGap())
 		r.lastNumber++
 		m := &message{number: r.lastNumber, class: a.drawClass()}
 		m.record = &wal.Record{
@@ -82,8 +82,8 @@
 		}
 	case policy.ActionTimer:
 		due := r.now() + action.Delay
-		if at, set := slices.BinarySearch(r.timers, due); !set {
-			r.timers = slices.Insert(r.timers, at, due)
+		if index, found := slices.BinarySearch(r.timers, due); !found {
+			r.timers = slices.Insert(r.timers, index, due)
 		}
 	}
 }
--- a/internal/faultlab/simrelay/relays/process.go
+++ b/internal/faultlab/simrelay/relays/process.go
@@ -40,7 +40,7 @@
 	l.hist.RecordValue(min(max(1, d.Microseconds()), maxLateness))
 }
 
-func (l *lateness) quantiles() (p99, most time.Duration) {
+func (l *lateness) quantiles() (p99, maximum time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.hist.ValueAtQuantile(99)) * time.Microsecond, time.Duration(l.hist.Max()) * time.Microsecond
--- a/internal/faultlab/simrelay/relays/relay.go
+++ b/internal/faultlab/simrelay/relays/relay.go
@@ -87,7 +87,7 @@
 func newRelay(config *simrelay.Config, index int, log *slog.Logger, onLateness func(time.Duration)) (*relay, error) {
 	number := config.First + index
 	seed := config.Seed + uint64(number)
-	decisions, err := newPolicy(config.Settings[index], seed)
+	relayPolicy, err := newPolicy(config.Settings[index], seed)
 	if err != nil {
 		return nil, fmt.Errorf("simrelay: settings: %w", err)
 	}
@@ -96,7 +96,7 @@
 		name:       name,
 		folder:     filepath.Join(config.Folder, name),
 		log:        log,
-		policy:     decisions,
+		policy:     relayPolicy,
 		inbox:      mailbox.New[event](),
 		stopLog:    make(chan struct{}),
 		list:       newList(config.Zones, config.Flavors),
@@ -121,12 +121,12 @@
 	if err != nil {
 		return nil, err
 	}
-	terms, err := settings.ToPolicy(parsed)
+	policySettings, err := settings.ToPolicy(parsed)
 	if err != nil {
 		return nil, err
 	}
-	terms.StreamsPerConnection = 1 // as a real relay has it
-	return policy.New(terms, seed)
+	policySettings.StreamsPerConnection = 1 // as a real relay has it
+	return policy.New(policySettings, seed)
 }
 
 // errLogInUse is a message log that another process has open.
@@ -157,14 +157,14 @@
 // run serves until commandFinish, and returns once its goroutines have ended.
 func (r *relay) run() {
 	ctx, cancel := context.WithCancel(context.Background())
-	var discovering sync.WaitGroup
-	discovering.Add(2)
-	go func() { defer discovering.Done(); r.watch.Run(ctx) }()
-	go func() { defer discovering.Done(); r.notices.Run(ctx) }()
+	var discoveryLoops sync.WaitGroup
+	discoveryLoops.Add(2)
+	go func() { defer discoveryLoops.Done(); r.watch.Run(ctx) }()
+	go func() { defer discoveryLoops.Done(); r.notices.Run(ctx) }()
 	go r.wal.Run(r.stopLog)
 	r.loop()
 	cancel()
-	discovering.Wait()
+	discoveryLoops.Wait()
 	close(r.stopLog)
 	<-r.wal.Done()
 	r.lock.Close()
@@ -201,8 +201,8 @@
 	if len(r.timers) > 0 {
 		wait = time.Duration(r.timers[0]-r.now()+1) * time.Microsecond
 	}
-	if !r.arrivals.next.IsZero() {
-		wait = min(wait, time.Until(r.arrivals.next))
+	if !r.arrivals.nextAt.IsZero() {
+		wait = min(wait, time.Until(r.arrivals.nextAt))
 	}
 	if len(r.inFlight) > 0 {
 		wait = min(wait, time.Until(r.inFlight[0].endsAt))
--- a/internal/faultlab/simrelay/relays/relay_test.go
+++ b/internal/faultlab/simrelay/relays/relay_test.go
@@ -16,7 +16,7 @@
 
 const testMembers = 40
 
-func testRelay(t *testing.T, d *discoverytest.Server, rate float64) *relay {
+func newTestRelay(t *testing.T, d *discoverytest.Server, rate float64) *relay {
 	t.Helper()
 	text, err := json.Marshal(model.Settings(model.Fleet{Relays: 1, MaxCalls: 100, MaxMessages: 1000, Zones: []string{"a"}, MaxBatch: 1}, model.StandardRules()))
 	if err != nil {
@@ -38,74 +38,80 @@
 	return r
 }
 
-func testList() (all []discovery.Member) {
+func testMemberList() (members []discovery.Member) {
 	for i := range testMembers {
-		all = append(all, discovery.Member{ID: fmt.Sprint("s", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 1000+i), Locality: "a",
+		members = append(members, discovery.Member{ID: fmt.Sprint("s", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 1000+i), Locality: "a",
 			Flavor: model.Newsagent, Cell: i, Phase: discovery.Up, Size: 1})
 	}
-	return all
+	return members
 }
 
-// TestEveryMessageHasOneEnd: those for destinations that are down as well, and the
+// TestEveryAcceptedMessageIsCompletedExactlyOnce: those for destinations that are down as well, and the
 // log owes nothing at the end.
-func TestEveryMessageHasOneEnd(t *testing.T) {
-	d := discoverytest.New(t, testList()...)
-	r := testRelay(t, d, 200)
-	over := make(chan struct{})
-	go func() { defer close(over); r.run() }()
-	now := func() (c simrelay.Counts) { r.mu.Lock(); defer r.mu.Unlock(); return r.counts }
+func TestEveryAcceptedMessageIsCompletedExactlyOnce(t *testing.T) {
+	d := discoverytest.New(t, testMemberList()...)
+	r := newTestRelay(t, d, 200)
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); r.run() }()
+	currentCounts := func() (counts simrelay.Counts) { r.mu.Lock(); defer r.mu.Unlock(); return r.counts }
 	discoverytest.WaitFor(t, "the list", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.published.members == testMembers })
 	r.inbox.Put(event{command: commandStartTraffic})
-	discoverytest.WaitFor(t, "messages, and some that cannot be delivered", func() bool { c := now(); return c.Delivered >= 100 && c.Returned+c.Failed >= 10 })
+	discoverytest.WaitFor(t, "messages, and some that cannot be delivered", func() bool {
+		counts := currentCounts()
+		return counts.Delivered >= 100 && counts.Returned+counts.Failed >= 10
+	})
 	r.inbox.Put(event{command: commandStopTraffic})
-	discoverytest.WaitFor(t, "the end of all, and word of it", func() bool { c := now(); return c.InFlight == 0 && c.Notices == c.Returned+c.Failed })
+	discoverytest.WaitFor(t, "the end of all, and word of it", func() bool {
+		counts := currentCounts()
+		return counts.InFlight == 0 && counts.Notices == counts.Returned+counts.Failed
+	})
 	r.inbox.Put(event{command: commandFinish})
-	<-over
-	got := r.result()
-	c := got.Counts
-	if c.Accepted != c.Delivered+c.Returned+c.Failed || c.DuplicateCompletions != 0 || got.Pending != 0 || got.LogErr != "" {
-		t.Errorf("seed 5: %+v, the log owes %d, %s", c, got.Pending, got.LogErr)
+	<-stopped
+	result := r.result()
+	counts := result.Counts
+	if counts.Accepted != counts.Delivered+counts.Returned+counts.Failed || counts.DuplicateCompletions != 0 || result.Pending != 0 || result.LogErr != "" {
+		t.Errorf("seed 5: %+v, the log owes %d, %s", counts, result.Pending, result.LogErr)
 	}
-	if c.Offered != c.Accepted+c.Rejected {
-		t.Errorf("seed 5: %d offered, %d taken on, %d refused", c.Offered, c.Accepted, c.Rejected)
+	if counts.Offered != counts.Accepted+counts.Rejected {
+		t.Errorf("seed 5: %d offered, %d taken on, %d refused", counts.Offered, counts.Accepted, counts.Rejected)
 	}
 }
 
-// TestChangesAreBookedOnceAndInOrder: those that a whole list brings, too.
-func TestChangesAreBookedOnceAndInOrder(t *testing.T) {
-	r := testRelay(t, discoverytest.New(t), 0)
+// TestListChangesAreRecordedOnceAndInOrder: those that a whole list brings, too.
+func TestListChangesAreRecordedOnceAndInOrder(t *testing.T) {
+	r := newTestRelay(t, discoverytest.New(t), 0)
 	defer r.lock.Close()
-	list := testList()
-	take := func(l discovery.List) {
+	list := testMemberList()
+	applyUpdate := func(l discovery.List) {
 		r.events = append(r.events, r.list.update(&l))
 		r.step()
 	}
-	take(discovery.List{Revision: 1, Complete: true, Members: list})
+	applyUpdate(discovery.List{Revision: 1, Complete: true, Members: list})
 	if len(r.list.applied) != 0 || r.published.hash != simrelay.ListHash(list) {
 		t.Fatalf("after the first list: %d changes, hash %x, want %x", len(r.list.applied), r.published.hash, simrelay.ListHash(list))
 	}
-	drained, heavier, gone := list[1], list[2], list[3]
-	drained.Phase, heavier.Size, gone.Phase = discovery.Draining, 2, discovery.Removed
-	take(discovery.List{Revision: 2, Members: []discovery.Member{drained}})
-	take(discovery.List{Revision: 3, Members: []discovery.Member{heavier}})
-	take(discovery.List{Revision: 4, Members: []discovery.Member{gone}})
+	drained, heavier, removed := list[1], list[2], list[3]
+	drained.Phase, heavier.Size, removed.Phase = discovery.Draining, 2, discovery.Removed
+	applyUpdate(discovery.List{Revision: 2, Members: []discovery.Member{drained}})
+	applyUpdate(discovery.List{Revision: 3, Members: []discovery.Member{heavier}})
+	applyUpdate(discovery.List{Revision: 4, Members: []discovery.Member{removed}})
 	list[1], list[2] = drained, heavier
-	left := append(append([]discovery.Member{}, list[:3]...), list[5:]...) // the whole list lacks one more
-	take(discovery.List{Revision: 5, Complete: true, Members: left})
+	remaining := append(append([]discovery.Member{}, list[:3]...), list[5:]...) // the whole list lacks one more
+	applyUpdate(discovery.List{Revision: 5, Complete: true, Members: remaining})
 	want := []uint64{simrelay.ChangeKey("s1", discovery.Draining, 1), simrelay.ChangeKey("s2", discovery.Up, 2),
 		simrelay.ChangeKey("s3", discovery.Removed, 0), simrelay.ChangeKey("s4", discovery.Removed, 0)}
 	if len(r.list.applied) != len(want) {
 		t.Fatalf("%d changes, want %d", len(r.list.applied), len(want))
 	}
-	for i, h := range r.list.applied {
-		if h.Key != want[i] || h.At == 0 {
-			t.Errorf("change %d: %+v, want key %x", i, h, want[i])
+	for i, change := range r.list.applied {
+		if change.Key != want[i] || change.At == 0 {
+			t.Errorf("change %d: %+v, want key %x", i, change, want[i])
 		}
 	}
-	if r.published.hash != simrelay.ListHash(left) || r.published.members != len(left) || len(r.list.outOfOrder) != 0 {
-		t.Errorf("%+v, want hash %x of %d members; wrong: %v", r.published, simrelay.ListHash(left), len(left), r.list.outOfOrder)
+	if r.published.hash != simrelay.ListHash(remaining) || r.published.members != len(remaining) || len(r.list.outOfOrder) != 0 {
+		t.Errorf("%+v, want hash %x of %d members; wrong: %v", r.published, simrelay.ListHash(remaining), len(remaining), r.list.outOfOrder)
 	}
-	take(discovery.List{Revision: 4, Members: []discovery.Member{drained}})
+	applyUpdate(discovery.List{Revision: 4, Members: []discovery.Member{drained}})
 	if len(r.list.outOfOrder) != 1 {
 		t.Errorf("a revision that goes back: %v", r.list.outOfOrder)
 	}
--- a/internal/faultlab/simrelay/relays/traffic.go
+++ b/internal/faultlab/simrelay/relays/traffic.go
@@ -14,17 +14,17 @@
 type arrivals struct {
 	stream *simrelay.Stream
 	random *rand.Rand
-	next   time.Time // zero while nothing comes
+	nextAt time.Time // zero while nothing comes
 }
 
 // start has messages arrive from now on.
 func (a *arrivals) start(now time.Time) {
 	if a.stream.Rate > 0 {
-		a.next = now.Add(a.drawGap())
+		a.nextAt = now.Add(a.drawGap())
 	}
 }
 
-func (a *arrivals) stop() { a.next = time.Time{} }
+func (a *arrivals) stop() { a.nextAt = time.Time{} }
 
 func (a *arrivals) drawGap() time.Duration {
 	return time.Duration(a.random.ExpFloat64() / a.stream.Rate * float64(time.Second))
@@ -43,19 +43,19 @@
 
 // settle draws how an attempt ends within a limit: a destination that is down
 // answers no connection, any other delivers the message in its class's time.
-func (a *arrivals) settle(settled *attempt, limit time.Duration) {
+func (a *arrivals) drawOutcome(started *attempt, limit time.Duration) {
 	stream := a.stream
-	took := stream.Classes[settled.message.class].ServiceTime
-	span := took[0] + time.Duration(a.random.Float64()*float64(took[1]-took[0]))
-	settled.outcome = policy.Delivered
-	if stream.Down.At(settled.message.record.Dest, settled.began.UnixMicro()) {
-		settled.outcome, span = policy.ConnectFailed, stream.ConnectTimeout
+	serviceTime := stream.Classes[started.message.class].ServiceTime
+	duration := serviceTime[0] + time.Duration(a.random.Float64()*float64(serviceTime[1]-serviceTime[0]))
+	started.outcome = policy.Delivered
+	if stream.Down.At(started.message.record.Dest, started.began.UnixMicro()) {
+		started.outcome, duration = policy.ConnectFailed, stream.ConnectTimeout
 	}
-	if span > limit {
-		span = max(limit, 0)
-		if settled.outcome == policy.Delivered {
-			settled.outcome = policy.TimedOut
+	if duration > limit {
+		duration = max(limit, 0)
+		if started.outcome == policy.Delivered {
+			started.outcome = policy.TimedOut
 		}
 	}
-	settled.endsAt = settled.began.Add(span)
+	started.endsAt = started.began.Add(duration)
 }
--- a/internal/faultlab/simrelay/simrelay_test.go
+++ b/internal/faultlab/simrelay/simrelay_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// TestDownIsASteadyWindow: at any moment as many destinations are down, each for
+// TestDownKeepsCountConstantAndCoversEveryDestination: at any moment as many destinations are down, each for
 // its time, and over a whole round each of them once.
-func TestDownIsASteadyWindow(t *testing.T) {
+func TestDownKeepsCountConstantAndCoversEveryDestination(t *testing.T) {
 	const destinations = 200
 	d := Down{Seed: 3, Fraction: 0.05, For: 10 * time.Second, Origin: 1000}
 	d.Prepare(destinations)
 	if d.Count() != 10 {
 		t.Fatalf("%d are down, want 10", d.Count())
 	}
-	step := d.For.Microseconds() / int64(d.Count())
-	steps := make([]int, destinations)
+	stepMicros := d.For.Microseconds() / int64(d.Count())
+	downSteps := make([]int, destinations)
 	for n := range destinations { // a round: each step one goes down and one comes back
 		count := 0
 		for i := range destinations {
-			if d.At(i, d.Origin+int64(n)*step+step/2) {
+			if d.At(i, d.Origin+int64(n)*stepMicros+stepMicros/2) {
 				count++
-				steps[i]++
+				downSteps[i]++
 			}
 		}
 		if count != d.Count() {
 			t.Fatalf("seed 3, step %d: %d are down, want %d", n, count, d.Count())
 		}
 	}
-	for i, n := range steps {
+	for i, n := range downSteps {
 		if n != d.Count() {
 			t.Errorf("seed 3: destination %d was down for %d steps, want %d", i, n, d.Count())
 		}
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestConfigurationsThatCannotBe are told by what is missing.
-func TestConfigurationsThatCannotBe(t *testing.T) {
+// TestLoadConfigRejectsUnusableFile are told by what is missing.
+func TestLoadConfigRejectsUnusableFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	for text, want := range map[string]string{"{": "configuration", "{}": "settings", `{"settings": [{}]}`: "discovery",
 		`{"settings": [{}], "discovery": ["127.0.0.1:1"]}`: "stream"} {
--- a/internal/faultlab/simrelay/stream.go
+++ b/internal/faultlab/simrelay/stream.go
@@ -36,23 +36,23 @@
 	For      time.Duration `json:"for_ns"` // that each stays down
 	Origin   int64         `json:"origin"` // Unix µs
 
-	place []int // of each destination in the shuffled order
+	positions []int // of each destination in the shuffled order
 }
 
 // Prepare shuffles the destinations.
 func (d *Down) Prepare(destinations int) {
-	d.place = rand.New(rand.NewPCG(d.Seed, downSeed)).Perm(destinations)
+	d.positions = rand.New(rand.NewPCG(d.Seed, downSeed)).Perm(destinations)
 }
 
 // Count is how many destinations are down at any moment.
-func (d *Down) Count() int { return int(math.Round(d.Fraction * float64(len(d.place)))) }
+func (d *Down) Count() int { return int(math.Round(d.Fraction * float64(len(d.positions)))) }
 
 // At reports whether a destination is down at a moment, in Unix µs.
 func (d *Down) At(destination int, now int64) bool {
-	count, all := d.Count(), len(d.place)
+	count, all := d.Count(), len(d.positions)
 	if count == 0 || destination >= all {
 		return false
 	}
 	moved := int(float64(max(0, now-d.Origin)) / float64(d.For.Microseconds()) * float64(count))
-	return ((d.place[destination]-moved)%all+all)%all < count
+	return ((d.positions[destination]-moved)%all+all)%all < count
 }
--- a/internal/faultlab/stub/call.go
+++ b/internal/faultlab/stub/call.go
@@ -51,9 +51,9 @@
 	if errors.Is(err, errMustWait) {
 		return callResult{notSent: true}
 	}
-	var network *net.OpError
-	notConnected := errors.As(err, &network) && network.Op == "dial"
-	return callResult{mayHaveRun: !notConnected}
+	var netErr *net.OpError
+	dialFailed := errors.As(err, &netErr) && netErr.Op == "dial"
+	return callResult{mayHaveRun: !dialFailed}
 }
 
 // retryAfter is the wait that a response asks for; 0 for none.
--- a/internal/faultlab/stub/client.go
+++ b/internal/faultlab/stub/client.go
@@ -31,11 +31,11 @@
 	answerUnknown  = "-ERR unknown command\r\n"
 )
 
-// malformedRequest is an error that the client is told before its connection ends.
-type malformedRequest string
+// malformedRequestError is an error that the client is told before its connection ends.
+type malformedRequestError string
 
 // Error is what the client gets.
-func (e malformedRequest) Error() string { return string(e) }
+func (e malformedRequestError) Error() string { return string(e) }
 
 // serveClient answers the requests of one connection, and closes it.
 func (r *relay) serveClient(ctx context.Context, conn net.Conn) {
@@ -53,7 +53,7 @@
 			io.Copy(io.Discard, in)
 			return
 		}
-		var malformed malformedRequest
+		var malformed malformedRequestError
 		if errors.As(err, &malformed) {
 			fmt.Fprintf(conn, "-ERR %v\r\n", malformed)
 		}
@@ -94,7 +94,7 @@
 		return 0, err
 	}
 	if first != marker {
-		return 0, malformedRequest("no proper request")
+		return 0, malformedRequestError("no proper request")
 	}
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 	length, err := strconv.Atoi(strings.TrimSpace(line))
 	if err != nil || length < 0 || length > limit {
-		return 0, malformedRequest("bad length")
+		return 0, malformedRequestError("bad length")
 	}
 	return length, nil
 }
@@ -116,7 +116,7 @@
 		return answerUnknown
 	}
 	m := parseMessage(r.messages.Add(1), args)
-	r.leak(m.number)
+	r.leakResource(m.number)
 	if r.affects(Drop, m) {
 		return answerAccepted
 	}
--- a/internal/faultlab/stub/config.go
+++ b/internal/faultlab/stub/config.go
@@ -11,7 +11,7 @@
 	Listen    string         `json:"listen"`
 	Discovery string         `json:"discovery"`
 	State     string         `json:"state"`
-	Known     endpointUpdate `json:"known"`
+	KnownList endpointUpdate `json:"known"`
 }
 
 func readConfig(path string) (relayConfig, error) {
--- a/internal/faultlab/stub/defect.go
+++ b/internal/faultlab/stub/defect.go
@@ -53,27 +53,27 @@
 }
 
 // hoard holds what the leaking defects never release. Safe for concurrent use.
-type hoard struct {
+type leakedResources struct {
 	mu     sync.Mutex
 	memory [][]byte
 	files  []*os.File
 }
 
 // leak uses up the resource that the defect is about, a little with each message.
-func (r *relay) leak(number int64) {
-	r.hoard.mu.Lock()
-	defer r.hoard.mu.Unlock()
+func (r *relay) leakResource(number int64) {
+	r.leaked.mu.Lock()
+	defer r.leaked.mu.Unlock()
 	switch r.defect {
 	case Leak:
 		block := make([]byte, leakedBytes)
 		for i := 0; i < len(block); i += pageBytes {
 			block[i] = 1 // a page counts once it is written to
 		}
-		r.hoard.memory = append(r.hoard.memory, block)
+		r.leaked.memory = append(r.leaked.memory, block)
 	case LeakFiles:
 		for range leakedDescriptors {
 			if f, err := os.Open(os.DevNull); err == nil {
-				r.hoard.files = append(r.hoard.files, f)
+				r.leaked.files = append(r.leaked.files, f)
 			}
 		}
 	case FillDisk:
--- a/internal/faultlab/stub/delivery.go
+++ b/internal/faultlab/stub/delivery.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	maxAttempts       = 12
-	nonIdempotent     = "copy-order" // the class that must not run twice
-	retryDelay        = 100 * time.Millisecond
-	noEndpointDelay   = 100 * time.Millisecond
-	attemptMargin     = 150 * time.Millisecond // before the deadline no further attempt begins
-	lateBy            = time.Second            // of the defect Late
-	afterEndDelay     = 200 * time.Millisecond // of the defect AfterEnd
-	maxNoticeAttempts = 50
-	noticeBackoff     = 50 * time.Millisecond
+	maxAttempts           = 12
+	nonIdempotent         = "copy-order" // the class that must not run twice
+	retryDelay            = 100 * time.Millisecond
+	noEndpointDelay       = 100 * time.Millisecond
+	attemptMargin         = 150 * time.Millisecond // before the deadline no further attempt begins
+	latenessAfterDeadline = time.Second            // of the defect Late
+	afterEndDelay         = 200 * time.Millisecond // of the defect AfterEnd
+	maxNoticeAttempts     = 50
+	noticeBackoff         = 50 * time.Millisecond
 )
 
 // deliver takes a message to its one final response.
@@ -32,7 +32,7 @@
 		return
 	}
 	if r.defect == Late && result != unknownOutcome {
-		time.Sleep(time.Until(m.deadline) + lateBy)
+		time.Sleep(time.Until(m.deadline) + latenessAfterDeadline)
 	}
 	if result == unknownOutcome && r.defect != ReturnUnsafe {
 		r.notify(m, discovery.Failed)
--- a/internal/faultlab/stub/guard.go
+++ b/internal/faultlab/stub/guard.go
@@ -29,7 +29,7 @@
 func (c *guardedConn) Write(request []byte) (int, error) {
 	r := c.relay
 	if r.defect != IgnoreWait {
-		if !r.stalls.settle() || r.waits.remaining(c.destination) > 0 {
+		if !r.stalls.awaitSettled() || r.waits.remaining(c.destination) > 0 {
 			return 0, errMustWait
 		}
 	}
@@ -107,7 +107,7 @@
 
 // settle waits until the process has been on the CPU for a while; false where
 // that takes too long.
-func (s *stallMonitor) settle() bool {
+func (s *stallMonitor) awaitSettled() bool {
 	for end := time.Now().Add(maxSettling); ; time.Sleep(stallTick) {
 		now := time.Now()
 		if s.isSettled(now) {
--- a/internal/faultlab/stub/stub.go
+++ b/internal/faultlab/stub/stub.go
@@ -36,7 +36,7 @@
 	endpoints endpointList
 	waits     retryAfterTable
 	stalls    stallMonitor
-	hoard     hoard
+	leaked    leakedResources
 
 	deliveries sync.WaitGroup // messages without a final response
 	background sync.WaitGroup // all other goroutines
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	start(&r.background, func() { r.stalls.run(ctx) })
 	start(&r.background, func() { r.reloadOnHangUp(ctx, hangUp, configPath) })
-	start(&r.background, func() { r.watchEndpoints(ctx, config.Known.Revision) })
+	start(&r.background, func() { r.watchEndpoints(ctx, config.KnownList.Revision) })
 	start(&r.background, func() { r.accept(ctx, listener) })
 	<-terminate
 	for defect == SlowTerm {
@@ -86,7 +86,7 @@
 	r := &relay{defect: defect, stateDir: config.State}
 	r.discovery.Store(&config.Discovery)
 	r.endpoints.retainRemoved = defect == IgnoreDrain
-	r.endpoints.apply(config.Known)
+	r.endpoints.apply(config.KnownList)
 	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DialContext: r.dial}}
 	return r
 }
