--- a/internal/faultlab/capacity/agent.go
+++ b/internal/faultlab/capacity/agent.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// agentProcess is a real agent of a group.
+// agentProcess is an agent that runs as a process of its own.
 type agentProcess struct {
 	*process.Process
 	listen string
@@ -73,7 +73,7 @@
 	return s, err
 }
 
-// follows waits until the agent is at a revision of the group.
+// awaitRevision waits until the agent has reached a revision of the group's list.
 func (a *agentProcess) awaitRevision(ctx context.Context, revision int64) error {
 	_, err := awaitCondition(ctx, a.Process, "agent follows", time.Now(), func() bool {
 		s, err := a.status(ctx)
@@ -82,7 +82,8 @@
 	return err
 }
 
-// measureAgentChanges measures what one change costs an agent with a list of so many.
+// measureAgentChanges measures what an agent with a list of the given size uses for one
+// change of a member.
 func measureAgentChanges(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, 1, size)
 	if err != nil {
@@ -130,7 +131,8 @@
 		after.rssBytes / 1e6, peak / 1e6, startTime.Seconds() * 1e3, float64(len(text)) / 1e3}, err
 }
 
-// notices has an agent take notices and pass them on to a group of one.
+// measureNotices measures an agent that accepts notices and passes them on to a list
+// service of one node.
 func measureNotices(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, 1, 310)
 	if err != nil {
@@ -169,7 +171,8 @@
 	return []float64{took.Seconds() * 1e3, (after.cpu - before.cpu).Seconds() * 1e3, (node.cpu - nodeBefore.cpu).Seconds() * 1e3}, err
 }
 
-// sendNotices has 16 callers send so many notices, each in a call of its own.
+// sendNotices sends notices to an agent by several clients at the same time, one notice in
+// each request.
 func sendNotices(ctx context.Context, addr string, size int) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: parallelClients, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	defer client.CloseIdleConnections()
--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// Guards the slopes that plans are made from: every job runs at small sizes, its
-// values are finite and its exponents such as a cost can have, and all of it
-// within its time.
+// Runs every job at small sizes. Guards against jobs that no longer run, and against
+// measurements that Check would reject.
 func TestEveryJobGivesValidMeasurementsAtSmallSizes(t *testing.T) {
 	t.Setenv(programEnv, "1")
 	testProgram, began := os.Args[0], time.Now()
@@ -27,7 +26,7 @@
 	}
 	for _, name := range Names() {
 		if !measured[name] {
-			t.Errorf("%s gave no measurement", name)
+			t.Errorf("job %s: no measurement", name)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "scale.json")
@@ -35,14 +34,14 @@
 		t.Fatal(err)
 	}
 	if loaded, err := Load(path); err != nil || len(loaded.Capacity) != len(result.Capacity) {
-		t.Errorf("read back: %v", err)
+		t.Errorf("load of the saved result: error %v, want none and as many measurements as saved", err)
 	}
-	t.Logf("all took %v", time.Since(began))
+	t.Logf("all jobs took %v", time.Since(began))
 }
 
-// A job that is not there is told with those that are.
+// A misspelled job name must give an error instead of a run without that job.
 func TestRunRejectsUnknownJobName(t *testing.T) {
 	if _, err := Run(t.Context(), Options{Only: []string{"none"}, Printf: t.Logf}); err == nil {
-		t.Error("taken")
+		t.Error("Run returned no error for an unknown job")
 	}
 }
--- a/internal/faultlab/capacity/controller.go
+++ b/internal/faultlab/capacity/controller.go
@@ -13,7 +13,7 @@
 	"plovershore/internal/registry"
 )
 
-const targetControllers = 4 // one on each control machine
+const targetControllers = 4 // one controller on each control machine
 
 func controllerJobs() []job {
 	const unit = "wardens"
@@ -23,8 +23,8 @@
 		{Role: "list service", Name: "three nodes for them", Unit: "% of a core", SizeUnit: unit, Target: targetControllers}}}}
 }
 
-// measureIdleControllers runs so many controllers that lead the usual roles and have nothing
-// to do.
+// measureIdleControllers measures controllers that compete for the usual roles and have no
+// work, together with the list service's nodes that they use.
 func measureIdleControllers(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, 310)
 	if err != nil {
@@ -61,7 +61,8 @@
 	return []float64{(after.cpu - before.cpu).Seconds() / span.Seconds() * 100, after.rssBytes / 1e6, nodeLoad}, err
 }
 
-// sessions waits until so many controllers have a session.
+// awaitSessions waits until at least size controllers have a session with the list
+// service.
 func (g *group) awaitSessions(ctx context.Context, size int) error {
 	for limit := time.Now().Add(groupTimeout); time.Now().Before(limit) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		text, err := httpGet(ctx, "http://"+g.nodes[0]+registry.RolesPath)
--- a/internal/faultlab/capacity/fit.go
+++ b/internal/faultlab/capacity/fit.go
@@ -7,7 +7,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// fit works out all of a measurement that follows from its sizes and values.
+// fit computes the line, the power law and the predictions of a measurement from its sizes
+// and values.
 func (m *Measurement) fit() {
 	sizes, values := m.points(-1)
 	m.Intercept, m.Slope = stat.LinearRegression(sizes, values, nil, false)
@@ -23,7 +24,7 @@
 	m.AtTarget = m.Slope * m.Target
 	m.WithBase = m.AtTarget + max(m.Intercept, 0)
 	m.ByPower = factor * math.Pow(m.Target, exponent)
-	var x, y []float64 // of the two largest sizes
+	var x, y []float64 // values at the two largest sizes
 	top := max(0, len(m.Sizes)-2)
 	for i := top; i < len(m.Sizes); i++ {
 		for _, v := range m.Values[i] {
@@ -36,7 +37,8 @@
 	}
 }
 
-// pairs gives sizes and values of one play; of all for a negative play.
+// points returns the sizes and values of one play as pairs at equal indexes, or those of
+// all plays if play is negative.
 func (m *Measurement) points(play int) (sizes, values []float64) {
 	for i, size := range m.Sizes {
 		for k, v := range m.Values[i] {
@@ -48,9 +50,9 @@
 	return sizes, values
 }
 
-// powerLaw fits values = factor x size^exponent by least squares on logarithmic
-// scales. Values of 0, which were too small to be measured, are left out; where
-// fewer than two sizes are left, nothing is known and both are 0.
+// powerLaw fits values = factor x size^exponent by least squares on logarithmic scales. It
+// leaves out values of 0, which were too small to be measured, and returns 0, 0 if fewer
+// than two different sizes remain.
 func powerLaw(sizes, values []float64) (factor, exponent float64) {
 	var x, y []float64
 	for i := range sizes {
--- a/internal/faultlab/capacity/list.go
+++ b/internal/faultlab/capacity/list.go
@@ -10,19 +10,19 @@
 	"plovershore/internal/discovery"
 )
 
-// Figures of the target.
+// Target of the predictions, with a relay's budgets.
 const (
 	targetMembers  = 31_000
 	targetRelays   = 450
 	targetZones    = 8
-	targetInFlight = 1_930_000 // messages pending in a relay after a long outage
-	budgetMemory   = 256       // MB of a relay's control
-	budgetCore     = 3.4       // % of a core
-	budgetBytes    = 30        // KB a second
+	targetInFlight = 1_930_000 // messages pending in one relay after a long outage
+	budgetMemory   = 256       // MB of memory for a relay's control tasks
+	budgetCore     = 3.4       // percent of a core for an idle relay
+	budgetBytes    = 30        // KB a second between an idle relay and its agent
 )
 
 const (
-	shortID = 10 // letters of a member's id
+	shortID = 10 // characters of a member's ID
 	longID  = 34
 )
 
@@ -31,8 +31,8 @@
 	smokeSizes  = []int{31, 310}
 )
 
-// memberList makes a complete list of so many members, each the only endpoint of
-// its destination, with ids of so many letters.
+// memberList makes a complete list of members, each the only endpoint of its destination,
+// with IDs of idLength characters.
 func memberList(size, letters int) *discovery.List {
 	l := &discovery.List{Revision: int64(size), Complete: true, Members: make([]discovery.Member, size)}
 	for i := range l.Members {
--- a/internal/faultlab/capacity/list_server.go
+++ b/internal/faultlab/capacity/list_server.go
@@ -16,15 +16,15 @@
 	"plovershore/internal/discovery"
 )
 
-const watchIdleInterval = 2 * time.Second // an empty line of a watch, as agents send
+const watchIdleInterval = 2 * time.Second // time between the empty lines that agents send to keep an idle watch open
 
-// countedListener counts the bytes of all its connections, both ways.
+// countedListener counts the bytes that its connections receive and send.
 type countedListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-// Accept accepts a connection whose bytes are counted.
+// Accept returns a connection that adds its bytes to the listener's counter.
 func (l countedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -33,28 +33,28 @@
 	return countedConn{c, l.bytes}, nil
 }
 
-// countedConn counts the bytes of a connection, both ways.
+// countedConn counts the bytes that a connection receives and sends.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-// Read reads and counts.
+// Read counts the bytes that it reads.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write counts the bytes that it writes.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// listServer is the agent of one relay as far as the relay can tell: one list
-// that does not change, an open watch, and notices that are taken.
+// listServer imitates the agent of one relay: it serves one list that never changes, keeps
+// watches open and accepts notices.
 type listServer struct {
 	addr    string
 	list    *discovery.List
@@ -62,7 +62,7 @@
 	server  *http.Server
 	wg      sync.WaitGroup
 	bytes   atomic.Int64
-	lists   atomic.Int64 // complete lists that were requested
+	lists   atomic.Int64 // requests for the complete list
 	watches atomic.Int64
 	notices atomic.Int64
 }
@@ -84,14 +84,14 @@
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
-		s.server.Serve(countedListener{ln, &s.bytes}) // ends by close
+		s.server.Serve(countedListener{ln, &s.bytes}) // Serve returns once close is called.
 	}()
 	return s, nil
 }
 
-// known is the list as a relay has it that missed the last change of one member:
-// its watch begins with that change, so a start does not wait for a change that
-// never comes.
+// previousList returns the list without the last change, for a relay to start with. The
+// relay's watch then begins with that change at once, whereas a relay with the present
+// list would wait at its start for a change that never comes.
 func (s *listServer) previousList() *discovery.List {
 	return &discovery.List{Revision: s.list.Revision - 1, Complete: true, Members: s.list.Members}
 }
@@ -104,7 +104,7 @@
 func (s *listServer) getList(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		s.lists.Add(1)
-		w.Write(s.text) // a relay that is gone connects again
+		w.Write(s.text) // A failed write needs no handling: a relay that lost its connection asks again.
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
--- a/internal/faultlab/capacity/main_test.go
+++ b/internal/faultlab/capacity/main_test.go
@@ -14,8 +14,9 @@
 	"plovershore/internal/relay"
 )
 
-// programEnv makes the test's own program a relay, a node, an agent or a warden:
-// what a run starts has the test's environment.
+// programEnv is set by a test to turn this test binary, when a job starts it, into a
+// relay, a list service node, an agent or a controller. The started programs inherit the
+// test's environment.
 const programEnv = "CAPACITY_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -25,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// program runs what its arguments are of: a relay has none.
+// runProgram runs the program that its arguments call for: none for a relay, a leading
+// flag for a controller, a subcommand for a list service node or an agent.
 func runProgram(args []string) int {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
--- a/internal/faultlab/capacity/measurement.go
+++ b/internal/faultlab/capacity/measurement.go
@@ -1,10 +1,10 @@
-// Package capacity measures what each role of a fleet costs at several sizes, and
-// fits a slope, so that the cost at a size that no machine here can hold can be
-// computed and compared with its budget.
+// Package capacity measures what each role of a fleet costs at several sizes, and fits a
+// line through the values. The line's slope predicts the cost at a target size that is too
+// large for one machine, which can then be compared with a budget.
 //
-// Every value comes from a run. The spread over repeated runs is kept, and a cost
-// that does not grow linearly shows by the exponent of its power law. What follows
-// from the figures is left to their readers.
+// Every value is measured. The spread over repeated runs is kept, and a cost that does not
+// grow linearly shows by the exponent of its fitted power law. The package draws no
+// conclusion from the figures.
 package capacity
 
 import (
@@ -12,45 +12,48 @@
 	"math"
 )
 
-// Quantity is one figure of a role, before it is measured.
+// Quantity describes one cost of a role that a job measures.
 type Quantity struct {
 	Role     string  `json:"role"`
 	Name     string  `json:"name"`
 	Unit     string  `json:"unit"`
-	SizeUnit string  `json:"size_unit"` // what a size counts
-	Target   float64 `json:"target"`    // the size that is planned for
-	Budget   float64 `json:"budget"`    // at the target, in Unit; 0 where none is set
+	SizeUnit string  `json:"size_unit"` // what the sizes count, such as members
+	Target   float64 `json:"target"`    // size for which the cost is predicted
+	Budget   float64 `json:"budget"`    // allowed cost at the target, in Unit; 0 for no budget
 }
 
-// Measurement is a quantity at several sizes, each measured once a play.
+// Measurement holds the values of a quantity at several sizes and the line and power law
+// fitted to them. A play is one repetition of a job at all sizes.
 type Measurement struct {
 	Job string `json:"job"`
 	Quantity
-	Sizes       []float64   `json:"sizes"`
-	Values      [][]float64 `json:"values"` // by size, then by play
-	Slope       float64     `json:"slope"`  // of the least squares line through all values
-	SlopeMin    float64     `json:"slope_min"`
-	SlopeMax    float64     `json:"slope_max"` // over lines through one play each
-	Intercept   float64     `json:"intercept"`
-	Exponent    float64     `json:"exponent"` // of the power law through all values; 1 for a straight line from 0
-	TopExponent float64     `json:"top_exponent"`
-	AtTarget    float64     `json:"at_target"`    // slope x target
-	WithBase    float64     `json:"with_base"`    // the same and the intercept, where that is above 0
-	ByPower     float64     `json:"by_power_law"` // the power law at the target
-	Ratio       float64     `json:"ratio"`        // of the value with its base to the budget; 0 where none is set
+	Sizes  []float64   `json:"sizes"`
+	Values [][]float64 `json:"values"` // indexed by size, then by play
+	Slope  float64     `json:"slope"`  // slope of the least squares line through all values
+	// SlopeMin and SlopeMax are the extremes of the slopes of lines through single plays.
+	SlopeMin    float64 `json:"slope_min"`
+	SlopeMax    float64 `json:"slope_max"`
+	Intercept   float64 `json:"intercept"`
+	Exponent    float64 `json:"exponent"`     // exponent of the power law through all values; 1 for a straight line through 0
+	TopExponent float64 `json:"top_exponent"` // exponent of the power law through the values at the two largest sizes
+	AtTarget    float64 `json:"at_target"`    // Slope x Target
+	WithBase    float64 `json:"with_base"`    // AtTarget plus Intercept, if that is positive
+	ByPower     float64 `json:"by_power_law"` // value of the power law at the target
+	Ratio       float64 `json:"ratio"`        // WithBase divided by Budget; 0 for no budget
 }
 
-// Key names the measurement among all of a run.
+// Key identifies the measurement within a Result.
 func (m *Measurement) Key() string { return m.Job + ": " + m.Name }
 
-// Result is one run of jobs, as a file holds it.
+// Result holds the measurements of one run of the selected jobs.
 type Result struct {
 	Capacity []Measurement `json:"capacity"`
-	Notes    []string      `json:"notes,omitempty"` // jobs that could not be run, each with its error
+	Notes    []string      `json:"notes,omitempty"` // errors of the jobs that failed
 }
 
-// Check returns why a measurement cannot be used: a value that is not
-// finite or less than nothing, or an exponent outside of any known cost.
+// Check returns an error if the measurement cannot be used: if it has fewer than two sizes,
+// a size without values, a value that is negative or not finite, or an exponent
+// that is too large for any known cost.
 func (m *Measurement) Check() error {
 	const maxExponent = 3.5
 	if len(m.Sizes) < 2 || len(m.Values) != len(m.Sizes) {
--- a/internal/faultlab/capacity/policy.go
+++ b/internal/faultlab/capacity/policy.go
@@ -15,14 +15,15 @@
 
 const (
 	callSlots       = 100
-	retryAfterDelay = policy.Time(3600e6) // of a destination with a Retry-After
-	stepInterval    = policy.Time(10_000) // between steps: a call a step, by the policy's own pace
+	retryAfterDelay = policy.Time(3600e6) // Retry-After of a paused destination, which outlasts every measurement
+	stepInterval    = policy.Time(10_000) // time between two steps, in which the policy's pacing allows one call
 	safeClass       = 0
 	unsafeClass     = 1
-	messageTimeLeft = 100 * retryAfterDelay // so that nothing runs out of time while it is measured
+	messageTimeLeft = 100 * retryAfterDelay // long enough that no message expires during a measurement
 )
 
-// relaySettings are a relay's at the target, as its configuration holds them.
+// relaySettings returns the settings of a relay in a fleet of the target's size, in the
+// form of its configuration file.
 func relaySettings(slots, maxMessages int) map[string]any {
 	var zones []string
 	for i := range targetZones {
@@ -35,6 +36,8 @@
 	return settings
 }
 
+// policySettings converts the relay's settings to the policy's, with the given limit on
+// messages; 0 stands for no limit.
 func policySettings(maxMessages int) (policy.Settings, error) {
 	text, err := json.Marshal(relaySettings(callSlots, 340))
 	if err != nil {
@@ -49,15 +52,15 @@
 	return converted, err
 }
 
-// flight is an attempt that a policy has out.
+// inFlightAttempt is an attempt that the policy has started and that has no outcome yet.
 type inFlightAttempt struct {
 	message  uint32
 	attempt  int
 	endpoint policy.Endpoint
 }
 
-// driver is the relay round a policy, as far as the policy can tell: it submits
-// messages and ends attempts at moments of its own clock.
+// policyDriver plays the part of the relay for a policy: it submits messages, reports the
+// outcomes of attempts and sets the time that the policy sees.
 type policyDriver struct {
 	policy        *policy.Policy
 	now           policy.Time
@@ -65,10 +68,11 @@
 	inFlight      []inFlightAttempt
 	attemptCounts map[uint32]int
 	lastMessage   uint32
-	completed     int // messages that the policy refused or gave up
+	completed     int // messages that the policy rejected or failed
 }
 
-// newPolicyDriver makes a policy that has a list of so many destinations.
+// newPolicyDriver makes a policy and gives it a complete list with the given number of
+// destinations.
 func newPolicyDriver(destinations, maxMessages int) (*policyDriver, error) {
 	s, err := policySettings(maxMessages)
 	if err != nil {
@@ -91,12 +95,14 @@
 	return entries
 }
 
-// entry is the only endpoint of a destination; its number is one above it.
+// listEntry is the list entry of a destination's only endpoint, whose number is the
+// destination's plus one.
 func listEntry(destination int, state policy.Readiness) policy.Entry {
 	return policy.Entry{Endpoint: policy.Endpoint(destination + 1), Zone: destination % targetZones, Kind: 1, Dest: destination, State: state, Rate: 1}
 }
 
-// step has the policy take events, and gives how long that took.
+// step runs one step of the policy on the events, records the attempts and completions in
+// its actions, and returns how long the step took.
 func (d *policyDriver) step(events ...policy.Event) time.Duration {
 	began := time.Now()
 	d.actions = d.policy.Step(d.now, events, d.actions[:0])
@@ -114,13 +120,14 @@
 	return took
 }
 
-// message is a new one for a destination.
+// newMessage returns the event that submits a new message for a destination.
 func (d *policyDriver) newMessage(destination, class int) policy.Event {
 	d.lastMessage++
 	return policy.Event{Kind: policy.EventMessage, Message: d.lastMessage, Class: class, Dest: destination, Tenant: -1, TimeLeft: messageTimeLeft}
 }
 
-// outcome ends the oldest attempt that is out.
+// finishOldestAttempt removes the oldest attempt in flight and returns the event that
+// reports its outcome to the policy.
 func (d *policyDriver) finishOldestAttempt(outcome policy.Outcome, retryAfter policy.Time) (policy.Event, error) {
 	if len(d.inFlight) == 0 {
 		return policy.Event{}, errors.New("policy: no attempt is out")
@@ -134,8 +141,8 @@
 		Latency: 200_000, Final: outcome == policy.Delivered}, nil
 }
 
-// shut has a destination ask the relay to wait for longer than is measured; the
-// message for it waits there.
+// pauseDestination sends one message to a destination and rejects the attempt with a
+// Retry-After that outlasts the measurement. The message stays queued there.
 func (d *policyDriver) pauseDestination(destination int) error {
 	d.step(d.newMessage(destination, safeClass))
 	e, err := d.finishOldestAttempt(policy.Rejected, retryAfterDelay)
@@ -146,8 +153,8 @@
 	return nil
 }
 
-// runUntilSend lets time go by until an attempt is out, and gives what the policy
-// took meanwhile.
+// runUntilSend advances the clock in steps until an attempt is in flight. It returns the
+// time that the policy's steps took.
 func (d *policyDriver) runUntilSend() (took time.Duration, err error) {
 	for range 10_000 {
 		if len(d.inFlight) > 0 {
@@ -159,7 +166,8 @@
 	return took, errors.New("policy: nothing is sent")
 }
 
-// deliver has the oldest attempt that is out answered, once there is one.
+// deliverOldest reports the oldest attempt as delivered, after waiting for one if none is
+// in flight. It returns the time that the policy's steps took.
 func (d *policyDriver) deliverOldest() (time.Duration, error) {
 	took, err := d.runUntilSend()
 	if err != nil {
@@ -173,7 +181,7 @@
 	return took + d.step(e), nil
 }
 
-// heapBytes is what the program's heap holds after a collection.
+// heapBytes collects garbage and returns the number of bytes that remain on the heap.
 func heapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -181,5 +189,5 @@
 	return float64(stats.HeapAlloc)
 }
 
-// micros gives the mean of n spans that came to a sum, in microseconds.
+// meanMicros returns sum divided by count, in microseconds.
 func meanMicros(sum time.Duration, count int) float64 { return sum.Seconds() * 1e6 / float64(count) }
--- a/internal/faultlab/capacity/policy_jobs.go
+++ b/internal/faultlab/capacity/policy_jobs.go
@@ -11,8 +11,8 @@
 
 const (
 	destinationsDown = 589
-	destinationsUp   = 200             // beside those that are down
-	failedCallsLimit = 2 * time.Second // of failing calls in one run
+	destinationsUp   = 200             // destinations in addition to destinationsDown
+	failedCallsLimit = 2 * time.Second // longest real time that measureRecovery spends on failed calls
 )
 
 var errNothingShed = errors.New("policy: holds all it may and ends nothing")
@@ -23,7 +23,7 @@
 		return Quantity{Role: "relay", Name: name, Unit: unit, SizeUnit: sizeUnit, Target: target}
 	}
 	const queued, inFlight, list = "messages in one queue", "messages held", "members"
-	longestQueue := float64(targetInFlight) / destinationsDown // in one queue, where all wait for destinations that are down
+	longestQueue := float64(targetInFlight) / destinationsDown // mean queue length when all messages wait for destinations that are down
 	memory := quantity("policy's memory of the list", "MB", list, targetMembers)
 	memory.Budget = budgetMemory
 	inFlightMemory := quantity("policy's memory of held messages, without bodies", "MB", inFlight, targetInFlight)
@@ -60,8 +60,9 @@
 	}
 }
 
-// measureListUpdates times a complete list in one step, the same again, a change of one
-// member, a delivery, and trial calls of a destination that is down.
+// measureListUpdates times these steps of a policy: a complete list, the same list again,
+// a change of one member, a delivery with and without a load report, and a failed call of
+// a destination that is down. It also measures the memory that the list takes.
 func measureListUpdates(_ context.Context, _ *environment, size int) ([]float64, error) {
 	s, err := policySettings(0)
 	if err != nil {
@@ -92,8 +93,8 @@
 	return []float64{first.Seconds() * 1e3, max(memory, 0) / 1e6, again.Seconds() * 1e3, changed, withReport, withoutReport, failed}, err
 }
 
-// changes gives the mean time of a member's change, over members that drain and
-// come back.
+// meanChangeTime returns the mean time of a step with a change of one member, which
+// alternates between draining and ready.
 func (d *policyDriver) meanChangeTime(members int) float64 {
 	const changes = 2000
 	var took time.Duration
@@ -108,8 +109,8 @@
 	return meanMicros(took, changes)
 }
 
-// trials gives the mean time of a failed call of one destination that is down,
-// with a few messages waiting there.
+// meanFailedCallTime returns the mean time of a step with a failed connection attempt to a
+// destination that is down, while a few messages wait for it.
 func (d *policyDriver) meanFailedCallTime(destination int) (float64, error) {
 	const waitingMessages, maxTrials = 20, 200
 	for range waitingMessages {
@@ -127,7 +128,7 @@
 			took += d.step(e)
 			trials++
 		}
-		if d.completed > 0 { // what was given up is submitted again
+		if d.completed > 0 { // replaces a message that the policy gave up, so that the queue keeps its length
 			d.completed = 0
 			d.step(d.newMessage(destination, safeClass))
 		}
@@ -135,8 +136,9 @@
 	return meanMicros(took, max(trials, 1)), nil
 }
 
-// deliveries gives the mean time of a message submitted and its answer with a
-// load report, over some destinations that are up.
+// meanDeliveryTime returns the mean time that the policy takes for a message's submission
+// and its delivery, whose answer carries the load report. The messages go to the given
+// number of destinations, from first on.
 func (d *policyDriver) meanDeliveryTime(first, destinations int, load policy.LoadReport) (float64, error) {
 	const perDestination = 25
 	var took time.Duration
@@ -152,7 +154,7 @@
 				e.Load = load
 				sinceSubmit += d.step(e)
 			}
-			if round > 0 { // by the first answer the report is known
+			if round > 0 { // the first round makes the load reports known to the policy and is not timed
 				took += sinceSubmit
 			}
 		}
@@ -160,14 +162,15 @@
 	return meanMicros(took, perDestination*destinations), nil
 }
 
-// measureRecovery times one slice of pending messages, as a start reads them, for
-// destinations that refuse connections, and the calls that fail.
+// measureRecovery times the step in which a policy receives recovered messages, as a
+// starting relay passes them on from its log, and then the failed calls to their
+// destinations, which refuse connections.
 func measureRecovery(_ context.Context, _ *environment, size int) ([]float64, error) {
 	d, err := newPolicyDriver(size, 0)
 	if err != nil {
 		return nil, err
 	}
-	const messageCount = 2000 // as the relay reads
+	const messageCount = 2000 // as many as a relay reads from its log at a time
 	var pending []policy.Event
 	for i := range messageCount {
 		e := d.newMessage(i%min(size, destinationsDown), safeClass)
@@ -188,8 +191,8 @@
 	return []float64{recovered.Seconds() * 1e3, meanMicros(failed, max(calls, 1))}, nil
 }
 
-// measureAvailableQueue times outcomes at a destination whose queue is kept at a length, and
-// then how long the whole queue takes.
+// measureAvailableQueue times deliveries and submissions at one available destination
+// while its queue keeps the given length, and then the delivery of the whole queue.
 func measureAvailableQueue(_ context.Context, _ *environment, size int) ([]float64, error) {
 	d, err := newPolicyDriver(1, 0)
 	if err != nil {
@@ -218,8 +221,8 @@
 	return []float64{meanMicros(outcomes, rounds), meanMicros(submitted, rounds), drained.Seconds() * 1e3}, nil
 }
 
-// measurePausedQueue times messages submitted for a destination that asked the relay to
-// wait and has a queue already.
+// measurePausedQueue times submissions for a destination that has asked the relay to wait
+// and already has a queue of the given length.
 func measurePausedQueue(_ context.Context, _ *environment, size int) ([]float64, error) {
 	d, err := newPolicyDriver(1, 0)
 	if err != nil {
@@ -228,7 +231,7 @@
 	if err := d.pauseDestination(0); err != nil {
 		return nil, err
 	}
-	class := func(i int) int { return i % 10 / 7 } // three in ten are unsafe, as in the traffic
+	class := func(i int) int { return i % 10 / 7 } // 3 of 10 messages are of the unsafe class, as in the fleet's traffic
 	for i := range size {
 		d.step(d.newMessage(0, class(i)))
 	}
@@ -240,7 +243,8 @@
 	return []float64{meanMicros(took, rounds)}, nil
 }
 
-// fill has a policy hold so many messages, for destinations that are down.
+// fillWithMessages pauses the given number of destinations, beginning with the one
+// numbered from, and makes the policy hold size messages for them.
 func (d *policyDriver) fillWithMessages(size, from, destinations int) error {
 	for i := range destinations {
 		if err := d.pauseDestination(from + i); err != nil {
@@ -253,8 +257,9 @@
 	return nil
 }
 
-// measurePendingMessages measures what a message in flight costs in memory, and what all in flight
-// messages cost each delivery at destinations that are up.
+// measurePendingMessages measures the memory that pending messages of unavailable
+// destinations take in the policy, and how long deliveries to available destinations take
+// meanwhile.
 func measurePendingMessages(_ context.Context, _ *environment, size int) ([]float64, error) {
 	d, err := newPolicyDriver(destinationsDown+destinationsUp, 0)
 	if err != nil {
@@ -280,8 +285,8 @@
 
 const timedRounds = 100
 
-// meanTimeOfClass gives the mean time of a message of a class and its answer, at
-// destinations that are up.
+// meanTimeOfClass returns the mean time that the policy takes for a message of a class,
+// from its submission to its delivery, at available destinations.
 func (d *policyDriver) meanTimeOfClass(class int) (float64, error) {
 	var took time.Duration
 	for i := range timedRounds {
@@ -298,8 +303,8 @@
 	return meanMicros(took, timedRounds), nil
 }
 
-// meanTimeWithAllSlots gives the mean time of an answer while every slot has a call of an
-// unsafe message and more of them wait.
+// meanTimeWithAllSlots returns the mean time of a delivery's outcome while messages of the
+// unsafe class occupy every call slot and more of them wait for one.
 func (d *policyDriver) meanTimeWithAllSlots() (float64, error) {
 	for i := range 4 * callSlots {
 		d.now += stepInterval
@@ -318,7 +323,8 @@
 	return meanMicros(took, max(n, 1)), nil
 }
 
-// shed times messages submitted to a policy that is full.
+// measureShedding times submissions to a policy that holds its maximum of messages and so
+// must reject or give up one for each.
 func measureShedding(maxMessages, destinations int) ([]float64, error) {
 	d, err := newPolicyDriver(destinations, maxMessages)
 	if err != nil {
--- a/internal/faultlab/capacity/registry.go
+++ b/internal/faultlab/capacity/registry.go
@@ -24,21 +24,21 @@
 
 const (
 	groupTimeout = 60 * time.Second
-	memberHolder = "bench" // who registered all members
+	memberHolder = "bench" // registered as the holder of every member
 )
 
-// group is a list service of real processes with so many members.
+// group is a running list service whose nodes are processes on this machine.
 type group struct {
 	program     string
-	nodes       []string // addresses
+	nodes       []string // HTTP addresses of the nodes
 	configFiles []string
 	procs       []*process.Process
 	log         *os.File
 	client      *client.Client
 }
 
-// startGroup runs a group of so many nodes and has it hold so many members. In a
-// smoke run one node has to do.
+// startGroup starts a list service and registers members. A smoke run starts one node,
+// whatever nodes says.
 func (e *environment) startGroup(ctx context.Context, nodes, members int) (_ *group, err error) {
 	nodes = scaled(e, 1, nodes)
 	g := &group{program: e.Registry}
@@ -66,6 +66,7 @@
 	return g, g.restoreMembers(ctx, members)
 }
 
+// writeConfigs chooses the addresses of the nodes and writes their configuration files.
 func (g *group) writeConfigs(dir string, nodes int) error {
 	var peers strings.Builder
 	var raft []string
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// restore gives the group its members by a backup of a group that had them, and
-// waits until every node has them.
+// restoreMembers restores a backup that contains the members, which is faster than
+// registering each, and waits until every node has them.
 func (g *group) restoreMembers(ctx context.Context, members int) error {
 	ctx, cancel := context.WithTimeout(ctx, groupTimeout)
 	defer cancel()
@@ -145,7 +146,7 @@
 	return b.Bytes(), nil
 }
 
-// leader gives the place of the node that leads.
+// leaderIndex returns the index of the leading node in g.nodes.
 func (g *group) leaderIndex(ctx context.Context) (int, error) {
 	for i, node := range g.nodes {
 		if s, err := nodeStatus(ctx, node); err == nil && s.RaftRole == "Leader" {
@@ -167,7 +168,7 @@
 	}
 }
 
-// usage adds up what all nodes use.
+// usage returns the sum of what the group's processes use.
 func (g *group) usage() (sum usage, err error) {
 	for _, p := range g.procs {
 		u, err := readUsage(p)
@@ -179,8 +180,8 @@
 	return sum, nil
 }
 
-// idle gives the processor time of all nodes while nobody calls them, in % of a
-// core.
+// measureIdleCPU returns the processor time of the group's processes over a span without
+// requests, in percent of a core.
 func (g *group) measureIdleCPU(ctx context.Context, span time.Duration) (float64, error) {
 	before, err := g.usage()
 	if err != nil {
@@ -195,8 +196,8 @@
 	return (after.cpu - before.cpu).Seconds() / span.Seconds() * 100, err
 }
 
-// repeat has clients ask side by side for a span, each call as ask says, and
-// gives how many calls were answered.
+// runClients has clients call request in a loop, at the same time, until span has passed
+// or a request fails. It returns the number of requests that succeeded.
 func (g *group) runClients(ctx context.Context, clients int, span time.Duration, request func(ctx context.Context, c *client.Client, caller, n int) error) (float64, error) {
 	var answered atomic.Int64
 	end := time.Now().Add(span)
@@ -221,7 +222,8 @@
 	return float64(answered.Load()), err
 }
 
-// change moves a member to another zone, so that it is a change of the list.
+// changeMember registers the member with the given index anew in a zone made from
+// zoneNumber, which changes the list.
 func changeMember(ctx context.Context, c *client.Client, index, zoneNumber int) (registry.Result, error) {
 	m := testMember(index, shortID)
 	var result registry.Result
--- a/internal/faultlab/capacity/registry_jobs.go
+++ b/internal/faultlab/capacity/registry_jobs.go
@@ -13,10 +13,10 @@
 const (
 	groupNodes       = 3
 	writers          = 16
-	memberTTL        = 15.0 // seconds, as README has members registered
-	heartbeatsPerTTL = 3.0  // heartbeats of a member in its time to live
+	memberTTL        = 15.0 // seconds; the time to live that the README uses to register members
+	heartbeatsPerTTL = 3.0  // heartbeats that a member sends within its time to live
 	targetHeartbeats = targetMembers * heartbeatsPerTTL / memberTTL
-	fewMembers       = 3000 // members
+	fewMembers       = 3000
 	writesTimed      = 20
 	readers          = 4
 )
@@ -53,7 +53,7 @@
 	}
 }
 
-// measureGroupWrites measures changes of members, as many as 16 writers get answered.
+// measureGroupWrites measures changes of members that 16 clients request without pause.
 func measureGroupWrites(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, size)
 	if err != nil {
@@ -76,7 +76,8 @@
 	return []float64{span.Seconds() * 1e6 / n, float64((after.cpu - before.cpu).Microseconds()) / n, (after.writtenBytes - before.writtenBytes) / 1e3 / n, after.rssBytes / 1e6 / groupNodes}, err
 }
 
-// measureGroupHeartbeats measures heartbeats: one in each call, then a hundred.
+// measureGroupHeartbeats measures an idle group, then heartbeats that are sent one a call,
+// then in batches of 100.
 func measureGroupHeartbeats(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, size)
 	if err != nil {
@@ -115,7 +116,7 @@
 	return []float64{idle, span.Seconds() * 1e6 / calls, singleCPU, batchCPU / 100, singleCPU * heartbeatsPerTTL * float64(size) / memberTTL / 1e6}, err
 }
 
-// measureGroupReads measures complete lists and a backup.
+// measureGroupReads measures reads of the complete list, then one backup.
 func measureGroupReads(ctx context.Context, e *environment, size int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, size)
 	if err != nil {
--- a/internal/faultlab/capacity/relay.go
+++ b/internal/faultlab/capacity/relay.go
@@ -26,12 +26,13 @@
 	relaySockets = 4096
 )
 
-// relayLimits are those of a relay's machine and what it may hold.
+// relayLimits are the limits on a relay's memory and disk, and on the number of messages
+// that it may hold.
 type relayLimits struct {
 	memoryMB, diskMB, messages int
 }
 
-// relayProcess is a real relay.
+// relayProcess is a relay that runs as a process of its own.
 type relayProcess struct {
 	*process.Process
 	listen, operator, stateDir string
@@ -39,9 +40,9 @@
 	log                        *os.File
 }
 
-// newRelay writes the configuration of a relay of the environment's program; it
-// does not start it. known is the list that the relay has from before; nil for
-// none.
+// newRelay writes a relay's configuration file and creates its directory and log, but does
+// not start it. server is the address of its agent; known is the list that the relay has
+// from an earlier run, or nil.
 func (e *environment) newRelay(server string, known *discovery.List, limits relayLimits) (*relayProcess, error) {
 	r := &relayProcess{listen: loopback.Free(), operator: loopback.Free(), stateDir: filepath.Join(e.dir, "state"),
 		program: e.Relay, configPath: filepath.Join(e.dir, "config.json")}
@@ -62,13 +63,13 @@
 	return r, nil
 }
 
-// start runs a process of the relay.
+// start starts the relay's process.
 func (r *relayProcess) start() (err error) {
 	r.Process, err = process.Start("relay", r.program, nil, []string{"ROUTER_CONFIG=" + r.configPath}, r.log)
 	return err
 }
 
-// stop kills the process; the folder stays.
+// stop kills the process, if it was started. The state directory stays.
 func (r *relayProcess) stop() {
 	if r.Process != nil {
 		r.Kill()
@@ -80,7 +81,7 @@
 	r.log.Close()
 }
 
-// serves reports whether the relay answers clients.
+// isServing reports whether the relay answers a client's PING.
 func (r *relayProcess) isServing() bool {
 	c, err := net.DialTimeout("tcp4", r.listen, time.Second)
 	if err != nil {
@@ -93,8 +94,9 @@
 	return err == nil && strings.HasPrefix(line, "+PONG")
 }
 
-// longestAnswer hands in messages for a destination that the relay does not know,
-// one after another until ctx ends, and gives the longest wait for an answer.
+// longestAnswer submits messages for a destination that the relay does not know, one after
+// another until ctx ends. It returns the longest wait for an answer, or startTimeout if a
+// message got none.
 func (r *relayProcess) longestAnswer(ctx context.Context) (longest time.Duration) {
 	for i := 1; ctx.Err() == nil; i++ {
 		began := time.Now()
@@ -115,13 +117,13 @@
 	return longest
 }
 
-// ready reports whether the relay says that it is.
+// isReady reports whether the relay's operator address answers that the relay is ready.
 func (r *relayProcess) isReady() bool {
 	text, err := r.get("/v1/readyz")
 	return err == nil && text == "ready\n"
 }
 
-// gauge gives a figure that the relay publishes.
+// gauge returns the value of one of the relay's metrics.
 func (r *relayProcess) gauge(name string) (float64, error) {
 	text, err := r.get("/v1/metrics")
 	if err != nil {
@@ -149,7 +151,8 @@
 	return string(text), err
 }
 
-// await waits for a condition, and gives how long it took from a moment on.
+// awaitCondition waits until done returns true, and returns the time since from. It fails
+// if the process ends or startTimeout passes first.
 func awaitCondition(ctx context.Context, p *process.Process, what string, from time.Time, done func() bool) (time.Duration, error) {
 	for limit := time.Now().Add(startTimeout); time.Now().Before(limit); {
 		if done() {
@@ -166,14 +169,14 @@
 	return 0, fmt.Errorf("%s: not within %v", what, startTimeout)
 }
 
-// load is what a process used over a span.
+// processLoad is the load of a process over a span of time.
 type processLoad struct {
-	corePercent        float64 // % of one
-	rssBytes           float64 // bytes, at the end
-	listBytesPerSecond float64 // a second, at the list server
+	corePercent        float64 // processor time in percent of one core
+	rssBytes           float64 // resident memory at the end of the span
+	listBytesPerSecond float64 // bytes between the list server and its clients
 }
 
-// observe measures a process over a span in which it has no work.
+// measureLoad measures the load of a process over a span, without adding work.
 func measureLoad(ctx context.Context, p *process.Process, s *listServer, span time.Duration) (processLoad, error) {
 	before, err := readUsage(p)
 	if err != nil {
--- a/internal/faultlab/capacity/relay_jobs.go
+++ b/internal/faultlab/capacity/relay_jobs.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	bodyBytes          = 200     // bytes
-	parallelClients    = 16      // clients that hand messages in side by side
-	unknownDestination = 1 << 16 // the largest that the relay takes; in no list
+	bodyBytes          = 200
+	parallelClients    = 16      // clients that submit messages or notices at the same time
+	unknownDestination = 1 << 16 // largest destination number that a relay accepts; it is in no list
 
 	largeMemoryMB = 8192
-	largeDiskMB   = 4096 // MB
+	largeDiskMB   = 4096
 )
 
-// inFlightSizes go beyond what a relay of that memory keeps there: the rest is in its log.
+// inFlightSizes include numbers of messages that do not fit into the relay's memory; it
+// keeps the rest in its log only.
 var inFlightSizes = []int{3000, 10_000, 30_000, 100_000, 300_000}
 
 func relayJobs() []job {
@@ -34,7 +35,7 @@
 		return Quantity{Role: "relay", Name: name, Unit: unit, SizeUnit: sizeUnit, Target: target, Budget: budget}
 	}
 	return []job{
-		{name: "relay-idle", sizes: []int{300, 1000, 3000, 10_000, 30_000}, // a complete list of 31,000 is over what the relay reads
+		{name: "relay-idle", sizes: []int{300, 1000, 3000, 10_000, 30_000}, // a relay refuses the complete list of 31,000 members as too long
 			smoke: smokeSizes, run: measureIdleRelay, quantities: []Quantity{
 				quantity("idle", "% of a core", list, targetMembers, budgetCore), quantity("memory, steady", "MB", list, targetMembers, budgetMemory),
 				quantity("memory, most since the start", "MB", list, targetMembers, budgetMemory), quantity("bytes with its agent at a start", "KB", list, targetMembers, 0),
@@ -55,7 +56,7 @@
 	}
 }
 
-// measureIdleRelay runs a relay with a list and no traffic.
+// measureIdleRelay measures a relay that has a list of the given size and no traffic.
 func measureIdleRelay(ctx context.Context, e *environment, size int) ([]float64, error) {
 	s, err := newListServer(memberList(size, shortID))
 	if err != nil {
@@ -79,7 +80,7 @@
 		return nil, err
 	}
 	bytes := s.bytes.Load()
-	if _, err := measureLoad(ctx, r.Process, s, scaled(e, 200*time.Millisecond, 2*time.Second)); err != nil { // the start's garbage
+	if _, err := measureLoad(ctx, r.Process, s, scaled(e, 200*time.Millisecond, 2*time.Second)); err != nil { // lets the garbage of the start be collected before the measurement
 		return nil, err
 	}
 	idle, err := measureLoad(ctx, r.Process, s, scaled(e, 500*time.Millisecond, 10*time.Second))
@@ -93,7 +94,8 @@
 	return []float64{idle.corePercent, idle.rssBytes / 1e6, peak / 1e6, float64(bytes) / 1e3, idle.listBytesPerSecond / 1e3, startTime.Seconds() * 1e3}, err
 }
 
-// measurePendingInRelay has a relay take messages for destinations that refuse connections.
+// measurePendingInRelay submits messages for destinations that refuse connections, and
+// measures what the relay uses to accept and to keep them.
 func measurePendingInRelay(ctx context.Context, e *environment, size int) ([]float64, error) {
 	members := refusingList(destinationsDown)
 	s, err := newListServer(members)
@@ -138,8 +140,8 @@
 		(afterSubmit.cpu - before.cpu).Seconds() * 1e3, waiting.corePercent}, err
 }
 
-// refusingList is a list of which the first destinations, as many as are down at
-// the target, refuse connections.
+// refusingList returns a list whose first destinationsDown destinations, or all if there
+// are fewer, refuse connections.
 func refusingList(size int) *discovery.List {
 	l := memberList(size, shortID)
 	for i := range min(size, destinationsDown) {
@@ -148,8 +150,9 @@
 	return l
 }
 
-// measureUnreachableDestinations starts a relay with messages pending for destinations that refuse, in a
-// list of so many members.
+// measureUnreachableDestinations starts a relay whose log holds messages for destinations
+// that refuse connections, with a list of the given size, and measures its start and how
+// it responds to clients afterwards.
 func measureUnreachableDestinations(ctx context.Context, e *environment, size int) ([]float64, error) {
 	members := refusingList(size)
 	s, err := newListServer(members)
@@ -182,7 +185,8 @@
 	return []float64{busy.corePercent, readTime.Seconds() * 1e3, (<-longest).Seconds() * 1e3}, err
 }
 
-// submitMessages has clients hand in so many messages, all of which must be taken.
+// submitMessages submits messages by several clients at the same time. A message that is
+// not accepted is an error.
 func submitMessages(ctx context.Context, addr string, size int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for client := range parallelClients {
@@ -217,7 +221,7 @@
 
 func messageID(i int) string { return fmt.Sprintf("%016x", uint64(i+1)*0x9e3779b97f4a7c15) }
 
-// putRequest is MSG.PUT of one message.
+// putRequest encodes the client protocol's MSG.PUT request for message i.
 func putRequest(i, destination int) []byte {
 	request := []byte("*5\r\n")
 	for _, argument := range []string{"MSG.PUT", "0000000000000000", messageID(i), fmt.Sprintf("c=alert-update,d=%d,dest=%d", messageTimeLeft/1000, destination), messageBody} {
@@ -226,8 +230,8 @@
 	return request
 }
 
-// measureRelayStart starts a relay over a log that a killed one left: so many messages
-// are pending, for destinations that refuse connections.
+// measureRelayStart starts a relay over the log of a killed relay, with the given number
+// of messages pending for destinations that refuse connections.
 func measureRelayStart(ctx context.Context, e *environment, size int) ([]float64, error) {
 	members := refusingList(destinationsDown)
 	s, err := newListServer(members)
@@ -263,8 +267,8 @@
 	return []float64{serveTime.Seconds() * 1e3, readTime.Seconds() * 1e3, float64(usage.RSS) / 1e6, peak / 1e6, float64(usage.Disk) / 1e6}, err
 }
 
-// writePendingLog writes the log of a relay that took so many messages for the first
-// destinations of its list and was killed.
+// writePendingLog writes the log that a relay leaves if it is killed after it accepted the
+// given number of messages, spread over the first destinations of its list.
 func writePendingLog(state string, size, destinations int) error {
 	w, err := wal.Open(wal.Options{Dir: state, Limit: largeDiskMB << 20})
 	if err != nil {
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -13,22 +13,24 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const smokeParallelJobs = 4 // jobs
+const smokeParallelJobs = 4 // jobs that a smoke run has running at a time
 
-// Options say what is measured and by which programs.
+// Options select the jobs to run and name the programs to measure.
 type Options struct {
-	Only       []string // names of jobs; empty for all
-	Sizes      []int    // in place of each job's own; empty for those
-	Plays      int
-	Smoke      bool   // small sizes, one short play: whether it works, not what it costs
-	Relay      string // programs
+	Only  []string // names of the jobs to run; empty for all
+	Sizes []int    // sizes for all jobs; empty for each job's own sizes
+	Plays int
+	Smoke bool // runs small sizes once and briefly, to test that the jobs work; the figures mean nothing
+	// Relay, Registry and Controller are the paths of the programs that jobs start.
+	Relay      string
 	Registry   string
 	Controller string
-	Out        string // folder for the data of what is run
+	Out        string // directory in which each run creates its temporary directory
 	Printf     func(format string, args ...any)
 }
 
-// job is one set of runs: at each size a run gives a value for each quantity.
+// job measures some quantities at several sizes: each call of run returns one value for
+// each quantity.
 type job struct {
 	name       string
 	sizes      []int
@@ -37,13 +39,13 @@
 	run        func(ctx context.Context, e *environment, size int) ([]float64, error)
 }
 
-// environment is what a run may use.
+// environment is what one run of a job gets from its caller.
 type environment struct {
 	Options
-	dir string // of this run alone; removed after it
+	dir string // directory of this run, removed when the run has ended
 }
 
-// scaled gives one of two values, by whether this is a smoke run.
+// scaled returns smoke in a smoke run and full in any other.
 func scaled[T any](e *environment, smoke, full T) T {
 	if e.Smoke {
 		return smoke
@@ -51,12 +53,12 @@
 	return full
 }
 
-// jobs are all that can be measured, in the order of the roles.
+// jobs returns all jobs, grouped by the role that they measure.
 func jobs() []job {
 	return slices.Concat(listJobs(), policyJobs(), relayJobs(), registryJobs(), agentJobs(), controllerJobs())
 }
 
-// Names are the names of all jobs.
+// Names returns the names of all jobs.
 func Names() (names []string) {
 	for _, j := range jobs() {
 		names = append(names, j.name)
@@ -64,10 +66,11 @@
 	return names
 }
 
-// Run measures. A job that fails, or whose measurements do not pass Check, is
-// noted with its error, and the others go on; the error joins those of all such jobs. Jobs run one after another, so that none bends
-// the figures of another; only a smoke run, whose figures are not kept, has
-// several at once.
+// Run runs the selected jobs. A job that fails, or whose measurements do not pass Check,
+// is listed with its error in the result's Notes, and the other jobs still run; the
+// returned error joins those of all such jobs. Jobs run one after another, so that none
+// affects the figures of another; only a smoke run, whose figures are not kept, runs
+// several at a time.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	selected, err := selectJobs(o.Only)
 	if err != nil {
@@ -104,7 +107,8 @@
 	return result, errors.Join(failed...)
 }
 
-// choose gives the jobs of some names; all for none.
+// selectJobs returns the jobs with the given names, or all jobs if there are no names. An
+// unknown name is an error.
 func selectJobs(names []string) (selected []job, err error) {
 	for _, name := range names {
 		if !slices.Contains(Names(), name) {
@@ -119,8 +123,8 @@
 	return selected, nil
 }
 
-// measure runs a job at all sizes. Sizes at which it failed are left out; what
-// the others gave is kept where there are two.
+// measure runs a job at its sizes, in order, until one fails. It returns the measurements
+// of the sizes before that one, if there are at least two, together with the error.
 func (j *job) measure(ctx context.Context, o Options) ([]Measurement, error) {
 	sizes, plays := j.sizes, max(o.Plays, 1)
 	if o.Smoke {
@@ -154,7 +158,7 @@
 	return measurements, failed
 }
 
-// at gives the values of all plays at one size, by quantity.
+// measureSize runs a job plays times at one size and returns the values of each quantity.
 func (j *job) measureSize(ctx context.Context, o Options, size, plays int) ([][]float64, error) {
 	values := make([][]float64, len(j.quantities))
 	for range plays {
@@ -172,6 +176,8 @@
 	return values, nil
 }
 
+// runOnce runs a job once at one size, with a new directory, and returns one value for
+// each quantity.
 func (j *job) runOnce(ctx context.Context, o Options, size int) ([]float64, error) {
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
--- a/internal/faultlab/capacity/table.go
+++ b/internal/faultlab/capacity/table.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Table writes the measurements: slope with its spread, what it comes to at the
-// target, and the budget beside it.
+// Table writes a row for each measurement: its slope and the slope's spread, the values
+// predicted for the target, and the budget. A line for each failed job follows.
 func (r *Result) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "role\tjob\tquantity\tunit\tsizes\tsmallest..largest value\tslope (plays)\tbase\texponent (top)\ttarget\tslope x target\twith base\tpower law\tbudget\tratio")
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// Save writes the result to a file; it replaces what is there.
+// Save writes the result to a file as JSON. It replaces an existing file only when the new
+// one is complete.
 func (r *Result) Save(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// Load reads a file that Save wrote.
+// Load reads a file written by Save. A file without measurements is an error.
 func Load(path string) (*Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/faultlab/capacity/usage.go
+++ b/internal/faultlab/capacity/usage.go
@@ -13,16 +13,16 @@
 	"plovershore/internal/faultlab/process"
 )
 
-// usage is what one process or several use.
+// usage holds what one process, or the sum of several, has used so far.
 type usage struct {
 	cpu          time.Duration
-	rssBytes     float64 // bytes
-	writtenBytes float64 // bytes that it handed to the kernel, for files and sockets
+	rssBytes     float64 // resident memory at present
+	writtenBytes float64 // bytes written by system calls to files and sockets
 }
 
-// readUsage reads what a process uses from the kernel's process files. Its
-// processor time is that of its threads, in nanoseconds: the process's own
-// figure counts in hundredths of a second.
+// readUsage reads a process's usage from /proc. It takes the processor time from the
+// threads, which count in nanoseconds, because the process's own figure counts in
+// hundredths of a second.
 func readUsage(p *process.Process) (usage, error) {
 	u, err := p.Measure("")
 	if err != nil {
@@ -44,8 +44,8 @@
 	return result, err
 }
 
-// threadCPUTime adds up the processor time of a process's threads. Programs in Go
-// keep theirs, so none is missed.
+// threadCPUTime returns the sum of the processor time of a process's threads. The time of
+// a thread that ended would be missing, but Go programs keep their threads.
 func threadCPUTime(pid int) (sum time.Duration, err error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
@@ -54,7 +54,7 @@
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			continue // ended meanwhile
+			continue // The thread has ended since the directory was read.
 		}
 		var runNanos int64
 		if _, err := fmt.Sscan(string(text), &runNanos); err != nil {
@@ -65,7 +65,7 @@
 	return sum, nil
 }
 
-// peakRSS is the most that a process has held so far, in bytes.
+// peakRSS returns the largest resident memory of a process since its start, in bytes.
 func peakRSS(pid int) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/faultlab/capacity/watchers.go
+++ b/internal/faultlab/capacity/watchers.go
@@ -19,8 +19,8 @@
 	maxParallelDials = 50
 )
 
-// watcherSet is many watchers of a group, of which it is known when the last one has
-// received a revision.
+// watcherSet holds open watches of a list service's list and records when the last watcher
+// has received a revision.
 type watcherSet struct {
 	size  int
 	close context.CancelFunc
@@ -32,10 +32,11 @@
 	lastArrival time.Time
 	allArrived  chan struct{}
 	failed      error
-	revisions   map[int]int64 // that each watcher is at
+	revisions   map[int]int64 // latest revision that each watcher has received
 }
 
-// newWatcherSet opens so many watches, each from nothing.
+// newWatcherSet opens the given number of watches, spread over the nodes. Each begins with
+// the complete list.
 func newWatcherSet(ctx context.Context, nodes []string, size int) *watcherSet {
 	c := &watcherSet{size: size, revisions: map[int]int64{}}
 	ctx, c.close = context.WithCancel(ctx)
@@ -55,14 +56,15 @@
 	return c
 }
 
-// expect counts anew the watchers that have received a revision.
+// startAwaiting sets the revision that wait waits for. No watcher may have received it yet.
 func (c *watcherSet) startAwaiting(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.awaited, c.arrived, c.allArrived = revision, 0, make(chan struct{})
 }
 
-// wait waits until all have, and gives the moment of the last.
+// wait waits until all watchers have received the awaited revision, and returns when the
+// last one did.
 func (c *watcherSet) wait(ctx context.Context) (time.Time, error) {
 	c.mu.Lock()
 	allArrived := c.allArrived
@@ -96,8 +98,8 @@
 	c.revisions[watcher] = revision
 }
 
-// watch reads one watch to its end. Lists are read past, not kept: what a
-// watcher makes of them is not the group's cost.
+// watch reads one watch until it ends. It parses only the revisions: parsing members would
+// add the watchers' cost to the figures of the group.
 func (c *watcherSet) watch(ctx context.Context, dialSlots chan struct{}, watcher int, node string) error {
 	dialSlots <- struct{}{}
 	conn, err := net.DialTimeout("tcp4", node, watchTimeout)
@@ -129,8 +131,8 @@
 	}
 }
 
-// measureWatchers measures how long so many watchers take to have the complete list, and
-// the way of a change to the last of them once they have it.
+// measureWatchers measures how long it takes until all watchers have the complete list,
+// and then until a change has reached all of them.
 func measureWatchers(ctx context.Context, e *environment, memberCount, watcherCount int) ([]float64, error) {
 	g, err := e.startGroup(ctx, groupNodes, memberCount)
 	if err != nil {
