--- a/internal/faultlab/simrelay/config.go
+++ b/internal/faultlab/simrelay/config.go
@@ -1,11 +1,11 @@
-// Package simrelay is what the lab and a process of simulated relays exchange: a
-// configuration, signals, lines of status and a result.
+// Package simrelay defines what the lab and a process of simulated relays exchange: a
+// configuration file, signals, status lines and a result file.
 //
-// A simulated relay (package relays) is a relay without sockets for messages; many
-// run in one process. Every message that one accepts is counted with one
-// completion, each change of the endpoint list is recorded with the moment at which
-// the policy had it, and a process reports how late its own traffic was. What the
-// figures mean is left to the lab.
+// A simulated relay (package relays) makes up its own messages and their outcomes instead
+// of talking to clients and endpoints, so that many fit into one process. It counts each
+// accepted message and its completion, and records each change of the endpoint list with
+// the time at which its policy received it. A process also reports how late its messages
+// were made, which shows whether the machine kept up. The lab judges the figures.
 package simrelay
 
 import (
@@ -17,28 +17,28 @@
 
 // Config is the configuration of one process of simulated relays.
 type Config struct {
-	Folder    string            `json:"folder"` // of the relays' message logs
-	Result    string            `json:"result"` // file of the Result, written at the end
-	First     int               `json:"first"`  // number of the first relay in the fleet
+	Folder    string            `json:"folder"` // directory of the relays' message logs
+	Result    string            `json:"result"` // file to which the process writes its Result when it ends
+	First     int               `json:"first"`  // number of the process's first relay within the fleet
 	Discovery []string          `json:"discovery"`
 	Fleet     int               `json:"fleet"`
 	Seed      uint64            `json:"seed"`
-	Settings  []json.RawMessage `json:"settings"` // one for each relay, in the form of the wire page
+	Settings  []json.RawMessage `json:"settings"` // settings of each relay, in the wire form that a real relay reads
 	Zones     []string          `json:"zones"`
 	Flavors   []string          `json:"flavors"`
 	DiskMB    int               `json:"disk_mb"`
 	Stream    Stream            `json:"stream"`
 }
 
-// Errors of a configuration that cannot be used.
+// Errors of LoadConfig for a configuration that lacks a required part.
 var (
 	ErrNoSettings  = errors.New("settings: none")
 	ErrNoDiscovery = errors.New("discovery: none")
 	ErrNoStream    = errors.New("stream: classes and destinations are wanted")
 )
 
-// LoadConfig reads the configuration file of a process. Unusable values are
-// ErrNoSettings, ErrNoDiscovery or ErrNoStream.
+// LoadConfig reads and checks the configuration file of a process. A configuration that
+// lacks a required part is ErrNoSettings, ErrNoDiscovery or ErrNoStream.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/faultlab/simrelay/hash.go
+++ b/internal/faultlab/simrelay/hash.go
@@ -9,8 +9,8 @@
 	"plovershore/internal/discovery"
 )
 
-// MemberHash is a hash of a member as the list has it. The hash of a list is the sum
-// of its members' hashes, so that a change updates it.
+// MemberHash is a hash of all fields of a member that the list carries. The hash of a list
+// is the sum of its members' hashes, so that a change of one member can update it.
 func MemberHash(m *discovery.Member) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{m.ID, m.HostPort, m.Locality, m.Flavor, m.Phase} {
@@ -24,7 +24,7 @@
 	return h.Sum64()
 }
 
-// ListHash is the hash of a complete list.
+// ListHash is the hash of a complete list; removed members do not count.
 func ListHash(members []discovery.Member) (sum uint64) {
 	for i := range members {
 		if members[i].Phase != discovery.Removed {
@@ -34,7 +34,8 @@
 	return sum
 }
 
-// ChangeKey identifies a change of one member by the state that the member got.
+// ChangeKey identifies a change of one member by the member's phase and size after it, so
+// that the same change has the same key in every relay.
 func ChangeKey(id, phase string, size float64) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, id, " ", phase)
--- a/internal/faultlab/simrelay/relays/attempt.go
+++ b/internal/faultlab/simrelay/relays/attempt.go
@@ -10,7 +10,8 @@
 	"plovershore/policy"
 )
 
-// attempt is one attempt of a message; how it ends is drawn when it begins.
+// attempt is one attempt to deliver a message. Its outcome and its end are drawn at random
+// when it begins.
 type attempt struct {
 	message   *message
 	number    int
@@ -18,32 +19,32 @@
 	endsAt    time.Time
 	began     time.Time
 	outcome   policy.Outcome
-	heapIndex int // in the attempts in flight; -1 if it is not there
+	heapIndex int // index in the relay's heap of attempts in flight; -1 if it is not there
 }
 
-// attempts is a heap of the attempts in flight, the next to end first.
+// attempts is a heap of attempts in flight, ordered by the time at which they end.
 type attempts []*attempt
 
-// Len is for package heap.
+// Len implements heap.Interface.
 func (a attempts) Len() int { return len(a) }
 
-// Less puts the next to end first.
+// Less orders the attempts by the time at which they end.
 func (a attempts) Less(i, j int) bool { return a[i].endsAt.Before(a[j].endsAt) }
 
-// Swap keeps the attempts' indexes.
+// Swap exchanges two attempts and updates their heapIndex.
 func (a attempts) Swap(i, j int) {
 	a[i], a[j] = a[j], a[i]
 	a[i].heapIndex, a[j].heapIndex = i, j
 }
 
-// Push adds at the end, for package heap.
+// Push implements heap.Interface: it appends an attempt.
 func (a *attempts) Push(x any) {
 	pushed := x.(*attempt)
 	pushed.heapIndex = len(*a)
 	*a = append(*a, pushed)
 }
 
-// Pop takes the last, for package heap.
+// Pop implements heap.Interface: it removes the last attempt.
 func (a *attempts) Pop() any {
 	last := len(*a) - 1
 	popped := (*a)[last]
@@ -58,7 +59,8 @@
 	}
 }
 
-// logAttempt writes an attempt to the log; the call begins once the log has it.
+// logAttempt writes an attempt to the message log. The attempt starts once the write has
+// finished. One that may no longer be sent ends at once with the outcome NotSent.
 func (r *relay) logAttempt(m *message, action *policy.Action) {
 	deadline := r.began.Add(time.Duration(action.Deadline-clockStart) * time.Microsecond)
 	next := &attempt{message: m, number: m.attempts - 1, endpoint: action.Endpoint, heapIndex: -1, endsAt: deadline}
@@ -73,17 +75,18 @@
 	r.wal.Submit(record, func(error) { r.inbox.Put(event{attemptLogged: next}) })
 }
 
-// maySend reports whether an attempt can still begin.
+// maySend reports whether an attempt may still start: its deadlines have not passed, and
+// its endpoint is up and serves the message's destination.
 func (r *relay) maySend(m *message, target *endpoint, action *policy.Action) bool {
 	now := r.now()
 	inTime := action.Deadline > now && (action.SendBy == 0 || action.SendBy > now)
 	return inTime && !m.completed && target != nil && target.phase == discovery.Up && target.destination == m.record.Dest
 }
 
-// startAttempt begins an attempt that is in the log.
+// startAttempt starts an attempt that the message log contains.
 func (r *relay) startAttempt(started *attempt) {
 	if started.message.inFlight != started {
-		return // cancelled meanwhile
+		return // the attempt was cancelled during the write to the log
 	}
 	r.updateCounts(func(c *simrelay.Counts) { c.Calls++ })
 	started.began = time.Now()
@@ -91,7 +94,8 @@
 	heap.Push(&r.inFlight, started)
 }
 
-// finishAttempt records the end of an attempt.
+// finishAttempt reports the end of an attempt to the policy and logs it. A delivery
+// completes the message.
 func (r *relay) finishAttempt(finished *attempt, now time.Time) {
 	m := finished.message
 	m.inFlight = nil
@@ -105,12 +109,12 @@
 	if isDelivered && !wasCompleted {
 		r.complete(m, func(c *simrelay.Counts) { c.Delivered++ })
 	}
-	if m.completed { // if it was before, its notice is on its way
+	if m.completed { // a message that was completed before this attempt ended has had its response
 		delete(r.messages, m.number)
 	}
 }
 
-// event is the attempt's end, for the policy.
+// event returns the policy event that reports the attempt's outcome.
 func (a *attempt) event(final bool, now time.Time) policy.Event {
 	e := policy.Event{Kind: policy.EventAttemptDone, Message: a.message.number, Attempt: a.number, Endpoint: a.endpoint,
 		Outcome: a.outcome, Final: final, NewConnection: true}
--- a/internal/faultlab/simrelay/relays/list.go
+++ b/internal/faultlab/simrelay/relays/list.go
@@ -9,7 +9,7 @@
 	"plovershore/policy"
 )
 
-// endpoint is what a relay keeps of a member, as a real one does.
+// endpoint holds the fields of a list member that a real relay keeps as well.
 type endpoint struct {
 	number      policy.Endpoint
 	id          string
@@ -20,7 +20,7 @@
 	hash        uint64
 }
 
-// list is a relay's endpoint list.
+// list is one relay's copy of the endpoint list.
 type list struct {
 	zones, flavors map[string]int
 	byID           map[string]*endpoint
@@ -29,11 +29,11 @@
 	hash           uint64
 	members        int
 	revision       int64
-	completeLists  int // received
+	completeLists  int // complete lists received
 	applied        []simrelay.AppliedChange
-	updated        bool     // the policy does not have all of it yet
-	pendingKeys    []uint64 // of changes that the policy's next step has
-	outOfOrder     []string // updates, described
+	updated        bool     // the list has updates that the policy has not received yet
+	pendingKeys    []uint64 // keys of the changes that the policy receives in its next step
+	outOfOrder     []string // descriptions of changes that came before the first complete list, or with a revision that was not higher than the last
 }
 
 func newList(zones, flavors []string) *list {
@@ -49,7 +49,7 @@
 	return indexes
 }
 
-// indexOf is a name's index, or -1.
+// indexOf returns the index of a name, or -1 if the name is unknown.
 func indexOf(indexes map[string]int, name string) int {
 	if i, ok := indexes[name]; ok {
 		return i
@@ -57,7 +57,8 @@
 	return -1
 }
 
-// update applies a complete list or a change and returns the policy's event for it.
+// update applies a complete list or a change to the list and returns the event that passes
+// it on to the policy.
 func (l *list) update(update *discovery.List) policy.Event {
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListDelta}
 	first := l.completeLists == 0
@@ -77,7 +78,8 @@
 	return e
 }
 
-// applyMember applies one line of the list; if noted is set, its change is recorded.
+// applyMember applies one member of an update and returns its entry for the policy. With
+// recordChange it adds the key of a change to pendingKeys.
 func (l *list) applyMember(m *discovery.Member, recordChange bool) policy.Entry {
 	known := l.byID[m.ID]
 	if known == nil {
@@ -105,7 +107,8 @@
 	return entry
 }
 
-// uncount takes a member out of the hash and the number of members.
+// excludeFromHash subtracts a member from the list's hash and number of members, unless
+// the member is removed already.
 func (l *list) excludeFromHash(known *endpoint) {
 	if known.phase != discovery.Removed {
 		l.hash -= known.hash
@@ -113,7 +116,7 @@
 	}
 }
 
-// dropUnlisted removes the members that a complete list leaves out.
+// dropUnlisted removes the members that a complete list does not contain.
 func (l *list) dropUnlisted(update *discovery.List) {
 	listed := make(map[string]bool, len(update.Members))
 	for i := range update.Members {
@@ -128,7 +131,7 @@
 	}
 }
 
-// markApplied records that the policy has all updates.
+// markApplied records the time at which the policy has received all pending changes.
 func (l *list) markApplied(now time.Time) {
 	for _, key := range l.pendingKeys {
 		l.applied = append(l.applied, simrelay.AppliedChange{Key: key, At: now.UnixMicro()})
--- a/internal/faultlab/simrelay/relays/message.go
+++ b/internal/faultlab/simrelay/relays/message.go
@@ -11,20 +11,21 @@
 	"plovershore/policy"
 )
 
-// message is one that the relay has accepted, or whose notice is on its way.
+// message is a message that the relay has not completed, or whose last attempt has not
+// ended.
 type message struct {
 	number      uint32
 	class       int
 	record      *wal.Record
 	accepted    bool
-	durable     bool // in the log
+	durable     bool // its write to the message log has finished
 	completed   bool
 	attempts    int
 	inFlight    *attempt
-	pendingSend *policy.Action // waits until the message is durable
+	pendingSend *policy.Action // attempt that starts once the message is durable
 }
 
-// receiveDue takes the messages that are due.
+// receiveDue makes the messages whose time has come and submits them to the policy.
 func (r *relay) receiveDue(now time.Time) {
 	a := &r.arrivals
 	for !a.nextAt.IsZero() && !a.nextAt.After(now) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// accept writes a message to the log.
+// accept counts a message as accepted and writes it to the message log.
 func (r *relay) accept(m *message) {
 	m.accepted = true
 	r.updateCounts(func(c *simrelay.Counts) { c.Accepted++; c.InFlight++ })
@@ -59,7 +60,8 @@
 	})
 }
 
-// messageLogged continues with an attempt that waited for the log.
+// messageLogged marks a message as durable and starts the attempt that waited for that, if
+// any.
 func (r *relay) messageLogged(m *message) {
 	m.durable = true
 	if a := m.pendingSend; a != nil {
@@ -68,7 +70,7 @@
 	}
 }
 
-// apply carries out an action that is no final response.
+// apply carries out an action of the policy that is not a final response.
 func (r *relay) apply(action *policy.Action) {
 	switch action.Kind {
 	case policy.ActionSend:
@@ -88,7 +90,7 @@
 	}
 }
 
-// send begins an attempt, once the message is durable.
+// send starts an attempt, or keeps it until the message is durable.
 func (r *relay) send(action *policy.Action) {
 	m := r.messages[action.Message]
 	if m == nil || m.completed {
@@ -103,7 +105,8 @@
 	r.logAttempt(m, action)
 }
 
-// complete counts the completion of an accepted message.
+// complete marks an accepted message as completed and counts that with count. A second
+// completion is counted as a duplicate instead.
 func (r *relay) complete(m *message, count func(*simrelay.Counts)) {
 	r.updateCounts(func(c *simrelay.Counts) {
 		if m.completed {
@@ -116,13 +119,14 @@
 	m.completed = true
 }
 
-// respond carries out a final response.
+// respond carries out a final response: a rejection if the message was not accepted,
+// otherwise a completion whose notice goes to discovery.
 func (r *relay) respond(action *policy.Action, outcome string) {
 	m := r.messages[action.Message]
 	if m == nil {
 		return
 	}
-	if !m.accepted { // rejected: its client has the answer at once
+	if !m.accepted { // the client of a rejected message needs no notice
 		m.completed = true
 		delete(r.messages, m.number)
 		r.updateCounts(func(c *simrelay.Counts) { c.Rejected++ })
--- a/internal/faultlab/simrelay/relays/process.go
+++ b/internal/faultlab/simrelay/relays/process.go
@@ -1,7 +1,7 @@
-// Package relays runs simulated relays: the real watch, endpoint list, notices,
-// policy and message log of a relay, with synthetic messages and outcomes in place
-// of clients and endpoints. Package simrelay says what they report. They run in a
-// process of their own, so that the lab links none of the relay's code.
+// Package relays runs simulated relays. Each uses a real relay's watch, endpoint list,
+// notices, policy and message log, and replaces its clients and endpoints by synthetic
+// messages and outcomes. Package simrelay defines what they report. They run in a process
+// of their own, so that the lab does not link the relay's code.
 package relays
 
 import (
@@ -22,13 +22,13 @@
 )
 
 const (
-	maxLateness    = 60_000_000 // µs; later counts as this
+	maxLateness    = 60_000_000 // microseconds; a longer delay is recorded as this
 	latenessDigits = 3
 	signalBuffer   = 8
 )
 
-// lateness is how late the traffic of all relays of a process was. It is safe for
-// concurrent use.
+// lateness records how late messages were made, over all relays of a process. It is safe
+// for concurrent use.
 type lateness struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
@@ -46,11 +46,11 @@
 	return time.Duration(l.hist.ValueAtQuantile(99)) * time.Microsecond, time.Duration(l.hist.Max()) * time.Microsecond
 }
 
-// Main runs the simulated relays of a configuration file until simrelay.Finish or
-// the end of ctx, and writes their result. Lines of simrelay.Status go to out, the
-// log to errOut.
+// Main runs the relays of a configuration file until the signal simrelay.Finish or the end
+// of ctx, and then writes their result file. It writes lines of simrelay.Status to out and
+// the log to errOut.
 func Main(ctx context.Context, path string, out, errOut io.Writer) error {
-	signals := make(chan os.Signal, signalBuffer) // before anything else: unhandled, they would end the process
+	signals := make(chan os.Signal, signalBuffer) // The signals are registered first, because an unhandled one ends the process.
 	signal.Notify(signals, simrelay.StartTraffic, simrelay.StopTraffic, simrelay.Finish)
 	defer signal.Stop(signals)
 	c, err := simrelay.LoadConfig(path)
@@ -88,7 +88,8 @@
 	return relays, nil
 }
 
-// serve obeys signals and writes the status until simrelay.Finish or the end of ctx.
+// serve passes signals on to the relays and writes status lines, until the signal
+// simrelay.Finish or the end of ctx.
 func serve(ctx context.Context, relays []*relay, signals <-chan os.Signal, late *lateness, out *json.Encoder) error {
 	tick := time.NewTicker(simrelay.StatusInterval)
 	defer tick.Stop()
@@ -109,20 +110,20 @@
 	}
 }
 
-// signalCommands gives the command for each signal but simrelay.Finish.
+// signalCommands maps each signal except simrelay.Finish to the command that it gives.
 var signalCommands = map[os.Signal]command{
 	simrelay.StartTraffic: commandStartTraffic,
 	simrelay.StopTraffic:  commandStopTraffic,
 }
 
-// broadcast gives a command to all relays.
+// broadcast sends a command to all relays.
 func broadcast(relays []*relay, c command) {
 	for _, r := range relays {
 		r.inbox.Put(event{command: c})
 	}
 }
 
-// collectStatus adds up the status of all relays.
+// collectStatus returns the status of all relays together.
 func collectStatus(relays []*relay, late *lateness) simrelay.Status {
 	s := simrelay.Status{Relays: len(relays), Hashes: map[string]int{}, Members: map[int]int{}}
 	for _, r := range relays {
@@ -132,7 +133,7 @@
 	return s
 }
 
-// writeResult writes the result file of a process.
+// writeResult writes the result file after all relays have ended.
 func writeResult(path string, relays []*relay, late *lateness) (err error) {
 	var result simrelay.Result
 	for _, r := range relays {
--- a/internal/faultlab/simrelay/relays/relay.go
+++ b/internal/faultlab/simrelay/relays/relay.go
@@ -23,20 +23,20 @@
 )
 
 const (
-	clockStart = policy.Time(3600e6) // of the policy's clock, as in a real relay
+	clockStart = policy.Time(3600e6) // time at which the policy's clock starts, the same as in a real relay
 	maxIdle    = time.Hour
 )
 
-// event is an input of the relay's loop; one field is set.
+// event is an input of the relay's loop. Exactly one field is set.
 type event struct {
 	list          *discovery.List
-	durable       *message // a message that the log has
-	attemptLogged *attempt // an attempt that the log has
-	noticeSent    string   // a message's ID
+	durable       *message // a message that has been written to the log
+	attemptLogged *attempt // an attempt that has been written to the log
+	noticeSent    string   // the ID of a message whose notice discovery has accepted
 	command       command
 }
 
-// command is an order of the process to its relays.
+// command is what the process tells its relays to do.
 type command int
 
 const (
@@ -46,8 +46,8 @@
 	commandFinish
 )
 
-// relay is one simulated relay. Its loop is the one goroutine that uses the policy
-// and the fields without a lock.
+// relay is one simulated relay. Only the goroutine of its loop uses the policy and the
+// other fields that mu does not guard.
 type relay struct {
 	name       string
 	folder     string
@@ -55,7 +55,7 @@
 	policy     *policy.Policy
 	inbox      *mailbox.Mailbox[event]
 	wal        *wal.Log
-	lock       *wal.Lock // of the folder
+	lock       *wal.Lock // lock on the relay's directory, against a second process
 	stopLog    chan struct{}
 	watch      *discovery.Watch
 	notices    *discovery.Notices
@@ -64,26 +64,26 @@
 	onLateness func(time.Duration)
 	began      time.Time
 	lastNumber uint32
-	messages   map[uint32]*message // by number
+	messages   map[uint32]*message // by message number
 	inFlight   attempts
-	timers     []policy.Time  // sorted
-	events     []policy.Event // for the policy's next step
+	timers     []policy.Time  // sorted times at which the policy wants a timer event
+	events     []policy.Event // events for the policy's next step
 	actions    []policy.Action
 	body       []byte
 
-	mu        sync.Mutex // guards what status reads
+	mu        sync.Mutex // guards the fields below, which the process reads for its status
 	counts    simrelay.Counts
 	published listState
 }
 
-// listState is what a relay shows of its list.
+// listState is the state of a relay's list that its status reports.
 type listState struct {
 	listed  bool
 	hash    uint64
 	members int
 }
 
-// newRelay opens the log of one relay and makes its policy; run starts it.
+// newRelay makes one relay and opens its message log. Its run method starts it.
 func newRelay(config *simrelay.Config, index int, log *slog.Logger, onLateness func(time.Duration)) (*relay, error) {
 	number := config.First + index
 	seed := config.Seed + uint64(number)
@@ -115,7 +115,7 @@
 	return r, nil
 }
 
-// newPolicy makes the policy that a real relay would run with the settings.
+// newPolicy makes the policy that a real relay would have with the same settings.
 func newPolicy(text []byte, seed uint64) (*policy.Policy, error) {
 	parsed, err := wire.ParseSettings(text)
 	if err != nil {
@@ -125,14 +125,15 @@
 	if err != nil {
 		return nil, err
 	}
-	policySettings.StreamsPerConnection = 1 // as a real relay has it
+	policySettings.StreamsPerConnection = 1 // the same value as in a real relay
 	return policy.New(policySettings, seed)
 }
 
-// errLogInUse is a message log that another process has open.
+// errLogInUse means that another process has the message log open.
 var errLogInUse = errors.New("message log in use")
 
-// openLog opens the message log, with a limit in bytes.
+// openLog locks the relay's directory and opens the message log, whose size limit is in
+// bytes.
 func (r *relay) openLog(limit int64) (err error) {
 	if err := os.MkdirAll(r.folder, 0o700); err != nil {
 		return fmt.Errorf("simrelay: %w", err)
@@ -151,10 +152,10 @@
 	return nil
 }
 
-// now is the time of the policy's clock.
+// now returns the time of the policy's clock.
 func (r *relay) now() policy.Time { return clockStart + time.Since(r.began).Microseconds() }
 
-// run serves until commandFinish, and returns once its goroutines have ended.
+// run runs the relay until commandFinish and returns once its goroutines have ended.
 func (r *relay) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var discoveryLoops sync.WaitGroup
@@ -170,7 +171,7 @@
 	r.lock.Close()
 }
 
-// loop handles events and timers until commandFinish.
+// loop handles events, due messages, ending attempts and timers until commandFinish.
 func (r *relay) loop() {
 	timer := time.NewTimer(maxIdle)
 	defer timer.Stop()
@@ -195,7 +196,7 @@
 	}
 }
 
-// untilDue is how long the loop has nothing to do unless an event comes.
+// untilDue returns the time until the next timer, message or end of an attempt.
 func (r *relay) untilDue() time.Duration {
 	wait := maxIdle
 	if len(r.timers) > 0 {
@@ -210,7 +211,7 @@
 	return max(wait, 0)
 }
 
-// handleEvent handles one event; it reports whether the loop is to end.
+// handleEvent handles one event and reports whether the loop must end.
 func (r *relay) handleEvent(e *event) bool {
 	switch {
 	case e.list != nil:
@@ -232,14 +233,14 @@
 	return false
 }
 
-// finishDue finishes the attempts that end by now.
+// finishDue finishes the attempts whose end has come.
 func (r *relay) finishDue(now time.Time) {
 	for len(r.inFlight) > 0 && !r.inFlight[0].endsAt.After(now) {
 		r.finishAttempt(heap.Pop(&r.inFlight).(*attempt), now)
 	}
 }
 
-// fireTimers passes the timers that are due to the policy.
+// fireTimers removes the timers that are due and queues a timer event for the policy.
 func (r *relay) fireTimers() {
 	n, now := 0, r.now()
 	for n < len(r.timers) && r.timers[n] <= now {
@@ -251,8 +252,9 @@
 	}
 }
 
-// step has the policy decide on the events, and carries out its actions in the order
-// in which a real relay does.
+// step runs one step of the policy on the queued events and carries out its actions in the
+// same order as a real relay: rejections and failures, then writes of accepted messages to
+// the log, then all others.
 func (r *relay) step() {
 	received := r.receivedMessages()
 	r.actions = r.policy.Step(r.now(), r.events, r.actions[:0])
@@ -279,7 +281,7 @@
 	}
 }
 
-// receivedMessages are the new messages among the events.
+// receivedMessages returns the messages that the queued events submit.
 func (r *relay) receivedMessages() (received []*message) {
 	for i := range r.events {
 		if r.events[i].Kind == policy.EventMessage {
@@ -295,14 +297,14 @@
 	update(&r.counts)
 }
 
-// publishList publishes the state of the list.
+// publishList copies the state of the list to where addStatus reads it.
 func (r *relay) publishList() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.published = listState{listed: true, hash: r.list.hash, members: r.list.members}
 }
 
-// addStatus adds the relay's status to its process's.
+// addStatus adds the relay's counts and list to the status of its process.
 func (r *relay) addStatus(s *simrelay.Status) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -313,7 +315,7 @@
 	}
 }
 
-// result is the relay's result; run must have returned.
+// result returns the relay's result. Call it only after run has returned.
 func (r *relay) result() simrelay.RelayResult {
 	result := simrelay.RelayResult{
 		Name:          r.name,
--- a/internal/faultlab/simrelay/relays/traffic.go
+++ b/internal/faultlab/simrelay/relays/traffic.go
@@ -10,14 +10,15 @@
 
 const arrivalSeed = 0x686f6c6c
 
-// arrivals draws when messages come to one relay, whatever becomes of those before.
+// arrivals makes the times, classes and outcomes of one relay's messages. The times do not
+// depend on what happened to earlier messages.
 type arrivals struct {
 	stream *simrelay.Stream
 	random *rand.Rand
-	nextAt time.Time // zero while nothing comes
+	nextAt time.Time // time of the next message; zero while none are made
 }
 
-// start has messages arrive from now on.
+// start makes the first message due after a random gap from now.
 func (a *arrivals) start(now time.Time) {
 	if a.stream.Rate > 0 {
 		a.nextAt = now.Add(a.drawGap())
@@ -30,7 +31,7 @@
 	return time.Duration(a.random.ExpFloat64() / a.stream.Rate * float64(time.Second))
 }
 
-// drawClass draws the class of a message.
+// drawClass draws a message's class by the classes' fractions.
 func (a *arrivals) drawClass() int {
 	draw := a.random.Float64()
 	for i := range a.stream.Classes {
@@ -41,8 +42,9 @@
 	return len(a.stream.Classes) - 1
 }
 
-// settle draws how an attempt ends within a limit: a destination that is down
-// answers no connection, any other delivers the message in its class's time.
+// drawOutcome draws the outcome and the end of an attempt, which lasts at most limit. An
+// attempt at a destination that is down fails to connect; any other delivers the message
+// within its class's range of service times, or times out.
 func (a *arrivals) drawOutcome(started *attempt, limit time.Duration) {
 	stream := a.stream
 	serviceTime := stream.Classes[started.message.class].ServiceTime
--- a/internal/faultlab/simrelay/simrelay_test.go
+++ b/internal/faultlab/simrelay/simrelay_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// TestDownKeepsCountConstantAndCoversEveryDestination: at any moment as many destinations are down, each for
-// its time, and over a whole round each of them once.
+// The same number of destinations must be down at any time, and each destination equally
+// long over a whole round.
 func TestDownKeepsCountConstantAndCoversEveryDestination(t *testing.T) {
 	const destinations = 200
 	d := Down{Seed: 3, Fraction: 0.05, For: 10 * time.Second, Origin: 1000}
 	d.Prepare(destinations)
 	if d.Count() != 10 {
-		t.Fatalf("%d are down, want 10", d.Count())
+		t.Fatalf("%d destinations are down, want 10", d.Count())
 	}
 	stepMicros := d.For.Microseconds() / int64(d.Count())
 	downSteps := make([]int, destinations)
-	for n := range destinations { // a round: each step one goes down and one comes back
+	for n := range destinations { // in each step of a round, one destination goes down and one comes back
 		count := 0
 		for i := range destinations {
 			if d.At(i, d.Origin+int64(n)*stepMicros+stepMicros/2) {
@@ -28,7 +28,7 @@
 			}
 		}
 		if count != d.Count() {
-			t.Fatalf("seed 3, step %d: %d are down, want %d", n, count, d.Count())
+			t.Fatalf("seed 3, step %d: %d destinations are down, want %d", n, count, d.Count())
 		}
 	}
 	for i, n := range downSteps {
@@ -37,11 +37,11 @@
 		}
 	}
 	if none := (Down{Fraction: 0}); none.At(0, 5) {
-		t.Error("one is down where none is to be")
+		t.Error("fraction 0: destination 0 is down")
 	}
 }
 
-// TestLoadConfigRejectsUnusableFile are told by what is missing.
+// The error must name the part of the configuration that is missing.
 func TestLoadConfigRejectsUnusableFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	for text, want := range map[string]string{"{": "configuration", "{}": "settings", `{"settings": [{}]}`: "discovery",
@@ -50,10 +50,10 @@
 			t.Fatal(err)
 		}
 		if _, err := LoadConfig(path); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want an error that names %s", text, err, want)
+			t.Errorf("configuration %s: error %v, want one that contains %q", text, err, want)
 		}
 	}
 	if _, err := LoadConfig(path + ".none"); err == nil {
-		t.Error("a file that is not there: no error")
+		t.Error("missing file: LoadConfig returned no error")
 	}
 }
