--- a/internal/faultlab/stub/call.go
+++ b/internal/faultlab/stub/call.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// callResult is what one attempt came to.
+// callResult is the result of one call of an endpoint.
 type callResult struct {
-	notSent    bool // nothing was sent: a Retry-After came first
-	completed  bool // nothing more is pending for the message
+	notSent    bool // the request was not sent, because the destination had asked to wait
+	completed  bool // the message was delivered or has expired, and must not be sent again
 	mayHaveRun bool
 }
 
-// call sends a message to an endpoint and waits for the answer. A Retry-After in
-// it counts for the endpoint's destination from then on.
+// call sends a message to an endpoint and waits for the response. A Retry-After in the
+// response delays all further calls to the endpoint's destination.
 func (r *relay) call(m *message, target endpoint) callResult {
 	ctx, cancel := context.WithDeadline(context.WithValue(context.Background(), destinationKey{}, target.Destination), m.deadline)
 	defer cancel()
@@ -39,14 +39,14 @@
 	}
 	defer resp.Body.Close()
 	r.waits.extend(target.Destination, retryAfter(resp))
-	io.Copy(io.Discard, resp.Body) // so that the connection is reused
+	io.Copy(io.Discard, resp.Body) // reads the whole body, so that the connection can be reused
 	return callResult{
 		completed:  resp.StatusCode == http.StatusOK || resp.StatusCode == http.StatusGone,
 		mayHaveRun: resp.StatusCode == http.StatusInternalServerError,
 	}
 }
 
-// failedCall is the result of a call that got no answer.
+// failedCall returns the result of a call without a response.
 func failedCall(err error) callResult {
 	if errors.Is(err, errMustWait) {
 		return callResult{notSent: true}
@@ -56,7 +56,7 @@
 	return callResult{mayHaveRun: !dialFailed}
 }
 
-// retryAfter is the wait that a response asks for; 0 for none.
+// retryAfter returns the wait that a response asks for, or 0 if it asks for none.
 func retryAfter(resp *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if err != nil {
@@ -65,11 +65,12 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// destinationKey is the context key of the destination that a call goes to. An
-// address belongs to one destination, so it holds for the connection as well.
+// destinationKey is the context key of the destination that a call goes to. The connection
+// that dial opens for the call keeps that destination, since an address belongs to one
+// destination only.
 type destinationKey struct{}
 
-// dial opens a connection that checks Retry-After before each write.
+// dial opens a connection that sends nothing while its destination has asked to wait.
 func (r *relay) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout}
 	conn, err := dialer.DialContext(ctx, network, address)
--- a/internal/faultlab/stub/client.go
+++ b/internal/faultlab/stub/client.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	idleTimeout  = 30 * time.Second // between two requests of a client
-	firstTimeout = 2 * time.Second  // for the first request of a connection
+	idleTimeout  = 30 * time.Second // longest time between two requests of a connection
+	firstTimeout = 2 * time.Second  // longest time from a connection's start to its first request
 	maxArguments = 16
 	maxArgument  = 64 << 10 // bytes
 )
@@ -31,13 +31,14 @@
 	answerUnknown  = "-ERR unknown command\r\n"
 )
 
-// malformedRequestError is an error that the client is told before its connection ends.
+// malformedRequestError is a protocol error that the client is told before the stub closes
+// the connection.
 type malformedRequestError string
 
-// Error is what the client gets.
+// Error returns the text that the client receives after "-ERR ".
 func (e malformedRequestError) Error() string { return string(e) }
 
-// serveClient answers the requests of one connection, and closes it.
+// serveClient answers the requests of one connection until that fails, and closes it.
 func (r *relay) serveClient(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
@@ -66,7 +67,7 @@
 	}
 }
 
-// readCommand reads one array of bulk strings.
+// readCommand reads one request, an array of bulk strings.
 func readCommand(in *bufio.Reader) ([]string, error) {
 	count, err := readLength(in, '*', maxArguments)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return args, nil
 }
 
-// readLength reads a line of a marker and a number from 0 to limit.
+// readLength reads a line that consists of the given marker and a number from 0 to limit.
 func readLength(in *bufio.Reader, marker byte, limit int) (int, error) {
 	first, err := in.ReadByte()
 	if err != nil {
@@ -107,7 +108,7 @@
 	return length, nil
 }
 
-// answer carries out one command and returns what the client gets.
+// answer carries out one request and returns what the client receives.
 func (r *relay) answer(args []string) string {
 	if len(args) == 1 && args[0] == commandPing {
 		return answerPong
@@ -130,9 +131,9 @@
 	return answerAccepted
 }
 
-// message is one message that a client has submitted.
+// message is a message that a client has submitted.
 type message struct {
-	number      int64 // in the order of arrival, from 1
+	number      int64 // position in the order of arrival, from 1
 	id          string
 	class       string
 	destination int
@@ -140,7 +141,8 @@
 	body        []byte
 }
 
-// parseMessage reads the arguments of MSG.PUT: account, id, options, body.
+// parseMessage reads the arguments of MSG.PUT, which after the command's name are the
+// account, the message's ID, its options and its body.
 func parseMessage(number int64, args []string) *message {
 	m := &message{number: number, id: args[2], body: []byte(args[4])}
 	for _, option := range strings.Split(args[3], ",") {
@@ -149,7 +151,7 @@
 		case "c":
 			m.class = value
 		case "d":
-			millis, _ := strconv.Atoi(value) // the lab's clients send numbers
+			millis, _ := strconv.Atoi(value) // errors are ignored, because the lab's clients always send numbers
 			m.deadline = time.Now().Add(time.Duration(millis) * time.Millisecond)
 		case "dest":
 			m.destination, _ = strconv.Atoi(value)
--- a/internal/faultlab/stub/config.go
+++ b/internal/faultlab/stub/config.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// relayConfig is what the stub reads of a relay's configuration file.
+// relayConfig holds the fields of a relay's configuration file that the stub uses.
 type relayConfig struct {
 	Listen    string         `json:"listen"`
 	Discovery string         `json:"discovery"`
--- a/internal/faultlab/stub/defect.go
+++ b/internal/faultlab/stub/defect.go
@@ -7,25 +7,25 @@
 	"sync"
 )
 
-// Defect names the one rule that a stub breaks; empty for none.
+// Defect names the one protocol rule that a stub breaks. The empty Defect breaks none.
 type Defect string
 
-// DefectEnv is the environment variable that holds the Defect.
+// DefectEnv is the environment variable from which a stub reads its Defect.
 const DefectEnv = "FAULTLAB_DEFECT"
 
-// The defects. Those that concern single messages affect every defectEvery-th.
+// The defects. A defect of single messages affects one in defectEvery messages.
 const (
-	Drop         Defect = "drop"         // a message is accepted and forgotten
+	Drop         Defect = "drop"         // a message is accepted but never sent
 	Late         Defect = "late"         // a final response comes after the message's deadline
 	Repeat       Defect = "repeat"       // a non-idempotent message is sent again after its delivery
-	ReturnUnsafe Defect = "hand-back"    // a non-idempotent message that may have run is handed back
-	SecondCopy   Defect = "second-copy"  // two attempts are in flight at once
-	Thirteen     Defect = "thirteen"     // attempts have no limit
+	ReturnUnsafe Defect = "hand-back"    // a non-idempotent message that may have run is returned
+	SecondCopy   Defect = "second-copy"  // a message has two attempts in flight at the same time
+	Thirteen     Defect = "thirteen"     // the number of attempts has no limit
 	IgnoreWait   Defect = "ignore-wait"  // Retry-After is ignored
-	IgnoreDrain  Defect = "ignore-drain" // draining and removed endpoints are used
+	IgnoreDrain  Defect = "ignore-drain" // draining and removed endpoints receive calls
 	AfterEnd     Defect = "after-end"    // a message is sent after its final response
-	BusySent     Defect = "busy-sent"    // a message is rejected and sent all the same
-	AnswerTwice  Defect = "answer-twice" // a client gets two answers
+	BusySent     Defect = "busy-sent"    // a message is rejected and sent nevertheless
+	AnswerTwice  Defect = "answer-twice" // a client gets two answers to one request
 	WrongPlace   Defect = "wrong-place"  // a message goes to another destination
 	Altered      Defect = "altered"      // a message's body is changed
 	Leak         Defect = "leak"         // memory is never freed
@@ -33,11 +33,12 @@
 	FillDisk     Defect = "fill-disk"    // the state directory grows
 	SlowTerm     Defect = "slow-term"    // SIGTERM is ignored
 	HangUpExit   Defect = "hang-up-exit" // SIGHUP ends the process
-	IgnorePeers  Defect = "keep-peers"   // invalid peers get neither an error nor a close
+	IgnorePeers  Defect = "keep-peers"   // a peer that sends no valid request gets no error and is not disconnected
 	Topple       Defect = "topple"       // retries without a pause overload a recovering destination
 )
 
-// defectEvery is the number of messages of which a defect affects one.
+// defectEvery is the interval of message numbers at which a defect of single messages
+// occurs.
 const defectEvery = 10
 
 const (
@@ -47,19 +48,21 @@
 	leakedFileBytes   = 64 << 10 // per message
 )
 
-// affects reports whether the defect strikes a message now.
+// affects reports whether the stub has the defect and it affects the message.
 func (r *relay) affects(d Defect, m *message) bool {
 	return r.defect == d && m.number%defectEvery == 0
 }
 
-// hoard holds what the leaking defects never release. Safe for concurrent use.
+// leakedResources holds what the defects Leak and LeakFiles never release. It is safe for
+// concurrent use.
 type leakedResources struct {
 	mu     sync.Mutex
 	memory [][]byte
 	files  []*os.File
 }
 
-// leak uses up the resource that the defect is about, a little with each message.
+// leakResource uses up some of the resource that the stub's defect leaks, for each message
+// that arrives.
 func (r *relay) leakResource(number int64) {
 	r.leaked.mu.Lock()
 	defer r.leaked.mu.Unlock()
@@ -67,7 +70,7 @@
 	case Leak:
 		block := make([]byte, leakedBytes)
 		for i := 0; i < len(block); i += pageBytes {
-			block[i] = 1 // a page counts once it is written to
+			block[i] = 1 // a page becomes resident only once it is written to
 		}
 		r.leaked.memory = append(r.leaked.memory, block)
 	case LeakFiles:
@@ -78,6 +81,6 @@
 		}
 	case FillDisk:
 		path := filepath.Join(r.stateDir, strconv.FormatInt(number, 10))
-		_ = os.WriteFile(path, make([]byte, leakedFileBytes), 0o600) // the disk may be full: that is the point
+		_ = os.WriteFile(path, make([]byte, leakedFileBytes), 0o600) // an error is expected once the disk is full
 	}
 }
--- a/internal/faultlab/stub/delivery.go
+++ b/internal/faultlab/stub/delivery.go
@@ -11,17 +11,17 @@
 
 const (
 	maxAttempts           = 12
-	nonIdempotent         = "copy-order" // the class that must not run twice
+	nonIdempotent         = "copy-order" // class of messages that must not run twice
 	retryDelay            = 100 * time.Millisecond
 	noEndpointDelay       = 100 * time.Millisecond
-	attemptMargin         = 150 * time.Millisecond // before the deadline no further attempt begins
-	latenessAfterDeadline = time.Second            // of the defect Late
-	afterEndDelay         = 200 * time.Millisecond // of the defect AfterEnd
+	attemptMargin         = 150 * time.Millisecond // no attempt begins later than this before the deadline
+	latenessAfterDeadline = time.Second            // delay past the deadline with the defect Late
+	afterEndDelay         = 200 * time.Millisecond // time between the final response and the first attempt with the defect AfterEnd
 	maxNoticeAttempts     = 50
 	noticeBackoff         = 50 * time.Millisecond
 )
 
-// deliver takes a message to its one final response.
+// deliver attempts to deliver a message and sends a notice if it could not.
 func (r *relay) deliver(m *message) {
 	if r.affects(AfterEnd, m) {
 		r.notify(m, discovery.Returned)
@@ -41,17 +41,17 @@
 	}
 }
 
-// deliveryResult is what all attempts of a message came to.
+// deliveryResult is the result of all attempts of a message.
 type deliveryResult int
 
 const (
 	notDelivered   deliveryResult = iota
-	delivered                     // or expired at its endpoint: nothing is pending
-	unknownOutcome                // a non-idempotent message may have run
+	delivered                     // or expired at its endpoint, which needs no notice either
+	unknownOutcome                // a non-idempotent message may have run, so it is not sent again
 )
 
-// attempt sends a message until it is delivered, must not be sent again, or has
-// no time or attempts left.
+// attempt calls endpoints until the message is delivered, must not be sent again, or has
+// no time or no attempts left.
 func (r *relay) attempt(m *message) deliveryResult {
 	for attempts := 0; time.Until(m.deadline) > attemptMargin; {
 		target, wait, ok := r.pickEndpoint(m)
@@ -86,8 +86,8 @@
 	return notDelivered
 }
 
-// pickEndpoint draws an endpoint for a message; where none may be called now, ok
-// is false and wait says when to look again.
+// pickEndpoint picks a random endpoint that may be called for a message. If there is none
+// now, ok is false and wait is the time after which to try again.
 func (r *relay) pickEndpoint(m *message) (target endpoint, wait time.Duration, ok bool) {
 	if wait := r.waits.remaining(m.destination); wait > 0 && r.defect != IgnoreWait {
 		return endpoint{}, wait, false
@@ -99,7 +99,8 @@
 	return target, noEndpointDelay, ok
 }
 
-// notify posts the notice of a message's outcome until discovery has taken it.
+// notify posts the notice of a message's outcome until discovery answers, or
+// maxNoticeAttempts times at most.
 func (r *relay) notify(m *message, outcome string) {
 	text := fmt.Sprintf("{\"message\":%q,\"outcome\":%q}\n", m.id, outcome)
 	for range maxNoticeAttempts {
--- a/internal/faultlab/stub/endpoints.go
+++ b/internal/faultlab/stub/endpoints.go
@@ -17,7 +17,7 @@
 // watchBackoff is the pause before the watch of the endpoint list is opened again.
 const watchBackoff = 100 * time.Millisecond
 
-// endpoint is one line of the endpoint list.
+// endpoint is one member of the endpoint list.
 type endpoint struct {
 	ID          string `json:"id"`
 	Address     string `json:"host_port"`
@@ -25,22 +25,22 @@
 	Phase       string `json:"phase"`
 }
 
-// endpointUpdate is a complete endpoint list, or the endpoints that changed.
+// endpointUpdate is a complete endpoint list, or only the endpoints that have changed.
 type endpointUpdate struct {
 	Complete bool       `json:"complete"`
 	Members  []endpoint `json:"members"`
 	Revision int64      `json:"revision"`
 }
 
-// endpointList is the current endpoint list. Safe for concurrent use.
+// endpointList holds the current endpoint list. It is safe for concurrent use.
 type endpointList struct {
-	retainRemoved bool // the defect IgnoreDrain; fixed before use
+	retainRemoved bool // keeps removed endpoints, for the defect IgnoreDrain; not changed after newRelay
 
 	mu  sync.Mutex
 	all []endpoint
 }
 
-// apply takes in one update.
+// apply replaces the list by a complete one, or applies changes to it.
 func (l *endpointList) apply(update endpointUpdate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// pick draws one of the endpoints that qualify; ok is false where none does.
+// pick returns a random endpoint among those that qualify; ok is false if none does.
 func (l *endpointList) pick(qualifies func(endpoint) bool) (chosen endpoint, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,8 @@
 	return candidates[rand.IntN(len(candidates))], true
 }
 
-// watchEndpoints follows the endpoint list from a revision on, until ctx ends.
+// watchEndpoints keeps the endpoint list up to date with the changes after the given
+// revision, until ctx ends.
 func (r *relay) watchEndpoints(ctx context.Context, revision int64) {
 	for ctx.Err() == nil {
 		revision = r.watchOnce(ctx, revision)
@@ -80,7 +81,8 @@
 	}
 }
 
-// watchOnce reads one watch response to its end and returns the revision reached.
+// watchOnce applies the updates of one watch until its response ends, and returns the
+// revision of the last one.
 func (r *relay) watchOnce(ctx context.Context, revision int64) int64 {
 	url := fmt.Sprintf("http://%s%s?watch=1&from=%d", *r.discovery.Load(), discovery.ListPath, revision)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -102,7 +104,7 @@
 	return revision
 }
 
-// sleep waits for a duration, or until ctx ends.
+// sleep waits until d has passed or ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/faultlab/stub/guard.go
+++ b/internal/faultlab/stub/guard.go
@@ -8,24 +8,25 @@
 	"time"
 )
 
-// Between the choice of an endpoint and the first byte of a request lies a dial
-// that may take long on a busy machine, and an answer with a Retry-After may come
-// meanwhile. The stub must keep that rule at any load, so a connection looks at
-// the wait again right before it sends. It also holds back while the process has
-// been off the CPU: answers then lie unread in its sockets.
+// A response with a Retry-After may arrive after an endpoint was chosen and before the
+// request is sent, since the dial in between may take long on a busy machine. The stub
+// must keep the rule at any load, so its connections check the wait again directly before
+// they send. They also delay requests after the process was off the CPU, because responses
+// that arrived meanwhile are still unread in its sockets.
 
-// errMustWait is a request that was not sent because of a Retry-After.
-var errMustWait = errors.New("held back: the destination asked to wait")
+// errMustWait means that a request was not sent because its destination has asked to wait,
+// or may have asked in a response that is not read yet.
+var errMustWait = errors.New("request not sent: the destination has asked to wait")
 
-// guardedConn is a connection to an endpoint that sends nothing while its
-// destination has asked to wait. Each write of the HTTP client is one request.
+// guardedConn is a connection to an endpoint that sends no request while the endpoint's
+// destination has asked to wait. The HTTP client sends each request in one write.
 type guardedConn struct {
 	net.Conn
 	relay       *relay
 	destination int
 }
 
-// Write sends a request, or fails with errMustWait without sending anything.
+// Write sends a request, or returns errMustWait and sends nothing.
 func (c *guardedConn) Write(request []byte) (int, error) {
 	r := c.relay
 	if r.defect != IgnoreWait {
@@ -36,22 +37,23 @@
 	return c.Conn.Write(request)
 }
 
-// retryAfterTable holds until when each destination is not to be called. The zero
-// value holds no waits. Safe for concurrent use.
+// retryAfterTable records until when each destination has asked not to be called. The zero
+// value is ready for use. It is safe for concurrent use.
 type retryAfterTable struct {
 	mu    sync.Mutex
-	until map[int]time.Time // by destination
+	until map[int]time.Time // end of the wait of each destination
 }
 
-// remaining is how long a destination is still to be left alone.
+// remaining returns how much longer a destination must not be called; not positive if it
+// may be called now.
 func (t *retryAfterTable) remaining(destination int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Until(t.until[destination])
 }
 
-// extend has a destination left alone for a time from now, or longer where an
-// earlier wait lasts longer.
+// extend forbids calls to a destination for the given time from now, unless an earlier
+// wait ends later.
 func (t *retryAfterTable) extend(destination int, wait time.Duration) {
 	if wait <= 0 {
 		return
@@ -68,20 +70,20 @@
 
 const (
 	stallTick   = 5 * time.Millisecond
-	stallLimit  = 30 * time.Millisecond  // a longer gap between two ticks is a stall
-	settleTime  = 20 * time.Millisecond  // after a stall, for unread answers to be read
-	maxSettling = 250 * time.Millisecond // that one request waits for it
+	stallLimit  = 30 * time.Millisecond  // longest gap between two ticks that is not a stall
+	settleTime  = 20 * time.Millisecond  // time after a stall in which the stub reads responses that arrived during it
+	maxSettling = 250 * time.Millisecond // longest time that a request waits for isSettled
 )
 
-// stallMonitor notices when the process was off the CPU, by the ticks that it
-// missed. Safe for concurrent use; run has to run.
+// stallMonitor detects that the process was off the CPU by a gap between its ticks. Its
+// run method must run in a goroutine. It is safe for concurrent use.
 type stallMonitor struct {
 	mu        sync.Mutex
 	lastTick  time.Time
-	settledAt time.Time // after the last stall
+	settledAt time.Time // settleTime after the end of the last stall
 }
 
-// run ticks until ctx ends.
+// run calls tick every stallTick until ctx ends.
 func (s *stallMonitor) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.tick(time.Now())
@@ -98,15 +100,16 @@
 	s.lastTick = now
 }
 
-// isSettled reports whether the process has been on the CPU for a while.
+// isSettled reports whether there is no stall now and settleTime has passed since the last
+// one.
 func (s *stallMonitor) isSettled(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Sub(s.lastTick) <= stallLimit && now.After(s.settledAt)
 }
 
-// settle waits until the process has been on the CPU for a while; false where
-// that takes too long.
+// awaitSettled waits until isSettled is true; it returns false if that takes longer than
+// maxSettling.
 func (s *stallMonitor) awaitSettled() bool {
 	for end := time.Now().Add(maxSettling); ; time.Sleep(stallTick) {
 		now := time.Now()
--- a/internal/faultlab/stub/stub.go
+++ b/internal/faultlab/stub/stub.go
@@ -1,9 +1,9 @@
-// Package stub is a small relay that keeps the protocol's rules, except for the
-// one that a defect has it break. The checker's tests run it as a process of its
-// own and expect each defect to be caught by the rule that is meant for it.
+// Package stub is a small relay that keeps the protocol's rules, except for the one that
+// its defect breaks. The checker's tests run it as a separate process and expect that the
+// checker reports each defect under the rule that it breaks.
 //
-// The stub keeps no log, so it promises nothing across a restart, and it limits
-// no client.
+// The stub keeps no message log, so it loses its messages when it restarts, and it does
+// not limit its clients.
 package stub
 
 import (
@@ -21,24 +21,24 @@
 )
 
 const (
-	drainTimeout   = 3 * time.Second // from SIGTERM until undelivered messages are dropped
+	drainTimeout   = 3 * time.Second // time from SIGTERM until the stub gives up undelivered messages
 	connectTimeout = 1500 * time.Millisecond
-	maxIdleConns   = 4 // of one endpoint
+	maxIdleConns   = 4 // idle connections to one endpoint
 )
 
-// relay is one running stub.
+// relay is a running stub.
 type relay struct {
 	defect    Defect
 	stateDir  string
 	discovery atomic.Pointer[string] // address of the discovery agent
-	client    *http.Client           // for endpoints; its connections are guardedConns
-	messages  atomic.Int64           // received so far; numbers them
+	client    *http.Client           // HTTP client for calls of endpoints; each of its connections is a guardedConn
+	messages  atomic.Int64           // number of messages received so far, which is also the number of the latest
 	endpoints endpointList
 	waits     retryAfterTable
 	stalls    stallMonitor
 	leaked    leakedResources
 
-	deliveries sync.WaitGroup // messages without a final response
+	deliveries sync.WaitGroup // deliveries of single messages that have not ended
 	background sync.WaitGroup // all other goroutines
 }
 
@@ -91,7 +91,8 @@
 	return r
 }
 
-// reloadOnHangUp reads the discovery address anew at each SIGHUP.
+// reloadOnHangUp reads the discovery address from the configuration file again at each
+// SIGHUP.
 func (r *relay) reloadOnHangUp(ctx context.Context, hangUp <-chan os.Signal, configPath string) {
 	for {
 		select {
@@ -108,7 +109,7 @@
 	}
 }
 
-// accept serves clients until the listener is closed.
+// accept serves each new client in a goroutine until the listener is closed.
 func (r *relay) accept(ctx context.Context, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -121,7 +122,7 @@
 	}
 }
 
-// start runs work in a goroutine that the group waits for.
+// start runs work in a goroutine that group counts.
 func start(group *sync.WaitGroup, work func()) {
 	group.Add(1)
 	go func() {
@@ -130,12 +131,12 @@
 	}()
 }
 
-// waitAtMost waits until the group is done, but no longer than limit.
+// waitAtMost waits for the group, but no longer than limit.
 func waitAtMost(group *sync.WaitGroup, limit time.Duration) {
 	done := make(chan struct{})
 	go func() { group.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(limit): // the process ends, and its goroutines with it
+	case <-time.After(limit): // the goroutines left end with the process
 	}
 }
