--- a/internal/faultlab/link/accept.go
+++ b/internal/faultlab/link/accept.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// accept takes connections from one listener until that is closed.
+// accept accepts connections from one listener until the listener is closed.
 func (l *Link) accept(listener *net.TCPListener) {
 	defer l.wg.Done()
 	for {
 		client, err := listener.AcceptTCP()
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded): // the link was cut
+		case errors.Is(err, os.ErrDeadlineExceeded): // SetFaults has cut the link and set the deadline
 			if !l.waitWhileCut(listener) {
 				return
 			}
@@ -32,7 +32,8 @@
 	}
 }
 
-// closeFiller closes one of the link's own connections, if it is one.
+// closeFiller closes a connection that fillQueue opened, and reports whether remoteAddr
+// belongs to one.
 func (l *Link) closeFiller(remoteAddr string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,9 +45,9 @@
 	return ok
 }
 
-// waitWhileCut keeps new connections from coming up while the link is cut: with
-// its accept queue full, the kernel silently drops requests for one. It reports
-// whether the listener is to be used again.
+// waitWhileCut prevents new connections while the link is cut: it keeps the accept queue
+// full, so that the kernel drops requests for a connection without an answer. It returns
+// false if the link was closed or began to refuse connections, and the listener is closed.
 func (l *Link) waitWhileCut(listener *net.TCPListener) bool {
 	setBacklog(listener, 0)
 	l.fillQueue()
@@ -66,12 +67,12 @@
 	}
 }
 
-// fillQueue fills the accept queue by connections of the link's own.
+// fillQueue opens connections to the link itself until its accept queue is full.
 func (l *Link) fillQueue() {
 	for range maxFillers {
 		filler, err := net.DialTimeout("tcp4", l.addr, fillerTimeout)
 		if err != nil {
-			return // it is full
+			return // a timeout means that the queue is full
 		}
 		l.mu.Lock()
 		l.fillers[filler.LocalAddr().String()] = filler
@@ -82,17 +83,18 @@
 func setBacklog(listener *net.TCPListener, size int) {
 	raw, err := listener.SyscallConn()
 	if err != nil {
-		return // closed meanwhile
+		return // the listener has been closed
 	}
 	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), size) })
 }
 
-// connect leads one connection to the server, and owns it until it has ended.
+// connect connects to the server for one client, and forwards bytes until the connection
+// has ended.
 func (l *Link) connect(client *net.TCPConn) {
 	defer l.wg.Done()
 	dialer := net.Dialer{Timeout: dialTimeout}
 	server, err := dialer.Dial("tcp4", l.targetAddr)
-	if err != nil { // nobody listens there: as good as refused
+	if err != nil { // a server that does not listen looks to the client like a reset
 		client.SetLinger(0)
 		client.Close()
 		return
--- a/internal/faultlab/link/conn.go
+++ b/internal/faultlab/link/conn.go
@@ -8,53 +8,54 @@
 	"time"
 )
 
-// Conn is one connection over a link. Its client is the side that connects, its
-// server the side that listens. It is safe for concurrent use; the link ends it.
+// Conn is one connection over a link. Its client is the process that connects, its server
+// the process that listens. It is safe for concurrent use. Its link closes it.
 type Conn struct {
 	link           *Link
 	client, server *net.TCPConn
-	ctx            context.Context // ends with the connection
+	ctx            context.Context // done when the connection ends
 	cancel         context.CancelFunc
-	clientMuted    atomic.Bool // half open: the client receives nothing more
+	clientMuted    atomic.Bool // HalfOpen was called: the client receives nothing more
 
 	mu               sync.Mutex
-	firstByteAt      time.Time // when the client wrote the first byte since its last response
-	written          []byte    // what it wrote since then
-	forwarded        int       // how many bytes of that reached the server
+	firstByteAt      time.Time // when the client wrote the first byte after the last response
+	written          []byte    // bytes that the client has written since the last response, up to maxRecorded
+	forwarded        int       // how many of the written bytes have reached the server
 	bytesToClient    int64
 	clientClosed     bool // the client has closed its sending side
 	pendingResponses []pendingResponse
 	onClientClosed   func() // called once when the client closes its sending side
 }
 
-// pendingResponse is a response whose delivery is waited for.
+// pendingResponse is a response whose last byte has not been written to the client.
 type pendingResponse struct {
-	endOffset int64 // in the bytes to the client
+	endOffset int64 // number of bytes to the client up to the response's end
 	callback  func(time.Time)
 }
 
-// Source names the process that connects.
+// Source returns the name of the process that connects.
 func (c *Conn) Source() string { return c.link.Source }
 
-// FirstByteAt is when the client wrote the first byte of its present request; a
-// call counts from there.
+// FirstByteAt returns when the client wrote the first byte of its present request, which
+// is when a call begins.
 func (c *Conn) FirstByteAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.firstByteAt
 }
 
-// OnDelivered has callback called with the moment at which so many bytes in all are
-// written to the client, if it still listens. Call it before they are sent.
+// OnDelivered registers callback for the time at which the connection has written the
+// given total of bytes to the client. It is not called if the client has closed its side
+// before. OnDelivered must be called before those bytes are sent.
 func (c *Conn) OnDelivered(bytes int64, callback func(time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pendingResponses = append(c.pendingResponses, pendingResponse{bytes, callback})
 }
 
-// OnClientClosed has callback called once, when the client closes the connection or
-// its sending side, even if the link does not pass that on. It replaces the callback
-// before.
+// OnClientClosed registers callback to be called once, when the client closes the
+// connection or its sending side, even if the link is cut. It replaces an earlier
+// callback.
 func (c *Conn) OnClientClosed(callback func()) {
 	c.mu.Lock()
 	closed := c.clientClosed
@@ -67,7 +68,7 @@
 	}
 }
 
-// abort ends both sides by a reset.
+// abort closes the connection to both processes with a reset.
 func (c *Conn) abort() {
 	c.cancel()
 	c.server.SetLinger(0)
@@ -76,15 +77,15 @@
 	c.client.Close()
 }
 
-// muteClient ends the server's side by a reset and leaves the client's side open
-// and silent.
+// muteClient closes the connection to the server with a reset and leaves the client's
+// connection open, to which the link then sends nothing more.
 func (c *Conn) muteClient() {
 	c.clientMuted.Store(true)
 	c.server.SetLinger(0)
 	c.server.Close()
 }
 
-// run forwards bytes both ways until both sides have ended.
+// run forwards bytes in both directions until both have ended.
 func (c *Conn) run() {
 	var wg sync.WaitGroup
 	wg.Add(2)
@@ -102,20 +103,21 @@
 	}
 }
 
-// closeSoon gives the client a moment to close the connection itself, then ends it.
+// closeSoon aborts the connection after closeGrace, unless the client closes it before.
 func (c *Conn) closeSoon() {
 	timer := time.AfterFunc(closeGrace, c.abort)
 	context.AfterFunc(c.ctx, func() { timer.Stop() })
 }
 
-// recordSent records what the client wrote, and err if its sending side has ended.
+// recordSent records bytes that the client has written. A non-nil err means that it has
+// closed its sending side.
 func (c *Conn) recordSent(b []byte, now time.Time, err error) {
 	if callback := c.addSent(b, now, err); callback != nil {
 		callback()
 	}
 }
 
-// addSent does what recordSent says and returns the callback that is due, if any.
+// addSent is recordSent without the call of the callback, which it returns if it is due.
 func (c *Conn) addSent(b []byte, now time.Time, err error) (callback func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,15 +134,15 @@
 	return callback
 }
 
-// recordForwarded records bytes that reached the server.
+// recordForwarded counts bytes that have reached the server.
 func (c *Conn) recordForwarded(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.forwarded = min(c.forwarded+n, len(c.written))
 }
 
-// recordDelivered records bytes that are written to the client: what it writes next
-// is a new request. A client that has closed the connection receives nothing.
+// recordDelivered counts n bytes to the client and calls the callbacks of the responses
+// that are complete. What the client writes afterwards is a new request.
 func (c *Conn) recordDelivered(n int) {
 	now := time.Now()
 	for _, due := range c.takeDelivered(n) {
@@ -148,7 +150,8 @@
 	}
 }
 
-// takeDelivered takes the pending responses that end within n more bytes.
+// takeDelivered counts n bytes to the client and removes the responses that are complete.
+// It returns those to report, none if the client has closed its side.
 func (c *Conn) takeDelivered(n int) (due []pendingResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faultlab/link/faults.go
+++ b/internal/faultlab/link/faults.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Direction is one of a link's two.
+// Direction is the direction in which a link passes bytes.
 type Direction int
 
-// The directions. The client is the side that connects.
+// The directions of a link. The client is the process that connects.
 const (
 	ToServer Direction = iota
 	ToClient
 )
 
-// Faults are what a link does to the bytes of one direction. The zero value passes
-// them on at once.
+// Faults are what a link does to the bytes of one direction. With the zero value it passes
+// them on without delay.
 type Faults struct {
-	Cut    bool          // nothing passes, and neither side is told
-	Delay  time.Duration // of each byte
-	Jitter time.Duration // up to so much more, drawn for each piece; bytes stay in order
+	Cut    bool          // no bytes pass, and neither process gets an error
+	Delay  time.Duration // delay of each byte
+	Jitter time.Duration // largest random addition to Delay, drawn for each piece; bytes stay in order
 	Rate   int           // bytes a second; 0 for no limit
 }
 
-// delayOf is the delay of a piece of so many bytes; drawn is from 0 to 1.
+// delayOf returns the delay of a piece with the given number of bytes; drawn is its random
+// number from 0 to 1.
 func (f Faults) delayOf(bytes int, drawn float64) time.Duration {
 	delay := f.Delay + time.Duration(drawn*float64(f.Jitter))
 	if f.Rate > 0 {
--- a/internal/faultlab/link/forward.go
+++ b/internal/faultlab/link/forward.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// piece is what one read returned.
+// piece is the result of one read from a connection.
 type piece struct {
 	bytes  []byte
 	readAt time.Time
-	err    error // the side that sends has ended
+	err    error // set if the sender has ended its side
 }
 
-// forward passes one direction on until the side that sends has ended.
+// forward passes on the bytes of one direction until their sender ends its side.
 func (c *Conn) forward(d Direction, from, to *net.TCPConn) {
 	pieces := make(chan piece, maxQueuedPieces)
 	go func() {
@@ -25,12 +25,12 @@
 		return
 	}
 	c.abort()
-	for range pieces { // until the reader has ended
+	for range pieces { // waits until the reader's goroutine has ended
 	}
 }
 
-// read reads one direction. It never waits for faults, so the moment at which a
-// byte was sent is known whatever the link does to it.
+// read reads the bytes of one direction. Faults do not delay it, so that the time at which
+// bytes were sent is known in any case.
 func (c *Conn) read(d Direction, from *net.TCPConn, pieces chan<- piece) {
 	buf := make([]byte, maxPiece)
 	for {
@@ -49,7 +49,7 @@
 	}
 }
 
-// queue hands a piece to the writer; false if the connection ends first.
+// queue passes a piece to the writer, or returns false if the connection ends first.
 func (c *Conn) queue(pieces chan<- piece, p piece) bool {
 	select {
 	case pieces <- p:
@@ -59,9 +59,8 @@
 	}
 }
 
-// write writes the pieces of one direction as its faults let them pass. It returns
-// true if the side that sends ended in order, false if the connection is to be
-// aborted.
+// write writes the pieces of one direction when its faults allow. It returns true if the
+// sender closed its side without an error, and false if the connection must be aborted.
 func (c *Conn) write(d Direction, to *net.TCPConn, pieces <-chan piece) (inOrder bool) {
 	for p := range pieces {
 		if !c.delayPiece(d, p) {
@@ -70,14 +69,14 @@
 		if p.err != nil {
 			return c.endDirection(d, to, p.err)
 		}
-		// Recorded before it is written: what is written may be read, and answered,
-		// before this goroutine continues, and the history has to keep the order.
+		// Record the delivery before the write: the client may read the bytes and answer
+		// before this goroutine continues, but the history must list the delivery first.
 		if d == ToClient {
 			c.recordDelivered(len(p.bytes))
 		}
 		if _, err := to.Write(p.bytes); err != nil {
 			if c.clientMuted.Load() && d == ToServer {
-				continue // lost
+				continue // muteClient closed the server's side, so the bytes are discarded
 			}
 			return false
 		}
@@ -88,24 +87,25 @@
 	return false
 }
 
-// endDirection passes on that a side has ended its sending; results as of write.
+// endDirection passes on the end of the sender's side. Its result is that of write.
 func (c *Conn) endDirection(d Direction, to *net.TCPConn, cause error) (inOrder bool) {
 	muted := c.clientMuted.Load()
 	if muted && d == ToClient {
-		<-c.ctx.Done() // the client is left open and silent until it ends by itself
+		<-c.ctx.Done() // the client's side stays open and silent until the client closes it or the link resets it
 		return false
 	}
 	if muted || !errors.Is(cause, io.EOF) {
 		return false
 	}
 	to.CloseWrite()
-	if d == ToClient { // nothing that is sent to the server arrives any more
+	if d == ToClient { // the server has closed, so it does not read what the client may still send
 		c.closeSoon()
 	}
 	return true
 }
 
-// delayPiece waits until a piece may pass; false if the connection ends first.
+// delayPiece waits until faults let a piece pass, or returns false if the connection ends
+// first.
 func (c *Conn) delayPiece(d Direction, p piece) bool {
 	drawn := c.link.random()
 	for {
@@ -121,7 +121,7 @@
 			due = timer.C
 		}
 		select {
-		case <-due: // never while the link is cut
+		case <-due: // due is nil while the link is cut, so that this case is not taken
 			return c.ctx.Err() == nil
 		case <-changed:
 		case <-c.ctx.Done():
--- a/internal/faultlab/link/link.go
+++ b/internal/faultlab/link/link.go
@@ -1,10 +1,10 @@
-// Package link is the lab's network: each link is a proxy for one pair of
-// processes, whose connections can be cut one way or both, delayed, throttled,
-// reset or left half open while the processes run.
+// Package link is the lab's network. Each link is a proxy between two processes. It can
+// cut their connections in one direction or both, delay or throttle them, reset them or
+// leave them half open while the processes run.
 //
-// A cut is silent: open connections stay open, and new ones never come up. Bytes
-// stay in order, and a link knows when the last byte of a response was written to
-// the client. What the bytes mean is left to package model.
+// A cut is silent: open connections stay open, new ones are never established, and no
+// process gets an error. Bytes stay in order, and a link knows when the last byte of a
+// response was written to the client. Package model interprets the bytes.
 package link
 
 import (
@@ -16,25 +16,25 @@
 )
 
 const (
-	maxQueuedPieces = 64                     // in one direction; TCP holds back the rest
+	maxQueuedPieces = 64                     // pieces queued in one direction; TCP flow control holds back the rest
 	maxPiece        = 16 << 10               // bytes
-	maxRecorded     = 256 << 10              // bytes of a request without a response
-	backlog         = 512                    // connections that wait to be accepted
-	maxFillers      = 3                      // connections that fill the queue of a cut link
-	fillerTimeout   = 40 * time.Millisecond  // after which the queue counts as full
-	dialTimeout     = 500 * time.Millisecond // for the server, on this machine
-	acceptBackoff   = 5 * time.Millisecond   // after a failed accept: out of descriptors, say
-	closeGrace      = time.Second            // for a client to close what its server has closed
+	maxRecorded     = 256 << 10              // bytes recorded of a request that has no response yet
+	backlog         = 512                    // length of the accept queue
+	maxFillers      = 3                      // most connections that it takes to fill the accept queue of a cut link
+	fillerTimeout   = 40 * time.Millisecond  // a connection that takes longer to open shows that the queue is full
+	dialTimeout     = 500 * time.Millisecond // timeout for a connection to the server, which is on this machine
+	acceptBackoff   = 5 * time.Millisecond   // wait after a failed accept, for example when descriptors have run out
+	closeGrace      = time.Second            // time for a client to close a connection that its server has closed
 	randomSeed      = 0x6c696e6b
 )
 
-// OnCallLost is called with a request of which a part never reached the server: all
-// that the client wrote since its last response, and when its first byte came. The
-// call comes when the connection ends, which may be long after.
+// OnCallLost is called for a request that has not reached the server completely. written
+// is all that the client wrote since its last response, firstByteAt the time of its first
+// byte. The call comes when the connection ends, which may be long after.
 type OnCallLost func(l *Link, written []byte, firstByteAt time.Time)
 
-// Link is a proxy from one process to another. It is safe for concurrent use;
-// Net.Listen makes one, and its owner closes it.
+// Link is a proxy from one process to another. It is safe for concurrent use. Net.Listen
+// makes one; the caller must close it.
 type Link struct {
 	Source, Target string // names of the two processes
 
@@ -46,16 +46,17 @@
 	wg         sync.WaitGroup
 
 	mu       sync.Mutex
-	faults   [2]Faults // by direction
+	faults   [2]Faults // indexed by Direction
 	refusing bool
 	closed   bool
-	changed  chan struct{} // closed at each change of the fields above
+	changed  chan struct{} // closed and replaced when one of the fields above changes
 	listener *net.TCPListener
-	fillers  map[string]net.Conn // by local address
+	fillers  map[string]net.Conn // connections that fill the accept queue, by local address
 	conns    map[*Conn]struct{}
 }
 
-// Listen starts a link at addr that leads to targetAddr. onCallLost may be nil.
+// Listen starts a link that listens at addr and connects to targetAddr. onCallLost may be
+// nil.
 func (n *Net) Listen(source, target, addr, targetAddr string, seed uint64, onCallLost OnCallLost) (*Link, error) {
 	l := &Link{
 		Source:     source,
@@ -76,7 +77,8 @@
 	return l, nil
 }
 
-// lockedRandom returns a source of floats from 0 to 1 that is safe for concurrent use.
+// lockedRandom returns a source of random numbers from 0 to 1. It is safe for concurrent
+// use.
 func lockedRandom(seed uint64) func() float64 {
 	random := rand.New(rand.NewPCG(seed, randomSeed))
 	var mu sync.Mutex
@@ -87,10 +89,11 @@
 	}
 }
 
-// Addr is where the client connects.
+// Addr returns the address at which the link listens.
 func (l *Link) Addr() string { return l.addr }
 
-// listen opens the listener and accepts from it; l.mu is held, or l is not shared yet.
+// listen opens the listener and starts to accept from it. The caller holds l.mu, or is the
+// only user of l.
 func (l *Link) listen() error {
 	listener, err := net.Listen("tcp4", l.addr)
 	if err != nil {
@@ -102,7 +105,7 @@
 	return nil
 }
 
-// currentFaults returns the faults of one direction, and what is closed when they
+// currentFaults returns the faults of one direction and a channel that is closed when they
 // change.
 func (l *Link) currentFaults(d Direction) (Faults, <-chan struct{}) {
 	l.mu.Lock()
@@ -110,13 +113,13 @@
 	return l.faults[d], l.changed
 }
 
-// notifyChange wakes whoever waits for a change; l.mu is held.
+// notifyChange wakes the goroutines that wait for a change. The caller holds l.mu.
 func (l *Link) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// SetFaults sets the faults of one direction, in place of those before.
+// SetFaults replaces the faults of one direction.
 func (l *Link) SetFaults(d Direction, faults Faults) {
 	l.mu.Lock()
 	wasCut := l.isCut()
@@ -125,21 +128,22 @@
 	l.notifyChange()
 	l.mu.Unlock()
 	if isCut && !wasCut && listener != nil {
-		listener.SetDeadline(time.Now()) // the accept loop fills the queue and waits
+		listener.SetDeadline(time.Now()) // makes the accept loop call waitWhileCut
 	}
 }
 
-// SetBoth sets the faults of both directions.
+// SetBoth replaces the faults of both directions.
 func (l *Link) SetBoth(faults Faults) {
 	l.SetFaults(ToServer, faults)
 	l.SetFaults(ToClient, faults)
 }
 
-// isCut reports whether new connections cannot come up; l.mu is held.
+// isCut reports whether a direction is cut, so that no connection can be established. The
+// caller holds l.mu.
 func (l *Link) isCut() bool { return l.faults[ToServer].Cut || l.faults[ToClient].Cut }
 
-// SetRefusing has new connections refused and open ones reset, as if the server's
-// process had died, or has the link listen again.
+// SetRefusing makes the link refuse new connections and resets the open ones, as if the
+// server's process had died; with false it makes the link listen again.
 func (l *Link) SetRefusing(refusing bool) error {
 	l.mu.Lock()
 	if l.refusing == refusing || l.closed {
@@ -158,8 +162,8 @@
 	return nil
 }
 
-// ResetConns resets open connections, each with the given probability, and returns
-// how many.
+// ResetConns resets each open connection with the given probability, and returns the
+// number of connections reset.
 func (l *Link) ResetConns(probability float64) (count int) {
 	for _, c := range l.openConns() {
 		if probability >= 1 || l.random() < probability {
@@ -170,8 +174,8 @@
 	return count
 }
 
-// HalfOpen ends the server's side of each open connection and leaves the client's
-// side open and silent.
+// HalfOpen closes each open connection to the server and leaves the client's side open and
+// silent.
 func (l *Link) HalfOpen() {
 	for _, c := range l.openConns() {
 		c.muteClient()
@@ -188,7 +192,7 @@
 	return all
 }
 
-// Close ends the link with all of its connections and waits for its goroutines.
+// Close closes the link and all of its connections, and waits for its goroutines.
 func (l *Link) Close() {
 	l.mu.Lock()
 	if !l.closed {
--- a/internal/faultlab/link/link_test.go
+++ b/internal/faultlab/link/link_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// echo answers each byte on every connection, and gives its address.
+// startEchoServer starts a server that sends back all bytes, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -56,16 +56,16 @@
 	io.WriteString(c, s)
 	b := make([]byte, len(s))
 	if _, err := io.ReadFull(c, b); err != nil || string(b) != s {
-		t.Fatalf("got %q, %v", b, err)
+		t.Fatalf("read %q with error %v, want the echo of the bytes sent", b, err)
 	}
 }
 
-// checkSilent reports that nothing comes and nothing ends for a while.
+// checkSilent fails the test if the connection receives bytes or ends within a short time.
 func checkSilent(t *testing.T, c net.Conn) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	if n, err := c.Read(make([]byte, 1)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("not silent: %d bytes, %v", n, err)
+		t.Fatalf("read %d bytes with error %v, want no bytes until the deadline", n, err)
 	}
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 }
@@ -78,7 +78,7 @@
 		l.SetFaults(d, Faults{Cut: true})
 		io.WriteString(c, "during")
 		checkSilent(t, c)
-		// The accept queue fills a moment after the cut: then nothing comes up.
+		// The accept queue fills shortly after the cut. Only then do new connections fail.
 		for limit := time.Now().Add(10 * time.Second); ; {
 			probe, err := net.DialTimeout("tcp4", l.Addr(), 100*time.Millisecond)
 			if err != nil {
@@ -86,13 +86,13 @@
 			}
 			probe.Close()
 			if time.Now().After(limit) {
-				t.Fatal("new connections come up over a cut link")
+				t.Fatal("new connections are still established 10 s after the cut")
 			}
 		}
 		l.SetFaults(d, Faults{})
 		b := make([]byte, 6)
 		if _, err := io.ReadFull(c, b); err != nil || string(b) != "during" {
-			t.Fatalf("got %q, %v", b, err)
+			t.Fatalf("after the cut: read %q with error %v, want the bytes sent during it", b, err)
 		}
 		checkEcho(t, dialLink(t, l), "after")
 	}
@@ -106,10 +106,10 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("read from an open connection: error %v, want ECONNRESET", err)
 	}
 	if _, err := net.Dial("tcp4", l.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("new connection: error %v, want ECONNREFUSED", err)
 	}
 	if err := l.SetRefusing(false); err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 	began := time.Now()
 	checkEcho(t, c, "0123456789")
 	if took := time.Since(began); took < delay {
-		t.Errorf("took %v", took)
+		t.Errorf("echo came after %v, want at least the delay of 60 ms", took)
 	}
 }
 
@@ -155,28 +155,28 @@
 			break
 		}
 		if time.Now().After(limit) {
-			t.Fatal("the link never read it")
+			t.Fatal("the link has not read the bytes within 10 s")
 		}
 	}
 	l.ResetConns(1)
 	if got := <-lostCalls; got != "swallowed" {
-		t.Errorf("got %q", got)
+		t.Errorf("lost call %q, want the bytes sent during the cut", got)
 	}
 }
 
-// The kernel gives one local port to connections that go to different places,
-// so a connection is known by both ends.
+// The kernel may give the same local port to connections to different servers, so a
+// connection is identified by the addresses of both sides.
 func TestFindTellsApartConnectionsWithTheSameClientPort(t *testing.T) {
 	links := NewNet()
 	first, second := &Conn{}, &Conn{}
 	links.conns[connKey{"127.0.0.1:4000", "127.0.0.1:1"}] = first
 	links.conns[connKey{"127.0.0.1:4000", "127.0.0.1:2"}] = second
 	if links.Find(fakeConn{"127.0.0.1:4000", "127.0.0.1:1"}) != first || links.Find(fakeConn{"127.0.0.1:4000", "127.0.0.1:2"}) != second {
-		t.Error("one taken for the other")
+		t.Error("Find returned another connection")
 	}
 }
 
-// pair is a connection of which only the addresses count.
+// fakeConn is a connection of which only the remote and the local address are used.
 type fakeConn [2]string
 
 func (p fakeConn) Read([]byte) (int, error)         { return 0, io.EOF }
--- a/internal/faultlab/link/net.go
+++ b/internal/faultlab/link/net.go
@@ -5,27 +5,28 @@
 	"sync"
 )
 
-// connKey is both addresses of a connection as its server sees them: the kernel
-// gives one port to several connections with different servers.
+// connKey identifies a connection by the addresses of both sides. The client's address
+// alone does not, since the kernel may use one port for connections to several servers.
 type connKey struct{ client, server string }
 
-// Net knows all open connections of a lab's links. It is safe for concurrent use.
+// Net holds all open connections of a lab's links. It is safe for concurrent use.
 type Net struct {
 	mu    sync.Mutex
 	conns map[connKey]*Conn
 }
 
-// NewNet returns one without connections.
+// NewNet returns a Net without connections.
 func NewNet() *Net { return &Net{conns: map[connKey]*Conn{}} }
 
-// Find returns the link's end of a connection that a server has accepted, or nil.
+// Find returns the link's Conn for a connection that a server has accepted, or nil if that
+// did not come over a link.
 func (n *Net) Find(accepted net.Conn) *Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.conns[connKey{accepted.RemoteAddr().String(), accepted.LocalAddr().String()}]
 }
 
-// Open is the number of open connections.
+// Open returns the number of open connections.
 func (n *Net) Open() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
