--- a/internal/faultlab/history/history.go
+++ b/internal/faultlab/history/history.go
@@ -1,6 +1,6 @@
-// Package history records what the lab observes: one JSON object a line, stamped
-// by one monotonic clock in the order of writing. Stamps never decrease from one
-// line to the next. What the events mean is left to package checker.
+// Package history records what the lab observes, as one JSON object a line. Each event
+// gets the time of one monotonic clock, so that times never decrease from one line to the
+// next. Package checker interprets the events.
 package history
 
 import (
@@ -14,20 +14,19 @@
 	"time"
 )
 
-const bufferSize = 1 << 16 // bytes, of a file that is written or read
+const bufferSize = 1 << 16 // bytes buffered of a file that is written or read
 
-// Recorder writes a history. Its methods are safe for concurrent use. Its creator
-// closes it.
+// Recorder writes a history. It is safe for concurrent use. Its creator must close it.
 type Recorder struct {
 	mu          sync.Mutex
 	began       time.Time
 	file        io.Closer
 	out         *bufio.Writer
-	err         error // the first write that failed; nothing is written after it
+	err         error // error of the first failed write; later events are not written
 	subscribers []func(Event)
 }
 
-// Create begins a history in a new file, with its clock at 0.
+// Create starts a history in a new file. Its clock starts at 0.
 func Create(path string) (*Recorder, error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -36,28 +35,28 @@
 	return &Recorder{began: time.Now(), file: f, out: bufio.NewWriterSize(f, bufferSize)}, nil
 }
 
-// NewMemory makes a history that only its subscribers see.
+// NewMemory returns a Recorder that writes no file and only calls its subscribers.
 func NewMemory() *Recorder { return &Recorder{began: time.Now()} }
 
-// Subscribe has f called with each event to come, in order. f must neither block
-// nor record.
+// Subscribe makes the recorder call f with each later event, in order. f must not block
+// and must not call Record.
 func (r *Recorder) Subscribe(f func(Event)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.subscribers = append(r.subscribers, f)
 }
 
-// Now is the run's time in microseconds.
+// Now returns the time since the start of the history in microseconds.
 func (r *Recorder) Now() int64 { return r.At(time.Now()) }
 
-// At converts a moment to the run's time in microseconds.
+// At converts a time to microseconds since the start of the history.
 func (r *Recorder) At(t time.Time) int64 { return t.Sub(r.began).Microseconds() }
 
-// Time converts the run's time in microseconds to a moment.
+// Time converts microseconds since the start of the history to a time.
 func (r *Recorder) Time(t int64) time.Time { return r.began.Add(time.Duration(t) * time.Microsecond) }
 
-// Record stamps an event, writes it and returns the stamp. A failed write is
-// reported by Close.
+// Record sets the event's Time, writes the event and returns that Time. Close reports the
+// error of a failed write.
 func (r *Recorder) Record(e Event) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +70,7 @@
 	return e.Time
 }
 
-// write appends one line; r.mu is held.
+// write appends one line. The caller holds r.mu.
 func (r *Recorder) write(e Event) error {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -81,7 +80,7 @@
 	return err
 }
 
-// Close writes out what is buffered and returns the first failure.
+// Close writes out buffered events, closes the file and returns the errors of all writes.
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultlab/history/history_test.go
+++ b/internal/faultlab/history/history_test.go
@@ -26,15 +26,15 @@
 		if err := Read(path, func(e Event) {
 			count++
 			if e.Time < last {
-				t.Fatal("time went back")
+				t.Fatal("the time of an event is less than that of the event before")
 			}
 			last = e.Time
 		}); err != nil || count != strings.Count(string(text[:length]), "\n") {
-			t.Fatalf("cut at %d: %d events, %v", length, count, err)
+			t.Fatalf("file cut to %d bytes: %d events with error %v, want one for each complete line and no error", length, count, err)
 		}
 	}
 	os.WriteFile(path, []byte("{\"t\":1}\nnonsense\n{\"t\":2}\n"), 0o600)
 	if err := Read(path, func(Event) {}); err == nil || !strings.Contains(err.Error(), path+":2") {
-		t.Errorf("got %v", err)
+		t.Errorf("invalid line 2: error %v, want one that names the line", err)
 	}
 }
--- a/internal/faultlab/history/read.go
+++ b/internal/faultlab/history/read.go
@@ -8,9 +8,9 @@
 	"os"
 )
 
-// Read passes each event of a file to f, in order. An incomplete last line, as a
-// lab that was killed leaves, ends the history; an invalid line elsewhere is an
-// error that names it.
+// Read calls f with each event of a file, in order. It ignores an incomplete last line,
+// which a killed lab leaves behind. An invalid line elsewhere is an error that names its
+// number.
 func Read(path string, f func(Event)) error {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -1,7 +1,6 @@
-// Package process starts the programs under test and ends them. Each runs in a
-// process group of its own, and none outlives the lab, however the lab ends. An
-// exit is reported with its cause; why a process is signalled is left to the
-// caller.
+// Package process starts and stops the programs under test. Each runs in a process group
+// of its own, and the kernel kills it if the lab ends in any way. An exit is reported with
+// its cause. The package does not decide when to signal a process.
 package process
 
 import (
@@ -16,12 +15,12 @@
 	"time"
 )
 
-// starter starts every process from one thread that lives as long as the lab:
-// the kernel ends a child whose parent-death signal is set when the thread that
-// started it ends, so that must not be one of the runtime's choosing.
+// starter returns a channel of functions that run on one thread, which lives as long as
+// the lab. Every process is started there: the kernel sends a child its parent-death
+// signal when the thread that started it ends, and Go's runtime may end any other thread.
 var starter = sync.OnceValue(func() chan<- func() {
 	starts := make(chan func())
-	go func() { // lives as long as the lab
+	go func() { // never ends, so that its thread does not
 		runtime.LockOSThread()
 		for start := range starts {
 			start()
@@ -30,23 +29,23 @@
 	return starts
 })
 
-const outputGrace = 2 * time.Second // for output that a process's own children hold open
+const outputGrace = 2 * time.Second // time to read output after the exit, while children of the process keep it open
 
-// Process is a process that was started. It is safe for concurrent use; whoever
-// started it ends it.
+// Process is a started process. It is safe for concurrent use. The caller of Start must
+// end it.
 type Process struct {
 	Name string
 	PID  int
 
 	cmd  *exec.Cmd
-	done chan struct{} // closed once it is gone
-	err  error         // of the wait for it; valid once done is closed
+	done chan struct{} // closed once the process has ended
+	err  error         // result of cmd.Wait; valid once done is closed
 
 	mu      sync.Mutex
-	stopped bool // by SIGSTOP
+	stopped bool // SIGSTOP was sent, and no SIGCONT after it
 }
 
-// Start runs a program with env added to the lab's environment. Its output goes to
+// Start runs a program with env added to the lab's environment, and writes its output to
 // out.
 func Start(name, program string, args, env []string, out io.Writer) (*Process, error) {
 	cmd := exec.Command(program, args...)
@@ -67,11 +66,11 @@
 	return p, nil
 }
 
-// Done is closed once the process is gone.
+// Done returns a channel that is closed once the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Exit returns how the process ended: its code with a description, or -1 with the
-// signal's name. Call it after Done is closed.
+// Exit returns the exit code and its description, or -1 and the name of the signal that
+// killed the process. It must be called after Done is closed.
 func (p *Process) Exit() (code int, text string) {
 	state := p.cmd.ProcessState
 	if state == nil {
@@ -83,8 +82,8 @@
 	return state.ExitCode(), state.String()
 }
 
-// Signal sends a signal to the process itself. It returns os.ErrProcessDone once
-// that is gone.
+// Signal sends a signal to the process, not to its group. It returns os.ErrProcessDone if
+// the process has ended.
 func (p *Process) Signal(s syscall.Signal) error {
 	select {
 	case <-p.done:
@@ -105,14 +104,14 @@
 	return nil
 }
 
-// Stopped reports whether the process is stopped by SIGSTOP.
+// Stopped reports whether Signal has stopped the process by SIGSTOP.
 func (p *Process) Stopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stopped
 }
 
-// Kill ends the process and its group, and waits until it is gone.
+// Kill kills the process and its group, and waits until the process has ended.
 func (p *Process) Kill() {
 	select {
 	case <-p.done:
@@ -123,8 +122,7 @@
 	<-p.done
 }
 
-// Wait waits for the end of the process or of ctx; it reports whether the
-// process is gone.
+// Wait waits until the process or ctx ends, and reports whether the process has ended.
 func (p *Process) Wait(ctx context.Context) bool {
 	select {
 	case <-p.done:
