--- a/internal/faultlab/capacity/fit_test.go
+++ b/internal/faultlab/capacity/fit_test.go
@@ -37,11 +37,11 @@
 	checkNear(t, "exponent", m.Exponent, 1)
 	checkNear(t, "at the target by the line", m.AtTarget, 2000)
 	checkNear(t, "ratio to the budget", m.Ratio, 2)
-	base := newTestMeasurement(func(size float64) float64 { return 50 + 0.02*size }, 1)
-	checkNear(t, "intercept", base.Intercept, 50)
-	checkNear(t, "at the target with intercept", base.WithBase, 2050)
-	if base.Exponent > 0.9 {
-		t.Errorf("line with a positive intercept: exponent %v, want at most 0.9", base.Exponent)
+	withIntercept := newTestMeasurement(func(size float64) float64 { return 50 + 0.02*size }, 1)
+	checkNear(t, "intercept", withIntercept.Intercept, 50)
+	checkNear(t, "at the target with intercept", withIntercept.WithBase, 2050)
+	if withIntercept.Exponent > 0.9 {
+		t.Errorf("line with a positive intercept: exponent %v, want at most 0.9", withIntercept.Exponent)
 	}
 	if err := m.Check(); err != nil {
 		t.Error(err)
--- a/internal/faultlab/capacity/list.go
+++ b/internal/faultlab/capacity/list.go
@@ -33,35 +33,35 @@
 
 // memberList makes a complete list of members, each the only endpoint of its destination,
 // with IDs of idLength characters.
-func memberList(size, letters int) *discovery.List {
+func memberList(size, idLength int) *discovery.List {
 	l := &discovery.List{Revision: int64(size), Complete: true, Members: make([]discovery.Member, size)}
 	for i := range l.Members {
-		l.Members[i] = testMember(i, letters)
+		l.Members[i] = newMember(i, idLength)
 	}
 	return l
 }
 
-func testMember(i, letters int) discovery.Member {
-	return discovery.Member{ID: fmt.Sprintf("s-%0*d", letters-2, i), HostPort: fmt.Sprintf("10.%d.%d.%d:6379", i>>16&255, i>>8&255, i&255),
-		Locality: fmt.Sprintf("z-%d", i%targetZones), Flavor: "agent", Cell: i, Phase: discovery.Up, Size: 1}
+func newMember(index, idLength int) discovery.Member {
+	return discovery.Member{ID: fmt.Sprintf("s-%0*d", idLength-2, index), HostPort: fmt.Sprintf("10.%d.%d.%d:6379", index>>16&255, index>>8&255, index&255),
+		Locality: fmt.Sprintf("z-%d", index%targetZones), Flavor: "agent", Cell: index, Phase: discovery.Up, Size: 1}
 }
 
 func listJobs() []job {
-	newJob := func(name string, letters int) job {
+	newJob := func(name string, idLength int) job {
 		quantity := func(what, unit string) Quantity {
-			return Quantity{Role: "relay", Name: fmt.Sprintf("%s, ids of %d letters", what, letters), Unit: unit, SizeUnit: "members", Target: targetMembers}
+			return Quantity{Role: "relay", Name: fmt.Sprintf("%s, ids of %d letters", what, idLength), Unit: unit, SizeUnit: "members", Target: targetMembers}
 		}
 		return job{name: name, sizes: memberSizes, smoke: smokeSizes,
 			quantities: []Quantity{quantity("reading a whole list", "ms"), quantity("allocated to read it", "MB"), quantity("allocations to read it", "thousand"), quantity("bytes of it", "KB")},
 			run: func(_ context.Context, _ *environment, size int) ([]float64, error) {
-				return measureListParsing(size, letters)
+				return measureListParsing(size, idLength)
 			}}
 	}
 	return []job{newJob("parse", shortID), newJob("parse-long", longID)}
 }
 
-func measureListParsing(size, letters int) ([]float64, error) {
-	text, err := json.Marshal(memberList(size, letters))
+func measureListParsing(size, idLength int) ([]float64, error) {
+	text, err := json.Marshal(memberList(size, idLength))
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
--- a/internal/faultlab/capacity/list_server.go
+++ b/internal/faultlab/capacity/list_server.go
@@ -56,15 +56,15 @@
 // listServer imitates the agent of one relay: it serves one list that never changes, keeps
 // watches open and accepts notices.
 type listServer struct {
-	addr    string
-	list    *discovery.List
-	text    []byte
-	server  *http.Server
-	wg      sync.WaitGroup
-	bytes   atomic.Int64
-	lists   atomic.Int64 // requests for the complete list
-	watches atomic.Int64
-	notices atomic.Int64
+	addr     string
+	list     *discovery.List
+	listJSON []byte
+	server   *http.Server
+	wg       sync.WaitGroup
+	bytes    atomic.Int64
+	lists    atomic.Int64 // requests for the complete list
+	watches  atomic.Int64
+	notices  atomic.Int64
 }
 
 func newListServer(l *discovery.List) (*listServer, error) {
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("list server: %w", err)
 	}
-	s := &listServer{addr: ln.Addr().String(), list: l, text: append(text, '\n')}
+	s := &listServer{addr: ln.Addr().String(), list: l, listJSON: append(text, '\n')}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+discovery.ListPath, s.getList)
 	mux.HandleFunc("POST "+discovery.NoticePath, s.postNotice)
@@ -104,7 +104,7 @@
 func (s *listServer) getList(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		s.lists.Add(1)
-		w.Write(s.text) // A failed write needs no handling: a relay that lost its connection asks again.
+		w.Write(s.listJSON) // A failed write needs no handling: a relay that lost its connection asks again.
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
--- a/internal/faultlab/capacity/registry.go
+++ b/internal/faultlab/capacity/registry.go
@@ -93,7 +93,7 @@
 	s := registry.NewState()
 	s.Epoch, s.Revision = "bench", int64(members)
 	for i := range members {
-		m := testMember(i, shortID)
+		m := newMember(i, shortID)
 		s.Members[m.ID] = registry.Member{Member: m, TTL: 24 * time.Hour, Holder: memberHolder, Since: int64(i + 1), Changed: int64(i + 1)}
 	}
 	text, err := json.Marshal(s)
@@ -225,7 +225,7 @@
 // changeMember registers the member with the given index anew in a zone made from
 // zoneNumber, which changes the list.
 func changeMember(ctx context.Context, c *client.Client, index, zoneNumber int) (registry.Result, error) {
-	m := testMember(index, shortID)
+	m := newMember(index, shortID)
 	var result registry.Result
 	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: m.ID, Address: m.HostPort, Zone: fmt.Sprint("moved-", zoneNumber),
 		Flavor: m.Flavor, Cell: m.Cell, TTLMS: (24 * time.Hour).Milliseconds(), Holder: memberHolder}, &result)
--- a/internal/faultlab/capacity/registry_jobs.go
+++ b/internal/faultlab/capacity/registry_jobs.go
@@ -17,7 +17,7 @@
 	heartbeatsPerTTL = 3.0  // heartbeats that a member sends within its time to live
 	targetHeartbeats = targetMembers * heartbeatsPerTTL / memberTTL
 	fewMembers       = 3000
-	writesTimed      = 20
+	timedWrites      = 20
 	readers          = 4
 )
 
@@ -97,7 +97,7 @@
 		calls, err = g.runClients(ctx, writers, span, func(ctx context.Context, c *client.Client, caller, n int) error {
 			var batch []registry.Heartbeat
 			for i := range batchSize {
-				batch = append(batch, registry.Heartbeat{ID: testMember(((n*batchSize+i)*writers+caller)%size, shortID).ID, Holder: memberHolder})
+				batch = append(batch, registry.Heartbeat{ID: newMember(((n*batchSize+i)*writers+caller)%size, shortID).ID, Holder: memberHolder})
 			}
 			_, err := c.Do(ctx, http.MethodPost, registry.HeartbeatsPath, batch, nil)
 			return err
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	measured, failed := make([][]Measurement, len(selected)), make([]error, len(selected))
+	measured, errs := make([][]Measurement, len(selected)), make([]error, len(selected))
 	var group errgroup.Group
 	group.SetLimit(1)
 	if o.Smoke {
@@ -85,12 +85,12 @@
 	for i, j := range selected {
 		group.Go(func() error {
 			began := time.Now()
-			measured[i], failed[i] = j.measure(ctx, o)
+			measured[i], errs[i] = j.measure(ctx, o)
 			for k := range measured[i] {
-				failed[i] = errors.Join(failed[i], measured[i][k].Check())
+				errs[i] = errors.Join(errs[i], measured[i][k].Check())
 			}
-			if failed[i] != nil {
-				failed[i] = fmt.Errorf("capacity: %s: %w", j.name, failed[i])
+			if errs[i] != nil {
+				errs[i] = fmt.Errorf("capacity: %s: %w", j.name, errs[i])
 			}
 			o.Printf("# %s took %.0f s", j.name, time.Since(began).Seconds())
 			return nil
@@ -100,11 +100,11 @@
 	result := &Result{}
 	for i := range selected {
 		result.Capacity = append(result.Capacity, measured[i]...)
-		if failed[i] != nil {
-			result.Notes = append(result.Notes, failed[i].Error())
+		if errs[i] != nil {
+			result.Notes = append(result.Notes, errs[i].Error())
 		}
 	}
-	return result, errors.Join(failed...)
+	return result, errors.Join(errs...)
 }
 
 // selectJobs returns the jobs with the given names, or all jobs if there are no names. An
@@ -137,11 +137,11 @@
 	for i, q := range j.quantities {
 		measurements[i] = Measurement{Job: j.name, Quantity: q}
 	}
-	var failed error
+	var failure error
 	for _, size := range sizes {
 		values, err := j.measureSize(ctx, o, size, plays)
 		if err != nil {
-			failed = fmt.Errorf("at %d: %w", size, err)
+			failure = fmt.Errorf("at %d: %w", size, err)
 			break
 		}
 		for i := range measurements {
@@ -150,12 +150,12 @@
 		}
 	}
 	if len(measurements[0].Sizes) < 2 {
-		return nil, failed
+		return nil, failure
 	}
 	for i := range measurements {
 		measurements[i].fit()
 	}
-	return measurements, failed
+	return measurements, failure
 }
 
 // measureSize runs a job plays times at one size and returns the values of each quantity.
--- a/internal/faultlab/capacity/watchers.go
+++ b/internal/faultlab/capacity/watchers.go
@@ -156,7 +156,7 @@
 		return nil, err
 	}
 	var writeTimes []float64
-	for n := range scaled(e, 3, writesTimed) {
+	for n := range scaled(e, 3, timedWrites) {
 		leader, err := g.leaderIndex(ctx)
 		if err != nil {
 			return nil, err
--- a/internal/faultlab/simrelay/stream.go
+++ b/internal/faultlab/simrelay/stream.go
@@ -50,10 +50,10 @@
 
 // At reports whether a destination is down at a time in microseconds of Unix time.
 func (d *Down) At(destination int, now int64) bool {
-	count, all := d.Count(), len(d.positions)
-	if count == 0 || destination >= all {
+	count, total := d.Count(), len(d.positions)
+	if count == 0 || destination >= total {
 		return false
 	}
-	moved := int(float64(max(0, now-d.Origin)) / float64(d.For.Microseconds()) * float64(count))
-	return ((d.positions[destination]-moved)%all+all)%all < count
+	shift := int(float64(max(0, now-d.Origin)) / float64(d.For.Microseconds()) * float64(count))
+	return ((d.positions[destination]-shift)%total+total)%total < count
 }
