--- a/internal/faultlab/capacity/list.go
+++ b/internal/faultlab/capacity/list.go
@@ -34,11 +34,11 @@
 // memberList makes a complete list of members, each the only endpoint of its destination,
 // with IDs of idLength characters.
 func memberList(size, idLength int) *discovery.List {
-	l := &discovery.List{Revision: int64(size), Complete: true, Members: make([]discovery.Member, size)}
-	for i := range l.Members {
-		l.Members[i] = newMember(i, idLength)
+	list := &discovery.List{Revision: int64(size), Complete: true, Members: make([]discovery.Member, size)}
+	for i := range list.Members {
+		list.Members[i] = newMember(i, idLength)
 	}
-	return l
+	return list
 }
 
 func newMember(index, idLength int) discovery.Member {
--- a/internal/faultlab/capacity/measurement.go
+++ b/internal/faultlab/capacity/measurement.go
@@ -23,7 +23,7 @@
 }
 
 // Measurement holds the values of a quantity at several sizes and the line and power law
-// fitted to them. A play is one repetition of a job at all sizes.
+// fitted to them. A play is one repetition of the measurement at a size.
 type Measurement struct {
 	Job string `json:"job"`
 	Quantity
@@ -52,8 +52,8 @@
 }
 
 // Check returns an error if the measurement cannot be used: if it has fewer than two sizes,
-// a size without values, a value that is negative or not finite, or an exponent
-// that is too large for any known cost.
+// a size without values, a value that is negative or not finite, or an exponent that is
+// too large for any known cost.
 func (m *Measurement) Check() error {
 	const maxExponent = 3.5
 	if len(m.Sizes) < 2 || len(m.Values) != len(m.Sizes) {
--- a/internal/faultlab/capacity/policy.go
+++ b/internal/faultlab/capacity/policy.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	callSlots       = 100
-	retryAfterDelay = policy.Time(3600e6) // Retry-After of a paused destination, which outlasts every measurement
-	stepInterval    = policy.Time(10_000) // time between two steps, in which the policy's pacing allows one call
-	safeClass       = 0
-	unsafeClass     = 1
-	messageTimeLeft = 100 * retryAfterDelay // long enough that no message expires during a measurement
+	callSlots          = 100
+	retryAfterDelay    = policy.Time(3600e6) // Retry-After of a paused destination, which outlasts every measurement
+	stepInterval       = policy.Time(10_000) // time between two steps, in which the policy's pacing allows one call
+	idempotentClass    = 0
+	nonIdempotentClass = 1
+	messageTimeLeft    = 100 * retryAfterDelay // long enough that no message expires during a measurement
 )
 
 // relaySettings returns the settings of a relay in a fleet of the target's size, in the
@@ -55,7 +55,7 @@
 // inFlightAttempt is an attempt that the policy has started and that has no outcome yet.
 type inFlightAttempt struct {
 	message  uint32
-	attempt  int
+	number   int
 	endpoint policy.Endpoint
 }
 
@@ -68,7 +68,7 @@
 	inFlight      []inFlightAttempt
 	attemptCounts map[uint32]int
 	lastMessage   uint32
-	completed     int // messages that the policy rejected or failed
+	undelivered   int // messages that the policy rejected or failed
 }
 
 // newPolicyDriver makes a policy and gives it a complete list with the given number of
@@ -113,7 +113,7 @@
 			d.inFlight = append(d.inFlight, inFlightAttempt{a.Message, d.attemptCounts[a.Message], a.Endpoint})
 			d.attemptCounts[a.Message]++
 		case policy.ActionReject, policy.ActionFail:
-			d.completed++
+			d.undelivered++
 			delete(d.attemptCounts, a.Message)
 		}
 	}
@@ -137,14 +137,14 @@
 	if outcome == policy.Delivered {
 		delete(d.attemptCounts, finished.message)
 	}
-	return policy.Event{Kind: policy.EventAttemptDone, Message: finished.message, Attempt: finished.attempt, Endpoint: finished.endpoint, Outcome: outcome, RetryAfter: retryAfter,
+	return policy.Event{Kind: policy.EventAttemptDone, Message: finished.message, Attempt: finished.number, Endpoint: finished.endpoint, Outcome: outcome, RetryAfter: retryAfter,
 		Latency: 200_000, Final: outcome == policy.Delivered}, nil
 }
 
 // pauseDestination sends one message to a destination and rejects the attempt with a
 // Retry-After that outlasts the measurement. The message stays queued there.
 func (d *policyDriver) pauseDestination(destination int) error {
-	d.step(d.newMessage(destination, safeClass))
+	d.step(d.newMessage(destination, idempotentClass))
 	e, err := d.finishOldestAttempt(policy.Rejected, retryAfterDelay)
 	if err != nil {
 		return fmt.Errorf("destination %d: %w", destination, err)
--- a/internal/faultlab/capacity/policy_jobs.go
+++ b/internal/faultlab/capacity/policy_jobs.go
@@ -114,7 +114,7 @@
 func (d *policyDriver) meanFailedCallTime(destination int) (float64, error) {
 	const waitingMessages, maxTrials = 20, 200
 	for range waitingMessages {
-		d.step(d.newMessage(destination, safeClass))
+		d.step(d.newMessage(destination, idempotentClass))
 	}
 	var took time.Duration
 	trials := 0
@@ -128,9 +128,9 @@
 			took += d.step(e)
 			trials++
 		}
-		if d.completed > 0 { // replaces a message that the policy gave up, so that the queue keeps its length
-			d.completed = 0
-			d.step(d.newMessage(destination, safeClass))
+		if d.undelivered > 0 { // adds a message in place of those that the policy gave up, so that some keep waiting
+			d.undelivered = 0
+			d.step(d.newMessage(destination, idempotentClass))
 		}
 	}
 	return meanMicros(took, max(trials, 1)), nil
@@ -145,17 +145,17 @@
 	for round := range perDestination + 1 {
 		for i := range destinations {
 			d.now += stepInterval * 100
-			sinceSubmit := d.step(d.newMessage(first+i, safeClass))
+			messageTime := d.step(d.newMessage(first+i, idempotentClass))
 			for len(d.inFlight) > 0 {
 				e, err := d.finishOldestAttempt(policy.Delivered, 0)
 				if err != nil {
 					return 0, err
 				}
 				e.Load = load
-				sinceSubmit += d.step(e)
+				messageTime += d.step(e)
 			}
 			if round > 0 { // the first round makes the load reports known to the policy and is not timed
-				took += sinceSubmit
+				took += messageTime
 			}
 		}
 	}
@@ -173,7 +173,7 @@
 	const messageCount = 2000 // as many as a relay reads from its log at a time
 	var pending []policy.Event
 	for i := range messageCount {
-		e := d.newMessage(i%min(size, destinationsDown), safeClass)
+		e := d.newMessage(i%min(size, destinationsDown), idempotentClass)
 		e.Recovered = true
 		pending = append(pending, e)
 	}
@@ -199,7 +199,7 @@
 		return nil, err
 	}
 	for range size {
-		d.step(d.newMessage(0, safeClass))
+		d.step(d.newMessage(0, idempotentClass))
 	}
 	const rounds = 100
 	var outcomes, submitted, drained time.Duration
@@ -209,9 +209,9 @@
 			return nil, err
 		}
 		outcomes += took
-		submitted += d.step(d.newMessage(0, safeClass))
+		submitted += d.step(d.newMessage(0, idempotentClass))
 	}
-	for range size - d.completed {
+	for range size - d.undelivered {
 		took, err := d.deliverOldest()
 		if err != nil {
 			return nil, err
@@ -231,7 +231,7 @@
 	if err := d.pauseDestination(0); err != nil {
 		return nil, err
 	}
-	class := func(i int) int { return i % 10 / 7 } // 3 of 10 messages are of the unsafe class, as in the fleet's traffic
+	class := func(i int) int { return i % 10 / 7 } // 3 of 10 messages are not idempotent, as in the fleet's traffic
 	for i := range size {
 		d.step(d.newMessage(0, class(i)))
 	}
@@ -252,7 +252,7 @@
 		}
 	}
 	for i := range size - destinations {
-		d.step(d.newMessage(from+i%destinations, safeClass))
+		d.step(d.newMessage(from+i%destinations, idempotentClass))
 	}
 	return nil
 }
@@ -271,16 +271,16 @@
 	}
 	memory := heapBytes() - before
 	runtime.KeepAlive(d)
-	safe, err := d.meanTimeOfClass(safeClass)
+	idempotent, err := d.meanTimeOfClass(idempotentClass)
 	if err != nil {
 		return nil, err
 	}
-	unsafe, err := d.meanTimeOfClass(unsafeClass)
+	nonIdempotent, err := d.meanTimeOfClass(nonIdempotentClass)
 	if err != nil {
 		return nil, err
 	}
 	allSlotsUsed, err := d.meanTimeWithAllSlots()
-	return []float64{max(memory, 0) / 1e6, safe, unsafe, allSlotsUsed}, err
+	return []float64{max(memory, 0) / 1e6, idempotent, nonIdempotent, allSlotsUsed}, err
 }
 
 const timedRounds = 100
@@ -303,12 +303,12 @@
 	return meanMicros(took, timedRounds), nil
 }
 
-// meanTimeWithAllSlots returns the mean time of a delivery's outcome while messages of the
-// unsafe class occupy every call slot and more of them wait for one.
+// meanTimeWithAllSlots returns the mean time of a delivery's outcome while non-idempotent
+// messages occupy every call slot and more of them wait for one.
 func (d *policyDriver) meanTimeWithAllSlots() (float64, error) {
 	for i := range 4 * callSlots {
 		d.now += stepInterval
-		d.step(d.newMessage(i%destinationsUp, unsafeClass))
+		d.step(d.newMessage(i%destinationsUp, nonIdempotentClass))
 	}
 	var took time.Duration
 	n := 0
@@ -335,12 +335,12 @@
 		return nil, err
 	}
 	const rounds = 50
-	completedBefore := d.completed
+	undeliveredBefore := d.undelivered
 	var took time.Duration
 	for i := range rounds {
-		took += d.step(d.newMessage(destinations-down+i%down, safeClass))
+		took += d.step(d.newMessage(destinations-down+i%down, idempotentClass))
 	}
-	if d.completed == completedBefore {
+	if d.undelivered == undeliveredBefore {
 		return nil, errNothingShed
 	}
 	return []float64{meanMicros(took, rounds)}, nil
--- a/internal/faultlab/capacity/registry.go
+++ b/internal/faultlab/capacity/registry.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// restoreMembers restores a backup that contains the members, which is faster than
-// registering each, and waits until every node has them.
+// restoreMembers restores a backup that contains the members, and waits until every node has
+// them.
 func (g *group) restoreMembers(ctx context.Context, members int) error {
 	ctx, cancel := context.WithTimeout(ctx, groupTimeout)
 	defer cancel()
--- a/internal/faultlab/capacity/relay_jobs.go
+++ b/internal/faultlab/capacity/relay_jobs.go
@@ -143,11 +143,11 @@
 // refusingList returns a list whose first destinationsDown destinations, or all if there
 // are fewer, refuse connections.
 func refusingList(size int) *discovery.List {
-	l := memberList(size, shortID)
+	list := memberList(size, shortID)
 	for i := range min(size, destinationsDown) {
-		l.Members[i].HostPort = "127.0.0.1:1"
+		list.Members[i].HostPort = "127.0.0.1:1"
 	}
-	return l
+	return list
 }
 
 // measureUnreachableDestinations starts a relay whose log holds messages for destinations
--- a/internal/faultlab/simrelay/config.go
+++ b/internal/faultlab/simrelay/config.go
@@ -5,7 +5,7 @@
 // of talking to clients and endpoints, so that many fit into one process. It counts each
 // accepted message and its completion, and records each change of the endpoint list with
 // the time at which its policy received it. A process also reports how late its messages
-// were made, which shows whether the machine kept up. The lab judges the figures.
+// were made. The lab judges the figures.
 package simrelay
 
 import (
