--- a/internal/faultlab/capacity/list.go
+++ b/internal/faultlab/capacity/list.go
@@ -10,19 +10,19 @@
 	"plovershore/internal/discovery"
 )
 
-// Figures of the target.
+// Target of the predictions, with a relay's budgets.
 const (
 	targetMembers  = 31_000
 	targetRelays   = 450
 	targetZones    = 8
-	targetInFlight = 1_930_000 // messages pending in a relay after a long outage
-	budgetMemory   = 256       // MB of a relay's control
-	budgetCore     = 3.4       // % of a core
-	budgetBytes    = 30        // KB a second
+	targetInFlight = 1_930_000 // messages pending in one relay after a long outage
+	budgetMemory   = 256       // MB of memory for a relay's control tasks
+	budgetCore     = 3.4       // percent of a core for an idle relay
+	budgetBytes    = 30        // KB a second between an idle relay and its agent
 )
 
 const (
-	shortID = 10 // letters of a member's id
+	shortID = 10 // characters of a member's ID
 	longID  = 34
 )
 
@@ -31,35 +31,37 @@
 	smokeSizes  = []int{31, 310}
 )
 
-// memberList makes a complete list of so many members, each the only endpoint of
-// its destination, with ids of so many letters.
-func memberList(size, letters int) *discovery.List {
-	l := &discovery.List{Revision: int64(size), Complete: true, Members: make([]discovery.Member, size)}
-	for i := range l.Members {
-		l.Members[i] = member(i, letters)
+// memberList makes a complete list of members, each the only endpoint of its destination,
+// with IDs of idLength characters.
+func memberList(size, idLength int) *discovery.List {
+	list := &discovery.List{Revision: int64(size), Complete: true, Members: make([]discovery.Member, size)}
+	for i := range list.Members {
+		list.Members[i] = newMember(i, idLength)
 	}
-	return l
+	return list
 }
 
-func member(i, letters int) discovery.Member {
-	return discovery.Member{ID: fmt.Sprintf("s-%0*d", letters-2, i), HostPort: fmt.Sprintf("10.%d.%d.%d:6379", i>>16&255, i>>8&255, i&255),
-		Locality: fmt.Sprintf("z-%d", i%targetZones), Flavor: "agent", Cell: i, Phase: discovery.Up, Size: 1}
+func newMember(index, idLength int) discovery.Member {
+	return discovery.Member{ID: fmt.Sprintf("s-%0*d", idLength-2, index), HostPort: fmt.Sprintf("10.%d.%d.%d:6379", index>>16&255, index>>8&255, index&255),
+		Locality: fmt.Sprintf("z-%d", index%targetZones), Flavor: "agent", Cell: index, Phase: discovery.Up, Size: 1}
 }
 
 func listJobs() []job {
-	of := func(name string, letters int) job {
+	newJob := func(name string, idLength int) job {
 		quantity := func(what, unit string) Quantity {
-			return Quantity{Role: "relay", Name: fmt.Sprintf("%s, ids of %d letters", what, letters), Unit: unit, SizeUnit: "members", Target: targetMembers}
+			return Quantity{Role: "relay", Name: fmt.Sprintf("%s, ids of %d letters", what, idLength), Unit: unit, SizeUnit: "members", Target: targetMembers}
 		}
 		return job{name: name, sizes: memberSizes, smoke: smokeSizes,
 			quantities: []Quantity{quantity("reading a whole list", "ms"), quantity("allocated to read it", "MB"), quantity("allocations to read it", "thousand"), quantity("bytes of it", "KB")},
-			run:        func(_ context.Context, _ *environment, size int) ([]float64, error) { return parseList(size, letters) }}
+			run: func(_ context.Context, _ *environment, size int) ([]float64, error) {
+				return measureListParsing(size, idLength)
+			}}
 	}
-	return []job{of("parse", shortID), of("parse-long", longID)}
+	return []job{newJob("parse", shortID), newJob("parse-long", longID)}
 }
 
-func parseList(size, letters int) ([]float64, error) {
-	text, err := json.Marshal(memberList(size, letters))
+func measureListParsing(size, idLength int) ([]float64, error) {
+	text, err := json.Marshal(memberList(size, idLength))
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
@@ -75,7 +77,7 @@
 	}
 	took := time.Since(began)
 	runtime.ReadMemStats(&after)
-	each := float64(rounds)
-	return []float64{took.Seconds() * 1e3 / each, float64(after.TotalAlloc-before.TotalAlloc) / 1e6 / each,
-		float64(after.Mallocs-before.Mallocs) / 1e3 / each, float64(len(text)) / 1e3}, nil
+	count := float64(rounds)
+	return []float64{took.Seconds() * 1e3 / count, float64(after.TotalAlloc-before.TotalAlloc) / 1e6 / count,
+		float64(after.Mallocs-before.Mallocs) / 1e3 / count, float64(len(text)) / 1e3}, nil
 }
--- a/internal/faultlab/capacity/main_test.go
+++ b/internal/faultlab/capacity/main_test.go
@@ -14,19 +14,21 @@
 	"plovershore/internal/relay"
 )
 
-// programEnv makes the test's own program a relay, a node, an agent or a warden:
-// what a run starts has the test's environment.
+// programEnv is set by a test to turn this test binary, when a job starts it, into a
+// relay, a list service node, an agent or a controller. The started programs inherit the
+// test's environment.
 const programEnv = "CAPACITY_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(programEnv) != "" {
-		os.Exit(program(os.Args[1:]))
+		os.Exit(runProgram(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-// program runs what its arguments are of: a relay has none.
-func program(args []string) int {
+// runProgram runs the program that its arguments call for: none for a relay, a leading
+// flag for a controller, a subcommand for a list service node or an agent.
+func runProgram(args []string) int {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
 	switch {
@@ -39,9 +41,9 @@
 }
 
 func runRelay(ctx context.Context) int {
-	cfg, err := relay.LoadConfig(os.Getenv)
+	config, err := relay.LoadConfig(os.Getenv)
 	if err == nil {
-		err = relay.Run(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)), ctx.Done(), nil)
+		err = relay.Run(config, slog.New(slog.NewTextHandler(os.Stderr, nil)), ctx.Done(), nil)
 	}
 	if err != nil {
 		slog.Error("relay ended", "err", err)
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -13,22 +13,24 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const smokeAtOnce = 4 // jobs
+const smokeParallelJobs = 4 // jobs that a smoke run has running at a time
 
-// Options say what is measured and by which programs.
+// Options select the jobs to run and name the programs to measure.
 type Options struct {
-	Only       []string // names of jobs; empty for all
-	Sizes      []int    // in place of each job's own; empty for those
-	Plays      int
-	Smoke      bool   // small sizes, one short play: whether it works, not what it costs
-	Relay      string // programs
+	Only  []string // names of the jobs to run; empty for all
+	Sizes []int    // sizes for all jobs; empty for each job's own sizes
+	Plays int
+	Smoke bool // runs small sizes once and briefly, to test that the jobs work; the figures mean nothing
+	// Relay, Registry and Controller are the paths of the programs that jobs start.
+	Relay      string
 	Registry   string
 	Controller string
-	Out        string // folder for the data of what is run
+	Out        string // directory in which each run creates its temporary directory
 	Printf     func(format string, args ...any)
 }
 
-// job is one set of runs: at each size a run gives a value for each quantity.
+// job measures some quantities at several sizes: each call of run returns one value for
+// each quantity.
 type job struct {
 	name       string
 	sizes      []int
@@ -37,13 +39,13 @@
 	run        func(ctx context.Context, e *environment, size int) ([]float64, error)
 }
 
-// environment is what a run may use.
+// environment is what one run of a job gets from its caller.
 type environment struct {
 	Options
-	dir string // of this run alone; removed after it
+	dir string // directory of this run, removed when the run has ended
 }
 
-// scaled gives one of two values, by whether this is a smoke run.
+// scaled returns smoke in a smoke run and full in any other.
 func scaled[T any](e *environment, smoke, full T) T {
 	if e.Smoke {
 		return smoke
@@ -51,12 +53,12 @@
 	return full
 }
 
-// jobs are all that can be measured, in the order of the roles.
+// jobs returns all jobs, grouped by the role that they measure.
 func jobs() []job {
 	return slices.Concat(listJobs(), policyJobs(), relayJobs(), registryJobs(), agentJobs(), controllerJobs())
 }
 
-// Names are the names of all jobs.
+// Names returns the names of all jobs.
 func Names() (names []string) {
 	for _, j := range jobs() {
 		names = append(names, j.name)
@@ -64,30 +66,31 @@
 	return names
 }
 
-// Run measures. A job that fails, or whose measurements do not pass Check, is
-// noted with its error, and the others go on; the error joins those of all such jobs. Jobs run one after another, so that none bends
-// the figures of another; only a smoke run, whose figures are not kept, has
-// several at once.
+// Run runs the selected jobs. A job that fails, or whose measurements do not pass Check,
+// is listed with its error in the result's Notes, and the other jobs still run; the
+// returned error joins those of all such jobs. Jobs run one after another, so that none
+// affects the figures of another; only a smoke run, whose figures are not kept, runs
+// several at a time.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	chosen, err := choose(o.Only)
+	selected, err := selectJobs(o.Only)
 	if err != nil {
 		return nil, err
 	}
-	measured, failed := make([][]Measurement, len(chosen)), make([]error, len(chosen))
+	measured, errs := make([][]Measurement, len(selected)), make([]error, len(selected))
 	var group errgroup.Group
 	group.SetLimit(1)
 	if o.Smoke {
-		group.SetLimit(smokeAtOnce)
+		group.SetLimit(smokeParallelJobs)
 	}
-	for i, j := range chosen {
+	for i, j := range selected {
 		group.Go(func() error {
 			began := time.Now()
-			measured[i], failed[i] = j.measure(ctx, o)
+			measured[i], errs[i] = j.measure(ctx, o)
 			for k := range measured[i] {
-				failed[i] = errors.Join(failed[i], measured[i][k].Check())
+				errs[i] = errors.Join(errs[i], measured[i][k].Check())
 			}
-			if failed[i] != nil {
-				failed[i] = fmt.Errorf("capacity: %s: %w", j.name, failed[i])
+			if errs[i] != nil {
+				errs[i] = fmt.Errorf("capacity: %s: %w", j.name, errs[i])
 			}
 			o.Printf("# %s took %.0f s", j.name, time.Since(began).Seconds())
 			return nil
@@ -95,17 +98,18 @@
 	}
 	group.Wait()
 	result := &Result{}
-	for i := range chosen {
+	for i := range selected {
 		result.Capacity = append(result.Capacity, measured[i]...)
-		if failed[i] != nil {
-			result.Notes = append(result.Notes, failed[i].Error())
+		if errs[i] != nil {
+			result.Notes = append(result.Notes, errs[i].Error())
 		}
 	}
-	return result, errors.Join(failed...)
+	return result, errors.Join(errs...)
 }
 
-// choose gives the jobs of some names; all for none.
-func choose(names []string) (chosen []job, err error) {
+// selectJobs returns the jobs with the given names, or all jobs if there are no names. An
+// unknown name is an error.
+func selectJobs(names []string) (selected []job, err error) {
 	for _, name := range names {
 		if !slices.Contains(Names(), name) {
 			return nil, fmt.Errorf("capacity: no job %q; there are %s", name, strings.Join(Names(), ", "))
@@ -113,14 +117,14 @@
 	}
 	for _, j := range jobs() {
 		if len(names) == 0 || slices.Contains(names, j.name) {
-			chosen = append(chosen, j)
+			selected = append(selected, j)
 		}
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-// measure runs a job at all sizes. Sizes at which it failed are left out; what
-// the others gave is kept where there are two.
+// measure runs a job at its sizes, in order, until one fails. It returns the measurements
+// of the sizes before that one, if there are at least two, together with the error.
 func (j *job) measure(ctx context.Context, o Options) ([]Measurement, error) {
 	sizes, plays := j.sizes, max(o.Plays, 1)
 	if o.Smoke {
@@ -129,50 +133,52 @@
 	if len(o.Sizes) > 0 {
 		sizes = o.Sizes
 	}
-	out := make([]Measurement, len(j.quantities))
+	measurements := make([]Measurement, len(j.quantities))
 	for i, q := range j.quantities {
-		out[i] = Measurement{Job: j.name, Quantity: q}
+		measurements[i] = Measurement{Job: j.name, Quantity: q}
 	}
-	var failed error
+	var failure error
 	for _, size := range sizes {
-		values, err := j.at(ctx, o, size, plays)
+		values, err := j.measureSize(ctx, o, size, plays)
 		if err != nil {
-			failed = fmt.Errorf("at %d: %w", size, err)
+			failure = fmt.Errorf("at %d: %w", size, err)
 			break
 		}
-		for i := range out {
-			out[i].Sizes = append(out[i].Sizes, float64(size))
-			out[i].Values = append(out[i].Values, values[i])
+		for i := range measurements {
+			measurements[i].Sizes = append(measurements[i].Sizes, float64(size))
+			measurements[i].Values = append(measurements[i].Values, values[i])
 		}
 	}
-	if len(out[0].Sizes) < 2 {
-		return nil, failed
+	if len(measurements[0].Sizes) < 2 {
+		return nil, failure
 	}
-	for i := range out {
-		out[i].fit()
+	for i := range measurements {
+		measurements[i].fit()
 	}
-	return out, failed
+	return measurements, failure
 }
 
-// at gives the values of all plays at one size, by quantity.
-func (j *job) at(ctx context.Context, o Options, size, plays int) ([][]float64, error) {
+// measureSize runs a job plays times at one size and returns the values of each quantity.
+func (j *job) measureSize(ctx context.Context, o Options, size, plays int) ([][]float64, error) {
 	values := make([][]float64, len(j.quantities))
 	for range plays {
-		got, err := j.once(ctx, o, size)
+		runValues, err := j.runOnce(ctx, o, size)
 		if err != nil {
 			return nil, err
 		}
-		for i, v := range got {
+		for i, v := range runValues {
 			values[i] = append(values[i], v)
 		}
 	}
 	for i, q := range j.quantities {
-		o.Printf("%-16s %-52s %9d  %s %s", j.name, q.Name, size, numbers(values[i]), q.Unit)
+		o.Printf("%-16s %-52s %9d  %s %s", j.name, q.Name, size, formatValues(values[i]), q.Unit)
 	}
 	return values, nil
 }
 
-func (j *job) once(ctx context.Context, o Options, size int) ([]float64, error) {
+// runOnce runs a job once at one size, with a new directory, and returns one value for
+// each quantity.
+func (j *job) runOnce(ctx context.Context, o Options, size int) ([]float64, error) {
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
@@ -184,17 +190,17 @@
 	if dir, err = filepath.Abs(dir); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
-	got, err := j.run(ctx, &environment{Options: o, dir: dir}, size)
-	if err == nil && len(got) != len(j.quantities) {
-		err = fmt.Errorf("%d values of %d quantities", len(got), len(j.quantities))
+	values, err := j.run(ctx, &environment{Options: o, dir: dir}, size)
+	if err == nil && len(values) != len(j.quantities) {
+		err = fmt.Errorf("%d values of %d quantities", len(values), len(j.quantities))
 	}
-	return got, err
+	return values, err
 }
 
-func numbers(values []float64) string {
-	var text []string
+func formatValues(values []float64) string {
+	var texts []string
 	for _, v := range values {
-		text = append(text, fmt.Sprintf("%.5g", v))
+		texts = append(texts, fmt.Sprintf("%.5g", v))
 	}
-	return strings.Join(text, " ")
+	return strings.Join(texts, " ")
 }
--- a/internal/faultlab/capacity/usage.go
+++ b/internal/faultlab/capacity/usage.go
@@ -13,24 +13,24 @@
 	"plovershore/internal/faultlab/process"
 )
 
-// usage is what one process or several use.
+// usage holds what one process, or the sum of several, has used so far.
 type usage struct {
-	cpu     time.Duration
-	rss     float64 // bytes
-	written float64 // bytes that it handed to the kernel, for files and sockets
+	cpu          time.Duration
+	rssBytes     float64 // resident memory at present
+	writtenBytes float64 // bytes written by system calls to files and sockets
 }
 
-// usageOf reads what a process uses from the kernel's process files. Its
-// processor time is that of its threads, in nanoseconds: the process's own
-// figure counts in hundredths of a second.
-func usageOf(p *process.Process) (usage, error) {
+// readUsage reads a process's usage from /proc. It takes the processor time from the
+// threads, which count in nanoseconds, because the process's own figure counts in
+// hundredths of a second.
+func readUsage(p *process.Process) (usage, error) {
 	u, err := p.Measure("")
 	if err != nil {
 		return usage{}, err
 	}
-	all := usage{rss: float64(u.RSS)}
-	if all.cpu, err = threadTime(p.PID); err != nil {
-		return all, err
+	result := usage{rssBytes: float64(u.RSS)}
+	if result.cpu, err = threadCPUTime(p.PID); err != nil {
+		return result, err
 	}
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", p.PID))
 	if err != nil {
@@ -38,15 +38,15 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		if v, ok := strings.CutPrefix(line, "wchar: "); ok {
-			all.written, err = strconv.ParseFloat(strings.TrimSpace(v), 64)
+			result.writtenBytes, err = strconv.ParseFloat(strings.TrimSpace(v), 64)
 		}
 	}
-	return all, err
+	return result, err
 }
 
-// threadTime adds up the processor time of a process's threads. Programs in Go
-// keep theirs, so none is missed.
-func threadTime(pid int) (sum time.Duration, err error) {
+// threadCPUTime returns the sum of the processor time of a process's threads. The time of
+// a thread that ended would be missing, but Go programs keep their threads.
+func threadCPUTime(pid int) (sum time.Duration, err error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
 		return 0, fmt.Errorf("measure: process %d has no threads", pid)
@@ -54,18 +54,18 @@
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			continue // ended meanwhile
+			continue // The thread has ended since the directory was read.
 		}
-		var ran int64
-		if _, err := fmt.Sscan(string(text), &ran); err != nil {
+		var runNanos int64
+		if _, err := fmt.Sscan(string(text), &runNanos); err != nil {
 			return 0, fmt.Errorf("measure: %s: %w", file, err)
 		}
-		sum += time.Duration(ran)
+		sum += time.Duration(runNanos)
 	}
 	return sum, nil
 }
 
-// peakRSS is the most that a process has held so far, in bytes.
+// peakRSS returns the largest resident memory of a process since its start, in bytes.
 func peakRSS(pid int) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -73,8 +73,8 @@
 	}
 	for line := range bytes.Lines(text) {
 		if v, ok := bytes.CutPrefix(line, []byte("VmHWM:")); ok {
-			f := strings.Fields(string(v))
-			n, err := strconv.ParseFloat(f[0], 64)
+			fields := strings.Fields(string(v))
+			n, err := strconv.ParseFloat(fields[0], 64)
 			return n * 1024, err
 		}
 	}
--- a/internal/faultlab/simrelay/relays/list.go
+++ b/internal/faultlab/simrelay/relays/list.go
@@ -9,7 +9,7 @@
 	"plovershore/policy"
 )
 
-// endpoint is what a relay keeps of a member, as a real one does.
+// endpoint holds the fields of a list member that a real relay keeps as well.
 type endpoint struct {
 	number      policy.Endpoint
 	id          string
@@ -20,20 +20,20 @@
 	hash        uint64
 }
 
-// list is a relay's endpoint list.
+// list is one relay's copy of the endpoint list.
 type list struct {
 	zones, flavors map[string]int
 	byID           map[string]*endpoint
 	byNumber       map[policy.Endpoint]*endpoint
-	last           policy.Endpoint
+	lastNumber     policy.Endpoint
 	hash           uint64
 	members        int
 	revision       int64
-	completeLists  int // received
+	completeLists  int // complete lists received
 	applied        []simrelay.AppliedChange
-	updated        bool     // the policy does not have all of it yet
-	pendingKeys    []uint64 // of changes that the policy's next step has
-	outOfOrder     []string // updates, described
+	updated        bool     // the list has updates that the policy has not received yet
+	pendingKeys    []uint64 // keys of the changes that the policy receives in its next step
+	outOfOrder     []string // descriptions of changes that came before the first complete list, or with a revision that was not higher than the last
 }
 
 func newList(zones, flavors []string) *list {
@@ -42,22 +42,23 @@
 
 // indexByName maps each name to its index.
 func indexByName(names []string) map[string]int {
-	all := make(map[string]int, len(names))
+	indexes := make(map[string]int, len(names))
 	for i, name := range names {
-		all[name] = i
+		indexes[name] = i
 	}
-	return all
+	return indexes
 }
 
-// indexOf is a name's index, or -1.
-func indexOf(all map[string]int, name string) int {
-	if i, ok := all[name]; ok {
+// indexOf returns the index of a name, or -1 if the name is unknown.
+func indexOf(indexes map[string]int, name string) int {
+	if i, ok := indexes[name]; ok {
 		return i
 	}
 	return -1
 }
 
-// update applies a complete list or a change and returns the policy's event for it.
+// update applies a complete list or a change to the list and returns the event that passes
+// it on to the policy.
 func (l *list) update(update *discovery.List) policy.Event {
 	e := policy.Event{Kind: policy.EventListUpdate, ListUpdate: policy.ListDelta}
 	first := l.completeLists == 0
@@ -77,58 +78,60 @@
 	return e
 }
 
-// applyMember applies one line of the list; if noted is set, its change is recorded.
-func (l *list) applyMember(m *discovery.Member, noted bool) policy.Entry {
-	x := l.byID[m.ID]
-	if x == nil {
-		l.last++
-		x = &endpoint{number: l.last, id: m.ID, phase: discovery.Removed}
-		l.byID[m.ID], l.byNumber[x.number] = x, x
+// applyMember applies one member of an update and returns its entry for the policy. With
+// recordChange it adds the key of a change to pendingKeys.
+func (l *list) applyMember(m *discovery.Member, recordChange bool) policy.Entry {
+	known := l.byID[m.ID]
+	if known == nil {
+		l.lastNumber++
+		known = &endpoint{number: l.lastNumber, id: m.ID, phase: discovery.Removed}
+		l.byID[m.ID], l.byNumber[known.number] = known, known
 	}
-	if noted && (x.phase != m.Phase || x.size != m.Size) {
+	if recordChange && (known.phase != m.Phase || known.size != m.Size) {
 		l.pendingKeys = append(l.pendingKeys, simrelay.ChangeKey(m.ID, m.Phase, m.Size))
 	}
-	l.uncount(x)
-	x.phase, x.size = m.Phase, m.Size
-	entry := policy.Entry{Endpoint: x.number, Zone: indexOf(l.zones, m.Locality), Kind: indexOf(l.flavors, m.Flavor), Dest: m.Cell,
+	l.excludeFromHash(known)
+	known.phase, known.size = m.Phase, m.Size
+	entry := policy.Entry{Endpoint: known.number, Zone: indexOf(l.zones, m.Locality), Kind: indexOf(l.flavors, m.Flavor), Dest: m.Cell,
 		State: policy.Ready, Rate: m.Size}
 	switch m.Phase {
 	case discovery.Draining:
 		entry.State = policy.Draining
 	case discovery.Removed:
-		entry.State, entry.Dest = policy.Removed, x.destination
+		entry.State, entry.Dest = policy.Removed, known.destination
 		return entry
 	}
-	x.hostPort, x.destination, x.hash = m.HostPort, m.Cell, simrelay.MemberHash(m)
-	l.hash += x.hash
+	known.hostPort, known.destination, known.hash = m.HostPort, m.Cell, simrelay.MemberHash(m)
+	l.hash += known.hash
 	l.members++
 	return entry
 }
 
-// uncount takes a member out of the hash and the number of members.
-func (l *list) uncount(x *endpoint) {
-	if x.phase != discovery.Removed {
-		l.hash -= x.hash
+// excludeFromHash subtracts a member from the list's hash and number of members, unless
+// the member is removed already.
+func (l *list) excludeFromHash(known *endpoint) {
+	if known.phase != discovery.Removed {
+		l.hash -= known.hash
 		l.members--
 	}
 }
 
-// dropUnlisted removes the members that a complete list leaves out.
+// dropUnlisted removes the members that a complete list does not contain.
 func (l *list) dropUnlisted(update *discovery.List) {
 	listed := make(map[string]bool, len(update.Members))
 	for i := range update.Members {
 		listed[update.Members[i].ID] = true
 	}
-	for id, x := range l.byID {
-		if !listed[id] && x.phase != discovery.Removed {
-			l.uncount(x)
-			x.phase = discovery.Removed
+	for id, known := range l.byID {
+		if !listed[id] && known.phase != discovery.Removed {
+			l.excludeFromHash(known)
+			known.phase = discovery.Removed
 			l.pendingKeys = append(l.pendingKeys, simrelay.ChangeKey(id, discovery.Removed, 0))
 		}
 	}
 }
 
-// markApplied records that the policy has all updates.
+// markApplied records the time at which the policy has received all pending changes.
 func (l *list) markApplied(now time.Time) {
 	for _, key := range l.pendingKeys {
 		l.applied = append(l.applied, simrelay.AppliedChange{Key: key, At: now.UnixMicro()})
--- a/internal/faultlab/simrelay/relays/traffic.go
+++ b/internal/faultlab/simrelay/relays/traffic.go
@@ -10,27 +10,28 @@
 
 const arrivalSeed = 0x686f6c6c
 
-// arrivals draws when messages come to one relay, whatever becomes of those before.
+// arrivals makes the times, classes and outcomes of one relay's messages. The times do not
+// depend on what happened to earlier messages.
 type arrivals struct {
 	stream *simrelay.Stream
 	random *rand.Rand
-	next   time.Time // zero while nothing comes
+	nextAt time.Time // time of the next message; zero while none are made
 }
 
-// start has messages arrive from now on.
+// start makes the first message due after a random gap from now.
 func (a *arrivals) start(now time.Time) {
 	if a.stream.Rate > 0 {
-		a.next = now.Add(a.drawGap())
+		a.nextAt = now.Add(a.drawGap())
 	}
 }
 
-func (a *arrivals) stop() { a.next = time.Time{} }
+func (a *arrivals) stop() { a.nextAt = time.Time{} }
 
 func (a *arrivals) drawGap() time.Duration {
 	return time.Duration(a.random.ExpFloat64() / a.stream.Rate * float64(time.Second))
 }
 
-// drawClass draws the class of a message.
+// drawClass draws a message's class by the classes' fractions.
 func (a *arrivals) drawClass() int {
 	draw := a.random.Float64()
 	for i := range a.stream.Classes {
@@ -41,21 +42,22 @@
 	return len(a.stream.Classes) - 1
 }
 
-// settle draws how an attempt ends within a limit: a destination that is down
-// answers no connection, any other delivers the message in its class's time.
-func (a *arrivals) settle(settled *attempt, limit time.Duration) {
+// drawOutcome draws the outcome and the end of an attempt, which lasts at most limit. An
+// attempt at a destination that is down fails to connect; any other delivers the message
+// within its class's range of service times, or times out.
+func (a *arrivals) drawOutcome(started *attempt, limit time.Duration) {
 	stream := a.stream
-	took := stream.Classes[settled.message.class].ServiceTime
-	span := took[0] + time.Duration(a.random.Float64()*float64(took[1]-took[0]))
-	settled.outcome = policy.Delivered
-	if stream.Down.At(settled.message.record.Dest, settled.began.UnixMicro()) {
-		settled.outcome, span = policy.ConnectFailed, stream.ConnectTimeout
+	serviceTime := stream.Classes[started.message.class].ServiceTime
+	duration := serviceTime[0] + time.Duration(a.random.Float64()*float64(serviceTime[1]-serviceTime[0]))
+	started.outcome = policy.Delivered
+	if stream.Down.At(started.message.record.Dest, started.began.UnixMicro()) {
+		started.outcome, duration = policy.ConnectFailed, stream.ConnectTimeout
 	}
-	if span > limit {
-		span = max(limit, 0)
-		if settled.outcome == policy.Delivered {
-			settled.outcome = policy.TimedOut
+	if duration > limit {
+		duration = max(limit, 0)
+		if started.outcome == policy.Delivered {
+			started.outcome = policy.TimedOut
 		}
 	}
-	settled.endsAt = settled.began.Add(span)
+	started.endsAt = started.began.Add(duration)
 }
--- a/internal/faultlab/stub/client.go
+++ b/internal/faultlab/stub/client.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	idleTimeout  = 30 * time.Second // between two requests of a client
-	firstTimeout = 2 * time.Second  // for the first request of a connection
+	idleTimeout  = 30 * time.Second // longest time between two requests of a connection
+	firstTimeout = 2 * time.Second  // longest time from a connection's start to its first request
 	maxArguments = 16
 	maxArgument  = 64 << 10 // bytes
 )
@@ -31,13 +31,14 @@
 	answerUnknown  = "-ERR unknown command\r\n"
 )
 
-// malformedRequest is an error that the client is told before its connection ends.
-type malformedRequest string
+// malformedRequestError is a protocol error that the client is told before the stub closes
+// the connection.
+type malformedRequestError string
 
-// Error is what the client gets.
-func (e malformedRequest) Error() string { return string(e) }
+// Error returns the text that the client receives after "-ERR ".
+func (e malformedRequestError) Error() string { return string(e) }
 
-// serveClient answers the requests of one connection, and closes it.
+// serveClient answers the requests of one connection until that fails, and closes it.
 func (r *relay) serveClient(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
@@ -53,7 +54,7 @@
 			io.Copy(io.Discard, in)
 			return
 		}
-		var malformed malformedRequest
+		var malformed malformedRequestError
 		if errors.As(err, &malformed) {
 			fmt.Fprintf(conn, "-ERR %v\r\n", malformed)
 		}
@@ -66,7 +67,7 @@
 	}
 }
 
-// readCommand reads one array of bulk strings.
+// readCommand reads one request, an array of bulk strings.
 func readCommand(in *bufio.Reader) ([]string, error) {
 	count, err := readLength(in, '*', maxArguments)
 	if err != nil {
@@ -87,14 +88,14 @@
 	return args, nil
 }
 
-// readLength reads a line of a marker and a number from 0 to limit.
+// readLength reads a line that consists of the given marker and a number from 0 to limit.
 func readLength(in *bufio.Reader, marker byte, limit int) (int, error) {
 	first, err := in.ReadByte()
 	if err != nil {
 		return 0, err
 	}
 	if first != marker {
-		return 0, malformedRequest("no proper request")
+		return 0, malformedRequestError("no proper request")
 	}
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -102,12 +103,12 @@
 	}
 	length, err := strconv.Atoi(strings.TrimSpace(line))
 	if err != nil || length < 0 || length > limit {
-		return 0, malformedRequest("bad length")
+		return 0, malformedRequestError("bad length")
 	}
 	return length, nil
 }
 
-// answer carries out one command and returns what the client gets.
+// answer carries out one request and returns what the client receives.
 func (r *relay) answer(args []string) string {
 	if len(args) == 1 && args[0] == commandPing {
 		return answerPong
@@ -116,7 +117,7 @@
 		return answerUnknown
 	}
 	m := parseMessage(r.messages.Add(1), args)
-	r.leak(m.number)
+	r.leakResource(m.number)
 	if r.affects(Drop, m) {
 		return answerAccepted
 	}
@@ -130,9 +131,9 @@
 	return answerAccepted
 }
 
-// message is one message that a client has submitted.
+// message is a message that a client has submitted.
 type message struct {
-	number      int64 // in the order of arrival, from 1
+	number      int64 // position in the order of arrival, from 1
 	id          string
 	class       string
 	destination int
@@ -140,7 +141,8 @@
 	body        []byte
 }
 
-// parseMessage reads the arguments of MSG.PUT: account, id, options, body.
+// parseMessage reads the arguments of MSG.PUT, which after the command's name are the
+// account, the message's ID, its options and its body.
 func parseMessage(number int64, args []string) *message {
 	m := &message{number: number, id: args[2], body: []byte(args[4])}
 	for _, option := range strings.Split(args[3], ",") {
@@ -149,7 +151,7 @@
 		case "c":
 			m.class = value
 		case "d":
-			millis, _ := strconv.Atoi(value) // the lab's clients send numbers
+			millis, _ := strconv.Atoi(value) // errors are ignored, because the lab's clients always send numbers
 			m.deadline = time.Now().Add(time.Duration(millis) * time.Millisecond)
 		case "dest":
 			m.destination, _ = strconv.Atoi(value)
