--- a/internal/faultlab/checker/call.go
+++ b/internal/faultlab/checker/call.go
@@ -102,7 +102,7 @@
 	c.checkRetryAfter(r, e)
 	c.checkDrain(r, e)
 	for _, id := range e.Messages {
-		if m := c.seen(id, e.Time); m != nil { // any other is recorded as an InvalidCall
+		if m := c.touchMessage(id, e.Time); m != nil { // any other is recorded as an InvalidCall
 			c.checkAttempt(m, id, e)
 			c.checkEarlierCalls(m, id, e, wasAborted)
 			m.calls = append(m.calls, received)
@@ -113,39 +113,39 @@
 // checkAttempt applies the rules for one more attempt of a message.
 func (c *Check) checkAttempt(m *message, id string, e history.Event) {
 	rules := &c.config.Rules
-	c.checked(RuleAttempts)
+	c.recordCheck(RuleAttempts)
 	if len(m.calls) >= rules.MaxAttempts && !m.forgotten {
 		text := fmt.Sprintf("attempt %d; %d at most", len(m.calls)+1, rules.MaxAttempts)
-		c.violate(RuleAttempts, id, e.Relay, text, m.calls[0].received, e)
+		c.recordViolation(RuleAttempts, id, e.Relay, text, m.calls[0].received, e)
 	}
 	if m.rejected.Kind != "" {
-		c.violate(RuleRejected, id, e.Relay, rejectedButSent, m.rejected, e)
+		c.recordViolation(RuleRejected, id, e.Relay, rejectedButSent, m.rejected, e)
 	}
-	c.checked(RuleAfterNotice)
+	c.recordCheck(RuleAfterNotice)
 	if m.completed.Kind == history.Notice && e.SentAt > m.completed.Time+micros(rules.Slack+c.config.MaxLinkDelay) && !m.forgotten {
-		c.violate(RuleAfterNotice, id, e.Relay, "sent after its notice ("+m.completed.Text+")", m.completed, e)
+		c.recordViolation(RuleAfterNotice, id, e.Relay, "sent after its notice ("+m.completed.Text+")", m.completed, e)
 	}
 }
 
 // checkEarlierCalls sets a new attempt beside those before it.
 func (c *Check) checkEarlierCalls(m *message, id string, e history.Event, wasAborted bool) {
-	c.checked(RuleSingleAttempt)
+	c.recordCheck(RuleSingleAttempt)
 	if m.nonIdempotent {
-		c.checked(RuleNoRepeat)
+		c.recordCheck(RuleNoRepeat)
 	}
 	for _, earlier := range m.calls {
 		if earlier.inFlight() && !wasAborted {
 			earlier.overlaps = append(earlier.overlaps, overlap{id, e})
 		}
 		if m.nonIdempotent && !earlier.knownNotToRun(id) && !m.forgotten {
-			c.violate(RuleNoRepeat, id, e.Relay, "sent again, though an attempt before may have run", earlier.received, e)
+			c.recordViolation(RuleNoRepeat, id, e.Relay, "sent again, though an attempt before may have run", earlier.received, e)
 		}
 	}
 }
 
 // messageExecuted applies RuleRunsOnce, whatever the relay knows.
 func (c *Check) messageExecuted(e history.Event) {
-	m := c.seen(e.Message, e.Time)
+	m := c.touchMessage(e.Message, e.Time)
 	if m == nil {
 		return
 	}
@@ -153,9 +153,9 @@
 	if !m.nonIdempotent {
 		return
 	}
-	c.checked(RuleRunsOnce)
+	c.recordCheck(RuleRunsOnce)
 	if len(m.executed) > 1 && !m.forgotten {
-		c.violate(RuleRunsOnce, e.Message, m.submitted.Relay, "took effect twice", m.executed[0], e)
+		c.recordViolation(RuleRunsOnce, e.Message, m.submitted.Relay, "took effect twice", m.executed[0], e)
 	}
 }
 
@@ -173,7 +173,7 @@
 		c.sawFailure(r, call.received.Destination)
 	}
 	for _, id := range call.received.Messages {
-		if m := c.seen(id, e.Time); m != nil && m.completed.Kind == "" && call.completes(id) {
+		if m := c.touchMessage(id, e.Time); m != nil && m.completed.Kind == "" && call.completes(id) {
 			m.completed = e
 		}
 	}
@@ -200,9 +200,9 @@
 // flight, now that it is not. A relay notices the end of a call a little later.
 func (c *Check) checkOverlaps(finished *call, e history.Event) {
 	grace := micros(c.config.Rules.Slack + 2*c.config.MaxLinkDelay)
-	for _, o := range finished.overlaps {
-		if e.Time-o.call.Time > grace {
-			c.violate(RuleSingleAttempt, o.message, o.call.Relay, "a second attempt was in flight beside the first", finished.received, o.call)
+	for _, overlap := range finished.overlaps {
+		if e.Time-overlap.call.Time > grace {
+			c.recordViolation(RuleSingleAttempt, overlap.message, overlap.call.Relay, "a second attempt was in flight beside the first", finished.received, overlap.call)
 		}
 	}
 	finished.overlaps = nil
--- a/internal/faultlab/checker/checker.go
+++ b/internal/faultlab/checker/checker.go
@@ -13,8 +13,8 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// maxShown is the number of violations of one rule that a verdict keeps.
-const maxShown = 20
+// maxKeptViolations is the number of violations of one rule that a verdict keeps.
+const maxKeptViolations = 20
 
 // Limits are what one relay may use.
 type Limits struct {
@@ -35,19 +35,19 @@
 // Check applies the rules to one history, event by event. It is not safe for
 // concurrent use. New makes one.
 type Check struct {
-	config        Config
-	verdict       Verdict
-	nonIdempotent map[string]bool // by class
-	messages      map[string]*message
-	calls         map[int64]*call
-	abortedEarly  map[int64]history.Event // calls that were aborted before they arrived
-	relays        map[string]*relay
-	outages       map[int]history.Event    // by destination, while they last
-	changed       map[string]history.Event // endpoints that are not up: when that was announced
-	list          listState
-	operations    []history.Event // on the register
-	roleSteps     []history.Event
-	lastTime      int64 // of the last event
+	config           Config
+	verdict          Verdict
+	nonIdempotent    map[string]bool // by class
+	messages         map[string]*message
+	calls            map[int64]*call
+	abortedEarly     map[int64]history.Event // calls that were aborted before they arrived
+	relays           map[string]*relay
+	outages          map[int]history.Event    // by destination, while they last
+	announcedChanges map[string]history.Event // endpoints that are not up: when that was announced
+	list             listState
+	operations       []history.Event // on the register
+	roleSteps        []history.Event
+	lastTime         int64 // of the last event
 }
 
 // New returns a check of one run.
@@ -56,16 +56,16 @@
 		config.LogFile = func(string) string { return config.HistoryFile }
 	}
 	c := &Check{
-		config:        config,
-		verdict:       NewVerdict(),
-		nonIdempotent: map[string]bool{},
-		messages:      map[string]*message{},
-		calls:         map[int64]*call{},
-		abortedEarly:  map[int64]history.Event{},
-		relays:        map[string]*relay{},
-		outages:       map[int]history.Event{},
-		changed:       map[string]history.Event{},
-		list:          newListState(),
+		config:           config,
+		verdict:          NewVerdict(),
+		nonIdempotent:    map[string]bool{},
+		messages:         map[string]*message{},
+		calls:            map[int64]*call{},
+		abortedEarly:     map[int64]history.Event{},
+		relays:           map[string]*relay{},
+		outages:          map[int]history.Event{},
+		announcedChanges: map[string]history.Event{},
+		list:             newListState(),
 	}
 	for _, class := range model.Classes() {
 		c.nonIdempotent[class.Name] = class.NonIdempotent
@@ -88,17 +88,17 @@
 	case history.ChangeDelivered:
 		c.changeDelivered(e)
 	case history.ListUpdate:
-		c.listUpdate(e)
+		c.listUpdateReceived(e)
 	case history.RegisterOperation:
 		c.operations = append(c.operations, e)
 	case history.RoleStep:
 		c.roleSteps = append(c.roleSteps, e)
 	case history.Outage:
-		c.outage(e)
+		c.outageChanged(e)
 	case history.DestinationOverloaded:
-		c.overloaded(e)
+		c.destinationOverloaded(e)
 	case history.InvalidPeer:
-		c.invalidPeer(e)
+		c.invalidPeerFinished(e)
 	default:
 		c.feedProcess(e)
 	}
@@ -116,7 +116,7 @@
 	for _, r := range c.relays {
 		c.checkStart(r)
 	}
-	c.checkLinear()
+	c.checkLinearizable()
 	c.checkRoles()
 	c.verdict.sort()
 	return c.verdict
@@ -124,16 +124,16 @@
 
 // violate adds a violation that the log of a relay may explain; without a relay,
 // the history.
-func (c *Check) violate(rule Rule, subject, relay, message string, first, second history.Event) {
+func (c *Check) recordViolation(rule Rule, subject, relay, message string, first, second history.Event) {
 	file := c.config.HistoryFile
 	if relay != "" {
 		file = c.config.LogFile(relay)
 	}
-	c.verdict.Add(Violation{Rule: rule, Subject: subject, Message: message, First: first, Second: second, File: file}, maxShown)
+	c.verdict.Add(Violation{Rule: rule, Subject: subject, Message: message, First: first, Second: second, File: file}, maxKeptViolations)
 }
 
 // checked counts that a rule was applied.
-func (c *Check) checked(rule Rule) { c.verdict.Checked[rule]++ }
+func (c *Check) recordCheck(rule Rule) { c.verdict.Checked[rule]++ }
 
 // micros converts a duration to the unit of the history.
 func micros(d time.Duration) int64 { return d.Microseconds() }
--- a/internal/faultlab/checker/destination.go
+++ b/internal/faultlab/checker/destination.go
@@ -19,12 +19,12 @@
 const retryAfterRounding = time.Millisecond
 
 // extendWait records the Retry-After of a response.
-func (r *relay) extendWait(answered *call, received history.Event) {
-	if answered.response.RetryAfter <= 0 {
+func (r *relay) extendWait(answeredCall *call, received history.Event) {
+	if answeredCall.response.RetryAfter <= 0 {
 		return
 	}
-	destination := answered.received.Destination
-	if until := answered.response.Time + answered.response.RetryAfter; until > r.waits[destination].until {
+	destination := answeredCall.received.Destination
+	if until := answeredCall.response.Time + answeredCall.response.RetryAfter; until > r.waits[destination].until {
 		r.waits[destination] = retryAfter{until, received}
 	}
 }
@@ -35,20 +35,20 @@
 	if !ok || e.Kind != history.CallReceived {
 		return
 	}
-	c.checked(RuleRetryAfter)
-	known := wait.received.Time + micros(c.config.Rules.RetryAfterSlack)
-	if e.SentAt > known && e.SentAt < wait.until-micros(retryAfterRounding) {
+	c.recordCheck(RuleRetryAfter)
+	knownAt := wait.received.Time + micros(c.config.Rules.RetryAfterSlack)
+	if e.SentAt > knownAt && e.SentAt < wait.until-micros(retryAfterRounding) {
 		text := fmt.Sprintf("sent to destination %d %.3f s before the end of its Retry-After", e.Destination, seconds(wait.until-e.SentAt))
-		c.violate(RuleRetryAfter, r.name, r.name, text, wait.received, e)
+		c.recordViolation(RuleRetryAfter, r.name, r.name, text, wait.received, e)
 	}
 }
 
 // endpointChanged takes a change that discovery has for all relays.
 func (c *Check) endpointChanged(e history.Event) {
 	if e.Phase == model.Up {
-		delete(c.changed, e.Endpoint)
-	} else if _, ok := c.changed[e.Endpoint]; !ok {
-		c.changed[e.Endpoint] = e
+		delete(c.announcedChanges, e.Endpoint)
+	} else if _, ok := c.announcedChanges[e.Endpoint]; !ok {
+		c.announcedChanges[e.Endpoint] = e
 	}
 }
 
@@ -56,10 +56,10 @@
 func (c *Check) changeDelivered(e history.Event) {
 	r := c.relay(e.Relay)
 	if e.Phase == model.Up {
-		delete(r.changed, e.Endpoint)
-		r.upAgain[e.Endpoint] = e.Time
-	} else if _, ok := r.changed[e.Endpoint]; !ok {
-		r.changed[e.Endpoint] = e
+		delete(r.deliveredChanges, e.Endpoint)
+		r.lastUpAt[e.Endpoint] = e.Time
+	} else if _, ok := r.deliveredChanges[e.Endpoint]; !ok {
+		r.deliveredChanges[e.Endpoint] = e
 	}
 }
 
@@ -68,9 +68,9 @@
 // starts or continues knows it from then on.
 func (c *Check) checkDrain(r *relay, e history.Event) {
 	rules := &c.config.Rules
-	change, ok := r.changed[e.Endpoint]
+	change, ok := r.deliveredChanges[e.Endpoint]
 	// An operator may get the answer to a change later than the relay gets the change.
-	if announced, listed := c.changed[e.Endpoint]; listed && r.upAgain[e.Endpoint] < announced.Time {
+	if announced, wasAnnounced := c.announcedChanges[e.Endpoint]; wasAnnounced && r.lastUpAt[e.Endpoint] < announced.Time {
 		announced.Time += micros(rules.ListDelay)
 		if !ok || announced.Time < change.Time {
 			change, ok = announced, true
@@ -79,16 +79,16 @@
 	if !ok {
 		return
 	}
-	c.checked(RuleDrain)
-	known := max(change.Time, r.started.Time, r.resumedAt)
-	if late := e.SentAt - known - micros(rules.DrainGrace+rules.Slack); late > 0 {
-		text := fmt.Sprintf("sent to %s, which is %s, %.3f s after the grace", e.Endpoint, change.Phase, seconds(late))
-		c.violate(RuleDrain, r.name, r.name, text, change, e)
+	c.recordCheck(RuleDrain)
+	knownAt := max(change.Time, r.started.Time, r.resumedAt)
+	if lateBy := e.SentAt - knownAt - micros(rules.DrainGrace+rules.Slack); lateBy > 0 {
+		text := fmt.Sprintf("sent to %s, which is %s, %.3f s after the grace", e.Endpoint, change.Phase, seconds(lateBy))
+		c.recordViolation(RuleDrain, r.name, r.name, text, change, e)
 	}
 }
 
 // outage takes the begin or end of a destination's outage.
-func (c *Check) outage(e history.Event) {
+func (c *Check) outageChanged(e history.Event) {
 	if !e.Active {
 		delete(c.outages, e.Destination)
 		return
@@ -108,8 +108,8 @@
 
 // overloaded applies RuleRecoveryLoad to a recovering destination that failed:
 // relays that saw the outage should have sent little.
-func (c *Check) overloaded(e history.Event) {
-	c.checked(RuleRecoveryLoad)
+func (c *Check) destinationOverloaded(e history.Event) {
+	c.recordCheck(RuleRecoveryLoad)
 	rules := &c.config.Rules
 	total, informed := 0, 0
 	for name, calls := range e.Relays {
@@ -122,5 +122,5 @@
 		return
 	}
 	text := fmt.Sprintf("overloaded while it recovered: %d of %d calls in %s came from relays that had seen it fail", informed, total, rules.OverloadWindow)
-	c.violate(RuleRecoveryLoad, fmt.Sprintf("destination %d", e.Destination), "", text, e, e)
+	c.recordViolation(RuleRecoveryLoad, fmt.Sprintf("destination %d", e.Destination), "", text, e, e)
 }
--- a/internal/faultlab/checker/linear.go
+++ b/internal/faultlab/checker/linear.go
@@ -18,7 +18,7 @@
 const unwritten = int64(-1)
 
 // register is a sequential model of one value that is written and read.
-var register = porcupine.Model{
+var registerModel = porcupine.Model{
 	Init: func() any { return unwritten },
 	Step: func(state, input, _ any) (bool, any) {
 		e := input.(history.Event)
@@ -36,8 +36,8 @@
 	},
 }
 
-// checkLinear applies RuleLinear to the operations on the register.
-func (c *Check) checkLinear() {
+// checkLinearizable applies RuleLinear to the operations on the register.
+func (c *Check) checkLinearizable() {
 	var operations []history.Event
 	var spans []interval
 	for _, e := range c.operations {
@@ -51,7 +51,7 @@
 		}
 		operations, spans = append(operations, e), append(spans, span)
 	}
-	c.checkOrder(RuleLinear, "register", register, operations, spans)
+	c.checkOrder(RuleLinear, "register", registerModel, operations, spans)
 }
 
 // checkOrder applies a rule by which operations, each at some moment of its span,
@@ -79,8 +79,8 @@
 	case porcupine.Unknown:
 		c.verdict.Excused["operations whose order was not found in time"] += len(operations)
 	case porcupine.Illegal:
-		c.checked(rule)
+		c.recordCheck(rule)
 		text := fmt.Sprintf("no order of %d operations explains their answers", len(operations))
-		c.violate(rule, subject, "", text, events[0], events[len(events)-1])
+		c.recordViolation(rule, subject, "", text, events[0], events[len(events)-1])
 	}
 }
--- a/internal/faultlab/checker/list.go
+++ b/internal/faultlab/checker/list.go
@@ -23,10 +23,10 @@
 	return listState{contents: map[listContent]history.Event{}, last: map[string]history.Event{}}
 }
 
-// listUpdate applies RuleList: each watcher receives every revision of an epoch
+// listUpdateReceived applies RuleList: each watcher receives every revision of an epoch
 // once and in order, and all receive the same of one revision.
-func (c *Check) listUpdate(e history.Event) {
-	c.checked(RuleList)
+func (c *Check) listUpdateReceived(e history.Event) {
+	c.recordCheck(RuleList)
 	watcher := e.Relay
 	last, known := c.list.last[watcher]
 	complete := e.Phase == history.ListComplete
@@ -44,13 +44,13 @@
 		text = fmt.Sprintf("a gap from revision %d to %d", last.Revision(), e.Revision())
 	}
 	if text != "" {
-		c.violate(RuleList, watcher, "", text, last, e)
+		c.recordViolation(RuleList, watcher, "", text, last, e)
 	}
 	c.list.last[watcher] = e
 	content := listContent{e.Text, e.Revision(), e.Phase}
 	if first, ok := c.list.contents[content]; !ok {
 		c.list.contents[content] = e
 	} else if first.FirstMessage != e.FirstMessage { // the hash
-		c.violate(RuleList, watcher, "", fmt.Sprintf("revision %d differs from what %s received", e.Revision(), first.Relay), first, e)
+		c.recordViolation(RuleList, watcher, "", fmt.Sprintf("revision %d differs from what %s received", e.Revision(), first.Relay), first, e)
 	}
 }
--- a/internal/faultlab/checker/message.go
+++ b/internal/faultlab/checker/message.go
@@ -28,30 +28,30 @@
 	case history.MessageSubmitted:
 		c.messages[e.Message] = &message{submitted: e, deadline: e.Time + e.ValidFor, nonIdempotent: c.nonIdempotent[e.Class], lastSeen: e.Time}
 	case history.MessageAccepted:
-		if m := c.seen(e.Message, e.Time); m != nil {
+		if m := c.touchMessage(e.Message, e.Time); m != nil {
 			m.accepted = e
 		}
 	case history.MessageRejected:
 		c.messageRejected(e)
 	case history.ExtraResponse:
-		c.violate(RuleSingleAnswer, e.Message, e.Relay, fmt.Sprintf("answered more than once: then came %q", e.Text), c.submission(e.Message), e)
+		c.recordViolation(RuleSingleAnswer, e.Message, e.Relay, fmt.Sprintf("answered more than once: then came %q", e.Text), c.submission(e.Message), e)
 	case history.Notice:
-		c.notice(e)
+		c.noticeReceived(e)
 	case history.InvalidCall:
 		subject := e.Message
 		if subject == "" {
 			subject = e.Relay
 		}
-		c.violate(RuleValidCall, subject, e.Relay, e.Text+" came to "+e.Endpoint, c.submission(e.Message), e)
+		c.recordViolation(RuleValidCall, subject, e.Relay, e.Text+" came to "+e.Endpoint, c.submission(e.Message), e)
 	}
 }
 
 // seen returns a message of which something is recorded now; nil for one that no
 // client submitted.
-func (c *Check) seen(id string, at int64) *message {
+func (c *Check) touchMessage(id string, now int64) *message {
 	m := c.messages[id]
 	if m != nil {
-		m.lastSeen = at
+		m.lastSeen = now
 	}
 	return m
 }
@@ -65,25 +65,25 @@
 }
 
 func (c *Check) messageRejected(e history.Event) {
-	m := c.seen(e.Message, e.Time)
+	m := c.touchMessage(e.Message, e.Time)
 	if m == nil {
 		return
 	}
 	m.rejected = e
-	c.checked(RuleRejected)
+	c.recordCheck(RuleRejected)
 	if len(m.calls) > 0 {
-		c.violate(RuleRejected, e.Message, e.Relay, rejectedButSent, m.calls[0].received, e)
+		c.recordViolation(RuleRejected, e.Message, e.Relay, rejectedButSent, m.calls[0].received, e)
 	}
 }
 
 const rejectedButSent = "rejected, but sent all the same"
 
 // notice takes the final response that a relay sent through discovery.
-func (c *Check) notice(e history.Event) {
-	m := c.seen(e.Message, e.Time)
+func (c *Check) noticeReceived(e history.Event) {
+	m := c.touchMessage(e.Message, e.Time)
 	switch {
 	case m == nil:
-		c.violate(RuleValidCall, e.Message, e.Relay, "a notice of a message that no client submitted", history.Event{}, e)
+		c.recordViolation(RuleValidCall, e.Message, e.Relay, "a notice of a message that no client submitted", history.Event{}, e)
 		return
 	case m.completed.Kind != "":
 		return // a second notice does no harm
@@ -98,10 +98,10 @@
 // checkReturn applies RuleNoRepeat to a message that is handed back to its client,
 // which may submit it again.
 func (c *Check) checkReturn(m *message, notice history.Event) {
-	c.checked(RuleNoRepeat)
+	c.recordCheck(RuleNoRepeat)
 	for _, call := range m.calls {
 		if !call.knownNotToRun(notice.Message) && !m.forgotten {
-			c.violate(RuleNoRepeat, notice.Message, notice.Relay, "handed back, though an attempt before may have run", call.received, notice)
+			c.recordViolation(RuleNoRepeat, notice.Message, notice.Relay, "handed back, though an attempt before may have run", call.received, notice)
 		}
 	}
 }
@@ -121,13 +121,13 @@
 		c.verdict.Excused["time not up at the end of the run"]++
 		return
 	}
-	c.checked(RuleCompletion)
+	c.recordCheck(RuleCompletion)
 	switch {
 	case m.completed.Kind == "":
 		text := fmt.Sprintf("accepted, %d attempts, and no final response by %.3f s", len(m.calls), seconds(due))
-		c.violate(RuleCompletion, id, m.submitted.Relay, text, m.accepted, history.Event{})
+		c.recordViolation(RuleCompletion, id, m.submitted.Relay, text, m.accepted, history.Event{})
 	case m.completed.Time > due:
 		text := fmt.Sprintf("its final response came %.3f s late", seconds(m.completed.Time-due))
-		c.violate(RuleCompletion, id, m.submitted.Relay, text, m.accepted, m.completed)
+		c.recordViolation(RuleCompletion, id, m.submitted.Relay, text, m.accepted, m.completed)
 	}
 }
--- a/internal/faultlab/checker/process.go
+++ b/internal/faultlab/checker/process.go
@@ -18,18 +18,18 @@
 
 // relay is what is known of a relay, over all of its processes.
 type relay struct {
-	name      string
-	pid       int // of the present process
-	started   history.Event
-	ready     history.Event
-	signaled  history.Event         // the last signal that ends the present process
-	signals   map[int]history.Event // the same by process: during an upgrade there are two
-	resumedAt int64
-	absences  []interval // when nothing was due from it
-	changed   map[string]history.Event
-	upAgain   map[string]int64 // when it was last told that an endpoint is up
-	waits     map[int]retryAfter
-	sawOutage map[int]bool // destinations that it saw fail in their last outage
+	name             string
+	pid              int // of the present process
+	started          history.Event
+	ready            history.Event
+	signaled         history.Event         // the last signal that ends the present process
+	signals          map[int]history.Event // the same by process: during an upgrade there are two
+	resumedAt        int64
+	absences         []interval // when nothing was due from it
+	deliveredChanges map[string]history.Event
+	lastUpAt         map[string]int64 // when it was last told that an endpoint is up
+	waits            map[int]retryAfter
+	sawOutage        map[int]bool // destinations that it saw fail in their last outage
 }
 
 // relay returns the state of a relay, new if it is seen for the first time.
@@ -37,12 +37,12 @@
 	r := c.relays[name]
 	if r == nil {
 		r = &relay{
-			name:      name,
-			signals:   map[int]history.Event{},
-			changed:   map[string]history.Event{},
-			upAgain:   map[string]int64{},
-			waits:     map[int]retryAfter{},
-			sawOutage: map[int]bool{},
+			name:             name,
+			signals:          map[int]history.Event{},
+			deliveredChanges: map[string]history.Event{},
+			lastUpAt:         map[string]int64{},
+			waits:            map[int]retryAfter{},
+			sawOutage:        map[int]bool{},
 		}
 		c.relays[name] = r
 	}
@@ -58,7 +58,7 @@
 		r := c.relay(e.Relay)
 		r.ready = e
 		r.endAbsence(e.Time)
-		c.checked(RuleStart)
+		c.recordCheck(RuleStart)
 	case history.ProcessSignaled:
 		c.processSignaled(c.relay(e.Relay), e)
 	case history.ProcessExited:
@@ -82,15 +82,15 @@
 	return last >= 0 && r.absences[last].end == 0
 }
 
-func (r *relay) beginAbsence(at int64) {
+func (r *relay) beginAbsence(now int64) {
 	if !r.isAbsent() {
-		r.absences = append(r.absences, interval{begin: at})
+		r.absences = append(r.absences, interval{begin: now})
 	}
 }
 
-func (r *relay) endAbsence(at int64) {
+func (r *relay) endAbsence(now int64) {
 	if r.isAbsent() {
-		r.absences[len(r.absences)-1].end = at
+		r.absences[len(r.absences)-1].end = now
 	}
 }
 
@@ -138,9 +138,9 @@
 	if r.signaled.Text != syscall.SIGTERM.String() || r.signaled.PID != kill.PID {
 		return
 	}
-	c.checked(RuleShutdown)
-	if after := kill.Time - r.signaled.Time; after >= micros(c.config.Rules.ShutdownTimeout) {
-		c.violate(RuleShutdown, r.name, r.name, fmt.Sprintf("still running %.3f s after SIGTERM", seconds(after)), r.signaled, kill)
+	c.recordCheck(RuleShutdown)
+	if runTime := kill.Time - r.signaled.Time; runTime >= micros(c.config.Rules.ShutdownTimeout) {
+		c.recordViolation(RuleShutdown, r.name, r.name, fmt.Sprintf("still running %.3f s after SIGTERM", seconds(runTime)), r.signaled, kill)
 	}
 }
 
@@ -148,19 +148,19 @@
 	if e.PID == r.pid {
 		r.beginAbsence(e.Time)
 	}
-	c.checked(RuleCrash)
+	c.recordCheck(RuleCrash)
 	switch signal := r.signals[e.PID]; {
 	case signal.Kind == "":
 		text := "ended by itself: " + e.Text
 		if r.ready.Kind == "" {
 			text = "failed to start: " + e.Text
 		}
-		c.violate(RuleCrash, r.name, r.name, text, r.started, e)
+		c.recordViolation(RuleCrash, r.name, r.name, text, r.started, e)
 	case signal.Text == syscall.SIGTERM.String():
-		c.checked(RuleShutdown)
+		c.recordCheck(RuleShutdown)
 		rules := &c.config.Rules
 		if took := e.Time - signal.Time; took > micros(rules.ShutdownTimeout+rules.Slack) {
-			c.violate(RuleShutdown, r.name, r.name, fmt.Sprintf("ended %.3f s after SIGTERM", seconds(took)), signal, e)
+			c.recordViolation(RuleShutdown, r.name, r.name, fmt.Sprintf("ended %.3f s after SIGTERM", seconds(took)), signal, e)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 		pending := m.accepted.Kind != "" && m.completed.Kind == ""
 		switch {
 		case e.Text == history.FolderOlder:
-			m.setBack(e.DueAt, pending)
+			m.excuseForgotten(e.DueAt, pending)
 		case !pending:
 		case e.Text == history.FolderLost:
 			m.excuse = "the folder was lost"
@@ -185,21 +185,21 @@
 	}
 }
 
-// setBack excuses a message whose relay continues from an older copy of its log:
+// excuseForgotten excuses a message whose relay continues from an older copy of its log:
 // it does not know what came after that copy.
-func (m *message) setBack(copied int64, pending bool) {
-	if m.lastSeen < copied {
+func (m *message) excuseForgotten(copiedAt int64, wasPending bool) {
+	if m.lastSeen < copiedAt {
 		return
 	}
 	m.forgotten = true
-	if m.excuse == "" && m.accepted.Kind != "" && (pending || m.completed.Time >= copied) {
+	if m.excuse == "" && m.accepted.Kind != "" && (wasPending || m.completed.Time >= copiedAt) {
 		m.excuse = "the folder is older than the message"
 	}
 }
 
 // usageSampled applies RuleLimits.
 func (c *Check) usageSampled(r *relay, e history.Event) {
-	c.checked(RuleLimits)
+	c.recordCheck(RuleLimits)
 	limits := &c.config.Limits
 	for _, resource := range []struct {
 		unit        string
@@ -211,19 +211,19 @@
 	} {
 		if resource.limit > 0 && resource.used > resource.limit {
 			text := fmt.Sprintf("%d %s; %d at most", resource.used, resource.unit, resource.limit)
-			c.violate(RuleLimits, r.name, r.name, text, r.started, e)
+			c.recordViolation(RuleLimits, r.name, r.name, text, r.started, e)
 		}
 	}
 }
 
-// invalidPeer applies RuleInvalidPeer where the relay was present all the time.
-func (c *Check) invalidPeer(e history.Event) {
+// invalidPeerFinished applies RuleInvalidPeer where the relay was present all the time.
+func (c *Check) invalidPeerFinished(e history.Event) {
 	r := c.relay(e.Relay)
-	connected := e.Time - e.Took
-	if n := len(r.absences); n > 0 && (r.isAbsent() || r.absences[n-1].end > connected) {
+	connectedAt := e.Time - e.Took
+	if n := len(r.absences); n > 0 && (r.isAbsent() || r.absences[n-1].end > connectedAt) {
 		return
 	}
-	c.checked(RuleInvalidPeer)
+	c.recordCheck(RuleInvalidPeer)
 	rules := &c.config.Rules
 	limit := rules.InvalidPeerTimeout
 	if strings.HasPrefix(e.Text, model.PeerLongRequest+":") {
@@ -231,8 +231,8 @@
 	}
 	if e.Status == 0 || e.Took > micros(limit+rules.Slack) {
 		first := e
-		first.Time = connected
-		c.violate(RuleInvalidPeer, r.name, r.name, fmt.Sprintf("an invalid peer (%s) after %.3f s", e.Text, seconds(e.Took)), first, e)
+		first.Time = connectedAt
+		c.recordViolation(RuleInvalidPeer, r.name, r.name, fmt.Sprintf("an invalid peer (%s) after %.3f s", e.Text, seconds(e.Took)), first, e)
 	}
 }
 
@@ -240,6 +240,6 @@
 func (c *Check) checkStart(r *relay) {
 	isRelay := r.started.Kind != "" && r.started.Text != history.NodeProcess
 	if isRelay && r.ready.Kind == "" && r.signaled.Kind == "" && c.lastTime-r.started.Time > micros(startTimeout) {
-		c.violate(RuleStart, r.name, r.name, fmt.Sprintf("not ready %v after its start", startTimeout), r.started, history.Event{})
+		c.recordViolation(RuleStart, r.name, r.name, fmt.Sprintf("not ready %v after its start", startTimeout), r.started, history.Event{})
 	}
 }
--- a/internal/faultlab/checker/roles.go
+++ b/internal/faultlab/checker/roles.go
@@ -38,7 +38,7 @@
 		return cmp.Or(cmp.Compare(a.Step(), b.Step()), cmp.Compare(a.Token(), b.Token()))
 	})
 	for i, step := range steps {
-		c.checked(RuleRoleSteps)
+		c.recordCheck(RuleRoleSteps)
 		if i == 0 {
 			continue
 		}
@@ -54,7 +54,7 @@
 		default:
 			continue
 		}
-		c.violate(RuleRoleSteps, role, step.Relay, text, previous, step)
+		c.recordViolation(RuleRoleSteps, role, step.Relay, text, previous, step)
 	}
 }
 
@@ -66,9 +66,9 @@
 	rejected bool
 }
 
-// fencedRegister is a sequential model of the steps: each counts one on, under a
+// fencedRegisterModel is a sequential model of the steps: each counts one on, under a
 // token that is no older than the last one and was never rejected.
-var fencedRegister = porcupine.Model{
+var fencedRegisterModel = porcupine.Model{
 	Init: func() any { return fence{} },
 	Step: func(state, input, _ any) (bool, any) {
 		current, e := state.(fence), input.(history.Event)
@@ -102,5 +102,5 @@
 		}
 		spans = append(spans, span)
 	}
-	c.checkOrder(RuleFenced, role, fencedRegister, steps, spans)
+	c.checkOrder(RuleFenced, role, fencedRegisterModel, steps, spans)
 }
