--- a/internal/faultlab/model/agent.go
+++ b/internal/faultlab/model/agent.go
@@ -78,7 +78,7 @@
 func (a *Agent) Started(list List) { a.recordDelivered(list) }
 
 // change takes a change of the list.
-func (a *Agent) change(revision int64, id, phase string) {
+func (a *Agent) applyChange(revision int64, id, phase string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	member, ok := a.applyPhase(id, phase)
@@ -120,14 +120,14 @@
 
 // since returns the changes after a revision, or the complete list if that revision
 // is not known, and what is closed at the next change.
-func (a *Agent) since(revision int64) ([]List, <-chan struct{}) {
+func (a *Agent) changesSince(revision int64) ([]List, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	first := a.list.Revision
+	oldestKnown := a.list.Revision
 	if len(a.log) > 0 {
-		first = a.log[0].Revision - 1
+		oldestKnown = a.log[0].Revision - 1
 	}
-	if revision > a.list.Revision || revision < min(first, 1) {
+	if revision > a.list.Revision || revision < min(oldestKnown, 1) {
 		return []List{a.list}, a.changed
 	}
 	var changes []List
@@ -170,7 +170,7 @@
 	out.Flush()
 	encoder := json.NewEncoder(w)
 	for a.WaitWhileSilent(r.Context()) {
-		lists, changed := a.since(from)
+		lists, changed := a.changesSince(from)
 		for _, list := range lists {
 			if encoder.Encode(list) != nil || out.Flush() != nil {
 				return
--- a/internal/faultlab/model/call.go
+++ b/internal/faultlab/model/call.go
@@ -18,22 +18,22 @@
 	batchPath   = "/v1/messages:batch"
 	idHeader    = "X-Request-ID"
 
-	maxItems        = 64  // messages of a batch that is parsed at all
-	batchItemCost   = 0.1 // of the service time, for each message of a batch after the first
-	failBefore      = 0.5 // fraction of failing calls that fail before they take effect
-	abortedInTime   = 0.5 // fraction of aborted calls that stop before they take effect
-	corruptReadable = 0.5 // fraction of corrupt responses whose status line can be read
+	maxItems                = 64  // messages of a batch that is parsed at all
+	batchItemCost           = 0.1 // of the service time, for each message of a batch after the first
+	failEarlyFraction       = 0.5 // fraction of failing calls that fail before they take effect
+	abortEarlyFraction      = 0.5 // fraction of aborted calls that stop before they take effect
+	readableCorruptFraction = 0.5 // fraction of corrupt responses whose status line can be read
 )
 
 // call is one complete call to an endpoint.
 type call struct {
-	id         int64
-	route      route
-	req        *http.Request
-	body       []byte
-	fault      Fault
-	overloaded bool // its upstream is, and rejects everything
-	surplus    bool // the connection is one too many
+	id              int64
+	route           route
+	req             *http.Request
+	body            []byte
+	fault           Fault
+	overloaded      bool // its upstream is, and rejects everything
+	exceedsMaxConns bool // the connection is one too many
 
 	items    []item
 	isBatch  bool
@@ -72,7 +72,7 @@
 	if resp, rejected := e.admit(c, now); rejected {
 		return resp
 	}
-	if resp, final := e.settled(c); final {
+	if resp, final := e.answerUndeliverable(c); final {
 		return resp
 	}
 	if !e.acquireServer(ctx) {
@@ -132,8 +132,8 @@
 			return 0, false
 		}
 		c.verdicts[i] = verdict
-		span := Classes()[class].ServiceTime
-		drawn := span[0] + time.Duration(e.Upstream.drawFloat()*float64(span[1]-span[0]))
+		limits := Classes()[class].ServiceTime
+		drawn := limits[0] + time.Duration(e.Upstream.drawFloat()*float64(limits[1]-limits[0]))
 		serviceTime = max(serviceTime, drawn)
 	}
 	extra := time.Duration(len(c.items) - 1)
@@ -142,7 +142,7 @@
 
 // admit applies the limits of endpoint and upstream.
 func (e *Endpoint) admit(c *call, now time.Time) (resp response, rejected bool) {
-	if c.surplus {
+	if c.exceedsMaxConns {
 		resp = response{isLast: true}
 		resp.setStatus(http.StatusServiceUnavailable, "")
 		return resp, true
@@ -160,7 +160,7 @@
 
 // settled answers a call for one message that can no longer be delivered. In a
 // batch, each message has its state.
-func (e *Endpoint) settled(c *call) (resp response, final bool) {
+func (e *Endpoint) answerUndeliverable(c *call) (resp response, final bool) {
 	if c.isBatch {
 		return response{}, false
 	}
@@ -183,11 +183,11 @@
 		return response{}
 	}
 	took := time.Duration(float64(serviceTime) * e.Upstream.LatencyFactor * max(1, c.fault.Slow))
-	if !Sleep(ctx, took) && draw() < abortedInTime {
+	if !Sleep(ctx, took) && draw() < abortEarlyFraction {
 		return response{}
 	}
 	fails := draw() < c.fault.Fail
-	if fails && draw() < failBefore {
+	if fails && draw() < failEarlyFraction {
 		return e.statusResponse(http.StatusInternalServerError, withLoad)
 	}
 	e.recordExecution(c)
--- a/internal/faultlab/model/class.go
+++ b/internal/faultlab/model/class.go
@@ -15,7 +15,7 @@
 }
 
 // negligible is the fraction of a weight below which it is not halved further.
-const negligible = 0.001
+const negligibleFraction = 0.001
 
 // Classes returns the two classes of the site.
 func Classes() []Class {
@@ -36,7 +36,7 @@
 		return 0
 	}
 	weight := c.Weight
-	for after > c.LatencyObjective && weight > c.Weight*negligible {
+	for after > c.LatencyObjective && weight > c.Weight*negligibleFraction {
 		weight /= 2
 		after -= c.LatencyObjective
 	}
--- a/internal/faultlab/model/client_conn.go
+++ b/internal/faultlab/model/client_conn.go
@@ -22,8 +22,8 @@
 	answerBusy = "-BUSY" // with the milliseconds to wait, if any
 	answerErr  = "-"
 
-	extraPeek = 50 * time.Microsecond // to find bytes that have come already
-	extraRead = 10 * time.Millisecond // for the rest of their line
+	extraPeekTimeout = 50 * time.Microsecond // to find bytes that have come already
+	extraReadTimeout = 10 * time.Millisecond // for the rest of their line
 )
 
 // isAccepted reports whether an answer accepts the message.
@@ -39,19 +39,19 @@
 }
 
 // extraResponse returns what came after the last answer, where nothing may come.
-func (x *clientConn) extraResponse() string {
-	x.SetReadDeadline(time.Now().Add(extraPeek))
-	if _, err := x.in.Peek(1); err != nil {
+func (conn *clientConn) extraResponse() string {
+	conn.SetReadDeadline(time.Now().Add(extraPeekTimeout))
+	if _, err := conn.in.Peek(1); err != nil {
 		return "" // nothing, or a close: the next request finds out
 	}
-	x.SetReadDeadline(time.Now().Add(extraRead))
-	line, _ := x.in.ReadString('\n') // what there is of it
+	conn.SetReadDeadline(time.Now().Add(extraReadTimeout))
+	line, _ := conn.in.ReadString('\n') // what there is of it
 	return line
 }
 
 // conn returns an idle connection to a relay, or a new one; always a new one if
 // fresh is set.
-func (c *Clients) conn(relay string, fresh bool) (*clientConn, error) {
+func (c *Clients) getConn(relay string, fresh bool) (*clientConn, error) {
 	for !fresh {
 		idle := c.takeIdle(relay)
 		if idle == nil {
@@ -101,7 +101,7 @@
 		timeout = leaveAfter
 	}
 	for fresh := false; ; fresh = true {
-		conn, err := c.conn(m.Relay, fresh)
+		conn, err := c.getConn(m.Relay, fresh)
 		if err != nil {
 			return "", err
 		}
@@ -128,11 +128,11 @@
 }
 
 // exchange writes a request and reads the first line of its answer.
-func (x *clientConn) exchange(request []byte) (string, error) {
-	if _, err := x.Write(request); err != nil {
+func (conn *clientConn) exchange(request []byte) (string, error) {
+	if _, err := conn.Write(request); err != nil {
 		return "", err
 	}
-	line, err := x.in.ReadString('\n')
+	line, err := conn.in.ReadString('\n')
 	if err != nil {
 		return "", err
 	}
@@ -141,7 +141,7 @@
 		if err != nil || size < 0 || size > maxBody {
 			return "", fmt.Errorf("answer %q", line)
 		}
-		if _, err := x.in.Discard(size + len("\r\n")); err != nil {
+		if _, err := conn.in.Discard(size + len("\r\n")); err != nil {
 			return "", err
 		}
 	}
--- a/internal/faultlab/model/clients.go
+++ b/internal/faultlab/model/clients.go
@@ -73,7 +73,7 @@
 	generation := c.generation[relay]
 	after := c.drawBetween(c.load.FailureDetection)
 	c.mu.Unlock()
-	c.start(func() {
+	c.startWork(func() {
 		if Sleep(ctx, after) {
 			c.removeRelay(relay, generation)
 		}
@@ -90,7 +90,7 @@
 }
 
 // start runs work in a goroutine that Run waits for; not once Run is closing.
-func (c *Clients) start(work func()) {
+func (c *Clients) startWork(work func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -106,17 +106,17 @@
 // Run submits what is due until arriving ends, then waits for what its clients
 // still do; they end with ctx.
 func (c *Clients) Run(ctx, arriving context.Context, seed uint64) {
-	began := time.Now()
+	start := time.Now()
 	for arrivals := NewArrivals(c.load, seed); ; {
 		arrival := arrivals.Next()
-		due := began.Add(arrival.At)
+		due := start.Add(arrival.At)
 		if !Sleep(arriving, time.Until(due)) {
 			break
 		}
 		c.OnLateness(time.Since(due))
 		m := &Message{Class: arrival.Class, Destination: arrival.Destination, Due: due,
 			Deadline: due.Add(Classes()[arrival.Class].Deadline), Body: c.drawBody(arrival.Size)}
-		c.start(func() { c.submit(ctx, m, false) })
+		c.startWork(func() { c.submit(ctx, m, false) })
 	}
 	c.mu.Lock()
 	c.closed = true
@@ -136,8 +136,8 @@
 }
 
 // drawBetween draws a duration; c.mu is held.
-func (c *Clients) drawBetween(span minMax) time.Duration {
-	return span[0] + time.Duration(c.random.Float64()*float64(span[1]-span[0]))
+func (c *Clients) drawBetween(limits minMax) time.Duration {
+	return limits[0] + time.Duration(c.random.Float64()*float64(limits[1]-limits[0]))
 }
 
 func (c *Clients) drawFloat() float64 {
@@ -196,7 +196,7 @@
 // submitLater submits a message again after d, under a new ID.
 func (c *Clients) submitLater(ctx context.Context, m *Message, d time.Duration, resubmit bool) {
 	next := &Message{FirstID: m.FirstID, Class: m.Class, Destination: m.Destination, Due: m.Due, Deadline: m.Deadline, Body: m.Body, Attempt: m.Attempt + 1}
-	c.start(func() {
+	c.startWork(func() {
 		if Sleep(ctx, d) && time.Until(next.Deadline) > c.load.ResponseTimeout {
 			c.submit(ctx, next, resubmit)
 		}
--- a/internal/faultlab/model/discovery.go
+++ b/internal/faultlab/model/discovery.go
@@ -91,7 +91,7 @@
 		go func() {
 			defer d.wg.Done()
 			if Sleep(ctx, delays[i]) {
-				agent.change(revision, id, phase)
+				agent.applyChange(revision, id, phase)
 			}
 		}()
 	}
--- a/internal/faultlab/model/endpoint.go
+++ b/internal/faultlab/model/endpoint.go
@@ -84,12 +84,12 @@
 		}
 		e.mu.Lock()
 		e.conns[conn] = struct{}{}
-		surplus := len(e.conns) > e.MaxConns
+		exceedsMaxConns := len(e.conns) > e.MaxConns
 		e.mu.Unlock()
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			e.serveConn(ctx, conn, surplus)
+			e.serveConn(ctx, conn, exceedsMaxConns)
 			e.mu.Lock()
 			delete(e.conns, conn)
 			e.mu.Unlock()
@@ -110,10 +110,10 @@
 // SetDown records that its process is down or back; its links refuse connections.
 func (e *Endpoint) SetDown(down bool) {
 	e.mu.Lock()
-	was := e.isDown
+	wasDown := e.isDown
 	e.isDown = down
 	e.mu.Unlock()
-	if was != down {
+	if wasDown != down {
 		e.Upstream.setEndpointDown(down)
 	}
 }
@@ -128,12 +128,12 @@
 }
 
 // serveConn serves the calls of one connection, and closes it.
-func (e *Endpoint) serveConn(ctx context.Context, conn net.Conn, surplus bool) {
+func (e *Endpoint) serveConn(ctx context.Context, conn net.Conn, exceedsMaxConns bool) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	var sent int64 // bytes of responses
 	for ctx.Err() == nil {
-		c, ok := e.readCall(conn, in, surplus)
+		c, ok := e.readCall(conn, in, exceedsMaxConns)
 		if !ok {
 			return
 		}
@@ -146,7 +146,7 @@
 
 // readCall reads one call; false if the connection ends or is reset before the
 // call is complete.
-func (e *Endpoint) readCall(conn net.Conn, in *bufio.Reader, surplus bool) (*call, bool) {
+func (e *Endpoint) readCall(conn net.Conn, in *bufio.Reader, exceedsMaxConns bool) (*call, bool) {
 	conn.SetReadDeadline(time.Now().Add(e.IdleTimeout))
 	if _, err := in.Peek(1); err != nil {
 		return nil, false
@@ -170,21 +170,21 @@
 		return nil, false // not complete: it never was a call
 	}
 	conn.SetReadDeadline(time.Time{})
-	return &call{id: e.world.calls.Add(1), route: route, req: req, body: body, fault: fault, overloaded: overloaded, surplus: surplus}, true
+	return &call{id: e.world.callCount.Add(1), route: route, req: req, body: body, fault: fault, overloaded: overloaded, exceedsMaxConns: exceedsMaxConns}, true
 }
 
 // serveCall takes one call to its response. It reports whether one was written,
 // and whether the connection ends after it.
 func (e *Endpoint) serveCall(ctx context.Context, conn net.Conn, in *bufio.Reader, c *call, sent *int64) (answered, isLast bool) {
 	callCtx, cancel := context.WithCancel(ctx)
-	watched := make(chan struct{})
+	watchDone := make(chan struct{})
 	go func() { // notices that the relay closes the connection
-		defer close(watched)
+		defer close(watchDone)
 		if _, err := in.Peek(1); err != nil {
 			cancel()
 		}
 	}()
-	defer func() { <-watched }()
+	defer func() { <-watchDone }()
 	recorder := e.world.Recorder
 	c.route.OnClientClosed(func() { recorder.Record(history.Event{Kind: history.CallAborted, Call: c.id}) })
 	resp := e.handle(callCtx, c)
--- a/internal/faultlab/model/listener.go
+++ b/internal/faultlab/model/listener.go
@@ -70,9 +70,9 @@
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
-		grace, cancel := context.WithTimeout(ctx, rebindGrace)
+		graceCtx, cancel := context.WithTimeout(ctx, rebindGrace)
 		defer cancel()
-		old.Shutdown(grace) // waits for open requests until the grace ends
+		old.Shutdown(graceCtx) // waits for open requests until the grace ends
 		old.Close()
 	}()
 	return nil
--- a/internal/faultlab/model/load.go
+++ b/internal/faultlab/model/load.go
@@ -60,7 +60,7 @@
 type Arrivals struct {
 	load   Load
 	random *rand.Rand
-	at     time.Duration
+	lastAt time.Duration
 	next   []Arrival
 }
 
@@ -93,17 +93,17 @@
 		rate /= arrivalsPerMessage
 	}
 	if load.Period > 0 { // a triangle between the extremes
-		phase := float64(a.at%load.Period) / float64(load.Period)
+		phase := float64(a.lastAt%load.Period) / float64(load.Period)
 		rate *= 1 + load.Swing*(1-4*math.Abs(phase-0.5))
 	}
-	a.at += time.Duration(a.random.ExpFloat64() / rate * float64(time.Second))
+	a.lastAt += time.Duration(a.random.ExpFloat64() / rate * float64(time.Second))
 	for i := range count {
 		class := 0
 		if a.random.Float64() >= Classes()[0].Fraction {
 			class = 1
 		}
 		size := load.BodySize[0] + a.random.IntN(load.BodySize[1]-load.BodySize[0]+1)
-		a.next = append(a.next, Arrival{a.at + time.Duration(i)*burstSpacing, class, destination, size})
+		a.next = append(a.next, Arrival{a.lastAt + time.Duration(i)*burstSpacing, class, destination, size})
 	}
 }
 
@@ -113,9 +113,9 @@
 	for _, weight := range weights {
 		total += weight
 	}
-	at := random.Float64() * total
+	remaining := random.Float64() * total
 	for i, weight := range weights {
-		if at -= weight; at < 0 {
+		if remaining -= weight; remaining < 0 {
 			return i
 		}
 	}
--- a/internal/faultlab/model/model.go
+++ b/internal/faultlab/model/model.go
@@ -23,7 +23,7 @@
 	Rules       Rules
 	OnDelivered func(class int, after time.Duration) // called for each first delivery; may be nil
 
-	calls atomic.Int64 // made so far; numbers them
+	callCount atomic.Int64 // made so far; numbers them
 }
 
 // recordDelivery records that a relay has received the response by which a message
--- a/internal/faultlab/model/peers.go
+++ b/internal/faultlab/model/peers.go
@@ -28,7 +28,7 @@
 	peerDialTimeout = time.Second
 	peerMargin      = 500 * time.Millisecond // beyond the time that a relay has
 	longRequestSize = 60 << 20
-	longPiece       = 64 << 10
+	longPieceSize   = 64 << 10
 )
 
 // peerRequests is what each kind sends at first.
@@ -43,7 +43,7 @@
 // ConnectInvalidPeer connects to a relay as an invalid peer of one kind and records
 // whether it got an error line or a close in the time that the terms give.
 func ConnectInvalidPeer(ctx context.Context, w *World, relay, addr, kind string) {
-	began := time.Now()
+	start := time.Now()
 	conn, err := net.DialTimeout("tcp4", addr, peerDialTimeout)
 	if err != nil {
 		return // the relay is not there
@@ -54,7 +54,7 @@
 	if kind == PeerLongRequest {
 		limit = w.Rules.LongRequestTimeout
 	}
-	conn.SetDeadline(began.Add(limit + peerMargin))
+	conn.SetDeadline(start.Add(limit + peerMargin))
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
@@ -68,7 +68,7 @@
 			status = 1
 		}
 		w.Recorder.Record(history.Event{Kind: history.InvalidPeer, Relay: relay, Status: status,
-			Took: time.Since(began).Microseconds(), Text: kind + ": " + text})
+			Took: time.Since(start).Microseconds(), Text: kind + ": " + text})
 	}
 	conn.Close()
 	<-sent
@@ -79,7 +79,7 @@
 	if _, err := io.WriteString(conn, peerRequests[kind]); err != nil || kind != PeerLongRequest {
 		return
 	}
-	piece := make([]byte, longPiece)
+	piece := make([]byte, longPieceSize)
 	for sent := 0; sent < longRequestSize; sent += len(piece) {
 		if _, err := conn.Write(piece); err != nil {
 			return
--- a/internal/faultlab/model/response.go
+++ b/internal/faultlab/model/response.go
@@ -114,7 +114,7 @@
 // corruptResponse is one that cannot be parsed. For a single message a status line
 // that still reads 200 counts as a delivery.
 func (e *Endpoint) corruptResponse(c *call) response {
-	if !c.isBatch && e.Upstream.drawFloat() < corruptReadable {
+	if !c.isBatch && e.Upstream.drawFloat() < readableCorruptFraction {
 		return response{isLast: true, status: http.StatusOK, delivered: []string{c.items[0].ID},
 			text: []byte("HTTP/1.1 200 OK\r\nContent-Length: x\x00\r\n\r\n")}
 	}
--- a/internal/faultlab/model/upstream.go
+++ b/internal/faultlab/model/upstream.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	burstSeconds     = 0.5                   // of its rate that a limit without a window takes at once
-	minRetryAfter    = 10 * time.Millisecond // of a closed upstream
-	overloadLeniency = 1.1                   // times the overload budget, and
-	overloadChance   = 3                     // calls beyond it, so that chance overloads nothing
+	burstSeconds       = 0.5                   // of its rate that a limit without a window takes at once
+	minRetryAfter      = 10 * time.Millisecond // of a closed upstream
+	overloadTolerance  = 1.1                   // times the overload budget, and
+	overloadExtraCalls = 3                     // calls beyond it, so that chance overloads nothing
 )
 
 // Limit is what a destination accepts from all relays together.
@@ -39,29 +39,29 @@
 	rules    Rules
 	recorder *history.Recorder
 
-	mu              sync.Mutex
-	random          *rand.Rand
-	faults          []Fault
-	limitFactor     float64
-	opensAt         time.Time // if it is closed
-	endpoints       int
-	endpointsDown   int
-	inOutage        bool
-	connectionsFail bool      // during the outage
-	recoveringSince time.Time // zero if it has all of its capacity
-	overloaded      bool      // it failed while it recovered, for good
-	windowStart     time.Time
-	used            float64 // of the window, or of the token bucket
-	lastRefill      time.Time
-	recentCalls     []recentCall // of the last OverloadWindow, while it recovers
-	reportedLimit   float64      // fraction of the limit that was left at reportedAt
-	reportedAt      time.Time
+	mu               sync.Mutex
+	random           *rand.Rand
+	faults           []Fault
+	limitFactor      float64
+	opensAt          time.Time // if it is closed
+	endpoints        int
+	endpointsDown    int
+	inOutage         bool
+	connectionsFail  bool      // during the outage
+	recoveringSince  time.Time // zero if it has all of its capacity
+	overloaded       bool      // it failed while it recovered, for good
+	windowStart      time.Time
+	used             float64 // of the window, or of the token bucket
+	lastRefill       time.Time
+	recentCalls      []recentCall // of the last OverloadWindow, while it recovers
+	reportedFraction float64      // fraction of the limit that was left at reportedAt
+	reportedAt       time.Time
 }
 
 // recentCall is a call to a recovering upstream.
 type recentCall struct {
-	at    time.Time
-	relay string
+	receivedAt time.Time
+	relay      string
 }
 
 // rejection says whether a call is rejected.
@@ -75,18 +75,18 @@
 	rules Rules, recorder *history.Recorder, seed uint64) *Upstream {
 	now := time.Now()
 	return &Upstream{
-		Destination:   destination,
-		Kind:          kind,
-		Limit:         limit,
-		LatencyFactor: latencyFactor,
-		LoadInterval:  loadInterval,
-		rules:         rules,
-		recorder:      recorder,
-		random:        rand.New(rand.NewPCG(seed, uint64(destination))),
-		windowStart:   now,
-		lastRefill:    now,
-		reportedLimit: 1,
-		limitFactor:   1,
+		Destination:      destination,
+		Kind:             kind,
+		Limit:            limit,
+		LatencyFactor:    latencyFactor,
+		LoadInterval:     loadInterval,
+		rules:            rules,
+		recorder:         recorder,
+		random:           rand.New(rand.NewPCG(seed, uint64(destination))),
+		windowStart:      now,
+		lastRefill:       now,
+		reportedFraction: 1,
+		limitFactor:      1,
 	}
 }
 
@@ -241,11 +241,11 @@
 		return
 	}
 	u.recentCalls = append(u.recentCalls, recentCall{now, relay})
-	for now.Sub(u.recentCalls[0].at) > u.rules.OverloadWindow {
+	for now.Sub(u.recentCalls[0].receivedAt) > u.rules.OverloadWindow {
 		u.recentCalls = u.recentCalls[1:]
 	}
 	budget := u.rules.OverloadFactor * capacity * u.currentLimit() * u.rules.OverloadWindow.Seconds()
-	if float64(len(u.recentCalls)) <= budget*overloadLeniency+overloadChance {
+	if float64(len(u.recentCalls)) <= budget*overloadTolerance+overloadExtraCalls {
 		return
 	}
 	u.overloaded = true
@@ -262,18 +262,18 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if now.Sub(u.reportedAt) < u.LoadInterval {
-		return u.reportedLimit, u.currentLimit()
+		return u.reportedFraction, u.currentLimit()
 	}
 	u.reportedAt = now
 	window := burstSeconds
 	if u.Limit.Window > 0 {
 		window = u.Limit.Window.Seconds()
 	}
-	u.reportedLimit = 1
+	u.reportedFraction = 1
 	if total := u.currentLimit() * window; total > 0 {
-		u.reportedLimit = min(1, max(0, 1-u.used/max(1, total)))
+		u.reportedFraction = min(1, max(0, 1-u.used/max(1, total)))
 	}
-	return u.reportedLimit, u.currentLimit()
+	return u.reportedFraction, u.currentLimit()
 }
 
 // faultFor is what a call to an endpoint with a fault of its own meets, and whether
--- a/internal/faultlab/report/figures.go
+++ b/internal/faultlab/report/figures.go
@@ -17,7 +17,7 @@
 	rows := []Row{}
 	for _, f := range []struct {
 		name, unit string
-		of         func(*Stats) float64
+		value      func(*Stats) float64
 	}{
 		{"score", "", func(s *Stats) float64 { return s.Score }},
 		{"worth served, whole run", "", func(s *Stats) float64 { return s.ValueServed }},
@@ -42,7 +42,7 @@
 	} {
 		r := Row{Name: f.name, Unit: f.unit}
 		for _, s := range runs {
-			r.Values = append(r.Values, f.of(s))
+			r.Values = append(r.Values, f.value(s))
 		}
 		rows = append(rows, r)
 	}
@@ -51,11 +51,11 @@
 
 func ratio(a, b int) float64 { return float64(a) / float64(max(1, b)) }
 
-func maxOf[T int | int64](m map[string]T) (most T) {
+func maxOf[T int | int64](m map[string]T) (largest T) {
 	for _, v := range m {
-		most = max(most, v)
+		largest = max(largest, v)
 	}
-	return most
+	return largest
 }
 
 // Mean is the mean of a row's values, with the lowest and the highest.
@@ -79,14 +79,14 @@
 // ownFigures are the rows of runs that have figures of their own: a figure that a
 // run lacks has no value in its row.
 func ownFigures(runs []*Stats) (rows []Row) {
-	place := map[string]int{}
+	rowIndex := map[string]int{}
 	for _, s := range runs {
 		for _, f := range s.Own {
-			if _, known := place[f.Name]; !known {
-				place[f.Name] = len(rows)
+			if _, known := rowIndex[f.Name]; !known {
+				rowIndex[f.Name] = len(rows)
 				rows = append(rows, Row{Name: f.Name, Unit: f.Unit})
 			}
-			row := &rows[place[f.Name]]
+			row := &rows[rowIndex[f.Name]]
 			row.Values = append(row.Values, f.Value)
 		}
 	}
--- a/internal/faultlab/report/plot.go
+++ b/internal/faultlab/report/plot.go
@@ -48,14 +48,14 @@
 }
 
 // middle is where the value of a second stands.
-func middle(second int) float64 { return float64(second) + 0.5 }
+func secondMiddle(second int) float64 { return float64(second) + 0.5 }
 
 // servedLine is the fraction of each second's weight that was served.
 func (s *Stats) servedLine() line {
 	l := line{name: "served"}
 	for i, offered := range s.series.offered {
 		if offered > 0 {
-			l.xy = append(l.xy, plotter.XY{X: middle(i), Y: s.series.served[i] / offered})
+			l.xy = append(l.xy, plotter.XY{X: secondMiddle(i), Y: s.series.served[i] / offered})
 		}
 	}
 	return l
@@ -66,7 +66,7 @@
 	l := line{name: name}
 	for i, histogram := range s.series.latency {
 		if histogram != nil {
-			l.xy = append(l.xy, plotter.XY{X: middle(i), Y: float64(histogram.ValueAtQuantile(quantile)) / 1e3})
+			l.xy = append(l.xy, plotter.XY{X: secondMiddle(i), Y: float64(histogram.ValueAtQuantile(quantile)) / 1e3})
 		}
 	}
 	return l
@@ -76,7 +76,7 @@
 func perSecond(name string, values []float64) line {
 	l := line{name: name}
 	for i, value := range values {
-		l.xy = append(l.xy, plotter.XY{X: middle(i), Y: value})
+		l.xy = append(l.xy, plotter.XY{X: secondMiddle(i), Y: value})
 	}
 	return l
 }
@@ -136,10 +136,10 @@
 const maxLines = 12
 
 // processLines makes a line for each process.
-func processLines(of map[string][][2]float64) (lines []line) {
-	for name, v := range of {
+func processLines(valuesByProcess map[string][][2]float64) (lines []line) {
+	for name, values := range valuesByProcess {
 		l := line{name: name}
-		for _, xy := range v {
+		for _, xy := range values {
 			l.xy = append(l.xy, plotter.XY{X: xy[0], Y: xy[1]})
 		}
 		lines = append(lines, l)
--- a/internal/faultlab/report/stats.go
+++ b/internal/faultlab/report/stats.go
@@ -49,46 +49,46 @@
 
 // series are the values of each second from the load's begin.
 type series struct {
-	from                              int64
+	startTime                         int64
 	offered, served                   []float64 // weight, by the second in which a message was due
 	calls, rejectedCalls, failedCalls []float64
 	rejected, failed                  []float64
 	latency                           []*hdrhistogram.Histogram // by the second of arrival
 	rss, fds                          map[string][][2]float64   // seconds and value
-	faults                            []shade
-	open                              map[string]int // place in faults of the last with a name
+	faults                            []faultSpan
+	lastByName                        map[string]int // place in faults of the last with a name
 }
 
 // shade is a time in which a fault was active, in seconds.
-type shade struct {
+type faultSpan struct {
 	name     string
 	from, to float64
 }
 
 // first is the first request of a message.
-type first struct {
+type firstRequest struct {
 	due   int64
 	class int
 	done  bool
 }
 
 // secondOf is the second in which a moment of the history lies.
-func (s *series) secondOf(at int64) int { return int(max(0, (at-s.from)/1e6)) }
+func (s *series) secondOf(timestamp int64) int { return int(max(0, (timestamp-s.startTime)/1e6)) }
 
 // add adds to the value of one second.
-func add(v *[]float64, at int, x float64) {
-	for len(*v) <= at {
-		*v = append(*v, 0)
+func addToSecond(values *[]float64, second int, value float64) {
+	for len(*values) <= second {
+		*values = append(*values, 0)
 	}
-	(*v)[at] += x
+	(*values)[second] += value
 }
 
 // finish makes the figures that need the whole history.
-func (s *Stats) finish(firsts map[string]*first, classes []model.Class, all *hdrhistogram.Histogram) {
+func (s *Stats) finish(firstRequests map[string]*firstRequest, classes []model.Class, latency *hdrhistogram.Histogram) {
 	byClass := map[string]float64{}
-	for _, f := range firsts {
-		add(&s.series.offered, s.series.secondOf(f.due), classes[f.class].Weight)
-		byClass[classes[f.class].Name] += classes[f.class].Weight
+	for _, request := range firstRequests {
+		addToSecond(&s.series.offered, s.series.secondOf(request.due), classes[request.class].Weight)
+		byClass[classes[request.class].Name] += classes[request.class].Weight
 	}
 	for len(s.series.served) < len(s.series.offered) {
 		s.series.served = append(s.series.served, 0)
@@ -99,31 +99,31 @@
 		s.WorstWindow = min(s.WorstWindow, fractionOf(s.series.served[i:i+windowSeconds], s.series.offered[i:i+windowSeconds]))
 	}
 	worstClass := 1.0
-	for name, asked := range byClass {
-		s.Classes[name] /= asked
+	for name, total := range byClass {
+		s.Classes[name] /= total
 		worstClass = min(worstClass, s.Classes[name])
 	}
 	s.Score = scoreServed*s.ValueServed + scoreWorstWindow*s.WorstWindow + scoreWorstClass*worstClass
-	s.P50MS, s.P90MS, s.P99MS = float64(all.ValueAtQuantile(50))/1e3, float64(all.ValueAtQuantile(90))/1e3, float64(all.ValueAtQuantile(99))/1e3
+	s.P50MS, s.P90MS, s.P99MS = float64(latency.ValueAtQuantile(50))/1e3, float64(latency.ValueAtQuantile(90))/1e3, float64(latency.ValueAtQuantile(99))/1e3
 	for i := range s.series.faults {
 		if s.series.faults[i].to < 0 {
 			s.series.faults[i].to = s.Seconds
 		}
 	}
-	slices.SortFunc(s.series.faults, func(a, b shade) int { return int(a.from*1e3 - b.from*1e3) })
+	slices.SortFunc(s.series.faults, func(a, b faultSpan) int { return int(a.from*1e3 - b.from*1e3) })
 }
 
 // fractionOf is the sum of parts over the sum of wholes; 1 for nothing.
 func fractionOf(parts, wholes []float64) float64 {
-	p, o := 0.0, 0.0
+	partSum, wholeSum := 0.0, 0.0
 	for i := range wholes {
-		o += wholes[i]
+		wholeSum += wholes[i]
 		if i < len(parts) {
-			p += parts[i]
+			partSum += parts[i]
 		}
 	}
-	if o == 0 {
+	if wholeSum == 0 {
 		return 1
 	}
-	return p / o
+	return partSum / wholeSum
 }
--- a/internal/faultlab/scenario/override.go
+++ b/internal/faultlab/scenario/override.go
@@ -15,11 +15,11 @@
 	if err := toml.Unmarshal(doc, &all); err != nil {
 		return nil, decodeError(path, doc, err)
 	}
-	var v struct{ X any } // the value, as TOML reads it
-	if toml.Unmarshal([]byte("X = "+value), &v) != nil {
-		v.X = value // a bare word stands for itself
+	var decoded struct{ X any } // the value, as TOML reads it
+	if toml.Unmarshal([]byte("X = "+value), &decoded) != nil {
+		decoded.X = value // a bare word stands for itself
 	}
-	if err := setKey(all, key, v.X); err != nil {
+	if err := setKey(all, key, decoded.X); err != nil {
 		err.File = path
 		return nil, err
 	}
@@ -37,20 +37,20 @@
 	parts := strings.Split(key, ".")
 	for i, part := range parts {
 		isLast := i == len(parts)-1
-		switch in := container.(type) {
+		switch current := container.(type) {
 		case map[string]any:
 			if isLast {
-				in[part] = value
-			} else if in[part] == nil {
-				in[part] = map[string]any{}
+				current[part] = value
+			} else if current[part] == nil {
+				current[part] = map[string]any{}
 			}
-			container = in[part]
+			container = current[part]
 		case []any:
 			n, err := strconv.Atoi(part)
-			if err != nil || n < 0 || n >= len(in) || isLast {
-				return &Error{Key: key, Text: fmt.Sprintf("%q: a number from 0 to %d, and a key of it, are wanted", part, len(in)-1)}
+			if err != nil || n < 0 || n >= len(current) || isLast {
+				return &Error{Key: key, Text: fmt.Sprintf("%q: a number from 0 to %d, and a key of it, are wanted", part, len(current)-1)}
 			}
-			container = in[n]
+			container = current[n]
 		default:
 			return &Error{Key: key, Text: fmt.Sprintf("%q is not in a table", part)}
 		}
--- a/internal/faultlab/scenario/parse.go
+++ b/internal/faultlab/scenario/parse.go
@@ -22,14 +22,14 @@
 
 // Error names file, line and key.
 func (e *Error) Error() string {
-	at := e.File
+	position := e.File
 	if e.Line > 0 {
-		at = fmt.Sprintf("%s:%d", e.File, e.Line)
+		position = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
 	if e.Key != "" {
-		return fmt.Sprintf("%s: %s: %s", at, e.Key, e.Text)
+		return fmt.Sprintf("%s: %s: %s", position, e.Key, e.Text)
 	}
-	return at + ": " + e.Text
+	return position + ": " + e.Text
 }
 
 // LoadFile reads and validates a file. Keys that it leaves out are as in Default.
@@ -73,7 +73,7 @@
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
 		row, _ := e.Position()
-		return &Error{path, row, strings.Join(e.Key(), "."), "unknown key; allowed here: " + strings.Join(allowed(e.Key()), ", ")}
+		return &Error{path, row, strings.Join(e.Key(), "."), "unknown key; allowed here: " + strings.Join(allowedKeys(e.Key()), ", ")}
 	}
 	var d *toml.DecodeError
 	if errors.As(err, &d) {
@@ -84,7 +84,7 @@
 }
 
 // allowed names the keys of the table in which a key stands.
-func allowed(key []string) []string {
+func allowedKeys(key []string) []string {
 	t := reflect.TypeFor[Scenario]()
 	for _, k := range key[:max(0, len(key)-1)] {
 		for i := range t.NumField() {
--- a/internal/faultlab/scenario/position.go
+++ b/internal/faultlab/scenario/position.go
@@ -9,7 +9,7 @@
 
 // walk gives each table and key of a document, such as load.rate or
 // fault[1].kind, with its line, until f returns false.
-func walk(doc []byte, f func(key string, line int, table bool) bool) {
+func walkKeys(doc []byte, visit func(key string, line int, table bool) bool) {
 	var p unstable.Parser
 	p.Reset(doc)
 	table, count := "", map[string]int{}
@@ -33,7 +33,7 @@
 		case e.Kind == unstable.KeyValue && table != "":
 			name = table + "." + name
 		}
-		if !f(name, line, e.Kind != unstable.KeyValue) {
+		if !visit(name, line, e.Kind != unstable.KeyValue) {
 			return
 		}
 	}
@@ -41,23 +41,23 @@
 
 // lineOf finds the line of a key; where the file leaves it out, that of its
 // table; else 0.
-func lineOf(doc []byte, key string) (at int) {
-	walk(doc, func(name string, line int, table bool) bool {
+func lineOf(doc []byte, key string) (found int) {
+	walkKeys(doc, func(name string, line int, table bool) bool {
 		if name == key || table && strings.HasPrefix(key, name+".") {
-			at = line
+			found = line
 		}
 		return name != key
 	})
-	return at
+	return found
 }
 
 // keyAt finds the key that stands in a line.
 func keyAt(doc []byte, line int) (key string) {
-	walk(doc, func(name string, at int, table bool) bool {
-		if at == line && !table {
+	walkKeys(doc, func(name string, keyLine int, table bool) bool {
+		if keyLine == line && !table {
 			key = name
 		}
-		return at <= line
+		return keyLine <= line
 	})
 	return key
 }
--- a/internal/faultlab/scenario/scenario_test.go
+++ b/internal/faultlab/scenario/scenario_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-func TestErrorsNameFileLineKeyAndWhatIsAllowed(t *testing.T) {
-	for _, x := range []struct {
-		text, key string
-		line      int
-		says      string
+func TestParseErrorNamesFileLineKeyAndAllowedValues(t *testing.T) {
+	for _, test := range []struct {
+		text, wantKey string
+		wantLine      int
+		wantText      string
 	}{
 		{"seconds = 5\nspeed = 3\n", "speed", 2, "unknown key; allowed here: name, about, seconds"},
 		{"[fleet]\nrelay = 3\n", "fleet.relay", 2, "relays"},
@@ -31,15 +31,15 @@
 		{"[registry]\nnodes = 3\n[scale]\nrelays = 8\n[[fault]]\nkind = \"kill\"\n", "fault[0].kind", 6, "has none"},
 		{"[[fault]]\nkind = \"pause\"\nfor = 3\nevery = 2\n", "fault[0].every", 4, "more than"},
 	} {
-		_, err := Parse("x.toml", []byte(x.text))
+		_, err := Parse("x.toml", []byte(test.text))
 		var e *Error
-		if !errors.As(err, &e) || e.File != "x.toml" || e.Line != x.line || e.Key != x.key || !strings.Contains(e.Text, x.says) {
-			t.Errorf("%q: %+v", x.text, err)
+		if !errors.As(err, &e) || e.File != "x.toml" || e.Line != test.wantLine || e.Key != test.wantKey || !strings.Contains(e.Text, test.wantText) {
+			t.Errorf("%q: %+v", test.text, err)
 		}
 	}
 }
 
-func TestWithSetsAnyKey(t *testing.T) {
+func TestParseWithSetsAnyKey(t *testing.T) {
 	doc := []byte("[load]\nrate = 60\n[[fault]]\nkind = \"kill\"\nat = 1\n")
 	s, err := ParseWith("x.toml", doc, "fault.0.share", "0.5")
 	if err != nil || s.Faults[0].Fraction != 0.5 || s.Load.Rate != 60 {
