--- a/internal/faultlab/checker/call.go
+++ b/internal/faultlab/checker/call.go
@@ -9,23 +9,23 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// call is one call that reached an endpoint, or that a link lost.
+// call is one call that reached an endpoint or was lost by a link.
 type call struct {
 	received        history.Event
 	response        history.Event
-	responseAtRelay history.Event // the response, at the relay
-	closed          history.Event // the first of aborted and broken
+	responseAtRelay history.Event // when the relay received the response
+	closed          history.Event // the first event that ended the call without a response: CallAborted, CallBroken or CallLost
 	overlaps        []overlap
 }
 
-// overlap is a call for a message that came while another was in flight.
+// overlap is a call that arrived while another call for the same message was in flight.
 type overlap struct {
 	message string
 	call    history.Event
 }
 
-// knownNotToRun reports whether the relay knows that the message in this call
-// did not run.
+// knownNotToRun reports whether the relay knows from the response that this call did
+// not execute the message.
 func (c *call) knownNotToRun(message string) bool {
 	if c.responseAtRelay.Kind == "" {
 		return false
@@ -40,8 +40,8 @@
 	return false
 }
 
-// completes reports whether the relay knows by this call that nothing more is
-// pending for the message.
+// completes reports whether the relay knows from the response to this call that the
+// message is completed: delivered, or expired.
 func (c *call) completes(message string) bool {
 	if c.responseAtRelay.Kind == "" {
 		return false
@@ -53,7 +53,8 @@
 	return c.response.Status == http.StatusGone || c.response.Status == http.StatusOK && len(c.received.Messages) == 1
 }
 
-// state is what the response to a batch says of one message.
+// state returns the state of one message in the response to a batch; empty if the
+// response has none for it.
 func (c *call) state(message string) string {
 	if i := slices.Index(c.received.Messages, message); i >= 0 && i < len(c.response.States) {
 		return c.response.States[i]
@@ -61,10 +62,11 @@
 	return ""
 }
 
-// inFlight reports whether the call has neither a response nor ended.
+// inFlight reports whether the relay has not received a response yet and the call
+// was not closed.
 func (c *call) inFlight() bool { return c.responseAtRelay.Kind == "" && c.closed.Kind == "" }
 
-// feedCall takes an event between a relay and an endpoint.
+// feedCall handles an event between a relay and an endpoint.
 func (c *Check) feedCall(e history.Event) {
 	switch e.Kind {
 	case history.CallReceived, history.CallLost:
@@ -82,18 +84,19 @@
 	}
 }
 
-// callReceived applies the rules for a call as it comes.
+// callReceived handles a call that arrived at an endpoint or was lost by a link, and
+// applies the rules for new calls.
 func (c *Check) callReceived(e history.Event) {
 	received := &call{received: e}
 	aborted, wasAborted := c.abortedEarly[e.Call]
-	if wasAborted = wasAborted && e.Kind == history.CallReceived; wasAborted { // its sender had closed it before the link brought it
+	if wasAborted = wasAborted && e.Kind == history.CallReceived; wasAborted { // its sender had closed it before the link delivered it
 		delete(c.abortedEarly, e.Call)
 		received.closed = aborted
 	}
 	if e.Kind == history.CallReceived {
 		c.calls[e.Call] = received
 	} else {
-		received.closed = e // nothing of it is in flight any more
+		received.closed = e // a lost call is no longer in flight
 		if e.SentAt == 0 {
 			e.SentAt = e.Time
 		}
@@ -102,7 +105,7 @@
 	c.checkRetryAfter(r, e)
 	c.checkDrain(r, e)
 	for _, id := range e.Messages {
-		if m := c.touchMessage(id, e.Time); m != nil { // any other is recorded as an InvalidCall
+		if m := c.touchMessage(id, e.Time); m != nil { // a message that no client submitted is recorded as an InvalidCall
 			c.checkAttempt(m, id, e)
 			c.checkEarlierCalls(m, id, e, wasAborted)
 			m.calls = append(m.calls, received)
@@ -110,7 +113,8 @@
 	}
 }
 
-// checkAttempt applies the rules for one more attempt of a message.
+// checkAttempt applies the rules that limit the attempts of a message: how many there
+// may be, and that there is none after a rejection or a notice.
 func (c *Check) checkAttempt(m *message, id string, e history.Event) {
 	rules := &c.config.Rules
 	c.recordCheck(RuleAttempts)
@@ -127,7 +131,8 @@
 	}
 }
 
-// checkEarlierCalls sets a new attempt beside those before it.
+// checkEarlierCalls compares a new attempt of a message with the earlier ones. It
+// records those still in flight as overlaps, and applies RuleNoRepeat.
 func (c *Check) checkEarlierCalls(m *message, id string, e history.Event, wasAborted bool) {
 	c.recordCheck(RuleSingleAttempt)
 	if m.nonIdempotent {
@@ -143,7 +148,8 @@
 	}
 }
 
-// messageExecuted applies RuleRunsOnce, whatever the relay knows.
+// messageExecuted applies RuleRunsOnce. It counts the executions at the endpoints,
+// regardless of what the relay knows about them.
 func (c *Check) messageExecuted(e history.Event) {
 	m := c.touchMessage(e.Message, e.Time)
 	if m == nil {
@@ -159,7 +165,7 @@
 	}
 }
 
-// responseReceived takes a response that a relay has received.
+// responseReceived handles a response that a relay has received.
 func (c *Check) responseReceived(e history.Event) {
 	call := c.calls[e.Call]
 	if call == nil {
@@ -179,7 +185,7 @@
 	}
 }
 
-// callClosed takes a call whose connection ended before the response.
+// callClosed handles a call whose connection ended before the response.
 func (c *Check) callClosed(e history.Event) {
 	call := c.calls[e.Call]
 	if call == nil {
@@ -196,8 +202,9 @@
 	c.sawFailure(c.relay(call.received.Relay), call.received.Destination)
 }
 
-// checkOverlaps applies RuleSingleAttempt to the calls that came while one was in
-// flight, now that it is not. A relay notices the end of a call a little later.
+// checkOverlaps applies RuleSingleAttempt to the calls that arrived while the finished
+// call was in flight. A short overlap is allowed, since the end of a call travels over
+// a link: the relay and the lab notice it at slightly different times.
 func (c *Check) checkOverlaps(finished *call, e history.Event) {
 	grace := micros(c.config.Rules.Slack + 2*c.config.MaxLinkDelay)
 	for _, overlap := range finished.overlaps {
--- a/internal/faultlab/checker/checker.go
+++ b/internal/faultlab/checker/checker.go
@@ -1,9 +1,10 @@
 // Package checker reads a history and reports which rules of the protocol were
-// violated. Each rule names, for a violation, the message or process, the two
-// events that contradict each other, and the file to read on.
+// violated. A violation names the rule, the message or process, the two events that
+// contradict each other, and the file to look at next.
 //
-// It relies on what the lab itself observed. Where a cut link or a killed process
-// hides whether a call ran, the call counts as one that may have run.
+// It relies only on what the lab itself observed. Where a cut link or a killed
+// process hides whether a call was executed, the checker assumes that it may have
+// been.
 package checker
 
 import (
@@ -16,41 +17,41 @@
 // maxKeptViolations is the number of violations of one rule that a verdict keeps.
 const maxKeptViolations = 20
 
-// Limits are what one relay may use.
+// Limits are the resources that one relay may use.
 type Limits struct {
 	Memory int64 // bytes
 	Disk   int64 // bytes
 	FDs    int   // open descriptors
 }
 
-// Config is what a check needs beside the history.
+// Config holds what a check needs in addition to the history.
 type Config struct {
 	Rules        model.Rules
 	Limits       Limits
-	MaxLinkDelay time.Duration             // of a byte on a link that is not cut
-	HistoryFile  string                    // for violations that no relay's log explains
-	LogFile      func(relay string) string // nil for HistoryFile
+	MaxLinkDelay time.Duration             // the longest that a link that is not cut delays a byte
+	HistoryFile  string                    // the file to name in violations that no relay's log explains
+	LogFile      func(relay string) string // the log of a relay; nil to name HistoryFile instead
 }
 
 // Check applies the rules to one history, event by event. It is not safe for
-// concurrent use. New makes one.
+// concurrent use. Create it with New.
 type Check struct {
 	config           Config
 	verdict          Verdict
-	nonIdempotent    map[string]bool // by class
+	nonIdempotent    map[string]bool // whether messages of a class must not be repeated, by class name
 	messages         map[string]*message
 	calls            map[int64]*call
-	abortedEarly     map[int64]history.Event // calls that were aborted before they arrived
+	abortedEarly     map[int64]history.Event // the abort of each call that its relay aborted before it arrived
 	relays           map[string]*relay
-	outages          map[int]history.Event    // by destination, while they last
-	announcedChanges map[string]history.Event // endpoints that are not up: when that was announced
+	outages          map[int]history.Event    // the current outages, by destination
+	announcedChanges map[string]history.Event // by endpoint that is not up: the first change that took it out of service
 	list             listState
-	operations       []history.Event // on the register
+	operations       []history.Event // operations on the register
 	roleSteps        []history.Event
-	lastTime         int64 // of the last event
+	lastTime         int64 // the time of the last event
 }
 
-// New returns a check of one run.
+// New returns a Check for the history of one run.
 func New(config Config) *Check {
 	if config.LogFile == nil {
 		config.LogFile = func(string) string { return config.HistoryFile }
@@ -73,7 +74,7 @@
 	return c
 }
 
-// Feed takes the next event of the history.
+// Feed handles the next event of the history.
 func (c *Check) Feed(e history.Event) {
 	c.lastTime = e.Time
 	switch e.Kind {
@@ -104,8 +105,8 @@
 	}
 }
 
-// Finish applies the rules that only the end of a run decides, and returns the
-// verdict.
+// Finish applies the rules that can be decided only at the end of a run, and returns
+// the verdict.
 func (c *Check) Finish() Verdict {
 	for _, call := range c.calls {
 		c.checkOverlaps(call, history.Event{Time: c.lastTime})
@@ -122,8 +123,8 @@
 	return c.verdict
 }
 
-// violate adds a violation that the log of a relay may explain; without a relay,
-// the history.
+// recordViolation adds a violation to the verdict. It refers the reader to the log of
+// the relay, or to the history if relay is empty.
 func (c *Check) recordViolation(rule Rule, subject, relay, message string, first, second history.Event) {
 	file := c.config.HistoryFile
 	if relay != "" {
@@ -132,8 +133,8 @@
 	c.verdict.Add(Violation{Rule: rule, Subject: subject, Message: message, First: first, Second: second, File: file}, maxKeptViolations)
 }
 
-// checked counts that a rule was applied.
+// recordCheck counts one application of a rule.
 func (c *Check) recordCheck(rule Rule) { c.verdict.Checked[rule]++ }
 
-// micros converts a duration to the unit of the history.
+// micros converts a duration to microseconds, the unit of the history.
 func micros(d time.Duration) int64 { return d.Microseconds() }
--- a/internal/faultlab/checker/destination.go
+++ b/internal/faultlab/checker/destination.go
@@ -8,17 +8,18 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// retryAfter is a wait that a relay was asked for.
+// retryAfter is the wait that a destination demanded of a relay.
 type retryAfter struct {
 	until    int64
-	received history.Event // the response with it
+	received history.Event // when the relay received the response with the Retry-After
 }
 
-// retryAfterRounding is how much earlier than asked a call may come: the header
-// has milliseconds.
+// retryAfterRounding is how much before the end of a Retry-After a call is allowed,
+// since the header is rounded to milliseconds.
 const retryAfterRounding = time.Millisecond
 
-// extendWait records the Retry-After of a response.
+// extendWait records the Retry-After of a response, unless the relay has to wait
+// longer for that destination already.
 func (r *relay) extendWait(answeredCall *call, received history.Event) {
 	if answeredCall.response.RetryAfter <= 0 {
 		return
@@ -29,7 +30,8 @@
 	}
 }
 
-// checkRetryAfter applies RuleRetryAfter to a call.
+// checkRetryAfter applies RuleRetryAfter to a call. Calls that were sent within
+// Rules.RetryAfterSlack after the relay received the Retry-After are allowed.
 func (c *Check) checkRetryAfter(r *relay, e history.Event) {
 	wait, ok := r.waits[e.Destination]
 	if !ok || e.Kind != history.CallReceived {
@@ -43,7 +45,8 @@
 	}
 }
 
-// endpointChanged takes a change that discovery has for all relays.
+// endpointChanged handles a change of an endpoint's phase that discovery announced
+// to all relays.
 func (c *Check) endpointChanged(e history.Event) {
 	if e.Phase == model.Up {
 		delete(c.announcedChanges, e.Endpoint)
@@ -52,7 +55,8 @@
 	}
 }
 
-// changeDelivered takes a change that was written to one relay.
+// changeDelivered handles a change of an endpoint's phase that was written to one
+// relay.
 func (c *Check) changeDelivered(e history.Event) {
 	r := c.relay(e.Relay)
 	if e.Phase == model.Up {
@@ -63,13 +67,15 @@
 	}
 }
 
-// checkDrain applies RuleDrain to a call. A change that was announced counts as
-// delivered after Rules.ListDelay, whether or not it arrived; a process that
-// starts or continues knows it from then on.
+// checkDrain applies RuleDrain to a call. An announced change counts as delivered
+// after Rules.ListDelay, whether or not it arrived. A process that starts or resumes
+// after that counts as having learned of it at its start or resumption.
 func (c *Check) checkDrain(r *relay, e history.Event) {
 	rules := &c.config.Rules
 	change, ok := r.deliveredChanges[e.Endpoint]
-	// An operator may get the answer to a change later than the relay gets the change.
+	// An announcement is recorded when the operator gets the answer to the change, which
+	// may be later than the relay receives the change. So a relay that heard of the
+	// endpoint being up after the drain was announced need not wait for the announcement.
 	if announced, wasAnnounced := c.announcedChanges[e.Endpoint]; wasAnnounced && r.lastUpAt[e.Endpoint] < announced.Time {
 		announced.Time += micros(rules.ListDelay)
 		if !ok || announced.Time < change.Time {
@@ -87,7 +93,7 @@
 	}
 }
 
-// outage takes the begin or end of a destination's outage.
+// outageChanged handles the begin or end of a destination's outage.
 func (c *Check) outageChanged(e history.Event) {
 	if !e.Active {
 		delete(c.outages, e.Destination)
@@ -95,19 +101,21 @@
 	}
 	c.outages[e.Destination] = e
 	for _, r := range c.relays {
-		r.sawOutage[e.Destination] = e.ConnectionsFail // every relay that tries sees a refused connection
+		r.sawOutage[e.Destination] = e.ConnectionsFail // if connections fail, every relay that tries sees it, though no call reaches an endpoint
 	}
 }
 
-// sawFailure records that a relay saw a destination fail during its outage.
+// sawFailure records that a call of a relay failed at a destination; it has an effect
+// only during an outage of the destination.
 func (c *Check) sawFailure(r *relay, destination int) {
 	if _, down := c.outages[destination]; down {
 		r.sawOutage[destination] = true
 	}
 }
 
-// overloaded applies RuleRecoveryLoad to a recovering destination that failed:
-// relays that saw the outage should have sent little.
+// destinationOverloaded applies RuleRecoveryLoad to a destination that was overloaded
+// while it recovered. The rule is violated if at least Rules.BlameFraction of the
+// calls came from relays that saw the outage, and so should have sent little.
 func (c *Check) destinationOverloaded(e history.Event) {
 	c.recordCheck(RuleRecoveryLoad)
 	rules := &c.config.Rules
--- a/internal/faultlab/checker/linear.go
+++ b/internal/faultlab/checker/linear.go
@@ -10,14 +10,16 @@
 	"plovershore/internal/faultlab/history"
 )
 
-// linearTimeout ends the search for an order of operations without a verdict.
+// linearTimeout limits the search for an order of operations. A search that reaches
+// it ends without a verdict.
 const linearTimeout = 20 * time.Second
 
-// unwritten is the value of the register before its first write: a read may then
-// return anything.
+// unwritten is the state of the register before its first write and after a restore
+// from a backup: a read may then return anything.
 const unwritten = int64(-1)
 
-// register is a sequential model of one value that is written and read.
+// registerModel is a sequential model of a register: one value that is written and
+// read.
 var registerModel = porcupine.Model{
 	Init: func() any { return unwritten },
 	Step: func(state, input, _ any) (bool, any) {
@@ -36,14 +38,15 @@
 	},
 }
 
-// checkLinearizable applies RuleLinear to the operations on the register.
+// checkLinearizable applies RuleLinearizable to the operations on the register. It leaves out
+// reads that were not answered.
 func (c *Check) checkLinearizable() {
 	var operations []history.Event
 	var spans []interval
 	for _, e := range c.operations {
 		answered := e.Status != 0
 		if !answered && e.Text == history.OpRead {
-			continue // nobody knows what it read
+			continue // the value that it read is unknown
 		}
 		span := interval{begin: e.DueAt, end: e.Time}
 		if !answered {
@@ -51,12 +54,13 @@
 		}
 		operations, spans = append(operations, e), append(spans, span)
 	}
-	c.checkOrder(RuleLinear, "register", registerModel, operations, spans)
+	c.checkOrder(RuleLinearizable, "register", registerModel, operations, spans)
 }
 
-// checkOrder applies a rule by which operations, each at some moment of its span,
-// have an order that a model allows. One without an answer has a span without an
-// end: it may take effect at any later moment, or never.
+// checkOrder applies a rule that demands linearizability: there is an order of the
+// operations that the model allows and in which each takes effect at some moment
+// within its span. An operation without an answer has a span without an end: it may
+// take effect at any later moment, or never.
 func (c *Check) checkOrder(rule Rule, subject string, model porcupine.Model, events []history.Event, spans []interval) {
 	if len(events) == 0 {
 		return
@@ -69,7 +73,7 @@
 		}
 		operation := porcupine.Operation{ClientId: clients[e.Relay], Input: e, Call: spans[i].begin, Return: spans[i].end}
 		if operation.Return == math.MaxInt64 {
-			operation.ClientId = len(events) + i // its client goes on to the next
+			operation.ClientId = len(events) + i // a client of its own, since the real one continues with its next operation
 		}
 		operations = append(operations, operation)
 	}
--- a/internal/faultlab/checker/list.go
+++ b/internal/faultlab/checker/list.go
@@ -6,13 +6,13 @@
 	"plovershore/internal/faultlab/history"
 )
 
-// listState is what the watchers of the list service have received.
+// listState records what the watchers of the list service have received.
 type listState struct {
-	contents map[listContent]history.Event // the first update with that content
-	last     map[string]history.Event      // of each watcher
+	contents map[listContent]history.Event // the first update received for each listContent
+	last     map[string]history.Event      // the last update of each watcher
 }
 
-// listContent identifies an update: all watchers have to receive the same for it.
+// listContent identifies an update. All watchers must receive the same members for it.
 type listContent struct {
 	epoch    string
 	revision int64
@@ -23,8 +23,8 @@
 	return listState{contents: map[listContent]history.Event{}, last: map[string]history.Event{}}
 }
 
-// listUpdateReceived applies RuleList: each watcher receives every revision of an epoch
-// once and in order, and all receive the same of one revision.
+// listUpdateReceived applies RuleList: each watcher receives every revision of an
+// epoch once and in order, and all watchers receive the same for one revision.
 func (c *Check) listUpdateReceived(e history.Event) {
 	c.recordCheck(RuleList)
 	watcher := e.Relay
@@ -50,7 +50,7 @@
 	content := listContent{e.Text, e.Revision(), e.Phase}
 	if first, ok := c.list.contents[content]; !ok {
 		c.list.contents[content] = e
-	} else if first.FirstMessage != e.FirstMessage { // the hash
+	} else if first.FirstMessage != e.FirstMessage { // FirstMessage holds a hash of the members
 		c.recordViolation(RuleList, watcher, "", fmt.Sprintf("revision %d differs from what %s received", e.Revision(), first.Relay), first, e)
 	}
 }
--- a/internal/faultlab/checker/message.go
+++ b/internal/faultlab/checker/message.go
@@ -7,22 +7,23 @@
 	"plovershore/internal/faultlab/history"
 )
 
-// message is what is known of one message.
+// message holds what the history says about one message so far.
 type message struct {
 	submitted     history.Event
 	accepted      history.Event
-	completed     history.Event // the first final response: a response or a notice
+	completed     history.Event // the first event that completed it: a ResponseReceived or a Notice
 	rejected      history.Event
 	deadline      int64
 	nonIdempotent bool
 	calls         []*call
 	executed      []history.Event
-	lastSeen      int64  // when anything was last recorded of it
-	excuse        string // why it need not be completed; empty for none
-	forgotten     bool   // its relay was set back: its history so far is not held against it
+	lastSeen      int64  // the time of the last event about it
+	excuse        string // why RuleCompletion does not apply to it; empty if it applies
+	forgotten     bool   // its relay continued from an older copy of its log and may have lost what it knew of the message
 }
 
-// feedMessage takes an event between a client and a relay.
+// feedMessage handles an event between a client and a relay, and calls that no
+// submitted message explains.
 func (c *Check) feedMessage(e history.Event) {
 	switch e.Kind {
 	case history.MessageSubmitted:
@@ -46,8 +47,8 @@
 	}
 }
 
-// seen returns a message of which something is recorded now; nil for one that no
-// client submitted.
+// touchMessage returns the message with an ID and notes that an event about it was
+// recorded now. It returns nil if no client submitted such a message.
 func (c *Check) touchMessage(id string, now int64) *message {
 	m := c.messages[id]
 	if m != nil {
@@ -56,7 +57,8 @@
 	return m
 }
 
-// submission is the event by which a message was submitted, if it was.
+// submission returns the event with which a message was submitted, or the zero event
+// if none was.
 func (c *Check) submission(id string) history.Event {
 	if m := c.messages[id]; m != nil {
 		return m.submitted
@@ -78,7 +80,8 @@
 
 const rejectedButSent = "rejected, but sent all the same"
 
-// notice takes the final response that a relay sent through discovery.
+// noticeReceived handles a notice: the final response that a relay sent through
+// discovery.
 func (c *Check) noticeReceived(e history.Event) {
 	m := c.touchMessage(e.Message, e.Time)
 	switch {
@@ -86,7 +89,7 @@
 		c.recordViolation(RuleValidCall, e.Message, e.Relay, "a notice of a message that no client submitted", history.Event{}, e)
 		return
 	case m.completed.Kind != "":
-		return // a second notice does no harm
+		return // the message is completed already; a repeated notice is allowed
 	}
 	m.completed = e
 	acknowledged := m.accepted.Kind != ""
@@ -106,7 +109,8 @@
 	}
 }
 
-// checkCompletion applies RuleCompletion to a message that was accepted.
+// checkCompletion applies RuleCompletion to a message. Only accepted messages without
+// an excuse need a final response.
 func (c *Check) checkCompletion(id string, m *message) {
 	if m.accepted.Kind == "" {
 		return
--- a/internal/faultlab/checker/process.go
+++ b/internal/faultlab/checker/process.go
@@ -10,29 +10,30 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// startTimeout is how long a relay has until it is ready.
+// startTimeout is how long a relay may take from its start until it is ready.
 const startTimeout = 30 * time.Second
 
-// interval is a span of the run's time; end is 0 while it lasts.
+// interval is a span of time in a run, in microseconds. The end of an absence that
+// has not ended yet is 0.
 type interval struct{ begin, end int64 }
 
-// relay is what is known of a relay, over all of its processes.
+// relay holds what the history says about a relay, across all of its processes.
 type relay struct {
 	name             string
-	pid              int // of the present process
+	pid              int // the PID of the current process
 	started          history.Event
 	ready            history.Event
-	signaled         history.Event         // the last signal that ends the present process
-	signals          map[int]history.Event // the same by process: during an upgrade there are two
+	signaled         history.Event         // the last SIGTERM or SIGKILL to the current process
+	signals          map[int]history.Event // the last SIGTERM or SIGKILL by PID: during an upgrade there are two processes
 	resumedAt        int64
-	absences         []interval // when nothing was due from it
+	absences         []interval // spans in which it was not running or not ready, and so could not meet deadlines
 	deliveredChanges map[string]history.Event
-	lastUpAt         map[string]int64 // when it was last told that an endpoint is up
+	lastUpAt         map[string]int64 // when the relay was last told that an endpoint is up, by endpoint
 	waits            map[int]retryAfter
-	sawOutage        map[int]bool // destinations that it saw fail in their last outage
+	sawOutage        map[int]bool // whether it saw a destination fail in its last outage, by destination
 }
 
-// relay returns the state of a relay, new if it is seen for the first time.
+// relay returns the state of a relay, and creates it at the relay's first event.
 func (c *Check) relay(name string) *relay {
 	r := c.relays[name]
 	if r == nil {
@@ -49,7 +50,7 @@
 	return r
 }
 
-// feedProcess takes an event of a process.
+// feedProcess handles an event of a relay's process.
 func (c *Check) feedProcess(e history.Event) {
 	switch e.Kind {
 	case history.ProcessStarted:
@@ -73,7 +74,7 @@
 func (r *relay) start(e history.Event) {
 	r.started, r.pid = e, e.PID
 	r.ready, r.signaled = history.Event{}, history.Event{}
-	clear(r.waits) // a restart ends them
+	clear(r.waits) // a restarted relay does not know the Retry-Afters of the process before
 	r.beginAbsence(e.Time)
 }
 
@@ -94,8 +95,9 @@
 	}
 }
 
-// excusedUntil moves a moment at which something is due behind the absence in
-// which it falls, and the time that a restart is given.
+// excusedUntil returns the time at which something is due from a relay, given when it
+// would be due without absences. A due time during an absence, or during the grace
+// after it, moves to the end of that grace.
 func (c *Check) excusedUntil(r *relay, due int64) int64 {
 	rules := &c.config.Rules
 	for _, absence := range r.absences {
@@ -114,7 +116,7 @@
 	if e.Text == syscall.SIGTERM.String() || e.Text == syscall.SIGKILL.String() {
 		r.signals[e.PID] = e
 	}
-	if e.PID != r.pid { // of the process before, during an upgrade
+	if e.PID != r.pid { // the signal went to the old process during an upgrade
 		return
 	}
 	switch e.Text {
@@ -133,7 +135,8 @@
 	}
 }
 
-// checkKilledAfterTerm applies RuleShutdown to a process that had to be killed.
+// checkKilledAfterTerm applies RuleShutdown to a process that was killed after it had
+// received SIGTERM.
 func (c *Check) checkKilledAfterTerm(r *relay, kill history.Event) {
 	if r.signaled.Text != syscall.SIGTERM.String() || r.signaled.PID != kill.PID {
 		return
@@ -165,8 +168,8 @@
 	}
 }
 
-// folderChanged excuses what no relay can keep when its state directory was
-// changed while it was down.
+// folderChanged excuses the messages that a relay cannot complete because its state
+// directory was lost, damaged or replaced by an older copy while it was down.
 func (c *Check) folderChanged(e history.Event) {
 	for _, m := range c.messages {
 		if m.submitted.Relay != e.Relay {
@@ -180,13 +183,13 @@
 		case e.Text == history.FolderLost:
 			m.excuse = "the folder was lost"
 		default:
-			m.excuse = "the folder was damaged" // it may still not be sent twice
+			m.excuse = "the folder was damaged" // this excuses only completion: the message must still not be sent twice
 		}
 	}
 }
 
-// excuseForgotten excuses a message whose relay continues from an older copy of its log:
-// it does not know what came after that copy.
+// excuseForgotten excuses a message whose relay continues from an older copy of its
+// log, since the relay does not know what happened after the copy was made.
 func (m *message) excuseForgotten(copiedAt int64, wasPending bool) {
 	if m.lastSeen < copiedAt {
 		return
@@ -197,7 +200,7 @@
 	}
 }
 
-// usageSampled applies RuleLimits.
+// usageSampled applies RuleLimits to a sample of what a relay's process uses.
 func (c *Check) usageSampled(r *relay, e history.Event) {
 	c.recordCheck(RuleLimits)
 	limits := &c.config.Limits
@@ -216,7 +219,8 @@
 	}
 }
 
-// invalidPeerFinished applies RuleInvalidPeer where the relay was present all the time.
+// invalidPeerFinished applies RuleInvalidPeer to the outcome of an invalid peer's
+// connection, unless the relay was absent at any time since the peer connected.
 func (c *Check) invalidPeerFinished(e history.Event) {
 	r := c.relay(e.Relay)
 	connectedAt := e.Time - e.Took
@@ -236,7 +240,8 @@
 	}
 }
 
-// checkStart applies RuleStart to a relay that never became ready.
+// checkStart applies RuleStart to the last process of a relay: it violates the rule if
+// it neither became ready within startTimeout nor was told to end.
 func (c *Check) checkStart(r *relay) {
 	isRelay := r.started.Kind != "" && r.started.Text != history.NodeProcess
 	if isRelay && r.ready.Kind == "" && r.signaled.Kind == "" && c.lastTime-r.started.Time > micros(startTimeout) {
--- a/internal/faultlab/checker/roles.go
+++ b/internal/faultlab/checker/roles.go
@@ -11,8 +11,8 @@
 	"plovershore/internal/faultlab/history"
 )
 
-// checkRoles applies RuleRoleSteps and RuleFenced to what the leaders of each
-// role counted.
+// checkRoles applies RuleRoleSteps to the steps that were counted for each role, and
+// RuleFenced to those that the role's leaders requested.
 func (c *Check) checkRoles() {
 	counted, requested := map[string][]history.Event{}, map[string][]history.Event{}
 	for _, e := range c.roleSteps {
@@ -32,7 +32,8 @@
 }
 
 // checkSteps applies RuleRoleSteps: no step counts twice, and none counts under an
-// older token than the step before it. Steps whose answer was lost leave gaps.
+// older token than the step before it. Gaps are allowed, since steps whose answer was
+// lost are not in the list.
 func (c *Check) checkSteps(role string, steps []history.Event) {
 	slices.SortStableFunc(steps, func(a, b history.Event) int {
 		return cmp.Or(cmp.Compare(a.Step(), b.Step()), cmp.Compare(a.Token(), b.Token()))
@@ -58,30 +59,31 @@
 	}
 }
 
-// fence is the state of a fenced register: the last step, its token, and whether
-// that token was rejected since.
+// fence is the state of a fenced register: the last step, the newest token, and
+// whether that token was rejected since.
 type fence struct {
 	step     int
 	token    int64
 	rejected bool
 }
 
-// fencedRegisterModel is a sequential model of the steps: each counts one on, under a
-// token that is no older than the last one and was never rejected.
+// fencedRegisterModel is a sequential model of a role's steps: each step counts one
+// further than the last, under a token that is no older than the last one and was
+// not rejected before.
 var fencedRegisterModel = porcupine.Model{
 	Init: func() any { return fence{} },
 	Step: func(state, input, _ any) (bool, any) {
 		current, e := state.(fence), input.(history.Event)
 		counts := e.Step() == current.step+1 && (e.Token() > current.token || e.Token() == current.token && !current.rejected)
 		switch e.Phase {
-		case history.StepFenced: // a newer token was granted before, or its own ended
+		case history.StepFenced: // the step's token had ended, or a newer token had been granted
 			if e.Token() >= current.token {
 				current.token, current.rejected = e.Token(), true
 			}
 			return true, current
 		case history.StepUnanswered:
 			if !counts {
-				return true, current // it never came, or was rejected
+				return true, current // the request did not arrive, or was rejected
 			}
 		}
 		return counts, fence{step: e.Step(), token: e.Token()}
@@ -92,7 +94,8 @@
 	},
 }
 
-// checkFenced applies RuleFenced to the steps that the leaders of a role requested.
+// checkFenced applies RuleFenced to the steps that the leaders of a role requested. A
+// step spans the time from its request to its answer.
 func (c *Check) checkFenced(role string, steps []history.Event) {
 	var spans []interval
 	for _, e := range steps {
--- a/internal/faultlab/checker/verdict.go
+++ b/internal/faultlab/checker/verdict.go
@@ -14,24 +14,24 @@
 
 // The rules for a message.
 const (
-	RuleCompletion    Rule = "end"       // an accepted message has its one final response in time
-	RuleNoRepeat      Rule = "repeat"    // a non-idempotent message that may have run is not sent or handed back
-	RuleRunsOnce      Rule = "effect"    // a non-idempotent message takes effect once
+	RuleCompletion    Rule = "end"       // an accepted message gets its one final response in time
+	RuleNoRepeat      Rule = "repeat"    // a non-idempotent message that may have run is neither sent again nor handed back
+	RuleRunsOnce      Rule = "effect"    // a non-idempotent message takes effect at most once
 	RuleSingleAttempt Rule = "one-out"   // one attempt of a message is in flight at a time
-	RuleAttempts      Rule = "attempts"  // attempts are limited
+	RuleAttempts      Rule = "attempts"  // a message has at most Rules.MaxAttempts attempts
 	RuleRejected      Rule = "refused"   // a rejected message is not sent
-	RuleSingleAnswer  Rule = "answer"    // a request has one answer
+	RuleSingleAnswer  Rule = "answer"    // a client's request has one answer
 	RuleAfterNotice   Rule = "after-end" // a message is not sent after its notice
-	RuleValidCall     Rule = "form"      // calls and notices are of messages that a client submitted
-	RuleRetryAfter    Rule = "wait"      // a destination that asked to wait is left alone
-	RuleDrain         Rule = "drain"     // a draining endpoint is left alone
+	RuleValidCall     Rule = "form"      // calls and notices are for messages that a client submitted
+	RuleRetryAfter    Rule = "wait"      // a destination gets no calls before the end of its Retry-After
+	RuleDrain         Rule = "drain"     // a draining or removed endpoint gets no calls once the grace after its change has ended
 	RuleRecoveryLoad  Rule = "topple"    // a recovering destination is not overloaded
 )
 
 // The rules for a process.
 const (
-	RuleInvalidPeer Rule = "peer"   // an invalid peer gets an error or a close in time
-	RuleLimits      Rule = "limits" // memory, descriptors and disk are limited
+	RuleInvalidPeer Rule = "peer"   // an invalid peer gets an error line or a closed connection in time
+	RuleLimits      Rule = "limits" // a relay stays within its limits for memory, descriptors and disk
 	RuleShutdown    Rule = "term"   // SIGTERM ends the process in time
 	RuleCrash       Rule = "crash"  // a process ends only when it is told to
 	RuleStart       Rule = "start"  // a process becomes ready in time
@@ -39,11 +39,11 @@
 
 // The rules for the list service and its controllers.
 const (
-	RuleList      Rule = "list"   // every watcher receives each revision once, in order, and all the same
-	RuleChange    Rule = "change" // every relay applies each change once, in order
-	RuleLinear    Rule = "linear" // operations on a register are linearizable
-	RuleRoleSteps Rule = "duty"   // a step of a role counts once, under tokens that never decrease
-	RuleFenced    Rule = "fenced" // the steps of a role are those of a fenced register
+	RuleList         Rule = "list"   // every watcher receives each revision once and in order, and all receive the same
+	RuleChange       Rule = "change" // every relay applies each change once, in order
+	RuleLinearizable Rule = "linear" // operations on a register are linearizable
+	RuleRoleSteps    Rule = "duty"   // a step of a role counts at most once, under tokens that never decrease
+	RuleFenced       Rule = "fenced" // the steps of a role behave like operations on a fenced register
 )
 
 // Violation is one violated rule.
@@ -52,8 +52,8 @@
 	Subject string        `json:"subject"` // a message or a process
 	Message string        `json:"text"`
 	First   history.Event `json:"first"`  // the event that made the rule apply
-	Second  history.Event `json:"second"` // the event that contradicts it; without a kind if nothing came
-	File    string        `json:"file"`   // to read on
+	Second  history.Event `json:"second"` // the event that contradicts it; the zero event if an expected event is missing
+	File    string        `json:"file"`   // the log or history that explains more
 }
 
 // String describes the violation in one line.
@@ -70,10 +70,10 @@
 
 // Verdict is the result of a check. The zero value is not usable; see NewVerdict.
 type Verdict struct {
-	Violations []Violation    `json:"broken"` // the first of each rule
-	Counts     map[Rule]int   `json:"counts"` // of all violations
-	Checked    map[Rule]int   `json:"judged"` // how often each rule was applied: one never applied proves nothing
-	Excused    map[string]int `json:"excused"`
+	Violations []Violation    `json:"broken"`  // the first few violations of each rule
+	Counts     map[Rule]int   `json:"counts"`  // number of all violations, by rule
+	Checked    map[Rule]int   `json:"judged"`  // how often each rule was applied; a rule that was never applied has not been tested
+	Excused    map[string]int `json:"excused"` // number of messages and operations that were not checked, by reason
 }
 
 // NewVerdict returns an empty verdict.
@@ -81,10 +81,12 @@
 	return Verdict{Counts: map[Rule]int{}, Checked: map[Rule]int{}, Excused: map[string]int{}}
 }
 
-// OK reports whether no rule was violated.
+// OK reports whether no rule was violated. A rule that was never applied counts as
+// not violated.
 func (v *Verdict) OK() bool { return len(v.Counts) == 0 }
 
-// Add counts a violation, and keeps it if it is one of the first limit of its rule.
+// Add counts a violation, and keeps it if fewer than limit violations of its rule were
+// counted before.
 func (v *Verdict) Add(violation Violation, limit int) {
 	v.Counts[violation.Rule]++
 	if v.Counts[violation.Rule] <= limit {
@@ -92,7 +94,7 @@
 	}
 }
 
-// sort orders the violations by when each was seen.
+// sort orders the violations by the time of the event that showed them.
 func (v *Verdict) sort() {
 	slices.SortStableFunc(v.Violations, func(a, b Violation) int { return cmp.Compare(a.Second.Time, b.Second.Time) })
 }
