--- a/internal/faultlab/model/agent.go
+++ b/internal/faultlab/model/agent.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	watchIdleInterval = 2 * time.Second // between the empty lines of a watch without changes
-	maxNotices        = 1 << 20         // bytes of one request
+	watchIdleInterval = 2 * time.Second // interval of the empty lines that a watch without changes gets
+	maxNotices        = 1 << 20         // largest request with notices, in bytes
 )
 
-// NoticeFunc takes a notice: the message's ID, its outcome, and the milliseconds to
-// wait before a retry, 0 for none.
+// NoticeFunc is called for a notice with the message's ID, its outcome, and how long
+// the client should wait before a retry; 0 if the notice does not say.
 type NoticeFunc func(id, outcome string, retryAfterMS int64)
 
-// Agent is discovery on one relay's machine. It is safe for concurrent use.
+// Agent simulates the discovery agent on one relay's machine: it serves the endpoint
+// list to the relay and receives its notices. It is safe for concurrent use.
 type Agent struct {
 	*Listener
 	Relay string
@@ -33,10 +34,10 @@
 
 	mu              sync.Mutex
 	list            List
-	log             []List // the changes, by revision
+	log             []List // the changes in the order of their revisions
 	removed         map[string]Member
-	deliveredPhases map[string]string // of each endpoint, as the relay has it
-	changed         chan struct{}     // closed at the next change
+	deliveredPhases map[string]string // by endpoint, the phase that was last written to the relay
+	changed         chan struct{}     // closed and replaced at each change
 }
 
 // NewAgent starts the agent of one relay at an address of ip. onNotice is called
@@ -64,7 +65,7 @@
 	return a, nil
 }
 
-// Known is the list as the agent has it.
+// Known returns a copy of the list as the agent currently knows it.
 func (a *Agent) Known() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,11 +74,12 @@
 	return list
 }
 
-// Started records that a process of the relay begins with this list in its
-// configuration.
+// Started records that a process of the relay starts with this list in its
+// configuration; the list counts as delivered.
 func (a *Agent) Started(list List) { a.recordDelivered(list) }
 
-// change takes a change of the list.
+// applyChange applies a change of an endpoint's phase to the list and publishes it to
+// watches. It ignores a change of an endpoint that is not known.
 func (a *Agent) applyChange(revision int64, id, phase string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,8 +93,9 @@
 	a.changed = make(chan struct{})
 }
 
-// applyPhase puts a member of the list into another phase and returns it; false for
-// one that is not known. a.mu is held.
+// applyPhase puts a member of the list into another phase and returns it. An endpoint
+// that becomes up again after its removal returns to the list. It reports false for
+// an endpoint that is not known. The caller holds a.mu.
 func (a *Agent) applyPhase(id, phase string) (member Member, ok bool) {
 	members := slices.Clone(a.list.Members)
 	i := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
@@ -118,8 +121,8 @@
 	return member, true
 }
 
-// since returns the changes after a revision, or the complete list if that revision
-// is not known, and what is closed at the next change.
+// changesSince returns the changes after a revision, or the complete list if that
+// revision is not known, and a channel that is closed at the next change.
 func (a *Agent) changesSince(revision int64) ([]List, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -163,7 +166,8 @@
 	a.serveWatch(w, r, from)
 }
 
-// serveWatch writes the changes after a revision until the request ends.
+// serveWatch writes the changes after a revision, and empty lines while there are
+// none, until the request ends.
 func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request, from int64) {
 	out := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
@@ -196,7 +200,8 @@
 	}
 }
 
-// recordDelivered records what a list that was written to the relay changes for it.
+// recordDelivered records the phases that a list, which was written to the relay,
+// changes compared with the lists before it.
 func (a *Agent) recordDelivered(list List) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -206,8 +211,9 @@
 	}
 }
 
-// DeliveredChanges returns what a list changes beside the phases that were delivered
-// before, and updates those. A complete list removes each endpoint that it leaves out.
+// DeliveredChanges returns the changes between the phases that were delivered before
+// and those of a list, and updates delivered to the list. A complete list removes each
+// endpoint that it leaves out. An endpoint that is new and up is not a change.
 func DeliveredChanges(delivered map[string]string, list List) (changes []history.Event) {
 	deliver := func(id, phase string) {
 		before, known := delivered[id]
@@ -239,8 +245,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// RecordNotices records notices from a relay, or from whoever sent them in its
-// place, and passes them on.
+// RecordNotices records the notices of a relay, or those sent on its behalf after a
+// failover, and passes each to onNotice.
 func RecordNotices(recorder *history.Recorder, from string, notices []discovery.Notice, onNotice NoticeFunc) {
 	for _, n := range notices {
 		retryAfter := time.Duration(n.RetryMS) * time.Millisecond
--- a/internal/faultlab/model/call.go
+++ b/internal/faultlab/model/call.go
@@ -18,35 +18,35 @@
 	batchPath   = "/v1/messages:batch"
 	idHeader    = "X-Request-ID"
 
-	maxItems                = 64  // messages of a batch that is parsed at all
-	batchItemCost           = 0.1 // of the service time, for each message of a batch after the first
+	maxItems                = 64  // a batch with more messages is rejected, whatever Endpoint.MaxBatch allows
+	batchItemCost           = 0.1 // fraction of the service time that each message of a batch after the first adds
 	failEarlyFraction       = 0.5 // fraction of failing calls that fail before they take effect
-	abortEarlyFraction      = 0.5 // fraction of aborted calls that stop before they take effect
+	abortEarlyFraction      = 0.5 // fraction of the calls aborted during service that stop before they take effect
 	readableCorruptFraction = 0.5 // fraction of corrupt responses whose status line can be read
 )
 
-// call is one complete call to an endpoint.
+// call is one call that an endpoint has received completely.
 type call struct {
 	id              int64
 	route           route
 	req             *http.Request
 	body            []byte
 	fault           Fault
-	overloaded      bool // its upstream is, and rejects everything
-	exceedsMaxConns bool // the connection is one too many
+	overloaded      bool // the upstream is overloaded and rejects every call
+	exceedsMaxConns bool // the connection was opened when the endpoint had MaxConns already
 
 	items    []item
 	isBatch  bool
-	verdicts []callVerdict // of the items
+	verdicts []callVerdict // one for each item
 }
 
-// item is a message of a batch.
+// item is one message of a call, in the form that a batch has it.
 type item struct {
 	ID   string `json:"id"`
 	Body []byte `json:"body"`
 }
 
-// ids are the IDs of the call's messages.
+// ids returns the IDs of the call's messages.
 func (c *call) ids() []string {
 	ids := make([]string, len(c.items))
 	for i, item := range c.items {
@@ -55,7 +55,8 @@
 	return ids
 }
 
-// handle takes a call to its response.
+// handle serves a call and returns its response, or the zero response if the
+// connection shall end without one.
 func (e *Endpoint) handle(ctx context.Context, c *call) response {
 	now := time.Now()
 	invalidStatus := e.parse(c)
@@ -85,8 +86,8 @@
 	return e.execute(ctx, c, serviceTime)
 }
 
-// parse reads the messages of a call; it returns the status of the response to an
-// invalid one, or 0.
+// parse reads the messages of a call into c.items. It returns the status with which
+// an invalid call is answered, or 0 for a valid one.
 func (e *Endpoint) parse(c *call) (invalidStatus int) {
 	switch {
 	case c.req.Method != http.MethodPost:
@@ -116,8 +117,9 @@
 	return 0
 }
 
-// receive sets the call's messages beside the ledger and draws how long they take;
-// false if one of them should not have come.
+// receive looks up the call's messages in the ledger and draws how long it takes to
+// serve them. It reports false if a message is unknown or belongs to another
+// destination.
 func (e *Endpoint) receive(c *call, now time.Time) (serviceTime time.Duration, valid bool) {
 	destination := e.Upstream.Destination
 	c.verdicts = make([]callVerdict, len(c.items))
@@ -140,7 +142,8 @@
 	return serviceTime + time.Duration(batchItemCost*float64(serviceTime))*extra, true
 }
 
-// admit applies the limits of endpoint and upstream.
+// admit applies the limits of the endpoint and its upstream. It returns the response
+// to a call that they reject.
 func (e *Endpoint) admit(c *call, now time.Time) (resp response, rejected bool) {
 	if c.exceedsMaxConns {
 		resp = response{isLast: true}
@@ -158,8 +161,8 @@
 	return e.statusResponse(http.StatusServiceUnavailable, report), true
 }
 
-// settled answers a call for one message that can no longer be delivered. In a
-// batch, each message has its state.
+// answerUndeliverable answers a single-message call if the message has expired or has no
+// attempts left. It leaves batches alone: their response has a state for each message.
 func (e *Endpoint) answerUndeliverable(c *call) (resp response, final bool) {
 	if c.isBatch {
 		return response{}, false
@@ -175,7 +178,8 @@
 	return response{}, false
 }
 
-// execute serves a call that was admitted, as far as its fault allows.
+// execute serves an admitted call for its service time, and applies the call's fault
+// to its execution and response.
 func (e *Endpoint) execute(ctx context.Context, c *call, serviceTime time.Duration) response {
 	draw := e.Upstream.drawFloat
 	if c.fault.Silent {
@@ -206,7 +210,8 @@
 	return resp
 }
 
-// recordExecution records the messages of a call that take effect.
+// recordExecution records that the messages of a call take effect, except those that
+// have expired or have no attempts left.
 func (e *Endpoint) recordExecution(c *call) {
 	for i, item := range c.items {
 		switch c.verdicts[i] {
@@ -216,8 +221,8 @@
 	}
 }
 
-// ParseCall reads the message IDs of the call that a relay wrote on a connection;
-// complete is false if it did not write all of it.
+// ParseCall returns the message IDs of a call from the bytes that a relay wrote to a
+// connection. complete reports whether the relay wrote the whole call.
 func ParseCall(written []byte) (ids []string, complete bool) {
 	req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(written)))
 	if err != nil {
--- a/internal/faultlab/model/class.go
+++ b/internal/faultlab/model/class.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Class is a class of message, with the figures that the brief gives for it.
+// Class describes a class of messages, with the figures that the site's brief gives
+// for it.
 type Class struct {
 	Name             string
-	Fraction         float64       // of the traffic
-	LatencyObjective time.Duration // a message delivered within this keeps its whole weight
-	Deadline         time.Duration
-	Weight           float64
-	LateFraction     float64 // of the weight that is left at the deadline
-	NonIdempotent    bool    // must not be repeated once it may have taken effect
-	ServiceTime      minMax  // at an upstream with a LatencyFactor of 1
+	Fraction         float64       // fraction of all messages that are of this class
+	LatencyObjective time.Duration // a message delivered within this time has its whole Weight
+	Deadline         time.Duration // a message delivered later has no value
+	Weight           float64       // value of a message delivered in time
+	LateFraction     float64       // fraction of Weight that a message has at least until its deadline
+	NonIdempotent    bool          // must not be repeated once it may have taken effect
+	ServiceTime      minMax        // range of service times at an upstream with a LatencyFactor of 1
 }
 
-// negligible is the fraction of a weight below which it is not halved further.
+// negligibleFraction is the fraction of a weight below which it is not halved further.
 const negligibleFraction = 0.001
 
-// Classes returns the two classes of the site.
+// Classes returns the two classes of messages of the simulated site.
 func Classes() []Class {
 	const ms = time.Millisecond
 	return []Class{
@@ -28,9 +29,10 @@
 	}
 }
 
-// Value is the weight of a message that is delivered so long after it was due: it
-// halves with each further LatencyObjective, down to LateFraction at the deadline,
-// and is 0 after it.
+// Value returns the value of a message that is delivered the given time after it was
+// due. It is Weight within LatencyObjective and halves with each further
+// LatencyObjective that has begun, but is at least LateFraction of Weight until the
+// deadline. It is 0 after the deadline.
 func (c *Class) Value(after time.Duration) float64 {
 	if after > c.Deadline {
 		return 0
--- a/internal/faultlab/model/client_conn.go
+++ b/internal/faultlab/model/client_conn.go
@@ -17,13 +17,13 @@
 	commandPut = "MSG.PUT"
 	account    = "0000000000000000"
 
-	answerOK   = "+"     // a status line; the message is accepted
-	answerBulk = "$"     // a bulk string; the message is accepted
-	answerBusy = "-BUSY" // with the milliseconds to wait, if any
-	answerErr  = "-"
+	answerOK   = "+"     // begins a status line: the message is accepted
+	answerBulk = "$"     // begins a bulk string: the message is accepted
+	answerBusy = "-BUSY" // begins a rejection; the milliseconds to wait may follow
+	answerErr  = "-"     // begins an error line
 
-	extraPeekTimeout = 50 * time.Microsecond // to find bytes that have come already
-	extraReadTimeout = 10 * time.Millisecond // for the rest of their line
+	extraPeekTimeout = 50 * time.Microsecond // long enough to see bytes that have arrived already
+	extraReadTimeout = 10 * time.Millisecond // time for the rest of their line to arrive
 )
 
 // isAccepted reports whether an answer accepts the message.
@@ -35,22 +35,24 @@
 type clientConn struct {
 	net.Conn
 	in          *bufio.Reader
-	lastMessage string // the message that was answered last; empty for none
+	lastMessage string // ID of the message that was answered last; empty if none was
 }
 
-// extraResponse returns what came after the last answer, where nothing may come.
+// extraResponse returns what an idle connection received after its last answer; a
+// correct relay sends nothing.
 func (conn *clientConn) extraResponse() string {
 	conn.SetReadDeadline(time.Now().Add(extraPeekTimeout))
 	if _, err := conn.in.Peek(1); err != nil {
-		return "" // nothing, or a close: the next request finds out
+		return "" // nothing arrived, or the connection was closed, which the next request notices
 	}
 	conn.SetReadDeadline(time.Now().Add(extraReadTimeout))
-	line, _ := conn.in.ReadString('\n') // what there is of it
+	line, _ := conn.in.ReadString('\n') // the rest of the line may not arrive in time
 	return line
 }
 
-// conn returns an idle connection to a relay, or a new one; always a new one if
-// fresh is set.
+// getConn returns an idle connection to a relay, or a new one if there is none or if
+// fresh is set. It records and closes idle connections that received an extra
+// response.
 func (c *Clients) getConn(relay string, fresh bool) (*clientConn, error) {
 	for !fresh {
 		idle := c.takeIdle(relay)
@@ -74,7 +76,8 @@
 	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}, nil
 }
 
-// takeIdle takes the idle connection that was used last; nil for none.
+// takeIdle removes and returns the most recently used idle connection to a relay; nil
+// if there is none.
 func (c *Clients) takeIdle(relay string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,8 +96,9 @@
 	c.idle[relay] = append(c.idle[relay], conn)
 }
 
-// exchange sends a request and reads its answer. A reused connection that the relay
-// closed meanwhile is no answer: the request goes out once more on a new one.
+// exchange sends a request and returns the first line of its answer. If it fails on a
+// reused connection, other than by a timeout, the relay had probably closed the idle
+// connection, so the request is sent once more on a new one.
 func (c *Clients) exchange(ctx context.Context, m *Message, resubmit bool, leaveAfter time.Duration) (string, error) {
 	timeout := c.load.ResponseTimeout
 	if leaveAfter > 0 {
@@ -127,7 +131,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// exchange writes a request and reads the first line of its answer.
+// exchange writes a request and returns the first line of its answer, without the line
+// break. It skips the rest of a bulk string.
 func (conn *clientConn) exchange(request []byte) (string, error) {
 	if _, err := conn.Write(request); err != nil {
 		return "", err
@@ -148,7 +153,8 @@
 	return strings.TrimRight(line, "\r\n"), nil
 }
 
-// putRequest is MSG.PUT as the protocol page has it.
+// putRequest returns the MSG.PUT request for a message, in the format of the protocol
+// page. A resubmitted message is marked with again=1, any other retry with r=1.
 func putRequest(m *Message, resubmit bool) []byte {
 	remaining := max(1, time.Until(m.Deadline).Milliseconds())
 	options := fmt.Sprintf("c=%s,d=%d,dest=%d", Classes()[m.Class].Name, remaining, m.Destination)
@@ -160,7 +166,7 @@
 	return RequestBytes(commandPut, account, m.ID, options, string(m.Body))
 }
 
-// RequestBytes is a request of the client protocol: an array of bulk strings.
+// RequestBytes encodes a request of the client protocol: an array of bulk strings.
 func RequestBytes(args ...string) []byte {
 	request := fmt.Appendf(nil, "*%d\r\n", len(args))
 	for _, arg := range args {
--- a/internal/faultlab/model/clients.go
+++ b/internal/faultlab/model/clients.go
@@ -15,19 +15,20 @@
 
 const (
 	clientSeed   = 0x636c6965
-	maxLeaveWait = 100 * time.Millisecond // until a client that disconnects does so
+	maxLeaveWait = 100 * time.Millisecond // longest time after which a leaving client disconnects
 
-	// A client notices that a relay lost its message after resubmitAfter, plus up to
-	// resubmitSpread.
+	// A client notices that a relay lost its message after resubmitAfter plus a random
+	// time of up to resubmitSpread.
 	resubmitAfter  = 800 * time.Millisecond
 	resubmitSpread = 1100 * time.Millisecond
 )
 
-// Clients submit messages at a given rate, whatever becomes of those before,
-// through a load balancer that spreads them over the relays that it believes to be
-// alive. It is safe for concurrent use.
+// Clients simulates the clients of all relays and their load balancer. Messages are
+// submitted at a given rate, regardless of whether earlier ones were answered; the
+// load balancer spreads them over the relays that it believes to be alive. It is safe
+// for concurrent use.
 type Clients struct {
-	OnLateness func(time.Duration) // called with how late each message was begun; set before Run
+	OnLateness func(time.Duration) // called for each message with how late its submission started; set before Run
 
 	world *World
 	load  Load
@@ -35,15 +36,15 @@
 
 	mu         sync.Mutex
 	random     *rand.Rand
-	addrs      map[string]string // of the relays
-	alive      []string          // relays that the load balancer believes in
-	generation map[string]int    // counts a relay's ups and downs
-	idle       map[string][]*clientConn
-	closed     bool // nothing is submitted any more
+	addrs      map[string]string        // address of each relay
+	alive      []string                 // relays that the load balancer believes to be alive
+	generation map[string]int           // by relay, the number of calls of RelayUp and RelayDown
+	idle       map[string][]*clientConn // idle connections by relay
+	closed     bool                     // Run is ending: nothing new is submitted
 }
 
-// NewClients returns the clients of one seed. addrs has the address of each relay;
-// it may be filled until Run.
+// NewClients returns clients that draw from a seed. addrs holds the address of each
+// relay; the caller may still fill it until it calls Run.
 func NewClients(w *World, load Load, addrs map[string]string, seed uint64) *Clients {
 	return &Clients{
 		world:      w,
@@ -56,7 +57,7 @@
 	}
 }
 
-// RelayUp records that a relay answers; the load balancer uses it.
+// RelayUp records that a relay answers; the load balancer uses it from now on.
 func (c *Clients) RelayUp(relay string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +67,8 @@
 	}
 }
 
-// RelayDown records that a relay died or drains; the load balancer notices later.
+// RelayDown records that a relay died or drains. The load balancer notices after a
+// time drawn from Load.FailureDetection.
 func (c *Clients) RelayDown(ctx context.Context, relay string) {
 	c.mu.Lock()
 	c.generation[relay]++
@@ -80,7 +82,8 @@
 	})
 }
 
-// removeRelay takes a relay off the load balancer, unless it has come back.
+// removeRelay removes a relay from the load balancer, unless the relay went up or down
+// again since generation.
 func (c *Clients) removeRelay(relay string, generation int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +92,8 @@
 	}
 }
 
-// start runs work in a goroutine that Run waits for; not once Run is closing.
+// startWork runs work in a goroutine that Run waits for. It does nothing once Run is
+// ending.
 func (c *Clients) startWork(work func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +107,8 @@
 	}()
 }
 
-// Run submits what is due until arriving ends, then waits for what its clients
-// still do; they end with ctx.
+// Run submits messages when they are due until arriving ends, then waits for the
+// clients that are still at work; they end with ctx at the latest.
 func (c *Clients) Run(ctx, arriving context.Context, seed uint64) {
 	start := time.Now()
 	for arrivals := NewArrivals(c.load, seed); ; {
@@ -135,7 +139,7 @@
 	}
 }
 
-// drawBetween draws a duration; c.mu is held.
+// drawBetween draws a duration between two limits. The caller holds c.mu.
 func (c *Clients) drawBetween(limits minMax) time.Duration {
 	return limits[0] + time.Duration(c.random.Float64()*float64(limits[1]-limits[0]))
 }
@@ -156,8 +160,8 @@
 	return body
 }
 
-// backoff draws how long a client waits before its retry; retryAfterMS is 0 if it
-// was not asked to wait.
+// backoff draws how long a client waits before a retry. retryAfterMS is the wait that
+// the relay asked for, or 0 if it asked for none.
 func (c *Clients) backoff(retryAfterMS int64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,13 +172,14 @@
 	return drawn
 }
 
-// Resubmit submits, after a while, a message that was lost with its relay's disk.
+// Resubmit submits a message that was lost with its relay's disk again, after the time
+// in which its client notices the loss.
 func (c *Clients) Resubmit(ctx context.Context, m Message) {
 	c.submitLater(ctx, &m, resubmitAfter+time.Duration(c.drawFloat()*float64(resubmitSpread)), true)
 }
 
-// MessageReturned takes the notice of a message that was handed back; its client
-// may retry.
+// MessageReturned handles the notice that a relay handed a message back; its client
+// submits it again if it has retries left.
 func (c *Clients) MessageReturned(ctx context.Context, id string, retryAfterMS int64) {
 	var returned *Message
 	c.world.Ledger.update(id, func(m *Message) {
@@ -193,7 +198,8 @@
 	}
 }
 
-// submitLater submits a message again after d, under a new ID.
+// submitLater submits a message again after d, under a new ID, if its deadline leaves
+// time for an answer then.
 func (c *Clients) submitLater(ctx context.Context, m *Message, d time.Duration, resubmit bool) {
 	next := &Message{FirstID: m.FirstID, Class: m.Class, Destination: m.Destination, Due: m.Due, Deadline: m.Deadline, Body: m.Body, Attempt: m.Attempt + 1}
 	c.startWork(func() {
@@ -203,7 +209,7 @@
 	})
 }
 
-// submit submits one message and does what its client does after the answer.
+// submit submits one message, and records the answer and retries as its client would.
 // resubmit marks a message that a relay may have accepted before.
 func (c *Clients) submit(ctx context.Context, m *Message, resubmit bool) {
 	leaveAfter := c.prepare(m)
@@ -227,7 +233,7 @@
 		world.Ledger.Accept(m.ID)
 		c.record(m, history.MessageAccepted, "", 0)
 	case strings.HasPrefix(line, answerBusy):
-		retryAfterMS, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimPrefix(line, answerBusy)), 10, 64) // 0 for none
+		retryAfterMS, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimPrefix(line, answerBusy)), 10, 64) // 0 if the answer has no wait
 		world.Ledger.Complete(m.ID)
 		c.record(m, history.MessageRejected, "", time.Duration(retryAfterMS)*time.Millisecond)
 		c.retry(ctx, m, retryAfterMS, false)
@@ -237,8 +243,8 @@
 	}
 }
 
-// prepare draws a message's ID and relay, and after how long its client
-// disconnects; 0 for one that stays.
+// prepare draws the ID and the relay of a message; the relay is empty if none is
+// alive. It returns after how long the client disconnects, or 0 if it stays.
 func (c *Clients) prepare(m *Message) (leaveAfter time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -255,7 +261,7 @@
 	return leaveAfter
 }
 
-// record records what a client got for a message.
+// record records the outcome of a client's request.
 func (c *Clients) record(m *Message, kind history.Kind, text string, retryAfter time.Duration) {
 	c.world.Recorder.Record(history.Event{Kind: kind, Relay: m.Relay, Message: m.ID, Text: text, RetryAfter: retryAfter.Microseconds()})
 }
--- a/internal/faultlab/model/discovery.go
+++ b/internal/faultlab/model/discovery.go
@@ -11,23 +11,23 @@
 	"plovershore/internal/faultlab/history"
 )
 
-// Phases of an endpoint on the list.
+// Phases of an endpoint in the list.
 const (
 	Up       = discovery.Up
 	Draining = discovery.Draining
 	Removed  = discovery.Removed
 )
 
-// Member is one endpoint on the list.
+// Member is one endpoint in the list.
 type Member = discovery.Member
 
-// List is the endpoint list, or a change of it.
+// List is the complete endpoint list, or a change of it.
 type List = discovery.List
 
 const discoverySeed = 0x64697363
 
-// Discovery holds the endpoint list and gives each relay an agent that learns of
-// its changes. It is safe for concurrent use; its creator closes it.
+// Discovery simulates the discovery service: it passes changes of the endpoint list to
+// one agent for each relay. It is safe for concurrent use; its creator closes it.
 type Discovery struct {
 	world *World
 	wg    sync.WaitGroup
@@ -37,18 +37,19 @@
 	revision int64
 	agents   []*Agent
 
-	// A token bucket over the calls to all agents.
+	// A token bucket that limits the calls to all agents together.
 	rateLimit  float64 // calls a second; 0 for no limit
 	tokens     float64
 	lastRefill time.Time
 }
 
-// NewDiscovery returns one without endpoints.
+// NewDiscovery returns a discovery service without agents. It draws from a seed how
+// late each agent learns of a change.
 func NewDiscovery(w *World, seed uint64) *Discovery {
 	return &Discovery{world: w, random: rand.New(rand.NewPCG(seed, discoverySeed)), revision: 1, lastRefill: time.Now()}
 }
 
-// LimitRate limits the calls a second that all agents serve together; 0 lifts the
+// LimitRate limits the calls that all agents together serve in a second; 0 lifts the
 // limit.
 func (d *Discovery) LimitRate(perSecond float64) {
 	d.mu.Lock()
@@ -56,7 +57,7 @@
 	d.rateLimit, d.tokens, d.lastRefill = perSecond, 1, time.Now()
 }
 
-// admits reports whether one more call is served.
+// admits reports whether the rate limit allows one more call, and counts it.
 func (d *Discovery) admits() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,8 +75,8 @@
 	return true
 }
 
-// Change puts an endpoint into another phase. Each agent learns of it after a delay
-// of its own, up to maxDelay, unless ctx ends first.
+// Change puts an endpoint into another phase. Each agent learns of it after a random
+// delay of its own, up to maxDelay, unless ctx ends first.
 func (d *Discovery) Change(ctx context.Context, id, phase string, maxDelay time.Duration) {
 	d.mu.Lock()
 	d.revision++
@@ -97,8 +98,8 @@
 	}
 }
 
-// Close ends all agents and waits for changes on their way; the ctx of each Change
-// must have ended.
+// Close closes all agents and waits for the changes that they have not learned of yet.
+// The ctx of each Change must have ended.
 func (d *Discovery) Close() {
 	for _, agent := range d.agents {
 		agent.Close()
--- a/internal/faultlab/model/endpoint.go
+++ b/internal/faultlab/model/endpoint.go
@@ -16,34 +16,36 @@
 )
 
 const (
-	acceptBackoff  = 5 * time.Millisecond // after a failed accept: out of descriptors, say
-	requestTimeout = 10 * time.Second     // from a request's first byte to its last
-	maxBody        = 64 << 10             // bytes of a request
+	acceptBackoff  = 5 * time.Millisecond // wait after a failed accept, as when descriptors run out
+	requestTimeout = 10 * time.Second     // limit from a request's first byte to its last
+	maxBody        = 64 << 10             // largest body of a request, and largest bulk answer of a relay, in bytes
 )
 
-// Endpoint is one server of an upstream. The exported fields are set before Serve.
+// Endpoint simulates one endpoint of an upstream. The exported fields are set before
+// Serve. It is safe for concurrent use after that.
 type Endpoint struct {
 	ID          string
 	Zone        string
 	Upstream    *Upstream
-	Servers     int // calls that it serves at once
-	QueueSize   int // calls that wait beyond those
-	MaxConns    int // connections that it serves, idle ones included
-	MaxBatch    int // messages in one call
-	IdleTimeout time.Duration
+	Servers     int           // number of calls that it serves at once
+	QueueSize   int           // number of calls that wait until one of those is done
+	MaxConns    int           // number of connections whose calls it serves, idle ones included
+	MaxBatch    int           // largest number of messages in one call
+	IdleTimeout time.Duration // after which an idle connection is closed
 
 	world    *World
 	listener net.Listener
-	servers  chan struct{} // a value for each call being served
+	servers  chan struct{} // a semaphore: holds one value for each call being served
 
 	mu      sync.Mutex
-	fault   Fault // of this endpoint alone
+	fault   Fault // the fault of this endpoint alone
 	isDown  bool
 	conns   map[net.Conn]struct{}
-	waiting int // calls in the queue
+	waiting int // number of calls in the queue
 }
 
-// Serve starts the endpoint at addr; it ends with ctx, and its goroutines with done.
+// Serve starts the endpoint at addr. It serves until ctx ends; done then waits for its
+// goroutines.
 func (e *Endpoint) Serve(ctx context.Context, w *World, addr string, done *sync.WaitGroup) error {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -97,17 +99,18 @@
 	}
 }
 
-// Addr is the address on which it listens. Serve must have been called.
+// Addr returns the address on which it listens. Serve must have been called.
 func (e *Endpoint) Addr() string { return e.listener.Addr().String() }
 
-// SetFault sets the fault of this endpoint alone, in place of the one before.
+// SetFault replaces the fault of this endpoint alone.
 func (e *Endpoint) SetFault(fault Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = fault
 }
 
-// SetDown records that its process is down or back; its links refuse connections.
+// SetDown records whether the endpoint's process is down. It only tells the upstream,
+// for its outages; the caller has the links refuse connections.
 func (e *Endpoint) SetDown(down bool) {
 	e.mu.Lock()
 	wasDown := e.isDown
@@ -118,8 +121,8 @@
 	}
 }
 
-// currentFault is the fault that a call meets now, and whether the upstream is
-// overloaded.
+// currentFault returns the fault that applies to a call now, from the endpoint and its
+// upstream together, and whether the upstream is overloaded.
 func (e *Endpoint) currentFault() (fault Fault, overloaded bool) {
 	e.mu.Lock()
 	own := e.fault
@@ -127,11 +130,11 @@
 	return e.Upstream.faultFor(own)
 }
 
-// serveConn serves the calls of one connection, and closes it.
+// serveConn serves the calls of one connection one after another, and closes it.
 func (e *Endpoint) serveConn(ctx context.Context, conn net.Conn, exceedsMaxConns bool) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
-	var sent int64 // bytes of responses
+	var sent int64 // bytes of the responses on this connection
 	for ctx.Err() == nil {
 		c, ok := e.readCall(conn, in, exceedsMaxConns)
 		if !ok {
@@ -144,8 +147,8 @@
 	}
 }
 
-// readCall reads one call; false if the connection ends or is reset before the
-// call is complete.
+// readCall reads one call. It reports false if the connection ends or is reset before
+// the call is complete.
 func (e *Endpoint) readCall(conn net.Conn, in *bufio.Reader, exceedsMaxConns bool) (*call, bool) {
 	conn.SetReadDeadline(time.Now().Add(e.IdleTimeout))
 	if _, err := in.Peek(1); err != nil {
@@ -158,7 +161,7 @@
 	}
 	route := e.world.Net.Find(conn)
 	if route == nil {
-		return nil, false // the link is gone already
+		return nil, false // the link has closed the connection already
 	}
 	fault, overloaded := e.currentFault()
 	if fault.Reset > 0 && e.Upstream.drawFloat() < fault.Reset {
@@ -167,18 +170,19 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
 	if err != nil {
-		return nil, false // not complete: it never was a call
+		return nil, false // an incomplete request does not count as a call
 	}
 	conn.SetReadDeadline(time.Time{})
 	return &call{id: e.world.callCount.Add(1), route: route, req: req, body: body, fault: fault, overloaded: overloaded, exceedsMaxConns: exceedsMaxConns}, true
 }
 
-// serveCall takes one call to its response. It reports whether one was written,
-// and whether the connection ends after it.
+// serveCall handles one call and writes its response. It reports whether a response
+// was written, and whether the connection is closed after it. The call is cancelled
+// when the relay closes the connection.
 func (e *Endpoint) serveCall(ctx context.Context, conn net.Conn, in *bufio.Reader, c *call, sent *int64) (answered, isLast bool) {
 	callCtx, cancel := context.WithCancel(ctx)
 	watchDone := make(chan struct{})
-	go func() { // notices that the relay closes the connection
+	go func() { // cancels the call when the relay closes the connection
 		defer close(watchDone)
 		if _, err := in.Peek(1); err != nil {
 			cancel()
@@ -210,7 +214,8 @@
 	return true, false
 }
 
-// recordResponse records that the relay has received a response.
+// recordResponse records that the relay has received a response, and which messages
+// are completed by it.
 func (e *Endpoint) recordResponse(call int64, resp *response) {
 	for _, id := range resp.delivered {
 		e.world.recordDelivery(id)
@@ -221,15 +226,16 @@
 	e.world.Recorder.Record(history.Event{Kind: history.ResponseReceived, Call: call})
 }
 
-// resetOnClose has a connection end by a reset.
+// resetOnClose makes a connection send a reset when it is closed.
 func resetOnClose(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 }
 
-// acquireServer takes one of the endpoint's servers, or a place in its queue until
-// one is free; false if both are full or ctx ends. The caller releases it.
+// acquireServer takes one of the endpoint's servers, and waits in the queue if none is
+// free. It reports false if the queue is full or ctx ends. The caller releases the
+// server with releaseServer.
 func (e *Endpoint) acquireServer(ctx context.Context) bool {
 	select {
 	case e.servers <- struct{}{}:
@@ -266,10 +272,11 @@
 	e.waiting--
 }
 
-// recordInvalidCall records a call that a relay should not have made.
+// recordInvalidCall records a call that a relay must not make.
 func (e *Endpoint) recordInvalidCall(relay, message, text string) {
 	e.world.Recorder.Record(history.Event{Kind: history.InvalidCall, Relay: relay, Endpoint: e.ID, Message: message, Text: text})
 }
 
-// route is the link's end of a connection.
+// route is the link's side of a connection to the endpoint; it knows the relay that
+// connected.
 type route = *link.Conn
--- a/internal/faultlab/model/ledger.go
+++ b/internal/faultlab/model/ledger.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Message is one request as a simulated client submitted it.
+// Message is one request of a simulated client, and its true state. A client's retry
+// is another Message with the same FirstID.
 type Message struct {
 	ID          string
-	FirstID     string // the ID of its first request
-	Class       int    // an index into Classes
+	FirstID     string // the ID of the client's first request for the same message
+	Class       int    // index into Classes
 	Destination int
 	Relay       string
 	Deadline    time.Time
-	Due         time.Time // when its first request was due
+	Due         time.Time // when the client's first request was due
 	Body        []byte
-	Attempt     int  // of the client, from 0
-	Accepted    bool // its client read +OK
-	Completed   bool // nothing more is pending
-	Delivered   bool
+	Attempt     int  // number of the client's request, from 0
+	Accepted    bool // the client has read +OK
+	Completed   bool // nothing more is due for it: it is delivered, has expired, had a notice or was not accepted
+	Delivered   bool // a relay has received a response that says so
 
-	calls int // made for it
+	calls int // number of calls to endpoints that carried it
 }
 
-// Ledger holds the true state of every message, which no relay knows. It is safe
-// for concurrent use.
+// Ledger holds the true state of every message, which no relay knows completely. It is
+// safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	messages map[string]*Message
@@ -40,10 +41,11 @@
 	l.messages[m.ID] = m
 }
 
-// Accept records that the client has read +OK.
+// Accept records that the client has read +OK for a message.
 func (l *Ledger) Accept(id string) { l.update(id, func(m *Message) { m.Accepted = true }) }
 
-// Complete records that nothing more is pending; it reports whether something was.
+// Complete records that a message needs nothing more, and reports whether it was not
+// completed before.
 func (l *Ledger) Complete(id string) (changed bool) {
 	l.update(id, func(m *Message) {
 		changed = !m.Completed
@@ -52,7 +54,8 @@
 	return changed
 }
 
-// update changes a message, if there is one with that ID.
+// update calls change with the message that has the ID, if there is one, while it
+// holds the lock.
 func (l *Ledger) update(id string, change func(*Message)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +64,8 @@
 	}
 }
 
-// isPending reports whether a message is accepted, not completed and in time.
+// isPending reports whether a message is accepted, not completed and not past its
+// deadline.
 func (m *Message) isPending(now time.Time) bool {
 	return m.Accepted && !m.Completed && now.Before(m.Deadline)
 }
@@ -78,7 +82,7 @@
 	return all
 }
 
-// PendingCount is the number of pending messages of all relays.
+// PendingCount returns the number of pending messages of all relays.
 func (l *Ledger) PendingCount(now time.Time) (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,20 +94,22 @@
 	return count
 }
 
-// callVerdict is what the true state of a message means for one more call for it.
+// callVerdict says what the true state of a message means for a new call that carries
+// it.
 type callVerdict int
 
 const (
-	callable          callVerdict = iota
-	unknownMessage                // no client submitted it in this form
-	wrongDestination              // its destination is another
-	expired                       // its deadline has passed, or it is completed
-	duplicate                     // it is delivered, and idempotent
-	unsafeDuplicate               // it is delivered, and not idempotent
-	attemptsExhausted             // it has had all its attempts
+	callable          callVerdict = iota // the call may deliver the message
+	unknownMessage                       // no client submitted a message with this ID and body
+	wrongDestination                     // the message is for another destination
+	expired                              // the message is completed, or its deadline has passed
+	duplicate                            // the message is delivered already, and idempotent
+	unsafeDuplicate                      // the message is delivered already, and not idempotent
+	attemptsExhausted                    // the message has had all its attempts
 )
 
-// receive records a call for a message and returns its verdict and class.
+// receive counts a call that carries a message, and returns its verdict and the
+// message's class.
 func (l *Ledger) receive(id string, destination int, body []byte, maxAttempts int, now time.Time) (verdict callVerdict, class int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faultlab/model/listener.go
+++ b/internal/faultlab/model/listener.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// rebindGrace is how long open requests may go on at an address that was given up.
+// rebindGrace is how long open requests may continue at the old address after Rebind.
 const rebindGrace = 1500 * time.Millisecond
 
-// Listener is the HTTP server on which a relay finds discovery. Its address can
-// change, and it can go silent while its connections stay open. It is safe for
+// Listener is the HTTP server through which a relay reaches discovery. Its address can
+// change, and it can stop writing while its connections stay open. It is safe for
 // concurrent use; its creator closes it.
 type Listener struct {
 	ip      string
@@ -25,10 +25,10 @@
 	server  *http.Server
 	addr    string
 	silent  bool
-	changed chan struct{} // closed when silent changes
+	changed chan struct{} // closed and replaced when silent changes
 }
 
-// NewListener serves at an address of ip that the kernel chooses.
+// NewListener starts serving on ip, at a port that the kernel chooses.
 func NewListener(ip string, handler http.Handler) (*Listener, error) {
 	l := &Listener{ip: ip, handler: handler, changed: make(chan struct{})}
 	return l, l.listen()
@@ -46,20 +46,20 @@
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
-		server.Serve(listener) // ends by Close
+		server.Serve(listener) // returns when the server is closed
 	}()
 	return nil
 }
 
-// Addr is its present address.
+// Addr returns its current address.
 func (l *Listener) Addr() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addr
 }
 
-// Rebind serves at a new address from now on. The old one refuses new connections
-// at once and closes open ones after a grace, or when ctx ends.
+// Rebind moves the server to a new address. The old address refuses new connections
+// at once; open requests there end after rebindGrace, or when ctx ends.
 func (l *Listener) Rebind(ctx context.Context) error {
 	l.mu.Lock()
 	old := l.server
@@ -72,14 +72,14 @@
 		defer l.wg.Done()
 		graceCtx, cancel := context.WithTimeout(ctx, rebindGrace)
 		defer cancel()
-		old.Shutdown(graceCtx) // waits for open requests until the grace ends
+		old.Shutdown(graceCtx) // waits for open requests until the grace period ends
 		old.Close()
 	}()
 	return nil
 }
 
-// SetSilent has nothing written of the endpoint list, or everything again. Notices
-// are taken all the same.
+// SetSilent sets whether the server stops writing the endpoint list, including the
+// empty lines of watches. It receives notices in either case.
 func (l *Listener) SetSilent(silent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +88,8 @@
 	l.changed = make(chan struct{})
 }
 
-// WaitWhileSilent waits until the listener is not silent; false if ctx ends first.
+// WaitWhileSilent waits until the listener is not silent. It reports false if ctx ends
+// first.
 func (l *Listener) WaitWhileSilent(ctx context.Context) bool {
 	for {
 		l.mu.Lock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// Close ends the server and waits for its goroutines.
+// Close closes the server and waits for its goroutines.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	server := l.server
--- a/internal/faultlab/model/load.go
+++ b/internal/faultlab/model/load.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Load is the traffic of the clients. Fractions are from 0 to 1.
+// Load describes the traffic of the clients. Fractions are from 0 to 1.
 type Load struct {
 	Rate             float64       // messages a second, over all relays
-	Swing            float64       // fraction of the rate by which it rises and falls
-	Period           time.Duration // of the swing; 0 for none
-	BurstFraction    float64       // of messages that come in bursts for one destination
-	BurstSize        int           // messages of a burst
-	Weights          []float64     // of the destinations
-	Retries          int           // of a client, for one message
-	HonorRetryAfter  float64       // fraction of rejections after which the client waits as long as asked
-	LeaverFraction   float64       // of clients that disconnect before their answer
-	Backoff          minMax        // of a client's retry
-	BodySize         [2]int        // bytes, smallest and largest
-	FailureDetection minMax        // until the load balancer notices that a relay is gone
-	ResponseTimeout  time.Duration
+	Swing            float64       // fraction of Rate by which the rate rises and falls around it
+	Period           time.Duration // length of one rise and fall; 0 for a constant rate
+	BurstFraction    float64       // fraction of messages that arrive in bursts, each for one destination
+	BurstSize        int           // number of messages in a burst
+	Weights          []float64     // share of each destination in the traffic, relative to the others
+	Retries          int           // largest number of times that a client submits one message again
+	HonorRetryAfter  float64       // fraction of rejections with a Retry-After that the client follows
+	LeaverFraction   float64       // fraction of clients that may disconnect before their answer
+	Backoff          minMax        // wait of a client before a retry
+	BodySize         [2]int        // smallest and largest body of a message, in bytes
+	FailureDetection minMax        // time until the load balancer notices that a relay is down
+	ResponseTimeout  time.Duration // how long a client waits for an answer
 }
 
-// StandardLoad is the traffic of a quiet day.
+// StandardLoad returns the ordinary traffic at a given rate, without leaving clients.
 func StandardLoad(rate float64, weights []float64) Load {
 	const ms = time.Millisecond
 	return Load{
@@ -44,19 +44,19 @@
 
 const (
 	arrivalSeed  = 0x61727269
-	burstSpacing = time.Millisecond // between the messages of a burst
+	burstSpacing = time.Millisecond // time between two messages of a burst
 )
 
-// Arrival is one message before any client has submitted it.
+// Arrival is one message that is to be submitted, and when.
 type Arrival struct {
-	At          time.Duration // from the start of the load
-	Class       int           // an index into Classes
+	At          time.Duration // time from the start of the load
+	Class       int           // index into Classes
 	Destination int
-	Size        int // bytes
+	Size        int // of the body, in bytes
 }
 
-// Arrivals draws messages ahead of time, so that when they are due depends on
-// nothing that the relays do. It is not safe for concurrent use.
+// Arrivals draws the sequence of messages from a seed alone, so that when they are due
+// does not depend on what the relays do. It is not safe for concurrent use.
 type Arrivals struct {
 	load   Load
 	random *rand.Rand
@@ -64,12 +64,12 @@
 	next   []Arrival
 }
 
-// NewArrivals returns the sequence of one seed.
+// NewArrivals returns the sequence of messages for one seed.
 func NewArrivals(load Load, seed uint64) *Arrivals {
 	return &Arrivals{load: load, random: rand.New(rand.NewPCG(seed, arrivalSeed))}
 }
 
-// Next returns the next message that is due.
+// Next returns the next message of the sequence.
 func (a *Arrivals) Next() Arrival {
 	if len(a.next) == 0 {
 		a.draw()
@@ -79,12 +79,12 @@
 	return first
 }
 
-// draw draws the next message or burst.
+// draw adds the next message or burst to the sequence.
 func (a *Arrivals) draw() {
 	load := &a.load
 	count, destination := 1, pickWeighted(a.random, load.Weights)
 	rate := load.Rate
-	if load.BurstSize > 1 && load.BurstFraction > 0 { // arrivals are fewer, since some bring many messages
+	if load.BurstSize > 1 && load.BurstFraction > 0 { // there are fewer arrivals than messages, since a burst is one arrival
 		size := float64(load.BurstSize)
 		arrivalsPerMessage := 1 / (1 - load.BurstFraction + load.BurstFraction/size)
 		if a.random.Float64() < load.BurstFraction/size*arrivalsPerMessage {
@@ -92,7 +92,7 @@
 		}
 		rate /= arrivalsPerMessage
 	}
-	if load.Period > 0 { // a triangle between the extremes
+	if load.Period > 0 { // the rate follows a triangle wave between its extremes
 		phase := float64(a.lastAt%load.Period) / float64(load.Period)
 		rate *= 1 + load.Swing*(1-4*math.Abs(phase-0.5))
 	}
@@ -107,7 +107,8 @@
 	}
 }
 
-// pickWeighted draws an index, each in proportion to its weight.
+// pickWeighted draws an index of weights, each with a probability in proportion to its
+// weight.
 func pickWeighted(random *rand.Rand, weights []float64) int {
 	total := 0.0
 	for _, weight := range weights {
--- a/internal/faultlab/model/model.go
+++ b/internal/faultlab/model/model.go
@@ -1,8 +1,8 @@
 // Package model simulates everything that a relay talks to: upstreams with their
-// endpoints, the discovery that lists those, and the clients that submit messages,
-// each as the protocol, deployment and brief pages describe it. It knows only the
-// protocol: no code and no policy of the relay is linked in. It records what
-// happens and checks nothing.
+// endpoints, the discovery service that lists the endpoints, and the clients that
+// submit messages, each as the protocol, deployment and brief pages describe it. It
+// knows only the protocol and imports no code or policy of the relay. It records what
+// happens in a history and checks nothing.
 package model
 
 import (
@@ -14,20 +14,20 @@
 	"plovershore/internal/faultlab/link"
 )
 
-// World is what all simulated parts of a run share. All fields but the counter are
-// set before use.
+// World holds what all simulated parts of a run share. The exported fields are set
+// before use.
 type World struct {
 	Recorder    *history.Recorder
 	Ledger      *Ledger
 	Net         *link.Net
 	Rules       Rules
-	OnDelivered func(class int, after time.Duration) // called for each first delivery; may be nil
+	OnDelivered func(class int, after time.Duration) // called when a message is delivered for the first time, with the time since it was due; may be nil
 
-	callCount atomic.Int64 // made so far; numbers them
+	callCount atomic.Int64 // calls to endpoints so far; used to number them
 }
 
-// recordDelivery records that a relay has received the response by which a message
-// is delivered.
+// recordDelivery records that a message is delivered, which is when a relay has
+// received the response that says so.
 func (w *World) recordDelivery(id string) {
 	var class int
 	var due time.Time
@@ -42,7 +42,7 @@
 	}
 }
 
-// Sleep waits for d; false if ctx ends first.
+// Sleep waits for d. It reports false if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -54,5 +54,6 @@
 	}
 }
 
-// minMax is a range from which durations are drawn.
+// minMax is a range, from its smallest to its largest value, from which durations are
+// drawn.
 type minMax = [2]time.Duration
--- a/internal/faultlab/model/peers.go
+++ b/internal/faultlab/model/peers.go
@@ -12,26 +12,27 @@
 	"plovershore/internal/faultlab/history"
 )
 
-// Kinds of invalid peer, as scenario files and the history have them.
+// Kinds of invalid peer, as they are called in scenario files and in the history.
 const (
-	PeerGarbage        = "garbage" // sends another protocol
+	PeerGarbage        = "garbage" // sends bytes of other protocols
 	PeerSilent         = "silent"  // sends nothing
-	PeerHalfRequest    = "half"    // stops within a request
-	PeerUnknownCommand = "unknown"
-	PeerLongRequest    = "long" // sends a request of 60 MB
+	PeerHalfRequest    = "half"    // stops in the middle of a request
+	PeerUnknownCommand = "unknown" // sends a command that relays do not have
+	PeerLongRequest    = "long"    // sends a request of 60 MB
 )
 
-// InvalidPeers are the kinds of peer that send no proper request.
+// InvalidPeers lists all kinds of invalid peer: those that send no valid request.
 var InvalidPeers = []string{PeerGarbage, PeerSilent, PeerHalfRequest, PeerUnknownCommand, PeerLongRequest}
 
 const (
 	peerDialTimeout = time.Second
-	peerMargin      = 500 * time.Millisecond // beyond the time that a relay has
-	longRequestSize = 60 << 20
+	peerMargin      = 500 * time.Millisecond // how long a peer waits beyond the time that a relay has to react
+	longRequestSize = 60 << 20               // bytes
 	longPieceSize   = 64 << 10
 )
 
-// peerRequests is what each kind sends at first.
+// peerRequests holds the first bytes that each kind of peer sends. PeerSilent sends
+// none.
 var peerRequests = map[string]string{
 	PeerGarbage:        "\x16\x03\x01\x02\x00\x01\x00GET / HTTP/1.1\r\n\r\n",
 	PeerHalfRequest:    "*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000",
@@ -40,13 +41,14 @@
 		"$18\r\nc=alert-update,d=9\r\n$62914560\r\n",
 }
 
-// ConnectInvalidPeer connects to a relay as an invalid peer of one kind and records
-// whether it got an error line or a close in the time that the terms give.
+// ConnectInvalidPeer connects to a relay as an invalid peer of one kind. It records
+// how long it took until the relay sent an error line or closed the connection, or
+// that the relay did neither in the time that the terms page allows.
 func ConnectInvalidPeer(ctx context.Context, w *World, relay, addr, kind string) {
 	start := time.Now()
 	conn, err := net.DialTimeout("tcp4", addr, peerDialTimeout)
 	if err != nil {
-		return // the relay is not there
+		return // no relay is listening
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
@@ -74,7 +76,8 @@
 	<-sent
 }
 
-// sendInvalid writes what a kind of peer sends. Errors are the relay's close.
+// sendInvalid writes what a kind of peer sends. It ignores errors, since they mean
+// that the relay closed the connection.
 func sendInvalid(conn net.Conn, kind string) {
 	if _, err := io.WriteString(conn, peerRequests[kind]); err != nil || kind != PeerLongRequest {
 		return
@@ -87,7 +90,8 @@
 	}
 }
 
-// peerOutcome describes what an invalid peer got, and whether that is as it should be.
+// peerOutcome describes how a relay reacted to an invalid peer, and reports whether
+// that is allowed: an error line or a closed connection.
 func peerOutcome(line string, err error) (ok bool, text string) {
 	switch {
 	case err == nil && strings.HasPrefix(line, answerErr):
--- a/internal/faultlab/model/response.go
+++ b/internal/faultlab/model/response.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// States of the messages of a batch, as responses have them.
+// States of the messages in the response to a batch.
 const (
 	StateAccepted = "accepted"
 	StateDeferred = "deferred"
@@ -16,7 +16,7 @@
 	StateNoMore   = "no_more"
 )
 
-// batchStates gives the state for each verdict on a message of a batch.
+// batchStates maps the verdict on a message of a batch to its state in the response.
 var batchStates = map[callVerdict]string{
 	callable:          StateAccepted,
 	duplicate:         StateAccepted,
@@ -25,16 +25,17 @@
 	attemptsExhausted: StateNoMore,
 }
 
-// response is what a call gets. The zero value is none: the connection ends.
+// response is the response to a call. The zero value means that the connection is
+// closed without a response.
 type response struct {
-	status     int // 0 if it cannot be parsed
+	status     int // 0 if the response cannot be parsed
 	retryAfter time.Duration
-	states     []string // of the messages of a batch
-	text       []byte   // nil for no response
-	reset      bool     // the connection ends by a reset
-	isLast     bool     // the connection ends after it
-	delivered  []string // messages that are delivered once the relay has it
-	expired    []string // messages that are completed once the relay has it
+	states     []string // of the messages of a batch, in their order
+	text       []byte   // the bytes to send; nil for no response
+	reset      bool     // the connection is reset instead
+	isLast     bool     // the connection is closed after the response
+	delivered  []string // messages that are delivered once the relay has received the response
+	expired    []string // messages that have expired, and are completed once the relay has received the response
 }
 
 // loadChoice says whether a response carries a load report.
@@ -47,7 +48,8 @@
 
 func loadIf(condition bool) loadChoice { return loadChoice(condition) }
 
-// setStatus makes the text of a response without a body; headers are complete lines.
+// setStatus sets status and text to a response without a body. headers are complete
+// lines.
 func (r *response) setStatus(status int, headers string) {
 	r.status = status
 	if r.isLast {
@@ -60,7 +62,7 @@
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 }
 
-// loadHeader is the load report's line.
+// loadHeader returns the header line with the load report, or nothing without one.
 func (e *Endpoint) loadHeader(choice loadChoice) string {
 	if choice == withoutLoad {
 		return ""
@@ -69,13 +71,14 @@
 	return fmt.Sprintf("X-Server-Load: x0=%.3f,x1=%.2f\r\n", remaining, rate)
 }
 
-// statusResponse is a response without a body.
+// statusResponse returns a response without a body.
 func (e *Endpoint) statusResponse(status int, choice loadChoice) (resp response) {
 	resp.setStatus(status, e.loadHeader(choice))
 	return resp
 }
 
-// retryAfterResponse rejects a call for a time, rounded up to milliseconds.
+// retryAfterResponse returns a 429 with a Retry-After, which is rounded up to
+// milliseconds.
 func (e *Endpoint) retryAfterResponse(wait time.Duration, choice loadChoice) response {
 	const millisPerSecond = 1000
 	resp := response{retryAfter: wait}
@@ -84,7 +87,7 @@
 	return resp
 }
 
-// batchResponse answers a batch message by message.
+// batchResponse returns the response to a batch, with a state for each message.
 func (e *Endpoint) batchResponse(c *call) response {
 	resp := response{status: http.StatusOK}
 	lines := make([]batchLine, len(c.items))
@@ -99,7 +102,7 @@
 			resp.expired = append(resp.expired, item.ID)
 		}
 	}
-	body, _ := json.Marshal(lines) // of strings: cannot fail
+	body, _ := json.Marshal(lines) // marshaling strings cannot fail
 	header := statusLine(http.StatusOK) + e.loadHeader(withLoad)
 	resp.text = fmt.Appendf([]byte(header), "Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return resp
@@ -111,8 +114,8 @@
 	State string `json:"state"`
 }
 
-// corruptResponse is one that cannot be parsed. For a single message a status line
-// that still reads 200 counts as a delivery.
+// corruptResponse returns a response that cannot be parsed. For a single message its
+// status line may still say 200, and the message then counts as delivered.
 func (e *Endpoint) corruptResponse(c *call) response {
 	if !c.isBatch && e.Upstream.drawFloat() < readableCorruptFraction {
 		return response{isLast: true, status: http.StatusOK, delivered: []string{c.items[0].ID},
--- a/internal/faultlab/model/rules.go
+++ b/internal/faultlab/model/rules.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Rules are the figures of the protocol's rules.
+// Rules holds the limits in the rules of the protocol.
 type Rules struct {
-	DrainGrace         time.Duration // after a relay learns of a drain
-	CompletionGrace    time.Duration // after a message's deadline
-	Slack              time.Duration // by which each limit is longer over sockets
-	RetryAfterSlack    time.Duration // within which calls after a Retry-After are allowed
-	RestartGrace       time.Duration // after a relay is ready, until its notices are due
-	ListDelay          time.Duration // after which a change of the list counts as delivered
-	ShutdownTimeout    time.Duration // from SIGTERM to the exit
-	InvalidPeerTimeout time.Duration // until an error line or a close
-	LongRequestTimeout time.Duration // the same for a peer that sends 60 MB
-	MaxAttempts        int
-	RecoveryCapacity   float64       // fraction of its capacity with which a destination comes back
-	RecoveryTime       time.Duration // until it has all of it
-	OverloadFactor     float64       // times its capacity at which it is overloaded
-	OverloadWindow     time.Duration // over which that is counted
-	BlameFraction      float64       // of those calls, from relays that saw the outage
+	DrainGrace         time.Duration // how long a relay may still call an endpoint after it learns of its drain
+	CompletionGrace    time.Duration // how long after a message's deadline its final response may come
+	Slack              time.Duration // added to each limit, since what passes over sockets takes a little longer
+	RetryAfterSlack    time.Duration // how long after it receives a Retry-After a relay may still send calls
+	RestartGrace       time.Duration // how long after a relay is ready its overdue notices may come
+	ListDelay          time.Duration // how long after its announcement a change of the list counts as delivered
+	ShutdownTimeout    time.Duration // limit from SIGTERM to the exit of the process
+	InvalidPeerTimeout time.Duration // limit until an invalid peer gets an error line or a closed connection
+	LongRequestTimeout time.Duration // limit until a peer that sends a request of 60 MB gets an error line or a closed connection
+	MaxAttempts        int           // of one message
+	RecoveryCapacity   float64       // fraction of its capacity that a destination has right after an outage
+	RecoveryTime       time.Duration // how long after an outage a destination has its full capacity again
+	OverloadFactor     float64       // multiple of its present capacity above which calls overload a recovering destination
+	OverloadWindow     time.Duration // over which the calls for OverloadFactor are counted
+	BlameFraction      float64       // fraction of those calls that must come from relays that saw the outage for the rule to be violated
 }
 
-// StandardRules are those of the protocol and terms pages.
+// StandardRules returns the limits of the protocol and terms pages.
 func StandardRules() Rules {
 	const ms = time.Millisecond
 	return Rules{
--- a/internal/faultlab/model/settings.go
+++ b/internal/faultlab/model/settings.go
@@ -8,26 +8,26 @@
 	Newsagent = "agent"
 )
 
-// Fleet is the fleet as a relay's settings describe it.
+// Fleet holds what the settings of one relay say about it and its fleet.
 type Fleet struct {
-	Relays      int
-	MaxCalls    int // in flight, of one relay
-	MaxMessages int // in flight, of one relay
-	Zones       []string
-	Zone        int // of this relay, an index into Zones
-	Rank        int // of this relay
-	MaxBatch    int // messages in one call to a telco
+	Relays      int      // number of relays in the fleet
+	MaxCalls    int      // limit on the calls of this relay that are in flight
+	MaxMessages int      // limit on the messages of this relay that are in flight
+	Zones       []string // all zones of the fleet
+	Zone        int      // zone of this relay, an index into Zones
+	Rank        int      // number of this relay in the fleet
+	MaxBatch    int      // largest number of messages in one call to a telco
 }
 
 const (
 	connectTimeout = 1500 * time.Millisecond
-	idleTimeout    = 10 * time.Second // of a connection to an endpoint
+	idleTimeout    = 10 * time.Second // after which an idle connection to an endpoint is closed
 	maxRetryAfter  = 3 * time.Second
 	dedupWindow    = 5 * time.Second
 	policyTick     = 5 * time.Millisecond
 )
 
-// Settings returns the object that a relay finds in its configuration, in the form
+// Settings returns the settings object for the configuration of a relay, in the format
 // of the wire page. Durations are in microseconds.
 func Settings(fleet Fleet, rules Rules) map[string]any {
 	return map[string]any{
@@ -108,7 +108,7 @@
 	}
 }
 
-// siteSettings are the settings of this site alone.
+// siteSettings returns the settings that are specific to the simulated site.
 func siteSettings(fleet Fleet) map[string]any {
 	return map[string]any{
 		"calls_out":         fleet.MaxCalls,
--- a/internal/faultlab/model/upstream.go
+++ b/internal/faultlab/model/upstream.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	burstSeconds       = 0.5                   // of its rate that a limit without a window takes at once
-	minRetryAfter      = 10 * time.Millisecond // of a closed upstream
-	overloadTolerance  = 1.1                   // times the overload budget, and
-	overloadExtraCalls = 3                     // calls beyond it, so that chance overloads nothing
+	burstSeconds       = 0.5                   // a limit without a window accepts at once as many calls as it allows in this time
+	minRetryAfter      = 10 * time.Millisecond // shortest Retry-After of a closed upstream
+	overloadTolerance  = 1.1                   // factor on the overload budget, so that random variation overloads nothing
+	overloadExtraCalls = 3                     // further calls above the budget, for the same reason where the budget is small
 )
 
-// Limit is what a destination accepts from all relays together.
+// Limit describes how many calls a destination accepts from all relays together.
 type Limit struct {
 	Rate               float64       // calls a second; 0 for no limit
 	Window             time.Duration // calls are counted over fixed windows of this length; 0 for a token bucket
-	RetryAfterFraction float64       // of rejections that carry a Retry-After
-	RetryAfterMin      time.Duration // of a token bucket's Retry-After, which is drawn up to RetryAfterMax
+	RetryAfterFraction float64       // fraction of rejections that carry a Retry-After
+	RetryAfterMin      time.Duration // shortest Retry-After of a token bucket, which is drawn from RetryAfterMin to RetryAfterMax
 	RetryAfterMax      time.Duration
-	CountsRejected     bool // rejected calls use the limit up as well
+	CountsRejected     bool // rejected calls count against the limit as well
 }
 
-// Upstream is a destination: one or more endpoints that share a limit, and whose
-// outages are those of the whole destination. It is safe for concurrent use; the
-// exported fields are fixed.
+// Upstream simulates a destination: one or more endpoints that share a limit and the
+// faults of the whole destination. It is safe for concurrent use; the exported fields
+// do not change.
 type Upstream struct {
 	Destination   int
 	Kind          string
 	Limit         Limit
-	LatencyFactor float64       // times the service time of a class
-	LoadInterval  time.Duration // after which its load report is refreshed
+	LatencyFactor float64       // factor on the service time of each class
+	LoadInterval  time.Duration // how long a load report is repeated before it is refreshed
 
 	rules    Rules
 	recorder *history.Recorder
@@ -42,18 +42,18 @@
 	mu               sync.Mutex
 	random           *rand.Rand
 	faults           []Fault
-	limitFactor      float64
-	opensAt          time.Time // if it is closed
-	endpoints        int
-	endpointsDown    int
-	inOutage         bool
-	connectionsFail  bool      // during the outage
-	recoveringSince  time.Time // zero if it has all of its capacity
-	overloaded       bool      // it failed while it recovered, for good
+	limitFactor      float64   // factor on Limit.Rate
+	opensAt          time.Time // when the Retry-After of a closed upstream ends
+	endpoints        int       // number of endpoints
+	endpointsDown    int       // number of those that are down
+	inOutage         bool      // the whole destination is down
+	connectionsFail  bool      // endpoints refuse connections during the outage
+	recoveringSince  time.Time // end of the last outage; zero if the upstream has its full capacity
+	overloaded       bool      // it was overloaded while it recovered, and rejects every call from then on
 	windowStart      time.Time
-	used             float64 // of the window, or of the token bucket
+	used             float64 // calls counted in the window, or not yet drained from the token bucket
 	lastRefill       time.Time
-	recentCalls      []recentCall // of the last OverloadWindow, while it recovers
+	recentCalls      []recentCall // calls of the last OverloadWindow, while it recovers
 	reportedFraction float64      // fraction of the limit that was left at reportedAt
 	reportedAt       time.Time
 }
@@ -64,10 +64,10 @@
 	relay      string
 }
 
-// rejection says whether a call is rejected.
+// rejection says whether a call is rejected, and with which Retry-After.
 type rejection struct {
 	rejected   bool
-	retryAfter time.Duration // 0 for none
+	retryAfter time.Duration // 0 if the rejection carries none
 }
 
 // NewUpstream returns an upstream that draws from a seed.
@@ -90,15 +90,15 @@
 	}
 }
 
-// drawFloat draws from 0 to 1.
+// drawFloat draws a number from 0 to 1.
 func (u *Upstream) drawFloat() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.random.Float64()
 }
 
-// AddFault adds a fault to those that it has. If the fault closes it, opensAt is
-// when its Retry-After ends.
+// AddFault adds a fault to those that the upstream has. If the fault closes the
+// upstream, opensAt is when the Retry-After of its rejections ends.
 func (u *Upstream) AddFault(fault Fault, opensAt time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -109,7 +109,7 @@
 	u.updateOutage(false)
 }
 
-// RemoveFault ends a fault that was added.
+// RemoveFault removes a fault that was added.
 func (u *Upstream) RemoveFault(fault Fault) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -119,14 +119,14 @@
 	u.updateOutage(false)
 }
 
-// ScaleLimit sets the limit to so many times Limit.Rate.
+// ScaleLimit sets the limit to factor times Limit.Rate.
 func (u *Upstream) ScaleLimit(factor float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.limitFactor = factor
 }
 
-// activeFault is all of its faults together; u.mu is held.
+// activeFault returns the effect of all its faults together. The caller holds u.mu.
 func (u *Upstream) activeFault() (all Fault) {
 	for _, fault := range u.faults {
 		all = all.combine(fault)
@@ -134,17 +134,17 @@
 	return all
 }
 
-// currentLimit is the scaled rate; u.mu is held.
+// currentLimit returns the scaled limit in calls a second. The caller holds u.mu.
 func (u *Upstream) currentLimit() float64 { return u.Limit.Rate * u.limitFactor }
 
-// addEndpoint records one more endpoint.
+// addEndpoint counts one more endpoint.
 func (u *Upstream) addEndpoint() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.endpoints++
 }
 
-// setEndpointDown records that one more endpoint is down, or one less.
+// setEndpointDown counts one endpoint that went down, or came back.
 func (u *Upstream) setEndpointDown(down bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -156,7 +156,10 @@
 	u.updateOutage(true)
 }
 
-// updateOutage records where an outage begins and ends; u.mu is held.
+// updateOutage checks whether an outage begins or ends, and records it. An outage
+// needs all endpoints to be down, or a fault that counts as one. connectionsFail says
+// whether connections are refused during an outage that begins now. The caller holds
+// u.mu.
 func (u *Upstream) updateOutage(connectionsFail bool) {
 	allDown := u.endpoints > 0 && u.endpointsDown >= u.endpoints
 	inOutage := u.activeFault().isOutage() || allDown
@@ -172,7 +175,9 @@
 	u.recorder.Record(history.Event{Kind: history.Outage, Destination: u.Destination, Active: inOutage, ConnectionsFail: u.connectionsFail})
 }
 
-// capacityFraction is how much of its capacity it has now; u.mu is held.
+// capacityFraction returns the fraction of its capacity that the upstream has now: it
+// grows linearly from Rules.RecoveryCapacity to 1 after an outage. The caller holds
+// u.mu.
 func (u *Upstream) capacityFraction(now time.Time) float64 {
 	if u.recoveringSince.IsZero() {
 		return 1
@@ -186,7 +191,7 @@
 	return start + (1-start)*float64(after)/float64(u.rules.RecoveryTime)
 }
 
-// admit counts a call and says whether it is rejected.
+// admit counts a call against the limit and returns whether it is rejected.
 func (u *Upstream) admit(relay string, now time.Time) rejection {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -210,8 +215,8 @@
 	return u.reject(retryAfter)
 }
 
-// checkLimit reports whether the limit has capacity for one more call, and the
-// Retry-After if not; u.mu is held.
+// checkLimit reports whether the limit has capacity for one more call, and returns the
+// Retry-After for the case that it has not. The caller holds u.mu.
 func (u *Upstream) checkLimit(now time.Time, rate float64) (hasCapacity bool, retryAfter time.Duration) {
 	limit := &u.Limit
 	if limit.Window > 0 {
@@ -226,7 +231,8 @@
 	return u.used+1 <= max(1, rate*burstSeconds), limit.RetryAfterMin + time.Duration(drawn)
 }
 
-// reject draws whether a rejection carries its Retry-After; u.mu is held.
+// reject returns a rejection, and draws whether it carries the Retry-After. The caller
+// holds u.mu.
 func (u *Upstream) reject(retryAfter time.Duration) rejection {
 	if u.random.Float64() >= u.Limit.RetryAfterFraction {
 		retryAfter = 0
@@ -234,8 +240,9 @@
 	return rejection{rejected: true, retryAfter: retryAfter}
 }
 
-// countRecoveryCall counts a call to a recovering upstream: too many of them, and
-// it fails for good; u.mu is held.
+// countRecoveryCall counts a call to a recovering upstream. Too many calls in
+// Rules.OverloadWindow overload the upstream, and it rejects all calls for the rest of
+// the run. The caller holds u.mu.
 func (u *Upstream) countRecoveryCall(relay string, now time.Time, capacity float64) {
 	if u.overloaded || u.Limit.Rate <= 0 {
 		return
@@ -256,8 +263,9 @@
 	u.recorder.Record(history.Event{Kind: history.DestinationOverloaded, Destination: u.Destination, Relays: byRelay})
 }
 
-// currentLoad is what responses say of the limit: the fraction that is left, as of
-// the last LoadInterval, and the calls a second that it allows.
+// currentLoad returns the load report of a response: the fraction of the limit that is
+// left, which is refreshed once each LoadInterval, and the calls a second that the
+// limit allows.
 func (u *Upstream) currentLoad(now time.Time) (remaining, rate float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -276,8 +284,9 @@
 	return u.reportedFraction, u.currentLimit()
 }
 
-// faultFor is what a call to an endpoint with a fault of its own meets, and whether
-// the upstream is overloaded.
+// faultFor returns the fault that applies to a call to an endpoint, from the
+// endpoint's own fault and those of the upstream, and whether the upstream is
+// overloaded.
 func (u *Upstream) faultFor(endpointFault Fault) (fault Fault, overloaded bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
