--- a/internal/faultlab/scenario/fault.go
+++ b/internal/faultlab/scenario/fault.go
@@ -1,43 +1,44 @@
 package scenario
 
-// Fault is one entry of the schedule. Times and durations are in seconds.
+// Fault is one entry of the fault schedule. Times and durations are in seconds. Where
+// a comment names kinds of fault, the field has no effect on others.
 type Fault struct {
 	Kind         string   `toml:"kind"`
-	At           float64  `toml:"at"`
-	For          float64  `toml:"for"`    // after which it is undone
-	Every        float64  `toml:"every"`  // interval of its repetition until the load ends; 0 for none
-	Fraction     float64  `toml:"share"`  // of its possible targets, drawn anew each time; at least one
-	Zone         string   `toml:"zone"`   // of its targets
-	Relays       []int    `toml:"relays"` // its targets by number, in place of a draw
-	Destinations []int    `toml:"cells"`  // the same for destinations
-	Spread       float64  `toml:"spread"` // over which its targets are struck one by one
-	Direction    string   `toml:"way"`    // cut, delay: DirectionForth, DirectionBack or DirectionBoth; clock: the direction of the step, drawn for DirectionBoth
+	At           float64  `toml:"at"`     // when it first strikes, from the start of the load
+	For          float64  `toml:"for"`    // duration after which it is undone
+	Every        float64  `toml:"every"`  // interval at which it strikes again until the load ends; 0 for a single strike
+	Fraction     float64  `toml:"share"`  // fraction of its possible targets that it strikes, drawn again for each strike, at least one target; 0 for all
+	Zone         string   `toml:"zone"`   // zone of its targets; for a link, the zone whose border the link crosses
+	Relays       []int    `toml:"relays"` // relays that it may strike, by number; empty for all
+	Destinations []int    `toml:"cells"`  // destinations that it may strike, by number; empty for all
+	Spread       float64  `toml:"spread"` // duration over which its targets are struck one after another; 0 for all at once
+	Direction    string   `toml:"way"`    // cut, delay, throttle: direction of the link that is affected, both by default; clock: direction of the step, drawn for DirectionBoth
 	Folder       string   `toml:"folder"` // kill, term: the state that the next process finds
-	File         string   `toml:"file"`   // corruption: a file of the relay's state
-	MS           float64  `toml:"ms"`     // delay; clock: the size of the step, in milliseconds
-	Factor       float64  `toml:"factor"` // slow, limits; evacuate: fraction of endpoints that each destination retains, 0.5 by default
-	Rate         float64  `toml:"rate"`   // turnaway, throttle; evacuate: endpoints a second, 2 by default
-	Kinds        []string `toml:"kinds"`  // of its target upstreams
-	Node         string   `toml:"node"`   // node-*, warden-*: NodeLeader and others, in place of a draw
-	Role         string   `toml:"duty"`   // warden-*: the role whose leader is struck, count by default
+	File         string   `toml:"file"`   // flip, tear, zero, gone: the file in the state directory that is corrupted
+	MS           float64  `toml:"ms"`     // delay: added delay; clock: size of the step; both in milliseconds
+	Factor       float64  `toml:"factor"` // slow: factor on the service time; limits: factor on the limit; fail, lose, spoil, break: fraction of calls; evacuate: fraction of endpoints that each destination retains, 0.5 by default
+	Rate         float64  `toml:"rate"`   // turnaway: calls a second; throttle: bytes a second; evacuate: endpoints a second, 2 by default
+	Kinds        []string `toml:"kinds"`  // kinds of upstream that it may strike; empty for all
+	Node         string   `toml:"node"`   // node-*, warden-*: whom it strikes, by state, such as NodeLeader; in place of a draw
+	Role         string   `toml:"duty"`   // warden-*: role whose leader NodeHolder strikes, count by default
 }
 
-// Kinds of fault, as scenario files have them.
+// Kinds of fault, as they are called in scenario files.
 const (
 	FaultKill     = "kill"    // SIGKILL, then a new process
 	FaultTerm     = "term"    // SIGTERM, then a new process
 	FaultSuspend  = "pause"   // SIGSTOP, then SIGCONT
-	FaultHangUp   = "hup"     // discovery's address changes, and SIGHUP says so
-	FaultUpgrade  = "upgrade" // a new process takes over from the present one
-	FaultClock    = "clock"   // the machine's wall clock is stepped
-	FaultFailover = "salvage" // the relay is lost and its messages are migrated
+	FaultHangUp   = "hup"     // discovery's address changes, and SIGHUP makes the relay read its new configuration
+	FaultUpgrade  = "upgrade" // a new process takes over from the running one
+	FaultClock    = "clock"   // the wall clock of the relay's machine is stepped
+	FaultFailover = "salvage" // the relay is lost, and its messages are migrated
 
-	FaultFlipBit    = "flip" // corruptions of a file while its relay is down
+	FaultFlipBit    = "flip" // these corrupt a file while its relay is down
 	FaultTruncate   = "tear"
 	FaultZero       = "zero"
 	FaultDeleteFile = "gone"
 
-	FaultCut      = "cut" // faults of links
+	FaultCut      = "cut" // these are faults of links between relays and endpoints
 	FaultDelay    = "delay"
 	FaultThrottle = "throttle"
 	FaultReset    = "reset"
@@ -45,9 +46,9 @@
 
 	FaultDown   = "down"   // connections to the endpoint are refused
 	FaultSilent = "silent" // the endpoint answers nothing
-	FaultDrain  = "drain"  // the endpoint drains, is removed and comes back
+	FaultDrain  = "drain"  // the endpoint drains, is removed and returns
 
-	FaultSlow    = "slow" // faults of upstreams
+	FaultSlow    = "slow" // these are faults of upstreams
 	FaultFail    = "fail"
 	FaultClose   = "shut"
 	FaultLose    = "lose"
@@ -55,24 +56,25 @@
 	FaultBreak   = "break"
 	FaultLimits  = "limits"
 
-	FaultRateLimit = "turnaway" // discovery serves few calls
-	FaultQuiet     = "quiet"    // discovery writes nothing
+	FaultRateLimit       = "turnaway" // discovery limits its calls to Fault.Rate
+	FaultSilentDiscovery = "quiet"    // discovery stops writing the endpoint list
 
-	FaultNodeKill    = "node-kill" // faults of the list service
+	FaultNodeKill    = "node-kill" // these are faults of the list service's nodes
 	FaultNodeSuspend = "node-pause"
 	FaultNodeCut     = "node-cut"
 	FaultExpiry      = "lapse"   // registrations expire
 	FaultRestore     = "restore" // the list is restored from a backup
 
-	FaultControllerKill    = "warden-kill"
+	FaultControllerKill    = "warden-kill" // these are faults of controllers
 	FaultControllerSuspend = "warden-pause"
 	FaultControllerCut     = "warden-cut"
 
 	FaultRollout  = "rollout"  // all relays are restarted in waves
-	FaultEvacuate = "evacuate" // a zone is drained and returned
+	FaultEvacuate = "evacuate" // a zone is drained and put back into service
 )
 
-// Target is what a fault strikes. Its text is part of a schedule's description.
+// Target is the kind of thing that a fault strikes. Its text appears in the
+// description of a schedule.
 type Target string
 
 // The targets.
@@ -90,7 +92,7 @@
 	TargetZone         Target = "zone"
 )
 
-// Targets gives what each kind of fault strikes.
+// Targets maps each kind of fault to the kind of thing that it strikes.
 var Targets = map[string]Target{
 	FaultKill:              TargetRelay,
 	FaultTerm:              TargetRelay,
@@ -119,7 +121,7 @@
 	FaultBreak:             TargetUpstream,
 	FaultLimits:            TargetUpstream,
 	FaultRateLimit:         TargetDiscovery,
-	FaultQuiet:             TargetDiscovery,
+	FaultSilentDiscovery:   TargetDiscovery,
 	FaultNodeKill:          TargetNode,
 	FaultNodeSuspend:       TargetNode,
 	FaultNodeCut:           TargetNode,
@@ -141,23 +143,23 @@
 	return false
 }
 
-// Values of Fault.Folder: the state that a relay's next process finds.
+// Values of Fault.Folder: the state directory that a relay's next process finds.
 const (
-	FolderIntact = "kept"
-	FolderLost   = "lost"  // none
-	FolderOlder  = "older" // that of a moment before
+	FolderIntact = "kept"  // as the process before left it
+	FolderLost   = "lost"  // empty
+	FolderOlder  = "older" // as it was shortly before the strike
 )
 
-// Values of Fault.Node: whom a fault of the list service or its controllers
-// strikes, by what they are at that moment.
+// Values of Fault.Node: which nodes or controllers a fault strikes, by their state at
+// the moment of the strike.
 const (
 	NodeLeader   = "leader"
 	NodeFollower = "follower"
 	NodeAll      = "all"
-	NodeHolder   = "holder" // of Fault.Role
+	NodeHolder   = "holder" // the controller that holds Fault.Role
 )
 
-// Values of Fault.Direction, from the client's side of a link.
+// Values of Fault.Direction. On a link, forth is from the client to the server.
 const (
 	DirectionForth = "forth"
 	DirectionBack  = "back"
--- a/internal/faultlab/scenario/override.go
+++ b/internal/faultlab/scenario/override.go
@@ -8,16 +8,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ParseWith is Parse of a file with one key, such as load.rate or fault.0.share, set
-// to another value.
+// ParseWith parses a file like Parse, with one key, such as load.rate or
+// fault.0.share, set to another value.
 func ParseWith(path string, doc []byte, key, value string) (*Scenario, error) {
 	var all map[string]any
 	if err := toml.Unmarshal(doc, &all); err != nil {
 		return nil, decodeError(path, doc, err)
 	}
-	var decoded struct{ X any } // the value, as TOML reads it
+	var decoded struct{ X any } // the value as decoded from TOML
 	if toml.Unmarshal([]byte("X = "+value), &decoded) != nil {
-		decoded.X = value // a bare word stands for itself
+		decoded.X = value // a value that is not TOML is used as a string
 	}
 	if err := setKey(all, key, decoded.X); err != nil {
 		err.File = path
@@ -30,8 +30,8 @@
 	return Parse(path, text)
 }
 
-// setKey sets a key of a document, such as fault.0.share; tables that it lacks are
-// made. An Error has no file.
+// setKey sets a key of a document, such as fault.0.share, and creates the tables that
+// are missing. It returns an Error without a file if the key does not fit the document.
 func setKey(doc map[string]any, key string, value any) *Error {
 	var container any = doc
 	parts := strings.Split(key, ".")
--- a/internal/faultlab/scenario/parse.go
+++ b/internal/faultlab/scenario/parse.go
@@ -12,15 +12,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is a scenario that cannot be used.
+// Error says why a scenario file cannot be used.
 type Error struct {
 	File string
-	Line int    // 0 if no line is at fault
-	Key  string // empty if no key is at fault
-	Text string // the value, and what is allowed
+	Line int    // 0 if the error is not in a certain line
+	Key  string // empty if the error is not in a certain key
+	Text string // the invalid value and what is allowed
 }
 
-// Error names file, line and key.
+// Error returns a text with file, line, key and Text.
 func (e *Error) Error() string {
 	position := e.File
 	if e.Line > 0 {
@@ -32,8 +32,8 @@
 	return position + ": " + e.Text
 }
 
-// LoadFile reads and validates a file. Keys that it leaves out are as in Default.
-// Errors are of type *Error.
+// LoadFile reads and validates a scenario file. Keys that are not in the file have
+// their values of Default. Errors are of type *Error.
 func LoadFile(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return Parse(path, text)
 }
 
-// Parse is LoadFile for a text; path names it in errors.
+// Parse does the same as LoadFile for the contents of a file. Errors name path.
 func Parse(path string, doc []byte) (*Scenario, error) {
 	s := Default()
 	s.Name, s.About = strings.TrimSuffix(filepath.Base(path), ".toml"), ""
@@ -58,7 +58,8 @@
 	return &s, nil
 }
 
-// decode is Decode without its panics: go-toml 2.2.4 panics on a number such as +A0.
+// decode calls Decode and returns its panics as errors: go-toml 2.2.4 panics on a
+// number such as +A0.
 func decode(dec *toml.Decoder, s *Scenario) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -83,7 +84,7 @@
 	return &Error{File: path, Text: err.Error()}
 }
 
-// allowed names the keys of the table in which a key stands.
+// allowedKeys returns the keys that are allowed in the table of a key.
 func allowedKeys(key []string) []string {
 	t := reflect.TypeFor[Scenario]()
 	for _, k := range key[:max(0, len(key)-1)] {
--- a/internal/faultlab/scenario/position.go
+++ b/internal/faultlab/scenario/position.go
@@ -7,8 +7,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// walk gives each table and key of a document, such as load.rate or
-// fault[1].kind, with its line, until f returns false.
+// walkKeys calls visit for each table and key of a document, with its full name, such
+// as load.rate or fault[1].kind, and its line. It stops when visit returns false.
 func walkKeys(doc []byte, visit func(key string, line int, table bool) bool) {
 	var p unstable.Parser
 	p.Reset(doc)
@@ -39,8 +39,8 @@
 	}
 }
 
-// lineOf finds the line of a key; where the file leaves it out, that of its
-// table; else 0.
+// lineOf returns the line of a key, or the line of its table if the document does not
+// have the key, or 0 if it has neither.
 func lineOf(doc []byte, key string) (found int) {
 	walkKeys(doc, func(name string, line int, table bool) bool {
 		if name == key || table && strings.HasPrefix(key, name+".") {
@@ -51,7 +51,7 @@
 	return found
 }
 
-// keyAt finds the key that stands in a line.
+// keyAt returns the key that is set in a line; empty if none is.
 func keyAt(doc []byte, line int) (key string) {
 	walkKeys(doc, func(name string, keyLine int, table bool) bool {
 		if keyLine == line && !table {
--- a/internal/faultlab/scenario/scale.go
+++ b/internal/faultlab/scenario/scale.go
@@ -2,44 +2,44 @@
 
 import "fmt"
 
-// Scale is a fleet at its target size on one machine: simulated relays, many in a
-// process, beside a few real ones, a real list service and real agents. If Relays is
-// above 0 the scenario is played that way, and of the other tables only fleet.zones,
-// registry.nodes and registry.ttl count. Durations are in seconds.
+// Scale describes a fleet at its target size on one machine: simulated relays, many in
+// a process, beside a few real relays, a real list service and real agents. If Relays
+// is above 0, the scenario is run that way, and of the other tables only fleet.zones,
+// registry.nodes and registry.ttl are used. Durations are in seconds.
 type Scale struct {
-	Relays     int     `toml:"relays"`    // simulated ones; 0 for an ordinary scenario
-	Processes  int     `toml:"processes"` // of simulated relays
-	Real       int     `toml:"real"`      // relays that run the program under test; every second has an operator address
-	Agents     int     `toml:"agents"`    // that the simulated relays share; each real relay has one of its own
-	Watchers   int     `toml:"watchers"`  // of the list service, in place of the agents that are not run
-	Fleet      int     `toml:"fleet"`     // size of the fleet in the relays' and agents' settings
-	Members    int     `toml:"members"`   // of the list, each the only endpoint of its destination
-	Down       float64 `toml:"down"`      // fraction of the destinations that answer no connection at any time
-	DownFor    float64 `toml:"down_for"`  // how long each stays down
-	Quiet      float64 `toml:"quiet"`     // the first phase, with neither changes nor messages
-	Control    float64 `toml:"control"`   // the second phase, with changes and no messages; the load comes last
-	Settle     float64 `toml:"settle"`    // limit after the load, until every relay has the service's list
-	Rate       float64 `toml:"rate"`      // messages a second, of each relay
-	Deadline   float64 `toml:"deadline"`  // within which a message may be delivered; its class's at most
-	ChangesDay float64 `toml:"changes_a_day"`
-	Speed      float64 `toml:"speed"`     // factor by which the changes of a day are accelerated
-	ExpiryAt   float64 `toml:"lapse_at"`  // when the last zone's registrations expire, from the start of the load; 0 for never
-	ExpiryFor  float64 `toml:"lapse_for"` // after which they are back
-	Writers    int     `toml:"writers"`   // that register members concurrently
+	Relays     int     `toml:"relays"`        // number of simulated relays; 0 for an ordinary scenario
+	Processes  int     `toml:"processes"`     // number of processes that run the simulated relays
+	Real       int     `toml:"real"`          // number of relays that run the program under test; every second one has an operator address
+	Agents     int     `toml:"agents"`        // number of agents that the simulated relays share; each real relay has an agent of its own
+	Watchers   int     `toml:"watchers"`      // number of watchers of the list service, in place of the agents that are not run
+	Fleet      int     `toml:"fleet"`         // size of the fleet in the relays' and agents' settings
+	Members    int     `toml:"members"`       // number of endpoints in the list, each the only one of its destination
+	Down       float64 `toml:"down"`          // fraction of the destinations that answer no connection, at each moment
+	DownFor    float64 `toml:"down_for"`      // how long a destination stays down
+	Quiet      float64 `toml:"quiet"`         // length of the first phase, with neither changes nor messages
+	Control    float64 `toml:"control"`       // length of the second phase, with changes and no messages; the load follows it
+	Settle     float64 `toml:"settle"`        // limit from the end of the load until every relay has the service's list
+	Rate       float64 `toml:"rate"`          // messages a second for each relay
+	Deadline   float64 `toml:"deadline"`      // time within which a message may be delivered, if its class does not allow less
+	ChangesDay float64 `toml:"changes_a_day"` // changes of the list in a day, before Speed is applied
+	Speed      float64 `toml:"speed"`         // factor by which the changes of a day are accelerated
+	ExpiryAt   float64 `toml:"lapse_at"`      // when the last zone's registrations expire, from the start of the load; 0 for never
+	ExpiryFor  float64 `toml:"lapse_for"`     // how long after that they are back
+	Writers    int     `toml:"writers"`       // number of writers that register members concurrently
 
-	// The agents' directories are in memory (/dev/shm): on one machine all share a
-	// disk, and their syncs would slow down those of the nodes.
+	// AgentsInMemory puts the agents' directories in memory (/dev/shm). On one machine
+	// all processes share a disk, and the agents' syncs would slow down the nodes' syncs.
 	AgentsInMemory bool `toml:"agents_in_memory"`
 }
 
-// scaleDefaults are the keys that a scale scenario may leave out.
+// scaleDefaults returns the values of the keys that a scale scenario may leave out.
 func scaleDefaults() Scale {
 	return Scale{Processes: 4, Real: 2, Agents: 2, Fleet: 450, Members: 31000, Down: 0.019, DownFor: 30, Quiet: 5, Control: 10, Settle: 30, Rate: 10,
 		Deadline: 16, ChangesDay: 1900, Speed: 60, Writers: 32}
 }
 
-// validateScale returns an Error for the first key of a scale scenario that cannot
-// be used.
+// validateScale returns an Error, without file and line, for the first key of a scale
+// scenario with a value that cannot be used.
 func (s *Scenario) validateScale() *Error {
 	scale := &s.Scale
 	if err := checkBounds(s.scaleBounds()); err != nil || scale.Relays == 0 {
--- a/internal/faultlab/scenario/scenario.go
+++ b/internal/faultlab/scenario/scenario.go
@@ -1,17 +1,17 @@
-// Package scenario reads scenario files: the fleet, its upstreams, the load and the
-// schedule of faults. A scenario that it returns can be run; an Error names file,
-// line, key and the values that are allowed.
+// Package scenario reads scenario files, which describe a fleet, its upstreams, its
+// load and a schedule of faults. A scenario that it returns can be run; its errors
+// name the file, the line, the key and the values that are allowed.
 package scenario
 
 import (
 	"time"
 )
 
-// Scenario is one file. Durations are in seconds.
+// Scenario holds the contents of one scenario file. Durations are in seconds.
 type Scenario struct {
 	Name         string       `toml:"name"`
 	About        string       `toml:"about"`
-	Seconds      float64      `toml:"seconds"` // of load; pending messages are then waited for
+	Seconds      float64      `toml:"seconds"` // length of the load; the run then waits for pending messages
 	Fleet        Fleet        `toml:"fleet"`
 	Upstreams    Upstreams    `toml:"partners"`
 	Load         Load         `toml:"load"`
@@ -22,73 +22,75 @@
 	Faults       []Fault      `toml:"fault"`
 }
 
-// Fleet describes the relays and the machine of each.
+// Fleet describes the relays, and the limits of each and of its machine.
 type Fleet struct {
 	Relays      int      `toml:"relays"`
 	Zones       []string `toml:"zones"`
 	MemoryMB    int      `toml:"memory_mb"`
 	Sockets     int      `toml:"sockets"`
 	DiskMB      int      `toml:"disk_mb"`
-	MaxCalls    int      `toml:"slots"`    // calls in flight, of one relay
-	MaxMessages int      `toml:"held"`     // messages in flight, of one relay
-	Resident    int      `toml:"resident"` // of these, in its memory; 0 for the relay's default
-	MaxBatch    int      `toml:"batch"`    // messages in one call to a telco
+	MaxCalls    int      `toml:"slots"`    // limit on the calls in flight of one relay
+	MaxMessages int      `toml:"held"`     // limit on the messages that one relay holds
+	Resident    int      `toml:"resident"` // limit on those of them that it holds in memory; 0 for the relay's default
+	MaxBatch    int      `toml:"batch"`    // largest number of messages in one call to a telco
 	Durability  string   `toml:"promise"`  // what an accepted message survives: DurableProcess or DurablePower; empty for the default
 }
 
 // Values of Fleet.Durability.
 const (
-	DurableProcess = "process" // the end of the process
-	DurablePower   = "power"   // a loss of power
+	DurableProcess = "process" // the process may end
+	DurablePower   = "power"   // the machine may lose power
 )
 
 // Upstreams describes the destinations and their endpoints.
 type Upstreams struct {
 	Destinations   int     `toml:"destinations"`
 	Endpoints      int     `toml:"endpoints"`
-	Telcos         float64 `toml:"telcos"` // fraction of the destinations
-	CapacityFactor float64 `toml:"room"`   // of each destination's limit, over its mean load
-	Limits         bool    `toml:"limits"`
-	CountsRejected bool    `toml:"refused_calls_spend"`
-	DelayMS        float64 `toml:"delay_ms"`  // one way, to an endpoint of the same zone
-	CrossMS        float64 `toml:"cross_ms"`  // the same to another zone
-	JitterMS       float64 `toml:"jitter_ms"` // added to either
-	ConnsFactor    float64 `toml:"conns"`     // connections that an endpoint holds, over the calls it serves at once
+	Telcos         float64 `toml:"telcos"`              // fraction of the destinations that are telcos
+	CapacityFactor float64 `toml:"room"`                // limit of each destination, as a multiple of its mean load
+	Limits         bool    `toml:"limits"`              // whether destinations limit their calls
+	CountsRejected bool    `toml:"refused_calls_spend"` // whether rejected calls count against the limits as well
+	DelayMS        float64 `toml:"delay_ms"`            // one-way delay to an endpoint in the same zone
+	CrossMS        float64 `toml:"cross_ms"`            // one-way delay to an endpoint in another zone
+	JitterMS       float64 `toml:"jitter_ms"`           // largest random addition to either delay
+	ConnsFactor    float64 `toml:"conns"`               // connections that an endpoint serves, as a multiple of the calls that it serves at once
 }
 
 // Load describes the traffic of the clients.
 type Load struct {
-	Rate           float64 `toml:"rate"` // messages a second, over all relays
-	Retries        int     `toml:"retries"`
-	LeaverFraction float64 `toml:"leavers"`
-	BurstFraction  float64 `toml:"clumps"`
+	Rate           float64 `toml:"rate"`    // messages a second, over all relays
+	Retries        int     `toml:"retries"` // largest number of times that a client submits one message again
+	LeaverFraction float64 `toml:"leavers"` // fraction of clients that may disconnect before their answer
+	BurstFraction  float64 `toml:"clumps"`  // fraction of messages that arrive in bursts
 }
 
-// Discovery is discovery.
+// Discovery describes the simulated discovery service.
 type Discovery struct {
-	MaxDelaySeconds float64 `toml:"late"` // until a relay learns of a change
+	MaxDelaySeconds float64 `toml:"late"` // longest time until a relay learns of a change
 }
 
-// Registry describes a list service of real processes in the place of discovery.
+// Registry describes a list service of real processes, which replaces the simulated
+// discovery service.
 type Registry struct {
-	Nodes         int     `toml:"nodes"` // 0 for none: discovery is simulated
-	TTL           float64 `toml:"ttl"`   // of the endpoints' registrations
-	Controllers   int     `toml:"wardens"`
-	ControllerTTL float64 `toml:"warden_ttl"` // of the controllers' sessions
+	Nodes         int     `toml:"nodes"`      // number of nodes; 0 for a simulated discovery service
+	TTL           float64 `toml:"ttl"`        // time to live of the endpoints' registrations
+	Controllers   int     `toml:"wardens"`    // number of controllers
+	ControllerTTL float64 `toml:"warden_ttl"` // time to live of the controllers' sessions
 
-	// Drills of package clock for the controllers and nodes, assigned in turn.
+	// The clock drills of the controllers and the nodes, in the format of package clock.
+	// They are assigned in turn.
 	ControllerClocks []string `toml:"warden_clocks"`
 	NodeClocks       []string `toml:"node_clocks"`
 }
 
-// InvalidPeers are the peers that send no proper request.
+// InvalidPeers describes the peers that connect to relays and send no valid request.
 type InvalidPeers struct {
-	Every float64  `toml:"every"` // interval; 0 for none
+	Every float64  `toml:"every"` // interval between two such peers; 0 for none
 	Kinds []string `toml:"kinds"`
 }
 
-// Default is the newcomer's fleet: 3 relays, 9 endpoints of 5 destinations in 3
-// zones, about 60 messages a second.
+// Default returns a small fleet for first experiments: 3 relays, 9 endpoints of 5
+// destinations in 3 zones, and about 60 messages a second.
 func Default() Scenario {
 	return Scenario{Name: "up", About: "the newcomer's fleet", Seconds: 25,
 		Fleet: Fleet{Relays: 3, Zones: []string{"a", "b", "c"}, MemoryMB: 128, Sockets: 512, DiskMB: 8, MaxCalls: 25, MaxMessages: 340, MaxBatch: 5},
@@ -101,8 +103,8 @@
 		Scale:        scaleDefaults()}
 }
 
-// RoundRobin returns an entry of a list whose entries are assigned in turn; empty for
-// an empty list.
+// RoundRobin returns the entry for index i of a list whose entries are assigned in
+// turn, or an empty string if the list is empty.
 func RoundRobin(all []string, i int) string {
 	if len(all) == 0 {
 		return ""
@@ -110,5 +112,5 @@
 	return all[i%len(all)]
 }
 
-// Seconds converts seconds to a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/faultlab/scenario/scenario_test.go
+++ b/internal/faultlab/scenario/scenario_test.go
@@ -34,7 +34,7 @@
 		_, err := Parse("x.toml", []byte(test.text))
 		var e *Error
 		if !errors.As(err, &e) || e.File != "x.toml" || e.Line != test.wantLine || e.Key != test.wantKey || !strings.Contains(e.Text, test.wantText) {
-			t.Errorf("%q: %+v", test.text, err)
+			t.Errorf("scenario %q: error does not name the file, line, key and text of the test case: %+v", test.text, err)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	}
 	for _, key := range []string{"load.rates", "fault.1.share", "load.rate.x"} {
 		if _, err := ParseWith("x.toml", doc, key, "1"); err == nil {
-			t.Errorf("%s: no error", key)
+			t.Errorf("setting the key %s, which does not exist, gave no error", key)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	f.Fuzz(func(t *testing.T, doc []byte) {
 		s, err := Parse("x.toml", doc)
 		if (s == nil) == (err == nil) {
-			t.Fatal("neither a scenario nor an error, or both")
+			t.Fatal("Parse returned both or neither of a scenario and an error")
 		}
 	})
 }
--- a/internal/faultlab/scenario/validate.go
+++ b/internal/faultlab/scenario/validate.go
@@ -10,15 +10,15 @@
 	"plovershore/internal/clock"
 )
 
-// bound is the range of a key's value.
+// bound is the value of a key and the range that is allowed for it.
 type bound struct {
 	key       string
 	value     float64
 	low, high float64
 }
 
-// check returns an Error without file and line if the value is out of range, or not
-// a number.
+// check returns an Error, without file and line, if the value is out of range or is
+// NaN.
 func (b bound) check() *Error {
 	if b.value >= b.low && b.value <= b.high {
 		return nil
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// checkChoice checks that a value is empty or one of those allowed.
+// checkChoice returns an Error, without file and line, unless the value is empty or
+// one of those allowed.
 func checkChoice(key, value string, allowed []string) *Error {
 	if value == "" || slices.Contains(allowed, value) {
 		return nil
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// bounds are those of all numbers but the registry's, the faults' and the scale's.
+// bounds returns the bounds of all numbers except those in the tables registry, fault
+// and scale.
 func (s *Scenario) bounds() []bound {
 	fleet, upstreams, load := &s.Fleet, &s.Upstreams, &s.Load
 	return []bound{
@@ -120,7 +122,7 @@
 	return checkClocks("registry.warden_clocks", r.ControllerClocks)
 }
 
-// checkClocks checks the drills of package clock.
+// checkClocks returns an Error if a clock drill is not in the format of package clock.
 func checkClocks(key string, drills []string) *Error {
 	for _, drill := range drills {
 		if _, err := clock.Parse(drill); err != nil {
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// Bounds of Fault.MS.
+// Upper bounds of Fault.MS, in milliseconds.
 const (
 	maxDelayMS     = 60_000
 	maxClockStepMS = 3 * 3600 * 1000
@@ -143,7 +145,8 @@
 	return maxDelayMS
 }
 
-// validateFault returns an Error whose key is relative to the fault.
+// validateFault returns an Error, without file and line and with a key relative to the
+// fault, for the first key with a value that cannot be used.
 func (s *Scenario) validateFault(f *Fault) *Error {
 	target, ok := Targets[f.Kind]
 	if !ok {
@@ -180,7 +183,7 @@
 	return s.validateNeeds(f, target)
 }
 
-// validateTargets checks the targets that a fault names.
+// validateTargets checks the numbers of the relays and destinations that a fault names.
 func (s *Scenario) validateTargets(f *Fault, target Target) *Error {
 	if len(f.Relays) > 0 && target != TargetRelay && target != TargetLink && target != TargetDiscovery {
 		return &Error{Key: "relays", Text: "a fault of kind " + f.Kind + " strikes no relay"}
@@ -191,7 +194,7 @@
 	return checkNumbers("cells", f.Destinations, s.Upstreams.Destinations)
 }
 
-// checkNumbers checks that numbers are from 0 to below a count.
+// checkNumbers checks that all numbers are at least 0 and below count.
 func checkNumbers(key string, numbers []int, count int) *Error {
 	for _, n := range numbers {
 		if n < 0 || n >= count {
@@ -201,7 +204,8 @@
 	return nil
 }
 
-// validateNeeds checks that the scenario has what a fault needs.
+// validateNeeds checks that a fault has the keys it needs, and the scenario the
+// controllers or the list service that it needs.
 func (s *Scenario) validateNeeds(f *Fault, target Target) *Error {
 	needsControllers := target == TargetController || target == TargetFleet || target == TargetZone || f.Kind == FaultFailover
 	needsService := target == TargetNode || target == TargetRegistration || target == TargetGroup
