--- a/internal/faultlab/report/collect.go
+++ b/internal/faultlab/report/collect.go
@@ -11,25 +11,25 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// collector makes the figures of a history, event by event.
+// collector computes the figures of a history, event by event.
 type collector struct {
 	stats      *Stats
 	classes    []model.Class
-	classIndex map[string]int // index of a class
+	classIndex map[string]int // index in classes, by class name
 
-	firstRequests map[string]*firstRequest // by message
-	firstIDs      map[string]string        // of each request, the message's first ID
-	calls         map[int64]history.Event
-	responses     map[int64]history.Event
-	broken        map[int64]bool // calls whose connection ended
+	firstRequests map[string]*firstRequest // by the message's first ID
+	firstIDs      map[string]string        // the message's first ID, by the ID of each request
+	calls         map[int64]history.Event  // CallReceived of each call whose response is not received yet
+	responses     map[int64]history.Event  // ResponseSent of the same calls
+	broken        map[int64]bool           // calls whose connection ended before a response was recorded as received
 	latency       *hdrhistogram.Histogram
-	cpu           map[int]float64 // seconds, by process
+	cpu           map[int]float64 // CPU seconds at the last sample, by PID
 
-	elapsed float64 // seconds of the present event from the load's begin
+	elapsed float64 // seconds from the start of the load to the current event
 	second  int
 }
 
-// Collect makes the figures of a history file.
+// Collect returns the figures of a history file.
 func Collect(path string) (*Stats, error) {
 	c := newCollector()
 	if err := history.Read(path, c.feed); err != nil {
@@ -64,7 +64,7 @@
 	return c
 }
 
-// feed takes one event; those before the load are passed over.
+// feed handles one event. It ignores events before the start of the load.
 func (c *collector) feed(e history.Event) {
 	if e.Kind == history.Run {
 		c.stats.series.startTime = e.Time
@@ -139,10 +139,10 @@
 	addToSecond(&c.stats.series.failedCalls, c.second, float64(n))
 }
 
-// responseReceived takes a response that a relay received.
+// responseReceived handles a response that a relay received.
 func (c *collector) responseReceived(e history.Event) {
 	call, response := c.calls[e.Call], c.responses[e.Call]
-	if c.broken[e.Call] { // the relay closed the connection as soon as it had the response
+	if c.broken[e.Call] { // the relay closed the connection right after the response, so the call did not fail
 		c.addFailedCalls(-1)
 	}
 	delete(c.calls, e.Call)
@@ -163,7 +163,7 @@
 	}
 }
 
-// delivered takes the delivery of a message; only its first one counts.
+// messageDelivered handles the delivery of a message. Only the first delivery counts.
 func (c *collector) messageDelivered(request *firstRequest, deliveredAt int64) {
 	if request == nil || request.done {
 		return
@@ -179,7 +179,7 @@
 }
 
 func (c *collector) recordLatency(micros int64) {
-	_ = c.latency.RecordValue(micros) // within its bounds
+	_ = c.latency.RecordValue(micros) // cannot fail: the value is within the histogram's bounds
 	bySecond := &c.stats.series.latency
 	for len(*bySecond) <= c.second {
 		*bySecond = append(*bySecond, nil)
@@ -190,7 +190,7 @@
 	_ = (*bySecond)[c.second].RecordValue(micros)
 }
 
-// sample takes what a relay's process uses.
+// usageSampled handles a sample of what a relay's process uses.
 func (c *collector) usageSampled(e history.Event) {
 	stats := c.stats
 	stats.MaxRSS[e.Relay] = max(stats.MaxRSS[e.Relay], e.RSS)
@@ -202,7 +202,7 @@
 	stats.series.fds[e.Relay] = append(stats.series.fds[e.Relay], [2]float64{c.elapsed, float64(e.FDs)})
 }
 
-// fault takes the begin or end of a fault.
+// faultChanged handles the begin or end of a fault.
 func (c *collector) faultChanged(e history.Event) {
 	s := &c.stats.series
 	if e.Active {
--- a/internal/faultlab/report/figures.go
+++ b/internal/faultlab/report/figures.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// Row is one figure with the values of several runs.
+// Row is one figure with its values from several runs.
 type Row struct {
 	Name   string
 	Unit   string
 	Values []float64
 }
 
-// Figures are those that are set side by side.
+// Figures returns the figures with which runs are compared, each with its values from
+// all runs. If the first run has figures of its own, these are compared instead.
 func Figures(runs []*Stats) []Row {
 	if len(runs) > 0 && len(runs[0].Own) > 0 {
 		return ownFigures(runs)
@@ -58,7 +59,7 @@
 	return largest
 }
 
-// Mean is the mean of a row's values, with the lowest and the highest.
+// Mean returns the mean, the lowest and the highest of a row's values.
 func (r Row) Mean() (mean, low, high float64) {
 	if len(r.Values) == 0 {
 		return 0, 0, 0
@@ -69,15 +70,15 @@
 	return mean / float64(len(r.Values)), slices.Min(r.Values), slices.Max(r.Values)
 }
 
-// Figure is one that a kind of run has in place of the usual ones.
+// Figure is a figure of a run that does not have the usual ones, such as a scale run.
 type Figure struct {
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit"`
 	Value float64 `json:"value"`
 }
 
-// ownFigures are the rows of runs that have figures of their own: a figure that a
-// run lacks has no value in its row.
+// ownFigures returns the rows of runs that have figures of their own. A run that lacks
+// a figure adds no value to its row.
 func ownFigures(runs []*Stats) (rows []Row) {
 	rowIndex := map[string]int{}
 	for _, s := range runs {
--- a/internal/faultlab/report/page.go
+++ b/internal/faultlab/report/page.go
@@ -10,11 +10,11 @@
 	"plovershore/internal/faultlab/checker"
 )
 
-// Page is what report.html shows. Write sets Rows and Plots.
+// Page holds what report.html shows. Write sets Rows and Plots.
 type Page struct {
 	Title   string
 	Seed    uint64
-	Late    string // the lab's own lateness
+	Late    string // the lab's own lateness, as text
 	Verdict checker.Verdict
 	Plan    []string
 	Stats   *Stats
@@ -40,7 +40,7 @@
 {{if .Verdict.Excused}}<p>Not held against a relay: {{range $k, $n := .Verdict.Excused}}{{$k}}: {{$n}}; {{end}}</p>{{end}}
 `))
 
-// Write makes report.html in a folder.
+// Write writes report.html to a folder.
 func Write(folder string, p Page) error {
 	p.Rows = Figures([]*Stats{p.Stats})
 	for _, chart := range p.Stats.charts() {
--- a/internal/faultlab/report/plot.go
+++ b/internal/faultlab/report/plot.go
@@ -22,19 +22,19 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// line is one of a plot's curves.
+// line is one curve of a plot.
 type line struct {
 	name string
 	xy   plotter.XYs
 }
 
-// chart is one plot over time.
+// chart is the contents of one plot over time.
 type chart struct {
 	title, unit string
 	lines       []line
 }
 
-// charts are the plots of a run.
+// charts returns the plots over time of a run.
 func (s *Stats) charts() []chart {
 	v := &s.series
 	return []chart{
@@ -47,10 +47,12 @@
 	}
 }
 
-// middle is where the value of a second stands.
+// secondMiddle returns the position on the time axis at which the value of a second is
+// drawn.
 func secondMiddle(second int) float64 { return float64(second) + 0.5 }
 
-// servedLine is the fraction of each second's weight that was served.
+// servedLine returns, for each second, the value that was served as a fraction of the
+// weight of the messages that were due.
 func (s *Stats) servedLine() line {
 	l := line{name: "served"}
 	for i, offered := range s.series.offered {
@@ -61,7 +63,7 @@
 	return l
 }
 
-// latencyLine is a quantile of each second's latency, in milliseconds.
+// latencyLine returns a quantile of the latency in each second, in milliseconds.
 func (s *Stats) latencyLine(name string, quantile float64) line {
 	l := line{name: name}
 	for i, histogram := range s.series.latency {
@@ -72,7 +74,7 @@
 	return l
 }
 
-// perSecond is a line of one value a second.
+// perSecond returns a line with one value for each second.
 func perSecond(name string, values []float64) line {
 	l := line{name: name}
 	for i, value := range values {
@@ -81,7 +83,7 @@
 	return l
 }
 
-// svg draws one plot with the faults shaded behind it.
+// svg draws one plot, with the spans of the faults shaded behind it.
 func (s *Stats) svg(c chart) (template.HTML, error) {
 	title, lines := c.title, c.lines
 	p := plot.New()
@@ -120,7 +122,7 @@
 	return render(p)
 }
 
-// render gives a plot as SVG that can stand within a page.
+// render returns a plot as SVG that can be embedded in an HTML page.
 func render(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
@@ -129,13 +131,14 @@
 		return "", fmt.Errorf("report: %w", err)
 	}
 	text := b.String()
-	return template.HTML(text[max(0, strings.Index(text, "<svg")):]), nil // without the XML header
+	return template.HTML(text[max(0, strings.Index(text, "<svg")):]), nil // without the XML declaration before <svg
 }
 
-// maxLines is the number of lines of a plot that can be told apart.
+// maxLines limits the lines of a plot to a number that can be told apart.
 const maxLines = 12
 
-// processLines makes a line for each process.
+// processLines returns a line for each process, in the order of their names, but at
+// most maxLines.
 func processLines(valuesByProcess map[string][][2]float64) (lines []line) {
 	for name, values := range valuesByProcess {
 		l := line{name: name}
@@ -148,7 +151,8 @@
 	return lines[:min(len(lines), maxLines)]
 }
 
-// Sweep draws one figure over the values of a key, with each run as a point.
+// Sweep draws one figure over the values of a scenario key and writes it to path as
+// SVG. Each run is a point; a line joins the means.
 func Sweep(path, key, figure string, values []string, runs [][]float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = figure+" by "+key, key, figure
--- a/internal/faultlab/report/stats.go
+++ b/internal/faultlab/report/stats.go
@@ -1,5 +1,5 @@
-// Package report presents histories: figures of a run, tables of several, and a page
-// with plots that stands alone. It checks nothing.
+// Package report presents histories: the figures of a run, tables that compare several
+// runs, and a self-contained page with plots. It checks nothing.
 package report
 
 import (
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxLatencyMicros = 60_000_000 // a later delivery counts as this
-	windowSeconds    = 10         // of Stats.WorstWindow
+	maxLatencyMicros = 60_000_000 // a higher latency is recorded as this
+	windowSeconds    = 10         // length of the window of Stats.WorstWindow
 
 	// Weights of the score.
 	scoreServed      = 0.4
@@ -20,62 +20,65 @@
 	scoreWorstClass  = 0.35
 )
 
-// Stats are the figures of one run. Values are fractions of the weight of all
-// messages, latencies count from when a message was due.
+// Stats holds the figures of one run. Values are fractions of the weight of all
+// messages. Latencies are measured from when a message was due.
 type Stats struct {
 	Seconds       float64            `json:"seconds"`
-	Messages      int                `json:"messages"`  // first requests of clients
-	Requests      int                `json:"requests"`  // with the clients' retries
-	Delivered     int                `json:"delivered"` // first requests of clients that arrived, by any repeat
-	Rejected      int                `json:"refused"`   // requests that were rejected or returned
-	Failed        int                `json:"given_up"`
-	Unanswered    int                `json:"unheard"`
-	Calls         int                `json:"calls"`
-	RejectedCalls int                `json:"turned_away"` // answered 429 or 503
-	FailedCalls   int                `json:"failed"`      // answered 500, unreadably, or not at all
-	ValueServed   float64            `json:"served"`      // over the whole run
-	WorstWindow   float64            `json:"served_worst_10s"`
-	Classes       map[string]float64 `json:"served_by_class"`
-	Score         float64            `json:"score"` // see finish
+	Messages      int                `json:"messages"`         // first requests of clients
+	Requests      int                `json:"requests"`         // first requests and the clients' retries
+	Delivered     int                `json:"delivered"`        // messages that were delivered, with the first request or a retry
+	Rejected      int                `json:"refused"`          // requests that a relay rejected, or handed back by a notice
+	Failed        int                `json:"given_up"`         // messages with a notice that they were not delivered
+	Unanswered    int                `json:"unheard"`          // requests that got no answer
+	Calls         int                `json:"calls"`            // calls that reached an endpoint
+	RejectedCalls int                `json:"turned_away"`      // calls answered with 429 or 503
+	FailedCalls   int                `json:"failed"`           // calls answered with 500, with a response that cannot be parsed, or not at all
+	ValueServed   float64            `json:"served"`           // value over the whole run
+	WorstWindow   float64            `json:"served_worst_10s"` // the lowest value over any 10 s
+	Classes       map[string]float64 `json:"served_by_class"`  // value of each class
+	Score         float64            `json:"score"`            // weighted mean of ValueServed, WorstWindow and the value of the worst class
 	P50MS         float64            `json:"p50_ms"`
 	P90MS         float64            `json:"p90_ms"`
 	P99MS         float64            `json:"p99_ms"`
 	MaxRSS        map[string]int64   `json:"max_rss_bytes"`
 	MaxFDs        map[string]int     `json:"max_fds"`
 	CPU           map[string]float64 `json:"cpu_s"`
-	Own           []Figure           `json:"own,omitempty"` // of a scale run: in place of all others
+	Own           []Figure           `json:"own,omitempty"` // figures of a scale run, which replace all others
 	series        series
 }
 
-// series are the values of each second from the load's begin.
+// series holds the values of each second from the start of the load, for plots.
 type series struct {
 	startTime                         int64
-	offered, served                   []float64 // weight, by the second in which a message was due
+	offered, served                   []float64 // weight of messages due, and value of those delivered, by the second in which they were due
 	calls, rejectedCalls, failedCalls []float64
 	rejected, failed                  []float64
-	latency                           []*hdrhistogram.Histogram // by the second of arrival
-	rss, fds                          map[string][][2]float64   // seconds and value
+	latency                           []*hdrhistogram.Histogram // by the second of delivery
+	rss, fds                          map[string][][2]float64   // by relay, pairs of the time in seconds and the value in MB or descriptors
 	faults                            []faultSpan
-	lastByName                        map[string]int // place in faults of the last with a name
+	lastByName                        map[string]int // index in faults of the last fault with a name
 }
 
-// shade is a time in which a fault was active, in seconds.
+// faultSpan is a span of time in which a fault was active, in seconds from the start of
+// the load.
 type faultSpan struct {
 	name     string
 	from, to float64
 }
 
-// first is the first request of a message.
+// firstRequest holds what is known of a message from its first request, and whether the
+// message was delivered.
 type firstRequest struct {
 	due   int64
 	class int
 	done  bool
 }
 
-// secondOf is the second in which a moment of the history lies.
+// secondOf returns the second of the load in which a time of the history, in
+// microseconds, lies; 0 for a time before the load.
 func (s *series) secondOf(timestamp int64) int { return int(max(0, (timestamp-s.startTime)/1e6)) }
 
-// add adds to the value of one second.
+// addToSecond adds to the value of one second, and extends the slice up to it.
 func addToSecond(values *[]float64, second int, value float64) {
 	for len(*values) <= second {
 		*values = append(*values, 0)
@@ -83,7 +86,8 @@
 	(*values)[second] += value
 }
 
-// finish makes the figures that need the whole history.
+// finish computes the figures that need the whole history. latency holds all
+// deliveries.
 func (s *Stats) finish(firstRequests map[string]*firstRequest, classes []model.Class, latency *hdrhistogram.Histogram) {
 	byClass := map[string]float64{}
 	for _, request := range firstRequests {
@@ -113,7 +117,8 @@
 	slices.SortFunc(s.series.faults, func(a, b faultSpan) int { return int(a.from*1e3 - b.from*1e3) })
 }
 
-// fractionOf is the sum of parts over the sum of wholes; 1 for nothing.
+// fractionOf returns the sum of parts divided by the sum of wholes, or 1 if the latter
+// is 0. Missing parts count as 0.
 func fractionOf(parts, wholes []float64) float64 {
 	partSum, wholeSum := 0.0, 0.0
 	for i := range wholes {
