--- a/internal/faultlab/checker/linear.go
+++ b/internal/faultlab/checker/linear.go
@@ -38,8 +38,8 @@
 	},
 }
 
-// checkLinearizable applies RuleLinearizable to the operations on the register. It leaves out
-// reads that were not answered.
+// checkLinearizable applies RuleLinearizable to the operations on the register. It
+// leaves out reads that were not answered.
 func (c *Check) checkLinearizable() {
 	var operations []history.Event
 	var spans []interval
--- a/internal/faultlab/model/ledger.go
+++ b/internal/faultlab/model/ledger.go
@@ -19,7 +19,7 @@
 	Attempt     int  // number of the client's request, from 0
 	Accepted    bool // the client has read +OK
 	Completed   bool // nothing more is due for it: it is delivered, has expired, had a notice or was not accepted
-	Delivered   bool // a relay has received a response that says so
+	Delivered   bool // a relay has received a response by which it counts as delivered
 
 	calls int // number of calls to endpoints that carried it
 }
--- a/internal/faultlab/model/rules.go
+++ b/internal/faultlab/model/rules.go
@@ -13,7 +13,7 @@
 	ShutdownTimeout    time.Duration // limit from SIGTERM to the exit of the process
 	InvalidPeerTimeout time.Duration // limit until an invalid peer gets an error line or a closed connection
 	LongRequestTimeout time.Duration // limit until a peer that sends a request of 60 MB gets an error line or a closed connection
-	MaxAttempts        int           // of one message
+	MaxAttempts        int           // limit on the attempts of one message
 	RecoveryCapacity   float64       // fraction of its capacity that a destination has right after an outage
 	RecoveryTime       time.Duration // how long after an outage a destination has its full capacity again
 	OverloadFactor     float64       // multiple of its present capacity above which calls overload a recovering destination
--- a/internal/faultlab/report/stats.go
+++ b/internal/faultlab/report/stats.go
@@ -24,8 +24,8 @@
 // messages. Latencies are measured from when a message was due.
 type Stats struct {
 	Seconds       float64            `json:"seconds"`
-	Messages      int                `json:"messages"`         // first requests of clients
-	Requests      int                `json:"requests"`         // first requests and the clients' retries
+	Messages      int                `json:"messages"`         // messages of clients: their first requests, without retries
+	Requests      int                `json:"requests"`         // all requests of clients, retries included
 	Delivered     int                `json:"delivered"`        // messages that were delivered, with the first request or a retry
 	Rejected      int                `json:"refused"`          // requests that a relay rejected, or handed back by a notice
 	Failed        int                `json:"given_up"`         // messages with a notice that they were not delivered
@@ -35,7 +35,7 @@
 	FailedCalls   int                `json:"failed"`           // calls answered with 500, with a response that cannot be parsed, or not at all
 	ValueServed   float64            `json:"served"`           // value over the whole run
 	WorstWindow   float64            `json:"served_worst_10s"` // the lowest value over any 10 s
-	Classes       map[string]float64 `json:"served_by_class"`  // value of each class
+	Classes       map[string]float64 `json:"served_by_class"`  // value of each class, as a fraction of the weight of its messages
 	Score         float64            `json:"score"`            // weighted mean of ValueServed, WorstWindow and the value of the worst class
 	P50MS         float64            `json:"p50_ms"`
 	P90MS         float64            `json:"p90_ms"`
