--- a/internal/faultlab/checker/destination.go
+++ b/internal/faultlab/checker/destination.go
@@ -8,69 +8,75 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// retryAfter is a wait that a relay was asked for.
+// retryAfter is the wait that a destination demanded of a relay.
 type retryAfter struct {
 	until    int64
-	received history.Event // the response with it
+	received history.Event // when the relay received the response with the Retry-After
 }
 
-// retryAfterRounding is how much earlier than asked a call may come: the header
-// has milliseconds.
+// retryAfterRounding is how much before the end of a Retry-After a call is allowed,
+// since the header is rounded to milliseconds.
 const retryAfterRounding = time.Millisecond
 
-// extendWait records the Retry-After of a response.
-func (r *relay) extendWait(answered *call, received history.Event) {
-	if answered.response.RetryAfter <= 0 {
+// extendWait records the Retry-After of a response, unless the relay has to wait
+// longer for that destination already.
+func (r *relay) extendWait(answeredCall *call, received history.Event) {
+	if answeredCall.response.RetryAfter <= 0 {
 		return
 	}
-	destination := answered.received.Destination
-	if until := answered.response.Time + answered.response.RetryAfter; until > r.waits[destination].until {
+	destination := answeredCall.received.Destination
+	if until := answeredCall.response.Time + answeredCall.response.RetryAfter; until > r.waits[destination].until {
 		r.waits[destination] = retryAfter{until, received}
 	}
 }
 
-// checkRetryAfter applies RuleRetryAfter to a call.
+// checkRetryAfter applies RuleRetryAfter to a call. Calls that were sent within
+// Rules.RetryAfterSlack after the relay received the Retry-After are allowed.
 func (c *Check) checkRetryAfter(r *relay, e history.Event) {
 	wait, ok := r.waits[e.Destination]
 	if !ok || e.Kind != history.CallReceived {
 		return
 	}
-	c.checked(RuleRetryAfter)
-	known := wait.received.Time + micros(c.config.Rules.RetryAfterSlack)
-	if e.SentAt > known && e.SentAt < wait.until-micros(retryAfterRounding) {
+	c.recordCheck(RuleRetryAfter)
+	knownAt := wait.received.Time + micros(c.config.Rules.RetryAfterSlack)
+	if e.SentAt > knownAt && e.SentAt < wait.until-micros(retryAfterRounding) {
 		text := fmt.Sprintf("sent to destination %d %.3f s before the end of its Retry-After", e.Destination, seconds(wait.until-e.SentAt))
-		c.violate(RuleRetryAfter, r.name, r.name, text, wait.received, e)
+		c.recordViolation(RuleRetryAfter, r.name, r.name, text, wait.received, e)
 	}
 }
 
-// endpointChanged takes a change that discovery has for all relays.
+// endpointChanged handles a change of an endpoint's phase that discovery announced
+// to all relays.
 func (c *Check) endpointChanged(e history.Event) {
 	if e.Phase == model.Up {
-		delete(c.changed, e.Endpoint)
-	} else if _, ok := c.changed[e.Endpoint]; !ok {
-		c.changed[e.Endpoint] = e
+		delete(c.announcedChanges, e.Endpoint)
+	} else if _, ok := c.announcedChanges[e.Endpoint]; !ok {
+		c.announcedChanges[e.Endpoint] = e
 	}
 }
 
-// changeDelivered takes a change that was written to one relay.
+// changeDelivered handles a change of an endpoint's phase that was written to one
+// relay.
 func (c *Check) changeDelivered(e history.Event) {
 	r := c.relay(e.Relay)
 	if e.Phase == model.Up {
-		delete(r.changed, e.Endpoint)
-		r.upAgain[e.Endpoint] = e.Time
-	} else if _, ok := r.changed[e.Endpoint]; !ok {
-		r.changed[e.Endpoint] = e
+		delete(r.deliveredChanges, e.Endpoint)
+		r.lastUpAt[e.Endpoint] = e.Time
+	} else if _, ok := r.deliveredChanges[e.Endpoint]; !ok {
+		r.deliveredChanges[e.Endpoint] = e
 	}
 }
 
-// checkDrain applies RuleDrain to a call. A change that was announced counts as
-// delivered after Rules.ListDelay, whether or not it arrived; a process that
-// starts or continues knows it from then on.
+// checkDrain applies RuleDrain to a call. An announced change counts as delivered
+// after Rules.ListDelay, whether or not it arrived. A process that starts or resumes
+// after that counts as having learned of it at its start or resumption.
 func (c *Check) checkDrain(r *relay, e history.Event) {
 	rules := &c.config.Rules
-	change, ok := r.changed[e.Endpoint]
-	// An operator may get the answer to a change later than the relay gets the change.
-	if announced, listed := c.changed[e.Endpoint]; listed && r.upAgain[e.Endpoint] < announced.Time {
+	change, ok := r.deliveredChanges[e.Endpoint]
+	// An announcement is recorded when the operator gets the answer to the change, which
+	// may be later than the relay receives the change. So a relay that heard of the
+	// endpoint being up after the drain was announced need not wait for the announcement.
+	if announced, wasAnnounced := c.announcedChanges[e.Endpoint]; wasAnnounced && r.lastUpAt[e.Endpoint] < announced.Time {
 		announced.Time += micros(rules.ListDelay)
 		if !ok || announced.Time < change.Time {
 			change, ok = announced, true
@@ -79,37 +85,39 @@
 	if !ok {
 		return
 	}
-	c.checked(RuleDrain)
-	known := max(change.Time, r.started.Time, r.resumedAt)
-	if late := e.SentAt - known - micros(rules.DrainGrace+rules.Slack); late > 0 {
-		text := fmt.Sprintf("sent to %s, which is %s, %.3f s after the grace", e.Endpoint, change.Phase, seconds(late))
-		c.violate(RuleDrain, r.name, r.name, text, change, e)
+	c.recordCheck(RuleDrain)
+	knownAt := max(change.Time, r.started.Time, r.resumedAt)
+	if lateBy := e.SentAt - knownAt - micros(rules.DrainGrace+rules.Slack); lateBy > 0 {
+		text := fmt.Sprintf("sent to %s, which is %s, %.3f s after the grace", e.Endpoint, change.Phase, seconds(lateBy))
+		c.recordViolation(RuleDrain, r.name, r.name, text, change, e)
 	}
 }
 
-// outage takes the begin or end of a destination's outage.
-func (c *Check) outage(e history.Event) {
+// outageChanged handles the begin or end of a destination's outage.
+func (c *Check) outageChanged(e history.Event) {
 	if !e.Active {
 		delete(c.outages, e.Destination)
 		return
 	}
 	c.outages[e.Destination] = e
 	for _, r := range c.relays {
-		r.sawOutage[e.Destination] = e.ConnectionsFail // every relay that tries sees a refused connection
+		r.sawOutage[e.Destination] = e.ConnectionsFail // if connections fail, every relay that tries sees it, though no call reaches an endpoint
 	}
 }
 
-// sawFailure records that a relay saw a destination fail during its outage.
+// sawFailure records that a call of a relay failed at a destination; it has an effect
+// only during an outage of the destination.
 func (c *Check) sawFailure(r *relay, destination int) {
 	if _, down := c.outages[destination]; down {
 		r.sawOutage[destination] = true
 	}
 }
 
-// overloaded applies RuleRecoveryLoad to a recovering destination that failed:
-// relays that saw the outage should have sent little.
-func (c *Check) overloaded(e history.Event) {
-	c.checked(RuleRecoveryLoad)
+// destinationOverloaded applies RuleRecoveryLoad to a destination that was overloaded
+// while it recovered. The rule is violated if at least Rules.BlameFraction of the
+// calls came from relays that saw the outage, and so should have sent little.
+func (c *Check) destinationOverloaded(e history.Event) {
+	c.recordCheck(RuleRecoveryLoad)
 	rules := &c.config.Rules
 	total, informed := 0, 0
 	for name, calls := range e.Relays {
@@ -122,5 +130,5 @@
 		return
 	}
 	text := fmt.Sprintf("overloaded while it recovered: %d of %d calls in %s came from relays that had seen it fail", informed, total, rules.OverloadWindow)
-	c.violate(RuleRecoveryLoad, fmt.Sprintf("destination %d", e.Destination), "", text, e, e)
+	c.recordViolation(RuleRecoveryLoad, fmt.Sprintf("destination %d", e.Destination), "", text, e, e)
 }
--- a/internal/faultlab/checker/message.go
+++ b/internal/faultlab/checker/message.go
@@ -7,56 +7,58 @@
 	"plovershore/internal/faultlab/history"
 )
 
-// message is what is known of one message.
+// message holds what the history says about one message so far.
 type message struct {
 	submitted     history.Event
 	accepted      history.Event
-	completed     history.Event // the first final response: a response or a notice
+	completed     history.Event // the first event that completed it: a ResponseReceived or a Notice
 	rejected      history.Event
 	deadline      int64
 	nonIdempotent bool
 	calls         []*call
 	executed      []history.Event
-	lastSeen      int64  // when anything was last recorded of it
-	excuse        string // why it need not be completed; empty for none
-	forgotten     bool   // its relay was set back: its history so far is not held against it
+	lastSeen      int64  // the time of the last event about it
+	excuse        string // why RuleCompletion does not apply to it; empty if it applies
+	forgotten     bool   // its relay continued from an older copy of its log and may have lost what it knew of the message
 }
 
-// feedMessage takes an event between a client and a relay.
+// feedMessage handles an event between a client and a relay, and calls that no
+// submitted message explains.
 func (c *Check) feedMessage(e history.Event) {
 	switch e.Kind {
 	case history.MessageSubmitted:
 		c.messages[e.Message] = &message{submitted: e, deadline: e.Time + e.ValidFor, nonIdempotent: c.nonIdempotent[e.Class], lastSeen: e.Time}
 	case history.MessageAccepted:
-		if m := c.seen(e.Message, e.Time); m != nil {
+		if m := c.touchMessage(e.Message, e.Time); m != nil {
 			m.accepted = e
 		}
 	case history.MessageRejected:
 		c.messageRejected(e)
 	case history.ExtraResponse:
-		c.violate(RuleSingleAnswer, e.Message, e.Relay, fmt.Sprintf("answered more than once: then came %q", e.Text), c.submission(e.Message), e)
+		c.recordViolation(RuleSingleAnswer, e.Message, e.Relay, fmt.Sprintf("answered more than once: then came %q", e.Text), c.submission(e.Message), e)
 	case history.Notice:
-		c.notice(e)
+		c.noticeReceived(e)
 	case history.InvalidCall:
 		subject := e.Message
 		if subject == "" {
 			subject = e.Relay
 		}
-		c.violate(RuleValidCall, subject, e.Relay, e.Text+" came to "+e.Endpoint, c.submission(e.Message), e)
+		c.recordViolation(RuleValidCall, subject, e.Relay, e.Text+" came to "+e.Endpoint, c.submission(e.Message), e)
 	}
 }
 
-// seen returns a message of which something is recorded now; nil for one that no
-// client submitted.
-func (c *Check) seen(id string, at int64) *message {
+// touchMessage returns the message with an ID and notes that an event about it was
+// recorded now. It returns nil if no client submitted such a message.
+func (c *Check) touchMessage(id string, now int64) *message {
 	m := c.messages[id]
 	if m != nil {
-		m.lastSeen = at
+		m.lastSeen = now
 	}
 	return m
 }
 
-// submission is the event by which a message was submitted, if it was.
+// submission returns the event with which a message was submitted, or the zero event
+// if none was.
 func (c *Check) submission(id string) history.Event {
 	if m := c.messages[id]; m != nil {
 		return m.submitted
@@ -65,28 +67,29 @@
 }
 
 func (c *Check) messageRejected(e history.Event) {
-	m := c.seen(e.Message, e.Time)
+	m := c.touchMessage(e.Message, e.Time)
 	if m == nil {
 		return
 	}
 	m.rejected = e
-	c.checked(RuleRejected)
+	c.recordCheck(RuleRejected)
 	if len(m.calls) > 0 {
-		c.violate(RuleRejected, e.Message, e.Relay, rejectedButSent, m.calls[0].received, e)
+		c.recordViolation(RuleRejected, e.Message, e.Relay, rejectedButSent, m.calls[0].received, e)
 	}
 }
 
 const rejectedButSent = "rejected, but sent all the same"
 
-// notice takes the final response that a relay sent through discovery.
-func (c *Check) notice(e history.Event) {
-	m := c.seen(e.Message, e.Time)
+// noticeReceived handles a notice: the final response that a relay sent through
+// discovery.
+func (c *Check) noticeReceived(e history.Event) {
+	m := c.touchMessage(e.Message, e.Time)
 	switch {
 	case m == nil:
-		c.violate(RuleValidCall, e.Message, e.Relay, "a notice of a message that no client submitted", history.Event{}, e)
+		c.recordViolation(RuleValidCall, e.Message, e.Relay, "a notice of a message that no client submitted", history.Event{}, e)
 		return
 	case m.completed.Kind != "":
-		return // a second notice does no harm
+		return // the message is completed already; a repeated notice is allowed
 	}
 	m.completed = e
 	acknowledged := m.accepted.Kind != ""
@@ -98,15 +101,16 @@
 // checkReturn applies RuleNoRepeat to a message that is handed back to its client,
 // which may submit it again.
 func (c *Check) checkReturn(m *message, notice history.Event) {
-	c.checked(RuleNoRepeat)
+	c.recordCheck(RuleNoRepeat)
 	for _, call := range m.calls {
 		if !call.knownNotToRun(notice.Message) && !m.forgotten {
-			c.violate(RuleNoRepeat, notice.Message, notice.Relay, "handed back, though an attempt before may have run", call.received, notice)
+			c.recordViolation(RuleNoRepeat, notice.Message, notice.Relay, "handed back, though an attempt before may have run", call.received, notice)
 		}
 	}
 }
 
-// checkCompletion applies RuleCompletion to a message that was accepted.
+// checkCompletion applies RuleCompletion to a message. Only accepted messages without
+// an excuse need a final response.
 func (c *Check) checkCompletion(id string, m *message) {
 	if m.accepted.Kind == "" {
 		return
@@ -121,13 +125,13 @@
 		c.verdict.Excused["time not up at the end of the run"]++
 		return
 	}
-	c.checked(RuleCompletion)
+	c.recordCheck(RuleCompletion)
 	switch {
 	case m.completed.Kind == "":
 		text := fmt.Sprintf("accepted, %d attempts, and no final response by %.3f s", len(m.calls), seconds(due))
-		c.violate(RuleCompletion, id, m.submitted.Relay, text, m.accepted, history.Event{})
+		c.recordViolation(RuleCompletion, id, m.submitted.Relay, text, m.accepted, history.Event{})
 	case m.completed.Time > due:
 		text := fmt.Sprintf("its final response came %.3f s late", seconds(m.completed.Time-due))
-		c.violate(RuleCompletion, id, m.submitted.Relay, text, m.accepted, m.completed)
+		c.recordViolation(RuleCompletion, id, m.submitted.Relay, text, m.accepted, m.completed)
 	}
 }
--- a/internal/faultlab/checker/process.go
+++ b/internal/faultlab/checker/process.go
@@ -10,46 +10,47 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// startTimeout is how long a relay has until it is ready.
+// startTimeout is how long a relay may take from its start until it is ready.
 const startTimeout = 30 * time.Second
 
-// interval is a span of the run's time; end is 0 while it lasts.
+// interval is a span of time in a run, in microseconds. The end of an absence that
+// has not ended yet is 0.
 type interval struct{ begin, end int64 }
 
-// relay is what is known of a relay, over all of its processes.
+// relay holds what the history says about a relay, across all of its processes.
 type relay struct {
-	name      string
-	pid       int // of the present process
-	started   history.Event
-	ready     history.Event
-	signaled  history.Event         // the last signal that ends the present process
-	signals   map[int]history.Event // the same by process: during an upgrade there are two
-	resumedAt int64
-	absences  []interval // when nothing was due from it
-	changed   map[string]history.Event
-	upAgain   map[string]int64 // when it was last told that an endpoint is up
-	waits     map[int]retryAfter
-	sawOutage map[int]bool // destinations that it saw fail in their last outage
-}
-
-// relay returns the state of a relay, new if it is seen for the first time.
+	name             string
+	pid              int // the PID of the current process
+	started          history.Event
+	ready            history.Event
+	signaled         history.Event         // the last SIGTERM or SIGKILL to the current process
+	signals          map[int]history.Event // the last SIGTERM or SIGKILL by PID: during an upgrade there are two processes
+	resumedAt        int64
+	absences         []interval // spans in which it was not running or not ready, and so could not meet deadlines
+	deliveredChanges map[string]history.Event
+	lastUpAt         map[string]int64 // when the relay was last told that an endpoint is up, by endpoint
+	waits            map[int]retryAfter
+	sawOutage        map[int]bool // whether it saw a destination fail in its last outage, by destination
+}
+
+// relay returns the state of a relay, and creates it at the relay's first event.
 func (c *Check) relay(name string) *relay {
 	r := c.relays[name]
 	if r == nil {
 		r = &relay{
-			name:      name,
-			signals:   map[int]history.Event{},
-			changed:   map[string]history.Event{},
-			upAgain:   map[string]int64{},
-			waits:     map[int]retryAfter{},
-			sawOutage: map[int]bool{},
+			name:             name,
+			signals:          map[int]history.Event{},
+			deliveredChanges: map[string]history.Event{},
+			lastUpAt:         map[string]int64{},
+			waits:            map[int]retryAfter{},
+			sawOutage:        map[int]bool{},
 		}
 		c.relays[name] = r
 	}
 	return r
 }
 
-// feedProcess takes an event of a process.
+// feedProcess handles an event of a relay's process.
 func (c *Check) feedProcess(e history.Event) {
 	switch e.Kind {
 	case history.ProcessStarted:
@@ -58,7 +59,7 @@
 		r := c.relay(e.Relay)
 		r.ready = e
 		r.endAbsence(e.Time)
-		c.checked(RuleStart)
+		c.recordCheck(RuleStart)
 	case history.ProcessSignaled:
 		c.processSignaled(c.relay(e.Relay), e)
 	case history.ProcessExited:
@@ -73,7 +74,7 @@
 func (r *relay) start(e history.Event) {
 	r.started, r.pid = e, e.PID
 	r.ready, r.signaled = history.Event{}, history.Event{}
-	clear(r.waits) // a restart ends them
+	clear(r.waits) // a restarted relay does not know the Retry-Afters of the process before
 	r.beginAbsence(e.Time)
 }
 
@@ -82,20 +83,21 @@
 	return last >= 0 && r.absences[last].end == 0
 }
 
-func (r *relay) beginAbsence(at int64) {
+func (r *relay) beginAbsence(now int64) {
 	if !r.isAbsent() {
-		r.absences = append(r.absences, interval{begin: at})
+		r.absences = append(r.absences, interval{begin: now})
 	}
 }
 
-func (r *relay) endAbsence(at int64) {
+func (r *relay) endAbsence(now int64) {
 	if r.isAbsent() {
-		r.absences[len(r.absences)-1].end = at
+		r.absences[len(r.absences)-1].end = now
 	}
 }
 
-// excusedUntil moves a moment at which something is due behind the absence in
-// which it falls, and the time that a restart is given.
+// excusedUntil returns the time at which something is due from a relay, given when it
+// would be due without absences. A due time during an absence, or during the grace
+// after it, moves to the end of that grace.
 func (c *Check) excusedUntil(r *relay, due int64) int64 {
 	rules := &c.config.Rules
 	for _, absence := range r.absences {
@@ -114,7 +116,7 @@
 	if e.Text == syscall.SIGTERM.String() || e.Text == syscall.SIGKILL.String() {
 		r.signals[e.PID] = e
 	}
-	if e.PID != r.pid { // of the process before, during an upgrade
+	if e.PID != r.pid { // the signal went to the old process during an upgrade
 		return
 	}
 	switch e.Text {
@@ -133,14 +135,15 @@
 	}
 }
 
-// checkKilledAfterTerm applies RuleShutdown to a process that had to be killed.
+// checkKilledAfterTerm applies RuleShutdown to a process that was killed after it had
+// received SIGTERM.
 func (c *Check) checkKilledAfterTerm(r *relay, kill history.Event) {
 	if r.signaled.Text != syscall.SIGTERM.String() || r.signaled.PID != kill.PID {
 		return
 	}
-	c.checked(RuleShutdown)
-	if after := kill.Time - r.signaled.Time; after >= micros(c.config.Rules.ShutdownTimeout) {
-		c.violate(RuleShutdown, r.name, r.name, fmt.Sprintf("still running %.3f s after SIGTERM", seconds(after)), r.signaled, kill)
+	c.recordCheck(RuleShutdown)
+	if runTime := kill.Time - r.signaled.Time; runTime >= micros(c.config.Rules.ShutdownTimeout) {
+		c.recordViolation(RuleShutdown, r.name, r.name, fmt.Sprintf("still running %.3f s after SIGTERM", seconds(runTime)), r.signaled, kill)
 	}
 }
 
@@ -148,25 +151,25 @@
 	if e.PID == r.pid {
 		r.beginAbsence(e.Time)
 	}
-	c.checked(RuleCrash)
+	c.recordCheck(RuleCrash)
 	switch signal := r.signals[e.PID]; {
 	case signal.Kind == "":
 		text := "ended by itself: " + e.Text
 		if r.ready.Kind == "" {
 			text = "failed to start: " + e.Text
 		}
-		c.violate(RuleCrash, r.name, r.name, text, r.started, e)
+		c.recordViolation(RuleCrash, r.name, r.name, text, r.started, e)
 	case signal.Text == syscall.SIGTERM.String():
-		c.checked(RuleShutdown)
+		c.recordCheck(RuleShutdown)
 		rules := &c.config.Rules
 		if took := e.Time - signal.Time; took > micros(rules.ShutdownTimeout+rules.Slack) {
-			c.violate(RuleShutdown, r.name, r.name, fmt.Sprintf("ended %.3f s after SIGTERM", seconds(took)), signal, e)
+			c.recordViolation(RuleShutdown, r.name, r.name, fmt.Sprintf("ended %.3f s after SIGTERM", seconds(took)), signal, e)
 		}
 	}
 }
 
-// folderChanged excuses what no relay can keep when its state directory was
-// changed while it was down.
+// folderChanged excuses the messages that a relay cannot complete because its state
+// directory was lost, damaged or replaced by an older copy while it was down.
 func (c *Check) folderChanged(e history.Event) {
 	for _, m := range c.messages {
 		if m.submitted.Relay != e.Relay {
@@ -175,31 +178,31 @@
 		pending := m.accepted.Kind != "" && m.completed.Kind == ""
 		switch {
 		case e.Text == history.FolderOlder:
-			m.setBack(e.DueAt, pending)
+			m.excuseForgotten(e.DueAt, pending)
 		case !pending:
 		case e.Text == history.FolderLost:
 			m.excuse = "the folder was lost"
 		default:
-			m.excuse = "the folder was damaged" // it may still not be sent twice
+			m.excuse = "the folder was damaged" // this excuses only completion: the message must still not be sent twice
 		}
 	}
 }
 
-// setBack excuses a message whose relay continues from an older copy of its log:
-// it does not know what came after that copy.
-func (m *message) setBack(copied int64, pending bool) {
-	if m.lastSeen < copied {
+// excuseForgotten excuses a message whose relay continues from an older copy of its
+// log, since the relay does not know what happened after the copy was made.
+func (m *message) excuseForgotten(copiedAt int64, wasPending bool) {
+	if m.lastSeen < copiedAt {
 		return
 	}
 	m.forgotten = true
-	if m.excuse == "" && m.accepted.Kind != "" && (pending || m.completed.Time >= copied) {
+	if m.excuse == "" && m.accepted.Kind != "" && (wasPending || m.completed.Time >= copiedAt) {
 		m.excuse = "the folder is older than the message"
 	}
 }
 
-// usageSampled applies RuleLimits.
+// usageSampled applies RuleLimits to a sample of what a relay's process uses.
 func (c *Check) usageSampled(r *relay, e history.Event) {
-	c.checked(RuleLimits)
+	c.recordCheck(RuleLimits)
 	limits := &c.config.Limits
 	for _, resource := range []struct {
 		unit        string
@@ -211,19 +214,20 @@
 	} {
 		if resource.limit > 0 && resource.used > resource.limit {
 			text := fmt.Sprintf("%d %s; %d at most", resource.used, resource.unit, resource.limit)
-			c.violate(RuleLimits, r.name, r.name, text, r.started, e)
+			c.recordViolation(RuleLimits, r.name, r.name, text, r.started, e)
 		}
 	}
 }
 
-// invalidPeer applies RuleInvalidPeer where the relay was present all the time.
-func (c *Check) invalidPeer(e history.Event) {
+// invalidPeerFinished applies RuleInvalidPeer to the outcome of an invalid peer's
+// connection, unless the relay was absent at any time since the peer connected.
+func (c *Check) invalidPeerFinished(e history.Event) {
 	r := c.relay(e.Relay)
-	connected := e.Time - e.Took
-	if n := len(r.absences); n > 0 && (r.isAbsent() || r.absences[n-1].end > connected) {
+	connectedAt := e.Time - e.Took
+	if n := len(r.absences); n > 0 && (r.isAbsent() || r.absences[n-1].end > connectedAt) {
 		return
 	}
-	c.checked(RuleInvalidPeer)
+	c.recordCheck(RuleInvalidPeer)
 	rules := &c.config.Rules
 	limit := rules.InvalidPeerTimeout
 	if strings.HasPrefix(e.Text, model.PeerLongRequest+":") {
@@ -231,15 +235,16 @@
 	}
 	if e.Status == 0 || e.Took > micros(limit+rules.Slack) {
 		first := e
-		first.Time = connected
-		c.violate(RuleInvalidPeer, r.name, r.name, fmt.Sprintf("an invalid peer (%s) after %.3f s", e.Text, seconds(e.Took)), first, e)
+		first.Time = connectedAt
+		c.recordViolation(RuleInvalidPeer, r.name, r.name, fmt.Sprintf("an invalid peer (%s) after %.3f s", e.Text, seconds(e.Took)), first, e)
 	}
 }
 
-// checkStart applies RuleStart to a relay that never became ready.
+// checkStart applies RuleStart to the last process of a relay: it violates the rule if
+// it neither became ready within startTimeout nor was told to end.
 func (c *Check) checkStart(r *relay) {
 	isRelay := r.started.Kind != "" && r.started.Text != history.NodeProcess
 	if isRelay && r.ready.Kind == "" && r.signaled.Kind == "" && c.lastTime-r.started.Time > micros(startTimeout) {
-		c.violate(RuleStart, r.name, r.name, fmt.Sprintf("not ready %v after its start", startTimeout), r.started, history.Event{})
+		c.recordViolation(RuleStart, r.name, r.name, fmt.Sprintf("not ready %v after its start", startTimeout), r.started, history.Event{})
 	}
 }
--- a/internal/faultlab/report/figures.go
+++ b/internal/faultlab/report/figures.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// Row is one figure with the values of several runs.
+// Row is one figure with its values from several runs.
 type Row struct {
 	Name   string
 	Unit   string
 	Values []float64
 }
 
-// Figures are those that are set side by side.
+// Figures returns the figures with which runs are compared, each with its values from
+// all runs. If the first run has figures of its own, these are compared instead.
 func Figures(runs []*Stats) []Row {
 	if len(runs) > 0 && len(runs[0].Own) > 0 {
 		return ownFigures(runs)
@@ -17,7 +18,7 @@
 	rows := []Row{}
 	for _, f := range []struct {
 		name, unit string
-		of         func(*Stats) float64
+		value      func(*Stats) float64
 	}{
 		{"score", "", func(s *Stats) float64 { return s.Score }},
 		{"worth served, whole run", "", func(s *Stats) float64 { return s.ValueServed }},
@@ -42,7 +43,7 @@
 	} {
 		r := Row{Name: f.name, Unit: f.unit}
 		for _, s := range runs {
-			r.Values = append(r.Values, f.of(s))
+			r.Values = append(r.Values, f.value(s))
 		}
 		rows = append(rows, r)
 	}
@@ -51,14 +52,14 @@
 
 func ratio(a, b int) float64 { return float64(a) / float64(max(1, b)) }
 
-func maxOf[T int | int64](m map[string]T) (most T) {
+func maxOf[T int | int64](m map[string]T) (largest T) {
 	for _, v := range m {
-		most = max(most, v)
+		largest = max(largest, v)
 	}
-	return most
+	return largest
 }
 
-// Mean is the mean of a row's values, with the lowest and the highest.
+// Mean returns the mean, the lowest and the highest of a row's values.
 func (r Row) Mean() (mean, low, high float64) {
 	if len(r.Values) == 0 {
 		return 0, 0, 0
@@ -69,24 +70,24 @@
 	return mean / float64(len(r.Values)), slices.Min(r.Values), slices.Max(r.Values)
 }
 
-// Figure is one that a kind of run has in place of the usual ones.
+// Figure is a figure of a run that does not have the usual ones, such as a scale run.
 type Figure struct {
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit"`
 	Value float64 `json:"value"`
 }
 
-// ownFigures are the rows of runs that have figures of their own: a figure that a
-// run lacks has no value in its row.
+// ownFigures returns the rows of runs that have figures of their own. A run that lacks
+// a figure adds no value to its row.
 func ownFigures(runs []*Stats) (rows []Row) {
-	place := map[string]int{}
+	rowIndex := map[string]int{}
 	for _, s := range runs {
 		for _, f := range s.Own {
-			if _, known := place[f.Name]; !known {
-				place[f.Name] = len(rows)
+			if _, known := rowIndex[f.Name]; !known {
+				rowIndex[f.Name] = len(rows)
 				rows = append(rows, Row{Name: f.Name, Unit: f.Unit})
 			}
-			row := &rows[place[f.Name]]
+			row := &rows[rowIndex[f.Name]]
 			row.Values = append(row.Values, f.Value)
 		}
 	}
