--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,10 @@
 // Package clock is the time source of a process: the machine's clocks, or a
-// simulated one whose rate differs from theirs and whose date jumps. Mono never
-// goes backwards, whatever happens to the date. With simulated clocks the fault
-// lab shows that safety does not depend on time; production uses the machine's.
+// simulated clock that runs at another rate and whose date jumps. The monotonic
+// time never goes backwards, whatever happens to the date. The fault lab runs
+// processes on simulated clocks to show that safety does not depend on time;
+// production uses the machine's clocks.
 //
-// Reading compares clock readings of different processes.
+// A Reading can be compared with readings that other processes took.
 package clock
 
 import (
@@ -21,19 +22,19 @@
 	jumps []dateJump
 }
 
-// dateJump sets the date forward, or back where by is negative, at a time after
-// the process began.
+// dateJump sets the date forward by an amount, or back if the amount is negative,
+// once a time has passed since the process began.
 type dateJump struct{ by, at time.Duration }
 
-// Bounds of a simulated clock's rate.
+// A simulated clock's rate must lie within these bounds.
 const (
 	minRate = 0.1
 	maxRate = 10
 )
 
 // Parse returns the simulated clock that spec describes. "rate=1.1,date=-1h@8s"
-// is a clock that runs 10% fast, and whose date is set back an hour 8 s after the
-// process began. An empty spec is the machine's clock.
+// is a clock that runs 10% fast, and whose date is set back by an hour 8 s after
+// the process began. For an empty spec Parse returns the machine's clock, nil.
 func Parse(spec string) (*Clock, error) {
 	if spec == "" {
 		return nil, nil
@@ -63,13 +64,13 @@
 
 func parseRate(text string) (float64, error) {
 	rate, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(rate >= minRate && rate <= maxRate) { // not a number compares with neither
+	if err != nil || !(rate >= minRate && rate <= maxRate) { // written so that NaN is rejected, too
 		return 0, fmt.Errorf("clock: rate: %q; a number from %v to %v is wanted", text, minRate, maxRate)
 	}
 	return rate, nil
 }
 
-// parseDateJump parses a jump such as -1h@8s.
+// parseDateJump parses a jump such as -1h@8s: back by an hour, 8 s after the start.
 func parseDateJump(text string) (dateJump, error) {
 	by, at, _ := strings.Cut(text, "@")
 	var jump dateJump
@@ -83,8 +84,9 @@
 	return jump, nil
 }
 
-// Mono returns the monotonic time, which is only good for differences and
-// comparisons with others of the same clock. Jumps of the date do not affect it.
+// Mono returns the monotonic time. Only its difference from, and its order with,
+// other monotonic times of the same clock have a meaning. Jumps of the date do
+// not affect it.
 func (c *Clock) Mono() time.Time {
 	if c == nil {
 		return time.Now()
@@ -106,7 +108,8 @@
 	return now
 }
 
-// Span converts a duration by the machine's clock to one by this clock.
+// Span converts a duration measured by the machine's clock to the duration that
+// this clock shows for it.
 func (c *Clock) Span(d time.Duration) time.Duration {
 	if c == nil {
 		return d
@@ -114,7 +117,8 @@
 	return time.Duration(float64(d) * c.rate)
 }
 
-// Real converts a duration by this clock to one by the machine's, for timers.
+// Real converts a duration by this clock to one by the machine's clock, which is
+// what a timer needs.
 func (c *Clock) Real(d time.Duration) time.Duration {
 	if c == nil {
 		return d
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -1,9 +1,9 @@
-// Package clocktest gives tests a wall clock that they can step, by package
-// wallclock.
+// Package clocktest gives tests a wall clock that they can step. It is built on
+// package wallclock.
 package clocktest
 
 import (
-	_ "runtime/cgo" // links the test binary dynamically, so that it can load the library as a child process
+	_ "runtime/cgo" // links the test binary dynamically, so that it loads the library when a test runs it as a child process
 	"testing"
 	"time"
 
@@ -24,7 +24,7 @@
 	return &Wall{w}
 }
 
-// Env returns the environment variables that put a process on this clock.
+// Env returns the environment variables with which a process runs on this clock.
 func (w *Wall) Env() map[string]string { return w.wall.Env() }
 
 // Step sets the clock forward, or back if by is negative.
--- a/internal/clock/clocktest/clocktest_test.go
+++ b/internal/clock/clocktest/clocktest_test.go
@@ -12,8 +12,8 @@
 
 const childName = "CLOCKTEST_CHILD"
 
-// A child process prints its clocks for each byte that it reads: the wall clock in
-// Unix ms, and the monotonic time since its start in ms.
+// The child process prints its clocks for each byte that it reads: the wall clock
+// in Unix ms, and the monotonic time since its start in ms.
 func TestMain(m *testing.M) {
 	if os.Getenv(childName) == "" {
 		os.Exit(m.Run())
@@ -28,8 +28,8 @@
 	}
 }
 
-// A step in either direction is visible to a running process at once, and does not
-// affect its monotonic clock.
+// A step of the wall clock in either direction is visible to a running process at
+// once, and does not affect its monotonic clock.
 func TestStep(t *testing.T) {
 	w := New(t)
 	cmd := exec.Command(os.Args[0])
@@ -69,10 +69,10 @@
 			t.Fatal(err)
 		}
 		if wall < before.Add(shift).UnixMilli() || wall > after.Add(shift).UnixMilli() {
-			t.Errorf("shifted by %v: the wall clock shows %v, it is %v to %v", shift, time.UnixMilli(wall), before, after)
+			t.Errorf("shifted by %v: the child's wall clock shows %v, the machine's %v to %v", shift, time.UnixMilli(wall), before, after)
 		}
 		if most := time.Since(began).Milliseconds(); mono < 0 || mono > most {
-			t.Errorf("shifted by %v: %d ms by the monotonic clock, %d have passed", shift, mono, most)
+			t.Errorf("shifted by %v: the child's monotonic clock shows %d ms since its start, want 0 to %d", shift, mono, most)
 		}
 	}
 }
--- a/internal/clock/reading.go
+++ b/internal/clock/reading.go
@@ -9,17 +9,17 @@
 	"unsafe"
 )
 
-// Reading is the wall clock and the monotonic clock of a machine at one moment.
-// Readings can be compared even if different processes took them.
+// Reading holds the wall clock and the monotonic clock of a machine at the same
+// instant. Readings can be compared even if different processes took them.
 type Reading struct {
-	Wall int64 // Unix microseconds; it may be stepped in either direction
+	Wall int64 // Unix microseconds; the wall clock may be stepped in either direction
 	Mono int64 // microseconds of CLOCK_MONOTONIC, which all processes of the machine share
 	Boot Boot  // the boot during which Mono is valid
 }
 
-// Boot identifies one run of a machine's kernel, and the time namespace in it,
-// within which monotonic readings can be compared. The zero value is unknown, and
-// compares with none.
+// Boot identifies one run of a machine's kernel and a time namespace in it.
+// Monotonic readings can be compared only within one Boot. The zero value stands
+// for an unknown boot, with which no reading can be compared.
 type Boot [16]byte
 
 // Files of Linux that identify the boot (proc_sys_kernel(5), time_namespaces(7)).
@@ -30,21 +30,23 @@
 
 const (
 	clockMonotonic  = 1                // CLOCK_MONOTONIC, which package syscall does not name
-	maxPairGap      = time.Millisecond // between the readings of two clocks that count as one moment
+	maxPairGap      = time.Millisecond // readings of two clocks count as simultaneous up to this distance
 	maxPairAttempts = 100
 )
 
-// baseline is one moment by this process's own clock and by the machine's.
+// baseline is one instant as this process's own clock shows it and as the
+// machine's monotonic clock shows it.
 type baseline struct {
-	at   time.Time // with its monotonic reading
-	mono int64     // microseconds
+	at   time.Time // by the process's clock, with its monotonic reading
+	mono int64     // microseconds of CLOCK_MONOTONIC
 	boot Boot
 }
 
 var machineBaseline = sync.OnceValue(readBaseline)
 
-// readBaseline reads both clocks. If the machine's cannot be read, or not within
-// maxPairGap of the process's, the boot is left unknown.
+// readBaseline reads both clocks. The boot is left unknown if the machine's clock
+// cannot be read, or if the two readings are never within maxPairGap of each other
+// in maxPairAttempts attempts.
 func readBaseline() baseline {
 	var b baseline
 	for range maxPairAttempts {
@@ -63,7 +65,8 @@
 	return b
 }
 
-// readBoot hashes what identifies the boot and the time namespace.
+// readBoot returns a hash of the ids of the boot and of the time namespace, or an
+// unknown boot if one of them cannot be read.
 func readBoot() Boot {
 	id, err := os.ReadFile(bootFile)
 	if err != nil || len(id) == 0 {
@@ -84,10 +87,10 @@
 	return Reading{Wall: now.UnixMicro(), Mono: base.mono + now.Sub(base.at).Microseconds(), Boot: base.boot}
 }
 
-// Since returns the microseconds from an earlier reading to this one. They are
-// exact between two readings of one boot. Otherwise they are the difference of the
-// wall clocks, which is negative if the wall clock was set back by more than has
-// passed.
+// Since returns the microseconds from an earlier reading to this one. The result
+// is exact between two readings of the same known boot, for which it comes from the
+// monotonic clock. Otherwise it is the difference of the wall clocks, which is
+// negative if the wall clock was set back by more than the time that has passed.
 func (r Reading) Since(earlier Reading) (micros int64, exact bool) {
 	if r.Boot != (Boot{}) && r.Boot == earlier.Boot && r.Mono >= earlier.Mono {
 		return r.Mono - earlier.Mono, true
--- a/internal/clock/wallclock/shim/wallclock.c
+++ b/internal/clock/wallclock/shim/wallclock.c
@@ -1,9 +1,14 @@
-// Loaded into a process (LD_PRELOAD), this library shifts its wall clock by the
-// nanoseconds that stand in the file named by WALL_CLOCK_SHIFT, as they stand there at
-// each reading. The monotonic clocks are left alone.
+// A library that is preloaded into a process (LD_PRELOAD) and shifts the wall clock that
+// the process reads. The shift is a number of nanoseconds, an int64 in the file that
+// WALL_CLOCK_SHIFT names; it is read anew at each reading of the clock. The monotonic
+// clocks are not affected.
 //
-// A Go program reads its clocks by the vDSO and not by the C library, so the entries of
-// the process's own private copy of that page are rewritten to jump here.
+// A Go program reads its clocks through the vDSO and not through the C library. The
+// library therefore overwrites the clock functions in the process's private copy of the
+// vDSO with jumps to its own.
+//
+// It ends the process with status 96 if the file cannot be mapped, 97 if the vDSO has no
+// symbol table that it can read, and 98 if the vDSO cannot be made writable.
 
 #include <elf.h>
 #include <fcntl.h>
@@ -19,74 +24,77 @@
 
 static const volatile int64_t *shift;
 
-static long kernel(long number, long a, long b) {
+// Calls the kernel directly, since the clock functions of the vDSO lead back to this library.
+static long raw_syscall(long number, long arg1, long arg2) {
 	long result;
-	__asm__ volatile("syscall" : "=a"(result) : "a"(number), "D"(a), "S"(b) : "rcx", "r11", "memory");
+	__asm__ volatile("syscall" : "=a"(result) : "a"(number), "D"(arg1), "S"(arg2) : "rcx", "r11", "memory");
 	return result;
 }
 
-static int shifted_clock_gettime(clockid_t id, struct timespec *at) {
-	long result = kernel(SYS_clock_gettime, id, (long)at);
+static int shifted_clock_gettime(clockid_t id, struct timespec *ts) {
+	long result = raw_syscall(SYS_clock_gettime, id, (long)ts);
 	if (result == 0 && (id == CLOCK_REALTIME || id == CLOCK_REALTIME_COARSE)) {
-		int64_t total = at->tv_sec * 1000000000L + at->tv_nsec + *shift;
-		at->tv_sec = total / 1000000000L;
-		at->tv_nsec = total % 1000000000L;
+		int64_t total = ts->tv_sec * 1000000000L + ts->tv_nsec + *shift;
+		ts->tv_sec = total / 1000000000L;
+		ts->tv_nsec = total % 1000000000L;
 	}
 	return result;
 }
 
-static int shifted_gettimeofday(struct timeval *at, void *zone) {
+static int shifted_gettimeofday(struct timeval *tv, void *zone) {
 	(void)zone;
 	struct timespec now;
 	int result = shifted_clock_gettime(CLOCK_REALTIME, &now);
-	if (result == 0 && at) {
-		at->tv_sec = now.tv_sec;
-		at->tv_usec = now.tv_nsec / 1000;
+	if (result == 0 && tv) {
+		tv->tv_sec = now.tv_sec;
+		tv->tv_usec = now.tv_nsec / 1000;
 	}
 	return result;
 }
 
-static time_t shifted_time(time_t *at) {
+static time_t shifted_time(time_t *result) {
 	struct timespec now;
 	shifted_clock_gettime(CLOCK_REALTIME, &now);
-	if (at)
-		*at = now.tv_sec;
+	if (result)
+		*result = now.tv_sec;
 	return now.tv_sec;
 }
 
-// jump overwrites the code at a place with one that goes on elsewhere.
-static void jump(uint8_t *place, void *to) {
-	uint8_t code[12] = {0x48, 0xb8, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xe0}; // movabs to, %rax; jmp *%rax
-	memcpy(code + 2, &to, sizeof to);
+// Overwrites the machine code at place with a jump to the function at target.
+static void write_jump(uint8_t *place, void *target) {
+	uint8_t code[12] = {0x48, 0xb8, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xe0}; // movabs target, %rax; jmp *%rax
+	memcpy(code + 2, &target, sizeof target);
 	memcpy(place, code, sizeof code);
 }
 
-static void rewrite(uint8_t *page) {
-	Elf64_Ehdr *head = (Elf64_Ehdr *)page;
-	Elf64_Phdr *program = (Elf64_Phdr *)(page + head->e_phoff);
+// Finds the clock functions in the vDSO, an ELF image that begins at page, and makes them
+// jump to the shifted ones.
+static void redirect_vdso(uint8_t *page) {
+	Elf64_Ehdr *header = (Elf64_Ehdr *)page;
+	Elf64_Phdr *segments = (Elf64_Phdr *)(page + header->e_phoff);
 	uint8_t *base = page;
 	Elf64_Dyn *dynamic = NULL;
 	size_t size = 0;
-	for (int i = 0; i < head->e_phnum; i++) {
-		if (program[i].p_type == PT_LOAD) {
-			base = page + program[i].p_offset - program[i].p_vaddr;
-			size = program[i].p_memsz;
+	for (int i = 0; i < header->e_phnum; i++) {
+		if (segments[i].p_type == PT_LOAD) {
+			base = page + segments[i].p_offset - segments[i].p_vaddr;
+			size = segments[i].p_memsz;
 		}
-		if (program[i].p_type == PT_DYNAMIC)
-			dynamic = (Elf64_Dyn *)(page + program[i].p_offset);
+		if (segments[i].p_type == PT_DYNAMIC)
+			dynamic = (Elf64_Dyn *)(page + segments[i].p_offset);
 	}
 	Elf64_Sym *symbols = NULL;
 	const char *names = NULL;
 	Elf64_Word *hash = NULL;
-	Elf64_Word *gnu = NULL;
+	Elf64_Word *gnu_hash = NULL;
 	for (; dynamic && dynamic->d_tag != DT_NULL; dynamic++) {
-		void *at = base + dynamic->d_un.d_ptr;
-		if (dynamic->d_tag == DT_SYMTAB) symbols = at;
-		if (dynamic->d_tag == DT_STRTAB) names = at;
-		if (dynamic->d_tag == DT_HASH) hash = at;
-		if (dynamic->d_tag == DT_GNU_HASH) gnu = at;
+		void *address = base + dynamic->d_un.d_ptr;
+		if (dynamic->d_tag == DT_SYMTAB) symbols = address;
+		if (dynamic->d_tag == DT_STRTAB) names = address;
+		if (dynamic->d_tag == DT_HASH) hash = address;
+		if (dynamic->d_tag == DT_GNU_HASH) gnu_hash = address;
 	}
-	if (!symbols || !names || (!hash && !gnu))
+	if (!symbols || !names || (!hash && !gnu_hash))
 		_exit(97);
 	size_t count = (size_t)((const char *)names - (const char *)symbols) / sizeof(Elf64_Sym);
 	if (hash)
@@ -98,14 +106,14 @@
 			continue;
 		const char *name = names + symbols[i].st_name;
 		uint8_t *code = base + symbols[i].st_value;
-		if (!strcmp(name, "__vdso_clock_gettime")) jump(code, (void *)shifted_clock_gettime);
-		if (!strcmp(name, "__vdso_gettimeofday")) jump(code, (void *)shifted_gettimeofday);
-		if (!strcmp(name, "__vdso_time")) jump(code, (void *)shifted_time);
+		if (!strcmp(name, "__vdso_clock_gettime")) write_jump(code, (void *)shifted_clock_gettime);
+		if (!strcmp(name, "__vdso_gettimeofday")) write_jump(code, (void *)shifted_gettimeofday);
+		if (!strcmp(name, "__vdso_time")) write_jump(code, (void *)shifted_time);
 	}
 	mprotect(page, (size + 4095) & ~4095UL, PROT_READ | PROT_EXEC);
 }
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void install_shim(void) {
 	const char *name = getenv("WALL_CLOCK_SHIFT");
 	if (!name)
 		return;
@@ -117,5 +125,5 @@
 	shift = page;
 	uint8_t *vdso = (uint8_t *)getauxval(AT_SYSINFO_EHDR);
 	if (vdso)
-		rewrite(vdso);
+		redirect_vdso(vdso);
 }
--- a/internal/clock/wallclock/wallclock.go
+++ b/internal/clock/wallclock/wallclock.go
@@ -1,9 +1,9 @@
-// Package wallclock steps the wall clock of processes, as an operator or a time
-// daemon steps that of their machine; their monotonic clocks are not affected. A
+// Package wallclock steps the wall clock of processes as an operator or a time
+// daemon steps the clock of a machine. Their monotonic clocks are not affected. A
 // step is visible to every clock reading that begins after Step has returned.
 //
-// It is for tests and the fault lab. It needs gcc and Linux on amd64, and works on
-// programs that are linked dynamically, since it preloads a library (shim).
+// The package is for tests and the fault lab. It needs gcc and Linux on amd64, and
+// works only on dynamically linked programs, since it preloads a library, the shim.
 package wallclock
 
 import (
@@ -20,7 +20,8 @@
 //go:embed shim/wallclock.c
 var source []byte
 
-// Names of the files, and of the environment variables that point a process to them.
+// Names of the files in the clock's directory, and of the environment variables
+// that tell a process where they are.
 const (
 	codeName    = "wallclock.c"
 	libraryName = "wallclock.so"
@@ -41,8 +42,9 @@
 	shift time.Duration
 }
 
-// New returns a wall clock that shows the machine's time, with its files in dir. The
-// error is the compiler's, with its output, or one of the file system.
+// New returns a wall clock that shows the machine's time, with its files in dir. It
+// fails if the compiler does, whose output is part of the error, or if a file cannot
+// be written.
 func New(dir string) (*Wall, error) {
 	code, library, shift := filepath.Join(dir, codeName), filepath.Join(dir, libraryName), filepath.Join(dir, shiftName)
 	if err := os.WriteFile(code, source, 0o600); err != nil {
@@ -62,10 +64,11 @@
 	return &Wall{env: map[string]string{preloadEnv: library, shiftEnv: shift}, file: f}, nil
 }
 
-// Env returns the environment variables that put a process on this clock.
+// Env returns the environment variables with which a process runs on this clock.
 func (w *Wall) Env() map[string]string { return w.env }
 
-// Step sets the clock forward, or back if by is negative. Steps add up.
+// Step sets the clock forward, or back if by is negative, relative to what it
+// shows; so steps add up.
 func (w *Wall) Step(by time.Duration) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,5 +79,6 @@
 	return nil
 }
 
-// Close closes the files. Processes that are running keep their present shift.
+// Close closes the file of the shift. Processes that are running keep their present
+// shift.
 func (w *Wall) Close() error { return w.file.Close() }
