--- a/internal/clock/reading_test.go
+++ b/internal/clock/reading_test.go
@@ -19,7 +19,7 @@
 	second, took := Read(), time.Since(began).Microseconds()
 	got, exact := second.Since(first)
 	if !exact || got < 20e3 || got > took {
-		t.Errorf("the readings are %d µs apart, exact %v; want 20000 to %d µs, exact", got, exact, took)
+		t.Errorf("the readings are %d µs apart, want 20000 to %d µs; exact is %v, want true", got, took, exact)
 	}
 }
 
--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -5,16 +5,17 @@
 	"sync"
 )
 
-// agentAddress is the address of discovery's agent, which may be replaced while
-// calls are in flight. It is safe for concurrent use.
+// agentAddress is the address of the discovery agent. The address may be replaced
+// while a call is in flight. It is safe for concurrent use.
 type agentAddress struct {
 	mu         sync.Mutex
 	addr       string
 	cancelCall context.CancelFunc // ends the call that is in flight to addr
 }
 
-// beginCall returns the address, and a context that ends when the address is
-// replaced. The caller has to call the CancelFunc when its call is over.
+// beginCall returns the address to call, and a context that ends when ctx does or
+// when the address is replaced. The caller must call the CancelFunc when its call
+// is over.
 func (a *agentAddress) beginCall(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -24,7 +25,7 @@
 }
 
 // SetAddress directs the next call to addr, and cancels the one that is in
-// flight. Setting the present address again changes nothing.
+// flight. Setting the present address again has no effect.
 func (a *agentAddress) SetAddress(addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -9,53 +9,55 @@
 )
 
 const (
-	reconnectDelay   = 200 * time.Millisecond  // mean, before a watch that ended or fell silent is opened anew
-	retryBackoffBase = 400 * time.Millisecond  // range of the first retry after a rejection, beside what the fleet's size adds
-	retryBackoffMin  = 200 * time.Millisecond  // no rejected call is retried sooner
-	retryBackoffMax  = 1800 * time.Millisecond // nor later, however many were rejected in a row and however large the fleet
+	reconnectDelay   = 200 * time.Millisecond  // mean delay before a watch that ended or fell silent is reopened
+	retryBackoffBase = 400 * time.Millisecond  // upper bound of the first backoff after a rejection, before the fleet's serve time is added
+	retryBackoffMin  = 200 * time.Millisecond  // shortest backoff after a rejection
+	retryBackoffMax  = 1800 * time.Millisecond // longest backoff, however many calls were rejected in a row and however large the fleet
 
-	// A list that is too large stays so until an operator intervenes, and each
-	// fetch costs discovery and the network what a complete list does.
+	// A list that is too large is fetched again less often, since it stays too large
+	// until an operator intervenes, and each fetch costs discovery and the network as
+	// much as a complete list.
 	tooLargeBackoffBase = time.Second
 	tooLargeBackoffMax  = 30 * time.Second
 
-	maxBackoffDoublings = 8 // beyond these every backoff is at its maximum
+	maxBackoffDoublings = 8 // after these doublings every backoff has reached its maximum
 )
 
-// isRejection reports whether discovery rejected a call: it is overloaded, or
-// is not running.
+// isRejection reports whether a call failed because discovery is overloaded or not
+// running.
 func isRejection(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) && status.isRejection() || errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// isSelfLimiting reports whether a call ended by a timeout, or never left this
-// machine. Neither can become many calls a second: the first has taken a
-// second at least, and the other reaches nobody.
+// isSelfLimiting reports whether a call ended by a timeout, or could not connect
+// for another reason than a rejection. Such calls cannot overload discovery when
+// they are retried soon: a timeout has taken a second at least, and a call without
+// a connection does not reach discovery.
 func isSelfLimiting(err error) bool {
 	var opError *net.OpError
 	var timeout net.Error
 	dialed := errors.As(err, &opError) && opError.Op == "dial"
 	if errors.Is(err, syscall.ETIMEDOUT) && !dialed {
-		return false // an established connection broke: Timeout is true of that, too
+		return false // an established connection broke; its error also reports Timeout
 	}
 	return errors.As(err, &timeout) && timeout.Timeout() || errors.Is(err, errWatchSilent) || errors.Is(err, context.DeadlineExceeded) ||
 		dialed && !isRejection(err)
 }
 
-// retrySpread returns the delay from a rejected call to its retry.
-// fleetServeTime is what discovery takes to serve the whole fleet, failures is
-// how many calls in a row were rejected before this one, and draw is evenly
-// distributed over [0, 1).
+// retrySpread returns the delay from a rejected call to its retry. fleetServeTime
+// is the time that discovery takes to serve one call of each relay of the fleet,
+// failures is how many calls in a row were rejected before this one, and draw is a
+// random number, evenly distributed over [0, 1).
 type retrySpread func(fleetServeTime time.Duration, failures int, draw float64) time.Duration
 
-// boundedRetrySpread reconciles two requirements. A change has to be in force
-// 6 s after discovery can be reached again, so the delay never exceeds
+// boundedRetrySpread meets two requirements. A relay must apply a change of the
+// list within 6 s after discovery can be reached again, so the delay never exceeds
 // retryBackoffMax: that leaves time for a call that hung until its timeout, one
-// more rejection and the response. And the calls of a fleet that lost discovery
-// at one moment must not arrive together: the first retries are drawn over the
-// whole range, and as they are spread by then, later ones only over its upper
-// half, which makes fewer of them.
+// more rejection and the response. And when a whole fleet loses discovery at the
+// same time, its calls must not arrive together. The first delays are therefore
+// drawn from the whole range. Later ones are drawn from its upper half only: the
+// calls are spread by then, and longer delays make fewer of them.
 func boundedRetrySpread(fleetServeTime time.Duration, failures int, draw float64) time.Duration {
 	high := min(min(retryBackoffBase+fleetServeTime, retryBackoffMax)<<min(failures, maxBackoffDoublings), retryBackoffMax)
 	low := retryBackoffMin
@@ -66,22 +68,23 @@
 }
 
 // tooLargeDelay returns the delay before a list that was too large is fetched
-// again, after so many failures before it: an exponential backoff with jitter.
+// again: an exponential backoff with jitter. failures counts the earlier lists in a
+// row that were too large.
 func tooLargeDelay(failures int, draw float64) time.Duration {
 	longest := min(tooLargeBackoffBase<<min(failures, maxBackoffDoublings), tooLargeBackoffMax)
 	return longest/2 + time.Duration(float64(longest/2)*draw)
 }
 
-// failureCounts counts the failures since a watch last delivered something.
+// failureCounts holds the failures since a watch last delivered something.
 type failureCounts struct {
-	rejected    int  // calls that were rejected, or cut short after the first
-	reconnected bool // a connection ended, and the watch was opened anew at once
+	rejected    int  // calls that were rejected, or that failed otherwise once reconnected was set
+	reconnected bool // a call failed by neither rejection nor timeout, and was retried after reconnectDelay
 	tooLarge    int  // lists that were too large
 }
 
 // retryDelay counts a failure and returns the delay before the retry. A watch
-// that ended is opened anew soon, since drains have to be known in time. Where
-// that one ends too, before it delivered anything, discovery is failing, and
+// that ended is reopened soon, since the relay must learn of drains in time. If
+// the new watch also ends before it delivers anything, discovery is failing, and
 // the retries are spread like those of rejected calls.
 func (w *Watch) retryDelay(err error) time.Duration {
 	draw, failures := w.random(), &w.failures
@@ -100,7 +103,8 @@
 	return time.Duration(float64(reconnectDelay) * (0.5 + draw))
 }
 
-// resetFailures starts the backoff anew: a watch delivered something.
+// resetFailures makes the next failure count as the first. It is called when a
+// watch delivered something, and when the address was replaced.
 func (w *Watch) resetFailures() { w.failures = failureCounts{} }
 
 // sleepContext sleeps for d, or until ctx ends.
--- a/internal/discovery/breaks_test.go
+++ b/internal/discovery/breaks_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// A connection may break at once, whatever the error: a watch that is opened anew and breaks
-// again and again must not amount to many calls a second. The first is opened anew soon, the
-// next are spread like those of rejected calls.
+// Guards discovery against many calls a second from watches whose connections break as soon as
+// they are open, whatever the error: the first watch that breaks is reopened soon, and the next
+// are spread like rejected calls.
 func TestBrokenWatchesAreSpread(t *testing.T) {
 	for _, broken := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.ENETUNREACH} {
 		w := NewWatch("127.0.0.1:1", 300, slog.New(slog.DiscardHandler), func(*List) {})
@@ -25,15 +25,15 @@
 			total += w.retryDelay(err)
 		}
 		if least := (attempts - 1) * retryBackoffMin; total < least {
-			t.Errorf("%v: %d attempts in %v, want %v at least", broken, attempts, total, least)
+			t.Errorf("%v: %d attempts were delayed by %v in total, want at least %v", broken, attempts, total, least)
 		}
 	}
 	w := NewWatch("127.0.0.1:1", 300, slog.New(slog.DiscardHandler), func(*List) {})
 	w.random = func() float64 { return 0 }
-	for range 8 { // these took a second each
+	for range 8 { // needs no longer backoff: each connect took a second until its timeout
 		dial := &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 		if d := w.retryDelay(fmt.Errorf("discovery: %w", &url.Error{Op: "Get", URL: "http://x/", Err: dial})); d > reconnectDelay {
-			t.Errorf("after a connect that timed out: %v", d)
+			t.Errorf("the delay after a connect that timed out is %v, more than reconnectDelay", d)
 		}
 	}
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -9,17 +9,17 @@
 
 // Paths of discovery's HTTP interface.
 const (
-	ListPath   = "/registry/instances" // the endpoint list, and watches on it
-	NoticePath = "/reports"            // notices
+	ListPath   = "/registry/instances" // serves the endpoint list, and watches on it
+	NoticePath = "/reports"            // receives notices
 )
 
-// baseAnswerTimeout bounds a connect, and a call that need not queue behind
-// those of other relays: the agent is on this machine, and answers at once or
-// is down.
+// baseAnswerTimeout bounds a connect, and the wait for the response to a call that
+// does not queue behind those of other relays. The agent is on this machine: it
+// either responds at once or is down.
 const baseAnswerTimeout = time.Second
 
-// newHTTPClient returns a client for the agent on this machine: few idle
-// connections, no proxy, HTTP/1.1 only.
+// newHTTPClient returns a client for the agent on this machine. It opens at most
+// conns connections, uses no proxy and speaks HTTP/1.1 only.
 func newHTTPClient(conns int, answerTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -41,7 +41,7 @@
 	return p
 }
 
-// StatusError is a response of discovery with another status than expected.
+// StatusError reports a response of discovery whose status is not the expected one.
 type StatusError struct {
 	Call   string // "list", "watch" or "notices"
 	Status int    // HTTP status code
@@ -52,8 +52,8 @@
 	return fmt.Sprintf("discovery: %s: status %d", e.Call, e.Status)
 }
 
-// isRejection reports whether discovery is overloaded or failed, which says
-// nothing about what was requested.
+// isRejection reports whether discovery is overloaded or failed. Such a status says
+// nothing about the request itself, which may succeed later.
 func (e *StatusError) isRejection() bool {
 	return e.Status == http.StatusTooManyRequests || e.Status >= http.StatusInternalServerError
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,7 +17,8 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// watchList runs a watch and returns the channel of its updates.
+// watchList runs a watch until the test ends, and returns the channel of its updates.
+// The watch fails after receiving nothing for silence.
 func watchList(t *testing.T, d *discoverytest.Server, silence time.Duration) chan *discovery.List {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -35,25 +36,25 @@
 	case l := <-updates:
 		return l
 	case <-time.After(30 * time.Second):
-		t.Fatal("no update")
+		t.Fatal("no update was delivered within 30 s")
 		return nil
 	}
 }
 
-// Changes follow the complete list; after a broken connection the watch goes on
-// from the revision that was reached, and a malformed line makes the complete
-// list be fetched again.
+// Changes are delivered after the complete list. After a broken connection the
+// watch resumes from the revision that was reached, and after a malformed update
+// the complete list is fetched again.
 func TestWatch(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
 	d := discoverytest.New(t, m)
 	updates := watchList(t, d, time.Minute)
 	if l := next(t, updates); !l.Complete || len(l.Members) != 1 {
-		t.Fatalf("first %+v", l)
+		t.Fatalf("the first list is %+v", l)
 	}
 	m.Phase = discovery.Draining
 	d.Send(t, discoverytest.Change(2, m))
 	if l := next(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
-		t.Fatalf("then %+v", l)
+		t.Fatalf("the change is %+v", l)
 	}
 	d.Set(func(d *discoverytest.Server) { close(d.Lines[0]) }) // the connection ends
 	discoverytest.WaitFor(t, "a second watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 2 })
@@ -61,20 +62,20 @@
 	from, fetches := d.Froms[1], d.Fetches
 	d.Mu.Unlock()
 	if from != "2" || fetches != 1 {
-		t.Errorf("goes on from %s after %d fetches", from, fetches)
+		t.Errorf("the watch resumes from revision %s after %d fetches, want 2 after 1", from, fetches)
 	}
 	for i, bad := range []string{`{"revision":3,"members":[{"id":"s-1"`, `{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
 		`{"revision":3}`, `{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`} {
 		d.Send(t, bad)
 		if l := next(t, updates); !l.Complete {
-			t.Fatalf("after line %d: %+v", i, l)
+			t.Fatalf("after malformed line %d the list is not complete: %+v", i, l)
 		}
 		discoverytest.WaitFor(t, "a further watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 3+i })
 	}
 }
 
-// Guards against lists that are indented over several lines: they are updates
-// like any other, and no reason to fetch the complete list.
+// Updates that are indented over several lines are applied like any other. Guards
+// against taking them for malformed, which would fetch the complete list.
 func TestWatchIndented(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
 	d := discoverytest.New(t, m)
@@ -87,13 +88,13 @@
 	}
 	d.Send(t, text.String())
 	if l := next(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
-		t.Fatalf("then %+v", l)
+		t.Fatalf("the indented change is %+v", l)
 	}
 	m.Phase = discovery.Up
 	d.Send(t, "\n"+text.String()+"\n"+discoverytest.Change(3, m))
 	next(t, updates)
 	if l := next(t, updates); l.Revision != 3 {
-		t.Fatalf("at last %+v", l)
+		t.Fatalf("the last change is %+v", l)
 	}
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
@@ -115,12 +116,12 @@
 	gone.Phase = discovery.Removed
 	d.Send(t, discoverytest.Change(3, gone))
 	if l := next(t, updates); !l.Complete {
-		t.Fatalf("then %+v", l)
+		t.Fatalf("after a change with an older revision the list is not complete: %+v", l)
 	}
 }
 
-// Guards against a watch that is open and dead: one that sends nothing, not
-// even a keepalive, is closed.
+// Guards against staying on a dead connection: a watch on which nothing is
+// received, not even a keepalive, is closed and reopened.
 func TestSilentWatch(t *testing.T) {
 	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
 	updates := watchList(t, d, 100*time.Millisecond)
@@ -128,8 +129,8 @@
 	discoverytest.WaitFor(t, "a second watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) >= 2 })
 }
 
-// Notices are sent until they are acknowledged; a malformed one does not hold up
-// the others.
+// Notices are sent until they are acknowledged. One that the agent rejects as
+// malformed is not sent again, and does not hold up the others.
 func TestNotices(t *testing.T) {
 	d := discoverytest.New(t)
 	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusInternalServerError })
@@ -143,7 +144,7 @@
 	n.Put(discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500})
 	select {
 	case id := <-acknowledged:
-		t.Fatalf("%s counts as acknowledged", id)
+		t.Fatalf("notice %s counts as acknowledged after status 500", id)
 	case <-time.After(50 * time.Millisecond):
 	}
 	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusNoContent })
@@ -151,17 +152,17 @@
 		<-acknowledged
 	}
 	if b, _ := d.Notice("b"); b != (discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500}) {
-		t.Errorf("the agent has %+v", b)
+		t.Errorf("the agent has received %+v as notice b", b)
 	}
 	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusBadRequest })
 	n.Put(discovery.Notice{Message: "c", Outcome: discovery.Failed, RetryMS: 0})
 	if id := <-acknowledged; id != "c" {
-		t.Errorf("%s in place of c", id)
+		t.Errorf("notice %s is reported in place of c", id)
 	}
 }
 
-// Guards the delay of a notice: if the idle connection to the agent has gone
-// silent, the first retry comes soon enough for the notice to be in time.
+// Guards against late notices: if the idle connection to the agent no longer
+// responds, the first retry comes soon enough for the notice to be in time.
 func TestNoticeOnSilentConnection(t *testing.T) {
 	var attempts atomic.Int32
 	addr := rawAgent(t, func(c net.Conn) {
@@ -186,26 +187,26 @@
 	for _, id := range []string{"a", "b"} {
 		n.Put(discovery.Notice{Message: id, Outcome: discovery.Failed, RetryMS: 0})
 		if got := <-acknowledged; got != id {
-			t.Fatalf("%s in place of %s", got, id)
+			t.Fatalf("notice %s is acknowledged in place of %s", got, id)
 		}
 	}
 	if got := attempts.Load(); got != 3 {
-		t.Errorf("%d attempts, want 3", got)
+		t.Errorf("the agent received %d calls, want 3", got)
 	}
 	if discovery.NoticeAgain >= 300*time.Millisecond {
-		t.Error("a retry would be late")
+		t.Error("the first retry of a notice comes after 300 ms or more")
 	}
 }
 
-// Guards drains across a change of address: a backoff that began at the old
-// address does not go on at the new one.
+// Guards against missing drains after a change of address: a backoff that began
+// because of the old address ends when the address changes.
 func TestMoveEndsPause(t *testing.T) {
 	old, now := discoverytest.New(t), discoverytest.New(t)
 	old.Set(func(d *discoverytest.Server) { d.RejectCalls = 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	x := discovery.NewWatch(old.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
 	x.Known = &discovery.List{Revision: 7, Complete: true, Members: []discovery.Member{}}
-	x.Tune(0, 0, func() float64 { return 1000 }) // backoffs outlast the test
+	x.Tune(0, 0, func() float64 { return 1000 }) // every backoff would outlast the test
 	rejected, done := make(chan bool, 4), make(chan struct{})
 	x.OnRejected = func() { rejected <- true }
 	go func() { defer close(done); x.Run(ctx) }()
@@ -215,8 +216,9 @@
 	discoverytest.WaitFor(t, "a watch at the new address", func() bool { now.Mu.Lock(); defer now.Mu.Unlock(); return len(now.Froms) == 1 })
 }
 
-// A start costs discovery one call if the list in the configuration is valid, and
-// that call may be delayed; the relay is notified, so that it serves.
+// A relay whose known list is valid starts with a watch from that list's revision,
+// and otherwise fetches the complete list first. When the first call is delayed for
+// long, OnRejected is called, so that the relay can serve meanwhile.
 func TestWatchFromKnown(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
 	for _, known := range []*discovery.List{{Revision: 7, Complete: true, Members: []discovery.Member{m}}, {Revision: 7, Members: []discovery.Member{m}},
@@ -234,12 +236,12 @@
 		cancel()
 		<-done
 		if sound := known.Valid(); sound && (d.Fetches != 0 || d.Froms[0] != "7") || !sound && d.Fetches != 1 {
-			t.Errorf("%+v: %d fetches, watch from %s", known, d.Fetches, d.Froms[0])
+			t.Errorf("known list %+v: %d fetches, then a watch from revision %s", known, d.Fetches, d.Froms[0])
 		}
 	}
 }
 
-// A rejected watch goes on from its revision: the complete list is not fetched
+// A rejected watch is retried from its revision, without fetching the complete list
 // again.
 func TestWatchTurnedAway(t *testing.T) {
 	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
@@ -249,11 +251,12 @@
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
 	if d.Fetches != 1 || d.Froms[0] != "1" || d.RejectCalls != 0 {
-		t.Errorf("%d fetches, then from %v; %d calls left to reject", d.Fetches, d.Froms, d.RejectCalls)
+		t.Errorf("%d fetches, then watches from %v, want 1 fetch, then from 1; %d calls were not rejected yet", d.Fetches, d.Froms, d.RejectCalls)
 	}
 }
 
-// rawAgent serves each connection with serve, on a goroutine of its own.
+// rawAgent listens until the test ends, serves each connection with serve on a
+// goroutine of its own, and returns the address.
 func rawAgent(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -1,5 +1,5 @@
-// Package discoverytest is a discovery agent for tests, which decide what it
-// answers and when.
+// Package discoverytest provides a discovery agent for tests, which control its
+// responses.
 package discoverytest
 
 import (
@@ -14,7 +14,8 @@
 	"plovershore/internal/discovery"
 )
 
-// WaitFor polls until cond is true, and fails the test after 30 s.
+// WaitFor polls cond until it is true. After 30 s it fails the test, naming what it
+// waited for.
 func WaitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -22,29 +23,29 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after 30 s waiting for %s", what)
 }
 
-// Server is the discovery agent on a relay's machine. It is made by New and
-// closed when the test ends.
+// Server is a discovery agent, as it runs on a relay's machine. Use New to make one;
+// it is closed when the test ends.
 type Server struct {
 	*httptest.Server
 
 	Mu          sync.Mutex                  // guards the fields below
-	List        discovery.List              // the complete list
-	Lines       []chan string               // a channel of updates for each watch; closing one ends its connection
-	Froms       []string                    // the revision from which each watch was opened
-	Fetches     int                         // fetches of the complete list
-	Notices     map[string]discovery.Notice // acknowledged ones, by message id
-	Answer      int                         // HTTP status with which notices are answered
-	Silent      bool                        // no request is answered, and watches send no keepalive
-	RejectCalls int                         // watches still to be rejected with status 503
-	Unheard     int                         // requests that came while silent
+	List        discovery.List              // the complete list that a fetch returns
+	Lines       []chan string               // a channel of updates for each accepted watch; closing one ends its connection
+	Froms       []string                    // the revision from which each accepted watch was opened
+	Fetches     int                         // number of fetches of the complete list
+	Notices     map[string]discovery.Notice // the acknowledged notices, by message id
+	Answer      int                         // HTTP status of the response to notices
+	Silent      bool                        // if true, no fetch or watch gets a response, and open watches send no keepalive
+	RejectCalls int                         // number of watches that are still to be rejected, with status 503
+	Unheard     int                         // number of fetches and watches that were requested while Silent was set
 
 	released chan struct{} // closed when the test ends
 }
 
-// New starts an agent whose complete list has revision 1 and these members.
+// New starts an agent whose complete list has revision 1 and the given members.
 func New(t *testing.T, members ...discovery.Member) *Server {
 	d := &Server{List: discovery.List{Revision: 1, Complete: true, Members: members}, Notices: map[string]discovery.Notice{},
 		Answer: http.StatusNoContent, released: make(chan struct{})}
@@ -79,7 +80,8 @@
 	d.serveWatch(w, r, lines)
 }
 
-// countUnheard counts a request if the agent is silent, and reports whether it is.
+// countUnheard counts a request in Unheard if the agent is silent, and reports
+// whether it is silent.
 func (d *Server) countUnheard() bool {
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
@@ -111,7 +113,8 @@
 	return lines
 }
 
-// serveWatch writes updates and keepalives until the watch ends.
+// serveWatch writes updates, and a keepalive after each second without one, until the
+// watch or the test ends.
 func (d *Server) serveWatch(w http.ResponseWriter, r *http.Request, lines chan string) {
 	for {
 		select {
@@ -170,7 +173,7 @@
 	f(d)
 }
 
-// Send sends a line on the newest watch, once there is one.
+// Send waits until there is a watch, and writes a line on the newest one.
 func (d *Server) Send(t *testing.T, line string) {
 	t.Helper()
 	WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Lines) > 0 })
@@ -179,7 +182,8 @@
 	d.Lines[len(d.Lines)-1] <- line
 }
 
-// Change returns an update of a watch, in JSON, with one member.
+// Change returns an update of a watch as JSON: revision rev with a change of one
+// member.
 func Change(rev int64, m discovery.Member) string {
 	text, _ := json.Marshal(discovery.List{Revision: rev, Members: []discovery.Member{m}}) // cannot fail
 	return string(text)
--- a/internal/discovery/internal_test.go
+++ b/internal/discovery/internal_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Guards updates after an outage, and discovery against a fleet that comes back
-// at one moment: however many calls were rejected in a row, the retry comes within
-// a bound, and those of a large fleet are spread over a second or so, which keeps
-// them under one call a second of each relay.
+// Guards against late updates after an outage, and against a fleet whose calls all
+// arrive together. However many calls were rejected in a row, the retry comes within
+// retryBackoffMax. The retries of a large fleet are spread over about a second, so
+// that each relay makes less than one call a second.
 func TestDiscoveryPause(t *testing.T) {
 	for _, rejection := range []error{&StatusError{"list", http.StatusServiceUnavailable}, &StatusError{"watch", http.StatusTooManyRequests},
 		fmt.Errorf("discovery: %w", syscall.ECONNREFUSED), fmt.Errorf("discovery: %w", syscall.ECONNRESET)} {
@@ -27,30 +27,30 @@
 			for i := range 100 {
 				low, high := soonest.retryDelay(rejection), latest.retryDelay(rejection)
 				if low < retryBackoffMin || high > retryBackoffMax || high < last {
-					t.Errorf("%v, %d relays: backoff %d is %v to %v, %v at most before", rejection, relays, i, low, high, last)
+					t.Errorf("%v, %d relays: backoff %d is from %v to %v, and the one before was at most %v", rejection, relays, i, low, high, last)
 				}
 				if relays >= 30 && (high-low < retryBackoffMax/2 || low+high < 2*time.Second || i == 0 && low > 400*time.Millisecond) {
-					t.Errorf("%v, %d relays: backoff %d is %v to %v: no spread", rejection, relays, i, low, high)
+					t.Errorf("%v, %d relays: backoff %d is from %v to %v, which does not spread the calls", rejection, relays, i, low, high)
 				}
 				last = high
 			}
 			if 2*retryBackoffMax >= 4*time.Second {
-				t.Errorf("after a change of address, whose list counts as received in 4 s, a second rejection leaves no time")
+				t.Errorf("two rejections leave no time within the 4 s after which the list of a new address counts as received")
 			}
 			if last != retryBackoffMax {
-				t.Errorf("%d relays: backoffs grow to %v only", relays, last)
+				t.Errorf("%d relays: backoffs grow to %v only, not to retryBackoffMax", relays, last)
 			}
-			// A call that hangs, or a silent watch, has failed only after its timeout.
+			// A call that hangs, or a silent watch, fails only after its timeout.
 			hung := max(latest.silenceTimeout, latest.answerTimeout)
 			if left := 6*time.Second - hung - latest.retryDelay(context.DeadlineExceeded) - retryBackoffMax; left < 300*time.Millisecond {
-				t.Errorf("%d relays: a call that hung, and another that is rejected, leave %v", relays, left)
+				t.Errorf("%d relays: a call that hung and one that was rejected leave %v of the 6 s, want at least 300 ms", relays, left)
 			}
 		}
 	}
 }
 
-// A list that is too large is fetched again with an exponential backoff and
-// jitter, up to half a minute.
+// A list that is too large is fetched again after an exponential backoff with
+// jitter, of at most 30 s. A reset restarts the backoff.
 func TestPauseTooLarge(t *testing.T) {
 	x := NewWatch("127.0.0.1:1", 300, slog.New(slog.DiscardHandler), nil)
 	tooLarge := fmt.Errorf("discovery: %w", &ListTooLargeError{Size: 2, Max: 1})
@@ -66,43 +66,45 @@
 	}
 }
 
-// A watch that ended is opened anew at once, once; if that ends too, the retries
-// are spread like those of rejected calls. One that hung has waited already.
+// A watch that ended is reopened soon the first time. If the new one ends too, the
+// retries are spread like those of rejected calls. A watch that fell silent is
+// always reopened soon, since its timeout has delayed the retry already.
 func TestPauseAfterEnd(t *testing.T) {
 	x := NewWatch("127.0.0.1:1", 300, slog.New(slog.DiscardHandler), nil)
 	x.random = func() float64 { return 1 }
 	for range 2 {
 		if p := x.retryDelay(io.EOF); p > 2*reconnectDelay {
-			t.Errorf("a watch that ended is opened anew after %v", p)
+			t.Errorf("the first watch that ended is reopened only after %v", p)
 		}
 		for range 3 {
 			if p := x.retryDelay(io.EOF); p != retryBackoffMax {
-				t.Errorf("watches that end at once are opened anew after %v at most", p)
+				t.Errorf("a further watch that ended is reopened after at most %v, want retryBackoffMax", p)
 			}
 		}
 		x.resetFailures()
 	}
 	for range 3 {
 		if p := x.retryDelay(fmt.Errorf("discovery: %w", errWatchSilent)); p > 2*reconnectDelay {
-			t.Errorf("a watch that fell silent is opened anew after %v", p)
+			t.Errorf("a watch that fell silent is reopened only after %v", p)
 		}
 	}
 }
 
-// Guards discovery's queue: a relay of a large fleet waits for those before it
-// instead of closing the connection and calling again.
+// Guards against growing discovery's queue: a relay of a large fleet waits while the
+// calls before its own are served, instead of timing out and calling again.
 func TestDiscoveryWaitsItsTurn(t *testing.T) {
 	if few := NewWatch("127.0.0.1:1", 2, slog.New(slog.DiscardHandler), nil); few.answerTimeout > 2*baseAnswerTimeout {
-		t.Errorf("2 relays wait %v for an answer", few.answerTimeout)
+		t.Errorf("in a fleet of 2 relays the response timeout is %v, too long", few.answerTimeout)
 	}
 	if many := NewWatch("127.0.0.1:1", 80, slog.New(slog.DiscardHandler), nil); many.answerTimeout < 2*baseAnswerTimeout {
-		t.Errorf("80 relays wait %v for an answer", many.answerTimeout)
+		t.Errorf("in a fleet of 80 relays the response timeout is %v, too short", many.answerTimeout)
 	}
 }
 
-// Guards drains, which count as received by the clock: in a fleet of any size a
-// start calls its agent within the grace period, a missing response times out
-// early enough, and so does the first backoff.
+// Guards against missing drains, which count as received once a fixed time has
+// passed. In a fleet of any size, a relay that starts calls its agent within the
+// grace period, and both the response timeout and the first backoff end early
+// enough.
 func TestDiscoveryInTime(t *testing.T) {
 	const receivedWithin, grace = 6 * time.Second, 2 * time.Second
 	for _, relays := range []int{2, 80, 300, 3000} {
@@ -112,7 +114,7 @@
 			t.Errorf("%d relays: the first call comes after %v", relays, first)
 		}
 		if x.answerTimeout >= receivedWithin-grace {
-			t.Errorf("%d relays: a response is awaited for %v", relays, x.answerTimeout)
+			t.Errorf("%d relays: the response timeout is %v", relays, x.answerTimeout)
 		}
 		if p := x.retryDelay(&StatusError{"list", http.StatusServiceUnavailable}); p >= receivedWithin-grace/2 {
 			t.Errorf("%d relays: the first backoff is %v", relays, p)
@@ -120,9 +122,9 @@
 	}
 }
 
-// Tune sets what only tests change: the timeout of a silent watch, the time that
-// discovery takes to serve all relays, and the random draws. A zero silence or nil
-// random leaves what it was.
+// Tune sets the timeout of a silent watch, the time that discovery takes to serve
+// all relays, and the source of random numbers, which only tests change. A silence
+// of zero or a nil random leaves the value as it was.
 func (w *Watch) Tune(silence, fleetServeTime time.Duration, random func() float64) {
 	if silence > 0 {
 		w.silenceTimeout = silence
@@ -133,8 +135,9 @@
 	}
 }
 
-// LimitLists sets the size limit of a list, and of an update of a watch.
+// LimitLists sets the maximum size of a list, and of an update of a watch.
 func (w *Watch) LimitLists(bytes int) { w.listLimit = bytes }
 
-// NoticeAgain is the delay after which a notice is sent a second time.
+// NoticeAgain is the time from the first attempt to send a notice to the second, if
+// the first gets no response.
 const NoticeAgain = noticeTimeoutMin + noticeBackoffMin
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -15,27 +15,27 @@
 	"slices"
 )
 
-// Phases of a member, as the wire has them.
+// Phases of a member, as they stand on the wire.
 const (
-	Up       = "up"
-	Draining = "draining" // takes no new calls, and finishes those in flight
-	Removed  = "removed"  // only in changes, never in a complete list
+	Up       = "up"       // the member takes calls
+	Draining = "draining" // the member takes no new calls, and finishes those in flight
+	Removed  = "removed"  // the member has left the list; only changes have this phase, never a complete list
 )
 
 // Member is an endpoint in the endpoint list.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"` // its zone
+	Locality string  `json:"locality"` // the member's zone
 	Flavor   string  `json:"flavor"`
-	Cell     int     `json:"cell"` // the destination that it serves
+	Cell     int     `json:"cell"` // the destination that the member serves
 	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`        // its capacity, relative to the other members
-	UpSince  int64   `json:"up_since_ms"` // Unix milliseconds at which it last started; 0 for long ago
+	Size     float64 `json:"size"`        // the member's capacity, relative to the other members
+	UpSince  int64   `json:"up_since_ms"` // Unix milliseconds at which the member last started; 0 if that was long ago
 }
 
-// Validate returns an error if the member cannot be used. A removed member needs
-// an id only.
+// Validate returns an error if the member cannot be used: it has no id, an unknown
+// phase or a malformed HostPort. A removed member needs only an id.
 func (m *Member) Validate() error {
 	switch {
 	case m.ID == "":
@@ -51,21 +51,21 @@
 	return nil
 }
 
-// List is the complete endpoint list, or what changed in it.
+// List is the complete endpoint list, or the changes from one revision to a later one.
 type List struct {
-	Revision int64    `json:"revision"` // of the list with these changes applied; it never decreases
-	Complete bool     `json:"complete"` // all members: one that is missing was removed; else these are changes
+	Revision int64    `json:"revision"` // revision of the list with these changes applied; it never decreases
+	Complete bool     `json:"complete"` // Members holds all members, and one that is missing was removed; if false, Members holds changes
 	Members  []Member `json:"members"`
 }
 
-// Valid reports whether l is a complete list whose members are all valid. It is
-// false of nil.
+// Valid reports whether l is a complete list whose members are all valid. A nil
+// list is not valid.
 func (l *List) Valid() bool {
 	return l != nil && l.Complete && !slices.ContainsFunc(l.Members, func(m Member) bool { return m.Validate() != nil })
 }
 
 // Parse decodes a list, or an update of a watch, from JSON and validates its
-// members. If the text ends in the middle of one, the error wraps
+// members. If the text ends in the middle of the JSON value, the error wraps
 // io.ErrUnexpectedEOF.
 func Parse(text []byte) (*List, error) {
 	l := &List{}
--- a/internal/discovery/listreader.go
+++ b/internal/discovery/listreader.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// maxListBytes bounds a list, and an update of a watch. The largest fleet
-	// that is planned for has 31,000 members, 4.9 MB with long names.
+	// maxListBytes bounds a list, and an update of a watch. The list of the largest
+	// planned fleet has 31,000 members and 4.9 MB, if their names are long.
 	maxListBytes = 32 << 20
 	// maxRetainedBufferBytes is the largest buffer that is reused for the next list.
 	maxRetainedBufferBytes = 64 << 10
-	// minPartialParseBytes is the size at which a list that goes on over several
-	// lines is first parsed; after that, each time that its size has doubled.
+	// minPartialParseBytes is the size at which an unfinished list of several lines
+	// is first parsed, to reject it early if it is malformed. It is parsed again each
+	// time that its size has doubled.
 	minPartialParseBytes = 4 << 10
 )
 
 // ListTooLargeError reports a list, or an update of a watch, over the size
 // limit. Nothing of it was applied.
 type ListTooLargeError struct {
-	Size int64 // bytes; where discovery sent no length, those that were read before the limit was hit
+	Size int64 // bytes of the list; if discovery sent no length, the bytes that were read until the limit was exceeded
 	Max  int64 // the limit in bytes
 }
 
@@ -32,8 +33,8 @@
 	return fmt.Sprintf("a list of %d bytes or more, over the limit of %d", e.Size, e.Max)
 }
 
-// readListBody reads the body of a response that holds a complete list. It
-// returns a ListTooLargeError for one of more than maxBytes.
+// readListBody reads the body of a response that holds a complete list. For a
+// body of more than maxBytes it returns a ListTooLargeError.
 func readListBody(resp *http.Response, maxBytes int) ([]byte, error) {
 	if resp.ContentLength > int64(maxBytes) {
 		return nil, &ListTooLargeError{Size: resp.ContentLength, Max: int64(maxBytes)}
@@ -51,32 +52,33 @@
 	return text.Bytes(), nil
 }
 
-// listReader decodes the lists of a watch, one after another. Each ends with the
-// end of a line, and may be indented over several. It is not safe for
-// concurrent use.
+// listReader decodes the lists that a watch receives, one after another. A list
+// may be indented over several lines, and ends at the end of a line. A listReader
+// is not safe for concurrent use.
 type listReader struct {
 	source   *bufio.Reader
 	maxBytes int
-	onWait   func(begun int) // called before each read, with the bytes in complete lines of a list that is not at its end yet
-	onRead   func()          // called after each read
+	onWait   func(begun int) // called before each read; begun is the size of an unfinished list whose next line is read, or 0
+	onRead   func()          // called when a line was read, or the stream has ended
 
-	buffer      []byte // of the list that is being read
-	depth       int    // of braces and brackets that are open in buffer
-	inString    bool
-	escaped     bool // the last byte was a backslash in a string
-	parsedBytes int  // bytes of buffer when it was last parsed
-	atEOF       bool // the stream ended between two lists
+	buffer      []byte // what was read so far of the current list
+	depth       int    // how many braces and brackets are open in buffer
+	inString    bool   // buffer ends within a JSON string
+	escaped     bool   // the last byte was a backslash in a string
+	parsedBytes int    // length of buffer when it was last parsed
+	atEOF       bool   // the stream ended between two lists
 }
 
 func newListReader(r io.Reader, maxBytes int) *listReader {
 	return &listReader{source: bufio.NewReader(r), maxBytes: maxBytes, onWait: func(int) {}, onRead: func() {}}
 }
 
-// errListTruncated reports a stream that ended within a list.
+// errListTruncated reports that the stream ended within a list.
 var errListTruncated = errors.New("the list is truncated")
 
-// nextList returns the next list, or nil for an empty line, which is discovery's
-// keepalive. At the end of the stream it returns the reader's error.
+// nextList returns the next list, or nil for an empty line, which discovery sends
+// as a keepalive. At the end of the stream it returns the error of the source, or
+// errListTruncated within a list.
 func (r *listReader) nextList() (*List, error) {
 	for begun := 0; ; begun = len(r.buffer) {
 		r.onWait(begun)
@@ -102,8 +104,9 @@
 	}
 }
 
-// readLine buffers the source to the end of a line. end is the reason for which
-// the stream ended, or nil; err is a ListTooLargeError, or nil.
+// readLine reads the source into the buffer up to the end of a line. The first
+// result is the error with which the stream ended, or nil; the second is a
+// ListTooLargeError, or nil.
 func (r *listReader) readLine() (end, err error) {
 	for {
 		piece, end := r.source.ReadSlice('\n')
@@ -113,11 +116,12 @@
 		if !errors.Is(end, bufio.ErrBufferFull) {
 			return end, nil
 		}
-		r.onWait(0) // more of the same line, which may be long
+		r.onWait(0) // the line is longer than the source's buffer, and its rest is read next
 	}
 }
 
-// appendPiece buffers a piece of a line and follows the nesting of the JSON in it.
+// appendPiece appends a piece of a line to the buffer and tracks the nesting of its
+// JSON.
 func (r *listReader) appendPiece(piece []byte) error {
 	if size := len(r.buffer) + len(piece); size > r.maxBytes {
 		r.reset()
@@ -141,9 +145,9 @@
 	return nil
 }
 
-// parseBuffered parses the buffer at the end of a line. It returns the list if
-// that is complete, and nil if it goes on. A long one is not parsed anew for each
-// line, but soon enough that text which cannot become a list is rejected early.
+// parseBuffered parses the buffer at the end of a line. It returns the list if it is
+// complete, and nil if it goes on in the next line. An unfinished list is not parsed
+// at each of its lines, but often enough that malformed text is rejected early.
 func (r *listReader) parseBuffered() (*List, error) {
 	if len(bytes.TrimSpace(r.buffer)) == 0 {
 		r.reset()
--- a/internal/discovery/listreader_test.go
+++ b/internal/discovery/listreader_test.go
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// listOf returns a complete list with ids of idLength characters.
 func listOf(revision int64, members, idLength int) *List {
 	l := &List{Revision: revision, Complete: true}
 	for i := range members {
@@ -33,8 +34,8 @@
 	return string(text)
 }
 
-// Lists are decoded completely and in order however they are written and split
-// into pieces, with empty lines between them.
+// All lists are decoded in order, whether they are indented or not, however the
+// stream is split into reads, and with empty lines between them.
 func TestListReaderPieces(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
@@ -54,7 +55,7 @@
 		}
 		all := text.String()
 		if random.IntN(4) == 0 {
-			all = strings.TrimRight(all, "\n") // the last line may end with the stream
+			all = strings.TrimRight(all, "\n") // the stream may end without a final newline
 		}
 		r := newListReader(&pieces{all, random}, maxListBytes)
 		for i := 0; i < count; {
@@ -72,19 +73,19 @@
 		for {
 			l, err := r.nextList()
 			if l != nil || err != nil && !errors.Is(err, io.EOF) {
-				t.Fatalf("at the end %v, %v", l, err)
+				t.Fatalf("after the last list nextList returns %v, %v", l, err)
 			}
 			if err != nil {
 				break
 			}
 		}
 		if !r.atEOF {
-			t.Fatal("the end of the stream counts as a truncated list")
+			t.Fatal("the end of the stream after a complete list counts as within a list")
 		}
 	}
 }
 
-// pieces reads a text in pieces of random size.
+// pieces is a reader that returns a text in pieces of random size.
 type pieces struct {
 	text   string
 	random *rand.Rand
@@ -99,8 +100,8 @@
 	return n, nil
 }
 
-// A truncated list and one that is too large are errors, and the buffer of a
-// large one is freed.
+// A list that is truncated or larger than the limit is an error, and the buffer of
+// a large list is freed.
 func TestListReaderLimits(t *testing.T) {
 	whole := asText(t, listOf(1, 31000, 34), false)
 	r := newListReader(strings.NewReader(whole+"\n\n"+whole[:len(whole)/2]), maxListBytes)
@@ -108,43 +109,44 @@
 		t.Fatal(err)
 	}
 	if l, err := r.nextList(); l != nil || err != nil {
-		t.Fatalf("an empty line is %v, %v", l, err)
+		t.Fatalf("for an empty line nextList returns %v, %v; want nil, nil", l, err)
 	}
 	if cap(r.buffer) > maxRetainedBufferBytes {
-		t.Errorf("%d bytes are retained for the next line", cap(r.buffer))
+		t.Errorf("a buffer of %d bytes is retained after a large list", cap(r.buffer))
 	}
 	if _, err := r.nextList(); !errors.Is(err, errListTruncated) || r.atEOF {
-		t.Errorf("a truncated list is %v", err)
+		t.Errorf("the error for a truncated list is %v", err)
 	}
 	for _, indented := range []bool{false, true} {
 		text := asText(t, listOf(1, 1000, 34), indented) + "\n"
 		exact := newListReader(strings.NewReader(text), len(text))
 		if l, err := exact.nextList(); err != nil || len(l.Members) != 1000 {
-			t.Errorf("a list of the limit's size: %v", err)
+			t.Errorf("a list of exactly the maximum size is rejected: %v", err)
 		}
 		over := newListReader(strings.NewReader(text), len(text)-1)
 		_, err := over.nextList()
 		var tooLarge *ListTooLargeError
 		if !errors.As(err, &tooLarge) || tooLarge.Max != int64(len(text)-1) || tooLarge.Size <= tooLarge.Max {
-			t.Errorf("a list over the limit: %v", err)
+			t.Errorf("the error for a list over the maximum size is %v", err)
 		}
 		if cap(over.buffer) > maxRetainedBufferBytes {
-			t.Errorf("%d bytes are retained of a list that is too large", cap(over.buffer))
+			t.Errorf("a buffer of %d bytes is retained after a list that is too large", cap(over.buffer))
 		}
 	}
 }
 
-// Text that cannot become a list is rejected long before the limit, though no
-// brace closes it.
+// Text that cannot become a valid list is rejected as malformed, long before it
+// reaches the size limit, though its first brace is never closed.
 func TestListReaderNoticesNonsense(t *testing.T) {
 	r := newListReader(io.MultiReader(strings.NewReader("{\"revision\":1,\n"), &endless{}), maxListBytes)
 	_, err := r.nextList()
 	var tooLarge *ListTooLargeError
 	if err == nil || errors.As(err, &tooLarge) {
-		t.Errorf("endless nonsense is %v", err)
+		t.Errorf("the error for endless malformed text is %v", err)
 	}
 }
 
+// endless is a reader of malformed JSON that never ends.
 type endless struct{}
 
 func (*endless) Read(b []byte) (int, error) {
--- a/internal/discovery/listsize_test.go
+++ b/internal/discovery/listsize_test.go
@@ -18,7 +18,7 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// longNames returns members with ids as long as are planned for.
+// longNames returns members whose ids have 34 characters, the longest planned.
 func longNames(count int) []discovery.Member {
 	var all []discovery.Member
 	for i := range count {
@@ -28,8 +28,8 @@
 	return all
 }
 
-// A list of 31,000 members with ids of 34 letters is received by a fetch and as
-// an update of the watch, on one line and indented.
+// A list of 31,000 members with ids of 34 characters, the largest planned, is
+// received by a fetch and as an update of the watch, both on one line and indented.
 func TestListOfTargetSize(t *testing.T) {
 	t.Parallel()
 	const count = 31000
@@ -43,11 +43,11 @@
 		t.Fatal(err)
 	}
 	if len(line) <= 4<<20 {
-		t.Fatalf("%d bytes are no test of the limit that was", len(line))
+		t.Fatalf("the list has only %d bytes, want more than the former limit of 4 MiB", len(line))
 	}
 	d.Send(t, string(line))
 	if l := next(t, updates); l.Revision != 2 || len(l.Members) != count {
-		t.Fatalf("the line has revision %d, %d members", l.Revision, len(l.Members))
+		t.Fatalf("the list on one line has revision %d, %d members", l.Revision, len(l.Members))
 	}
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, line, "", "  "); err != nil {
@@ -64,13 +64,13 @@
 	}
 }
 
-// sizedDiscovery serves complete lists of any size, with or without a
-// Content-Length, and lines on its watches.
+// sizedDiscovery is a discovery agent that serves complete lists of any size, with
+// or without a Content-Length, and writes lines on its watches.
 type sizedDiscovery struct {
 	mu         sync.Mutex
 	list       discovery.List
 	sendLength bool
-	fetches    []time.Time // of the complete list
+	fetches    []time.Time // times at which the complete list was fetched
 	lines      chan string
 }
 
@@ -100,7 +100,7 @@
 	}
 }
 
-// logText is a log that can be read while it is written.
+// logText collects the text of a log, and can be read while the log is written.
 type logText struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -118,8 +118,9 @@
 	return strings.Contains(l.text.String(), s)
 }
 
-// A list that is too large is logged with both sizes and fetched again less and
-// less often; the last good one stays in use, and the next good one follows.
+// A list that is too large is not delivered. It is logged with its size and the
+// limit, and fetched again with growing delays, until the next list within the limit
+// is delivered.
 func TestListTooLarge(t *testing.T) {
 	t.Parallel()
 	for _, sendLength := range []bool{true, false} {
@@ -145,19 +146,19 @@
 			d.mu.Lock()
 			d.list = large
 			d.mu.Unlock()
-			d.lines <- string(text) // as a change first: it makes the complete list be fetched
+			d.lines <- string(text) // the watch rejects it as too large, too, and then fetches the complete list
 			discoverytest.WaitFor(t, "three more fetches", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.fetches) >= 4 })
 			d.mu.Lock()
 			fetched := d.fetches
 			d.list = discovery.List{Revision: 3, Complete: true, Members: longNames(2)}
 			d.mu.Unlock()
 			if len(updates) > 0 {
-				t.Errorf("a list that is too large counts as an update: %d members", len((<-updates).Members))
+				t.Errorf("a list that is too large is delivered, with %d members", len((<-updates).Members))
 			}
 			first, second := fetched[2].Sub(fetched[1]), fetched[3].Sub(fetched[2])
 			t.Logf("fetched again after %v and %v", first, second)
 			if first < time.Second || second < 2*time.Second {
-				t.Errorf("fetched again after %v and %v: no backoff", first, second)
+				t.Errorf("fetched again after %v and %v, want at least 1 s and 2 s", first, second)
 			}
 			size := fmt.Sprintf("a list of %d bytes", len(text))
 			if !sendLength {
@@ -167,15 +168,15 @@
 				t.Errorf("the log lacks the size (%q) or the limit", size)
 			}
 			if l := next(t, updates); l.Revision != 3 || len(l.Members) != 2 {
-				t.Errorf("at last revision %d, %d members", l.Revision, len(l.Members))
+				t.Errorf("the list within the limit has revision %d, %d members, want 3 and 2", l.Revision, len(l.Members))
 			}
 		})
 	}
 }
 
-// A watch that is answered by a status which is no rejection, such as 410, cannot
-// go on from its revision: the complete list is fetched again. A rejected one goes
-// on.
+// After a watch was answered with status 410 or 404, which is no rejection, it
+// cannot resume from its revision, and the complete list is fetched again. After a
+// rejection, with status 429 or 500, the watch resumes without a fetch.
 func TestWatchStatus(t *testing.T) {
 	t.Parallel()
 	for status, fetches := range map[int]int{http.StatusGone: 2, http.StatusNotFound: 2, http.StatusTooManyRequests: 1, http.StatusInternalServerError: 1} {
@@ -188,7 +189,7 @@
 				if watches++; watches == 1 {
 					w.WriteHeader(status)
 				}
-				return // the second one ends at once
+				return // the second watch ends at once
 			}
 			fetched++
 			json.NewEncoder(w).Encode(discovery.List{Revision: 1, Complete: true, Members: longNames(1)})
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -16,31 +16,31 @@
 
 // Outcomes of a message, as a notice reports them on the wire.
 const (
-	Failed   = "given_up"    // it may have been delivered, and is not sent again
-	Returned = "handed_back" // it was not delivered, and its client may submit it again
+	Failed   = "given_up"    // the message may have been delivered, and the relay does not send it again
+	Returned = "handed_back" // the message was not delivered, and its client may submit it again
 )
 
 // Notice reports to the platform the final outcome of a message that was not
 // delivered.
 type Notice struct {
-	Message string `json:"message"`               // its id
+	Message string `json:"message"`               // the id of the message
 	Outcome string `json:"outcome"`               // Failed or Returned
-	RetryMS int64  `json:"retry_in_ms,omitempty"` // milliseconds after which its client may submit it again
+	RetryMS int64  `json:"retry_in_ms,omitempty"` // milliseconds after which the client may submit a Returned message again
 }
 
 const (
 	noticeBatchSize  = 64
-	noticeTimeoutMin = 200 * time.Millisecond // doubles with each failure in a row: the first retry is still in time
+	noticeTimeoutMin = 200 * time.Millisecond // doubles with each failure in a row; so short that the first retry still delivers the notice in time
 	noticeBackoffMin = 50 * time.Millisecond  // doubles with each failure in a row
 	noticeBackoffMax = 500 * time.Millisecond
 	noticeTimeoutMax = 2 * time.Second
 
-	maxNoticeAnswerBytes = 64 << 10 // of a response that are read, so that its connection can be reused
+	maxNoticeAnswerBytes = 64 << 10 // a response is read up to this size, so that its connection can be reused
 )
 
-// Notices sends notices to discovery's agent, each until it is acknowledged;
-// sending one twice has no effect. It is made by NewNotices, and its methods are
-// safe for concurrent use, but for Run, which is called once.
+// Notices sends notices to the discovery agent, each until it is acknowledged. A
+// notice that the agent receives twice has no further effect. Use NewNotices to make
+// one. The methods are safe for concurrent use, except Run, which is called once.
 type Notices struct {
 	agentAddress
 	log            *slog.Logger
@@ -49,9 +49,9 @@
 	onAcknowledged func(id string)
 }
 
-// NewNotices returns the sender of one relay. Run calls onAcknowledged with the
-// message id of each notice that was acknowledged, and of each that the agent
-// rejected as malformed.
+// NewNotices returns the sender of one relay's notices to the agent at addr. Run
+// calls onAcknowledged with the message id of each notice that was acknowledged, and
+// of each that the agent rejected as malformed.
 func NewNotices(addr string, log *slog.Logger, onAcknowledged func(string)) *Notices {
 	return &Notices{agentAddress: agentAddress{addr: addr}, log: log, client: newHTTPClient(2, baseAnswerTimeout),
 		queue: mailbox.New[Notice](), onAcknowledged: onAcknowledged}
@@ -60,8 +60,8 @@
 // Put queues a notice. It never blocks.
 func (n *Notices) Put(notice Notice) { n.queue.Put(notice) }
 
-// Run sends queued notices until ctx ends. Those still queued then are dropped;
-// the relay's log has their messages.
+// Run sends queued notices until ctx ends. The notices that are still queued then
+// are dropped; the relay's log still has their messages.
 func (n *Notices) Run(ctx context.Context) {
 	defer n.client.CloseIdleConnections()
 	var added, pending []Notice
@@ -87,9 +87,10 @@
 	}
 }
 
-// send sends a batch and returns how many of its notices need no further call:
-// they were acknowledged, or are malformed by the agent's verdict and must not
-// hold up the others.
+// send sends a batch and returns how many of its first notices need no further
+// call, because they were acknowledged or because the agent rejected them as
+// malformed. A batch that the agent rejects is sent again one by one, so that a
+// malformed notice does not hold up the others.
 func (n *Notices) send(ctx context.Context, batch []Notice, timeout time.Duration) (acknowledged int, err error) {
 	err = n.post(ctx, batch, timeout)
 	if isBadRequest(err) && len(batch) > 1 {
@@ -112,13 +113,13 @@
 	return len(batch), nil
 }
 
-// isBadRequest reports whether the agent rejected a notice as malformed.
+// isBadRequest reports whether the agent rejected a call because of a malformed notice.
 func isBadRequest(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) && status.Status == http.StatusBadRequest
 }
 
-// post sends a batch in one call.
+// post sends a batch in one call, and returns nil if the agent acknowledged all of it.
 func (n *Notices) post(ctx context.Context, batch []Notice, timeout time.Duration) error {
 	ctx, endCall, addr := n.beginCall(ctx)
 	defer endCall()
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// ReadNotices decodes notices, one JSON object a line. An error gives the number
-// of the first that is malformed, counted from 1.
+// ReadNotices decodes notices, one JSON object per line. An error names the first
+// malformed notice by its number, counted from 1.
 func ReadNotices(r io.Reader) ([]Notice, error) {
 	var all []Notice
 	for dec := json.NewDecoder(r); ; {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -15,21 +15,22 @@
 	"time"
 )
 
-// growingSpread is the one before boundedRetrySpread, for comparison: it grows with
-// the fleet and with each failure, and updates came up to 25 s late.
+// growingSpread is a retrySpread that grows with the fleet and with each failure, for
+// comparison. Relays used it before boundedRetrySpread, and applied updates up to 25 s
+// late.
 func growingSpread(fleetServeTime time.Duration, failures int, draw float64) time.Duration {
 	base := min(min(400*time.Millisecond+fleetServeTime, 4*time.Second)<<min(failures, 8), 5*time.Second+2*fleetServeTime)
 	return 200*time.Millisecond + time.Duration(float64(base)*draw)
 }
 
-// narrowSpread is as fast as the one after a watch that ended, and overloads
-// discovery.
+// narrowSpread is a retrySpread for comparison: it retries as soon as a watch that
+// ended is reopened, and thereby overloads discovery.
 func narrowSpread(_ time.Duration, _ int, draw float64) time.Duration {
 	return time.Duration(float64(200*time.Millisecond) * (0.5 + draw))
 }
 
-// boundPort is a port that refuses connections until it listens. It is bound
-// all the time, so that nothing else takes it.
+// boundPort is a port that refuses connections until listen is called. It stays
+// bound all the time, so that no other socket can use it.
 type boundPort struct {
 	fd   int
 	addr string
@@ -65,21 +66,24 @@
 	return ln
 }
 
-// limitedDiscovery rejects calls beyond a rate, with a burst of a tenth of a
-// second.
+// limitedDiscovery is a discovery agent that serves calls at a limited rate. It
+// rejects what exceeds the rate after a burst of a tenth of a second, or queues it
+// if queue is set.
 type limitedDiscovery struct {
 	mu       sync.Mutex
 	rate     float64       // calls a second; 0 for no limit
-	queue    time.Duration // for which a call may wait for its place, in order; then it is rejected
-	free     time.Time     // when the last place that was taken ends
-	tokens   float64
-	at       time.Time
-	calls    []time.Time
-	rejected int
-	fault    string // how calls fail while it is set
+	queue    time.Duration // longest time for which a call waits in the queue before it is rejected; 0 for no queue
+	free     time.Time     // when the last queued call will have been served
+	tokens   float64       // calls that may be served at once, as of at
+	at       time.Time     // when tokens was last updated
+	calls    []time.Time   // when each call arrived
+	rejected int           // number of rejected calls
+	fault    string        // how calls fail, as fail has it; empty if they are served
 	end      context.Context
 }
 
+// admit records a call and reports whether it is served; it waits while the call is
+// queued.
 func (d *limitedDiscovery) admit() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,7 +105,8 @@
 	return true
 }
 
-// waitForPlace has a call wait in a queue, with the lock released meanwhile.
+// waitForPlace waits until the call is served or rejected, and reports whether it is
+// served. It is called with the lock held, and releases it while it waits.
 func (d *limitedDiscovery) waitForPlace(now time.Time) bool {
 	at := now
 	if d.free.After(now) {
@@ -155,8 +160,8 @@
 	}
 }
 
-// fail fails a call: its connection is closed or reset without a response, stays
-// silent, or gets a status.
+// fail fails a call in the way that fault says: the connection is closed or reset
+// without a response, stays silent, or gets a status.
 func (d *limitedDiscovery) fail(w http.ResponseWriter, r *http.Request, fault string) {
 	switch fault {
 	case "silent":
@@ -181,30 +186,31 @@
 	}
 }
 
-// outage describes an outage of discovery for a fleet: it refuses connections for
-// a while, then serves at a limited rate.
+// outage describes an outage of discovery for a fleet: discovery refuses connections
+// for a while, then serves calls at a limited rate.
 type outage struct {
-	relays    int           // the watches
-	fleetSize int           // the size of the fleet as each watch knows it
+	relays    int           // number of watches, one for each relay
+	fleetSize int           // number of relays that is given to each watch as the fleet's size
 	refuses   time.Duration // how long connections are refused
-	rate      float64       // calls a second that are served after it
-	queue     time.Duration // how long a call may wait for its turn
-	known     bool          // the watches have a list, and need one call instead of two
+	rate      float64       // calls per second that are served after the outage
+	queue     time.Duration // longest time for which a call waits in discovery's queue; 0 for no queue
+	known     bool          // the watches have a known list, and need one call instead of two
 	spread    retrySpread
 }
 
-// outageResult is what was measured.
+// outageResult holds what was measured in an outage.
 type outageResult struct {
-	latest   time.Duration // from the return to the last watch's first update
-	late     int           // watches without an update within 6 s
-	before   int           // retries in the worst second of the outage, first calls left out
-	peak     int           // calls in the worst second after the return
-	calls    int
-	rejected int // of the calls
-	finished bool
+	latest   time.Duration // from the end of the outage until every watch has had an update
+	late     int           // watches without an update within 6 s after the outage
+	before   int           // most retries in any second of the outage; those of its first second do not count
+	peak     int           // most calls in any second after the outage
+	calls    int           // calls after the outage
+	rejected int           // calls after the outage that were rejected
+	finished bool          // every watch had an update within the time limit
 }
 
-// play runs the outage and waits for the updates, for a limited time after it.
+// play runs the outage, and waits after it until each watch has had an update, or
+// until limit has passed.
 func (o outage) play(t testing.TB, limit time.Duration) outageResult {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -268,7 +274,7 @@
 	return r
 }
 
-// worstSecond returns the largest number of moments within one second.
+// worstSecond returns the largest number of the times that lie within any one second.
 func worstSecond(at []time.Time) (most int) {
 	slices.SortFunc(at, time.Time.Compare)
 	first := 0
@@ -281,7 +287,7 @@
 	return most
 }
 
-// row is a line of the table that BenchmarkOutage prints.
+// row returns a line of the table that BenchmarkOutage prints.
 func (o outage) row(spread string, r outageResult) string {
 	calls, latest := 2, fmt.Sprintf("%.1f s", r.latest.Seconds())
 	if o.known {
@@ -293,7 +299,8 @@
 	return fmt.Sprintf("| %d | %d | %v | %v | %s | %s | %d | %d | %d | %d of %d |", o.relays, calls, o.rate, o.queue, spread, latest, r.late, r.before, r.peak, r.rejected, r.calls)
 }
 
-// BenchmarkOutage prints what each spread does, as a table; it takes minutes.
+// BenchmarkOutage runs outages with several retry spreads and prints the results as a
+// table. It takes minutes.
 func BenchmarkOutage(b *testing.B) {
 	fixed := func(most time.Duration) retrySpread {
 		return func(_ time.Duration, failures int, draw float64) time.Duration {
@@ -309,7 +316,7 @@
 		spread retrySpread
 	}{{"growing", growingSpread}, {"bounded 1.8 s", boundedRetrySpread}, {"bounded 3 s", fixed(3 * time.Second)}, {"0.1 to 0.3 s", narrowSpread}}
 	fmt.Println("| watches | calls each | served a second | queue | spread | latest | later than 6 s | retries a second while refused | calls a second after | rejected of calls |")
-	measure := func(outages ...outage) { // all at one time
+	measure := func(outages ...outage) { // runs all outages with all spreads at the same time
 		rows := make([]string, len(outages)*len(spreads))
 		var all sync.WaitGroup
 		for i := range rows {
@@ -338,9 +345,9 @@
 	}
 }
 
-// Guards the 6 s within which updates arrive after an outage, and discovery against
-// the calls of a whole fleet. Discovery refuses connections for 8 s and then
-// rejects what is beyond 200 calls a second.
+// Updates arrive within 6 s after an outage, and the fleet's calls do not overload
+// discovery, which refuses connections for 8 s and then rejects the calls beyond
+// 200 per second.
 func TestWordAfterOutage(t *testing.T) {
 	t.Parallel()
 	for _, relays := range []int{30, 300, 450} {
@@ -350,17 +357,18 @@
 				spread: NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil).spread}.play(t, 30*time.Second)
 			t.Logf("%+v", r)
 			if r.late > 0 || !r.finished {
-				t.Errorf("%d of %d have an update later than 6 s after discovery's return, the last %v after it", r.late, relays, r.latest)
+				t.Errorf("%d of %d watches have their update later than 6 s after the outage, the last %v after it", r.late, relays, r.latest)
 			}
 			if r.before > relays || r.peak > relays+relays/4 {
-				t.Errorf("%d calls in a second while discovery refuses, %d after that: over one of each relay", r.before, r.peak)
+				t.Errorf("%d retries in a second of the outage and %d calls in a second after it, too many for one of each relay", r.before, r.peak)
 			}
 		})
 	}
 }
 
-// Guards the same 6 s, and discovery, where calls fail in other ways than by a
-// refused connection. The watches begin without a list: two calls each.
+// Updates arrive within 6 s after discovery recovers, and the fleet's calls do not
+// overload it, when calls failed in other ways than by a refused connection. The
+// watches start without a known list, and so need two calls each.
 func TestWordAfterFault(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"silent", "closed", "reset", "503", "429"} {
@@ -392,25 +400,25 @@
 				case at := <-updatedAt:
 					latest = max(latest, at.Sub(back))
 				case <-time.After(20 * time.Second):
-					t.Fatal("a watch never had its list")
+					t.Fatal("a watch had no list within 20 s")
 				}
 			}
 			begun := calls[0]
 			peak := worstSecond(slices.DeleteFunc(calls, func(at time.Time) bool { return at.Sub(begun) < 2*time.Second }))
-			t.Logf("the last update %v after the return, %d calls in the worst second before it", latest, peak)
+			t.Logf("the last update came %v after discovery recovered, with at most %d calls in a second before that", latest, peak)
 			if latest > 6*time.Second {
-				t.Errorf("the last update came %v after the return", latest)
+				t.Errorf("the last update came %v after discovery recovered, want at most 6 s", latest)
 			}
 			if peak > relays+relays/4 {
-				t.Errorf("%d calls in a second of %d relays", peak, relays)
+				t.Errorf("%d calls in a second, too many for one of each of %d relays", peak, relays)
 			}
 		})
 	}
 }
 
-// Guards updates after a change of address, which count as received 4 s later:
-// discovery at the new address rejects some calls, after the old one has refused
-// many in a row.
+// After a change of address, updates arrive within the 4 s after which they count
+// as received, although the old address refused many calls in a row and the new one
+// rejects some.
 func TestWordAfterMove(t *testing.T) {
 	t.Parallel()
 	const relays = 30
@@ -452,8 +460,8 @@
 	latest := slices.MaxFunc(updatedAt, time.Time.Compare).Sub(moved)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t.Logf("the last update %v after the change of address, %d of %d calls rejected", latest, d.rejected, len(d.calls))
+	t.Logf("the last update came %v after the change of address; %d of %d calls were rejected", latest, d.rejected, len(d.calls))
 	if latest > 4*time.Second || d.rejected == 0 {
-		t.Errorf("the last update came %v after the change of address, %d calls were rejected", latest, d.rejected)
+		t.Errorf("the last update came %v after the change of address, want at most 4 s; %d calls were rejected, want some", latest, d.rejected)
 	}
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	watchSilenceTimeout = 3500 * time.Millisecond // discovery sends a keepalive every 2 s
-	continuationTimeout = 100 * time.Millisecond  // for the next line of a list that goes on, which is written at once
-	continuationPerByte = 100 * time.Nanosecond   // more for each byte that was read: large lists take their writer longer
+	watchSilenceTimeout = 3500 * time.Millisecond // bounds the time without data on a watch; discovery sends a keepalive every 2 s
+	continuationTimeout = 100 * time.Millisecond  // bounds the wait for the next line of an unfinished list, which discovery writes without a pause
+	continuationPerByte = 100 * time.Nanosecond   // extends continuationTimeout for each byte read so far, since discovery takes longer to write large lists
 )
 
-// errWatchSilent ends a watch on which nothing was received for too long.
+// errWatchSilent is the reason for closing a watch on which nothing was received
+// for too long.
 var errWatchSilent = errors.New("watch is silent")
 
 // listState is the position of a watch in the list's history.
 type listState struct {
 	revision int64
-	known    bool // the list is known up to revision; else the complete list has to be fetched
+	known    bool // the list is known up to revision; if false, the complete list has to be fetched
 }
 
-// fetchList fetches the complete list.
+// fetchList fetches the complete list and validates it.
 func (w *Watch) fetchList(ctx context.Context, addr string) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.answerTimeout)
 	defer cancel()
@@ -51,9 +52,9 @@
 	return l, err
 }
 
-// followChanges opens a watch on the changes after a state and delivers them
-// until the watch ends. It returns the position that was reached; after an
-// update that is malformed the list is not known any more.
+// followChanges opens a watch on the changes after the state from, and delivers
+// them until the watch ends. It returns the state that was reached. After a
+// malformed update the list is no longer known.
 func (w *Watch) followChanges(ctx context.Context, addr string, from listState) (listState, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -63,7 +64,7 @@
 	if err != nil {
 		var status *StatusError
 		if errors.As(err, &status) && !status.isRejection() {
-			from.known = false // discovery does not have the changes since then
+			from.known = false // discovery does not have the changes since from.revision
 		}
 		return from, err
 	}
@@ -76,12 +77,12 @@
 		}
 		silenceTimer.Reset(limit)
 	}
-	reader.onRead = func() { silenceTimer.Stop() } // a large list takes its time to parse
+	reader.onRead = func() { silenceTimer.Stop() } // parsing a large list takes long, and is no silence of discovery
 	return w.readChanges(ctx, reader, from)
 }
 
-// openWatch opens a watch on the changes after a revision. The caller closes the
-// response's body.
+// openWatch opens a watch on the changes after a revision. The caller must close
+// the body of the response.
 func (w *Watch) openWatch(ctx context.Context, addr string, revision int64) (*http.Response, error) {
 	url := "http://" + addr + ListPath + "?watch=1&from=" + strconv.FormatInt(revision, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -102,7 +103,9 @@
 	return resp, nil
 }
 
-// readChanges delivers the updates of an open watch, in order.
+// readChanges delivers the updates of an open watch in order, until the watch ends
+// or an update cannot be applied. It returns the state that was reached and the
+// reason for the end.
 func (w *Watch) readChanges(ctx context.Context, reader *listReader, state listState) (listState, error) {
 	for {
 		l, err := reader.nextList()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,40 +9,41 @@
 )
 
 const (
-	serveTimePerRelay = 100 * time.Millisecond // all relays of the fleet may call at one moment, and are served one by one
-	maxQueueTimeout   = 2 * time.Second        // added to the response timeout at most, however large the fleet
-	maxStartDelay     = time.Second            // of the first call: a draining endpoint must be left 2 s after the agent has the drain
+	serveTimePerRelay = 100 * time.Millisecond // all relays of the fleet may call at the same time, and are served one by one
+	maxQueueTimeout   = 2 * time.Second        // bounds what the fleet's size adds to the response timeout
+	maxStartDelay     = time.Second            // bounds the delay of the first call, since a relay must stop calling a draining endpoint 2 s after the agent has the drain
 )
 
-// Watch follows the endpoint list of one relay's agent. It is made by NewWatch;
+// Watch follows the endpoint list of one relay's agent. Use NewWatch to make one;
 // Known and OnRejected may be set before Run, which is called once. SetAddress
 // is safe for concurrent use.
 type Watch struct {
-	// Known is a complete list from which the first watch goes on, so that no
-	// list is fetched; nil for none.
+	// Known is a complete list that the relay already has, or nil. The first watch
+	// asks only for the changes after it, so that no complete list is fetched.
 	Known *List
 	// OnRejected is called when discovery rejects a call, and when the first call
-	// is delayed for long. It may be nil.
+	// is delayed by more than reconnectDelay. It may be nil.
 	OnRejected func()
 
 	agentAddress
 	log            *slog.Logger
 	client         *http.Client
-	onList         func(*List)    // called in order, by the goroutine of Run
-	random         func() float64 // draws from [0, 1)
+	onList         func(*List)    // called with each list in order, on the goroutine of Run
+	random         func() float64 // returns a random number, evenly distributed over [0, 1)
 	spread         retrySpread
-	fleetServeTime time.Duration // what discovery takes to serve each relay of the fleet once
-	answerTimeout  time.Duration // a call without a response for so long has failed
-	silenceTimeout time.Duration // a watch on which nothing was received for so long has failed
-	listLimit      int           // bytes of a list, or of an update of a watch
+	fleetServeTime time.Duration // the time that discovery takes to serve each relay of the fleet once
+	answerTimeout  time.Duration // a call fails if its response takes longer
+	silenceTimeout time.Duration // a watch fails if nothing is received for longer
+	listLimit      int           // the maximum size in bytes of a list, or of an update of a watch
 	failures       failureCounts
 }
 
-// NewWatch returns a watch for one of the fleet's relays. Run calls onList with
-// the complete list and with each change after it, in order. Where many relays
-// call at once, a response waits for those before it: a relay that gave up
-// meanwhile and called again would go to the end of the queue and make it longer,
-// so the timeout grows with the fleet.
+// NewWatch returns a watch for one relay of a fleet of that many relays. Run calls
+// onList with the complete list and with each change after it, in order.
+//
+// The response timeout grows with the fleet. When many relays call at once,
+// discovery queues their calls; a relay that timed out too early would call again,
+// from the end of the queue, and so make the queue longer.
 func NewWatch(addr string, relays int, log *slog.Logger, onList func(*List)) *Watch {
 	fleetServeTime := time.Duration(relays) * serveTimePerRelay
 	answerTimeout := baseAnswerTimeout + min(fleetServeTime/4, maxQueueTimeout)
@@ -60,12 +61,12 @@
 	}
 }
 
-// Run watches until ctx ends. Updates are delivered without delay: the grace
-// period of a drain counts from when discovery wrote it.
+// Run watches until ctx ends. It delivers updates without delay, since the grace
+// period of a drain begins when discovery writes it.
 func (w *Watch) Run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	var state listState
-	if w.Known.Valid() { // costs discovery one call, and only the changes since
+	if w.Known.Valid() { // this costs discovery one call, and only the changes since then
 		state = listState{revision: w.Known.Revision, known: true}
 	}
 	w.waitToStart(ctx)
@@ -74,7 +75,7 @@
 	}
 }
 
-// waitToStart delays the first call.
+// waitToStart delays the first call, and ends early if the address is replaced.
 func (w *Watch) waitToStart(ctx context.Context) {
 	ctx, cancel, _ := w.beginCall(ctx)
 	defer cancel()
@@ -86,7 +87,8 @@
 }
 
 // watchOnce fetches the complete list if it is not known, follows its changes
-// until that fails, and sleeps until the next attempt may begin.
+// until the watch fails, and sleeps until the next attempt may begin. It returns
+// the state that was reached.
 func (w *Watch) watchOnce(ctx context.Context, state listState) listState {
 	ctx, cancel, addr := w.beginCall(ctx)
 	defer cancel()
@@ -106,7 +108,7 @@
 		sleepContext(ctx, delay)
 	}
 	if ctx.Err() != nil {
-		w.resetFailures() // the address was replaced: the failures were those of the old one
+		w.resetFailures() // the address was replaced, and the failures were those of the old one
 	}
 	return state
 }
@@ -121,9 +123,9 @@
 	return listState{revision: l.Revision, known: true}, nil
 }
 
-// startDelay draws the delay of the first call. The whole fleet may be starting,
-// but changes that the agent has by now count as received by this relay, and the
-// known list may be old.
+// startDelay returns the random delay of the first call. The delay spreads the
+// calls of a fleet that starts as a whole. It is bounded because changes that the
+// agent already has count as received by this relay, whose known list may be old.
 func (w *Watch) startDelay() time.Duration {
 	return time.Duration(float64(min(w.fleetServeTime/2, maxStartDelay)) * w.random())
 }
