--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,5 +1,5 @@
-// Command controller runs the fleet's leader-elected work: of each role, one process
-// at a time.
+// Command controller runs the work of the fleet for which a leader is elected: each
+// role is active in one process at a time.
 package main
 
 import (
--- a/cmd/faultlab/main.go
+++ b/cmd/faultlab/main.go
@@ -1,5 +1,5 @@
-// Command faultlab runs many relays on this machine, breaks things between
-// them, and judges what they did.
+// Command faultlab runs many relays on this machine, injects faults into them and
+// what is between them, and checks how they behave.
 package main
 
 import (
@@ -13,6 +13,6 @@
 
 func main() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	context.AfterFunc(ctx, cancel) // a second signal ends the lab at once, and the kernel its processes
+	context.AfterFunc(ctx, cancel) // restores the default action, so that a second signal kills the lab at once; the kernel then kills its child processes
 	os.Exit(command.Main(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,5 +1,5 @@
-// Command registry is the list of endpoints of a fleet: a node of its group, or the
-// agent on a relay's machine.
+// Command registry runs the list service, which holds the list of a fleet's endpoints:
+// a node of the service's group, or the agent on a relay's machine.
 package main
 
 import (
--- a/cmd/relay/logfs.go
+++ b/cmd/relay/logfs.go
@@ -4,5 +4,5 @@
 
 import "plovershore/internal/relay"
 
-// setLogFS leaves the log on the operating system's file system.
+// setLogFS does nothing: the relay's log stays on the operating system's file system.
 func setLogFS(*relay.Config) error { return nil }
--- a/cmd/relay/logfs_cut.go
+++ b/cmd/relay/logfs_cut.go
@@ -7,8 +7,9 @@
 	"plovershore/internal/wal/cutfs"
 )
 
-// setLogFS has a kill of this process cost its log what a loss of power would. It is for
-// internal/faultlab alone: bin/relay-cut is built with the tag cutfs.
+// setLogFS puts the relay's log on a file system that simulates a power failure: when the
+// process is killed, the log loses what a power failure would lose. Only internal/faultlab
+// needs it, in bin/relay-cut, which is built with the tag cutfs.
 func setLogFS(cfg *relay.Config) error {
 	d, err := cutfs.OnDisk(cfg.StateDir, cfg.Seed)
 	if err != nil {
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -1,7 +1,7 @@
 // Command relay runs one message relay. Its configuration is the file that ROUTER_CONFIG
 // names; ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_OPERATOR
-// take precedence over it. SIGTERM and SIGINT begin a graceful shutdown, SIGHUP has it
-// read discovery's address again.
+// take precedence over it. On SIGTERM or SIGINT the relay shuts down gracefully; on SIGHUP
+// it reads the address of discovery again.
 package main
 
 import (
@@ -21,14 +21,15 @@
 
 // Exit codes.
 const (
-	exitFailed = 1
-	exitConfig = 2
+	exitFailed = 1 // the relay failed while it was running
+	exitConfig = 2 // the configuration is invalid
 )
 
-// logLevelName is the environment variable that sets how much is logged: debug,
-// info, warn or error. Without it, info; debug has a line for each message.
+// logLevelName is the environment variable that sets the level of the log: debug,
+// info, warn or error. The default is info; at level debug each message is logged.
 const logLevelName = "ROUTER_LOG_LEVEL"
 
+// logLevel parses the value of the environment variable logLevelName.
 func logLevel(text string) (level slog.Level, err error) {
 	if text == "" {
 		return slog.LevelInfo, nil
@@ -40,7 +41,7 @@
 }
 
 func main() {
-	hup := make(chan os.Signal, 1) // from the first moment: unhandled, it would end the process
+	hup := make(chan os.Signal, 1) // made first, since a SIGHUP before Notify ends the process
 	signal.Notify(hup, syscall.SIGHUP)
 	level, levelErr := logLevel(os.Getenv(logLevelName))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
@@ -54,7 +55,7 @@
 		os.Exit(exitConfig)
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 / 10 * 7) // the rest is for files and stacks
+	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 / 10 * 7) // 70% of the memory; the rest is left for files and stacks
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	if err := relay.Run(cfg, log, ctx.Done(), relay.WatchDiscoveryAddress(hup, os.Getenv, log)); err != nil {
--- a/cmd/relayctl/main.go
+++ b/cmd/relayctl/main.go
@@ -1,4 +1,4 @@
-// Command relayctl looks at a fleet's list and at relays' logs, and changes them.
+// Command relayctl shows and changes a fleet's endpoint list and the logs of relays.
 package main
 
 import (
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -1,4 +1,4 @@
-// Package docs checks what the pages say of the code against the code.
+// Package docs checks that what the documentation pages say about the code is true.
 package docs
 
 import (
@@ -14,13 +14,14 @@
 	"testing"
 )
 
-const root = ".." // of the repository
+const root = ".." // the root directory of the repository
 
-// records lists pages that describe the repository as it was in their day: only
-// their links are checked.
+// records matches the pages that describe the repository as it was when they were
+// written. Only their links are checked.
 var records = regexp.MustCompile(`^docs/(findings/|incidents/|ROADMAP\.md$|open-points\.md$)`)
 
-// pages returns the text of every page below the root, by its path from there.
+// pages returns the text of each page of the repository, by the page's path relative
+// to the root.
 func pages(t *testing.T) map[string]string {
 	t.Helper()
 	found := make(map[string]string)
@@ -47,8 +48,8 @@
 	return found
 }
 
-// eachMatch calls check with the first group of each match in each page, and the
-// line on which it stands.
+// eachMatch calls check for each match of pattern in each page, with the number of the
+// line and the text of the pattern's first group.
 func eachMatch(t *testing.T, texts map[string]string, pattern *regexp.Regexp, check func(page string, line int, match string)) {
 	t.Helper()
 	for page, text := range texts {
@@ -60,14 +61,15 @@
 	}
 }
 
-// exists reports whether a path from the root, or pattern of paths, names a file.
+// exists reports whether there is a file or directory at a path relative to the root.
+// The path may be a pattern of filepath.Glob.
 func exists(path ...string) bool {
 	found, err := filepath.Glob(filepath.Join(append([]string{root}, path...)...))
 	return err == nil && len(found) > 0
 }
 
-// A page that another page names is there, from the other's folder, from docs or
-// from the root.
+// A page that another page names exists, relative to the other page's folder, to docs
+// or to the root.
 func TestNamedPagesExist(t *testing.T) {
 	count := 0
 	eachMatch(t, pages(t), regexp.MustCompile("[`(]([A-Za-z0-9_./-]+\\.md)[`)#]"), func(page string, line int, link string) {
@@ -81,7 +83,8 @@
 	}
 }
 
-// currentPages returns the pages that describe the repository as it is.
+// currentPages returns the pages that describe the repository as it is now: all but
+// those that records matches.
 func currentPages(t *testing.T) map[string]string {
 	t.Helper()
 	current := pages(t)
@@ -93,26 +96,26 @@
 	return current
 }
 
-// A file, folder or program that a page names is there.
+// A file or folder that a page names exists, and so does the source of a program in bin.
 func TestNamedPathsExist(t *testing.T) {
 	path := regexp.MustCompile("`(?:\\./)?((?:cmd|internal|policy|lab|deploy|docs|journal|bin)/[A-Za-z0-9_./*-]*)")
 	eachMatch(t, currentPages(t), path, func(page string, line int, name string) {
 		built, isProgram := strings.CutPrefix(name, "bin/")
 		switch {
-		case isProgram && built == "relay-cut": // a build of cmd/relay with the tag cutfs
+		case isProgram && built == "relay-cut": // built from cmd/relay with the tag cutfs
 		case isProgram && !exists("cmd", built):
-			t.Errorf("%s:%d: no program %s is built", page, line, name)
+			t.Errorf("%s:%d: there is no program %s: its folder in cmd is missing", page, line, name)
 		case !isProgram && !exists(strings.TrimSuffix(name, ".")):
-			t.Errorf("%s:%d: there is no %s", page, line, name)
+			t.Errorf("%s:%d: there is no file or folder %s", page, line, name)
 		}
 	})
 }
 
-// Each declaration that a page names as `path/file.go: Name` stands in that file.
-// Several names of one file are separated by commas; a method is Type.Method.
+// Each declaration that a page names as `path/file.go: Name` is in that file. Several
+// names of one file are separated by commas; a method is named as Type.Method.
 func TestNamedDeclarationsExist(t *testing.T) {
 	count := 0
-	declared := make(map[string]map[string]bool) // by file
+	declared := make(map[string]map[string]bool) // the names declared in a file, by its path
 	reference := regexp.MustCompile("`([a-z][A-Za-z0-9_./-]*\\.go: [^`]+)`")
 	eachMatch(t, currentPages(t), reference, func(page string, line int, text string) {
 		file, names, _ := strings.Cut(text, ": ")
@@ -135,7 +138,7 @@
 	}
 }
 
-// A test that a page names is there.
+// A test, fuzz test or benchmark that a page names exists.
 func TestNamedTestsExist(t *testing.T) {
 	tests := make(map[string]bool)
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -158,8 +161,8 @@
 	})
 }
 
-// A log line that a page gives as the present one, in a table under "Log lines",
-// is a string of the code.
+// Each log line that docs/on-call.md gives as the current one, in the second column of
+// a table under "Log lines", is a string literal of the code.
 func TestNamedLogLinesExist(t *testing.T) {
 	literals := stringLiterals(t)
 	row := regexp.MustCompile("^\\|[^|]*`[^|]*\\| `([^`]+)`")
@@ -172,7 +175,7 @@
 		}
 		count++
 		if !literals[match[1]] {
-			t.Errorf("docs/on-call.md:%d: no program logs %q", number+1, match[1])
+			t.Errorf("docs/on-call.md:%d: the log line %q is no string literal of the code", number+1, match[1])
 		}
 	}
 	if count < 50 {
@@ -180,7 +183,8 @@
 	}
 }
 
-// stringLiterals returns the strings that stand in the code outside of its tests.
+// stringLiterals returns the values of all string literals in the repository's Go
+// files, except test files.
 func stringLiterals(t *testing.T) map[string]bool {
 	t.Helper()
 	found := make(map[string]bool)
@@ -210,8 +214,8 @@
 	return found
 }
 
-// declarations returns the names that a Go file declares at its top level, methods
-// with their types.
+// declarations returns the names that a Go file declares at its top level. A method is
+// named as Type.Method.
 func declarations(path string) (map[string]bool, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -238,7 +242,7 @@
 	return names, nil
 }
 
-// functionName returns Name, or Type.Name for a method.
+// functionName returns the name of a function, or Type.Method for a method.
 func functionName(decl *ast.FuncDecl) string {
 	if decl.Recv == nil {
 		return decl.Name.Name
--- a/internal/acceptretry/acceptretry.go
+++ b/internal/acceptretry/acceptretry.go
@@ -1,7 +1,7 @@
 // Package acceptretry keeps servers accepting connections after transient
-// errors. net/http ends a server at the first error of accept that does not
-// call itself temporary, and Linux has many of those that concern a single
-// connection, or last for a moment (accept(2)).
+// errors. net/http stops a server at the first error of accept that does not
+// report itself as temporary. On Linux many such errors concern only a single
+// connection, or pass soon (accept(2)).
 package acceptretry
 
 import (
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Backoff after an error; it doubles with each further one, until a connection
-// is accepted.
+// Bounds of the backoff after an error, which doubles with each further error in a
+// row.
 const (
 	minBackoff = time.Millisecond
 	maxBackoff = 100 * time.Millisecond
@@ -22,8 +22,8 @@
 type retryListener struct{ net.Listener }
 
 // NewListener wraps ln in a listener whose Accept fails only once ln is closed
-// or its deadline has passed. Any other error is retried after a backoff, for
-// which Accept blocks. Closing the result closes ln.
+// or its deadline has passed. After any other error Accept blocks for a backoff
+// and tries again. Closing the result closes ln.
 func NewListener(ln net.Listener) net.Listener { return retryListener{ln} }
 
 // Accept returns the next connection. Its error is net.ErrClosed or
--- a/internal/acceptretry/acceptretry_test.go
+++ b/internal/acceptretry/acceptretry_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// failingListener returns faults from Accept before each connection, as the kernel
-// may.
+// failingListener returns faults as errors of Accept, one after another and wrapped
+// as package net wraps them, before it accepts connections.
 type failingListener struct {
 	net.Listener
 	mu     sync.Mutex
@@ -32,8 +32,8 @@
 	return f.Listener.Accept()
 }
 
-// A server survives each error of accept that Linux documents, and ends when it is
-// closed.
+// A server goes on serving after each error of accept that Linux documents, and ends
+// when it is closed.
 func TestServerOutlivesAcceptErrors(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE, syscall.EPROTO,
 		syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EPERM} {
@@ -55,7 +55,7 @@
 		if err == nil {
 			resp.Body.Close()
 		} else {
-			t.Errorf("%v: %v", fault, err)
+			t.Errorf("after %v a request failed: %v", fault, err)
 		}
 		cancel()
 		s.Close()
@@ -63,10 +63,10 @@
 		select {
 		case err := <-ended:
 			if !errors.Is(err, http.ErrServerClosed) {
-				t.Errorf("%v: ended by %v", fault, err)
+				t.Errorf("after %v the server ended with %v, want http.ErrServerClosed", fault, err)
 			}
 		case <-time.After(5 * time.Second):
-			t.Errorf("%v: the server does not end", fault)
+			t.Errorf("after %v the server did not end within 5 s of its closing", fault)
 		}
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is shared by the command lines of the project's programs: running a
-// command tree, mapping errors to exit codes, and logging to standard error.
+// Package cli holds what the command lines of the project's programs share: it runs
+// a command tree, maps errors to exit codes, and makes loggers.
 package cli
 
 import (
@@ -17,12 +17,13 @@
 const (
 	ExitOK          = 0
 	ExitFailed      = 1 // the request was rejected, or the program could not go on
-	ExitUsage       = 2 // the command line or the configuration cannot be used
+	ExitUsage       = 2 // the command line or the configuration is invalid
 	ExitUnavailable = 3 // no node of the group answers
 	ExitCorrupt     = 4 // stored data is corrupt
 )
 
-// UsageError is an error of the command line or of the configuration.
+// UsageError reports an invalid command line or configuration. The process exits
+// with ExitUsage.
 type UsageError struct{ Err error }
 
 // Error returns the text of the cause.
@@ -31,7 +32,8 @@
 // Unwrap returns the cause.
 func (e UsageError) Unwrap() error { return e.Err }
 
-// Usagef returns a UsageError with a formatted text; %w wraps a cause.
+// Usagef returns a UsageError with a formatted text, in which %w wraps a cause as in
+// fmt.Errorf.
 func Usagef(format string, args ...any) error {
 	return UsageError{fmt.Errorf(format, args...)}
 }
@@ -43,8 +45,8 @@
 	ExitCode() int
 }
 
-// NewLogger returns a logger that writes to out, as JSON where format is "json"
-// and as text otherwise.
+// NewLogger returns a logger that writes to out, as JSON if format is "json" and as
+// text otherwise.
 func NewLogger(format string, out io.Writer) *slog.Logger {
 	if format == "json" {
 		return slog.New(slog.NewJSONHandler(out, nil))
@@ -58,7 +60,8 @@
 	return RunWithUsagePrefix(ctx, root, args, out, errOut, "")
 }
 
-// RunWithUsagePrefix is Run for a program that prints a text before its usage errors.
+// RunWithUsagePrefix is Run for a program whose usage errors are printed with a
+// prefix.
 func RunWithUsagePrefix(ctx context.Context, root *cobra.Command, args []string, out, errOut io.Writer, usagePrefix string) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetArgs(args)
@@ -77,7 +80,7 @@
 	return code
 }
 
-// exitCode returns the exit code for an error.
+// exitCode returns the exit code for an error that is not nil.
 func exitCode(err error) int {
 	var usage UsageError
 	var coder ExitCoder
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,6 +1,7 @@
-// Package loopback allocates listen addresses for tests. The kernel never assigns
-// one of them to an outgoing connection, as it may assign an ephemeral port that
-// was free a moment ago, and no two calls in a process return the same address.
+// Package loopback allocates listen addresses for tests. Their ports are not
+// ephemeral: the kernel may assign an ephemeral port that was free a moment ago to an
+// outgoing connection, and never assigns these. No two calls in a process return the
+// same address until the block is used up.
 package loopback
 
 import (
@@ -10,17 +11,18 @@
 	"sync/atomic"
 )
 
-// The ports lie below the kernel's range of ephemeral ports.
+// Ports are taken from this range, which lies below the kernel's ephemeral ports.
 const (
 	firstPort = 10000
 	lastPort  = 30000
 )
 
-// allocated counts the addresses that were tried.
+// allocated counts the addresses that this process has tried.
 var allocated atomic.Int64
 
-// Free returns an address in 127.0.0.0/8 on which nobody listens. Processes
-// allocate from different parts of the block, by their process ids.
+// Free returns an address in 127.0.0.0/8 on which nobody listens. The process id
+// selects the part of the block from which a process allocates, so that concurrent
+// processes rarely try the same addresses.
 func Free() string {
 	pid := os.Getpid()
 	for {
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,22 +1,23 @@
-// Package mailbox is an unbounded queue between goroutines. Its users have to bound what
-// they put into it.
+// Package mailbox provides an unbounded queue between goroutines. Its users must bound
+// what they put into it.
 package mailbox
 
 import "sync"
 
-// Mailbox is a queue from any number of goroutines to one that never blocks a sender, so
-// that two goroutines which send to each other can't deadlock. Use New: the zero value
-// doesn't work. Nobody closes it.
+// Mailbox is a queue with any number of senders and one receiver. It never blocks a sender,
+// so that two goroutines which send to each other cannot deadlock. Use New to make one: the
+// zero value does not work. A mailbox needs no closing.
 type Mailbox[T any] struct {
 	mu    sync.Mutex
 	items []T
 	ready chan struct{}
 }
 
-// New makes an empty mailbox.
+// New returns an empty mailbox.
 func New[T any]() *Mailbox[T] { return &Mailbox[T]{ready: make(chan struct{}, 1)} }
 
-// Ready returns a channel that has a value while the mailbox may hold an item.
+// Ready returns a channel that delivers a value after items were put. A value may come
+// although TakeAll has taken the items already.
 func (m *Mailbox[T]) Ready() <-chan struct{} { return m.ready }
 
 // Put appends an item. It never blocks.
@@ -30,8 +31,9 @@
 	}
 }
 
-// TakeAll empties the mailbox and returns the items in the order of their Puts. The
-// mailbox keeps into, whose items are cleared, as its next buffer.
+// TakeAll empties the mailbox and returns the items in the order in which they were put.
+// It clears the items of into, and the mailbox reuses it as its next buffer; the caller
+// must not use it any more.
 func (m *Mailbox[T]) TakeAll(into []T) []T {
 	clear(into)
 	m.mu.Lock()
--- a/internal/tools/doccheck/main.go
+++ b/internal/tools/doccheck/main.go
@@ -1,11 +1,11 @@
 // Command doccheck reports exported names that have no doc comment.
 //
-// It reads the Go files below the directories that it is given, the current
-// one by default, and prints a line "file:line: name" for each package,
-// function, method, type, constant or variable that is exported and not
-// documented. It exits with status 1 if there is any, with 2 if a file cannot
-// be read or parsed. Test files, generated files, testdata and hidden
-// directories are left out.
+// It reads the Go files below the directories that are its arguments, by default
+// the current directory. For each exported function, method, type, constant or
+// variable that is not documented, and for each such package, it prints a line
+// "file:line: name has no doc comment". It exits with status 1 if it printed a
+// line, and with 2 if a file cannot be read or parsed. It skips test files,
+// generated files, testdata, and directories whose names begin with "." or "_".
 package main
 
 import (
@@ -29,7 +29,8 @@
 	os.Exit(run(roots, os.Stdout, os.Stderr))
 }
 
-// run checks the trees below roots and returns the exit status.
+// run checks the trees below roots, prints the findings to stdout and returns the exit
+// status.
 func run(roots []string, stdout, stderr io.Writer) int {
 	var missing []finding
 	for _, root := range roots {
@@ -55,7 +56,8 @@
 	name     string
 }
 
-// checkTree checks every package below root, in the order of their paths.
+// checkTree checks every package below root and returns the findings, ordered by the
+// paths of the packages.
 func checkTree(root string) ([]finding, error) {
 	files := token.NewFileSet()
 	packages := make(map[string][]*ast.File) // by directory and package name
@@ -102,13 +104,13 @@
 	return keys
 }
 
-// checker collects the undocumented names of one file set.
+// checker collects the undocumented names in the files of a file set.
 type checker struct {
 	files   *token.FileSet
 	missing []finding
 }
 
-// require records name unless one of docs has text.
+// require records name as missing a doc comment, unless one of docs has text.
 func (c *checker) require(at token.Pos, name string, docs ...*ast.CommentGroup) {
 	for _, doc := range docs {
 		if strings.TrimSpace(doc.Text()) != "" {
@@ -118,8 +120,8 @@
 	c.missing = append(c.missing, finding{c.files.Position(at), name})
 }
 
-// checkPackage checks the files of one package, of which one at least must
-// have a package comment.
+// checkPackage checks the files of one package, at least one of which must have a
+// package comment.
 func (c *checker) checkPackage(files []*ast.File) {
 	var packageDocs []*ast.CommentGroup
 	for _, file := range files {
@@ -138,7 +140,7 @@
 	}
 }
 
-// checkFunc checks a function, or a method of an exported type.
+// checkFunc checks an exported function, or an exported method of an exported type.
 func (c *checker) checkFunc(decl *ast.FuncDecl) {
 	if !decl.Name.IsExported() {
 		return
@@ -154,8 +156,8 @@
 	c.require(decl.Name.Pos(), name, decl.Doc)
 }
 
-// receiverName gives the name of a receiver's type, without pointer and type
-// parameters.
+// receiverName returns the name of a receiver's type, without pointer and type
+// parameters, or "" if it has none.
 func receiverName(expr ast.Expr) string {
 	for {
 		switch e := expr.(type) {
@@ -175,9 +177,8 @@
 	}
 }
 
-// checkGroup checks a declaration of types, constants or variables. A comment
-// on the group stands for all its constants or variables, but not for types
-// that are declared in parentheses.
+// checkGroup checks a declaration of types, constants or variables. The comment of
+// a group in parentheses documents all its constants or variables, but not its types.
 func (c *checker) checkGroup(decl *ast.GenDecl) {
 	for _, spec := range decl.Specs {
 		switch spec := spec.(type) {
@@ -207,7 +208,7 @@
 		return
 	}
 	for _, method := range methods.Methods.List {
-		for _, name := range method.Names { // none where an interface is embedded
+		for _, name := range method.Names { // an embedded interface has no name
 			if name.IsExported() {
 				c.require(name.Pos(), spec.Name.Name+"."+name.Name, method.Doc, method.Comment)
 			}
