--- a/cmd/faultlab/main.go
+++ b/cmd/faultlab/main.go
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	context.AfterFunc(ctx, cancel) // restores the default action, so that a second signal kills the lab at once; the kernel then kills its child processes
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	context.AfterFunc(ctx, stop) // restores the default action, so that a second signal kills the lab at once; the kernel then kills its child processes
 	os.Exit(command.Main(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/relay/logfs_cut.go
+++ b/cmd/relay/logfs_cut.go
@@ -11,10 +11,10 @@
 // process is killed, the log loses what a power failure would lose. Only internal/faultlab
 // needs it, in bin/relay-cut, which is built with the tag cutfs.
 func setLogFS(cfg *relay.Config) error {
-	d, err := cutfs.OnDisk(cfg.StateDir, cfg.Seed)
+	disk, err := cutfs.OnDisk(cfg.StateDir, cfg.Seed)
 	if err != nil {
 		return err
 	}
-	cfg.FS = d
+	cfg.FS = disk
 	return nil
 }
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -25,17 +25,17 @@
 	exitConfig = 2 // the configuration is invalid
 )
 
-// logLevelName is the environment variable that sets the level of the log: debug,
+// logLevelEnv is the environment variable that sets the level of the log: debug,
 // info, warn or error. The default is info; at level debug each message is logged.
-const logLevelName = "ROUTER_LOG_LEVEL"
+const logLevelEnv = "ROUTER_LOG_LEVEL"
 
-// logLevel parses the value of the environment variable logLevelName.
+// logLevel parses the value of the environment variable logLevelEnv.
 func logLevel(text string) (level slog.Level, err error) {
 	if text == "" {
 		return slog.LevelInfo, nil
 	}
 	if err = level.UnmarshalText([]byte(text)); err != nil {
-		return slog.LevelInfo, fmt.Errorf("%s: %q; debug, info, warn or error is wanted", logLevelName, text)
+		return slog.LevelInfo, fmt.Errorf("%s: %q; debug, info, warn or error is wanted", logLevelEnv, text)
 	}
 	return level, nil
 }
@@ -43,7 +43,7 @@
 func main() {
 	hup := make(chan os.Signal, 1) // made first, since a SIGHUP before Notify ends the process
 	signal.Notify(hup, syscall.SIGHUP)
-	level, levelErr := logLevel(os.Getenv(logLevelName))
+	level, levelErr := logLevel(os.Getenv(logLevelEnv))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	cfg, err := relay.LoadConfig(os.Getenv)
 	if err == nil {
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -14,19 +14,19 @@
 	"testing"
 )
 
-const root = ".." // the root directory of the repository
+const rootDir = ".." // the root directory of the repository
 
-// records matches the pages that describe the repository as it was when they were
+// historicalPages matches the pages that describe the repository as it was when they were
 // written. Only their links are checked.
-var records = regexp.MustCompile(`^docs/(findings/|incidents/|ROADMAP\.md$|open-points\.md$)`)
+var historicalPages = regexp.MustCompile(`^docs/(findings/|incidents/|ROADMAP\.md$|open-points\.md$)`)
 
-// pages returns the text of each page of the repository, by the page's path relative
+// readPages returns the text of each page of the repository, by the page's path relative
 // to the root.
-func pages(t *testing.T) map[string]string {
+func readPages(t *testing.T) map[string]string {
 	t.Helper()
-	found := make(map[string]string)
+	texts := make(map[string]string)
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/*/*.md", "deploy/*/*.md"} {
-		paths, err := filepath.Glob(filepath.Join(root, pattern))
+		paths, err := filepath.Glob(filepath.Join(rootDir, pattern))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,17 +35,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			name, err := filepath.Rel(root, path)
+			name, err := filepath.Rel(rootDir, path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			found[filepath.ToSlash(name)] = string(text)
+			texts[filepath.ToSlash(name)] = string(text)
 		}
 	}
-	if len(found) < 10 {
-		t.Fatalf("only %d pages found", len(found))
+	if len(texts) < 10 {
+		t.Fatalf("only %d pages found", len(texts))
 	}
-	return found
+	return texts
 }
 
 // eachMatch calls check for each match of pattern in each page, with the number of the
@@ -61,20 +61,20 @@
 	}
 }
 
-// exists reports whether there is a file or directory at a path relative to the root.
+// pathExists reports whether there is a file or directory at a path relative to the root.
 // The path may be a pattern of filepath.Glob.
-func exists(path ...string) bool {
-	found, err := filepath.Glob(filepath.Join(append([]string{root}, path...)...))
+func pathExists(path ...string) bool {
+	found, err := filepath.Glob(filepath.Join(append([]string{rootDir}, path...)...))
 	return err == nil && len(found) > 0
 }
 
 // A page that another page names exists, relative to the other page's folder, to docs
 // or to the root.
-func TestNamedPagesExist(t *testing.T) {
+func TestPagesNamedInPagesExist(t *testing.T) {
 	count := 0
-	eachMatch(t, pages(t), regexp.MustCompile("[`(]([A-Za-z0-9_./-]+\\.md)[`)#]"), func(page string, line int, link string) {
+	eachMatch(t, readPages(t), regexp.MustCompile("[`(]([A-Za-z0-9_./-]+\\.md)[`)#]"), func(page string, line int, link string) {
 		count++
-		if !exists(filepath.Dir(page), link) && !exists("docs", link) && !exists(link) {
+		if !pathExists(filepath.Dir(page), link) && !pathExists("docs", link) && !pathExists(link) {
 			t.Errorf("%s:%d: there is no page %s", page, line, link)
 		}
 	})
@@ -83,13 +83,13 @@
 	}
 }
 
-// currentPages returns the pages that describe the repository as it is now: all but
-// those that records matches.
-func currentPages(t *testing.T) map[string]string {
+// readCurrentPages returns the pages that describe the repository as it is now: all but
+// those that historicalPages matches.
+func readCurrentPages(t *testing.T) map[string]string {
 	t.Helper()
-	current := pages(t)
+	current := readPages(t)
 	for page := range current {
-		if records.MatchString(page) {
+		if historicalPages.MatchString(page) {
 			delete(current, page)
 		}
 	}
@@ -97,15 +97,15 @@
 }
 
 // A file or folder that a page names exists, and so does the source of a program in bin.
-func TestNamedPathsExist(t *testing.T) {
+func TestPathsNamedInPagesExist(t *testing.T) {
 	path := regexp.MustCompile("`(?:\\./)?((?:cmd|internal|policy|lab|deploy|docs|journal|bin)/[A-Za-z0-9_./*-]*)")
-	eachMatch(t, currentPages(t), path, func(page string, line int, name string) {
-		built, isProgram := strings.CutPrefix(name, "bin/")
+	eachMatch(t, readCurrentPages(t), path, func(page string, line int, name string) {
+		program, isProgram := strings.CutPrefix(name, "bin/")
 		switch {
-		case isProgram && built == "relay-cut": // built from cmd/relay with the tag cutfs
-		case isProgram && !exists("cmd", built):
+		case isProgram && program == "relay-cut": // built from cmd/relay with the tag cutfs
+		case isProgram && !pathExists("cmd", program):
 			t.Errorf("%s:%d: there is no program %s: its folder in cmd is missing", page, line, name)
-		case !isProgram && !exists(strings.TrimSuffix(name, ".")):
+		case !isProgram && !pathExists(strings.TrimSuffix(name, ".")):
 			t.Errorf("%s:%d: there is no file or folder %s", page, line, name)
 		}
 	})
@@ -113,14 +113,14 @@
 
 // Each declaration that a page names as `path/file.go: Name` is in that file. Several
 // names of one file are separated by commas; a method is named as Type.Method.
-func TestNamedDeclarationsExist(t *testing.T) {
+func TestDeclarationsNamedInPagesExist(t *testing.T) {
 	count := 0
 	declared := make(map[string]map[string]bool) // the names declared in a file, by its path
 	reference := regexp.MustCompile("`([a-z][A-Za-z0-9_./-]*\\.go: [^`]+)`")
-	eachMatch(t, currentPages(t), reference, func(page string, line int, text string) {
+	eachMatch(t, readCurrentPages(t), reference, func(page string, line int, text string) {
 		file, names, _ := strings.Cut(text, ": ")
 		if declared[file] == nil {
-			names, err := declarations(filepath.Join(root, file))
+			names, err := declarations(filepath.Join(rootDir, file))
 			if err != nil {
 				t.Errorf("%s:%d: %v", page, line, err)
 			}
@@ -139,9 +139,9 @@
 }
 
 // A test, fuzz test or benchmark that a page names exists.
-func TestNamedTestsExist(t *testing.T) {
+func TestTestsNamedInPagesExist(t *testing.T) {
 	tests := make(map[string]bool)
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(rootDir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -154,7 +154,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eachMatch(t, currentPages(t), regexp.MustCompile(`\b((?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*)`), func(page string, line int, name string) {
+	eachMatch(t, readCurrentPages(t), regexp.MustCompile(`\b((?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*)`), func(page string, line int, name string) {
 		if !tests[name] {
 			t.Errorf("%s:%d: there is no test %s", page, line, name)
 		}
@@ -163,11 +163,11 @@
 
 // Each log line that docs/on-call.md gives as the current one, in the second column of
 // a table under "Log lines", is a string literal of the code.
-func TestNamedLogLinesExist(t *testing.T) {
+func TestLogLinesNamedOnCallExistInCode(t *testing.T) {
 	literals := stringLiterals(t)
 	row := regexp.MustCompile("^\\|[^|]*`[^|]*\\| `([^`]+)`")
 	inTable, count := false, 0
-	for number, line := range strings.Split(pages(t)["docs/on-call.md"], "\n") {
+	for number, line := range strings.Split(readPages(t)["docs/on-call.md"], "\n") {
 		inTable = strings.HasPrefix(line, "Log lines") || inTable && (line == "" || strings.HasPrefix(line, "|"))
 		match := row.FindStringSubmatch(line)
 		if !inTable || match == nil {
@@ -187,8 +187,8 @@
 // files, except test files.
 func stringLiterals(t *testing.T) map[string]bool {
 	t.Helper()
-	found := make(map[string]bool)
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	literals := make(map[string]bool)
+	err := filepath.WalkDir(rootDir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -202,7 +202,7 @@
 				if err != nil {
 					t.Errorf("%s: %v", path, err)
 				}
-				found[text] = true
+				literals[text] = true
 			}
 			return true
 		})
@@ -211,7 +211,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return found
+	return literals
 }
 
 // declarations returns the names that a Go file declares at its top level. A method is
--- a/internal/acceptretry/acceptretry_test.go
+++ b/internal/acceptretry/acceptretry_test.go
@@ -34,17 +34,17 @@
 
 // A server goes on serving after each error of accept that Linux documents, and ends
 // when it is closed.
-func TestServerOutlivesAcceptErrors(t *testing.T) {
+func TestServerGoesOnAfterAcceptErrors(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE, syscall.EPROTO,
 		syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EPERM} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })}
-		ended := make(chan error, 1)
+		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })}
+		serveErr := make(chan error, 1)
 		go func() {
-			ended <- s.Serve(NewListener(&failingListener{Listener: ln, faults: []syscall.Errno{fault, fault, fault}}))
+			serveErr <- server.Serve(NewListener(&failingListener{Listener: ln, faults: []syscall.Errno{fault, fault, fault}}))
 		}()
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+ln.Addr().String(), nil)
@@ -58,10 +58,10 @@
 			t.Errorf("after %v a request failed: %v", fault, err)
 		}
 		cancel()
-		s.Close()
+		server.Close()
 		ln.Close()
 		select {
-		case err := <-ended:
+		case err := <-serveErr:
 			if !errors.Is(err, http.ErrServerClosed) {
 				t.Errorf("after %v the server ended with %v, want http.ErrServerClosed", fault, err)
 			}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -17,14 +17,14 @@
 // Clock is the time source of a process. A nil Clock is the machine's; Parse
 // makes a simulated one. It is immutable and safe for concurrent use.
 type Clock struct {
-	began time.Time
-	rate  float64 // seconds of this clock in a second of the machine's
-	jumps []dateJump
+	start     time.Time
+	rate      float64 // seconds of this clock in a second of the machine's
+	dateJumps []dateJump
 }
 
 // dateJump sets the date forward by an amount, or back if the amount is negative,
 // once a time has passed since the process began.
-type dateJump struct{ by, at time.Duration }
+type dateJump struct{ amount, after time.Duration }
 
 // A simulated clock's rate must lie within these bounds.
 const (
@@ -39,7 +39,7 @@
 	if spec == "" {
 		return nil, nil
 	}
-	c := &Clock{began: time.Now(), rate: 1}
+	c := &Clock{start: time.Now(), rate: 1}
 	for _, part := range strings.Split(spec, ",") {
 		key, value, _ := strings.Cut(part, "=")
 		switch key {
@@ -54,7 +54,7 @@
 			if err != nil {
 				return nil, err
 			}
-			c.jumps = append(c.jumps, jump)
+			c.dateJumps = append(c.dateJumps, jump)
 		default:
 			return nil, fmt.Errorf("clock: %q; rate and date are known", part)
 		}
@@ -72,13 +72,13 @@
 
 // parseDateJump parses a jump such as -1h@8s: back by an hour, 8 s after the start.
 func parseDateJump(text string) (dateJump, error) {
-	by, at, _ := strings.Cut(text, "@")
+	amountText, afterText, _ := strings.Cut(text, "@")
 	var jump dateJump
 	var err error
-	if jump.by, err = time.ParseDuration(by); err == nil {
-		jump.at, err = time.ParseDuration(at)
+	if jump.amount, err = time.ParseDuration(amountText); err == nil {
+		jump.after, err = time.ParseDuration(afterText)
 	}
-	if err != nil || jump.at < 0 {
+	if err != nil || jump.after < 0 {
 		return dateJump{}, fmt.Errorf("clock: date: %q; such as -1h@8s is wanted", text)
 	}
 	return jump, nil
@@ -91,7 +91,7 @@
 	if c == nil {
 		return time.Now()
 	}
-	return c.began.Add(c.Span(time.Since(c.began)))
+	return c.start.Add(c.Span(time.Since(c.start)))
 }
 
 // Date returns the date and time of day that this clock shows.
@@ -100,9 +100,9 @@
 		return time.Now()
 	}
 	now := c.Mono().Round(0)
-	for _, j := range c.jumps {
-		if time.Since(c.began) >= j.at {
-			now = now.Add(j.by)
+	for _, jump := range c.dateJumps {
+		if time.Since(c.start) >= jump.after {
+			now = now.Add(jump.amount)
 		}
 	}
 	return now
--- a/internal/clock/reading.go
+++ b/internal/clock/reading.go
@@ -37,9 +37,9 @@
 // baseline is one instant as this process's own clock shows it and as the
 // machine's monotonic clock shows it.
 type baseline struct {
-	at   time.Time // by the process's clock, with its monotonic reading
-	mono int64     // microseconds of CLOCK_MONOTONIC
-	boot Boot
+	local time.Time // by the process's clock, with its monotonic reading
+	mono  int64     // microseconds of CLOCK_MONOTONIC
+	boot  Boot
 }
 
 var machineBaseline = sync.OnceValue(readBaseline)
@@ -50,14 +50,14 @@
 func readBaseline() baseline {
 	var b baseline
 	for range maxPairAttempts {
-		b.at = time.Now()
+		b.local = time.Now()
 		var ts syscall.Timespec
 		_, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockMonotonic, uintptr(unsafe.Pointer(&ts)), 0)
 		if errno != 0 {
 			return b
 		}
 		b.mono = ts.Nano() / int64(time.Microsecond)
-		if time.Since(b.at) < maxPairGap {
+		if time.Since(b.local) < maxPairGap {
 			b.boot = readBoot()
 			return b
 		}
@@ -84,7 +84,7 @@
 func Read() Reading {
 	base := machineBaseline()
 	now := time.Now()
-	return Reading{Wall: now.UnixMicro(), Mono: base.mono + now.Sub(base.at).Microseconds(), Boot: base.boot}
+	return Reading{Wall: now.UnixMicro(), Mono: base.mono + now.Sub(base.local).Microseconds(), Boot: base.boot}
 }
 
 // Since returns the microseconds from an earlier reading to this one. The result
--- a/internal/clock/wallclock/wallclock.go
+++ b/internal/clock/wallclock/wallclock.go
@@ -18,14 +18,14 @@
 )
 
 //go:embed shim/wallclock.c
-var source []byte
+var shimSource []byte
 
 // Names of the files in the clock's directory, and of the environment variables
 // that tell a process where they are.
 const (
-	codeName    = "wallclock.c"
-	libraryName = "wallclock.so"
-	shiftName   = "wallclock.shift"
+	sourceFile  = "wallclock.c"
+	libraryFile = "wallclock.so"
+	shiftFile   = "wallclock.shift"
 	preloadEnv  = "LD_PRELOAD"
 	shiftEnv    = "WALL_CLOCK_SHIFT"
 
@@ -35,8 +35,8 @@
 // Wall is a wall clock that several processes share. It is made by New and safe
 // for concurrent use; its owner calls Close.
 type Wall struct {
-	env  map[string]string
-	file *os.File
+	env      map[string]string
+	shiftOut *os.File
 
 	mu    sync.Mutex
 	shift time.Duration
@@ -46,22 +46,22 @@
 // fails if the compiler does, whose output is part of the error, or if a file cannot
 // be written.
 func New(dir string) (*Wall, error) {
-	code, library, shift := filepath.Join(dir, codeName), filepath.Join(dir, libraryName), filepath.Join(dir, shiftName)
-	if err := os.WriteFile(code, source, 0o600); err != nil {
+	sourcePath, libraryPath, shiftPath := filepath.Join(dir, sourceFile), filepath.Join(dir, libraryFile), filepath.Join(dir, shiftFile)
+	if err := os.WriteFile(sourcePath, shimSource, 0o600); err != nil {
 		return nil, fmt.Errorf("wall clock: %w", err)
 	}
-	build := exec.Command("gcc", "-O2", "-fno-stack-protector", "-shared", "-fPIC", "-Wall", "-Werror", "-o", library, code)
-	if text, err := build.CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("wall clock: gcc: %w: %s", err, text)
+	build := exec.Command("gcc", "-O2", "-fno-stack-protector", "-shared", "-fPIC", "-Wall", "-Werror", "-o", libraryPath, sourcePath)
+	if output, err := build.CombinedOutput(); err != nil {
+		return nil, fmt.Errorf("wall clock: gcc: %w: %s", err, output)
 	}
-	if err := os.WriteFile(shift, make([]byte, shiftBytes), 0o600); err != nil {
+	if err := os.WriteFile(shiftPath, make([]byte, shiftBytes), 0o600); err != nil {
 		return nil, fmt.Errorf("wall clock: %w", err)
 	}
-	f, err := os.OpenFile(shift, os.O_RDWR, 0)
+	f, err := os.OpenFile(shiftPath, os.O_RDWR, 0)
 	if err != nil {
 		return nil, fmt.Errorf("wall clock: %w", err)
 	}
-	return &Wall{env: map[string]string{preloadEnv: library, shiftEnv: shift}, file: f}, nil
+	return &Wall{env: map[string]string{preloadEnv: libraryPath, shiftEnv: shiftPath}, shiftOut: f}, nil
 }
 
 // Env returns the environment variables with which a process runs on this clock.
@@ -73,7 +73,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.shift += by
-	if _, err := w.file.WriteAt(binary.NativeEndian.AppendUint64(nil, uint64(w.shift)), 0); err != nil {
+	if _, err := w.shiftOut.WriteAt(binary.NativeEndian.AppendUint64(nil, uint64(w.shift)), 0); err != nil {
 		return fmt.Errorf("wall clock: %w", err)
 	}
 	return nil
@@ -81,4 +81,4 @@
 
 // Close closes the file of the shift. Processes that are running keep their present
 // shift.
-func (w *Wall) Close() error { return w.file.Close() }
+func (w *Wall) Close() error { return w.shiftOut.Close() }
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -59,12 +59,12 @@
 // drawn from the whole range. Later ones are drawn from its upper half only: the
 // calls are spread by then, and longer delays make fewer of them.
 func boundedRetrySpread(fleetServeTime time.Duration, failures int, draw float64) time.Duration {
-	high := min(min(retryBackoffBase+fleetServeTime, retryBackoffMax)<<min(failures, maxBackoffDoublings), retryBackoffMax)
-	low := retryBackoffMin
+	longest := min(min(retryBackoffBase+fleetServeTime, retryBackoffMax)<<min(failures, maxBackoffDoublings), retryBackoffMax)
+	shortest := retryBackoffMin
 	if failures > 0 {
-		low = max(low, high/2)
+		shortest = max(shortest, longest/2)
 	}
-	return low + time.Duration(float64(high-low)*draw)
+	return shortest + time.Duration(float64(longest-shortest)*draw)
 }
 
 // tooLargeDelay returns the delay before a list that was too large is fetched
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,20 +17,20 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// watchList runs a watch until the test ends, and returns the channel of its updates.
+// startWatch runs a watch until the test ends, and returns the channel of its updates.
 // The watch fails after receiving nothing for silence.
-func watchList(t *testing.T, d *discoverytest.Server, silence time.Duration) chan *discovery.List {
+func startWatch(t *testing.T, agent *discoverytest.Server, silence time.Duration) chan *discovery.List {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	updates, done := make(chan *discovery.List, 64), make(chan struct{})
-	x := discovery.NewWatch(d.Addr(), 1, slog.New(slog.DiscardHandler), func(l *discovery.List) { updates <- l })
-	x.Tune(silence, 100*time.Millisecond, nil)
-	go func() { defer close(done); x.Run(ctx) }()
+	watch := discovery.NewWatch(agent.Addr(), 1, slog.New(slog.DiscardHandler), func(l *discovery.List) { updates <- l })
+	watch.Tune(silence, 100*time.Millisecond, nil)
+	go func() { defer close(done); watch.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 	return updates
 }
 
-func next(t *testing.T, updates chan *discovery.List) *discovery.List {
+func nextUpdate(t *testing.T, updates chan *discovery.List) *discovery.List {
 	t.Helper()
 	select {
 	case l := <-updates:
@@ -44,16 +44,16 @@
 // Changes are delivered after the complete list. After a broken connection the
 // watch resumes from the revision that was reached, and after a malformed update
 // the complete list is fetched again.
-func TestWatch(t *testing.T) {
+func TestWatchResumesFromRevisionAndRefetchesAfterMalformedUpdate(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
 	d := discoverytest.New(t, m)
-	updates := watchList(t, d, time.Minute)
-	if l := next(t, updates); !l.Complete || len(l.Members) != 1 {
+	updates := startWatch(t, d, time.Minute)
+	if l := nextUpdate(t, updates); !l.Complete || len(l.Members) != 1 {
 		t.Fatalf("the first list is %+v", l)
 	}
 	m.Phase = discovery.Draining
 	d.Send(t, discoverytest.Change(2, m))
-	if l := next(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
+	if l := nextUpdate(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
 		t.Fatalf("the change is %+v", l)
 	}
 	d.Set(func(d *discoverytest.Server) { close(d.Lines[0]) }) // the connection ends
@@ -64,10 +64,10 @@
 	if from != "2" || fetches != 1 {
 		t.Errorf("the watch resumes from revision %s after %d fetches, want 2 after 1", from, fetches)
 	}
-	for i, bad := range []string{`{"revision":3,"members":[{"id":"s-1"`, `{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
+	for i, malformed := range []string{`{"revision":3,"members":[{"id":"s-1"`, `{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
 		`{"revision":3}`, `{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`} {
-		d.Send(t, bad)
-		if l := next(t, updates); !l.Complete {
+		d.Send(t, malformed)
+		if l := nextUpdate(t, updates); !l.Complete {
 			t.Fatalf("after malformed line %d the list is not complete: %+v", i, l)
 		}
 		discoverytest.WaitFor(t, "a further watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 3+i })
@@ -76,24 +76,24 @@
 
 // Updates that are indented over several lines are applied like any other. Guards
 // against taking them for malformed, which would fetch the complete list.
-func TestWatchIndented(t *testing.T) {
+func TestWatchAppliesIndentedUpdates(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
 	d := discoverytest.New(t, m)
-	updates := watchList(t, d, time.Minute)
-	next(t, updates)
+	updates := startWatch(t, d, time.Minute)
+	nextUpdate(t, updates)
 	m.Phase = discovery.Draining
 	var text bytes.Buffer
 	if err := json.Indent(&text, []byte(discoverytest.Change(2, m)), "", "  "); err != nil {
 		t.Fatal(err)
 	}
 	d.Send(t, text.String())
-	if l := next(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
+	if l := nextUpdate(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
 		t.Fatalf("the indented change is %+v", l)
 	}
 	m.Phase = discovery.Up
 	d.Send(t, "\n"+text.String()+"\n"+discoverytest.Change(3, m))
-	next(t, updates)
-	if l := next(t, updates); l.Revision != 3 {
+	nextUpdate(t, updates)
+	if l := nextUpdate(t, updates); l.Revision != 3 {
 		t.Fatalf("the last change is %+v", l)
 	}
 	d.Mu.Lock()
@@ -105,43 +105,43 @@
 
 // Guards against a revision that goes back: a change older than the known list
 // cannot be applied, and the complete list is fetched again.
-func TestWatchGoesBack(t *testing.T) {
+func TestWatchRefetchesAfterRevisionGoesBack(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
 	d := discoverytest.New(t, m)
-	updates := watchList(t, d, time.Minute)
-	next(t, updates)
+	updates := startWatch(t, d, time.Minute)
+	nextUpdate(t, updates)
 	d.Send(t, discoverytest.Change(5, m))
-	next(t, updates)
-	gone := m
-	gone.Phase = discovery.Removed
-	d.Send(t, discoverytest.Change(3, gone))
-	if l := next(t, updates); !l.Complete {
+	nextUpdate(t, updates)
+	removed := m
+	removed.Phase = discovery.Removed
+	d.Send(t, discoverytest.Change(3, removed))
+	if l := nextUpdate(t, updates); !l.Complete {
 		t.Fatalf("after a change with an older revision the list is not complete: %+v", l)
 	}
 }
 
 // Guards against staying on a dead connection: a watch on which nothing is
 // received, not even a keepalive, is closed and reopened.
-func TestSilentWatch(t *testing.T) {
+func TestSilentWatchIsReopened(t *testing.T) {
 	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
-	updates := watchList(t, d, 100*time.Millisecond)
-	next(t, updates)
+	updates := startWatch(t, d, 100*time.Millisecond)
+	nextUpdate(t, updates)
 	discoverytest.WaitFor(t, "a second watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) >= 2 })
 }
 
 // Notices are sent until they are acknowledged. One that the agent rejects as
 // malformed is not sent again, and does not hold up the others.
-func TestNotices(t *testing.T) {
+func TestNoticesAreSentUntilAcknowledged(t *testing.T) {
 	d := discoverytest.New(t)
 	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusInternalServerError })
 	acknowledged := make(chan string, 16)
-	n := discovery.NewNotices(d.Addr(), slog.New(slog.DiscardHandler), func(id string) { acknowledged <- id })
+	notices := discovery.NewNotices(d.Addr(), slog.New(slog.DiscardHandler), func(id string) { acknowledged <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); n.Run(ctx) }()
+	go func() { defer close(done); notices.Run(ctx) }()
 	defer func() { cancel(); <-done }()
-	n.Put(discovery.Notice{Message: "a", Outcome: discovery.Failed, RetryMS: 0})
-	n.Put(discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500})
+	notices.Put(discovery.Notice{Message: "a", Outcome: discovery.Failed, RetryMS: 0})
+	notices.Put(discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500})
 	select {
 	case id := <-acknowledged:
 		t.Fatalf("notice %s counts as acknowledged after status 500", id)
@@ -151,11 +151,11 @@
 	for range 2 {
 		<-acknowledged
 	}
-	if b, _ := d.Notice("b"); b != (discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500}) {
-		t.Errorf("the agent has received %+v as notice b", b)
+	if noticeB, _ := d.Notice("b"); noticeB != (discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500}) {
+		t.Errorf("the agent has received %+v as notice b", noticeB)
 	}
 	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusBadRequest })
-	n.Put(discovery.Notice{Message: "c", Outcome: discovery.Failed, RetryMS: 0})
+	notices.Put(discovery.Notice{Message: "c", Outcome: discovery.Failed, RetryMS: 0})
 	if id := <-acknowledged; id != "c" {
 		t.Errorf("notice %s is reported in place of c", id)
 	}
@@ -163,10 +163,10 @@
 
 // Guards against late notices: if the idle connection to the agent no longer
 // responds, the first retry comes soon enough for the notice to be in time.
-func TestNoticeOnSilentConnection(t *testing.T) {
+func TestNoticeOnSilentConnectionIsRetriedSoon(t *testing.T) {
 	var attempts atomic.Int32
-	addr := rawAgent(t, func(c net.Conn) {
-		in := bufio.NewReader(c)
+	addr := startRawAgent(t, func(conn net.Conn) {
+		in := bufio.NewReader(conn)
 		for {
 			req, err := http.ReadRequest(in)
 			if err != nil {
@@ -174,18 +174,18 @@
 			}
 			io.Copy(io.Discard, req.Body)
 			if attempts.Add(1) != 2 {
-				io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
+				io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 			}
 		}
 	})
 	acknowledged := make(chan string, 4)
-	n := discovery.NewNotices(addr, slog.New(slog.DiscardHandler), func(id string) { acknowledged <- id })
+	notices := discovery.NewNotices(addr, slog.New(slog.DiscardHandler), func(id string) { acknowledged <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); n.Run(ctx) }()
+	go func() { defer close(done); notices.Run(ctx) }()
 	defer func() { cancel(); <-done }()
 	for _, id := range []string{"a", "b"} {
-		n.Put(discovery.Notice{Message: id, Outcome: discovery.Failed, RetryMS: 0})
+		notices.Put(discovery.Notice{Message: id, Outcome: discovery.Failed, RetryMS: 0})
 		if got := <-acknowledged; got != id {
 			t.Fatalf("notice %s is acknowledged in place of %s", got, id)
 		}
@@ -193,49 +193,49 @@
 	if got := attempts.Load(); got != 3 {
 		t.Errorf("the agent received %d calls, want 3", got)
 	}
-	if discovery.NoticeAgain >= 300*time.Millisecond {
+	if discovery.NoticeRetryDelay >= 300*time.Millisecond {
 		t.Error("the first retry of a notice comes after 300 ms or more")
 	}
 }
 
 // Guards against missing drains after a change of address: a backoff that began
 // because of the old address ends when the address changes.
-func TestMoveEndsPause(t *testing.T) {
-	old, now := discoverytest.New(t), discoverytest.New(t)
-	old.Set(func(d *discoverytest.Server) { d.RejectCalls = 1 })
+func TestChangeOfAddressEndsBackoff(t *testing.T) {
+	oldAgent, newAgent := discoverytest.New(t), discoverytest.New(t)
+	oldAgent.Set(func(d *discoverytest.Server) { d.RejectCalls = 1 })
 	ctx, cancel := context.WithCancel(context.Background())
-	x := discovery.NewWatch(old.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
-	x.Known = &discovery.List{Revision: 7, Complete: true, Members: []discovery.Member{}}
-	x.Tune(0, 0, func() float64 { return 1000 }) // every backoff would outlast the test
+	watch := discovery.NewWatch(oldAgent.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
+	watch.Known = &discovery.List{Revision: 7, Complete: true, Members: []discovery.Member{}}
+	watch.Tune(0, 0, func() float64 { return 1000 }) // every backoff would outlast the test
 	rejected, done := make(chan bool, 4), make(chan struct{})
-	x.OnRejected = func() { rejected <- true }
-	go func() { defer close(done); x.Run(ctx) }()
+	watch.OnRejected = func() { rejected <- true }
+	go func() { defer close(done); watch.Run(ctx) }()
 	defer func() { cancel(); <-done }()
 	<-rejected
-	x.SetAddress(now.Addr())
-	discoverytest.WaitFor(t, "a watch at the new address", func() bool { now.Mu.Lock(); defer now.Mu.Unlock(); return len(now.Froms) == 1 })
+	watch.SetAddress(newAgent.Addr())
+	discoverytest.WaitFor(t, "a watch at the new address", func() bool { newAgent.Mu.Lock(); defer newAgent.Mu.Unlock(); return len(newAgent.Froms) == 1 })
 }
 
 // A relay whose known list is valid starts with a watch from that list's revision,
 // and otherwise fetches the complete list first. When the first call is delayed for
 // long, OnRejected is called, so that the relay can serve meanwhile.
-func TestWatchFromKnown(t *testing.T) {
+func TestWatchStartsFromKnownListOnlyIfValid(t *testing.T) {
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
 	for _, known := range []*discovery.List{{Revision: 7, Complete: true, Members: []discovery.Member{m}}, {Revision: 7, Members: []discovery.Member{m}},
 		{Revision: 7, Complete: true, Members: []discovery.Member{{ID: "s-2", Phase: "asleep"}}}} {
 		d := discoverytest.New(t, m)
 		ctx, cancel := context.WithCancel(context.Background())
-		x := discovery.NewWatch(d.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
-		x.Known = known
-		x.Tune(0, time.Second, func() float64 { return 1 })
+		watch := discovery.NewWatch(d.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
+		watch.Known = known
+		watch.Tune(0, time.Second, func() float64 { return 1 })
 		delayed, done := make(chan bool, 1), make(chan struct{})
-		x.OnRejected = func() { delayed <- true }
-		go func() { defer close(done); x.Run(ctx) }()
+		watch.OnRejected = func() { delayed <- true }
+		go func() { defer close(done); watch.Run(ctx) }()
 		<-delayed
 		discoverytest.WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 1 })
 		cancel()
 		<-done
-		if sound := known.Valid(); sound && (d.Fetches != 0 || d.Froms[0] != "7") || !sound && d.Fetches != 1 {
+		if valid := known.Valid(); valid && (d.Fetches != 0 || d.Froms[0] != "7") || !valid && d.Fetches != 1 {
 			t.Errorf("known list %+v: %d fetches, then a watch from revision %s", known, d.Fetches, d.Froms[0])
 		}
 	}
@@ -243,10 +243,10 @@
 
 // A rejected watch is retried from its revision, without fetching the complete list
 // again.
-func TestWatchTurnedAway(t *testing.T) {
+func TestRejectedWatchIsRetriedWithoutRefetch(t *testing.T) {
 	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
 	d.Set(func(d *discoverytest.Server) { d.RejectCalls = 2 })
-	next(t, watchList(t, d, time.Minute))
+	nextUpdate(t, startWatch(t, d, time.Minute))
 	discoverytest.WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 1 })
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
@@ -255,9 +255,9 @@
 	}
 }
 
-// rawAgent listens until the test ends, serves each connection with serve on a
+// startRawAgent listens until the test ends, serves each connection with serve on a
 // goroutine of its own, and returns the address.
-func rawAgent(t *testing.T, serve func(net.Conn)) string {
+func startRawAgent(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -18,7 +18,7 @@
 // waited for.
 func WaitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if cond() {
 			return
 		}
@@ -118,11 +118,11 @@
 func (d *Server) serveWatch(w http.ResponseWriter, r *http.Request, lines chan string) {
 	for {
 		select {
-		case s, ok := <-lines:
+		case line, ok := <-lines:
 			if !ok {
 				return
 			}
-			io.WriteString(w, s+"\n")
+			io.WriteString(w, line+"\n")
 			w.(http.Flusher).Flush()
 		case <-r.Context().Done():
 			return
--- a/internal/discovery/listreader.go
+++ b/internal/discovery/listreader.go
@@ -58,8 +58,8 @@
 type listReader struct {
 	source   *bufio.Reader
 	maxBytes int
-	onWait   func(begun int) // called before each read; begun is the size of an unfinished list whose next line is read, or 0
-	onRead   func()          // called when a line was read, or the stream has ended
+	onWait   func(unfinished int) // called before each read; unfinished is the size of an unfinished list whose next line is read, or 0
+	onRead   func()               // called when a line was read, or the stream has ended
 
 	buffer      []byte // what was read so far of the current list
 	depth       int    // how many braces and brackets are open in buffer
@@ -80,19 +80,19 @@
 // as a keepalive. At the end of the stream it returns the error of the source, or
 // errListTruncated within a list.
 func (r *listReader) nextList() (*List, error) {
-	for begun := 0; ; begun = len(r.buffer) {
-		r.onWait(begun)
-		end, err := r.readLine()
+	for unfinished := 0; ; unfinished = len(r.buffer) {
+		r.onWait(unfinished)
+		streamErr, err := r.readLine()
 		r.onRead()
 		if err != nil {
 			return nil, err
 		}
-		if end != nil && len(bytes.TrimSpace(r.buffer)) == 0 {
+		if streamErr != nil && len(bytes.TrimSpace(r.buffer)) == 0 {
 			r.atEOF = true
-			return nil, end
+			return nil, streamErr
 		}
 		l, err := r.parseBuffered()
-		if end != nil && (err != nil || l == nil) {
+		if streamErr != nil && (err != nil || l == nil) {
 			return nil, errListTruncated
 		}
 		if err != nil {
@@ -107,14 +107,14 @@
 // readLine reads the source into the buffer up to the end of a line. The first
 // result is the error with which the stream ended, or nil; the second is a
 // ListTooLargeError, or nil.
-func (r *listReader) readLine() (end, err error) {
+func (r *listReader) readLine() (streamErr, err error) {
 	for {
-		piece, end := r.source.ReadSlice('\n')
+		piece, streamErr := r.source.ReadSlice('\n')
 		if err := r.appendPiece(piece); err != nil {
 			return nil, err
 		}
-		if !errors.Is(end, bufio.ErrBufferFull) {
-			return end, nil
+		if !errors.Is(streamErr, bufio.ErrBufferFull) {
+			return streamErr, nil
 		}
 		r.onWait(0) // the line is longer than the source's buffer, and its rest is read next
 	}
--- a/internal/discovery/listreader_test.go
+++ b/internal/discovery/listreader_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// listOf returns a complete list with ids of idLength characters.
-func listOf(revision int64, members, idLength int) *List {
+// makeList returns a complete list with ids of idLength characters.
+func makeList(revision int64, members, idLength int) *List {
 	l := &List{Revision: revision, Complete: true}
 	for i := range members {
 		id := fmt.Sprintf("s-%0*d", idLength-2, i)
@@ -22,7 +22,7 @@
 	return l
 }
 
-func asText(t *testing.T, l *List, indented bool) string {
+func encodeList(t *testing.T, l *List, indented bool) string {
 	t.Helper()
 	text, err := json.Marshal(l)
 	if indented {
@@ -36,7 +36,7 @@
 
 // All lists are decoded in order, whether they are indented or not, however the
 // stream is split into reads, and with empty lines between them.
-func TestListReaderPieces(t *testing.T) {
+func TestListReaderDecodesListsFromReadsOfAnySize(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -44,20 +44,20 @@
 		var text strings.Builder
 		count := 1 + random.IntN(5)
 		for i := range count {
-			l := listOf(int64(i), random.IntN(60), 10)
+			l := makeList(int64(i), random.IntN(60), 10)
 			if len(l.Members) == 0 {
 				l.Members = []Member{}
 			} else {
 				l.Members[0].Locality = "}]{\\\"\n["
 			}
 			text.WriteString(strings.Repeat("\n", random.IntN(3)))
-			text.WriteString(asText(t, l, random.IntN(2) == 0) + "\n")
+			text.WriteString(encodeList(t, l, random.IntN(2) == 0) + "\n")
 		}
-		all := text.String()
+		stream := text.String()
 		if random.IntN(4) == 0 {
-			all = strings.TrimRight(all, "\n") // the stream may end without a final newline
+			stream = strings.TrimRight(stream, "\n") // the stream may end without a final newline
 		}
-		r := newListReader(&pieces{all, random}, maxListBytes)
+		r := newListReader(&chunkReader{stream, random}, maxListBytes)
 		for i := 0; i < count; {
 			l, err := r.nextList()
 			if err != nil {
@@ -86,12 +86,12 @@
 }
 
 // pieces is a reader that returns a text in pieces of random size.
-type pieces struct {
+type chunkReader struct {
 	text   string
 	random *rand.Rand
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *chunkReader) Read(b []byte) (int, error) {
 	if p.text == "" {
 		return 0, io.EOF
 	}
@@ -102,9 +102,9 @@
 
 // A list that is truncated or larger than the limit is an error, and the buffer of
 // a large list is freed.
-func TestListReaderLimits(t *testing.T) {
-	whole := asText(t, listOf(1, 31000, 34), false)
-	r := newListReader(strings.NewReader(whole+"\n\n"+whole[:len(whole)/2]), maxListBytes)
+func TestListReaderRejectsTruncatedAndTooLargeLists(t *testing.T) {
+	largeList := encodeList(t, makeList(1, 31000, 34), false)
+	r := newListReader(strings.NewReader(largeList+"\n\n"+largeList[:len(largeList)/2]), maxListBytes)
 	if l, err := r.nextList(); err != nil || len(l.Members) != 31000 {
 		t.Fatal(err)
 	}
@@ -118,27 +118,27 @@
 		t.Errorf("the error for a truncated list is %v", err)
 	}
 	for _, indented := range []bool{false, true} {
-		text := asText(t, listOf(1, 1000, 34), indented) + "\n"
-		exact := newListReader(strings.NewReader(text), len(text))
-		if l, err := exact.nextList(); err != nil || len(l.Members) != 1000 {
+		text := encodeList(t, makeList(1, 1000, 34), indented) + "\n"
+		atLimit := newListReader(strings.NewReader(text), len(text))
+		if l, err := atLimit.nextList(); err != nil || len(l.Members) != 1000 {
 			t.Errorf("a list of exactly the maximum size is rejected: %v", err)
 		}
-		over := newListReader(strings.NewReader(text), len(text)-1)
-		_, err := over.nextList()
+		overLimit := newListReader(strings.NewReader(text), len(text)-1)
+		_, err := overLimit.nextList()
 		var tooLarge *ListTooLargeError
 		if !errors.As(err, &tooLarge) || tooLarge.Max != int64(len(text)-1) || tooLarge.Size <= tooLarge.Max {
 			t.Errorf("the error for a list over the maximum size is %v", err)
 		}
-		if cap(over.buffer) > maxRetainedBufferBytes {
-			t.Errorf("a buffer of %d bytes is retained after a list that is too large", cap(over.buffer))
+		if cap(overLimit.buffer) > maxRetainedBufferBytes {
+			t.Errorf("a buffer of %d bytes is retained after a list that is too large", cap(overLimit.buffer))
 		}
 	}
 }
 
 // Text that cannot become a valid list is rejected as malformed, long before it
 // reaches the size limit, though its first brace is never closed.
-func TestListReaderNoticesNonsense(t *testing.T) {
-	r := newListReader(io.MultiReader(strings.NewReader("{\"revision\":1,\n"), &endless{}), maxListBytes)
+func TestListReaderRejectsMalformedTextBeforeLimit(t *testing.T) {
+	r := newListReader(io.MultiReader(strings.NewReader("{\"revision\":1,\n"), &endlessMalformed{}), maxListBytes)
 	_, err := r.nextList()
 	var tooLarge *ListTooLargeError
 	if err == nil || errors.As(err, &tooLarge) {
@@ -147,8 +147,8 @@
 }
 
 // endless is a reader of malformed JSON that never ends.
-type endless struct{}
+type endlessMalformed struct{}
 
-func (*endless) Read(b []byte) (int, error) {
+func (*endlessMalformed) Read(b []byte) (int, error) {
 	return copy(b, bytes.Repeat([]byte("{]\n{"), 1+len(b)/4)), nil
 }
--- a/internal/discovery/listsize_test.go
+++ b/internal/discovery/listsize_test.go
@@ -18,27 +18,27 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// longNames returns members whose ids have 34 characters, the longest planned.
-func longNames(count int) []discovery.Member {
-	var all []discovery.Member
+// membersWithLongIDs returns members whose ids have 34 characters, the longest planned.
+func membersWithLongIDs(count int) []discovery.Member {
+	var members []discovery.Member
 	for i := range count {
-		all = append(all, discovery.Member{ID: fmt.Sprintf("s-%032d", i), HostPort: "127.0.0.1:6379", Locality: "a", Flavor: "agent",
+		members = append(members, discovery.Member{ID: fmt.Sprintf("s-%032d", i), HostPort: "127.0.0.1:6379", Locality: "a", Flavor: "agent",
 			Cell: i, Phase: discovery.Up, Size: 1})
 	}
-	return all
+	return members
 }
 
 // A list of 31,000 members with ids of 34 characters, the largest planned, is
 // received by a fetch and as an update of the watch, both on one line and indented.
-func TestListOfTargetSize(t *testing.T) {
+func TestListOfLargestPlannedFleetIsReceived(t *testing.T) {
 	t.Parallel()
 	const count = 31000
-	d := discoverytest.New(t, longNames(count)...)
-	updates := watchList(t, d, time.Minute)
-	if l := next(t, updates); !l.Complete || len(l.Members) != count {
+	d := discoverytest.New(t, membersWithLongIDs(count)...)
+	updates := startWatch(t, d, time.Minute)
+	if l := nextUpdate(t, updates); !l.Complete || len(l.Members) != count {
 		t.Fatalf("the list has %d members", len(l.Members))
 	}
-	line, err := json.Marshal(discovery.List{Revision: 2, Complete: true, Members: longNames(count)})
+	line, err := json.Marshal(discovery.List{Revision: 2, Complete: true, Members: membersWithLongIDs(count)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 		t.Fatalf("the list has only %d bytes, want more than the former limit of 4 MiB", len(line))
 	}
 	d.Send(t, string(line))
-	if l := next(t, updates); l.Revision != 2 || len(l.Members) != count {
+	if l := nextUpdate(t, updates); l.Revision != 2 || len(l.Members) != count {
 		t.Fatalf("the list on one line has revision %d, %d members", l.Revision, len(l.Members))
 	}
 	var indented bytes.Buffer
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	d.Send(t, strings.Replace(indented.String(), `"revision": 2`, `"revision": 3`, 1))
-	if l := next(t, updates); l.Revision != 3 || len(l.Members) != count {
+	if l := nextUpdate(t, updates); l.Revision != 3 || len(l.Members) != count {
 		t.Fatalf("the indented list has revision %d, %d members", l.Revision, len(l.Members))
 	}
 	d.Mu.Lock()
@@ -64,9 +64,9 @@
 	}
 }
 
-// sizedDiscovery is a discovery agent that serves complete lists of any size, with
+// sizedAgent is a discovery agent that serves complete lists of any size, with
 // or without a Content-Length, and writes lines on its watches.
-type sizedDiscovery struct {
+type sizedAgent struct {
 	mu         sync.Mutex
 	list       discovery.List
 	sendLength bool
@@ -74,7 +74,7 @@
 	lines      chan string
 }
 
-func (d *sizedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *sizedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		d.mu.Lock()
 		d.fetches = append(d.fetches, time.Now())
@@ -100,19 +100,19 @@
 	}
 }
 
-// logText collects the text of a log, and can be read while the log is written.
-type logText struct {
+// logBuffer collects the text of a log, and can be read while the log is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logText) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logText) has(s string) bool {
+func (l *logBuffer) contains(s string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.text.String(), s)
@@ -121,53 +121,53 @@
 // A list that is too large is not delivered. It is logged with its size and the
 // limit, and fetched again with growing delays, until the next list within the limit
 // is delivered.
-func TestListTooLarge(t *testing.T) {
+func TestTooLargeListIsLoggedAndFetchedAgainWithBackoff(t *testing.T) {
 	t.Parallel()
 	for _, sendLength := range []bool{true, false} {
 		t.Run(fmt.Sprintf("length_sent=%v", sendLength), func(t *testing.T) {
 			t.Parallel()
 			const limit = 4096
-			d := &sizedDiscovery{list: discovery.List{Revision: 1, Complete: true, Members: longNames(3)}, sendLength: sendLength, lines: make(chan string, 1)}
+			d := &sizedAgent{list: discovery.List{Revision: 1, Complete: true, Members: membersWithLongIDs(3)}, sendLength: sendLength, lines: make(chan string, 1)}
 			srv := httptest.NewServer(d)
-			var log logText
+			var log logBuffer
 			updates, done := make(chan *discovery.List, 8), make(chan struct{})
-			x := discovery.NewWatch(srv.Listener.Addr().String(), 1, slog.New(slog.NewTextHandler(&log, nil)), func(l *discovery.List) { updates <- l })
-			x.LimitLists(limit)
+			watch := discovery.NewWatch(srv.Listener.Addr().String(), 1, slog.New(slog.NewTextHandler(&log, nil)), func(l *discovery.List) { updates <- l })
+			watch.LimitLists(limit)
 			ctx, cancel := context.WithCancel(t.Context())
-			go func() { defer close(done); x.Run(ctx) }()
+			go func() { defer close(done); watch.Run(ctx) }()
 			defer func() { cancel(); <-done; srv.CloseClientConnections(); srv.Close() }()
-			next(t, updates)
+			nextUpdate(t, updates)
 
-			large := discovery.List{Revision: 2, Complete: true, Members: longNames(200)}
-			text, err := json.Marshal(large)
+			tooLarge := discovery.List{Revision: 2, Complete: true, Members: membersWithLongIDs(200)}
+			text, err := json.Marshal(tooLarge)
 			if err != nil {
 				t.Fatal(err)
 			}
 			d.mu.Lock()
-			d.list = large
+			d.list = tooLarge
 			d.mu.Unlock()
 			d.lines <- string(text) // the watch rejects it as too large, too, and then fetches the complete list
 			discoverytest.WaitFor(t, "three more fetches", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.fetches) >= 4 })
 			d.mu.Lock()
-			fetched := d.fetches
-			d.list = discovery.List{Revision: 3, Complete: true, Members: longNames(2)}
+			fetchTimes := d.fetches
+			d.list = discovery.List{Revision: 3, Complete: true, Members: membersWithLongIDs(2)}
 			d.mu.Unlock()
 			if len(updates) > 0 {
 				t.Errorf("a list that is too large is delivered, with %d members", len((<-updates).Members))
 			}
-			first, second := fetched[2].Sub(fetched[1]), fetched[3].Sub(fetched[2])
-			t.Logf("fetched again after %v and %v", first, second)
-			if first < time.Second || second < 2*time.Second {
-				t.Errorf("fetched again after %v and %v, want at least 1 s and 2 s", first, second)
+			firstDelay, secondDelay := fetchTimes[2].Sub(fetchTimes[1]), fetchTimes[3].Sub(fetchTimes[2])
+			t.Logf("fetched again after %v and %v", firstDelay, secondDelay)
+			if firstDelay < time.Second || secondDelay < 2*time.Second {
+				t.Errorf("fetched again after %v and %v, want at least 1 s and 2 s", firstDelay, secondDelay)
 			}
-			size := fmt.Sprintf("a list of %d bytes", len(text))
+			wantSize := fmt.Sprintf("a list of %d bytes", len(text))
 			if !sendLength {
-				size = fmt.Sprintf("a list of %d bytes", limit+1)
+				wantSize = fmt.Sprintf("a list of %d bytes", limit+1)
 			}
-			if !log.has(size) || !log.has(fmt.Sprintf("limit of %d", limit)) {
-				t.Errorf("the log lacks the size (%q) or the limit", size)
+			if !log.contains(wantSize) || !log.contains(fmt.Sprintf("limit of %d", limit)) {
+				t.Errorf("the log lacks the size (%q) or the limit", wantSize)
 			}
-			if l := next(t, updates); l.Revision != 3 || len(l.Members) != 2 {
+			if l := nextUpdate(t, updates); l.Revision != 3 || len(l.Members) != 2 {
 				t.Errorf("the list within the limit has revision %d, %d members, want 3 and 2", l.Revision, len(l.Members))
 			}
 		})
@@ -177,11 +177,11 @@
 // After a watch was answered with status 410 or 404, which is no rejection, it
 // cannot resume from its revision, and the complete list is fetched again. After a
 // rejection, with status 429 or 500, the watch resumes without a fetch.
-func TestWatchStatus(t *testing.T) {
+func TestWatchResponseStatusDecidesRefetch(t *testing.T) {
 	t.Parallel()
-	for status, fetches := range map[int]int{http.StatusGone: 2, http.StatusNotFound: 2, http.StatusTooManyRequests: 1, http.StatusInternalServerError: 1} {
+	for status, wantFetches := range map[int]int{http.StatusGone: 2, http.StatusNotFound: 2, http.StatusTooManyRequests: 1, http.StatusInternalServerError: 1} {
 		var mu sync.Mutex
-		fetched, watches := 0, 0
+		fetches, watches := 0, 0
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -191,18 +191,18 @@
 				}
 				return // the second watch ends at once
 			}
-			fetched++
-			json.NewEncoder(w).Encode(discovery.List{Revision: 1, Complete: true, Members: longNames(1)})
+			fetches++
+			json.NewEncoder(w).Encode(discovery.List{Revision: 1, Complete: true, Members: membersWithLongIDs(1)})
 		}))
 		ctx, cancel := context.WithCancel(t.Context())
-		x, done := discovery.NewWatch(srv.Listener.Addr().String(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {}), make(chan struct{})
-		go func() { defer close(done); x.Run(ctx) }()
+		watch, done := discovery.NewWatch(srv.Listener.Addr().String(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {}), make(chan struct{})
+		go func() { defer close(done); watch.Run(ctx) }()
 		discoverytest.WaitFor(t, "a second watch", func() bool { mu.Lock(); defer mu.Unlock(); return watches >= 2 })
 		mu.Lock()
-		got := fetched
+		gotFetches := fetches
 		mu.Unlock()
-		if got != fetches {
-			t.Errorf("a watch answered by %d: the complete list was fetched %d times, want %d", status, got, fetches)
+		if gotFetches != wantFetches {
+			t.Errorf("a watch answered by %d: the complete list was fetched %d times, want %d", status, gotFetches, wantFetches)
 		}
 		cancel()
 		<-done
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -45,11 +45,11 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	socketAddr, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &boundPort{fd, fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)}
+	return &boundPort{fd, fmt.Sprintf("127.0.0.1:%d", socketAddr.(*syscall.SockaddrInet4).Port)}
 }
 
 func (p *boundPort) listen(t testing.TB) net.Listener {
@@ -66,25 +66,25 @@
 	return ln
 }
 
-// limitedDiscovery is a discovery agent that serves calls at a limited rate. It
+// limitedAgent is a discovery agent that serves calls at a limited rate. It
 // rejects what exceeds the rate after a burst of a tenth of a second, or queues it
-// if queue is set.
-type limitedDiscovery struct {
-	mu       sync.Mutex
-	rate     float64       // calls a second; 0 for no limit
-	queue    time.Duration // longest time for which a call waits in the queue before it is rejected; 0 for no queue
-	free     time.Time     // when the last queued call will have been served
-	tokens   float64       // calls that may be served at once, as of at
-	at       time.Time     // when tokens was last updated
-	calls    []time.Time   // when each call arrived
-	rejected int           // number of rejected calls
-	fault    string        // how calls fail, as fail has it; empty if they are served
-	end      context.Context
+// if maxWait is set.
+type limitedAgent struct {
+	mu          sync.Mutex
+	rate        float64       // calls served per second; 0 for no limit
+	maxWait     time.Duration // longest time for which a call waits in the queue before it is rejected; 0 for no queue
+	queueFreeAt time.Time     // when the last queued call will have been served
+	tokens      float64       // number of calls that may be served at once, as of refilledAt
+	refilledAt  time.Time     // when tokens was last updated
+	calls       []time.Time   // when each call arrived
+	rejected    int           // number of rejected calls
+	fault       string        // how calls fail, one of the cases of fail; empty if they do not fail
+	stop        context.Context
 }
 
 // admit records a call and reports whether it is served; it waits while the call is
 // queued.
-func (d *limitedDiscovery) admit() bool {
+func (d *limitedAgent) admit() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -92,11 +92,11 @@
 	if d.rate == 0 {
 		return true
 	}
-	if d.queue > 0 {
-		return d.waitForPlace(now)
+	if d.maxWait > 0 {
+		return d.waitInQueue(now)
 	}
-	d.tokens = min(d.tokens+now.Sub(d.at).Seconds()*d.rate, max(1, d.rate/10))
-	d.at = now
+	d.tokens = min(d.tokens+now.Sub(d.refilledAt).Seconds()*d.rate, max(1, d.rate/10))
+	d.refilledAt = now
 	if d.tokens < 1 {
 		d.rejected++
 		return false
@@ -105,27 +105,27 @@
 	return true
 }
 
-// waitForPlace waits until the call is served or rejected, and reports whether it is
+// waitInQueue waits until the call is served or rejected, and reports whether it is
 // served. It is called with the lock held, and releases it while it waits.
-func (d *limitedDiscovery) waitForPlace(now time.Time) bool {
-	at := now
-	if d.free.After(now) {
-		at = d.free
+func (d *limitedAgent) waitInQueue(now time.Time) bool {
+	servedAt := now
+	if d.queueFreeAt.After(now) {
+		servedAt = d.queueFreeAt
 	}
-	wait, served := at.Sub(now), true
-	if wait > d.queue {
-		wait, served = d.queue, false
+	wait, served := servedAt.Sub(now), true
+	if wait > d.maxWait {
+		wait, served = d.maxWait, false
 		d.rejected++
 	} else {
-		d.free = at.Add(time.Duration(float64(time.Second) / d.rate))
+		d.queueFreeAt = servedAt.Add(time.Duration(float64(time.Second) / d.rate))
 	}
 	d.mu.Unlock()
-	sleepContext(d.end, wait)
+	sleepContext(d.stop, wait)
 	d.mu.Lock()
 	return served
 }
 
-func (d *limitedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *limitedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	admitted := d.admit()
 	d.mu.Lock()
 	fault := d.fault
@@ -154,7 +154,7 @@
 			w.Write([]byte("\n"))
 		case <-r.Context().Done():
 			return
-		case <-d.end.Done():
+		case <-d.stop.Done():
 			return
 		}
 	}
@@ -162,12 +162,12 @@
 
 // fail fails a call in the way that fault says: the connection is closed or reset
 // without a response, stays silent, or gets a status.
-func (d *limitedDiscovery) fail(w http.ResponseWriter, r *http.Request, fault string) {
+func (d *limitedAgent) fail(w http.ResponseWriter, r *http.Request, fault string) {
 	switch fault {
 	case "silent":
 		select {
 		case <-r.Context().Done():
-		case <-d.end.Done():
+		case <-d.stop.Done():
 		}
 		panic(http.ErrAbortHandler)
 	case "closed", "reset":
@@ -189,42 +189,42 @@
 // outage describes an outage of discovery for a fleet: discovery refuses connections
 // for a while, then serves calls at a limited rate.
 type outage struct {
-	relays    int           // number of watches, one for each relay
-	fleetSize int           // number of relays that is given to each watch as the fleet's size
-	refuses   time.Duration // how long connections are refused
-	rate      float64       // calls per second that are served after the outage
-	queue     time.Duration // longest time for which a call waits in discovery's queue; 0 for no queue
-	known     bool          // the watches have a known list, and need one call instead of two
-	spread    retrySpread
+	watches    int           // number of watches, one for each relay
+	fleetSize  int           // number of relays that is given to each watch as the fleet's size
+	refusedFor time.Duration // how long connections are refused
+	rate       float64       // calls per second that are served after the outage
+	maxWait    time.Duration // longest time for which a call waits in discovery's queue; 0 for no queue
+	known      bool          // the watches have a known list, and need one call instead of two
+	spread     retrySpread
 }
 
 // outageResult holds what was measured in an outage.
 type outageResult struct {
-	latest   time.Duration // from the end of the outage until every watch has had an update
-	late     int           // watches without an update within 6 s after the outage
-	before   int           // most retries in any second of the outage; those of its first second do not count
-	peak     int           // most calls in any second after the outage
-	calls    int           // calls after the outage
-	rejected int           // calls after the outage that were rejected
-	finished bool          // every watch had an update within the time limit
+	lastUpdate  time.Duration // from the end of the outage until every watch has had an update
+	late        int           // watches without an update within 6 s after the outage
+	peakRetries int           // most retries in any second of the outage; those of its first second do not count
+	peakCalls   int           // most calls in any second after the outage
+	calls       int           // calls after the outage
+	rejected    int           // calls after the outage that were rejected
+	finished    bool          // every watch had an update within the time limit
 }
 
 // play runs the outage, and waits after it until each watch has had an update, or
 // until limit has passed.
-func (o outage) play(t testing.TB, limit time.Duration) outageResult {
+func (o outage) run(t testing.TB, limit time.Duration) outageResult {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	port := bindPort(t)
 	var mu sync.Mutex
 	var retries []time.Time
-	updatedAt := make([]time.Time, o.relays)
+	updatedAt := make([]time.Time, o.watches)
 	start := time.Now()
-	var all, watches sync.WaitGroup
-	for i := range o.relays {
-		all.Add(1)
+	var updated, watches sync.WaitGroup
+	for i := range o.watches {
+		updated.Add(1)
 		var once sync.Once
 		w := NewWatch(port.addr, o.fleetSize, slog.New(slog.DiscardHandler), func(*List) {
-			once.Do(func() { updatedAt[i] = time.Now(); all.Done() })
+			once.Do(func() { updatedAt[i] = time.Now(); updated.Done() })
 		})
 		if o.known {
 			w.Known = &List{Revision: 1, Complete: true, Members: []Member{}}
@@ -238,48 +238,48 @@
 		watches.Add(1)
 		go func() { defer watches.Done(); w.Run(ctx) }()
 	}
-	time.Sleep(o.refuses)
+	time.Sleep(o.refusedFor)
 	mu.Lock()
-	before := slices.Clone(retries)
+	outageRetries := slices.Clone(retries)
 	mu.Unlock()
-	d := &limitedDiscovery{rate: o.rate, queue: o.queue, tokens: max(1, o.rate/10), at: time.Now(), end: ctx}
-	srv := &http.Server{Handler: d}
+	agent := &limitedAgent{rate: o.rate, maxWait: o.maxWait, tokens: max(1, o.rate/10), refilledAt: time.Now(), stop: ctx}
+	srv := &http.Server{Handler: agent}
 	ln := port.listen(t)
-	back := time.Now()
+	outageEnd := time.Now()
 	go srv.Serve(ln)
-	done := make(chan struct{})
-	go func() { all.Wait(); close(done) }()
+	allUpdated := make(chan struct{})
+	go func() { updated.Wait(); close(allUpdated) }()
 	select {
-	case <-done:
+	case <-allUpdated:
 	case <-time.After(limit):
 	}
 	cancel()
 	srv.Close()
 	watches.Wait()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	r := outageResult{finished: true, calls: len(d.calls), rejected: d.rejected, peak: worstSecond(d.calls)}
-	r.before = worstSecond(slices.DeleteFunc(before, func(at time.Time) bool { return at.Sub(start) < maxStartDelay }))
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	r := outageResult{finished: true, calls: len(agent.calls), rejected: agent.rejected, peakCalls: maxPerSecond(agent.calls)}
+	r.peakRetries = maxPerSecond(slices.DeleteFunc(outageRetries, func(retryTime time.Time) bool { return retryTime.Sub(start) < maxStartDelay }))
 	for i := range updatedAt {
 		if updatedAt[i].IsZero() {
 			r.finished = false
-			updatedAt[i] = back.Add(limit)
+			updatedAt[i] = outageEnd.Add(limit)
 		}
-		after := updatedAt[i].Sub(back)
-		r.latest = max(r.latest, after)
-		if after > 6*time.Second {
+		delay := updatedAt[i].Sub(outageEnd)
+		r.lastUpdate = max(r.lastUpdate, delay)
+		if delay > 6*time.Second {
 			r.late++
 		}
 	}
 	return r
 }
 
-// worstSecond returns the largest number of the times that lie within any one second.
-func worstSecond(at []time.Time) (most int) {
-	slices.SortFunc(at, time.Time.Compare)
+// maxPerSecond returns the largest number of the times that lie within any one second.
+func maxPerSecond(times []time.Time) (most int) {
+	slices.SortFunc(times, time.Time.Compare)
 	first := 0
-	for i := range at {
-		for at[i].Sub(at[first]) > time.Second {
+	for i := range times {
+		for times[i].Sub(times[first]) > time.Second {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -289,58 +289,58 @@
 
 // row returns a line of the table that BenchmarkOutage prints.
 func (o outage) row(spread string, r outageResult) string {
-	calls, latest := 2, fmt.Sprintf("%.1f s", r.latest.Seconds())
+	calls, latest := 2, fmt.Sprintf("%.1f s", r.lastUpdate.Seconds())
 	if o.known {
 		calls = 1
 	}
 	if !r.finished {
 		latest = "not within 32 s"
 	}
-	return fmt.Sprintf("| %d | %d | %v | %v | %s | %s | %d | %d | %d | %d of %d |", o.relays, calls, o.rate, o.queue, spread, latest, r.late, r.before, r.peak, r.rejected, r.calls)
+	return fmt.Sprintf("| %d | %d | %v | %v | %s | %s | %d | %d | %d | %d of %d |", o.watches, calls, o.rate, o.maxWait, spread, latest, r.late, r.peakRetries, r.peakCalls, r.rejected, r.calls)
 }
 
 // BenchmarkOutage runs outages with several retry spreads and prints the results as a
 // table. It takes minutes.
 func BenchmarkOutage(b *testing.B) {
-	fixed := func(most time.Duration) retrySpread {
+	boundedBy := func(longest time.Duration) retrySpread {
 		return func(_ time.Duration, failures int, draw float64) time.Duration {
-			low := retryBackoffMin
+			shortest := retryBackoffMin
 			if failures > 0 {
-				low = max(low, most/2)
+				shortest = max(shortest, longest/2)
 			}
-			return low + time.Duration(float64(most-low)*draw)
+			return shortest + time.Duration(float64(longest-shortest)*draw)
 		}
 	}
 	spreads := []struct {
 		name   string
 		spread retrySpread
-	}{{"growing", growingSpread}, {"bounded 1.8 s", boundedRetrySpread}, {"bounded 3 s", fixed(3 * time.Second)}, {"0.1 to 0.3 s", narrowSpread}}
+	}{{"growing", growingSpread}, {"bounded 1.8 s", boundedRetrySpread}, {"bounded 3 s", boundedBy(3 * time.Second)}, {"0.1 to 0.3 s", narrowSpread}}
 	fmt.Println("| watches | calls each | served a second | queue | spread | latest | later than 6 s | retries a second while refused | calls a second after | rejected of calls |")
 	measure := func(outages ...outage) { // runs all outages with all spreads at the same time
 		rows := make([]string, len(outages)*len(spreads))
-		var all sync.WaitGroup
+		var done sync.WaitGroup
 		for i := range rows {
 			o, s := outages[i/len(spreads)], spreads[i%len(spreads)]
 			o.spread = s.spread
-			all.Add(1)
+			done.Add(1)
 			go func() {
-				defer all.Done()
-				rows[i] = o.row(s.name, o.play(b, 32*time.Second))
+				defer done.Done()
+				rows[i] = o.row(s.name, o.run(b, 32*time.Second))
 			}()
 		}
-		all.Wait()
+		done.Wait()
 		for _, row := range rows {
 			fmt.Println(row)
 		}
 	}
-	overbooked := outage{relays: 80, fleetSize: 80, refuses: 8 * time.Second, rate: 10.5, queue: 2 * time.Second}
-	withList := overbooked
-	withList.known = true
-	measure(withList, overbooked)
+	overloaded := outage{watches: 80, fleetSize: 80, refusedFor: 8 * time.Second, rate: 10.5, maxWait: 2 * time.Second}
+	overloadedKnown := overloaded
+	overloadedKnown.known = true
+	measure(overloadedKnown, overloaded)
 	for _, known := range []bool{true, false} {
 		for _, relays := range []int{30, 300, 450} {
-			measure(outage{relays: relays, fleetSize: relays, refuses: 8 * time.Second, rate: 100, known: known},
-				outage{relays: relays, fleetSize: relays, refuses: 8 * time.Second, rate: 300, known: known})
+			measure(outage{watches: relays, fleetSize: relays, refusedFor: 8 * time.Second, rate: 100, known: known},
+				outage{watches: relays, fleetSize: relays, refusedFor: 8 * time.Second, rate: 300, known: known})
 		}
 	}
 }
@@ -348,19 +348,19 @@
 // Updates arrive within 6 s after an outage, and the fleet's calls do not overload
 // discovery, which refuses connections for 8 s and then rejects the calls beyond
 // 200 per second.
-func TestWordAfterOutage(t *testing.T) {
+func TestUpdatesArriveWithin6sAfterOutage(t *testing.T) {
 	t.Parallel()
 	for _, relays := range []int{30, 300, 450} {
 		t.Run(fmt.Sprint(relays), func(t *testing.T) {
 			t.Parallel()
-			r := outage{relays: relays, fleetSize: relays, refuses: 8 * time.Second, rate: 200, known: true,
-				spread: NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil).spread}.play(t, 30*time.Second)
+			r := outage{watches: relays, fleetSize: relays, refusedFor: 8 * time.Second, rate: 200, known: true,
+				spread: NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil).spread}.run(t, 30*time.Second)
 			t.Logf("%+v", r)
 			if r.late > 0 || !r.finished {
-				t.Errorf("%d of %d watches have their update later than 6 s after the outage, the last %v after it", r.late, relays, r.latest)
+				t.Errorf("%d of %d watches have their update later than 6 s after the outage, the last %v after it", r.late, relays, r.lastUpdate)
 			}
-			if r.before > relays || r.peak > relays+relays/4 {
-				t.Errorf("%d retries in a second of the outage and %d calls in a second after it, too many for one of each relay", r.before, r.peak)
+			if r.peakRetries > relays || r.peakCalls > relays+relays/4 {
+				t.Errorf("%d retries in a second of the outage and %d calls in a second after it, too many for one of each relay", r.peakRetries, r.peakCalls)
 			}
 		})
 	}
@@ -369,7 +369,7 @@
 // Updates arrive within 6 s after discovery recovers, and the fleet's calls do not
 // overload it, when calls failed in other ways than by a refused connection. The
 // watches start without a known list, and so need two calls each.
-func TestWordAfterFault(t *testing.T) {
+func TestUpdatesArriveWithin6sAfterFailingCalls(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"silent", "closed", "reset", "503", "429"} {
 		t.Run(fault, func(t *testing.T) {
@@ -377,8 +377,8 @@
 			const relays = 30
 			ctx, cancel := context.WithCancel(t.Context())
 			port := bindPort(t)
-			d := &limitedDiscovery{fault: fault, end: ctx}
-			srv := &http.Server{Handler: d}
+			agent := &limitedAgent{fault: fault, stop: ctx}
+			srv := &http.Server{Handler: agent}
 			go srv.Serve(port.listen(t))
 			var watches sync.WaitGroup
 			updatedAt := make(chan time.Time, relays)
@@ -390,27 +390,27 @@
 			}
 			defer func() { cancel(); srv.Close(); watches.Wait() }()
 			time.Sleep(6 * time.Second)
-			d.mu.Lock()
-			d.fault = ""
-			back, calls := time.Now(), slices.Clone(d.calls)
-			d.mu.Unlock()
-			latest := time.Duration(0)
+			agent.mu.Lock()
+			agent.fault = ""
+			recoveredAt, calls := time.Now(), slices.Clone(agent.calls)
+			agent.mu.Unlock()
+			lastUpdate := time.Duration(0)
 			for range relays {
 				select {
-				case at := <-updatedAt:
-					latest = max(latest, at.Sub(back))
+				case callTime := <-updatedAt:
+					lastUpdate = max(lastUpdate, callTime.Sub(recoveredAt))
 				case <-time.After(20 * time.Second):
 					t.Fatal("a watch had no list within 20 s")
 				}
 			}
-			begun := calls[0]
-			peak := worstSecond(slices.DeleteFunc(calls, func(at time.Time) bool { return at.Sub(begun) < 2*time.Second }))
-			t.Logf("the last update came %v after discovery recovered, with at most %d calls in a second before that", latest, peak)
-			if latest > 6*time.Second {
-				t.Errorf("the last update came %v after discovery recovered, want at most 6 s", latest)
+			firstCall := calls[0]
+			peakCalls := maxPerSecond(slices.DeleteFunc(calls, func(callTime time.Time) bool { return callTime.Sub(firstCall) < 2*time.Second }))
+			t.Logf("the last update came %v after discovery recovered, with at most %d calls in a second before that", lastUpdate, peakCalls)
+			if lastUpdate > 6*time.Second {
+				t.Errorf("the last update came %v after discovery recovered, want at most 6 s", lastUpdate)
 			}
-			if peak > relays+relays/4 {
-				t.Errorf("%d calls in a second, too many for one of each of %d relays", peak, relays)
+			if peakCalls > relays+relays/4 {
+				t.Errorf("%d calls in a second, too many for one of each of %d relays", peakCalls, relays)
 			}
 		})
 	}
@@ -419,23 +419,23 @@
 // After a change of address, updates arrive within the 4 s after which they count
 // as received, although the old address refused many calls in a row and the new one
 // rejects some.
-func TestWordAfterMove(t *testing.T) {
+func TestUpdatesArriveWithin4sAfterChangeOfAddress(t *testing.T) {
 	t.Parallel()
 	const relays = 30
 	ctx, cancel := context.WithCancel(t.Context())
-	old, now := bindPort(t), bindPort(t)
-	d := &limitedDiscovery{rate: 40, tokens: 4, at: time.Now(), end: ctx}
-	srv := &http.Server{Handler: d}
-	go srv.Serve(now.listen(t))
-	var watches, all sync.WaitGroup
+	oldPort, newPort := bindPort(t), bindPort(t)
+	agent := &limitedAgent{rate: 40, tokens: 4, refilledAt: time.Now(), stop: ctx}
+	srv := &http.Server{Handler: agent}
+	go srv.Serve(newPort.listen(t))
+	var watches, updated sync.WaitGroup
 	var fleet []*Watch
 	updatedAt := make([]time.Time, relays)
 	refused := make(chan bool, 10*relays)
 	for i := range relays {
 		var once sync.Once
-		all.Add(1)
-		w := NewWatch(old.addr, 450, slog.New(slog.DiscardHandler), func(*List) {
-			once.Do(func() { updatedAt[i] = time.Now(); all.Done() })
+		updated.Add(1)
+		w := NewWatch(oldPort.addr, 450, slog.New(slog.DiscardHandler), func(*List) {
+			once.Do(func() { updatedAt[i] = time.Now(); updated.Done() })
 		})
 		w.Known = &List{Revision: 1, Complete: true, Members: []Member{}}
 		w.OnRejected = func() {
@@ -452,16 +452,16 @@
 	for range 4 * relays {
 		<-refused
 	}
-	moved := time.Now()
+	changedAt := time.Now()
 	for _, w := range fleet {
-		w.SetAddress(now.addr)
+		w.SetAddress(newPort.addr)
 	}
-	all.Wait()
-	latest := slices.MaxFunc(updatedAt, time.Time.Compare).Sub(moved)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	t.Logf("the last update came %v after the change of address; %d of %d calls were rejected", latest, d.rejected, len(d.calls))
-	if latest > 4*time.Second || d.rejected == 0 {
-		t.Errorf("the last update came %v after the change of address, want at most 4 s; %d calls were rejected, want some", latest, d.rejected)
+	updated.Wait()
+	lastUpdate := slices.MaxFunc(updatedAt, time.Time.Compare).Sub(changedAt)
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	t.Logf("the last update came %v after the change of address; %d of %d calls were rejected", lastUpdate, agent.rejected, len(agent.calls))
+	if lastUpdate > 4*time.Second || agent.rejected == 0 {
+		t.Errorf("the last update came %v after the change of address, want at most 4 s; %d calls were rejected, want some", lastUpdate, agent.rejected)
 	}
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -70,12 +70,12 @@
 	}
 	defer resp.Body.Close()
 	reader := newListReader(resp.Body, w.listLimit)
-	reader.onWait = func(begun int) {
-		limit := w.silenceTimeout
-		if begun > 0 {
-			limit = min(limit, continuationTimeout+time.Duration(begun)*continuationPerByte)
+	reader.onWait = func(unfinished int) {
+		timeout := w.silenceTimeout
+		if unfinished > 0 {
+			timeout = min(timeout, continuationTimeout+time.Duration(unfinished)*continuationPerByte)
 		}
-		silenceTimer.Reset(limit)
+		silenceTimer.Reset(timeout)
 	}
 	reader.onRead = func() { silenceTimer.Stop() } // parsing a large list takes long, and is no silence of discovery
 	return w.readChanges(ctx, reader, from)
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -21,9 +21,9 @@
 func (m *Mailbox[T]) Ready() <-chan struct{} { return m.ready }
 
 // Put appends an item. It never blocks.
-func (m *Mailbox[T]) Put(v T) {
+func (m *Mailbox[T]) Put(item T) {
 	m.mu.Lock()
-	m.items = append(m.items, v)
+	m.items = append(m.items, item)
 	m.mu.Unlock()
 	select {
 	case m.ready <- struct{}{}:
@@ -34,11 +34,11 @@
 // TakeAll empties the mailbox and returns the items in the order in which they were put.
 // It clears the items of into, and the mailbox reuses it as its next buffer; the caller
 // must not use it any more.
-func (m *Mailbox[T]) TakeAll(into []T) []T {
-	clear(into)
+func (m *Mailbox[T]) TakeAll(buffer []T) []T {
+	clear(buffer)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	got := m.items
-	m.items = into[:0]
-	return got
+	items := m.items
+	m.items = buffer[:0]
+	return items
 }
--- a/internal/tools/doccheck/main.go
+++ b/internal/tools/doccheck/main.go
@@ -111,13 +111,13 @@
 }
 
 // require records name as missing a doc comment, unless one of docs has text.
-func (c *checker) require(at token.Pos, name string, docs ...*ast.CommentGroup) {
+func (c *checker) require(pos token.Pos, name string, docs ...*ast.CommentGroup) {
 	for _, doc := range docs {
 		if strings.TrimSpace(doc.Text()) != "" {
 			return
 		}
 	}
-	c.missing = append(c.missing, finding{c.files.Position(at), name})
+	c.missing = append(c.missing, finding{c.files.Position(pos), name})
 }
 
 // checkPackage checks the files of one package, at least one of which must have a
--- a/internal/tools/doccheck/main_test.go
+++ b/internal/tools/doccheck/main_test.go
@@ -63,7 +63,7 @@
 }
 `
 
-func TestDocumentedTreePasses(t *testing.T) {
+func TestTreeWithDocCommentsPasses(t *testing.T) {
 	root := writeTree(t, map[string]string{
 		"a/a.go":              documented,
 		"a/more.go":           "package a\n", // the package comment is in the other file
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestEachUndocumentedNameIsReported(t *testing.T) {
+func TestEachExportedNameWithoutDocCommentIsReported(t *testing.T) {
 	root := writeTree(t, map[string]string{
 		"a/a.go": `package a
 
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestUnreadableTreeIsAnError(t *testing.T) {
+func TestMissingOrMalformedTreeExitsWithStatus2(t *testing.T) {
 	var stdout, stderr bytes.Buffer
 	if code := run([]string{filepath.Join(t.TempDir(), "missing")}, &stdout, &stderr); code != 2 || stderr.Len() == 0 {
 		t.Errorf("a missing directory: exit status %d, standard error %q; want 2 and an error", code, stderr.String())
