--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -161,7 +161,7 @@
 	})
 }
 
-// Each log line that docs/on-call.md gives as the current one, in the second column of
+// Each log line that docs/on-call.md gives as the present one, in the second column of
 // a table under "Log lines", is a string literal of the code.
 func TestLogLinesNamedOnCallExistInCode(t *testing.T) {
 	literals := stringLiterals(t)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,7 +18,7 @@
 // makes a simulated one. It is immutable and safe for concurrent use.
 type Clock struct {
 	start     time.Time
-	rate      float64 // seconds of this clock in a second of the machine's
+	rate      float64 // seconds that this clock advances in one second of the machine's clock
 	dateJumps []dateJump
 }
 
--- a/internal/clock/wallclock/wallclock.go
+++ b/internal/clock/wallclock/wallclock.go
@@ -79,6 +79,6 @@
 	return nil
 }
 
-// Close closes the file of the shift. Processes that are running keep their present
-// shift.
+// Close closes the file that holds the shift. Processes that are running keep their
+// present shift.
 func (w *Wall) Close() error { return w.shiftOut.Close() }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 )
 
 // startWatch runs a watch until the test ends, and returns the channel of its updates.
-// The watch fails after receiving nothing for silence.
+// The watch fails if it receives nothing for the duration silence.
 func startWatch(t *testing.T, agent *discoverytest.Server, silence time.Duration) chan *discovery.List {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/discovery/internal_test.go
+++ b/internal/discovery/internal_test.go
@@ -101,10 +101,10 @@
 	}
 }
 
-// Guards against missing drains, which count as received once a fixed time has
-// passed. In a fleet of any size, a relay that starts calls its agent within the
-// grace period, and both the response timeout and the first backoff end early
-// enough.
+// Guards against missing drains, which count as received after 6 s, whether the relay
+// knows of them or not. In a fleet of any size, a relay that starts calls its agent
+// within the grace period of 2 s, and both the response timeout and the first backoff
+// end early enough.
 func TestStartDelayTimeoutAndBackoffLeaveTimeForDrains(t *testing.T) {
 	const receivedWithin, grace = 6 * time.Second, 2 * time.Second
 	for _, relays := range []int{2, 80, 300, 3000} {
--- a/internal/discovery/listreader_test.go
+++ b/internal/discovery/listreader_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// pieces is a reader that returns a text in pieces of random size.
+// chunkReader is a reader that returns a text in pieces of random size.
 type chunkReader struct {
 	text   string
 	random *rand.Rand
@@ -146,7 +146,7 @@
 	}
 }
 
-// endless is a reader of malformed JSON that never ends.
+// endlessMalformed is a reader of malformed JSON that never ends.
 type endlessMalformed struct{}
 
 func (*endlessMalformed) Read(b []byte) (int, error) {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -209,8 +209,8 @@
 	finished    bool          // every watch had an update within the time limit
 }
 
-// play runs the outage, and waits after it until each watch has had an update, or
-// until limit has passed.
+// run carries out the outage with watches on a limitedAgent, waits after it until each
+// watch has had an update or until limit has passed, and returns what was measured.
 func (o outage) run(t testing.TB, limit time.Duration) outageResult {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,7 +1,7 @@
 // Package loopback allocates listen addresses for tests. Their ports are not
 // ephemeral: the kernel may assign an ephemeral port that was free a moment ago to an
 // outgoing connection, and never assigns these. No two calls in a process return the
-// same address until the block is used up.
+// same address until 20,000 addresses have been tried.
 package loopback
 
 import (
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -32,8 +32,8 @@
 }
 
 // TakeAll empties the mailbox and returns the items in the order in which they were put.
-// It clears the items of into, and the mailbox reuses it as its next buffer; the caller
-// must not use it any more.
+// It clears the items of buffer, which the mailbox then uses for the next items; the caller
+// must not use buffer any more.
 func (m *Mailbox[T]) TakeAll(buffer []T) []T {
 	clear(buffer)
 	m.mu.Lock()
