--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -45,76 +45,76 @@
 // watch resumes from the revision that was reached, and after a malformed update
 // the complete list is fetched again.
 func TestWatchResumesFromRevisionAndRefetchesAfterMalformedUpdate(t *testing.T) {
-	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
-	d := discoverytest.New(t, m)
-	updates := startWatch(t, d, time.Minute)
+	member := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
+	agent := discoverytest.New(t, member)
+	updates := startWatch(t, agent, time.Minute)
 	if l := nextUpdate(t, updates); !l.Complete || len(l.Members) != 1 {
 		t.Fatalf("the first list is %+v", l)
 	}
-	m.Phase = discovery.Draining
-	d.Send(t, discoverytest.Change(2, m))
+	member.Phase = discovery.Draining
+	agent.Send(t, discoverytest.Change(2, member))
 	if l := nextUpdate(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
 		t.Fatalf("the change is %+v", l)
 	}
-	d.Set(func(d *discoverytest.Server) { close(d.Lines[0]) }) // the connection ends
-	discoverytest.WaitFor(t, "a second watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 2 })
-	d.Mu.Lock()
-	from, fetches := d.Froms[1], d.Fetches
-	d.Mu.Unlock()
+	agent.Set(func(agent *discoverytest.Server) { close(agent.Lines[0]) }) // the connection ends
+	discoverytest.WaitFor(t, "a second watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) == 2 })
+	agent.Mu.Lock()
+	from, fetches := agent.Froms[1], agent.Fetches
+	agent.Mu.Unlock()
 	if from != "2" || fetches != 1 {
 		t.Errorf("the watch resumes from revision %s after %d fetches, want 2 after 1", from, fetches)
 	}
 	for i, malformed := range []string{`{"revision":3,"members":[{"id":"s-1"`, `{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
 		`{"revision":3}`, `{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`} {
-		d.Send(t, malformed)
+		agent.Send(t, malformed)
 		if l := nextUpdate(t, updates); !l.Complete {
 			t.Fatalf("after malformed line %d the list is not complete: %+v", i, l)
 		}
-		discoverytest.WaitFor(t, "a further watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 3+i })
+		discoverytest.WaitFor(t, "a further watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) == 3+i })
 	}
 }
 
 // Updates that are indented over several lines are applied like any other. Guards
 // against taking them for malformed, which would fetch the complete list.
 func TestWatchAppliesIndentedUpdates(t *testing.T) {
-	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
-	d := discoverytest.New(t, m)
-	updates := startWatch(t, d, time.Minute)
+	member := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
+	agent := discoverytest.New(t, member)
+	updates := startWatch(t, agent, time.Minute)
 	nextUpdate(t, updates)
-	m.Phase = discovery.Draining
+	member.Phase = discovery.Draining
 	var text bytes.Buffer
-	if err := json.Indent(&text, []byte(discoverytest.Change(2, m)), "", "  "); err != nil {
+	if err := json.Indent(&text, []byte(discoverytest.Change(2, member)), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	d.Send(t, text.String())
+	agent.Send(t, text.String())
 	if l := nextUpdate(t, updates); l.Revision != 2 || l.Complete || l.Members[0].Phase != discovery.Draining {
 		t.Fatalf("the indented change is %+v", l)
 	}
-	m.Phase = discovery.Up
-	d.Send(t, "\n"+text.String()+"\n"+discoverytest.Change(3, m))
+	member.Phase = discovery.Up
+	agent.Send(t, "\n"+text.String()+"\n"+discoverytest.Change(3, member))
 	nextUpdate(t, updates)
 	if l := nextUpdate(t, updates); l.Revision != 3 {
 		t.Fatalf("the last change is %+v", l)
 	}
-	d.Mu.Lock()
-	defer d.Mu.Unlock()
-	if d.Fetches != 1 || len(d.Froms) != 1 {
-		t.Errorf("%d fetches, %d watches, want one of each", d.Fetches, len(d.Froms))
+	agent.Mu.Lock()
+	defer agent.Mu.Unlock()
+	if agent.Fetches != 1 || len(agent.Froms) != 1 {
+		t.Errorf("%d fetches, %d watches, want one of each", agent.Fetches, len(agent.Froms))
 	}
 }
 
 // Guards against a revision that goes back: a change older than the known list
 // cannot be applied, and the complete list is fetched again.
 func TestWatchRefetchesAfterRevisionGoesBack(t *testing.T) {
-	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
-	d := discoverytest.New(t, m)
-	updates := startWatch(t, d, time.Minute)
+	member := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: discovery.Up}
+	agent := discoverytest.New(t, member)
+	updates := startWatch(t, agent, time.Minute)
 	nextUpdate(t, updates)
-	d.Send(t, discoverytest.Change(5, m))
+	agent.Send(t, discoverytest.Change(5, member))
 	nextUpdate(t, updates)
-	removed := m
+	removed := member
 	removed.Phase = discovery.Removed
-	d.Send(t, discoverytest.Change(3, removed))
+	agent.Send(t, discoverytest.Change(3, removed))
 	if l := nextUpdate(t, updates); !l.Complete {
 		t.Fatalf("after a change with an older revision the list is not complete: %+v", l)
 	}
@@ -123,19 +123,19 @@
 // Guards against staying on a dead connection: a watch on which nothing is
 // received, not even a keepalive, is closed and reopened.
 func TestSilentWatchIsReopened(t *testing.T) {
-	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
-	updates := startWatch(t, d, 100*time.Millisecond)
+	agent := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
+	updates := startWatch(t, agent, 100*time.Millisecond)
 	nextUpdate(t, updates)
-	discoverytest.WaitFor(t, "a second watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) >= 2 })
+	discoverytest.WaitFor(t, "a second watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) >= 2 })
 }
 
 // Notices are sent until they are acknowledged. One that the agent rejects as
 // malformed is not sent again, and does not hold up the others.
 func TestNoticesAreSentUntilAcknowledged(t *testing.T) {
-	d := discoverytest.New(t)
-	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusInternalServerError })
+	agent := discoverytest.New(t)
+	agent.Set(func(agent *discoverytest.Server) { agent.Answer = http.StatusInternalServerError })
 	acknowledged := make(chan string, 16)
-	notices := discovery.NewNotices(d.Addr(), slog.New(slog.DiscardHandler), func(id string) { acknowledged <- id })
+	notices := discovery.NewNotices(agent.Addr(), slog.New(slog.DiscardHandler), func(id string) { acknowledged <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); notices.Run(ctx) }()
@@ -147,14 +147,14 @@
 		t.Fatalf("notice %s counts as acknowledged after status 500", id)
 	case <-time.After(50 * time.Millisecond):
 	}
-	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusNoContent })
+	agent.Set(func(agent *discoverytest.Server) { agent.Answer = http.StatusNoContent })
 	for range 2 {
 		<-acknowledged
 	}
-	if noticeB, _ := d.Notice("b"); noticeB != (discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500}) {
+	if noticeB, _ := agent.Notice("b"); noticeB != (discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500}) {
 		t.Errorf("the agent has received %+v as notice b", noticeB)
 	}
-	d.Set(func(d *discoverytest.Server) { d.Answer = http.StatusBadRequest })
+	agent.Set(func(agent *discoverytest.Server) { agent.Answer = http.StatusBadRequest })
 	notices.Put(discovery.Notice{Message: "c", Outcome: discovery.Failed, RetryMS: 0})
 	if id := <-acknowledged; id != "c" {
 		t.Errorf("notice %s is reported in place of c", id)
@@ -202,7 +202,7 @@
 // because of the old address ends when the address changes.
 func TestChangeOfAddressEndsBackoff(t *testing.T) {
 	oldAgent, newAgent := discoverytest.New(t), discoverytest.New(t)
-	oldAgent.Set(func(d *discoverytest.Server) { d.RejectCalls = 1 })
+	oldAgent.Set(func(agent *discoverytest.Server) { agent.RejectCalls = 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	watch := discovery.NewWatch(oldAgent.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
 	watch.Known = &discovery.List{Revision: 7, Complete: true, Members: []discovery.Member{}}
@@ -220,23 +220,23 @@
 // and otherwise fetches the complete list first. When the first call is delayed for
 // long, OnRejected is called, so that the relay can serve meanwhile.
 func TestWatchStartsFromKnownListOnlyIfValid(t *testing.T) {
-	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
-	for _, known := range []*discovery.List{{Revision: 7, Complete: true, Members: []discovery.Member{m}}, {Revision: 7, Members: []discovery.Member{m}},
+	member := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
+	for _, known := range []*discovery.List{{Revision: 7, Complete: true, Members: []discovery.Member{member}}, {Revision: 7, Members: []discovery.Member{member}},
 		{Revision: 7, Complete: true, Members: []discovery.Member{{ID: "s-2", Phase: "asleep"}}}} {
-		d := discoverytest.New(t, m)
+		agent := discoverytest.New(t, member)
 		ctx, cancel := context.WithCancel(context.Background())
-		watch := discovery.NewWatch(d.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
+		watch := discovery.NewWatch(agent.Addr(), 1, slog.New(slog.DiscardHandler), func(*discovery.List) {})
 		watch.Known = known
 		watch.Tune(0, time.Second, func() float64 { return 1 })
 		delayed, done := make(chan bool, 1), make(chan struct{})
 		watch.OnRejected = func() { delayed <- true }
 		go func() { defer close(done); watch.Run(ctx) }()
 		<-delayed
-		discoverytest.WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 1 })
+		discoverytest.WaitFor(t, "a watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) == 1 })
 		cancel()
 		<-done
-		if valid := known.Valid(); valid && (d.Fetches != 0 || d.Froms[0] != "7") || !valid && d.Fetches != 1 {
-			t.Errorf("known list %+v: %d fetches, then a watch from revision %s", known, d.Fetches, d.Froms[0])
+		if valid := known.Valid(); valid && (agent.Fetches != 0 || agent.Froms[0] != "7") || !valid && agent.Fetches != 1 {
+			t.Errorf("known list %+v: %d fetches, then a watch from revision %s", known, agent.Fetches, agent.Froms[0])
 		}
 	}
 }
@@ -244,14 +244,14 @@
 // A rejected watch is retried from its revision, without fetching the complete list
 // again.
 func TestRejectedWatchIsRetriedWithoutRefetch(t *testing.T) {
-	d := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
-	d.Set(func(d *discoverytest.Server) { d.RejectCalls = 2 })
-	nextUpdate(t, startWatch(t, d, time.Minute))
-	discoverytest.WaitFor(t, "a watch", func() bool { d.Mu.Lock(); defer d.Mu.Unlock(); return len(d.Froms) == 1 })
-	d.Mu.Lock()
-	defer d.Mu.Unlock()
-	if d.Fetches != 1 || d.Froms[0] != "1" || d.RejectCalls != 0 {
-		t.Errorf("%d fetches, then watches from %v, want 1 fetch, then from 1; %d calls were not rejected yet", d.Fetches, d.Froms, d.RejectCalls)
+	agent := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
+	agent.Set(func(agent *discoverytest.Server) { agent.RejectCalls = 2 })
+	nextUpdate(t, startWatch(t, agent, time.Minute))
+	discoverytest.WaitFor(t, "a watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) == 1 })
+	agent.Mu.Lock()
+	defer agent.Mu.Unlock()
+	if agent.Fetches != 1 || agent.Froms[0] != "1" || agent.RejectCalls != 0 {
+		t.Errorf("%d fetches, then watches from %v, want 1 fetch, then from 1; %d calls were not rejected yet", agent.Fetches, agent.Froms, agent.RejectCalls)
 	}
 }
 
--- a/internal/discovery/internal_test.go
+++ b/internal/discovery/internal_test.go
@@ -19,13 +19,13 @@
 	for _, rejection := range []error{&StatusError{"list", http.StatusServiceUnavailable}, &StatusError{"watch", http.StatusTooManyRequests},
 		fmt.Errorf("discovery: %w", syscall.ECONNREFUSED), fmt.Errorf("discovery: %w", syscall.ECONNRESET)} {
 		for _, relays := range []int{1, 30, 80, 300, 450, 3000} {
-			maxDraw := NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil)
-			maxDraw.random = func() float64 { return 1 }
-			minDraw := NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil)
-			minDraw.random = func() float64 { return 0 }
+			maxDrawWatch := NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil)
+			maxDrawWatch.random = func() float64 { return 1 }
+			minDrawWatch := NewWatch("127.0.0.1:1", relays, slog.New(slog.DiscardHandler), nil)
+			minDrawWatch.random = func() float64 { return 0 }
 			previousHigh := time.Duration(0)
 			for i := range 100 {
-				low, high := minDraw.retryDelay(rejection), maxDraw.retryDelay(rejection)
+				low, high := minDrawWatch.retryDelay(rejection), maxDrawWatch.retryDelay(rejection)
 				if low < retryBackoffMin || high > retryBackoffMax || high < previousHigh {
 					t.Errorf("%v, %d relays: backoff %d is from %v to %v, and the one before was at most %v", rejection, relays, i, low, high, previousHigh)
 				}
@@ -41,8 +41,8 @@
 				t.Errorf("%d relays: backoffs grow to %v only, not to retryBackoffMax", relays, previousHigh)
 			}
 			// A call that hangs, or a silent watch, fails only after its timeout.
-			hungCall := max(maxDraw.silenceTimeout, maxDraw.answerTimeout)
-			if timeLeft := 6*time.Second - hungCall - maxDraw.retryDelay(context.DeadlineExceeded) - retryBackoffMax; timeLeft < 300*time.Millisecond {
+			hungCall := max(maxDrawWatch.silenceTimeout, maxDrawWatch.answerTimeout)
+			if timeLeft := 6*time.Second - hungCall - maxDrawWatch.retryDelay(context.DeadlineExceeded) - retryBackoffMax; timeLeft < 300*time.Millisecond {
 				t.Errorf("%d relays: a call that hung and one that was rejected leave %v of the 6 s, want at least 300 ms", relays, timeLeft)
 			}
 		}
--- a/internal/discovery/listsize_test.go
+++ b/internal/discovery/listsize_test.go
@@ -33,8 +33,8 @@
 func TestListOfLargestPlannedFleetIsReceived(t *testing.T) {
 	t.Parallel()
 	const count = 31000
-	d := discoverytest.New(t, membersWithLongIDs(count)...)
-	updates := startWatch(t, d, time.Minute)
+	agent := discoverytest.New(t, membersWithLongIDs(count)...)
+	updates := startWatch(t, agent, time.Minute)
 	if l := nextUpdate(t, updates); !l.Complete || len(l.Members) != count {
 		t.Fatalf("the list has %d members", len(l.Members))
 	}
@@ -45,7 +45,7 @@
 	if len(line) <= 4<<20 {
 		t.Fatalf("the list has only %d bytes, want more than the former limit of 4 MiB", len(line))
 	}
-	d.Send(t, string(line))
+	agent.Send(t, string(line))
 	if l := nextUpdate(t, updates); l.Revision != 2 || len(l.Members) != count {
 		t.Fatalf("the list on one line has revision %d, %d members", l.Revision, len(l.Members))
 	}
@@ -53,14 +53,14 @@
 	if err := json.Indent(&indented, line, "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	d.Send(t, strings.Replace(indented.String(), `"revision": 2`, `"revision": 3`, 1))
+	agent.Send(t, strings.Replace(indented.String(), `"revision": 2`, `"revision": 3`, 1))
 	if l := nextUpdate(t, updates); l.Revision != 3 || len(l.Members) != count {
 		t.Fatalf("the indented list has revision %d, %d members", l.Revision, len(l.Members))
 	}
-	d.Mu.Lock()
-	defer d.Mu.Unlock()
-	if d.Fetches != 1 || len(d.Froms) != 1 {
-		t.Errorf("%d fetches, %d watches, want one of each", d.Fetches, len(d.Froms))
+	agent.Mu.Lock()
+	defer agent.Mu.Unlock()
+	if agent.Fetches != 1 || len(agent.Froms) != 1 {
+		t.Errorf("%d fetches, %d watches, want one of each", agent.Fetches, len(agent.Froms))
 	}
 }
 
@@ -127,8 +127,8 @@
 		t.Run(fmt.Sprintf("length_sent=%v", sendLength), func(t *testing.T) {
 			t.Parallel()
 			const limit = 4096
-			d := &sizedAgent{list: discovery.List{Revision: 1, Complete: true, Members: membersWithLongIDs(3)}, sendLength: sendLength, lines: make(chan string, 1)}
-			srv := httptest.NewServer(d)
+			agent := &sizedAgent{list: discovery.List{Revision: 1, Complete: true, Members: membersWithLongIDs(3)}, sendLength: sendLength, lines: make(chan string, 1)}
+			srv := httptest.NewServer(agent)
 			var log logBuffer
 			updates, done := make(chan *discovery.List, 8), make(chan struct{})
 			watch := discovery.NewWatch(srv.Listener.Addr().String(), 1, slog.New(slog.NewTextHandler(&log, nil)), func(l *discovery.List) { updates <- l })
@@ -143,15 +143,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.mu.Lock()
-			d.list = tooLarge
-			d.mu.Unlock()
-			d.lines <- string(text) // the watch rejects it as too large, too, and then fetches the complete list
-			discoverytest.WaitFor(t, "three more fetches", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.fetches) >= 4 })
-			d.mu.Lock()
-			fetchTimes := d.fetches
-			d.list = discovery.List{Revision: 3, Complete: true, Members: membersWithLongIDs(2)}
-			d.mu.Unlock()
+			agent.mu.Lock()
+			agent.list = tooLarge
+			agent.mu.Unlock()
+			agent.lines <- string(text) // the watch rejects it as too large, too, and then fetches the complete list
+			discoverytest.WaitFor(t, "three more fetches", func() bool { agent.mu.Lock(); defer agent.mu.Unlock(); return len(agent.fetches) >= 4 })
+			agent.mu.Lock()
+			fetchTimes := agent.fetches
+			agent.list = discovery.List{Revision: 3, Complete: true, Members: membersWithLongIDs(2)}
+			agent.mu.Unlock()
 			if len(updates) > 0 {
 				t.Errorf("a list that is too large is delivered, with %d members", len((<-updates).Members))
 			}
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -397,8 +397,8 @@
 			lastUpdate := time.Duration(0)
 			for range relays {
 				select {
-				case callTime := <-updatedAt:
-					lastUpdate = max(lastUpdate, callTime.Sub(recoveredAt))
+				case updateTime := <-updatedAt:
+					lastUpdate = max(lastUpdate, updateTime.Sub(recoveredAt))
 				case <-time.After(20 * time.Second):
 					t.Fatal("a watch had no list within 20 s")
 				}
