--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -109,10 +109,10 @@
 
 // sleepContext sleeps for d, or until ctx ends.
 func sleepContext(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
--- a/internal/discovery/listreader_test.go
+++ b/internal/discovery/listreader_test.go
@@ -91,12 +91,12 @@
 	random *rand.Rand
 }
 
-func (p *chunkReader) Read(b []byte) (int, error) {
-	if p.text == "" {
+func (r *chunkReader) Read(b []byte) (int, error) {
+	if r.text == "" {
 		return 0, io.EOF
 	}
-	n := copy(b[:1+p.random.IntN(len(b))], p.text)
-	p.text = p.text[n:]
+	n := copy(b[:1+r.random.IntN(len(b))], r.text)
+	r.text = r.text[n:]
 	return n, nil
 }
 
--- a/internal/discovery/listsize_test.go
+++ b/internal/discovery/listsize_test.go
@@ -74,13 +74,13 @@
 	lines      chan string
 }
 
-func (d *sizedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *sizedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
-		d.mu.Lock()
-		d.fetches = append(d.fetches, time.Now())
-		text, _ := json.Marshal(d.list) // cannot fail
-		sendLength := d.sendLength
-		d.mu.Unlock()
+		a.mu.Lock()
+		a.fetches = append(a.fetches, time.Now())
+		text, _ := json.Marshal(a.list) // cannot fail
+		sendLength := a.sendLength
+		a.mu.Unlock()
 		if sendLength {
 			w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		} else {
@@ -92,7 +92,7 @@
 	for {
 		w.(http.Flusher).Flush()
 		select {
-		case line := <-d.lines:
+		case line := <-a.lines:
 			fmt.Fprintln(w, line)
 		case <-r.Context().Done():
 			return
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -151,19 +151,19 @@
 // ReadNotices decodes notices, one JSON object per line. An error names the first
 // malformed notice by its number, counted from 1.
 func ReadNotices(r io.Reader) ([]Notice, error) {
-	var all []Notice
+	var notices []Notice
 	for dec := json.NewDecoder(r); ; {
 		var notice Notice
 		err := dec.Decode(&notice)
 		if errors.Is(err, io.EOF) {
-			return all, nil
+			return notices, nil
 		}
 		if err == nil && (notice.Message == "" || notice.Outcome != Failed && notice.Outcome != Returned) {
 			err = fmt.Errorf("outcome %q of message %q", notice.Outcome, notice.Message)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("notice %d: %w", len(all)+1, err)
+			return nil, fmt.Errorf("notice %d: %w", len(notices)+1, err)
 		}
-		all = append(all, notice)
+		notices = append(notices, notice)
 	}
 }
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -84,54 +84,54 @@
 
 // admit records a call and reports whether it is served; it waits while the call is
 // queued.
-func (d *limitedAgent) admit() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (a *limitedAgent) admit() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	now := time.Now()
-	d.calls = append(d.calls, now)
-	if d.rate == 0 {
+	a.calls = append(a.calls, now)
+	if a.rate == 0 {
 		return true
 	}
-	if d.maxWait > 0 {
-		return d.waitInQueue(now)
+	if a.maxWait > 0 {
+		return a.waitInQueue(now)
 	}
-	d.tokens = min(d.tokens+now.Sub(d.refilledAt).Seconds()*d.rate, max(1, d.rate/10))
-	d.refilledAt = now
-	if d.tokens < 1 {
-		d.rejected++
+	a.tokens = min(a.tokens+now.Sub(a.refilledAt).Seconds()*a.rate, max(1, a.rate/10))
+	a.refilledAt = now
+	if a.tokens < 1 {
+		a.rejected++
 		return false
 	}
-	d.tokens--
+	a.tokens--
 	return true
 }
 
 // waitInQueue waits until the call is served or rejected, and reports whether it is
 // served. It is called with the lock held, and releases it while it waits.
-func (d *limitedAgent) waitInQueue(now time.Time) bool {
+func (a *limitedAgent) waitInQueue(now time.Time) bool {
 	servedAt := now
-	if d.queueFreeAt.After(now) {
-		servedAt = d.queueFreeAt
+	if a.queueFreeAt.After(now) {
+		servedAt = a.queueFreeAt
 	}
 	wait, served := servedAt.Sub(now), true
-	if wait > d.maxWait {
-		wait, served = d.maxWait, false
-		d.rejected++
+	if wait > a.maxWait {
+		wait, served = a.maxWait, false
+		a.rejected++
 	} else {
-		d.queueFreeAt = servedAt.Add(time.Duration(float64(time.Second) / d.rate))
+		a.queueFreeAt = servedAt.Add(time.Duration(float64(time.Second) / a.rate))
 	}
-	d.mu.Unlock()
-	sleepContext(d.stop, wait)
-	d.mu.Lock()
+	a.mu.Unlock()
+	sleepContext(a.stop, wait)
+	a.mu.Lock()
 	return served
 }
 
-func (d *limitedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	admitted := d.admit()
-	d.mu.Lock()
-	fault := d.fault
-	d.mu.Unlock()
+func (a *limitedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	admitted := a.admit()
+	a.mu.Lock()
+	fault := a.fault
+	a.mu.Unlock()
 	if fault != "" {
-		d.fail(w, r, fault)
+		a.fail(w, r, fault)
 		return
 	}
 	if !admitted {
@@ -154,7 +154,7 @@
 			w.Write([]byte("\n"))
 		case <-r.Context().Done():
 			return
-		case <-d.stop.Done():
+		case <-a.stop.Done():
 			return
 		}
 	}
@@ -162,12 +162,12 @@
 
 // fail fails a call in the way that fault says: the connection is closed or reset
 // without a response, stays silent, or gets a status.
-func (d *limitedAgent) fail(w http.ResponseWriter, r *http.Request, fault string) {
+func (a *limitedAgent) fail(w http.ResponseWriter, r *http.Request, fault string) {
 	switch fault {
 	case "silent":
 		select {
 		case <-r.Context().Done():
-		case <-d.stop.Done():
+		case <-a.stop.Done():
 		}
 		panic(http.ErrAbortHandler)
 	case "closed", "reset":
