--- a/internal/acceptretry/acceptretry_test.go
+++ b/internal/acceptretry/acceptretry_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// failingListener returns faults from Accept before each connection, as the kernel
-// may.
+// failingListener returns faults as errors of Accept, one after another and wrapped
+// as package net wraps them, before it accepts connections.
 type failingListener struct {
 	net.Listener
 	mu     sync.Mutex
@@ -32,19 +32,19 @@
 	return f.Listener.Accept()
 }
 
-// A server survives each error of accept that Linux documents, and ends when it is
-// closed.
-func TestServerOutlivesAcceptErrors(t *testing.T) {
+// A server goes on serving after each error of accept that Linux documents, and ends
+// when it is closed.
+func TestServerGoesOnAfterAcceptErrors(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE, syscall.EPROTO,
 		syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EPERM} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })}
-		ended := make(chan error, 1)
+		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })}
+		serveErr := make(chan error, 1)
 		go func() {
-			ended <- s.Serve(NewListener(&failingListener{Listener: ln, faults: []syscall.Errno{fault, fault, fault}}))
+			serveErr <- server.Serve(NewListener(&failingListener{Listener: ln, faults: []syscall.Errno{fault, fault, fault}}))
 		}()
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+ln.Addr().String(), nil)
@@ -55,18 +55,18 @@
 		if err == nil {
 			resp.Body.Close()
 		} else {
-			t.Errorf("%v: %v", fault, err)
+			t.Errorf("after %v a request failed: %v", fault, err)
 		}
 		cancel()
-		s.Close()
+		server.Close()
 		ln.Close()
 		select {
-		case err := <-ended:
+		case err := <-serveErr:
 			if !errors.Is(err, http.ErrServerClosed) {
-				t.Errorf("%v: ended by %v", fault, err)
+				t.Errorf("after %v the server ended with %v, want http.ErrServerClosed", fault, err)
 			}
 		case <-time.After(5 * time.Second):
-			t.Errorf("%v: the server does not end", fault)
+			t.Errorf("after %v the server did not end within 5 s of its closing", fault)
 		}
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,10 @@
 // Package clock is the time source of a process: the machine's clocks, or a
-// simulated one whose rate differs from theirs and whose date jumps. Mono never
-// goes backwards, whatever happens to the date. With simulated clocks the fault
-// lab shows that safety does not depend on time; production uses the machine's.
+// simulated clock that runs at another rate and whose date jumps. The monotonic
+// time never goes backwards, whatever happens to the date. The fault lab runs
+// processes on simulated clocks to show that safety does not depend on time;
+// production uses the machine's clocks.
 //
-// Reading compares clock readings of different processes.
+// A Reading can be compared with readings that other processes took.
 package clock
 
 import (
@@ -16,29 +17,29 @@
 // Clock is the time source of a process. A nil Clock is the machine's; Parse
 // makes a simulated one. It is immutable and safe for concurrent use.
 type Clock struct {
-	began time.Time
-	rate  float64 // seconds of this clock in a second of the machine's
-	jumps []dateJump
+	start     time.Time
+	rate      float64 // seconds that this clock advances in one second of the machine's clock
+	dateJumps []dateJump
 }
 
-// dateJump sets the date forward, or back where by is negative, at a time after
-// the process began.
-type dateJump struct{ by, at time.Duration }
+// dateJump sets the date forward by an amount, or back if the amount is negative,
+// once a time has passed since the process began.
+type dateJump struct{ amount, after time.Duration }
 
-// Bounds of a simulated clock's rate.
+// A simulated clock's rate must lie within these bounds.
 const (
 	minRate = 0.1
 	maxRate = 10
 )
 
 // Parse returns the simulated clock that spec describes. "rate=1.1,date=-1h@8s"
-// is a clock that runs 10% fast, and whose date is set back an hour 8 s after the
-// process began. An empty spec is the machine's clock.
+// is a clock that runs 10% fast, and whose date is set back by an hour 8 s after
+// the process began. For an empty spec Parse returns the machine's clock, nil.
 func Parse(spec string) (*Clock, error) {
 	if spec == "" {
 		return nil, nil
 	}
-	c := &Clock{began: time.Now(), rate: 1}
+	c := &Clock{start: time.Now(), rate: 1}
 	for _, part := range strings.Split(spec, ",") {
 		key, value, _ := strings.Cut(part, "=")
 		switch key {
@@ -53,7 +54,7 @@
 			if err != nil {
 				return nil, err
 			}
-			c.jumps = append(c.jumps, jump)
+			c.dateJumps = append(c.dateJumps, jump)
 		default:
 			return nil, fmt.Errorf("clock: %q; rate and date are known", part)
 		}
@@ -63,33 +64,34 @@
 
 func parseRate(text string) (float64, error) {
 	rate, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(rate >= minRate && rate <= maxRate) { // not a number compares with neither
+	if err != nil || !(rate >= minRate && rate <= maxRate) { // written so that NaN is rejected, too
 		return 0, fmt.Errorf("clock: rate: %q; a number from %v to %v is wanted", text, minRate, maxRate)
 	}
 	return rate, nil
 }
 
-// parseDateJump parses a jump such as -1h@8s.
+// parseDateJump parses a jump such as -1h@8s: back by an hour, 8 s after the start.
 func parseDateJump(text string) (dateJump, error) {
-	by, at, _ := strings.Cut(text, "@")
+	amountText, afterText, _ := strings.Cut(text, "@")
 	var jump dateJump
 	var err error
-	if jump.by, err = time.ParseDuration(by); err == nil {
-		jump.at, err = time.ParseDuration(at)
+	if jump.amount, err = time.ParseDuration(amountText); err == nil {
+		jump.after, err = time.ParseDuration(afterText)
 	}
-	if err != nil || jump.at < 0 {
+	if err != nil || jump.after < 0 {
 		return dateJump{}, fmt.Errorf("clock: date: %q; such as -1h@8s is wanted", text)
 	}
 	return jump, nil
 }
 
-// Mono returns the monotonic time, which is only good for differences and
-// comparisons with others of the same clock. Jumps of the date do not affect it.
+// Mono returns the monotonic time. Only its difference from, and its order with,
+// other monotonic times of the same clock have a meaning. Jumps of the date do
+// not affect it.
 func (c *Clock) Mono() time.Time {
 	if c == nil {
 		return time.Now()
 	}
-	return c.began.Add(c.Span(time.Since(c.began)))
+	return c.start.Add(c.Span(time.Since(c.start)))
 }
 
 // Date returns the date and time of day that this clock shows.
@@ -98,15 +100,16 @@
 		return time.Now()
 	}
 	now := c.Mono().Round(0)
-	for _, j := range c.jumps {
-		if time.Since(c.began) >= j.at {
-			now = now.Add(j.by)
+	for _, jump := range c.dateJumps {
+		if time.Since(c.start) >= jump.after {
+			now = now.Add(jump.amount)
 		}
 	}
 	return now
 }
 
-// Span converts a duration by the machine's clock to one by this clock.
+// Span converts a duration measured by the machine's clock to the duration that
+// this clock shows for it.
 func (c *Clock) Span(d time.Duration) time.Duration {
 	if c == nil {
 		return d
@@ -114,7 +117,8 @@
 	return time.Duration(float64(d) * c.rate)
 }
 
-// Real converts a duration by this clock to one by the machine's, for timers.
+// Real converts a duration by this clock to one by the machine's clock, which is
+// what a timer needs.
 func (c *Clock) Real(d time.Duration) time.Duration {
 	if c == nil {
 		return d
