--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -21,37 +21,37 @@
 	os.Exit(m.Run())
 }
 
-const short = "seconds = 1\n[fleet]\nrelays = 1\n[partners]\nendpoints = 2\ndestinations = 1\n[load]\nrate = 20\nclumps = 0\n"
+const shortScenario = "seconds = 1\n[fleet]\nrelays = 1\n[partners]\nendpoints = 2\ndestinations = 1\n[load]\nrate = 20\nclumps = 0\n"
 
-func command(t *testing.T, defect stub.Defect, args ...string) (code int, out string) {
+func runMain(t *testing.T, defect stub.Defect, args ...string) (code int, out string) {
 	t.Helper()
 	t.Setenv(stubEnv, "1")
 	t.Setenv(stub.DefectEnv, string(defect))
-	var b bytes.Buffer
-	code = Main(t.Context(), args, &b, &b)
-	return code, b.String()
+	var output bytes.Buffer
+	code = Main(t.Context(), args, &output, &output)
+	return code, output.String()
 }
 
-// TestExitCodes: 0 kept, 1 broken, 2 bad usage or scenario, 3 could not be run.
-func TestExitCodes(t *testing.T) {
+// TestMainExitCodes: 0 kept, 1 broken, 2 bad usage or scenario, 3 could not be run.
+func TestMainExitCodes(t *testing.T) {
 	dir := t.TempDir()
-	good, bad := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
-	os.WriteFile(good, []byte(short), 0o600)
-	os.WriteFile(bad, []byte(short+"speed = 3\n"), 0o600)
+	validPath, invalidPath := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
+	os.WriteFile(validPath, []byte(shortScenario), 0o600)
+	os.WriteFile(invalidPath, []byte(shortScenario+"speed = 3\n"), 0o600)
 	self := os.Args[0]
 	run := func(extra ...string) []string {
-		return append([]string{"run", good, "--relay", self, "--out", filepath.Join(dir, "out"), "--late", "10s"}, extra...)
+		return append([]string{"run", validPath, "--relay", self, "--out", filepath.Join(dir, "out"), "--late", "10s"}, extra...)
 	}
 	scale := func(name, controllerFlag string) []string {
 		return []string{"bench", "scale", "--smoke", "--only", "parse", "--relay", self, "--registry", self, controllerFlag, self,
 			"--out", filepath.Join(dir, "scale"), "--json", filepath.Join(dir, "scale-"+name)}
 	}
-	for _, x := range []struct {
-		name   string
-		defect stub.Defect
-		args   []string
-		code   int
-		says   string
+	for _, test := range []struct {
+		name       string
+		defect     stub.Defect
+		args       []string
+		wantCode   int
+		wantOutput string
 	}{
 		{"kept", "", run("--json", filepath.Join(dir, "a.json")), Success, "KEPT"},
 		{"kept again", "", run("--json", filepath.Join(dir, "a.json"), "--seed", "2"), Success, "KEPT"},
@@ -59,15 +59,15 @@
 		{"late", "", run("--late", "1ns"), NotRun, "VOID"},
 		{"does not start", "", run("--relay", "/bin/false"), NotRun, "did not start"},
 		{"no relay", "", run("--relay", filepath.Join(dir, "none")), Usage, "none"},
-		{"bad scenario", "", []string{"run", bad, "--relay", self}, Usage, "bad.toml:10: load.speed"},
+		{"bad scenario", "", []string{"run", invalidPath, "--relay", self}, Usage, "bad.toml:10: load.speed"},
 		{"no scenario", "", []string{"check", filepath.Join(dir, "none.toml")}, Usage, "none.toml"},
 		{"unknown command", "", []string{"fly"}, Usage, "fly"},
 		{"unknown flag", "", []string{"list", "--fly"}, Usage, "fly"},
 		{"too few words", "", []string{"run"}, Usage, "arg"},
-		{"check", "", []string{"check", good}, Success, "can be run"},
+		{"check", "", []string{"check", validPath}, Success, "can be run"},
 		{"list", "", []string{"list", "--dir", filepath.Join("..", "..", "..", "lab", "scenarios")}, Success, "smoke.toml"},
 		{"compare", "", []string{"compare", filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json")}, Success, "(2 runs)"},
-		{"compare nothing", "", []string{"compare", good, good}, Usage, "neither"},
+		{"compare nothing", "", []string{"compare", validPath, validPath}, Usage, "neither"},
 		{"scale", "", scale("a", "--controller"), Success, "slope x target"},
 		{"scale again", "", scale("b", "--warden"), Success, "slope x target"},
 		{"compare scale", "", []string{"compare", filepath.Join(dir, "scale-a"), filepath.Join(dir, "scale-b")}, Success, "parse: reading a whole list"},
@@ -76,12 +76,12 @@
 		{"their older name", "", []string{"hollow", filepath.Join(dir, "none.json")}, NotRun, "none.json"},
 		{"controllers' older flag", "", run("--warden", self), Success, "KEPT"},
 		{"controllers' flag", "", run("--controller", self), Success, "KEPT"},
-		{"sweep", "", []string{"sweep", good, "--relay", self, "--late", "10s", "--set", "load.rate=10,20", "--seeds", "1-2", "--out", filepath.Join(dir, "sweep")}, Success, "sweep.svg"},
-		{"sweep a wrong key", "", []string{"sweep", good, "--relay", self, "--set", "load.rates=10", "--seeds", "1"}, Usage, "load.rates"},
+		{"sweep", "", []string{"sweep", validPath, "--relay", self, "--late", "10s", "--set", "load.rate=10,20", "--seeds", "1-2", "--out", filepath.Join(dir, "sweep")}, Success, "sweep.svg"},
+		{"sweep a wrong key", "", []string{"sweep", validPath, "--relay", self, "--set", "load.rates=10", "--seeds", "1"}, Usage, "load.rates"},
 	} {
-		code, out := command(t, x.defect, x.args...)
-		if code != x.code || !strings.Contains(out, x.says) {
-			t.Errorf("%s: exit %d, want %d; %s", x.name, code, x.code, out)
+		wantCode, out := runMain(t, test.defect, test.args...)
+		if wantCode != test.wantCode || !strings.Contains(out, test.wantOutput) {
+			t.Errorf("%s: exit %d, want %d; %s", test.name, wantCode, test.wantCode, out)
 		}
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "out", "report.html"))
--- a/internal/faultlab/command/scale_test.go
+++ b/internal/faultlab/command/scale_test.go
@@ -9,9 +9,9 @@
 
 const scaleSummary = `[{"name": "scale", "verdict": {"counts": {}}, "stats": {"own": [%s]}}]`
 
-// TestCompareReadsOwnFigures: figures of a scale run are set side by side by
+// TestCompareMatchesScaleFiguresByName: figures of a scale run are set side by side by
 // their names, and one that a side lacks is said to be missing.
-func TestCompareReadsOwnFigures(t *testing.T) {
+func TestCompareMatchesScaleFiguresByName(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, figures string) string {
 		path := filepath.Join(dir, name)
@@ -22,7 +22,7 @@
 	}
 	a := write("a.json", `{"name": "CPU", "unit": "% of a core", "value": 2}, {"name": "only a", "value": 1}`)
 	b := write("b.json", `{"name": "only b", "value": 3}, {"name": "CPU", "unit": "% of a core", "value": 3}`)
-	code, out := command(t, "", "compare", a, b)
+	code, out := runMain(t, "", "compare", a, b)
 	if code != Success {
 		t.Fatalf("exit %d: %s", code, out)
 	}
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -51,7 +51,7 @@
 }
 
 // fast stands before each scenario of the stub: one relay, little time.
-const fast = `
+const stubScenario = `
 seconds = 4
 [fleet]
 relays = 2
@@ -69,55 +69,55 @@
 
 // play runs a scenario. A run in which the lab was late proves nothing, so it
 // is played again, a few times at most.
-func play(t *testing.T, o Options) *Result {
+func runScenario(t *testing.T, options Options) *Result {
 	t.Helper()
 	for range 4 {
-		o.Out = t.TempDir()
-		res, err := Run(t.Context(), o)
+		options.Out = t.TempDir()
+		res, err := Run(t.Context(), options)
 		if err == nil {
 			return res
 		}
 		if !errors.Is(err, ErrLate) {
-			t.Fatalf("seed %d: %v", o.Seed, err)
+			t.Fatalf("seed %d: %v", options.Seed, err)
 		}
-		t.Logf("seed %d: %v: played again", o.Seed, err)
+		t.Logf("seed %d: %v: played again", options.Seed, err)
 	}
-	t.Fatalf("seed %d: this machine is too busy to judge anything", o.Seed)
+	t.Fatalf("seed %d: this machine is too busy to judge anything", options.Seed)
 	return nil
 }
 
-func playStub(t *testing.T, defect stub.Defect, text string) *Result {
+func runStub(t *testing.T, defect stub.Defect, text string) *Result {
 	t.Helper()
 	s, err := scenario.Parse("defect.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return play(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{stubEnv + "=1", stub.DefectEnv + "=" + string(defect)}})
+	return runScenario(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{stubEnv + "=1", stub.DefectEnv + "=" + string(defect)}})
 }
 
-// TestEachDefectIsCaughtByItsChecker breaks one promise at a time on purpose,
+// TestCheckerDetectsEachStubDefect breaks one promise at a time on purpose,
 // in a relay that keeps the others.
-func TestEachDefectIsCaughtByItsChecker(t *testing.T) {
+func TestCheckerDetectsEachStubDefect(t *testing.T) {
 	t.Parallel()
-	tight := "[[fault]]\nkind = \"limits\"\nat = 0\nfor = 60\nfactor = 0.1\n"
-	failing := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.45\n" // under half it is no outage
-	losing := "[[fault]]\nkind = \"lose\"\nat = 0\nfor = 60\nfactor = 1\n"
+	tightLimits := "[[fault]]\nkind = \"limits\"\nat = 0\nfor = 60\nfactor = 0.1\n"
+	failingCalls := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.45\n" // under half it is no outage
+	lostResponses := "[[fault]]\nkind = \"lose\"\nat = 0\nfor = 60\nfactor = 1\n"
 	outage := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 1\n"
-	drain := strings.Replace(fast, "seconds = 4", "seconds = 8", 1) + "[[fault]]\nkind = \"drain\"\nat = 1\nfor = 7\nshare = 0.5\n"
-	peers := "[bad_peers]\nevery = 0.3\n"
-	for _, x := range []struct {
-		defect stub.Defect
-		more   string
-		rules  []checker.Rule // that only it may break; the first must be
+	drain := strings.Replace(stubScenario, "seconds = 4", "seconds = 8", 1) + "[[fault]]\nkind = \"drain\"\nat = 1\nfor = 7\nshare = 0.5\n"
+	invalidPeers := "[bad_peers]\nevery = 0.3\n"
+	for _, test := range []struct {
+		defect        stub.Defect
+		extraScenario string
+		mayViolate    []checker.Rule // that only it may break; the first must be
 	}{
 		{"", "[bad_peers]\nevery = 0.3\n[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.3\n[[fault]]\nkind = \"hup\"\nat = 2\n", nil},
 		{stub.Drop, "", []checker.Rule{"end"}},
-		{stub.Late, tight, []checker.Rule{"end"}},
+		{stub.Late, tightLimits, []checker.Rule{"end"}},
 		{stub.Repeat, "", []checker.Rule{"repeat", "effect"}},
-		{stub.ReturnUnsafe, failing, []checker.Rule{"repeat"}},
+		{stub.ReturnUnsafe, failingCalls, []checker.Rule{"repeat"}},
 		{stub.SecondCopy, "", []checker.Rule{"one-out"}},
-		{stub.Thirteen, losing, []checker.Rule{"attempts"}},
-		{stub.IgnoreWait, tight, []checker.Rule{"wait"}},
+		{stub.Thirteen, lostResponses, []checker.Rule{"attempts"}},
+		{stub.IgnoreWait, tightLimits, []checker.Rule{"wait"}},
 		{stub.IgnoreDrain, drain, []checker.Rule{"drain"}},
 		{stub.AfterEnd, "", []checker.Rule{"after-end"}},
 		{stub.BusySent, "", []checker.Rule{"refused"}},
@@ -129,28 +129,28 @@
 		{stub.FillDisk, "", []checker.Rule{"limits"}},
 		{stub.SlowTerm, "", []checker.Rule{"term"}},
 		{stub.HangUpExit, "[[fault]]\nkind = \"hup\"\nat = 2\n", []checker.Rule{"crash", "end"}},
-		{stub.IgnorePeers, peers, []checker.Rule{"peer"}},
+		{stub.IgnorePeers, invalidPeers, []checker.Rule{"peer"}},
 		{stub.Topple, outage, []checker.Rule{"topple"}},
 	} {
-		t.Run("defect "+string(x.defect), func(t *testing.T) {
+		t.Run("defect "+string(test.defect), func(t *testing.T) {
 			t.Parallel()
-			text := fast + x.more
-			if strings.HasPrefix(x.more, "\nseconds") {
-				text = x.more
+			text := stubScenario + test.extraScenario
+			if strings.HasPrefix(test.extraScenario, "\nseconds") {
+				text = test.extraScenario
 			}
-			v := playStub(t, x.defect, text).Verdict
-			got := slices.Sorted(maps.Keys(v.Counts))
-			for _, rule := range got {
-				if !slices.Contains(x.rules, rule) {
+			verdict := runStub(t, test.defect, text).Verdict
+			violated := slices.Sorted(maps.Keys(verdict.Counts))
+			for _, rule := range violated {
+				if !slices.Contains(test.mayViolate, rule) {
 					t.Errorf("rule %s broken too", rule)
 				}
 			}
-			if len(x.rules) > 0 && v.Counts[x.rules[0]] == 0 {
-				t.Errorf("rule %s not broken; judged %v", x.rules[0], v.Checked)
+			if len(test.mayViolate) > 0 && verdict.Counts[test.mayViolate[0]] == 0 {
+				t.Errorf("rule %s not broken; judged %v", test.mayViolate[0], verdict.Checked)
 			}
 			if t.Failed() {
-				for _, b := range v.Violations {
-					t.Log(b)
+				for _, violation := range verdict.Violations {
+					t.Log(violation)
 				}
 			}
 		})
@@ -158,7 +158,7 @@
 }
 
 // programs builds what the lab runs, into one folder.
-var programs = sync.OnceValues(func() (string, error) {
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "faultlab")
 	if err != nil {
 		return "", err
@@ -170,14 +170,14 @@
 	return dir, nil
 })
 
-// TestTheRelayKeepsItsPromises plays scenarios with the real program.
-func TestTheRelayKeepsItsPromises(t *testing.T) {
+// TestRelayViolatesNoRuleInScenarios plays scenarios with the real program.
+func TestRelayViolatesNoRuleInScenarios(t *testing.T) {
 	t.Parallel()
-	dir, err := programs()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, more := range map[string][]checker.Rule{"smoke": nil, "restarts": nil, "cut": nil,
+	for name, extraRules := range map[string][]checker.Rule{"smoke": nil, "restarts": nil, "cut": nil,
 		// Hard cases 1, 2 and 9 of the list service, with real processes: leaders killed, cut off, and paused past an election.
 		"registry-leader-loss": {"list", "linear"}, "registry-minority": {"list", "linear"}} {
 		t.Run(name, func(t *testing.T) {
@@ -186,11 +186,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry")})
-			for _, b := range res.Verdict.Violations {
-				t.Errorf("seed 1: %v", b)
+			res := runScenario(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry")})
+			for _, violation := range res.Verdict.Violations {
+				t.Errorf("seed 1: %v", violation)
 			}
-			for _, rule := range append([]checker.Rule{"end", "repeat", "one-out", "attempts", "limits", "start", "term"}, more...) {
+			for _, rule := range append([]checker.Rule{"end", "repeat", "one-out", "attempts", "limits", "start", "term"}, extraRules...) {
 				if res.Verdict.Checked[rule] == 0 {
 					t.Errorf("%s was never looked at", rule)
 				}
@@ -199,18 +199,18 @@
 	}
 }
 
-func waitFor(t *testing.T, what string, cond func() bool) {
+func waitFor(t *testing.T, condition string, isMet func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if isMet() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("never came: %s", condition)
 }
 
-// TestNoRelayOutlivesTheLab kills a lab outright and wants its relays gone.
-func TestNoRelayOutlivesTheLab(t *testing.T) {
+// TestRelaysEndWhenLabIsKilled kills a lab outright and wants its relays gone.
+func TestRelaysEndWhenLabIsKilled(t *testing.T) {
 	t.Parallel()
 	out := t.TempDir()
 	lab := exec.Command(os.Args[0])
@@ -229,44 +229,44 @@
 				pids[e.PID] = true
 			}
 		})
-		n := 0 // the history is buffered: the relays' own PIDs are what counts
-		for _, pid := range children(lab.Process.Pid) {
+		running := 0 // the history is buffered: the relays' own PIDs are what counts
+		for _, pid := range childPIDs(lab.Process.Pid) {
 			pids[pid] = true
-			n++
+			running++
 		}
-		return ready >= 3 || n >= 3
+		return ready >= 3 || running >= 3
 	})
 	lab.Process.Kill()
 	for pid := range pids {
-		waitFor(t, fmt.Sprintf("the end of process %d", pid), func() bool { return syscall.Kill(pid, 0) != nil || zombie(pid) })
+		waitFor(t, fmt.Sprintf("the end of process %d", pid), func() bool { return syscall.Kill(pid, 0) != nil || isZombie(pid) })
 	}
 }
 
-func children(pid int) (all []int) {
+func childPIDs(pid int) (all []int) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	for _, path := range tasks {
 		text, _ := os.ReadFile(path)
-		for _, f := range strings.Fields(string(text)) {
-			var n int
-			fmt.Sscan(f, &n)
-			all = append(all, n)
+		for _, field := range strings.Fields(string(text)) {
+			var child int
+			fmt.Sscan(field, &child)
+			all = append(all, child)
 		}
 	}
 	return all
 }
 
-func zombie(pid int) bool {
+func isZombie(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	return err != nil || strings.Contains(string(text), ") Z ")
 }
 
-// TestEndingEarlyLeavesAReport cancels a run at a moment drawn from a few.
-func TestEndingEarlyLeavesAReport(t *testing.T) {
+// TestRunCancelledEarlyViolatesNoRule cancels a run at a moment drawn from a few.
+func TestRunCancelledEarlyViolatesNoRule(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
-			s, err := scenario.Parse("early.toml", []byte(strings.Replace(fast, "seconds = 4", "seconds = 600", 1)))
+			s, err := scenario.Parse("early.toml", []byte(strings.Replace(stubScenario, "seconds = 4", "seconds = 600", 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -283,8 +283,8 @@
 	}
 }
 
-// TestARelayThatDoesNotStart is an error that names it and its log.
-func TestARelayThatDoesNotStart(t *testing.T) {
+// TestRunFailsWhenRelayDoesNotStart is an error that names it and its log.
+func TestRunFailsWhenRelayDoesNotStart(t *testing.T) {
 	t.Parallel()
 	s := scenario.Default()
 	_, err := Run(t.Context(), Options{Scenario: &s, Seed: 1, Out: t.TempDir(), Program: "/bin/false"})
@@ -293,8 +293,8 @@
 	}
 }
 
-// TestAScheduleIsAFunctionOfScenarioAndSeed draws each twice.
-func TestAScheduleIsAFunctionOfScenarioAndSeed(t *testing.T) {
+// TestPlanDependsOnlyOnScenarioAndSeed draws each twice.
+func TestPlanDependsOnlyOnScenarioAndSeed(t *testing.T) {
 	files, _ := filepath.Glob(filepath.Join("..", "..", "lab", "scenarios", "*.toml"))
 	if len(files) < 8 {
 		t.Fatalf("%d scenarios", len(files))
@@ -304,42 +304,42 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		one, two, other := fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 6))
-		if one != two {
+		first, again, otherSeed := fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 6))
+		if first != again {
 			t.Errorf("%s: two schedules of one seed", path)
 		}
-		if strings.Contains(string(one), "share") && one == other {
+		if strings.Contains(string(first), "share") && first == otherSeed {
 			t.Errorf("%s: one schedule of two seeds", path)
 		}
 	}
 }
 
-// TestFortyRelays runs 40 processes on this machine, and wants the lab itself in time.
-func TestFortyRelays(t *testing.T) {
+// TestFortyRelaysStartAndEndInTime runs 40 processes on this machine, and wants the lab itself in time.
+func TestFortyRelaysStartAndEndInTime(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Parse("forty.toml", []byte("seconds = 3\n[fleet]\nrelays = 40\n[partners]\nendpoints = 8\ndestinations = 4\n[load]\nrate = 100\n[[fault]]\nkind = \"term\"\nat = 1\nshare = 0.3\nfor = 0.1\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	res := play(t, Options{Scenario: s, Seed: 1, Program: os.Args[0], Env: []string{stubEnv + "=1"}})
+	res := runScenario(t, Options{Scenario: s, Seed: 1, Program: os.Args[0], Env: []string{stubEnv + "=1"}})
 	if res.Verdict.Checked["start"] < 40 || res.Verdict.Counts["crash"]+res.Verdict.Counts["term"]+res.Verdict.Counts["start"] > 0 {
 		t.Errorf("%v, judged %v", res.Verdict.Violations, res.Verdict.Checked)
 	}
 }
 
-// TestTwoLabsAtOnce have an address each, for as long as they last.
-func TestTwoLabsAtOnce(t *testing.T) {
-	one, lock, err := claimAddress()
+// TestConcurrentLabsClaimDifferentAddresses have an address each, for as long as they last.
+func TestConcurrentLabsClaimDifferentAddresses(t *testing.T) {
+	firstIP, firstLock, err := claimAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer lock.Close()
-	two, other, err := claimAddress()
+	defer firstLock.Close()
+	secondIP, secondLock, err := claimAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	if one == two {
-		t.Errorf("both at %s", one)
+	defer secondLock.Close()
+	if firstIP == secondIP {
+		t.Errorf("both at %s", firstIP)
 	}
 }
--- a/internal/faultlab/logparse_test.go
+++ b/internal/faultlab/logparse_test.go
@@ -7,21 +7,21 @@
 	"plovershore/internal/leader"
 )
 
-// TestCounterStepsAreReadFromTheControllersLog as slog's text handler writes them.
-func TestCounterStepsAreReadFromTheControllersLog(t *testing.T) {
-	const head = "time=2026-11-30T12:00:00.250Z level=INFO "
+// TestParseCounterStepReadsOldAndNewMessages as slog's text handler writes them.
+func TestParseCounterStepReadsOldAndNewMessages(t *testing.T) {
+	const prefix = "time=2026-11-30T12:00:00.250Z level=INFO "
 	for line, want := range map[string]struct {
 		outcome string
 		ok      bool
 	}{
-		head + "msg=counts warden=w1 duty=counter count=7 token=3":                      {"", true},
-		head + "msg=counted warden=w1 duty=counter count=7 token=3":                     {history.StepCounted, true},
-		head + `msg="not counted" warden=w1 duty=counter count=7 token=3`:               {history.StepFenced, true},
-		head + `msg="` + leader.EventCountRequested + `" controller=w1 count=7 token=3`: {"", true},
-		head + `msg="` + leader.EventCountAccepted + `" controller=w1 count=7 token=3`:  {history.StepCounted, true},
-		head + `msg="` + leader.EventCountRejected + `" controller=w1 count=7 token=3`:  {history.StepFenced, true},
-		head + `msg="leader elected" warden=w1 duty=counter token=3`:                    {"", false},
-		"panic: not a log line, count=7 token=3":                                        {"", false},
+		prefix + "msg=counts warden=w1 duty=counter count=7 token=3":                      {"", true},
+		prefix + "msg=counted warden=w1 duty=counter count=7 token=3":                     {history.StepCounted, true},
+		prefix + `msg="not counted" warden=w1 duty=counter count=7 token=3`:               {history.StepFenced, true},
+		prefix + `msg="` + leader.EventCountRequested + `" controller=w1 count=7 token=3`: {"", true},
+		prefix + `msg="` + leader.EventCountAccepted + `" controller=w1 count=7 token=3`:  {history.StepCounted, true},
+		prefix + `msg="` + leader.EventCountRejected + `" controller=w1 count=7 token=3`:  {history.StepFenced, true},
+		prefix + `msg="leader elected" warden=w1 duty=counter token=3`:                    {"", false},
+		"panic: not a log line, count=7 token=3":                                          {"", false},
 	} {
 		step, ok, err := parseCounterStep(line)
 		if err != nil || ok != want.ok || step.outcome != want.outcome {
