--- a/internal/faultlab/bench_comeback.go
+++ b/internal/faultlab/bench_comeback.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	comebackMembers = 300
-	comebackPoll    = 5 * time.Millisecond
+	recoveryMembers = 300
+	recoveryPoll    = 5 * time.Millisecond
 )
 
-// comebackFleet is what comes back to a group that was gone.
-type comebackFleet struct {
+// recoveringFleet is what comes back to a group that was gone.
+type recoveringFleet struct {
 	agents   []*agent.Agent
 	watchers watcherSet
 }
 
 // agentsUp reports whether all agents are connected.
-func (f *comebackFleet) agentsUp() bool {
+func (f *recoveringFleet) agentsUp() bool {
 	return !slices.ContainsFunc(f.agents, func(a *agent.Agent) bool { return !a.State().Up })
 }
 
-func (f *comebackFleet) close() {
+func (f *recoveringFleet) close() {
 	for _, a := range f.agents {
 		a.Close()
 	}
 }
 
 // startAgents starts the agents that come back.
-func (b *registryBench) startAgents(f *comebackFleet) error {
+func (b *registryBench) startAgents(f *recoveringFleet) error {
 	count := b.options.ReturningAgents
 	for i := range count {
 		a, err := agent.Start(agent.Options{Listen: "127.0.0.1:0", Folder: filepath.Join(b.dir, "agents", fmt.Sprint(i)), Nodes: b.http, Fleet: count,
@@ -48,23 +48,23 @@
 	return nil
 }
 
-// measureComeback measures the return of a whole fleet: agents and watchers whose
+// measureRecovery measures the return of a whole fleet: agents and watchers whose
 // group was gone for so long that each retries as seldom as it ever does.
-func (b *registryBench) measureComeback(ctx context.Context, watchers int) error {
-	c, err := b.startReady(ctx, benchNodes, comebackMembers)
+func (b *registryBench) measureRecovery(ctx context.Context, watchers int) error {
+	c, err := b.startReady(ctx, benchNodes, recoveryMembers)
 	if err != nil {
 		return err
 	}
 	defer b.stop()
 	defer c.Close()
-	fleet := &comebackFleet{}
+	fleet := &recoveringFleet{}
 	defer fleet.close()
 	if err := b.startAgents(fleet); err != nil {
 		return err
 	}
-	watching, cancel := context.WithCancel(ctx)
+	watchCtx, cancel := context.WithCancel(ctx)
 	defer func() { cancel(); fleet.watchers.wait() }()
-	fleet.watchers.start(watching, b.http, watchers, false)
+	fleet.watchers.start(watchCtx, b.http, watchers, false)
 	if err := fleet.watchers.awaitOpen(ctx, 0); err != nil {
 		return err
 	}
@@ -72,14 +72,14 @@
 		return err
 	}
 	var agentsBack, allBack, elections []float64
-	for range benchPlays {
-		played, err := b.playComeback(ctx, fleet)
+	for range benchRepeats {
+		recovery, err := b.timeRecovery(ctx, fleet)
 		if err != nil {
 			return err
 		}
-		agentsBack = append(agentsBack, played.agentsBack)
-		allBack = append(allBack, played.allBack)
-		elections = append(elections, played.elections)
+		agentsBack = append(agentsBack, recovery.agentsBack)
+		allBack = append(allBack, recovery.allBack)
+		elections = append(elections, recovery.elections)
 	}
 	name := fmt.Sprintf("%d agents and %d watchers after %v without a group", b.options.ReturningAgents, watchers, b.options.Outage)
 	b.figures.add(name+": ms from its start until all agents are back", agentsBack)
@@ -88,15 +88,15 @@
 	return nil
 }
 
-// comebackResult is what one return took, in milliseconds, and the elections after
+// recoveryResult is what one return took, in milliseconds, and the elections after
 // the first leader, which it would have caused.
-type comebackResult struct {
+type recoveryResult struct {
 	agentsBack, allBack, elections float64
 }
 
-// playComeback ends the group for the outage, and times the return. Elections are
+// timeRecovery ends the group for the outage, and times the return. Elections are
 // counted for as long again as the return took.
-func (b *registryBench) playComeback(ctx context.Context, fleet *comebackFleet) (result comebackResult, err error) {
+func (b *registryBench) timeRecovery(ctx context.Context, fleet *recoveringFleet) (result recoveryResult, err error) {
 	b.stop()
 	opened := fleet.watchers.opened.Load()
 	model.Sleep(ctx, b.options.Outage)
@@ -104,8 +104,8 @@
 	if err := b.startNodes(); err != nil {
 		return result, err
 	}
-	var first uint64
-	hasLeader := func() (ok bool) { first, ok = b.term(); return ok }
+	var firstTerm uint64
+	hasLeader := func() (ok bool) { firstTerm, ok = b.term(); return ok }
 	if err := awaitTrue(ctx, hasLeader); err != nil {
 		return result, err
 	}
@@ -118,15 +118,15 @@
 	}
 	result.allBack = toMillis(time.Since(began))
 	model.Sleep(ctx, time.Since(began))
-	last, _ := b.term()
-	result.elections = float64(last - first)
+	lastTerm, _ := b.term()
+	result.elections = float64(lastTerm - firstTerm)
 	return result, nil
 }
 
 // awaitTrue waits until a condition holds, or ctx ends.
 func awaitTrue(ctx context.Context, condition func() bool) error {
 	for !condition() {
-		if !model.Sleep(ctx, comebackPoll) {
+		if !model.Sleep(ctx, recoveryPoll) {
 			return ctx.Err()
 		}
 	}
--- a/internal/faultlab/bench_fanout.go
+++ b/internal/faultlab/bench_fanout.go
@@ -34,20 +34,20 @@
 	if poll {
 		name = fmt.Sprintf("%d polls every second, %d members", watchers, members)
 	}
-	before := b.rss()
-	watching, cancel := context.WithCancel(ctx)
-	w := &watcherSet{}
-	defer func() { cancel(); w.wait() }()
-	w.start(watching, b.http, watchers, poll)
-	if err := w.awaitOpen(ctx, 0); err != nil {
+	rssBefore := b.rss()
+	watchCtx, cancel := context.WithCancel(ctx)
+	watcherSet := &watcherSet{}
+	defer func() { cancel(); watcherSet.wait() }()
+	watcherSet.start(watchCtx, b.http, watchers, poll)
+	if err := watcherSet.awaitOpen(ctx, 0); err != nil {
 		return err
 	}
 	model.Sleep(ctx, memorySettle)
 	if !poll {
 		const kilobyte = 1024
-		b.figures.add(name+": KB of all three nodes, a watcher", []float64{(b.rss() - before) / kilobyte / float64(watchers)})
+		b.figures.add(name+": KB of all three nodes, a watcher", []float64{(b.rss() - rssBefore) / kilobyte / float64(watchers)})
 	}
-	took, err := b.timeWrites(ctx, c, w)
+	took, err := b.timeWrites(ctx, c, watcherSet)
 	if err != nil {
 		return err
 	}
@@ -55,23 +55,23 @@
 	if poll || members != fewMembers {
 		return nil
 	}
-	back, err := b.timeReturns(ctx, w)
+	returnTimes, err := b.timeReturns(ctx, watcherSet)
 	if err != nil {
 		return err
 	}
-	b.figures.add(name+": ms from the group's start until all are back", back)
+	b.figures.add(name+": ms from the group's start until all are back", returnTimes)
 	return nil
 }
 
 // timeWrites times writes from their answers until the last watcher has them.
-func (b *registryBench) timeWrites(ctx context.Context, c *client.Client, w *watcherSet) (took []float64, err error) {
+func (b *registryBench) timeWrites(ctx context.Context, c *client.Client, set *watcherSet) (took []float64, err error) {
 	for n := range b.options.Writes {
 		// The revision of a write is not known before: the next one is awaited.
 		var list discovery.List
-		if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistent, nil, &list); err != nil {
+		if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistentQuery, nil, &list); err != nil {
 			return nil, fmt.Errorf("bench: %w", err)
 		}
-		arrived := w.expect(list.Revision + 1)
+		arrived := set.expectRevision(list.Revision + 1)
 		if err := benchWrite(ctx, c, "f", n); err != nil {
 			return nil, fmt.Errorf("bench: %w", err)
 		}
@@ -83,22 +83,22 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		took = append(took, max(0, toMillis(w.lastArrival().Sub(answered))))
+		took = append(took, max(0, toMillis(set.lastArrival().Sub(answered))))
 	}
 	return took, nil
 }
 
 // timeReturns times how soon all watchers are back after the group was gone.
-func (b *registryBench) timeReturns(ctx context.Context, w *watcherSet) (took []float64, err error) {
-	for range benchPlays {
+func (b *registryBench) timeReturns(ctx context.Context, set *watcherSet) (took []float64, err error) {
+	for range benchRepeats {
 		b.stop()
-		opened := w.opened.Load()
+		opened := set.opened.Load()
 		model.Sleep(ctx, groupDowntime)
 		began := time.Now()
 		if err := b.startNodes(); err != nil {
 			return nil, err
 		}
-		if err := w.awaitOpen(ctx, opened); err != nil {
+		if err := set.awaitOpen(ctx, opened); err != nil {
 			return nil, err
 		}
 		took = append(took, toMillis(time.Since(began)))
--- a/internal/faultlab/bench_group.go
+++ b/internal/faultlab/bench_group.go
@@ -121,9 +121,9 @@
 	}
 	c, err := b.client()
 	if err == nil {
-		first, cancel := context.WithTimeout(ctx, groupTimeout)
+		firstWriteCtx, cancel := context.WithTimeout(ctx, groupTimeout)
 		defer cancel()
-		if err = benchWrite(first, c, "z", 0); err != nil {
+		if err = benchWrite(firstWriteCtx, c, "z", 0); err != nil {
 			c.Close()
 		}
 	}
--- a/internal/faultlab/bench_kills.go
+++ b/internal/faultlab/bench_kills.go
@@ -51,8 +51,8 @@
 // awaitWrite writes until a write is taken, or ctx ends.
 func awaitWrite(ctx context.Context, c *client.Client, number int) {
 	for ctx.Err() == nil {
-		short, cancel := context.WithTimeout(ctx, writeTimeout)
-		err := benchWrite(short, c, "z", number)
+		writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+		err := benchWrite(writeCtx, c, "z", number)
 		cancel()
 		if err == nil {
 			return
@@ -62,7 +62,7 @@
 
 // awaitFollower waits until a node follows a leader, no longer than followTimeout.
 func awaitFollower(ctx context.Context, addr string) {
-	for end := time.Now().Add(followTimeout); time.Now().Before(end); model.Sleep(ctx, followPoll) {
+	for deadline := time.Now().Add(followTimeout); time.Now().Before(deadline); model.Sleep(ctx, followPoll) {
 		if status, err := nodeStatus(addr); err == nil && !status.Stale && status.Leader != "" {
 			return
 		}
--- a/internal/faultlab/bench_leader.go
+++ b/internal/faultlab/bench_leader.go
@@ -63,7 +63,7 @@
 	}
 	b := &leaderBench{options: o, dir: dir,
 		figures: &figures{printf: o.Printf, format: "%-72s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f"}}
-	for _, measure := range []func(context.Context) error{b.failures, b.handovers, b.costs} {
+	for _, measure := range []func(context.Context) error{b.measureFailures, b.measureHandovers, b.measureCosts} {
 		if err := measure(ctx); err != nil {
 			return b.figures.all, err
 		}
@@ -72,7 +72,7 @@
 }
 
 // failures measures cuts and kills of the leader, side by side: mostly they wait.
-func (b *leaderBench) failures(ctx context.Context) error {
+func (b *leaderBench) measureFailures(ctx context.Context) error {
 	var measuring errgroup.Group
 	for i, ttl := range b.options.TTL {
 		if b.options.Cuts > 0 {
@@ -98,7 +98,7 @@
 }
 
 // handovers measures graceful shutdowns of the leader.
-func (b *leaderBench) handovers(ctx context.Context) error {
+func (b *leaderBench) measureHandovers(ctx context.Context) error {
 	if b.options.Handovers == 0 {
 		return nil
 	}
@@ -110,7 +110,7 @@
 }
 
 // costs measures what roles cost the list service.
-func (b *leaderBench) costs(ctx context.Context) error {
+func (b *leaderBench) measureCosts(ctx context.Context) error {
 	for _, roles := range b.options.Roles {
 		err := b.withGroup(ctx, fmt.Sprint("load-", roles), func(g *benchGroup, c *client.Client) error {
 			used, err := g.roleCost(ctx, c, roles)
@@ -162,27 +162,27 @@
 // roleCost measures the CPU time that the nodes use while all of so many roles have
 // a leader, in milliseconds a second.
 func (b *benchGroup) roleCost(ctx context.Context, c *client.Client, roles int) (used []float64, err error) {
-	leading, stop := context.WithCancel(ctx)
+	leadCtx, stop := context.WithCancel(ctx)
 	var leaders errgroup.Group
 	defer func() {
 		stop()
 		leaders.Wait() // how they ended shows in the measurement
 	}()
 	for i := range benchControllers {
-		own, err := b.client()
+		leaderClient, err := b.client()
 		if err != nil {
 			return nil, err
 		}
 		leaders.Go(func() error {
-			defer own.Close()
-			return leader.Run(leading, leader.Options{Client: own, Name: fmt.Sprint("w-", i), TTL: roleTTL, Roles: idleRoles(roles), Log: slog.New(slog.DiscardHandler)})
+			defer leaderClient.Close()
+			return leader.Run(leadCtx, leader.Options{Client: leaderClient, Name: fmt.Sprint("w-", i), TTL: roleTTL, Roles: idleRoles(roles), Log: slog.New(slog.DiscardHandler)})
 		})
 	}
 	if err := awaitLeaders(ctx, c, roles); err != nil {
 		return nil, err
 	}
 	model.Sleep(ctx, roleWarmUp)
-	for range benchPlays {
+	for range benchRepeats {
 		before := b.cpu()
 		model.Sleep(ctx, roleCostTime)
 		used = append(used, toMillis(b.cpu()-before)/roleCostTime.Seconds())
@@ -204,15 +204,15 @@
 
 // awaitLeaders waits until so many roles have a leader.
 func awaitLeaders(ctx context.Context, c *client.Client, roles int) error {
-	for led := -1; led < roles; {
+	for ledRoles := -1; ledRoles < roles; {
 		var list registry.RoleList
 		if _, err := c.Do(ctx, http.MethodGet, registry.RolesPath, nil, &list); err != nil {
 			return fmt.Errorf("bench: %w", err)
 		}
-		led = 0
+		ledRoles = 0
 		for _, role := range list.Roles {
 			if role.Holder != "" {
-				led++
+				ledRoles++
 			}
 		}
 		if !model.Sleep(ctx, rolePoll) {
--- a/internal/faultlab/bench_registry.go
+++ b/internal/faultlab/bench_registry.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	benchPlays    = 3    // of each measurement that is repeated
+	benchRepeats  = 3    // of each measurement that is repeated
 	benchWriters  = 16   // at once
 	fewMembers    = 30   // of the list, where it is not what is measured
 	fewWatchers   = 300  // likewise
@@ -68,7 +68,7 @@
 		figures:    &figures{printf: o.Printf, format: "%-64s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f"},
 	}
 	defer b.stop()
-	for _, measure := range []func(context.Context) error{b.allWrites, b.allFanOuts, b.allKills, b.comeback} {
+	for _, measure := range []func(context.Context) error{b.measureAllWrites, b.measureAllFanOuts, b.measureAllKills, b.measureLargestRecovery} {
 		if err := measure(ctx); err != nil {
 			return b.figures.all, err
 		}
@@ -76,8 +76,8 @@
 	return b.figures.all, nil
 }
 
-// allWrites measures writes to a single node, and to groups with lists of all sizes.
-func (b *registryBench) allWrites(ctx context.Context) error {
+// measureAllWrites measures writes to a single node, and to groups with lists of all sizes.
+func (b *registryBench) measureAllWrites(ctx context.Context) error {
 	if err := b.measureWrites(ctx, 1, 0); err != nil {
 		return err
 	}
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// allFanOuts measures watchers, beside polls, and lists of all sizes.
-func (b *registryBench) allFanOuts(ctx context.Context) error {
+// measureAllFanOuts measures watchers, beside polls, and lists of all sizes.
+func (b *registryBench) measureAllFanOuts(ctx context.Context) error {
 	for _, watchers := range b.options.Watchers {
 		for _, poll := range []bool{true, false} {
 			if poll && watchers > maxPolls {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// allKills measures kills of the leader with lists of all sizes.
-func (b *registryBench) allKills(ctx context.Context) error {
+// measureAllKills measures kills of the leader with lists of all sizes.
+func (b *registryBench) measureAllKills(ctx context.Context) error {
 	kills := b.options.Kills
 	if kills == 0 {
 		return nil
@@ -127,11 +127,11 @@
 }
 
 // comeback measures the return of a fleet with the most watchers.
-func (b *registryBench) comeback(ctx context.Context) error {
+func (b *registryBench) measureLargestRecovery(ctx context.Context) error {
 	if b.options.ReturningAgents == 0 || len(b.options.Watchers) == 0 {
 		return nil
 	}
-	return b.measureComeback(ctx, slices.Max(b.options.Watchers))
+	return b.measureRecovery(ctx, slices.Max(b.options.Watchers))
 }
 
 // measureWrites measures how many writes a second a group takes, and how long each
@@ -144,10 +144,10 @@
 	defer b.stop()
 	defer c.Close()
 	var took, rates []float64
-	for range benchPlays {
-		played := b.writeAll(ctx)
-		took = append(took, played...)
-		rates = append(rates, float64(len(played))/b.options.LoadTime.Seconds())
+	for range benchRepeats {
+		durations := b.runWriters(ctx)
+		took = append(took, durations...)
+		rates = append(rates, float64(len(durations))/b.options.LoadTime.Seconds())
 	}
 	name := fmt.Sprintf("writes, %d nodes, %d members, %d writers: ", nodes, members, benchWriters)
 	b.figures.add(name+"ms each", took)
@@ -155,18 +155,18 @@
 	return nil
 }
 
-// writeAll has all writers write for LoadTime and returns how long each write took.
-func (b *registryBench) writeAll(ctx context.Context) (took []float64) {
+// runWriters has all writers write for LoadTime and returns how long each write took.
+func (b *registryBench) runWriters(ctx context.Context) (took []float64) {
 	ctx, cancel := context.WithTimeout(ctx, b.options.LoadTime+groupTimeout) // the last writes may finish
 	defer cancel()
-	end := time.Now().Add(b.options.LoadTime)
+	deadline := time.Now().Add(b.options.LoadTime)
 	var mu sync.Mutex
 	var writers sync.WaitGroup
 	for i := range benchWriters {
 		writers.Add(1)
 		go func() {
 			defer writers.Done()
-			written := b.writeUntil(ctx, i, end)
+			written := b.writeUntil(ctx, i, deadline)
 			mu.Lock()
 			defer mu.Unlock()
 			took = append(took, written...)
@@ -177,14 +177,14 @@
 }
 
 // writeUntil writes one member again and again, and returns how long each write took.
-func (b *registryBench) writeUntil(ctx context.Context, writer int, end time.Time) (took []float64) {
+func (b *registryBench) writeUntil(ctx context.Context, writer int, deadline time.Time) (took []float64) {
 	c, err := b.client()
 	if err != nil {
 		return nil
 	}
 	defer c.Close()
 	member := registry.Registration{ID: fmt.Sprint("w", writer), Address: fmt.Sprintf("10.8.8.%d:1", writer), Flavor: "x"}
-	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
+	for n := 0; time.Now().Before(deadline) && ctx.Err() == nil; n++ {
 		member.Zone = fmt.Sprint(n)
 		began := time.Now()
 		if _, err := c.Do(ctx, http.MethodPost, registry.MembersPath, member, nil); err == nil {
--- a/internal/faultlab/bench_wal.go
+++ b/internal/faultlab/bench_wal.go
@@ -26,8 +26,8 @@
 	Printf  Printf
 }
 
-// anyLog is the message log, or the baseline: the log that it replaced.
-type anyLog interface {
+// messageLog is the message log, or the baseline: the log that it replaced.
+type messageLog interface {
 	Submit(*wal.Record, func(error))
 	Run(<-chan struct{})
 	Done() <-chan struct{}
@@ -86,7 +86,7 @@
 }
 
 // heap is the size of the heap in bytes, after a collection.
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -94,7 +94,7 @@
 }
 
 // cpu is the CPU time that this process has used.
-func cpu() time.Duration {
+func processCPU() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the process itself
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -137,7 +137,7 @@
 }
 
 // drain runs a log until it has written what was submitted, and closes it.
-func drain(log anyLog) {
+func drainLog(log messageLog) {
 	stop := make(chan struct{})
 	close(stop)
 	log.Run(stop)
@@ -184,18 +184,18 @@
 	if err != nil {
 		return err
 	}
-	old, _, err := baseline.Open(dir, benchLimit)
+	baselineLog, _, err := baseline.Open(dir, benchLimit)
 	if err != nil {
 		return err
 	}
-	for _, x := range []anyLog{log, old} {
+	for _, target := range []messageLog{log, baselineLog} {
 		stop := make(chan struct{})
-		go x.Run(stop)
+		go target.Run(stop)
 		for i := range pending {
-			x.Submit(benchMessage(i), nil)
+			target.Submit(benchMessage(i), nil)
 		}
 		close(stop)
-		<-x.Done()
+		<-target.Done()
 	}
 	return nil
 }
@@ -209,7 +209,7 @@
 
 // startLog opens a log and reads its pending messages.
 func startLog(dir string, pending int) (start logStart, err error) {
-	before, began := heap(), time.Now()
+	before, began := heapBytes(), time.Now()
 	log, err := wal.Open(wal.Options{Dir: dir, Limit: benchLimit})
 	if err != nil {
 		return start, err
@@ -218,26 +218,26 @@
 		return start, fmt.Errorf("bench: %d of %d owed", log.PendingUnread(), pending)
 	}
 	start.known = toMillis(time.Since(began))
-	start.memory = (heap() - before) / megabyte
+	start.memory = (heapBytes() - before) / megabyte
 	began = time.Now()
 	for len(log.Next(readBatch)) > 0 { // they are not kept here
 	}
 	start.all = start.known + toMillis(time.Since(began))
-	drain(log)
+	drainLog(log)
 	return start, nil
 }
 
 // startBaseline opens a baseline, which reads all pending messages.
 func startBaseline(dir string) (start logStart, err error) {
-	before, began := heap(), time.Now()
+	before, began := heapBytes(), time.Now()
 	log, pending, err := baseline.Open(dir, benchLimit)
 	if err != nil {
 		return start, err
 	}
 	start.all = toMillis(time.Since(began))
-	start.memory = (heap() - before) / megabyte
+	start.memory = (heapBytes() - before) / megabyte
 	runtime.KeepAlive(pending)
-	drain(log)
+	drainLog(log)
 	return start, nil
 }
 
@@ -254,16 +254,16 @@
 func (b *walBench) measureWrites(ctx context.Context, clients int) error {
 	names := []string{baselineName, processName, powerName}
 	costs := map[string][]writeCost{}
-	for play := range b.options.Plays {
+	for repeat := range b.options.Plays {
 		for _, name := range names {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			dir, err := b.tempDir(fmt.Sprint("writes-", clients, "-", play, name[:2]))
+			dir, err := b.tempDir(fmt.Sprint("writes-", clients, "-", repeat, name[:2]))
 			if err != nil {
 				return err
 			}
-			cost, err := b.playWrites(dir, name, clients)
+			cost, err := b.runWrites(dir, name, clients)
 			if err != nil {
 				return err
 			}
@@ -288,15 +288,15 @@
 	return nil
 }
 
-// playWrites has clients write to a new log of one kind for the benchmark's span.
-func (b *walBench) playWrites(dir, name string, clients int) (cost writeCost, err error) {
+// runWrites has clients write to a new log of one kind for the benchmark's span.
+func (b *walBench) runWrites(dir, name string, clients int) (cost writeCost, err error) {
 	fs := &countFS{}
-	var log anyLog
-	var old *baseline.Log
+	var log messageLog
+	var baselineLog *baseline.Log
 	switch name {
 	case baselineName:
-		old, _, err = baseline.Open(dir, benchLimit)
-		log = old
+		baselineLog, _, err = baseline.Open(dir, benchLimit)
+		log = baselineLog
 	case processName:
 		log, err = wal.Open(wal.Options{Dir: dir, Limit: benchLimit, FS: fs})
 	default:
@@ -307,14 +307,14 @@
 	}
 	stop := make(chan struct{})
 	go log.Run(stop)
-	began, usedBefore := time.Now(), cpu()
+	began, usedBefore := time.Now(), processCPU()
 	messages := float64(writeMessages(log, clients, began.Add(b.options.Span)))
-	took, used := time.Since(began), cpu()-usedBefore
+	took, used := time.Since(began), processCPU()-usedBefore
 	close(stop)
 	<-log.Done()
 	calls, bytes := fs.calls.Load(), fs.bytes.Load()
-	if old != nil {
-		calls, bytes = int64(old.WriteCalls), int64(old.Bytes)
+	if baselineLog != nil {
+		calls, bytes = int64(baselineLog.WriteCalls), int64(baselineLog.Bytes)
 	}
 	return writeCost{
 		rate:  messages / took.Seconds(),
@@ -326,7 +326,7 @@
 
 // writeMessages has clients write messages until a moment, each the next record when
 // the one before is durable, and returns how many messages they wrote.
-func writeMessages(log anyLog, clients int, end time.Time) int64 {
+func writeMessages(log messageLog, clients int, deadline time.Time) int64 {
 	var count atomic.Int64
 	var writing sync.WaitGroup
 	for client := range clients {
@@ -334,10 +334,10 @@
 		go func() {
 			defer writing.Done()
 			durable := make(chan error, 1)
-			for i := 0; time.Now().Before(end); i++ {
-				m := benchMessage(client<<32 | i)
-				attempt := &wal.Record{Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1, Sync: true}
-				for _, record := range []*wal.Record{m, attempt, {Kind: wal.KindCompleted, ID: m.ID}} {
+			for i := 0; time.Now().Before(deadline); i++ {
+				message := benchMessage(client<<32 | i)
+				attempt := &wal.Record{Kind: wal.KindAttempt, ID: message.ID, At: 1e15, Endpoint: "s-12", Process: 1, Sync: true}
+				for _, record := range []*wal.Record{message, attempt, {Kind: wal.KindCompleted, ID: message.ID}} {
 					log.Submit(record, func(err error) { durable <- err })
 					<-durable
 				}
@@ -354,13 +354,13 @@
 func (b *walBench) measureStalls(ctx context.Context) error {
 	names := []string{baselineName, processName}
 	longest := map[string][]float64{}
-	for play := range b.options.Plays {
+	for repeat := range b.options.Plays {
 		for _, name := range names {
-			dir, err := b.tempDir(fmt.Sprint("stall-", play, name[:2]))
+			dir, err := b.tempDir(fmt.Sprint("stall-", repeat, name[:2]))
 			if err != nil {
 				return err
 			}
-			stall, err := playStall(ctx, dir, name)
+			stall, err := runStall(ctx, dir, name)
 			if err != nil {
 				return err
 			}
@@ -376,9 +376,9 @@
 	return nil
 }
 
-// playStall writes to a new log of one kind and returns the longest wait.
-func playStall(ctx context.Context, dir, name string) (longest time.Duration, err error) {
-	var log anyLog
+// runStall writes to a new log of one kind and returns the longest wait.
+func runStall(ctx context.Context, dir, name string) (longest time.Duration, err error) {
+	var log messageLog
 	if name == processName {
 		log, err = wal.Open(wal.Options{Dir: dir, Limit: stallLimit})
 	} else {
@@ -397,10 +397,10 @@
 		if ctx.Err() != nil {
 			return 0, ctx.Err()
 		}
-		m := benchMessage(i % stallPending)
-		record := &wal.Record{Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1}
+		message := benchMessage(i % stallPending)
+		record := &wal.Record{Kind: wal.KindAttempt, ID: message.ID, At: 1e15, Endpoint: "s-12", Process: 1}
 		if i%2 == 1 {
-			record = &wal.Record{Kind: wal.KindOutcome, ID: m.ID}
+			record = &wal.Record{Kind: wal.KindOutcome, ID: message.ID}
 		}
 		began := time.Now()
 		log.Submit(record, func(err error) { durable <- err })
--- a/internal/faultlab/bench_watchers.go
+++ b/internal/faultlab/bench_watchers.go
@@ -103,7 +103,7 @@
 }
 
 // receive takes the start of one line.
-func (w *benchWatcher) receive(line []byte, at time.Time, onOpen func()) {
+func (w *benchWatcher) receive(line []byte, receivedAt time.Time, onOpen func()) {
 	if !w.polls && bytes.HasPrefix(line, okStatus) {
 		onOpen()
 	}
@@ -117,7 +117,7 @@
 		onOpen()
 	}
 	w.revision = revision
-	w.onRevision(revision, at)
+	w.onRevision(revision, receivedAt)
 }
 
 // watcherSet is many watchers of a group. The zero value has none; start is called
@@ -128,18 +128,18 @@
 
 	running sync.WaitGroup
 
-	mu         sync.Mutex
-	awaited    int64 // revision; 0 for none
-	arrived    int   // watchers that have it
-	last       time.Time
-	allArrived chan struct{}
+	mu               sync.Mutex
+	expectedRevision int64 // revision; 0 for none
+	arrived          int   // watchers that have it
+	lastArrivalAt    time.Time
+	allArrived       chan struct{}
 }
 
 // expect returns what is closed once all watchers have a revision.
-func (s *watcherSet) expect(revision int64) <-chan struct{} {
+func (s *watcherSet) expectRevision(revision int64) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.awaited, s.arrived, s.allArrived = revision, 0, make(chan struct{})
+	s.expectedRevision, s.arrived, s.allArrived = revision, 0, make(chan struct{})
 	return s.allArrived
 }
 
@@ -147,32 +147,32 @@
 func (s *watcherSet) lastArrival() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last
+	return s.lastArrivalAt
 }
 
 // start opens the watchers, spread over the nodes; they end with ctx.
 func (s *watcherSet) start(ctx context.Context, nodes []string, size int, poll bool) {
 	s.size = size
 	for i := range size {
-		counted := int64(-1) // the awaited revision for which it was counted
+		countedRevision := int64(-1) // the awaited revision for which it was counted
 		w := &benchWatcher{addr: nodes[i%len(nodes)], revision: -1, polls: poll}
 		w.onOpen = func() { s.opened.Add(1) }
-		w.onRevision = func(revision int64, at time.Time) { s.arrive(revision, at, &counted) }
+		w.onRevision = func(revision int64, receivedAt time.Time) { s.recordArrival(revision, receivedAt, &countedRevision) }
 		s.running.Add(1)
 		go func() { defer s.running.Done(); w.run(ctx) }()
 	}
 }
 
 // arrive counts a watcher once for the awaited revision.
-func (s *watcherSet) arrive(revision int64, at time.Time, counted *int64) {
+func (s *watcherSet) recordArrival(revision int64, receivedAt time.Time, countedRevision *int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.awaited == 0 || revision < s.awaited || *counted >= s.awaited {
+	if s.expectedRevision == 0 || revision < s.expectedRevision || *countedRevision >= s.expectedRevision {
 		return
 	}
-	*counted = s.awaited
+	*countedRevision = s.expectedRevision
 	s.arrived++
-	s.last = at
+	s.lastArrivalAt = receivedAt
 	if s.arrived == s.size {
 		close(s.allArrived)
 	}
--- a/internal/faultlab/build.go
+++ b/internal/faultlab/build.go
@@ -131,87 +131,87 @@
 }
 
 // connect makes one relay's machine: its directory, links and agent.
-func (r *run) connect(ctx context.Context, x *relay, members []model.Member) (err error) {
-	if err := r.makeDir(x); err != nil {
+func (r *run) connect(ctx context.Context, relay *relay, members []model.Member) (err error) {
+	if err := r.makeDir(relay); err != nil {
 		return err
 	}
-	if x.proxy, err = r.world.Net.Listen("clients", x.name, r.address(), x.listen, r.seed, nil); err != nil {
+	if relay.proxy, err = r.world.Net.Listen("clients", relay.name, r.address(), relay.listen, r.seed, nil); err != nil {
 		return err
 	}
-	mine := slices.Clone(members)
+	ownMembers := slices.Clone(members)
 	for i, endpoint := range r.endpoints {
-		l, err := r.linkTo(x, i, endpoint)
+		l, err := r.linkTo(relay, i, endpoint)
 		if err != nil {
 			return err
 		}
-		mine[i].HostPort = l.Addr()
+		ownMembers[i].HostPort = l.Addr()
 	}
 	if r.group == nil {
-		x.agent, err = r.discovery.NewAgent(x.name, r.ip, mine, r.onNotice)
+		relay.agent, err = r.discovery.NewAgent(relay.name, r.ip, ownMembers, r.onNotice)
 		return err
 	}
-	if x.agentLog, err = os.Create(r.logPath(x.name + "-agent")); err != nil {
+	if relay.agentLog, err = os.Create(r.logPath(relay.name + "-agent")); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	proxy, err := r.group.startAgent(ctx, x, r.onNotice)
+	proxy, err := r.group.startAgent(ctx, relay, r.onNotice)
 	if proxy != nil {
-		x.agent = proxy
+		relay.agent = proxy
 	}
 	return err
 }
 
 // makeDir makes a relay's directory, its log and, where a fault steps it, its clock.
-func (r *run) makeDir(x *relay) (err error) {
-	if x.dir, err = filepath.Abs(filepath.Join(r.opts.Out, x.name)); err != nil {
+func (r *run) makeDir(relay *relay) (err error) {
+	if relay.dir, err = filepath.Abs(filepath.Join(r.opts.Out, relay.name)); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if err := errors.Join(os.RemoveAll(x.dir), os.MkdirAll(x.stateDir(), 0o700)); err != nil {
+	if err := errors.Join(os.RemoveAll(relay.dir), os.MkdirAll(relay.stateDir(), 0o700)); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if x.log, err = os.Create(r.logPath(x.name)); err != nil {
+	if relay.log, err = os.Create(r.logPath(relay.name)); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	stepsClock := func(f scenario.Fault) bool { return f.Kind == scenario.FaultClock }
 	if slices.ContainsFunc(r.scenario.Faults, stepsClock) {
-		x.wall, err = wallclock.New(x.dir)
+		relay.wall, err = wallclock.New(relay.dir)
 	}
 	return err
 }
 
 // linkTo makes the link of a relay to one endpoint.
-func (r *run) linkTo(x *relay, number int, endpoint *model.Endpoint) (*link.Link, error) {
+func (r *run) linkTo(relay *relay, number int, endpoint *model.Endpoint) (*link.Link, error) {
 	const seedsPerRelay = 1000
-	seed := r.seed + uint64(x.number*seedsPerRelay+number)
-	l, err := r.world.Net.Listen(x.name, endpoint.ID, r.address(), endpoint.Addr(), seed, r.recordLostCall)
+	seed := r.seed + uint64(relay.number*seedsPerRelay+number)
+	l, err := r.world.Net.Listen(relay.name, endpoint.ID, r.address(), endpoint.Addr(), seed, r.recordLostCall)
 	if err != nil {
 		return nil, err
 	}
 	settings := &r.scenario.Upstreams
 	delayMS := settings.DelayMS
-	if endpoint.Zone != x.zone {
+	if endpoint.Zone != relay.zone {
 		delayMS = settings.CrossMS
 	}
 	faults := link.Faults{Delay: millis(delayMS), Jitter: millis(settings.JitterMS)}
 	r.linkFaults[l] = faults
 	l.SetBoth(faults)
-	x.links = append(x.links, l)
+	relay.links = append(relay.links, l)
 	return l, nil
 }
 
 // startRelays starts every relay and waits until each serves clients.
 func (r *run) startRelays(ctx context.Context) error {
-	for _, x := range r.relays {
-		if err := x.start(); err != nil {
+	for _, relay := range r.relays {
+		if err := relay.start(); err != nil {
 			return err
 		}
 	}
-	for end := time.Now().Add(readyTimeout); ; {
-		waiting, err := r.notReady()
-		if err != nil || len(waiting) == 0 {
+	for deadline := time.Now().Add(readyTimeout); ; {
+		notReady, err := r.notReady()
+		if err != nil || len(notReady) == 0 {
 			return err
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("lab: not ready after %v: %s; see the logs in %s", readyTimeout, strings.Join(waiting, ", "), filepath.Join(r.opts.Out, logsDir))
+		if time.Now().After(deadline) {
+			return fmt.Errorf("lab: not ready after %v: %s; see the logs in %s", readyTimeout, strings.Join(notReady, ", "), filepath.Join(r.opts.Out, logsDir))
 		}
 		if !model.Sleep(ctx, readyPoll) {
 			return fmt.Errorf("lab: stopped before the relays were ready: %w", ctx.Err())
@@ -221,17 +221,17 @@
 
 // notReady names the relays that are not ready; an error if one has ended.
 func (r *run) notReady() (names []string, err error) {
-	for _, x := range r.relays {
-		x.mu.Lock()
-		if !x.ready {
-			names = append(names, x.name)
+	for _, relay := range r.relays {
+		relay.mu.Lock()
+		if !relay.ready {
+			names = append(names, relay.name)
 		}
-		p := x.process
-		x.mu.Unlock()
+		p := relay.process
+		relay.mu.Unlock()
 		select {
 		case <-p.Done():
 			_, text := p.Exit()
-			return nil, fmt.Errorf("lab: %s did not start: %s; see %s", x.name, text, x.log.Name())
+			return nil, fmt.Errorf("lab: %s did not start: %s; see %s", relay.name, text, relay.log.Name())
 		default:
 		}
 	}
--- a/internal/faultlab/command/bench.go
+++ b/internal/faultlab/command/bench.go
@@ -16,7 +16,7 @@
 	c := &cobra.Command{Use: "bench", Short: "Measure a part of the fleet"}
 	o := faultlab.RegistryBenchOptions{}
 	var program string
-	r := &cobra.Command{Use: "registry", Short: "The list service: fan-out, memory, writes, elections, beside a poll and a single node", Args: exactly(0),
+	r := &cobra.Command{Use: "registry", Short: "The list service: fan-out, memory, writes, elections, beside a poll and a single node", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			if o.Registry, err = findProgram(program, "registry", "registry"); err != nil {
 				return err
@@ -45,7 +45,7 @@
 func benchLeader() *cobra.Command {
 	o := faultlab.LeaderBenchOptions{}
 	var program, controller string
-	d := &cobra.Command{Use: "duty", Short: "Duties: how long nobody holds one, and what they cost the store", Args: exactly(0),
+	leaderCommand := &cobra.Command{Use: "duty", Short: "Duties: how long nobody holds one, and what they cost the store", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			if o.Registry, err = findProgram(program, "registry", "registry"); err != nil {
 				return err
@@ -60,20 +60,20 @@
 			}
 			return writeRows(o.Out, rows)
 		}}
-	d.Flags().StringVar(&program, "registry", "", "the list service's program (default: registry beside this one)")
-	addControllerFlags(d, &controller)
-	d.Flags().StringVar(&o.Out, "out", "", "folder (default: lab-out/bench-duty-TIME)")
-	d.Flags().DurationSliceVar(&o.TTL, "ttl", []time.Duration{time.Second, 2 * time.Second, 5 * time.Second}, "times to live")
-	d.Flags().IntSliceVar(&o.Kills, "kills", []int{100, 100, 100}, "kills of the holder, for each time to live")
-	d.Flags().IntVar(&o.Handovers, "handovers", 100, "hand-overs in order")
-	d.Flags().IntVar(&o.Cuts, "cuts", 50, "cuts of the holder from all nodes, for each time to live")
-	d.Flags().IntSliceVar(&o.Roles, "duties", []int{10, 100, 1000}, "duties whose cost is measured")
-	return d
+	leaderCommand.Flags().StringVar(&program, "registry", "", "the list service's program (default: registry beside this one)")
+	addControllerFlags(leaderCommand, &controller)
+	leaderCommand.Flags().StringVar(&o.Out, "out", "", "folder (default: lab-out/bench-duty-TIME)")
+	leaderCommand.Flags().DurationSliceVar(&o.TTL, "ttl", []time.Duration{time.Second, 2 * time.Second, 5 * time.Second}, "times to live")
+	leaderCommand.Flags().IntSliceVar(&o.Kills, "kills", []int{100, 100, 100}, "kills of the holder, for each time to live")
+	leaderCommand.Flags().IntVar(&o.Handovers, "handovers", 100, "hand-overs in order")
+	leaderCommand.Flags().IntVar(&o.Cuts, "cuts", 50, "cuts of the holder from all nodes, for each time to live")
+	leaderCommand.Flags().IntSliceVar(&o.Roles, "duties", []int{10, 100, 1000}, "duties whose cost is measured")
+	return leaderCommand
 }
 
 func benchWAL() *cobra.Command {
 	o := faultlab.WALBenchOptions{}
-	w := &cobra.Command{Use: "wal", Short: "The relay's log: starts, writes, stalls, beside the log before it", Args: exactly(0),
+	w := &cobra.Command{Use: "wal", Short: "The relay's log: starts, writes, stalls, beside the log before it", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			o.Out, o.Printf = benchOut(c, o.Out, "wal")
 			rows, err := faultlab.BenchWAL(c.Context(), o)
--- a/internal/faultlab/command/bench_scale.go
+++ b/internal/faultlab/command/bench_scale.go
@@ -17,7 +17,7 @@
 func benchScale() *cobra.Command {
 	o := capacity.Options{}
 	var file string
-	c := &cobra.Command{Use: "scale", Short: "What each role costs at several sizes, as slopes up to the target size", Args: exactly(0),
+	c := &cobra.Command{Use: "scale", Short: "What each role costs at several sizes, as slopes up to the target size", Args: exactArgs(0),
 		Long: "What each role costs at several sizes, as slopes up to the target size.\n\nJobs: " + strings.Join(capacity.Names(), ", "),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			if err := findPrograms(&o); err != nil {
@@ -47,23 +47,23 @@
 
 // findPrograms puts in the programs that are not named.
 func findPrograms(o *capacity.Options) error {
-	for _, x := range []struct {
-		path   *string
-		beside string
-		flag   string
+	for _, program := range []struct {
+		path        *string
+		defaultName string
+		flag        string
 	}{{&o.Relay, "relay", "relay"}, {&o.Registry, "registry", "registry"}, {&o.Controller, "controller", "controller"}} {
-		path, err := findProgram(*x.path, x.beside, x.flag)
+		path, err := findProgram(*program.path, program.defaultName, program.flag)
 		if err != nil {
 			return err
 		}
-		*x.path = path
+		*program.path = path
 	}
 	return nil
 }
 
 // compareScale sets the slopes of two files of benchScale side by side; false
 // where either is no such file.
-func compareScale(w io.Writer, pathA, pathB string) (ours bool, err error) {
+func compareScale(w io.Writer, pathA, pathB string) (isCapacity bool, err error) {
 	a, errA := capacity.Load(pathA)
 	b, errB := capacity.Load(pathB)
 	if errA != nil || errB != nil {
@@ -73,20 +73,20 @@
 	for i := range b.Capacity {
 		others[b.Capacity[i].Key()] = &b.Capacity[i]
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "quantity\tunit\tslope in %s\tslope in %s\tB/A\tat the target\tB\n", pathA, pathB)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "quantity\tunit\tslope in %s\tslope in %s\tB/A\tat the target\tB\n", pathA, pathB)
 	for i := range a.Capacity {
-		m := &a.Capacity[i]
-		o, ok := others[m.Key()]
+		measurement := &a.Capacity[i]
+		other, ok := others[measurement.Key()]
 		if !ok {
 			continue
 		}
-		by := "-"
-		if m.Slope != 0 {
-			by = fmt.Sprintf("%.3f", o.Slope/m.Slope)
+		ratio := "-"
+		if measurement.Slope != 0 {
+			ratio = fmt.Sprintf("%.3f", other.Slope/measurement.Slope)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.4g (%.4g to %.4g)\t%.4g (%.4g to %.4g)\t%s\t%.4g\t%.4g\n", m.Key(), m.Unit,
-			m.Slope, m.SlopeMin, m.SlopeMax, o.Slope, o.SlopeMin, o.SlopeMax, by, m.WithBase, o.WithBase)
+		fmt.Fprintf(table, "%s\t%s\t%.4g (%.4g to %.4g)\t%.4g (%.4g to %.4g)\t%s\t%.4g\t%.4g\n", measurement.Key(), measurement.Unit,
+			measurement.Slope, measurement.SlopeMin, measurement.SlopeMax, other.Slope, other.SlopeMin, other.SlopeMax, ratio, measurement.WithBase, other.WithBase)
 	}
-	return true, t.Flush()
+	return true, table.Flush()
 }
--- a/internal/faultlab/command/command.go
+++ b/internal/faultlab/command/command.go
@@ -39,7 +39,7 @@
 // of a run early.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := &cobra.Command{Use: "faultlab", Short: "Run many relays, break things between them, and judge what they did",
-		Long: longHelp, SilenceErrors: true, SilenceUsage: true, Args: noUnknownCommand,
+		Long: longHelp, SilenceErrors: true, SilenceUsage: true, Args: rejectUnknownCommand,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	root.SuggestionsMinimumDistance = 2 // as cobra has it by default
 	root.SetArgs(args)
@@ -63,9 +63,9 @@
 	return NotRun
 }
 
-// noUnknownCommand is cobra's check for the command that has subcommands, with an
+// rejectUnknownCommand is cobra's check for the command that has subcommands, with an
 // error that is a usageError.
-func noUnknownCommand(c *cobra.Command, args []string) error {
+func rejectUnknownCommand(c *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return nil
 	}
@@ -77,7 +77,7 @@
 }
 
 // exactly is cobra.ExactArgs with an exit code for bad usage.
-func exactly(n int) cobra.PositionalArgs {
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
 			return usageError{err}
--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -79,9 +79,9 @@
 		{"sweep", "", []string{"sweep", validPath, "--relay", self, "--late", "10s", "--set", "load.rate=10,20", "--seeds", "1-2", "--out", filepath.Join(dir, "sweep")}, Success, "sweep.svg"},
 		{"sweep a wrong key", "", []string{"sweep", validPath, "--relay", self, "--set", "load.rates=10", "--seeds", "1"}, Usage, "load.rates"},
 	} {
-		wantCode, out := runMain(t, test.defect, test.args...)
-		if wantCode != test.wantCode || !strings.Contains(out, test.wantOutput) {
-			t.Errorf("%s: exit %d, want %d; %s", test.name, wantCode, test.wantCode, out)
+		code, out := runMain(t, test.defect, test.args...)
+		if code != test.wantCode || !strings.Contains(out, test.wantOutput) {
+			t.Errorf("%s: exit %d, want %d; %s", test.name, code, test.wantCode, out)
 		}
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "out", "report.html"))
--- a/internal/faultlab/command/play.go
+++ b/internal/faultlab/command/play.go
@@ -52,17 +52,17 @@
 }
 
 // findProgram gives the path of a program: as it is named, or beside this one.
-func findProgram(named, beside, flag string) (string, error) {
+func findProgram(named, defaultName, flag string) (string, error) {
 	path := named
 	if path == "" {
 		self, err := os.Executable()
 		if err != nil {
-			return "", fmt.Errorf("where is %s: %w", beside, err)
+			return "", fmt.Errorf("where is %s: %w", defaultName, err)
 		}
-		path = filepath.Join(filepath.Dir(self), beside)
+		path = filepath.Join(filepath.Dir(self), defaultName)
 	}
 	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return "", usageError{fmt.Errorf("no %s to run at %s; build it, or name it by --%s", beside, path, flag)}
+		return "", usageError{fmt.Errorf("no %s to run at %s; build it, or name it by --%s", defaultName, path, flag)}
 	}
 	return filepath.Abs(path)
 }
@@ -75,7 +75,7 @@
 }
 
 // programs finds the programs that a scenario needs.
-func (f *runFlags) programs(s *scenario.Scenario, o *faultlab.Options) (err error) {
+func (f *runFlags) resolvePrograms(s *scenario.Scenario, o *faultlab.Options) (err error) {
 	if o.Program, err = findProgram(f.program, "relay", "relay"); err != nil {
 		return err
 	}
@@ -98,9 +98,9 @@
 }
 
 // play runs one scenario and writes its report. A void run has a summary and an error.
-func (f *runFlags) play(c *cobra.Command, s *scenario.Scenario, onStatus func(*faultlab.Status)) (*Summary, error) {
+func (f *runFlags) runScenario(c *cobra.Command, s *scenario.Scenario, onStatus func(*faultlab.Status)) (*Summary, error) {
 	o := faultlab.Options{Scenario: s, Seed: f.seed, Out: f.out, First: f.first, RetainDirs: f.retainDirs, MaxLateness: f.maxLateness, OnStatus: onStatus}
-	if err := f.programs(s, &o); err != nil {
+	if err := f.resolvePrograms(s, &o); err != nil {
 		return nil, err
 	}
 	if o.Out == "" {
@@ -134,8 +134,8 @@
 }
 
 // writeSummary writes a run's summary to its folder, and adds it to the file of several.
-func (f *runFlags) writeSummary(out string, sum *Summary) error {
-	text, err := json.MarshalIndent(sum, "", " ")
+func (f *runFlags) writeSummary(out string, summary *Summary) error {
+	text, err := json.MarshalIndent(summary, "", " ")
 	if err != nil {
 		return fmt.Errorf("summary: %w", err)
 	}
@@ -145,7 +145,7 @@
 	if f.json == "" {
 		return nil
 	}
-	return addSummary(f.json, sum)
+	return addSummary(f.json, summary)
 }
 
 // printVerdict prints the outcome of a run and returns the error of its exit code.
@@ -156,8 +156,8 @@
 	for _, step := range s.Plan {
 		fmt.Fprintln(w, "  fault", step)
 	}
-	for _, b := range s.Verdict.Violations {
-		fmt.Fprintln(w, "BROKEN", b)
+	for _, violation := range s.Verdict.Violations {
+		fmt.Fprintln(w, "BROKEN", violation)
 	}
 	if s.Scale != nil {
 		fmt.Fprintf(w, "%s seed %d in %.0f s; lab late p99 %v\n", s.Name, s.Seed, s.Took.Seconds(), s.LateP99)
@@ -165,9 +165,9 @@
 		fmt.Fprintln(w, "judged:", s.Verdict.Checked, "excused:", s.Verdict.Excused)
 		return printOutcome(w, s, err)
 	}
-	st := s.Stats
+	stats := s.Stats
 	fmt.Fprintf(w, "%s seed %d: worth served %.3f (worst 10 s %.3f), %d messages, %d delivered, %d refused, %d given up, p50 %.0f ms, p99 %.0f ms; lab late p99 %v\n",
-		s.Name, s.Seed, st.ValueServed, st.WorstWindow, st.Messages, st.Delivered, st.Rejected, st.Failed, st.P50MS, st.P99MS, s.LateP99)
+		s.Name, s.Seed, stats.ValueServed, stats.WorstWindow, stats.Messages, stats.Delivered, stats.Rejected, stats.Failed, stats.P50MS, stats.P99MS, s.LateP99)
 	fmt.Fprintln(w, "report:", filepath.Join(s.Out, "report.html"))
 	return printOutcome(w, s, err)
 }
--- a/internal/faultlab/command/run.go
+++ b/internal/faultlab/command/run.go
@@ -12,13 +12,13 @@
 func upCommand() *cobra.Command {
 	var f runFlags
 	var seconds float64
-	c := &cobra.Command{Use: "up", Short: "Start a small fleet on this machine and show how it goes, until Ctrl-C", Args: exactly(0),
+	c := &cobra.Command{Use: "up", Short: "Start a small fleet on this machine and show how it goes, until Ctrl-C", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			s := scenario.Default()
 			s.Seconds = seconds
 			fmt.Fprintf(c.OutOrStdout(), "%d relays, %d endpoints of %d destinations in zones %s, %.0f messages a second; Ctrl-C ends it with a report\n",
 				s.Fleet.Relays, s.Upstreams.Endpoints, s.Upstreams.Destinations, strings.Join(s.Fleet.Zones, ", "), s.Load.Rate)
-			sum, err := f.play(c, &s, statusLine(c.OutOrStdout()))
+			sum, err := f.runScenario(c, &s, statusLine(c.OutOrStdout()))
 			return printVerdict(c.OutOrStdout(), sum, err)
 		}}
 	f.add(c)
@@ -28,13 +28,13 @@
 
 func runCommand() *cobra.Command {
 	var f runFlags
-	c := &cobra.Command{Use: "run FILE.toml", Short: "Run one scenario and judge it", Args: exactly(1),
+	c := &cobra.Command{Use: "run FILE.toml", Short: "Run one scenario and judge it", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scenario.LoadFile(args[0])
 			if err != nil {
 				return err
 			}
-			sum, err := f.play(c, s, statusLine(c.OutOrStdout()))
+			sum, err := f.runScenario(c, s, statusLine(c.OutOrStdout()))
 			return printVerdict(c.OutOrStdout(), sum, err)
 		}}
 	f.add(c)
--- a/internal/faultlab/command/scenarios.go
+++ b/internal/faultlab/command/scenarios.go
@@ -13,7 +13,7 @@
 
 func listCommand() *cobra.Command {
 	var folder string
-	c := &cobra.Command{Use: "list", Short: "List the scenarios of a folder", Args: exactly(0),
+	c := &cobra.Command{Use: "list", Short: "List the scenarios of a folder", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			files, err := filepath.Glob(filepath.Join(folder, "*.toml"))
 			if err != nil || len(files) == 0 {
@@ -39,7 +39,7 @@
 
 func checkCommand() *cobra.Command {
 	var seed uint64
-	c := &cobra.Command{Use: "check FILE.toml", Short: "Check a scenario and show its schedule; starts nothing", Args: exactly(1),
+	c := &cobra.Command{Use: "check FILE.toml", Short: "Check a scenario and show its schedule; starts nothing", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scenario.LoadFile(args[0])
 			if err != nil {
--- a/internal/faultlab/command/summary.go
+++ b/internal/faultlab/command/summary.go
@@ -29,13 +29,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var many []*Summary
-	if json.Unmarshal(text, &many) == nil {
-		return many, nil
+	var summaries []*Summary
+	if json.Unmarshal(text, &summaries) == nil {
+		return summaries, nil
 	}
-	one := &Summary{}
-	if err := json.Unmarshal(text, one); err != nil || one.Stats == nil {
+	single := &Summary{}
+	if err := json.Unmarshal(text, single); err != nil || single.Stats == nil {
 		return nil, usageError{fmt.Errorf("%s: neither a summary nor a file that --json wrote", path)}
 	}
-	return []*Summary{one}, nil
+	return []*Summary{single}, nil
 }
--- a/internal/faultlab/command/sweep.go
+++ b/internal/faultlab/command/sweep.go
@@ -32,12 +32,12 @@
 func sweepCommand() *cobra.Command {
 	s := &sweep{}
 	var set, seeds string
-	c := &cobra.Command{Use: "sweep FILE.toml --set key=a,b,c --seeds 1-5", Short: "Run a scenario over values of one key and over seeds: a table and a plot", Args: exactly(1),
+	c := &cobra.Command{Use: "sweep FILE.toml --set key=a,b,c --seeds 1-5", Short: "Run a scenario over values of one key and over seeds: a table and a plot", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if err := s.parse(args[0], set, seeds); err != nil {
 				return err
 			}
-			all, err := s.play(c)
+			all, err := s.runAll(c)
 			if err != nil {
 				return err
 			}
@@ -81,12 +81,12 @@
 var errSweepStopped = errors.New("stopped before the sweep was whole")
 
 // play runs everything and returns the summaries by value.
-func (s *sweep) play(c *cobra.Command) (all [][]*Summary, err error) {
+func (s *sweep) runAll(c *cobra.Command) (all [][]*Summary, err error) {
 	for i, value := range s.values {
 		var runs []*Summary
 		for seed := s.firstSeed; seed <= s.lastSeed; seed++ {
 			s.run.seed, s.run.out = seed, filepath.Join(s.out, fmt.Sprintf("%s-%d", value, seed))
-			summary, err := s.run.play(c, s.scenarios[i], nil)
+			summary, err := s.run.runScenario(c, s.scenarios[i], nil)
 			if summary == nil {
 				return nil, err
 			}
@@ -104,12 +104,12 @@
 
 // seedRange parses FIRST-LAST, or a single seed.
 func seedRange(s string) (from, to uint64, err error) {
-	a, b, two := strings.Cut(s, "-")
-	if !two {
-		b = a
+	first, last, isRange := strings.Cut(s, "-")
+	if !isRange {
+		last = first
 	}
-	from, err1 := strconv.ParseUint(a, 10, 64)
-	to, err2 := strconv.ParseUint(b, 10, 64)
+	from, err1 := strconv.ParseUint(first, 10, 64)
+	to, err2 := strconv.ParseUint(last, 10, 64)
 	if err1 != nil || err2 != nil || to < from || to-from > 1000 {
 		return 0, 0, fmt.Errorf("--seeds %q: FIRST-LAST is wanted, 1,000 at most", s)
 	}
@@ -128,7 +128,7 @@
 	for i, row := range columns[0] {
 		fmt.Fprint(table, row.Name)
 		for _, column := range columns {
-			fmt.Fprint(table, "\t", spread(column[i]))
+			fmt.Fprint(table, "\t", formatSpread(column[i]))
 			if row.Name == s.figure {
 				plotted = append(plotted, column[i].Values)
 			}
@@ -137,7 +137,7 @@
 	}
 	fmt.Fprint(table, "runs with a broken promise")
 	for _, runs := range all {
-		fmt.Fprint(table, "\t", brokenRuns(runs))
+		fmt.Fprint(table, "\t", countViolatedRuns(runs))
 	}
 	fmt.Fprintln(table)
 	if err := table.Flush(); err != nil {
--- a/internal/faultlab/controllers.go
+++ b/internal/faultlab/controllers.go
@@ -36,7 +36,7 @@
 	links  []*link.Link // to the nodes
 	log    *os.File
 
-	busy sync.Mutex // held by the fault that strikes its process
+	faultMu sync.Mutex // held by the fault that strikes its process
 
 	mu      sync.Mutex
 	process *process.Process
@@ -173,11 +173,11 @@
 			errs = append(errs, err)
 		case !ok:
 		case step.outcome != "":
-			s.answer(step.outcome, step.at.Add(logPrecision).UnixMicro())
+			s.answer(step.outcome, step.loggedAt.Add(logPrecision).UnixMicro())
 		default:
 			s.answer(history.StepUnanswered, 0)
 			s.requested = &history.Event{Kind: history.RoleStep, Relay: s.controller, Text: leader.Counter,
-				Status: step.count, ValidFor: step.token, SentAt: step.at.UnixMicro()}
+				Status: step.count, ValidFor: step.token, SentAt: step.loggedAt.UnixMicro()}
 		}
 	}
 	s.answer(history.StepUnanswered, 0)
@@ -185,11 +185,11 @@
 }
 
 // answer records the requested step, if there is one, with its outcome.
-func (s *stepReader) answer(outcome string, at int64) {
+func (s *stepReader) answer(outcome string, answeredAt int64) {
 	if s.requested == nil {
 		return
 	}
-	s.requested.Phase, s.requested.DueAt = outcome, at
+	s.requested.Phase, s.requested.DueAt = outcome, answeredAt
 	s.record(*s.requested)
 	s.requested = nil
 }
--- a/internal/faultlab/fault_controller.go
+++ b/internal/faultlab/fault_controller.go
@@ -11,13 +11,13 @@
 	"plovershore/internal/registry"
 )
 
-// strikeControllers carries out a step on controllers.
-func (g *group) strikeControllers(ctx context.Context, step Step) error {
+// injectControllerFaults carries out a step on controllers.
+func (g *group) injectControllerFaults(ctx context.Context, step Step) error {
 	targets := step.Targets
 	if step.Fault.Node == scenario.NodeHolder {
 		targets = g.leadersOf(ctx, cmp.Or(step.Fault.Role, leader.Counter))
 	}
-	return g.run.forEach(targets, func(i int) error { return g.strikeController(ctx, step, g.controllers[i]) })
+	return g.run.forEach(targets, func(i int) error { return g.injectControllerFault(ctx, step, g.controllers[i]) })
 }
 
 // leadersOf is the controller that leads a role, by number; none if there is none,
@@ -40,10 +40,10 @@
 	return leaders
 }
 
-// strikeController carries out a step on one controller.
-func (g *group) strikeController(ctx context.Context, step Step, c *controller) error {
-	c.busy.Lock()
-	defer c.busy.Unlock()
+// injectControllerFault carries out a step on one controller.
+func (g *group) injectControllerFault(ctx context.Context, step Step, c *controller) error {
+	c.faultMu.Lock()
+	defer c.faultMu.Unlock()
 	if ctx.Err() != nil {
 		return nil
 	}
--- a/internal/faultlab/fault_evacuation.go
+++ b/internal/faultlab/fault_evacuation.go
@@ -16,10 +16,10 @@
 	evacuationFraction = 0.5 // of endpoints that each destination retains, likewise
 )
 
-// strikeEvacuate has the controllers drain a zone, one endpoint after the other, and
+// runEvacuation has the controllers drain a zone, one endpoint after the other, and
 // return it when the fault is to be undone. Both have to be done before the run
 // ends, with every endpoint up again.
-func (r *run) strikeEvacuate(ctx context.Context, step Step) error {
+func (r *run) runEvacuation(ctx context.Context, step Step) error {
 	fault := &step.Fault
 	o := &operation{group: r.group, kind: zones.Role, name: fmt.Sprintf("%s-%d", fault.Zone, step.At.Milliseconds())}
 	spec := zones.Spec{Zone: fault.Zone, Rate: cmp.Or(fault.Rate, evacuationRate), MinFraction: cmp.Or(fault.Factor, evacuationFraction)}
@@ -37,7 +37,7 @@
 		return err
 	}
 	var members []registry.Member
-	if _, err := r.group.client.Do(ctx, http.MethodGet, registry.MembersPath+consistent, nil, &members); err != nil {
+	if _, err := r.group.client.Do(ctx, http.MethodGet, registry.MembersPath+consistentQuery, nil, &members); err != nil {
 		return fmt.Errorf("lab: evacuate: %w", err)
 	}
 	for _, m := range members {
--- a/internal/faultlab/fault_failover.go
+++ b/internal/faultlab/fault_failover.go
@@ -42,26 +42,26 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// strikeFailover loses a relay, as its operators see it: they have the controllers
+// runFailover loses a relay, as its operators see it: they have the controllers
 // migrate its messages, which has to be done before the run ends. Later the relay
 // comes back all the same, with the state that it had.
-func (r *run) strikeFailover(ctx context.Context, step Step, x *relay) error {
-	x.shutdown(false)
+func (r *run) runFailover(ctx context.Context, step Step, target *relay) error {
+	target.shutdown(false)
 	var idempotent []string
 	for _, class := range model.Classes() {
 		if !class.NonIdempotent {
 			idempotent = append(idempotent, class.Name)
 		}
 	}
-	o := &operation{group: r.group, kind: failover.Role, name: fmt.Sprintf("%s-%d", x.name, step.At.Milliseconds())}
-	spec := failover.Spec{Folder: x.stateDir(), DiskMB: r.scenario.Fleet.DiskMB, IdempotentClasses: idempotent}
+	o := &operation{group: r.group, kind: failover.Role, name: fmt.Sprintf("%s-%d", target.name, step.At.Milliseconds())}
+	spec := failover.Spec{Folder: target.stateDir(), DiskMB: r.scenario.Fleet.DiskMB, IdempotentClasses: idempotent}
 	if err := o.run(ctx, spec); err != nil {
 		return err
 	}
 	if err := o.await(ctx, isDone); err != nil {
 		return err
 	}
-	r.recorder.Record(history.Event{Kind: history.FailoverFinished, Relay: x.name, Text: string(o.last.Progress)})
+	r.recorder.Record(history.Event{Kind: history.FailoverFinished, Relay: target.name, Text: string(o.last.Progress)})
 	r.waitUntilUndone(ctx, step)
-	return x.start()
+	return target.start()
 }
--- a/internal/faultlab/fault_link.go
+++ b/internal/faultlab/fault_link.go
@@ -7,8 +7,8 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// strikeLinks cuts, delays, throttles or resets links between relays and endpoints.
-func (r *run) strikeLinks(ctx context.Context, step Step) {
+// injectLinkFault cuts, delays, throttles or resets links between relays and endpoints.
+func (r *run) injectLinkFault(ctx context.Context, step Step) {
 	links := r.targetLinks(step)
 	switch step.Fault.Kind {
 	case scenario.FaultReset:
--- a/internal/faultlab/fault_node.go
+++ b/internal/faultlab/fault_node.go
@@ -11,7 +11,7 @@
 )
 
 // strike carries out a step on the list service.
-func (g *group) strike(ctx context.Context, step Step) error {
+func (g *group) injectServiceFault(ctx context.Context, step Step) error {
 	switch step.Fault.Kind {
 	case scenario.FaultExpiry:
 		g.setMuted(step.Targets, true)
@@ -22,13 +22,13 @@
 		g.restore(ctx, step)
 		return nil
 	}
-	return g.run.forEach(g.targets(step), func(i int) error { return g.strikeNode(ctx, step, g.nodes[i]) })
+	return g.run.forEach(g.targets(step), func(i int) error { return g.injectNodeFault(ctx, step, g.nodes[i]) })
 }
 
-// strikeNode carries out a step on one node.
-func (g *group) strikeNode(ctx context.Context, step Step, n *node) error {
-	n.busy.Lock()
-	defer n.busy.Unlock()
+// injectNodeFault carries out a step on one node.
+func (g *group) injectNodeFault(ctx context.Context, step Step, n *node) error {
+	n.faultMu.Lock()
+	defer n.faultMu.Unlock()
 	switch step.Fault.Kind {
 	case scenario.FaultNodeKill:
 		n.signal(syscall.SIGKILL)
@@ -64,11 +64,11 @@
 	case scenario.NodeLeader, scenario.NodeFollower:
 		return nil
 	case scenario.NodeAll:
-		all := make([]int, len(g.nodes))
-		for i := range all {
-			all[i] = i
+		numbers := make([]int, len(g.nodes))
+		for i := range numbers {
+			numbers[i] = i
 		}
-		return all
+		return numbers
 	}
 	return step.Targets
 }
--- a/internal/faultlab/fault_relay.go
+++ b/internal/faultlab/fault_relay.go
@@ -17,111 +17,111 @@
 
 const (
 	restartDelay = 600 * time.Millisecond // of a relay whose process ended
-	olderBy      = time.Second            // that an older state lies back
+	backupAge    = time.Second            // that an older state lies back
 )
 
-// strikeRelay carries out a step on one relay.
-func (r *run) strikeRelay(ctx context.Context, step Step, x *relay) error {
+// injectRelayFault carries out a step on one relay.
+func (r *run) injectRelayFault(ctx context.Context, step Step, target *relay) error {
 	if step.Fault.Kind == scenario.FaultClock { // beside other faults, and while no process runs
-		return r.strikeClock(ctx, step, x)
+		return r.stepClock(ctx, step, target)
 	}
-	x.busy.Lock() // one fault at a time on a relay's process
-	defer x.busy.Unlock()
+	target.faultMu.Lock() // one fault at a time on a relay's process
+	defer target.faultMu.Unlock()
 	if ctx.Err() != nil {
 		return nil
 	}
 	switch step.Fault.Kind {
 	case scenario.FaultSuspend:
-		r.suspend(ctx, step, x)
+		r.suspend(ctx, step, target)
 		return nil
 	case scenario.FaultFailover:
-		return r.strikeFailover(ctx, step, x)
+		return r.runFailover(ctx, step, target)
 	case scenario.FaultHangUp:
-		return r.rebindDiscovery(x)
+		return r.rebindDiscovery(target)
 	case scenario.FaultUpgrade:
-		return x.upgrade(ctx)
+		return target.upgrade(ctx)
 	}
-	return r.restart(ctx, step, x)
+	return r.restart(ctx, step, target)
 }
 
 // suspend stops a relay's process for a while.
-func (r *run) suspend(ctx context.Context, step Step, x *relay) {
-	if _, sent := x.signal(syscall.SIGSTOP); !sent {
+func (r *run) suspend(ctx context.Context, step Step, target *relay) {
+	if _, sent := target.signal(syscall.SIGSTOP); !sent {
 		return
 	}
-	r.clients.RelayDown(r.ctx, x.name)
+	r.clients.RelayDown(r.ctx, target.name)
 	r.waitUntilUndone(ctx, step)
-	if _, sent := x.signal(syscall.SIGCONT); sent {
-		r.clients.RelayUp(x.name)
+	if _, sent := target.signal(syscall.SIGCONT); sent {
+		r.clients.RelayUp(target.name)
 	}
 }
 
 // rebindDiscovery gives a relay's agent a new address, and notifies the relay by SIGHUP.
-func (r *run) rebindDiscovery(x *relay) error {
-	if err := x.agent.Rebind(r.ctx); err != nil {
+func (r *run) rebindDiscovery(target *relay) error {
+	if err := target.agent.Rebind(r.ctx); err != nil {
 		return err
 	}
-	if _, err := x.configure(); err != nil {
+	if _, err := target.configure(); err != nil {
 		return err
 	}
-	x.signal(syscall.SIGHUP)
+	target.signal(syscall.SIGHUP)
 	return nil
 }
 
 // restart ends a relay's process, changes its state directory as the fault says,
 // and starts the next process.
-func (r *run) restart(ctx context.Context, step Step, x *relay) error {
+func (r *run) restart(ctx context.Context, step Step, target *relay) error {
 	fault := &step.Fault
-	copied, copiedAt := filepath.Join(x.dir, "older"), r.recorder.Now()
+	backupDir, backupAt := filepath.Join(target.dir, "older"), r.recorder.Now()
 	if fault.Folder == scenario.FolderOlder {
-		if err := copyDir(x.stateDir(), copied); err != nil {
+		if err := copyDir(target.stateDir(), backupDir); err != nil {
 			return err
 		}
-		model.Sleep(ctx, olderBy)
+		model.Sleep(ctx, backupAge)
 	}
-	x.shutdown(fault.Kind == scenario.FaultTerm)
-	change, err := r.changeState(step, x, copied)
+	target.shutdown(fault.Kind == scenario.FaultTerm)
+	change, err := r.changeState(step, target, backupDir)
 	if err != nil {
 		return err
 	}
 	if change != "" {
-		r.recorder.Record(history.Event{Kind: history.FolderChanged, Relay: x.name, Text: change, DueAt: copiedAt})
+		r.recorder.Record(history.Event{Kind: history.FolderChanged, Relay: target.name, Text: change, DueAt: backupAt})
 	}
 	delay := restartDelay
 	if fault.For > 0 {
 		delay = scenario.Seconds(fault.For)
 	}
 	model.Sleep(ctx, delay)
-	return x.start()
+	return target.start()
 }
 
 // changeState changes the state directory of a relay that is down, and returns the
 // text of the change in the history; empty for none.
-func (r *run) changeState(step Step, x *relay, copied string) (change string, err error) {
+func (r *run) changeState(step Step, target *relay, backupDir string) (change string, err error) {
 	switch {
 	case step.Fault.Folder == scenario.FolderLost:
-		return history.FolderLost, r.loseState(x)
+		return history.FolderLost, r.loseState(target)
 	case step.Fault.Folder == scenario.FolderOlder:
-		if err := errors.Join(os.RemoveAll(x.stateDir()), os.Rename(copied, x.stateDir())); err != nil {
-			return "", fmt.Errorf("folder of %s: %w", x.name, err)
+		if err := errors.Join(os.RemoveAll(target.stateDir()), os.Rename(backupDir, target.stateDir())); err != nil {
+			return "", fmt.Errorf("folder of %s: %w", target.name, err)
 		}
 		return history.FolderOlder, nil
 	case step.Fault.Corrupts():
-		return corruptFile(filepath.Join(x.stateDir(), step.Fault.File), step.Fault.Kind, step.random(x.number))
+		return corruptFile(filepath.Join(target.stateDir(), step.Fault.File), step.Fault.Kind, step.random(target.number))
 	}
 	return "", nil
 }
 
 // loseState removes a relay's state; the clients submit its pending messages again
 // where that is safe.
-func (r *run) loseState(x *relay) error {
-	if err := os.RemoveAll(x.stateDir()); err != nil {
-		return fmt.Errorf("folder of %s: %w", x.name, err)
+func (r *run) loseState(target *relay) error {
+	if err := os.RemoveAll(target.stateDir()); err != nil {
+		return fmt.Errorf("folder of %s: %w", target.name, err)
 	}
-	if err := os.Mkdir(x.stateDir(), 0o700); err != nil {
-		return fmt.Errorf("folder of %s: %w", x.name, err)
+	if err := os.Mkdir(target.stateDir(), 0o700); err != nil {
+		return fmt.Errorf("folder of %s: %w", target.name, err)
 	}
-	for _, m := range r.world.Ledger.Pending(x.name, time.Now()) {
+	for _, m := range r.world.Ledger.Pending(target.name, time.Now()) {
 		r.world.Ledger.Complete(m.ID)
 		if !model.Classes()[m.Class].NonIdempotent {
 			r.clients.Resubmit(r.ctx, m)
@@ -130,23 +130,23 @@
 	return nil
 }
 
-// strikeClock steps the wall clock of a relay's machine, and back if the fault is to
+// stepClock steps the wall clock of a relay's machine, and back if the fault is to
 // be undone.
-func (r *run) strikeClock(ctx context.Context, step Step, x *relay) error {
-	by := millis(step.Fault.MS)
+func (r *run) stepClock(ctx context.Context, step Step, target *relay) error {
+	offset := millis(step.Fault.MS)
 	switch step.Fault.Direction {
 	case scenario.DirectionBack:
-		by = -by
+		offset = -offset
 	case scenario.DirectionBoth:
-		if step.random(x.number).IntN(2) == 0 {
-			by = -by
+		if step.random(target.number).IntN(2) == 0 {
+			offset = -offset
 		}
 	}
-	if err := x.wall.Step(by); err != nil || step.Fault.For == 0 {
+	if err := target.wall.Step(offset); err != nil || step.Fault.For == 0 {
 		return err
 	}
 	r.waitUntilUndone(ctx, step)
-	return x.wall.Step(-by)
+	return target.wall.Step(-offset)
 }
 
 // random returns what the step draws from for one target.
--- a/internal/faultlab/fault_rollout.go
+++ b/internal/faultlab/fault_rollout.go
@@ -59,8 +59,8 @@
 func (p rolloutProgram) Restart(ctx context.Context) (pid int, err error) {
 	p.waves.enter(p.wave)
 	defer p.waves.leave(p.wave)
-	p.relay.busy.Lock()
-	defer p.relay.busy.Unlock()
+	p.relay.faultMu.Lock()
+	defer p.relay.faultMu.Unlock()
 	// A second restart of a relay is a second step of this name, which a rule forbids.
 	p.waves.run.recorder.Record(history.Event{Kind: history.RoleStep, Relay: p.relay.name, Text: "rollout " + p.relay.name, Status: 1})
 	if err := p.relay.upgrade(ctx); err != nil {
@@ -69,18 +69,18 @@
 	return p.relay.currentProcess().PID, nil
 }
 
-// strikeRollout has the controllers restart all relays in waves, which has to be
+// runRollout has the controllers restart all relays in waves, which has to be
 // done before the run ends. Each relay has a runner on its machine.
-func (r *run) strikeRollout(ctx context.Context) error {
-	second := max(1, len(r.relays)/waveFraction)
-	plan := rollout.Plan{Waves: []int{1, second}, Parallelism: 2, ReadyTimeout: 10, SettleTime: 0.5, SettleTimeout: 8, MaxRejected: 0.9, MaxPending: 1000}
+func (r *run) runRollout(ctx context.Context) error {
+	secondWave := max(1, len(r.relays)/waveFraction)
+	plan := rollout.Plan{Waves: []int{1, secondWave}, Parallelism: 2, ReadyTimeout: 10, SettleTime: 0.5, SettleTimeout: 8, MaxRejected: 0.9, MaxPending: 1000}
 	waves := &rolloutWaves{run: r, open: map[int]int{}}
 	for i, relay := range r.relays {
 		wave := 2
 		switch {
 		case i == 0:
 			wave = 0
-		case i <= second:
+		case i <= secondWave:
 			wave = 1
 		}
 		addr := r.address()
--- a/internal/faultlab/fault_upstream.go
+++ b/internal/faultlab/fault_upstream.go
@@ -9,8 +9,8 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// strikeEndpoint carries out a step on one endpoint.
-func (r *run) strikeEndpoint(ctx context.Context, step Step, number int) error {
+// injectEndpointFault carries out a step on one endpoint.
+func (r *run) injectEndpointFault(ctx context.Context, step Step, number int) error {
 	endpoint := r.endpoints[number]
 	switch step.Fault.Kind {
 	case scenario.FaultDown: // its process died: connections are reset, new ones refused
@@ -26,7 +26,7 @@
 		r.waitUntilUndone(ctx, step)
 		endpoint.SetFault(model.Fault{})
 	case scenario.FaultDrain:
-		r.drain(ctx, step, endpoint)
+		r.drainEndpoint(ctx, step, endpoint)
 	}
 	return nil
 }
@@ -41,7 +41,7 @@
 }
 
 // drain has an endpoint drain, be removed half way through the step, and come back.
-func (r *run) drain(ctx context.Context, step Step, endpoint *model.Endpoint) {
+func (r *run) drainEndpoint(ctx context.Context, step Step, endpoint *model.Endpoint) {
 	maxDelay := scenario.Seconds(r.scenario.Discovery.MaxDelaySeconds)
 	r.changeEndpoint(endpoint, model.Draining, maxDelay)
 	firstHalf := step
@@ -63,8 +63,8 @@
 	}
 }
 
-// strikeUpstreams carries out a step on whole upstreams.
-func (r *run) strikeUpstreams(ctx context.Context, step Step) {
+// injectUpstreamFault carries out a step on whole upstreams.
+func (r *run) injectUpstreamFault(ctx context.Context, step Step) {
 	factor := step.Fault.Factor
 	if factor <= 0 {
 		factor = 1
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -17,7 +17,7 @@
 
 // inject carries out the plan, each step at its moment, and undoes what is to be
 // undone; what is still active when ctx ends is undone then.
-func (r *run) inject(ctx context.Context, plan []Step) {
+func (r *run) injectFaults(ctx context.Context, plan []Step) {
 	for _, step := range plan {
 		due := r.began.Add(step.At)
 		if !model.Sleep(ctx, time.Until(due)) {
@@ -26,7 +26,7 @@
 		r.lateness.record(time.Since(due))
 		r.start(func() {
 			r.recorder.Record(history.Event{Kind: history.Fault, Text: step.String(), Active: true})
-			r.failure.set(r.strike(ctx, step))
+			r.failure.set(r.injectStep(ctx, step))
 			r.recorder.Record(history.Event{Kind: history.Fault, Text: step.String()})
 		})
 	}
@@ -42,32 +42,32 @@
 }
 
 // strike carries out one step and returns when it is undone.
-func (r *run) strike(ctx context.Context, step Step) error {
+func (r *run) injectStep(ctx context.Context, step Step) error {
 	switch scenario.Targets[step.Fault.Kind] {
 	case scenario.TargetRelay:
-		return r.forEach(step.Targets, func(i int) error { return r.strikeRelay(ctx, step, r.relays[i]) })
+		return r.forEach(step.Targets, func(i int) error { return r.injectRelayFault(ctx, step, r.relays[i]) })
 	case scenario.TargetLink:
-		r.strikeLinks(ctx, step)
+		r.injectLinkFault(ctx, step)
 	case scenario.TargetEndpoint:
-		return r.forEach(step.Targets, func(i int) error { return r.strikeEndpoint(ctx, step, i) })
+		return r.forEach(step.Targets, func(i int) error { return r.injectEndpointFault(ctx, step, i) })
 	case scenario.TargetUpstream:
-		r.strikeUpstreams(ctx, step)
+		r.injectUpstreamFault(ctx, step)
 	case scenario.TargetFleet:
-		return r.strikeRollout(ctx)
+		return r.runRollout(ctx)
 	case scenario.TargetZone:
-		return r.strikeEvacuate(ctx, step)
+		return r.runEvacuation(ctx, step)
 	case scenario.TargetController:
-		return r.group.strikeControllers(ctx, step)
+		return r.group.injectControllerFaults(ctx, step)
 	case scenario.TargetNode, scenario.TargetRegistration, scenario.TargetGroup:
-		return r.group.strike(ctx, step)
+		return r.group.injectServiceFault(ctx, step)
 	case scenario.TargetDiscovery:
-		r.strikeDiscovery(ctx, step)
+		r.injectDiscoveryFault(ctx, step)
 	}
 	return nil
 }
 
-// strikeDiscovery limits discovery's rate, or silences the agents of some relays.
-func (r *run) strikeDiscovery(ctx context.Context, step Step) {
+// injectDiscoveryFault limits discovery's rate, or silences the agents of some relays.
+func (r *run) injectDiscoveryFault(ctx context.Context, step Step) {
 	if step.Fault.Kind == scenario.FaultRateLimit {
 		r.discovery.LimitRate(max(step.Fault.Rate, minDiscoveryRate))
 		r.waitUntilUndone(ctx, step)
--- a/internal/faultlab/group.go
+++ b/internal/faultlab/group.go
@@ -60,7 +60,7 @@
 		}
 	}
 	var err error
-	if g.client, err = client.New(g.proxies(), len(r.endpoints)+len(g.nodes), slog.New(slog.DiscardHandler)); err != nil {
+	if g.client, err = client.New(g.proxyAddrs(), len(r.endpoints)+len(g.nodes), slog.New(slog.DiscardHandler)); err != nil {
 		return g, err
 	}
 	if err := g.registerAll(ctx); err != nil {
@@ -82,7 +82,7 @@
 }
 
 // proxies are the addresses at which clients reach the nodes.
-func (g *group) proxies() (addrs []string) {
+func (g *group) proxyAddrs() (addrs []string) {
 	for _, n := range g.nodes {
 		addrs = append(addrs, n.proxy.Addr())
 	}
@@ -123,26 +123,26 @@
 
 // startAgent runs the agent of one relay and the lab's proxy before it, and waits
 // until it has the list.
-func (g *group) startAgent(ctx context.Context, x *relay, onNotice model.NoticeFunc) (*agentProxy, error) {
+func (g *group) startAgent(ctx context.Context, relay *relay, onNotice model.NoticeFunc) (*agentProxy, error) {
 	links := map[string]string{}
 	for i, endpoint := range g.run.endpoints {
-		links[endpoint.ID] = x.links[i].Addr()
+		links[endpoint.ID] = relay.links[i].Addr()
 	}
 	addr := g.run.address()
-	args := []string{"agent", "--listen", addr, "--folder", filepath.Join(x.dir, "agent"),
-		"--nodes", strings.Join(g.proxies(), ","), "--fleet", strconv.Itoa(len(g.run.relays) + 1)}
-	p, err := process.Start(x.name+"-agent", g.run.opts.Registry, args, nil, x.agentLog)
+	args := []string{"agent", "--listen", addr, "--folder", filepath.Join(relay.dir, "agent"),
+		"--nodes", strings.Join(g.proxyAddrs(), ","), "--fleet", strconv.Itoa(len(g.run.relays) + 1)}
+	p, err := process.Start(relay.name+"-agent", g.run.opts.Registry, args, nil, relay.agentLog)
 	if err != nil {
 		return nil, err
 	}
-	x.agentProc = p
-	proxy, err := newAgentProxy(x.name, g.run.ip, addr, links, g.run.recorder, onNotice)
+	relay.agentProc = p
+	proxy, err := newAgentProxy(relay.name, g.run.ip, addr, links, g.run.recorder, onNotice)
 	if err != nil {
 		return nil, err
 	}
-	for end := time.Now().Add(groupTimeout); len(proxy.Known().Members) < len(g.run.endpoints); {
-		if time.Now().After(end) || !model.Sleep(ctx, agentPoll) {
-			return proxy, fmt.Errorf("lab: the agent of %s has no list; see %s", x.name, x.agentLog.Name())
+	for deadline := time.Now().Add(groupTimeout); len(proxy.Known().Members) < len(g.run.endpoints); {
+		if time.Now().After(deadline) || !model.Sleep(ctx, agentPoll) {
+			return proxy, fmt.Errorf("lab: the agent of %s has no list; see %s", relay.name, relay.agentLog.Name())
 		}
 	}
 	return proxy, nil
--- a/internal/faultlab/group_clients.go
+++ b/internal/faultlab/group_clients.go
@@ -28,7 +28,7 @@
 	registerValues   = 60000 // a cell is less
 
 	heartbeatsInTTL = 3
-	consistent      = "?consistent=1" // query of a linearizable read
+	consistentQuery = "?consistent=1" // query of a linearizable read
 )
 
 // register puts an endpoint on the list.
@@ -70,7 +70,7 @@
 
 // serve sends heartbeats for the endpoints, and runs the watchers and the clients of
 // the register, until ctx ends.
-func (g *group) serve(ctx context.Context) {
+func (g *group) runClients(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	start := func(work func()) {
@@ -82,7 +82,7 @@
 		start(func() { g.watch(ctx, i) })
 	}
 	for i := range registerClients {
-		start(func() { g.useRegister(ctx, i) })
+		start(func() { g.runRegisterClient(ctx, i) })
 	}
 }
 
@@ -128,9 +128,9 @@
 
 // watch follows the list as an agent does, beginning at one node, and records what
 // it receives.
-func (g *group) watch(ctx context.Context, first int) {
-	addrs := g.proxies()
-	c, err := client.New(append(addrs[first:len(addrs):len(addrs)], addrs[:first]...), len(g.nodes), slog.New(slog.DiscardHandler))
+func (g *group) watch(ctx context.Context, firstNode int) {
+	addrs := g.proxyAddrs()
+	c, err := client.New(append(addrs[firstNode:len(addrs):len(addrs)], addrs[:firstNode]...), len(g.nodes), slog.New(slog.DiscardHandler))
 	if err != nil {
 		g.run.failure.set(err)
 		return
@@ -141,7 +141,7 @@
 		if update.Complete {
 			phase = history.ListComplete
 		}
-		g.run.recorder.Record(history.Event{Kind: history.ListUpdate, Relay: fmt.Sprint("watcher-", first+1), Text: update.Epoch,
+		g.run.recorder.Record(history.Event{Kind: history.ListUpdate, Relay: fmt.Sprint("watcher-", firstNode+1), Text: update.Epoch,
 			DueAt: update.Revision, Phase: phase, FirstMessage: hashMembers(update.Members)})
 	}, func(bool) {})
 }
@@ -155,13 +155,13 @@
 	return strconv.FormatUint(hash.Sum64(), 16)
 }
 
-// useRegister writes and reads the register, one operation after the other, until
+// runRegisterClient writes and reads the register, one operation after the other, until
 // ctx ends.
-func (g *group) useRegister(ctx context.Context, number int) {
+func (g *group) runRegisterClient(ctx context.Context, number int) {
 	random := newRandom(g.run.seed, fmt.Sprint("probe ", number))
 	for model.Sleep(ctx, registerInterval) {
 		e := history.Event{Kind: history.RegisterOperation, Relay: fmt.Sprint("probe-", number+1), DueAt: g.run.recorder.Now()}
-		if err := g.operate(ctx, random, &e); err == nil {
+		if err := g.runRegisterOperation(ctx, random, &e); err == nil {
 			e.Status = 1 // otherwise it may or may not have taken effect
 		}
 		g.run.recorder.Record(e)
@@ -169,7 +169,7 @@
 }
 
 // operate draws and carries out one operation on the register.
-func (g *group) operate(ctx context.Context, random *rand.Rand, e *history.Event) error {
+func (g *group) runRegisterOperation(ctx context.Context, random *rand.Rand, e *history.Event) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	if random.IntN(2) == 0 {
@@ -180,7 +180,7 @@
 	}
 	e.Text = history.OpRead
 	var members []registry.Member
-	_, err := g.client.Do(ctx, http.MethodGet, registry.MembersPath+consistent, nil, &members)
+	_, err := g.client.Do(ctx, http.MethodGet, registry.MembersPath+consistentQuery, nil, &members)
 	for _, m := range members {
 		if m.ID == registerID {
 			e.ValidFor = int64(m.Cell)
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -95,7 +95,7 @@
 	r := newRun(o, ip, recorder)
 	defer r.stop()
 	plan := Plan(o.Scenario, o.Seed)
-	err = r.play(ctx, plan)
+	err = r.execute(ctx, plan)
 	r.close()
 	if err = errors.Join(err, r.failure.get(), recorder.Close()); err != nil {
 		return nil, err
--- a/internal/faultlab/lateness.go
+++ b/internal/faultlab/lateness.go
@@ -12,7 +12,7 @@
 
 const (
 	latenessInterval = 10 * time.Millisecond // between two measurements
-	standstill       = time.Second           // a longer lateness is counted once
+	stallThreshold   = time.Second           // a longer lateness is counted once
 	maxRecorded      = time.Minute           // later counts as this
 	histogramDigits  = 3
 )
@@ -48,7 +48,7 @@
 	for due := time.Now().Add(latenessInterval); model.Sleep(ctx, time.Until(due)); due = due.Add(latenessInterval) {
 		late := time.Since(due)
 		l.record(late)
-		if late > standstill {
+		if late > stallThreshold {
 			due = time.Now()
 		}
 	}
--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -69,10 +69,10 @@
 
 // counterStep is one line of the controller's log about a counter step.
 type counterStep struct {
-	at      time.Time
-	count   int
-	token   int64
-	outcome string // history.Counted or history.Fenced; empty for a request
+	loggedAt time.Time
+	count    int
+	token    int64
+	outcome  string // history.Counted or history.Fenced; empty for a request
 }
 
 // parseCounterStep reads a log line; ok is false for a line about something else.
@@ -87,7 +87,7 @@
 	if err := errors.Join(timeErr, countErr, tokenErr); err != nil {
 		return counterStep{}, true, fmt.Errorf("controller log line %q: %w", line, err)
 	}
-	return counterStep{at: at, count: count, token: token, outcome: stepOutcomes[strings.Trim(fields[2], `"`)]}, true, nil
+	return counterStep{loggedAt: at, count: count, token: token, outcome: stepOutcomes[strings.Trim(fields[2], `"`)]}, true, nil
 }
 
 // isEvacuated reports whether an operation's message says that its zone is drained.
--- a/internal/faultlab/logparse_test.go
+++ b/internal/faultlab/logparse_test.go
@@ -27,7 +27,7 @@
 		if err != nil || ok != want.ok || step.outcome != want.outcome {
 			t.Errorf("%s: %+v, %v, %v; want %+v", line, step, ok, err, want)
 		}
-		if ok && (step.count != 7 || step.token != 3 || step.at.UnixMilli()%1000 != 250) {
+		if ok && (step.count != 7 || step.token != 3 || step.loggedAt.UnixMilli()%1000 != 250) {
 			t.Errorf("%s: %+v", line, step)
 		}
 	}
--- a/internal/faultlab/node.go
+++ b/internal/faultlab/node.go
@@ -27,7 +27,7 @@
 	peers  []*link.Link // to the Raft address of each other node; nil at its own place
 	log    *os.File
 
-	busy sync.Mutex // held by the fault that strikes its process
+	faultMu sync.Mutex // held by the fault that strikes its process
 
 	mu      sync.Mutex
 	process *process.Process
@@ -90,8 +90,8 @@
 	if err := os.WriteFile(path, []byte(n.config()), 0o600); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	drill := scenario.RoundRobin(r.scenario.Registry.NodeClocks, n.number)
-	p, err := process.Start(n.name, r.opts.Registry, []string{"serve", "--config", path, "--drill-clock", drill}, nil, n.log)
+	drillClock := scenario.RoundRobin(r.scenario.Registry.NodeClocks, n.number)
+	p, err := process.Start(n.name, r.opts.Registry, []string{"serve", "--config", path, "--drill-clock", drillClock}, nil, n.log)
 	if err != nil {
 		return err
 	}
--- a/internal/faultlab/operation.go
+++ b/internal/faultlab/operation.go
@@ -42,11 +42,11 @@
 
 // refresh reads the state; without an answer the last one stays.
 func (o *operation) refresh(ctx context.Context) {
-	var all []registry.Operation
-	if _, err := o.group.client.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &all); err != nil {
+	var operations []registry.Operation
+	if _, err := o.group.client.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &operations); err != nil {
 		return
 	}
-	for _, current := range all {
+	for _, current := range operations {
 		if current.Kind == o.kind && current.Name == o.name {
 			o.last = current
 		}
--- a/internal/faultlab/plan.go
+++ b/internal/faultlab/plan.go
@@ -61,8 +61,8 @@
 	var steps []Step
 	for i, fault := range s.Faults {
 		random := newRandom(seed, fmt.Sprintf("fault %d", i))
-		for at := fault.At; at < s.Seconds; at += fault.Every {
-			steps = append(steps, planFault(s, fleet, fault, at, random)...)
+		for startSeconds := fault.At; startSeconds < s.Seconds; startSeconds += fault.Every {
+			steps = append(steps, planFault(s, fleet, fault, startSeconds, random)...)
 			if fault.Every <= 0 {
 				break
 			}
@@ -73,16 +73,16 @@
 }
 
 // planFault draws the targets of one fault, and when each is struck.
-func planFault(s *scenario.Scenario, fleet *fleetPlan, fault scenario.Fault, at float64, random *rand.Rand) []Step {
+func planFault(s *scenario.Scenario, fleet *fleetPlan, fault scenario.Fault, startSeconds float64, random *rand.Rand) []Step {
 	targets := possibleTargets(s, fleet, &fault)
 	if fault.Fraction > 0 && len(targets) > 0 {
 		random.Shuffle(len(targets), func(a, b int) { targets[a], targets[b] = targets[b], targets[a] })
 		targets = targets[:max(1, int(math.Round(fault.Fraction*float64(len(targets)))))]
 		slices.Sort(targets)
 	}
-	step := Step{At: scenario.Seconds(at), Fault: fault, Targets: targets}
+	step := Step{At: scenario.Seconds(startSeconds), Fault: fault, Targets: targets}
 	if fault.For > 0 {
-		step.Until = scenario.Seconds(at + fault.For)
+		step.Until = scenario.Seconds(startSeconds + fault.For)
 	}
 	if fault.Spread <= 0 || len(targets) < 2 {
 		step.Draw = random.Uint64()
@@ -90,19 +90,19 @@
 	}
 	var steps []Step
 	for i, target := range targets {
-		single, later := step, scenario.Seconds(fault.Spread*float64(i)/float64(len(targets)))
-		single.At, single.Targets, single.Draw = step.At+later, []int{target}, random.Uint64()
+		targetStep, offset := step, scenario.Seconds(fault.Spread*float64(i)/float64(len(targets)))
+		targetStep.At, targetStep.Targets, targetStep.Draw = step.At+offset, []int{target}, random.Uint64()
 		if step.Until > 0 {
-			single.Until = step.Until + later
+			targetStep.Until = step.Until + offset
 		}
-		steps = append(steps, single)
+		steps = append(steps, targetStep)
 	}
 	return steps
 }
 
 // possibleTargets are what a fault may strike, by number.
 func possibleTargets(s *scenario.Scenario, fleet *fleetPlan, fault *scenario.Fault) []int {
-	anyOne := func(int) bool { return true }
+	always := func(int) bool { return true }
 	isKind := func(upstream int) bool {
 		return len(fault.Kinds) == 0 || slices.Contains(fault.Kinds, fleet.upstreams[upstream].kind)
 	}
@@ -111,9 +111,9 @@
 		inZone := func(i int) bool { return fault.Zone == "" || fleet.relayZone(i) == fault.Zone }
 		return candidates(s.Fleet.Relays, fault.Relays, inZone)
 	case scenario.TargetController:
-		return candidates(s.Registry.Controllers, nil, anyOne)
+		return candidates(s.Registry.Controllers, nil, always)
 	case scenario.TargetNode:
-		return candidates(s.Registry.Nodes, nil, anyOne)
+		return candidates(s.Registry.Nodes, nil, always)
 	case scenario.TargetEndpoint, scenario.TargetRegistration:
 		return candidates(len(fleet.endpoints), nil, func(i int) bool {
 			endpoint := fleet.endpoints[i]
@@ -124,18 +124,18 @@
 	case scenario.TargetUpstream:
 		return candidates(len(fleet.upstreams), fault.Destinations, isKind)
 	case scenario.TargetLink, scenario.TargetDiscovery:
-		return candidates(s.Fleet.Relays, fault.Relays, anyOne)
+		return candidates(s.Fleet.Relays, fault.Relays, always)
 	}
 	return nil
 }
 
 // candidates are the numbers below count that are among those named, if any are,
 // and qualify.
-func candidates(count int, named []int, qualifies func(int) bool) (all []int) {
+func candidates(count int, allowed []int, qualifies func(int) bool) (numbers []int) {
 	for i := range count {
-		if (len(named) == 0 || slices.Contains(named, i)) && qualifies(i) {
-			all = append(all, i)
+		if (len(allowed) == 0 || slices.Contains(allowed, i)) && qualifies(i) {
+			numbers = append(numbers, i)
 		}
 	}
-	return all
+	return numbers
 }
--- a/internal/faultlab/relay.go
+++ b/internal/faultlab/relay.go
@@ -38,13 +38,13 @@
 	agentProc *process.Process // nil if discovery is the lab's own
 	agentLog  *os.File         // the same
 
-	busy sync.Mutex // held by the fault that strikes its process
+	faultMu sync.Mutex // held by the fault that strikes its process
 
-	mu       sync.Mutex
-	operator string // address for operators; empty without controllers
-	process  *process.Process
-	ready    bool
-	isWanted bool // it is to run
+	mu        sync.Mutex
+	operator  string // address for operators; empty without controllers
+	process   *process.Process
+	ready     bool
+	shouldRun bool // it is to run
 }
 
 // stateDir is the directory of its message log.
--- a/internal/faultlab/relay_process.go
+++ b/internal/faultlab/relay_process.go
@@ -35,7 +35,7 @@
 	r.run.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: r.name, PID: p.PID})
 	r.agent.Started(known)
 	r.mu.Lock()
-	r.process, r.ready, r.isWanted = p, false, true
+	r.process, r.ready, r.shouldRun = p, false, true
 	r.mu.Unlock()
 	r.run.start(func() { r.awaitExit(p) })
 	r.run.start(func() { r.awaitReady(p) })
@@ -99,7 +99,7 @@
 	<-p.Done()
 	r.run.recordExit(r.name, p)
 	r.mu.Lock()
-	crashed := r.isWanted && r.process == p
+	crashed := r.shouldRun && r.process == p
 	if r.process == p {
 		r.ready = false
 	}
@@ -108,7 +108,7 @@
 		return
 	}
 	r.run.clients.RelayDown(r.run.ctx, r.name)
-	if model.Sleep(r.run.ctx, respawnDelay) && r.isStillWanted(p) {
+	if model.Sleep(r.run.ctx, respawnDelay) && r.needsRestart(p) {
 		r.run.failure.set(r.start())
 	}
 }
@@ -119,11 +119,11 @@
 	r.recorder.Record(history.Event{Kind: history.ProcessExited, Relay: name, PID: p.PID, Status: code, Text: text})
 }
 
-// isStillWanted reports whether a process that ended has no successor and is to have one.
-func (r *relay) isStillWanted(p *process.Process) bool {
+// needsRestart reports whether a process that ended has no successor and is to have one.
+func (r *relay) needsRestart(p *process.Process) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.isWanted && r.process == p
+	return r.shouldRun && r.process == p
 }
 
 // awaitReady waits until one process serves clients.
@@ -150,7 +150,7 @@
 	r.mu.Lock()
 	p = r.process
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		r.isWanted = false
+		r.shouldRun = false
 	}
 	r.mu.Unlock()
 	select {
--- a/internal/faultlab/run.go
+++ b/internal/faultlab/run.go
@@ -61,7 +61,7 @@
 
 // play sets everything up, runs the load with its faults, and waits for pending
 // messages.
-func (r *run) play(ctx context.Context, plan []Step) error {
+func (r *run) execute(ctx context.Context, plan []Step) error {
 	if err := r.build(ctx); err != nil {
 		return err
 	}
@@ -69,36 +69,36 @@
 		return err
 	}
 	r.recorder.Record(history.Event{Kind: history.Run, Text: fmt.Sprintf("%s seed %d", r.scenario.Name, r.seed)})
-	arriving, cancel := context.WithTimeout(ctx, scenario.Seconds(r.scenario.Seconds))
+	loadCtx, cancel := context.WithTimeout(ctx, scenario.Seconds(r.scenario.Seconds))
 	defer cancel()
 	defer context.AfterFunc(r.ctx, cancel)()
 	r.began = time.Now()
-	r.startLoad(arriving, plan)
-	r.clients.Run(r.ctx, arriving, r.seed)
-	<-arriving.Done()
+	r.startLoad(loadCtx, plan)
+	r.clients.Run(r.ctx, loadCtx, r.seed)
+	<-loadCtx.Done()
 	r.settle()
 	return nil
 }
 
 // startLoad starts what runs beside the clients.
-func (r *run) startLoad(arriving context.Context, plan []Step) {
-	r.start(func() { r.inject(arriving, plan) })
+func (r *run) startLoad(loadCtx context.Context, plan []Step) {
+	r.start(func() { r.injectFaults(loadCtx, plan) })
 	r.start(func() { r.lateness.measure(r.ctx) })
 	r.start(r.sampleUsage)
 	if r.opts.OnStatus != nil {
-		r.start(func() { r.watchStatus(arriving) })
+		r.start(func() { r.watchStatus(loadCtx) })
 	}
 	if r.group != nil {
-		r.start(func() { r.group.serve(r.ctx) })
+		r.start(func() { r.group.runClients(r.ctx) })
 	}
 	if r.scenario.InvalidPeers.Every > 0 {
-		r.start(func() { r.connectInvalidPeers(arriving) })
+		r.start(func() { r.connectInvalidPeers(loadCtx) })
 	}
 }
 
 // settle waits until no message is pending, and then until a notice would be overdue.
 func (r *run) settle() {
-	for end := time.Now().Add(settleTimeout); time.Now().Before(end); {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
 		if r.ctx.Err() != nil || r.world.Ledger.PendingCount(time.Now()) == 0 {
 			break
 		}
@@ -192,8 +192,8 @@
 		stopping.Add(1)
 		go func() {
 			defer stopping.Done()
-			relay.busy.Lock()
-			defer relay.busy.Unlock()
+			relay.faultMu.Lock()
+			defer relay.faultMu.Unlock()
 			relay.shutdown(graceful)
 		}()
 	}
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	scaleStart     = 150 * time.Second // until all relays have their list
-	scaleEnd       = 20 * time.Second  // until a process of simulated relays has written its result
-	firstScalePort = firstPort + 100   // the ports below are the nodes'
-	connectTimeout = 1500 * time.Millisecond
+	scaleStartTimeout  = 150 * time.Second // until all relays have their list
+	scaleResultTimeout = 20 * time.Second  // until a process of simulated relays has written its result
+	firstScalePort     = firstPort + 100   // the ports below are the nodes'
+	connectTimeout     = 1500 * time.Millisecond
 	// Names of roles in stored reports.
 	simRelayRole      = "hollow relay"
 	realRelayRole     = "real relay"
@@ -85,13 +85,13 @@
 	raiseDescriptorLimit()
 	r := &scaleRun{opts: o, scenario: o.Scenario, dir: dir, ip: ip, began: time.Now(), lateness: newLateness()}
 	r.port.Store(firstScalePort)
-	r.phase.Store(phaseQuiet)
+	r.phase.Store(phaseIdle)
 	r.ctx, r.stop = context.WithCancel(ctx)
 	r.failure.stop = r.stop
 	r.check = newScaleCheck(dir, r.began.UnixMicro())
 	c := &o.Scenario.Scale
 	r.results = ScaleResult{SimRelays: c.Relays, Members: c.Members, Speed: c.Speed}
-	err = r.play()
+	err = r.execute()
 	if cause := r.failure.get(); cause != nil {
 		err = cause
 	}
@@ -112,16 +112,16 @@
 }
 
 // play builds everything, runs the phases, and checks the simulated relays' results.
-func (r *scaleRun) play() error {
+func (r *scaleRun) execute() error {
 	if err := os.MkdirAll(filepath.Join(r.dir, logsDir), 0o755); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	starting, cancel := context.WithTimeout(r.ctx, scaleStart)
+	startCtx, cancel := context.WithTimeout(r.ctx, scaleStartTimeout)
 	defer cancel()
-	if err := r.startService(starting); err != nil {
+	if err := r.startService(startCtx); err != nil {
 		return err
 	}
-	if err := r.startFleet(starting); err != nil {
+	if err := r.startFleet(startCtx); err != nil {
 		return err
 	}
 	if _, err := r.fetchList(r.ctx); err != nil {
@@ -130,7 +130,7 @@
 	if !r.checkLists() {
 		return r.ctx.Err() // the verdict says it
 	}
-	r.playPhases()
+	r.runPhases()
 	r.settle()
 	return r.checkResults()
 }
@@ -138,19 +138,19 @@
 // checkLists checks that every relay has the list, and reports whether that is so.
 func (r *scaleRun) checkLists() bool {
 	c := &r.scenario.Scale
-	r.check.checked(checker.RuleStart)
-	have := r.simStatus().Members
-	if have[c.Members] < c.Relays {
-		r.check.violate(checker.RuleStart, "simulated relays", fmt.Sprintf("%d of %d have a list of %d members: by members %v", have[c.Members], c.Relays, c.Members, have),
+	r.check.countCheck(checker.RuleStart)
+	relaysByMembers := r.simStatus().Members
+	if relaysByMembers[c.Members] < c.Relays {
+		r.check.addViolation(checker.RuleStart, "simulated relays", fmt.Sprintf("%d of %d have a list of %d members: by members %v", relaysByMembers[c.Members], c.Relays, c.Members, relaysByMembers),
 			r.began.UnixMicro(), time.Now().UnixMicro())
 	}
 	for _, relay := range r.realRelays {
-		r.check.checked(checker.RuleStart)
+		r.check.countCheck(checker.RuleStart)
 		if relay.operator == "" {
 			continue
 		}
 		if n := relay.members(r.ctx); n != c.Members {
-			r.check.violate(checker.RuleStart, relay.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
+			r.check.addViolation(checker.RuleStart, relay.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
 		}
 	}
 	return r.check.verdict.OK()
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithTimeout(ctx, groupTimeout)
 	defer cancel()
 	var text []byte
-	if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistent, nil, &text); err != nil {
+	if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistentQuery, nil, &text); err != nil {
 		return nil, fmt.Errorf("lab: the service's list: %w", err)
 	}
 	r.results.ListMB = float64(len(text)) / 1e6
@@ -188,8 +188,8 @@
 
 // removeData removes everything but the logs.
 func (r *scaleRun) removeData() {
-	all, _ := os.ReadDir(r.dir)
-	for _, entry := range all {
+	entries, _ := os.ReadDir(r.dir)
+	for _, entry := range entries {
 		if entry.Name() != logsDir {
 			os.RemoveAll(filepath.Join(r.dir, entry.Name()))
 		}
--- a/internal/faultlab/scale_clients.go
+++ b/internal/faultlab/scale_clients.go
@@ -37,8 +37,8 @@
 	in *bufio.Reader
 }
 
-func newScaleClients(s *scenario.Scenario, addr string, random *rand.Rand, late func(time.Duration)) *scaleClients {
-	return &scaleClients{scenario: s, addr: addr, random: random, onLateness: late, idle: make(chan *scaleConn, maxIdleConns)}
+func newScaleClients(s *scenario.Scenario, addr string, random *rand.Rand, onLateness func(time.Duration)) *scaleClients {
+	return &scaleClients{scenario: s, addr: addr, random: random, onLateness: onLateness, idle: make(chan *scaleConn, maxIdleConns)}
 }
 
 // run submits messages until ctx ends, and returns once each has its answer.
@@ -93,30 +93,30 @@
 // exchange sends a request on an idle connection, or on a new one, and returns the
 // first line of the answer.
 func (c *scaleClients) exchange(text []byte) (string, error) {
-	var x *scaleConn
+	var relayConn *scaleConn
 	select {
-	case x = <-c.idle:
+	case relayConn = <-c.idle:
 	default:
 		conn, err := net.DialTimeout("tcp4", c.addr, clientTimeout)
 		if err != nil {
 			return "", err
 		}
-		x = &scaleConn{conn, bufio.NewReader(conn)}
+		relayConn = &scaleConn{conn, bufio.NewReader(conn)}
 	}
-	x.SetDeadline(time.Now().Add(clientTimeout))
-	if _, err := x.Write(text); err != nil {
-		x.Close()
+	relayConn.SetDeadline(time.Now().Add(clientTimeout))
+	if _, err := relayConn.Write(text); err != nil {
+		relayConn.Close()
 		return "", err
 	}
-	line, err := x.in.ReadString('\n')
+	line, err := relayConn.in.ReadString('\n')
 	if err != nil || strings.HasPrefix(line, "$") { // a bulk string, whose text is left unread
-		x.Close()
+		relayConn.Close()
 		return line, err
 	}
 	select {
-	case c.idle <- x:
+	case c.idle <- relayConn:
 	default:
-		x.Close()
+		relayConn.Close()
 	}
 	return line, nil
 }
--- a/internal/faultlab/scale_endpoints.go
+++ b/internal/faultlab/scale_endpoints.go
@@ -107,8 +107,8 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	span := e.classes[class[0]].ServiceTime
-	if !model.Sleep(r.Context(), (span[0]+span[1])/2) {
+	serviceTime := e.classes[class[0]].ServiceTime
+	if !model.Sleep(r.Context(), (serviceTime[0]+serviceTime[1])/2) {
 		return
 	}
 	e.delivered.Add(1)
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	heartbeatBatch   = 1000 // in one call: below the service's limit of 64 KB
-	heartbeatsPerTTL = 3
-	holder           = "lab"
+	heartbeatBatch     = 1000 // in one call: below the service's limit of 64 KB
+	heartbeatsPerTTL   = 3
+	registrationHolder = "lab"
 )
 
 // scaleChange is one change of the list that the lab requested.
@@ -30,7 +30,7 @@
 	Key         uint64
 	RequestedAt int64 // Unix µs
 	AnsweredAt  int64
-	Phase       string // of the run: control or load
+	RunPhase    string // of the run: control or load
 }
 
 // memberState is the state of a member that the lab registers.
@@ -59,8 +59,8 @@
 	changesBehind    int // changes that were due before the answer to the one before
 }
 
-func newScaleMembers(s *scenario.Scenario, endpoints *scaleEndpoints, nodes []string, late func(time.Duration)) (*scaleMembers, error) {
-	m := &scaleMembers{scenario: s, endpoints: endpoints, onLateness: late, zones: s.Fleet.Zones, state: make([]memberState, s.Scale.Members)}
+func newScaleMembers(s *scenario.Scenario, endpoints *scaleEndpoints, nodes []string, onLateness func(time.Duration)) (*scaleMembers, error) {
+	m := &scaleMembers{scenario: s, endpoints: endpoints, onLateness: onLateness, zones: s.Fleet.Zones, state: make([]memberState, s.Scale.Members)}
 	for i := range m.state {
 		m.state[i].size = 1
 	}
@@ -89,7 +89,7 @@
 // register registers one member.
 func (m *scaleMembers) register(ctx context.Context, c *client.Client, member int, size float64) error {
 	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: memberID(member), Address: m.endpoints.address(member),
-		Zone: m.zones[m.zone(member)], Flavor: model.Newsagent, Cell: member, Size: size, TTLMS: m.ttl().Milliseconds(), Holder: holder}, nil)
+		Zone: m.zones[m.zone(member)], Flavor: model.Newsagent, Cell: member, Size: size, TTLMS: m.ttl().Milliseconds(), Holder: registrationHolder}, nil)
 	if err != nil {
 		return fmt.Errorf("lab: %s is not registered: %w", memberID(member), err)
 	}
@@ -100,10 +100,10 @@
 }
 
 // registerAll registers members by all writers concurrently; onRegistered may be nil.
-func (m *scaleMembers) registerAll(ctx context.Context, members []int, onRegistered func(member int, requestedAt, answered int64)) error {
+func (m *scaleMembers) registerAll(ctx context.Context, members []int, onRegistered func(member int, requestedAt, answeredAt int64)) error {
 	var wg sync.WaitGroup
 	var next atomic.Int64
-	fault := make(chan error, len(m.clients))
+	errs := make(chan error, len(m.clients))
 	for _, c := range m.clients {
 		wg.Add(1)
 		go func() {
@@ -111,7 +111,7 @@
 			for i := int(next.Add(1)) - 1; i < len(members); i = int(next.Add(1)) - 1 {
 				requestedAt := time.Now().UnixMicro()
 				if err := m.register(ctx, c, members[i], 1); err != nil {
-					fault <- err
+					errs <- err
 					return
 				}
 				if onRegistered != nil {
@@ -122,14 +122,14 @@
 	}
 	wg.Wait()
 	select {
-	case err := <-fault:
+	case err := <-errs:
 		return err
 	default:
 		return nil
 	}
 }
 
-func (m *scaleMembers) all() []int {
+func (m *scaleMembers) memberNumbers() []int {
 	all := make([]int, len(m.state))
 	for i := range all {
 		all[i] = i
@@ -141,10 +141,10 @@
 // over a third of their time to live.
 func (m *scaleMembers) sendHeartbeats(ctx context.Context) {
 	batches := (len(m.state) + heartbeatBatch - 1) / heartbeatBatch
-	every := m.ttl() / heartbeatsPerTTL / time.Duration(batches)
+	interval := m.ttl() / heartbeatsPerTTL / time.Duration(batches)
 	due := time.Now()
 	for i := 0; ; i = (i + 1) % batches {
-		due = due.Add(every)
+		due = due.Add(interval)
 		if !model.Sleep(ctx, time.Until(due)) {
 			return
 		}
@@ -165,7 +165,7 @@
 	m.mu.Lock()
 	for i := from; i < to; i++ {
 		if m.state[i].registered && !m.state[i].muted {
-			heartbeats = append(heartbeats, registry.Heartbeat{ID: memberID(i), Holder: holder})
+			heartbeats = append(heartbeats, registry.Heartbeat{ID: memberID(i), Holder: registrationHolder})
 		}
 	}
 	m.mu.Unlock()
@@ -173,9 +173,9 @@
 		return
 	}
 	var answer struct{ Unknown []string }
-	short, cancel := context.WithTimeout(ctx, m.ttl())
+	batchCtx, cancel := context.WithTimeout(ctx, m.ttl())
 	defer cancel()
-	if _, err := m.clients[0].Do(short, http.MethodPost, registry.HeartbeatsPath, heartbeats, &answer); err != nil {
+	if _, err := m.clients[0].Do(batchCtx, http.MethodPost, registry.HeartbeatsPath, heartbeats, &answer); err != nil {
 		return // repeated with the next batch
 	}
 	for _, id := range answer.Unknown {
@@ -185,13 +185,13 @@
 		state := m.state[member]
 		m.mu.Unlock()
 		if !state.muted {
-			m.register(short, m.clients[0], member, state.size)
+			m.register(batchCtx, m.clients[0], member, state.size)
 		}
 	}
 }
 
 // change makes one change and records it.
-func (m *scaleMembers) change(ctx context.Context, member int, phase string, size float64, phaseOfRun string) error {
+func (m *scaleMembers) changeMember(ctx context.Context, member int, phase string, size float64, runPhase string) error {
 	requestedAt := time.Now().UnixMicro()
 	var err error
 	if size != 0 {
@@ -205,25 +205,25 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.changes = append(m.changes, scaleChange{Key: simrelay.ChangeKey(memberID(member), phase, size), RequestedAt: requestedAt, AnsweredAt: time.Now().UnixMicro(), Phase: phaseOfRun})
+	m.changes = append(m.changes, scaleChange{Key: simrelay.ChangeKey(memberID(member), phase, size), RequestedAt: requestedAt, AnsweredAt: time.Now().UnixMicro(), RunPhase: runPhase})
 	return nil
 }
 
 // configure makes the changes of the configuration until ctx ends: a member drains,
 // another gets another weight, one that drained returns.
-func (m *scaleMembers) configure(ctx context.Context, random *rand.Rand, currentPhase func() string) error {
+func (m *scaleMembers) makeChanges(ctx context.Context, random *rand.Rand, currentPhase func() string) error {
 	if m.scenario.Scale.ChangesDay == 0 {
 		return nil
 	}
-	every := time.Duration(24 * float64(time.Hour) / (m.scenario.Scale.ChangesDay * m.scenario.Scale.Speed))
-	free := random.Perm(len(m.state)) // each member is changed once: a change has one key
+	interval := time.Duration(24 * float64(time.Hour) / (m.scenario.Scale.ChangesDay * m.scenario.Scale.Speed))
+	unchanged := random.Perm(len(m.state)) // each member is changed once: a change has one key
 	if m.scenario.Scale.ExpiryAt > 0 {
-		free = slices.DeleteFunc(free, func(i int) bool { return m.zone(i) == len(m.zones)-1 })
+		unchanged = slices.DeleteFunc(unchanged, func(i int) bool { return m.zone(i) == len(m.zones)-1 })
 	}
 	var drained []int
 	due := time.Now()
-	for n := 0; len(free) > 0; n++ {
-		if due = due.Add(every); time.Since(due) > 0 { // not the lab's lateness
+	for n := 0; len(unchanged) > 0; n++ {
+		if due = due.Add(interval); time.Since(due) > 0 { // not the lab's lateness
 			m.mu.Lock()
 			m.changesBehind++
 			m.mu.Unlock()
@@ -236,13 +236,13 @@
 		var err error
 		switch n % 3 {
 		case 0:
-			err = m.change(ctx, free[0], discovery.Draining, 0, currentPhase())
-			drained, free = append(drained, free[0]), free[1:]
+			err = m.changeMember(ctx, unchanged[0], discovery.Draining, 0, currentPhase())
+			drained, unchanged = append(drained, unchanged[0]), unchanged[1:]
 		case 1:
-			err = m.change(ctx, free[0], discovery.Up, 1.5, currentPhase())
-			free = free[1:]
+			err = m.changeMember(ctx, unchanged[0], discovery.Up, 1.5, currentPhase())
+			unchanged = unchanged[1:]
 		case 2:
-			err = m.change(ctx, drained[0], discovery.Up, 0, currentPhase())
+			err = m.changeMember(ctx, drained[0], discovery.Up, 0, currentPhase())
 			drained = drained[1:]
 		}
 		if ctx.Err() != nil {
@@ -261,21 +261,21 @@
 	if m.scenario.Scale.ExpiryAt == 0 || !model.Sleep(ctx, scenario.Seconds(m.scenario.Scale.ExpiryAt)) {
 		return nil
 	}
-	var zone []int
-	stopped := time.Now().UnixMicro()
+	var zoneMembers []int
+	stoppedAt := time.Now().UnixMicro()
 	m.mu.Lock()
 	for i := range m.state {
 		if m.zone(i) == len(m.zones)-1 {
-			zone = append(zone, i)
+			zoneMembers = append(zoneMembers, i)
 			m.state[i].muted = true
-			m.expired = append(m.expired, scaleChange{Key: simrelay.ChangeKey(memberID(i), discovery.Removed, 0), RequestedAt: stopped, AnsweredAt: stopped})
+			m.expired = append(m.expired, scaleChange{Key: simrelay.ChangeKey(memberID(i), discovery.Removed, 0), RequestedAt: stoppedAt, AnsweredAt: stoppedAt})
 		}
 	}
 	m.mu.Unlock()
 	if !model.Sleep(ctx, scenario.Seconds(m.scenario.Scale.ExpiryFor)) {
 		return nil
 	}
-	err := m.registerAll(ctx, zone, func(member int, requestedAt, answeredAt int64) {
+	err := m.registerAll(ctx, zoneMembers, func(member int, requestedAt, answeredAt int64) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.state[member].muted = false
--- a/internal/faultlab/scale_phases.go
+++ b/internal/faultlab/scale_phases.go
@@ -14,22 +14,22 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// playPhases runs the phases one after the other, and measures each.
-func (r *scaleRun) playPhases() {
+// runPhases runs the phases one after the other, and measures each.
+func (r *scaleRun) runPhases() {
 	c := &r.scenario.Scale
 	r.start(func() { r.lateness.measure(r.ctx) })
-	changing, stopChanges := context.WithCancel(r.ctx)
+	changesCtx, stopChanges := context.WithCancel(r.ctx)
 	defer stopChanges()
-	r.measurePhase(phaseQuiet, scenario.Seconds(c.Quiet))
-	changed := make(chan struct{})
+	r.measurePhase(phaseIdle, scenario.Seconds(c.Quiet))
+	changesDone := make(chan struct{})
 	go func() {
-		defer close(changed)
-		r.failure.set(r.members.configure(changing, newRandom(r.opts.Seed, "changes"), func() string { return r.phase.Load().(string) }))
+		defer close(changesDone)
+		r.failure.set(r.members.makeChanges(changesCtx, newRandom(r.opts.Seed, "changes"), func() string { return r.phase.Load().(string) }))
 	}()
 	r.measurePhase(phaseControl, scenario.Seconds(c.Control))
-	r.load(changing)
+	r.runLoadPhase(changesCtx)
 	stopChanges()
-	<-changed
+	<-changesDone
 	r.members.mu.Lock()
 	r.results.Changes = len(r.members.changes)
 	r.members.mu.Unlock()
@@ -38,25 +38,25 @@
 // measurePhase measures what one phase costs.
 func (r *scaleRun) measurePhase(phase string, span time.Duration) {
 	r.phase.Store(phase)
-	for _, measured := range r.roles {
-		measured.beginPhase()
+	for _, role := range r.roles {
+		role.beginPhase()
 	}
 	model.Sleep(r.ctx, span)
-	for _, measured := range r.roles {
-		measured.endPhase(phase)
+	for _, role := range r.roles {
+		role.endPhase(phase)
 	}
 }
 
 // load is the phase with messages, in which a zone's registrations expire.
-func (r *scaleRun) load(ctx context.Context) {
-	arriving, cancel := context.WithCancel(ctx)
+func (r *scaleRun) runLoadPhase(ctx context.Context) {
+	loadCtx, cancel := context.WithCancel(ctx)
 	r.start(func() { r.failure.set(r.members.expireZone(r.ctx)) })
 	var submitting sync.WaitGroup
 	for i, relay := range r.realRelays {
 		clients := newScaleClients(r.scenario, relay.listen, newRandom(r.opts.Seed, "clients of "+relay.name), r.lateness.record)
 		r.clients = append(r.clients, clients)
 		submitting.Add(1)
-		go func() { defer submitting.Done(); clients.run(arriving, i) }()
+		go func() { defer submitting.Done(); clients.run(loadCtx, i) }()
 	}
 	r.signal(func(p *simProcess) error { return p.process.Signal(simrelay.StartTraffic) })
 	before := r.simStatus().Counts.Accepted
@@ -69,8 +69,8 @@
 
 // signal calls f for each process of simulated relays; an error fails the run.
 func (r *scaleRun) signal(f func(*simProcess) error) {
-	for _, h := range r.simProcesses {
-		if err := f(h); err != nil {
+	for _, simulated := range r.simProcesses {
+		if err := f(simulated); err != nil {
 			r.failure.set(err)
 		}
 	}
@@ -81,12 +81,12 @@
 func (r *scaleRun) sampleRoles() {
 	half := machineMemory() / 2
 	for model.Sleep(r.ctx, sampleInterval) {
-		all := int64(0)
-		for _, measured := range r.roles {
-			all += measured.measure().rss
+		totalRSS := int64(0)
+		for _, role := range r.roles {
+			totalRSS += role.measure().rss
 		}
-		if half > 0 && all > half {
-			r.failure.set(fmt.Errorf("lab: the run takes %d MB, over half of the machine's memory: fewer relays are wanted", all>>20))
+		if half > 0 && totalRSS > half {
+			r.failure.set(fmt.Errorf("lab: the run takes %d MB, over half of the machine's memory: fewer relays are wanted", totalRSS>>20))
 			return
 		}
 	}
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -132,15 +132,15 @@
 }
 
 // nodeMeters makes a meter before each node.
-func (r *scaleRun) nodeMeters() (all []*meter, err error) {
+func (r *scaleRun) nodeMeters() (meters []*meter, err error) {
 	for _, addr := range r.group.http {
 		m, err := newMeter(r.address(), addr)
 		if err != nil {
 			return nil, err
 		}
-		all, r.meters = append(all, m), append(r.meters, m)
+		meters, r.meters = append(meters, m), append(r.meters, m)
 	}
-	return all, nil
+	return meters, nil
 }
 
 // agentMembers is the length of an agent's list; -1 if it does not answer.
@@ -266,18 +266,18 @@
 
 // simStatus adds up the last status of all processes of simulated relays.
 func (r *scaleRun) simStatus() simrelay.Status {
-	all := simrelay.Status{Hashes: map[string]int{}, Members: map[int]int{}}
+	total := simrelay.Status{Hashes: map[string]int{}, Members: map[int]int{}}
 	for _, simulated := range r.simProcesses {
 		status := simulated.status.status()
-		for hash, n := range status.Hashes {
-			all.Hashes[hash] += n
+		for hash, count := range status.Hashes {
+			total.Hashes[hash] += count
 		}
-		for members, n := range status.Members {
-			all.Members[members] += n
+		for members, count := range status.Members {
+			total.Members[members] += count
 		}
-		all.Relays += status.Relays
-		all.Counts.Add(status.Counts)
-		all.LateP99, all.LateMax = max(all.LateP99, status.LateP99), max(all.LateMax, status.LateMax)
+		total.Relays += status.Relays
+		total.Counts.Add(status.Counts)
+		total.LateP99, total.LateMax = max(total.LateP99, status.LateP99), max(total.LateMax, status.LateMax)
 	}
-	return all
+	return total
 }
--- a/internal/faultlab/scale_report.go
+++ b/internal/faultlab/scale_report.go
@@ -18,12 +18,12 @@
 
 // Phases of a scale run, as stored reports have them.
 const (
-	phaseQuiet   = "quiet"
+	phaseIdle    = "quiet"
 	phaseControl = "control"
 	phaseLoad    = "load"
 )
 
-var scalePhases = []string{phaseQuiet, phaseControl, phaseLoad}
+var scalePhases = []string{phaseIdle, phaseControl, phaseLoad}
 
 // ScalePhase is what one unit of a role cost in one phase of the run.
 type ScalePhase struct {
@@ -62,8 +62,8 @@
 		return s
 	}
 	slices.Sort(seconds)
-	at := func(q float64) float64 { return seconds[min(len(seconds)-1, int(q*float64(len(seconds))))] }
-	s.P50, s.P99, s.Max = at(0.5), at(0.99), seconds[len(seconds)-1]
+	quantile := func(q float64) float64 { return seconds[min(len(seconds)-1, int(q*float64(len(seconds))))] }
+	s.P50, s.P99, s.Max = quantile(0.5), quantile(0.99), seconds[len(seconds)-1]
 	return s
 }
 
@@ -103,25 +103,25 @@
 	add := func(name, unit string, value float64) {
 		all = append(all, report.Figure{Name: name, Unit: unit, Value: value})
 	}
-	for _, r := range s.Roles {
-		for _, part := range scalePhases {
-			if p, ok := r.Phases[part]; ok {
-				add(fmt.Sprintf("CPU, %s, %s", r.Name, part), "% of a core", p.CPU)
-				add(fmt.Sprintf("bytes, %s, %s", r.Name, part), "KB/s", p.KB)
+	for _, role := range s.Roles {
+		for _, phase := range scalePhases {
+			if cost, ok := role.Phases[phase]; ok {
+				add(fmt.Sprintf("CPU, %s, %s", role.Name, phase), "% of a core", cost.CPU)
+				add(fmt.Sprintf("bytes, %s, %s", role.Name, phase), "KB/s", cost.KB)
 			}
 		}
-		add("CPU, "+r.Name+", changes at x 1", "% of a core", r.DayCPU)
-		add("peak memory, "+r.Name, "MB", r.PeakMB)
-		add("bytes at the start, "+r.Name, "MB", r.StartMB)
+		add("CPU, "+role.Name+", changes at x 1", "% of a core", role.DayCPU)
+		add("peak memory, "+role.Name, "MB", role.PeakMB)
+		add("bytes at the start, "+role.Name, "MB", role.StartMB)
 	}
-	for _, f := range s.Delays {
-		add(f.Name+", p50", "s", f.P50)
-		add(f.Name+", p99", "s", f.P99)
-		add(f.Name+", max", "s", f.Max)
-		add(f.Name+", missing", "", float64(f.Missing))
+	for _, delay := range s.Delays {
+		add(delay.Name+", p50", "s", delay.P50)
+		add(delay.Name+", p99", "s", delay.P99)
+		add(delay.Name+", max", "s", delay.Max)
+		add(delay.Name+", missing", "", float64(delay.Missing))
 	}
-	for _, a := range s.Comparisons {
-		add("hollow over real, "+a.Name, "", a.Ratio)
+	for _, comparison := range s.Comparisons {
+		add("hollow over real, "+comparison.Name, "", comparison.Ratio)
 	}
 	add("all members registered", "s", s.Register)
 	add("all relays have the list", "s", s.Start)
@@ -131,29 +131,29 @@
 
 // compareRoles compares the simulated relays with the real ones of the same load.
 func (s *ScaleResult) compareRoles(simulatedName, realName string) {
-	var h, r *ScaleRole
+	var simulated, real *ScaleRole
 	for i := range s.Roles {
 		switch s.Roles[i].Name {
 		case simulatedName:
-			h = &s.Roles[i]
+			simulated = &s.Roles[i]
 		case realName:
-			r = &s.Roles[i]
+			real = &s.Roles[i]
 		}
 	}
-	if h == nil || r == nil {
+	if simulated == nil || real == nil {
 		return
 	}
-	add := func(name string, x, y float64) {
-		a := ScaleComparison{Name: name, Simulated: x, Real: y}
-		if y > 0 {
-			a.Ratio = x / y
+	add := func(name string, simulatedValue, realValue float64) {
+		comparison := ScaleComparison{Name: name, Simulated: simulatedValue, Real: realValue}
+		if realValue > 0 {
+			comparison.Ratio = simulatedValue / realValue
 		}
-		s.Comparisons = append(s.Comparisons, a)
+		s.Comparisons = append(s.Comparisons, comparison)
 	}
-	for _, part := range scalePhases {
-		if hp, ok := h.Phases[part]; ok {
-			add("CPU, "+part, hp.CPU, r.Phases[part].CPU)
+	for _, phase := range scalePhases {
+		if simulatedCost, ok := simulated.Phases[phase]; ok {
+			add("CPU, "+phase, simulatedCost.CPU, real.Phases[phase].CPU)
 		}
 	}
-	add("peak memory", h.PeakMB, r.PeakMB)
+	add("peak memory", simulated.PeakMB, real.PeakMB)
 }
--- a/internal/faultlab/scale_results.go
+++ b/internal/faultlab/scale_results.go
@@ -27,16 +27,16 @@
 		return
 	}
 	hash := fmt.Sprintf("%016x", simrelay.ListHash(list.Members))
-	wait, cancel := context.WithTimeout(r.ctx, scenario.Seconds(r.scenario.Scale.Settle))
+	settleCtx, cancel := context.WithTimeout(r.ctx, scenario.Seconds(r.scenario.Scale.Settle))
 	defer cancel()
 	for {
 		status := r.simStatus()
-		ends := status.Counts.InFlight == 0 && status.Counts.Notices >= status.Counts.Returned+status.Counts.Failed
-		settled := status.Hashes[hash] == r.scenario.Scale.Relays && ends
+		allCompleted := status.Counts.InFlight == 0 && status.Counts.Notices >= status.Counts.Returned+status.Counts.Failed
+		settled := status.Hashes[hash] == r.scenario.Scale.Relays && allCompleted
 		for _, relay := range r.realRelays {
 			settled = settled && (relay.operator == "" || relay.members(r.ctx) == len(list.Members))
 		}
-		if settled || !model.Sleep(wait, pollInterval) {
+		if settled || !model.Sleep(settleCtx, pollInterval) {
 			break
 		}
 	}
@@ -46,9 +46,9 @@
 		if relay.operator == "" {
 			continue
 		}
-		r.check.checked(checker.RuleList)
-		if n := relay.members(r.ctx); n != len(list.Members) {
-			r.check.violate(checker.RuleList, relay.name, fmt.Sprintf("has %d members, the service %d", n, len(list.Members)), 0, 0)
+		r.check.countCheck(checker.RuleList)
+		if members := relay.members(r.ctx); members != len(list.Members) {
+			r.check.addViolation(checker.RuleList, relay.name, fmt.Sprintf("has %d members, the service %d", members, len(list.Members)), 0, 0)
 		}
 	}
 }
@@ -59,15 +59,15 @@
 		return errors.Join(r.failure.get(), err)
 	}
 	r.isFinishing.Store(true)
-	r.signal(func(h *simProcess) error { return h.process.Signal(simrelay.Finish) })
-	ended, cancel := context.WithTimeout(r.ctx, scaleEnd)
+	r.signal(func(simulated *simProcess) error { return simulated.process.Signal(simrelay.Finish) })
+	resultCtx, cancel := context.WithTimeout(r.ctx, scaleResultTimeout)
 	defer cancel()
 	var relays []simrelay.RelayResult
-	for _, h := range r.simProcesses {
-		if !h.process.Wait(ended) {
-			return fmt.Errorf("lab: %s wrote no result in %v", h.process.Name, scaleEnd)
+	for _, simulated := range r.simProcesses {
+		if !simulated.process.Wait(resultCtx) {
+			return fmt.Errorf("lab: %s wrote no result in %v", simulated.process.Name, scaleResultTimeout)
 		}
-		result, err := simrelay.ReadResult(h.result)
+		result, err := simrelay.ReadResult(simulated.result)
 		if err != nil {
 			return err
 		}
@@ -85,13 +85,13 @@
 
 // addFigures makes the figures of a run that has ended.
 func (r *scaleRun) addFigures(relays []simrelay.RelayResult) {
-	for _, measured := range r.roles {
-		r.results.Roles = append(r.results.Roles, measured.finish(r.scenario.Scale.Speed))
+	for _, role := range r.roles {
+		r.results.Roles = append(r.results.Roles, role.finish(r.scenario.Scale.Speed))
 	}
 	r.results.compareRoles(simRelayRole, realRelayRole)
 	var control, load []scaleChange
 	for _, change := range r.members.changes {
-		if change.Phase == phaseLoad {
+		if change.RunPhase == phaseLoad {
 			load = append(load, change)
 		} else {
 			control = append(control, change)
@@ -103,13 +103,13 @@
 		r.addDelays(fmt.Sprintf("a zone gone (of it %.0f s to live)", r.scenario.Registry.TTL), relays, r.members.expired)
 		r.addDelays("a zone back", relays, r.members.restored)
 	}
-	all, whole := simrelay.Counts{}, 0
+	counts, completeLists := simrelay.Counts{}, 0
 	for i := range relays {
-		all.Add(relays[i].Counts)
-		whole += relays[i].CompleteLists
+		counts.Add(relays[i].Counts)
+		completeLists += relays[i].CompleteLists
 	}
 	r.addNote("simulated relays: %d messages offered, %d rejected, %d accepted, %d delivered, %d returned, %d failed, %d calls, %d notices; %d complete lists in %d relays",
-		all.Offered, all.Rejected, all.Accepted, all.Delivered, all.Returned, all.Failed, all.Calls, all.Notices, whole, len(relays))
+		counts.Offered, counts.Rejected, counts.Accepted, counts.Delivered, counts.Returned, counts.Failed, counts.Calls, counts.Notices, completeLists, len(relays))
 	for i, clients := range r.clients {
 		r.addNote("%s: %d messages offered, %d rejected, %d accepted, %d unanswered", r.realRelays[i].name, clients.offered.Load(), clients.rejected.Load(), clients.accepted.Load(), clients.unanswered.Load())
 	}
@@ -133,32 +133,32 @@
 	if len(changes) == 0 {
 		return
 	}
-	var each, last []float64
-	missing, notAll := 0, 0
-	slowest, count := map[uint64]float64{}, map[uint64]int{}
-	asked := map[uint64]int64{}
+	var perRelay, untilAll []float64
+	missingApplications, incompleteChanges := 0, 0
+	slowest, appliedCount := map[uint64]float64{}, map[uint64]int{}
+	requestedAtByKey := map[uint64]int64{}
 	for _, change := range changes {
-		asked[change.Key] = change.RequestedAt
+		requestedAtByKey[change.Key] = change.RequestedAt
 	}
 	for i := range relays {
-		for _, h := range relays[i].Changes {
-			at, ours := asked[h.Key]
-			if !ours || h.At < at {
+		for _, applied := range relays[i].Changes {
+			requestedAt, isMeasured := requestedAtByKey[applied.Key]
+			if !isMeasured || applied.At < requestedAt {
 				continue
 			}
-			took := float64(h.At-at) / 1e6
-			each = append(each, took)
-			slowest[h.Key] = max(slowest[h.Key], took)
-			count[h.Key]++
+			took := float64(applied.At-requestedAt) / 1e6
+			perRelay = append(perRelay, took)
+			slowest[applied.Key] = max(slowest[applied.Key], took)
+			appliedCount[applied.Key]++
 		}
 	}
 	for _, change := range changes {
-		missing += max(0, len(relays)-count[change.Key])
-		if count[change.Key] < len(relays) {
-			notAll++
+		missingApplications += max(0, len(relays)-appliedCount[change.Key])
+		if appliedCount[change.Key] < len(relays) {
+			incompleteChanges++
 			continue
 		}
-		last = append(last, slowest[change.Key])
+		untilAll = append(untilAll, slowest[change.Key])
 	}
-	r.results.Delays = append(r.results.Delays, newScaleDelay(name+", each relay", each, missing), newScaleDelay(name+", the last relay", last, notAll))
+	r.results.Delays = append(r.results.Delays, newScaleDelay(name+", each relay", perRelay, missingApplications), newScaleDelay(name+", the last relay", untilAll, incompleteChanges))
 }
--- a/internal/faultlab/scale_role.go
+++ b/internal/faultlab/scale_role.go
@@ -22,15 +22,15 @@
 
 // usage is what a role has used up to one moment, and uses at it.
 type usage struct {
-	at    time.Time
-	cpu   time.Duration
-	rss   int64 // bytes of memory
-	bytes int64 // of control traffic
+	measuredAt time.Time
+	cpu        time.Duration
+	rss        int64 // bytes of memory
+	bytes      int64 // of control traffic
 }
 
 // measure returns the role's usage now.
 func (r *role) measure() usage {
-	u := usage{at: time.Now()}
+	u := usage{measuredAt: time.Now()}
 	for _, p := range r.processes {
 		if used, err := process.Measure(p.PID); err == nil {
 			u.cpu, u.rss = u.cpu+used.CPU, u.rss+used.RSS
@@ -51,20 +51,20 @@
 // endPhase records what the phase cost.
 func (r *role) endPhase(phase string) {
 	now, units := r.measure(), float64(r.units)
-	spent := now.at.Sub(r.before.at).Seconds()
+	seconds := now.measuredAt.Sub(r.before.measuredAt).Seconds()
 	r.cost.Phases[phase] = ScalePhase{
-		CPU:      100 * (now.cpu - r.before.cpu).Seconds() / spent / units,
+		CPU:      100 * (now.cpu - r.before.cpu).Seconds() / seconds / units,
 		MemoryMB: float64(now.rss) / (1 << 20) / units,
-		KB:       float64(now.bytes-r.before.bytes) / 1e3 / spent / units,
+		KB:       float64(now.bytes-r.before.bytes) / 1e3 / seconds / units,
 	}
 }
 
 // finish returns the cost; speed is the factor by which changes were accelerated.
 func (r *role) finish(speed float64) ScaleRole {
 	r.cost.Name, r.cost.Units = r.name, r.units
-	quiet, control := r.cost.Phases[phaseQuiet], r.cost.Phases[phaseControl]
-	r.cost.DayCPU = quiet.CPU + (control.CPU-quiet.CPU)/speed
-	r.cost.DayKB = quiet.KB + (control.KB-quiet.KB)/speed
+	idle, control := r.cost.Phases[phaseIdle], r.cost.Phases[phaseControl]
+	r.cost.DayCPU = idle.CPU + (control.CPU-idle.CPU)/speed
+	r.cost.DayKB = idle.KB + (control.KB-idle.KB)/speed
 	r.cost.PeakMB = float64(r.peak) / (1 << 20) / float64(r.units)
 	return r.cost
 }
--- a/internal/faultlab/scale_start.go
+++ b/internal/faultlab/scale_start.go
@@ -40,7 +40,7 @@
 	}
 	began := time.Now()
 	r.start(func() { r.members.sendHeartbeats(r.ctx) })
-	if err := r.members.registerAll(ctx, r.members.all(), nil); err != nil {
+	if err := r.members.registerAll(ctx, r.members.memberNumbers(), nil); err != nil {
 		return err
 	}
 	r.results.Register = time.Since(began).Seconds()
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	var own []*scaleAgent
+	var ownAgents []*scaleAgent
 	for i := range c.Real + c.Agents {
 		name, nodes := fmt.Sprintf("n%d-agent", i+1), ownNodes
 		if i >= c.Real {
@@ -77,12 +77,12 @@
 			return err
 		}
 		if i < c.Real {
-			own = append(own, a)
+			ownAgents = append(ownAgents, a)
 		} else {
 			r.agents = append(r.agents, a)
 		}
 	}
-	for _, a := range append(own, r.agents...) {
+	for _, a := range append(ownAgents, r.agents...) {
 		for agentMembers(ctx, a) < c.Members {
 			if !model.Sleep(ctx, pollInterval) {
 				return fmt.Errorf("lab: %s has not %d members; see the logs in %s", a.process.Name, c.Members, filepath.Join(r.dir, logsDir))
@@ -90,27 +90,27 @@
 		}
 	}
 	began := time.Now()
-	if err := r.startRelays(own); err != nil {
+	if err := r.startRelays(ownAgents); err != nil {
 		return err
 	}
-	r.makeRoles(own, ownNodes, sharedNodes)
+	r.makeRoles(ownAgents, ownNodes, sharedNodes)
 	r.start(r.sampleRoles)
 	r.awaitLists(ctx)
 	r.results.Start = time.Since(began).Seconds()
-	for _, x := range r.roles {
-		x.cost.StartMB = float64(x.measure().bytes) / 1e6 / float64(x.units)
+	for _, role := range r.roles {
+		role.cost.StartMB = float64(role.measure().bytes) / 1e6 / float64(role.units)
 	}
 	return r.ctx.Err()
 }
 
 // startRelays starts the real relays and the processes of simulated ones.
-func (r *scaleRun) startRelays(own []*scaleAgent) error {
+func (r *scaleRun) startRelays(ownAgents []*scaleAgent) error {
 	c := &r.scenario.Scale
 	var agents []string
 	for _, a := range r.agents {
 		agents = append(agents, a.meter.addr())
 	}
-	for i, a := range own {
+	for i, a := range ownAgents {
 		relay, err := r.startRealRelay(i, a)
 		if err != nil {
 			return err
@@ -132,7 +132,7 @@
 }
 
 // makeRoles makes the roles that are measured.
-func (r *scaleRun) makeRoles(own []*scaleAgent, ownNodes, sharedNodes []*meter) {
+func (r *scaleRun) makeRoles(ownAgents []*scaleAgent, ownNodes, sharedNodes []*meter) {
 	c := &r.scenario.Scale
 	add := func(relay *role) {
 		if relay.units > 0 {
@@ -144,29 +144,29 @@
 	for _, simProcess := range r.simProcesses {
 		simulated.processes = append(simulated.processes, simProcess.process)
 	}
-	shared := &role{name: fmt.Sprintf("agent of %d hollow relays", c.Relays/c.Agents), units: c.Agents, meters: sharedNodes}
+	sharedAgentRole := &role{name: fmt.Sprintf("agent of %d hollow relays", c.Relays/c.Agents), units: c.Agents, meters: sharedNodes}
 	for _, agent := range r.agents {
 		simulated.meters = append(simulated.meters, agent.meter)
-		shared.processes = append(shared.processes, agent.process)
+		sharedAgentRole.processes = append(sharedAgentRole.processes, agent.process)
 	}
-	plain, operated := &role{name: realRelayRole}, &role{name: operatedRelayRole}
+	realRelays, operatedRelays := &role{name: realRelayRole}, &role{name: operatedRelayRole}
 	for _, relay := range r.realRelays {
-		of := plain
+		relayRole := realRelays
 		if relay.operator != "" {
-			of = operated
+			relayRole = operatedRelays
 		}
-		of.units++
-		of.processes, of.meters = append(of.processes, relay.process), append(of.meters, relay.agent.meter)
+		relayRole.units++
+		relayRole.processes, relayRole.meters = append(relayRole.processes, relay.process), append(relayRole.meters, relay.agent.meter)
 	}
-	alone := &role{name: "agent of one relay", units: c.Real, meters: ownNodes}
-	for _, agent := range own {
-		alone.processes = append(alone.processes, agent.process)
+	ownAgentRole := &role{name: "agent of one relay", units: c.Real, meters: ownNodes}
+	for _, agent := range ownAgents {
+		ownAgentRole.processes = append(ownAgentRole.processes, agent.process)
 	}
 	add(simulated)
-	add(plain)
-	add(operated)
-	add(alone)
-	add(shared)
+	add(realRelays)
+	add(operatedRelays)
+	add(ownAgentRole)
+	add(sharedAgentRole)
 	add(&role{name: fmt.Sprintf("list service's node, %d watchers of all", c.Watchers+c.Real+c.Agents), units: len(r.group.processes), processes: r.group.processes})
 	add(&role{name: "lab", units: 1, processes: []*process.Process{{Name: "lab", PID: os.Getpid()}}})
 }
--- a/internal/faultlab/status.go
+++ b/internal/faultlab/status.go
@@ -72,30 +72,30 @@
 func (s *statusCounter) snapshot() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.current
-	n.Faults = s.activeFaults
+	status := s.current
+	status.Faults = s.activeFaults
 	if s.latency != nil {
-		n.P50 = time.Duration(s.latency.ValueAtQuantile(50)) * time.Microsecond
-		n.P99 = time.Duration(s.latency.ValueAtQuantile(99)) * time.Microsecond
+		status.P50 = time.Duration(s.latency.ValueAtQuantile(50)) * time.Microsecond
+		status.P99 = time.Duration(s.latency.ValueAtQuantile(99)) * time.Microsecond
 		s.latency.Reset()
 	}
-	return n
+	return status
 }
 
 // watchStatus passes on the status each second, while the load lasts.
 func (r *run) watchStatus(ctx context.Context) {
 	for model.Sleep(ctx, time.Second) {
-		n := r.status.snapshot()
-		n.Elapsed = time.Since(r.began)
-		n.Pending = r.world.Ledger.PendingCount(time.Now())
-		n.Fleet = len(r.relays)
-		for _, x := range r.relays {
-			x.mu.Lock()
-			if x.ready && !x.process.Stopped() {
-				n.Up++
+		status := r.status.snapshot()
+		status.Elapsed = time.Since(r.began)
+		status.Pending = r.world.Ledger.PendingCount(time.Now())
+		status.Fleet = len(r.relays)
+		for _, relay := range r.relays {
+			relay.mu.Lock()
+			if relay.ready && !relay.process.Stopped() {
+				status.Up++
 			}
-			x.mu.Unlock()
+			relay.mu.Unlock()
 		}
-		r.opts.OnStatus(&n)
+		r.opts.OnStatus(&status)
 	}
 }
