--- a/internal/faultlab/address.go
+++ b/internal/faultlab/address.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	firstPort     = 10000 // below the kernel's range, on an address that this lab alone has
-	lockPort      = 9999  // whoever listens there has the address
-	addressTrials = 1000
+	firstPort     = 10000 // below the kernel's ephemeral ports; the lab has its loopback address to itself
+	lockPort      = 9999  // the lab that listens on this port owns the address
+	addressTrials = 1000  // addresses tried before claimAddress fails
 
 	// Addresses are 127.X.Y.1 for X from firstNetwork.
 	firstNetwork    = 64
@@ -18,11 +18,11 @@
 	hostsPerNetwork = 200
 )
 
-// errNoAddress is a machine on which other labs have all addresses.
+// errNoAddress reports that all addresses that were tried belong to other labs.
 var errNoAddress = errors.New("lab: no loopback address is free")
 
-// claimAddress takes a loopback address that no other lab on this machine has, for
-// as long as the listener is open.
+// claimAddress reserves a loopback address for this lab: no other lab on this machine
+// gets it while the returned listener is open.
 func claimAddress() (ip string, lock net.Listener, err error) {
 	first := os.Getpid()
 	for i := range addressTrials {
@@ -35,7 +35,7 @@
 	return "", nil, errNoAddress
 }
 
-// address returns an address that no other process uses.
+// address returns the lab's IP address with a port that the lab has not used yet.
 func (r *run) address() string {
 	return fmt.Sprintf("%s:%d", r.ip, firstPort+r.port.Add(1))
 }
--- a/internal/faultlab/agent_proxy.go
+++ b/internal/faultlab/agent_proxy.go
@@ -18,42 +18,45 @@
 )
 
 const (
-	agentTimeout = 2 * time.Second // of one list
-	listBuffer   = 64 << 10
-	maxNotices   = 1 << 20 // bytes of one request
+	agentTimeout = 2 * time.Second // of a request for the list
+	listBuffer   = 64 << 10        // bytes
+	maxNotices   = 1 << 20         // bytes of one request that carries notices
 )
 
-// discoveryAgent is discovery on one relay's machine.
+// discoveryAgent is the agent that serves the endpoint list to one relay: the lab's
+// own, or a real one behind an agentProxy.
 type discoveryAgent interface {
-	// Addr is where the relay finds it.
+	// Addr is the address at which the relay connects to the agent.
 	Addr() string
-	// Known is the endpoint list as it has it.
+	// Known is the agent's current endpoint list.
 	Known() model.List
-	// Started records the list in the configuration of a new process.
+	// Started records the list that a new process reads from its configuration.
 	Started(model.List)
-	// Rebind gives it a new address.
+	// Rebind moves the agent to a new address.
 	Rebind(context.Context) error
-	// SetSilent has it write nothing of the list, or everything again.
+	// SetSilent makes the agent withhold the list from the relay, or send it again.
 	SetSilent(bool)
 	Close()
 }
 
-// agentProxy is a proxy between a relay and its real agent. It records the changes
-// that the relay receives and the notices that the agent takes. It replaces each
-// endpoint's address by that of the relay's own link.
+// agentProxy is a proxy between a relay and its real agent. It records the changes that
+// the relay receives and the notices that the agent accepts. In each list it replaces
+// an endpoint's address by that of the relay's own link, so that calls pass through the
+// link.
 type agentProxy struct {
 	*model.Listener
 	relay    string
-	agent    string            // address
-	links    map[string]string // address by endpoint
+	agent    string            // address of the real agent
+	links    map[string]string // address of the relay's link by endpoint ID
 	recorder *history.Recorder
 	onNotice model.NoticeFunc
 
 	mu              sync.Mutex
-	deliveredPhases map[string]string // of each endpoint, as the relay has it
+	deliveredPhases map[string]string // last phase sent to the relay, by endpoint ID
 }
 
-// newAgentProxy serves at an address of ip; links has the address for each endpoint.
+// newAgentProxy starts a proxy on ip; links has the link's address for each endpoint
+// ID.
 func newAgentProxy(relay, ip, agent string, links map[string]string, recorder *history.Recorder, onNotice model.NoticeFunc) (*agentProxy, error) {
 	p := &agentProxy{relay: relay, agent: agent, links: links, recorder: recorder, onNotice: onNotice, deliveredPhases: map[string]string{}}
 	mux := http.NewServeMux()
@@ -66,7 +69,7 @@
 	return p, nil
 }
 
-// Known is the list as the agent has it now; empty if it does not answer.
+// Known returns the agent's current list, or an empty one if it does not answer.
 func (p *agentProxy) Known() model.List {
 	client := http.Client{Timeout: agentTimeout}
 	none := model.List{Complete: true, Members: []model.Member{}}
@@ -92,10 +95,10 @@
 	}
 }
 
-// Started records the list that a process begins with.
+// Started records the list that a new process has from its configuration.
 func (p *agentProxy) Started(list model.List) { p.recordDelivered(list) }
 
-// recordDelivered records what a list that the relay received changes for it.
+// recordDelivered records the changes of phase that a list brought to the relay.
 func (p *agentProxy) recordDelivered(list model.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,8 +108,8 @@
 	}
 }
 
-// serveList forwards a request for the list, or a watch of it. If the agent is gone,
-// so is the relay's connection.
+// serveList forwards a request for the list, or a watch of it. If the agent cannot be
+// reached or its response breaks off, the relay's connection is aborted as well.
 func (p *agentProxy) serveList(w http.ResponseWriter, r *http.Request) {
 	if !p.WaitWhileSilent(r.Context()) {
 		return
@@ -142,7 +145,8 @@
 	}
 }
 
-// forwardLine writes one line to the relay; a list in it is rewritten and recorded.
+// forwardLine forwards one line to the relay. If it holds a list, the addresses in the
+// list are replaced and its changes are recorded.
 func (p *agentProxy) forwardLine(w io.Writer, out *http.ResponseController, line []byte) error {
 	if len(line) == 0 {
 		return nil
@@ -169,7 +173,7 @@
 	return nil
 }
 
-// serveNotices forwards notices, and records those that the agent takes.
+// serveNotices forwards notices, and records those that the agent accepts.
 func (p *agentProxy) serveNotices(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(io.LimitReader(r.Body, maxNotices))
 	if err != nil {
@@ -182,7 +186,7 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode == http.StatusNoContent {
-		notices, _ := discovery.ReadNotices(bytes.NewReader(text)) // the agent has read them
+		notices, _ := discovery.ReadNotices(bytes.NewReader(text)) // no error is possible: the agent has parsed the same text
 		model.RecordNotices(p.recorder, p.relay, notices, p.onNotice)
 	}
 	w.WriteHeader(resp.StatusCode)
--- a/internal/faultlab/bench.go
+++ b/internal/faultlab/bench.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Spread is a figure over several runs, in milliseconds unless its name says
-// otherwise.
+// Spread is the distribution of one figure over N values, in milliseconds unless its
+// name says otherwise.
 type Spread struct {
 	Name               string
 	N                  int
@@ -36,7 +36,7 @@
 // concurrent use.
 type figures struct {
 	printf Printf
-	format string // of a Spread's fields
+	format string // of a printed line, for the fields of a Spread in their order
 
 	mu  sync.Mutex
 	all []Spread
@@ -65,8 +65,9 @@
 // toMillis converts a duration to milliseconds.
 func toMillis(d time.Duration) float64 { return d.Seconds() * 1e3 }
 
-// raiseDescriptorLimit lets this process and those that it starts hold as many
-// descriptors as they may. Without it, what runs out of them says so.
+// raiseDescriptorLimit raises the soft limit on file descriptors, for this process and
+// those that it starts, to the hard limit. A failure is ignored, since a process that
+// runs out of descriptors reports it.
 func raiseDescriptorLimit() {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < limit.Max {
--- a/internal/faultlab/bench_comeback.go
+++ b/internal/faultlab/bench_comeback.go
@@ -17,7 +17,8 @@
 	recoveryPoll    = 5 * time.Millisecond
 )
 
-// recoveringFleet is what comes back to a group that was gone.
+// recoveringFleet is the agents and watchers that reconnect to the list service after
+// an outage.
 type recoveringFleet struct {
 	agents   []*agent.Agent
 	watchers watcherSet
@@ -34,7 +35,7 @@
 	}
 }
 
-// startAgents starts the agents that come back.
+// startAgents starts the agents that reconnect after the outage.
 func (b *registryBench) startAgents(f *recoveringFleet) error {
 	count := b.options.ReturningAgents
 	for i := range count {
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// measureRecovery measures the return of a whole fleet: agents and watchers whose
-// group was gone for so long that each retries as seldom as it ever does.
+// measureRecovery measures how soon a whole fleet reconnects after an outage that was
+// so long that every agent and watcher retries at its longest interval.
 func (b *registryBench) measureRecovery(ctx context.Context, watchers int) error {
 	c, err := b.startReady(ctx, benchNodes, recoveryMembers)
 	if err != nil {
@@ -88,14 +89,15 @@
 	return nil
 }
 
-// recoveryResult is what one return took, in milliseconds, and the elections after
-// the first leader, which it would have caused.
+// recoveryResult has the times of one recovery in milliseconds, and the number of
+// elections after the first one, which would be due to the load of the reconnecting
+// fleet.
 type recoveryResult struct {
 	agentsBack, allBack, elections float64
 }
 
-// timeRecovery ends the group for the outage, and times the return. Elections are
-// counted for as long again as the return took.
+// timeRecovery stops the group for the outage, starts it again and times the recovery.
+// It goes on counting elections for as long as the recovery took.
 func (b *registryBench) timeRecovery(ctx context.Context, fleet *recoveringFleet) (result recoveryResult, err error) {
 	b.stop()
 	opened := fleet.watchers.opened.Load()
--- a/internal/faultlab/bench_controllers.go
+++ b/internal/faultlab/bench_controllers.go
@@ -20,17 +20,17 @@
 const (
 	benchControllers = 5
 	benchRole        = leader.RegistrationExpiry
-	healthyMargin    = 200 * time.Millisecond // beyond a time to live, until a leader counts as healthy
+	healthyMargin    = 200 * time.Millisecond // beyond the time to live, until a new leader counts as healthy
 )
 
-// benchControllerSet is the processes that compete for benchRole.
+// benchControllerSet is a set of controller processes that compete for benchRole.
 type benchControllerSet struct {
 	group     *benchGroup
 	program   string
 	ttl       time.Duration
 	client    *client.Client
 	processes map[string]*process.Process
-	links     map[string][]*link.Link // of each controller to each node; none if nobody is cut off
+	links     map[string][]*link.Link // to each node, by controller; empty if no controller is to be cut off
 }
 
 // start starts one controller.
@@ -82,7 +82,8 @@
 	}
 }
 
-// awaitGrant waits for a grant of benchRole after a token, and for so many sessions.
+// awaitGrant waits until benchRole is granted with a token greater than after while at
+// least the given number of sessions exists.
 func (s *benchControllerSet) awaitGrant(ctx context.Context, after int64, sessions int) (registry.Role, error) {
 	revision := int64(0)
 	for ctx.Err() == nil {
@@ -101,8 +102,8 @@
 	return registry.Role{}, ctx.Err()
 }
 
-// measureCuts cuts the leader off again and again, and returns how long it took
-// until the next one led, in milliseconds.
+// measureCuts cuts the leader off count times, and returns how long it took each time
+// until another controller led, in milliseconds.
 func (s *benchControllerSet) measureCuts(ctx context.Context, count int) (took []float64, err error) {
 	defer s.close()
 	s.links = map[string][]*link.Link{}
@@ -134,8 +135,8 @@
 	return took, nil
 }
 
-// measureKills ends the leader by a signal again and again, and returns how long
-// nobody led, in milliseconds.
+// measureKills ends the leader by a signal count times, and returns how long it took
+// each time until another controller led, in milliseconds.
 func (s *benchControllerSet) measureKills(ctx context.Context, count int, signal syscall.Signal) (took []float64, err error) {
 	defer s.close()
 	for i := range benchControllers {
@@ -168,7 +169,8 @@
 	return took, nil
 }
 
-// replace ends a controller and starts another in its place.
+// replace ends a controller and starts another in its place, whose name ends in the
+// generation.
 func (s *benchControllerSet) replace(name string, generation int) error {
 	s.processes[name].Kill()
 	delete(s.processes, name)
--- a/internal/faultlab/bench_fanout.go
+++ b/internal/faultlab/bench_fanout.go
@@ -14,15 +14,16 @@
 
 const (
 	fanOutTimeout = 30 * time.Second       // for a write to reach all watchers
-	memorySettle  = 500 * time.Millisecond // after all watchers opened
-	groupDowntime = time.Second            // for which the group is gone
+	memorySettle  = 500 * time.Millisecond // wait after all watchers have opened, before memory is measured
+	groupDowntime = time.Second            // how long the group is stopped
 )
 
-// errNotDelivered is a write that did not reach all watchers in time.
-var errNotDelivered = errors.New("bench: a write never came to all watchers")
+// errNotDelivered reports a write that did not reach all watchers in time.
+var errNotDelivered = errors.New("bench: a write did not reach all watchers in time")
 
-// measureFanOut measures the way of a write to the last of many watchers, what a
-// watcher costs in memory, and how soon all are back after the group was gone.
+// measureFanOut measures how long a write takes to reach the last of many watchers, how
+// much memory a watcher costs the nodes, and how soon all watchers have reconnected
+// after the group was stopped.
 func (b *registryBench) measureFanOut(ctx context.Context, watchers, members int, poll bool) error {
 	c, err := b.startReady(ctx, benchNodes, members)
 	if err != nil {
@@ -63,10 +64,11 @@
 	return nil
 }
 
-// timeWrites times writes from their answers until the last watcher has them.
+// timeWrites measures, for each write, the time from its answer until the last watcher
+// has received it.
 func (b *registryBench) timeWrites(ctx context.Context, c *client.Client, set *watcherSet) (took []float64, err error) {
 	for n := range b.options.Writes {
-		// The revision of a write is not known before: the next one is awaited.
+		// A write's revision is not known in advance; it is the one after the current.
 		var list discovery.List
 		if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistentQuery, nil, &list); err != nil {
 			return nil, fmt.Errorf("bench: %w", err)
@@ -88,7 +90,8 @@
 	return took, nil
 }
 
-// timeReturns times how soon all watchers are back after the group was gone.
+// timeReturns measures how soon all watchers have reconnected after the group was
+// stopped.
 func (b *registryBench) timeReturns(ctx context.Context, set *watcherSet) (took []float64, err error) {
 	for range benchRepeats {
 		b.stop()
--- a/internal/faultlab/bench_group.go
+++ b/internal/faultlab/bench_group.go
@@ -16,22 +16,24 @@
 
 const (
 	benchNodes   = 3
-	portsPerNode = 2 // HTTP and Raft
+	portsPerNode = 2 // one for HTTP, one for Raft
 )
 
-// benchGroup is a group of the list service's processes with no links between them.
+// benchGroup is a group of the list service's processes, which connect without links of
+// the lab.
 type benchGroup struct {
 	ip        string
 	dir       string
 	program   string
-	port      int // the last that was used
+	port      int // last port that a node was given
 	processes []*process.Process
-	configs   []string // files
-	http      []string // addresses
+	configs   []string // paths of the configuration files, by node
+	http      []string // HTTP addresses, by node
 	logs      *os.File
 }
 
-// start starts a new group, with members from its configuration.
+// start starts a new group of size nodes, whose configuration lists the given number of
+// members.
 func (b *benchGroup) start(size, members int) error {
 	b.processes, b.configs, b.http = make([]*process.Process, size), nil, nil
 	var peers strings.Builder
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// benchMembers are the members in a node's configuration.
+// benchMembers returns the [[members]] tables of a node's configuration.
 func benchMembers(count int) string {
 	const perNetwork = 250
 	var text strings.Builder
@@ -98,7 +100,7 @@
 	}
 }
 
-// rss is the memory of all nodes, in bytes.
+// rss returns the resident memory of all nodes in bytes.
 func (b *benchGroup) rss() (bytes float64) {
 	for _, p := range b.processes {
 		if usage, err := p.Measure(""); err == nil {
@@ -113,8 +115,8 @@
 	return client.New(b.http, 1, slog.New(slog.DiscardHandler))
 }
 
-// startReady starts a group and returns a client of it once a write is taken. The
-// caller stops the group and closes the client.
+// startReady starts a group and returns a client of it once the group has accepted a
+// write. The caller stops the group and closes the client.
 func (b *benchGroup) startReady(ctx context.Context, size, members int) (*client.Client, error) {
 	if err := b.start(size, members); err != nil {
 		return nil, err
@@ -134,14 +136,14 @@
 	return c, nil
 }
 
-// benchWrite changes the zone of one member, by a number.
+// benchWrite writes one member, whose zone is zone followed by number.
 func benchWrite(ctx context.Context, c *client.Client, zone string, number int) error {
 	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath,
 		registry.Registration{ID: "bench", Address: "10.9.9.9:1", Zone: fmt.Sprint(zone, number), Flavor: "bench"}, nil)
 	return err
 }
 
-// term is the highest term that a node reports, and whether some node leads.
+// term returns the highest Raft term that a node reports, and whether any node leads.
 func (b *benchGroup) term() (term uint64, hasLeader bool) {
 	for _, addr := range b.http {
 		if status, err := nodeStatus(addr); err == nil {
--- a/internal/faultlab/bench_kills.go
+++ b/internal/faultlab/bench_kills.go
@@ -12,13 +12,13 @@
 
 const (
 	leaderPoll    = 50 * time.Millisecond
-	maxKillDelay  = 300                    // ms, drawn, before each kill
+	maxKillDelay  = 300                    // ms; the delay before each kill is drawn below this
 	writeTimeout  = 200 * time.Millisecond // short, so that the client's own backoff is not measured
-	followTimeout = 10 * time.Second       // for a restarted node to follow
+	followTimeout = 10 * time.Second       // for a restarted node to follow a leader
 	followPoll    = 20 * time.Millisecond
 )
 
-// measureKills measures how long no write is taken after the leader was killed.
+// measureKills measures how long the group accepts no write after its leader is killed.
 func (b *registryBench) measureKills(ctx context.Context, members, kills int) error {
 	c, err := b.startReady(ctx, benchNodes, members)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// awaitWrite writes until a write is taken, or ctx ends.
+// awaitWrite writes until a write is accepted, or ctx ends.
 func awaitWrite(ctx context.Context, c *client.Client, number int) {
 	for ctx.Err() == nil {
 		writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -60,7 +60,7 @@
 	}
 }
 
-// awaitFollower waits until a node follows a leader, no longer than followTimeout.
+// awaitFollower waits until a node follows a leader, but no longer than followTimeout.
 func awaitFollower(ctx context.Context, addr string) {
 	for deadline := time.Now().Add(followTimeout); time.Now().Before(deadline); model.Sleep(ctx, followPoll) {
 		if status, err := nodeStatus(addr); err == nil && !status.Stale && status.Leader != "" {
--- a/internal/faultlab/bench_leader.go
+++ b/internal/faultlab/bench_leader.go
@@ -25,22 +25,22 @@
 	roleTTL      = 3 * time.Second // of the sessions whose cost is measured
 	rolePoll     = 20 * time.Millisecond
 	roleWarmUp   = 4 * time.Second // until all roles are marked as healthy
-	roleCostTime = 3 * time.Second // of one measurement
+	roleCostTime = 3 * time.Second // length of one measurement
 )
 
-// errKillsPerTTL is a benchmark without a number of kills for each time to live.
+// errKillsPerTTL reports options whose Kills and TTL differ in length.
 var errKillsPerTTL = errors.New("bench: as many kills as times to live are wanted")
 
-// LeaderBenchOptions say what of the leader election is measured.
+// LeaderBenchOptions selects what is measured of the leader election.
 type LeaderBenchOptions struct {
 	Registry   string // the list service's program
 	Controller string // the controllers' program
-	Out        string // folder
+	Out        string // folder of the data and logs
 	TTL        []time.Duration
-	Kills      []int // of the leader, for each time to live
+	Kills      []int // kills of the leader, one number for each TTL
 	Handovers  int
-	Cuts       int   // of the leader from all nodes, for each time to live
-	Roles      []int // whose cost is measured
+	Cuts       int   // times that the leader is cut off from all nodes, for each TTL
+	Roles      []int // numbers of roles whose cost is measured
 	Printf     Printf
 }
 
@@ -71,7 +71,8 @@
 	return b.figures.all, nil
 }
 
-// failures measures cuts and kills of the leader, side by side: mostly they wait.
+// measureFailures measures cuts and kills of the leader for all times to live
+// concurrently, since the measurements mostly wait.
 func (b *leaderBench) measureFailures(ctx context.Context) error {
 	var measuring errgroup.Group
 	for i, ttl := range b.options.TTL {
@@ -97,7 +98,7 @@
 	return measuring.Wait()
 }
 
-// handovers measures graceful shutdowns of the leader.
+// measureHandovers measures graceful shutdowns of the leader.
 func (b *leaderBench) measureHandovers(ctx context.Context) error {
 	if b.options.Handovers == 0 {
 		return nil
@@ -109,7 +110,7 @@
 	})
 }
 
-// costs measures what roles cost the list service.
+// measureCosts measures what roles cost the list service.
 func (b *leaderBench) measureCosts(ctx context.Context) error {
 	for _, roles := range b.options.Roles {
 		err := b.withGroup(ctx, fmt.Sprint("load-", roles), func(g *benchGroup, c *client.Client) error {
@@ -126,7 +127,8 @@
 	return nil
 }
 
-// withGroup calls measure with a group of its own, in a folder of that name.
+// withGroup calls measure with a new group and a client of it, in a folder of the given
+// name.
 func (b *leaderBench) withGroup(ctx context.Context, name string, measure func(*benchGroup, *client.Client) error) error {
 	ip, lock, err := claimAddress()
 	if err != nil {
@@ -152,21 +154,22 @@
 	return measure(g, c)
 }
 
-// withControllers is withGroup, with controllers that are not started.
+// withControllers calls measure with a new group and a set of controllers, none of
+// which is started.
 func (b *leaderBench) withControllers(ctx context.Context, name string, ttl time.Duration, measure func(*benchControllerSet) error) error {
 	return b.withGroup(ctx, name, func(g *benchGroup, c *client.Client) error {
 		return measure(&benchControllerSet{group: g, program: b.options.Controller, ttl: ttl, client: c, processes: map[string]*process.Process{}})
 	})
 }
 
-// roleCost measures the CPU time that the nodes use while all of so many roles have
-// a leader, in milliseconds a second.
+// roleCost measures the CPU time that the nodes use while the given number of roles
+// have a leader, in milliseconds a second.
 func (b *benchGroup) roleCost(ctx context.Context, c *client.Client, roles int) (used []float64, err error) {
 	leadCtx, stop := context.WithCancel(ctx)
 	var leaders errgroup.Group
 	defer func() {
 		stop()
-		leaders.Wait() // how they ended shows in the measurement
+		leaders.Wait() // errors are ignored: a leader that failed shows in the measurement
 	}()
 	for i := range benchControllers {
 		leaderClient, err := b.client()
@@ -190,7 +193,7 @@
 	return used, nil
 }
 
-// idleRoles are roles whose leader does nothing.
+// idleRoles returns roles whose leader does nothing.
 func idleRoles(count int) map[string]leader.Work {
 	roles := map[string]leader.Work{}
 	for i := range count {
@@ -202,7 +205,7 @@
 	return roles
 }
 
-// awaitLeaders waits until so many roles have a leader.
+// awaitLeaders waits until the given number of roles have a leader.
 func awaitLeaders(ctx context.Context, c *client.Client, roles int) error {
 	for ledRoles := -1; ledRoles < roles; {
 		var list registry.RoleList
@@ -222,7 +225,7 @@
 	return nil
 }
 
-// cpu is the CPU time that the nodes have used.
+// cpu returns the CPU time that the nodes have used.
 func (b *benchGroup) cpu() (used time.Duration) {
 	for _, p := range b.processes {
 		if usage, err := p.Measure(""); err == nil {
--- a/internal/faultlab/bench_registry.go
+++ b/internal/faultlab/bench_registry.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	benchRepeats  = 3    // of each measurement that is repeated
-	benchWriters  = 16   // at once
-	fewMembers    = 30   // of the list, where it is not what is measured
-	fewWatchers   = 300  // likewise
-	maxPolls      = 1000 // more polls a second would measure the poll's own load
-	killsPerLarge = 5    // a large list is measured by one kill of so many
+	benchRepeats  = 3    // runs of each measurement that is repeated
+	benchWriters  = 16   // concurrent writers
+	fewMembers    = 30   // members of the list where its length is not measured
+	fewWatchers   = 300  // watchers where their number is not measured
+	maxPolls      = 1000 // polling clients at most: more would measure the load of polling itself
+	killsPerLarge = 5    // the number of kills is divided by this for large lists
 )
 
-// RegistryBenchOptions say what of the list service is measured.
+// RegistryBenchOptions selects what is measured of the list service.
 type RegistryBenchOptions struct {
-	Registry        string // its program
-	Out             string // folder
-	Watchers        []int
-	Members         []int
-	Kills           int           // of the leader
-	Writes          int           // whose way to the last watcher is timed
-	LoadTime        time.Duration // of each measurement of writes
-	ReturningAgents int           // that come back after an outage, beside the most watchers
-	Outage          time.Duration
+	Registry        string        // the list service's program
+	Out             string        // folder of the data and logs
+	Watchers        []int         // numbers of watchers
+	Members         []int         // numbers of members of the list
+	Kills           int           // kills of the leader
+	Writes          int           // writes that are timed until the last watcher has them
+	LoadTime        time.Duration // length of each measurement of writes
+	ReturningAgents int           // agents that reconnect after an outage, with the largest number of watchers
+	Outage          time.Duration // how long the group is stopped before they reconnect
 	Seed            uint64
 	Printf          Printf
 }
@@ -44,8 +44,8 @@
 	figures *figures
 }
 
-// BenchRegistry measures the list service beside a poll every second and beside a
-// single node.
+// BenchRegistry measures the list service and, for comparison, clients that poll every
+// second and a single node.
 func BenchRegistry(ctx context.Context, o RegistryBenchOptions) ([]Spread, error) {
 	ip, lock, err := claimAddress()
 	if err != nil {
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// measureAllFanOuts measures watchers, beside polls, and lists of all sizes.
+// measureAllFanOuts measures the fan-out to all numbers of watchers and, for
+// comparison, to polling clients, and the fan-out of lists of all sizes.
 func (b *registryBench) measureAllFanOuts(ctx context.Context) error {
 	for _, watchers := range b.options.Watchers {
 		for _, poll := range []bool{true, false} {
@@ -126,7 +127,8 @@
 	return nil
 }
 
-// comeback measures the return of a fleet with the most watchers.
+// measureLargestRecovery measures the recovery of a fleet with the largest number of
+// watchers.
 func (b *registryBench) measureLargestRecovery(ctx context.Context) error {
 	if b.options.ReturningAgents == 0 || len(b.options.Watchers) == 0 {
 		return nil
@@ -134,7 +136,7 @@
 	return b.measureRecovery(ctx, slices.Max(b.options.Watchers))
 }
 
-// measureWrites measures how many writes a second a group takes, and how long each
+// measureWrites measures how many writes a second a group accepts, and how long each
 // takes.
 func (b *registryBench) measureWrites(ctx context.Context, nodes, members int) error {
 	c, err := b.startReady(ctx, nodes, members)
@@ -157,7 +159,7 @@
 
 // runWriters has all writers write for LoadTime and returns how long each write took.
 func (b *registryBench) runWriters(ctx context.Context) (took []float64) {
-	ctx, cancel := context.WithTimeout(ctx, b.options.LoadTime+groupTimeout) // the last writes may finish
+	ctx, cancel := context.WithTimeout(ctx, b.options.LoadTime+groupTimeout) // the last writes get time to finish
 	defer cancel()
 	deadline := time.Now().Add(b.options.LoadTime)
 	var mu sync.Mutex
@@ -176,7 +178,8 @@
 	return took
 }
 
-// writeUntil writes one member again and again, and returns how long each write took.
+// writeUntil writes one member repeatedly until the deadline, and returns how long each
+// write took.
 func (b *registryBench) writeUntil(ctx context.Context, writer int, deadline time.Time) (took []float64) {
 	c, err := b.client()
 	if err != nil {
--- a/internal/faultlab/bench_wal.go
+++ b/internal/faultlab/bench_wal.go
@@ -16,24 +16,24 @@
 	"plovershore/internal/wal/baseline"
 )
 
-// WALBenchOptions say what of the relay's message log is measured.
+// WALBenchOptions selects what is measured of the relay's message log.
 type WALBenchOptions struct {
 	Out     string        // folder, on the disk that is measured
-	Pending []int         // messages in the log at a start
-	Clients []int         // at once
-	Plays   int           // of each measurement
-	Span    time.Duration // of each measurement of writes
+	Pending []int         // numbers of messages pending in the log when it is opened
+	Clients []int         // numbers of concurrent clients
+	Plays   int           // runs of each measurement
+	Span    time.Duration // length of each measurement of writes
 	Printf  Printf
 }
 
-// messageLog is the message log, or the baseline: the log that it replaced.
+// messageLog is the message log, or the baseline, which is the log that it replaced.
 type messageLog interface {
 	Submit(*wal.Record, func(error))
 	Run(<-chan struct{})
 	Done() <-chan struct{}
 }
 
-// countFS is a file system that counts what is written through it.
+// countFS is a file system that counts the write calls, bytes and syncs.
 type countFS struct {
 	wal.OS
 	calls, bytes, syncs atomic.Int64
@@ -54,29 +54,29 @@
 	return countFile{file, f}, nil
 }
 
-// WriteAt counts and writes.
+// WriteAt counts the call and its bytes, and writes them.
 func (f countFile) WriteAt(b []byte, off int64) (int, error) {
 	f.fs.calls.Add(1)
 	f.fs.bytes.Add(int64(len(b)))
 	return f.File.WriteAt(b, off)
 }
 
-// Sync counts and syncs.
+// Sync counts the call, and syncs the file.
 func (f countFile) Sync() error {
 	f.fs.syncs.Add(1)
 	return f.File.Sync()
 }
 
 const (
-	benchLimit   = 4 << 30 // bytes of a log
-	readBatch    = 2000    // messages, as the relay reads them
-	stallPending = 20000
-	stallLimit   = 64 << 20 // bytes, for which checkpoints are made often
-	stallRounds  = 6        // over the pending messages, enough for several checkpoints
+	benchLimit   = 4 << 30  // size limit of a log in bytes
+	readBatch    = 2000     // messages in one read, as many as the relay reads
+	stallPending = 20000    // messages that are pending while checkpoints are made
+	stallLimit   = 64 << 20 // size limit in bytes, so small that checkpoints are made often
+	stallRounds  = 6        // records written for each pending message, enough for several checkpoints
 	megabyte     = 1e6
 	baselineName = "log before"
-	processName  = "process" // wal.SurvivesProcess
-	powerName    = "power"   // wal.SurvivesPowerLoss
+	processName  = "process" // log with durability wal.SurvivesProcess
+	powerName    = "power"   // log with durability wal.SurvivesPowerLoss
 )
 
 // benchMessage is the record of one message.
@@ -85,7 +85,7 @@
 		Dest: i % 80, Deadline: 1e15, Body: []byte(strings.Repeat("b", 200))}
 }
 
-// heap is the size of the heap in bytes, after a collection.
+// heapBytes returns the size of the heap in bytes, after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -93,7 +93,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// cpu is the CPU time that this process has used.
+// processCPU returns the CPU time that this process has used.
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the process itself
@@ -107,7 +107,7 @@
 	figures *figures
 }
 
-// BenchWAL measures the relay's message log beside the baseline.
+// BenchWAL measures the relay's message log and, for comparison, the baseline.
 func BenchWAL(ctx context.Context, o WALBenchOptions) ([]Spread, error) {
 	dir, err := makeBenchDir(o.Out)
 	if err != nil {
@@ -136,15 +136,15 @@
 	return dir, nil
 }
 
-// drain runs a log until it has written what was submitted, and closes it.
+// drainLog runs a log until it has written what was submitted, and closes it.
 func drainLog(log messageLog) {
 	stop := make(chan struct{})
 	close(stop)
 	log.Run(stop)
 }
 
-// measureStarts measures how soon the pending messages are known, and read, after a
-// start.
+// measureStarts measures how long after a start the IDs of the pending messages are
+// known, and how long until all the messages are read.
 func (b *walBench) measureStarts(ctx context.Context, pending int) error {
 	dir, err := b.tempDir(fmt.Sprint("start-", pending))
 	if err != nil {
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// logStart is what one start took.
+// logStart has the times and the memory of one start.
 type logStart struct {
 	known  float64 // ms until all IDs are known
 	all    float64 // ms until all messages are read
@@ -215,12 +215,12 @@
 		return start, err
 	}
 	if log.PendingUnread() != pending {
-		return start, fmt.Errorf("bench: %d of %d owed", log.PendingUnread(), pending)
+		return start, fmt.Errorf("bench: the log has %d of %d messages pending", log.PendingUnread(), pending)
 	}
 	start.known = toMillis(time.Since(began))
 	start.memory = (heapBytes() - before) / megabyte
 	began = time.Now()
-	for len(log.Next(readBatch)) > 0 { // they are not kept here
+	for len(log.Next(readBatch)) > 0 { // the messages are dropped
 	}
 	start.all = start.known + toMillis(time.Since(began))
 	drainLog(log)
@@ -241,16 +241,16 @@
 	return start, nil
 }
 
-// writeCost is what messages cost that are accepted, sent once and completed.
+// writeCost is the cost of a message that is accepted, sent once and completed.
 type writeCost struct {
 	rate  float64 // messages a second
-	cpu   float64 // µs a message, the clients' too
-	calls float64 // to write, a message
-	bytes float64 // written, a message
+	cpu   float64 // µs of CPU time a message, including the clients'
+	calls float64 // write calls a message
+	bytes float64 // bytes written a message
 }
 
-// measureWrites measures the cost of messages with so many clients. The logs take
-// turns.
+// measureWrites measures the cost of messages with the given number of concurrent
+// clients. The kinds of log are measured in turn.
 func (b *walBench) measureWrites(ctx context.Context, clients int) error {
 	names := []string{baselineName, processName, powerName}
 	costs := map[string][]writeCost{}
@@ -288,7 +288,8 @@
 	return nil
 }
 
-// runWrites has clients write to a new log of one kind for the benchmark's span.
+// runWrites has clients write to a new log of the named kind for the span of the
+// options.
 func (b *walBench) runWrites(dir, name string, clients int) (cost writeCost, err error) {
 	fs := &countFS{}
 	var log messageLog
@@ -324,8 +325,8 @@
 	}, nil
 }
 
-// writeMessages has clients write messages until a moment, each the next record when
-// the one before is durable, and returns how many messages they wrote.
+// writeMessages has clients write messages until the deadline, and returns how many
+// messages they wrote. A client submits its next record when the one before is durable.
 func writeMessages(log messageLog, clients int, deadline time.Time) int64 {
 	var count atomic.Int64
 	var writing sync.WaitGroup
@@ -349,8 +350,8 @@
 	return count.Load()
 }
 
-// measureStalls measures the longest that a record waits while checkpoints are made
-// with many messages pending.
+// measureStalls measures the longest time that a record takes to become durable while
+// checkpoints are made and many messages are pending.
 func (b *walBench) measureStalls(ctx context.Context) error {
 	names := []string{baselineName, processName}
 	longest := map[string][]float64{}
@@ -376,7 +377,8 @@
 	return nil
 }
 
-// runStall writes to a new log of one kind and returns the longest wait.
+// runStall writes to a new log of the named kind and returns the longest time that a
+// record took to become durable.
 func runStall(ctx context.Context, dir, name string) (longest time.Duration, err error) {
 	var log messageLog
 	if name == processName {
@@ -407,7 +409,7 @@
 		if err := <-durable; err != nil {
 			return 0, fmt.Errorf("bench: %w", err)
 		}
-		if i > 0 { // the first waits for all pending messages
+		if i > 0 { // the first record waits until all pending messages are written
 			longest = max(longest, time.Since(began))
 		}
 	}
--- a/internal/faultlab/bench_watchers.go
+++ b/internal/faultlab/bench_watchers.go
@@ -20,11 +20,11 @@
 const (
 	watchDialTimeout  = time.Second
 	watchReadTimeout  = 10 * time.Second
-	watchBuffer       = 512 // bytes: the revision is at the front of a line
+	watchBuffer       = 512 // bytes; enough for the revision, which stands at the start of a line
 	benchPollInterval = time.Second
 	openPoll          = 2 * time.Millisecond
 
-	// Backoff of a watcher, as the list service's client has it.
+	// Backoff of a watcher, the same as that of the list service's client.
 	backoffBase   = 50 * time.Millisecond
 	backoffMax    = 2 * time.Second
 	backoffSpread = 500 * time.Millisecond
@@ -41,12 +41,12 @@
 type benchWatcher struct {
 	addr       string
 	polls      bool
-	revision   int64 // the last that it received; -1 before the first
+	revision   int64 // last revision that it received; -1 before the first
 	onOpen     func()
 	onRevision func(int64, time.Time)
 }
 
-// run watches until ctx ends.
+// run watches or polls until ctx ends, with a backoff after each error.
 func (w *benchWatcher) run(ctx context.Context) {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		err := w.watch(ctx, func() { w.onOpen(); attempt = 0 })
@@ -102,7 +102,7 @@
 	return line, err
 }
 
-// receive takes the start of one line.
+// receive handles the start of one line: the status of an opened watch, or a revision.
 func (w *benchWatcher) receive(line []byte, receivedAt time.Time, onOpen func()) {
 	if !w.polls && bytes.HasPrefix(line, okStatus) {
 		onOpen()
@@ -120,22 +120,23 @@
 	w.onRevision(revision, receivedAt)
 }
 
-// watcherSet is many watchers of a group. The zero value has none; start is called
-// once.
+// watcherSet is a set of watchers of one group. The zero value is an empty set; start
+// is called at most once.
 type watcherSet struct {
 	size   int
-	opened atomic.Int64 // watches, those after a reconnect as well
+	opened atomic.Int64 // number of watches opened, including those after a reconnect
 
 	running sync.WaitGroup
 
 	mu               sync.Mutex
-	expectedRevision int64 // revision; 0 for none
-	arrived          int   // watchers that have it
+	expectedRevision int64 // 0 if no revision is expected
+	arrived          int   // watchers that have received expectedRevision
 	lastArrivalAt    time.Time
 	allArrived       chan struct{}
 }
 
-// expect returns what is closed once all watchers have a revision.
+// expectRevision returns a channel that is closed once all watchers have received a
+// revision or a later one.
 func (s *watcherSet) expectRevision(revision int64) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +144,7 @@
 	return s.allArrived
 }
 
-// lastArrival is when the last watcher had the revision that was expected.
+// lastArrival returns when the last watcher received the expected revision.
 func (s *watcherSet) lastArrival() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +155,7 @@
 func (s *watcherSet) start(ctx context.Context, nodes []string, size int, poll bool) {
 	s.size = size
 	for i := range size {
-		countedRevision := int64(-1) // the awaited revision for which it was counted
+		countedRevision := int64(-1) // last expected revision for which this watcher was counted
 		w := &benchWatcher{addr: nodes[i%len(nodes)], revision: -1, polls: poll}
 		w.onOpen = func() { s.opened.Add(1) }
 		w.onRevision = func(revision int64, receivedAt time.Time) { s.recordArrival(revision, receivedAt, &countedRevision) }
@@ -163,7 +164,7 @@
 	}
 }
 
-// arrive counts a watcher once for the awaited revision.
+// recordArrival counts a watcher once for the expected revision.
 func (s *watcherSet) recordArrival(revision int64, receivedAt time.Time, countedRevision *int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +179,7 @@
 	}
 }
 
-// awaitOpen waits until each watcher has opened its watch since so many had opened.
+// awaitOpen waits until opened has grown beyond since by the number of watchers.
 func (s *watcherSet) awaitOpen(ctx context.Context, since int64) error {
 	for s.opened.Load()-since < int64(s.size) {
 		if !model.Sleep(ctx, openPoll) {
--- a/internal/faultlab/build.go
+++ b/internal/faultlab/build.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	readyTimeout = 30 * time.Second // for all relays, before the clients come
+	readyTimeout = 30 * time.Second // for all relays to be ready, before the load starts
 	readyPoll    = 5 * time.Millisecond
 
-	windowLength        = 2 * time.Second // of an upstream whose limit has windows
+	windowLength        = 2 * time.Second // of an upstream whose limit counts over windows
 	retryAfterMinMillis = 400
 	retryAfterMaxMillis = 910
 	endpointIdle        = 10 * time.Second
-	queuePerServer      = 2
+	queuePerServer      = 2 // queue places for each of an endpoint's servers
 )
 
-// build makes upstreams, discovery, clients, relays and links; no relay runs yet.
+// build makes upstreams, discovery, clients, relays and links; it starts all but the
+// relays and the load.
 func (r *run) build(ctx context.Context) error {
 	r.world = &model.World{
 		Recorder:    r.recorder,
@@ -115,7 +116,8 @@
 	return endpoint
 }
 
-// endpointID looks like a platform's: the same for one seed, different for others.
+// endpointID returns an endpoint's ID in the form that the platform uses. It depends on
+// seed and number alone, and differs between seeds.
 func endpointID(seed uint64, number int) string {
 	const spread = 40503
 	return fmt.Sprintf("s-%04x%04x", uint16(seed*spread), number)
@@ -130,7 +132,7 @@
 	r.clients.OnLateness = r.lateness.record
 }
 
-// connect makes one relay's machine: its directory, links and agent.
+// connect makes the directory, links and agent of one relay.
 func (r *run) connect(ctx context.Context, relay *relay, members []model.Member) (err error) {
 	if err := r.makeDir(relay); err != nil {
 		return err
@@ -160,7 +162,8 @@
 	return err
 }
 
-// makeDir makes a relay's directory, its log and, where a fault steps it, its clock.
+// makeDir makes a relay's directory and its log file and, if the scenario steps clocks,
+// its wall clock.
 func (r *run) makeDir(relay *relay) (err error) {
 	if relay.dir, err = filepath.Abs(filepath.Join(r.opts.Out, relay.name)); err != nil {
 		return fmt.Errorf("lab: %w", err)
@@ -178,7 +181,7 @@
 	return err
 }
 
-// linkTo makes the link of a relay to one endpoint.
+// linkTo makes the link from a relay to one endpoint.
 func (r *run) linkTo(relay *relay, number int, endpoint *model.Endpoint) (*link.Link, error) {
 	const seedsPerRelay = 1000
 	seed := r.seed + uint64(relay.number*seedsPerRelay+number)
@@ -219,7 +222,8 @@
 	}
 }
 
-// notReady names the relays that are not ready; an error if one has ended.
+// notReady returns the names of the relays that are not ready, or an error if a process
+// has ended.
 func (r *run) notReady() (names []string, err error) {
 	for _, relay := range r.relays {
 		relay.mu.Lock()
--- a/internal/faultlab/command/bench.go
+++ b/internal/faultlab/command/bench.go
@@ -90,7 +90,7 @@
 	return w
 }
 
-// benchOut gives a bench's folder and where it says its rows.
+// benchOut returns a benchmark's folder and the function that prints its lines.
 func benchOut(c *cobra.Command, out, name string) (string, func(string, ...any)) {
 	if out == "" {
 		out = filepath.Join("lab-out", "bench-"+name+"-"+time.Now().Format("20060102T150405"))
--- a/internal/faultlab/command/bench_scale.go
+++ b/internal/faultlab/command/bench_scale.go
@@ -13,7 +13,7 @@
 	"plovershore/internal/faultlab/capacity"
 )
 
-// benchScale measures what each role costs at several sizes.
+// benchScale returns the command that measures what each role costs at several sizes.
 func benchScale() *cobra.Command {
 	o := capacity.Options{}
 	var file string
@@ -45,7 +45,8 @@
 	return c
 }
 
-// findPrograms puts in the programs that are not named.
+// findPrograms resolves the paths of the programs, with defaults for those that no flag
+// names.
 func findPrograms(o *capacity.Options) error {
 	for _, program := range []struct {
 		path        *string
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// compareScale sets the slopes of two files of benchScale side by side; false
-// where either is no such file.
+// compareScale sets the slopes of two files of benchScale side by side; isCapacity is
+// false if either file is not one of benchScale.
 func compareScale(w io.Writer, pathA, pathB string) (isCapacity bool, err error) {
 	a, errA := capacity.Load(pathA)
 	b, errB := capacity.Load(pathB)
--- a/internal/faultlab/command/command.go
+++ b/internal/faultlab/command/command.go
@@ -22,9 +22,9 @@
 	NotRun   = 3 // it could not be run: a port taken, a process that does not start, the lab itself late
 )
 
-var errViolated = errors.New("a promise was broken")
+var errViolated = errors.New("a rule was violated")
 
-// usageError is a command line or a scenario that cannot be used.
+// usageError reports a command line or a scenario that cannot be used.
 type usageError struct{ error }
 
 // Unwrap returns the cause.
@@ -63,8 +63,8 @@
 	return NotRun
 }
 
-// rejectUnknownCommand is cobra's check for the command that has subcommands, with an
-// error that is a usageError.
+// rejectUnknownCommand rejects arguments of the root command as cobra does by default,
+// but with a usageError.
 func rejectUnknownCommand(c *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return nil
@@ -76,7 +76,7 @@
 	return usageError{errors.New(text)}
 }
 
-// exactly is cobra.ExactArgs with an exit code for bad usage.
+// exactArgs is cobra.ExactArgs with a usageError.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -10,8 +10,8 @@
 	"plovershore/internal/faultlab/stub"
 )
 
-// stubEnv makes the test's own program a stub relay: what the lab starts
-// has the lab's environment.
+// stubEnv is the environment variable that makes the test's own program a stub relay:
+// the programs that the lab starts inherit the lab's environment.
 const stubEnv = "FAULTLAB_TEST_STUB"
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,9 @@
 	return code, output.String()
 }
 
-// TestMainExitCodes: 0 kept, 1 broken, 2 bad usage or scenario, 3 could not be run.
+// TestMainExitCodes checks the exit code and output of each command: 0 if no rule was
+// violated, 1 if one was, 2 for bad usage or an invalid scenario, 3 if the scenario
+// could not be run.
 func TestMainExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	validPath, invalidPath := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
@@ -53,39 +55,39 @@
 		wantCode   int
 		wantOutput string
 	}{
-		{"kept", "", run("--json", filepath.Join(dir, "a.json")), Success, "KEPT"},
-		{"kept again", "", run("--json", filepath.Join(dir, "a.json"), "--seed", "2"), Success, "KEPT"},
-		{"broken", stub.SlowTerm, run("--json", filepath.Join(dir, "b.json")), Violated, "BROKEN: term"},
-		{"late", "", run("--late", "1ns"), NotRun, "VOID"},
-		{"does not start", "", run("--relay", "/bin/false"), NotRun, "did not start"},
-		{"no relay", "", run("--relay", filepath.Join(dir, "none")), Usage, "none"},
-		{"bad scenario", "", []string{"run", invalidPath, "--relay", self}, Usage, "bad.toml:10: load.speed"},
-		{"no scenario", "", []string{"check", filepath.Join(dir, "none.toml")}, Usage, "none.toml"},
+		{"no rule violated", "", run("--json", filepath.Join(dir, "a.json")), Success, "KEPT"},
+		{"no rule violated, other seed", "", run("--json", filepath.Join(dir, "a.json"), "--seed", "2"), Success, "KEPT"},
+		{"rule violated", stub.SlowTerm, run("--json", filepath.Join(dir, "b.json")), Violated, "BROKEN: term"},
+		{"lab late", "", run("--late", "1ns"), NotRun, "VOID"},
+		{"relay does not start", "", run("--relay", "/bin/false"), NotRun, "did not start"},
+		{"relay program missing", "", run("--relay", filepath.Join(dir, "none")), Usage, "none"},
+		{"invalid scenario", "", []string{"run", invalidPath, "--relay", self}, Usage, "bad.toml:10: load.speed"},
+		{"scenario file missing", "", []string{"check", filepath.Join(dir, "none.toml")}, Usage, "none.toml"},
 		{"unknown command", "", []string{"fly"}, Usage, "fly"},
 		{"unknown flag", "", []string{"list", "--fly"}, Usage, "fly"},
-		{"too few words", "", []string{"run"}, Usage, "arg"},
+		{"argument missing", "", []string{"run"}, Usage, "arg"},
 		{"check", "", []string{"check", validPath}, Success, "can be run"},
 		{"list", "", []string{"list", "--dir", filepath.Join("..", "..", "..", "lab", "scenarios")}, Success, "smoke.toml"},
 		{"compare", "", []string{"compare", filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json")}, Success, "(2 runs)"},
-		{"compare nothing", "", []string{"compare", validPath, validPath}, Usage, "neither"},
-		{"scale", "", scale("a", "--controller"), Success, "slope x target"},
-		{"scale again", "", scale("b", "--warden"), Success, "slope x target"},
-		{"compare scale", "", []string{"compare", filepath.Join(dir, "scale-a"), filepath.Join(dir, "scale-b")}, Success, "parse: reading a whole list"},
-		{"scale of nothing", "", append(scale("c", "--warden"), "--only", "none"), Usage, "no job"},
-		{"simulated relays", "", []string{"simrelay", filepath.Join(dir, "none.json")}, NotRun, "none.json"},
-		{"their older name", "", []string{"hollow", filepath.Join(dir, "none.json")}, NotRun, "none.json"},
-		{"controllers' older flag", "", run("--warden", self), Success, "KEPT"},
-		{"controllers' flag", "", run("--controller", self), Success, "KEPT"},
+		{"compare files without summaries", "", []string{"compare", validPath, validPath}, Usage, "neither"},
+		{"bench scale", "", scale("a", "--controller"), Success, "slope x target"},
+		{"bench scale with older controller flag", "", scale("b", "--warden"), Success, "slope x target"},
+		{"compare results of bench scale", "", []string{"compare", filepath.Join(dir, "scale-a"), filepath.Join(dir, "scale-b")}, Success, "parse: reading a whole list"},
+		{"bench scale with unknown job", "", append(scale("c", "--warden"), "--only", "none"), Usage, "no job"},
+		{"simrelay without configuration", "", []string{"simrelay", filepath.Join(dir, "none.json")}, NotRun, "none.json"},
+		{"older name of simrelay", "", []string{"hollow", filepath.Join(dir, "none.json")}, NotRun, "none.json"},
+		{"older controller flag", "", run("--warden", self), Success, "KEPT"},
+		{"controller flag", "", run("--controller", self), Success, "KEPT"},
 		{"sweep", "", []string{"sweep", validPath, "--relay", self, "--late", "10s", "--set", "load.rate=10,20", "--seeds", "1-2", "--out", filepath.Join(dir, "sweep")}, Success, "sweep.svg"},
-		{"sweep a wrong key", "", []string{"sweep", validPath, "--relay", self, "--set", "load.rates=10", "--seeds", "1"}, Usage, "load.rates"},
+		{"sweep over unknown key", "", []string{"sweep", validPath, "--relay", self, "--set", "load.rates=10", "--seeds", "1"}, Usage, "load.rates"},
 	} {
 		code, out := runMain(t, test.defect, test.args...)
 		if code != test.wantCode || !strings.Contains(out, test.wantOutput) {
-			t.Errorf("%s: exit %d, want %d; %s", test.name, code, test.wantCode, out)
+			t.Errorf("%s: exit %d, want %d; output: %s", test.name, code, test.wantCode, out)
 		}
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "out", "report.html"))
 	if err != nil || !bytes.Contains(page, []byte("<svg")) || bytes.Contains(page, []byte("<script")) || bytes.Contains(page, []byte("src=")) {
-		t.Errorf("a report that does not stand alone: %v", err)
+		t.Errorf("the report lacks its plot or refers to other files; reading it: %v", err)
 	}
 }
--- a/internal/faultlab/command/compare.go
+++ b/internal/faultlab/command/compare.go
@@ -42,8 +42,8 @@
 		}}
 }
 
-// pairs sets rows of one name side by side; where one side lacks it, its row has no
-// values.
+// pairByName pairs the rows of the same name; a side that lacks the name gets a row
+// without values.
 func pairByName(a, b []report.Row) (paired [][2]report.Row) {
 	byName := map[string]report.Row{}
 	for _, row := range b {
--- a/internal/faultlab/command/play.go
+++ b/internal/faultlab/command/play.go
@@ -51,7 +51,8 @@
 	c.Flags().StringVar(program, "warden", "", "an older name of --controller")
 }
 
-// findProgram gives the path of a program: as it is named, or beside this one.
+// findProgram returns the absolute path of a program: named, or the file defaultName in
+// the directory of this program.
 func findProgram(named, defaultName, flag string) (string, error) {
 	path := named
 	if path == "" {
@@ -67,14 +68,14 @@
 	return filepath.Abs(path)
 }
 
-// Summary is one run as summary.json and compare have it.
+// Summary is one run as summary.json has it, and as compare reads it.
 type Summary struct {
 	*faultlab.Result
 	Void  string        `json:"void,omitempty"` // why the run proves nothing
 	Stats *report.Stats `json:"stats"`
 }
 
-// programs finds the programs that a scenario needs.
+// resolvePrograms sets the paths of the programs that a scenario needs.
 func (f *runFlags) resolvePrograms(s *scenario.Scenario, o *faultlab.Options) (err error) {
 	if o.Program, err = findProgram(f.program, "relay", "relay"); err != nil {
 		return err
@@ -97,7 +98,8 @@
 	return nil
 }
 
-// play runs one scenario and writes its report. A void run has a summary and an error.
+// runScenario runs one scenario and writes its report. For a void run it returns both a
+// summary and an error.
 func (f *runFlags) runScenario(c *cobra.Command, s *scenario.Scenario, onStatus func(*faultlab.Status)) (*Summary, error) {
 	o := faultlab.Options{Scenario: s, Seed: f.seed, Out: f.out, First: f.first, RetainDirs: f.retainDirs, MaxLateness: f.maxLateness, OnStatus: onStatus}
 	if err := f.resolvePrograms(s, &o); err != nil {
@@ -133,7 +135,8 @@
 	return summary, runErr
 }
 
-// writeSummary writes a run's summary to its folder, and adds it to the file of several.
+// writeSummary writes a run's summary to its folder, and adds it to the file that
+// --json names.
 func (f *runFlags) writeSummary(out string, summary *Summary) error {
 	text, err := json.MarshalIndent(summary, "", " ")
 	if err != nil {
@@ -148,7 +151,7 @@
 	return addSummary(f.json, summary)
 }
 
-// printVerdict prints the outcome of a run and returns the error of its exit code.
+// printVerdict prints the outcome of a run and returns the error for the exit code.
 func printVerdict(w io.Writer, s *Summary, err error) error {
 	if s == nil {
 		return err
@@ -172,7 +175,7 @@
 	return printOutcome(w, s, err)
 }
 
-// printOutcome prints whether all rules were kept, and returns the error of the exit
+// printOutcome prints whether all rules were kept, and returns the error for the exit
 // code.
 func printOutcome(w io.Writer, s *Summary, err error) error {
 	switch {
--- a/internal/faultlab/command/scale_test.go
+++ b/internal/faultlab/command/scale_test.go
@@ -9,8 +9,9 @@
 
 const scaleSummary = `[{"name": "scale", "verdict": {"counts": {}}, "stats": {"own": [%s]}}]`
 
-// TestCompareMatchesScaleFiguresByName: figures of a scale run are set side by side by
-// their names, and one that a side lacks is said to be missing.
+// TestCompareMatchesScaleFiguresByName compares two scale runs whose figures have
+// different orders: figures of the same name stand in one line, and a figure that one
+// run lacks is shown as "-".
 func TestCompareMatchesScaleFiguresByName(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, figures string) string {
--- a/internal/faultlab/command/summary.go
+++ b/internal/faultlab/command/summary.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// addSummary adds a run to a file of several.
+// addSummary adds the summary of a run to a file that holds several.
 func addSummary(path string, s *Summary) error {
 	all, err := readSummaries(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/internal/faultlab/command/sweep.go
+++ b/internal/faultlab/command/sweep.go
@@ -17,7 +17,7 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// sweep is a scenario over values of one key and over seeds.
+// sweep runs a scenario with several values of one key, each with several seeds.
 type sweep struct {
 	run       runFlags
 	key       string
@@ -25,8 +25,8 @@
 	scenarios []*scenario.Scenario // one for each value
 	firstSeed uint64
 	lastSeed  uint64
-	out       string // folder
-	figure    string // that is plotted
+	out       string // folder of the reports
+	figure    string // name of the figure that is plotted
 }
 
 func sweepCommand() *cobra.Command {
@@ -77,10 +77,11 @@
 	return nil
 }
 
-// errSweepStopped is a sweep that was ended early.
+// errSweepStopped reports a sweep that was ended before all runs were done.
 var errSweepStopped = errors.New("stopped before the sweep was whole")
 
-// play runs everything and returns the summaries by value.
+// runAll runs the scenario with each value and each seed, and returns the summaries by
+// value.
 func (s *sweep) runAll(c *cobra.Command) (all [][]*Summary, err error) {
 	for i, value := range s.values {
 		var runs []*Summary
@@ -116,7 +117,8 @@
 	return from, to, nil
 }
 
-// print writes the table and the plot; a violated rule in any run is errViolated.
+// print writes the table and the plot, and returns errViolated if a rule was violated
+// in any run.
 func (s *sweep) print(w io.Writer, all [][]*Summary) error {
 	var columns [][]report.Row
 	for _, runs := range all {
@@ -161,7 +163,7 @@
 	return nil
 }
 
-// figuresOf are the figures of several runs.
+// figuresOf returns the figures of several runs.
 func figuresOf(runs []*Summary) []report.Row {
 	var stats []*report.Stats
 	for _, run := range runs {
--- a/internal/faultlab/controllers.go
+++ b/internal/faultlab/controllers.go
@@ -24,11 +24,11 @@
 // controllerRoles are the roles that each controller may lead.
 var controllerRoles = []string{leader.RegistrationExpiry, leader.Counter, rollout.Role, failover.Role, zones.Role}
 
-// logPrecision is that of the times in a controller's log.
+// logPrecision is the precision of the times in a controller's log.
 const logPrecision = time.Millisecond
 
-// controller is one controller, over all of its processes. It reaches each node of
-// the list service by a link of its own.
+// controller is one controller with its current process, which a fault may replace. It
+// reaches each node of the list service by a link of its own.
 type controller struct {
 	group  *group
 	number int
@@ -36,14 +36,14 @@
 	links  []*link.Link // to the nodes
 	log    *os.File
 
-	faultMu sync.Mutex // held by the fault that strikes its process
+	faultMu sync.Mutex // held while a fault affects its process
 
 	mu      sync.Mutex
 	process *process.Process
 }
 
-// startControllers starts the scenario's controllers, and the server of the notices
-// that they send.
+// startControllers starts the scenario's controllers, and the server that receives
+// their notices.
 func (g *group) startControllers() (err error) {
 	count := g.run.scenario.Registry.Controllers
 	if count == 0 {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// linkNodes makes the links to the nodes.
+// linkNodes makes a link to each node.
 func (c *controller) linkNodes() error {
 	r := c.group.run
 	for _, n := range c.group.nodes {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// start runs a new process of the controller.
+// start starts a new process of the controller.
 func (c *controller) start() error {
 	r := c.group.run
 	settings := &r.scenario.Registry
@@ -113,7 +113,8 @@
 	return c.process
 }
 
-// signal sends a signal to the present process; after SIGKILL it waits for the end.
+// signal sends a signal to the current process; after SIGKILL it waits until the
+// process has ended.
 func (c *controller) signal(s syscall.Signal) {
 	c.group.run.signalNode(c.name, c.currentProcess(), s)
 }
@@ -138,8 +139,9 @@
 	c.log.Close()
 }
 
-// recordRoleSteps records what the controllers counted, once they have ended: each
-// step with when it was requested, when it was answered, and its outcome.
+// recordRoleSteps records the counter steps of all controllers from their logs: when
+// each step was requested and answered, and its outcome. The controllers must have
+// ended.
 func (g *group) recordRoleSteps() error {
 	var errs []error
 	for _, c := range g.controllers {
@@ -154,15 +156,15 @@
 	return errors.Join(errs...)
 }
 
-// stepReader makes events of the counter steps in a controller's log.
+// stepReader converts the counter steps in a controller's log to events of the history.
 type stepReader struct {
 	controller string
 	record     func(history.Event)
-	requested  *history.Event // without an answer so far
+	requested  *history.Event // step that has no answer yet; nil for none
 }
 
-// read reads a log. A step without an answer by the next request, or by the end, is
-// history.StepUnanswered.
+// read reads a log. A step that has no answer before the next request, or before the
+// end of the log, gets the outcome history.StepUnanswered.
 func (s *stepReader) read(log io.Reader) error {
 	var errs []error
 	lines := bufio.NewScanner(log)
--- a/internal/faultlab/corrupt.go
+++ b/internal/faultlab/corrupt.go
@@ -18,9 +18,10 @@
 	maxZeroed    = 600 // bytes
 )
 
-// corruptFile corrupts a file as a kind of fault says, and describes what it did;
-// empty if there is nothing to corrupt. In a directory of a message log, one file is
-// drawn; a fault of a file's end strikes the newest segment.
+// corruptFile corrupts a file as a fault of the given kind does, and describes the
+// change; the text is empty if there is nothing to corrupt. If path is the directory of
+// a message log, a file in it is drawn; a fault that affects a file's end takes the
+// newest segment.
 func corruptFile(path, kind string, random *rand.Rand) (change string, err error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		if path, err = pickFile(path, kind, random); err != nil || path == "" {
@@ -62,7 +63,7 @@
 	return change, nil
 }
 
-// pickFile picks a file of a message log; empty if it has none.
+// pickFile picks a file of a message log; the path is empty if the log has none.
 func pickFile(dir, kind string, random *rand.Rand) (string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.seg"))
 	if err != nil {
@@ -85,14 +86,14 @@
 	return files[len(files)-1], nil
 }
 
-// truncate tears off the end of a file.
+// truncate cuts off the end of a file.
 func truncate(f *os.File, info fs.FileInfo, random *rand.Rand) (change string, err error) {
 	lost := min(info.Size(), 1+random.Int64N(maxTruncated))
 	err = f.Truncate(info.Size() - lost)
 	return fmt.Sprintf("torn: %s lost its last %d of %d bytes", info.Name(), lost, info.Size()), err
 }
 
-// zeroEnd overwrites the end of a file by zeros.
+// zeroEnd overwrites the end of a file with zeros.
 func zeroEnd(f *os.File, info fs.FileInfo, random *rand.Rand) (change string, err error) {
 	zeroed := min(info.Size(), 1+random.Int64N(maxZeroed))
 	_, err = f.WriteAt(make([]byte, zeroed), info.Size()-zeroed)
@@ -111,7 +112,7 @@
 	return fmt.Sprintf("flipped: %s byte %d of %d, bit %d", info.Name(), offset, info.Size(), bit), err
 }
 
-// copyDir copies a directory that a relay may be changing: files that vanish
+// copyDir copies a directory that a relay may be changing: files that are removed
 // meanwhile are left out.
 func copyDir(from, to string) error {
 	if err := os.RemoveAll(to); err != nil {
--- a/internal/faultlab/failure.go
+++ b/internal/faultlab/failure.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// failure is the first error that keeps a run from being one; it stops the run. It
-// is safe for concurrent use.
+// failure holds the first error that makes a run unusable, and stops the run at that
+// error. It is safe for concurrent use.
 type failure struct {
 	stop context.CancelFunc // set before use
 
@@ -14,7 +14,7 @@
 	err error
 }
 
-// set takes an error, if it is the first; nil is none.
+// set records an error and stops the run, if it is the first one; nil is ignored.
 func (f *failure) set(err error) {
 	if err == nil {
 		return
--- a/internal/faultlab/fault_controller.go
+++ b/internal/faultlab/fault_controller.go
@@ -11,7 +11,7 @@
 	"plovershore/internal/registry"
 )
 
-// injectControllerFaults carries out a step on controllers.
+// injectControllerFaults injects a step's fault into its controllers.
 func (g *group) injectControllerFaults(ctx context.Context, step Step) error {
 	targets := step.Targets
 	if step.Fault.Node == scenario.NodeHolder {
@@ -20,8 +20,8 @@
 	return g.run.forEach(targets, func(i int) error { return g.injectControllerFault(ctx, step, g.controllers[i]) })
 }
 
-// leadersOf is the controller that leads a role, by number; none if there is none,
-// or the load is over.
+// leadersOf returns the number of the controller that leads a role. It returns none if
+// nobody leads the role, or if the service does not answer because the load is over.
 func (g *group) leadersOf(ctx context.Context, role string) (leaders []int) {
 	var list registry.RoleList
 	if _, err := g.client.Do(ctx, http.MethodGet, registry.RolesPath, nil, &list); err != nil {
@@ -40,7 +40,7 @@
 	return leaders
 }
 
-// injectControllerFault carries out a step on one controller.
+// injectControllerFault injects a step's fault into one controller.
 func (g *group) injectControllerFault(ctx context.Context, step Step, c *controller) error {
 	c.faultMu.Lock()
 	defer c.faultMu.Unlock()
--- a/internal/faultlab/fault_evacuation.go
+++ b/internal/faultlab/fault_evacuation.go
@@ -13,12 +13,12 @@
 
 const (
 	evacuationRate     = 2   // endpoints a second, unless the fault says otherwise
-	evacuationFraction = 0.5 // of endpoints that each destination retains, likewise
+	evacuationFraction = 0.5 // of endpoints that each destination keeps, unless the fault says otherwise
 )
 
 // runEvacuation has the controllers drain a zone, one endpoint after the other, and
-// return it when the fault is to be undone. Both have to be done before the run
-// ends, with every endpoint up again.
+// bring it back when the fault is to be undone. It is an error if either is not done
+// before the run ends, or if an endpoint is not up afterwards.
 func (r *run) runEvacuation(ctx context.Context, step Step) error {
 	fault := &step.Fault
 	o := &operation{group: r.group, kind: zones.Role, name: fmt.Sprintf("%s-%d", fault.Zone, step.At.Milliseconds())}
--- a/internal/faultlab/fault_failover.go
+++ b/internal/faultlab/fault_failover.go
@@ -15,7 +15,8 @@
 // history.
 const failoverSource = "salvage"
 
-// noticeSink takes the notices that come from no relay's own agent.
+// noticeSink is a server that receives the notices sent by controllers rather than
+// through the agent of a relay.
 type noticeSink struct {
 	*model.Listener
 	run *run
@@ -42,9 +43,10 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// runFailover loses a relay, as its operators see it: they have the controllers
-// migrate its messages, which has to be done before the run ends. Later the relay
-// comes back all the same, with the state that it had.
+// runFailover kills a relay, and has the controllers migrate its messages, as operators
+// do with a relay that they consider lost. The migration has to be done before the run
+// ends. When the step is to be undone, the relay starts again with the state that it
+// had.
 func (r *run) runFailover(ctx context.Context, step Step, target *relay) error {
 	target.shutdown(false)
 	var idempotent []string
--- a/internal/faultlab/fault_link.go
+++ b/internal/faultlab/fault_link.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// targetLinks are the links of a step's relays; with a zone, those that cross its
-// border.
+// targetLinks returns the links of a step's relays; if the fault names a zone, only
+// those that cross its border.
 func (r *run) targetLinks(step Step) (links []*link.Link) {
 	zone := step.Fault.Zone
 	for _, i := range step.Targets {
@@ -52,7 +52,8 @@
 	return links
 }
 
-// linkFaults adds a fault to the usual faults of a link.
+// linkFaults returns the faults that a link has without the step, with the fault of the
+// step added.
 func linkFaults(faults link.Faults, fault *scenario.Fault) link.Faults {
 	switch fault.Kind {
 	case scenario.FaultCut:
--- a/internal/faultlab/fault_node.go
+++ b/internal/faultlab/fault_node.go
@@ -10,7 +10,7 @@
 	"plovershore/internal/registry"
 )
 
-// strike carries out a step on the list service.
+// injectServiceFault injects a step's fault into the list service.
 func (g *group) injectServiceFault(ctx context.Context, step Step) error {
 	switch step.Fault.Kind {
 	case scenario.FaultExpiry:
@@ -25,7 +25,7 @@
 	return g.run.forEach(g.targets(step), func(i int) error { return g.injectNodeFault(ctx, step, g.nodes[i]) })
 }
 
-// injectNodeFault carries out a step on one node.
+// injectNodeFault injects a step's fault into one node.
 func (g *group) injectNodeFault(ctx context.Context, step Step, n *node) error {
 	n.faultMu.Lock()
 	defer n.faultMu.Unlock()
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// targets are the nodes that a step strikes, by number.
+// targets returns the numbers of the nodes that a step affects.
 func (g *group) targets(step Step) []int {
 	leader := -1
 	if step.Fault.Node == scenario.NodeLeader || step.Fault.Node == scenario.NodeFollower {
@@ -73,7 +73,7 @@
 	return step.Targets
 }
 
-// leader is the number of the node that says it leads; -1 for none.
+// leader returns the number of the node that reports itself as the leader, or -1.
 func (g *group) leader() int {
 	addrs := make([]string, len(g.nodes))
 	for i, n := range g.nodes {
@@ -86,7 +86,7 @@
 func (g *group) restore(ctx context.Context, step Step) {
 	var backup []byte
 	if _, err := g.client.Do(ctx, http.MethodGet, registry.SnapshotPath, nil, &backup); err != nil {
-		return // the load is over
+		return // no answer: the load is over
 	}
 	g.run.waitUntilUndone(ctx, step)
 	e := history.Event{Kind: history.RegisterOperation, Relay: "operator", Text: history.OpRestore, DueAt: g.run.recorder.Now(), Status: 1}
@@ -96,7 +96,7 @@
 	g.run.recorder.Record(e)
 }
 
-// setMuted has endpoints stop their heartbeats, or send them again.
+// setMuted makes endpoints stop sending heartbeats, or send them again.
 func (g *group) setMuted(endpoints []int, muted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/faultlab/fault_relay.go
+++ b/internal/faultlab/fault_relay.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	restartDelay = 600 * time.Millisecond // of a relay whose process ended
-	backupAge    = time.Second            // that an older state lies back
+	restartDelay = 600 * time.Millisecond // until a relay whose process was ended starts again, unless the fault says otherwise
+	backupAge    = time.Second            // age of the older state that a relay is given
 )
 
-// injectRelayFault carries out a step on one relay.
+// injectRelayFault injects a step's fault into one relay.
 func (r *run) injectRelayFault(ctx context.Context, step Step, target *relay) error {
-	if step.Fault.Kind == scenario.FaultClock { // beside other faults, and while no process runs
+	if step.Fault.Kind == scenario.FaultClock { // the clock may change during another fault, and while no process runs
 		return r.stepClock(ctx, step, target)
 	}
 	target.faultMu.Lock() // one fault at a time on a relay's process
@@ -44,7 +44,7 @@
 	return r.restart(ctx, step, target)
 }
 
-// suspend stops a relay's process for a while.
+// suspend suspends a relay's process until the step is to be undone.
 func (r *run) suspend(ctx context.Context, step Step, target *relay) {
 	if _, sent := target.signal(syscall.SIGSTOP); !sent {
 		return
@@ -56,7 +56,8 @@
 	}
 }
 
-// rebindDiscovery gives a relay's agent a new address, and notifies the relay by SIGHUP.
+// rebindDiscovery gives a relay's agent a new address, and has the relay read it by
+// SIGHUP.
 func (r *run) rebindDiscovery(target *relay) error {
 	if err := target.agent.Rebind(r.ctx); err != nil {
 		return err
@@ -96,7 +97,7 @@
 }
 
 // changeState changes the state directory of a relay that is down, and returns the
-// text of the change in the history; empty for none.
+// description for the history; it is empty if nothing was changed.
 func (r *run) changeState(step Step, target *relay, backupDir string) (change string, err error) {
 	switch {
 	case step.Fault.Folder == scenario.FolderLost:
@@ -112,8 +113,8 @@
 	return "", nil
 }
 
-// loseState removes a relay's state; the clients submit its pending messages again
-// where that is safe.
+// loseState removes a relay's state. The clients submit its pending messages again
+// where that is safe: those of idempotent classes.
 func (r *run) loseState(target *relay) error {
 	if err := os.RemoveAll(target.stateDir()); err != nil {
 		return fmt.Errorf("folder of %s: %w", target.name, err)
@@ -130,8 +131,8 @@
 	return nil
 }
 
-// stepClock steps the wall clock of a relay's machine, and back if the fault is to
-// be undone.
+// stepClock steps the wall clock of a relay's machine, and steps it back if the fault
+// is to be undone.
 func (r *run) stepClock(ctx context.Context, step Step, target *relay) error {
 	offset := millis(step.Fault.MS)
 	switch step.Fault.Direction {
@@ -149,7 +150,7 @@
 	return target.wall.Step(-offset)
 }
 
-// random returns what the step draws from for one target.
+// random returns the step's source of random numbers for one target.
 func (s Step) random(target int) *rand.Rand {
 	return rand.New(rand.NewPCG(s.Draw, uint64(target)))
 }
--- a/internal/faultlab/fault_rollout.go
+++ b/internal/faultlab/fault_rollout.go
@@ -15,15 +15,15 @@
 
 const (
 	runnerTimeout = time.Second // for the headers of a request to a runner
-	waveFraction  = 4           // the second wave is one relay of so many
+	waveFraction  = 4           // the second wave is one relay in this many
 )
 
-// rolloutWaves checks that the waves of a rollout follow each other.
+// rolloutWaves checks that the waves of a rollout do not overlap.
 type rolloutWaves struct {
 	run *run
 
 	mu   sync.Mutex
-	open map[int]int // relays of each wave that are being restarted
+	open map[int]int // number of relays being restarted, by wave
 }
 
 // enter records that a relay of a wave is being restarted; two open waves fail the run.
@@ -52,7 +52,7 @@
 	wave  int
 }
 
-// Operator is the address of the relay for operators.
+// Operator returns the address of the relay for operators.
 func (p rolloutProgram) Operator() string { return p.relay.operatorAddr() }
 
 // Restart upgrades the relay and returns the ID of the new process.
@@ -61,7 +61,7 @@
 	defer p.waves.leave(p.wave)
 	p.relay.faultMu.Lock()
 	defer p.relay.faultMu.Unlock()
-	// A second restart of a relay is a second step of this name, which a rule forbids.
+	// The checker allows one step of a name, so it reports a second restart of a relay.
 	p.waves.run.recorder.Record(history.Event{Kind: history.RoleStep, Relay: p.relay.name, Text: "rollout " + p.relay.name, Status: 1})
 	if err := p.relay.upgrade(ctx); err != nil {
 		return 0, err
@@ -98,6 +98,6 @@
 func (r *run) startRunner(addr string, program rolloutProgram) *http.Server {
 	runner := &rollout.Runner{Folder: filepath.Dir(program.relay.stateDir()), Program: program, Log: slog.New(slog.DiscardHandler)}
 	server := &http.Server{Addr: addr, ReadHeaderTimeout: runnerTimeout, Handler: runner.Handler()}
-	r.start(func() { server.ListenAndServe() }) // ends by Close
+	r.start(func() { server.ListenAndServe() }) // returns when the server is closed
 	return server
 }
--- a/internal/faultlab/fault_upstream.go
+++ b/internal/faultlab/fault_upstream.go
@@ -9,11 +9,11 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// injectEndpointFault carries out a step on one endpoint.
+// injectEndpointFault injects a step's fault into one endpoint.
 func (r *run) injectEndpointFault(ctx context.Context, step Step, number int) error {
 	endpoint := r.endpoints[number]
 	switch step.Fault.Kind {
-	case scenario.FaultDown: // its process died: connections are reset, new ones refused
+	case scenario.FaultDown: // as if its process had died: connections are reset and new ones refused
 		endpoint.SetDown(true)
 		if err := r.setRefusing(number, true); err != nil {
 			return err
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// setRefusing has all links to an endpoint refuse connections, or not.
+// setRefusing makes all links to an endpoint refuse connections, or accept them again.
 func (r *run) setRefusing(number int, refusing bool) error {
 	var errs []error
 	for _, relay := range r.relays {
@@ -40,7 +40,8 @@
 	return errors.Join(errs...)
 }
 
-// drain has an endpoint drain, be removed half way through the step, and come back.
+// drainEndpoint makes an endpoint drain, removes it half way through the step, and
+// brings it back at the end.
 func (r *run) drainEndpoint(ctx context.Context, step Step, endpoint *model.Endpoint) {
 	maxDelay := scenario.Seconds(r.scenario.Discovery.MaxDelaySeconds)
 	r.changeEndpoint(endpoint, model.Draining, maxDelay)
@@ -63,7 +64,7 @@
 	}
 }
 
-// injectUpstreamFault carries out a step on whole upstreams.
+// injectUpstreamFault injects a step's fault into whole upstreams.
 func (r *run) injectUpstreamFault(ctx context.Context, step Step) {
 	factor := step.Fault.Factor
 	if factor <= 0 {
@@ -92,8 +93,9 @@
 	}
 }
 
-// upstreamFault is the fault of a kind; factor is that of a slow upstream, and the
-// fraction of calls for all others.
+// upstreamFault returns the model's fault for a kind of fault. For a slow upstream,
+// factor is the factor of its service time; for all others it is the fraction of calls
+// that are affected.
 func upstreamFault(kind string, factor float64) model.Fault {
 	fraction := min(factor, 1)
 	switch kind {
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -11,12 +11,12 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// minDiscoveryRate is the lowest rate to which discovery's calls are limited: 0
-// would lift the limit.
+// minDiscoveryRate is the lowest rate, in calls a second, to which discovery's calls
+// are limited: a rate of 0 would lift the limit.
 const minDiscoveryRate = 0.1
 
-// inject carries out the plan, each step at its moment, and undoes what is to be
-// undone; what is still active when ctx ends is undone then.
+// injectFaults carries out the plan: it starts each step when the step is due. Each
+// step undoes its own fault, at its end or when ctx ends.
 func (r *run) injectFaults(ctx context.Context, plan []Step) {
 	for _, step := range plan {
 		due := r.began.Add(step.At)
@@ -32,7 +32,8 @@
 	}
 }
 
-// waitUntilUndone waits until a step is to be undone, or the faults end with ctx.
+// waitUntilUndone waits until the fault of a step is to be undone: at the end of the
+// step, or when ctx ends.
 func (r *run) waitUntilUndone(ctx context.Context, step Step) {
 	if step.Until > 0 {
 		model.Sleep(ctx, time.Until(r.began.Add(step.Until)))
@@ -41,7 +42,7 @@
 	}
 }
 
-// strike carries out one step and returns when it is undone.
+// injectStep carries out one step and returns when its fault is undone.
 func (r *run) injectStep(ctx context.Context, step Step) error {
 	switch scenario.Targets[step.Fault.Kind] {
 	case scenario.TargetRelay:
--- a/internal/faultlab/fleet.go
+++ b/internal/faultlab/fleet.go
@@ -11,31 +11,31 @@
 
 const (
 	weightExponent  = 0.7 // a destination's weight is its rank to the power of minus this
-	serviceSeconds  = 0.4 // of a call, for which an endpoint has servers
+	serviceSeconds  = 0.4 // time that a call occupies a server; the number of servers follows from it
 	spareServers    = 2
-	minLatency      = 0.85 // factor of the service time
+	minLatency      = 0.85 // lowest factor of the service time; latencySpread is the range above it
 	latencySpread   = 0.3
-	minLoadMillis   = 140 // of a load report's interval
+	minLoadMillis   = 140 // shortest interval of load reports; loadMillisRange is the range above it
 	loadMillisRange = 580
 )
 
-// fleetPlan is what a scenario and a seed make of the upstreams.
+// fleetPlan is the upstreams and endpoints that follow from a scenario and a seed.
 type fleetPlan struct {
 	zones     []string
 	upstreams []plannedUpstream
 	endpoints []plannedEndpoint
-	weights   []float64 // of the upstreams in the traffic
+	weights   []float64 // relative share of each upstream in the traffic
 }
 
 // plannedUpstream describes one upstream.
 type plannedUpstream struct {
 	kind               string
-	rate               float64 // calls a second that it takes
+	rate               float64 // calls a second that it accepts
 	latencyFactor      float64
-	hasWindow          bool // its limit counts over windows
+	hasWindow          bool // its rate limit counts calls over windows of time
 	endpoints          int
 	retryAfterFraction float64
-	loadInterval       time.Duration // of its load report
+	loadInterval       time.Duration // between two load reports
 }
 
 // plannedEndpoint describes one endpoint.
@@ -60,7 +60,7 @@
 		total += weight
 	}
 	counts := make([]int, settings.Destinations)
-	for i := range settings.Endpoints { // one each, then more for the busy ones
+	for i := range settings.Endpoints { // one each, then further ones for the first, which are the busiest
 		counts[i%settings.Destinations]++
 	}
 	for destination, weight := range f.weights {
@@ -75,8 +75,8 @@
 	return f
 }
 
-// drawUpstream draws one upstream that gets a mean load in calls a second. The
-// first ones, which get the most, are telcos.
+// drawUpstream draws one upstream, given its mean load in calls a second. The first
+// upstreams, which get the highest load, are telcos.
 func drawUpstream(random *rand.Rand, settings *scenario.Upstreams, destination int, meanLoad float64) plannedUpstream {
 	u := plannedUpstream{
 		kind:               model.Newsagent,
--- a/internal/faultlab/group.go
+++ b/internal/faultlab/group.go
@@ -18,18 +18,19 @@
 )
 
 const (
-	groupTimeout = 20 * time.Second // until the list service, or an agent, is ready
+	groupTimeout = 20 * time.Second // for the list service, or an agent, to become ready
 	agentPoll    = 20 * time.Millisecond
 )
 
-// group is a list service of real processes, with what the lab does as its
-// endpoints, its watchers and the clients of a linearizable register.
+// group is a list service of real processes, together with what the lab runs in the
+// place of its users: endpoints that register and send heartbeats, watchers, and
+// clients of a linearizable register.
 type group struct {
 	run         *run
 	nodes       []*node
 	controllers []*controller
 	client      *client.Client
-	lastValue   atomic.Int64 // written to the register
+	lastValue   atomic.Int64 // last value that was written to the register
 
 	notices *noticeSink // nil without controllers
 
@@ -38,8 +39,8 @@
 	withdrawn map[string]bool // endpoints that are off the list for now
 }
 
-// newGroup makes nodes and their links, and starts the processes. A group that is
-// returned with an error is to be closed as well.
+// newGroup makes nodes and their links, and starts the processes. The caller closes the
+// group, also when it is returned with an error.
 func (r *run) newGroup(ctx context.Context) (*group, error) {
 	g := &group{run: r, muted: map[string]bool{}, withdrawn: map[string]bool{}}
 	for i := range r.scenario.Registry.Nodes {
@@ -69,19 +70,20 @@
 	return g, g.startControllers()
 }
 
-// registerAll puts all endpoints on the list, once the group takes writes.
+// registerAll registers all endpoints; the first registration waits until the group
+// accepts writes.
 func (g *group) registerAll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, groupTimeout)
 	defer cancel()
 	for _, endpoint := range g.run.endpoints {
 		if err := g.register(ctx, endpoint); err != nil {
-			return fmt.Errorf("lab: the list service takes no registration: %w", err)
+			return fmt.Errorf("lab: registering an endpoint with the list service failed: %w", err)
 		}
 	}
 	return nil
 }
 
-// proxies are the addresses at which clients reach the nodes.
+// proxyAddrs returns the addresses at which clients reach the nodes.
 func (g *group) proxyAddrs() (addrs []string) {
 	for _, n := range g.nodes {
 		addrs = append(addrs, n.proxy.Addr())
@@ -121,8 +123,8 @@
 	}
 }
 
-// startAgent runs the agent of one relay and the lab's proxy before it, and waits
-// until it has the list.
+// startAgent starts the agent of one relay and the lab's proxy before it, and waits
+// until the agent has the list.
 func (g *group) startAgent(ctx context.Context, relay *relay, onNotice model.NoticeFunc) (*agentProxy, error) {
 	links := map[string]string{}
 	for i, endpoint := range g.run.endpoints {
--- a/internal/faultlab/group_clients.go
+++ b/internal/faultlab/group_clients.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	registerID       = "lab-probe" // a member that stands for the register: its cell is the value
-	registerInterval = 40 * time.Millisecond
-	registerTimeout  = 20 * time.Second // of one operation, with its retries
+	registerID       = "lab-probe"           // ID of the member that serves as the register: its cell is the value
+	registerInterval = 40 * time.Millisecond // pause between two operations of one client
+	registerTimeout  = 20 * time.Second      // of one operation, retries included
 	registerClients  = 3
-	registerValues   = 60000 // a cell is less
+	registerValues   = 60000 // number of values: the cell of a member has to be smaller
 
 	heartbeatsInTTL = 3
-	consistentQuery = "?consistent=1" // query of a linearizable read
+	consistentQuery = "?consistent=1" // URL query that asks for a linearizable read
 )
 
 // register puts an endpoint on the list.
@@ -45,7 +45,7 @@
 	return err
 }
 
-// ttl is the time to live of a registration.
+// ttl returns the time to live of an endpoint's registration.
 func (g *group) ttl() time.Duration { return scenario.Seconds(g.run.scenario.Registry.TTL) }
 
 // changeEndpoint puts an endpoint into another phase, as an operator does.
@@ -68,8 +68,8 @@
 	}
 }
 
-// serve sends heartbeats for the endpoints, and runs the watchers and the clients of
-// the register, until ctx ends.
+// runClients sends heartbeats for the endpoints, and runs the watchers and the clients
+// of the register, until ctx ends.
 func (g *group) runClients(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -111,7 +111,8 @@
 	return !g.muted[id] && !g.withdrawn[id]
 }
 
-// sendBatch sends heartbeats. What fails is repeated with the next ones.
+// sendBatch sends heartbeats, and registers the endpoints that the group does not know.
+// A failed call is not repeated, since the next batch covers the same endpoints.
 func (g *group) sendBatch(ctx context.Context, heartbeats []registry.Heartbeat, byID map[string]*model.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, g.ttl())
 	defer cancel()
@@ -126,8 +127,8 @@
 	}
 }
 
-// watch follows the list as an agent does, beginning at one node, and records what
-// it receives.
+// watch follows the list as an agent does, connecting to one node first, and records
+// the updates that it receives.
 func (g *group) watch(ctx context.Context, firstNode int) {
 	addrs := g.proxyAddrs()
 	c, err := client.New(append(addrs[firstNode:len(addrs):len(addrs)], addrs[:firstNode]...), len(g.nodes), slog.New(slog.DiscardHandler))
@@ -146,7 +147,7 @@
 	}, func(bool) {})
 }
 
-// hashMembers is a hash of the members of an update.
+// hashMembers returns a hash of the members of an update.
 func hashMembers(members []discovery.Member) string {
 	hash := fnv.New64a()
 	for _, m := range members {
@@ -162,13 +163,14 @@
 	for model.Sleep(ctx, registerInterval) {
 		e := history.Event{Kind: history.RegisterOperation, Relay: fmt.Sprint("probe-", number+1), DueAt: g.run.recorder.Now()}
 		if err := g.runRegisterOperation(ctx, random, &e); err == nil {
-			e.Status = 1 // otherwise it may or may not have taken effect
+			e.Status = 1 // 0 means that the operation may or may not have taken effect
 		}
 		g.run.recorder.Record(e)
 	}
 }
 
-// operate draws and carries out one operation on the register.
+// runRegisterOperation reads or writes the register, as drawn, and describes the
+// operation in e.
 func (g *group) runRegisterOperation(ctx context.Context, random *rand.Rand, e *history.Event) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -28,30 +28,31 @@
 // logsDir is the folder of the processes' logs in that of the report.
 const logsDir = "logs"
 
-// Options say how a scenario is run.
+// Options select a scenario and how it is run.
 type Options struct {
 	Scenario    *scenario.Scenario
 	Seed        uint64
 	Out         string        // the folder of the report; made if it is missing
 	Program     string        // the relay under test
-	First       string        // another that each relay runs first, such as an older one; empty for none
+	First       string        // program of the first process of each relay, such as an older release; empty for Program
 	Registry    string        // the list service's program, if the scenario has one
 	Controller  string        // the controllers' program, if the scenario has them
 	SimRelay    string        // a program that runs simulated relays by SimRelayCommand, if the scenario has them
 	Env         []string      // added to the relays' environment
 	RetainDirs  bool          // keep the relays' directories after the run
-	MaxLateness time.Duration // the p99 of the lab's own lateness beyond which a run is void; 0 for MaxLateness
+	MaxLateness time.Duration // p99 of the lab's own lateness above which a run is void; 0 for the constant MaxLateness
 	OnStatus    func(*Status) // called each second while the load lasts; may be nil
 }
 
-// SimRelayCommand is the first argument by which Options.SimRelay runs simulated
-// relays; the file of their configuration follows.
+// SimRelayCommand is the first argument with which Options.SimRelay is run to simulate
+// relays. The path of their configuration follows it.
 const SimRelayCommand = "simrelay"
 
 // MaxLateness is the default of Options.MaxLateness.
 const MaxLateness = 50 * time.Millisecond
 
-// ErrLate is a run in which the lab itself was late: it proves nothing.
+// ErrLate reports a run in which the lab itself was so late that the run proves
+// nothing.
 var ErrLate = errors.New("the lab itself was late")
 
 // Result is the outcome of a run.
@@ -66,12 +67,12 @@
 	LabCPU  time.Duration   `json:"lab_cpu_ns"`
 	LabRSS  int64           `json:"lab_rss_bytes"`
 	Took    time.Duration   `json:"took_ns"`
-	Scale   *ScaleResult    `json:"scale,omitempty"` // of a scale scenario
+	Scale   *ScaleResult    `json:"scale,omitempty"` // set for a scale scenario alone
 }
 
-// Run plays a scenario and checks its history. ctx ends the load early; the run is
-// then finished and checked as far as it went. An error means that the scenario
-// could not be run, or that the lab was late (ErrLate, with the result).
+// Run runs a scenario and checks its history. ctx ends the load early; the run is then
+// finished and checked as far as it went. An error means that the scenario could not be
+// run, or that the lab was late (ErrLate, with the result).
 func Run(ctx context.Context, o Options) (*Result, error) {
 	began := time.Now()
 	if o.MaxLateness == 0 {
@@ -120,7 +121,8 @@
 	return r
 }
 
-// result checks the history of a run that has ended.
+// result checks the history of a run that has ended and returns its result, with
+// ErrLate if the lab was late.
 func (r *run) result(began time.Time, plan []Step) (*Result, error) {
 	result := &Result{Name: r.scenario.Name, Seed: r.seed, Out: r.opts.Out, Took: time.Since(began)}
 	for _, step := range plan {
@@ -142,7 +144,7 @@
 	return result, nil
 }
 
-// measureLab adds what the lab itself used and how late it was.
+// measureLab adds the resources that the lab itself used, and how late it was.
 func (result *Result) measureLab(l *lateness) {
 	if usage, err := process.Measure(os.Getpid()); err == nil {
 		result.LabCPU, result.LabRSS = usage.CPU, usage.RSS
@@ -167,7 +169,7 @@
 	return check.Finish(), nil
 }
 
-// maxLinkDelay is the longest delay that a link adds in this scenario.
+// maxLinkDelay returns the longest delay that a link adds in this scenario.
 func (r *run) maxLinkDelay() time.Duration {
 	faultMS := 0.0
 	for _, fault := range r.scenario.Faults {
@@ -179,7 +181,7 @@
 	return millis(max(upstreams.DelayMS, upstreams.CrossMS) + upstreams.JitterMS + faultMS)
 }
 
-// logPath is the file of a process's output.
+// logPath returns the path of the file for a process's output.
 func (r *run) logPath(name string) string {
 	return filepath.Join(r.opts.Out, logsDir, name+".log")
 }
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -23,7 +23,8 @@
 	"plovershore/internal/faultlab/stub"
 )
 
-// stubEnv makes the test's own program a stub relay, and labEnv a lab.
+// With one of these variables in its environment, the test binary runs as a stub
+// relay, or as a lab that writes its report to the folder in the variable.
 const (
 	stubEnv = "FAULTLAB_TEST_STUB"
 	labEnv  = "FAULTLAB_TEST_LAB"
@@ -46,11 +47,12 @@
 		os.Exit(0)
 	}
 	flag.Parse()
-	flag.Set("test.parallel", "16") // labs mostly wait
+	flag.Set("test.parallel", "16") // the labs mostly wait, so many run concurrently
 	os.Exit(m.Run())
 }
 
-// fast stands before each scenario of the stub: one relay, little time.
+// stubScenario is the first part of the stub's scenarios: a small fleet and a short
+// load.
 const stubScenario = `
 seconds = 4
 [fleet]
@@ -67,8 +69,8 @@
 rate = 60
 `
 
-// play runs a scenario. A run in which the lab was late proves nothing, so it
-// is played again, a few times at most.
+// runScenario runs a scenario. A run in which the lab was late proves nothing, so it is
+// repeated, up to three times.
 func runScenario(t *testing.T, options Options) *Result {
 	t.Helper()
 	for range 4 {
@@ -80,12 +82,13 @@
 		if !errors.Is(err, ErrLate) {
 			t.Fatalf("seed %d: %v", options.Seed, err)
 		}
-		t.Logf("seed %d: %v: played again", options.Seed, err)
+		t.Logf("seed %d: %v: the run is repeated", options.Seed, err)
 	}
-	t.Fatalf("seed %d: this machine is too busy to judge anything", options.Seed)
+	t.Fatalf("seed %d: the lab was late in every run: this machine is too busy", options.Seed)
 	return nil
 }
 
+// runStub runs a scenario with stub relays that have the given defect.
 func runStub(t *testing.T, defect stub.Defect, text string) *Result {
 	t.Helper()
 	s, err := scenario.Parse("defect.toml", []byte(text))
@@ -95,12 +98,13 @@
 	return runScenario(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{stubEnv + "=1", stub.DefectEnv + "=" + string(defect)}})
 }
 
-// TestCheckerDetectsEachStubDefect breaks one promise at a time on purpose,
-// in a relay that keeps the others.
+// TestCheckerDetectsEachStubDefect runs stub relays with one defect at a time. The
+// checker must report the rule that the defect violates, and no rule that it cannot
+// violate.
 func TestCheckerDetectsEachStubDefect(t *testing.T) {
 	t.Parallel()
 	tightLimits := "[[fault]]\nkind = \"limits\"\nat = 0\nfor = 60\nfactor = 0.1\n"
-	failingCalls := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.45\n" // under half it is no outage
+	failingCalls := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.45\n" // below 0.5 the checker does not count it as an outage
 	lostResponses := "[[fault]]\nkind = \"lose\"\nat = 0\nfor = 60\nfactor = 1\n"
 	outage := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 1\n"
 	drain := strings.Replace(stubScenario, "seconds = 4", "seconds = 8", 1) + "[[fault]]\nkind = \"drain\"\nat = 1\nfor = 7\nshare = 0.5\n"
@@ -108,7 +112,7 @@
 	for _, test := range []struct {
 		defect        stub.Defect
 		extraScenario string
-		mayViolate    []checker.Rule // that only it may break; the first must be
+		mayViolate    []checker.Rule // that the defect may violate; it must violate the first
 	}{
 		{"", "[bad_peers]\nevery = 0.3\n[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.3\n[[fault]]\nkind = \"hup\"\nat = 2\n", nil},
 		{stub.Drop, "", []checker.Rule{"end"}},
@@ -142,11 +146,11 @@
 			violated := slices.Sorted(maps.Keys(verdict.Counts))
 			for _, rule := range violated {
 				if !slices.Contains(test.mayViolate, rule) {
-					t.Errorf("rule %s broken too", rule)
+					t.Errorf("rule %s violated, which the defect must not do", rule)
 				}
 			}
 			if len(test.mayViolate) > 0 && verdict.Counts[test.mayViolate[0]] == 0 {
-				t.Errorf("rule %s not broken; judged %v", test.mayViolate[0], verdict.Checked)
+				t.Errorf("rule %s not violated; checks by rule: %v", test.mayViolate[0], verdict.Checked)
 			}
 			if t.Failed() {
 				for _, violation := range verdict.Violations {
@@ -157,7 +161,8 @@
 	}
 }
 
-// programs builds what the lab runs, into one folder.
+// buildPrograms builds the programs that the lab runs into one folder, once for all
+// tests.
 var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "faultlab")
 	if err != nil {
@@ -170,7 +175,8 @@
 	return dir, nil
 })
 
-// TestRelayViolatesNoRuleInScenarios plays scenarios with the real program.
+// TestRelayViolatesNoRuleInScenarios runs scenarios with the real programs. No rule may
+// be violated, and the rules that a scenario is about must have been checked.
 func TestRelayViolatesNoRuleInScenarios(t *testing.T) {
 	t.Parallel()
 	dir, err := buildPrograms()
@@ -178,7 +184,7 @@
 		t.Fatal(err)
 	}
 	for name, extraRules := range map[string][]checker.Rule{"smoke": nil, "restarts": nil, "cut": nil,
-		// Hard cases 1, 2 and 9 of the list service, with real processes: leaders killed, cut off, and paused past an election.
+		// Hard cases 1, 2 and 9 of the list service, with real processes: the leader is killed, cut off, or suspended past an election.
 		"registry-leader-loss": {"list", "linear"}, "registry-minority": {"list", "linear"}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -192,7 +198,7 @@
 			}
 			for _, rule := range append([]checker.Rule{"end", "repeat", "one-out", "attempts", "limits", "start", "term"}, extraRules...) {
 				if res.Verdict.Checked[rule] == 0 {
-					t.Errorf("%s was never looked at", rule)
+					t.Errorf("rule %s was never checked", rule)
 				}
 			}
 		})
@@ -206,10 +212,11 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", condition)
+	t.Fatalf("not reached in 30 s: %s", condition)
 }
 
-// TestRelaysEndWhenLabIsKilled kills a lab outright and wants its relays gone.
+// TestRelaysEndWhenLabIsKilled kills a lab by SIGKILL, after which none of its relays
+// may go on running.
 func TestRelaysEndWhenLabIsKilled(t *testing.T) {
 	t.Parallel()
 	out := t.TempDir()
@@ -221,7 +228,7 @@
 	defer lab.Wait()
 	defer lab.Process.Kill()
 	pids := map[int]bool{}
-	waitFor(t, "three relays that are ready", func() bool {
+	waitFor(t, "three relays are ready", func() bool {
 		ready := 0
 		history.Read(filepath.Join(out, "history.jsonl"), func(e history.Event) {
 			if e.Kind == history.ProcessReady {
@@ -229,7 +236,7 @@
 				pids[e.PID] = true
 			}
 		})
-		running := 0 // the history is buffered: the relays' own PIDs are what counts
+		running := 0 // the history is buffered and may lack a relay, so the lab's child processes count as well
 		for _, pid := range childPIDs(lab.Process.Pid) {
 			pids[pid] = true
 			running++
@@ -238,7 +245,7 @@
 	})
 	lab.Process.Kill()
 	for pid := range pids {
-		waitFor(t, fmt.Sprintf("the end of process %d", pid), func() bool { return syscall.Kill(pid, 0) != nil || isZombie(pid) })
+		waitFor(t, fmt.Sprintf("process %d has ended", pid), func() bool { return syscall.Kill(pid, 0) != nil || isZombie(pid) })
 	}
 }
 
@@ -260,7 +267,9 @@
 	return err != nil || strings.Contains(string(text), ") Z ")
 }
 
-// TestRunCancelledEarlyViolatesNoRule cancels a run at a moment drawn from a few.
+// TestRunCancelledEarlyViolatesNoRule cancels a run at several times: while the relays
+// start, and under load. The run must end with a verdict without violations, or with
+// the error that no relay was ready yet.
 func TestRunCancelledEarlyViolatesNoRule(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond} {
@@ -277,27 +286,29 @@
 				t.Fatal(err)
 			}
 			if res != nil && !res.Verdict.OK() {
-				t.Errorf("broken: %v", res.Verdict.Violations)
+				t.Errorf("violations: %v", res.Verdict.Violations)
 			}
 		})
 	}
 }
 
-// TestRunFailsWhenRelayDoesNotStart is an error that names it and its log.
+// TestRunFailsWhenRelayDoesNotStart runs a relay program that ends at once; the error
+// must say that it did not start.
 func TestRunFailsWhenRelayDoesNotStart(t *testing.T) {
 	t.Parallel()
 	s := scenario.Default()
 	_, err := Run(t.Context(), Options{Scenario: &s, Seed: 1, Out: t.TempDir(), Program: "/bin/false"})
 	if err == nil || !strings.Contains(err.Error(), "did not start") {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want one that says that the relay did not start", err)
 	}
 }
 
-// TestPlanDependsOnlyOnScenarioAndSeed draws each twice.
+// TestPlanDependsOnlyOnScenarioAndSeed plans each scenario twice with one seed, and
+// with another seed, for which a plan that draws targets must differ.
 func TestPlanDependsOnlyOnScenarioAndSeed(t *testing.T) {
 	files, _ := filepath.Glob(filepath.Join("..", "..", "lab", "scenarios", "*.toml"))
 	if len(files) < 8 {
-		t.Fatalf("%d scenarios", len(files))
+		t.Fatalf("found %d scenarios, want at least 8", len(files))
 	}
 	for _, path := range files {
 		s, err := scenario.LoadFile(path)
@@ -306,15 +317,16 @@
 		}
 		first, again, otherSeed := fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 6))
 		if first != again {
-			t.Errorf("%s: two schedules of one seed", path)
+			t.Errorf("%s: two plans with one seed differ", path)
 		}
 		if strings.Contains(string(first), "share") && first == otherSeed {
-			t.Errorf("%s: one schedule of two seeds", path)
+			t.Errorf("%s: plans with different seeds are equal", path)
 		}
 	}
 }
 
-// TestFortyRelaysStartAndEndInTime runs 40 processes on this machine, and wants the lab itself in time.
+// TestFortyRelaysStartAndEndInTime runs 40 relay processes on this machine. All must
+// start and end as the rules say, and the lab must not be late.
 func TestFortyRelaysStartAndEndInTime(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Parse("forty.toml", []byte("seconds = 3\n[fleet]\nrelays = 40\n[partners]\nendpoints = 8\ndestinations = 4\n[load]\nrate = 100\n[[fault]]\nkind = \"term\"\nat = 1\nshare = 0.3\nfor = 0.1\n"))
@@ -323,11 +335,12 @@
 	}
 	res := runScenario(t, Options{Scenario: s, Seed: 1, Program: os.Args[0], Env: []string{stubEnv + "=1"}})
 	if res.Verdict.Checked["start"] < 40 || res.Verdict.Counts["crash"]+res.Verdict.Counts["term"]+res.Verdict.Counts["start"] > 0 {
-		t.Errorf("%v, judged %v", res.Verdict.Violations, res.Verdict.Checked)
+		t.Errorf("violations %v, checks by rule %v", res.Verdict.Violations, res.Verdict.Checked)
 	}
 }
 
-// TestConcurrentLabsClaimDifferentAddresses have an address each, for as long as they last.
+// TestConcurrentLabsClaimDifferentAddresses claims an address while another lab has
+// one; the two must differ.
 func TestConcurrentLabsClaimDifferentAddresses(t *testing.T) {
 	firstIP, firstLock, err := claimAddress()
 	if err != nil {
@@ -340,6 +353,6 @@
 	}
 	defer secondLock.Close()
 	if firstIP == secondIP {
-		t.Errorf("both at %s", firstIP)
+		t.Errorf("both labs got %s", firstIP)
 	}
 }
--- a/internal/faultlab/lateness.go
+++ b/internal/faultlab/lateness.go
@@ -12,8 +12,8 @@
 
 const (
 	latenessInterval = 10 * time.Millisecond // between two measurements
-	stallThreshold   = time.Second           // a longer lateness is counted once
-	maxRecorded      = time.Minute           // later counts as this
+	stallThreshold   = time.Second           // a single stall that is longer than this is counted once
+	maxRecorded      = time.Minute           // a longer duration is recorded as this
 	histogramDigits  = 3
 )
 
@@ -24,7 +24,7 @@
 
 // recordMicros adds a duration to a histogram of microseconds.
 func recordMicros(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(1, d.Microseconds()), maxRecorded.Microseconds())) // within its bounds
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxRecorded.Microseconds())) // cannot fail: the value is within the bounds
 }
 
 // lateness is how late the lab's own events were, from when each was due. It is
--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -12,17 +12,16 @@
 	"plovershore/internal/leader"
 )
 
-// This file holds every text of another program's that the lab reads for its
-// meaning: the controller's log lines, the progress messages of its operations
-// and one line of the relay's metrics. Whoever changes such a text changes it
-// here too. A scenario may run an older program (faultlab run --first), so the
+// This file holds every text of another program that the lab interprets: the
+// controller's log lines, the progress messages of its operations and one line of
+// the relay's metrics. A change of such a text has to be made here as well. A scenario may run an older program (faultlab run --first), so the
 // texts of earlier releases stay readable beside the present ones.
 
 // Messages of the controller's log about one step of the counter role, as releases
 // before package leader had its event names wrote them.
 const (
-	oldStepRequested = "counts"      // the step is about to be requested
-	oldStepCounted   = "counted"     // the list service took the step
+	oldStepRequested = "counts"      // the controller is about to request the step
+	oldStepCounted   = "counted"     // the list service accepted the step
 	oldStepRejected  = "not counted" // the list service rejected the token
 )
 
@@ -32,11 +31,11 @@
 	returnedMessage = "returned" // every endpoint of the zone is back
 )
 
-// metricMembers is the relay's figure for the length of its endpoint list.
+// metricMembers is the name of the relay's metric for the length of its endpoint list.
 const metricMembers = "app_members"
 
-// stepOutcomes gives the history's word for each message about a step; a request has
-// none.
+// stepOutcomes maps each message about a step to its outcome in the history; a request
+// has none.
 var stepOutcomes = map[string]string{
 	leader.EventCountRequested: "",
 	leader.EventCountAccepted:  history.StepCounted,
@@ -72,7 +71,7 @@
 	loggedAt time.Time
 	count    int
 	token    int64
-	outcome  string // history.Counted or history.Fenced; empty for a request
+	outcome  string // history.StepCounted or history.StepFenced; empty for a request
 }
 
 // parseCounterStep reads a log line; ok is false for a line about something else.
--- a/internal/faultlab/logparse_test.go
+++ b/internal/faultlab/logparse_test.go
@@ -7,7 +7,8 @@
 	"plovershore/internal/leader"
 )
 
-// TestParseCounterStepReadsOldAndNewMessages as slog's text handler writes them.
+// TestParseCounterStepReadsOldAndNewMessages parses log lines in the form of slog's
+// text handler, with the messages of the present release and of older ones.
 func TestParseCounterStepReadsOldAndNewMessages(t *testing.T) {
 	const prefix = "time=2026-11-30T12:00:00.250Z level=INFO "
 	for line, want := range map[string]struct {
@@ -32,6 +33,6 @@
 		}
 	}
 	if _, ok, err := parseCounterStep("time=yesterday msg=counts count=7 token=3"); !ok || err == nil {
-		t.Errorf("a line without a time was read: %v", err)
+		t.Errorf("a line with an invalid time: got no match or no error, error %v", err)
 	}
 }
--- a/internal/faultlab/node.go
+++ b/internal/faultlab/node.go
@@ -15,25 +15,26 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// node is one node of the list service, over all of its processes.
+// node is one node of the list service with its current process, which a fault may
+// replace.
 type node struct {
 	group  *group
 	number int
 	name   string
 	dir    string
-	http   string // where it listens
-	raft   string
-	proxy  *link.Link   // its clients and the other nodes' agents connect here
-	peers  []*link.Link // to the Raft address of each other node; nil at its own place
+	http   string       // address of its HTTP listener
+	raft   string       // address of its Raft listener
+	proxy  *link.Link   // link to its HTTP listener, for all clients and agents
+	peers  []*link.Link // links to the other nodes' Raft listeners, by number; nil at its own
 	log    *os.File
 
-	faultMu sync.Mutex // held by the fault that strikes its process
+	faultMu sync.Mutex // held while a fault affects its process
 
 	mu      sync.Mutex
 	process *process.Process
 }
 
-// newNode makes a node with its directory, log and proxy.
+// newNode makes a node with its directory, log and proxy; it starts no process.
 func (g *group) newNode(number int) (*node, error) {
 	r := g.run
 	n := &node{group: g, number: number, name: fmt.Sprint("r", number+1), http: r.address(), raft: r.address()}
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// config is its configuration file.
+// config returns the text of the node's configuration file.
 func (n *node) config() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "id = %q\ndata = %q\nlisten = %q\nraft = %q\n", n.name, filepath.Join(n.dir, "data"), n.http, n.raft)
@@ -83,7 +84,7 @@
 	return text.String()
 }
 
-// start runs a new process of the node.
+// start starts a new process of the node.
 func (n *node) start() error {
 	r := n.group.run
 	path := filepath.Join(n.dir, "registry.toml")
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// watchNode records the start of a process that is no relay, and its end.
+// watchNode records the start and the end of a process of a node or a controller.
 func (r *run) watchNode(name string, p *process.Process) {
 	r.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: name, PID: p.PID, Text: history.NodeProcess})
 	r.start(func() {
@@ -117,13 +118,14 @@
 	return n.process
 }
 
-// signal sends a signal to the present process; after SIGKILL it waits for the end.
+// signal sends a signal to the current process; after SIGKILL it waits until the
+// process has ended.
 func (n *node) signal(s syscall.Signal) {
 	n.group.run.signalNode(n.name, n.currentProcess(), s)
 }
 
-// signalNode records a signal to a process that is no relay and sends it; after
-// SIGKILL it waits for the end.
+// signalNode records a signal to a process of a node or a controller and sends it;
+// after SIGKILL it waits until the process has ended.
 func (r *run) signalNode(name string, p *process.Process, s syscall.Signal) {
 	if s == syscall.SIGKILL {
 		r.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: name, PID: p.PID, Text: s.String()})
--- a/internal/faultlab/operation.go
+++ b/internal/faultlab/operation.go
@@ -11,18 +11,18 @@
 	"plovershore/internal/registry"
 )
 
-// operationPoll is the interval at which an operation is looked at.
+// operationPoll is the interval at which the state of an operation is read.
 const operationPoll = 50 * time.Millisecond
 
-// operation is an operation that controllers carry out.
+// operation is an operation that the lab requests and the controllers carry out.
 type operation struct {
 	group *group
 	kind  string // the role that carries it out
 	name  string
-	last  registry.Operation // its state, as it was read last
+	last  registry.Operation // state as of the last successful read
 }
 
-// put asks for an operation, or for another state of it.
+// put requests an operation, or another desired state of it.
 func (o *operation) put(ctx context.Context, wanted registry.Operation) error {
 	path := fmt.Sprintf("%s/%s/%s", registry.OperationsPath, o.kind, o.name)
 	if _, err := o.group.client.Do(ctx, http.MethodPut, path, wanted, nil); err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// run asks for an operation to be carried out.
+// run requests that the operation be carried out.
 func (o *operation) run(ctx context.Context, spec any) error {
 	text, err := json.Marshal(spec)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return o.put(ctx, registry.Operation{Spec: text, DesiredState: registry.DesiredRun})
 }
 
-// refresh reads the state; without an answer the last one stays.
+// refresh reads the state; if the service does not answer, the last state stays.
 func (o *operation) refresh(ctx context.Context) {
 	var operations []registry.Operation
 	if _, err := o.group.client.Do(ctx, http.MethodGet, registry.OperationsPath, nil, &operations); err != nil {
@@ -53,8 +53,8 @@
 	}
 }
 
-// await waits until the state satisfies a condition. It is an error if ctx ends
-// first, or the operation is done without that.
+// await waits until the state satisfies a condition. It is an error if ctx ends first,
+// or if the operation is done and does not satisfy it.
 func (o *operation) await(ctx context.Context, satisfied func(registry.Operation) bool) error {
 	for {
 		o.refresh(ctx)
@@ -62,10 +62,10 @@
 			return nil
 		}
 		if !model.Sleep(ctx, operationPoll) || o.last.Done {
-			return fmt.Errorf("lab: %s %s: not at its end: %s, %s", o.kind, o.name, o.last.Message, o.last.Progress)
+			return fmt.Errorf("lab: %s %s: the expected state was not reached: %s, %s", o.kind, o.name, o.last.Message, o.last.Progress)
 		}
 	}
 }
 
-// isDone is the condition that an operation is done.
+// isDone reports whether an operation is done.
 func isDone(o registry.Operation) bool { return o.Done }
--- a/internal/faultlab/plan.go
+++ b/internal/faultlab/plan.go
@@ -13,14 +13,14 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// Step is one fault at one moment, with its targets. A plan is a function of
-// scenario and seed alone, so a run can be played again.
+// Step is one injection of a fault, with its time and targets. A plan depends on
+// scenario and seed alone, so that a run can be repeated.
 type Step struct {
 	At      time.Duration // from the start of the load
 	Until   time.Duration // when it is undone; 0 for the end of the load
 	Fault   scenario.Fault
-	Targets []int // relays, endpoints or others, by number
-	Draw    uint64
+	Targets []int  // relays, endpoints or others, by number
+	Draw    uint64 // seed of what is drawn while the step is carried out
 }
 
 // String describes the step in one line.
@@ -48,7 +48,7 @@
 	return text
 }
 
-// newRandom returns what is drawn from for one purpose of a run.
+// newRandom returns the source of random numbers for one purpose of a run.
 func newRandom(seed uint64, purpose string) *rand.Rand {
 	hash := fnv.New64a()
 	hash.Write([]byte(purpose))
@@ -72,7 +72,8 @@
 	return steps
 }
 
-// planFault draws the targets of one fault, and when each is struck.
+// planFault draws the targets of one occurrence of a fault, and returns its steps: one
+// for all targets, or one for each target if the fault is spread over time.
 func planFault(s *scenario.Scenario, fleet *fleetPlan, fault scenario.Fault, startSeconds float64, random *rand.Rand) []Step {
 	targets := possibleTargets(s, fleet, &fault)
 	if fault.Fraction > 0 && len(targets) > 0 {
@@ -100,7 +101,7 @@
 	return steps
 }
 
-// possibleTargets are what a fault may strike, by number.
+// possibleTargets returns the numbers of the targets that a fault can affect.
 func possibleTargets(s *scenario.Scenario, fleet *fleetPlan, fault *scenario.Fault) []int {
 	always := func(int) bool { return true }
 	isKind := func(upstream int) bool {
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// candidates are the numbers below count that are among those named, if any are,
-// and qualify.
+// candidates returns the numbers below count that qualify and that are in allowed,
+// unless that is empty.
 func candidates(count int, allowed []int, qualifies func(int) bool) (numbers []int) {
 	for i := range count {
 		if (len(allowed) == 0 || slices.Contains(allowed, i)) && qualifies(i) {
--- a/internal/faultlab/registry_status.go
+++ b/internal/faultlab/registry_status.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	statusTimeout = 500 * time.Millisecond // of a node's status
-	leaderRole    = "Leader"               // of Raft, as the status has it
+	statusTimeout = 500 * time.Millisecond // of a request for a node's status
+	leaderRole    = "Leader"               // RaftRole of the leader's status
 )
 
 // nodeStatus asks a node of the list service for its status.
@@ -25,7 +25,7 @@
 	return status, err
 }
 
-// findLeader is the place of the node that says it leads; -1 for none.
+// findLeader returns the index of the node that reports itself as the leader, or -1.
 func findLeader(addrs []string) int {
 	for i, addr := range addrs {
 		if status, err := nodeStatus(addr); err == nil && status.RaftRole == leaderRole {
--- a/internal/faultlab/relay.go
+++ b/internal/faultlab/relay.go
@@ -22,58 +22,58 @@
 	pingAnswer  = "+PONG\r\n"
 )
 
-// relay is one relay under test, over all of its processes.
+// relay is one relay under test with its current process, which a fault may replace.
 type relay struct {
 	run       *run
 	number    int
 	name      string
 	zone      string
-	listen    string // where it listens
-	dir       string // of its machine
+	listen    string // address on which its processes listen for clients
+	dir       string // directory that stands for its machine's disk
 	agent     discoveryAgent
-	proxy     *link.Link       // its clients connect here
-	links     []*link.Link     // to each endpoint
-	log       *os.File         // of its processes
-	wall      *wallclock.Wall  // of its machine; nil if no fault steps it
-	agentProc *process.Process // nil if discovery is the lab's own
-	agentLog  *os.File         // the same
+	proxy     *link.Link       // link to listen, through which clients connect
+	links     []*link.Link     // links to the endpoints, by number
+	log       *os.File         // output of its processes
+	wall      *wallclock.Wall  // wall clock of its machine; nil if the scenario steps no clock
+	agentProc *process.Process // process of a real agent; nil if the agent is the lab's own
+	agentLog  *os.File         // output of agentProc; nil without it
 
-	faultMu sync.Mutex // held by the fault that strikes its process
+	faultMu sync.Mutex // held while a fault affects its process
 
 	mu        sync.Mutex
 	operator  string // address for operators; empty without controllers
 	process   *process.Process
 	ready     bool
-	shouldRun bool // it is to run
+	shouldRun bool // false once the lab has told the process to end
 }
 
-// stateDir is the directory of its message log.
+// stateDir returns the directory of its message log.
 func (r *relay) stateDir() string { return filepath.Join(r.dir, "state") }
 
 func (r *relay) configPath() string { return filepath.Join(r.dir, "config.json") }
 
-// currentProcess is its present process; nil before the first.
+// currentProcess returns its current process; nil before the first.
 func (r *relay) currentProcess() *process.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.process
 }
 
-// operatorAddr is the present process's address for operators.
+// operatorAddr returns the current process's address for operators.
 func (r *relay) operatorAddr() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.operator
 }
 
-// configure writes its configuration file and returns the endpoint list in it.
+// configure writes the configuration file and returns the endpoint list in it.
 func (r *relay) configure() (model.List, error) {
 	known := r.agent.Known()
 	text, err := json.MarshalIndent(r.config(known), "", " ")
 	if err != nil {
 		return known, fmt.Errorf("configuration of %s: %w", r.name, err)
 	}
-	// Renamed into place: a relay may read it at any moment.
+	// The file is renamed into place, since a relay may read it at any time.
 	path := r.configPath()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return known, fmt.Errorf("configuration of %s: %w", r.name, err)
@@ -84,7 +84,8 @@
 	return known, nil
 }
 
-// config is its configuration, in the form of the deployment page.
+// config returns the relay's configuration, in the form that the deployment page
+// describes.
 func (r *relay) config(known model.List) map[string]any {
 	fleet := &r.run.scenario.Fleet
 	settings := model.Settings(model.Fleet{
@@ -114,12 +115,13 @@
 	return config
 }
 
-// relaySeed is the seed in the configuration of a relay.
+// relaySeed returns the seed for a relay's configuration.
 func relaySeed(seed uint64, name string) string {
 	return fmt.Sprintf("%016x", newRandom(seed, "relay "+name).Uint64())
 }
 
-// relayLimits is the machine in the configuration of a relay.
+// relayLimits returns the limits for a relay's configuration, which describe its
+// machine.
 func relayLimits(memoryMB, sockets, diskMB int) map[string]any {
 	return map[string]any{"cores": 1.0, "memory_mb": memoryMB, "sockets": sockets, "disk_mb": diskMB}
 }
@@ -139,18 +141,19 @@
 	return err == nil && line == pingAnswer
 }
 
-// sampleUsage records what the present process uses.
+// sampleUsage records what resources the current process uses.
 func (r *relay) sampleUsage() {
 	p := r.currentProcess()
 	usage, err := p.Measure(r.stateDir())
 	if err != nil || usage.RSS == 0 {
-		return // it is gone
+		return // the process has ended
 	}
 	r.run.recorder.Record(history.Event{Kind: history.UsageSampled, Relay: r.name, PID: p.PID,
 		RSS: usage.RSS, FDs: usage.FDs, Disk: usage.Disk, CPU: usage.CPU.Microseconds()})
 }
 
-// closeAgent ends its agent's process, and the lab's proxy before it.
+// closeAgent ends the agent's process and the lab's proxy before it, if the agent is a
+// real one.
 func (r *relay) closeAgent() {
 	if r.agentProc != nil {
 		r.agentProc.Kill()
@@ -160,7 +163,7 @@
 	}
 }
 
-// closeLinks closes its links and logs.
+// closeLinks closes the relay's links and logs.
 func (r *relay) closeLinks() {
 	if r.proxy != nil {
 		r.proxy.Close()
--- a/internal/faultlab/relay_process.go
+++ b/internal/faultlab/relay_process.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	upgradeOverlap = time.Second // that the next process has to take over
-	respawnDelay   = time.Second // of a crashed process, as a supervisor would wait
+	upgradeOverlap = time.Second // time for the next process to take over
+	respawnDelay   = time.Second // before a crashed process is started again, as a supervisor would wait
 	readyInterval  = 10 * time.Millisecond
 )
 
-// start runs a new process of the relay, with what its directory holds.
+// start starts a new process of the relay on its directory.
 func (r *relay) start() error {
 	if r.run.scenario.Registry.Controllers > 0 { // each process has an operator address of its own
 		addr := r.run.address()
@@ -50,7 +50,8 @@
 	return r.run.opts.Program
 }
 
-// environment is that of its processes, beside the lab's own.
+// environment returns the variables that its processes get beside the lab's own
+// environment.
 func (r *relay) environment() []string {
 	env := append([]string{"ROUTER_CONFIG=" + r.configPath()}, r.run.opts.Env...)
 	if r.wall != nil {
@@ -61,8 +62,8 @@
 	return env
 }
 
-// upgrade starts the next process beside the present one, as the operators do, and
-// ends that once the next one has had time to take over.
+// upgrade starts the next process beside the current one, as the operators do, and ends
+// the old one once the next has had time to take over.
 func (r *relay) upgrade(ctx context.Context) error {
 	old := r.currentProcess()
 	if err := r.start(); err != nil {
@@ -77,13 +78,14 @@
 	return nil
 }
 
-// signal sends a signal to a process and records it; false if the process is gone.
+// signal records a signal to a process and sends it; false if the process has ended.
 func (r *run) signal(name string, p *process.Process, s syscall.Signal) bool {
 	r.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: name, PID: p.PID, Text: s.String()})
 	return p.Signal(s) == nil
 }
 
-// exitsInTime waits for a process that was told to end, as long as the rules allow.
+// exitsInTime reports whether a process that was told to end does so in the time that
+// the rules allow.
 func (r *relay) exitsInTime(p *process.Process) bool {
 	rules := &r.run.world.Rules
 	select {
@@ -119,14 +121,15 @@
 	r.recorder.Record(history.Event{Kind: history.ProcessExited, Relay: name, PID: p.PID, Status: code, Text: text})
 }
 
-// needsRestart reports whether a process that ended has no successor and is to have one.
+// needsRestart reports whether the relay is to run and the process p, which ended, has
+// no successor.
 func (r *relay) needsRestart(p *process.Process) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.shouldRun && r.process == p
 }
 
-// awaitReady waits until one process serves clients.
+// awaitReady waits until process p serves clients, and records that.
 func (r *relay) awaitReady(p *process.Process) {
 	for !ping(r.listen) {
 		select {
@@ -144,8 +147,8 @@
 	r.run.clients.RelayUp(r.name)
 }
 
-// signal sends a signal to the present process and records it; sent is false if the
-// process is gone.
+// signal sends a signal to the current process and records it; sent is false if the
+// process has ended.
 func (r *relay) signal(s syscall.Signal) (p *process.Process, sent bool) {
 	r.mu.Lock()
 	p = r.process
@@ -161,8 +164,8 @@
 	return p, r.run.signal(r.name, p, s)
 }
 
-// shutdown ends the present process, by SIGTERM first if graceful is set, and
-// returns when it is gone.
+// shutdown ends the current process, by SIGTERM first if graceful is set, and returns
+// when it has ended.
 func (r *relay) shutdown(graceful bool) {
 	r.run.clients.RelayDown(r.run.ctx, r.name)
 	if r.currentProcess().Stopped() {
--- a/internal/faultlab/run.go
+++ b/internal/faultlab/run.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	sampleInterval = 250 * time.Millisecond // of the processes' usage
-	settleTimeout  = 20 * time.Second       // after the load, for pending messages: the longest deadline, and its slack
+	sampleInterval = 250 * time.Millisecond // between two samples of the processes' usage
+	settleTimeout  = 20 * time.Second       // after the load, for pending messages: the longest deadline and its slack
 	settlePoll     = 20 * time.Millisecond
-	noticeGrace    = 700 * time.Millisecond // after the last deadline, until a notice is overdue
+	noticeGrace    = 700 * time.Millisecond // after the last deadline; a later notice is overdue
 )
 
-// run is one scenario while it runs.
+// run is the state of one run of a scenario.
 type run struct {
 	opts     Options
 	scenario *scenario.Scenario
@@ -32,18 +32,18 @@
 	failure  failure
 	lateness *lateness
 	ip       string
-	port     atomic.Int64 // the last that was used, from firstPort
-	began    time.Time    // of the load
+	port     atomic.Int64 // number of ports used so far, from firstPort
+	began    time.Time    // start of the load
 
 	recorder   *history.Recorder
 	world      *model.World
-	discovery  *model.Discovery // the lab's own; not used if group is set
+	discovery  *model.Discovery // the lab's own endpoint list; unused if group is set
 	group      *group           // nil without a list service
 	clients    *model.Clients
 	upstreams  []*model.Upstream
 	endpoints  []*model.Endpoint
 	relays     []*relay
-	linkFaults map[*link.Link]link.Faults // of a link on which no fault is active
+	linkFaults map[*link.Link]link.Faults // faults that a link has while no step affects it
 	status     statusCounter
 
 	background sync.WaitGroup // all goroutines but the endpoints'
@@ -59,7 +59,7 @@
 	}()
 }
 
-// play sets everything up, runs the load with its faults, and waits for pending
+// execute sets everything up, runs the load with its faults, and waits for pending
 // messages.
 func (r *run) execute(ctx context.Context, plan []Step) error {
 	if err := r.build(ctx); err != nil {
@@ -107,15 +107,16 @@
 	model.Sleep(r.ctx, noticeGrace)
 }
 
-// onNotice takes the notice of a message; its client may submit it again.
+// onNotice completes a message for which a notice came; its client may submit a
+// returned message again.
 func (r *run) onNotice(id, outcome string, retryMS int64) {
 	if r.world.Ledger.Complete(id) && outcome == discovery.Returned {
 		r.clients.MessageReturned(r.ctx, id, retryMS)
 	}
 }
 
-// recordLostCall records a call that a relay wrote completely and that a link never
-// passed on: the relay cannot know that it did not run.
+// recordLostCall records a call that a relay wrote completely but a link did not pass
+// on: the relay cannot know that the call did not run.
 func (r *run) recordLostCall(l *link.Link, written []byte, firstByteAt time.Time) {
 	ids, complete := model.ParseCall(written)
 	if !complete {
@@ -130,7 +131,7 @@
 	r.recorder.Record(e)
 }
 
-// sampleUsage records what the relays use until the run stops.
+// sampleUsage records what resources the relays use until the run stops.
 func (r *run) sampleUsage() {
 	for model.Sleep(r.ctx, sampleInterval) {
 		for _, relay := range r.relays {
@@ -157,7 +158,7 @@
 	}
 }
 
-// close ends every process, by SIGTERM first, then everything around them.
+// close ends the relays' processes, by SIGTERM first, and then everything around them.
 func (r *run) close() {
 	r.stopRelays()
 	r.stop()
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	scaleStartTimeout  = 150 * time.Second // until all relays have their list
-	scaleResultTimeout = 20 * time.Second  // until a process of simulated relays has written its result
-	firstScalePort     = firstPort + 100   // the ports below are the nodes'
-	connectTimeout     = 1500 * time.Millisecond
+	scaleStartTimeout  = 150 * time.Second       // for all relays to receive their list
+	scaleResultTimeout = 20 * time.Second        // for a process of simulated relays to write its result
+	firstScalePort     = firstPort + 100         // lower ports are for the list service's nodes
+	connectTimeout     = 1500 * time.Millisecond // of a simulated relay, to an endpoint
 	// Names of roles in stored reports.
 	simRelayRole      = "hollow relay"
 	realRelayRole     = "real relay"
 	operatedRelayRole = "real relay with an operator address"
 )
 
-// scaleRun is a scale scenario while it runs.
+// scaleRun is the state of one run of a scale scenario.
 type scaleRun struct {
 	opts     Options
 	scenario *scenario.Scenario
 	dir      string
 	ip       string
-	port     atomic.Int64 // the last that was used
+	port     atomic.Int64 // last port that was used
 	began    time.Time
 	ctx      context.Context // ends when everything is to stop
 	stop     context.CancelFunc
@@ -47,9 +47,9 @@
 	check    *scaleCheck
 	results  ScaleResult
 
-	phase       atomic.Value // of the run: one of scalePhases
-	isFinishing atomic.Bool  // processes are being ended
-	listHash    uint64       // of the service's list at the end
+	phase       atomic.Value // current phase, one of scalePhases
+	isFinishing atomic.Bool  // the processes may end now
+	listHash    uint64       // hash of the service's list at the end of the run
 
 	down         simrelay.Down
 	endpoints    *scaleEndpoints
@@ -57,21 +57,21 @@
 	members      *scaleMembers
 	watchers     *watcherSet
 	roles        []*role
-	agents       []*scaleAgent // that simulated relays share
+	agents       []*scaleAgent // agents that simulated relays share
 	realRelays   []*realRelay
 	simProcesses []*simProcess
-	clients      []*scaleClients // of the real relays
+	clients      []*scaleClients // clients of the real relays
 
 	mu        sync.Mutex
-	processes []*process.Process // all that were started
+	processes []*process.Process // all processes that were started
 
 	meters     []*meter
 	files      []*os.File
-	folders    []string       // beside the run's own, to be removed
+	folders    []string       // folders outside dir, which close removes
 	background sync.WaitGroup // all goroutines that end with ctx
 }
 
-// runScale plays a scale scenario to its verdict; errors are as Run's.
+// runScale runs a scale scenario and checks it; its errors are those of Run.
 func runScale(ctx context.Context, o Options) (*Result, error) {
 	dir, err := filepath.Abs(o.Out)
 	if err != nil {
@@ -111,7 +111,7 @@
 	go func() { defer r.background.Done(); work() }()
 }
 
-// play builds everything, runs the phases, and checks the simulated relays' results.
+// execute builds everything, runs the phases, and checks the simulated relays' results.
 func (r *scaleRun) execute() error {
 	if err := os.MkdirAll(filepath.Join(r.dir, logsDir), 0o755); err != nil {
 		return fmt.Errorf("lab: %w", err)
@@ -128,14 +128,15 @@
 		return err
 	}
 	if !r.checkLists() {
-		return r.ctx.Err() // the verdict says it
+		return r.ctx.Err() // the verdict holds the violation
 	}
 	r.runPhases()
 	r.settle()
 	return r.checkResults()
 }
 
-// checkLists checks that every relay has the list, and reports whether that is so.
+// checkLists checks that every relay has the complete list, and reports whether no rule
+// is violated.
 func (r *scaleRun) checkLists() bool {
 	c := &r.scenario.Scale
 	r.check.countCheck(checker.RuleStart)
@@ -156,7 +157,7 @@
 	return r.check.verdict.OK()
 }
 
-// fetchList returns the complete list as the service has it.
+// fetchList reads the complete list from the service.
 func (r *scaleRun) fetchList(ctx context.Context) (*discovery.List, error) {
 	c, err := client.New(r.group.http, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -173,7 +174,8 @@
 	return discovery.Parse(text)
 }
 
-// result is the run's result; an error if the lab or the simulated relays were late.
+// result returns the run's result, with ErrLate if the lab or the simulated relays were
+// late.
 func (r *scaleRun) result() (*Result, error) {
 	result := &Result{Name: r.scenario.Name, Seed: r.opts.Seed, Out: r.opts.Out, Took: time.Since(r.began), Verdict: r.check.verdict, Scale: &r.results}
 	result.measureLab(r.lateness)
@@ -223,5 +225,5 @@
 	}
 }
 
-// errUnexpectedExit is a process that ended by itself.
+// errUnexpectedExit reports a process that ended before the lab told it to.
 var errUnexpectedExit = errors.New("lab: a process ended before it was told to")
--- a/internal/faultlab/scale_check.go
+++ b/internal/faultlab/scale_check.go
@@ -9,7 +9,7 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// scaleCheck applies the rules that simulated relays can be checked by:
+// scaleCheck checks the results of simulated relays by these rules:
 //
 //	checker.RuleStart       every relay receives a list
 //	checker.RuleList        each relay ends with the service's list
@@ -25,9 +25,10 @@
 	return &scaleCheck{dir: dir, began: startedAt, verdict: checker.NewVerdict()}
 }
 
-const maxShownViolations = 5 // violations of one rule in the verdict
+const maxShownViolations = 5 // violations of one rule that the verdict lists
 
-// violate adds a violation; a and b are the moments in question in Unix µs, 0 for none.
+// addViolation adds a violation; firstAt and secondAt are the times of the events
+// concerned in Unix µs, 0 for none.
 func (s *scaleCheck) addViolation(rule checker.Rule, subject, text string, firstAt, secondAt int64) {
 	event := func(at int64) history.Event {
 		if at == 0 {
@@ -40,43 +41,44 @@
 
 func (s *scaleCheck) countCheck(rule checker.Rule) { s.verdict.Checked[rule]++ }
 
-// checkList checks one relay's list at the end.
+// checkList checks that one relay's list at the end of the run is the service's.
 func (s *scaleCheck) checkList(relay string, hash, wantHash uint64, members int) {
 	if s.countCheck(checker.RuleList); hash != wantHash {
 		s.addViolation(checker.RuleList, relay, fmt.Sprintf("ends with another list than the service's, of %d members", members), 0, 0)
 	}
 }
 
-// checkChanges checks what one relay applied of the changes, given in the order in
-// which they were made.
+// checkChanges checks which changes one relay applied; changes are given in the order
+// in which they were made.
 func (s *scaleCheck) checkChanges(r *simrelay.RelayResult, changes []scaleChange) {
 	for _, text := range r.OutOfOrder {
 		s.addViolation(checker.RuleChange, r.Name, text, 0, 0)
 	}
-	appliedAt := map[uint64][]int{} // places
+	indicesByKey := map[uint64][]int{} // indices in r.Changes, by key
 	for i, applied := range r.Changes {
-		appliedAt[applied.Key] = append(appliedAt[applied.Key], i)
+		indicesByKey[applied.Key] = append(indicesByKey[applied.Key], i)
 	}
-	lastPlace := -1
+	lastIndex := -1
 	for _, change := range changes {
 		s.countCheck(checker.RuleChange)
-		places := appliedAt[change.Key]
+		indices := indicesByKey[change.Key]
 		switch {
-		case len(places) == 0 && r.CompleteLists > 1:
+		case len(indices) == 0 && r.CompleteLists > 1:
 			s.verdict.Excused["changes that a complete list may have stood for"]++
-		case len(places) == 0:
+		case len(indices) == 0:
 			s.addViolation(checker.RuleChange, r.Name, "a change was never applied", change.RequestedAt, 0)
-		case len(places) > 1:
-			s.addViolation(checker.RuleChange, r.Name, "a change was applied twice", r.Changes[places[0]].At, r.Changes[places[1]].At)
-		case places[0] < lastPlace:
-			s.addViolation(checker.RuleChange, r.Name, "a change was applied before one that was made earlier", change.RequestedAt, r.Changes[places[0]].At)
+		case len(indices) > 1:
+			s.addViolation(checker.RuleChange, r.Name, "a change was applied twice", r.Changes[indices[0]].At, r.Changes[indices[1]].At)
+		case indices[0] < lastIndex:
+			s.addViolation(checker.RuleChange, r.Name, "a change was applied before one that was made earlier", change.RequestedAt, r.Changes[indices[0]].At)
 		default:
-			lastPlace = places[0]
+			lastIndex = indices[0]
 		}
 	}
 }
 
-// checkMessages checks the messages of one relay.
+// checkMessages checks that one relay completed each accepted message once, and that
+// its log has none pending.
 func (s *scaleCheck) checkMessages(r *simrelay.RelayResult) {
 	c := &r.Counts
 	s.verdict.Checked[checker.RuleCompletion] += int(c.Accepted)
--- a/internal/faultlab/scale_clients.go
+++ b/internal/faultlab/scale_clients.go
@@ -17,11 +17,11 @@
 
 const (
 	clientTimeout = 2 * time.Second // of a request
-	maxIdleConns  = 64              // to one relay
+	maxIdleConns  = 64              // connections that are kept open to one relay
 )
 
-// scaleClients submit messages to one real relay, as many as a simulated one draws,
-// whatever becomes of those before.
+// scaleClients submits messages to one real relay, at the rate at which a simulated
+// relay draws its own. It does not wait for the answers to earlier messages.
 type scaleClients struct {
 	scenario   *scenario.Scenario
 	addr       string
@@ -41,7 +41,8 @@
 	return &scaleClients{scenario: s, addr: addr, random: random, onLateness: onLateness, idle: make(chan *scaleConn, maxIdleConns)}
 }
 
-// run submits messages until ctx ends, and returns once each has its answer.
+// run submits messages until ctx ends, and returns once each message has an answer or
+// has failed.
 func (c *scaleClients) run(ctx context.Context, relay int) {
 	var wg sync.WaitGroup
 	defer c.close()
@@ -67,7 +68,8 @@
 	}
 }
 
-// request is MSG.PUT; the first byte of the body names the class to the endpoint.
+// request returns the bytes of a MSG.PUT request. The first byte of the message's body
+// is the index of its class, which the endpoint reads.
 func (c *scaleClients) request(id string, class, dest int) []byte {
 	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", model.Classes()[class].Name, scenario.Seconds(c.scenario.Scale.Deadline).Milliseconds(), dest)
 	body := fmt.Sprint(class) + strings.Repeat("x", scaleBody-1)
@@ -109,7 +111,7 @@
 		return "", err
 	}
 	line, err := relayConn.in.ReadString('\n')
-	if err != nil || strings.HasPrefix(line, "$") { // a bulk string, whose text is left unread
+	if err != nil || strings.HasPrefix(line, "$") { // the text of a bulk string is left unread, so the connection cannot be reused
 		relayConn.Close()
 		return line, err
 	}
--- a/internal/faultlab/scale_endpoints.go
+++ b/internal/faultlab/scale_endpoints.go
@@ -18,7 +18,7 @@
 
 const (
 	downInterval  = 100 * time.Millisecond // between two updates of the destinations that are down
-	fillerTimeout = 200 * time.Millisecond // after which the queue of a closed address counts as full
+	fillerTimeout = 200 * time.Millisecond // after which the listen queue of a closed address counts as full
 	headerTimeout = 5 * time.Second
 	loopback      = "lo"
 	// reusePort is SO_REUSEPORT of Linux, which package syscall does not name.
@@ -29,10 +29,11 @@
 	hostsPerByte       = 250
 )
 
-// scaleEndpoints is the endpoints of all destinations: one listener takes what comes
-// to any address of the loopback device at its port, so that each member has an
-// address of its own and none costs a descriptor. For a destination that is down, a
-// listener of that address alone, whose queue is full, lets no connection through.
+// scaleEndpoints is the endpoints of all destinations. One listener accepts the
+// connections to its port at any address of the loopback device, so that each member
+// has an address of its own and none costs a descriptor. While a destination is down, a
+// second listener for its address alone, whose queue is full, keeps connections from
+// being opened.
 type scaleEndpoints struct {
 	port      int
 	classes   map[byte]simrelay.StreamClass
@@ -41,13 +42,13 @@
 	delivered atomic.Int64
 
 	mu   sync.Mutex
-	down map[int]*closedAddress // by member
+	down map[int]*closedAddress // closed addresses, by member
 }
 
-// closedAddress is an address that answers no connection.
+// closedAddress is an address at which no connection can be opened.
 type closedAddress struct {
 	listener net.Listener
-	fillers  []net.Conn
+	fillers  []net.Conn // connections that fill the listen queue
 }
 
 func (a *closedAddress) close() {
@@ -57,7 +58,8 @@
 	}
 }
 
-// listenLoopback listens at any address of the loopback device, or at one.
+// listenLoopback listens at addr on the loopback device; an address without a host
+// stands for all of the device.
 func listenLoopback(ctx context.Context, addr string) (*net.TCPListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
@@ -74,7 +76,7 @@
 	return listener.(*net.TCPListener), nil
 }
 
-// newScaleEndpoints serves all endpoints until it is closed.
+// newScaleEndpoints starts a server for all endpoints; the caller closes it.
 func newScaleEndpoints(ctx context.Context) (*scaleEndpoints, error) {
 	listener, err := listenLoopback(ctx, ":0")
 	if err != nil {
@@ -93,14 +95,14 @@
 	return e, nil
 }
 
-// address is the address of one member.
+// address returns the address of one member.
 func (e *scaleEndpoints) address(member int) string {
 	network := firstMemberNetwork + member/(hostsPerByte*hostsPerByte)
 	ip := fmt.Sprintf("127.%d.%d.%d", network, member/hostsPerByte%hostsPerByte, 1+member%hostsPerByte)
 	return net.JoinHostPort(ip, strconv.Itoa(e.port))
 }
 
-// serve takes one message, whose first byte is the index of its class.
+// serve handles one message, whose first byte is the index of its class.
 func (e *scaleEndpoints) serve(w http.ResponseWriter, r *http.Request) {
 	class := make([]byte, 1)
 	if n, _ := r.Body.Read(class); n != 1 || r.Method != http.MethodPost {
@@ -130,7 +132,8 @@
 	}
 }
 
-// setDown closes or opens the address of one destination, unless it is so already.
+// setDown closes or opens the address of one destination, unless it is in that state
+// already.
 func (e *scaleEndpoints) setDown(ctx context.Context, member int, isDown bool) error {
 	e.mu.Lock()
 	closed := e.down[member]
@@ -147,8 +150,8 @@
 	return nil
 }
 
-// closeAddress has one destination answer no connection: a listener of its own has
-// the shortest queue, which is full.
+// closeAddress keeps connections to one destination from being opened: it adds a
+// listener for that address with the shortest queue, and fills the queue.
 func (e *scaleEndpoints) closeAddress(ctx context.Context, member int) error {
 	listener, err := listenLoopback(ctx, e.address(member))
 	if err != nil {
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	heartbeatBatch     = 1000 // in one call: below the service's limit of 64 KB
+	heartbeatBatch     = 1000 // heartbeats in one call, whose body stays below the service's limit of 64 KB
 	heartbeatsPerTTL   = 3
 	registrationHolder = "lab"
 )
@@ -45,18 +45,18 @@
 type scaleMembers struct {
 	scenario   *scenario.Scenario
 	endpoints  *scaleEndpoints
-	clients    []*client.Client // one a writer
+	clients    []*client.Client // one for each writer
 	onLateness func(time.Duration)
 	zones      []string
 
 	mu       sync.Mutex
-	state    []memberState
+	state    []memberState // by member
 	changes  []scaleChange
-	expired  []scaleChange // changes of the zone whose registrations expire
-	restored []scaleChange
+	expired  []scaleChange // removals of the members of the zone whose registrations expire
+	restored []scaleChange // registrations that bring the members of that zone back
 
-	heartbeatsBehind int // batches that took longer than their interval
-	changesBehind    int // changes that were due before the answer to the one before
+	heartbeatsBehind int // batches that fell behind by more than a third of the time to live
+	changesBehind    int // changes that were due before the previous change was answered
 }
 
 func newScaleMembers(s *scenario.Scenario, endpoints *scaleEndpoints, nodes []string, onLateness func(time.Duration)) (*scaleMembers, error) {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// registerAll registers members by all writers concurrently; onRegistered may be nil.
+// registerAll registers members concurrently, by all writers; onRegistered may be nil.
 func (m *scaleMembers) registerAll(ctx context.Context, members []int, onRegistered func(member int, requestedAt, answeredAt int64)) error {
 	var wg sync.WaitGroup
 	var next atomic.Int64
@@ -149,7 +149,7 @@
 			return
 		}
 		m.sendBatch(ctx, i*heartbeatBatch, min((i+1)*heartbeatBatch, len(m.state)))
-		if behind := time.Since(due); behind > m.ttl()/heartbeatsPerTTL { // the service answers more slowly than they are due
+		if behind := time.Since(due); behind > m.ttl()/heartbeatsPerTTL { // the service answers more slowly than the batches are due
 			m.mu.Lock()
 			m.heartbeatsBehind++
 			m.mu.Unlock()
@@ -158,7 +158,7 @@
 	}
 }
 
-// sendBatch sends the heartbeats of a range, and registers the members that the
+// sendBatch sends the heartbeats of a range of members, and registers those that the
 // service does not know.
 func (m *scaleMembers) sendBatch(ctx context.Context, from, to int) {
 	var heartbeats []registry.Heartbeat
@@ -176,7 +176,7 @@
 	batchCtx, cancel := context.WithTimeout(ctx, m.ttl())
 	defer cancel()
 	if _, err := m.clients[0].Do(batchCtx, http.MethodPost, registry.HeartbeatsPath, heartbeats, &answer); err != nil {
-		return // repeated with the next batch
+		return // the next batch of this range covers the same members
 	}
 	for _, id := range answer.Unknown {
 		var member int
@@ -190,7 +190,8 @@
 	}
 }
 
-// change makes one change and records it.
+// changeMember changes a member's size or, if size is 0, its phase, and records the
+// change.
 func (m *scaleMembers) changeMember(ctx context.Context, member int, phase string, size float64, runPhase string) error {
 	requestedAt := time.Now().UnixMicro()
 	var err error
@@ -209,21 +210,21 @@
 	return nil
 }
 
-// configure makes the changes of the configuration until ctx ends: a member drains,
-// another gets another weight, one that drained returns.
+// makeChanges makes changes at the rate of the scenario until ctx ends, three kinds in
+// turn: a member drains, another gets another size, and one that drained comes back up.
 func (m *scaleMembers) makeChanges(ctx context.Context, random *rand.Rand, currentPhase func() string) error {
 	if m.scenario.Scale.ChangesDay == 0 {
 		return nil
 	}
 	interval := time.Duration(24 * float64(time.Hour) / (m.scenario.Scale.ChangesDay * m.scenario.Scale.Speed))
-	unchanged := random.Perm(len(m.state)) // each member is changed once: a change has one key
+	unchanged := random.Perm(len(m.state)) // each member is drawn once, so that each change has a key of its own
 	if m.scenario.Scale.ExpiryAt > 0 {
 		unchanged = slices.DeleteFunc(unchanged, func(i int) bool { return m.zone(i) == len(m.zones)-1 })
 	}
 	var drained []int
 	due := time.Now()
 	for n := 0; len(unchanged) > 0; n++ {
-		if due = due.Add(interval); time.Since(due) > 0 { // not the lab's lateness
+		if due = due.Add(interval); time.Since(due) > 0 { // the service answers slowly, which is not the lab's lateness
 			m.mu.Lock()
 			m.changesBehind++
 			m.mu.Unlock()
@@ -255,8 +256,8 @@
 	return nil
 }
 
-// expireZone stops the heartbeats of the last zone at one moment, and registers its
-// members again after a while, by all writers concurrently.
+// expireZone stops the heartbeats of all members of the last zone at once. Later it
+// registers the members again, concurrently by all writers.
 func (m *scaleMembers) expireZone(ctx context.Context) error {
 	if m.scenario.Scale.ExpiryAt == 0 || !model.Sleep(ctx, scenario.Seconds(m.scenario.Scale.ExpiryAt)) {
 		return nil
--- a/internal/faultlab/scale_meter.go
+++ b/internal/faultlab/scale_meter.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// meter is a proxy to one address that counts its bytes, both ways. Whoever made it
-// closes it.
+// meter is a proxy to one address that counts the bytes in both directions. Whoever
+// makes a meter closes it.
 type meter struct {
 	listener net.Listener
 	target   string
@@ -21,7 +21,7 @@
 	closed bool
 }
 
-// newMeter serves at an address, in front of a target.
+// newMeter starts a meter at addr that forwards to target.
 func newMeter(addr, target string) (*meter, error) {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -35,7 +35,7 @@
 
 func (m *meter) addr() string { return m.listener.Addr().String() }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (m *meter) accept() {
 	defer m.running.Done()
 	for {
@@ -48,7 +48,8 @@
 	}
 }
 
-// add has a connection closed with the meter; false if that is closed already.
+// add registers a connection that is to be closed with the meter; false if the meter is
+// closed already.
 func (m *meter) add(conn net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,7 +57,7 @@
 	return !m.closed
 }
 
-// remove closes a connection.
+// remove closes a connection and forgets it.
 func (m *meter) remove(conn net.Conn) {
 	conn.Close()
 	m.mu.Lock()
@@ -64,7 +65,7 @@
 	delete(m.conns, conn)
 }
 
-// forward passes one connection on until either side ends it: neither side of HTTP
+// forward forwards one connection until either side closes it: with HTTP, neither side
 // goes on without the other.
 func (m *meter) forward(client net.Conn) {
 	defer m.running.Done()
@@ -103,7 +104,7 @@
 	m.running.Wait()
 }
 
-// countingReader counts what is read.
+// countingReader counts the bytes that are read.
 type countingReader struct {
 	io.Reader
 	bytes *atomic.Int64
--- a/internal/faultlab/scale_phases.go
+++ b/internal/faultlab/scale_phases.go
@@ -35,7 +35,8 @@
 	r.members.mu.Unlock()
 }
 
-// measurePhase measures what one phase costs.
+// measurePhase waits for the length of one phase and measures what the phase costs each
+// role.
 func (r *scaleRun) measurePhase(phase string, span time.Duration) {
 	r.phase.Store(phase)
 	for _, role := range r.roles {
@@ -47,7 +48,7 @@
 	}
 }
 
-// load is the phase with messages, in which a zone's registrations expire.
+// runLoadPhase runs the phase with messages, in which a zone's registrations expire.
 func (r *scaleRun) runLoadPhase(ctx context.Context) {
 	loadCtx, cancel := context.WithCancel(ctx)
 	r.start(func() { r.failure.set(r.members.expireZone(r.ctx)) })
@@ -76,8 +77,8 @@
 	}
 }
 
-// sampleRoles records what memory each role uses, and fails a run that takes more
-// than half of the machine's.
+// sampleRoles records how much memory each role uses, and fails a run that uses more
+// than half of the machine's memory.
 func (r *scaleRun) sampleRoles() {
 	half := machineMemory() / 2
 	for model.Sleep(r.ctx, sampleInterval) {
@@ -92,7 +93,8 @@
 	}
 }
 
-// machineMemory is the machine's memory in bytes; 0 if that is not known.
+// machineMemory returns the size of the machine's memory in bytes; 0 if it is not
+// known.
 func machineMemory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -105,7 +107,8 @@
 	return kb << 10
 }
 
-// watchProcess has a process end with the run, and fails the run if it ends before.
+// watchProcess has close kill the process, and fails the run if the process ends
+// earlier.
 func (r *scaleRun) watchProcess(p *process.Process) {
 	r.mu.Lock()
 	r.processes = append(r.processes, p)
--- a/internal/faultlab/scale_print.go
+++ b/internal/faultlab/scale_print.go
@@ -21,7 +21,7 @@
 			cpu, memory, bytes := "-", "-", "-"
 			if isRelay(role.Name) {
 				memory, bytes = fmt.Sprintf("%.2f", role.PeakMB/budgetMemoryMB), fmt.Sprintf("%.2f", cost.KB/budgetKB)
-				if phase != phaseLoad { // with messages it is not control alone
+				if phase != phaseLoad { // with messages, the CPU time is not that of control alone
 					cpu = fmt.Sprintf("%.2f", cost.CPU/budgetCPU)
 				}
 			}
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -22,20 +22,20 @@
 )
 
 const (
-	scaleMaxCalls    = 200  // in flight, of one relay: 267 messages a second need 60
-	scaleMaxMessages = 4000 // in flight, of one relay
+	scaleMaxCalls    = 200  // calls in flight of one relay; 267 messages a second need 60
+	scaleMaxMessages = 4000 // messages in flight of one relay
 	scaleSockets     = 2048
 	scaleDiskMB      = 64
-	scaleBody        = 200 // bytes of a message
+	scaleBody        = 200 // bytes of a message's body
 	pollInterval     = 50 * time.Millisecond
-	memoryFolder     = "/dev/shm"
+	memoryFolder     = "/dev/shm" // a file system in memory
 )
 
-// scaleAgent is an agent of the list service, with the meter before it.
+// scaleAgent is an agent of the list service, with a meter before it.
 type scaleAgent struct {
 	process *process.Process
 	addr    string
-	meter   *meter // before it
+	meter   *meter // counts the traffic between relays and agent
 }
 
 // realRelay is a relay that runs the program under test.
@@ -43,7 +43,7 @@
 	name     string
 	process  *process.Process
 	listen   string
-	operator string // empty for none
+	operator string // operator address; empty for none
 	agent    *scaleAgent
 }
 
@@ -51,7 +51,7 @@
 type simProcess struct {
 	process *process.Process
 	relays  int
-	result  string
+	result  string // path of its result file
 	status  *statusReader
 }
 
@@ -65,7 +65,7 @@
 	last    simrelay.Status
 }
 
-// Write takes output: lines of status are parsed, all others go to the log.
+// Write handles output: lines of status are parsed, all others go to the log.
 func (s *statusReader) Write(text []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 	return s.last
 }
 
-// logFile makes the file of a process's output; the run closes it.
+// logFile creates the file for a process's output; the run closes it.
 func (r *scaleRun) logFile(name string) (*os.File, error) {
 	f, err := os.Create(filepath.Join(r.dir, logsDir, name+".log"))
 	if err != nil {
@@ -101,7 +101,7 @@
 	return f, nil
 }
 
-// startAgent runs one agent, with a meter before it.
+// startAgent starts one agent, with a meter before it.
 func (r *scaleRun) startAgent(name string, nodes []*meter) (*scaleAgent, error) {
 	log, err := r.logFile(name)
 	if err != nil {
@@ -143,7 +143,7 @@
 	return meters, nil
 }
 
-// agentMembers is the length of an agent's list; -1 if it does not answer.
+// agentMembers returns the length of an agent's list; -1 if the agent does not answer.
 func agentMembers(ctx context.Context, a *scaleAgent) int {
 	var s agent.Status
 	if getJSON(ctx, "http://"+a.addr+"/v1/status", &s) != nil {
@@ -167,13 +167,14 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// settings is the settings of one relay of the fleet, in the form of the wire page.
+// settings returns the settings of one relay of the fleet, in the form that the wire
+// page describes.
 func (r *scaleRun) settings(number int) map[string]any {
 	return model.Settings(model.Fleet{Relays: r.scenario.Scale.Fleet, MaxCalls: scaleMaxCalls, MaxMessages: scaleMaxMessages, Zones: r.scenario.Fleet.Zones,
 		Zone: number % len(r.scenario.Fleet.Zones), Rank: number, MaxBatch: 1}, model.StandardRules())
 }
 
-// startRealRelay runs one relay as a process of its own.
+// startRealRelay starts one relay as a process of its own.
 func (r *scaleRun) startRealRelay(number int, a *scaleAgent) (*realRelay, error) {
 	relay := &realRelay{name: fmt.Sprintf("n%d", number+1), listen: r.address(), agent: a}
 	if number%2 == 1 {
@@ -204,8 +205,8 @@
 	return relay, nil
 }
 
-// members is the length of the list of a relay with an operator address; -1 if it
-// does not answer.
+// members returns the length of the list of a relay that has an operator address; -1 if
+// the relay does not answer.
 func (x *realRelay) members(ctx context.Context) int {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -226,7 +227,7 @@
 	return -1
 }
 
-// startSimProcess runs one process of simulated relays; first is the number of its
+// startSimProcess starts one process of simulated relays; first is the number of its
 // first relay.
 func (r *scaleRun) startSimProcess(number, first, relays int, agents []string) (*simProcess, error) {
 	name := fmt.Sprintf("simrelay-%d", number+1)
--- a/internal/faultlab/scale_report.go
+++ b/internal/faultlab/scale_report.go
@@ -8,49 +8,51 @@
 	"plovershore/internal/faultlab/report"
 )
 
-// Budgets of a relay's control, and of the time until a change is applied.
+// Budgets for a relay's control traffic with its agent, and for the time until a
+// change is applied.
 const (
 	budgetCPU      = 3.4 // % of a core
 	budgetMemoryMB = 256
-	budgetKB       = 30.0 // a second
+	budgetKB       = 30.0 // KB a second
 	budgetDelay    = 16 * time.Second
 )
 
 // Phases of a scale run, as stored reports have them.
 const (
-	phaseIdle    = "quiet"
-	phaseControl = "control"
-	phaseLoad    = "load"
+	phaseIdle    = "quiet"   // neither changes of the list nor messages
+	phaseControl = "control" // changes of the list, no messages
+	phaseLoad    = "load"    // changes and messages
 )
 
 var scalePhases = []string{phaseIdle, phaseControl, phaseLoad}
 
-// ScalePhase is what one unit of a role cost in one phase of the run.
+// ScalePhase is the cost of one unit of a role in one phase of the run.
 type ScalePhase struct {
-	CPU      float64 `json:"cpu_percent"` // of a core
-	MemoryMB float64 `json:"memory_mb"`   // at its end
-	KB       float64 `json:"kb_a_second"` // of control: between relay and agent, or agent and nodes
+	CPU      float64 `json:"cpu_percent"` // mean, in % of a core
+	MemoryMB float64 `json:"memory_mb"`   // at the end of the phase
+	KB       float64 `json:"kb_a_second"` // control traffic, between relay and agent or between agent and nodes
 }
 
 // ScaleRole is the cost of one role, each figure for one unit of it.
 type ScaleRole struct {
 	Name    string                `json:"name"`
-	Units   int                   `json:"units"`
+	Units   int                   `json:"units"` // processes or relays
 	Phases  map[string]ScalePhase `json:"parts"`
-	PeakMB  float64               `json:"peak_mb"`  // the largest mean over the units, of samples
-	StartMB float64               `json:"start_mb"` // bytes of control until all had their list
+	PeakMB  float64               `json:"peak_mb"`  // largest sample of the mean over the units
+	StartMB float64               `json:"start_mb"` // control traffic until all relays had their list
 
-	// The same at the target's rate of changes, worked out: quiet, and of what control
-	// costs beyond that the part that is not sped up.
+	// Cost at the real rate of changes, calculated: the cost of the idle phase, plus
+	// what the control phase costs beyond it divided by the factor by which its
+	// changes were accelerated.
 	DayCPU float64 `json:"day_cpu_percent"`
 	DayKB  float64 `json:"day_kb_a_second"`
 }
 
-// ScaleDelay is a distribution in seconds.
+// ScaleDelay is the distribution of a delay in seconds.
 type ScaleDelay struct {
 	Name    string  `json:"name"`
 	Count   int     `json:"count"`
-	Missing int     `json:"missing"` // that were never applied
+	Missing int     `json:"missing"` // changes that were never applied
 	P50     float64 `json:"p50_s"`
 	P99     float64 `json:"p99_s"`
 	Max     float64 `json:"max_s"`
@@ -71,7 +73,7 @@
 type ScaleResult struct {
 	SimRelays   int               `json:"hollow"`
 	Members     int               `json:"members"`
-	ListMB      float64           `json:"list_mb"` // of the complete list, as the service sends it
+	ListMB      float64           `json:"list_mb"` // size of the complete list as the service sends it
 	Roles       []ScaleRole       `json:"roles"`
 	Delays      []ScaleDelay      `json:"force"`
 	Changes     int               `json:"changes"`
@@ -93,12 +95,12 @@
 	Ratio     float64 `json:"ratio"`
 }
 
-// isRelay reports whether the budgets of a relay's control apply to a role.
+// isRelay reports whether a role is one of relays, to which the budgets apply.
 func isRelay(name string) bool {
 	return name == simRelayRole || name == realRelayRole || name == operatedRelayRole
 }
 
-// Figures are those that compare sets side by side.
+// Figures returns the figures by which the compare command sets runs side by side.
 func (s *ScaleResult) Figures() (all []report.Figure) {
 	add := func(name, unit string, value float64) {
 		all = append(all, report.Figure{Name: name, Unit: unit, Value: value})
@@ -129,7 +131,8 @@
 	return all
 }
 
-// compareRoles compares the simulated relays with the real ones of the same load.
+// compareRoles adds comparisons of the simulated relays with the real ones, which have
+// the same load.
 func (s *ScaleResult) compareRoles(simulatedName, realName string) {
 	var simulated, real *ScaleRole
 	for i := range s.Roles {
--- a/internal/faultlab/scale_results.go
+++ b/internal/faultlab/scale_results.go
@@ -14,8 +14,8 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// settle waits until every relay has the service's list and no message pending, and
-// checks the real relays' lists as they are then.
+// settle waits until every relay has the service's list and no message is pending, or
+// the scenario's time for that is over. It then checks the lists of the real relays.
 func (r *scaleRun) settle() {
 	if r.ctx.Err() != nil {
 		return
@@ -53,7 +53,8 @@
 	}
 }
 
-// checkResults ends the simulated relays, and checks and counts their results.
+// checkResults has the simulated relays write their results, and checks and adds up
+// these.
 func (r *scaleRun) checkResults() error {
 	if err := r.ctx.Err(); err != nil {
 		return errors.Join(r.failure.get(), err)
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// addFigures makes the figures of a run that has ended.
+// addFigures adds the figures of a run that has ended to its result.
 func (r *scaleRun) addFigures(relays []simrelay.RelayResult) {
 	for _, role := range r.roles {
 		r.results.Roles = append(r.results.Roles, role.finish(r.scenario.Scale.Speed))
@@ -127,8 +128,9 @@
 	r.results.Notes = append(r.results.Notes, fmt.Sprintf(format, args...))
 }
 
-// addDelays adds how long changes took until the relays had applied them: each
-// change in each relay, and each until the last relay had it.
+// addDelays adds two distributions of the time from the request of a change until
+// relays had applied it: for each change and relay, and for each change until the last
+// relay.
 func (r *scaleRun) addDelays(name string, relays []simrelay.RelayResult, changes []scaleChange) {
 	if len(changes) == 0 {
 		return
--- a/internal/faultlab/scale_role.go
+++ b/internal/faultlab/scale_role.go
@@ -7,25 +7,26 @@
 	"plovershore/internal/faultlab/process"
 )
 
-// role is a kind of process of a scale run, whose cost is measured.
+// role is a kind of process in a scale run, whose cost is measured.
 type role struct {
 	name      string
-	units     int // processes or relays, over which the cost is spread
+	units     int // processes or relays; the cost of one is the total divided by their number
 	processes []*process.Process
 	meters    []*meter
-	before    usage
+	before    usage // at the start of the current phase
 	cost      ScaleRole
 
 	mu   sync.Mutex
 	peak int64 // bytes of memory
 }
 
-// usage is what a role has used up to one moment, and uses at it.
+// usage is what a role had used when it was measured: CPU time and traffic in total,
+// memory at that time.
 type usage struct {
 	measuredAt time.Time
 	cpu        time.Duration
 	rss        int64 // bytes of memory
-	bytes      int64 // of control traffic
+	bytes      int64 // control traffic
 }
 
 // measure returns the role's usage now.
@@ -59,7 +60,8 @@
 	}
 }
 
-// finish returns the cost; speed is the factor by which changes were accelerated.
+// finish returns the role's cost; speed is the factor by which changes were
+// accelerated.
 func (r *role) finish(speed float64) ScaleRole {
 	r.cost.Name, r.cost.Units = r.name, r.units
 	idle, control := r.cost.Phases[phaseIdle], r.cost.Phases[phaseControl]
--- a/internal/faultlab/scale_start.go
+++ b/internal/faultlab/scale_start.go
@@ -13,8 +13,8 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// startService starts the endpoints and the list service, with all members
-// registered and its plain watchers open.
+// startService starts the endpoints and the list service, registers all members, and
+// opens the watchers of the scenario.
 func (r *scaleRun) startService(ctx context.Context) (err error) {
 	c := &r.scenario.Scale
 	r.down = simrelay.Down{Seed: r.opts.Seed, Fraction: c.Down, For: scenario.Seconds(c.DownFor), Origin: r.began.UnixMicro()}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// startFleet starts agents and relays, once the agents have the list.
+// startFleet starts the agents and, once they have the list, the relays.
 func (r *scaleRun) startFleet(ctx context.Context) error {
 	c := &r.scenario.Scale
 	ownNodes, err := r.nodeMeters()
@@ -103,7 +103,7 @@
 	return r.ctx.Err()
 }
 
-// startRelays starts the real relays and the processes of simulated ones.
+// startRelays starts the real relays and the processes of simulated relays.
 func (r *scaleRun) startRelays(ownAgents []*scaleAgent) error {
 	c := &r.scenario.Scale
 	var agents []string
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// makeRoles makes the roles that are measured.
+// makeRoles makes the roles whose cost is measured.
 func (r *scaleRun) makeRoles(ownAgents []*scaleAgent, ownNodes, sharedNodes []*meter) {
 	c := &r.scenario.Scale
 	add := func(relay *role) {
--- a/internal/faultlab/scale_test.go
+++ b/internal/faultlab/scale_test.go
@@ -15,8 +15,8 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// TestScaleSmokeScenarioViolatesNoRule plays the scale scenario at a small size, with real processes of
-// relays, nodes and agents, and applies the checker's rules.
+// TestScaleSmokeScenarioViolatesNoRule runs the scale scenario at a small size, with
+// real processes of relays, nodes and agents, and applies the checker's rules.
 func TestScaleSmokeScenarioViolatesNoRule(t *testing.T) {
 	t.Parallel()
 	dir, err := buildPrograms()
@@ -27,7 +27,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Nothing is measured here: that the machine is busy voids no rule.
+	// The limit of lateness is high: the test measures nothing, and the rules hold on
+	// a busy machine as well.
 	res := runScenario(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry"),
 		SimRelay: os.Args[0], MaxLateness: 10 * time.Second})
 	if !res.Verdict.OK() {
@@ -35,13 +36,13 @@
 	}
 	for _, rule := range []checker.Rule{"start", "list", "change", "end"} {
 		if res.Verdict.Checked[rule] == 0 {
-			t.Errorf("seed 1: rule %s was never looked at", rule)
+			t.Errorf("seed 1: rule %s was never checked", rule)
 		}
 	}
 	delays := map[string]ScaleDelay{}
 	for _, delay := range res.Scale.Delays {
 		if delays[delay.Name] = delay; delay.Missing > 0 || delay.Count == 0 {
-			t.Errorf("seed 1: %+v", delay)
+			t.Errorf("seed 1: changes are missing from a delay: %+v", delay)
 		}
 	}
 	zoneMembers := s.Scale.Members / len(s.Fleet.Zones)
@@ -52,12 +53,13 @@
 	res.Scale.Print(&table)
 	for _, want := range []string{simRelayRole, realRelayRole, operatedRelayRole, "hollow beside real, CPU", "peak memory", "agent of one relay", "list service's node"} {
 		if !strings.Contains(table.String(), want) {
-			t.Errorf("no %q in\n%s", want, table.String())
+			t.Errorf("the table lacks %q:\n%s", want, table.String())
 		}
 	}
 }
 
-// TestScaleCheckDetectsEachViolation violates one rule of a simulated relay at a time.
+// TestScaleCheckDetectsEachViolation alters a valid result of a simulated relay so that
+// it violates one rule; the check must report that rule and no other.
 func TestScaleCheckDetectsEachViolation(t *testing.T) {
 	changes := []scaleChange{{Key: 1, RequestedAt: 10}, {Key: 2, RequestedAt: 20}}
 	validResult := func() *simrelay.RelayResult {
@@ -69,19 +71,19 @@
 		rule  checker.Rule
 		alter func(*simrelay.RelayResult)
 	}{
-		{"sound", "", func(*simrelay.RelayResult) {}},
-		{"another list", "list", func(result *simrelay.RelayResult) { result.Hash = 8 }},
-		{"never heard", "change", func(result *simrelay.RelayResult) { result.Changes = result.Changes[:1] }},
-		{"heard twice", "change", func(result *simrelay.RelayResult) { result.Changes = append(result.Changes, result.Changes[1]) }},
-		{"out of order", "change", func(result *simrelay.RelayResult) {
+		{"valid", "", func(*simrelay.RelayResult) {}},
+		{"different list", "list", func(result *simrelay.RelayResult) { result.Hash = 8 }},
+		{"change not applied", "change", func(result *simrelay.RelayResult) { result.Changes = result.Changes[:1] }},
+		{"change applied twice", "change", func(result *simrelay.RelayResult) { result.Changes = append(result.Changes, result.Changes[1]) }},
+		{"changes applied out of order", "change", func(result *simrelay.RelayResult) {
 			result.Changes[0], result.Changes[1] = result.Changes[1], result.Changes[0]
 		}},
-		{"back in revisions", "change", func(result *simrelay.RelayResult) { result.OutOfOrder = []string{"a change to revision 3 after 4"} }},
-		{"no end", "end", func(result *simrelay.RelayResult) { result.Counts.Delivered, result.Counts.InFlight = 1, 1 }},
-		{"an end too few", "end", func(result *simrelay.RelayResult) { result.Counts.Delivered = 1 }},
-		{"two ends", "end", func(result *simrelay.RelayResult) { result.Counts.DuplicateCompletions = 1 }},
-		{"owed", "end", func(result *simrelay.RelayResult) { result.Pending = 1 }},
-		{"a log that cannot be read", "end", func(result *simrelay.RelayResult) { result.LogErr = "no such file" }},
+		{"revision decreased", "change", func(result *simrelay.RelayResult) { result.OutOfOrder = []string{"a change to revision 3 after 4"} }},
+		{"message not completed", "end", func(result *simrelay.RelayResult) { result.Counts.Delivered, result.Counts.InFlight = 1, 1 }},
+		{"message lost", "end", func(result *simrelay.RelayResult) { result.Counts.Delivered = 1 }},
+		{"message completed twice", "end", func(result *simrelay.RelayResult) { result.Counts.DuplicateCompletions = 1 }},
+		{"message pending in the log", "end", func(result *simrelay.RelayResult) { result.Pending = 1 }},
+		{"unreadable log", "end", func(result *simrelay.RelayResult) { result.LogErr = "no such file" }},
 	} {
 		check, result := newScaleCheck("", 0), validResult()
 		test.alter(result)
@@ -90,16 +92,17 @@
 		check.checkMessages(result)
 		for rule := range check.verdict.Counts {
 			if rule != test.rule {
-				t.Errorf("%s: rule %s broken too: %v", test.name, rule, check.verdict.Violations)
+				t.Errorf("%s: rule %s violated, which the case must not do: %v", test.name, rule, check.verdict.Violations)
 			}
 		}
 		if test.rule != "" && check.verdict.Counts[test.rule] == 0 {
-			t.Errorf("%s: rule %s not broken", test.name, test.rule)
+			t.Errorf("%s: rule %s not violated", test.name, test.rule)
 		}
 	}
 }
 
-// TestScaleRunIsVoidWhenLabOrSimulatedRelaysAreLate: of the lab as of the simulated relays.
+// TestScaleRunIsVoidWhenLabOrSimulatedRelaysAreLate checks that a run is void if either
+// the lab or the simulated relays were later than the limit.
 func TestScaleRunIsVoidWhenLabOrSimulatedRelaysAreLate(t *testing.T) {
 	for _, test := range []struct {
 		labLateness, simLateness time.Duration
@@ -112,12 +115,13 @@
 		r.results.SimLateP99 = test.simLateness
 		res, err := r.result()
 		if errors.Is(err, ErrLate) != test.wantVoid || res == nil {
-			t.Errorf("lab %v, simulated %v: %v", test.labLateness, test.simLateness, err)
+			t.Errorf("lateness of the lab %v, of the simulated relays %v: got error %v", test.labLateness, test.simLateness, err)
 		}
 	}
 }
 
-// TestScaleRunNamesRelayThatDoesNotStart: a relay that does not start is named.
+// TestScaleRunNamesRelayThatDoesNotStart runs a relay program that ends at once; the
+// run must end with an error that names the relay.
 func TestScaleRunNamesRelayThatDoesNotStart(t *testing.T) {
 	t.Parallel()
 	dir, err := buildPrograms()
@@ -134,16 +138,16 @@
 	}
 }
 
-// TestListHashIsSumOfMemberHashes: the hash that a simulated relay keeps up is the
-// list's own.
+// TestListHashIsSumOfMemberHashes guards the hash that a simulated relay updates change
+// by change: it must equal that of the complete list, which leaves out removed members.
 func TestListHashIsSumOfMemberHashes(t *testing.T) {
 	a := discovery.Member{ID: "a", HostPort: "127.0.0.1:1", Phase: discovery.Up, Size: 1}
 	b := discovery.Member{ID: "b", HostPort: "127.0.0.1:2", Phase: discovery.Draining, Size: 1.5}
 	removed := discovery.Member{ID: "c", Phase: discovery.Removed}
 	if simrelay.ListHash([]discovery.Member{a, b, removed}) != simrelay.MemberHash(&b)+simrelay.MemberHash(&a) {
-		t.Error("the hash of a list is not the sum of its members'")
+		t.Error("the hash of a list is not the sum of its members' hashes")
 	}
 	if simrelay.MemberHash(&a) == simrelay.MemberHash(&b) {
-		t.Error("two members of one hash")
+		t.Error("two different members have the same hash")
 	}
 }
--- a/internal/faultlab/status.go
+++ b/internal/faultlab/status.go
@@ -12,7 +12,7 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// Status is the state of a run at one moment.
+// Status is the state of a run at some time.
 type Status struct {
 	Elapsed   time.Duration
 	Submitted int           // requests of clients, retries included
@@ -20,12 +20,12 @@
 	Pending   int           // messages
 	Rejected  int           // requests, or messages that were returned
 	Failed    int           // messages
-	P50, P99  time.Duration // of the messages delivered in the last second, from when each was due
-	Up, Fleet int           // relays that serve clients, and all
-	Faults    int           // that are active
+	P50, P99  time.Duration // latency of the messages delivered in the last second, since each was due
+	Up, Fleet int           // relays that serve clients, and all relays
+	Faults    int           // active faults
 }
 
-// statusCounter counts what a Status shows. It is safe for concurrent use.
+// statusCounter keeps the counts of a Status. It is safe for concurrent use.
 type statusCounter struct {
 	mu           sync.Mutex
 	current      Status
@@ -33,7 +33,7 @@
 	activeFaults int
 }
 
-// recordDelivery counts a message that is delivered so long after it was due.
+// recordDelivery counts a delivered message; after is the time since it was due.
 func (s *statusCounter) recordDelivery(_ int, after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +44,7 @@
 	recordMicros(s.latency, after)
 }
 
-// observe takes an event of the history.
+// observe updates the counts by an event of the history.
 func (s *statusCounter) observe(e history.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// snapshot returns the status and begins anew with the quantiles.
+// snapshot returns the status, and starts a new measurement of the latency.
 func (s *statusCounter) snapshot() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	return status
 }
 
-// watchStatus passes on the status each second, while the load lasts.
+// watchStatus calls OnStatus each second, while the load lasts.
 func (r *run) watchStatus(ctx context.Context) {
 	for model.Sleep(ctx, time.Second) {
 		status := r.status.snapshot()
