--- a/internal/faultlab/agent_proxy.go
+++ b/internal/faultlab/agent_proxy.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	agentTimeout = 2 * time.Second // of a request for the list
+	agentTimeout = 2 * time.Second // for one request of the list
 	listBuffer   = 64 << 10        // bytes
 	maxNotices   = 1 << 20         // bytes of one request that carries notices
 )
--- a/internal/faultlab/bench_controllers.go
+++ b/internal/faultlab/bench_controllers.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// awaitGrant waits until benchRole is granted with a token greater than after while at
-// least the given number of sessions exists.
+// awaitGrant waits for a grant of benchRole whose token is greater than after, with at
+// least the given number of sessions open.
 func (s *benchControllerSet) awaitGrant(ctx context.Context, after int64, sessions int) (registry.Role, error) {
 	revision := int64(0)
 	for ctx.Err() == nil {
@@ -169,8 +169,8 @@
 	return took, nil
 }
 
-// replace ends a controller and starts another in its place, whose name ends in the
-// generation.
+// replace ends a controller and starts another in its place, under a name that holds
+// the generation.
 func (s *benchControllerSet) replace(name string, generation int) error {
 	s.processes[name].Kill()
 	delete(s.processes, name)
--- a/internal/faultlab/bench_leader.go
+++ b/internal/faultlab/bench_leader.go
@@ -22,7 +22,7 @@
 
 const (
 	handoverTTL  = 2 * time.Second
-	roleTTL      = 3 * time.Second // of the sessions whose cost is measured
+	roleTTL      = 3 * time.Second // time to live of the sessions whose cost is measured
 	rolePoll     = 20 * time.Millisecond
 	roleWarmUp   = 4 * time.Second // until all roles are marked as healthy
 	roleCostTime = 3 * time.Second // length of one measurement
--- a/internal/faultlab/build.go
+++ b/internal/faultlab/build.go
@@ -20,7 +20,7 @@
 	readyTimeout = 30 * time.Second // for all relays to be ready, before the load starts
 	readyPoll    = 5 * time.Millisecond
 
-	windowLength        = 2 * time.Second // of an upstream whose limit counts over windows
+	windowLength        = 2 * time.Second // length of the windows over which some upstreams count calls
 	retryAfterMinMillis = 400
 	retryAfterMaxMillis = 910
 	endpointIdle        = 10 * time.Second
--- a/internal/faultlab/command/command.go
+++ b/internal/faultlab/command/command.go
@@ -41,7 +41,7 @@
 	root := &cobra.Command{Use: "faultlab", Short: "Run many relays, break things between them, and judge what they did",
 		Long: longHelp, SilenceErrors: true, SilenceUsage: true, Args: rejectUnknownCommand,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	root.SuggestionsMinimumDistance = 2 // as cobra has it by default
+	root.SuggestionsMinimumDistance = 2 // cobra's default
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errOut)
--- a/internal/faultlab/controllers.go
+++ b/internal/faultlab/controllers.go
@@ -33,7 +33,7 @@
 	group  *group
 	number int
 	name   string
-	links  []*link.Link // to the nodes
+	links  []*link.Link // links to the nodes, in their order
 	log    *os.File
 
 	faultMu sync.Mutex // held while a fault affects its process
--- a/internal/faultlab/fault_evacuation.go
+++ b/internal/faultlab/fault_evacuation.go
@@ -13,7 +13,7 @@
 
 const (
 	evacuationRate     = 2   // endpoints a second, unless the fault says otherwise
-	evacuationFraction = 0.5 // of endpoints that each destination keeps, unless the fault says otherwise
+	evacuationFraction = 0.5 // fraction of endpoints that each destination keeps, unless the fault says otherwise
 )
 
 // runEvacuation has the controllers drain a zone, one endpoint after the other, and
--- a/internal/faultlab/fault_rollout.go
+++ b/internal/faultlab/fault_rollout.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	runnerTimeout = time.Second // for the headers of a request to a runner
+	runnerTimeout = time.Second // for a runner to read the headers of a request
 	waveFraction  = 4           // the second wave is one relay in this many
 )
 
--- a/internal/faultlab/fleet.go
+++ b/internal/faultlab/fleet.go
@@ -35,7 +35,7 @@
 	hasWindow          bool // its rate limit counts calls over windows of time
 	endpoints          int
 	retryAfterFraction float64
-	loadInterval       time.Duration // between two load reports
+	loadInterval       time.Duration // interval between two load reports
 }
 
 // plannedEndpoint describes one endpoint.
--- a/internal/faultlab/group_clients.go
+++ b/internal/faultlab/group_clients.go
@@ -23,7 +23,7 @@
 const (
 	registerID       = "lab-probe"           // ID of the member that serves as the register: its cell is the value
 	registerInterval = 40 * time.Millisecond // pause between two operations of one client
-	registerTimeout  = 20 * time.Second      // of one operation, retries included
+	registerTimeout  = 20 * time.Second      // for one operation, retries included
 	registerClients  = 3
 	registerValues   = 60000 // number of values: the cell of a member has to be smaller
 
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -2,9 +2,9 @@
 // discovery, clients and links of its own around them, injects the faults of a
 // scenario, and has package checker report which rules were violated.
 //
-// A schedule is a function of scenario and seed. A run in which the lab itself was
-// late is void. No process outlives the lab. The lab knows the protocol alone: none
-// of the relay's code is linked in.
+// The schedule of faults depends on scenario and seed alone. A run in which the lab
+// itself was late is void. No process outlives the lab. The lab uses the relay's
+// protocol alone: none of the relay's code is linked in.
 package faultlab
 
 import (
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -104,7 +104,7 @@
 func TestCheckerDetectsEachStubDefect(t *testing.T) {
 	t.Parallel()
 	tightLimits := "[[fault]]\nkind = \"limits\"\nat = 0\nfor = 60\nfactor = 0.1\n"
-	failingCalls := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.45\n" // below 0.5 the checker does not count it as an outage
+	failingCalls := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.45\n" // a fraction below 0.5 does not count as an outage
 	lostResponses := "[[fault]]\nkind = \"lose\"\nat = 0\nfor = 60\nfactor = 1\n"
 	outage := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 1\n"
 	drain := strings.Replace(stubScenario, "seconds = 4", "seconds = 8", 1) + "[[fault]]\nkind = \"drain\"\nat = 1\nfor = 7\nshare = 0.5\n"
--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -14,8 +14,9 @@
 
 // This file holds every text of another program that the lab interprets: the
 // controller's log lines, the progress messages of its operations and one line of
-// the relay's metrics. A change of such a text has to be made here as well. A scenario may run an older program (faultlab run --first), so the
-// texts of earlier releases stay readable beside the present ones.
+// the relay's metrics. A change of such a text has to be made here as well. A
+// scenario may run an older program (faultlab run --first), so the texts of earlier
+// releases are understood as well as the present ones.
 
 // Messages of the controller's log about one step of the counter role, as releases
 // before package leader had its event names wrote them.
--- a/internal/faultlab/relay.go
+++ b/internal/faultlab/relay.go
@@ -31,7 +31,7 @@
 	listen    string // address on which its processes listen for clients
 	dir       string // directory that stands for its machine's disk
 	agent     discoveryAgent
-	proxy     *link.Link       // link to listen, through which clients connect
+	proxy     *link.Link       // link to the address in listen, through which clients connect
 	links     []*link.Link     // links to the endpoints, by number
 	log       *os.File         // output of its processes
 	wall      *wallclock.Wall  // wall clock of its machine; nil if the scenario steps no clock
--- a/internal/faultlab/relay_process.go
+++ b/internal/faultlab/relay_process.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// nextProgram is the program under test, or Options.First for the first process.
+// nextProgram returns the program under test, or Options.First for the first process.
 func (r *relay) nextProgram() string {
 	if r.currentProcess() == nil && r.run.opts.First != "" {
 		return r.run.opts.First
--- a/internal/faultlab/run.go
+++ b/internal/faultlab/run.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// startLoad starts what runs beside the clients.
+// startLoad starts everything that runs concurrently with the clients.
 func (r *run) startLoad(loadCtx context.Context, plan []Step) {
 	r.start(func() { r.injectFaults(loadCtx, plan) })
 	r.start(func() { r.lateness.measure(r.ctx) })
@@ -96,7 +96,8 @@
 	}
 }
 
-// settle waits until no message is pending, and then until a notice would be overdue.
+// settle waits until no message is pending, and then for noticeGrace, after which a
+// missing notice is overdue.
 func (r *run) settle() {
 	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
 		if r.ctx.Err() != nil || r.world.Ledger.PendingCount(time.Now()) == 0 {
@@ -120,7 +121,7 @@
 func (r *run) recordLostCall(l *link.Link, written []byte, firstByteAt time.Time) {
 	ids, complete := model.ParseCall(written)
 	if !complete {
-		return // the relay saw the connection end before its last byte
+		return // the relay saw the connection end before it had written its last byte
 	}
 	e := history.Event{Kind: history.CallLost, Relay: l.Source, Endpoint: l.Target, Messages: ids, SentAt: r.recorder.At(firstByteAt)}
 	for _, endpoint := range r.endpoints {
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -48,7 +48,7 @@
 	results  ScaleResult
 
 	phase       atomic.Value // current phase, one of scalePhases
-	isFinishing atomic.Bool  // the processes may end now
+	isFinishing atomic.Bool  // set once the processes are told to end
 	listHash    uint64       // hash of the service's list at the end of the run
 
 	down         simrelay.Down
@@ -198,7 +198,7 @@
 	}
 }
 
-// close ends all processes and everything between them.
+// close ends all processes and the proxies, endpoints and goroutines of the run.
 func (r *scaleRun) close() {
 	r.stop()
 	for _, p := range r.processes {
--- a/internal/faultlab/scale_check.go
+++ b/internal/faultlab/scale_check.go
@@ -17,7 +17,7 @@
 //	checker.RuleCompletion  each accepted message is completed once, and the log has none pending
 type scaleCheck struct {
 	dir     string
-	began   int64 // Unix µs
+	began   int64 // start of the run in Unix µs
 	verdict checker.Verdict
 }
 
--- a/internal/faultlab/scale_clients.go
+++ b/internal/faultlab/scale_clients.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	clientTimeout = 2 * time.Second // of a request
+	clientTimeout = 2 * time.Second // for one request
 	maxIdleConns  = 64              // connections that are kept open to one relay
 )
 
--- a/internal/faultlab/scale_endpoints.go
+++ b/internal/faultlab/scale_endpoints.go
@@ -90,7 +90,7 @@
 	e.serving.Add(1)
 	go func() {
 		defer e.serving.Done()
-		e.server.Serve(listener) // ends by Close
+		e.server.Serve(listener) // returns when the server is closed
 	}()
 	return e, nil
 }
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -30,13 +30,13 @@
 	Key         uint64
 	RequestedAt int64 // Unix µs
 	AnsweredAt  int64
-	RunPhase    string // of the run: control or load
+	RunPhase    string // phase of the run in which the change was made: control or load
 }
 
 // memberState is the state of a member that the lab registers.
 type memberState struct {
 	registered bool
-	muted      bool
+	muted      bool // sends no heartbeats
 	size       float64
 }
 
--- a/internal/faultlab/scale_report.go
+++ b/internal/faultlab/scale_report.go
@@ -8,8 +8,8 @@
 	"plovershore/internal/faultlab/report"
 )
 
-// Budgets for a relay's control traffic with its agent, and for the time until a
-// change is applied.
+// Budgets for what control, as opposed to messages, costs a relay, and for the time
+// until a change is applied.
 const (
 	budgetCPU      = 3.4 // % of a core
 	budgetMemoryMB = 256
--- a/internal/faultlab/scale_role.go
+++ b/internal/faultlab/scale_role.go
@@ -17,7 +17,7 @@
 	cost      ScaleRole
 
 	mu   sync.Mutex
-	peak int64 // bytes of memory
+	peak int64 // largest sample of the memory, in bytes
 }
 
 // usage is what a role had used when it was measured: CPU time and traffic in total,
--- a/internal/faultlab/status.go
+++ b/internal/faultlab/status.go
@@ -20,7 +20,7 @@
 	Pending   int           // messages
 	Rejected  int           // requests, or messages that were returned
 	Failed    int           // messages
-	P50, P99  time.Duration // latency of the messages delivered in the last second, since each was due
+	P50, P99  time.Duration // latency of the messages delivered in the last second, from when each was due
 	Up, Fleet int           // relays that serve clients, and all relays
 	Faults    int           // active faults
 }
