--- a/internal/faultlab/command/command.go
+++ b/internal/faultlab/command/command.go
@@ -76,7 +76,7 @@
 	return usageError{errors.New(text)}
 }
 
-// exactArgs is cobra.ExactArgs with a usageError.
+// exactArgs is cobra.ExactArgs with a usageError, so that the exit code is Usage.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
