--- a/internal/faultlab/bench_leader.go
+++ b/internal/faultlab/bench_leader.go
@@ -29,7 +29,7 @@
 )
 
 // errKillsPerTTL reports options whose Kills and TTL differ in length.
-var errKillsPerTTL = errors.New("bench: as many kills as times to live are wanted")
+var errKillsPerTTL = errors.New("bench: the numbers of kills and of times to live differ in length")
 
 // LeaderBenchOptions selects what is measured of the leader election.
 type LeaderBenchOptions struct {
--- a/internal/faultlab/corrupt.go
+++ b/internal/faultlab/corrupt.go
@@ -30,7 +30,7 @@
 	}
 	if kind == scenario.FaultDeleteFile {
 		if err := os.Remove(path); err != nil {
-			return "", fmt.Errorf("damage: %w", err)
+			return "", fmt.Errorf("corrupt file: %w", err)
 		}
 		return "gone: " + filepath.Base(path), nil
 	}
@@ -39,12 +39,12 @@
 		return "", nil
 	}
 	if err != nil {
-		return "", fmt.Errorf("damage: %w", err)
+		return "", fmt.Errorf("corrupt file: %w", err)
 	}
 	defer f.Close()
 	info, err := f.Stat()
 	if err != nil {
-		return "", fmt.Errorf("damage: %w", err)
+		return "", fmt.Errorf("corrupt file: %w", err)
 	}
 	if info.Size() == 0 {
 		return "", nil
@@ -58,7 +58,7 @@
 		change, err = flipBit(f, info, random)
 	}
 	if err != nil {
-		return "", fmt.Errorf("damage: %w", err)
+		return "", fmt.Errorf("corrupt file: %w", err)
 	}
 	return change, nil
 }
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -168,7 +168,7 @@
 	defer cancel()
 	var text []byte
 	if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistentQuery, nil, &text); err != nil {
-		return nil, fmt.Errorf("lab: the service's list: %w", err)
+		return nil, fmt.Errorf("lab: reading the service's list: %w", err)
 	}
 	r.results.ListMB = float64(len(text)) / 1e6
 	return discovery.Parse(text)
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -91,7 +91,7 @@
 	_, err := c.Do(ctx, http.MethodPost, registry.MembersPath, registry.Registration{ID: memberID(member), Address: m.endpoints.address(member),
 		Zone: m.zones[m.zone(member)], Flavor: model.Newsagent, Cell: member, Size: size, TTLMS: m.ttl().Milliseconds(), Holder: registrationHolder}, nil)
 	if err != nil {
-		return fmt.Errorf("lab: %s is not registered: %w", memberID(member), err)
+		return fmt.Errorf("lab: registering %s failed: %w", memberID(member), err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -250,7 +250,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("lab: a change was not taken: %w", err)
+			return fmt.Errorf("lab: a change of the list failed: %w", err)
 		}
 	}
 	return nil
--- a/internal/faultlab/scale_phases.go
+++ b/internal/faultlab/scale_phases.go
@@ -87,7 +87,7 @@
 			totalRSS += role.measure().rss
 		}
 		if half > 0 && totalRSS > half {
-			r.failure.set(fmt.Errorf("lab: the run takes %d MB, over half of the machine's memory: fewer relays are wanted", totalRSS>>20))
+			r.failure.set(fmt.Errorf("lab: the run uses %d MB, over half of the machine's memory; use fewer relays", totalRSS>>20))
 			return
 		}
 	}
--- a/internal/faultlab/scale_start.go
+++ b/internal/faultlab/scale_start.go
@@ -85,7 +85,7 @@
 	for _, a := range append(ownAgents, r.agents...) {
 		for agentMembers(ctx, a) < c.Members {
 			if !model.Sleep(ctx, pollInterval) {
-				return fmt.Errorf("lab: %s has not %d members; see the logs in %s", a.process.Name, c.Members, filepath.Join(r.dir, logsDir))
+				return fmt.Errorf("lab: %s does not have a list of %d members; see the logs in %s", a.process.Name, c.Members, filepath.Join(r.dir, logsDir))
 			}
 		}
 	}
