--- a/internal/faultlab/address.go
+++ b/internal/faultlab/address.go
@@ -24,9 +24,9 @@
 // claimAddress reserves a loopback address for this lab: no other lab on this machine
 // gets it while the returned listener is open.
 func claimAddress() (ip string, lock net.Listener, err error) {
-	first := os.Getpid()
+	pid := os.Getpid()
 	for i := range addressTrials {
-		n := first + i
+		n := pid + i
 		ip := fmt.Sprintf("127.%d.%d.1", firstNetwork+n/hostsPerNetwork%networks, 1+n%hostsPerNetwork)
 		if lock, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", ip, lockPort)); err == nil {
 			return ip, lock, nil
--- a/internal/faultlab/agent_proxy.go
+++ b/internal/faultlab/agent_proxy.go
@@ -72,15 +72,15 @@
 // Known returns the agent's current list, or an empty one if it does not answer.
 func (p *agentProxy) Known() model.List {
 	client := http.Client{Timeout: agentTimeout}
-	none := model.List{Complete: true, Members: []model.Member{}}
+	empty := model.List{Complete: true, Members: []model.Member{}}
 	resp, err := client.Get("http://" + p.agent + discovery.ListPath)
 	if err != nil {
-		return none
+		return empty
 	}
 	defer resp.Body.Close()
-	list := none
+	list := empty
 	if json.NewDecoder(resp.Body).Decode(&list) != nil {
-		return none
+		return empty
 	}
 	p.replaceAddresses(&list)
 	return list
@@ -125,15 +125,15 @@
 	}
 	defer resp.Body.Close()
 	w.WriteHeader(resp.StatusCode)
-	out := http.NewResponseController(w)
-	out.Flush()
-	in := bufio.NewReaderSize(resp.Body, listBuffer)
+	flusher := http.NewResponseController(w)
+	flusher.Flush()
+	lines := bufio.NewReaderSize(resp.Body, listBuffer)
 	for {
-		line, err := in.ReadBytes('\n')
+		line, err := lines.ReadBytes('\n')
 		if !p.WaitWhileSilent(r.Context()) {
 			return
 		}
-		if writeErr := p.forwardLine(w, out, line); writeErr != nil {
+		if writeErr := p.forwardLine(w, flusher, line); writeErr != nil {
 			return
 		}
 		if errors.Is(err, io.EOF) {
@@ -147,7 +147,7 @@
 
 // forwardLine forwards one line to the relay. If it holds a list, the addresses in the
 // list are replaced and its changes are recorded.
-func (p *agentProxy) forwardLine(w io.Writer, out *http.ResponseController, line []byte) error {
+func (p *agentProxy) forwardLine(w io.Writer, flusher *http.ResponseController, line []byte) error {
 	if len(line) == 0 {
 		return nil
 	}
@@ -164,7 +164,7 @@
 	if _, err := w.Write(line); err != nil {
 		return err
 	}
-	if err := out.Flush(); err != nil {
+	if err := flusher.Flush(); err != nil {
 		return err
 	}
 	if isList {
--- a/internal/faultlab/bench.go
+++ b/internal/faultlab/bench.go
@@ -38,15 +38,15 @@
 	printf Printf
 	format string // of a printed line, for the fields of a Spread in their order
 
-	mu  sync.Mutex
-	all []Spread
+	mu      sync.Mutex
+	spreads []Spread
 }
 
 func (f *figures) add(name string, values []float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := newSpread(name, values)
-	f.all = append(f.all, s)
+	f.spreads = append(f.spreads, s)
 	f.printf(f.format, s.Name, s.N, s.P50, s.P90, s.P99, s.Max)
 }
 
--- a/internal/faultlab/bench_comeback.go
+++ b/internal/faultlab/bench_comeback.go
@@ -102,7 +102,7 @@
 	b.stop()
 	opened := fleet.watchers.opened.Load()
 	model.Sleep(ctx, b.options.Outage)
-	began := time.Now()
+	restartedAt := time.Now()
 	if err := b.startNodes(); err != nil {
 		return result, err
 	}
@@ -114,12 +114,12 @@
 	if err := awaitTrue(ctx, fleet.agentsUp); err != nil {
 		return result, err
 	}
-	result.agentsBack = toMillis(time.Since(began))
+	result.agentsBack = toMillis(time.Since(restartedAt))
 	if err := fleet.watchers.awaitOpen(ctx, opened); err != nil {
 		return result, err
 	}
-	result.allBack = toMillis(time.Since(began))
-	model.Sleep(ctx, time.Since(began))
+	result.allBack = toMillis(time.Since(restartedAt))
+	model.Sleep(ctx, time.Since(restartedAt))
 	lastTerm, _ := b.term()
 	result.elections = float64(lastTerm - firstTerm)
 	return result, nil
--- a/internal/faultlab/bench_controllers.go
+++ b/internal/faultlab/bench_controllers.go
@@ -104,7 +104,7 @@
 
 // measureCuts cuts the leader off count times, and returns how long it took each time
 // until another controller led, in milliseconds.
-func (s *benchControllerSet) measureCuts(ctx context.Context, count int) (took []float64, err error) {
+func (s *benchControllerSet) measureCuts(ctx context.Context, count int) (durations []float64, err error) {
 	defer s.close()
 	s.links = map[string][]*link.Link{}
 	net := link.NewNet()
@@ -120,24 +120,24 @@
 	for range count {
 		grant, err := s.awaitGrant(ctx, token, benchControllers)
 		if err != nil {
-			return took, err
+			return durations, err
 		}
 		model.Sleep(ctx, s.ttl+healthyMargin)
-		began := time.Now()
+		cutAt := time.Now()
 		s.setCut(grant.Controller, true)
 		if _, err = s.awaitGrant(ctx, grant.Token, 0); err != nil {
-			return took, err
+			return durations, err
 		}
-		took = append(took, toMillis(time.Since(began)))
+		durations = append(durations, toMillis(time.Since(cutAt)))
 		token = grant.Token
 		s.setCut(grant.Controller, false)
 	}
-	return took, nil
+	return durations, nil
 }
 
 // measureKills ends the leader by a signal count times, and returns how long it took
 // each time until another controller led, in milliseconds.
-func (s *benchControllerSet) measureKills(ctx context.Context, count int, signal syscall.Signal) (took []float64, err error) {
+func (s *benchControllerSet) measureKills(ctx context.Context, count int, signal syscall.Signal) (durations []float64, err error) {
 	defer s.close()
 	for i := range benchControllers {
 		if err := s.start(controllerName(i)); err != nil {
@@ -148,25 +148,25 @@
 	for n := range count {
 		grant, err := s.awaitGrant(ctx, token, benchControllers)
 		if err != nil {
-			return took, err
+			return durations, err
 		}
 		if signal == syscall.SIGKILL {
 			model.Sleep(ctx, s.ttl+healthyMargin)
 		}
-		began := time.Now()
+		signaledAt := time.Now()
 		if err := s.processes[grant.Controller].Signal(signal); err != nil {
-			return took, err
+			return durations, err
 		}
 		if _, err := s.awaitGrant(ctx, grant.Token, 0); err != nil {
-			return took, err
+			return durations, err
 		}
-		took = append(took, toMillis(time.Since(began)))
+		durations = append(durations, toMillis(time.Since(signaledAt)))
 		token = grant.Token
 		if err := s.replace(grant.Controller, n); err != nil {
-			return took, err
+			return durations, err
 		}
 	}
-	return took, nil
+	return durations, nil
 }
 
 // replace ends a controller and starts another in its place, under a name that holds
--- a/internal/faultlab/bench_fanout.go
+++ b/internal/faultlab/bench_fanout.go
@@ -48,11 +48,11 @@
 		const kilobyte = 1024
 		b.figures.add(name+": KB of all three nodes, a watcher", []float64{(b.rss() - rssBefore) / kilobyte / float64(watchers)})
 	}
-	took, err := b.timeWrites(ctx, c, watcherSet)
+	durations, err := b.timeWrites(ctx, c, watcherSet)
 	if err != nil {
 		return err
 	}
-	b.figures.add(name+": ms from the write's answer to the last", took)
+	b.figures.add(name+": ms from the write's answer to the last", durations)
 	if poll || members != fewMembers {
 		return nil
 	}
@@ -66,7 +66,7 @@
 
 // timeWrites measures, for each write, the time from its answer until the last watcher
 // has received it.
-func (b *registryBench) timeWrites(ctx context.Context, c *client.Client, set *watcherSet) (took []float64, err error) {
+func (b *registryBench) timeWrites(ctx context.Context, c *client.Client, set *watcherSet) (durations []float64, err error) {
 	for n := range b.options.Writes {
 		// A write's revision is not known in advance; it is the one after the current.
 		var list discovery.List
@@ -85,26 +85,26 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		took = append(took, max(0, toMillis(set.lastArrival().Sub(answered))))
+		durations = append(durations, max(0, toMillis(set.lastArrival().Sub(answered))))
 	}
-	return took, nil
+	return durations, nil
 }
 
 // timeReturns measures how soon all watchers have reconnected after the group was
 // stopped.
-func (b *registryBench) timeReturns(ctx context.Context, set *watcherSet) (took []float64, err error) {
+func (b *registryBench) timeReturns(ctx context.Context, set *watcherSet) (durations []float64, err error) {
 	for range benchRepeats {
 		b.stop()
 		opened := set.opened.Load()
 		model.Sleep(ctx, groupDowntime)
-		began := time.Now()
+		restartedAt := time.Now()
 		if err := b.startNodes(); err != nil {
 			return nil, err
 		}
 		if err := set.awaitOpen(ctx, opened); err != nil {
 			return nil, err
 		}
-		took = append(took, toMillis(time.Since(began)))
+		durations = append(durations, toMillis(time.Since(restartedAt)))
 	}
-	return took, nil
+	return durations, nil
 }
--- a/internal/faultlab/bench_kills.go
+++ b/internal/faultlab/bench_kills.go
@@ -27,7 +27,7 @@
 	defer b.stop()
 	defer c.Close()
 	random := rand.New(rand.NewPCG(b.options.Seed, 1))
-	var took []float64
+	var durations []float64
 	for n := range kills {
 		leader := findLeader(b.http)
 		if leader < 0 {
@@ -36,15 +36,15 @@
 		}
 		model.Sleep(ctx, time.Duration(random.IntN(maxKillDelay))*time.Millisecond)
 		b.processes[leader].Kill()
-		began := time.Now()
+		killedAt := time.Now()
 		awaitWrite(ctx, c, n)
-		took = append(took, toMillis(time.Since(began)))
+		durations = append(durations, toMillis(time.Since(killedAt)))
 		if err := b.startNode(leader); err != nil {
 			return err
 		}
 		awaitFollower(ctx, b.http[leader])
 	}
-	b.figures.add(fmt.Sprintf("%d members: ms without a leader after its kill, until a write is taken", members), took)
+	b.figures.add(fmt.Sprintf("%d members: ms without a leader after its kill, until a write is taken", members), durations)
 	return nil
 }
 
--- a/internal/faultlab/bench_leader.go
+++ b/internal/faultlab/bench_leader.go
@@ -29,7 +29,7 @@
 )
 
 // errKillsPerTTL reports options whose Kills and TTL differ in length.
-var errKillsPerTTL = errors.New("bench: the numbers of kills and of times to live differ in length")
+var errKillsPerTTL = errors.New("bench: the numbers of kills and of times to live differ")
 
 // LeaderBenchOptions selects what is measured of the leader election.
 type LeaderBenchOptions struct {
@@ -65,10 +65,10 @@
 		figures: &figures{printf: o.Printf, format: "%-72s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f"}}
 	for _, measure := range []func(context.Context) error{b.measureFailures, b.measureHandovers, b.measureCosts} {
 		if err := measure(ctx); err != nil {
-			return b.figures.all, err
+			return b.figures.spreads, err
 		}
 	}
-	return b.figures.all, nil
+	return b.figures.spreads, nil
 }
 
 // measureFailures measures cuts and kills of the leader for all times to live
@@ -79,8 +79,8 @@
 		if b.options.Cuts > 0 {
 			measuring.Go(func() error {
 				return b.withControllers(ctx, "cut-"+ttl.String(), ttl, func(s *benchControllerSet) error {
-					took, err := s.measureCuts(ctx, b.options.Cuts)
-					b.figures.add(fmt.Sprintf("time to live %v: ms from the holder's cut to the next one", ttl), took)
+					durations, err := s.measureCuts(ctx, b.options.Cuts)
+					b.figures.add(fmt.Sprintf("time to live %v: ms from the holder's cut to the next one", ttl), durations)
 					return err
 				})
 			})
@@ -88,8 +88,8 @@
 		if kills := b.options.Kills[i]; kills > 0 {
 			measuring.Go(func() error {
 				return b.withControllers(ctx, "kill-"+ttl.String(), ttl, func(s *benchControllerSet) error {
-					took, err := s.measureKills(ctx, kills, syscall.SIGKILL)
-					b.figures.add(fmt.Sprintf("time to live %v: ms without a holder after its kill", ttl), took)
+					durations, err := s.measureKills(ctx, kills, syscall.SIGKILL)
+					b.figures.add(fmt.Sprintf("time to live %v: ms without a holder after its kill", ttl), durations)
 					return err
 				})
 			})
@@ -104,8 +104,8 @@
 		return nil
 	}
 	return b.withControllers(ctx, "handover", handoverTTL, func(s *benchControllerSet) error {
-		took, err := s.measureKills(ctx, b.options.Handovers, syscall.SIGTERM)
-		b.figures.add("ms from SIGTERM of the holder to the next one", took)
+		durations, err := s.measureKills(ctx, b.options.Handovers, syscall.SIGTERM)
+		b.figures.add("ms from SIGTERM of the holder to the next one", durations)
 		return err
 	})
 }
--- a/internal/faultlab/bench_registry.go
+++ b/internal/faultlab/bench_registry.go
@@ -70,10 +70,10 @@
 	defer b.stop()
 	for _, measure := range []func(context.Context) error{b.measureAllWrites, b.measureAllFanOuts, b.measureAllKills, b.measureLargestRecovery} {
 		if err := measure(ctx); err != nil {
-			return b.figures.all, err
+			return b.figures.spreads, err
 		}
 	}
-	return b.figures.all, nil
+	return b.figures.spreads, nil
 }
 
 // measureAllWrites measures writes to a single node, and to groups with lists of all sizes.
@@ -145,20 +145,20 @@
 	}
 	defer b.stop()
 	defer c.Close()
-	var took, rates []float64
+	var allDurations, rates []float64
 	for range benchRepeats {
 		durations := b.runWriters(ctx)
-		took = append(took, durations...)
+		allDurations = append(allDurations, durations...)
 		rates = append(rates, float64(len(durations))/b.options.LoadTime.Seconds())
 	}
 	name := fmt.Sprintf("writes, %d nodes, %d members, %d writers: ", nodes, members, benchWriters)
-	b.figures.add(name+"ms each", took)
+	b.figures.add(name+"ms each", allDurations)
 	b.figures.add(name+"a second, over plays", rates)
 	return nil
 }
 
 // runWriters has all writers write for LoadTime and returns how long each write took.
-func (b *registryBench) runWriters(ctx context.Context) (took []float64) {
+func (b *registryBench) runWriters(ctx context.Context) (durations []float64) {
 	ctx, cancel := context.WithTimeout(ctx, b.options.LoadTime+groupTimeout) // the last writes get time to finish
 	defer cancel()
 	deadline := time.Now().Add(b.options.LoadTime)
@@ -171,16 +171,16 @@
 			written := b.writeUntil(ctx, i, deadline)
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, written...)
+			durations = append(durations, written...)
 		}()
 	}
 	writers.Wait()
-	return took
+	return durations
 }
 
 // writeUntil writes one member repeatedly until the deadline, and returns how long each
 // write took.
-func (b *registryBench) writeUntil(ctx context.Context, writer int, deadline time.Time) (took []float64) {
+func (b *registryBench) writeUntil(ctx context.Context, writer int, deadline time.Time) (durations []float64) {
 	c, err := b.client()
 	if err != nil {
 		return nil
@@ -189,10 +189,10 @@
 	member := registry.Registration{ID: fmt.Sprint("w", writer), Address: fmt.Sprintf("10.8.8.%d:1", writer), Flavor: "x"}
 	for n := 0; time.Now().Before(deadline) && ctx.Err() == nil; n++ {
 		member.Zone = fmt.Sprint(n)
-		began := time.Now()
+		submittedAt := time.Now()
 		if _, err := c.Do(ctx, http.MethodPost, registry.MembersPath, member, nil); err == nil {
-			took = append(took, toMillis(time.Since(began)))
+			durations = append(durations, toMillis(time.Since(submittedAt)))
 		}
 	}
-	return took
+	return durations
 }
--- a/internal/faultlab/bench_wal.go
+++ b/internal/faultlab/bench_wal.go
@@ -21,7 +21,7 @@
 	Out     string        // folder, on the disk that is measured
 	Pending []int         // numbers of messages pending in the log when it is opened
 	Clients []int         // numbers of concurrent clients
-	Plays   int           // runs of each measurement
+	Repeats int           // runs of each measurement
 	Span    time.Duration // length of each measurement of writes
 	Printf  Printf
 }
@@ -116,15 +116,15 @@
 	b := &walBench{options: o, dir: dir, figures: &figures{printf: o.Printf, format: "%-72s n=%-6d p50 %.3f  p90 %.3f  p99 %.3f  max %.3f"}}
 	for _, pending := range o.Pending {
 		if err := b.measureStarts(ctx, pending); err != nil {
-			return b.figures.all, err
+			return b.figures.spreads, err
 		}
 	}
 	for _, clients := range o.Clients {
 		if err := b.measureWrites(ctx, clients); err != nil {
-			return b.figures.all, err
+			return b.figures.spreads, err
 		}
 	}
-	return b.figures.all, b.measureStalls(ctx)
+	return b.figures.spreads, b.measureStalls(ctx)
 }
 
 // tempDir makes a folder for one measurement; the caller removes it.
@@ -154,8 +154,8 @@
 	if err := fillLogs(dir, pending); err != nil {
 		return err
 	}
-	var known, all, memory, baselineAll, baselineMemory []float64
-	for range b.options.Plays {
+	var idsKnown, allRead, heapSizes, baselineRead, baselineHeapSizes []float64
+	for range b.options.Repeats {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -163,18 +163,18 @@
 		if err != nil {
 			return err
 		}
-		known, all, memory = append(known, start.known), append(all, start.all), append(memory, start.memory)
+		idsKnown, allRead, heapSizes = append(idsKnown, start.idsKnownMS), append(allRead, start.allReadMS), append(heapSizes, start.heapMB)
 		if start, err = startBaseline(dir); err != nil {
 			return err
 		}
-		baselineAll, baselineMemory = append(baselineAll, start.all), append(baselineMemory, start.memory)
+		baselineRead, baselineHeapSizes = append(baselineRead, start.allReadMS), append(baselineHeapSizes, start.heapMB)
 	}
 	name := fmt.Sprintf("%d owed: ", pending)
-	b.figures.add(name+"ms until all ids are known", known)
-	b.figures.add(name+"ms until all are read", all)
-	b.figures.add(name+"ms until all are read, log before", baselineAll)
-	b.figures.add(name+"MB of heap for the log, bodies on disk", memory)
-	b.figures.add(name+"MB of heap, log before, bodies in it", baselineMemory)
+	b.figures.add(name+"ms until all ids are known", idsKnown)
+	b.figures.add(name+"ms until all are read", allRead)
+	b.figures.add(name+"ms until all are read, log before", baselineRead)
+	b.figures.add(name+"MB of heap for the log, bodies on disk", heapSizes)
+	b.figures.add(name+"MB of heap, log before, bodies in it", baselineHeapSizes)
 	return nil
 }
 
@@ -202,14 +202,14 @@
 
 // logStart has the times and the memory of one start.
 type logStart struct {
-	known  float64 // ms until all IDs are known
-	all    float64 // ms until all messages are read
-	memory float64 // MB of heap
+	idsKnownMS float64 // ms until all IDs are known
+	allReadMS  float64 // ms until all messages are read
+	heapMB     float64 // MB of heap
 }
 
 // startLog opens a log and reads its pending messages.
 func startLog(dir string, pending int) (start logStart, err error) {
-	before, began := heapBytes(), time.Now()
+	heapBefore, startedAt := heapBytes(), time.Now()
 	log, err := wal.Open(wal.Options{Dir: dir, Limit: benchLimit})
 	if err != nil {
 		return start, err
@@ -217,25 +217,25 @@
 	if log.PendingUnread() != pending {
 		return start, fmt.Errorf("bench: the log has %d of %d messages pending", log.PendingUnread(), pending)
 	}
-	start.known = toMillis(time.Since(began))
-	start.memory = (heapBytes() - before) / megabyte
-	began = time.Now()
+	start.idsKnownMS = toMillis(time.Since(startedAt))
+	start.heapMB = (heapBytes() - heapBefore) / megabyte
+	startedAt = time.Now()
 	for len(log.Next(readBatch)) > 0 { // the messages are dropped
 	}
-	start.all = start.known + toMillis(time.Since(began))
+	start.allReadMS = start.idsKnownMS + toMillis(time.Since(startedAt))
 	drainLog(log)
 	return start, nil
 }
 
 // startBaseline opens a baseline, which reads all pending messages.
 func startBaseline(dir string) (start logStart, err error) {
-	before, began := heapBytes(), time.Now()
+	heapBefore, startedAt := heapBytes(), time.Now()
 	log, pending, err := baseline.Open(dir, benchLimit)
 	if err != nil {
 		return start, err
 	}
-	start.all = toMillis(time.Since(began))
-	start.memory = (heapBytes() - before) / megabyte
+	start.allReadMS = toMillis(time.Since(startedAt))
+	start.heapMB = (heapBytes() - heapBefore) / megabyte
 	runtime.KeepAlive(pending)
 	drainLog(log)
 	return start, nil
@@ -254,7 +254,7 @@
 func (b *walBench) measureWrites(ctx context.Context, clients int) error {
 	names := []string{baselineName, processName, powerName}
 	costs := map[string][]writeCost{}
-	for repeat := range b.options.Plays {
+	for repeat := range b.options.Repeats {
 		for _, name := range names {
 			if ctx.Err() != nil {
 				return ctx.Err()
@@ -308,9 +308,9 @@
 	}
 	stop := make(chan struct{})
 	go log.Run(stop)
-	began, usedBefore := time.Now(), processCPU()
-	messages := float64(writeMessages(log, clients, began.Add(b.options.Span)))
-	took, used := time.Since(began), processCPU()-usedBefore
+	startedAt, usedBefore := time.Now(), processCPU()
+	messages := float64(writeMessages(log, clients, startedAt.Add(b.options.Span)))
+	elapsed, used := time.Since(startedAt), processCPU()-usedBefore
 	close(stop)
 	<-log.Done()
 	calls, bytes := fs.calls.Load(), fs.bytes.Load()
@@ -318,7 +318,7 @@
 		calls, bytes = int64(baselineLog.WriteCalls), int64(baselineLog.Bytes)
 	}
 	return writeCost{
-		rate:  messages / took.Seconds(),
+		rate:  messages / elapsed.Seconds(),
 		cpu:   float64(used.Microseconds()) / messages,
 		calls: float64(calls) / messages,
 		bytes: float64(bytes) / messages,
@@ -355,7 +355,7 @@
 func (b *walBench) measureStalls(ctx context.Context) error {
 	names := []string{baselineName, processName}
 	longest := map[string][]float64{}
-	for repeat := range b.options.Plays {
+	for repeat := range b.options.Repeats {
 		for _, name := range names {
 			dir, err := b.tempDir(fmt.Sprint("stall-", repeat, name[:2]))
 			if err != nil {
@@ -404,13 +404,13 @@
 		if i%2 == 1 {
 			record = &wal.Record{Kind: wal.KindOutcome, ID: message.ID}
 		}
-		began := time.Now()
+		submittedAt := time.Now()
 		log.Submit(record, func(err error) { durable <- err })
 		if err := <-durable; err != nil {
 			return 0, fmt.Errorf("bench: %w", err)
 		}
 		if i > 0 { // the first record waits until all pending messages are written
-			longest = max(longest, time.Since(began))
+			longest = max(longest, time.Since(submittedAt))
 		}
 	}
 	close(stop)
--- a/internal/faultlab/bench_watchers.go
+++ b/internal/faultlab/bench_watchers.go
@@ -76,10 +76,10 @@
 		query = ""
 	}
 	fmt.Fprintf(conn, "GET %s%s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", discovery.ListPath, query)
-	in := bufio.NewReaderSize(conn, watchBuffer)
+	reader := bufio.NewReaderSize(conn, watchBuffer)
 	for {
 		conn.SetReadDeadline(time.Now().Add(watchReadTimeout))
-		line, err := readLineStart(in)
+		line, err := readLineStart(reader)
 		w.receive(line, time.Now(), onOpen)
 		if w.polls && errors.Is(err, io.EOF) {
 			return nil
@@ -91,12 +91,12 @@
 }
 
 // readLineStart reads a line and returns as much of it as the buffer holds.
-func readLineStart(in *bufio.Reader) ([]byte, error) {
-	line, err := in.ReadSlice('\n')
+func readLineStart(reader *bufio.Reader) ([]byte, error) {
+	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		line = bytes.Clone(line)
 		for errors.Is(err, bufio.ErrBufferFull) {
-			_, err = in.ReadSlice('\n')
+			_, err = reader.ReadSlice('\n')
 		}
 	}
 	return line, err
--- a/internal/faultlab/build.go
+++ b/internal/faultlab/build.go
@@ -54,12 +54,12 @@
 		}
 	}
 	for i := range r.scenario.Fleet.Relays {
-		x := &relay{run: r, number: i, name: fmt.Sprintf("n%d", i+1), zone: r.plan.relayZone(i), listen: r.address()}
-		r.relays = append(r.relays, x)
-		if err := r.connect(ctx, x, members); err != nil {
+		newRelay := &relay{run: r, number: i, name: fmt.Sprintf("n%d", i+1), zone: r.plan.relayZone(i), listen: r.address()}
+		r.relays = append(r.relays, newRelay)
+		if err := r.connect(ctx, newRelay, members); err != nil {
 			return err
 		}
-		addrs[x.name] = x.proxy.Addr()
+		addrs[newRelay.name] = newRelay.proxy.Addr()
 	}
 	return nil
 }
--- a/internal/faultlab/command/bench.go
+++ b/internal/faultlab/command/bench.go
@@ -85,7 +85,7 @@
 	w.Flags().StringVar(&o.Out, "out", "", "folder, on the disk that is measured (default: lab-out/bench-wal-TIME)")
 	w.Flags().IntSliceVar(&o.Pending, "owed", []int{10000, 100000, 1000000}, "messages owed at a start")
 	w.Flags().IntSliceVar(&o.Clients, "clients", []int{1, 16, 256}, "clients at once")
-	w.Flags().IntVar(&o.Plays, "plays", 3, "of each measurement")
+	w.Flags().IntVar(&o.Repeats, "plays", 3, "of each measurement")
 	w.Flags().DurationVar(&o.Span, "span", 3*time.Second, "of each play of writes")
 	return w
 }
--- a/internal/faultlab/command/bench_scale.go
+++ b/internal/faultlab/command/bench_scale.go
@@ -70,15 +70,15 @@
 	if errA != nil || errB != nil {
 		return false, nil
 	}
-	others := map[string]*capacity.Measurement{}
+	byKey := map[string]*capacity.Measurement{}
 	for i := range b.Capacity {
-		others[b.Capacity[i].Key()] = &b.Capacity[i]
+		byKey[b.Capacity[i].Key()] = &b.Capacity[i]
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "quantity\tunit\tslope in %s\tslope in %s\tB/A\tat the target\tB\n", pathA, pathB)
 	for i := range a.Capacity {
 		measurement := &a.Capacity[i]
-		other, ok := others[measurement.Key()]
+		other, ok := byKey[measurement.Key()]
 		if !ok {
 			continue
 		}
--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -41,10 +41,10 @@
 	os.WriteFile(validPath, []byte(shortScenario), 0o600)
 	os.WriteFile(invalidPath, []byte(shortScenario+"speed = 3\n"), 0o600)
 	self := os.Args[0]
-	run := func(extra ...string) []string {
+	runArgs := func(extra ...string) []string {
 		return append([]string{"run", validPath, "--relay", self, "--out", filepath.Join(dir, "out"), "--late", "10s"}, extra...)
 	}
-	scale := func(name, controllerFlag string) []string {
+	benchScaleArgs := func(name, controllerFlag string) []string {
 		return []string{"bench", "scale", "--smoke", "--only", "parse", "--relay", self, "--registry", self, controllerFlag, self,
 			"--out", filepath.Join(dir, "scale"), "--json", filepath.Join(dir, "scale-"+name)}
 	}
@@ -55,12 +55,12 @@
 		wantCode   int
 		wantOutput string
 	}{
-		{"no rule violated", "", run("--json", filepath.Join(dir, "a.json")), Success, "KEPT"},
-		{"no rule violated, other seed", "", run("--json", filepath.Join(dir, "a.json"), "--seed", "2"), Success, "KEPT"},
-		{"rule violated", stub.SlowTerm, run("--json", filepath.Join(dir, "b.json")), Violated, "BROKEN: term"},
-		{"lab late", "", run("--late", "1ns"), NotRun, "VOID"},
-		{"relay does not start", "", run("--relay", "/bin/false"), NotRun, "did not start"},
-		{"relay program missing", "", run("--relay", filepath.Join(dir, "none")), Usage, "none"},
+		{"no rule violated", "", runArgs("--json", filepath.Join(dir, "a.json")), Success, "KEPT"},
+		{"no rule violated, other seed", "", runArgs("--json", filepath.Join(dir, "a.json"), "--seed", "2"), Success, "KEPT"},
+		{"rule violated", stub.SlowTerm, runArgs("--json", filepath.Join(dir, "b.json")), Violated, "BROKEN: term"},
+		{"lab late", "", runArgs("--late", "1ns"), NotRun, "VOID"},
+		{"relay does not start", "", runArgs("--relay", "/bin/false"), NotRun, "did not start"},
+		{"relay program missing", "", runArgs("--relay", filepath.Join(dir, "none")), Usage, "none"},
 		{"invalid scenario", "", []string{"run", invalidPath, "--relay", self}, Usage, "bad.toml:10: load.speed"},
 		{"scenario file missing", "", []string{"check", filepath.Join(dir, "none.toml")}, Usage, "none.toml"},
 		{"unknown command", "", []string{"fly"}, Usage, "fly"},
@@ -70,14 +70,14 @@
 		{"list", "", []string{"list", "--dir", filepath.Join("..", "..", "..", "lab", "scenarios")}, Success, "smoke.toml"},
 		{"compare", "", []string{"compare", filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json")}, Success, "(2 runs)"},
 		{"compare files without summaries", "", []string{"compare", validPath, validPath}, Usage, "neither"},
-		{"bench scale", "", scale("a", "--controller"), Success, "slope x target"},
-		{"bench scale with older controller flag", "", scale("b", "--warden"), Success, "slope x target"},
+		{"bench scale", "", benchScaleArgs("a", "--controller"), Success, "slope x target"},
+		{"bench scale with older controller flag", "", benchScaleArgs("b", "--warden"), Success, "slope x target"},
 		{"compare results of bench scale", "", []string{"compare", filepath.Join(dir, "scale-a"), filepath.Join(dir, "scale-b")}, Success, "parse: reading a whole list"},
-		{"bench scale with unknown job", "", append(scale("c", "--warden"), "--only", "none"), Usage, "no job"},
+		{"bench scale with unknown job", "", append(benchScaleArgs("c", "--warden"), "--only", "none"), Usage, "no job"},
 		{"simrelay without configuration", "", []string{"simrelay", filepath.Join(dir, "none.json")}, NotRun, "none.json"},
 		{"older name of simrelay", "", []string{"hollow", filepath.Join(dir, "none.json")}, NotRun, "none.json"},
-		{"older controller flag", "", run("--warden", self), Success, "KEPT"},
-		{"controller flag", "", run("--controller", self), Success, "KEPT"},
+		{"older controller flag", "", runArgs("--warden", self), Success, "KEPT"},
+		{"controller flag", "", runArgs("--controller", self), Success, "KEPT"},
 		{"sweep", "", []string{"sweep", validPath, "--relay", self, "--late", "10s", "--set", "load.rate=10,20", "--seeds", "1-2", "--out", filepath.Join(dir, "sweep")}, Success, "sweep.svg"},
 		{"sweep over unknown key", "", []string{"sweep", validPath, "--relay", self, "--set", "load.rates=10", "--seeds", "1"}, Usage, "load.rates"},
 	} {
--- a/internal/faultlab/command/run.go
+++ b/internal/faultlab/command/run.go
@@ -18,8 +18,8 @@
 			s.Seconds = seconds
 			fmt.Fprintf(c.OutOrStdout(), "%d relays, %d endpoints of %d destinations in zones %s, %.0f messages a second; Ctrl-C ends it with a report\n",
 				s.Fleet.Relays, s.Upstreams.Endpoints, s.Upstreams.Destinations, strings.Join(s.Fleet.Zones, ", "), s.Load.Rate)
-			sum, err := f.runScenario(c, &s, statusLine(c.OutOrStdout()))
-			return printVerdict(c.OutOrStdout(), sum, err)
+			summary, err := f.runScenario(c, &s, statusLine(c.OutOrStdout()))
+			return printVerdict(c.OutOrStdout(), summary, err)
 		}}
 	f.add(c)
 	c.Flags().Float64Var(&seconds, "seconds", 7200, "end by itself after so long")
@@ -34,8 +34,8 @@
 			if err != nil {
 				return err
 			}
-			sum, err := f.runScenario(c, s, statusLine(c.OutOrStdout()))
-			return printVerdict(c.OutOrStdout(), sum, err)
+			summary, err := f.runScenario(c, s, statusLine(c.OutOrStdout()))
+			return printVerdict(c.OutOrStdout(), summary, err)
 		}}
 	f.add(c)
 	return c
--- a/internal/faultlab/command/summary.go
+++ b/internal/faultlab/command/summary.go
@@ -9,11 +9,11 @@
 
 // addSummary adds the summary of a run to a file that holds several.
 func addSummary(path string, s *Summary) error {
-	all, err := readSummaries(path)
+	summaries, err := readSummaries(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	text, err := json.MarshalIndent(append(all, s), "", " ")
+	text, err := json.MarshalIndent(append(summaries, s), "", " ")
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/faultlab/fault_upstream.go
+++ b/internal/faultlab/fault_upstream.go
@@ -77,7 +77,7 @@
 		return
 	}
 	fault := upstreamFault(step.Fault.Kind, factor)
-	opensAt := r.began.Add(step.Until)
+	opensAt := r.loadStart.Add(step.Until)
 	for _, i := range step.Targets {
 		r.upstreams[i].AddFault(fault, opensAt)
 	}
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -19,7 +19,7 @@
 // step undoes its own fault, at its end or when ctx ends.
 func (r *run) injectFaults(ctx context.Context, plan []Step) {
 	for _, step := range plan {
-		due := r.began.Add(step.At)
+		due := r.loadStart.Add(step.At)
 		if !model.Sleep(ctx, time.Until(due)) {
 			return
 		}
@@ -36,7 +36,7 @@
 // step, or when ctx ends.
 func (r *run) waitUntilUndone(ctx context.Context, step Step) {
 	if step.Until > 0 {
-		model.Sleep(ctx, time.Until(r.began.Add(step.Until)))
+		model.Sleep(ctx, time.Until(r.loadStart.Add(step.Until)))
 	} else {
 		<-ctx.Done()
 	}
--- a/internal/faultlab/fleet.go
+++ b/internal/faultlab/fleet.go
@@ -52,33 +52,33 @@
 func planFleet(s *scenario.Scenario, seed uint64) *fleetPlan {
 	random := newRandom(seed, "fleet")
 	settings := &s.Upstreams
-	f := &fleetPlan{zones: s.Fleet.Zones}
-	total := 0.0
+	plan := &fleetPlan{zones: s.Fleet.Zones}
+	totalWeight := 0.0
 	for i := range settings.Destinations {
 		weight := 1 / math.Pow(float64(i+1), weightExponent)
-		f.weights = append(f.weights, weight)
-		total += weight
+		plan.weights = append(plan.weights, weight)
+		totalWeight += weight
 	}
 	counts := make([]int, settings.Destinations)
 	for i := range settings.Endpoints { // one each, then further ones for the first, which are the busiest
 		counts[i%settings.Destinations]++
 	}
-	for destination, weight := range f.weights {
-		u := drawUpstream(random, settings, destination, s.Load.Rate*weight/total)
-		u.endpoints = counts[destination]
-		f.upstreams = append(f.upstreams, u)
-		servers := int(math.Ceil(u.rate*serviceSeconds*u.latencyFactor/float64(u.endpoints))) + spareServers
-		for k := range u.endpoints {
-			f.endpoints = append(f.endpoints, plannedEndpoint{destination, f.zones[(destination+k)%len(f.zones)], servers})
+	for destination, weight := range plan.weights {
+		upstream := drawUpstream(random, settings, destination, s.Load.Rate*weight/totalWeight)
+		upstream.endpoints = counts[destination]
+		plan.upstreams = append(plan.upstreams, upstream)
+		servers := int(math.Ceil(upstream.rate*serviceSeconds*upstream.latencyFactor/float64(upstream.endpoints))) + spareServers
+		for k := range upstream.endpoints {
+			plan.endpoints = append(plan.endpoints, plannedEndpoint{destination, plan.zones[(destination+k)%len(plan.zones)], servers})
 		}
 	}
-	return f
+	return plan
 }
 
 // drawUpstream draws one upstream, given its mean load in calls a second. The first
 // upstreams, which get the highest load, are telcos.
 func drawUpstream(random *rand.Rand, settings *scenario.Upstreams, destination int, meanLoad float64) plannedUpstream {
-	u := plannedUpstream{
+	upstream := plannedUpstream{
 		kind:               model.Newsagent,
 		latencyFactor:      minLatency + latencySpread*random.Float64(),
 		retryAfterFraction: 0.05 + 0.32*random.Float64(),
@@ -87,10 +87,10 @@
 	minRate := 2.7 + 2*random.Float64()
 	telcos := int(math.Round(settings.Telcos * float64(settings.Destinations)))
 	if destination < telcos {
-		u.kind, u.hasWindow = model.Telco, true
-		u.retryAfterFraction = 0.53 + 0.25*random.Float64()
+		upstream.kind, upstream.hasWindow = model.Telco, true
+		upstream.retryAfterFraction = 0.53 + 0.25*random.Float64()
 		minRate = 2.1 + 1.8*random.Float64()
 	}
-	u.rate = max(minRate, meanLoad*settings.CapacityFactor)
-	return u
+	upstream.rate = max(minRate, meanLoad*settings.CapacityFactor)
+	return upstream
 }
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -74,7 +74,7 @@
 // finished and checked as far as it went. An error means that the scenario could not be
 // run, or that the lab was late (ErrLate, with the result).
 func Run(ctx context.Context, o Options) (*Result, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	if o.MaxLateness == 0 {
 		o.MaxLateness = MaxLateness
 	}
@@ -101,7 +101,7 @@
 	if err = errors.Join(err, r.failure.get(), recorder.Close()); err != nil {
 		return nil, err
 	}
-	return r.result(began, plan)
+	return r.result(startedAt, plan)
 }
 
 // newRun returns a run that has not begun.
@@ -123,8 +123,8 @@
 
 // result checks the history of a run that has ended and returns its result, with
 // ErrLate if the lab was late.
-func (r *run) result(began time.Time, plan []Step) (*Result, error) {
-	result := &Result{Name: r.scenario.Name, Seed: r.seed, Out: r.opts.Out, Took: time.Since(began)}
+func (r *run) result(startedAt time.Time, plan []Step) (*Result, error) {
+	result := &Result{Name: r.scenario.Name, Seed: r.seed, Out: r.opts.Out, Took: time.Since(startedAt)}
 	for _, step := range plan {
 		result.Plan = append(result.Plan, step.String())
 	}
--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -81,13 +81,13 @@
 	if fields == nil {
 		return counterStep{}, false, nil
 	}
-	at, timeErr := time.Parse(time.RFC3339Nano, fields[1])
+	loggedAt, timeErr := time.Parse(time.RFC3339Nano, fields[1])
 	count, countErr := strconv.Atoi(fields[3])
 	token, tokenErr := strconv.ParseInt(fields[4], 10, 64)
 	if err := errors.Join(timeErr, countErr, tokenErr); err != nil {
 		return counterStep{}, true, fmt.Errorf("controller log line %q: %w", line, err)
 	}
-	return counterStep{loggedAt: at, count: count, token: token, outcome: stepOutcomes[strings.Trim(fields[2], `"`)]}, true, nil
+	return counterStep{loggedAt: loggedAt, count: count, token: token, outcome: stepOutcomes[strings.Trim(fields[2], `"`)]}, true, nil
 }
 
 // isEvacuated reports whether an operation's message says that its zone is drained.
--- a/internal/faultlab/run.go
+++ b/internal/faultlab/run.go
@@ -23,17 +23,17 @@
 
 // run is the state of one run of a scenario.
 type run struct {
-	opts     Options
-	scenario *scenario.Scenario
-	seed     uint64
-	plan     *fleetPlan
-	ctx      context.Context // ends when everything is to stop
-	stop     context.CancelFunc
-	failure  failure
-	lateness *lateness
-	ip       string
-	port     atomic.Int64 // number of ports used so far, from firstPort
-	began    time.Time    // start of the load
+	opts      Options
+	scenario  *scenario.Scenario
+	seed      uint64
+	plan      *fleetPlan
+	ctx       context.Context // ends when everything is to stop
+	stop      context.CancelFunc
+	failure   failure
+	lateness  *lateness
+	ip        string
+	port      atomic.Int64 // number of ports used so far, from firstPort
+	loadStart time.Time    // start of the load
 
 	recorder   *history.Recorder
 	world      *model.World
@@ -72,7 +72,7 @@
 	loadCtx, cancel := context.WithTimeout(ctx, scenario.Seconds(r.scenario.Seconds))
 	defer cancel()
 	defer context.AfterFunc(r.ctx, cancel)()
-	r.began = time.Now()
+	r.loadStart = time.Now()
 	r.startLoad(loadCtx, plan)
 	r.clients.Run(r.ctx, loadCtx, r.seed)
 	<-loadCtx.Done()
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -34,18 +34,18 @@
 
 // scaleRun is the state of one run of a scale scenario.
 type scaleRun struct {
-	opts     Options
-	scenario *scenario.Scenario
-	dir      string
-	ip       string
-	port     atomic.Int64 // last port that was used
-	began    time.Time
-	ctx      context.Context // ends when everything is to stop
-	stop     context.CancelFunc
-	failure  failure
-	lateness *lateness
-	check    *scaleCheck
-	results  ScaleResult
+	opts      Options
+	scenario  *scenario.Scenario
+	dir       string
+	ip        string
+	port      atomic.Int64 // last port that was used
+	startedAt time.Time
+	ctx       context.Context // ends when everything is to stop
+	stop      context.CancelFunc
+	failure   failure
+	lateness  *lateness
+	check     *scaleCheck
+	results   ScaleResult
 
 	phase       atomic.Value // current phase, one of scalePhases
 	isFinishing atomic.Bool  // set once the processes are told to end
@@ -83,12 +83,12 @@
 	}
 	defer lock.Close()
 	raiseDescriptorLimit()
-	r := &scaleRun{opts: o, scenario: o.Scenario, dir: dir, ip: ip, began: time.Now(), lateness: newLateness()}
+	r := &scaleRun{opts: o, scenario: o.Scenario, dir: dir, ip: ip, startedAt: time.Now(), lateness: newLateness()}
 	r.port.Store(firstScalePort)
 	r.phase.Store(phaseIdle)
 	r.ctx, r.stop = context.WithCancel(ctx)
 	r.failure.stop = r.stop
-	r.check = newScaleCheck(dir, r.began.UnixMicro())
+	r.check = newScaleCheck(dir, r.startedAt.UnixMicro())
 	c := &o.Scenario.Scale
 	r.results = ScaleResult{SimRelays: c.Relays, Members: c.Members, Speed: c.Speed}
 	err = r.execute()
@@ -143,7 +143,7 @@
 	relaysByMembers := r.simStatus().Members
 	if relaysByMembers[c.Members] < c.Relays {
 		r.check.addViolation(checker.RuleStart, "simulated relays", fmt.Sprintf("%d of %d have a list of %d members: by members %v", relaysByMembers[c.Members], c.Relays, c.Members, relaysByMembers),
-			r.began.UnixMicro(), time.Now().UnixMicro())
+			r.startedAt.UnixMicro(), time.Now().UnixMicro())
 	}
 	for _, relay := range r.realRelays {
 		r.check.countCheck(checker.RuleStart)
@@ -151,7 +151,7 @@
 			continue
 		}
 		if n := relay.members(r.ctx); n != c.Members {
-			r.check.addViolation(checker.RuleStart, relay.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
+			r.check.addViolation(checker.RuleStart, relay.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.startedAt.UnixMicro(), time.Now().UnixMicro())
 		}
 	}
 	return r.check.verdict.OK()
@@ -177,7 +177,7 @@
 // result returns the run's result, with ErrLate if the lab or the simulated relays were
 // late.
 func (r *scaleRun) result() (*Result, error) {
-	result := &Result{Name: r.scenario.Name, Seed: r.opts.Seed, Out: r.opts.Out, Took: time.Since(r.began), Verdict: r.check.verdict, Scale: &r.results}
+	result := &Result{Name: r.scenario.Name, Seed: r.opts.Seed, Out: r.opts.Out, Took: time.Since(r.startedAt), Verdict: r.check.verdict, Scale: &r.results}
 	result.measureLab(r.lateness)
 	if !r.opts.RetainDirs {
 		r.removeData()
--- a/internal/faultlab/scale_check.go
+++ b/internal/faultlab/scale_check.go
@@ -16,13 +16,13 @@
 //	checker.RuleChange      each change is applied once, in the order in which it was made
 //	checker.RuleCompletion  each accepted message is completed once, and the log has none pending
 type scaleCheck struct {
-	dir     string
-	began   int64 // start of the run in Unix µs
-	verdict checker.Verdict
+	dir       string
+	startedAt int64 // start of the run in Unix µs
+	verdict   checker.Verdict
 }
 
 func newScaleCheck(dir string, startedAt int64) *scaleCheck {
-	return &scaleCheck{dir: dir, began: startedAt, verdict: checker.NewVerdict()}
+	return &scaleCheck{dir: dir, startedAt: startedAt, verdict: checker.NewVerdict()}
 }
 
 const maxShownViolations = 5 // violations of one rule that the verdict lists
@@ -34,7 +34,7 @@
 		if at == 0 {
 			return history.Event{}
 		}
-		return history.Event{Time: at - s.began, Kind: history.ListUpdate, Relay: subject}
+		return history.Event{Time: at - s.startedAt, Kind: history.ListUpdate, Relay: subject}
 	}
 	s.verdict.Add(checker.Violation{Rule: rule, Subject: subject, Message: text, First: event(firstAt), Second: event(secondAt), File: filepath.Join(s.dir, logsDir)}, maxShownViolations)
 }
--- a/internal/faultlab/scale_clients.go
+++ b/internal/faultlab/scale_clients.go
@@ -73,11 +73,11 @@
 func (c *scaleClients) request(id string, class, dest int) []byte {
 	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", model.Classes()[class].Name, scenario.Seconds(c.scenario.Scale.Deadline).Milliseconds(), dest)
 	body := fmt.Sprint(class) + strings.Repeat("x", scaleBody-1)
-	out := []byte("*5\r\n")
+	request := []byte("*5\r\n")
 	for _, s := range []string{"MSG.PUT", "0000000000000000", id, fields, body} {
-		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(s), s)
+		request = fmt.Appendf(request, "$%d\r\n%s\r\n", len(s), s)
 	}
-	return out
+	return request
 }
 
 func (c *scaleClients) submit(text []byte) {
@@ -126,8 +126,8 @@
 func (c *scaleClients) close() {
 	for {
 		select {
-		case x := <-c.idle:
-			x.Close()
+		case idle := <-c.idle:
+			idle.Close()
 		default:
 			return
 		}
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -130,11 +130,11 @@
 }
 
 func (m *scaleMembers) memberNumbers() []int {
-	all := make([]int, len(m.state))
-	for i := range all {
-		all[i] = i
+	numbers := make([]int, len(m.state))
+	for i := range numbers {
+		numbers[i] = i
 	}
-	return all
+	return numbers
 }
 
 // sendHeartbeats sends the heartbeats of all members until ctx ends, in batches spread
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -71,8 +71,8 @@
 	defer s.mu.Unlock()
 	s.partial = append(s.partial, text...)
 	for {
-		line, rest, whole := bytes.Cut(s.partial, []byte{'\n'})
-		if !whole {
+		line, remaining, isComplete := bytes.Cut(s.partial, []byte{'\n'})
+		if !isComplete {
 			return len(text), nil
 		}
 		var status simrelay.Status
@@ -81,7 +81,7 @@
 		} else {
 			fmt.Fprintf(s.log, "%s\n", line)
 		}
-		s.partial = bytes.Clone(rest)
+		s.partial = bytes.Clone(remaining)
 	}
 }
 
@@ -207,10 +207,10 @@
 
 // members returns the length of the list of a relay that has an operator address; -1 if
 // the relay does not answer.
-func (x *realRelay) members(ctx context.Context) int {
+func (r *realRelay) members(ctx context.Context) int {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+x.operator+"/v1/metrics", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.operator+"/v1/metrics", nil)
 	if err != nil {
 		return -1
 	}
--- a/internal/faultlab/scale_results.go
+++ b/internal/faultlab/scale_results.go
@@ -20,7 +20,7 @@
 	if r.ctx.Err() != nil {
 		return
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	list, err := r.fetchList(r.ctx)
 	if err != nil {
 		r.failure.set(err)
@@ -40,7 +40,7 @@
 			break
 		}
 	}
-	r.results.Settle = time.Since(began).Seconds()
+	r.results.Settle = time.Since(startedAt).Seconds()
 	r.listHash = simrelay.ListHash(list.Members)
 	for _, relay := range r.realRelays {
 		if relay.operator == "" {
@@ -116,9 +116,9 @@
 	}
 	members := r.members
 	if len(members.restored) > 0 {
-		last := slices.MaxFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
-		first := slices.MinFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
-		r.addNote("list service: the zone's %d members were registered again in %.1f s", len(members.restored), float64(last.AnsweredAt-first.RequestedAt)/1e6)
+		lastRestored := slices.MaxFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
+		firstRestored := slices.MinFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
+		r.addNote("list service: the zone's %d members were registered again in %.1f s", len(members.restored), float64(lastRestored.AnsweredAt-firstRestored.RequestedAt)/1e6)
 	}
 	r.addNote("list service: %d changes waited for the answer to the one before, %d batches of heartbeats took over a third of a time to live", members.changesBehind, members.heartbeatsBehind)
 	r.addNote("endpoints of the real relays: %d messages", r.endpoints.delivered.Load())
@@ -148,9 +148,9 @@
 			if !isMeasured || applied.At < requestedAt {
 				continue
 			}
-			took := float64(applied.At-requestedAt) / 1e6
-			perRelay = append(perRelay, took)
-			slowest[applied.Key] = max(slowest[applied.Key], took)
+			seconds := float64(applied.At-requestedAt) / 1e6
+			perRelay = append(perRelay, seconds)
+			slowest[applied.Key] = max(slowest[applied.Key], seconds)
 			appliedCount[applied.Key]++
 		}
 	}
--- a/internal/faultlab/scale_start.go
+++ b/internal/faultlab/scale_start.go
@@ -17,7 +17,7 @@
 // opens the watchers of the scenario.
 func (r *scaleRun) startService(ctx context.Context) (err error) {
 	c := &r.scenario.Scale
-	r.down = simrelay.Down{Seed: r.opts.Seed, Fraction: c.Down, For: scenario.Seconds(c.DownFor), Origin: r.began.UnixMicro()}
+	r.down = simrelay.Down{Seed: r.opts.Seed, Fraction: c.Down, For: scenario.Seconds(c.DownFor), Origin: r.startedAt.UnixMicro()}
 	r.down.Prepare(c.Members)
 	if r.endpoints, err = newScaleEndpoints(r.ctx); err != nil {
 		return err
@@ -38,12 +38,12 @@
 	if r.members, err = newScaleMembers(r.scenario, r.endpoints, r.group.http, r.lateness.record); err != nil {
 		return err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	r.start(func() { r.members.sendHeartbeats(r.ctx) })
 	if err := r.members.registerAll(ctx, r.members.memberNumbers(), nil); err != nil {
 		return err
 	}
-	r.results.Register = time.Since(began).Seconds()
+	r.results.Register = time.Since(startedAt).Seconds()
 	r.watchers = &watcherSet{}
 	if c.Watchers == 0 {
 		return nil
@@ -89,14 +89,14 @@
 			}
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := r.startRelays(ownAgents); err != nil {
 		return err
 	}
 	r.makeRoles(ownAgents, ownNodes, sharedNodes)
 	r.start(r.sampleRoles)
 	r.awaitLists(ctx)
-	r.results.Start = time.Since(began).Seconds()
+	r.results.Start = time.Since(startedAt).Seconds()
 	for _, role := range r.roles {
 		role.cost.StartMB = float64(role.measure().bytes) / 1e6 / float64(role.units)
 	}
@@ -117,16 +117,16 @@
 		}
 		r.realRelays = append(r.realRelays, relay)
 	}
-	for i, first := 0, c.Real; i < c.Processes; i++ {
+	for i, firstRelay := 0, c.Real; i < c.Processes; i++ {
 		relays := c.Relays / c.Processes
 		if i < c.Relays%c.Processes {
 			relays++
 		}
-		started, err := r.startSimProcess(i, first, relays, agents)
+		started, err := r.startSimProcess(i, firstRelay, relays, agents)
 		if err != nil {
 			return err
 		}
-		r.simProcesses, first = append(r.simProcesses, started), first+relays
+		r.simProcesses, firstRelay = append(r.simProcesses, started), firstRelay+relays
 	}
 	return nil
 }
--- a/internal/faultlab/status.go
+++ b/internal/faultlab/status.go
@@ -86,7 +86,7 @@
 func (r *run) watchStatus(ctx context.Context) {
 	for model.Sleep(ctx, time.Second) {
 		status := r.status.snapshot()
-		status.Elapsed = time.Since(r.began)
+		status.Elapsed = time.Since(r.loadStart)
 		status.Pending = r.world.Ledger.PendingCount(time.Now())
 		status.Fleet = len(r.relays)
 		for _, relay := range r.relays {
