--- a/internal/faultlab/bench_comeback.go
+++ b/internal/faultlab/bench_comeback.go
@@ -107,7 +107,7 @@
 		return result, err
 	}
 	var firstTerm uint64
-	hasLeader := func() (ok bool) { firstTerm, ok = b.term(); return ok }
+	hasLeader := func() (ok bool) { firstTerm, ok = b.highestTerm(); return ok }
 	if err := awaitTrue(ctx, hasLeader); err != nil {
 		return result, err
 	}
@@ -120,7 +120,7 @@
 	}
 	result.allBack = toMillis(time.Since(restartedAt))
 	model.Sleep(ctx, time.Since(restartedAt))
-	lastTerm, _ := b.term()
+	lastTerm, _ := b.highestTerm()
 	result.elections = float64(lastTerm - firstTerm)
 	return result, nil
 }
--- a/internal/faultlab/bench_fanout.go
+++ b/internal/faultlab/bench_fanout.go
@@ -56,11 +56,11 @@
 	if poll || members != fewMembers {
 		return nil
 	}
-	returnTimes, err := b.timeReturns(ctx, watcherSet)
+	reconnectTimes, err := b.timeReconnects(ctx, watcherSet)
 	if err != nil {
 		return err
 	}
-	b.figures.add(name+": ms from the group's start until all are back", returnTimes)
+	b.figures.add(name+": ms from the group's start until all are back", reconnectTimes)
 	return nil
 }
 
@@ -90,9 +90,9 @@
 	return durations, nil
 }
 
-// timeReturns measures how soon all watchers have reconnected after the group was
+// timeReconnects measures how soon all watchers have reconnected after the group was
 // stopped.
-func (b *registryBench) timeReturns(ctx context.Context, set *watcherSet) (durations []float64, err error) {
+func (b *registryBench) timeReconnects(ctx context.Context, set *watcherSet) (durations []float64, err error) {
 	for range benchRepeats {
 		b.stop()
 		opened := set.opened.Load()
--- a/internal/faultlab/bench_group.go
+++ b/internal/faultlab/bench_group.go
@@ -143,8 +143,9 @@
 	return err
 }
 
-// term returns the highest Raft term that a node reports, and whether any node leads.
-func (b *benchGroup) term() (term uint64, hasLeader bool) {
+// highestTerm returns the highest Raft term that a node reports, and whether any node
+// leads.
+func (b *benchGroup) highestTerm() (term uint64, hasLeader bool) {
 	for _, addr := range b.http {
 		if status, err := nodeStatus(addr); err == nil {
 			term, hasLeader = max(term, status.Term), hasLeader || status.RaftRole == leaderRole
--- a/internal/faultlab/build.go
+++ b/internal/faultlab/build.go
@@ -56,7 +56,7 @@
 	for i := range r.scenario.Fleet.Relays {
 		newRelay := &relay{run: r, number: i, name: fmt.Sprintf("n%d", i+1), zone: r.plan.relayZone(i), listen: r.address()}
 		r.relays = append(r.relays, newRelay)
-		if err := r.connect(ctx, newRelay, members); err != nil {
+		if err := r.prepareRelay(ctx, newRelay, members); err != nil {
 			return err
 		}
 		addrs[newRelay.name] = newRelay.proxy.Addr()
@@ -132,8 +132,8 @@
 	r.clients.OnLateness = r.lateness.record
 }
 
-// connect makes the directory, links and agent of one relay.
-func (r *run) connect(ctx context.Context, relay *relay, members []model.Member) (err error) {
+// prepareRelay makes the directory, links and agent of one relay.
+func (r *run) prepareRelay(ctx context.Context, relay *relay, members []model.Member) (err error) {
 	if err := r.makeDir(relay); err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 	}
 	ownMembers := slices.Clone(members)
 	for i, endpoint := range r.endpoints {
-		l, err := r.linkTo(relay, i, endpoint)
+		l, err := r.linkEndpoint(relay, i, endpoint)
 		if err != nil {
 			return err
 		}
@@ -181,8 +181,8 @@
 	return err
 }
 
-// linkTo makes the link from a relay to one endpoint.
-func (r *run) linkTo(relay *relay, number int, endpoint *model.Endpoint) (*link.Link, error) {
+// linkEndpoint makes the link from a relay to one endpoint.
+func (r *run) linkEndpoint(relay *relay, number int, endpoint *model.Endpoint) (*link.Link, error) {
 	const seedsPerRelay = 1000
 	seed := r.seed + uint64(relay.number*seedsPerRelay+number)
 	l, err := r.world.Net.Listen(relay.name, endpoint.ID, r.address(), endpoint.Addr(), seed, r.recordLostCall)
--- a/internal/faultlab/command/bench.go
+++ b/internal/faultlab/command/bench.go
@@ -21,7 +21,7 @@
 			if o.Registry, err = findProgram(program, "registry", "registry"); err != nil {
 				return err
 			}
-			o.Out, o.Printf = benchOut(c, o.Out, "registry")
+			o.Out, o.Printf = benchOutput(c, o.Out, "registry")
 			rows, err := faultlab.BenchRegistry(c.Context(), o)
 			if err != nil {
 				return err
@@ -53,7 +53,7 @@
 			if o.Controller, err = findProgram(controller, "controller", "controller"); err != nil {
 				return err
 			}
-			o.Out, o.Printf = benchOut(c, o.Out, "duty")
+			o.Out, o.Printf = benchOutput(c, o.Out, "duty")
 			rows, err := faultlab.BenchLeader(c.Context(), o)
 			if err != nil {
 				return err
@@ -75,7 +75,7 @@
 	o := faultlab.WALBenchOptions{}
 	w := &cobra.Command{Use: "wal", Short: "The relay's log: starts, writes, stalls, beside the log before it", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			o.Out, o.Printf = benchOut(c, o.Out, "wal")
+			o.Out, o.Printf = benchOutput(c, o.Out, "wal")
 			rows, err := faultlab.BenchWAL(c.Context(), o)
 			if err != nil {
 				return err
@@ -90,8 +90,8 @@
 	return w
 }
 
-// benchOut returns a benchmark's folder and the function that prints its lines.
-func benchOut(c *cobra.Command, out, name string) (string, func(string, ...any)) {
+// benchOutput returns a benchmark's folder and the function that prints its lines.
+func benchOutput(c *cobra.Command, out, name string) (string, func(string, ...any)) {
 	if out == "" {
 		out = filepath.Join("lab-out", "bench-"+name+"-"+time.Now().Format("20060102T150405"))
 	}
--- a/internal/faultlab/command/bench_scale.go
+++ b/internal/faultlab/command/bench_scale.go
@@ -20,10 +20,10 @@
 	c := &cobra.Command{Use: "scale", Short: "What each role costs at several sizes, as slopes up to the target size", Args: exactArgs(0),
 		Long: "What each role costs at several sizes, as slopes up to the target size.\n\nJobs: " + strings.Join(capacity.Names(), ", "),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
-			if err := findPrograms(&o); err != nil {
+			if err := resolveBenchPrograms(&o); err != nil {
 				return err
 			}
-			o.Out, o.Printf = benchOut(c, o.Out, "scale")
+			o.Out, o.Printf = benchOutput(c, o.Out, "scale")
 			result, err := capacity.Run(c.Context(), o)
 			if result == nil {
 				return usageError{err}
@@ -45,9 +45,9 @@
 	return c
 }
 
-// findPrograms resolves the paths of the programs, with defaults for those that no flag
+// resolveBenchPrograms resolves the paths of the programs, with defaults for those that no flag
 // names.
-func findPrograms(o *capacity.Options) error {
+func resolveBenchPrograms(o *capacity.Options) error {
 	for _, program := range []struct {
 		path        *string
 		defaultName string
--- a/internal/faultlab/command/play.go
+++ b/internal/faultlab/command/play.go
@@ -195,7 +195,7 @@
 	return nil
 }
 
-func statusLine(w io.Writer) func(*faultlab.Status) {
+func statusPrinter(w io.Writer) func(*faultlab.Status) {
 	return func(s *faultlab.Status) {
 		fmt.Fprintf(w, "%5.0f s  served %d  waiting %d  refused %d  given up %d  p50 %.0f ms  p99 %.0f ms  relays %d/%d  faults %d\n", s.Elapsed.Seconds(),
 			s.Delivered, s.Pending, s.Rejected, s.Failed, s.P50.Seconds()*1e3, s.P99.Seconds()*1e3, s.Up, s.Fleet, s.Faults)
--- a/internal/faultlab/command/run.go
+++ b/internal/faultlab/command/run.go
@@ -18,7 +18,7 @@
 			s.Seconds = seconds
 			fmt.Fprintf(c.OutOrStdout(), "%d relays, %d endpoints of %d destinations in zones %s, %.0f messages a second; Ctrl-C ends it with a report\n",
 				s.Fleet.Relays, s.Upstreams.Endpoints, s.Upstreams.Destinations, strings.Join(s.Fleet.Zones, ", "), s.Load.Rate)
-			summary, err := f.runScenario(c, &s, statusLine(c.OutOrStdout()))
+			summary, err := f.runScenario(c, &s, statusPrinter(c.OutOrStdout()))
 			return printVerdict(c.OutOrStdout(), summary, err)
 		}}
 	f.add(c)
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			summary, err := f.runScenario(c, s, statusLine(c.OutOrStdout()))
+			summary, err := f.runScenario(c, s, statusPrinter(c.OutOrStdout()))
 			return printVerdict(c.OutOrStdout(), summary, err)
 		}}
 	f.add(c)
--- a/internal/faultlab/command/scale_test.go
+++ b/internal/faultlab/command/scale_test.go
@@ -36,12 +36,12 @@
 		}
 	}
 	if got := strings.Join(lines["CPU"], " "); got != "2 % of a core 3 % of a core 1.500" {
-		t.Errorf("CPU: %q in\n%s", got, out)
+		t.Errorf("line of CPU: got %q in\n%s", got, out)
 	}
 	if got := strings.Join(lines["only a"], " "); !strings.HasPrefix(got, "1 -") {
-		t.Errorf("only a: %q", got)
+		t.Errorf("line of \"only a\": got %q, want a value only for the first run", got)
 	}
 	if got := strings.Join(lines["only b"], " "); !strings.HasPrefix(got, "- 3") {
-		t.Errorf("only b: %q", got)
+		t.Errorf("line of \"only b\": got %q, want a value only for the second run", got)
 	}
 }
--- a/internal/faultlab/command/sweep.go
+++ b/internal/faultlab/command/sweep.go
@@ -57,7 +57,7 @@
 		return usageError{fmt.Errorf("--set %q: KEY=VALUE,VALUE is wanted", set)}
 	}
 	s.key, s.values = key, strings.Split(list, ",")
-	if s.firstSeed, s.lastSeed, err = seedRange(seeds); err != nil {
+	if s.firstSeed, s.lastSeed, err = parseSeedRange(seeds); err != nil {
 		return usageError{err}
 	}
 	text, err := os.ReadFile(path)
@@ -103,8 +103,8 @@
 	return all, nil
 }
 
-// seedRange parses FIRST-LAST, or a single seed.
-func seedRange(s string) (from, to uint64, err error) {
+// parseSeedRange parses FIRST-LAST, or a single seed.
+func parseSeedRange(s string) (from, to uint64, err error) {
 	first, last, isRange := strings.Cut(s, "-")
 	if !isRange {
 		last = first
--- a/internal/faultlab/controllers.go
+++ b/internal/faultlab/controllers.go
@@ -103,7 +103,7 @@
 	c.mu.Lock()
 	c.process = p
 	c.mu.Unlock()
-	r.watchNode(c.name, p)
+	r.watchServiceProcess(c.name, p)
 	return nil
 }
 
@@ -116,7 +116,7 @@
 // signal sends a signal to the current process; after SIGKILL it waits until the
 // process has ended.
 func (c *controller) signal(s syscall.Signal) {
-	c.group.run.signalNode(c.name, c.currentProcess(), s)
+	c.group.run.signalServiceProcess(c.name, c.currentProcess(), s)
 }
 
 // setCut cuts the controller off from all nodes in one direction or both, or
@@ -175,19 +175,20 @@
 			errs = append(errs, err)
 		case !ok:
 		case step.outcome != "":
-			s.answer(step.outcome, step.loggedAt.Add(logPrecision).UnixMicro())
+			s.recordAnswer(step.outcome, step.loggedAt.Add(logPrecision).UnixMicro())
 		default:
-			s.answer(history.StepUnanswered, 0)
+			s.recordAnswer(history.StepUnanswered, 0)
 			s.requested = &history.Event{Kind: history.RoleStep, Relay: s.controller, Text: leader.Counter,
 				Status: step.count, ValidFor: step.token, SentAt: step.loggedAt.UnixMicro()}
 		}
 	}
-	s.answer(history.StepUnanswered, 0)
+	s.recordAnswer(history.StepUnanswered, 0)
 	return errors.Join(append(errs, lines.Err())...)
 }
 
-// answer records the requested step, if there is one, with its outcome.
-func (s *stepReader) answer(outcome string, answeredAt int64) {
+// recordAnswer records the requested step, if there is one, with its outcome and the
+// time of its answer.
+func (s *stepReader) recordAnswer(outcome string, answeredAt int64) {
 	if s.requested == nil {
 		return
 	}
--- a/internal/faultlab/fault_controller.go
+++ b/internal/faultlab/fault_controller.go
@@ -15,14 +15,14 @@
 func (g *group) injectControllerFaults(ctx context.Context, step Step) error {
 	targets := step.Targets
 	if step.Fault.Node == scenario.NodeHolder {
-		targets = g.leadersOf(ctx, cmp.Or(step.Fault.Role, leader.Counter))
+		targets = g.roleLeaders(ctx, cmp.Or(step.Fault.Role, leader.Counter))
 	}
 	return g.run.forEach(targets, func(i int) error { return g.injectControllerFault(ctx, step, g.controllers[i]) })
 }
 
-// leadersOf returns the number of the controller that leads a role. It returns none if
+// roleLeaders returns the number of the controller that leads a role. It returns none if
 // nobody leads the role, or if the service does not answer because the load is over.
-func (g *group) leadersOf(ctx context.Context, role string) (leaders []int) {
+func (g *group) roleLeaders(ctx context.Context, role string) (leaders []int) {
 	var list registry.RoleList
 	if _, err := g.client.Do(ctx, http.MethodGet, registry.RolesPath, nil, &list); err != nil {
 		return nil
--- a/internal/faultlab/fault_relay.go
+++ b/internal/faultlab/fault_relay.go
@@ -101,7 +101,7 @@
 func (r *run) changeState(step Step, target *relay, backupDir string) (change string, err error) {
 	switch {
 	case step.Fault.Folder == scenario.FolderLost:
-		return history.FolderLost, r.loseState(target)
+		return history.FolderLost, r.deleteState(target)
 	case step.Fault.Folder == scenario.FolderOlder:
 		if err := errors.Join(os.RemoveAll(target.stateDir()), os.Rename(backupDir, target.stateDir())); err != nil {
 			return "", fmt.Errorf("folder of %s: %w", target.name, err)
@@ -113,9 +113,9 @@
 	return "", nil
 }
 
-// loseState removes a relay's state. The clients submit its pending messages again
+// deleteState removes a relay's state. The clients submit its pending messages again
 // where that is safe: those of idempotent classes.
-func (r *run) loseState(target *relay) error {
+func (r *run) deleteState(target *relay) error {
 	if err := os.RemoveAll(target.stateDir()); err != nil {
 		return fmt.Errorf("folder of %s: %w", target.name, err)
 	}
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -107,13 +107,14 @@
 	failingCalls := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.45\n" // a fraction below 0.5 does not count as an outage
 	lostResponses := "[[fault]]\nkind = \"lose\"\nat = 0\nfor = 60\nfactor = 1\n"
 	outage := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 1\n"
-	drain := strings.Replace(stubScenario, "seconds = 4", "seconds = 8", 1) + "[[fault]]\nkind = \"drain\"\nat = 1\nfor = 7\nshare = 0.5\n"
+	drainScenario := strings.Replace(stubScenario, "seconds = 4", "seconds = 8", 1) + "[[fault]]\nkind = \"drain\"\nat = 1\nfor = 7\nshare = 0.5\n"
 	invalidPeers := "[bad_peers]\nevery = 0.3\n"
 	for _, test := range []struct {
 		defect        stub.Defect
 		extraScenario string
-		mayViolate    []checker.Rule // that the defect may violate; it must violate the first
+		mayViolate    []checker.Rule // rules that the defect may violate; it must violate the first
 	}{
+		// Without a defect, no rule may be violated.
 		{"", "[bad_peers]\nevery = 0.3\n[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.3\n[[fault]]\nkind = \"hup\"\nat = 2\n", nil},
 		{stub.Drop, "", []checker.Rule{"end"}},
 		{stub.Late, tightLimits, []checker.Rule{"end"}},
@@ -122,7 +123,7 @@
 		{stub.SecondCopy, "", []checker.Rule{"one-out"}},
 		{stub.Thirteen, lostResponses, []checker.Rule{"attempts"}},
 		{stub.IgnoreWait, tightLimits, []checker.Rule{"wait"}},
-		{stub.IgnoreDrain, drain, []checker.Rule{"drain"}},
+		{stub.IgnoreDrain, drainScenario, []checker.Rule{"drain"}},
 		{stub.AfterEnd, "", []checker.Rule{"after-end"}},
 		{stub.BusySent, "", []checker.Rule{"refused"}},
 		{stub.AnswerTwice, "", []checker.Rule{"answer"}},
@@ -139,7 +140,7 @@
 		t.Run("defect "+string(test.defect), func(t *testing.T) {
 			t.Parallel()
 			text := stubScenario + test.extraScenario
-			if strings.HasPrefix(test.extraScenario, "\nseconds") {
+			if strings.HasPrefix(test.extraScenario, "\nseconds") { // a whole scenario, which holds stubScenario already
 				text = test.extraScenario
 			}
 			verdict := runStub(t, test.defect, text).Verdict
@@ -269,7 +270,7 @@
 
 // TestRunCancelledEarlyViolatesNoRule cancels a run at several times: while the relays
 // start, and under load. The run must end with a verdict without violations, or with
-// the error that no relay was ready yet.
+// the error that the relays were not ready yet.
 func TestRunCancelledEarlyViolatesNoRule(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond} {
--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -49,18 +49,18 @@
 // counterLine matches a line of the controller's log about a counter step.
 var counterLine = regexp.MustCompile(`^time=(\S+) .*msg=(` + messagePattern() + `) .*count=(\d+) token=(\d+)`)
 
-// messagePattern matches any message about a step.
+// messagePattern returns a pattern that matches any message about a step.
 func messagePattern() string {
 	var patterns []string
 	for message := range stepOutcomes {
-		patterns = append(patterns, logText(message))
+		patterns = append(patterns, logPattern(message))
 	}
 	return strings.Join(patterns, "|")
 }
 
-// logText is a pattern for a message as slog's text handler writes it: quoted
-// where it holds a space.
-func logText(message string) string {
+// logPattern returns a pattern that matches a message as slog's text handler writes
+// it: quoted where it holds a space.
+func logPattern(message string) string {
 	if strings.Contains(message, " ") {
 		message = strconv.Quote(message)
 	}
--- a/internal/faultlab/logparse_test.go
+++ b/internal/faultlab/logparse_test.go
@@ -26,10 +26,10 @@
 	} {
 		step, ok, err := parseCounterStep(line)
 		if err != nil || ok != want.ok || step.outcome != want.outcome {
-			t.Errorf("%s: %+v, %v, %v; want %+v", line, step, ok, err, want)
+			t.Errorf("%s: got %+v, %v, %v; want %+v", line, step, ok, err, want)
 		}
 		if ok && (step.count != 7 || step.token != 3 || step.loggedAt.UnixMilli()%1000 != 250) {
-			t.Errorf("%s: %+v", line, step)
+			t.Errorf("%s: got %+v, want count 7, token 3 and a time with 250 ms", line, step)
 		}
 	}
 	if _, ok, err := parseCounterStep("time=yesterday msg=counts count=7 token=3"); !ok || err == nil {
--- a/internal/faultlab/node.go
+++ b/internal/faultlab/node.go
@@ -99,12 +99,12 @@
 	n.mu.Lock()
 	n.process = p
 	n.mu.Unlock()
-	r.watchNode(n.name, p)
+	r.watchServiceProcess(n.name, p)
 	return nil
 }
 
-// watchNode records the start and the end of a process of a node or a controller.
-func (r *run) watchNode(name string, p *process.Process) {
+// watchServiceProcess records the start and the end of a process of a node or a controller.
+func (r *run) watchServiceProcess(name string, p *process.Process) {
 	r.recorder.Record(history.Event{Kind: history.ProcessStarted, Relay: name, PID: p.PID, Text: history.NodeProcess})
 	r.start(func() {
 		<-p.Done()
@@ -121,12 +121,12 @@
 // signal sends a signal to the current process; after SIGKILL it waits until the
 // process has ended.
 func (n *node) signal(s syscall.Signal) {
-	n.group.run.signalNode(n.name, n.currentProcess(), s)
+	n.group.run.signalServiceProcess(n.name, n.currentProcess(), s)
 }
 
-// signalNode records a signal to a process of a node or a controller and sends it;
+// signalServiceProcess records a signal to a process of a node or a controller and sends it;
 // after SIGKILL it waits until the process has ended.
-func (r *run) signalNode(name string, p *process.Process, s syscall.Signal) {
+func (r *run) signalServiceProcess(name string, p *process.Process, s syscall.Signal) {
 	if s == syscall.SIGKILL {
 		r.recorder.Record(history.Event{Kind: history.ProcessSignaled, Relay: name, PID: p.PID, Text: s.String()})
 		p.Kill()
--- a/internal/faultlab/relay.go
+++ b/internal/faultlab/relay.go
@@ -43,7 +43,7 @@
 	mu        sync.Mutex
 	operator  string // address for operators; empty without controllers
 	process   *process.Process
-	ready     bool
+	ready     bool // the current process serves clients
 	shouldRun bool // false once the lab has told the process to end
 }
 
--- a/internal/faultlab/scale_phases.go
+++ b/internal/faultlab/scale_phases.go
@@ -59,17 +59,18 @@
 		submitting.Add(1)
 		go func() { defer submitting.Done(); clients.run(loadCtx, i) }()
 	}
-	r.signal(func(p *simProcess) error { return p.process.Signal(simrelay.StartTraffic) })
+	r.forEachSimProcess(func(p *simProcess) error { return p.process.Signal(simrelay.StartTraffic) })
 	before := r.simStatus().Counts.Accepted
 	r.measurePhase(phaseLoad, scenario.Seconds(r.scenario.Seconds))
 	r.results.Rate = float64(r.simStatus().Counts.Accepted-before) / r.scenario.Seconds
 	cancel()
-	r.signal(func(p *simProcess) error { return p.process.Signal(simrelay.StopTraffic) })
+	r.forEachSimProcess(func(p *simProcess) error { return p.process.Signal(simrelay.StopTraffic) })
 	submitting.Wait()
 }
 
-// signal calls f for each process of simulated relays; an error fails the run.
-func (r *scaleRun) signal(f func(*simProcess) error) {
+// forEachSimProcess calls f for each process of simulated relays; an error fails the
+// run.
+func (r *scaleRun) forEachSimProcess(f func(*simProcess) error) {
 	for _, simulated := range r.simProcesses {
 		if err := f(simulated); err != nil {
 			r.failure.set(err)
--- a/internal/faultlab/scale_results.go
+++ b/internal/faultlab/scale_results.go
@@ -60,7 +60,7 @@
 		return errors.Join(r.failure.get(), err)
 	}
 	r.isFinishing.Store(true)
-	r.signal(func(simulated *simProcess) error { return simulated.process.Signal(simrelay.Finish) })
+	r.forEachSimProcess(func(simulated *simProcess) error { return simulated.process.Signal(simrelay.Finish) })
 	resultCtx, cancel := context.WithTimeout(r.ctx, scaleResultTimeout)
 	defer cancel()
 	var relays []simrelay.RelayResult
@@ -87,7 +87,7 @@
 // addFigures adds the figures of a run that has ended to its result.
 func (r *scaleRun) addFigures(relays []simrelay.RelayResult) {
 	for _, role := range r.roles {
-		r.results.Roles = append(r.results.Roles, role.finish(r.scenario.Scale.Speed))
+		r.results.Roles = append(r.results.Roles, role.finalCost(r.scenario.Scale.Speed))
 	}
 	r.results.compareRoles(simRelayRole, realRelayRole)
 	var control, load []scaleChange
--- a/internal/faultlab/scale_role.go
+++ b/internal/faultlab/scale_role.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// finish returns the role's cost; speed is the factor by which changes were
+// finalCost returns the role's cost; speed is the factor by which changes were
 // accelerated.
-func (r *role) finish(speed float64) ScaleRole {
+func (r *role) finalCost(speed float64) ScaleRole {
 	r.cost.Name, r.cost.Units = r.name, r.units
 	idle, control := r.cost.Phases[phaseIdle], r.cost.Phases[phaseControl]
 	r.cost.DayCPU = idle.CPU + (control.CPU-idle.CPU)/speed
