--- a/internal/faultlab/bench_controllers.go
+++ b/internal/faultlab/bench_controllers.go
@@ -20,17 +20,17 @@
 const (
 	benchControllers = 5
 	benchRole        = leader.RegistrationExpiry
-	healthyMargin    = 200 * time.Millisecond // beyond a time to live, until a leader counts as healthy
+	healthyMargin    = 200 * time.Millisecond // beyond the time to live, until a new leader counts as healthy
 )
 
-// benchControllerSet is the processes that compete for benchRole.
+// benchControllerSet is a set of controller processes that compete for benchRole.
 type benchControllerSet struct {
 	group     *benchGroup
 	program   string
 	ttl       time.Duration
 	client    *client.Client
 	processes map[string]*process.Process
-	links     map[string][]*link.Link // of each controller to each node; none if nobody is cut off
+	links     map[string][]*link.Link // to each node, by controller; empty if no controller is to be cut off
 }
 
 // start starts one controller.
@@ -82,7 +82,8 @@
 	}
 }
 
-// awaitGrant waits for a grant of benchRole after a token, and for so many sessions.
+// awaitGrant waits for a grant of benchRole whose token is greater than after, with at
+// least the given number of sessions open.
 func (s *benchControllerSet) awaitGrant(ctx context.Context, after int64, sessions int) (registry.Role, error) {
 	revision := int64(0)
 	for ctx.Err() == nil {
@@ -101,9 +102,9 @@
 	return registry.Role{}, ctx.Err()
 }
 
-// measureCuts cuts the leader off again and again, and returns how long it took
-// until the next one led, in milliseconds.
-func (s *benchControllerSet) measureCuts(ctx context.Context, count int) (took []float64, err error) {
+// measureCuts cuts the leader off count times, and returns how long it took each time
+// until another controller led, in milliseconds.
+func (s *benchControllerSet) measureCuts(ctx context.Context, count int) (durations []float64, err error) {
 	defer s.close()
 	s.links = map[string][]*link.Link{}
 	net := link.NewNet()
@@ -119,24 +120,24 @@
 	for range count {
 		grant, err := s.awaitGrant(ctx, token, benchControllers)
 		if err != nil {
-			return took, err
+			return durations, err
 		}
 		model.Sleep(ctx, s.ttl+healthyMargin)
-		began := time.Now()
+		cutAt := time.Now()
 		s.setCut(grant.Controller, true)
 		if _, err = s.awaitGrant(ctx, grant.Token, 0); err != nil {
-			return took, err
+			return durations, err
 		}
-		took = append(took, toMillis(time.Since(began)))
+		durations = append(durations, toMillis(time.Since(cutAt)))
 		token = grant.Token
 		s.setCut(grant.Controller, false)
 	}
-	return took, nil
+	return durations, nil
 }
 
-// measureKills ends the leader by a signal again and again, and returns how long
-// nobody led, in milliseconds.
-func (s *benchControllerSet) measureKills(ctx context.Context, count int, signal syscall.Signal) (took []float64, err error) {
+// measureKills ends the leader by a signal count times, and returns how long it took
+// each time until another controller led, in milliseconds.
+func (s *benchControllerSet) measureKills(ctx context.Context, count int, signal syscall.Signal) (durations []float64, err error) {
 	defer s.close()
 	for i := range benchControllers {
 		if err := s.start(controllerName(i)); err != nil {
@@ -147,28 +148,29 @@
 	for n := range count {
 		grant, err := s.awaitGrant(ctx, token, benchControllers)
 		if err != nil {
-			return took, err
+			return durations, err
 		}
 		if signal == syscall.SIGKILL {
 			model.Sleep(ctx, s.ttl+healthyMargin)
 		}
-		began := time.Now()
+		signaledAt := time.Now()
 		if err := s.processes[grant.Controller].Signal(signal); err != nil {
-			return took, err
+			return durations, err
 		}
 		if _, err := s.awaitGrant(ctx, grant.Token, 0); err != nil {
-			return took, err
+			return durations, err
 		}
-		took = append(took, toMillis(time.Since(began)))
+		durations = append(durations, toMillis(time.Since(signaledAt)))
 		token = grant.Token
 		if err := s.replace(grant.Controller, n); err != nil {
-			return took, err
+			return durations, err
 		}
 	}
-	return took, nil
+	return durations, nil
 }
 
-// replace ends a controller and starts another in its place.
+// replace ends a controller and starts another in its place, under a name that holds
+// the generation.
 func (s *benchControllerSet) replace(name string, generation int) error {
 	s.processes[name].Kill()
 	delete(s.processes, name)
--- a/internal/faultlab/bench_fanout.go
+++ b/internal/faultlab/bench_fanout.go
@@ -14,15 +14,16 @@
 
 const (
 	fanOutTimeout = 30 * time.Second       // for a write to reach all watchers
-	memorySettle  = 500 * time.Millisecond // after all watchers opened
-	groupDowntime = time.Second            // for which the group is gone
+	memorySettle  = 500 * time.Millisecond // wait after all watchers have opened, before memory is measured
+	groupDowntime = time.Second            // how long the group is stopped
 )
 
-// errNotDelivered is a write that did not reach all watchers in time.
-var errNotDelivered = errors.New("bench: a write never came to all watchers")
+// errNotDelivered reports a write that did not reach all watchers in time.
+var errNotDelivered = errors.New("bench: a write did not reach all watchers in time")
 
-// measureFanOut measures the way of a write to the last of many watchers, what a
-// watcher costs in memory, and how soon all are back after the group was gone.
+// measureFanOut measures how long a write takes to reach the last of many watchers, how
+// much memory a watcher costs the nodes, and how soon all watchers have reconnected
+// after the group was stopped.
 func (b *registryBench) measureFanOut(ctx context.Context, watchers, members int, poll bool) error {
 	c, err := b.startReady(ctx, benchNodes, members)
 	if err != nil {
@@ -34,44 +35,45 @@
 	if poll {
 		name = fmt.Sprintf("%d polls every second, %d members", watchers, members)
 	}
-	before := b.rss()
-	watching, cancel := context.WithCancel(ctx)
-	w := &watcherSet{}
-	defer func() { cancel(); w.wait() }()
-	w.start(watching, b.http, watchers, poll)
-	if err := w.awaitOpen(ctx, 0); err != nil {
+	rssBefore := b.rss()
+	watchCtx, cancel := context.WithCancel(ctx)
+	watcherSet := &watcherSet{}
+	defer func() { cancel(); watcherSet.wait() }()
+	watcherSet.start(watchCtx, b.http, watchers, poll)
+	if err := watcherSet.awaitOpen(ctx, 0); err != nil {
 		return err
 	}
 	model.Sleep(ctx, memorySettle)
 	if !poll {
 		const kilobyte = 1024
-		b.figures.add(name+": KB of all three nodes, a watcher", []float64{(b.rss() - before) / kilobyte / float64(watchers)})
+		b.figures.add(name+": KB of all three nodes, a watcher", []float64{(b.rss() - rssBefore) / kilobyte / float64(watchers)})
 	}
-	took, err := b.timeWrites(ctx, c, w)
+	durations, err := b.timeWrites(ctx, c, watcherSet)
 	if err != nil {
 		return err
 	}
-	b.figures.add(name+": ms from the write's answer to the last", took)
+	b.figures.add(name+": ms from the write's answer to the last", durations)
 	if poll || members != fewMembers {
 		return nil
 	}
-	back, err := b.timeReturns(ctx, w)
+	reconnectTimes, err := b.timeReconnects(ctx, watcherSet)
 	if err != nil {
 		return err
 	}
-	b.figures.add(name+": ms from the group's start until all are back", back)
+	b.figures.add(name+": ms from the group's start until all are back", reconnectTimes)
 	return nil
 }
 
-// timeWrites times writes from their answers until the last watcher has them.
-func (b *registryBench) timeWrites(ctx context.Context, c *client.Client, w *watcherSet) (took []float64, err error) {
+// timeWrites measures, for each write, the time from its answer until the last watcher
+// has received it.
+func (b *registryBench) timeWrites(ctx context.Context, c *client.Client, set *watcherSet) (durations []float64, err error) {
 	for n := range b.options.Writes {
-		// The revision of a write is not known before: the next one is awaited.
+		// A write's revision is not known in advance; it is the one after the current.
 		var list discovery.List
-		if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistent, nil, &list); err != nil {
+		if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistentQuery, nil, &list); err != nil {
 			return nil, fmt.Errorf("bench: %w", err)
 		}
-		arrived := w.expect(list.Revision + 1)
+		arrived := set.expectRevision(list.Revision + 1)
 		if err := benchWrite(ctx, c, "f", n); err != nil {
 			return nil, fmt.Errorf("bench: %w", err)
 		}
@@ -83,25 +85,26 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		took = append(took, max(0, toMillis(w.lastArrival().Sub(answered))))
+		durations = append(durations, max(0, toMillis(set.lastArrival().Sub(answered))))
 	}
-	return took, nil
+	return durations, nil
 }
 
-// timeReturns times how soon all watchers are back after the group was gone.
-func (b *registryBench) timeReturns(ctx context.Context, w *watcherSet) (took []float64, err error) {
-	for range benchPlays {
+// timeReconnects measures how soon all watchers have reconnected after the group was
+// stopped.
+func (b *registryBench) timeReconnects(ctx context.Context, set *watcherSet) (durations []float64, err error) {
+	for range benchRepeats {
 		b.stop()
-		opened := w.opened.Load()
+		opened := set.opened.Load()
 		model.Sleep(ctx, groupDowntime)
-		began := time.Now()
+		restartedAt := time.Now()
 		if err := b.startNodes(); err != nil {
 			return nil, err
 		}
-		if err := w.awaitOpen(ctx, opened); err != nil {
+		if err := set.awaitOpen(ctx, opened); err != nil {
 			return nil, err
 		}
-		took = append(took, toMillis(time.Since(began)))
+		durations = append(durations, toMillis(time.Since(restartedAt)))
 	}
-	return took, nil
+	return durations, nil
 }
--- a/internal/faultlab/bench_kills.go
+++ b/internal/faultlab/bench_kills.go
@@ -12,13 +12,13 @@
 
 const (
 	leaderPoll    = 50 * time.Millisecond
-	maxKillDelay  = 300                    // ms, drawn, before each kill
+	maxKillDelay  = 300                    // ms; the delay before each kill is drawn below this
 	writeTimeout  = 200 * time.Millisecond // short, so that the client's own backoff is not measured
-	followTimeout = 10 * time.Second       // for a restarted node to follow
+	followTimeout = 10 * time.Second       // for a restarted node to follow a leader
 	followPoll    = 20 * time.Millisecond
 )
 
-// measureKills measures how long no write is taken after the leader was killed.
+// measureKills measures how long the group accepts no write after its leader is killed.
 func (b *registryBench) measureKills(ctx context.Context, members, kills int) error {
 	c, err := b.startReady(ctx, benchNodes, members)
 	if err != nil {
@@ -27,7 +27,7 @@
 	defer b.stop()
 	defer c.Close()
 	random := rand.New(rand.NewPCG(b.options.Seed, 1))
-	var took []float64
+	var durations []float64
 	for n := range kills {
 		leader := findLeader(b.http)
 		if leader < 0 {
@@ -36,23 +36,23 @@
 		}
 		model.Sleep(ctx, time.Duration(random.IntN(maxKillDelay))*time.Millisecond)
 		b.processes[leader].Kill()
-		began := time.Now()
+		killedAt := time.Now()
 		awaitWrite(ctx, c, n)
-		took = append(took, toMillis(time.Since(began)))
+		durations = append(durations, toMillis(time.Since(killedAt)))
 		if err := b.startNode(leader); err != nil {
 			return err
 		}
 		awaitFollower(ctx, b.http[leader])
 	}
-	b.figures.add(fmt.Sprintf("%d members: ms without a leader after its kill, until a write is taken", members), took)
+	b.figures.add(fmt.Sprintf("%d members: ms without a leader after its kill, until a write is taken", members), durations)
 	return nil
 }
 
-// awaitWrite writes until a write is taken, or ctx ends.
+// awaitWrite writes until a write is accepted, or ctx ends.
 func awaitWrite(ctx context.Context, c *client.Client, number int) {
 	for ctx.Err() == nil {
-		short, cancel := context.WithTimeout(ctx, writeTimeout)
-		err := benchWrite(short, c, "z", number)
+		writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+		err := benchWrite(writeCtx, c, "z", number)
 		cancel()
 		if err == nil {
 			return
@@ -60,9 +60,9 @@
 	}
 }
 
-// awaitFollower waits until a node follows a leader, no longer than followTimeout.
+// awaitFollower waits until a node follows a leader, but no longer than followTimeout.
 func awaitFollower(ctx context.Context, addr string) {
-	for end := time.Now().Add(followTimeout); time.Now().Before(end); model.Sleep(ctx, followPoll) {
+	for deadline := time.Now().Add(followTimeout); time.Now().Before(deadline); model.Sleep(ctx, followPoll) {
 		if status, err := nodeStatus(addr); err == nil && !status.Stale && status.Leader != "" {
 			return
 		}
--- a/internal/faultlab/bench_leader.go
+++ b/internal/faultlab/bench_leader.go
@@ -22,25 +22,25 @@
 
 const (
 	handoverTTL  = 2 * time.Second
-	roleTTL      = 3 * time.Second // of the sessions whose cost is measured
+	roleTTL      = 3 * time.Second // time to live of the sessions whose cost is measured
 	rolePoll     = 20 * time.Millisecond
 	roleWarmUp   = 4 * time.Second // until all roles are marked as healthy
-	roleCostTime = 3 * time.Second // of one measurement
+	roleCostTime = 3 * time.Second // length of one measurement
 )
 
-// errKillsPerTTL is a benchmark without a number of kills for each time to live.
-var errKillsPerTTL = errors.New("bench: as many kills as times to live are wanted")
+// errKillsPerTTL reports options whose Kills and TTL differ in length.
+var errKillsPerTTL = errors.New("bench: the numbers of kills and of times to live differ")
 
-// LeaderBenchOptions say what of the leader election is measured.
+// LeaderBenchOptions selects what is measured of the leader election.
 type LeaderBenchOptions struct {
 	Registry   string // the list service's program
 	Controller string // the controllers' program
-	Out        string // folder
+	Out        string // folder of the data and logs
 	TTL        []time.Duration
-	Kills      []int // of the leader, for each time to live
+	Kills      []int // kills of the leader, one number for each TTL
 	Handovers  int
-	Cuts       int   // of the leader from all nodes, for each time to live
-	Roles      []int // whose cost is measured
+	Cuts       int   // times that the leader is cut off from all nodes, for each TTL
+	Roles      []int // numbers of roles whose cost is measured
 	Printf     Printf
 }
 
@@ -63,23 +63,24 @@
 	}
 	b := &leaderBench{options: o, dir: dir,
 		figures: &figures{printf: o.Printf, format: "%-72s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f"}}
-	for _, measure := range []func(context.Context) error{b.failures, b.handovers, b.costs} {
+	for _, measure := range []func(context.Context) error{b.measureFailures, b.measureHandovers, b.measureCosts} {
 		if err := measure(ctx); err != nil {
-			return b.figures.all, err
+			return b.figures.spreads, err
 		}
 	}
-	return b.figures.all, nil
+	return b.figures.spreads, nil
 }
 
-// failures measures cuts and kills of the leader, side by side: mostly they wait.
-func (b *leaderBench) failures(ctx context.Context) error {
+// measureFailures measures cuts and kills of the leader for all times to live
+// concurrently, since the measurements mostly wait.
+func (b *leaderBench) measureFailures(ctx context.Context) error {
 	var measuring errgroup.Group
 	for i, ttl := range b.options.TTL {
 		if b.options.Cuts > 0 {
 			measuring.Go(func() error {
 				return b.withControllers(ctx, "cut-"+ttl.String(), ttl, func(s *benchControllerSet) error {
-					took, err := s.measureCuts(ctx, b.options.Cuts)
-					b.figures.add(fmt.Sprintf("time to live %v: ms from the holder's cut to the next one", ttl), took)
+					durations, err := s.measureCuts(ctx, b.options.Cuts)
+					b.figures.add(fmt.Sprintf("time to live %v: ms from the holder's cut to the next one", ttl), durations)
 					return err
 				})
 			})
@@ -87,8 +88,8 @@
 		if kills := b.options.Kills[i]; kills > 0 {
 			measuring.Go(func() error {
 				return b.withControllers(ctx, "kill-"+ttl.String(), ttl, func(s *benchControllerSet) error {
-					took, err := s.measureKills(ctx, kills, syscall.SIGKILL)
-					b.figures.add(fmt.Sprintf("time to live %v: ms without a holder after its kill", ttl), took)
+					durations, err := s.measureKills(ctx, kills, syscall.SIGKILL)
+					b.figures.add(fmt.Sprintf("time to live %v: ms without a holder after its kill", ttl), durations)
 					return err
 				})
 			})
@@ -97,20 +98,20 @@
 	return measuring.Wait()
 }
 
-// handovers measures graceful shutdowns of the leader.
-func (b *leaderBench) handovers(ctx context.Context) error {
+// measureHandovers measures graceful shutdowns of the leader.
+func (b *leaderBench) measureHandovers(ctx context.Context) error {
 	if b.options.Handovers == 0 {
 		return nil
 	}
 	return b.withControllers(ctx, "handover", handoverTTL, func(s *benchControllerSet) error {
-		took, err := s.measureKills(ctx, b.options.Handovers, syscall.SIGTERM)
-		b.figures.add("ms from SIGTERM of the holder to the next one", took)
+		durations, err := s.measureKills(ctx, b.options.Handovers, syscall.SIGTERM)
+		b.figures.add("ms from SIGTERM of the holder to the next one", durations)
 		return err
 	})
 }
 
-// costs measures what roles cost the list service.
-func (b *leaderBench) costs(ctx context.Context) error {
+// measureCosts measures what roles cost the list service.
+func (b *leaderBench) measureCosts(ctx context.Context) error {
 	for _, roles := range b.options.Roles {
 		err := b.withGroup(ctx, fmt.Sprint("load-", roles), func(g *benchGroup, c *client.Client) error {
 			used, err := g.roleCost(ctx, c, roles)
@@ -126,7 +127,8 @@
 	return nil
 }
 
-// withGroup calls measure with a group of its own, in a folder of that name.
+// withGroup calls measure with a new group and a client of it, in a folder of the given
+// name.
 func (b *leaderBench) withGroup(ctx context.Context, name string, measure func(*benchGroup, *client.Client) error) error {
 	ip, lock, err := claimAddress()
 	if err != nil {
@@ -152,37 +154,38 @@
 	return measure(g, c)
 }
 
-// withControllers is withGroup, with controllers that are not started.
+// withControllers calls measure with a new group and a set of controllers, none of
+// which is started.
 func (b *leaderBench) withControllers(ctx context.Context, name string, ttl time.Duration, measure func(*benchControllerSet) error) error {
 	return b.withGroup(ctx, name, func(g *benchGroup, c *client.Client) error {
 		return measure(&benchControllerSet{group: g, program: b.options.Controller, ttl: ttl, client: c, processes: map[string]*process.Process{}})
 	})
 }
 
-// roleCost measures the CPU time that the nodes use while all of so many roles have
-// a leader, in milliseconds a second.
+// roleCost measures the CPU time that the nodes use while the given number of roles
+// have a leader, in milliseconds a second.
 func (b *benchGroup) roleCost(ctx context.Context, c *client.Client, roles int) (used []float64, err error) {
-	leading, stop := context.WithCancel(ctx)
+	leadCtx, stop := context.WithCancel(ctx)
 	var leaders errgroup.Group
 	defer func() {
 		stop()
-		leaders.Wait() // how they ended shows in the measurement
+		leaders.Wait() // errors are ignored: a leader that failed shows in the measurement
 	}()
 	for i := range benchControllers {
-		own, err := b.client()
+		leaderClient, err := b.client()
 		if err != nil {
 			return nil, err
 		}
 		leaders.Go(func() error {
-			defer own.Close()
-			return leader.Run(leading, leader.Options{Client: own, Name: fmt.Sprint("w-", i), TTL: roleTTL, Roles: idleRoles(roles), Log: slog.New(slog.DiscardHandler)})
+			defer leaderClient.Close()
+			return leader.Run(leadCtx, leader.Options{Client: leaderClient, Name: fmt.Sprint("w-", i), TTL: roleTTL, Roles: idleRoles(roles), Log: slog.New(slog.DiscardHandler)})
 		})
 	}
 	if err := awaitLeaders(ctx, c, roles); err != nil {
 		return nil, err
 	}
 	model.Sleep(ctx, roleWarmUp)
-	for range benchPlays {
+	for range benchRepeats {
 		before := b.cpu()
 		model.Sleep(ctx, roleCostTime)
 		used = append(used, toMillis(b.cpu()-before)/roleCostTime.Seconds())
@@ -190,7 +193,7 @@
 	return used, nil
 }
 
-// idleRoles are roles whose leader does nothing.
+// idleRoles returns roles whose leader does nothing.
 func idleRoles(count int) map[string]leader.Work {
 	roles := map[string]leader.Work{}
 	for i := range count {
@@ -202,17 +205,17 @@
 	return roles
 }
 
-// awaitLeaders waits until so many roles have a leader.
+// awaitLeaders waits until the given number of roles have a leader.
 func awaitLeaders(ctx context.Context, c *client.Client, roles int) error {
-	for led := -1; led < roles; {
+	for ledRoles := -1; ledRoles < roles; {
 		var list registry.RoleList
 		if _, err := c.Do(ctx, http.MethodGet, registry.RolesPath, nil, &list); err != nil {
 			return fmt.Errorf("bench: %w", err)
 		}
-		led = 0
+		ledRoles = 0
 		for _, role := range list.Roles {
 			if role.Holder != "" {
-				led++
+				ledRoles++
 			}
 		}
 		if !model.Sleep(ctx, rolePoll) {
@@ -222,7 +225,7 @@
 	return nil
 }
 
-// cpu is the CPU time that the nodes have used.
+// cpu returns the CPU time that the nodes have used.
 func (b *benchGroup) cpu() (used time.Duration) {
 	for _, p := range b.processes {
 		if usage, err := p.Measure(""); err == nil {
--- a/internal/faultlab/bench_registry.go
+++ b/internal/faultlab/bench_registry.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	benchPlays    = 3    // of each measurement that is repeated
-	benchWriters  = 16   // at once
-	fewMembers    = 30   // of the list, where it is not what is measured
-	fewWatchers   = 300  // likewise
-	maxPolls      = 1000 // more polls a second would measure the poll's own load
-	killsPerLarge = 5    // a large list is measured by one kill of so many
+	benchRepeats  = 3    // runs of each measurement that is repeated
+	benchWriters  = 16   // concurrent writers
+	fewMembers    = 30   // members of the list where its length is not measured
+	fewWatchers   = 300  // watchers where their number is not measured
+	maxPolls      = 1000 // polling clients at most: more would measure the load of polling itself
+	killsPerLarge = 5    // the number of kills is divided by this for large lists
 )
 
-// RegistryBenchOptions say what of the list service is measured.
+// RegistryBenchOptions selects what is measured of the list service.
 type RegistryBenchOptions struct {
-	Registry        string // its program
-	Out             string // folder
-	Watchers        []int
-	Members         []int
-	Kills           int           // of the leader
-	Writes          int           // whose way to the last watcher is timed
-	LoadTime        time.Duration // of each measurement of writes
-	ReturningAgents int           // that come back after an outage, beside the most watchers
-	Outage          time.Duration
+	Registry        string        // the list service's program
+	Out             string        // folder of the data and logs
+	Watchers        []int         // numbers of watchers
+	Members         []int         // numbers of members of the list
+	Kills           int           // kills of the leader
+	Writes          int           // writes that are timed until the last watcher has them
+	LoadTime        time.Duration // length of each measurement of writes
+	ReturningAgents int           // agents that reconnect after an outage, with the largest number of watchers
+	Outage          time.Duration // how long the group is stopped before they reconnect
 	Seed            uint64
 	Printf          Printf
 }
@@ -44,8 +44,8 @@
 	figures *figures
 }
 
-// BenchRegistry measures the list service beside a poll every second and beside a
-// single node.
+// BenchRegistry measures the list service and, for comparison, clients that poll every
+// second and a single node.
 func BenchRegistry(ctx context.Context, o RegistryBenchOptions) ([]Spread, error) {
 	ip, lock, err := claimAddress()
 	if err != nil {
@@ -68,16 +68,16 @@
 		figures:    &figures{printf: o.Printf, format: "%-64s n=%-5d p50 %.1f  p90 %.1f  p99 %.1f  max %.1f"},
 	}
 	defer b.stop()
-	for _, measure := range []func(context.Context) error{b.allWrites, b.allFanOuts, b.allKills, b.comeback} {
+	for _, measure := range []func(context.Context) error{b.measureAllWrites, b.measureAllFanOuts, b.measureAllKills, b.measureLargestRecovery} {
 		if err := measure(ctx); err != nil {
-			return b.figures.all, err
+			return b.figures.spreads, err
 		}
 	}
-	return b.figures.all, nil
+	return b.figures.spreads, nil
 }
 
-// allWrites measures writes to a single node, and to groups with lists of all sizes.
-func (b *registryBench) allWrites(ctx context.Context) error {
+// measureAllWrites measures writes to a single node, and to groups with lists of all sizes.
+func (b *registryBench) measureAllWrites(ctx context.Context) error {
 	if err := b.measureWrites(ctx, 1, 0); err != nil {
 		return err
 	}
@@ -89,8 +89,9 @@
 	return nil
 }
 
-// allFanOuts measures watchers, beside polls, and lists of all sizes.
-func (b *registryBench) allFanOuts(ctx context.Context) error {
+// measureAllFanOuts measures the fan-out to all numbers of watchers and, for
+// comparison, to polling clients, and the fan-out of lists of all sizes.
+func (b *registryBench) measureAllFanOuts(ctx context.Context) error {
 	for _, watchers := range b.options.Watchers {
 		for _, poll := range []bool{true, false} {
 			if poll && watchers > maxPolls {
@@ -109,8 +110,8 @@
 	return nil
 }
 
-// allKills measures kills of the leader with lists of all sizes.
-func (b *registryBench) allKills(ctx context.Context) error {
+// measureAllKills measures kills of the leader with lists of all sizes.
+func (b *registryBench) measureAllKills(ctx context.Context) error {
 	kills := b.options.Kills
 	if kills == 0 {
 		return nil
@@ -126,15 +127,16 @@
 	return nil
 }
 
-// comeback measures the return of a fleet with the most watchers.
-func (b *registryBench) comeback(ctx context.Context) error {
+// measureLargestRecovery measures the recovery of a fleet with the largest number of
+// watchers.
+func (b *registryBench) measureLargestRecovery(ctx context.Context) error {
 	if b.options.ReturningAgents == 0 || len(b.options.Watchers) == 0 {
 		return nil
 	}
-	return b.measureComeback(ctx, slices.Max(b.options.Watchers))
+	return b.measureRecovery(ctx, slices.Max(b.options.Watchers))
 }
 
-// measureWrites measures how many writes a second a group takes, and how long each
+// measureWrites measures how many writes a second a group accepts, and how long each
 // takes.
 func (b *registryBench) measureWrites(ctx context.Context, nodes, members int) error {
 	c, err := b.startReady(ctx, nodes, members)
@@ -143,53 +145,54 @@
 	}
 	defer b.stop()
 	defer c.Close()
-	var took, rates []float64
-	for range benchPlays {
-		played := b.writeAll(ctx)
-		took = append(took, played...)
-		rates = append(rates, float64(len(played))/b.options.LoadTime.Seconds())
+	var allDurations, rates []float64
+	for range benchRepeats {
+		durations := b.runWriters(ctx)
+		allDurations = append(allDurations, durations...)
+		rates = append(rates, float64(len(durations))/b.options.LoadTime.Seconds())
 	}
 	name := fmt.Sprintf("writes, %d nodes, %d members, %d writers: ", nodes, members, benchWriters)
-	b.figures.add(name+"ms each", took)
+	b.figures.add(name+"ms each", allDurations)
 	b.figures.add(name+"a second, over plays", rates)
 	return nil
 }
 
-// writeAll has all writers write for LoadTime and returns how long each write took.
-func (b *registryBench) writeAll(ctx context.Context) (took []float64) {
-	ctx, cancel := context.WithTimeout(ctx, b.options.LoadTime+groupTimeout) // the last writes may finish
+// runWriters has all writers write for LoadTime and returns how long each write took.
+func (b *registryBench) runWriters(ctx context.Context) (durations []float64) {
+	ctx, cancel := context.WithTimeout(ctx, b.options.LoadTime+groupTimeout) // the last writes get time to finish
 	defer cancel()
-	end := time.Now().Add(b.options.LoadTime)
+	deadline := time.Now().Add(b.options.LoadTime)
 	var mu sync.Mutex
 	var writers sync.WaitGroup
 	for i := range benchWriters {
 		writers.Add(1)
 		go func() {
 			defer writers.Done()
-			written := b.writeUntil(ctx, i, end)
+			written := b.writeUntil(ctx, i, deadline)
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, written...)
+			durations = append(durations, written...)
 		}()
 	}
 	writers.Wait()
-	return took
+	return durations
 }
 
-// writeUntil writes one member again and again, and returns how long each write took.
-func (b *registryBench) writeUntil(ctx context.Context, writer int, end time.Time) (took []float64) {
+// writeUntil writes one member repeatedly until the deadline, and returns how long each
+// write took.
+func (b *registryBench) writeUntil(ctx context.Context, writer int, deadline time.Time) (durations []float64) {
 	c, err := b.client()
 	if err != nil {
 		return nil
 	}
 	defer c.Close()
 	member := registry.Registration{ID: fmt.Sprint("w", writer), Address: fmt.Sprintf("10.8.8.%d:1", writer), Flavor: "x"}
-	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
+	for n := 0; time.Now().Before(deadline) && ctx.Err() == nil; n++ {
 		member.Zone = fmt.Sprint(n)
-		began := time.Now()
+		submittedAt := time.Now()
 		if _, err := c.Do(ctx, http.MethodPost, registry.MembersPath, member, nil); err == nil {
-			took = append(took, toMillis(time.Since(began)))
+			durations = append(durations, toMillis(time.Since(submittedAt)))
 		}
 	}
-	return took
+	return durations
 }
--- a/internal/faultlab/bench_wal.go
+++ b/internal/faultlab/bench_wal.go
@@ -16,24 +16,24 @@
 	"plovershore/internal/wal/baseline"
 )
 
-// WALBenchOptions say what of the relay's message log is measured.
+// WALBenchOptions selects what is measured of the relay's message log.
 type WALBenchOptions struct {
 	Out     string        // folder, on the disk that is measured
-	Pending []int         // messages in the log at a start
-	Clients []int         // at once
-	Plays   int           // of each measurement
-	Span    time.Duration // of each measurement of writes
+	Pending []int         // numbers of messages pending in the log when it is opened
+	Clients []int         // numbers of concurrent clients
+	Repeats int           // runs of each measurement
+	Span    time.Duration // length of each measurement of writes
 	Printf  Printf
 }
 
-// anyLog is the message log, or the baseline: the log that it replaced.
-type anyLog interface {
+// messageLog is the message log, or the baseline, which is the log that it replaced.
+type messageLog interface {
 	Submit(*wal.Record, func(error))
 	Run(<-chan struct{})
 	Done() <-chan struct{}
 }
 
-// countFS is a file system that counts what is written through it.
+// countFS is a file system that counts the write calls, bytes and syncs.
 type countFS struct {
 	wal.OS
 	calls, bytes, syncs atomic.Int64
@@ -54,29 +54,29 @@
 	return countFile{file, f}, nil
 }
 
-// WriteAt counts and writes.
+// WriteAt counts the call and its bytes, and writes them.
 func (f countFile) WriteAt(b []byte, off int64) (int, error) {
 	f.fs.calls.Add(1)
 	f.fs.bytes.Add(int64(len(b)))
 	return f.File.WriteAt(b, off)
 }
 
-// Sync counts and syncs.
+// Sync counts the call, and syncs the file.
 func (f countFile) Sync() error {
 	f.fs.syncs.Add(1)
 	return f.File.Sync()
 }
 
 const (
-	benchLimit   = 4 << 30 // bytes of a log
-	readBatch    = 2000    // messages, as the relay reads them
-	stallPending = 20000
-	stallLimit   = 64 << 20 // bytes, for which checkpoints are made often
-	stallRounds  = 6        // over the pending messages, enough for several checkpoints
+	benchLimit   = 4 << 30  // size limit of a log in bytes
+	readBatch    = 2000     // messages in one read, as many as the relay reads
+	stallPending = 20000    // messages that are pending while checkpoints are made
+	stallLimit   = 64 << 20 // size limit in bytes, so small that checkpoints are made often
+	stallRounds  = 6        // records written for each pending message, enough for several checkpoints
 	megabyte     = 1e6
 	baselineName = "log before"
-	processName  = "process" // wal.SurvivesProcess
-	powerName    = "power"   // wal.SurvivesPowerLoss
+	processName  = "process" // log with durability wal.SurvivesProcess
+	powerName    = "power"   // log with durability wal.SurvivesPowerLoss
 )
 
 // benchMessage is the record of one message.
@@ -85,16 +85,16 @@
 		Dest: i % 80, Deadline: 1e15, Body: []byte(strings.Repeat("b", 200))}
 }
 
-// heap is the size of the heap in bytes, after a collection.
-func heap() float64 {
+// heapBytes returns the size of the heap in bytes, after a garbage collection.
+func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// cpu is the CPU time that this process has used.
-func cpu() time.Duration {
+// processCPU returns the CPU time that this process has used.
+func processCPU() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the process itself
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -107,7 +107,7 @@
 	figures *figures
 }
 
-// BenchWAL measures the relay's message log beside the baseline.
+// BenchWAL measures the relay's message log and, for comparison, the baseline.
 func BenchWAL(ctx context.Context, o WALBenchOptions) ([]Spread, error) {
 	dir, err := makeBenchDir(o.Out)
 	if err != nil {
@@ -116,15 +116,15 @@
 	b := &walBench{options: o, dir: dir, figures: &figures{printf: o.Printf, format: "%-72s n=%-6d p50 %.3f  p90 %.3f  p99 %.3f  max %.3f"}}
 	for _, pending := range o.Pending {
 		if err := b.measureStarts(ctx, pending); err != nil {
-			return b.figures.all, err
+			return b.figures.spreads, err
 		}
 	}
 	for _, clients := range o.Clients {
 		if err := b.measureWrites(ctx, clients); err != nil {
-			return b.figures.all, err
+			return b.figures.spreads, err
 		}
 	}
-	return b.figures.all, b.measureStalls(ctx)
+	return b.figures.spreads, b.measureStalls(ctx)
 }
 
 // tempDir makes a folder for one measurement; the caller removes it.
@@ -136,15 +136,15 @@
 	return dir, nil
 }
 
-// drain runs a log until it has written what was submitted, and closes it.
-func drain(log anyLog) {
+// drainLog runs a log until it has written what was submitted, and closes it.
+func drainLog(log messageLog) {
 	stop := make(chan struct{})
 	close(stop)
 	log.Run(stop)
 }
 
-// measureStarts measures how soon the pending messages are known, and read, after a
-// start.
+// measureStarts measures how long after a start the IDs of the pending messages are
+// known, and how long until all the messages are read.
 func (b *walBench) measureStarts(ctx context.Context, pending int) error {
 	dir, err := b.tempDir(fmt.Sprint("start-", pending))
 	if err != nil {
@@ -154,8 +154,8 @@
 	if err := fillLogs(dir, pending); err != nil {
 		return err
 	}
-	var known, all, memory, baselineAll, baselineMemory []float64
-	for range b.options.Plays {
+	var idsKnown, allRead, heapSizes, baselineRead, baselineHeapSizes []float64
+	for range b.options.Repeats {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -163,18 +163,18 @@
 		if err != nil {
 			return err
 		}
-		known, all, memory = append(known, start.known), append(all, start.all), append(memory, start.memory)
+		idsKnown, allRead, heapSizes = append(idsKnown, start.idsKnownMS), append(allRead, start.allReadMS), append(heapSizes, start.heapMB)
 		if start, err = startBaseline(dir); err != nil {
 			return err
 		}
-		baselineAll, baselineMemory = append(baselineAll, start.all), append(baselineMemory, start.memory)
+		baselineRead, baselineHeapSizes = append(baselineRead, start.allReadMS), append(baselineHeapSizes, start.heapMB)
 	}
 	name := fmt.Sprintf("%d owed: ", pending)
-	b.figures.add(name+"ms until all ids are known", known)
-	b.figures.add(name+"ms until all are read", all)
-	b.figures.add(name+"ms until all are read, log before", baselineAll)
-	b.figures.add(name+"MB of heap for the log, bodies on disk", memory)
-	b.figures.add(name+"MB of heap, log before, bodies in it", baselineMemory)
+	b.figures.add(name+"ms until all ids are known", idsKnown)
+	b.figures.add(name+"ms until all are read", allRead)
+	b.figures.add(name+"ms until all are read, log before", baselineRead)
+	b.figures.add(name+"MB of heap for the log, bodies on disk", heapSizes)
+	b.figures.add(name+"MB of heap, log before, bodies in it", baselineHeapSizes)
 	return nil
 }
 
@@ -184,86 +184,86 @@
 	if err != nil {
 		return err
 	}
-	old, _, err := baseline.Open(dir, benchLimit)
+	baselineLog, _, err := baseline.Open(dir, benchLimit)
 	if err != nil {
 		return err
 	}
-	for _, x := range []anyLog{log, old} {
+	for _, target := range []messageLog{log, baselineLog} {
 		stop := make(chan struct{})
-		go x.Run(stop)
+		go target.Run(stop)
 		for i := range pending {
-			x.Submit(benchMessage(i), nil)
+			target.Submit(benchMessage(i), nil)
 		}
 		close(stop)
-		<-x.Done()
+		<-target.Done()
 	}
 	return nil
 }
 
-// logStart is what one start took.
+// logStart has the times and the memory of one start.
 type logStart struct {
-	known  float64 // ms until all IDs are known
-	all    float64 // ms until all messages are read
-	memory float64 // MB of heap
+	idsKnownMS float64 // ms until all IDs are known
+	allReadMS  float64 // ms until all messages are read
+	heapMB     float64 // MB of heap
 }
 
 // startLog opens a log and reads its pending messages.
 func startLog(dir string, pending int) (start logStart, err error) {
-	before, began := heap(), time.Now()
+	heapBefore, startedAt := heapBytes(), time.Now()
 	log, err := wal.Open(wal.Options{Dir: dir, Limit: benchLimit})
 	if err != nil {
 		return start, err
 	}
 	if log.PendingUnread() != pending {
-		return start, fmt.Errorf("bench: %d of %d owed", log.PendingUnread(), pending)
+		return start, fmt.Errorf("bench: the log has %d of %d messages pending", log.PendingUnread(), pending)
 	}
-	start.known = toMillis(time.Since(began))
-	start.memory = (heap() - before) / megabyte
-	began = time.Now()
-	for len(log.Next(readBatch)) > 0 { // they are not kept here
+	start.idsKnownMS = toMillis(time.Since(startedAt))
+	start.heapMB = (heapBytes() - heapBefore) / megabyte
+	startedAt = time.Now()
+	for len(log.Next(readBatch)) > 0 { // the messages are dropped
 	}
-	start.all = start.known + toMillis(time.Since(began))
-	drain(log)
+	start.allReadMS = start.idsKnownMS + toMillis(time.Since(startedAt))
+	drainLog(log)
 	return start, nil
 }
 
 // startBaseline opens a baseline, which reads all pending messages.
 func startBaseline(dir string) (start logStart, err error) {
-	before, began := heap(), time.Now()
+	heapBefore, startedAt := heapBytes(), time.Now()
 	log, pending, err := baseline.Open(dir, benchLimit)
 	if err != nil {
 		return start, err
 	}
-	start.all = toMillis(time.Since(began))
-	start.memory = (heap() - before) / megabyte
+	start.allReadMS = toMillis(time.Since(startedAt))
+	start.heapMB = (heapBytes() - heapBefore) / megabyte
 	runtime.KeepAlive(pending)
-	drain(log)
+	drainLog(log)
 	return start, nil
 }
 
-// writeCost is what messages cost that are accepted, sent once and completed.
+// writeCost is the cost of a message that is accepted, sent once and completed.
 type writeCost struct {
 	rate  float64 // messages a second
-	cpu   float64 // µs a message, the clients' too
-	calls float64 // to write, a message
-	bytes float64 // written, a message
+	cpu   float64 // µs of CPU time a message, including the clients'
+	calls float64 // write calls a message
+	bytes float64 // bytes written a message
 }
 
-// measureWrites measures the cost of messages with so many clients. The logs take
-// turns.
+// measureWrites measures the cost of messages with the given number of concurrent
+// clients. The kinds of log are measured in turn.
 func (b *walBench) measureWrites(ctx context.Context, clients int) error {
 	names := []string{baselineName, processName, powerName}
 	costs := map[string][]writeCost{}
-	for play := range b.options.Plays {
+	for repeat := range b.options.Repeats {
 		for _, name := range names {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			dir, err := b.tempDir(fmt.Sprint("writes-", clients, "-", play, name[:2]))
+			dir, err := b.tempDir(fmt.Sprint("writes-", clients, "-", repeat, name[:2]))
 			if err != nil {
 				return err
 			}
-			cost, err := b.playWrites(dir, name, clients)
+			cost, err := b.runWrites(dir, name, clients)
 			if err != nil {
 				return err
 			}
@@ -288,15 +288,16 @@
 	return nil
 }
 
-// playWrites has clients write to a new log of one kind for the benchmark's span.
-func (b *walBench) playWrites(dir, name string, clients int) (cost writeCost, err error) {
+// runWrites has clients write to a new log of the named kind for the span of the
+// options.
+func (b *walBench) runWrites(dir, name string, clients int) (cost writeCost, err error) {
 	fs := &countFS{}
-	var log anyLog
-	var old *baseline.Log
+	var log messageLog
+	var baselineLog *baseline.Log
 	switch name {
 	case baselineName:
-		old, _, err = baseline.Open(dir, benchLimit)
-		log = old
+		baselineLog, _, err = baseline.Open(dir, benchLimit)
+		log = baselineLog
 	case processName:
 		log, err = wal.Open(wal.Options{Dir: dir, Limit: benchLimit, FS: fs})
 	default:
@@ -307,26 +308,26 @@
 	}
 	stop := make(chan struct{})
 	go log.Run(stop)
-	began, usedBefore := time.Now(), cpu()
-	messages := float64(writeMessages(log, clients, began.Add(b.options.Span)))
-	took, used := time.Since(began), cpu()-usedBefore
+	startedAt, usedBefore := time.Now(), processCPU()
+	messages := float64(writeMessages(log, clients, startedAt.Add(b.options.Span)))
+	elapsed, used := time.Since(startedAt), processCPU()-usedBefore
 	close(stop)
 	<-log.Done()
 	calls, bytes := fs.calls.Load(), fs.bytes.Load()
-	if old != nil {
-		calls, bytes = int64(old.WriteCalls), int64(old.Bytes)
+	if baselineLog != nil {
+		calls, bytes = int64(baselineLog.WriteCalls), int64(baselineLog.Bytes)
 	}
 	return writeCost{
-		rate:  messages / took.Seconds(),
+		rate:  messages / elapsed.Seconds(),
 		cpu:   float64(used.Microseconds()) / messages,
 		calls: float64(calls) / messages,
 		bytes: float64(bytes) / messages,
 	}, nil
 }
 
-// writeMessages has clients write messages until a moment, each the next record when
-// the one before is durable, and returns how many messages they wrote.
-func writeMessages(log anyLog, clients int, end time.Time) int64 {
+// writeMessages has clients write messages until the deadline, and returns how many
+// messages they wrote. A client submits its next record when the one before is durable.
+func writeMessages(log messageLog, clients int, deadline time.Time) int64 {
 	var count atomic.Int64
 	var writing sync.WaitGroup
 	for client := range clients {
@@ -334,10 +335,10 @@
 		go func() {
 			defer writing.Done()
 			durable := make(chan error, 1)
-			for i := 0; time.Now().Before(end); i++ {
-				m := benchMessage(client<<32 | i)
-				attempt := &wal.Record{Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1, Sync: true}
-				for _, record := range []*wal.Record{m, attempt, {Kind: wal.KindCompleted, ID: m.ID}} {
+			for i := 0; time.Now().Before(deadline); i++ {
+				message := benchMessage(client<<32 | i)
+				attempt := &wal.Record{Kind: wal.KindAttempt, ID: message.ID, At: 1e15, Endpoint: "s-12", Process: 1, Sync: true}
+				for _, record := range []*wal.Record{message, attempt, {Kind: wal.KindCompleted, ID: message.ID}} {
 					log.Submit(record, func(err error) { durable <- err })
 					<-durable
 				}
@@ -349,18 +350,18 @@
 	return count.Load()
 }
 
-// measureStalls measures the longest that a record waits while checkpoints are made
-// with many messages pending.
+// measureStalls measures the longest time that a record takes to become durable while
+// checkpoints are made and many messages are pending.
 func (b *walBench) measureStalls(ctx context.Context) error {
 	names := []string{baselineName, processName}
 	longest := map[string][]float64{}
-	for play := range b.options.Plays {
+	for repeat := range b.options.Repeats {
 		for _, name := range names {
-			dir, err := b.tempDir(fmt.Sprint("stall-", play, name[:2]))
+			dir, err := b.tempDir(fmt.Sprint("stall-", repeat, name[:2]))
 			if err != nil {
 				return err
 			}
-			stall, err := playStall(ctx, dir, name)
+			stall, err := runStall(ctx, dir, name)
 			if err != nil {
 				return err
 			}
@@ -376,9 +377,10 @@
 	return nil
 }
 
-// playStall writes to a new log of one kind and returns the longest wait.
-func playStall(ctx context.Context, dir, name string) (longest time.Duration, err error) {
-	var log anyLog
+// runStall writes to a new log of the named kind and returns the longest time that a
+// record took to become durable.
+func runStall(ctx context.Context, dir, name string) (longest time.Duration, err error) {
+	var log messageLog
 	if name == processName {
 		log, err = wal.Open(wal.Options{Dir: dir, Limit: stallLimit})
 	} else {
@@ -397,18 +399,18 @@
 		if ctx.Err() != nil {
 			return 0, ctx.Err()
 		}
-		m := benchMessage(i % stallPending)
-		record := &wal.Record{Kind: wal.KindAttempt, ID: m.ID, At: 1e15, Endpoint: "s-12", Process: 1}
+		message := benchMessage(i % stallPending)
+		record := &wal.Record{Kind: wal.KindAttempt, ID: message.ID, At: 1e15, Endpoint: "s-12", Process: 1}
 		if i%2 == 1 {
-			record = &wal.Record{Kind: wal.KindOutcome, ID: m.ID}
+			record = &wal.Record{Kind: wal.KindOutcome, ID: message.ID}
 		}
-		began := time.Now()
+		submittedAt := time.Now()
 		log.Submit(record, func(err error) { durable <- err })
 		if err := <-durable; err != nil {
 			return 0, fmt.Errorf("bench: %w", err)
 		}
-		if i > 0 { // the first waits for all pending messages
-			longest = max(longest, time.Since(began))
+		if i > 0 { // the first record waits until all pending messages are written
+			longest = max(longest, time.Since(submittedAt))
 		}
 	}
 	close(stop)
--- a/internal/faultlab/command/bench.go
+++ b/internal/faultlab/command/bench.go
@@ -16,12 +16,12 @@
 	c := &cobra.Command{Use: "bench", Short: "Measure a part of the fleet"}
 	o := faultlab.RegistryBenchOptions{}
 	var program string
-	r := &cobra.Command{Use: "registry", Short: "The list service: fan-out, memory, writes, elections, beside a poll and a single node", Args: exactly(0),
+	r := &cobra.Command{Use: "registry", Short: "The list service: fan-out, memory, writes, elections, beside a poll and a single node", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			if o.Registry, err = findProgram(program, "registry", "registry"); err != nil {
 				return err
 			}
-			o.Out, o.Printf = benchOut(c, o.Out, "registry")
+			o.Out, o.Printf = benchOutput(c, o.Out, "registry")
 			rows, err := faultlab.BenchRegistry(c.Context(), o)
 			if err != nil {
 				return err
@@ -45,7 +45,7 @@
 func benchLeader() *cobra.Command {
 	o := faultlab.LeaderBenchOptions{}
 	var program, controller string
-	d := &cobra.Command{Use: "duty", Short: "Duties: how long nobody holds one, and what they cost the store", Args: exactly(0),
+	leaderCommand := &cobra.Command{Use: "duty", Short: "Duties: how long nobody holds one, and what they cost the store", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			if o.Registry, err = findProgram(program, "registry", "registry"); err != nil {
 				return err
@@ -53,29 +53,29 @@
 			if o.Controller, err = findProgram(controller, "controller", "controller"); err != nil {
 				return err
 			}
-			o.Out, o.Printf = benchOut(c, o.Out, "duty")
+			o.Out, o.Printf = benchOutput(c, o.Out, "duty")
 			rows, err := faultlab.BenchLeader(c.Context(), o)
 			if err != nil {
 				return err
 			}
 			return writeRows(o.Out, rows)
 		}}
-	d.Flags().StringVar(&program, "registry", "", "the list service's program (default: registry beside this one)")
-	addControllerFlags(d, &controller)
-	d.Flags().StringVar(&o.Out, "out", "", "folder (default: lab-out/bench-duty-TIME)")
-	d.Flags().DurationSliceVar(&o.TTL, "ttl", []time.Duration{time.Second, 2 * time.Second, 5 * time.Second}, "times to live")
-	d.Flags().IntSliceVar(&o.Kills, "kills", []int{100, 100, 100}, "kills of the holder, for each time to live")
-	d.Flags().IntVar(&o.Handovers, "handovers", 100, "hand-overs in order")
-	d.Flags().IntVar(&o.Cuts, "cuts", 50, "cuts of the holder from all nodes, for each time to live")
-	d.Flags().IntSliceVar(&o.Roles, "duties", []int{10, 100, 1000}, "duties whose cost is measured")
-	return d
+	leaderCommand.Flags().StringVar(&program, "registry", "", "the list service's program (default: registry beside this one)")
+	addControllerFlags(leaderCommand, &controller)
+	leaderCommand.Flags().StringVar(&o.Out, "out", "", "folder (default: lab-out/bench-duty-TIME)")
+	leaderCommand.Flags().DurationSliceVar(&o.TTL, "ttl", []time.Duration{time.Second, 2 * time.Second, 5 * time.Second}, "times to live")
+	leaderCommand.Flags().IntSliceVar(&o.Kills, "kills", []int{100, 100, 100}, "kills of the holder, for each time to live")
+	leaderCommand.Flags().IntVar(&o.Handovers, "handovers", 100, "hand-overs in order")
+	leaderCommand.Flags().IntVar(&o.Cuts, "cuts", 50, "cuts of the holder from all nodes, for each time to live")
+	leaderCommand.Flags().IntSliceVar(&o.Roles, "duties", []int{10, 100, 1000}, "duties whose cost is measured")
+	return leaderCommand
 }
 
 func benchWAL() *cobra.Command {
 	o := faultlab.WALBenchOptions{}
-	w := &cobra.Command{Use: "wal", Short: "The relay's log: starts, writes, stalls, beside the log before it", Args: exactly(0),
+	w := &cobra.Command{Use: "wal", Short: "The relay's log: starts, writes, stalls, beside the log before it", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			o.Out, o.Printf = benchOut(c, o.Out, "wal")
+			o.Out, o.Printf = benchOutput(c, o.Out, "wal")
 			rows, err := faultlab.BenchWAL(c.Context(), o)
 			if err != nil {
 				return err
@@ -85,13 +85,13 @@
 	w.Flags().StringVar(&o.Out, "out", "", "folder, on the disk that is measured (default: lab-out/bench-wal-TIME)")
 	w.Flags().IntSliceVar(&o.Pending, "owed", []int{10000, 100000, 1000000}, "messages owed at a start")
 	w.Flags().IntSliceVar(&o.Clients, "clients", []int{1, 16, 256}, "clients at once")
-	w.Flags().IntVar(&o.Plays, "plays", 3, "of each measurement")
+	w.Flags().IntVar(&o.Repeats, "plays", 3, "of each measurement")
 	w.Flags().DurationVar(&o.Span, "span", 3*time.Second, "of each play of writes")
 	return w
 }
 
-// benchOut gives a bench's folder and where it says its rows.
-func benchOut(c *cobra.Command, out, name string) (string, func(string, ...any)) {
+// benchOutput returns a benchmark's folder and the function that prints its lines.
+func benchOutput(c *cobra.Command, out, name string) (string, func(string, ...any)) {
 	if out == "" {
 		out = filepath.Join("lab-out", "bench-"+name+"-"+time.Now().Format("20060102T150405"))
 	}
--- a/internal/faultlab/command/command.go
+++ b/internal/faultlab/command/command.go
@@ -22,9 +22,9 @@
 	NotRun   = 3 // it could not be run: a port taken, a process that does not start, the lab itself late
 )
 
-var errViolated = errors.New("a promise was broken")
+var errViolated = errors.New("a rule was violated")
 
-// usageError is a command line or a scenario that cannot be used.
+// usageError reports a command line or a scenario that cannot be used.
 type usageError struct{ error }
 
 // Unwrap returns the cause.
@@ -39,9 +39,9 @@
 // of a run early.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := &cobra.Command{Use: "faultlab", Short: "Run many relays, break things between them, and judge what they did",
-		Long: longHelp, SilenceErrors: true, SilenceUsage: true, Args: noUnknownCommand,
+		Long: longHelp, SilenceErrors: true, SilenceUsage: true, Args: rejectUnknownCommand,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	root.SuggestionsMinimumDistance = 2 // as cobra has it by default
+	root.SuggestionsMinimumDistance = 2 // cobra's default
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errOut)
@@ -63,9 +63,9 @@
 	return NotRun
 }
 
-// noUnknownCommand is cobra's check for the command that has subcommands, with an
-// error that is a usageError.
-func noUnknownCommand(c *cobra.Command, args []string) error {
+// rejectUnknownCommand rejects arguments of the root command as cobra does by default,
+// but with a usageError.
+func rejectUnknownCommand(c *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return nil
 	}
@@ -76,8 +76,8 @@
 	return usageError{errors.New(text)}
 }
 
-// exactly is cobra.ExactArgs with an exit code for bad usage.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs is cobra.ExactArgs with a usageError, so that the exit code is Usage.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
 			return usageError{err}
--- a/internal/faultlab/command/play.go
+++ b/internal/faultlab/command/play.go
@@ -51,31 +51,32 @@
 	c.Flags().StringVar(program, "warden", "", "an older name of --controller")
 }
 
-// findProgram gives the path of a program: as it is named, or beside this one.
-func findProgram(named, beside, flag string) (string, error) {
+// findProgram returns the absolute path of a program: named, or the file defaultName in
+// the directory of this program.
+func findProgram(named, defaultName, flag string) (string, error) {
 	path := named
 	if path == "" {
 		self, err := os.Executable()
 		if err != nil {
-			return "", fmt.Errorf("where is %s: %w", beside, err)
+			return "", fmt.Errorf("where is %s: %w", defaultName, err)
 		}
-		path = filepath.Join(filepath.Dir(self), beside)
+		path = filepath.Join(filepath.Dir(self), defaultName)
 	}
 	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return "", usageError{fmt.Errorf("no %s to run at %s; build it, or name it by --%s", beside, path, flag)}
+		return "", usageError{fmt.Errorf("no %s to run at %s; build it, or name it by --%s", defaultName, path, flag)}
 	}
 	return filepath.Abs(path)
 }
 
-// Summary is one run as summary.json and compare have it.
+// Summary is one run as summary.json has it, and as compare reads it.
 type Summary struct {
 	*faultlab.Result
 	Void  string        `json:"void,omitempty"` // why the run proves nothing
 	Stats *report.Stats `json:"stats"`
 }
 
-// programs finds the programs that a scenario needs.
-func (f *runFlags) programs(s *scenario.Scenario, o *faultlab.Options) (err error) {
+// resolvePrograms sets the paths of the programs that a scenario needs.
+func (f *runFlags) resolvePrograms(s *scenario.Scenario, o *faultlab.Options) (err error) {
 	if o.Program, err = findProgram(f.program, "relay", "relay"); err != nil {
 		return err
 	}
@@ -97,10 +98,11 @@
 	return nil
 }
 
-// play runs one scenario and writes its report. A void run has a summary and an error.
-func (f *runFlags) play(c *cobra.Command, s *scenario.Scenario, onStatus func(*faultlab.Status)) (*Summary, error) {
+// runScenario runs one scenario and writes its report. For a void run it returns both a
+// summary and an error.
+func (f *runFlags) runScenario(c *cobra.Command, s *scenario.Scenario, onStatus func(*faultlab.Status)) (*Summary, error) {
 	o := faultlab.Options{Scenario: s, Seed: f.seed, Out: f.out, First: f.first, RetainDirs: f.retainDirs, MaxLateness: f.maxLateness, OnStatus: onStatus}
-	if err := f.programs(s, &o); err != nil {
+	if err := f.resolvePrograms(s, &o); err != nil {
 		return nil, err
 	}
 	if o.Out == "" {
@@ -133,9 +135,10 @@
 	return summary, runErr
 }
 
-// writeSummary writes a run's summary to its folder, and adds it to the file of several.
-func (f *runFlags) writeSummary(out string, sum *Summary) error {
-	text, err := json.MarshalIndent(sum, "", " ")
+// writeSummary writes a run's summary to its folder, and adds it to the file that
+// --json names.
+func (f *runFlags) writeSummary(out string, summary *Summary) error {
+	text, err := json.MarshalIndent(summary, "", " ")
 	if err != nil {
 		return fmt.Errorf("summary: %w", err)
 	}
@@ -145,10 +148,10 @@
 	if f.json == "" {
 		return nil
 	}
-	return addSummary(f.json, sum)
+	return addSummary(f.json, summary)
 }
 
-// printVerdict prints the outcome of a run and returns the error of its exit code.
+// printVerdict prints the outcome of a run and returns the error for the exit code.
 func printVerdict(w io.Writer, s *Summary, err error) error {
 	if s == nil {
 		return err
@@ -156,8 +159,8 @@
 	for _, step := range s.Plan {
 		fmt.Fprintln(w, "  fault", step)
 	}
-	for _, b := range s.Verdict.Violations {
-		fmt.Fprintln(w, "BROKEN", b)
+	for _, violation := range s.Verdict.Violations {
+		fmt.Fprintln(w, "BROKEN", violation)
 	}
 	if s.Scale != nil {
 		fmt.Fprintf(w, "%s seed %d in %.0f s; lab late p99 %v\n", s.Name, s.Seed, s.Took.Seconds(), s.LateP99)
@@ -165,14 +168,14 @@
 		fmt.Fprintln(w, "judged:", s.Verdict.Checked, "excused:", s.Verdict.Excused)
 		return printOutcome(w, s, err)
 	}
-	st := s.Stats
+	stats := s.Stats
 	fmt.Fprintf(w, "%s seed %d: worth served %.3f (worst 10 s %.3f), %d messages, %d delivered, %d refused, %d given up, p50 %.0f ms, p99 %.0f ms; lab late p99 %v\n",
-		s.Name, s.Seed, st.ValueServed, st.WorstWindow, st.Messages, st.Delivered, st.Rejected, st.Failed, st.P50MS, st.P99MS, s.LateP99)
+		s.Name, s.Seed, stats.ValueServed, stats.WorstWindow, stats.Messages, stats.Delivered, stats.Rejected, stats.Failed, stats.P50MS, stats.P99MS, s.LateP99)
 	fmt.Fprintln(w, "report:", filepath.Join(s.Out, "report.html"))
 	return printOutcome(w, s, err)
 }
 
-// printOutcome prints whether all rules were kept, and returns the error of the exit
+// printOutcome prints whether all rules were kept, and returns the error for the exit
 // code.
 func printOutcome(w io.Writer, s *Summary, err error) error {
 	switch {
@@ -192,7 +195,7 @@
 	return nil
 }
 
-func statusLine(w io.Writer) func(*faultlab.Status) {
+func statusPrinter(w io.Writer) func(*faultlab.Status) {
 	return func(s *faultlab.Status) {
 		fmt.Fprintf(w, "%5.0f s  served %d  waiting %d  refused %d  given up %d  p50 %.0f ms  p99 %.0f ms  relays %d/%d  faults %d\n", s.Elapsed.Seconds(),
 			s.Delivered, s.Pending, s.Rejected, s.Failed, s.P50.Seconds()*1e3, s.P99.Seconds()*1e3, s.Up, s.Fleet, s.Faults)
--- a/internal/faultlab/command/scale_test.go
+++ b/internal/faultlab/command/scale_test.go
@@ -9,9 +9,10 @@
 
 const scaleSummary = `[{"name": "scale", "verdict": {"counts": {}}, "stats": {"own": [%s]}}]`
 
-// TestCompareReadsOwnFigures: figures of a scale run are set side by side by
-// their names, and one that a side lacks is said to be missing.
-func TestCompareReadsOwnFigures(t *testing.T) {
+// TestCompareMatchesScaleFiguresByName compares two scale runs whose figures have
+// different orders: figures of the same name stand in one line, and a figure that one
+// run lacks is shown as "-".
+func TestCompareMatchesScaleFiguresByName(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, figures string) string {
 		path := filepath.Join(dir, name)
@@ -22,7 +23,7 @@
 	}
 	a := write("a.json", `{"name": "CPU", "unit": "% of a core", "value": 2}, {"name": "only a", "value": 1}`)
 	b := write("b.json", `{"name": "only b", "value": 3}, {"name": "CPU", "unit": "% of a core", "value": 3}`)
-	code, out := command(t, "", "compare", a, b)
+	code, out := runMain(t, "", "compare", a, b)
 	if code != Success {
 		t.Fatalf("exit %d: %s", code, out)
 	}
@@ -35,12 +36,12 @@
 		}
 	}
 	if got := strings.Join(lines["CPU"], " "); got != "2 % of a core 3 % of a core 1.500" {
-		t.Errorf("CPU: %q in\n%s", got, out)
+		t.Errorf("line of CPU: got %q in\n%s", got, out)
 	}
 	if got := strings.Join(lines["only a"], " "); !strings.HasPrefix(got, "1 -") {
-		t.Errorf("only a: %q", got)
+		t.Errorf("line of \"only a\": got %q, want a value only for the first run", got)
 	}
 	if got := strings.Join(lines["only b"], " "); !strings.HasPrefix(got, "- 3") {
-		t.Errorf("only b: %q", got)
+		t.Errorf("line of \"only b\": got %q, want a value only for the second run", got)
 	}
 }
--- a/internal/faultlab/command/summary.go
+++ b/internal/faultlab/command/summary.go
@@ -7,13 +7,13 @@
 	"os"
 )
 
-// addSummary adds a run to a file of several.
+// addSummary adds the summary of a run to a file that holds several.
 func addSummary(path string, s *Summary) error {
-	all, err := readSummaries(path)
+	summaries, err := readSummaries(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	text, err := json.MarshalIndent(append(all, s), "", " ")
+	text, err := json.MarshalIndent(append(summaries, s), "", " ")
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -29,13 +29,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var many []*Summary
-	if json.Unmarshal(text, &many) == nil {
-		return many, nil
+	var summaries []*Summary
+	if json.Unmarshal(text, &summaries) == nil {
+		return summaries, nil
 	}
-	one := &Summary{}
-	if err := json.Unmarshal(text, one); err != nil || one.Stats == nil {
+	single := &Summary{}
+	if err := json.Unmarshal(text, single); err != nil || single.Stats == nil {
 		return nil, usageError{fmt.Errorf("%s: neither a summary nor a file that --json wrote", path)}
 	}
-	return []*Summary{one}, nil
+	return []*Summary{single}, nil
 }
--- a/internal/faultlab/command/sweep.go
+++ b/internal/faultlab/command/sweep.go
@@ -17,7 +17,7 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// sweep is a scenario over values of one key and over seeds.
+// sweep runs a scenario with several values of one key, each with several seeds.
 type sweep struct {
 	run       runFlags
 	key       string
@@ -25,19 +25,19 @@
 	scenarios []*scenario.Scenario // one for each value
 	firstSeed uint64
 	lastSeed  uint64
-	out       string // folder
-	figure    string // that is plotted
+	out       string // folder of the reports
+	figure    string // name of the figure that is plotted
 }
 
 func sweepCommand() *cobra.Command {
 	s := &sweep{}
 	var set, seeds string
-	c := &cobra.Command{Use: "sweep FILE.toml --set key=a,b,c --seeds 1-5", Short: "Run a scenario over values of one key and over seeds: a table and a plot", Args: exactly(1),
+	c := &cobra.Command{Use: "sweep FILE.toml --set key=a,b,c --seeds 1-5", Short: "Run a scenario over values of one key and over seeds: a table and a plot", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if err := s.parse(args[0], set, seeds); err != nil {
 				return err
 			}
-			all, err := s.play(c)
+			all, err := s.runAll(c)
 			if err != nil {
 				return err
 			}
@@ -57,7 +57,7 @@
 		return usageError{fmt.Errorf("--set %q: KEY=VALUE,VALUE is wanted", set)}
 	}
 	s.key, s.values = key, strings.Split(list, ",")
-	if s.firstSeed, s.lastSeed, err = seedRange(seeds); err != nil {
+	if s.firstSeed, s.lastSeed, err = parseSeedRange(seeds); err != nil {
 		return usageError{err}
 	}
 	text, err := os.ReadFile(path)
@@ -77,16 +77,17 @@
 	return nil
 }
 
-// errSweepStopped is a sweep that was ended early.
+// errSweepStopped reports a sweep that was ended before all runs were done.
 var errSweepStopped = errors.New("stopped before the sweep was whole")
 
-// play runs everything and returns the summaries by value.
-func (s *sweep) play(c *cobra.Command) (all [][]*Summary, err error) {
+// runAll runs the scenario with each value and each seed, and returns the summaries by
+// value.
+func (s *sweep) runAll(c *cobra.Command) (all [][]*Summary, err error) {
 	for i, value := range s.values {
 		var runs []*Summary
 		for seed := s.firstSeed; seed <= s.lastSeed; seed++ {
 			s.run.seed, s.run.out = seed, filepath.Join(s.out, fmt.Sprintf("%s-%d", value, seed))
-			summary, err := s.run.play(c, s.scenarios[i], nil)
+			summary, err := s.run.runScenario(c, s.scenarios[i], nil)
 			if summary == nil {
 				return nil, err
 			}
@@ -102,21 +103,22 @@
 	return all, nil
 }
 
-// seedRange parses FIRST-LAST, or a single seed.
-func seedRange(s string) (from, to uint64, err error) {
-	a, b, two := strings.Cut(s, "-")
-	if !two {
-		b = a
-	}
-	from, err1 := strconv.ParseUint(a, 10, 64)
-	to, err2 := strconv.ParseUint(b, 10, 64)
+// parseSeedRange parses FIRST-LAST, or a single seed.
+func parseSeedRange(s string) (from, to uint64, err error) {
+	first, last, isRange := strings.Cut(s, "-")
+	if !isRange {
+		last = first
+	}
+	from, err1 := strconv.ParseUint(first, 10, 64)
+	to, err2 := strconv.ParseUint(last, 10, 64)
 	if err1 != nil || err2 != nil || to < from || to-from > 1000 {
 		return 0, 0, fmt.Errorf("--seeds %q: FIRST-LAST is wanted, 1,000 at most", s)
 	}
 	return from, to, nil
 }
 
-// print writes the table and the plot; a violated rule in any run is errViolated.
+// print writes the table and the plot, and returns errViolated if a rule was violated
+// in any run.
 func (s *sweep) print(w io.Writer, all [][]*Summary) error {
 	var columns [][]report.Row
 	for _, runs := range all {
@@ -128,7 +130,7 @@
 	for i, row := range columns[0] {
 		fmt.Fprint(table, row.Name)
 		for _, column := range columns {
-			fmt.Fprint(table, "\t", spread(column[i]))
+			fmt.Fprint(table, "\t", formatSpread(column[i]))
 			if row.Name == s.figure {
 				plotted = append(plotted, column[i].Values)
 			}
@@ -137,7 +139,7 @@
 	}
 	fmt.Fprint(table, "runs with a broken promise")
 	for _, runs := range all {
-		fmt.Fprint(table, "\t", brokenRuns(runs))
+		fmt.Fprint(table, "\t", countViolatedRuns(runs))
 	}
 	fmt.Fprintln(table)
 	if err := table.Flush(); err != nil {
@@ -161,7 +163,7 @@
 	return nil
 }
 
-// figuresOf are the figures of several runs.
+// figuresOf returns the figures of several runs.
 func figuresOf(runs []*Summary) []report.Row {
 	var stats []*report.Stats
 	for _, run := range runs {
--- a/internal/faultlab/controllers.go
+++ b/internal/faultlab/controllers.go
@@ -24,26 +24,26 @@
 // controllerRoles are the roles that each controller may lead.
 var controllerRoles = []string{leader.RegistrationExpiry, leader.Counter, rollout.Role, failover.Role, zones.Role}
 
-// logPrecision is that of the times in a controller's log.
+// logPrecision is the precision of the times in a controller's log.
 const logPrecision = time.Millisecond
 
-// controller is one controller, over all of its processes. It reaches each node of
-// the list service by a link of its own.
+// controller is one controller with its current process, which a fault may replace. It
+// reaches each node of the list service by a link of its own.
 type controller struct {
 	group  *group
 	number int
 	name   string
-	links  []*link.Link // to the nodes
+	links  []*link.Link // links to the nodes, in their order
 	log    *os.File
 
-	busy sync.Mutex // held by the fault that strikes its process
+	faultMu sync.Mutex // held while a fault affects its process
 
 	mu      sync.Mutex
 	process *process.Process
 }
 
-// startControllers starts the scenario's controllers, and the server of the notices
-// that they send.
+// startControllers starts the scenario's controllers, and the server that receives
+// their notices.
 func (g *group) startControllers() (err error) {
 	count := g.run.scenario.Registry.Controllers
 	if count == 0 {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// linkNodes makes the links to the nodes.
+// linkNodes makes a link to each node.
 func (c *controller) linkNodes() error {
 	r := c.group.run
 	for _, n := range c.group.nodes {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// start runs a new process of the controller.
+// start starts a new process of the controller.
 func (c *controller) start() error {
 	r := c.group.run
 	settings := &r.scenario.Registry
@@ -103,7 +103,7 @@
 	c.mu.Lock()
 	c.process = p
 	c.mu.Unlock()
-	r.watchNode(c.name, p)
+	r.watchServiceProcess(c.name, p)
 	return nil
 }
 
@@ -113,9 +113,10 @@
 	return c.process
 }
 
-// signal sends a signal to the present process; after SIGKILL it waits for the end.
+// signal sends a signal to the current process; after SIGKILL it waits until the
+// process has ended.
 func (c *controller) signal(s syscall.Signal) {
-	c.group.run.signalNode(c.name, c.currentProcess(), s)
+	c.group.run.signalServiceProcess(c.name, c.currentProcess(), s)
 }
 
 // setCut cuts the controller off from all nodes in one direction or both, or
@@ -138,8 +139,9 @@
 	c.log.Close()
 }
 
-// recordRoleSteps records what the controllers counted, once they have ended: each
-// step with when it was requested, when it was answered, and its outcome.
+// recordRoleSteps records the counter steps of all controllers from their logs: when
+// each step was requested and answered, and its outcome. The controllers must have
+// ended.
 func (g *group) recordRoleSteps() error {
 	var errs []error
 	for _, c := range g.controllers {
@@ -154,15 +156,15 @@
 	return errors.Join(errs...)
 }
 
-// stepReader makes events of the counter steps in a controller's log.
+// stepReader converts the counter steps in a controller's log to events of the history.
 type stepReader struct {
 	controller string
 	record     func(history.Event)
-	requested  *history.Event // without an answer so far
+	requested  *history.Event // step that has no answer yet; nil for none
 }
 
-// read reads a log. A step without an answer by the next request, or by the end, is
-// history.StepUnanswered.
+// read reads a log. A step that has no answer before the next request, or before the
+// end of the log, gets the outcome history.StepUnanswered.
 func (s *stepReader) read(log io.Reader) error {
 	var errs []error
 	lines := bufio.NewScanner(log)
@@ -173,23 +175,24 @@
 			errs = append(errs, err)
 		case !ok:
 		case step.outcome != "":
-			s.answer(step.outcome, step.at.Add(logPrecision).UnixMicro())
+			s.recordAnswer(step.outcome, step.loggedAt.Add(logPrecision).UnixMicro())
 		default:
-			s.answer(history.StepUnanswered, 0)
+			s.recordAnswer(history.StepUnanswered, 0)
 			s.requested = &history.Event{Kind: history.RoleStep, Relay: s.controller, Text: leader.Counter,
-				Status: step.count, ValidFor: step.token, SentAt: step.at.UnixMicro()}
+				Status: step.count, ValidFor: step.token, SentAt: step.loggedAt.UnixMicro()}
 		}
 	}
-	s.answer(history.StepUnanswered, 0)
+	s.recordAnswer(history.StepUnanswered, 0)
 	return errors.Join(append(errs, lines.Err())...)
 }
 
-// answer records the requested step, if there is one, with its outcome.
-func (s *stepReader) answer(outcome string, at int64) {
+// recordAnswer records the requested step, if there is one, with its outcome and the
+// time of its answer.
+func (s *stepReader) recordAnswer(outcome string, answeredAt int64) {
 	if s.requested == nil {
 		return
 	}
-	s.requested.Phase, s.requested.DueAt = outcome, at
+	s.requested.Phase, s.requested.DueAt = outcome, answeredAt
 	s.record(*s.requested)
 	s.requested = nil
 }
--- a/internal/faultlab/fault_evacuation.go
+++ b/internal/faultlab/fault_evacuation.go
@@ -13,13 +13,13 @@
 
 const (
 	evacuationRate     = 2   // endpoints a second, unless the fault says otherwise
-	evacuationFraction = 0.5 // of endpoints that each destination retains, likewise
+	evacuationFraction = 0.5 // fraction of endpoints that each destination keeps, unless the fault says otherwise
 )
 
-// strikeEvacuate has the controllers drain a zone, one endpoint after the other, and
-// return it when the fault is to be undone. Both have to be done before the run
-// ends, with every endpoint up again.
-func (r *run) strikeEvacuate(ctx context.Context, step Step) error {
+// runEvacuation has the controllers drain a zone, one endpoint after the other, and
+// bring it back when the fault is to be undone. It is an error if either is not done
+// before the run ends, or if an endpoint is not up afterwards.
+func (r *run) runEvacuation(ctx context.Context, step Step) error {
 	fault := &step.Fault
 	o := &operation{group: r.group, kind: zones.Role, name: fmt.Sprintf("%s-%d", fault.Zone, step.At.Milliseconds())}
 	spec := zones.Spec{Zone: fault.Zone, Rate: cmp.Or(fault.Rate, evacuationRate), MinFraction: cmp.Or(fault.Factor, evacuationFraction)}
@@ -37,7 +37,7 @@
 		return err
 	}
 	var members []registry.Member
-	if _, err := r.group.client.Do(ctx, http.MethodGet, registry.MembersPath+consistent, nil, &members); err != nil {
+	if _, err := r.group.client.Do(ctx, http.MethodGet, registry.MembersPath+consistentQuery, nil, &members); err != nil {
 		return fmt.Errorf("lab: evacuate: %w", err)
 	}
 	for _, m := range members {
--- a/internal/faultlab/fault_failover.go
+++ b/internal/faultlab/fault_failover.go
@@ -15,7 +15,8 @@
 // history.
 const failoverSource = "salvage"
 
-// noticeSink takes the notices that come from no relay's own agent.
+// noticeSink is a server that receives the notices sent by controllers rather than
+// through the agent of a relay.
 type noticeSink struct {
 	*model.Listener
 	run *run
@@ -42,26 +43,27 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// strikeFailover loses a relay, as its operators see it: they have the controllers
-// migrate its messages, which has to be done before the run ends. Later the relay
-// comes back all the same, with the state that it had.
-func (r *run) strikeFailover(ctx context.Context, step Step, x *relay) error {
-	x.shutdown(false)
+// runFailover kills a relay, and has the controllers migrate its messages, as operators
+// do with a relay that they consider lost. The migration has to be done before the run
+// ends. When the step is to be undone, the relay starts again with the state that it
+// had.
+func (r *run) runFailover(ctx context.Context, step Step, target *relay) error {
+	target.shutdown(false)
 	var idempotent []string
 	for _, class := range model.Classes() {
 		if !class.NonIdempotent {
 			idempotent = append(idempotent, class.Name)
 		}
 	}
-	o := &operation{group: r.group, kind: failover.Role, name: fmt.Sprintf("%s-%d", x.name, step.At.Milliseconds())}
-	spec := failover.Spec{Folder: x.stateDir(), DiskMB: r.scenario.Fleet.DiskMB, IdempotentClasses: idempotent}
+	o := &operation{group: r.group, kind: failover.Role, name: fmt.Sprintf("%s-%d", target.name, step.At.Milliseconds())}
+	spec := failover.Spec{Folder: target.stateDir(), DiskMB: r.scenario.Fleet.DiskMB, IdempotentClasses: idempotent}
 	if err := o.run(ctx, spec); err != nil {
 		return err
 	}
 	if err := o.await(ctx, isDone); err != nil {
 		return err
 	}
-	r.recorder.Record(history.Event{Kind: history.FailoverFinished, Relay: x.name, Text: string(o.last.Progress)})
+	r.recorder.Record(history.Event{Kind: history.FailoverFinished, Relay: target.name, Text: string(o.last.Progress)})
 	r.waitUntilUndone(ctx, step)
-	return x.start()
+	return target.start()
 }
--- a/internal/faultlab/fault_rollout.go
+++ b/internal/faultlab/fault_rollout.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	runnerTimeout = time.Second // for the headers of a request to a runner
-	waveFraction  = 4           // the second wave is one relay of so many
+	runnerTimeout = time.Second // for a runner to read the headers of a request
+	waveFraction  = 4           // the second wave is one relay in this many
 )
 
-// rolloutWaves checks that the waves of a rollout follow each other.
+// rolloutWaves checks that the waves of a rollout do not overlap.
 type rolloutWaves struct {
 	run *run
 
 	mu   sync.Mutex
-	open map[int]int // relays of each wave that are being restarted
+	open map[int]int // number of relays being restarted, by wave
 }
 
 // enter records that a relay of a wave is being restarted; two open waves fail the run.
@@ -52,16 +52,16 @@
 	wave  int
 }
 
-// Operator is the address of the relay for operators.
+// Operator returns the address of the relay for operators.
 func (p rolloutProgram) Operator() string { return p.relay.operatorAddr() }
 
 // Restart upgrades the relay and returns the ID of the new process.
 func (p rolloutProgram) Restart(ctx context.Context) (pid int, err error) {
 	p.waves.enter(p.wave)
 	defer p.waves.leave(p.wave)
-	p.relay.busy.Lock()
-	defer p.relay.busy.Unlock()
-	// A second restart of a relay is a second step of this name, which a rule forbids.
+	p.relay.faultMu.Lock()
+	defer p.relay.faultMu.Unlock()
+	// The checker allows one step of a name, so it reports a second restart of a relay.
 	p.waves.run.recorder.Record(history.Event{Kind: history.RoleStep, Relay: p.relay.name, Text: "rollout " + p.relay.name, Status: 1})
 	if err := p.relay.upgrade(ctx); err != nil {
 		return 0, err
@@ -69,18 +69,18 @@
 	return p.relay.currentProcess().PID, nil
 }
 
-// strikeRollout has the controllers restart all relays in waves, which has to be
+// runRollout has the controllers restart all relays in waves, which has to be
 // done before the run ends. Each relay has a runner on its machine.
-func (r *run) strikeRollout(ctx context.Context) error {
-	second := max(1, len(r.relays)/waveFraction)
-	plan := rollout.Plan{Waves: []int{1, second}, Parallelism: 2, ReadyTimeout: 10, SettleTime: 0.5, SettleTimeout: 8, MaxRejected: 0.9, MaxPending: 1000}
+func (r *run) runRollout(ctx context.Context) error {
+	secondWave := max(1, len(r.relays)/waveFraction)
+	plan := rollout.Plan{Waves: []int{1, secondWave}, Parallelism: 2, ReadyTimeout: 10, SettleTime: 0.5, SettleTimeout: 8, MaxRejected: 0.9, MaxPending: 1000}
 	waves := &rolloutWaves{run: r, open: map[int]int{}}
 	for i, relay := range r.relays {
 		wave := 2
 		switch {
 		case i == 0:
 			wave = 0
-		case i <= second:
+		case i <= secondWave:
 			wave = 1
 		}
 		addr := r.address()
@@ -98,6 +98,6 @@
 func (r *run) startRunner(addr string, program rolloutProgram) *http.Server {
 	runner := &rollout.Runner{Folder: filepath.Dir(program.relay.stateDir()), Program: program, Log: slog.New(slog.DiscardHandler)}
 	server := &http.Server{Addr: addr, ReadHeaderTimeout: runnerTimeout, Handler: runner.Handler()}
-	r.start(func() { server.ListenAndServe() }) // ends by Close
+	r.start(func() { server.ListenAndServe() }) // returns when the server is closed
 	return server
 }
--- a/internal/faultlab/fault_upstream.go
+++ b/internal/faultlab/fault_upstream.go
@@ -9,11 +9,11 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// strikeEndpoint carries out a step on one endpoint.
-func (r *run) strikeEndpoint(ctx context.Context, step Step, number int) error {
+// injectEndpointFault injects a step's fault into one endpoint.
+func (r *run) injectEndpointFault(ctx context.Context, step Step, number int) error {
 	endpoint := r.endpoints[number]
 	switch step.Fault.Kind {
-	case scenario.FaultDown: // its process died: connections are reset, new ones refused
+	case scenario.FaultDown: // as if its process had died: connections are reset and new ones refused
 		endpoint.SetDown(true)
 		if err := r.setRefusing(number, true); err != nil {
 			return err
@@ -26,12 +26,12 @@
 		r.waitUntilUndone(ctx, step)
 		endpoint.SetFault(model.Fault{})
 	case scenario.FaultDrain:
-		r.drain(ctx, step, endpoint)
+		r.drainEndpoint(ctx, step, endpoint)
 	}
 	return nil
 }
 
-// setRefusing has all links to an endpoint refuse connections, or not.
+// setRefusing makes all links to an endpoint refuse connections, or accept them again.
 func (r *run) setRefusing(number int, refusing bool) error {
 	var errs []error
 	for _, relay := range r.relays {
@@ -40,8 +40,9 @@
 	return errors.Join(errs...)
 }
 
-// drain has an endpoint drain, be removed half way through the step, and come back.
-func (r *run) drain(ctx context.Context, step Step, endpoint *model.Endpoint) {
+// drainEndpoint makes an endpoint drain, removes it half way through the step, and
+// brings it back at the end.
+func (r *run) drainEndpoint(ctx context.Context, step Step, endpoint *model.Endpoint) {
 	maxDelay := scenario.Seconds(r.scenario.Discovery.MaxDelaySeconds)
 	r.changeEndpoint(endpoint, model.Draining, maxDelay)
 	firstHalf := step
@@ -63,8 +64,8 @@
 	}
 }
 
-// strikeUpstreams carries out a step on whole upstreams.
-func (r *run) strikeUpstreams(ctx context.Context, step Step) {
+// injectUpstreamFault injects a step's fault into whole upstreams.
+func (r *run) injectUpstreamFault(ctx context.Context, step Step) {
 	factor := step.Fault.Factor
 	if factor <= 0 {
 		factor = 1
@@ -76,7 +77,7 @@
 		return
 	}
 	fault := upstreamFault(step.Fault.Kind, factor)
-	opensAt := r.began.Add(step.Until)
+	opensAt := r.loadStart.Add(step.Until)
 	for _, i := range step.Targets {
 		r.upstreams[i].AddFault(fault, opensAt)
 	}
@@ -92,8 +93,9 @@
 	}
 }
 
-// upstreamFault is the fault of a kind; factor is that of a slow upstream, and the
-// fraction of calls for all others.
+// upstreamFault returns the model's fault for a kind of fault. For a slow upstream,
+// factor is the factor of its service time; for all others it is the fraction of calls
+// that are affected.
 func upstreamFault(kind string, factor float64) model.Fault {
 	fraction := min(factor, 1)
 	switch kind {
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -23,7 +23,8 @@
 	"plovershore/internal/faultlab/stub"
 )
 
-// stubEnv makes the test's own program a stub relay, and labEnv a lab.
+// With one of these variables in its environment, the test binary runs as a stub
+// relay, or as a lab that writes its report to the folder in the variable.
 const (
 	stubEnv = "FAULTLAB_TEST_STUB"
 	labEnv  = "FAULTLAB_TEST_LAB"
@@ -46,12 +47,13 @@
 		os.Exit(0)
 	}
 	flag.Parse()
-	flag.Set("test.parallel", "16") // labs mostly wait
+	flag.Set("test.parallel", "16") // the labs mostly wait, so many run concurrently
 	os.Exit(m.Run())
 }
 
-// fast stands before each scenario of the stub: one relay, little time.
-const fast = `
+// stubScenario is the first part of the stub's scenarios: a small fleet and a short
+// load.
+const stubScenario = `
 seconds = 4
 [fleet]
 relays = 2
@@ -67,58 +69,61 @@
 rate = 60
 `
 
-// play runs a scenario. A run in which the lab was late proves nothing, so it
-// is played again, a few times at most.
-func play(t *testing.T, o Options) *Result {
+// runScenario runs a scenario. A run in which the lab was late proves nothing, so it is
+// repeated, up to three times.
+func runScenario(t *testing.T, options Options) *Result {
 	t.Helper()
 	for range 4 {
-		o.Out = t.TempDir()
-		res, err := Run(t.Context(), o)
+		options.Out = t.TempDir()
+		res, err := Run(t.Context(), options)
 		if err == nil {
 			return res
 		}
 		if !errors.Is(err, ErrLate) {
-			t.Fatalf("seed %d: %v", o.Seed, err)
+			t.Fatalf("seed %d: %v", options.Seed, err)
 		}
-		t.Logf("seed %d: %v: played again", o.Seed, err)
+		t.Logf("seed %d: %v: the run is repeated", options.Seed, err)
 	}
-	t.Fatalf("seed %d: this machine is too busy to judge anything", o.Seed)
+	t.Fatalf("seed %d: the lab was late in every run: this machine is too busy", options.Seed)
 	return nil
 }
 
-func playStub(t *testing.T, defect stub.Defect, text string) *Result {
+// runStub runs a scenario with stub relays that have the given defect.
+func runStub(t *testing.T, defect stub.Defect, text string) *Result {
 	t.Helper()
 	s, err := scenario.Parse("defect.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return play(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{stubEnv + "=1", stub.DefectEnv + "=" + string(defect)}})
+	return runScenario(t, Options{Scenario: s, Seed: 7, Program: os.Args[0], Env: []string{stubEnv + "=1", stub.DefectEnv + "=" + string(defect)}})
 }
 
-// TestEachDefectIsCaughtByItsChecker breaks one promise at a time on purpose,
-// in a relay that keeps the others.
-func TestEachDefectIsCaughtByItsChecker(t *testing.T) {
+// TestCheckerDetectsEachStubDefect runs stub relays with one defect at a time. The
+// checker must report the rule that the defect violates, and no rule that it cannot
+// violate.
+func TestCheckerDetectsEachStubDefect(t *testing.T) {
 	t.Parallel()
-	tight := "[[fault]]\nkind = \"limits\"\nat = 0\nfor = 60\nfactor = 0.1\n"
-	failing := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.45\n" // under half it is no outage
-	losing := "[[fault]]\nkind = \"lose\"\nat = 0\nfor = 60\nfactor = 1\n"
+	tightLimits := "[[fault]]\nkind = \"limits\"\nat = 0\nfor = 60\nfactor = 0.1\n"
+	failingCalls := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.45\n" // a fraction below 0.5 does not count as an outage
+	lostResponses := "[[fault]]\nkind = \"lose\"\nat = 0\nfor = 60\nfactor = 1\n"
 	outage := "[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 1\n"
-	drain := strings.Replace(fast, "seconds = 4", "seconds = 8", 1) + "[[fault]]\nkind = \"drain\"\nat = 1\nfor = 7\nshare = 0.5\n"
-	peers := "[bad_peers]\nevery = 0.3\n"
-	for _, x := range []struct {
-		defect stub.Defect
-		more   string
-		rules  []checker.Rule // that only it may break; the first must be
+	drainScenario := strings.Replace(stubScenario, "seconds = 4", "seconds = 8", 1) + "[[fault]]\nkind = \"drain\"\nat = 1\nfor = 7\nshare = 0.5\n"
+	invalidPeers := "[bad_peers]\nevery = 0.3\n"
+	for _, test := range []struct {
+		defect        stub.Defect
+		extraScenario string
+		mayViolate    []checker.Rule // rules that the defect may violate; it must violate the first
 	}{
+		// Without a defect, no rule may be violated.
 		{"", "[bad_peers]\nevery = 0.3\n[[fault]]\nkind = \"fail\"\nat = 1\nfor = 2\nfactor = 0.3\n[[fault]]\nkind = \"hup\"\nat = 2\n", nil},
 		{stub.Drop, "", []checker.Rule{"end"}},
-		{stub.Late, tight, []checker.Rule{"end"}},
+		{stub.Late, tightLimits, []checker.Rule{"end"}},
 		{stub.Repeat, "", []checker.Rule{"repeat", "effect"}},
-		{stub.ReturnUnsafe, failing, []checker.Rule{"repeat"}},
+		{stub.ReturnUnsafe, failingCalls, []checker.Rule{"repeat"}},
 		{stub.SecondCopy, "", []checker.Rule{"one-out"}},
-		{stub.Thirteen, losing, []checker.Rule{"attempts"}},
-		{stub.IgnoreWait, tight, []checker.Rule{"wait"}},
-		{stub.IgnoreDrain, drain, []checker.Rule{"drain"}},
+		{stub.Thirteen, lostResponses, []checker.Rule{"attempts"}},
+		{stub.IgnoreWait, tightLimits, []checker.Rule{"wait"}},
+		{stub.IgnoreDrain, drainScenario, []checker.Rule{"drain"}},
 		{stub.AfterEnd, "", []checker.Rule{"after-end"}},
 		{stub.BusySent, "", []checker.Rule{"refused"}},
 		{stub.AnswerTwice, "", []checker.Rule{"answer"}},
@@ -129,36 +134,37 @@
 		{stub.FillDisk, "", []checker.Rule{"limits"}},
 		{stub.SlowTerm, "", []checker.Rule{"term"}},
 		{stub.HangUpExit, "[[fault]]\nkind = \"hup\"\nat = 2\n", []checker.Rule{"crash", "end"}},
-		{stub.IgnorePeers, peers, []checker.Rule{"peer"}},
+		{stub.IgnorePeers, invalidPeers, []checker.Rule{"peer"}},
 		{stub.Topple, outage, []checker.Rule{"topple"}},
 	} {
-		t.Run("defect "+string(x.defect), func(t *testing.T) {
+		t.Run("defect "+string(test.defect), func(t *testing.T) {
 			t.Parallel()
-			text := fast + x.more
-			if strings.HasPrefix(x.more, "\nseconds") {
-				text = x.more
+			text := stubScenario + test.extraScenario
+			if strings.HasPrefix(test.extraScenario, "\nseconds") { // a whole scenario, which holds stubScenario already
+				text = test.extraScenario
 			}
-			v := playStub(t, x.defect, text).Verdict
-			got := slices.Sorted(maps.Keys(v.Counts))
-			for _, rule := range got {
-				if !slices.Contains(x.rules, rule) {
-					t.Errorf("rule %s broken too", rule)
+			verdict := runStub(t, test.defect, text).Verdict
+			violated := slices.Sorted(maps.Keys(verdict.Counts))
+			for _, rule := range violated {
+				if !slices.Contains(test.mayViolate, rule) {
+					t.Errorf("rule %s violated, which the defect must not do", rule)
 				}
 			}
-			if len(x.rules) > 0 && v.Counts[x.rules[0]] == 0 {
-				t.Errorf("rule %s not broken; judged %v", x.rules[0], v.Checked)
+			if len(test.mayViolate) > 0 && verdict.Counts[test.mayViolate[0]] == 0 {
+				t.Errorf("rule %s not violated; checks by rule: %v", test.mayViolate[0], verdict.Checked)
 			}
 			if t.Failed() {
-				for _, b := range v.Violations {
-					t.Log(b)
+				for _, violation := range verdict.Violations {
+					t.Log(violation)
 				}
 			}
 		})
 	}
 }
 
-// programs builds what the lab runs, into one folder.
-var programs = sync.OnceValues(func() (string, error) {
+// buildPrograms builds the programs that the lab runs into one folder, once for all
+// tests.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "faultlab")
 	if err != nil {
 		return "", err
@@ -170,15 +176,16 @@
 	return dir, nil
 })
 
-// TestTheRelayKeepsItsPromises plays scenarios with the real program.
-func TestTheRelayKeepsItsPromises(t *testing.T) {
+// TestRelayViolatesNoRuleInScenarios runs scenarios with the real programs. No rule may
+// be violated, and the rules that a scenario is about must have been checked.
+func TestRelayViolatesNoRuleInScenarios(t *testing.T) {
 	t.Parallel()
-	dir, err := programs()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, more := range map[string][]checker.Rule{"smoke": nil, "restarts": nil, "cut": nil,
-		// Hard cases 1, 2 and 9 of the list service, with real processes: leaders killed, cut off, and paused past an election.
+	for name, extraRules := range map[string][]checker.Rule{"smoke": nil, "restarts": nil, "cut": nil,
+		// Hard cases 1, 2 and 9 of the list service, with real processes: the leader is killed, cut off, or suspended past an election.
 		"registry-leader-loss": {"list", "linear"}, "registry-minority": {"list", "linear"}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -186,31 +193,32 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			res := play(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry")})
-			for _, b := range res.Verdict.Violations {
-				t.Errorf("seed 1: %v", b)
+			res := runScenario(t, Options{Scenario: s, Seed: 1, Program: filepath.Join(dir, "relay"), Registry: filepath.Join(dir, "registry")})
+			for _, violation := range res.Verdict.Violations {
+				t.Errorf("seed 1: %v", violation)
 			}
-			for _, rule := range append([]checker.Rule{"end", "repeat", "one-out", "attempts", "limits", "start", "term"}, more...) {
+			for _, rule := range append([]checker.Rule{"end", "repeat", "one-out", "attempts", "limits", "start", "term"}, extraRules...) {
 				if res.Verdict.Checked[rule] == 0 {
-					t.Errorf("%s was never looked at", rule)
+					t.Errorf("rule %s was never checked", rule)
 				}
 			}
 		})
 	}
 }
 
-func waitFor(t *testing.T, what string, cond func() bool) {
+func waitFor(t *testing.T, condition string, isMet func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if isMet() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("not reached in 30 s: %s", condition)
 }
 
-// TestNoRelayOutlivesTheLab kills a lab outright and wants its relays gone.
-func TestNoRelayOutlivesTheLab(t *testing.T) {
+// TestRelaysEndWhenLabIsKilled kills a lab by SIGKILL, after which none of its relays
+// may go on running.
+func TestRelaysEndWhenLabIsKilled(t *testing.T) {
 	t.Parallel()
 	out := t.TempDir()
 	lab := exec.Command(os.Args[0])
@@ -221,7 +229,7 @@
 	defer lab.Wait()
 	defer lab.Process.Kill()
 	pids := map[int]bool{}
-	waitFor(t, "three relays that are ready", func() bool {
+	waitFor(t, "three relays are ready", func() bool {
 		ready := 0
 		history.Read(filepath.Join(out, "history.jsonl"), func(e history.Event) {
 			if e.Kind == history.ProcessReady {
@@ -229,44 +237,46 @@
 				pids[e.PID] = true
 			}
 		})
-		n := 0 // the history is buffered: the relays' own PIDs are what counts
-		for _, pid := range children(lab.Process.Pid) {
+		running := 0 // the history is buffered and may lack a relay, so the lab's child processes count as well
+		for _, pid := range childPIDs(lab.Process.Pid) {
 			pids[pid] = true
-			n++
+			running++
 		}
-		return ready >= 3 || n >= 3
+		return ready >= 3 || running >= 3
 	})
 	lab.Process.Kill()
 	for pid := range pids {
-		waitFor(t, fmt.Sprintf("the end of process %d", pid), func() bool { return syscall.Kill(pid, 0) != nil || zombie(pid) })
+		waitFor(t, fmt.Sprintf("process %d has ended", pid), func() bool { return syscall.Kill(pid, 0) != nil || isZombie(pid) })
 	}
 }
 
-func children(pid int) (all []int) {
+func childPIDs(pid int) (all []int) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	for _, path := range tasks {
 		text, _ := os.ReadFile(path)
-		for _, f := range strings.Fields(string(text)) {
-			var n int
-			fmt.Sscan(f, &n)
-			all = append(all, n)
+		for _, field := range strings.Fields(string(text)) {
+			var child int
+			fmt.Sscan(field, &child)
+			all = append(all, child)
 		}
 	}
 	return all
 }
 
-func zombie(pid int) bool {
+func isZombie(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	return err != nil || strings.Contains(string(text), ") Z ")
 }
 
-// TestEndingEarlyLeavesAReport cancels a run at a moment drawn from a few.
-func TestEndingEarlyLeavesAReport(t *testing.T) {
+// TestRunCancelledEarlyViolatesNoRule cancels a run at several times: while the relays
+// start, and under load. The run must end with a verdict without violations, or with
+// the error that the relays were not ready yet.
+func TestRunCancelledEarlyViolatesNoRule(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
-			s, err := scenario.Parse("early.toml", []byte(strings.Replace(fast, "seconds = 4", "seconds = 600", 1)))
+			s, err := scenario.Parse("early.toml", []byte(strings.Replace(stubScenario, "seconds = 4", "seconds = 600", 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -277,69 +287,73 @@
 				t.Fatal(err)
 			}
 			if res != nil && !res.Verdict.OK() {
-				t.Errorf("broken: %v", res.Verdict.Violations)
+				t.Errorf("violations: %v", res.Verdict.Violations)
 			}
 		})
 	}
 }
 
-// TestARelayThatDoesNotStart is an error that names it and its log.
-func TestARelayThatDoesNotStart(t *testing.T) {
+// TestRunFailsWhenRelayDoesNotStart runs a relay program that ends at once; the error
+// must say that it did not start.
+func TestRunFailsWhenRelayDoesNotStart(t *testing.T) {
 	t.Parallel()
 	s := scenario.Default()
 	_, err := Run(t.Context(), Options{Scenario: &s, Seed: 1, Out: t.TempDir(), Program: "/bin/false"})
 	if err == nil || !strings.Contains(err.Error(), "did not start") {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want one that says that the relay did not start", err)
 	}
 }
 
-// TestAScheduleIsAFunctionOfScenarioAndSeed draws each twice.
-func TestAScheduleIsAFunctionOfScenarioAndSeed(t *testing.T) {
+// TestPlanDependsOnlyOnScenarioAndSeed plans each scenario twice with one seed, and
+// with another seed, for which a plan that draws targets must differ.
+func TestPlanDependsOnlyOnScenarioAndSeed(t *testing.T) {
 	files, _ := filepath.Glob(filepath.Join("..", "..", "lab", "scenarios", "*.toml"))
 	if len(files) < 8 {
-		t.Fatalf("%d scenarios", len(files))
+		t.Fatalf("found %d scenarios, want at least 8", len(files))
 	}
 	for _, path := range files {
 		s, err := scenario.LoadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		one, two, other := fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 6))
-		if one != two {
-			t.Errorf("%s: two schedules of one seed", path)
+		first, again, otherSeed := fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 5)), fmt.Sprint(Plan(s, 6))
+		if first != again {
+			t.Errorf("%s: two plans with one seed differ", path)
 		}
-		if strings.Contains(string(one), "share") && one == other {
-			t.Errorf("%s: one schedule of two seeds", path)
+		if strings.Contains(string(first), "share") && first == otherSeed {
+			t.Errorf("%s: plans with different seeds are equal", path)
 		}
 	}
 }
 
-// TestFortyRelays runs 40 processes on this machine, and wants the lab itself in time.
-func TestFortyRelays(t *testing.T) {
+// TestFortyRelaysStartAndEndInTime runs 40 relay processes on this machine. All must
+// start and end as the rules say, and the lab must not be late.
+func TestFortyRelaysStartAndEndInTime(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Parse("forty.toml", []byte("seconds = 3\n[fleet]\nrelays = 40\n[partners]\nendpoints = 8\ndestinations = 4\n[load]\nrate = 100\n[[fault]]\nkind = \"term\"\nat = 1\nshare = 0.3\nfor = 0.1\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	res := play(t, Options{Scenario: s, Seed: 1, Program: os.Args[0], Env: []string{stubEnv + "=1"}})
+	res := runScenario(t, Options{Scenario: s, Seed: 1, Program: os.Args[0], Env: []string{stubEnv + "=1"}})
 	if res.Verdict.Checked["start"] < 40 || res.Verdict.Counts["crash"]+res.Verdict.Counts["term"]+res.Verdict.Counts["start"] > 0 {
-		t.Errorf("%v, judged %v", res.Verdict.Violations, res.Verdict.Checked)
+		t.Errorf("violations %v, checks by rule %v", res.Verdict.Violations, res.Verdict.Checked)
 	}
 }
 
-// TestTwoLabsAtOnce have an address each, for as long as they last.
-func TestTwoLabsAtOnce(t *testing.T) {
-	one, lock, err := claimAddress()
+// TestConcurrentLabsClaimDifferentAddresses claims an address while another lab has
+// one; the two must differ.
+func TestConcurrentLabsClaimDifferentAddresses(t *testing.T) {
+	firstIP, firstLock, err := claimAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer lock.Close()
-	two, other, err := claimAddress()
+	defer firstLock.Close()
+	secondIP, secondLock, err := claimAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	if one == two {
-		t.Errorf("both at %s", one)
+	defer secondLock.Close()
+	if firstIP == secondIP {
+		t.Errorf("both labs got %s", firstIP)
 	}
 }
--- a/internal/faultlab/lateness.go
+++ b/internal/faultlab/lateness.go
@@ -12,8 +12,8 @@
 
 const (
 	latenessInterval = 10 * time.Millisecond // between two measurements
-	standstill       = time.Second           // a longer lateness is counted once
-	maxRecorded      = time.Minute           // later counts as this
+	stallThreshold   = time.Second           // a single stall that is longer than this is counted once
+	maxRecorded      = time.Minute           // a longer duration is recorded as this
 	histogramDigits  = 3
 )
 
@@ -24,7 +24,7 @@
 
 // recordMicros adds a duration to a histogram of microseconds.
 func recordMicros(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(1, d.Microseconds()), maxRecorded.Microseconds())) // within its bounds
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxRecorded.Microseconds())) // cannot fail: the value is within the bounds
 }
 
 // lateness is how late the lab's own events were, from when each was due. It is
@@ -48,7 +48,7 @@
 	for due := time.Now().Add(latenessInterval); model.Sleep(ctx, time.Until(due)); due = due.Add(latenessInterval) {
 		late := time.Since(due)
 		l.record(late)
-		if late > standstill {
+		if late > stallThreshold {
 			due = time.Now()
 		}
 	}
--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -12,17 +12,17 @@
 	"plovershore/internal/leader"
 )
 
-// This file holds every text of another program's that the lab reads for its
-// meaning: the controller's log lines, the progress messages of its operations
-// and one line of the relay's metrics. Whoever changes such a text changes it
-// here too. A scenario may run an older program (faultlab run --first), so the
-// texts of earlier releases stay readable beside the present ones.
+// This file holds every text of another program that the lab interprets: the
+// controller's log lines, the progress messages of its operations and one line of
+// the relay's metrics. A change of such a text has to be made here as well. A
+// scenario may run an older program (faultlab run --first), so the texts of earlier
+// releases are understood as well as the present ones.
 
 // Messages of the controller's log about one step of the counter role, as releases
 // before package leader had its event names wrote them.
 const (
-	oldStepRequested = "counts"      // the step is about to be requested
-	oldStepCounted   = "counted"     // the list service took the step
+	oldStepRequested = "counts"      // the controller is about to request the step
+	oldStepCounted   = "counted"     // the list service accepted the step
 	oldStepRejected  = "not counted" // the list service rejected the token
 )
 
@@ -32,11 +32,11 @@
 	returnedMessage = "returned" // every endpoint of the zone is back
 )
 
-// metricMembers is the relay's figure for the length of its endpoint list.
+// metricMembers is the name of the relay's metric for the length of its endpoint list.
 const metricMembers = "app_members"
 
-// stepOutcomes gives the history's word for each message about a step; a request has
-// none.
+// stepOutcomes maps each message about a step to its outcome in the history; a request
+// has none.
 var stepOutcomes = map[string]string{
 	leader.EventCountRequested: "",
 	leader.EventCountAccepted:  history.StepCounted,
@@ -49,18 +49,18 @@
 // counterLine matches a line of the controller's log about a counter step.
 var counterLine = regexp.MustCompile(`^time=(\S+) .*msg=(` + messagePattern() + `) .*count=(\d+) token=(\d+)`)
 
-// messagePattern matches any message about a step.
+// messagePattern returns a pattern that matches any message about a step.
 func messagePattern() string {
 	var patterns []string
 	for message := range stepOutcomes {
-		patterns = append(patterns, logText(message))
+		patterns = append(patterns, logPattern(message))
 	}
 	return strings.Join(patterns, "|")
 }
 
-// logText is a pattern for a message as slog's text handler writes it: quoted
-// where it holds a space.
-func logText(message string) string {
+// logPattern returns a pattern that matches a message as slog's text handler writes
+// it: quoted where it holds a space.
+func logPattern(message string) string {
 	if strings.Contains(message, " ") {
 		message = strconv.Quote(message)
 	}
@@ -69,10 +69,10 @@
 
 // counterStep is one line of the controller's log about a counter step.
 type counterStep struct {
-	at      time.Time
-	count   int
-	token   int64
-	outcome string // history.Counted or history.Fenced; empty for a request
+	loggedAt time.Time
+	count    int
+	token    int64
+	outcome  string // history.StepCounted or history.StepFenced; empty for a request
 }
 
 // parseCounterStep reads a log line; ok is false for a line about something else.
@@ -81,13 +81,13 @@
 	if fields == nil {
 		return counterStep{}, false, nil
 	}
-	at, timeErr := time.Parse(time.RFC3339Nano, fields[1])
+	loggedAt, timeErr := time.Parse(time.RFC3339Nano, fields[1])
 	count, countErr := strconv.Atoi(fields[3])
 	token, tokenErr := strconv.ParseInt(fields[4], 10, 64)
 	if err := errors.Join(timeErr, countErr, tokenErr); err != nil {
 		return counterStep{}, true, fmt.Errorf("controller log line %q: %w", line, err)
 	}
-	return counterStep{at: at, count: count, token: token, outcome: stepOutcomes[strings.Trim(fields[2], `"`)]}, true, nil
+	return counterStep{loggedAt: loggedAt, count: count, token: token, outcome: stepOutcomes[strings.Trim(fields[2], `"`)]}, true, nil
 }
 
 // isEvacuated reports whether an operation's message says that its zone is drained.
--- a/internal/faultlab/run.go
+++ b/internal/faultlab/run.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	sampleInterval = 250 * time.Millisecond // of the processes' usage
-	settleTimeout  = 20 * time.Second       // after the load, for pending messages: the longest deadline, and its slack
+	sampleInterval = 250 * time.Millisecond // between two samples of the processes' usage
+	settleTimeout  = 20 * time.Second       // after the load, for pending messages: the longest deadline and its slack
 	settlePoll     = 20 * time.Millisecond
-	noticeGrace    = 700 * time.Millisecond // after the last deadline, until a notice is overdue
+	noticeGrace    = 700 * time.Millisecond // after the last deadline; a later notice is overdue
 )
 
-// run is one scenario while it runs.
+// run is the state of one run of a scenario.
 type run struct {
-	opts     Options
-	scenario *scenario.Scenario
-	seed     uint64
-	plan     *fleetPlan
-	ctx      context.Context // ends when everything is to stop
-	stop     context.CancelFunc
-	failure  failure
-	lateness *lateness
-	ip       string
-	port     atomic.Int64 // the last that was used, from firstPort
-	began    time.Time    // of the load
+	opts      Options
+	scenario  *scenario.Scenario
+	seed      uint64
+	plan      *fleetPlan
+	ctx       context.Context // ends when everything is to stop
+	stop      context.CancelFunc
+	failure   failure
+	lateness  *lateness
+	ip        string
+	port      atomic.Int64 // number of ports used so far, from firstPort
+	loadStart time.Time    // start of the load
 
 	recorder   *history.Recorder
 	world      *model.World
-	discovery  *model.Discovery // the lab's own; not used if group is set
+	discovery  *model.Discovery // the lab's own endpoint list; unused if group is set
 	group      *group           // nil without a list service
 	clients    *model.Clients
 	upstreams  []*model.Upstream
 	endpoints  []*model.Endpoint
 	relays     []*relay
-	linkFaults map[*link.Link]link.Faults // of a link on which no fault is active
+	linkFaults map[*link.Link]link.Faults // faults that a link has while no step affects it
 	status     statusCounter
 
 	background sync.WaitGroup // all goroutines but the endpoints'
@@ -59,9 +59,9 @@
 	}()
 }
 
-// play sets everything up, runs the load with its faults, and waits for pending
+// execute sets everything up, runs the load with its faults, and waits for pending
 // messages.
-func (r *run) play(ctx context.Context, plan []Step) error {
+func (r *run) execute(ctx context.Context, plan []Step) error {
 	if err := r.build(ctx); err != nil {
 		return err
 	}
@@ -69,36 +69,37 @@
 		return err
 	}
 	r.recorder.Record(history.Event{Kind: history.Run, Text: fmt.Sprintf("%s seed %d", r.scenario.Name, r.seed)})
-	arriving, cancel := context.WithTimeout(ctx, scenario.Seconds(r.scenario.Seconds))
+	loadCtx, cancel := context.WithTimeout(ctx, scenario.Seconds(r.scenario.Seconds))
 	defer cancel()
 	defer context.AfterFunc(r.ctx, cancel)()
-	r.began = time.Now()
-	r.startLoad(arriving, plan)
-	r.clients.Run(r.ctx, arriving, r.seed)
-	<-arriving.Done()
+	r.loadStart = time.Now()
+	r.startLoad(loadCtx, plan)
+	r.clients.Run(r.ctx, loadCtx, r.seed)
+	<-loadCtx.Done()
 	r.settle()
 	return nil
 }
 
-// startLoad starts what runs beside the clients.
-func (r *run) startLoad(arriving context.Context, plan []Step) {
-	r.start(func() { r.inject(arriving, plan) })
+// startLoad starts everything that runs concurrently with the clients.
+func (r *run) startLoad(loadCtx context.Context, plan []Step) {
+	r.start(func() { r.injectFaults(loadCtx, plan) })
 	r.start(func() { r.lateness.measure(r.ctx) })
 	r.start(r.sampleUsage)
 	if r.opts.OnStatus != nil {
-		r.start(func() { r.watchStatus(arriving) })
+		r.start(func() { r.watchStatus(loadCtx) })
 	}
 	if r.group != nil {
-		r.start(func() { r.group.serve(r.ctx) })
+		r.start(func() { r.group.runClients(r.ctx) })
 	}
 	if r.scenario.InvalidPeers.Every > 0 {
-		r.start(func() { r.connectInvalidPeers(arriving) })
+		r.start(func() { r.connectInvalidPeers(loadCtx) })
 	}
 }
 
-// settle waits until no message is pending, and then until a notice would be overdue.
+// settle waits until no message is pending, and then for noticeGrace, after which a
+// missing notice is overdue.
 func (r *run) settle() {
-	for end := time.Now().Add(settleTimeout); time.Now().Before(end); {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
 		if r.ctx.Err() != nil || r.world.Ledger.PendingCount(time.Now()) == 0 {
 			break
 		}
@@ -107,19 +108,20 @@
 	model.Sleep(r.ctx, noticeGrace)
 }
 
-// onNotice takes the notice of a message; its client may submit it again.
+// onNotice completes a message for which a notice came; its client may submit a
+// returned message again.
 func (r *run) onNotice(id, outcome string, retryMS int64) {
 	if r.world.Ledger.Complete(id) && outcome == discovery.Returned {
 		r.clients.MessageReturned(r.ctx, id, retryMS)
 	}
 }
 
-// recordLostCall records a call that a relay wrote completely and that a link never
-// passed on: the relay cannot know that it did not run.
+// recordLostCall records a call that a relay wrote completely but a link did not pass
+// on: the relay cannot know that the call did not run.
 func (r *run) recordLostCall(l *link.Link, written []byte, firstByteAt time.Time) {
 	ids, complete := model.ParseCall(written)
 	if !complete {
-		return // the relay saw the connection end before its last byte
+		return // the relay saw the connection end before it had written its last byte
 	}
 	e := history.Event{Kind: history.CallLost, Relay: l.Source, Endpoint: l.Target, Messages: ids, SentAt: r.recorder.At(firstByteAt)}
 	for _, endpoint := range r.endpoints {
@@ -130,7 +132,7 @@
 	r.recorder.Record(e)
 }
 
-// sampleUsage records what the relays use until the run stops.
+// sampleUsage records what resources the relays use until the run stops.
 func (r *run) sampleUsage() {
 	for model.Sleep(r.ctx, sampleInterval) {
 		for _, relay := range r.relays {
@@ -157,7 +159,7 @@
 	}
 }
 
-// close ends every process, by SIGTERM first, then everything around them.
+// close ends the relays' processes, by SIGTERM first, and then everything around them.
 func (r *run) close() {
 	r.stopRelays()
 	r.stop()
@@ -192,8 +194,8 @@
 		stopping.Add(1)
 		go func() {
 			defer stopping.Done()
-			relay.busy.Lock()
-			defer relay.busy.Unlock()
+			relay.faultMu.Lock()
+			defer relay.faultMu.Unlock()
 			relay.shutdown(graceful)
 		}()
 	}
--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -22,34 +22,34 @@
 )
 
 const (
-	scaleStart     = 150 * time.Second // until all relays have their list
-	scaleEnd       = 20 * time.Second  // until a process of simulated relays has written its result
-	firstScalePort = firstPort + 100   // the ports below are the nodes'
-	connectTimeout = 1500 * time.Millisecond
+	scaleStartTimeout  = 150 * time.Second       // for all relays to receive their list
+	scaleResultTimeout = 20 * time.Second        // for a process of simulated relays to write its result
+	firstScalePort     = firstPort + 100         // lower ports are for the list service's nodes
+	connectTimeout     = 1500 * time.Millisecond // of a simulated relay, to an endpoint
 	// Names of roles in stored reports.
 	simRelayRole      = "hollow relay"
 	realRelayRole     = "real relay"
 	operatedRelayRole = "real relay with an operator address"
 )
 
-// scaleRun is a scale scenario while it runs.
+// scaleRun is the state of one run of a scale scenario.
 type scaleRun struct {
-	opts     Options
-	scenario *scenario.Scenario
-	dir      string
-	ip       string
-	port     atomic.Int64 // the last that was used
-	began    time.Time
-	ctx      context.Context // ends when everything is to stop
-	stop     context.CancelFunc
-	failure  failure
-	lateness *lateness
-	check    *scaleCheck
-	results  ScaleResult
-
-	phase       atomic.Value // of the run: one of scalePhases
-	isFinishing atomic.Bool  // processes are being ended
-	listHash    uint64       // of the service's list at the end
+	opts      Options
+	scenario  *scenario.Scenario
+	dir       string
+	ip        string
+	port      atomic.Int64 // last port that was used
+	startedAt time.Time
+	ctx       context.Context // ends when everything is to stop
+	stop      context.CancelFunc
+	failure   failure
+	lateness  *lateness
+	check     *scaleCheck
+	results   ScaleResult
+
+	phase       atomic.Value // current phase, one of scalePhases
+	isFinishing atomic.Bool  // set once the processes are told to end
+	listHash    uint64       // hash of the service's list at the end of the run
 
 	down         simrelay.Down
 	endpoints    *scaleEndpoints
@@ -57,21 +57,21 @@
 	members      *scaleMembers
 	watchers     *watcherSet
 	roles        []*role
-	agents       []*scaleAgent // that simulated relays share
+	agents       []*scaleAgent // agents that simulated relays share
 	realRelays   []*realRelay
 	simProcesses []*simProcess
-	clients      []*scaleClients // of the real relays
+	clients      []*scaleClients // clients of the real relays
 
 	mu        sync.Mutex
-	processes []*process.Process // all that were started
+	processes []*process.Process // all processes that were started
 
 	meters     []*meter
 	files      []*os.File
-	folders    []string       // beside the run's own, to be removed
+	folders    []string       // folders outside dir, which close removes
 	background sync.WaitGroup // all goroutines that end with ctx
 }
 
-// runScale plays a scale scenario to its verdict; errors are as Run's.
+// runScale runs a scale scenario and checks it; its errors are those of Run.
 func runScale(ctx context.Context, o Options) (*Result, error) {
 	dir, err := filepath.Abs(o.Out)
 	if err != nil {
@@ -83,15 +83,15 @@
 	}
 	defer lock.Close()
 	raiseDescriptorLimit()
-	r := &scaleRun{opts: o, scenario: o.Scenario, dir: dir, ip: ip, began: time.Now(), lateness: newLateness()}
+	r := &scaleRun{opts: o, scenario: o.Scenario, dir: dir, ip: ip, startedAt: time.Now(), lateness: newLateness()}
 	r.port.Store(firstScalePort)
-	r.phase.Store(phaseQuiet)
+	r.phase.Store(phaseIdle)
 	r.ctx, r.stop = context.WithCancel(ctx)
 	r.failure.stop = r.stop
-	r.check = newScaleCheck(dir, r.began.UnixMicro())
+	r.check = newScaleCheck(dir, r.startedAt.UnixMicro())
 	c := &o.Scenario.Scale
 	r.results = ScaleResult{SimRelays: c.Relays, Members: c.Members, Speed: c.Speed}
-	err = r.play()
+	err = r.execute()
 	if cause := r.failure.get(); cause != nil {
 		err = cause
 	}
@@ -111,52 +111,53 @@
 	go func() { defer r.background.Done(); work() }()
 }
 
-// play builds everything, runs the phases, and checks the simulated relays' results.
-func (r *scaleRun) play() error {
+// execute builds everything, runs the phases, and checks the simulated relays' results.
+func (r *scaleRun) execute() error {
 	if err := os.MkdirAll(filepath.Join(r.dir, logsDir), 0o755); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	starting, cancel := context.WithTimeout(r.ctx, scaleStart)
+	startCtx, cancel := context.WithTimeout(r.ctx, scaleStartTimeout)
 	defer cancel()
-	if err := r.startService(starting); err != nil {
+	if err := r.startService(startCtx); err != nil {
 		return err
 	}
-	if err := r.startFleet(starting); err != nil {
+	if err := r.startFleet(startCtx); err != nil {
 		return err
 	}
 	if _, err := r.fetchList(r.ctx); err != nil {
 		return err
 	}
 	if !r.checkLists() {
-		return r.ctx.Err() // the verdict says it
+		return r.ctx.Err() // the verdict holds the violation
 	}
-	r.playPhases()
+	r.runPhases()
 	r.settle()
 	return r.checkResults()
 }
 
-// checkLists checks that every relay has the list, and reports whether that is so.
+// checkLists checks that every relay has the complete list, and reports whether no rule
+// is violated.
 func (r *scaleRun) checkLists() bool {
 	c := &r.scenario.Scale
-	r.check.checked(checker.RuleStart)
-	have := r.simStatus().Members
-	if have[c.Members] < c.Relays {
-		r.check.violate(checker.RuleStart, "simulated relays", fmt.Sprintf("%d of %d have a list of %d members: by members %v", have[c.Members], c.Relays, c.Members, have),
-			r.began.UnixMicro(), time.Now().UnixMicro())
+	r.check.countCheck(checker.RuleStart)
+	relaysByMembers := r.simStatus().Members
+	if relaysByMembers[c.Members] < c.Relays {
+		r.check.addViolation(checker.RuleStart, "simulated relays", fmt.Sprintf("%d of %d have a list of %d members: by members %v", relaysByMembers[c.Members], c.Relays, c.Members, relaysByMembers),
+			r.startedAt.UnixMicro(), time.Now().UnixMicro())
 	}
 	for _, relay := range r.realRelays {
-		r.check.checked(checker.RuleStart)
+		r.check.countCheck(checker.RuleStart)
 		if relay.operator == "" {
 			continue
 		}
 		if n := relay.members(r.ctx); n != c.Members {
-			r.check.violate(checker.RuleStart, relay.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.began.UnixMicro(), time.Now().UnixMicro())
+			r.check.addViolation(checker.RuleStart, relay.name, fmt.Sprintf("has %d of %d members", n, c.Members), r.startedAt.UnixMicro(), time.Now().UnixMicro())
 		}
 	}
 	return r.check.verdict.OK()
 }
 
-// fetchList returns the complete list as the service has it.
+// fetchList reads the complete list from the service.
 func (r *scaleRun) fetchList(ctx context.Context) (*discovery.List, error) {
 	c, err := client.New(r.group.http, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -166,16 +167,17 @@
 	ctx, cancel := context.WithTimeout(ctx, groupTimeout)
 	defer cancel()
 	var text []byte
-	if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistent, nil, &text); err != nil {
-		return nil, fmt.Errorf("lab: the service's list: %w", err)
+	if _, err := c.Do(ctx, http.MethodGet, discovery.ListPath+consistentQuery, nil, &text); err != nil {
+		return nil, fmt.Errorf("lab: reading the service's list: %w", err)
 	}
 	r.results.ListMB = float64(len(text)) / 1e6
 	return discovery.Parse(text)
 }
 
-// result is the run's result; an error if the lab or the simulated relays were late.
+// result returns the run's result, with ErrLate if the lab or the simulated relays were
+// late.
 func (r *scaleRun) result() (*Result, error) {
-	result := &Result{Name: r.scenario.Name, Seed: r.opts.Seed, Out: r.opts.Out, Took: time.Since(r.began), Verdict: r.check.verdict, Scale: &r.results}
+	result := &Result{Name: r.scenario.Name, Seed: r.opts.Seed, Out: r.opts.Out, Took: time.Since(r.startedAt), Verdict: r.check.verdict, Scale: &r.results}
 	result.measureLab(r.lateness)
 	if !r.opts.RetainDirs {
 		r.removeData()
@@ -188,15 +190,15 @@
 
 // removeData removes everything but the logs.
 func (r *scaleRun) removeData() {
-	all, _ := os.ReadDir(r.dir)
-	for _, entry := range all {
+	entries, _ := os.ReadDir(r.dir)
+	for _, entry := range entries {
 		if entry.Name() != logsDir {
 			os.RemoveAll(filepath.Join(r.dir, entry.Name()))
 		}
 	}
 }
 
-// close ends all processes and everything between them.
+// close ends all processes and the proxies, endpoints and goroutines of the run.
 func (r *scaleRun) close() {
 	r.stop()
 	for _, p := range r.processes {
@@ -223,5 +225,5 @@
 	}
 }
 
-// errUnexpectedExit is a process that ended by itself.
+// errUnexpectedExit reports a process that ended before the lab told it to.
 var errUnexpectedExit = errors.New("lab: a process ended before it was told to")
--- a/internal/faultlab/scale_clients.go
+++ b/internal/faultlab/scale_clients.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	clientTimeout = 2 * time.Second // of a request
-	maxIdleConns  = 64              // to one relay
+	clientTimeout = 2 * time.Second // for one request
+	maxIdleConns  = 64              // connections that are kept open to one relay
 )
 
-// scaleClients submit messages to one real relay, as many as a simulated one draws,
-// whatever becomes of those before.
+// scaleClients submits messages to one real relay, at the rate at which a simulated
+// relay draws its own. It does not wait for the answers to earlier messages.
 type scaleClients struct {
 	scenario   *scenario.Scenario
 	addr       string
@@ -37,11 +37,12 @@
 	in *bufio.Reader
 }
 
-func newScaleClients(s *scenario.Scenario, addr string, random *rand.Rand, late func(time.Duration)) *scaleClients {
-	return &scaleClients{scenario: s, addr: addr, random: random, onLateness: late, idle: make(chan *scaleConn, maxIdleConns)}
+func newScaleClients(s *scenario.Scenario, addr string, random *rand.Rand, onLateness func(time.Duration)) *scaleClients {
+	return &scaleClients{scenario: s, addr: addr, random: random, onLateness: onLateness, idle: make(chan *scaleConn, maxIdleConns)}
 }
 
-// run submits messages until ctx ends, and returns once each has its answer.
+// run submits messages until ctx ends, and returns once each message has an answer or
+// has failed.
 func (c *scaleClients) run(ctx context.Context, relay int) {
 	var wg sync.WaitGroup
 	defer c.close()
@@ -67,15 +68,16 @@
 	}
 }
 
-// request is MSG.PUT; the first byte of the body names the class to the endpoint.
+// request returns the bytes of a MSG.PUT request. The first byte of the message's body
+// is the index of its class, which the endpoint reads.
 func (c *scaleClients) request(id string, class, dest int) []byte {
 	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", model.Classes()[class].Name, scenario.Seconds(c.scenario.Scale.Deadline).Milliseconds(), dest)
 	body := fmt.Sprint(class) + strings.Repeat("x", scaleBody-1)
-	out := []byte("*5\r\n")
+	request := []byte("*5\r\n")
 	for _, s := range []string{"MSG.PUT", "0000000000000000", id, fields, body} {
-		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(s), s)
+		request = fmt.Appendf(request, "$%d\r\n%s\r\n", len(s), s)
 	}
-	return out
+	return request
 }
 
 func (c *scaleClients) submit(text []byte) {
@@ -93,30 +95,30 @@
 // exchange sends a request on an idle connection, or on a new one, and returns the
 // first line of the answer.
 func (c *scaleClients) exchange(text []byte) (string, error) {
-	var x *scaleConn
+	var relayConn *scaleConn
 	select {
-	case x = <-c.idle:
+	case relayConn = <-c.idle:
 	default:
 		conn, err := net.DialTimeout("tcp4", c.addr, clientTimeout)
 		if err != nil {
 			return "", err
 		}
-		x = &scaleConn{conn, bufio.NewReader(conn)}
+		relayConn = &scaleConn{conn, bufio.NewReader(conn)}
 	}
-	x.SetDeadline(time.Now().Add(clientTimeout))
-	if _, err := x.Write(text); err != nil {
-		x.Close()
+	relayConn.SetDeadline(time.Now().Add(clientTimeout))
+	if _, err := relayConn.Write(text); err != nil {
+		relayConn.Close()
 		return "", err
 	}
-	line, err := x.in.ReadString('\n')
-	if err != nil || strings.HasPrefix(line, "$") { // a bulk string, whose text is left unread
-		x.Close()
+	line, err := relayConn.in.ReadString('\n')
+	if err != nil || strings.HasPrefix(line, "$") { // the text of a bulk string is left unread, so the connection cannot be reused
+		relayConn.Close()
 		return line, err
 	}
 	select {
-	case c.idle <- x:
+	case c.idle <- relayConn:
 	default:
-		x.Close()
+		relayConn.Close()
 	}
 	return line, nil
 }
@@ -124,8 +126,8 @@
 func (c *scaleClients) close() {
 	for {
 		select {
-		case x := <-c.idle:
-			x.Close()
+		case idle := <-c.idle:
+			idle.Close()
 		default:
 			return
 		}
--- a/internal/faultlab/scale_processes.go
+++ b/internal/faultlab/scale_processes.go
@@ -22,20 +22,20 @@
 )
 
 const (
-	scaleMaxCalls    = 200  // in flight, of one relay: 267 messages a second need 60
-	scaleMaxMessages = 4000 // in flight, of one relay
+	scaleMaxCalls    = 200  // calls in flight of one relay; 267 messages a second need 60
+	scaleMaxMessages = 4000 // messages in flight of one relay
 	scaleSockets     = 2048
 	scaleDiskMB      = 64
-	scaleBody        = 200 // bytes of a message
+	scaleBody        = 200 // bytes of a message's body
 	pollInterval     = 50 * time.Millisecond
-	memoryFolder     = "/dev/shm"
+	memoryFolder     = "/dev/shm" // a file system in memory
 )
 
-// scaleAgent is an agent of the list service, with the meter before it.
+// scaleAgent is an agent of the list service, with a meter before it.
 type scaleAgent struct {
 	process *process.Process
 	addr    string
-	meter   *meter // before it
+	meter   *meter // counts the traffic between relays and agent
 }
 
 // realRelay is a relay that runs the program under test.
@@ -43,7 +43,7 @@
 	name     string
 	process  *process.Process
 	listen   string
-	operator string // empty for none
+	operator string // operator address; empty for none
 	agent    *scaleAgent
 }
 
@@ -51,7 +51,7 @@
 type simProcess struct {
 	process *process.Process
 	relays  int
-	result  string
+	result  string // path of its result file
 	status  *statusReader
 }
 
@@ -65,14 +65,14 @@
 	last    simrelay.Status
 }
 
-// Write takes output: lines of status are parsed, all others go to the log.
+// Write handles output: lines of status are parsed, all others go to the log.
 func (s *statusReader) Write(text []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.partial = append(s.partial, text...)
 	for {
-		line, rest, whole := bytes.Cut(s.partial, []byte{'\n'})
-		if !whole {
+		line, remaining, isComplete := bytes.Cut(s.partial, []byte{'\n'})
+		if !isComplete {
 			return len(text), nil
 		}
 		var status simrelay.Status
@@ -81,7 +81,7 @@
 		} else {
 			fmt.Fprintf(s.log, "%s\n", line)
 		}
-		s.partial = bytes.Clone(rest)
+		s.partial = bytes.Clone(remaining)
 	}
 }
 
@@ -91,7 +91,7 @@
 	return s.last
 }
 
-// logFile makes the file of a process's output; the run closes it.
+// logFile creates the file for a process's output; the run closes it.
 func (r *scaleRun) logFile(name string) (*os.File, error) {
 	f, err := os.Create(filepath.Join(r.dir, logsDir, name+".log"))
 	if err != nil {
@@ -101,7 +101,7 @@
 	return f, nil
 }
 
-// startAgent runs one agent, with a meter before it.
+// startAgent starts one agent, with a meter before it.
 func (r *scaleRun) startAgent(name string, nodes []*meter) (*scaleAgent, error) {
 	log, err := r.logFile(name)
 	if err != nil {
@@ -132,18 +132,18 @@
 }
 
 // nodeMeters makes a meter before each node.
-func (r *scaleRun) nodeMeters() (all []*meter, err error) {
+func (r *scaleRun) nodeMeters() (meters []*meter, err error) {
 	for _, addr := range r.group.http {
 		m, err := newMeter(r.address(), addr)
 		if err != nil {
 			return nil, err
 		}
-		all, r.meters = append(all, m), append(r.meters, m)
+		meters, r.meters = append(meters, m), append(r.meters, m)
 	}
-	return all, nil
+	return meters, nil
 }
 
-// agentMembers is the length of an agent's list; -1 if it does not answer.
+// agentMembers returns the length of an agent's list; -1 if the agent does not answer.
 func agentMembers(ctx context.Context, a *scaleAgent) int {
 	var s agent.Status
 	if getJSON(ctx, "http://"+a.addr+"/v1/status", &s) != nil {
@@ -167,13 +167,14 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// settings is the settings of one relay of the fleet, in the form of the wire page.
+// settings returns the settings of one relay of the fleet, in the form that the wire
+// page describes.
 func (r *scaleRun) settings(number int) map[string]any {
 	return model.Settings(model.Fleet{Relays: r.scenario.Scale.Fleet, MaxCalls: scaleMaxCalls, MaxMessages: scaleMaxMessages, Zones: r.scenario.Fleet.Zones,
 		Zone: number % len(r.scenario.Fleet.Zones), Rank: number, MaxBatch: 1}, model.StandardRules())
 }
 
-// startRealRelay runs one relay as a process of its own.
+// startRealRelay starts one relay as a process of its own.
 func (r *scaleRun) startRealRelay(number int, a *scaleAgent) (*realRelay, error) {
 	relay := &realRelay{name: fmt.Sprintf("n%d", number+1), listen: r.address(), agent: a}
 	if number%2 == 1 {
@@ -204,12 +205,12 @@
 	return relay, nil
 }
 
-// members is the length of the list of a relay with an operator address; -1 if it
-// does not answer.
-func (x *realRelay) members(ctx context.Context) int {
+// members returns the length of the list of a relay that has an operator address; -1 if
+// the relay does not answer.
+func (r *realRelay) members(ctx context.Context) int {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+x.operator+"/v1/metrics", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.operator+"/v1/metrics", nil)
 	if err != nil {
 		return -1
 	}
@@ -226,7 +227,7 @@
 	return -1
 }
 
-// startSimProcess runs one process of simulated relays; first is the number of its
+// startSimProcess starts one process of simulated relays; first is the number of its
 // first relay.
 func (r *scaleRun) startSimProcess(number, first, relays int, agents []string) (*simProcess, error) {
 	name := fmt.Sprintf("simrelay-%d", number+1)
@@ -266,18 +267,18 @@
 
 // simStatus adds up the last status of all processes of simulated relays.
 func (r *scaleRun) simStatus() simrelay.Status {
-	all := simrelay.Status{Hashes: map[string]int{}, Members: map[int]int{}}
+	total := simrelay.Status{Hashes: map[string]int{}, Members: map[int]int{}}
 	for _, simulated := range r.simProcesses {
 		status := simulated.status.status()
-		for hash, n := range status.Hashes {
-			all.Hashes[hash] += n
+		for hash, count := range status.Hashes {
+			total.Hashes[hash] += count
 		}
-		for members, n := range status.Members {
-			all.Members[members] += n
+		for members, count := range status.Members {
+			total.Members[members] += count
 		}
-		all.Relays += status.Relays
-		all.Counts.Add(status.Counts)
-		all.LateP99, all.LateMax = max(all.LateP99, status.LateP99), max(all.LateMax, status.LateMax)
+		total.Relays += status.Relays
+		total.Counts.Add(status.Counts)
+		total.LateP99, total.LateMax = max(total.LateP99, status.LateP99), max(total.LateMax, status.LateMax)
 	}
-	return all
+	return total
 }
--- a/internal/faultlab/scale_results.go
+++ b/internal/faultlab/scale_results.go
@@ -14,60 +14,61 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// settle waits until every relay has the service's list and no message pending, and
-// checks the real relays' lists as they are then.
+// settle waits until every relay has the service's list and no message is pending, or
+// the scenario's time for that is over. It then checks the lists of the real relays.
 func (r *scaleRun) settle() {
 	if r.ctx.Err() != nil {
 		return
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	list, err := r.fetchList(r.ctx)
 	if err != nil {
 		r.failure.set(err)
 		return
 	}
 	hash := fmt.Sprintf("%016x", simrelay.ListHash(list.Members))
-	wait, cancel := context.WithTimeout(r.ctx, scenario.Seconds(r.scenario.Scale.Settle))
+	settleCtx, cancel := context.WithTimeout(r.ctx, scenario.Seconds(r.scenario.Scale.Settle))
 	defer cancel()
 	for {
 		status := r.simStatus()
-		ends := status.Counts.InFlight == 0 && status.Counts.Notices >= status.Counts.Returned+status.Counts.Failed
-		settled := status.Hashes[hash] == r.scenario.Scale.Relays && ends
+		allCompleted := status.Counts.InFlight == 0 && status.Counts.Notices >= status.Counts.Returned+status.Counts.Failed
+		settled := status.Hashes[hash] == r.scenario.Scale.Relays && allCompleted
 		for _, relay := range r.realRelays {
 			settled = settled && (relay.operator == "" || relay.members(r.ctx) == len(list.Members))
 		}
-		if settled || !model.Sleep(wait, pollInterval) {
+		if settled || !model.Sleep(settleCtx, pollInterval) {
 			break
 		}
 	}
-	r.results.Settle = time.Since(began).Seconds()
+	r.results.Settle = time.Since(startedAt).Seconds()
 	r.listHash = simrelay.ListHash(list.Members)
 	for _, relay := range r.realRelays {
 		if relay.operator == "" {
 			continue
 		}
-		r.check.checked(checker.RuleList)
-		if n := relay.members(r.ctx); n != len(list.Members) {
-			r.check.violate(checker.RuleList, relay.name, fmt.Sprintf("has %d members, the service %d", n, len(list.Members)), 0, 0)
+		r.check.countCheck(checker.RuleList)
+		if members := relay.members(r.ctx); members != len(list.Members) {
+			r.check.addViolation(checker.RuleList, relay.name, fmt.Sprintf("has %d members, the service %d", members, len(list.Members)), 0, 0)
 		}
 	}
 }
 
-// checkResults ends the simulated relays, and checks and counts their results.
+// checkResults has the simulated relays write their results, and checks and adds up
+// these.
 func (r *scaleRun) checkResults() error {
 	if err := r.ctx.Err(); err != nil {
 		return errors.Join(r.failure.get(), err)
 	}
 	r.isFinishing.Store(true)
-	r.signal(func(h *simProcess) error { return h.process.Signal(simrelay.Finish) })
-	ended, cancel := context.WithTimeout(r.ctx, scaleEnd)
+	r.forEachSimProcess(func(simulated *simProcess) error { return simulated.process.Signal(simrelay.Finish) })
+	resultCtx, cancel := context.WithTimeout(r.ctx, scaleResultTimeout)
 	defer cancel()
 	var relays []simrelay.RelayResult
-	for _, h := range r.simProcesses {
-		if !h.process.Wait(ended) {
-			return fmt.Errorf("lab: %s wrote no result in %v", h.process.Name, scaleEnd)
+	for _, simulated := range r.simProcesses {
+		if !simulated.process.Wait(resultCtx) {
+			return fmt.Errorf("lab: %s wrote no result in %v", simulated.process.Name, scaleResultTimeout)
 		}
-		result, err := simrelay.ReadResult(h.result)
+		result, err := simrelay.ReadResult(simulated.result)
 		if err != nil {
 			return err
 		}
@@ -83,15 +84,15 @@
 	return nil
 }
 
-// addFigures makes the figures of a run that has ended.
+// addFigures adds the figures of a run that has ended to its result.
 func (r *scaleRun) addFigures(relays []simrelay.RelayResult) {
-	for _, measured := range r.roles {
-		r.results.Roles = append(r.results.Roles, measured.finish(r.scenario.Scale.Speed))
+	for _, role := range r.roles {
+		r.results.Roles = append(r.results.Roles, role.finalCost(r.scenario.Scale.Speed))
 	}
 	r.results.compareRoles(simRelayRole, realRelayRole)
 	var control, load []scaleChange
 	for _, change := range r.members.changes {
-		if change.Phase == phaseLoad {
+		if change.RunPhase == phaseLoad {
 			load = append(load, change)
 		} else {
 			control = append(control, change)
@@ -103,21 +104,21 @@
 		r.addDelays(fmt.Sprintf("a zone gone (of it %.0f s to live)", r.scenario.Registry.TTL), relays, r.members.expired)
 		r.addDelays("a zone back", relays, r.members.restored)
 	}
-	all, whole := simrelay.Counts{}, 0
+	counts, completeLists := simrelay.Counts{}, 0
 	for i := range relays {
-		all.Add(relays[i].Counts)
-		whole += relays[i].CompleteLists
+		counts.Add(relays[i].Counts)
+		completeLists += relays[i].CompleteLists
 	}
 	r.addNote("simulated relays: %d messages offered, %d rejected, %d accepted, %d delivered, %d returned, %d failed, %d calls, %d notices; %d complete lists in %d relays",
-		all.Offered, all.Rejected, all.Accepted, all.Delivered, all.Returned, all.Failed, all.Calls, all.Notices, whole, len(relays))
+		counts.Offered, counts.Rejected, counts.Accepted, counts.Delivered, counts.Returned, counts.Failed, counts.Calls, counts.Notices, completeLists, len(relays))
 	for i, clients := range r.clients {
 		r.addNote("%s: %d messages offered, %d rejected, %d accepted, %d unanswered", r.realRelays[i].name, clients.offered.Load(), clients.rejected.Load(), clients.accepted.Load(), clients.unanswered.Load())
 	}
 	members := r.members
 	if len(members.restored) > 0 {
-		last := slices.MaxFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
-		first := slices.MinFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
-		r.addNote("list service: the zone's %d members were registered again in %.1f s", len(members.restored), float64(last.AnsweredAt-first.RequestedAt)/1e6)
+		lastRestored := slices.MaxFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
+		firstRestored := slices.MinFunc(members.restored, func(a, b scaleChange) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
+		r.addNote("list service: the zone's %d members were registered again in %.1f s", len(members.restored), float64(lastRestored.AnsweredAt-firstRestored.RequestedAt)/1e6)
 	}
 	r.addNote("list service: %d changes waited for the answer to the one before, %d batches of heartbeats took over a third of a time to live", members.changesBehind, members.heartbeatsBehind)
 	r.addNote("endpoints of the real relays: %d messages", r.endpoints.delivered.Load())
@@ -127,38 +128,39 @@
 	r.results.Notes = append(r.results.Notes, fmt.Sprintf(format, args...))
 }
 
-// addDelays adds how long changes took until the relays had applied them: each
-// change in each relay, and each until the last relay had it.
+// addDelays adds two distributions of the time from the request of a change until
+// relays had applied it: for each change and relay, and for each change until the last
+// relay.
 func (r *scaleRun) addDelays(name string, relays []simrelay.RelayResult, changes []scaleChange) {
 	if len(changes) == 0 {
 		return
 	}
-	var each, last []float64
-	missing, notAll := 0, 0
-	slowest, count := map[uint64]float64{}, map[uint64]int{}
-	asked := map[uint64]int64{}
+	var perRelay, untilAll []float64
+	missingApplications, incompleteChanges := 0, 0
+	slowest, appliedCount := map[uint64]float64{}, map[uint64]int{}
+	requestedAtByKey := map[uint64]int64{}
 	for _, change := range changes {
-		asked[change.Key] = change.RequestedAt
+		requestedAtByKey[change.Key] = change.RequestedAt
 	}
 	for i := range relays {
-		for _, h := range relays[i].Changes {
-			at, ours := asked[h.Key]
-			if !ours || h.At < at {
+		for _, applied := range relays[i].Changes {
+			requestedAt, isMeasured := requestedAtByKey[applied.Key]
+			if !isMeasured || applied.At < requestedAt {
 				continue
 			}
-			took := float64(h.At-at) / 1e6
-			each = append(each, took)
-			slowest[h.Key] = max(slowest[h.Key], took)
-			count[h.Key]++
+			seconds := float64(applied.At-requestedAt) / 1e6
+			perRelay = append(perRelay, seconds)
+			slowest[applied.Key] = max(slowest[applied.Key], seconds)
+			appliedCount[applied.Key]++
 		}
 	}
 	for _, change := range changes {
-		missing += max(0, len(relays)-count[change.Key])
-		if count[change.Key] < len(relays) {
-			notAll++
+		missingApplications += max(0, len(relays)-appliedCount[change.Key])
+		if appliedCount[change.Key] < len(relays) {
+			incompleteChanges++
 			continue
 		}
-		last = append(last, slowest[change.Key])
+		untilAll = append(untilAll, slowest[change.Key])
 	}
-	r.results.Delays = append(r.results.Delays, newScaleDelay(name+", each relay", each, missing), newScaleDelay(name+", the last relay", last, notAll))
+	r.results.Delays = append(r.results.Delays, newScaleDelay(name+", each relay", perRelay, missingApplications), newScaleDelay(name+", the last relay", untilAll, incompleteChanges))
 }
