--- a/internal/faultlab/command/play.go
+++ b/internal/faultlab/command/play.go
@@ -117,7 +117,7 @@
 		summary.Void = runErr.Error()
 	}
 	if result.Scale != nil {
-		summary.Stats = &report.Stats{Own: result.Scale.Figures()}
+		summary.Stats = &report.Stats{OwnFigures: result.Scale.Figures()}
 		return summary, errors.Join(runErr, f.writeSummary(o.Out, summary))
 	}
 	var err error
--- a/internal/faultlab/fault_upstream.go
+++ b/internal/faultlab/fault_upstream.go
@@ -13,7 +13,7 @@
 func (r *run) injectEndpointFault(ctx context.Context, step Step, number int) error {
 	endpoint := r.endpoints[number]
 	switch step.Fault.Kind {
-	case scenario.FaultDown: // as if its process had died: connections are reset and new ones refused
+	case scenario.FaultEndpointDown: // as if its process had died: connections are reset and new ones refused
 		endpoint.SetDown(true)
 		if err := r.setRefusing(number, true); err != nil {
 			return err
@@ -21,7 +21,7 @@
 		r.waitUntilUndone(ctx, step)
 		endpoint.SetDown(false)
 		return r.setRefusing(number, false)
-	case scenario.FaultSilent:
+	case scenario.FaultEndpointSilent:
 		endpoint.SetFault(model.Fault{Silent: true})
 		r.waitUntilUndone(ctx, step)
 		endpoint.SetFault(model.Fault{})
@@ -70,7 +70,7 @@
 	if factor <= 0 {
 		factor = 1
 	}
-	if step.Fault.Kind == scenario.FaultLimits {
+	if step.Fault.Kind == scenario.FaultScaleLimits {
 		r.scaleLimits(step.Targets, factor)
 		r.waitUntilUndone(ctx, step)
 		r.scaleLimits(step.Targets, 1)
@@ -101,15 +101,15 @@
 	switch kind {
 	case scenario.FaultSlow:
 		return model.Fault{Slow: factor}
-	case scenario.FaultFail:
+	case scenario.FaultFailCalls:
 		return model.Fault{Fail: fraction}
-	case scenario.FaultClose:
+	case scenario.FaultRejectCalls:
 		return model.Fault{Closed: true}
-	case scenario.FaultLose:
+	case scenario.FaultLoseResponses:
 		return model.Fault{LoseResponse: fraction}
-	case scenario.FaultCorrupt:
+	case scenario.FaultCorruptResponses:
 		return model.Fault{CorruptResponse: fraction}
-	case scenario.FaultBreak:
+	case scenario.FaultResetRequests:
 		return model.Fault{Reset: fraction}
 	}
 	return model.Fault{}
--- a/internal/faultlab/report/figures.go
+++ b/internal/faultlab/report/figures.go
@@ -12,7 +12,7 @@
 // Figures returns the figures with which runs are compared, each with its values from
 // all runs. If the first run has figures of its own, these are compared instead.
 func Figures(runs []*Stats) []Row {
-	if len(runs) > 0 && len(runs[0].Own) > 0 {
+	if len(runs) > 0 && len(runs[0].OwnFigures) > 0 {
 		return ownFigures(runs)
 	}
 	rows := []Row{}
@@ -82,7 +82,7 @@
 func ownFigures(runs []*Stats) (rows []Row) {
 	rowIndex := map[string]int{}
 	for _, s := range runs {
-		for _, f := range s.Own {
+		for _, f := range s.OwnFigures {
 			if _, known := rowIndex[f.Name]; !known {
 				rowIndex[f.Name] = len(rows)
 				rows = append(rows, Row{Name: f.Name, Unit: f.Unit})
--- a/internal/faultlab/report/stats.go
+++ b/internal/faultlab/report/stats.go
@@ -43,7 +43,7 @@
 	MaxRSS        map[string]int64   `json:"max_rss_bytes"`
 	MaxFDs        map[string]int     `json:"max_fds"`
 	CPU           map[string]float64 `json:"cpu_s"`
-	Own           []Figure           `json:"own,omitempty"` // figures of a scale run, which replace all others
+	OwnFigures    []Figure           `json:"own,omitempty"` // figures of a scale run, which replace all others
 	series        series
 }
 
--- a/internal/faultlab/scenario/fault.go
+++ b/internal/faultlab/scenario/fault.go
@@ -44,17 +44,17 @@
 	FaultReset    = "reset"
 	FaultHalfOpen = "halfopen"
 
-	FaultDown   = "down"   // connections to the endpoint are refused
-	FaultSilent = "silent" // the endpoint answers nothing
-	FaultDrain  = "drain"  // the endpoint drains, is removed and returns
-
-	FaultSlow    = "slow" // these are faults of upstreams
-	FaultFail    = "fail"
-	FaultClose   = "shut"
-	FaultLose    = "lose"
-	FaultCorrupt = "spoil"
-	FaultBreak   = "break"
-	FaultLimits  = "limits"
+	FaultEndpointDown   = "down"   // connections to the endpoint are refused
+	FaultEndpointSilent = "silent" // the endpoint answers nothing
+	FaultDrain          = "drain"  // the endpoint drains, is removed and returns
+
+	FaultSlow             = "slow" // these are faults of upstreams
+	FaultFailCalls        = "fail"
+	FaultRejectCalls      = "shut"
+	FaultLoseResponses    = "lose"
+	FaultCorruptResponses = "spoil"
+	FaultResetRequests    = "break"
+	FaultScaleLimits      = "limits"
 
 	FaultRateLimit       = "turnaway" // discovery limits its calls to Fault.Rate
 	FaultSilentDiscovery = "quiet"    // discovery stops writing the endpoint list
@@ -110,16 +110,16 @@
 	FaultThrottle:          TargetLink,
 	FaultReset:             TargetLink,
 	FaultHalfOpen:          TargetLink,
-	FaultDown:              TargetEndpoint,
-	FaultSilent:            TargetEndpoint,
+	FaultEndpointDown:      TargetEndpoint,
+	FaultEndpointSilent:    TargetEndpoint,
 	FaultDrain:             TargetEndpoint,
 	FaultSlow:              TargetUpstream,
-	FaultFail:              TargetUpstream,
-	FaultClose:             TargetUpstream,
-	FaultLose:              TargetUpstream,
-	FaultCorrupt:           TargetUpstream,
-	FaultBreak:             TargetUpstream,
-	FaultLimits:            TargetUpstream,
+	FaultFailCalls:         TargetUpstream,
+	FaultRejectCalls:       TargetUpstream,
+	FaultLoseResponses:     TargetUpstream,
+	FaultCorruptResponses:  TargetUpstream,
+	FaultResetRequests:     TargetUpstream,
+	FaultScaleLimits:       TargetUpstream,
 	FaultRateLimit:         TargetDiscovery,
 	FaultSilentDiscovery:   TargetDiscovery,
 	FaultNodeKill:          TargetNode,
