--- a/internal/faultlab/simrelay/simrelay_test.go
+++ b/internal/faultlab/simrelay/simrelay_test.go
@@ -10,7 +10,7 @@
 
 // The same number of destinations must be down at any time, and each destination equally
 // long over a whole round.
-func TestDownKeepsCountConstantAndCoversEveryDestination(t *testing.T) {
+func TestDownKeepsEqualNumberOfDestinationsDownAndEachEquallyLong(t *testing.T) {
 	const destinations = 200
 	d := Down{Seed: 3, Fraction: 0.05, For: 10 * time.Second, Origin: 1000}
 	d.Prepare(destinations)
