--- a/internal/faultlab/capacity/fit_test.go
+++ b/internal/faultlab/capacity/fit_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// newTestMeasurement makes a measurement whose values are f(size), with one play for each
-// factor, which multiplies its values.
+// newTestMeasurement makes a measurement whose values are f(size). It has one play, that is
+// one repetition, for each factor, which multiplies the values of that play.
 func newTestMeasurement(f func(size float64) float64, factors ...float64) *Measurement {
 	m := &Measurement{Job: "test", Quantity: Quantity{Name: "cost", Target: 100_000, Budget: 1000}, Sizes: []float64{100, 1000, 10_000, 31_000}}
 	for _, size := range m.Sizes {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Values on a straight line give its slope and intercept, and plays that differ give the
-// range of slopes.
+// Values on a straight line give its slope and intercept. If the repetitions of a
+// measurement differ, the least and the largest of their slopes are given as well.
 func TestFitOfLineGivesSlopeInterceptAndSpread(t *testing.T) {
 	m := newTestMeasurement(func(size float64) float64 { return 0.02 * size }, 1, 0.5, 1.5)
 	checkNear(t, "slope", m.Slope, 0.02)
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -20,7 +20,7 @@
 // signal when the thread that started it ends, and Go's runtime may end any other thread.
 var starter = sync.OnceValue(func() chan<- func() {
 	starts := make(chan func())
-	go func() { // never ends, so that its thread does not
+	go func() { // never returns: the runtime would end the thread that is locked to it, and so kill the children
 		runtime.LockOSThread()
 		for start := range starts {
 			start()
--- a/internal/registry/expiry_guard.go
+++ b/internal/registry/expiry_guard.go
@@ -18,7 +18,8 @@
 	confirmed      bool        // an operator has allowed the suspended expirations
 }
 
-// silenceCount counts the registrations that have a time to live.
+// silenceCount counts the registrations that have a time to live, and how many of them have
+// sent no heartbeat for a large part of it or for all of it.
 type silenceCount struct {
 	expiring   int // all registrations with a time to live
 	silent     int // those without a heartbeat for longer than silentFraction of their time to live
@@ -39,7 +40,7 @@
 	g.recentExpiries = append(g.recentExpiries, now)
 }
 
-// admits reports whether the due registrations may expire now.
+// allowsExpiry reports whether the due registrations may expire now.
 func (g *massExpiryGuard) allowsExpiry(count silenceCount, now time.Time) bool {
 	for len(g.recentExpiries) > 0 && now.Sub(g.recentExpiries[0]) > count.longestTTL {
 		g.recentExpiries = g.recentExpiries[1:]
--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -24,7 +24,8 @@
 	statusTimeout = time.Second
 )
 
-// DiscardLog returns a logger that discards everything.
+// DiscardLog returns a logger that is disabled at every level, for nodes whose log no test
+// reads.
 func DiscardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // WaitFor waits until a condition holds. It fails the test with a message that names what
