--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -20,7 +20,7 @@
 	endpoint.lastSuccessSentAt = max(endpoint.lastSuccessSentAt, sentAt)
 	if endpoint.awaitsRecovery() && sentAt >= endpoint.lastFailureAt {
 		endpoint.recoveredAt, endpoint.recoverySentAt = p.now, sentAt
-		p.logf("dest %d: endpoint answers again, slow start begins", endpoint.route.dest.id)
+		p.logf("dest %d: answers again, ramp", endpoint.route.dest.id)
 	}
 }
 
@@ -61,7 +61,7 @@
 		endpoint.recoveryBudget = tokenBucket{refilledAt: p.now}
 		endpoint.nextCallCost = p.rng.Float64()
 	}
-	p.logf("dest %d: endpoint ejected after failures, trial calls only", failed.route.dest.id)
+	p.logf("dest %d: seen failing, trial calls", failed.route.dest.id)
 }
 
 // backoffFactor is the length of a backoff as a multiple of the time since the first failure of the
