--- a/policy/throttle_test.go
+++ b/policy/throttle_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestDropProbability(t *testing.T) {
+func TestDropProbabilityGrowsOnceRequestsExceedTwiceAccepts(t *testing.T) {
 	for _, c := range []struct{ requests, accepts, want float64 }{
 		{0, 0, 0},        // no history
 		{10, 10, 0},      // all accepted
