--- a/internal/registry/expiry_guard.go
+++ b/internal/registry/expiry_guard.go
@@ -39,7 +39,7 @@
 	g.recentExpiries = append(g.recentExpiries, now)
 }
 
-// admits reports whether the due registrations may expire now.
+// allowsExpiry reports whether the due registrations may expire now.
 func (g *massExpiryGuard) allowsExpiry(count silenceCount, now time.Time) bool {
 	for len(g.recentExpiries) > 0 && now.Sub(g.recentExpiries[0]) > count.longestTTL {
 		g.recentExpiries = g.recentExpiries[1:]
--- a/internal/wal/cutfs/fs.go
+++ b/internal/wal/cutfs/fs.go
@@ -87,7 +87,8 @@
 	return f.Before(operation, name)
 }
 
-// assignSeq assigns the next sequence number to a change.
+// assignSeq gives a change its position in the order in which all changes were made. The caller
+// holds f.mu.
 func (f *FS) assignSeq(c *change) *change {
 	f.seq++
 	c.seq = f.seq
--- a/internal/wal/report.go
+++ b/internal/wal/report.go
@@ -8,7 +8,7 @@
 	Offset   int64    `json:"at"`
 	Bytes    int64    `json:"bytes"`
 	Reason   string   `json:"what"`
-	Affected int      `json:"concerned"` // number of messages that are treated as sent because of it
+	Affected int      `json:"concerned"` // number of messages that are treated as sent because of the corruption
 	IDs      []string `json:"ids,omitempty"`
 }
 
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -26,7 +26,7 @@
 // SyncKind is the kind of a list update.
 type SyncKind uint8
 
-// Kinds of list update.
+// Kinds of list update. A record with any other kind can't be decoded.
 const (
 	SyncCached SyncKind = 0
 	SyncFailed SyncKind = 1
@@ -37,7 +37,7 @@
 // Status is how an attempt or a health check ended.
 type Status uint8
 
-// Statuses.
+// Statuses. A record with any other status can't be decoded.
 const (
 	StatusOK     Status = 0
 	StatusMoot   Status = 249 // the attempt was not sent
@@ -67,21 +67,21 @@
 	Code         EventCode
 	Relay        uint16
 	Kind         SyncKind
-	Sheet        uint8 // number of a list
+	Sheet        uint8 // EvTable: number that the endpoint list gets; EvSync: number of the list that it refers to
 	Status       Status
 	Attempt      uint8
 	Settled      bool // the client has had its final response
 	Class        uint16
 	Flags        uint16 // bit 0: Estimate is set
 	Dest         uint16
-	Ticket       uint32 // number of a message
+	Ticket       uint32 // number of the message
 	Tenant       uint32
 	Grace        uint32 // time left until the deadline
 	Estimate     uint32 // expected cost
 	Note         uint32 // StatusFull: milliseconds to wait before a retry; StatusMoot: 1 if all call slots were taken
 	Took         uint32
 	Endpoint     uint64
-	Subject      uint64 // key of a message
+	Subject      uint64 // key of the message; 0 for none
 	Token        uint64
 	ReportFields int // number of values in Report
 	Report       [maxValues]float32
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -23,7 +23,7 @@
 
 // Bounds of the protocol.
 const (
-	maxList      = 15 // highest number of a list
+	maxList      = 15 // highest number of an endpoint list
 	maxBody      = 1 << 30
 	maxValues    = 4 // number of values in a load report
 	maxReadiness = 2
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// write copies the package with the mutant's change. The text to be replaced has to stand exactly
-// once in the sources.
+// writeModule copies the package with the mutant's change to dir, as a module of its own. The text to
+// be replaced has to stand exactly once in the sources.
 func (m mutant) writeModule(t *testing.T, dir string) {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
@@ -89,7 +89,7 @@
 	}
 }
 
-// check runs the mutant's test, which has to fail as a test and not because the copy doesn't build.
+// runTest runs the mutant's test, which has to fail as a test and not because the copy doesn't build.
 func (m mutant) runTest(t *testing.T, goTool, dir string) {
 	t.Helper()
 	testNames := m.test
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -21,7 +21,8 @@
 
 func (p *Policy) schedule(at Time, run func()) { p.timers.add(at, timerTask{run: run}) }
 
-// runDueTimers runs the timers that are due.
+// runDueTimers runs the due timers in the order of their times, including those that are added
+// meanwhile and are due at once.
 func (p *Policy) runDueTimers() {
 	for task, ok := p.timers.popDue(p.now); ok; task, ok = p.timers.popDue(p.now) {
 		if task.message != nil {
