--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -163,7 +163,7 @@
 
 // Each log line that docs/on-call.md gives as the present one, in the second column of
 // a table under "Log lines", is a string literal of the code.
-func TestLogLinesNamedOnCallExistInCode(t *testing.T) {
+func TestLogLinesNamedInOnCallPageExistInCode(t *testing.T) {
 	literals := stringLiterals(t)
 	row := regexp.MustCompile("^\\|[^|]*`[^|]*\\| `([^`]+)`")
 	inTable, count := false, 0
--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -32,10 +32,10 @@
 	return code, output.String()
 }
 
-// TestMainExitCodes checks the exit code and output of each command: 0 if no rule was
-// violated, 1 if one was, 2 for bad usage or an invalid scenario, 3 if the scenario
-// could not be run.
-func TestMainExitCodes(t *testing.T) {
+// TestMainExitCodeTellsViolationUsageErrorAndFailedRun checks the exit code and output of
+// each command: 0 if no rule was violated, 1 if one was, 2 for bad usage or an invalid
+// scenario, 3 if the scenario could not be run.
+func TestMainExitCodeTellsViolationUsageErrorAndFailedRun(t *testing.T) {
 	dir := t.TempDir()
 	validPath, invalidPath := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
 	os.WriteFile(validPath, []byte(shortScenario), 0o600)
