--- a/internal/faultlab/bench_wal.go
+++ b/internal/faultlab/bench_wal.go
@@ -26,7 +26,8 @@
 	Printf  Printf
 }
 
-// messageLog is the message log, or the baseline, which is the log that it replaced.
+// messageLog is the message log, or the baseline: the log of package baseline, which the
+// message log replaced.
 type messageLog interface {
 	Submit(*wal.Record, func(error))
 	Run(<-chan struct{})
@@ -107,7 +108,7 @@
 	figures *figures
 }
 
-// BenchWAL measures the relay's message log and, for comparison, the baseline.
+// BenchWAL measures the relay's message log and, for comparison, the log that it replaced.
 func BenchWAL(ctx context.Context, o WALBenchOptions) ([]Spread, error) {
 	dir, err := makeBenchDir(o.Out)
 	if err != nil {
@@ -178,7 +179,8 @@
 	return nil
 }
 
-// fillLogs writes pending messages to a log and a baseline in one folder.
+// fillLogs writes the given number of pending messages to a new log, and the same ones to a
+// new baseline in the same folder.
 func fillLogs(dir string, pending int) error {
 	log, err := wal.Open(wal.Options{Dir: dir, Limit: benchLimit})
 	if err != nil {
@@ -227,7 +229,7 @@
 	return start, nil
 }
 
-// startBaseline opens a baseline, which reads all pending messages.
+// startBaseline opens the baseline, which reads all pending messages while it is opened.
 func startBaseline(dir string) (start logStart, err error) {
 	heapBefore, startedAt := heapBytes(), time.Now()
 	log, pending, err := baseline.Open(dir, benchLimit)
--- a/internal/faultlab/failure.go
+++ b/internal/faultlab/failure.go
@@ -8,7 +8,7 @@
 // failure holds the first error that makes a run unusable, and stops the run at that
 // error. It is safe for concurrent use.
 type failure struct {
-	stop context.CancelFunc // set before use
+	stop context.CancelFunc // stops the run; it is assigned before the first call of set
 
 	mu  sync.Mutex
 	err error
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -3,8 +3,12 @@
 // scenario, and has package checker report which rules were violated.
 //
 // The schedule of faults depends on scenario and seed alone. A run in which the lab
-// itself was late is void. No process outlives the lab. The lab uses the relay's
-// protocol alone: none of the relay's code is linked in.
+// itself was late is void. No process outlives the lab.
+//
+// A run reaches the relays only over their protocols: the lab's process runs no code of
+// the relay but small packages that both use, such as discovery, which has the form of the
+// endpoint list and of notices. Benchmarks may run more of it: BenchWAL measures package
+// wal, the relay's message log, in the lab's process.
 package faultlab
 
 import (
@@ -48,7 +52,8 @@
 // relays. The path of their configuration follows it.
 const SimRelayCommand = "simrelay"
 
-// MaxLateness is the default of Options.MaxLateness.
+// MaxLateness is the default of Options.MaxLateness: a run is void if the p99 of the lab's
+// own lateness is above it.
 const MaxLateness = 50 * time.Millisecond
 
 // ErrLate reports a run in which the lab itself was so late that the run proves
