--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -10,7 +10,7 @@
 // Paths of discovery's HTTP interface.
 const (
 	ListPath   = "/registry/instances" // serves the endpoint list, and watches on it
-	NoticePath = "/reports"            // receives notices
+	NoticePath = "/reports"            // takes notices in a POST request, one JSON object per line
 )
 
 // baseAnswerTimeout bounds a connect, and the wait for the response to a call that
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -77,7 +77,7 @@
 	tokens      float64       // number of calls that may be served at once, as of refilledAt
 	refilledAt  time.Time     // when tokens was last updated
 	calls       []time.Time   // when each call arrived
-	rejected    int           // number of rejected calls
+	rejected    int           // calls not served, because of the rate or after maxWait in the queue
 	fault       string        // how calls fail, one of the cases of fail; empty if they do not fail
 	stop        context.Context
 }
--- a/internal/tools/doccheck/main_test.go
+++ b/internal/tools/doccheck/main_test.go
@@ -56,8 +56,8 @@
 
 // I is an interface.
 type I interface {
-	Get() int // gets
-	// Set sets.
+	Get() int // returns the value
+	// Set replaces the value.
 	Set(int)
 	hide()
 }
