--- a/internal/relay/backlog_slope_test.go
+++ b/internal/relay/backlog_slope_test.go
@@ -22,13 +22,13 @@
 var slopeSizes = flag.String("slope", "1000,3000", "messages held at which TestBacklogSlope measures, before and after")
 
 const (
-	slopeDests   = 50
-	slopeClients = 16
-	slopeWorked  = 4000 // messages worked off that are counted at most
+	slopeDests        = 50
+	slopeClients      = 16
+	slopeMaxDelivered = 4000 // messages worked off that are counted at most
 )
 
-// processUse reads what a process has used: CPU time and resident memory.
-func processUse(t *testing.T, pid int) (cpu time.Duration, rss int64) {
+// processUsage reads what a process has used: CPU time and resident memory.
+func processUsage(t *testing.T, pid int) (cpu time.Duration, rss int64) {
 	t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -42,18 +42,18 @@
 }
 
 // slope is a relay of the program itself whose destinations are down.
-type slope struct {
-	t    *testing.T
-	bin  string
-	disc *discoverytest.Server
-	ep   *fakeEndpoint
-	c    *child
+type costRun struct {
+	t        *testing.T
+	program  string
+	disc     *discoverytest.Server
+	endpoint *fakeEndpoint
+	relay    *child
 }
 
-func (s *slope) start() (ready time.Duration) {
+func (s *costRun) start() (ready time.Duration) {
 	s.t.Helper()
 	began := time.Now()
-	c := &child{cmd: exec.Command(s.bin), env: s.c.env}
+	c := &child{cmd: exec.Command(s.program), env: s.relay.env}
 	c.cmd.Env = os.Environ()
 	for k, v := range c.env {
 		c.cmd.Env = append(c.cmd.Env, k+"="+v)
@@ -62,29 +62,29 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
-	s.c = c
-	waitFor(s.t, "a yes", func() bool { return c.says(true) })
+	s.relay = c
+	waitFor(s.t, "a yes", func() bool { return c.readyzIs(true) })
 	return time.Since(began)
 }
 
-func (s *slope) use() (time.Duration, int64) {
+func (s *costRun) usage() (time.Duration, int64) {
 	s.t.Helper()
-	return processUse(s.t, s.c.cmd.Process.Pid)
+	return processUsage(s.t, s.relay.cmd.Process.Pid)
 }
 
 // hold hands n messages in for destinations that are down.
-func (s *slope) hold(n int) {
+func (s *costRun) submit(n int) {
 	s.t.Helper()
 	body := make([]byte, 200)
 	var wg sync.WaitGroup
 	for k := range slopeClients {
-		cl := dialClient(s.t, s.c.env["ROUTER_LISTEN"])
+		cl := dialClient(s.t, s.relay.env["ROUTER_LISTEN"])
 		cl.SetDeadline(time.Now().Add(2 * time.Minute))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := k; i < n; i += slopeClients {
-				if got := cl.put(fmt.Sprint("m", i), fields("plain", 3600000, 10+i%slopeDests), body); got != "+OK" {
+				if got := cl.put(fmt.Sprint("m", i), putFields("plain", 3600000, 10+i%slopeDests), body); got != "+OK" {
 					s.t.Errorf("m%d: %s", i, got)
 					return
 				}
@@ -94,14 +94,14 @@
 	wg.Wait()
 }
 
-// workOff has the destinations return, and gives the relay's CPU time for each of
+// deliver has the destinations return, and gives the relay's CPU time for each of
 // the first messages that go out, and how long they took.
-func (s *slope) workOff(n int) (cpu, took time.Duration) {
+func (s *costRun) deliver(n int) (cpu, took time.Duration) {
 	s.t.Helper()
-	n = min(n, slopeWorked)
+	n = min(n, slopeMaxDelivered)
 	list := discovery.List{Revision: 2}
 	for i := range slopeDests {
-		m := s.ep.member(fmt.Sprint("s-", 10+i), 10+i)
+		m := s.endpoint.member(fmt.Sprint("s-", 10+i), 10+i)
 		m.Size = 100_000
 		list.Members = append(list.Members, m)
 	}
@@ -109,19 +109,19 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	before, _ := s.use()
+	before, _ := s.usage()
 	began := time.Now()
 	s.disc.Send(s.t, string(text))
 	for end := began.Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		s.ep.mu.Lock()
-		done := len(s.ep.calls)
-		s.ep.mu.Unlock()
+		s.endpoint.mu.Lock()
+		done := len(s.endpoint.calls)
+		s.endpoint.mu.Unlock()
 		late := time.Now().After(end)
 		if late && done < n/2 {
 			s.t.Logf("only %d of %d messages are worked off in 20 s", done, n)
 		}
 		if done >= n*9/10 || late && done > 0 { // a drop may end some
-			after, _ := s.use()
+			after, _ := s.usage()
 			return (after - before) / time.Duration(done), time.Since(began) / time.Duration(done)
 		}
 	}
@@ -144,22 +144,22 @@
 			t.Fatal(err)
 		}
 		for _, mode := range []string{"before", "after"} {
-			s := &slope{t: t, bin: bin, disc: oneElsewhere(t), ep: newFakeEndpoint(t, nil)}
+			s := &costRun{t: t, program: bin, disc: newDiscoveryWithOneMember(t), endpoint: newFakeEndpoint(t, nil)}
 			env := backlogEnv(t, s.disc, 2048, 0)
 			editConfig(t, env, `"memory_mb":192`, `"memory_mb":256`)
 			if mode == "after" {
 				editConfig(t, env, `"resident":0,`, ``)
 			}
-			s.c = &child{env: env}
+			s.relay = &child{env: env}
 			s.start()
-			cpu0, rss0 := s.use()
-			s.hold(n)
-			cpu1, rss1 := s.use()
-			waitFor(t, "the figure", func() bool { return s.c.figure(t, "app_pending") == n })
-			s.c.kill()
+			cpu0, rss0 := s.usage()
+			s.submit(n)
+			cpu1, rss1 := s.usage()
+			waitFor(t, "the figure", func() bool { return s.relay.metric(t, "app_pending") == n })
+			s.relay.kill()
 			ready := s.start()
-			cpu, took := s.workOff(n)
-			s.c.kill()
+			cpu, took := s.deliver(n)
+			s.relay.kill()
 			t.Logf("%-7s %8d %10.1f %14.0f %12.1f %12.1f %12.1f %10.0f", mode, n, float64(rss1)/1e6, float64(rss1-rss0)/float64(n),
 				float64((cpu1-cpu0).Microseconds())/float64(n), float64(cpu.Nanoseconds())/1e3, float64(took.Nanoseconds())/1e3, float64(ready.Microseconds())/1e3)
 			if t.Failed() {
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -23,25 +23,25 @@
 // room for many to be held.
 func backlogEnv(t *testing.T, d *discoverytest.Server, diskMB, resident int) map[string]string {
 	t.Helper()
-	env := testConfig(t, d, diskMB)
+	env := writeTestConfig(t, d, diskMB)
 	editConfig(t, env, `"most_held":100`, `"most_held":1000000`)
 	editConfig(t, env, `"seed":`, fmt.Sprintf(`"resident":%d,"seed":`, resident))
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	return env
 }
 
-// oneElsewhere is discovery with an endpoint of a destination that nobody writes to.
-func oneElsewhere(t *testing.T) *discoverytest.Server {
+// newDiscoveryWithOneMember is discovery with an endpoint of a destination that nobody writes to.
+func newDiscoveryWithOneMember(t *testing.T) *discoverytest.Server {
 	return discoverytest.New(t, newFakeEndpoint(t, nil).member("s-1", 1))
 }
 
-// putAll hands messages in, a class after the other, and gives their ids.
-func putAll(t *testing.T, cl *testClient, prefix string, n, dest, deadlineMS int) (ids []string) {
+// putMessages hands messages in, a class after the other, and gives their ids.
+func putMessages(t *testing.T, cl *testClient, prefix string, n, dest, deadlineMS int) (ids []string) {
 	t.Helper()
 	for i := range n {
 		class := []string{"plain", "once", "keyed"}[i%3]
 		id := fmt.Sprintf("%s%d-%s", prefix, i, class)
-		if s := cl.put(id, fields(class, deadlineMS+i, dest), []byte("body of "+id)); s != "+OK" {
+		if s := cl.put(id, putFields(class, deadlineMS+i, dest), []byte("body of "+id)); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 		ids = append(ids, id)
@@ -49,22 +49,22 @@
 	return ids
 }
 
-// spilledAtLeast waits until so many are in the log alone.
-func (c *child) spilledAtLeast(t *testing.T, n int) {
+// waitSpilled waits until so many are in the log alone.
+func (c *child) waitSpilled(t *testing.T, n int) {
 	t.Helper()
-	waitFor(t, "the backlog", func() bool { return c.figure(t, "app_spilled") >= n })
+	waitFor(t, "the backlog", func() bool { return c.metric(t, "app_spilled") >= n })
 }
 
-// endedOnce checks that each message has its end, and no second: it was answered
+// checkEndedOnce checks that each message has its end, and no second: it was answered
 // by its endpoint or ended by a notice. With kills, a call that nobody saw the
 // end of may be both.
-func endedOnce(t *testing.T, disc *discoverytest.Server, ids []string, kills bool, eps ...*fakeEndpoint) {
+func checkEndedOnce(t *testing.T, disc *discoverytest.Server, ids []string, kills bool, eps ...*fakeEndpoint) {
 	t.Helper()
 	for _, id := range ids {
 		waitFor(t, "the end of "+id, func() bool {
 			_, ended := disc.Notice(id)
 			for _, e := range eps {
-				ended = ended || e.answered(id)
+				ended = ended || e.answeredOK(id)
 			}
 			return ended
 		})
@@ -72,7 +72,7 @@
 	for _, id := range ids {
 		calls := 0
 		for _, e := range eps {
-			calls += e.count(id)
+			calls += e.callCount(id)
 		}
 		_, notice := disc.Notice(id)
 		if strings.HasSuffix(id, "-once") && calls > 1 {
@@ -87,21 +87,21 @@
 // Hard case: SIGKILL at any moment with most messages in the log alone, in the
 // backlog's making, in its reading at a start and while it is worked off. Each
 // has its end, and what may not run twice does not.
-func TestBacklogKilled(t *testing.T) {
+func TestBacklogSurvivesKills(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	disc := oneElsewhere(t)
+	disc := newDiscoveryWithOneMember(t)
 	env := backlogEnv(t, disc, 64, 4)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	ids := append(putAll(t, cl, "a", 240, 7, 25000), putAll(t, cl, "b", 240, 8, 25000)...)
-	c.spilledAtLeast(t, 400)
+	ids := append(putMessages(t, cl, "a", 240, 7, 25000), putMessages(t, cl, "b", 240, 8, 25000)...)
+	c.waitSpilled(t, 400)
 	c.kill()
 	c = startChild(t, env)
 	c.kill() // while it reads what is owed, or just after
 	c = startChild(t, env)
-	c.spilledAtLeast(t, 400)
-	waitFor(t, "all of them", func() bool { return c.figure(t, "app_pending") == len(ids) })
-	ids = append(ids, putAll(t, dialClient(t, env["ROUTER_LISTEN"]), "c", 60, 7, 25000)...)
+	c.waitSpilled(t, 400)
+	waitFor(t, "all of them", func() bool { return c.metric(t, "app_pending") == len(ids) })
+	ids = append(ids, putMessages(t, dialClient(t, env["ROUTER_LISTEN"]), "c", 60, 7, 25000)...)
 	disc.Set(func(d *discoverytest.Server) {
 		d.List.Members = append(d.List.Members, ep.member("s-7", 7), ep.member("s-8", 8))
 	})
@@ -112,32 +112,32 @@
 		c.kill()
 		c = startChild(t, env)
 	}
-	endedOnce(t, disc, ids, true, ep)
-	waitFor(t, "an empty backlog", func() bool { return c.figure(t, "app_pending") == 0 && c.figure(t, "app_spilled") == 0 })
+	checkEndedOnce(t, disc, ids, true, ep)
+	waitFor(t, "an empty backlog", func() bool { return c.metric(t, "app_pending") == 0 && c.metric(t, "app_spilled") == 0 })
 }
 
 // Hard case: a destination comes back, is gone again while its backlog is read,
 // and comes back. Each message is delivered once.
-func TestBacklogWorkedOff(t *testing.T) {
+func TestBacklogIsDeliveredOnceAfterOutages(t *testing.T) {
 	for _, resident := range []int{1, 2, 30} {
 		t.Run(fmt.Sprint(resident, " in memory"), func(t *testing.T) {
 			ep := newFakeEndpoint(t, nil)
-			disc := oneElsewhere(t)
+			disc := newDiscoveryWithOneMember(t)
 			env := backlogEnv(t, disc, 64, resident)
 			c := startChild(t, env)
-			ids := putAll(t, dialClient(t, env["ROUTER_LISTEN"]), "m", 300, 7, 25000)
-			c.spilledAtLeast(t, 300-resident)
+			ids := putMessages(t, dialClient(t, env["ROUTER_LISTEN"]), "m", 300, 7, 25000)
+			c.waitSpilled(t, 300-resident)
 			m := ep.member("s-7", 7)
 			disc.Send(t, discoverytest.Change(2, m))
 			waitFor(t, "some calls", func() bool { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.calls) >= 40 })
 			gone := m
 			gone.Phase = discovery.Removed
 			disc.Send(t, discoverytest.Change(3, gone))
-			waitFor(t, "its going", func() bool { return c.figure(t, "app_members") == 1 })
+			waitFor(t, "its going", func() bool { return c.metric(t, "app_members") == 1 })
 			disc.Send(t, discoverytest.Change(4, m))
-			endedOnce(t, disc, ids, false, ep)
-			waitFor(t, "an empty backlog", func() bool { return c.figure(t, "app_pending") == 0 && c.figure(t, "app_spilled") == 0 })
-			if n := c.figure(t, "app_loaded"); n < 300-resident {
+			checkEndedOnce(t, disc, ids, false, ep)
+			waitFor(t, "an empty backlog", func() bool { return c.metric(t, "app_pending") == 0 && c.metric(t, "app_spilled") == 0 })
+			if n := c.metric(t, "app_loaded"); n < 300-resident {
 				t.Errorf("%d loaded", n)
 			}
 		})
@@ -146,8 +146,8 @@
 
 // Hard case: deadlines that pass in the log. Each message is handed back within
 // its time and 300 ms, also where all come due at once.
-func TestBacklogDeadlines(t *testing.T) {
-	disc := oneElsewhere(t)
+func TestSpilledMessagesEndAtDeadline(t *testing.T) {
+	disc := newDiscoveryWithOneMember(t)
 	env := backlogEnv(t, disc, 64, 2)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -159,12 +159,12 @@
 		}
 		id, class := fmt.Sprint("m", i), []string{"plain", "once"}[i%2]
 		before := time.Now()
-		if s := cl.put(id, fields(class, ms, 10+i%5), nil); s != "+OK" {
+		if s := cl.put(id, putFields(class, ms, 10+i%5), nil); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 		due[id] = before.Add(time.Duration(ms) * time.Millisecond)
 	}
-	if n := c.figure(t, "app_loaded"); n > 0 {
+	if n := c.metric(t, "app_loaded"); n > 0 {
 		t.Logf("%d are loaded already", n)
 	}
 	for len(due) > 0 {
@@ -184,21 +184,21 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if n := c.figure(t, "app_loaded"); n < 500 {
+	if n := c.metric(t, "app_loaded"); n < 500 {
 		t.Errorf("%d of 600 were loaded", n)
 	}
 }
 
 // Hard case: an id that is handed in again while it is in the log alone, over any
 // connection, is ours already, and has one end.
-func TestBacklogSameIDAgain(t *testing.T) {
+func TestSpilledIDIsAcceptedOnce(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	disc := oneElsewhere(t)
+	disc := newDiscoveryWithOneMember(t)
 	env := backlogEnv(t, disc, 64, 2)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	ids := putAll(t, cl, "m", 60, 7, 25000)
-	c.spilledAtLeast(t, 55)
+	ids := putMessages(t, cl, "m", 60, 7, 25000)
+	c.waitSpilled(t, 55)
 	var wg sync.WaitGroup
 	for range 4 {
 		again := dialClient(t, env["ROUTER_LISTEN"])
@@ -206,24 +206,24 @@
 		go func() {
 			defer wg.Done()
 			for i, id := range ids {
-				if s := again.put(id, fields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
+				if s := again.put(id, putFields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
 					t.Errorf("%s again: %s", id, s)
 				}
 			}
 		}()
 	}
 	wg.Wait()
-	waitFor(t, "the figure", func() bool { return c.figure(t, "app_pending") > 0 })
-	if n := c.figure(t, "app_pending"); n != len(ids) {
+	waitFor(t, "the figure", func() bool { return c.metric(t, "app_pending") > 0 })
+	if n := c.metric(t, "app_pending"); n != len(ids) {
 		t.Errorf("%d pending of %d", n, len(ids))
 	}
 	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
-	endedOnce(t, disc, ids, false, ep)
+	checkEndedOnce(t, disc, ids, false, ep)
 }
 
 // Hard case: a keyed message that may have run is spilled. It goes out again only
 // within its window; before that is over it has its end, though its deadline is far.
-func TestBacklogInDoubt(t *testing.T) {
+func TestSpilledMessageInDoubtKeepsDedupWindow(t *testing.T) {
 	for name, back := range map[string]bool{"returns in time": true, "does not return": false} {
 		t.Run(name, func(t *testing.T) {
 			answer := make(chan struct{})
@@ -232,7 +232,7 @@
 				w.WriteHeader(http.StatusInternalServerError)
 			})
 			m := ep.member("s-7", 7)
-			disc := oneElsewhere(t)
+			disc := newDiscoveryWithOneMember(t)
 			env := backlogEnv(t, disc, 64, 1)
 			editConfig(t, env, `"dedup_window_us":20000000`, `"dedup_window_us":6000000`)
 			c := startChild(t, env)
@@ -240,28 +240,28 @@
 			cl := dialClient(t, env["ROUTER_LISTEN"])
 			put := func(id, class string, ms int) {
 				t.Helper()
-				if s := cl.put(id, fields(class, ms, 7), nil); s != "+OK" {
+				if s := cl.put(id, putFields(class, ms, 7), nil); s != "+OK" {
 					t.Fatalf("%s: %s", id, s)
 				}
 			}
 			put("keyed", "keyed", 29000)
-			waitFor(t, "its call", func() bool { return ep.count("keyed") == 1 })
+			waitFor(t, "its call", func() bool { return ep.callCount("keyed") == 1 })
 			first := time.Now()
 			gone := m
 			gone.Phase = discovery.Removed
 			disc.Send(t, discoverytest.Change(3, gone))
-			waitFor(t, "its going", func() bool { return c.figure(t, "app_members") == 1 })
+			waitFor(t, "its going", func() bool { return c.metric(t, "app_members") == 1 })
 			close(answer)
-			waitFor(t, "the outcome in the log", func() bool { return logged(env["ROUTER_STATE"], wal.KindOutcome, "keyed") })
+			waitFor(t, "the outcome in the log", func() bool { return logContains(env["ROUTER_STATE"], wal.KindOutcome, "keyed") })
 			for i := range 5 { // they have less time, so the keyed one is spilled
 				put(fmt.Sprint("m", i), "plain", 15000+i)
 			}
-			c.spilledAtLeast(t, 5)
-			ep.then(nil)
+			c.waitSpilled(t, 5)
+			ep.setAnswer(nil)
 			if back {
 				disc.Send(t, discoverytest.Change(4, m))
-				endedOnce(t, disc, []string{"keyed"}, true, ep)
-				if n, took := ep.count("keyed"), time.Since(first); n != 2 || took > 6*time.Second {
+				checkEndedOnce(t, disc, []string{"keyed"}, true, ep)
+				if n, took := ep.callCount("keyed"), time.Since(first); n != 2 || took > 6*time.Second {
 					t.Errorf("%d calls, the last after %v; its window is 6 s", n, took)
 				}
 				return
@@ -273,9 +273,9 @@
 			disc.Send(t, discoverytest.Change(4, m))
 			for i := range 5 { // a drop may have ended one
 				id := fmt.Sprint("m", i)
-				waitFor(t, "the end of "+id, func() bool { _, ended := disc.Notice(id); return ended || ep.answered(id) })
+				waitFor(t, "the end of "+id, func() bool { _, ended := disc.Notice(id); return ended || ep.answeredOK(id) })
 			}
-			if n := ep.count("keyed"); n != 1 {
+			if n := ep.callCount("keyed"); n != 1 {
 				t.Errorf("sent again after its end")
 			}
 		})
@@ -284,9 +284,9 @@
 
 // Hard case: the disk fills while most of what it has is spilled. What does not
 // fit is refused, what was taken on is delivered.
-func TestBacklogDiskFull(t *testing.T) {
+func TestBacklogOnFullDiskRefusesNewMessages(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	disc := oneElsewhere(t)
+	disc := newDiscoveryWithOneMember(t)
 	env := backlogEnv(t, disc, 1, 2)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -294,7 +294,7 @@
 	refused := 0
 	for i := 0; refused < 20 && i < 5000; i++ {
 		id := fmt.Sprintf("m%d-once", i)
-		switch s := cl.put(id, fields("once", 25000, 7), []byte(strings.Repeat("b", 2000))); {
+		switch s := cl.put(id, putFields("once", 25000, 7), []byte(strings.Repeat("b", 2000))); {
 		case s == "+OK":
 			ids = append(ids, id)
 		case strings.HasPrefix(s, "-BUSY"):
@@ -306,92 +306,92 @@
 	if refused < 20 || len(ids) < 100 {
 		t.Fatalf("%d taken on, %d refused", len(ids), refused)
 	}
-	c.spilledAtLeast(t, len(ids)-2)
+	c.waitSpilled(t, len(ids)-2)
 	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
-	endedOnce(t, disc, ids, false, ep)
+	checkEndedOnce(t, disc, ids, false, ep)
 }
 
 // Hard case: an upgrade with a backlog. The next process finds it in the log, the
 // sums of both are right, and an id that the old process is handed again stays
 // one message.
-func TestBacklogUpgrade(t *testing.T) {
+func TestUpgradeHandsOverBacklog(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	disc := oneElsewhere(t)
+	disc := newDiscoveryWithOneMember(t)
 	env := backlogEnv(t, disc, 64, 2)
 	old := startChild(t, env)
 	kept := dialClient(t, env["ROUTER_LISTEN"])
-	ids := putAll(t, kept, "m", 200, 7, 25000)
-	old.spilledAtLeast(t, 190)
+	ids := putMessages(t, kept, "m", 200, 7, 25000)
+	old.waitSpilled(t, 190)
 	next := func() *child {
 		env := maps.Clone(env)
 		env["ROUTER_OPERATOR"] = loopback.Free()
 		c := spawn(t, env)
-		waitFor(t, "a yes of the new process", func() bool { return c.says(true) })
+		waitFor(t, "a yes of the new process", func() bool { return c.readyzIs(true) })
 		return c
 	}
 	c := next()
 	waitFor(t, "the figures", func() bool {
-		return old.figure(t, "app_pending") == 0 && old.figure(t, "app_spilled") == 0 && c.figure(t, "app_pending") == len(ids)
+		return old.metric(t, "app_pending") == 0 && old.metric(t, "app_spilled") == 0 && c.metric(t, "app_pending") == len(ids)
 	})
 	again := func() {
 		t.Helper()
 		for i, id := range ids {
-			if s := kept.put(id, fields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
+			if s := kept.put(id, putFields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
 				t.Fatalf("%s again: %s", id, s)
 			}
 		}
 		for i := range 50 { // and new ones, which stay in memory there
 			id := fmt.Sprintf("late%d-%d-once", len(ids), i)
-			if s := kept.put(id, fields("once", 25000, 7), nil); s != "+OK" {
+			if s := kept.put(id, putFields("once", 25000, 7), nil); s != "+OK" {
 				t.Fatalf("%s: %s", id, s)
 			}
 			ids = append(ids, id)
 		}
 	}
 	again()
-	waitFor(t, "the sum", func() bool { return c.figure(t, "app_pending") == len(ids) })
+	waitFor(t, "the sum", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	c.kill() // the old one takes all back, from the log
-	waitFor(t, "the sum again", func() bool { return old.figure(t, "app_pending") == len(ids) })
+	waitFor(t, "the sum again", func() bool { return old.metric(t, "app_pending") == len(ids) })
 	c = next()
 	again()
-	waitFor(t, "the sum of the third", func() bool { return c.figure(t, "app_pending") == len(ids) })
+	waitFor(t, "the sum of the third", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	if err := old.cmd.Wait(); err != nil {
 		t.Errorf("exit of the old process: %v", err)
 	}
 	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
-	endedOnce(t, disc, ids, false, ep)
+	checkEndedOnce(t, disc, ids, false, ep)
 }
 
 // Hard case: a log written with no bound, as by the program before, is taken up
 // under one, and the other way round; SIGTERM leaves a backlog in it.
 func TestBacklogOtherBound(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	disc := oneElsewhere(t)
+	disc := newDiscoveryWithOneMember(t)
 	env := backlogEnv(t, disc, 64, 0)
 	c := startChild(t, env)
-	ids := putAll(t, dialClient(t, env["ROUTER_LISTEN"]), "m", 3000, 7, 29000)
-	if n := c.figure(t, "app_spilled"); n != 0 {
+	ids := putMessages(t, dialClient(t, env["ROUTER_LISTEN"]), "m", 3000, 7, 29000)
+	if n := c.metric(t, "app_spilled"); n != 0 {
 		t.Errorf("%d spilled with no bound", n)
 	}
 	c.kill()
 	editConfig(t, env, `"resident":0,`, `"resident":3,`)
 	c = startChild(t, env)
-	c.spilledAtLeast(t, 2990)
-	waitFor(t, "all of them", func() bool { return c.figure(t, "app_pending") == len(ids) })
+	c.waitSpilled(t, 2990)
+	waitFor(t, "all of them", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	if err := c.cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	editConfig(t, env, `"resident":3,`, ``)
 	c = startChild(t, env)
-	waitFor(t, "what is owed", func() bool { return c.figure(t, "app_pending") == len(ids) })
+	waitFor(t, "what is owed", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
-	endedOnce(t, disc, ids, false, ep)
+	checkEndedOnce(t, disc, ids, false, ep)
 }
 
 // turn carries out what has happened to a relay without a loop.
-func (r *Relay) turn() {
+func (r *Relay) runLoopOnce() {
 	for _, e := range r.mailbox.TakeAll(nil) {
 		e.handle(r)
 	}
@@ -402,21 +402,21 @@
 }
 
 // executePut takes a message on as the loop and its client do together.
-func handIn(t *testing.T, r *Relay, id string, dest int, left policy.Time) *putRequest {
+func submitMessage(t *testing.T, r *Relay, id string, dest int, left policy.Time) *putRequest {
 	q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, receivedAt: time.Now(), timeLeft: time.Duration(left) * time.Microsecond, responses: make(chan response, 1)}
 	r.mailbox.Put(submitEvent{request: q})
 	return q
 }
 
-// boundRelay is a test relay with so many messages in memory at most.
-func boundRelay(t *testing.T, resident int) *Relay {
+// newBoundedRelay is a test relay with so many messages in memory at most.
+func newBoundedRelay(t *testing.T, resident int) *Relay {
 	r := newTestRelay(t)
 	r.cfg.Policy.MaxMessages, r.cfg.Policy.MaxResidentMessages = 0, resident
 	decider, err := policy.New(r.cfg.Policy, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := wal.Open(wal.Options{Dir: t.TempDir(), Limit: 1 << 30, Log: quietLog()})
+	w, err := wal.Open(wal.Options{Dir: t.TempDir(), Limit: 1 << 30, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -429,7 +429,7 @@
 
 // The memory of a relay does not grow with what it holds but for the log's index
 // and the store: some 75 bytes a message.
-func TestBacklogMemory(t *testing.T) {
+func TestSpilledMessagesUseLittleMemory(t *testing.T) {
 	heap := func() int64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -437,16 +437,16 @@
 		return int64(m.HeapAlloc)
 	}
 	const n, batch = 200_000, 500
-	r := boundRelay(t, 1000)
+	r := newBoundedRelay(t, 1000)
 	before := heap()
 	for from := 0; from < n; from += batch {
 		var qs []*putRequest
 		for i := range batch {
-			qs = append(qs, handIn(t, r, fmt.Sprint("m", from+i), i%50, 3600e6))
+			qs = append(qs, submitMessage(t, r, fmt.Sprint("m", from+i), i%50, 3600e6))
 		}
 		for _, q := range qs {
 			waitFor(t, "an answer", func() bool {
-				r.turn()
+				r.runLoopOnce()
 				select {
 				case s := <-q.responses:
 					if s != responseOK {
@@ -460,7 +460,7 @@
 			})
 		}
 	}
-	waitFor(t, "the backlog", func() bool { r.turn(); return len(r.messages.byNumber) <= 1000 })
+	waitFor(t, "the backlog", func() bool { r.runLoopOnce(); return len(r.messages.byNumber) <= 1000 })
 	per := float64(heap()-before) / n
 	t.Logf("%.0f bytes a message held, %d of %d in memory", per, len(r.messages.byNumber), n)
 	if per > 130 || r.messages.pending != n || len(r.messages.byNumber)+r.spilled.count() != n || len(r.messages.byID) > 1000 {
@@ -471,40 +471,40 @@
 
 // A message stays in memory until its client has heard of it, and is forgotten by
 // all where its client leaves instead.
-func TestBacklogUnheard(t *testing.T) {
-	r := boundRelay(t, 1)
+func TestMessageIsSpilledOnlyAfterAcknowledgement(t *testing.T) {
+	r := newBoundedRelay(t, 1)
 	var qs []*putRequest
 	for i := range 3 {
-		qs = append(qs, handIn(t, r, fmt.Sprint("m", i), 7, 3600e6))
-		r.turn()
+		qs = append(qs, submitMessage(t, r, fmt.Sprint("m", i), 7, 3600e6))
+		r.runLoopOnce()
 	}
 	for _, q := range qs {
 		if s := <-q.responses; s != responseOK {
 			t.Fatal(s)
 		}
 	}
-	if r.turn(); len(r.messages.byNumber) != 3 || r.spilled.count() != 0 {
+	if r.runLoopOnce(); len(r.messages.byNumber) != 3 || r.spilled.count() != 0 {
 		t.Fatalf("%d in memory, %d spilled before any client has heard", len(r.messages.byNumber), r.spilled.count())
 	}
 	r.mailbox.Put(responseDoneEvent{request: qs[1], isSent: true})
 	r.mailbox.Put(responseDoneEvent{request: qs[2]})
-	if r.turn(); len(r.messages.byNumber) != 1 || r.spilled.count() != 1 || r.messages.pending != 2 || r.messages.byID["m1"] != nil || r.messages.byID["m2"] != nil {
+	if r.runLoopOnce(); len(r.messages.byNumber) != 1 || r.spilled.count() != 1 || r.messages.pending != 2 || r.messages.byID["m1"] != nil || r.messages.byID["m2"] != nil {
 		t.Fatalf("%d in memory, %d spilled, %d held", len(r.messages.byNumber), r.spilled.count(), r.messages.pending)
 	}
 	// The policy knows of that, too: once nothing is spilled it asks for nothing.
 	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: 1})
-	waitFor(t, "the one that is left", func() bool { r.turn(); return r.messages.byID["m1"] != nil })
+	waitFor(t, "the one that is left", func() bool { r.runLoopOnce(); return r.messages.byID["m1"] != nil })
 	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: r.messages.byID["m1"].number})
-	if r.turn(); len(r.spilled.requested) != 0 || r.spilled.count() != 0 {
+	if r.runLoopOnce(); len(r.spilled.requested) != 0 || r.spilled.count() != 0 {
 		t.Errorf("%d spilled, asked for %v", r.spilled.count(), r.spilled.requested)
 	}
 }
 
 // A message that cannot be read just now is tried again, and another one is read
 // in its place meanwhile. One that damage took is given up.
-func TestBacklogUnreadable(t *testing.T) {
-	r := boundRelay(t, 1)
-	r.notices = discovery.NewNotices(discoverytest.New(t).Addr(), quietLog(), func(string) {})
+func TestUnreadableSpilledMessageIsRetried(t *testing.T) {
+	r := newBoundedRelay(t, 1)
+	r.notices = discovery.NewNotices(discoverytest.New(t).Addr(), discardLog(), func(string) {})
 	r.messages.pending = 2
 	item := backlog.Item{Entry: backlog.Entry{LoadBy: 1, Index: 9}, Dest: 7}
 	r.readmitLoaded(spilledLoadedEvent{r.wal, []backlog.Item{item, item}, []*wal.Record{{}, {ID: "m", Class: "plain", Dest: 7, Corrupted: true}}})
@@ -514,7 +514,7 @@
 	if wait := r.spilled.untilNext(r.clock.now()); wait > time.Second || wait < 500*time.Millisecond {
 		t.Errorf("tried again in %v", wait)
 	}
-	if r.retryAll(); r.spilled.store.Len() != 1 {
+	if r.retryUnreadableNow(); r.spilled.store.Len() != 1 {
 		t.Errorf("%d in the store", r.spilled.store.Len())
 	}
 	// One whose outcome could not be logged may have run.
@@ -529,4 +529,4 @@
 	})
 }
 
-func (r *Relay) retryAll() { r.spilled.retryUnreadable(r.clock.now() + 2*loadRetryDelay) }
+func (r *Relay) retryUnreadableNow() { r.spilled.retryUnreadable(r.clock.now() + 2*loadRetryDelay) }
--- a/internal/relay/call_request_test.go
+++ b/internal/relay/call_request_test.go
@@ -16,11 +16,11 @@
 
 // net/http must not resend a call on its own. An idempotency key makes a POST
 // replayable to it, and it would resend one whose kept-alive connection breaks.
-func TestNoResendByItself(t *testing.T) {
+func TestTransportDoesNotResendCall(t *testing.T) {
 	for name, body := range map[string][]byte{"body": []byte("b"), "empty body": nil} {
 		t.Run(name, func(t *testing.T) {
 			var calls atomic.Int32
-			addr := rawEndpoint(t, func(c net.Conn) {
+			addr := startRawEndpoint(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
 				for readCall(in) {
 					if calls.Add(1) == 2 {
@@ -29,13 +29,13 @@
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			})
-			conns := testConns(t, 2)
+			conns := newTestTransport(t, 2)
 			defer conns.CloseIdleConnections()
 			rec := &wal.Record{ID: "m", Key: "k", Body: body}
-			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.kind != policy.Delivered {
+			if o := runSingleCall(newTestCall(), conns, addr, rec, testCallTimeout); o.kind != policy.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
-			if o := runOne(newTestCall(), conns, addr, rec, testLimit); o.kind != policy.ConnectionReset {
+			if o := runSingleCall(newTestCall(), conns, addr, rec, testCallTimeout); o.kind != policy.ConnectionReset {
 				t.Errorf("second: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
--- a/internal/relay/call_response_test.go
+++ b/internal/relay/call_response_test.go
@@ -16,7 +16,7 @@
 
 // A batch has the form of the protocol, and each message gets the outcome that the
 // response names for it. A message that the response does not name may have run.
-func TestBatchOutcomes(t *testing.T) {
+func TestBatchResponseMapsToOutcomes(t *testing.T) {
 	const ok = `[{"id":"b","state":"fault"},{"id":"a","state":"accepted"},{"id":"c","state":"deferred"},{"id":"d","state":"expired"},{"id":"e","state":"no_more"}]`
 	body := func(head, text string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(text), text)
@@ -38,7 +38,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := make(chan string, 1)
-			addr := rawEndpoint(t, func(c net.Conn) {
+			addr := startRawEndpoint(t, func(c net.Conn) {
 				req, err := http.ReadRequest(bufio.NewReader(c))
 				if err != nil {
 					return
@@ -47,10 +47,10 @@
 				got <- req.URL.Path + " " + string(text)
 				io.WriteString(c, x.answer)
 			})
-			conns := testConns(t, 2)
+			conns := newTestTransport(t, 2)
 			defer conns.CloseIdleConnections()
 			recs := []*wal.Record{{ID: "a", Key: "k", Body: []byte("hello")}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}, {ID: "f"}}
-			out := newTestCall().run(conns, addr, recs, testLimit, nil)
+			out := newTestCall().run(conns, addr, recs, testCallTimeout, nil)
 			for i, o := range out {
 				settled := x.what[i] == policy.Delivered || name == "told apart" && recs[i].ID == "d"
 				if o.kind != x.what[i] || o.isFinal != settled || o.retryAfter != x.wait {
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -15,7 +15,7 @@
 	"plovershore/policy"
 )
 
-func testSet(t *testing.T) *Config {
+func parseTestConfig(t *testing.T) *Config {
 	t.Helper()
 	c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
 		testSettings+`}`), func(string) string { return "" })
@@ -30,20 +30,20 @@
 	return &call{messages: []callMessage{{message: &message{}}}, ctx: ctx, cancel: stop}
 }
 
-// runOne makes a call that carries one message.
-func runOne(c *call, conns *http.Transport, addr string, rec *wal.Record, limit time.Duration) outcome {
+// runSingleCall makes a call that carries one message.
+func runSingleCall(c *call, conns *http.Transport, addr string, rec *wal.Record, limit time.Duration) outcome {
 	return c.run(conns, addr, []*wal.Record{rec}, limit, nil)[0]
 }
 
-func testConns(t *testing.T, idle int) *http.Transport {
-	cfg := testSet(t)
+func newTestTransport(t *testing.T, idle int) *http.Transport {
+	cfg := parseTestConfig(t)
 	return newTransport(cfg, idle, maxIdleTime(&cfg.Policy))
 }
 
-const testLimit = 20 * time.Second
+const testCallTimeout = 20 * time.Second
 
-// rawEndpoint serves connections by hand, for responses that no HTTP server sends.
-func rawEndpoint(t *testing.T, serve func(net.Conn)) string {
+// startRawEndpoint serves connections by hand, for responses that no HTTP server sends.
+func startRawEndpoint(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +73,7 @@
 }
 
 // Each response to a single message maps to its outcome.
-func TestOutcomes(t *testing.T) {
+func TestSingleCallResponseMapsToOutcome(t *testing.T) {
 	say := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
 			if readCall(bufio.NewReader(c)) {
@@ -109,9 +109,9 @@
 		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: policy.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conns := testConns(t, 2)
+			conns := newTestTransport(t, 2)
 			defer conns.CloseIdleConnections()
-			o := runOne(newTestCall(), conns, rawEndpoint(t, x.serve), &wal.Record{ID: "m", Key: "k", Body: []byte("b")}, testLimit)
+			o := runSingleCall(newTestCall(), conns, startRawEndpoint(t, x.serve), &wal.Record{ID: "m", Key: "k", Body: []byte("b")}, testCallTimeout)
 			if o.kind != x.what || o.retryAfter != x.wait || o.callsExhausted != x.slots || o.isFinal != x.settled {
 				t.Errorf("got %+v", o)
 			}
@@ -121,34 +121,34 @@
 
 // Only what certainly never ran is reported so: a refused connection never ran, but
 // after silence behind the last byte the message may have run.
-func TestOutcomesWithoutAnswer(t *testing.T) {
-	conns := testConns(t, 2)
+func TestCallWithoutResponseMapsToOutcome(t *testing.T) {
+	conns := newTestTransport(t, 2)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := runOne(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testLimit); o.kind != policy.ConnectFailed {
+	if o := runSingleCall(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	gone := make(chan struct{}, 2)
 	entered := make(chan struct{}, 2)
-	silent := rawEndpoint(t, func(c net.Conn) {
+	silent := startRawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		readCall(in)
 		entered <- struct{}{}
 		in.ReadByte() // until the caller closes
 		gone <- struct{}{}
 	})
-	if o := runOne(newTestCall(), conns, silent, &wal.Record{ID: "m"}, 50*time.Millisecond); o.kind != policy.TimedOut {
+	if o := runSingleCall(newTestCall(), conns, silent, &wal.Record{ID: "m"}, 50*time.Millisecond); o.kind != policy.TimedOut {
 		t.Errorf("silent: %+v", o)
 	}
 	<-entered
 	<-gone // giving up closes the connection
 	c := newTestCall()
 	go func() { <-entered; c.cancel(errCancelled) }()
-	if o := runOne(c, conns, silent, &wal.Record{ID: "m"}, testLimit); o.kind != policy.Cancelled {
+	if o := runSingleCall(c, conns, silent, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.Cancelled {
 		t.Errorf("cancelled: %+v", o)
 	}
 	<-gone
@@ -156,7 +156,7 @@
 
 // A call whose response says 200 and never ends, in its header or in its body, is
 // delivered by its status line and gives its slot back.
-func TestAnswerThatNeverEnds(t *testing.T) {
+func TestUnfinishedOKResponseCountsAsDelivered(t *testing.T) {
 	for name, text := range map[string]string{
 		"head": "HTTP/1.1 200 OK\r\nContent-",
 		"body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab",
@@ -164,19 +164,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ended := make(chan struct{})
-			addr := rawEndpoint(t, func(conn net.Conn) {
+			addr := startRawEndpoint(t, func(conn net.Conn) {
 				if readCall(bufio.NewReader(conn)) {
 					io.WriteString(conn, text)
 					io.Copy(io.Discard, conn) // until the relay lets go of it
 				}
 				close(ended)
 			})
-			conns := testConns(t, 2)
+			conns := newTestTransport(t, 2)
 			defer conns.CloseIdleConnections()
 			c, limit := newTestCall(), time.Hour
 			defer c.cancel(nil)
 			done := make(chan outcome, 1)
-			go func() { done <- runOne(c, conns, addr, &wal.Record{ID: "m"}, limit) }()
+			go func() { done <- runSingleCall(c, conns, addr, &wal.Record{ID: "m"}, limit) }()
 			waitFor(t, "the outcome", func() bool { return len(done) > 0 })
 			if o := <-done; o.kind != policy.Delivered || !o.isFinal {
 				t.Errorf("got %+v", o)
@@ -195,7 +195,7 @@
 
 // A batch goes on when one of its messages is dropped, since the others share its
 // connection; it ends when the last one is dropped.
-func TestDropFromBatch(t *testing.T) {
+func TestBatchIsCancelledOnlyWhenAllMessagesAreDropped(t *testing.T) {
 	a, b := &message{}, &message{}
 	c := newTestCall()
 	c.messages = []callMessage{{message: a}, {message: b}}
@@ -210,9 +210,9 @@
 
 // A connection that comes up after the latest time to send carries nothing, and the
 // call is reported as not sent.
-func TestLateConnectionCarriesNoRepeat(t *testing.T) {
+func TestConnectionAfterSendByTimeSendsNothing(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	conns := testConns(t, 2)
+	conns := newTestTransport(t, 2)
 	defer conns.CloseIdleConnections()
 	c := newTestCall()
 	c.sendBy = time.Now().Add(50 * time.Millisecond)
@@ -221,21 +221,21 @@
 		waitFor(t, "the end of the window", func() bool { return !time.Now().Before(c.sendBy) })
 		return &endpointConn{Conn: conn}, err
 	}
-	if o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit); o.kind != policy.NotSent {
+	if o := runSingleCall(c, conns, ep.addr(), &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
 	conns.CloseIdleConnections()
-	if n := ep.count("m"); n != 0 {
+	if n := ep.callCount("m"); n != 0 {
 		t.Errorf("the call went out %d times", n)
 	}
 }
 
 // A call that waits for its connection when its endpoint begins to drain must not be
 // sent when the connection is up.
-func TestDrainStopsWaitingCall(t *testing.T) {
+func TestDrainStopsOnlyCallsWaitingForConnection(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	dialing, release, up := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	conns := testConns(t, 2)
+	conns := newTestTransport(t, 2)
 	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
@@ -245,23 +245,23 @@
 	defer conns.CloseIdleConnections()
 	c := newTestCall()
 	go func() { <-dialing; c.cancelIfWaiting(errEndpointDraining) }()
-	o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit)
-	if o.kind != policy.NotSent || o.latency > testLimit.Microseconds()/2 {
+	o := runSingleCall(c, conns, ep.addr(), &wal.Record{ID: "m"}, testCallTimeout)
+	if o.kind != policy.NotSent || o.latency > testCallTimeout.Microseconds()/2 {
 		t.Errorf("got %+v", o)
 	}
 	close(release)
 	<-up
 	conns.CloseIdleConnections()
-	if n := ep.count("m"); n != 0 {
+	if n := ep.callCount("m"); n != 0 {
 		t.Errorf("the call went out %d times", n)
 	}
 	// The drain may also begin just as the connection comes up.
 	late := newTestCall()
 	late.stage.Store(callStopped)
-	tr := testConns(t, 2)
+	tr := newTestTransport(t, 2)
 	defer tr.CloseIdleConnections()
-	if o := runOne(late, tr, ep.addr(), &wal.Record{ID: "late"}, testLimit); o.kind != policy.NotSent || ep.count("late") != 0 {
-		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
+	if o := runSingleCall(late, tr, ep.addr(), &wal.Record{ID: "late"}, testCallTimeout); o.kind != policy.NotSent || ep.callCount("late") != 0 {
+		t.Errorf("got %+v, and %d calls", o, ep.callCount("late"))
 	}
 	// A call that is being sent is not stopped.
 	under := newTestCall()
@@ -273,10 +273,10 @@
 
 // A call that waits for its connection must not carry a message that was completed
 // meanwhile. The others in it are reported as not sent and may be retried.
-func TestEndedMessageIsNotSent(t *testing.T) {
+func TestCompletedMessageIsNotSentByWaitingCall(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	dialing, release, up := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	conns := testConns(t, 2)
+	conns := newTestTransport(t, 2)
 	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
@@ -287,15 +287,15 @@
 	over := &message{}
 	c.messages = []callMessage{{message: over}, {message: &message{}}}
 	go func() { <-dialing; c.dropMessage(over) }()
-	for _, o := range c.run(conns, ep.addr(), []*wal.Record{{ID: "over"}, {ID: "other"}}, testLimit, nil) {
-		if o.kind != policy.ConnectFailed || o.latency > testLimit.Microseconds()/2 {
+	for _, o := range c.run(conns, ep.addr(), []*wal.Record{{ID: "over"}, {ID: "other"}}, testCallTimeout, nil) {
+		if o.kind != policy.ConnectFailed || o.latency > testCallTimeout.Microseconds()/2 {
 			t.Errorf("got %+v", o)
 		}
 	}
 	close(release)
 	<-up
 	conns.CloseIdleConnections()
-	if n := ep.count("over"); n != 0 {
+	if n := ep.callCount("over"); n != 0 {
 		t.Errorf("it went out %d times", n)
 	}
 	// It may also be completed just as the connection comes up.
@@ -312,7 +312,7 @@
 
 // A Retry-After stops calls to the same destination that still wait for their
 // connection. Calls elsewhere, and those being sent already, go on.
-func TestToldWaitStopsWaitingCalls(t *testing.T) {
+func TestRetryAfterStopsWaitingCallsToDestination(t *testing.T) {
 	r := newTestRelay(t)
 	add := func(id string, cell int) *endpoint {
 		r.updateMember(&discovery.Member{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: cell, Phase: discovery.Up})
--- a/internal/relay/client_connection_test.go
+++ b/internal/relay/client_connection_test.go
@@ -13,20 +13,20 @@
 
 // A connection is closed only between requests; one with a request in progress closes
 // after its response.
-func TestCloseBetweenRequests(t *testing.T) {
+func TestDrainClosesConnectionsBetweenRequests(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	c, addr, _ := serveClients(t, func(q *putRequest) { got <- q })
 	idle, busyOne := dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
-	idle.line()
-	io.WriteString(busyOne, putText("m", fields("plain", 8000, 1), nil))
+	idle.readLine()
+	io.WriteString(busyOne, putCommand("m", putFields("plain", 8000, 1), nil))
 	q := <-got
 	c.drainConnections()
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("idle: %v", err)
 	}
 	q.respond(responseOK)
-	if s := busyOne.line(); s != "+OK" {
+	if s := busyOne.readLine(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
 	if _, err := busyOne.in.ReadByte(); !errors.Is(err, io.EOF) {
@@ -36,8 +36,8 @@
 
 // A connection that is evicted just as a request begins answers it and then closes,
 // since it has no slot any more.
-func TestReleaseAsRequestBegins(t *testing.T) {
-	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+func TestEvictedConnectionClosesAfterRequest(t *testing.T) {
+	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	near, far := net.Pipe()
 	defer far.Close()
 	cc := &clientConn{Conn: near}
@@ -53,8 +53,8 @@
 
 // A request that has arrived when the wait for it ends is answered before the
 // connection is closed.
-func TestReleasedUnheard(t *testing.T) {
-	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+func TestUnreadRequestIsAnsweredBeforeDrainCloses(t *testing.T) {
+	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -67,11 +67,11 @@
 	}
 	cc := &clientConn{Conn: conn}
 	c.conns[cc] = true
-	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
+	io.WriteString(cl, putCommand("m", putFields("plain", 8000, 1), nil))
 	waitFor(t, "the request", func() bool { return hasUnreadBytes(conn) })
 	c.drainConnections() // the reader has not begun
 	go func() { c.serveConnection(cc); conn.Close() }()
-	if s := cl.line(); s != "+OK" {
+	if s := cl.readLine(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
@@ -81,18 +81,18 @@
 
 // crossing is the server's side of a connection on which bytes arrive at the moment
 // in which it is shut down or closed.
-type crossing struct {
+type crossingConn struct {
 	*net.TCPConn
-	cross func() // sends them, and returns once they are there
+	sendBytes func() // sends them, and returns once they are there
 }
 
-func (c *crossing) CloseWrite() error {
-	c.cross()
+func (c *crossingConn) CloseWrite() error {
+	c.sendBytes()
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *crossing) Close() error {
-	c.cross()
+func (c *crossingConn) Close() error {
+	c.sendBytes()
 	return c.TCPConn.Close()
 }
 
@@ -100,7 +100,7 @@
 // closes it.
 func serveCrossing(t *testing.T, put func(*putRequest), text string) (*clientServer, *testClient) {
 	t.Helper()
-	c := newClientServer(testSet(t), quietLog(), put, func(*putRequest, bool) {})
+	c := newClientServer(parseTestConfig(t), discardLog(), put, func(*putRequest, bool) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -111,8 +111,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &crossing{TCPConn: conn.(*net.TCPConn)}
-	x.cross = sync.OnceFunc(func() {
+	x := &crossingConn{TCPConn: conn.(*net.TCPConn)}
+	x.sendBytes = sync.OnceFunc(func() {
 		io.WriteString(cl, text)
 		waitFor(t, "the crossing bytes", func() bool { return hasUnreadBytes(x.TCPConn) })
 	})
@@ -122,16 +122,16 @@
 
 // Requests that a client sends while the relay closes the connection are dropped and
 // do not reset it: the response to the one before arrives.
-func TestAnswerOutlivesClose(t *testing.T) {
+func TestPipelinedRequestsDuringCloseDoNotResetResponse(t *testing.T) {
 	var taken atomic.Int32
 	got := make(chan *putRequest, 2)
 	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); got <- q },
-		putText("b", fields("plain", 8000, 1), nil)+putText("c", fields("plain", 8000, 1), make([]byte, maxBodyBytes)))
-	io.WriteString(cl, putText("a", fields("plain", 8000, 1), nil))
+		putCommand("b", putFields("plain", 8000, 1), nil)+putCommand("c", putFields("plain", 8000, 1), make([]byte, maxBodyBytes)))
+	io.WriteString(cl, putCommand("a", putFields("plain", 8000, 1), nil))
 	q := <-got
 	c.drainConnections()
 	q.respond(responseOK)
-	if s := cl.line(); s != "+OK" {
+	if s := cl.readLine(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
@@ -146,10 +146,10 @@
 
 // A request that crosses the close of an idle connection is dropped whole; its client
 // sees the end of the stream and no reset.
-func TestRequestCrossesClose(t *testing.T) {
+func TestRequestDuringIdleCloseIsDroppedWithoutReset(t *testing.T) {
 	var taken atomic.Int32
-	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); accept(q) }, putText("b", fields("plain", 8000, 1), nil))
-	if s := cl.put("a", fields("plain", 8000, 1), nil); s != "+OK" {
+	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); accept(q) }, putCommand("b", putFields("plain", 8000, 1), nil))
+	if s := cl.put("a", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	c.drainConnections()
@@ -166,13 +166,13 @@
 // Closing the server closes connections in every state and waits for their
 // goroutines: an idle one, one that waits for a response, and one that was evicted
 // within a command. A connection that is accepted later is closed unread.
-func TestServerClose(t *testing.T) {
+func TestServerCloseClosesConnectionsInEveryState(t *testing.T) {
 	submitted := make(chan *putRequest, 1)
 	c, addr, _ := serveClients(t, func(q *putRequest) { submitted <- q })
 	idle, waiting, evicted := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
-	idle.line()
-	io.WriteString(waiting, putText("m", fields("plain", 8000, 1), nil))
+	idle.readLine()
+	io.WriteString(waiting, putCommand("m", putFields("plain", 8000, 1), nil))
 	<-submitted
 	io.WriteString(evicted, "*5\r\n$7\r\nMSG")
 	waitFor(t, "the beginning of the command", func() bool {
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -6,7 +6,7 @@
 )
 
 // A bad value stops the start, and the error names its key.
-func TestBadConfig(t *testing.T) {
+func TestConfigErrorNamesTheKey(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","state":"/x","seed":"1f",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":2},"settings":` + testSettings + `}`
 	for name, x := range map[string]struct{ old, new, key string }{
@@ -65,7 +65,7 @@
 }
 
 // Whether answers hold reports is told by the settings: what an answer without one says depends on it.
-func TestReportsTold(t *testing.T) {
+func TestLoadReportsFollowSettings(t *testing.T) {
 	for how, want := range map[string]bool{"none": false, "probe": false, "answers": true} {
 		text := strings.Replace(testSettings, `"report":{"fields":[],"how":"none"}`, `"report":{"fields":["x0"],"how":"`+how+`"}`, 1)
 		c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
--- a/internal/relay/connectfault_test.go
+++ b/internal/relay/connectfault_test.go
@@ -18,7 +18,7 @@
 const connectFaultEnv = "RELAY_TEST_CONNECT_FAULT"
 
 func faultyConnect(path string) ConnectHook {
-	fault := faultIn(path)
+	fault := faultFromFile(path)
 	return func(string, string, syscall.RawConn) error {
 		if err := fault(); err != nil {
 			return os.NewSyscallError("connect", err)
@@ -29,22 +29,22 @@
 
 // While this machine can open no connection, no message uses up its attempts and no
 // endpoint is blamed; all are sent soon after it can again.
-func TestConnectFailsForAWhile(t *testing.T) {
+func TestLocalConnectFailureUsesNoAttempts(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.ENOBUFS, syscall.ENETUNREACH} {
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
 			disc := discoverytest.New(t, ep.member("s-1", 1))
-			env := testConfig(t, disc, 3)
+			env := writeTestConfig(t, disc, 3)
 			connects := newFaultSwitch(t, env, connectFaultEnv)
 			connects.set(fault)
-			c := spawnTo(t, env, io.Discard)
-			c.ready(t)
+			c := spawnWithLog(t, env, io.Discard)
+			c.waitReady(t)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
 			var ids []string
 			for i := range 6 {
 				ids = append(ids, fmt.Sprint("m", i))
-				if s := cl.put(ids[i], fields([]string{"plain", "once", "keyed"}[i%3], 20000, 1), nil); s != "+OK" {
+				if s := cl.put(ids[i], putFields([]string{"plain", "once", "keyed"}[i%3], 20000, 1), nil); s != "+OK" {
 					t.Fatalf("%s: %s", ids[i], s)
 				}
 			}
@@ -52,11 +52,11 @@
 			connects.clear()
 			cleared := time.Now()
 			for _, id := range ids {
-				for time.Since(cleared) < 2*time.Second && !ep.answered(id) {
+				for time.Since(cleared) < 2*time.Second && !ep.answeredOK(id) {
 					time.Sleep(2 * time.Millisecond)
 				}
-				if n, ended := disc.Notice(id); ep.count(id) != 1 || ended {
-					t.Errorf("%s: %d calls, notice %q", id, ep.count(id), n.Outcome)
+				if n, ended := disc.Notice(id); ep.callCount(id) != 1 || ended {
+					t.Errorf("%s: %d calls, notice %q", id, ep.callCount(id), n.Outcome)
 				}
 			}
 		})
@@ -65,8 +65,8 @@
 
 // A start waits a little for listen addresses that are taken, and is ready once they
 // are free.
-func TestStartWhileAddressesAreTaken(t *testing.T) {
-	env := testConfig(t, discoverytest.New(t), 3)
+func TestStartWaitsForListenAddresses(t *testing.T) {
+	env := writeTestConfig(t, discoverytest.New(t), 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	var taken []net.Listener
 	for _, name := range []string{"ROUTER_LISTEN", "ROUTER_OPERATOR"} {
@@ -76,14 +76,14 @@
 		}
 		taken = append(taken, ln)
 	}
-	c := spawnTo(t, env, io.Discard)
+	c := spawnWithLog(t, env, io.Discard)
 	for _, ln := range taken {
 		time.Sleep(400 * time.Millisecond)
 		ln.Close()
 	}
-	if c.exited() {
+	if c.hasExited() {
 		t.Fatal("it ended")
 	}
-	c.ready(t)
-	waitFor(t, "a yes", func() bool { return c.says(true) })
+	c.waitReady(t)
+	waitFor(t, "a yes", func() bool { return c.readyzIs(true) })
 }
--- a/internal/relay/connection_limit_test.go
+++ b/internal/relay/connection_limit_test.go
@@ -9,7 +9,7 @@
 
 // At the limit the connection that was idle for longest is evicted, and the new one is
 // served.
-func TestConnectionsBounded(t *testing.T) {
+func TestConnectionLimitEvictsLongestIdle(t *testing.T) {
 	c, addr, _ := serveClients(t, accept)
 	c.mu.Lock()
 	c.maxConns = 2
@@ -17,7 +17,7 @@
 	var all []*testClient
 	for i := range 3 {
 		cl := dialClient(t, addr)
-		if s := cl.put("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil); s != "+OK" {
+		if s := cl.put("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 		all = append(all, cl)
@@ -25,7 +25,7 @@
 	if _, err := all[0].in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the oldest: %v", err)
 	}
-	if s := all[1].put("x", fields("plain", 8000, 1), nil); s != "+OK" {
+	if s := all[1].put("x", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Error(s)
 	}
 }
@@ -33,7 +33,7 @@
 // In a flood of peers that do not complete a command, or do not close a connection that
 // was ended, these are evicted like idle ones. A new client is served, and one that
 // waits for its response keeps its connection.
-func TestFloodBounded(t *testing.T) {
+func TestConnectionLimitHoldsInFlood(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	c, addr, _ := serveClients(t, func(q *putRequest) {
 		if q.record.ID == "waits" {
@@ -46,13 +46,13 @@
 	c.maxConns = 4
 	c.mu.Unlock()
 	waits := dialClient(t, addr)
-	io.WriteString(waits, putText("waits", fields("plain", 8000, 1), nil))
+	io.WriteString(waits, putCommand("waits", putFields("plain", 8000, 1), nil))
 	q := <-got
 	for i := range 20 {
 		peer := dialClient(t, addr)
 		if i%2 == 0 {
 			io.WriteString(peer, "no command\r\n")
-			peer.line() // its error: it is told, and does not leave
+			peer.readLine() // its error: it is told, and does not leave
 		} else {
 			io.WriteString(peer, "*5\r\n$7\r\nMSG")
 			waitFor(t, "the command's beginning", func() bool {
@@ -70,18 +70,18 @@
 			t.Fatalf("%d connections, 4 allowed", n)
 		}
 	}
-	if s := dialClient(t, addr).put("m", fields("plain", 8000, 1), nil); s != "+OK" {
+	if s := dialClient(t, addr).put("m", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Errorf("a client in the flood: %q", s)
 	}
-	if q.respond(responseOK); waits.line() != "+OK" {
+	if q.respond(responseOK); waits.readLine() != "+OK" {
 		t.Error("the one that waits for its answer has none")
 	}
 }
 
 // A request that crosses an eviction does not reset the connection.
-func TestMadeRoomWithoutReset(t *testing.T) {
-	c, cl := serveCrossing(t, accept, putText("b", fields("plain", 8000, 1), nil))
-	if s := cl.put("a", fields("plain", 8000, 1), nil); s != "+OK" {
+func TestEvictionDoesNotResetCrossingRequest(t *testing.T) {
+	c, cl := serveCrossing(t, accept, putCommand("b", putFields("plain", 8000, 1), nil))
+	if s := cl.put("a", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	waitFor(t, "rest", func() bool {
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -23,21 +23,21 @@
 
 // gate forwards connections to a server from an address of its own, and refuses them
 // while it is shut.
-type gate struct {
-	addr, to string
-	mu       sync.Mutex
-	listener net.Listener
-	conns    map[net.Conn]bool
+type tcpProxy struct {
+	addr, target string
+	mu           sync.Mutex
+	listener     net.Listener
+	conns        map[net.Conn]bool
 }
 
-func newGate(t *testing.T, to string) *gate {
-	g := &gate{addr: loopback.Free(), to: to, conns: map[net.Conn]bool{}}
-	g.open(t)
-	t.Cleanup(g.shut)
+func newTCPProxy(t *testing.T, to string) *tcpProxy {
+	g := &tcpProxy{addr: loopback.Free(), target: to, conns: map[net.Conn]bool{}}
+	g.listen(t)
+	t.Cleanup(g.close)
 	return g
 }
 
-func (g *gate) open(t *testing.T) {
+func (g *tcpProxy) listen(t *testing.T) {
 	t.Helper()
 	listener, err := net.Listen("tcp", g.addr)
 	if err != nil {
@@ -52,15 +52,15 @@
 			if err != nil {
 				return
 			}
-			go g.pass(conn)
+			go g.forward(conn)
 		}
 	}()
 }
 
 // pass forwards one connection.
-func (g *gate) pass(from net.Conn) {
+func (g *tcpProxy) forward(from net.Conn) {
 	defer from.Close()
-	to, err := net.Dial("tcp", g.to)
+	to, err := net.Dial("tcp", g.target)
 	if err != nil {
 		return
 	}
@@ -76,7 +76,7 @@
 }
 
 // shut refuses connections and ends those that are open.
-func (g *gate) shut() {
+func (g *tcpProxy) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.listener.Close()
@@ -87,31 +87,31 @@
 }
 
 // crowd is a set of idle clients that connect again as soon as they are disconnected.
-type crowd struct {
-	stop  atomic.Bool
-	came  atomic.Int64 // connections made
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	wait  sync.WaitGroup
+type reconnectingClients struct {
+	stopping atomic.Bool
+	connects atomic.Int64 // connections made
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	running  sync.WaitGroup
 }
 
-// newCrowd has size clients open a connection each: some send nothing, some PING, some
+// startReconnectingClients has size clients open a connection each: some send nothing, some PING, some
 // submit a message and stay idle, some begin a command.
-func newCrowd(addr string, size int) *crowd {
-	c := &crowd{conns: map[net.Conn]bool{}}
+func startReconnectingClients(addr string, size int) *reconnectingClients {
+	c := &reconnectingClients{conns: map[net.Conn]bool{}}
 	says := []string{"", "*1\r\n$4\r\nPING\r\n", "put", "*5\r\n$7\r\nMSG"}
 	for i := range size {
-		c.wait.Add(1)
+		c.running.Add(1)
 		go func() {
-			defer c.wait.Done()
-			for n := 0; !c.stop.Load(); n++ {
+			defer c.running.Done()
+			for n := 0; !c.stopping.Load(); n++ {
 				text := says[i%len(says)]
 				if text == "put" && n%32 > 0 { // clients rest more than they hand in
 					text = says[1]
 				} else if text == "put" {
-					text = putText(fmt.Sprintf("crowd-%d-%d", i, n), fields("plain", 20000, 7), nil)
+					text = putCommand(fmt.Sprintf("crowd-%d-%d", i, n), putFields("plain", 20000, 7), nil)
 				}
-				c.rest(addr, text)
+				c.holdConnection(addr, text)
 			}
 		}()
 	}
@@ -119,16 +119,16 @@
 }
 
 // rest holds one connection until the relay ends it.
-func (c *crowd) rest(addr, text string) {
+func (c *reconnectingClients) holdConnection(addr, text string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
 	}
-	c.came.Add(1)
+	c.connects.Add(1)
 	c.mu.Lock()
 	c.conns[conn] = true
 	c.mu.Unlock()
-	if !c.stop.Load() {
+	if !c.stopping.Load() {
 		io.WriteString(conn, text)
 		io.Copy(io.Discard, conn)
 	}
@@ -138,14 +138,14 @@
 	c.mu.Unlock()
 }
 
-func (c *crowd) end() {
-	c.stop.Store(true)
+func (c *reconnectingClients) close() {
+	c.stopping.Store(true)
 	c.mu.Lock()
 	for conn := range c.conns {
 		conn.Close()
 	}
 	c.mu.Unlock()
-	c.wait.Wait()
+	c.running.Wait()
 }
 
 // lockedBuffer keeps what a process logs; it is safe for concurrent use.
@@ -161,13 +161,13 @@
 }
 
 // all returns what was logged so far.
-func (b *lockedBuffer) all() string {
+func (b *lockedBuffer) content() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-func (b *lockedBuffer) count(text string) int {
+func (b *lockedBuffer) occurrences(text string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Count(b.text.String(), text)
@@ -182,7 +182,7 @@
 }
 
 // descriptors counts the open descriptors of a relay.
-func (c *child) descriptors() int {
+func (c *child) descriptorCount() int {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -190,8 +190,8 @@
 	return len(all)
 }
 
-// logFiles lists the files of a relay's log.
-func logFiles(t *testing.T, env map[string]string) string {
+// logFileNames lists the files of a relay's log.
+func logFileNames(t *testing.T, env map[string]string) string {
 	t.Helper()
 	all, err := os.ReadDir(filepath.Join(env["ROUTER_STATE"], wal.FolderName))
 	if err != nil {
@@ -208,22 +208,22 @@
 // the relay: calls go on, the log grows into new files, the operator address answers,
 // notices are sent and the list is watched again once discovery is back. A new
 // connection may be closed unread.
-func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
+func TestRelayWorksWhileIdleClientsExhaustDescriptors(t *testing.T) {
 	const descriptors = 96
 	ep := newFakeEndpoint(t, nil)
-	failing := newFakeEndpoint(t, status(http.StatusInternalServerError))
+	failing := newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
 	disc := discoverytest.New(t, ep.member("s-1", 7), failing.member("s-2", 2))
-	g := newGate(t, disc.Addr())
-	env := testConfig(t, disc, 3)
+	g := newTCPProxy(t, disc.Addr())
+	env := writeTestConfig(t, disc, 3)
 	env["ROUTER_DISCOVERY"], env["ROUTER_OPERATOR"] = g.addr, loopback.Free()
 	editConfig(t, env, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors))
 	log := &lockedBuffer{}
 	c := spawnLimited(t, env, log, descriptors)
-	c.ready(t)
+	c.waitReady(t)
 	waitFor(t, "the watch", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) == 1 })
-	g.shut()
-	cr := newCrowd(c.env["ROUTER_LISTEN"], 3*descriptors)
-	defer cr.end()
+	g.close()
+	cr := startReconnectingClients(c.env["ROUTER_LISTEN"], 3*descriptors)
+	defer cr.close()
 	most := atomic.Int64{}
 	done := make(chan struct{})
 	defer close(done)
@@ -233,12 +233,12 @@
 			case <-done:
 				return
 			case <-time.After(time.Millisecond):
-				most.Store(max(most.Load(), int64(c.descriptors())))
+				most.Store(max(most.Load(), int64(c.descriptorCount())))
 			}
 		}
 	}()
-	waitFor(t, "the crowd", func() bool { return cr.came.Load() > 10*descriptors })
-	began := logFiles(t, env)
+	waitFor(t, "the crowd", func() bool { return cr.connects.Load() > 10*descriptors })
+	began := logFileNames(t, env)
 	body := bytes.Repeat([]byte("b"), 32<<10)
 	taken, tries := 0, 0
 	handIn := func(id, fields string) bool { // as a client does: what is shut unread comes again
@@ -248,40 +248,40 @@
 		}
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(time.Second))
-		io.WriteString(conn, putText(id, fields, body))
+		io.WriteString(conn, putCommand(id, fields, body))
 		reply := make([]byte, 3)
 		io.ReadFull(conn, reply)
 		return string(reply) == "+OK"
 	}
 	for taken < 60 { // two megabytes: the log goes on into new files
 		id := fmt.Sprintf("m%d", taken)
-		f := fields("plain", 20000, 7)
+		f := putFields("plain", 20000, 7)
 		if taken == 30 {
-			id, f = "failed", fields("once", 20000, 2)
+			id, f = "failed", putFields("once", 20000, 2)
 		}
 		waitFor(t, id+" is taken on", func() bool { tries++; return handIn(id, f) })
 		taken++
 		if id != "failed" {
-			waitFor(t, "the call of "+id, func() bool { return ep.count(id) >= 1 })
+			waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) >= 1 })
 		}
 	}
-	waitFor(t, "a new file of the log", func() bool { return logFiles(t, env) != began })
-	waitFor(t, "the operators' answer", func() bool { return c.says(true) })
+	waitFor(t, "a new file of the log", func() bool { return logFileNames(t, env) != began })
+	waitFor(t, "the operators' answer", func() bool { return c.readyzIs(true) })
 	disc.Mu.Lock()
 	before := len(disc.Froms)
 	disc.Mu.Unlock()
 	_, early := disc.Notice("failed")
-	g.open(t)
+	g.listen(t)
 	back := time.Now()
 	waitFor(t, "the watch", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) > before })
 	heard := time.Since(back)
 	waitFor(t, "the notice", func() bool { n, ok := disc.Notice("failed"); return ok && n.Outcome == discovery.Failed })
 	t.Logf("%d connections came, %d of %d tries taken on, up to %d descriptors of %d; heard after %v, told after %v",
-		cr.came.Load(), taken, tries, most.Load(), descriptors, heard, time.Since(back))
+		cr.connects.Load(), taken, tries, most.Load(), descriptors, heard, time.Since(back))
 	if early {
 		t.Error("the notice was taken while discovery was down: nothing is tested")
 	}
-	if n := log.count("too many open files"); n > 0 {
+	if n := log.occurrences("too many open files"); n > 0 {
 		t.Errorf("out of descriptors %d times", n)
 	}
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -10,13 +10,13 @@
 
 // Guards the start against silent discovery: the relay answers with the list
 // that it was given.
-func TestStartWithoutDiscovery(t *testing.T) {
+func TestStartWithSilentDiscovery(t *testing.T) {
 	d := discoverytest.New(t)
 	d.Set(func(d *discoverytest.Server) { d.Silent = true })
-	env := testConfig(t, d, 3)
+	env := writeTestConfig(t, d, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("m", fields("plain", 20000, 1), nil); s != "+OK" {
+	if s := cl.put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Error(s)
 	}
 	_ = c
@@ -24,7 +24,7 @@
 
 // Guards the start while discovery turns calls away: the list in the
 // configuration serves, with no wait for a better one.
-func TestStartTurnedAway(t *testing.T) {
+func TestStartUsesConfiguredListWhenDiscoveryRejects(t *testing.T) {
 	r := newTestRelay(t)
 	r.cfg.KnownList = &discovery.List{Complete: true, Members: []discovery.Member{{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
 	r.mailbox.Put(discoveryRejectedEvent{})
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -28,10 +28,10 @@
 }
 
 // newFaultyDisk fails as a file says.
-func newFaultyDisk(path string) faultyDisk { return faultyDisk{fault: faultIn(path)} }
+func newFaultyDisk(path string) faultyDisk { return faultyDisk{fault: faultFromFile(path)} }
 
-// faultIn gives the error whose number stands in a file, as long as that is there.
-func faultIn(path string) func() error {
+// faultFromFile gives the error whose number stands in a file, as long as that is there.
+func faultFromFile(path string) func() error {
 	return func() error {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -142,7 +142,7 @@
 // message that has not been tried waits, uses up none of its tries and is sent once the
 // disk is back; one whose call is out gets its end in time. What comes new is refused,
 // and after the disk is back taken on again. All of it holds over a kill behind that.
-func TestDiskFailsForAWhile(t *testing.T) {
+func TestMessagesSurviveTemporaryDiskFailure(t *testing.T) {
 	for _, fault := range diskFaults {
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -155,10 +155,10 @@
 			})
 			quick, later := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 			disc := discoverytest.New(t, quick.member("s-1", 1), slow.member("s-2", 2))
-			env := testConfig(t, disc, 3)
+			env := writeTestConfig(t, disc, 3)
 			disk := newFaultSwitch(t, env, diskFaultEnv)
-			c := spawnTo(t, env, io.Discard)
-			c.ready(t)
+			c := spawnWithLog(t, env, io.Discard)
+			c.waitReady(t)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
 			take := func(id, f string) {
 				t.Helper()
@@ -167,13 +167,13 @@
 				}
 			}
 			for i := range 5 {
-				take(fmt.Sprint("held-", i), fields([]string{"plain", "once", "keyed"}[i%3], 20000, 5))
+				take(fmt.Sprint("held-", i), putFields([]string{"plain", "once", "keyed"}[i%3], 20000, 5))
 			}
-			take("out", fields("once", 20000, 2))
-			waitFor(t, "the call", func() bool { return slow.count("out") == 1 })
+			take("out", putFields("once", 20000, 2))
+			waitFor(t, "the call", func() bool { return slow.callCount("out") == 1 })
 			disk.set(fault)
 			refused := time.Now()
-			if s := cl.put("new", fields("plain", 8000, 1), nil); s != "-BUSY" {
+			if s := cl.put("new", putFields("plain", 8000, 1), nil); s != "-BUSY" {
 				t.Errorf("new, while the disk fails: %s", s)
 			}
 			if took := time.Since(refused); took > clientTimeout {
@@ -181,7 +181,7 @@
 			}
 			disc.Send(t, discoverytest.Change(2, later.member("s-5", 5)))
 			close(release)
-			waitFor(t, "the end of the call", func() bool { return slow.answered("out") })
+			waitFor(t, "the end of the call", func() bool { return slow.answeredOK("out") })
 			time.Sleep(1500 * time.Millisecond) // the disk is away for that long
 			for i := range 5 {
 				if n, ended := disc.Notice(fmt.Sprint("held-", i)); ended {
@@ -191,23 +191,23 @@
 			disk.clear()
 			for i := range 5 {
 				id := fmt.Sprint("held-", i)
-				for end := time.Now().Add(5 * time.Second); !later.answered(id) && time.Now().Before(end); {
+				for end := time.Now().Add(5 * time.Second); !later.answeredOK(id) && time.Now().Before(end); {
 					time.Sleep(2 * time.Millisecond)
 				}
-				if n, ended := disc.Notice(id); later.count(id) != 1 || ended {
-					t.Errorf("%s: %d calls, notice %q", id, later.count(id), n.Outcome)
+				if n, ended := disc.Notice(id); later.callCount(id) != 1 || ended {
+					t.Errorf("%s: %d calls, notice %q", id, later.callCount(id), n.Outcome)
 				}
 			}
-			take("after", fields("once", 20000, 1))
-			waitFor(t, "after", func() bool { return quick.answered("after") })
+			take("after", putFields("once", 20000, 1))
+			waitFor(t, "after", func() bool { return quick.answeredOK("after") })
 			waitFor(t, "the log is up to date", func() bool {
 				r, err := wal.Inspect(nil, env["ROUTER_STATE"])
 				return err == nil && r.Pending == 0
 			})
 			c.kill()
-			c = spawnTo(t, env, io.Discard)
-			c.ready(t)
-			if n := slow.count("out") + quick.count("after"); n != 2 {
+			c = spawnWithLog(t, env, io.Discard)
+			c.waitReady(t)
+			if n := slow.callCount("out") + quick.callCount("after"); n != 2 {
 				t.Errorf("%d calls for two messages that were delivered", n)
 			}
 			if n, ended := disc.Notice("out"); ended {
@@ -218,7 +218,7 @@
 }
 
 // exited reports whether the process has ended; nobody has waited for it yet.
-func (c *child) exited() bool {
+func (c *child) hasExited() bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.cmd.Process.Pid))
 	_, state, _ := strings.Cut(string(text), ") ")
 	return err != nil || strings.HasPrefix(state, "Z")
@@ -226,50 +226,50 @@
 
 // Guards the start of a relay whose disk takes nothing yet: it waits and says so, and is
 // ready once it does.
-func TestStartWhileDiskFails(t *testing.T) {
+func TestStartWaitsForDisk(t *testing.T) {
 	for _, fault := range diskFaults {
 		t.Run("new folder/"+fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
-			env := testConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
+			env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
 			disk := newFaultSwitch(t, env, diskFaultEnv)
 			disk.set(fault)
-			c := spawnTo(t, env, io.Discard)
+			c := spawnWithLog(t, env, io.Discard)
 			for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-				if c.exited() {
+				if c.hasExited() {
 					t.Fatal("it ended")
 				}
 			}
 			disk.clear()
-			c.ready(t)
+			c.waitReady(t)
 		})
 		t.Run("owing/"+fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
-			env := testConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
+			env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
 			disk := newFaultSwitch(t, env, diskFaultEnv)
-			c := spawnTo(t, env, io.Discard)
-			c.ready(t)
+			c := spawnWithLog(t, env, io.Discard)
+			c.waitReady(t)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
-			if s := cl.put("held", fields("once", 20000, 5), nil); s != "+OK" {
+			if s := cl.put("held", putFields("once", 20000, 5), nil); s != "+OK" {
 				t.Fatal(s)
 			}
 			c.kill()
 			disk.set(fault)
 			log := &lockedBuffer{}
-			c = spawnTo(t, env, log)
+			c = spawnWithLog(t, env, log)
 			for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-				if c.exited() {
-					t.Fatalf("it ended:\n%s", log.all())
+				if c.hasExited() {
+					t.Fatalf("it ended:\n%s", log.content())
 				}
 			}
 			disk.clear()
-			c.ready(t)
+			c.waitReady(t)
 			cl = dialClient(t, env["ROUTER_LISTEN"])
-			if s := cl.put("new", fields("once", 20000, 1), nil); s != "+OK" {
+			if s := cl.put("new", putFields("once", 20000, 1), nil); s != "+OK" {
 				t.Fatal(s)
 			}
-			waitFor(t, "new", func() bool { return ep.answered("new") })
+			waitFor(t, "new", func() bool { return ep.answeredOK("new") })
 			if r, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || r.Pending < 1 || !r.Sound() {
 				t.Errorf("%+v, %v", r, err)
 			}
@@ -280,16 +280,16 @@
 // Guards a message that is ended before its time while the disk takes nothing: if its end
 // is not in the log, the next process would send what its client was told is over. So its
 // notice waits for the log, though no longer than the message's time.
-func TestNoticeWaitsForTheLog(t *testing.T) {
+func TestNoticeWaitsForLogUntilDeadline(t *testing.T) {
 	var failing atomic.Bool
-	r := newTestRelayOn(t, faultyDisk{fault: func() error {
+	r := newTestRelayWithFS(t, faultyDisk{fault: func() error {
 		if failing.Load() {
 			return syscall.EIO
 		}
 		return nil
 	}})
 	disc := discoverytest.New(t)
-	r.notices = discovery.NewNotices(disc.Addr(), quietLog(), func(string) {})
+	r.notices = discovery.NewNotices(disc.Addr(), discardLog(), func(string) {})
 	go r.notices.Run(t.Context())
 	taken := map[string]*message{}
 	for _, id := range []string{"early", "timely"} {
--- a/internal/relay/endpoint_test.go
+++ b/internal/relay/endpoint_test.go
@@ -11,7 +11,7 @@
 
 // After a machine was away, the idle connections to it are closed, as they may be dead
 // without notice; one slow call among others is no reason.
-func TestUpdateLiveness(t *testing.T) {
+func TestUnansweredCallAfterSilenceSuggestsDeadConnections(t *testing.T) {
 	ep := &endpoint{}
 	for i, x := range []struct {
 		o    outcome
@@ -34,8 +34,8 @@
 
 // A new idle timeout reaches the connections, and the transport is replaced only when
 // the timeout changes.
-func TestReuseFollowsLimit(t *testing.T) {
-	cfg := testSet(t)
+func TestTransportIsReplacedWhenIdleTimeoutChanges(t *testing.T) {
+	cfg := parseTestConfig(t)
 	ep := &endpoint{}
 	ep.setIdleTimeout(cfg, 2, time.Second)
 	first := ep.transport
@@ -49,7 +49,7 @@
 
 // After a reset on an idle connection, the next call uses connections that may not be
 // idle for as long.
-func TestResetShortensReuse(t *testing.T) {
+func TestResetOnIdleConnectionShortensIdleTimeout(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	r := newTestRelay(t)
 	r.updateList(&discovery.List{Complete: true, Members: []discovery.Member{ep.member("s-1", 7)}}, policy.ListFull)
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -81,17 +81,17 @@
 	t.Fatalf("never came: %s", what)
 }
 
-func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // fakeEndpoint answers calls by a function and keeps what came.
 type fakeEndpoint struct {
 	*httptest.Server
 	mu     sync.Mutex
-	calls  []gotCall
+	calls  []receivedCall
 	answer func(w http.ResponseWriter, r *http.Request, n int)
 }
 
-type gotCall struct {
+type receivedCall struct {
 	id, key, timeout string
 	body             []byte
 	ok               bool // it was answered 200
@@ -105,7 +105,7 @@
 			return
 		}
 		e.mu.Lock()
-		e.calls = append(e.calls, gotCall{r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key"), r.Header.Get("X-Timeout-Ms"), body, false})
+		e.calls = append(e.calls, receivedCall{r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key"), r.Header.Get("X-Timeout-Ms"), body, false})
 		n, answer := len(e.calls), e.answer
 		e.mu.Unlock()
 		said := &statusWriter{ResponseWriter: w, code: http.StatusOK}
@@ -140,28 +140,28 @@
 }
 
 // answered reports whether a call of one message was answered 200.
-func (e *fakeEndpoint) answered(id string) bool {
+func (e *fakeEndpoint) answeredOK(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.ContainsFunc(e.calls, func(c gotCall) bool { return c.id == id && c.ok })
+	return slices.ContainsFunc(e.calls, func(c receivedCall) bool { return c.id == id && c.ok })
 }
 
 // hang holds a call until its caller is gone.
 func hang(_ http.ResponseWriter, r *http.Request, _ int) { <-r.Context().Done() }
 
-func status(code int) func(http.ResponseWriter, *http.Request, int) {
+func answerStatus(code int) func(http.ResponseWriter, *http.Request, int) {
 	return func(w http.ResponseWriter, _ *http.Request, _ int) { w.WriteHeader(code) }
 }
 
 func (e *fakeEndpoint) addr() string { return e.Listener.Addr().String() }
 
-func (e *fakeEndpoint) then(answer func(http.ResponseWriter, *http.Request, int)) {
+func (e *fakeEndpoint) setAnswer(answer func(http.ResponseWriter, *http.Request, int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.answer = answer
 }
 
-func (e *fakeEndpoint) count(id string) (n int) {
+func (e *fakeEndpoint) callCount(id string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.calls {
@@ -183,8 +183,8 @@
 	return discovery.Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Cell: cell, Phase: discovery.Up, Size: 1000}
 }
 
-// testConfig writes a configuration and returns the environment that names it.
-func testConfig(t *testing.T, d *discoverytest.Server, diskMB int) map[string]string {
+// writeTestConfig writes a configuration and returns the environment that names it.
+func writeTestConfig(t *testing.T, d *discoverytest.Server, diskMB int) map[string]string {
 	t.Helper()
 	listen := loopback.Free()
 	dir := t.TempDir()
@@ -202,7 +202,7 @@
 		"ROUTER_DISCOVERY": d.Addr(), "ROUTER_NAME": "n1"}
 }
 
-// editConfig changes a configuration that testConfig wrote.
+// editConfig changes a configuration that writeTestConfig wrote.
 func editConfig(t *testing.T, env map[string]string, old, new string) {
 	t.Helper()
 	text, err := os.ReadFile(env["ROUTER_CONFIG"])
@@ -216,23 +216,23 @@
 
 // newTestRelay is a relay with its log but with no socket and no loop: a test
 // takes the loop's place.
-func newTestRelay(t *testing.T) *Relay { return newTestRelayOn(t, nil) }
+func newTestRelay(t *testing.T) *Relay { return newTestRelayWithFS(t, nil) }
 
-// newTestRelayOn is the same with a file system of its own for the log.
-func newTestRelayOn(t *testing.T, fs wal.FS) *Relay {
+// newTestRelayWithFS is the same with a file system of its own for the log.
+func newTestRelayWithFS(t *testing.T, fs wal.FS) *Relay {
 	t.Helper()
-	cfg := testSet(t)
+	cfg := parseTestConfig(t)
 	decider, err := policy.New(cfg.Policy, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := wal.Open(wal.Options{Dir: t.TempDir(), Limit: 3 << 20, FS: fs, Log: quietLog()})
+	w, err := wal.Open(wal.Options{Dir: t.TempDir(), Limit: 3 << 20, FS: fs, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop := make(chan struct{})
 	go w.Run(stop)
-	r := newRelay(t.Context(), cfg, quietLog(), decider)
+	r := newRelay(t.Context(), cfg, discardLog(), decider)
 	r.wal, r.idleConns = w, 2
 	r.clock.alignToLog(r.wal)
 	t.Cleanup(func() { close(stop); <-w.Done() })
@@ -240,7 +240,7 @@
 }
 
 // logged reports whether the log in a state folder has such a record.
-func logged(dir string, kind wal.Kind, id string) (found bool) {
+func logContains(dir string, kind wal.Kind, id string) (found bool) {
 	// A folder that changes meanwhile is read again by who waits.
 	wal.Dump(nil, dir, func(_ string, _ int64, _ uint64, r *wal.Record) bool {
 		found = r.Kind == kind && r.ID == id
@@ -258,18 +258,18 @@
 func startChild(t *testing.T, env map[string]string) *child {
 	t.Helper()
 	c := spawn(t, env)
-	c.ready(t)
+	c.waitReady(t)
 	return c
 }
 
 // spawn starts a relay in a process of its own and does not wait for it.
 func spawn(t *testing.T, env map[string]string) *child {
 	t.Helper()
-	return spawnTo(t, env, testWriter{t})
+	return spawnWithLog(t, env, stderrWriter{t})
 }
 
-// spawnTo is the same with the relay's own log going to w.
-func spawnTo(t *testing.T, env map[string]string, w io.Writer) *child {
+// spawnWithLog is the same with the relay's own log going to w.
+func spawnWithLog(t *testing.T, env map[string]string, w io.Writer) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command(os.Args[0]), env: env}
 	startProcess(t, c, w)
@@ -290,11 +290,11 @@
 	t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
 }
 
-type testWriter struct{ t *testing.T }
+type stderrWriter struct{ t *testing.T }
 
-func (w testWriter) Write(p []byte) (int, error) { os.Stderr.Write(p); return len(p), nil }
+func (w stderrWriter) Write(p []byte) (int, error) { os.Stderr.Write(p); return len(p), nil }
 
-func (c *child) ready(t *testing.T) {
+func (c *child) waitReady(t *testing.T) {
 	t.Helper()
 	waitFor(t, "PONG", func() bool {
 		conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
@@ -328,7 +328,7 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-func putText(id, fields string, body []byte) string {
+func putCommand(id, fields string, body []byte) string {
 	var b strings.Builder
 	b.WriteString("*5\r\n")
 	for _, s := range []string{"MSG.PUT", "0000000000000000", id, fields, string(body)} {
@@ -339,11 +339,11 @@
 
 func (c *testClient) put(id, fields string, body []byte) string {
 	c.t.Helper()
-	io.WriteString(c, putText(id, fields, body))
-	return c.line()
+	io.WriteString(c, putCommand(id, fields, body))
+	return c.readLine()
 }
 
-func (c *testClient) line() string {
+func (c *testClient) readLine() string {
 	c.t.Helper()
 	s, err := c.in.ReadString('\n')
 	if err != nil {
@@ -352,7 +352,7 @@
 	return strings.TrimSuffix(s, "\r\n")
 }
 
-func fields(class string, deadlineMS int, dest int) string {
+func putFields(class string, deadlineMS int, dest int) string {
 	s := fmt.Sprintf("c=%s,t=acme,d=%d,dest=%d", class, deadlineMS, dest)
 	if class == "keyed" {
 		s += ",k=5c0f6e1a2b3d4c59"
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -11,7 +11,7 @@
 
 // Guards the JSON names of what one process hands to the next: the other may run an
 // older program.
-func TestPolicyHandoffNames(t *testing.T) {
+func TestPolicyHandoffKeepsJSONNames(t *testing.T) {
 	text, err := json.Marshal(policyHandoff{PolicyTime: 1, LogTime: 2, EndpointIDs: map[policy.Endpoint]string{3: "s-3"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -13,27 +13,27 @@
 // first, and either is told to end or killed at some moment of it, while clients
 // hand messages in. What was answered +OK is delivered or ended, what was refused
 // is never sent, and what may not be repeated is sent once.
-func TestHandOverOrders(t *testing.T) {
+func TestHandoverWithRandomSignalsKeepsMessages(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 8))
-			o := newOrders(t, seed, 150*time.Millisecond, 0)
+			o := newSequenceTest(t, seed, 150*time.Millisecond, 0)
 			first := startChild(t, o.env)
 			for i := range 40 {
-				s := &orderClient{}
+				s := &sequenceClient{}
 				var parts []string
 				var pauses []time.Duration
 				for range 3 {
 					id := fmt.Sprintf("m%d-%d", i, len(s.ids))
 					s.ids = append(s.ids, id)
 					class := []string{"plain", "once"}[rng.IntN(2)]
-					s.once = append(s.once, class == "once")
-					parts = append(parts, putText(id, fields(class, 20000, 7), []byte("body")))
+					s.isOnce = append(s.isOnce, class == "once")
+					parts = append(parts, putCommand(id, putFields(class, 20000, 7), []byte("body")))
 					pauses = append(pauses, time.Duration(rng.IntN(300))*time.Millisecond)
 				}
 				before := time.Duration(rng.IntN(1500)) * time.Millisecond
-				o.play(s, before, pauses, parts...)
+				o.startClient(s, before, pauses, parts...)
 			}
 			wait := func(most int) { time.Sleep(time.Duration(rng.IntN(most)) * time.Millisecond) }
 			wait(300)
@@ -48,7 +48,7 @@
 				killed = killed || sig == syscall.SIGKILL
 				c.cmd.Process.Signal(sig)
 			}
-			o.playing.Wait()
+			o.running.Wait()
 			for _, c := range both {
 				if err := c.cmd.Wait(); err != nil && !killed {
 					t.Errorf("exit: %v", err)
@@ -57,22 +57,22 @@
 			startChild(t, o.env)
 			taken := 0
 			for i, s := range o.clients {
-				if s.end != nil && !killed {
-					t.Errorf("client %d: %v", i, s.end)
+				if s.readErr != nil && !killed {
+					t.Errorf("client %d: %v", i, s.readErr)
 				}
 				for j, id := range s.ids {
-					if s.taken(j) {
+					if s.isAccepted(j) {
 						taken++
-						o.over(id)
+						o.waitEnded(id)
 					}
 				}
 			}
 			for _, s := range o.clients { // once all is over
 				for j, id := range s.ids {
-					n := o.ep.count(id)
+					n := o.endpoint.callCount(id)
 					refused := j < len(s.answers) && strings.HasPrefix(s.answers[j], "-BUSY")
 					switch {
-					case n > 1 && s.once[j]:
+					case n > 1 && s.isOnce[j]:
 						t.Errorf("%s was sent %d times", id, n)
 					case n > 0 && refused:
 						t.Errorf("%s was sent, its client has heard %v", id, s.answers)
--- a/internal/relay/idle_resets_test.go
+++ b/internal/relay/idle_resets_test.go
@@ -9,7 +9,7 @@
 
 // Where calls on connections idle for long are reset, no connection idle for so long is
 // used, shorter ones still are, and after a while longer ones are tried again.
-func TestIdleLimit(t *testing.T) {
+func TestIdleLimitFollowsResets(t *testing.T) {
 	const keep, second = 9 * time.Second, policy.Time(1e6)
 	w := &idleResetTracker{}
 	now := 100 * second
--- a/internal/relay/listener_test.go
+++ b/internal/relay/listener_test.go
@@ -7,12 +7,12 @@
 
 // Connections in the backlog of a closing listener are served in spite of transient
 // errors of accept.
-func TestSweepOverAcceptErrors(t *testing.T) {
+func TestClosedListenerServesBacklogDespiteAcceptErrors(t *testing.T) {
 	ln, err := listenReusePort(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	faults := []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EINTR, syscall.ENETUNREACH, syscall.EMFILE, syscall.EHOSTUNREACH, syscall.ENOMEM}
 	calls := 0
 	c.accept4 = func(fd, flags int) (int, syscall.Sockaddr, error) {
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	for i, cl := range waiting {
-		if s := cl.put("m", fields("plain", 8000, 1), nil); s != "+OK" {
+		if s := cl.put("m", putFields("plain", 8000, 1), nil); s != "+OK" {
 			t.Errorf("%d: %s", i, s)
 		}
 	}
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -12,7 +12,7 @@
 )
 
 // walked counts the gauges of the list the plain way.
-func (r *Relay) walked(now policy.Time) (members, avoided int64) {
+func (r *Relay) countEndpoints(now policy.Time) (members, avoided int64) {
 	for _, ep := range r.endpoints.byID {
 		if !ep.isListed {
 			continue
@@ -25,18 +25,18 @@
 	return members, avoided
 }
 
-// memberDay changes a list, has calls come to all sorts of ends, and compares the gauges after each step.
-type memberDay struct {
-	t    *testing.T
-	r    *Relay
-	rng  *rand.Rand
-	list map[string]*discovery.Member
-	rev  int64
-	out  []*message // with a call that is to end
-	most int64      // avoided at once
+// listSimulation changes a list, has calls come to all sorts of ends, and compares the gauges after each step.
+type listSimulation struct {
+	t              *testing.T
+	r              *Relay
+	rng            *rand.Rand
+	list           map[string]*discovery.Member
+	revision       int64
+	inFlight       []*message // with a call that is to end
+	maxUnavailable int64      // avoided at once
 }
 
-func (d *memberDay) draw() *discovery.Member {
+func (d *listSimulation) drawMember() *discovery.Member {
 	id := fmt.Sprintf("s-%d", d.rng.IntN(30))
 	m := &discovery.Member{ID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", 1+d.rng.IntN(3)), Flavor: "k", Cell: d.rng.IntN(8),
 		Phase: []string{discovery.Up, discovery.Up, discovery.Up, discovery.Draining, discovery.Removed}[d.rng.IntN(5)], Size: 1000}
@@ -45,9 +45,9 @@
 }
 
 // news gives a change of one member, or now and then the whole list.
-func (d *memberDay) news() {
-	d.rev++
-	l := &discovery.List{Revision: d.rev, Members: []discovery.Member{*d.draw()}}
+func (d *listSimulation) changeList() {
+	d.revision++
+	l := &discovery.List{Revision: d.revision, Members: []discovery.Member{*d.drawMember()}}
 	if d.rng.IntN(4) == 0 {
 		l.Complete, l.Members = true, nil
 		for _, m := range d.list {
@@ -60,12 +60,12 @@
 }
 
 // end has the oldest call end in some way.
-func (d *memberDay) end() {
-	if len(d.out) == 0 {
+func (d *listSimulation) finishOldestCall() {
+	if len(d.inFlight) == 0 {
 		return
 	}
-	m := d.out[0]
-	d.out = d.out[1:]
+	m := d.inFlight[0]
+	d.inFlight = d.inFlight[1:]
 	if m.call == nil {
 		return
 	}
@@ -80,41 +80,41 @@
 
 // Guards the gauges of the list, which follow its changes and those of the policy: after any of them, and as time passes,
 // they say what a walk over all endpoints would.
-func TestGaugesFollowChanges(t *testing.T) {
+func TestEndpointGaugesMatchFullCount(t *testing.T) {
 	for seed := range uint64(6) {
 		r := newTestRelay(t)
-		d := &memberDay{t: t, r: r, rng: rand.New(rand.NewPCG(seed, 3)), list: map[string]*discovery.Member{}}
+		d := &listSimulation{t: t, r: r, rng: rand.New(rand.NewPCG(seed, 3)), list: map[string]*discovery.Member{}}
 		for step := range 600 {
 			switch d.rng.IntN(5) {
 			case 0:
-				d.news()
+				d.changeList()
 			case 1, 2:
 				m := r.newMessage(&wal.Record{ID: fmt.Sprintf("%d-%d", seed, step), Class: "plain", Dest: d.rng.IntN(8),
 					Deadline: r.clock.logTime(r.clock.now() + 20e6)})
 				m.isAcknowledged = true
 				r.step.add(policy.Event{Kind: policy.EventMessage, Message: m.number, Dest: m.record.Dest, Tenant: -1, TimeLeft: 20e6})
 			case 3:
-				d.end()
+				d.finishOldestCall()
 			case 4:
 				time.Sleep(time.Duration(d.rng.IntN(2000)) * time.Microsecond) // waits and rests pass
 			}
-			d.step()
+			d.stepPolicy()
 			r.publishMetrics()
-			members, avoided := r.walked(r.published.publishedAt)
+			members, avoided := r.countEndpoints(r.published.publishedAt)
 			if got, was := r.metrics.members.Load(), r.metrics.unavailable.Load(); got != members || was != avoided {
 				t.Fatalf("seed %d, step %d: %d members, %d avoided; a walk says %d and %d", seed, step, got, was, members, avoided)
 			}
-			d.most = max(d.most, avoided)
-			d.cells(step)
+			d.maxUnavailable = max(d.maxUnavailable, avoided)
+			d.checkDestinations(step)
 		}
-		if d.most < 5 {
-			t.Errorf("seed %d: at most %d avoided: it tests nothing", seed, d.most)
+		if d.maxUnavailable < 5 {
+			t.Errorf("seed %d: at most %d avoided: it tests nothing", seed, d.maxUnavailable)
 		}
 	}
 }
 
 // step has the policy decide; its calls stay out until end ends them.
-func (d *memberDay) step() {
+func (d *listSimulation) stepPolicy() {
 	r := d.r
 	r.fireTimers()
 	events := r.step.events
@@ -129,7 +129,7 @@
 			c.endpoint, c.transport, c.messages = ep, ep.transport, []callMessage{{message: m, attempt: m.attempts - 1}}
 			m.call, ep.calls[c] = c, true
 			r.callsInFlight++
-			d.out = append(d.out, m)
+			d.inFlight = append(d.inFlight, m)
 		case (a.Kind == policy.ActionReject || a.Kind == policy.ActionFail) && m != nil:
 			m.isCompleted = true
 			r.forgetMessage(m)
@@ -140,7 +140,7 @@
 }
 
 // cells compares the endpoints of each destination with those of all.
-func (d *memberDay) cells(step int) {
+func (d *listSimulation) checkDestinations(step int) {
 	want := map[int]int{}
 	for _, ep := range d.r.endpoints.byID {
 		if ep.hostPort != "" {
@@ -155,7 +155,7 @@
 }
 
 // Guards the cost of an idle relay: where nothing happens, and all is well, the gauges look at no endpoint.
-func TestGaugesOfAHealthyList(t *testing.T) {
+func TestHealthyListNeedsNoAvailabilityRecheck(t *testing.T) {
 	r := newTestRelay(t)
 	listEvent{largeList(3000, "127.0.0.1:1")}.handle(r)
 	r.stepPolicy()
@@ -167,7 +167,7 @@
 
 // Guards the memory of a list whose members come and go: those that left long ago are forgotten, and not sooner. A change
 // in between walks over nothing.
-func TestGoneEndpointsForgotten(t *testing.T) {
+func TestRemovedEndpointsAreForgottenAfterRetention(t *testing.T) {
 	r := newTestRelay(t)
 	change := func(id, phase string) {
 		listEvent{&discovery.List{Members: []discovery.Member{
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -11,7 +11,7 @@
 
 // Guards the text of the figures, byte for byte: names, labels, help and order are what
 // the operators' tools were written for.
-func TestMetricsGolden(t *testing.T) {
+func TestMetricsTextMatchesGoldenFile(t *testing.T) {
 	m := newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}})
 	n := int64(0)
 	next := func() int64 { n++; return n }
@@ -48,7 +48,7 @@
 }
 
 // Guards that each figure that docs/on-call.md names is there.
-func TestMetricsNamedOnCall(t *testing.T) {
+func TestMetricsNamedInOnCallPageExist(t *testing.T) {
 	page, err := os.ReadFile("../../docs/on-call.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -17,11 +17,11 @@
 	"plovershore/policy"
 )
 
-// serveOperator runs the operator address alone.
-func serveOperator(t *testing.T) (*operatorServer, *atomic.Bool) {
+// startTestOperator runs the operator address alone.
+func startTestOperator(t *testing.T) (*operatorServer, *atomic.Bool) {
 	t.Helper()
 	ready := &atomic.Bool{}
-	o, err := startOperator(&Config{Operator: "127.0.0.1:0", Limits: Limits{Sockets: 1024}}, quietLog(),
+	o, err := startOperator(&Config{Operator: "127.0.0.1:0", Limits: Limits{Sockets: 1024}}, discardLog(),
 		newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}}), ready, func(policy.EventKind) {})
 	if err != nil {
 		t.Fatal(err)
@@ -30,8 +30,8 @@
 	return o, ready
 }
 
-// operatorCall makes a call as it is written, and gives its status and body.
-func operatorCall(t *testing.T, addr, method, path string) (int, string) {
+// callOperator makes a call as it is written, and gives its status and body.
+func callOperator(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
@@ -49,28 +49,28 @@
 	return resp.StatusCode, string(text)
 }
 
-func TestOperatorCalls(t *testing.T) {
-	o, ready := serveOperator(t)
+func TestOperatorStatusCodes(t *testing.T) {
+	o, ready := startTestOperator(t)
 	for _, x := range []struct {
 		method, path string
 		want         int
 	}{
 		{"GET", "/v1/readyz", 503}, {"GET", "/v1/metrics", 200}, {"POST", "/v1/metrics", 405}, {"GET", "/", 404}, {"GET", "/v1/other", 404},
 	} {
-		if got, text := operatorCall(t, o.addr, x.method, x.path); got != x.want {
+		if got, text := callOperator(t, o.addr, x.method, x.path); got != x.want {
 			t.Errorf("%s %s: %d %s, want %d", x.method, x.path, got, text, x.want)
 		}
 	}
 	ready.Store(true)
-	if got, _ := operatorCall(t, o.addr, "GET", "/v1/readyz"); got != 200 {
+	if got, _ := callOperator(t, o.addr, "GET", "/v1/readyz"); got != 200 {
 		t.Errorf("readyz of a ready relay: %d", got)
 	}
 }
 
 // Guards against callers that hold on: more of them than there is room for do
 // not keep a whole call from its answer.
-func TestOperatorSlowCallers(t *testing.T) {
-	o, _ := serveOperator(t)
+func TestOperatorAnswersDespiteSlowCallers(t *testing.T) {
+	o, _ := startTestOperator(t)
 	for i := range 2 * maxOperatorConns {
 		conn, err := net.Dial("tcp", o.addr)
 		if err != nil {
@@ -79,7 +79,7 @@
 		defer conn.Close()
 		io.WriteString(conn, []string{"", "GET /v1/metr", "GET /v1/metrics HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nab"}[i%3])
 	}
-	if got, _ := operatorCall(t, o.addr, "GET", "/v1/metrics"); got != 200 {
+	if got, _ := callOperator(t, o.addr, "GET", "/v1/metrics"); got != 200 {
 		t.Errorf("metrics: %d", got)
 	}
 	o.mu.Lock()
@@ -90,7 +90,7 @@
 }
 
 // Guards the form of the figures, and that every class is there from the start.
-func TestFiguresText(t *testing.T) {
+func TestMetricsTextListsEveryClass(t *testing.T) {
 	f := newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}})
 	f.countDelivered(1)
 	f.countWritten(1)
@@ -115,26 +115,26 @@
 }
 
 // Guards each count: it is raised once, by the message's one end or its call.
-func TestFiguresCount(t *testing.T) {
-	done, broken := newFakeEndpoint(t, nil), newFakeEndpoint(t, status(http.StatusInternalServerError))
+func TestMetricsCountEachMessageOnce(t *testing.T) {
+	done, broken := newFakeEndpoint(t, nil), newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
 	drains := done.member("s-3", 3)
 	drains.Phase = discovery.Draining
-	env := testConfig(t, discoverytest.New(t, done.member("s-1", 1), broken.member("s-2", 2), drains), 3)
+	env := writeTestConfig(t, discoverytest.New(t, done.member("s-1", 1), broken.member("s-2", 2), drains), 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	for i, f := range []string{fields("once", 20000, 1), fields("keyed", 20000, 1), fields("once", 20000, 2), fields("plain", 20000, 9)} {
+	for i, f := range []string{putFields("once", 20000, 1), putFields("keyed", 20000, 1), putFields("once", 20000, 2), putFields("plain", 20000, 9)} {
 		if s := cl.put(fmt.Sprintf("m%d", i), f, nil); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
-	cl.put("late", fields("plain", 0, 1), nil) // refused at once
+	cl.put("late", putFields("plain", 0, 1), nil) // refused at once
 	want := []string{`app_completed{lane="once"} 1`, `app_completed{lane="keyed"} 1`, `app_completed{lane="plain"} 0`,
 		`app_rejected{lane="plain"} 1`, `app_failed{lane="once"} 1`, `app_failed{lane="plain"} 0`,
 		`app_upstream_requests{lane="once"} 2`, `app_upstream_requests{lane="keyed"} 1`, `app_upstream_requests{lane="plain"} 0`,
 		"app_pending 1", "app_members 3"}
 	waitFor(t, "the figures", func() bool {
-		_, text := operatorCall(t, env["ROUTER_OPERATOR"], "GET", "/v1/metrics")
+		_, text := callOperator(t, env["ROUTER_OPERATOR"], "GET", "/v1/metrics")
 		for _, w := range want {
 			if !strings.Contains(text, "\n"+w+"\n") {
 				return false
@@ -142,7 +142,7 @@
 		}
 		return true
 	})
-	if got, _ := operatorCall(t, env["ROUTER_OPERATOR"], "GET", "/v1/readyz"); got != 200 {
+	if got, _ := callOperator(t, env["ROUTER_OPERATOR"], "GET", "/v1/readyz"); got != 200 {
 		t.Errorf("readyz: %d", got)
 	}
 }
@@ -150,23 +150,23 @@
 // Guards the drain: PING and readyz say no, kept and late connections are served
 // until they are let go between requests, what is held still goes out, and
 // activate takes it all back.
-func TestDrained(t *testing.T) {
+func TestDrainKeepsServingUntilActivate(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	disc := discoverytest.New(t, ep.member("s-1", 1))
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	c := startChild(t, env)
 	ask := func(path string) {
 		t.Helper()
 		for range 2 { // twice is once
-			if got, text := operatorCall(t, env["ROUTER_OPERATOR"], "POST", path); got != 200 {
+			if got, text := callOperator(t, env["ROUTER_OPERATOR"], "POST", path); got != 200 {
 				t.Fatalf("%s: %d %s", path, got, text)
 			}
 		}
 	}
 	kept, held := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
 	for id, cl := range map[string]*testClient{"kept": kept, "held": held} {
-		if s := cl.put(id, fields("once", 20000, map[string]int{"kept": 1, "held": 5}[id]), nil); s != "+OK" {
+		if s := cl.put(id, putFields("once", 20000, map[string]int{"kept": 1, "held": 5}[id]), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
@@ -175,13 +175,13 @@
 		cl := dialClient(t, env["ROUTER_LISTEN"])
 		defer cl.Close()
 		io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
-		return cl.line() == "-ERR draining"
+		return cl.readLine() == "-ERR draining"
 	})
-	if got, _ := operatorCall(t, env["ROUTER_OPERATOR"], "GET", "/v1/readyz"); got != 503 {
+	if got, _ := callOperator(t, env["ROUTER_OPERATOR"], "GET", "/v1/readyz"); got != 503 {
 		t.Errorf("readyz of a drained relay: %d", got)
 	}
 	late := dialClient(t, env["ROUTER_LISTEN"])
-	if s := late.put("late", fields("once", 20000, 1), nil); s != "+OK" {
+	if s := late.put("late", putFields("once", 20000, 1), nil); s != "+OK" {
 		t.Errorf("a late connection: %s", s)
 	}
 	for name, cl := range map[string]*testClient{"kept": kept, "late": late} {
@@ -191,16 +191,16 @@
 	}
 	other := newFakeEndpoint(t, nil)
 	disc.Send(t, discoverytest.Change(2, other.member("s-5", 5)))
-	waitFor(t, "what is held", func() bool { return ep.count("late") == 1 && other.count("held") == 1 })
+	waitFor(t, "what is held", func() bool { return ep.callCount("late") == 1 && other.callCount("held") == 1 })
 	ask("/v1/relay/activate")
-	c.ready(t)
+	c.waitReady(t)
 	again := dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range []string{"a", "b"} { // the connection is kept again
-		if s := again.put(id, fields("once", 20000, 1), nil); s != "+OK" {
+		if s := again.put(id, putFields("once", 20000, 1), nil); s != "+OK" {
 			t.Errorf("%s: %s", id, s)
 		}
 	}
-	if got, _ := operatorCall(t, env["ROUTER_OPERATOR"], "GET", "/v1/readyz"); got != 200 {
+	if got, _ := callOperator(t, env["ROUTER_OPERATOR"], "GET", "/v1/readyz"); got != 200 {
 		t.Errorf("readyz of an active relay: %d", got)
 	}
 }
--- a/internal/relay/orders_test.go
+++ b/internal/relay/orders_test.go
@@ -15,18 +15,18 @@
 
 // orders is the world of a property test over orders: one destination that
 // answers when its draws say, and clients that play beside each other.
-type orders struct {
-	t       *testing.T
-	env     map[string]string
-	ep      *fakeEndpoint
-	disc    *discoverytest.Server
-	clients []*orderClient
-	playing sync.WaitGroup
+type sequenceTest struct {
+	t        *testing.T
+	env      map[string]string
+	endpoint *fakeEndpoint
+	disc     *discoverytest.Server
+	clients  []*sequenceClient
+	running  sync.WaitGroup
 }
 
-// newOrders makes one whose destination answers within most; one call in full is
+// newSequenceTest makes one whose destination answers within most; one call in full is
 // turned away, none where that is 0.
-func newOrders(t *testing.T, seed uint64, most time.Duration, full int) *orders {
+func newSequenceTest(t *testing.T, seed uint64, most time.Duration, full int) *sequenceTest {
 	var mu sync.Mutex
 	draws := rand.New(rand.NewPCG(seed, 6))
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
@@ -40,43 +40,43 @@
 		}
 	})
 	disc := discoverytest.New(t, ep.member("s-1", 7))
-	return &orders{t: t, env: testConfig(t, disc, 3), ep: ep, disc: disc}
+	return &sequenceTest{t: t, env: writeTestConfig(t, disc, 3), endpoint: ep, disc: disc}
 }
 
 // play has a client send the parts of a text, after a while and with pauses.
-func (o *orders) play(s *orderClient, before time.Duration, pauses []time.Duration, parts ...string) {
+func (o *sequenceTest) startClient(s *sequenceClient, before time.Duration, pauses []time.Duration, parts ...string) {
 	o.clients = append(o.clients, s)
-	o.playing.Add(1)
+	o.running.Add(1)
 	go func() {
-		defer o.playing.Done()
-		s.play(o.env["ROUTER_LISTEN"], before, pauses, parts...)
+		defer o.running.Done()
+		s.run(o.env["ROUTER_LISTEN"], before, pauses, parts...)
 	}()
 }
 
 // over waits until a message is delivered or ended.
-func (o *orders) over(id string) {
+func (o *sequenceTest) waitEnded(id string) {
 	o.t.Helper()
 	waitFor(o.t, "the end of "+id, func() bool {
 		_, ended := o.disc.Notice(id)
-		return ended || o.ep.answered(id)
+		return ended || o.endpoint.answeredOK(id)
 	})
 }
 
-// orderClient is a client that hands messages in around a relay's end, and
+// sequenceClient is a client that hands messages in around a relay's end, and
 // keeps what it heard.
-type orderClient struct {
-	ids     []string
-	once    []bool   // of each id: it may not be repeated
-	ahead   bool     // all were sent in one breath
-	answers []string // as they came, one for each id as far as they did
-	end     error    // of what it reads
+type sequenceClient struct {
+	ids         []string
+	isOnce      []bool   // of each id: it may not be repeated
+	isPipelined bool     // all were sent in one breath
+	answers     []string // as they came, one for each id as far as they did
+	readErr     error    // of what it reads
 }
 
 // taken reports whether a request of it was answered +OK.
-func (s *orderClient) taken(j int) bool { return j < len(s.answers) && s.answers[j] == "+OK" }
+func (s *sequenceClient) isAccepted(j int) bool { return j < len(s.answers) && s.answers[j] == "+OK" }
 
 // play sends the parts of a text with pauses between them, while it reads.
-func (s *orderClient) play(addr string, before time.Duration, pauses []time.Duration, parts ...string) {
+func (s *sequenceClient) run(addr string, before time.Duration, pauses []time.Duration, parts ...string) {
 	time.Sleep(before)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -89,7 +89,7 @@
 	go func() {
 		defer close(done)
 		text, err := io.ReadAll(conn)
-		s.end = err
+		s.readErr = err
 		for line := range strings.Lines(string(text)) {
 			if strings.HasSuffix(line, "\r\n") && line != "+PONG\r\n" {
 				s.answers = append(s.answers, strings.TrimSpace(line))
--- a/internal/relay/outcome_test.go
+++ b/internal/relay/outcome_test.go
@@ -25,7 +25,7 @@
 // of the request, says up to some byte of an answer, and then closes, resets or
 // hangs. What it read whole is never said not to have run, unless it said so;
 // delivered is only what it answered 200; and the request comes once.
-func TestCallOutcomes(t *testing.T) {
+func TestRandomCallEndingsMapToSafeOutcomes(t *testing.T) {
 	const seeds = 400
 	answers := []string{
 		"", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
@@ -36,12 +36,12 @@
 	var plays errgroup.Group
 	plays.SetLimit(32) // most of them wait
 	for seed := range uint64(seeds) {
-		plays.Go(func() error { callOutcome(t, seed, answers); return nil })
+		plays.Go(func() error { runRandomCallEnding(t, seed, answers); return nil })
 	}
 	plays.Wait()
 }
 
-func callOutcome(t *testing.T, seed uint64, answers []string) {
+func runRandomCallEnding(t *testing.T, seed uint64, answers []string) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	body := make([]byte, []int{0, 10, 3000, 60000}[rng.IntN(4)])
 	rec := &wal.Record{ID: fmt.Sprint("m", seed), Body: body}
@@ -53,7 +53,7 @@
 	stopAt := rng.IntN(len(body) + 200)         // bytes of the request, where it is early
 	var mu sync.Mutex
 	came, whole := 0, false
-	addr := rawEndpoint(t, func(conn net.Conn) {
+	addr := startRawEndpoint(t, func(conn net.Conn) {
 		var seen bytes.Buffer
 		if early {
 			n, _ := io.CopyN(&seen, conn, int64(stopAt))
@@ -84,8 +84,8 @@
 			io.Copy(io.Discard, conn) // until the relay lets go
 		}
 	})
-	conns := testConns(t, 2)
-	o := runOne(newTestCall(), conns, addr, rec, 400*time.Millisecond)
+	conns := newTestTransport(t, 2)
+	o := runSingleCall(newTestCall(), conns, addr, rec, 400*time.Millisecond)
 	conns.CloseIdleConnections()
 	mu.Lock()
 	first, _, lineWhole := strings.Cut(said, "\n")
@@ -107,13 +107,13 @@
 
 // Guards against bytes after an answer: they belong to no call, and must not be
 // taken for the answer to the next one on that connection.
-func TestBytesAfterAnAnswer(t *testing.T) {
+func TestBytesAfterResponseAnswerNoOtherCall(t *testing.T) {
 	for i := range 300 {
 		var mu sync.Mutex
 		read := map[string]bool{}
 		inTurn := i%2 == 0 // else the second waits for a connection, and gets this one at once
 		release, waits := make(chan struct{}), make(chan struct{})
-		addr := rawEndpoint(t, func(conn net.Conn) {
+		addr := startRawEndpoint(t, func(conn net.Conn) {
 			in := bufio.NewReader(conn)
 			for n := 0; ; n++ {
 				req, err := http.ReadRequest(in)
@@ -136,7 +136,7 @@
 				}
 			}
 		})
-		conns := testConns(t, 2)
+		conns := newTestTransport(t, 2)
 		dial, dials := conns.DialContext, atomic.Int32{}
 		conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if dials.Add(1) == 2 && !inTurn {
@@ -146,7 +146,7 @@
 			return dial(ctx, network, addr)
 		}
 		done := make(chan outcome, 1)
-		go func() { done <- runOne(newTestCall(), conns, addr, &wal.Record{ID: "a"}, testLimit) }()
+		go func() { done <- runSingleCall(newTestCall(), conns, addr, &wal.Record{ID: "a"}, testCallTimeout) }()
 		if inTurn {
 			if o := <-done; o.kind != policy.Delivered {
 				t.Fatalf("play %d: the first: %+v", i, o)
@@ -154,7 +154,7 @@
 		} else {
 			waitFor(t, "the first connection", func() bool { return dials.Load() == 1 })
 		}
-		o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "b"}, testLimit)
+		o := runSingleCall(newTestCall(), conns, addr, &wal.Record{ID: "b"}, testCallTimeout)
 		close(release)
 		conns.CloseIdleConnections()
 		mu.Lock()
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -8,7 +8,7 @@
 )
 
 // The count agrees with a walk over all that is held, but for the width of a span.
-func TestOverdueCount(t *testing.T) {
+func TestOverdueCountMatchesFullCount(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		var o overdueCounter
--- a/internal/relay/put_request_test.go
+++ b/internal/relay/put_request_test.go
@@ -7,7 +7,7 @@
 
 func TestParsePutRequest(t *testing.T) {
 	now := time.UnixMicro(1e15)
-	q, err := testSet(t).parsePutRequest([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
+	q, err := parseTestConfig(t).parsePutRequest([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 		[]byte("c=keyed,t=acme,d=1500.5,k=k1,dest=12,r=1,again=1,new=x"), []byte("b")}, now)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/race_off_test.go
+++ b/internal/relay/race_off_test.go
@@ -3,4 +3,4 @@
 package relay
 
 // raced reports whether the race detector is at work.
-const raced = false
+const raceDetectorEnabled = false
--- a/internal/relay/ready_test.go
+++ b/internal/relay/ready_test.go
@@ -18,8 +18,8 @@
 	"plovershore/internal/wal"
 )
 
-// readyIn is how long a restarted process may take until it can be used, where the day does not end sooner.
-const readyIn = 10 * time.Second
+// maxReadyTime is how long a restarted process may take until it can be used, where the day does not end sooner.
+const maxReadyTime = 10 * time.Second
 
 // largeList is a list of so many members, one for each destination, all at one address.
 func largeList(members int, hostPort string) *discovery.List {
@@ -32,9 +32,9 @@
 }
 
 // owe writes a log in which so many messages are owed, spread over the first dests destinations.
-func owe(t *testing.T, dir string, limit int64, messages, dests int) {
+func writePendingLog(t *testing.T, dir string, limit int64, messages, dests int) {
 	t.Helper()
-	w, err := wal.Open(wal.Options{Dir: dir, Limit: limit, Log: quietLog()})
+	w, err := wal.Open(wal.Options{Dir: dir, Limit: limit, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 // largeConfig is a configuration of a relay that knows such a list and may hold that many messages.
 func largeConfig(t *testing.T, d *discoverytest.Server, known *discovery.List, diskMB, held int) map[string]string {
 	t.Helper()
-	env := testConfig(t, d, diskMB)
+	env := writeTestConfig(t, d, diskMB)
 	text, err := json.Marshal(known)
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 }
 
 // pong reports whether a relay answers PING on a new connection.
-func (c *child) pong() bool {
+func (c *child) answersPing() bool {
 	conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 	if err != nil {
 		return false
@@ -90,13 +90,13 @@
 
 // Guards a restart at the target's size: a whole list of its members, a log full of what is owed, and discovery that
 // serves, is silent or refuses. The relay is used once it answers PING, and says that it is ready to its operators.
-func TestReadyInTime(t *testing.T) {
+func TestRestartAtFullSizeIsReadyInTime(t *testing.T) {
 	owed := 100000
 	if s := os.Getenv("RELAY_READY_OWED"); s != "" { // for a measurement
 		owed, _ = strconv.Atoi(s)
 	}
 	members := 31000
-	if raced {
+	if raceDetectorEnabled {
 		members, owed = members/10, owed/10
 	}
 	gone := loopback.Free()
@@ -110,37 +110,37 @@
 			if how == "refuses" {
 				disc.Listener.Close()
 			}
-			owe(t, env["ROUTER_STATE"], int64(diskMB)<<20, owed, members)
+			writePendingLog(t, env["ROUTER_STATE"], int64(diskMB)<<20, owed, members)
 			env["GOMAXPROCS"] = "1"
 			began := time.Now()
-			c := spawnTo(t, env, io.Discard)
+			c := spawnWithLog(t, env, io.Discard)
 			var pong, ready, longest time.Duration
 			puts := 0
 			waitFor(t, "readiness", func() bool {
-				if pong == 0 && c.pong() {
+				if pong == 0 && c.answersPing() {
 					pong = time.Since(began)
 				}
 				if pong > 0 { // it is used from here on
 					at := time.Now()
-					dialClient(t, env["ROUTER_LISTEN"]).put(fmt.Sprintf("new-%d", puts), fields("plain", 20000, puts), nil)
+					dialClient(t, env["ROUTER_LISTEN"]).put(fmt.Sprintf("new-%d", puts), putFields("plain", 20000, puts), nil)
 					longest = max(longest, time.Since(at))
 					puts++
 				}
-				if ready == 0 && pong > 0 && c.says(true) {
+				if ready == 0 && pong > 0 && c.readyzIs(true) {
 					ready = time.Since(began)
 				}
 				return ready > 0
 			})
-			unread := c.figure(t, "app_log_unread")
+			unread := c.metric(t, "app_log_unread")
 			t.Logf("%d members, %d owed, discovery %s: PONG after %v, readyz after %v; of %d messages handed in meanwhile the slowest was answered after %v",
 				members, owed, how, pong, ready, puts, longest)
-			if pong > readyIn || ready > readyIn {
-				t.Errorf("PONG after %v, readyz after %v; at most %v", pong, ready, readyIn)
+			if pong > maxReadyTime || ready > maxReadyTime {
+				t.Errorf("PONG after %v, readyz after %v; at most %v", pong, ready, maxReadyTime)
 			}
 			if unread != 0 {
 				t.Errorf("said to be ready with %d messages to be read", unread)
 			}
-			if n := c.figure(t, "app_members"); n != members {
+			if n := c.metric(t, "app_members"); n != members {
 				t.Errorf("%d members, want %d", n, members)
 			}
 		})
--- a/internal/relay/resp_test.go
+++ b/internal/relay/resp_test.go
@@ -11,7 +11,7 @@
 
 // Of what no client should send nothing is accepted, the error is named, and a
 // connection whose position in the stream is known goes on.
-func TestInvalidCommands(t *testing.T) {
+func TestInvalidCommandsAreRejected(t *testing.T) {
 	long := strings.Repeat("x", maxBodyBytes+1)
 	for name, x := range map[string]struct {
 		text string
@@ -28,27 +28,27 @@
 		"no end":           {"*1\r\n$4\r\nPINGxx", true},
 		"not a bulk":       {"*1\r\n:4\r\n", true},
 		"unknown command":  {"*1\r\n$3\r\nGET\r\n", false},
-		"long body":        {putText("m", fields("plain", 8000, 1), []byte(long)), false},
+		"long body":        {putCommand("m", putFields("plain", 8000, 1), []byte(long)), false},
 		"few arguments":    {"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n", false},
-		"unknown class":    {putText("m", "c=other,t=acme,d=1,dest=1", nil), false},
-		"no class":         {putText("m", "t=acme,d=1,dest=1", nil), false},
-		"unknown tenant":   {putText("m", "c=plain,t=other,d=1,dest=1", nil), false},
-		"no time":          {putText("m", "c=plain,t=acme,dest=1", nil), false},
-		"bad time":         {putText("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
-		"negative time":    {putText("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
-		"no destination":   {putText("m", "c=plain,t=acme,d=1", nil), false},
-		"bad destination":  {putText("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
-		"no key":           {putText("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
-		"key in two lines": {putText("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
-		"id in two lines":  {putText("a\r\nX: b", fields("plain", 1, 1), nil), false},
-		"no id":            {putText("", fields("plain", 1, 1), nil), false},
-		"field alone":      {putText("m", "c", nil), false},
+		"unknown class":    {putCommand("m", "c=other,t=acme,d=1,dest=1", nil), false},
+		"no class":         {putCommand("m", "t=acme,d=1,dest=1", nil), false},
+		"unknown tenant":   {putCommand("m", "c=plain,t=other,d=1,dest=1", nil), false},
+		"no time":          {putCommand("m", "c=plain,t=acme,dest=1", nil), false},
+		"bad time":         {putCommand("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
+		"negative time":    {putCommand("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
+		"no destination":   {putCommand("m", "c=plain,t=acme,d=1", nil), false},
+		"bad destination":  {putCommand("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
+		"no key":           {putCommand("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
+		"key in two lines": {putCommand("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
+		"id in two lines":  {putCommand("a\r\nX: b", putFields("plain", 1, 1), nil), false},
+		"no id":            {putCommand("", putFields("plain", 1, 1), nil), false},
+		"field alone":      {putCommand("m", "c", nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, addr, _ := serveClients(t, func(q *putRequest) { t.Error("taken"); accept(q) })
 			cl := dialClient(t, addr)
 			io.WriteString(cl, x.text)
-			if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
+			if s := cl.readLine(); !strings.HasPrefix(s, "-ERR ") {
 				t.Fatalf("answer %q", s)
 			}
 			if x.ends {
@@ -58,7 +58,7 @@
 				return
 			}
 			io.WriteString(cl, "*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
-			if s := cl.line() + cl.line(); s != "$2hi" {
+			if s := cl.readLine() + cl.readLine(); s != "$2hi" {
 				t.Errorf("out of step: %q", s)
 			}
 		})
@@ -66,7 +66,7 @@
 }
 
 func FuzzReadCommand(f *testing.F) {
-	f.Add([]byte(putText("m", "c=plain", []byte("b"))))
+	f.Add([]byte(putCommand("m", "c=plain", []byte("b"))))
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n"))
 	f.Add([]byte("*2\r\n$-1\r\n$"))
 	cfg := &Config{classes: map[string]int{}, tenants: map[string]int{}}
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -26,17 +26,17 @@
 )
 
 // Id, key and body go on as they came, whatever bytes they hold.
-func TestDeliver(t *testing.T) {
+func TestMessageIsDeliveredUnchanged(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	c := startChild(t, testConfig(t, discoverytest.New(t, ep.member("s-1", 7)), 3))
+	c := startChild(t, writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 7)), 3))
 	cl := dialClient(t, c.env["ROUTER_LISTEN"])
 	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", maxBodyBytes))}
 	for i, body := range bodies {
 		id := fmt.Sprintf("m%d", i)
-		if s := cl.put(id, fields("keyed", 8000, 7), body); s != "+OK" {
+		if s := cl.put(id, putFields("keyed", 8000, 7), body); s != "+OK" {
 			t.Fatalf("body %d: %s", i, s)
 		}
-		waitFor(t, "the call", func() bool { return ep.count(id) == 1 })
+		waitFor(t, "the call", func() bool { return ep.callCount(id) == 1 })
 		ep.mu.Lock()
 		got := ep.calls[len(ep.calls)-1]
 		ep.mu.Unlock()
@@ -48,30 +48,30 @@
 
 // Guards the batch: where a kind of destination takes several messages in one
 // call, what waits for it goes out as one call, no longer than a body may be.
-func TestBatchIsOneCall(t *testing.T) {
+func TestWaitingMessagesAreSentInOneBatch(t *testing.T) {
 	first := make(chan struct{})
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
 			<-first
 		}
 	})
-	env := testConfig(t, discoverytest.New(t, ep.member("s-1", 7)), 3)
+	env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 7)), 3)
 	editConfig(t, env, `"kind_batch":[1]`, `"kind_batch":[5]`)
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for i := range 5 {
-		if s := cl.put(fmt.Sprintf("m%d", i), fields("once", 20000, 7), []byte("body")); s != "+OK" {
+		if s := cl.put(fmt.Sprintf("m%d", i), putFields("once", 20000, 7), []byte("body")); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
 	for _, id := range []string{"long1", "long2"} {
-		if s := cl.put(id, fields("once", 20000, 7), bytes.Repeat([]byte("x"), 40<<10)); s != "+OK" {
+		if s := cl.put(id, putFields("once", 20000, 7), bytes.Repeat([]byte("x"), 40<<10)); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
-	waitFor(t, "the first call", func() bool { return ep.count("m0") == 1 })
+	waitFor(t, "the first call", func() bool { return ep.callCount("m0") == 1 })
 	close(first)
-	waitFor(t, "the rest", func() bool { return ep.count("long1") == 1 && ep.count("long2") == 1 })
+	waitFor(t, "the rest", func() bool { return ep.callCount("long1") == 1 && ep.callCount("long2") == 1 })
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	together := false
@@ -98,7 +98,7 @@
 // Guards a batch whose endpoint hangs: the call ends for all its messages when
 // the time of the first is up, and the endpoint was told so. What it answers once
 // that one has ended is an answer to nobody: the rest still get their ends.
-func TestBatchEndsTogether(t *testing.T) {
+func TestBatchTimesOutAtFirstDeadline(t *testing.T) {
 	first := make(chan struct{})
 	disc := discoverytest.New(t)
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
@@ -113,16 +113,16 @@
 		}
 	})
 	disc.Set(func(d *discoverytest.Server) { d.List.Members = append(d.List.Members, ep.member("s-1", 7)) })
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	editConfig(t, env, `"kind_batch":[1]`, `"kind_batch":[5]`)
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("m0", fields("once", 20000, 7), nil); s != "+OK" {
+	if s := cl.put("m0", putFields("once", 20000, 7), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	waitFor(t, "the first call", func() bool { return ep.count("m0") == 1 })
+	waitFor(t, "the first call", func() bool { return ep.callCount("m0") == 1 })
 	for id, ms := range map[string]int{"short": 1500, "long": 20000} {
-		if s := cl.put(id, fields("once", ms, 7), nil); s != "+OK" {
+		if s := cl.put(id, putFields("once", ms, 7), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
@@ -142,11 +142,11 @@
 
 // Guards SIGHUP: it is no end, and list and notices come from and go to the
 // address that the file then names. A file that cannot be used changes nothing.
-func TestReconfigured(t *testing.T) {
+func TestHangupSwitchesDiscoveryAddress(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	gone := newFakeEndpoint(t, status(http.StatusInternalServerError))
+	gone := newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
 	old, moved := discoverytest.New(t, gone.member("s-1", 1)), discoverytest.New(t, gone.member("s-1", 1), ep.member("s-2", 2))
-	env := testConfig(t, old, 3)
+	env := writeTestConfig(t, old, 3)
 	c := startChild(t, env)
 	waitFor(t, "the first watch", func() bool { old.Mu.Lock(); defer old.Mu.Unlock(); return len(old.Froms) == 1 })
 	good, err := os.ReadFile(env["ROUTER_CONFIG"])
@@ -158,7 +158,7 @@
 			t.Fatal(err)
 		}
 		c.cmd.Process.Signal(syscall.SIGHUP)
-		c.ready(t)
+		c.waitReady(t)
 	}
 	text := strings.Replace(string(good), old.Addr(), moved.Addr(), 1)
 	if err := os.WriteFile(env["ROUTER_CONFIG"], []byte(text), 0o600); err != nil {
@@ -172,50 +172,50 @@
 	})
 	moved.Send(t, discoverytest.Change(2, ep.member("s-2", 2)))
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	for id, f := range map[string]string{"sent": fields("once", 20000, 2), "failed": fields("once", 20000, 1)} {
+	for id, f := range map[string]string{"sent": putFields("once", 20000, 2), "failed": putFields("once", 20000, 1)} {
 		if s := cl.put(id, f, nil); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
-	waitFor(t, "the call", func() bool { return ep.count("sent") == 1 })
+	waitFor(t, "the call", func() bool { return ep.callCount("sent") == 1 })
 	waitFor(t, "the notice", func() bool { _, ok := moved.Notice("failed"); return ok })
 }
 
 // Guards what was taken on against SIGKILL: an unsafe attempt with no outcome
 // may have run and fails by notice, a keyed one goes out again in its window,
 // one that was only turned away goes on, and what was delivered stays so.
-func TestKilled(t *testing.T) {
+func TestAcceptedMessagesSurviveKill(t *testing.T) {
 	done := newFakeEndpoint(t, nil)
 	stuck := newFakeEndpoint(t, hang)
-	full := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	full := newFakeEndpoint(t, answerStatus(http.StatusServiceUnavailable))
 	keyed := newFakeEndpoint(t, hang)
 	disc := discoverytest.New(t, done.member("s-1", 1), stuck.member("s-2", 2), full.member("s-3", 3), keyed.member("s-4", 4))
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	for id, f := range map[string]string{"done": fields("once", 20000, 1), "stuck": fields("once", 20000, 2),
-		"full": fields("once", 20000, 3), "keyed": fields("keyed", 20000, 4)} {
+	for id, f := range map[string]string{"done": putFields("once", 20000, 1), "stuck": putFields("once", 20000, 2),
+		"full": putFields("once", 20000, 3), "keyed": putFields("keyed", 20000, 4)} {
 		if s := cl.put(id, f, []byte("body of "+id)); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 	}
 	waitFor(t, "calls", func() bool {
-		return done.count("done") == 1 && stuck.count("stuck") == 1 && full.count("full") >= 1 && keyed.count("keyed") == 1
+		return done.callCount("done") == 1 && stuck.callCount("stuck") == 1 && full.callCount("full") >= 1 && keyed.callCount("keyed") == 1
 	})
 	waitFor(t, "the outcomes in the log", func() bool {
-		return logged(env["ROUTER_STATE"], wal.KindCompleted, "done") && logged(env["ROUTER_STATE"], wal.KindOutcome, "full")
+		return logContains(env["ROUTER_STATE"], wal.KindCompleted, "done") && logContains(env["ROUTER_STATE"], wal.KindOutcome, "full")
 	})
 	c.kill()
 	for _, e := range []*fakeEndpoint{stuck, full, keyed} {
-		e.then(nil)
+		e.setAnswer(nil)
 	}
 	startChild(t, env)
 	waitFor(t, "notice of the unsafe one", func() bool { n, ok := disc.Notice("stuck"); return ok && n.Outcome == discovery.Failed })
-	waitFor(t, "the others", func() bool { return full.count("full") >= 2 && keyed.count("keyed") == 2 })
-	if n := stuck.count("stuck"); n != 1 {
+	waitFor(t, "the others", func() bool { return full.callCount("full") >= 2 && keyed.callCount("keyed") == 2 })
+	if n := stuck.callCount("stuck"); n != 1 {
 		t.Errorf("the unsafe message went out %d times", n)
 	}
-	if n := done.count("done"); n != 1 {
+	if n := done.callCount("done"); n != 1 {
 		t.Errorf("the delivered message went out %d times", n)
 	}
 	keyed.mu.Lock()
@@ -228,27 +228,27 @@
 // Guards what was taken on and never sent against a restart into bad times: each
 // message gets its call, though the destination fails at first, when the policy
 // would refuse most new ones without.
-func TestUntriedIsTriedAfterRestart(t *testing.T) {
+func TestUntriedMessagesAreTriedAfterRestart(t *testing.T) {
 	ep := newFakeEndpoint(t, hang)
 	disc := discoverytest.New(t, ep.member("s-1", 7))
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	var ids []string
 	for i := range 40 {
 		id := fmt.Sprintf("m%d", i)
-		if s := cl.put(id, fields("plain", 20000, 7), nil); s != "+OK" {
+		if s := cl.put(id, putFields("plain", 20000, 7), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 		ids = append(ids, id)
 	}
-	waitFor(t, "a call", func() bool { return ep.count("m0") == 1 })
+	waitFor(t, "a call", func() bool { return ep.callCount("m0") == 1 })
 	c.kill()
 	tried := map[string]bool{}
 	for _, id := range ids {
-		tried[id] = ep.count(id) > 0
+		tried[id] = ep.callCount(id) > 0
 	}
-	ep.then(func(w http.ResponseWriter, _ *http.Request, n int) {
+	ep.setAnswer(func(w http.ResponseWriter, _ *http.Request, n int) {
 		if n < 30 {
 			w.WriteHeader(http.StatusInternalServerError)
 		}
@@ -256,29 +256,29 @@
 	startChild(t, env)
 	for _, id := range ids {
 		waitFor(t, "a call of "+id, func() bool {
-			if n, ended := disc.Notice(id); ended && !tried[id] && ep.count(id) == 0 {
+			if n, ended := disc.Notice(id); ended && !tried[id] && ep.callCount(id) == 0 {
 				t.Fatalf("%s, which was never sent, is %s with no call", id, n.Outcome)
 			}
-			return ep.count(id) > 0
+			return ep.callCount(id) > 0
 		})
 	}
 }
 
 // Guards the end of what ran out of time while no process ran: its notice
 // comes straight after the start. A notice that was not taken is sent again.
-func TestOverdueAfterRestart(t *testing.T) {
+func TestExpiredMessagesGetNoticesAfterRestart(t *testing.T) {
 	disc := discoverytest.New(t)
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	disc.Set(func(d *discoverytest.Server) { d.Answer = http.StatusInternalServerError })
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range []string{"short", "later"} {
-		if s := cl.put(id, fields("plain", map[string]int{"short": 1000, "later": 3000}[id], 9), nil); s != "+OK" {
+		if s := cl.put(id, putFields("plain", map[string]int{"short": 1000, "later": 3000}[id], 9), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
 	waitFor(t, "an ending in the log", func() bool {
-		return logged(env["ROUTER_STATE"], wal.KindCompleting, "short")
+		return logContains(env["ROUTER_STATE"], wal.KindCompleting, "short")
 	})
 	c.kill()
 	disc.Set(func(d *discoverytest.Server) { d.Answer = http.StatusNoContent })
@@ -287,13 +287,13 @@
 		waitFor(t, "notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.Returned })
 	}
 	waitFor(t, "ends in the log", func() bool {
-		return logged(env["ROUTER_STATE"], wal.KindCompleted, "short") && logged(env["ROUTER_STATE"], wal.KindCompleted, "later")
+		return logContains(env["ROUTER_STATE"], wal.KindCompleted, "short") && logContains(env["ROUTER_STATE"], wal.KindCompleted, "later")
 	})
 }
 
 // Guards a planned end: calls that are out finish, new work is refused
 // harmlessly, what is held waits in the log, and the exit code is 0.
-func TestTerminated(t *testing.T) {
+func TestTerminationFinishesCallsAndKeepsMessages(t *testing.T) {
 	release, entered := make(chan struct{}), atomic.Int32{}
 	slow := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
 		entered.Add(1)
@@ -303,13 +303,13 @@
 		}
 	})
 	disc := discoverytest.New(t, slow.member("s-1", 1))
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("out", fields("once", 20000, 1), nil); s != "+OK" {
+	if s := cl.put("out", putFields("once", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	if s := cl.put("held", fields("plain", 20000, 5), nil); s != "+OK" { // nobody serves 5 yet
+	if s := cl.put("held", putFields("plain", 20000, 5), nil); s != "+OK" { // nobody serves 5 yet
 		t.Fatal(s)
 	}
 	waitFor(t, "the call", func() bool { return entered.Load() == 1 })
@@ -318,21 +318,21 @@
 		t.Error("an idle client's connection stays open")
 	}
 	late := dialClient(t, env["ROUTER_LISTEN"]) // connections go on coming for a while
-	if s := late.put("late", fields("plain", 8000, 1), nil); !strings.HasPrefix(s, "-BUSY ") {
+	if s := late.put("late", putFields("plain", 8000, 1), nil); !strings.HasPrefix(s, "-BUSY ") {
 		t.Errorf("new work at the end is answered %q", s)
 	}
 	close(release)
 	if err := c.cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if n := slow.count("late"); n != 0 {
+	if n := slow.callCount("late"); n != 0 {
 		t.Error("a refused message went out")
 	}
 	other := newFakeEndpoint(t, nil)
 	disc.Set(func(d *discoverytest.Server) { d.List.Members = append(d.List.Members, other.member("s-5", 5)) })
 	startChild(t, env)
-	waitFor(t, "the held message", func() bool { return other.count("held") == 1 })
-	if n := slow.count("out"); n != 1 {
+	waitFor(t, "the held message", func() bool { return other.callCount("held") == 1 })
+	if n := slow.callCount("out"); n != 1 {
 		t.Errorf("the finished call went out %d times", n)
 	}
 	if _, ok := disc.Notice("out"); ok {
@@ -342,17 +342,17 @@
 
 // Guards a planned end: a request of which a part has come at SIGTERM gets its
 // answer, though nothing else keeps the process, and its connection is not reset.
-func TestHalfReadAtTermination(t *testing.T) {
-	env := testConfig(t, discoverytest.New(t), 3)
+func TestHalfReadRequestIsAnsweredAtTermination(t *testing.T) {
+	env := writeTestConfig(t, discoverytest.New(t), 3)
 	c := startChild(t, env)
 	half, rest := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
 	for _, cl := range []*testClient{half, rest} {
 		io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
-		if s := cl.line(); s != "+PONG" {
+		if s := cl.readLine(); s != "+PONG" {
 			t.Fatal(s)
 		}
 	}
-	text := putText("m", fields("plain", 8000, 7), []byte("body"))
+	text := putCommand("m", putFields("plain", 8000, 7), []byte("body"))
 	io.WriteString(half, text[:len(text)/2])
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	if _, err := rest.in.ReadByte(); !errors.Is(err, io.EOF) {
@@ -366,7 +366,7 @@
 		return err != nil
 	})
 	io.WriteString(half, text[len(text)/2:])
-	if s := half.line(); s != "-BUSY 400" {
+	if s := half.readLine(); s != "-BUSY 400" {
 		t.Errorf("answer %q", s)
 	}
 	if _, err := half.in.ReadByte(); !errors.Is(err, io.EOF) {
@@ -380,10 +380,10 @@
 
 // Guards SIGTERM before a process is ready: it ends in order, also where discovery
 // never answers and SIGHUP comes between.
-func TestTerminatedBeforeReady(t *testing.T) {
+func TestTerminationBeforeReadyExitsCleanly(t *testing.T) {
 	disc := discoverytest.New(t)
 	disc.Set(func(d *discoverytest.Server) { d.Silent = true })
-	c := spawn(t, testConfig(t, disc, 3))
+	c := spawn(t, writeTestConfig(t, disc, 3))
 	waitFor(t, "the start", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return disc.Unheard > 0 })
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		c.cmd.Process.Signal(sig)
@@ -395,24 +395,24 @@
 
 // Guards against an endpoint that is removed and returns in one change: what it
 // says last holds, either way.
-func TestGoneAndBackInOneChange(t *testing.T) {
+func TestLastPhaseInOneListChangeHolds(t *testing.T) {
 	first, then := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	m := first.member("s-1", 1)
 	gone, back := m, then.member("s-1", 1)
 	gone.Phase = discovery.Removed
 	disc := discoverytest.New(t, m)
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	put := func(id string) {
 		t.Helper()
-		if s := cl.put(id, fields("once", 20000, 1), nil); s != "+OK" {
+		if s := cl.put(id, putFields("once", 20000, 1), nil); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 	}
 	put("a")
-	waitFor(t, "a", func() bool { return first.count("a") == 1 })
+	waitFor(t, "a", func() bool { return first.callCount("a") == 1 })
 	say := func(rev int64, members ...discovery.Member) {
 		text, err := json.Marshal(discovery.List{Revision: rev, Members: members})
 		if err != nil {
@@ -426,29 +426,29 @@
 		n++
 		id := fmt.Sprintf("b%d", n)
 		put(id)
-		waitFor(t, id, func() bool { return first.count(id)+then.count(id) == 1 })
-		return then.count(id) == 1
+		waitFor(t, id, func() bool { return first.callCount(id)+then.callCount(id) == 1 })
+		return then.callCount(id) == 1
 	})
 	say(3, back, gone)
-	waitFor(t, "its going", func() bool { return c.figure(t, "app_members") == 0 })
+	waitFor(t, "its going", func() bool { return c.metric(t, "app_members") == 0 })
 	put("c")
-	if n := first.count("c") + then.count("c"); n != 0 {
+	if n := first.callCount("c") + then.callCount("c"); n != 0 {
 		t.Errorf("a message went to an endpoint that is gone %d times", n)
 	}
 	say(4, back)
-	waitFor(t, "the return", func() bool { return then.count("c") == 1 })
+	waitFor(t, "the return", func() bool { return then.callCount("c") == 1 })
 }
 
 // Guards the disk: full holdings of long bodies may not fit into it, and what
 // does not fit is refused before the folder is over its limit.
-func TestDiskBound(t *testing.T) {
-	env := testConfig(t, discoverytest.New(t), 1)
+func TestLogStaysWithinDiskLimit(t *testing.T) {
+	env := writeTestConfig(t, discoverytest.New(t), 1)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	body := []byte(strings.Repeat("b", maxBodyBytes))
 	taken, refused := 0, 0
 	for i := range 40 {
-		switch s := cl.put(fmt.Sprintf("m%d", i), fields("plain", 20000, 9), body); {
+		switch s := cl.put(fmt.Sprintf("m%d", i), putFields("plain", 20000, 9), body); {
 		case s == "+OK":
 			taken++
 		case strings.HasPrefix(s, "-BUSY"):
@@ -478,27 +478,27 @@
 
 // Guards against the list as it was: an endpoint may move to another address
 // under its id, or to another destination, and a drained one gets nothing new.
-func TestListChanges(t *testing.T) {
+func TestMovedAndDrainingEndpointsAreFollowed(t *testing.T) {
 	before, after := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	m := before.member("s-1", 1)
 	disc := discoverytest.New(t, m)
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	put := func(id string, dest int) {
 		t.Helper()
-		if s := cl.put(id, fields("once", 20000, dest), nil); s != "+OK" {
+		if s := cl.put(id, putFields("once", 20000, dest), nil); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 	}
 	put("old", 1)
-	waitFor(t, "old", func() bool { return before.count("old") == 1 })
+	waitFor(t, "old", func() bool { return before.callCount("old") == 1 })
 	m.HostPort = after.addr()
 	disc.Send(t, discoverytest.Change(2, m))
 	// The change and the message come by different ways: what is sent before
 	// the change may still go to the old place, so wait for the new one.
 	waitFor(t, "the new address", func() bool {
-		put(fmt.Sprintf("n%d", seq.Add(1)), 1)
+		put(fmt.Sprintf("n%d", nextID.Add(1)), 1)
 		after.mu.Lock()
 		defer after.mu.Unlock()
 		return len(after.calls) > 0
@@ -506,48 +506,48 @@
 	moved := after.member("s-1", 2)
 	disc.Send(t, discoverytest.Change(3, moved))
 	put("two", 2)
-	waitFor(t, "the new destination", func() bool { return after.count("two") == 1 })
+	waitFor(t, "the new destination", func() bool { return after.callCount("two") == 1 })
 	put("one", 1) // nobody serves it any more
 	moved.Phase = discovery.Draining
 	disc.Send(t, discoverytest.Change(4, moved))
 	fresh := before.member("s-2", 2)
 	disc.Send(t, discoverytest.Change(5, fresh))
 	put("marker", 2)
-	waitFor(t, "the marker", func() bool { return before.count("marker")+after.count("marker") == 1 })
+	waitFor(t, "the marker", func() bool { return before.callCount("marker")+after.callCount("marker") == 1 })
 	waitFor(t, "the drain", func() bool {
-		id := fmt.Sprintf("d%d", seq.Add(1))
+		id := fmt.Sprintf("d%d", nextID.Add(1))
 		put(id, 2)
-		waitFor(t, id, func() bool { return before.count(id)+after.count(id) == 1 })
-		return before.count(id) == 1
+		waitFor(t, id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
+		return before.callCount(id) == 1
 	})
 	for range 5 {
-		id := fmt.Sprintf("e%d", seq.Add(1))
+		id := fmt.Sprintf("e%d", nextID.Add(1))
 		put(id, 2)
-		waitFor(t, id, func() bool { return before.count(id)+after.count(id) == 1 })
-		if after.count(id) != 0 {
+		waitFor(t, id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
+		if after.callCount(id) != 0 {
 			t.Error("a drained endpoint got a message")
 		}
 	}
-	if n := before.count("one") + after.count("one"); n != 0 {
+	if n := before.callCount("one") + after.callCount("one"); n != 0 {
 		t.Errorf("a message went to an endpoint of another destination %d times", n)
 	}
 }
 
-var seq atomic.Int32 // makes ids new
+var nextID atomic.Int32 // makes ids new
 
 // What the policy turns away in the step that takes it is answered directly:
 // nothing is logged, and there is no notice.
-func TestTurnedAwayAtOnce(t *testing.T) {
+func TestImmediateRejectionIsNotLogged(t *testing.T) {
 	disc := discoverytest.New(t)
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("late", fields("plain", 0, 9), nil); !strings.HasPrefix(s, "-BUSY") {
+	if s := cl.put("late", putFields("plain", 0, 9), nil); !strings.HasPrefix(s, "-BUSY") {
 		t.Fatalf("out of time: %s", s)
 	}
 	refused := 0
 	for i := range 150 { // more than may be held
-		if s := cl.put(fmt.Sprintf("m%d", i), fields("once", 20000, 9), nil); strings.HasPrefix(s, "-BUSY") {
+		if s := cl.put(fmt.Sprintf("m%d", i), putFields("once", 20000, 9), nil); strings.HasPrefix(s, "-BUSY") {
 			refused++
 		}
 	}
@@ -557,7 +557,7 @@
 		defer disc.Mu.Unlock()
 		return refused+len(disc.Notices) >= 50
 	})
-	if logged(env["ROUTER_STATE"], wal.KindAccepted, "late") {
+	if logContains(env["ROUTER_STATE"], wal.KindAccepted, "late") {
 		t.Error("logged")
 	}
 	if _, ok := disc.Notice("late"); ok {
@@ -566,7 +566,7 @@
 }
 
 // Guards against handing in twice: an id that is held is not taken on again.
-func TestSameIDAgain(t *testing.T) {
+func TestPendingIDIsAcceptedOnce(t *testing.T) {
 	release := make(chan struct{})
 	ep := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
 		select {
@@ -574,21 +574,21 @@
 		case <-r.Context().Done():
 		}
 	})
-	env := testConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
+	env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for range 2 {
-		if s := cl.put("m", fields("once", 20000, 1), nil); s != "+OK" {
+		if s := cl.put("m", putFields("once", 20000, 1), nil); s != "+OK" {
 			t.Fatal(s)
 		}
-		waitFor(t, "the call", func() bool { return ep.count("m") == 1 })
+		waitFor(t, "the call", func() bool { return ep.callCount("m") == 1 })
 	}
 	close(release)
-	if s := cl.put("other", fields("once", 20000, 1), nil); s != "+OK" {
+	if s := cl.put("other", putFields("once", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	waitFor(t, "the next", func() bool { return ep.count("other") == 1 })
-	if n := ep.count("m"); n != 1 {
+	waitFor(t, "the next", func() bool { return ep.callCount("other") == 1 })
+	if n := ep.callCount("m"); n != 1 {
 		t.Errorf("went out %d times", n)
 	}
 }
@@ -597,7 +597,7 @@
 // it asked for as set. One that comes due within a step, or just before a later
 // one that the policy goes by since, must not keep that one out, or nobody wakes
 // the policy for their deadlines.
-func TestEachTimerComes(t *testing.T) {
+func TestEveryPolicyTimerFires(t *testing.T) {
 	r := newTestRelay(t)
 	due := r.clock.now() // the loop has looked a moment ago: it was not due
 	r.timers = []policy.Time{due}
@@ -616,9 +616,9 @@
 	}
 }
 
-// aheadBy reads clocks of which the wall clock is ahead, on a machine that is booted
+// readClockAhead reads clocks of which the wall clock is ahead, on a machine that is booted
 // anew before the next process reads them, or is not.
-func aheadBy(by time.Duration, bootsAfter bool) func() clock.Reading {
+func readClockAhead(by time.Duration, bootsAfter bool) func() clock.Reading {
 	return func() clock.Reading {
 		r := clock.Read()
 		r.Wall += by.Microseconds()
@@ -631,11 +631,11 @@
 
 // Hard case: the clock is set back by an hour between two runs. Deadlines come
 // neither at once nor an hour late, for what was owed and for what comes new.
-func TestClockSetBack(t *testing.T) {
+func TestDeadlinesHoldWhenClockIsSetBackBetweenRuns(t *testing.T) {
 	for _, boots := range []bool{false, true} {
 		r := newTestRelay(t)
 		r.cfg.StateDir = t.TempDir()
-		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: aheadBy(time.Hour, boots)})
+		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: readClockAhead(time.Hour, boots)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -666,14 +666,14 @@
 // The same with an attempt that may have run: where the machine was booted since, how
 // long no process ran is not known, so its window for repeats counts as over. In one
 // boot it is known, wherever the clock was set.
-func TestClockSetBackEndsTheWindow(t *testing.T) {
+func TestRebootWithClockSetBackEndsDedupWindow(t *testing.T) {
 	for _, x := range []struct {
 		by    time.Duration
 		boots bool
 	}{{0, false}, {0, true}, {time.Hour, false}, {time.Hour, true}} {
 		r := newTestRelay(t)
 		r.cfg.StateDir = t.TempDir()
-		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: aheadBy(x.by, x.boots)})
+		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: readClockAhead(x.by, x.boots)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -13,19 +13,19 @@
 // halves, or connect anew around SIGTERM. No connection is reset. What was
 // answered +OK is delivered or ended, by this process or the next; what was refused or
 // not answered is never sent.
-func TestShutdownOrders(t *testing.T) {
+func TestRandomShutdownSequencesResetNoConnection(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 5))
-			o := newOrders(t, seed, 40*time.Millisecond, 6)
+			o := newSequenceTest(t, seed, 40*time.Millisecond, 6)
 			c := startChild(t, o.env)
 			for i := range 24 {
-				s := &orderClient{}
+				s := &sequenceClient{}
 				put := func() string {
 					id := fmt.Sprintf("m%d-%d", i, len(s.ids))
 					s.ids = append(s.ids, id)
-					return putText(id, fields([]string{"plain", "once", "keyed"}[rng.IntN(3)], 20000, 7), make([]byte, rng.IntN(3000)))
+					return putCommand(id, putFields([]string{"plain", "once", "keyed"}[rng.IntN(3)], 20000, 7), make([]byte, rng.IntN(3000)))
 				}
 				before := time.Duration(rng.IntN(900)) * time.Millisecond
 				pauses := []time.Duration{time.Duration(rng.IntN(900)) * time.Millisecond, time.Duration(rng.IntN(300)) * time.Millisecond}
@@ -34,7 +34,7 @@
 				case 0: // rests, and sends as the relay ends
 					parts = []string{put(), put(), put()}
 				case 1: // sends ahead
-					s.ahead = true
+					s.isPipelined = true
 					parts = []string{put() + put() + "*1\r\n$4\r\nPING\r\n" + put()}
 				case 2: // comes in halves
 					text := put()
@@ -46,7 +46,7 @@
 					cut := rng.IntN(len(next))
 					parts = []string{text + next[:cut], next[cut:]}
 				}
-				o.play(s, before, pauses, parts...)
+				o.startClient(s, before, pauses, parts...)
 			}
 			time.Sleep(200*time.Millisecond + time.Duration(rng.IntN(500))*time.Millisecond)
 			c.cmd.Process.Signal(syscall.SIGTERM)
@@ -54,23 +54,23 @@
 				c.cmd.Process.Signal(syscall.SIGHUP)
 				c.cmd.Process.Signal(syscall.SIGTERM)
 			}
-			o.playing.Wait()
+			o.running.Wait()
 			if err := c.cmd.Wait(); err != nil {
 				t.Errorf("exit: %v", err)
 			}
 			startChild(t, o.env)
 			taken, refused := 0, 0
 			for i, s := range o.clients {
-				if s.end != nil {
-					t.Errorf("client %d: %v", i, s.end)
+				if s.readErr != nil {
+					t.Errorf("client %d: %v", i, s.readErr)
 				}
-				if s.ahead && len(s.answers) != len(s.ids) {
+				if s.isPipelined && len(s.answers) != len(s.ids) {
 					t.Errorf("client %d: %d requests came together, its answers are %q", i, len(s.ids), s.answers)
 				}
 				for j, id := range s.ids {
-					if s.taken(j) {
+					if s.isAccepted(j) {
 						taken++
-						o.over(id)
+						o.waitEnded(id)
 						continue
 					}
 					refused++
@@ -81,7 +81,7 @@
 			}
 			for _, s := range o.clients { // once all is over
 				for j, id := range s.ids {
-					if !s.taken(j) && o.ep.count(id) > 0 {
+					if !s.isAccepted(j) && o.endpoint.callCount(id) > 0 {
 						t.Errorf("%s was sent, its client has heard %v", id, s.answers)
 					}
 				}
--- a/internal/relay/transport_test.go
+++ b/internal/relay/transport_test.go
@@ -15,11 +15,11 @@
 
 // Connections are reused: responses are read to their end, and more than two
 // connections are kept after a burst.
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReusedAfterBurst(t *testing.T) {
 	var conns atomic.Int32
 	const burst = 6
 	together := make(chan struct{}, burst)
-	addr := rawEndpoint(t, func(c net.Conn) {
+	addr := startRawEndpoint(t, func(c net.Conn) {
 		conns.Add(1)
 		in := bufio.NewReader(c)
 		for readCall(in) {
@@ -30,12 +30,12 @@
 			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
 		}
 	})
-	tr := testConns(t, burst)
+	tr := newTestTransport(t, burst)
 	defer tr.CloseIdleConnections()
 	for round := range 2 {
 		done := make(chan outcome, burst)
 		for range burst {
-			go func() { done <- runOne(newTestCall(), tr, addr, &wal.Record{ID: "m"}, testLimit) }()
+			go func() { done <- runSingleCall(newTestCall(), tr, addr, &wal.Record{ID: "m"}, testCallTimeout) }()
 		}
 		for range burst {
 			if o := <-done; o.kind != policy.Delivered {
@@ -53,16 +53,16 @@
 
 // The outcome says whether a connection was opened for a call: the policy learns from
 // it that a peer's table of connections is full.
-func TestFreshConnection(t *testing.T) {
-	addr := rawEndpoint(t, func(c net.Conn) {
+func TestOutcomeSaysWhetherConnectionIsNew(t *testing.T) {
+	addr := startRawEndpoint(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); readCall(in); {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	conns := testConns(t, 4)
+	conns := newTestTransport(t, 4)
 	defer conns.CloseIdleConnections()
 	for i, want := range []bool{true, false} {
-		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.isNewConnection != want || o.kind != policy.Rejected {
+		if o := runSingleCall(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testCallTimeout); o.isNewConnection != want || o.kind != policy.Rejected {
 			t.Errorf("call %d: fresh %v, %+v", i, o.isNewConnection, o)
 		}
 	}
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -25,7 +25,7 @@
 )
 
 // says reports whether a relay's own address says that it can serve.
-func (c *child) says(yes bool) bool {
+func (c *child) readyzIs(yes bool) bool {
 	resp, err := http.Get("http://" + c.env["ROUTER_OPERATOR"] + "/v1/readyz")
 	if err != nil {
 		return false
@@ -35,9 +35,9 @@
 }
 
 // figure reads one of a relay's figures.
-func (c *child) figure(t *testing.T, name string) int {
+func (c *child) metric(t *testing.T, name string) int {
 	t.Helper()
-	_, text := operatorCall(t, c.env["ROUTER_OPERATOR"], "GET", "/v1/metrics")
+	_, text := callOperator(t, c.env["ROUTER_OPERATOR"], "GET", "/v1/metrics")
 	for s := bufio.NewScanner(strings.NewReader(text)); s.Scan(); {
 		if v, ok := strings.CutPrefix(s.Text(), name+" "); ok {
 			n, err := strconv.Atoi(v)
@@ -53,86 +53,86 @@
 
 // upgrade is two processes of one relay, with destinations for what there is
 // to pass on.
-type upgrade struct {
-	t        *testing.T
-	env      map[string]string
-	disc     *discoverytest.Server
-	old, new *child
-	kept     *testClient // of the old one
-	quick    *fakeEndpoint
-	slow     *fakeEndpoint // answers on release
-	waits    *fakeEndpoint // told to wait, for long
-	later    *fakeEndpoint // not on the list at first
-	release  chan struct{}
-	entered  atomic.Int32
-	tell     atomic.Bool // the slow one then tells to wait
+type upgradeTest struct {
+	t           *testing.T
+	env         map[string]string
+	disc        *discoverytest.Server
+	old, new    *child
+	oldClient   *testClient // of the old one
+	quick       *fakeEndpoint
+	slow        *fakeEndpoint // answers on release
+	rejecting   *fakeEndpoint // told to wait, for long
+	listedLater *fakeEndpoint // not on the list at first
+	release     chan struct{}
+	slowCalls   atomic.Int32
+	slowRejects atomic.Bool // the slow one then tells to wait
 }
 
-// newUpgrade runs the old process, with an unsafe and a keyed call out, a
+// startUpgradeTest runs the old process, with an unsafe and a keyed call out, a
 // message that was told to wait and one that nobody serves yet.
-func newUpgrade(t *testing.T) *upgrade { return newUpgradeIn(t, nil) }
+func startUpgradeTest(t *testing.T) *upgradeTest { return startUpgradeTestWithEnv(t, nil) }
 
-// newUpgradeIn is the same with more in the environment of all processes.
-func newUpgradeIn(t *testing.T, more map[string]string) *upgrade {
-	u := &upgrade{t: t, release: make(chan struct{}), quick: newFakeEndpoint(t, nil), later: newFakeEndpoint(t, nil)}
+// startUpgradeTestWithEnv is the same with more in the environment of all processes.
+func startUpgradeTestWithEnv(t *testing.T, more map[string]string) *upgradeTest {
+	u := &upgradeTest{t: t, release: make(chan struct{}), quick: newFakeEndpoint(t, nil), listedLater: newFakeEndpoint(t, nil)}
 	u.slow = newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
-		u.entered.Add(1)
+		u.slowCalls.Add(1)
 		select {
 		case <-u.release:
-			if u.tell.Load() {
+			if u.slowRejects.Load() {
 				w.Header().Set("Retry-After", "3600")
 				w.WriteHeader(http.StatusTooManyRequests)
 			}
 		case <-r.Context().Done():
 		}
 	})
-	u.waits = newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ int) {
+	u.rejecting = newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ int) {
 		w.Header().Set("Retry-After", "3600")
 		w.WriteHeader(http.StatusTooManyRequests)
 	})
-	u.disc = discoverytest.New(t, u.quick.member("s-1", 1), u.slow.member("s-2", 2), u.waits.member("s-3", 3), u.slow.member("s-6", 6))
-	u.env = testConfig(t, u.disc, 3)
+	u.disc = discoverytest.New(t, u.quick.member("s-1", 1), u.slow.member("s-2", 2), u.rejecting.member("s-3", 3), u.slow.member("s-6", 6))
+	u.env = writeTestConfig(t, u.disc, 3)
 	u.env["ROUTER_OPERATOR"] = loopback.Free()
 	maps.Copy(u.env, more)
 	u.old = startChild(t, u.env)
-	u.kept = dialClient(t, u.env["ROUTER_LISTEN"])
-	for id, f := range map[string]string{"out": fields("once", 20000, 2), "keyed": fields("keyed", 20000, 6),
-		"waits": fields("once", 20000, 3), "held": fields("once", 20000, 5)} {
-		u.put(u.kept, id, f)
+	u.oldClient = dialClient(t, u.env["ROUTER_LISTEN"])
+	for id, f := range map[string]string{"out": putFields("once", 20000, 2), "keyed": putFields("keyed", 20000, 6),
+		"waits": putFields("once", 20000, 3), "held": putFields("once", 20000, 5)} {
+		u.put(u.oldClient, id, f)
 	}
-	waitFor(t, "the calls", func() bool { return u.entered.Load() == 2 && u.waits.count("waits") == 1 })
-	waitFor(t, "the outcome in the log", func() bool { return logged(u.env["ROUTER_STATE"], wal.KindOutcome, "waits") })
+	waitFor(t, "the calls", func() bool { return u.slowCalls.Load() == 2 && u.rejecting.callCount("waits") == 1 })
+	waitFor(t, "the outcome in the log", func() bool { return logContains(u.env["ROUTER_STATE"], wal.KindOutcome, "waits") })
 	return u
 }
 
-func (u *upgrade) put(cl *testClient, id, f string) {
+func (u *upgradeTest) put(cl *testClient, id, f string) {
 	u.t.Helper()
 	if s := cl.put(id, f, nil); s != "+OK" {
 		u.t.Fatalf("%s: %s", id, s)
 	}
 }
 
-func (u *upgrade) beside() {
+func (u *upgradeTest) startNew() {
 	env := maps.Clone(u.env)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	u.new = spawn(u.t, env)
-	waitFor(u.t, "a yes of the new process", func() bool { return u.new.says(true) })
+	waitFor(u.t, "a yes of the new process", func() bool { return u.new.readyzIs(true) })
 }
 
-func (u *upgrade) delivered(e *fakeEndpoint, ids ...string) {
+func (u *upgradeTest) waitDelivered(e *fakeEndpoint, ids ...string) {
 	u.t.Helper()
 	for _, id := range ids {
-		waitFor(u.t, id, func() bool { return e.count(id) > 0 })
+		waitFor(u.t, id, func() bool { return e.callCount(id) > 0 })
 	}
 }
 
 // once checks that nothing went out twice, or was ended by a notice.
-func (u *upgrade) once(ids ...string) {
+func (u *upgradeTest) checkSentOnce(ids ...string) {
 	u.t.Helper()
 	for _, id := range ids {
 		n := 0
-		for _, e := range []*fakeEndpoint{u.quick, u.slow, u.waits, u.later} {
-			n += e.count(id)
+		for _, e := range []*fakeEndpoint{u.quick, u.slow, u.rejecting, u.listedLater} {
+			n += e.callCount(id)
 		}
 		if _, ended := u.disc.Notice(id); n != 1 || ended {
 			u.t.Errorf("%s went out %d times; ended by a notice: %v", id, n, ended)
@@ -141,141 +141,141 @@
 }
 
 // show5 puts an endpoint on the list that serves destination 5.
-func (u *upgrade) show5() {
+func (u *upgradeTest) listEndpoint5() {
 	u.disc.Set(func(d *discoverytest.Server) {
 		for _, lines := range d.Lines {
 			select {
-			case lines <- discoverytest.Change(2, u.later.member("s-5", 5)):
+			case lines <- discoverytest.Change(2, u.listedLater.member("s-5", 5)):
 			default:
 			}
 		}
-		d.List.Members = append(d.List.Members, u.later.member("s-5", 5))
+		d.List.Members = append(d.List.Members, u.listedLater.member("s-5", 5))
 	})
 }
 
 // Two processes are one relay: what the old one holds is delivered by the new
 // one, what it has out ends there and nowhere else, a told wait binds both, its
 // clients are served until it goes, and an id is taken on once.
-func TestUpgrade(t *testing.T) {
-	u := newUpgrade(t)
-	u.beside()
+func TestUpgradeSharesMessagesBetweenProcesses(t *testing.T) {
+	u := startUpgradeTest(t)
+	u.startNew()
 	// Two are held and two are out: each is one process's, so that the sum is right.
 	waitFor(t, "the figures", func() bool {
-		return u.old.figure(t, "app_pending") == 2 && u.new.figure(t, "app_pending") == 2
+		return u.old.metric(t, "app_pending") == 2 && u.new.metric(t, "app_pending") == 2
 	})
-	u.put(u.kept, "late", fields("once", 20000, 1)) // taken on by the old one, sent by the new
-	u.delivered(u.quick, "late")
-	u.put(u.kept, "late5", fields("once", 20000, 5))
-	u.put(u.kept, "waits2", fields("once", 20000, 3))
+	u.put(u.oldClient, "late", putFields("once", 20000, 1)) // taken on by the old one, sent by the new
+	u.waitDelivered(u.quick, "late")
+	u.put(u.oldClient, "late5", putFields("once", 20000, 5))
+	u.put(u.oldClient, "waits2", putFields("once", 20000, 3))
 	// Any connection may be the new process's: an id that the old one took on is known there.
 	for range 8 {
-		u.put(dialClient(t, u.env["ROUTER_LISTEN"]), "late5", fields("once", 20000, 5))
+		u.put(dialClient(t, u.env["ROUTER_LISTEN"]), "late5", putFields("once", 20000, 5))
 	}
-	u.show5()
-	u.delivered(u.later, "held", "late5")
+	u.listEndpoint5()
+	u.waitDelivered(u.listedLater, "held", "late5")
 	close(u.release)
-	waitFor(t, "the end of the calls", func() bool { return u.old.figure(t, "app_pending") == 0 })
+	waitFor(t, "the end of the calls", func() bool { return u.old.metric(t, "app_pending") == 0 })
 	u.old.cmd.Process.Signal(syscall.SIGTERM)
-	if _, err := u.kept.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := u.oldClient.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("a connection of the old process: %v", err)
 	}
 	if err := u.old.cmd.Wait(); err != nil {
 		t.Errorf("exit of the old process: %v", err)
 	}
 	cl := dialClient(t, u.env["ROUTER_LISTEN"])
-	u.put(cl, "after", fields("once", 20000, 1))
-	u.delivered(u.quick, "after")
+	u.put(cl, "after", putFields("once", 20000, 1))
+	u.waitDelivered(u.quick, "after")
 	waitFor(t, "the end of the side log", func() bool {
 		_, err := os.Stat(filepath.Join(u.env["ROUTER_STATE"], wal.HandoffName))
 		return errors.Is(err, os.ErrNotExist)
 	})
-	u.once("out", "keyed", "late", "held", "late5", "after")
-	if n := u.waits.count("waits") + u.waits.count("waits2"); n != 1 {
+	u.checkSentOnce("out", "keyed", "late", "held", "late5", "after")
+	if n := u.rejecting.callCount("waits") + u.rejecting.callCount("waits2"); n != 1 {
 		t.Errorf("%d calls against a told wait", n)
 	}
 	// What it delivered itself; it counts a call later than the endpoint does.
-	waitFor(t, "4 that the new process counts as delivered", func() bool { return u.new.figure(t, `app_completed{lane="once"}`) >= 4 })
-	if n := u.new.figure(t, `app_completed{lane="once"}`); n != 4 {
+	waitFor(t, "4 that the new process counts as delivered", func() bool { return u.new.metric(t, `app_completed{lane="once"}`) >= 4 })
+	if n := u.new.metric(t, `app_completed{lane="once"}`); n != 4 {
 		t.Errorf("the new process counts %d delivered", n)
 	}
 }
 
 // A told wait that the old process hears of after it has passed on binds the
 // new one, too.
-func TestUpgradeWaitHeardLate(t *testing.T) {
-	u := newUpgrade(t)
-	u.beside()
-	avoided := u.new.figure(t, "app_members_unavailable")
-	u.tell.Store(true)
+func TestUpgradeHandsOverLateRetryAfter(t *testing.T) {
+	u := startUpgradeTest(t)
+	u.startNew()
+	avoided := u.new.metric(t, "app_members_unavailable")
+	u.slowRejects.Store(true)
 	close(u.release)
-	waitFor(t, "the wait", func() bool { return u.new.figure(t, "app_members_unavailable") == avoided+2 })
-	u.put(u.kept, "next", fields("once", 20000, 2))
-	u.put(u.kept, "mark", fields("once", 20000, 1))
-	u.delivered(u.quick, "mark")
-	if n := u.slow.count("next"); n != 0 {
+	waitFor(t, "the wait", func() bool { return u.new.metric(t, "app_members_unavailable") == avoided+2 })
+	u.put(u.oldClient, "next", putFields("once", 20000, 2))
+	u.put(u.oldClient, "mark", putFields("once", 20000, 1))
+	u.waitDelivered(u.quick, "mark")
+	if n := u.slow.callCount("next"); n != 0 {
 		t.Errorf("%d calls against a told wait", n)
 	}
-	u.once("out", "keyed")
+	u.checkSentOnce("out", "keyed")
 }
 
 // Killed with its calls out, the old process leaves them in doubt: the unsafe
 // one fails, the keyed one goes out again, and what it took on late is kept.
-func TestUpgradeOldKilled(t *testing.T) {
-	u := newUpgrade(t)
-	u.beside()
-	u.put(u.kept, "late", fields("once", 20000, 5))
+func TestUpgradeSurvivesKillOfOldProcess(t *testing.T) {
+	u := startUpgradeTest(t)
+	u.startNew()
+	u.put(u.oldClient, "late", putFields("once", 20000, 5))
 	u.old.kill()
-	u.slow.then(nil)
+	u.slow.setAnswer(nil)
 	waitFor(t, "notice of the unsafe one", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.Failed })
-	waitFor(t, "the keyed one", func() bool { return u.slow.count("keyed") == 2 })
-	u.show5()
-	u.delivered(u.later, "held", "late")
-	u.once("held", "late")
-	if n := u.slow.count("out"); n != 1 {
+	waitFor(t, "the keyed one", func() bool { return u.slow.callCount("keyed") == 2 })
+	u.listEndpoint5()
+	u.waitDelivered(u.listedLater, "held", "late")
+	u.checkSentOnce("held", "late")
+	if n := u.slow.callCount("out"); n != 1 {
 		t.Errorf("the unsafe message went out %d times", n)
 	}
 }
 
 // Killed after it took over, the new process leaves a relay that goes on: the
 // old one takes all back, with what it took on itself meanwhile.
-func TestUpgradeNewKilled(t *testing.T) {
-	u := newUpgrade(t)
-	u.beside()
-	u.put(u.kept, "late", fields("once", 20000, 5))
+func TestUpgradeSurvivesKillOfNewProcess(t *testing.T) {
+	u := startUpgradeTest(t)
+	u.startNew()
+	u.put(u.oldClient, "late", putFields("once", 20000, 5))
 	u.new.kill()
-	u.slow.then(nil)
+	u.slow.setAnswer(nil)
 	waitFor(t, "notice of the unsafe one", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.Failed })
-	u.show5()
-	u.delivered(u.later, "held", "late")
-	u.put(u.kept, "more", fields("once", 20000, 1))
-	u.delivered(u.quick, "more")
-	u.once("held", "late", "more")
+	u.listEndpoint5()
+	u.waitDelivered(u.listedLater, "held", "late")
+	u.put(u.oldClient, "more", putFields("once", 20000, 1))
+	u.waitDelivered(u.quick, "more")
+	u.checkSentOnce("held", "late", "more")
 	// And it can be upgraded again.
-	u.beside()
-	u.put(u.kept, "last", fields("once", 20000, 1))
-	u.delivered(u.quick, "last")
-	u.once("last")
+	u.startNew()
+	u.put(u.oldClient, "last", putFields("once", 20000, 1))
+	u.waitDelivered(u.quick, "last")
+	u.checkSentOnce("last")
 }
 
 // Both killed, the next process finds everything in the two logs.
-func TestUpgradeBothKilled(t *testing.T) {
-	u := newUpgrade(t)
-	u.beside()
-	u.put(u.kept, "late", fields("once", 20000, 5))
+func TestUpgradeSurvivesKillOfBothProcesses(t *testing.T) {
+	u := startUpgradeTest(t)
+	u.startNew()
+	u.put(u.oldClient, "late", putFields("once", 20000, 5))
 	u.new.kill()
 	u.old.kill()
-	u.slow.then(nil)
+	u.slow.setAnswer(nil)
 	startChild(t, u.env)
-	u.show5()
-	u.delivered(u.later, "held", "late")
+	u.listEndpoint5()
+	u.waitDelivered(u.listedLater, "held", "late")
 	waitFor(t, "notice of the unsafe one", func() bool { _, ok := u.disc.Notice("out"); return ok })
-	u.once("held", "late")
+	u.checkSentOnce("held", "late")
 }
 
 // A process that waits to take over says no; its death changes nothing, and one
 // that is told to stop ends.
-func TestUpgradeWaiting(t *testing.T) {
-	env := testConfig(t, discoverytest.New(t), 3)
+func TestWaitingSuccessorIsNotReady(t *testing.T) {
+	env := writeTestConfig(t, discoverytest.New(t), 3)
 	lock, err := wal.OpenLock(env["ROUTER_STATE"], wal.LockName)
 	if err != nil {
 		t.Fatal(err)
@@ -301,7 +301,7 @@
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	first := spawn(t, env)
 	waitFor(t, "the wish", wished(true))
-	if !first.says(false) {
+	if !first.readyzIs(false) {
 		t.Error("says yes without the lock")
 	}
 	first.kill()
@@ -315,12 +315,12 @@
 }
 
 // Guards the clients of a listener that closes: what waits there is taken in.
-func TestStopListening(t *testing.T) {
+func TestClosedListenerServesBacklog(t *testing.T) {
 	ln, err := listenReusePort(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	var waiting []*testClient
 	for range 20 { // nobody accepts yet
 		waiting = append(waiting, dialClient(t, ln.Addr().String()))
@@ -330,7 +330,7 @@
 		t.Fatal(err)
 	}
 	for i, cl := range waiting {
-		if s := cl.put(fmt.Sprintf("m%d", i), fields("plain", 8000, 1), nil); s != "+OK" {
+		if s := cl.put(fmt.Sprintf("m%d", i), putFields("plain", 8000, 1), nil); s != "+OK" {
 			t.Errorf("%d: %s", i, s)
 		}
 	}
@@ -341,7 +341,7 @@
 
 // Guards what drains while a process waits to take over: it is known before
 // anything is sent, and what came besides is kept for the loop.
-func TestNewsWhileWaiting(t *testing.T) {
+func TestWaitingSuccessorAppliesListUpdates(t *testing.T) {
 	r := newTestRelay(t)
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
 	r.mailbox.Put(listEvent{&discovery.List{Complete: true, Members: []discovery.Member{m}}})
@@ -360,12 +360,12 @@
 // Hard case: the owner stands still (SIGSTOP). The next process waits and writes
 // nothing; once the owner goes on it passes on, and once one is killed the other
 // has the log. There is one writer at any time.
-func TestOwnerStandsStill(t *testing.T) {
-	env := testConfig(t, discoverytest.New(t), 3)
+func TestSuccessorWaitsForStoppedOwner(t *testing.T) {
+	env := writeTestConfig(t, discoverytest.New(t), 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	owner := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("held", fields("plain", 20000, 9), nil); s != "+OK" {
+	if s := cl.put("held", putFields("plain", 20000, 9), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	owner.cmd.Process.Signal(syscall.SIGSTOP)
@@ -381,14 +381,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !next.says(false) {
+	if !next.readyzIs(false) {
 		t.Error("the next process says yes while the owner stands still")
 	}
 	if after, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || after.Seq != before.Seq || after.Process != before.Process {
 		t.Errorf("written by another: %+v, then %+v, %v", before, after, err)
 	}
 	owner.cmd.Process.Signal(syscall.SIGCONT)
-	waitFor(t, "the next one says yes", func() bool { return next.says(true) })
+	waitFor(t, "the next one says yes", func() bool { return next.readyzIs(true) })
 	owner.kill()
 	next.kill()
 	env["ROUTER_OPERATOR"] = loopback.Free()
--- a/internal/relay/window_test.go
+++ b/internal/relay/window_test.go
@@ -16,36 +16,36 @@
 
 // callTimes keeps when the calls of each message came.
 type callTimes struct {
-	mu sync.Mutex
-	at map[string][]time.Time
+	mu   sync.Mutex
+	byID map[string][]time.Time
 }
 
-func (c *callTimes) book(id string) {
+func (c *callTimes) record(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at[id] = append(c.at[id], time.Now())
+	c.byID[id] = append(c.byID[id], time.Now())
 }
 
-func (c *callTimes) of(id string) []time.Time {
+func (c *callTimes) get(id string) []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]time.Time(nil), c.at[id]...)
+	return append([]time.Time(nil), c.byID[id]...)
 }
 
 // noticeTimes keeps when the notice of each message was first seen.
 type noticeTimes struct {
-	mu sync.Mutex
-	at map[string]time.Time
+	mu   sync.Mutex
+	byID map[string]time.Time
 }
 
 // follow books the notices that discovery has taken, until done is closed.
-func (n *noticeTimes) follow(disc *discoverytest.Server, done <-chan struct{}) {
+func (n *noticeTimes) record(disc *discoverytest.Server, done <-chan struct{}) {
 	for {
 		disc.Mu.Lock()
 		n.mu.Lock()
 		for id := range disc.Notices {
-			if n.at[id].IsZero() {
-				n.at[id] = time.Now()
+			if n.byID[id].IsZero() {
+				n.byID[id] = time.Now()
 			}
 		}
 		n.mu.Unlock()
@@ -58,54 +58,54 @@
 	}
 }
 
-func (n *noticeTimes) of(id string) (at time.Time, seen bool) {
+func (n *noticeTimes) get(id string) (at time.Time, seen bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	at, seen = n.at[id]
+	at, seen = n.byID[id]
 	return at, seen
 }
 
 // Guards the window for repeats where it is as short as 1 s, over a kill at any moment and the 0.6 s until the next
 // process: what may have run is not sent again once its window is over, counted from its first send that may have run,
 // and from then on it is given up, in time and not handed back. What was never tried still is.
-func TestShortWindowOverRestart(t *testing.T) {
+func TestShortDedupWindowHoldsAcrossKill(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			shortWindow(t, rand.New(rand.NewPCG(seed, 5)))
+			runShortWindow(t, rand.New(rand.NewPCG(seed, 5)))
 		})
 	}
 }
 
-func shortWindow(t *testing.T, rng *rand.Rand) {
+func runShortWindow(t *testing.T, rng *rand.Rand) {
 	const (
 		window   = time.Second
 		deadline = 7 * time.Second
 		slack    = 100 * time.Millisecond // on the way from the relay, of either call
 	)
-	calls := &callTimes{at: map[string][]time.Time{}}
+	calls := &callTimes{byID: map[string][]time.Time{}}
 	fares := func(answer func(http.ResponseWriter, *http.Request, int)) *fakeEndpoint {
 		return newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
-			calls.book(r.Header.Get("X-Request-ID"))
+			calls.record(r.Header.Get("X-Request-ID"))
 			answer(w, r, n)
 		})
 	}
 	hung := fares(hang)
-	failing := fares(status(http.StatusInternalServerError))
+	failing := fares(answerStatus(http.StatusInternalServerError))
 	cut := fares(func(http.ResponseWriter, *http.Request, int) { panic(http.ErrAbortHandler) })
 	later := fares(func(http.ResponseWriter, *http.Request, int) {})
 	disc := discoverytest.New(t, failing.member("s-2", 2), cut.member("s-3", 3))
 	for i := range 40 { // one call hangs at each, and takes nothing of the others' windows
 		disc.List.Members = append(disc.List.Members, hung.member(fmt.Sprintf("h-%d", i), 100+i))
 	}
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	editConfig(t, env, `"dedup_window_us":20000000,"group":"all","late_worth":0.3,"name":"keyed"`,
 		`"dedup_window_us":1000000,"group":"all","late_worth":0.3,"name":"keyed"`)
-	notices, done := &noticeTimes{at: map[string]time.Time{}}, make(chan struct{})
+	notices, done := &noticeTimes{byID: map[string]time.Time{}}, make(chan struct{})
 	defer close(done)
-	go notices.follow(disc, done)
-	c := spawnTo(t, env, io.Discard)
-	c.ready(t)
+	go notices.record(disc, done)
+	c := spawnWithLog(t, env, io.Discard)
+	c.waitReady(t)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	began := map[string]time.Time{}
 	killAt := time.Now().Add(time.Duration(rng.Int64N(int64(2 * window))))
@@ -113,7 +113,7 @@
 		dest := []int{100 + i, 2, 100 + i, 3, 5}[i%5] // nobody serves 5 yet
 		id := fmt.Sprintf("m%d-%d", i, dest)
 		began[id] = time.Now()
-		if s := cl.put(id, fields("keyed", int(deadline.Milliseconds()), dest), nil); s != "+OK" {
+		if s := cl.put(id, putFields("keyed", int(deadline.Milliseconds()), dest), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 		time.Sleep(time.Duration(rng.Int64N(int64(window / 5)))) // they are spread over the time before the kill
@@ -122,20 +122,20 @@
 	killed := time.Now()
 	time.Sleep(600 * time.Millisecond) // as the platform has it
 	for _, ep := range []*fakeEndpoint{hung, failing, cut} {
-		ep.then(func(_ http.ResponseWriter, r *http.Request, _ int) { calls.book(r.Header.Get("X-Request-ID")) })
+		ep.setAnswer(func(_ http.ResponseWriter, r *http.Request, _ int) { calls.record(r.Header.Get("X-Request-ID")) })
 	}
 	disc.Set(func(d *discoverytest.Server) { d.List.Members = append(d.List.Members, later.member("s-5", 5)) })
-	c = spawnTo(t, env, io.Discard)
-	c.ready(t)
+	c = spawnWithLog(t, env, io.Discard)
+	c.waitReady(t)
 	ready := time.Now()
 	repeated, givenUp, longest := 0, 0, time.Duration(0)
 	for id, at := range began {
 		waitFor(t, "the end of "+id, func() bool {
-			_, told := notices.of(id)
-			return told || hung.answered(id) || failing.answered(id) || cut.answered(id) || later.answered(id)
+			_, told := notices.get(id)
+			return told || hung.answeredOK(id) || failing.answeredOK(id) || cut.answeredOK(id) || later.answeredOK(id)
 		})
-		sent := calls.of(id)
-		told, ended := notices.of(id)
+		sent := calls.get(id)
+		told, ended := notices.get(id)
 		n, _ := disc.Notice(id)
 		if late := told.Sub(at.Add(deadline + 350*time.Millisecond)); late > 0 && told.Sub(ready) > 1550*time.Millisecond {
 			t.Errorf("%s ended %v late", id, late)
