--- a/internal/relay/backlog_slope_test.go
+++ b/internal/relay/backlog_slope_test.go
@@ -17,17 +17,18 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// slopeSizes are the messages held at which TestBacklogSlope measures: few where
-// it is a test among others.
-var slopeSizes = flag.String("slope", "1000,3000", "messages held at which TestBacklogSlope measures, before and after")
+// slopeSizes are the numbers of pending messages at which TestBacklogSlope measures. The
+// default is small, so that the test is quick when it runs with all others.
+var slopeSizes = flag.String("slope", "1000,3000", "numbers of pending messages at which TestBacklogSlope measures, comma-separated")
 
 const (
 	slopeDests        = 50
 	slopeClients      = 16
-	slopeMaxDelivered = 4000 // messages worked off that are counted at most
+	slopeMaxDelivered = 4000 // maximum number of deliveries over which the cost is measured
 )
 
-// processUsage reads what a process has used: CPU time and resident memory.
+// processUsage returns the CPU time that a process has used and its resident memory in
+// bytes.
 func processUsage(t *testing.T, pid int) (cpu time.Duration, rss int64) {
 	t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -35,13 +36,14 @@
 		t.Fatal(err)
 	}
 	part := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
-	user, _ := strconv.ParseInt(part[11], 10, 64) // the kernel's own form
+	user, _ := strconv.ParseInt(part[11], 10, 64) // the fields of /proc/PID/stat are always numbers
 	system, _ := strconv.ParseInt(part[12], 10, 64)
 	pages, _ := strconv.ParseInt(part[21], 10, 64)
 	return time.Duration(user+system) * 10 * time.Millisecond, pages * int64(os.Getpagesize())
 }
 
-// slope is a relay of the program itself whose destinations are down.
+// costRun measures a relay that runs the program of cmd/relay. Its destinations have no
+// endpoints until deliver lists them.
 type costRun struct {
 	t        *testing.T
 	program  string
@@ -50,6 +52,7 @@
 	relay    *child
 }
 
+// start starts the relay and returns the time until it was ready.
 func (s *costRun) start() (ready time.Duration) {
 	s.t.Helper()
 	began := time.Now()
@@ -63,7 +66,7 @@
 	}
 	s.t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
 	s.relay = c
-	waitFor(s.t, "a yes", func() bool { return c.readyzIs(true) })
+	waitFor(s.t, "readiness", func() bool { return c.readyzIs(true) })
 	return time.Since(began)
 }
 
@@ -72,7 +75,7 @@
 	return processUsage(s.t, s.relay.cmd.Process.Pid)
 }
 
-// hold hands n messages in for destinations that are down.
+// submit submits n messages for destinations without endpoints.
 func (s *costRun) submit(n int) {
 	s.t.Helper()
 	body := make([]byte, 200)
@@ -94,8 +97,8 @@
 	wg.Wait()
 }
 
-// deliver has the destinations return, and gives the relay's CPU time for each of
-// the first messages that go out, and how long they took.
+// deliver lists endpoints for the destinations and returns the CPU time of the relay and
+// the time elapsed per message, for the first deliveries.
 func (s *costRun) deliver(n int) (cpu, took time.Duration) {
 	s.t.Helper()
 	n = min(n, slopeMaxDelivered)
@@ -118,18 +121,18 @@
 		s.endpoint.mu.Unlock()
 		late := time.Now().After(end)
 		if late && done < n/2 {
-			s.t.Logf("only %d of %d messages are worked off in 20 s", done, n)
+			s.t.Logf("only %d of %d messages were delivered within 20 s", done, n)
 		}
-		if done >= n*9/10 || late && done > 0 { // a drop may end some
+		if done >= n*9/10 || late && done > 0 { // 90 % are enough, as the policy may drop some messages
 			after, _ := s.usage()
 			return (after - before) / time.Duration(done), time.Since(began) / time.Duration(done)
 		}
 	}
 }
 
-// The cost of a held message with all in memory ("before") and with the bound
-// that is the default ("after"), in one run; 256 MB, bodies of 200 bytes, 50
-// destinations that are down. At full size:
+// Measures what a pending message costs with all messages in memory ("before") and with the
+// default limit on the messages in memory ("after"), at 256 MB of memory, with bodies of
+// 200 bytes and 50 destinations without endpoints. At full size:
 //
 //	go test ./internal/relay -run TestBacklogSlope -v -args -slope 1000,10000,100000,300000
 func TestBacklogSlope(t *testing.T) {
@@ -137,7 +140,7 @@
 	if out, err := exec.Command("go", "build", "-o", bin, "plovershore/cmd/relay").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	t.Logf("%-7s %8s %10s %14s %12s %12s %12s %10s", "", "held", "RSS MB", "RSS B/message", "µs admitted", "µs worked", "µs took", "ready ms")
+	t.Logf("%-7s %8s %10s %14s %12s %12s %12s %10s", "", "pending", "RSS MB", "RSS B/message", "µs CPU put", "µs CPU sent", "µs sent", "ready ms")
 	for size := range strings.SplitSeq(*slopeSizes, ",") {
 		n, err := strconv.Atoi(size)
 		if err != nil {
@@ -155,7 +158,7 @@
 			cpu0, rss0 := s.usage()
 			s.submit(n)
 			cpu1, rss1 := s.usage()
-			waitFor(t, "the figure", func() bool { return s.relay.metric(t, "app_pending") == n })
+			waitFor(t, "the count of pending messages", func() bool { return s.relay.metric(t, "app_pending") == n })
 			s.relay.kill()
 			ready := s.start()
 			cpu, took := s.deliver(n)
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -19,8 +19,8 @@
 	"plovershore/policy"
 )
 
-// backlogEnv is a configuration with so many messages in memory at most, and
-// room for many to be held.
+// backlogEnv writes a configuration with a limit on the messages in memory and a high limit
+// on the pending messages.
 func backlogEnv(t *testing.T, d *discoverytest.Server, diskMB, resident int) map[string]string {
 	t.Helper()
 	env := writeTestConfig(t, d, diskMB)
@@ -30,12 +30,14 @@
 	return env
 }
 
-// newDiscoveryWithOneMember is discovery with an endpoint of a destination that nobody writes to.
+// newDiscoveryWithOneMember starts a discovery server that lists one endpoint, of
+// destination 1, to which the backlog tests send nothing.
 func newDiscoveryWithOneMember(t *testing.T) *discoverytest.Server {
 	return discoverytest.New(t, newFakeEndpoint(t, nil).member("s-1", 1))
 }
 
-// putMessages hands messages in, a class after the other, and gives their ids.
+// putMessages submits n messages, whose classes take turns, and returns their IDs. Each
+// deadline is 1 ms longer than the one before.
 func putMessages(t *testing.T, cl *testClient, prefix string, n, dest, deadlineMS int) (ids []string) {
 	t.Helper()
 	for i := range n {
@@ -49,19 +51,20 @@
 	return ids
 }
 
-// waitSpilled waits until so many are in the log alone.
+// waitSpilled waits until at least n messages are spilled.
 func (c *child) waitSpilled(t *testing.T, n int) {
 	t.Helper()
-	waitFor(t, "the backlog", func() bool { return c.metric(t, "app_spilled") >= n })
+	waitFor(t, "the spilled messages", func() bool { return c.metric(t, "app_spilled") >= n })
 }
 
-// checkEndedOnce checks that each message has its end, and no second: it was answered
-// by its endpoint or ended by a notice. With kills, a call that nobody saw the
-// end of may be both.
+// checkEndedOnce waits until each message was delivered or got a notice. Without kills, each
+// must have been delivered with one call and have no notice. With kills, a message whose
+// call had no known outcome may have been sent again or have a notice as well; only messages
+// of the class "once" must never be sent twice.
 func checkEndedOnce(t *testing.T, disc *discoverytest.Server, ids []string, kills bool, eps ...*fakeEndpoint) {
 	t.Helper()
 	for _, id := range ids {
-		waitFor(t, "the end of "+id, func() bool {
+		waitFor(t, "the delivery or notice of "+id, func() bool {
 			_, ended := disc.Notice(id)
 			for _, e := range eps {
 				ended = ended || e.answeredOK(id)
@@ -76,17 +79,17 @@
 		}
 		_, notice := disc.Notice(id)
 		if strings.HasSuffix(id, "-once") && calls > 1 {
-			t.Errorf("%s, which may not have its effect twice, went out %d times", id, calls)
+			t.Errorf("%s must run at most once, but was sent %d times", id, calls)
 		}
 		if !kills && (notice || calls != 1) {
-			t.Errorf("%s: %d calls, ended by a notice: %v", id, calls, notice)
+			t.Errorf("%s: %d calls and notice %v, want 1 call and no notice", id, calls, notice)
 		}
 	}
 }
 
-// Hard case: SIGKILL at any moment with most messages in the log alone, in the
-// backlog's making, in its reading at a start and while it is worked off. Each
-// has its end, and what may not run twice does not.
+// The relay is killed with SIGKILL while most messages are spilled: after it spilled them,
+// while it reads the log at its start, and while it delivers them. Each message must be
+// delivered or get a notice, and a message that must not run twice is sent only once.
 func TestBacklogSurvivesKills(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	disc := newDiscoveryWithOneMember(t)
@@ -97,30 +100,30 @@
 	c.waitSpilled(t, 400)
 	c.kill()
 	c = startChild(t, env)
-	c.kill() // while it reads what is owed, or just after
+	c.kill() // it still reads the pending messages from the log, or has just done so
 	c = startChild(t, env)
 	c.waitSpilled(t, 400)
-	waitFor(t, "all of them", func() bool { return c.metric(t, "app_pending") == len(ids) })
+	waitFor(t, "all messages to be pending", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	ids = append(ids, putMessages(t, dialClient(t, env["ROUTER_LISTEN"]), "c", 60, 7, 25000)...)
 	disc.Set(func(d *discoverytest.Server) {
 		d.List.Members = append(d.List.Members, ep.member("s-7", 7), ep.member("s-8", 8))
 	})
 	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
 	disc.Send(t, discoverytest.Change(3, ep.member("s-8", 8)))
-	for _, n := range []int{60, 200} { // calls by which it is killed
-		waitFor(t, "some calls", func() bool { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.calls) >= n })
+	for _, n := range []int{60, 200} { // the relay is killed after this many calls
+		waitFor(t, "enough calls", func() bool { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.calls) >= n })
 		c.kill()
 		c = startChild(t, env)
 	}
 	checkEndedOnce(t, disc, ids, true, ep)
-	waitFor(t, "an empty backlog", func() bool { return c.metric(t, "app_pending") == 0 && c.metric(t, "app_spilled") == 0 })
+	waitFor(t, "the end of all messages", func() bool { return c.metric(t, "app_pending") == 0 && c.metric(t, "app_spilled") == 0 })
 }
 
-// Hard case: a destination comes back, is gone again while its backlog is read,
-// and comes back. Each message is delivered once.
+// A destination with spilled messages gets an endpoint, loses it while its messages are
+// loaded, and gets it back. Each message must be delivered once.
 func TestBacklogIsDeliveredOnceAfterOutages(t *testing.T) {
 	for _, resident := range []int{1, 2, 30} {
-		t.Run(fmt.Sprint(resident, " in memory"), func(t *testing.T) {
+		t.Run(fmt.Sprint(resident, " resident"), func(t *testing.T) {
 			ep := newFakeEndpoint(t, nil)
 			disc := newDiscoveryWithOneMember(t)
 			env := backlogEnv(t, disc, 64, resident)
@@ -129,23 +132,23 @@
 			c.waitSpilled(t, 300-resident)
 			m := ep.member("s-7", 7)
 			disc.Send(t, discoverytest.Change(2, m))
-			waitFor(t, "some calls", func() bool { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.calls) >= 40 })
+			waitFor(t, "enough calls", func() bool { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.calls) >= 40 })
 			gone := m
 			gone.Phase = discovery.Removed
 			disc.Send(t, discoverytest.Change(3, gone))
-			waitFor(t, "its going", func() bool { return c.metric(t, "app_members") == 1 })
+			waitFor(t, "the removal of the endpoint", func() bool { return c.metric(t, "app_members") == 1 })
 			disc.Send(t, discoverytest.Change(4, m))
 			checkEndedOnce(t, disc, ids, false, ep)
-			waitFor(t, "an empty backlog", func() bool { return c.metric(t, "app_pending") == 0 && c.metric(t, "app_spilled") == 0 })
+			waitFor(t, "the end of all messages", func() bool { return c.metric(t, "app_pending") == 0 && c.metric(t, "app_spilled") == 0 })
 			if n := c.metric(t, "app_loaded"); n < 300-resident {
-				t.Errorf("%d loaded", n)
+				t.Errorf("only %d messages were loaded from the log", n)
 			}
 		})
 	}
 }
 
-// Hard case: deadlines that pass in the log. Each message is handed back within
-// its time and 300 ms, also where all come due at once.
+// Deadlines pass while messages are spilled. Each message must be returned no later than
+// 300 ms after its deadline, also if many deadlines pass at the same time.
 func TestSpilledMessagesEndAtDeadline(t *testing.T) {
 	disc := newDiscoveryWithOneMember(t)
 	env := backlogEnv(t, disc, 64, 2)
@@ -153,7 +156,7 @@
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	due := map[string]time.Time{}
 	for i := range 600 {
-		ms := 4000 // half of them at once
+		ms := 4000 // one half of the messages have nearly the same deadline
 		if i%2 == 0 {
 			ms = 3500 + 3*i
 		}
@@ -165,7 +168,7 @@
 		due[id] = before.Add(time.Duration(ms) * time.Millisecond)
 	}
 	if n := c.metric(t, "app_loaded"); n > 0 {
-		t.Logf("%d are loaded already", n)
+		t.Logf("%d messages were loaded before the first deadline", n)
 	}
 	for len(due) > 0 {
 		now := time.Now()
@@ -175,22 +178,22 @@
 			case ended && n.Outcome != discovery.Returned:
 				t.Fatalf("%s: %+v", id, n)
 			case ended && now.Before(at.Add(-100*time.Millisecond)):
-				t.Fatalf("%s: ended %v before its time", id, at.Sub(now))
+				t.Fatalf("%s: notice came %v before its deadline", id, at.Sub(now))
 			case ended:
 				delete(due, id)
 			case now.After(at.Add(300 * time.Millisecond)):
-				t.Fatalf("%s: no end %v after its time", id, now.Sub(at))
+				t.Fatalf("%s: no notice %v after its deadline", id, now.Sub(at))
 			}
 		}
 		time.Sleep(time.Millisecond)
 	}
 	if n := c.metric(t, "app_loaded"); n < 500 {
-		t.Errorf("%d of 600 were loaded", n)
+		t.Errorf("only %d of 600 messages were loaded from the log", n)
 	}
 }
 
-// Hard case: an id that is handed in again while it is in the log alone, over any
-// connection, is ours already, and has one end.
+// The ID of a spilled message is submitted again, over several connections. The relay must
+// acknowledge it without accepting a second message, and deliver it once.
 func TestSpilledIDIsAcceptedOnce(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	disc := newDiscoveryWithOneMember(t)
@@ -207,24 +210,25 @@
 			defer wg.Done()
 			for i, id := range ids {
 				if s := again.put(id, putFields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
-					t.Errorf("%s again: %s", id, s)
+					t.Errorf("%s, submitted again: %s", id, s)
 				}
 			}
 		}()
 	}
 	wg.Wait()
-	waitFor(t, "the figure", func() bool { return c.metric(t, "app_pending") > 0 })
+	waitFor(t, "the count of pending messages", func() bool { return c.metric(t, "app_pending") > 0 })
 	if n := c.metric(t, "app_pending"); n != len(ids) {
-		t.Errorf("%d pending of %d", n, len(ids))
+		t.Errorf("%d messages are pending, want %d", n, len(ids))
 	}
 	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
 	checkEndedOnce(t, disc, ids, false, ep)
 }
 
-// Hard case: a keyed message that may have run is spilled. It goes out again only
-// within its window; before that is over it has its end, though its deadline is far.
+// A keyed message that may have run is spilled. It may be sent again only within its
+// deduplication window; if no endpoint returns in that time, it must fail before the window
+// is over, although its deadline is much later.
 func TestSpilledMessageInDoubtKeepsDedupWindow(t *testing.T) {
-	for name, back := range map[string]bool{"returns in time": true, "does not return": false} {
+	for name, back := range map[string]bool{"endpoint returns in time": true, "endpoint does not return": false} {
 		t.Run(name, func(t *testing.T) {
 			answer := make(chan struct{})
 			ep := newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ int) {
@@ -245,15 +249,15 @@
 				}
 			}
 			put("keyed", "keyed", 29000)
-			waitFor(t, "its call", func() bool { return ep.callCount("keyed") == 1 })
+			waitFor(t, "the call of the keyed message", func() bool { return ep.callCount("keyed") == 1 })
 			first := time.Now()
 			gone := m
 			gone.Phase = discovery.Removed
 			disc.Send(t, discoverytest.Change(3, gone))
-			waitFor(t, "its going", func() bool { return c.metric(t, "app_members") == 1 })
+			waitFor(t, "the removal of the endpoint", func() bool { return c.metric(t, "app_members") == 1 })
 			close(answer)
 			waitFor(t, "the outcome in the log", func() bool { return logContains(env["ROUTER_STATE"], wal.KindOutcome, "keyed") })
-			for i := range 5 { // they have less time, so the keyed one is spilled
+			for i := range 5 { // these have less time left, so the keyed message is spilled first
 				put(fmt.Sprint("m", i), "plain", 15000+i)
 			}
 			c.waitSpilled(t, 5)
@@ -276,14 +280,14 @@
 				waitFor(t, "the end of "+id, func() bool { _, ended := disc.Notice(id); return ended || ep.answeredOK(id) })
 			}
 			if n := ep.callCount("keyed"); n != 1 {
-				t.Errorf("sent again after its end")
+				t.Errorf("the keyed message was sent again after it had failed")
 			}
 		})
 	}
 }
 
-// Hard case: the disk fills while most of what it has is spilled. What does not
-// fit is refused, what was taken on is delivered.
+// The log reaches its disk limit while most messages are spilled. Messages that do not fit
+// must be refused, and accepted ones delivered.
 func TestBacklogOnFullDiskRefusesNewMessages(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	disc := newDiscoveryWithOneMember(t)
@@ -304,16 +308,16 @@
 		}
 	}
 	if refused < 20 || len(ids) < 100 {
-		t.Fatalf("%d taken on, %d refused", len(ids), refused)
+		t.Fatalf("%d messages accepted, %d refused", len(ids), refused)
 	}
 	c.waitSpilled(t, len(ids)-2)
 	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
 	checkEndedOnce(t, disc, ids, false, ep)
 }
 
-// Hard case: an upgrade with a backlog. The next process finds it in the log, the
-// sums of both are right, and an id that the old process is handed again stays
-// one message.
+// An upgrade with spilled messages. The new process must find them in the log, the pending
+// counts of both processes must add up, and an ID that is submitted again to the old process
+// must stay one message.
 func TestUpgradeHandsOverBacklog(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	disc := newDiscoveryWithOneMember(t)
@@ -326,21 +330,21 @@
 		env := maps.Clone(env)
 		env["ROUTER_OPERATOR"] = loopback.Free()
 		c := spawn(t, env)
-		waitFor(t, "a yes of the new process", func() bool { return c.readyzIs(true) })
+		waitFor(t, "readiness of the new process", func() bool { return c.readyzIs(true) })
 		return c
 	}
 	c := next()
-	waitFor(t, "the figures", func() bool {
+	waitFor(t, "the transfer of all messages to the new process", func() bool {
 		return old.metric(t, "app_pending") == 0 && old.metric(t, "app_spilled") == 0 && c.metric(t, "app_pending") == len(ids)
 	})
 	again := func() {
 		t.Helper()
 		for i, id := range ids {
 			if s := kept.put(id, putFields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
-				t.Fatalf("%s again: %s", id, s)
+				t.Fatalf("%s, submitted again: %s", id, s)
 			}
 		}
-		for i := range 50 { // and new ones, which stay in memory there
+		for i := range 50 { // also new messages, which the old process holds in memory until it passes them on
 			id := fmt.Sprintf("late%d-%d-once", len(ids), i)
 			if s := kept.put(id, putFields("once", 25000, 7), nil); s != "+OK" {
 				t.Fatalf("%s: %s", id, s)
@@ -349,12 +353,12 @@
 		}
 	}
 	again()
-	waitFor(t, "the sum", func() bool { return c.metric(t, "app_pending") == len(ids) })
-	c.kill() // the old one takes all back, from the log
-	waitFor(t, "the sum again", func() bool { return old.metric(t, "app_pending") == len(ids) })
+	waitFor(t, "all messages at the second process", func() bool { return c.metric(t, "app_pending") == len(ids) })
+	c.kill() // the old process takes over again and reads all messages from the log
+	waitFor(t, "all messages at the old process", func() bool { return old.metric(t, "app_pending") == len(ids) })
 	c = next()
 	again()
-	waitFor(t, "the sum of the third", func() bool { return c.metric(t, "app_pending") == len(ids) })
+	waitFor(t, "all messages at the third process", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	if err := old.cmd.Wait(); err != nil {
 		t.Errorf("exit of the old process: %v", err)
@@ -363,8 +367,9 @@
 	checkEndedOnce(t, disc, ids, false, ep)
 }
 
-// Hard case: a log written with no bound, as by the program before, is taken up
-// under one, and the other way round; SIGTERM leaves a backlog in it.
+// A log written without a limit on the messages in memory, as by older versions of the
+// program, is read by a relay with a limit, and the other way round. In between, the relay
+// ends on SIGTERM while most messages are spilled.
 func TestBacklogOtherBound(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	disc := newDiscoveryWithOneMember(t)
@@ -372,25 +377,26 @@
 	c := startChild(t, env)
 	ids := putMessages(t, dialClient(t, env["ROUTER_LISTEN"]), "m", 3000, 7, 29000)
 	if n := c.metric(t, "app_spilled"); n != 0 {
-		t.Errorf("%d spilled with no bound", n)
+		t.Errorf("%d messages spilled without a limit on the messages in memory", n)
 	}
 	c.kill()
 	editConfig(t, env, `"resident":0,`, `"resident":3,`)
 	c = startChild(t, env)
 	c.waitSpilled(t, 2990)
-	waitFor(t, "all of them", func() bool { return c.metric(t, "app_pending") == len(ids) })
+	waitFor(t, "all messages to be pending", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	if err := c.cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	editConfig(t, env, `"resident":3,`, ``)
 	c = startChild(t, env)
-	waitFor(t, "what is owed", func() bool { return c.metric(t, "app_pending") == len(ids) })
+	waitFor(t, "the pending messages from the log", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	disc.Send(t, discoverytest.Change(2, ep.member("s-7", 7)))
 	checkEndedOnce(t, disc, ids, false, ep)
 }
 
-// turn carries out what has happened to a relay without a loop.
+// runLoopOnce does one round of the loop for a relay that runs none: it handles the events
+// and due timers, steps the policy and loads spilled messages.
 func (r *Relay) runLoopOnce() {
 	for _, e := range r.mailbox.TakeAll(nil) {
 		e.handle(r)
@@ -401,14 +407,16 @@
 	r.loadSpilled()
 }
 
-// executePut takes a message on as the loop and its client do together.
+// submitMessage puts the event of a new message into the mailbox, as a client connection
+// does.
 func submitMessage(t *testing.T, r *Relay, id string, dest int, left policy.Time) *putRequest {
 	q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, receivedAt: time.Now(), timeLeft: time.Duration(left) * time.Microsecond, responses: make(chan response, 1)}
 	r.mailbox.Put(submitEvent{request: q})
 	return q
 }
 
-// newBoundedRelay is a test relay with so many messages in memory at most.
+// newBoundedRelay returns a test relay with a limit on the messages in memory and no limit
+// on the pending messages.
 func newBoundedRelay(t *testing.T, resident int) *Relay {
 	r := newTestRelay(t)
 	r.cfg.Policy.MaxMessages, r.cfg.Policy.MaxResidentMessages = 0, resident
@@ -427,8 +435,8 @@
 	return r
 }
 
-// The memory of a relay does not grow with what it holds but for the log's index
-// and the store: some 75 bytes a message.
+// For a spilled message a relay may keep only its entries in the index of the log and in the
+// backlog store in memory, about 75 bytes.
 func TestSpilledMessagesUseLittleMemory(t *testing.T) {
 	heap := func() int64 {
 		runtime.GC()
@@ -445,7 +453,7 @@
 			qs = append(qs, submitMessage(t, r, fmt.Sprint("m", from+i), i%50, 3600e6))
 		}
 		for _, q := range qs {
-			waitFor(t, "an answer", func() bool {
+			waitFor(t, "a response to each message", func() bool {
 				r.runLoopOnce()
 				select {
 				case s := <-q.responses:
@@ -460,17 +468,17 @@
 			})
 		}
 	}
-	waitFor(t, "the backlog", func() bool { r.runLoopOnce(); return len(r.messages.byNumber) <= 1000 })
+	waitFor(t, "the spilling of all messages above the limit", func() bool { r.runLoopOnce(); return len(r.messages.byNumber) <= 1000 })
 	per := float64(heap()-before) / n
-	t.Logf("%.0f bytes a message held, %d of %d in memory", per, len(r.messages.byNumber), n)
+	t.Logf("%.0f bytes of memory per message, %d of %d messages in memory", per, len(r.messages.byNumber), n)
 	if per > 130 || r.messages.pending != n || len(r.messages.byNumber)+r.spilled.count() != n || len(r.messages.byID) > 1000 {
-		t.Errorf("%.0f bytes a message; %d held, %d known, %d spilled", per, r.messages.pending, len(r.messages.byNumber), r.spilled.count())
+		t.Errorf("%.0f bytes of memory per message; %d messages pending, %d in memory, %d spilled", per, r.messages.pending, len(r.messages.byNumber), r.spilled.count())
 	}
 	runtime.KeepAlive(r)
 }
 
-// A message stays in memory until its client has heard of it, and is forgotten by
-// all where its client leaves instead.
+// A message must stay in memory until its client has received the response. If the client
+// leaves instead, the relay and the policy must forget the message.
 func TestMessageIsSpilledOnlyAfterAcknowledgement(t *testing.T) {
 	r := newBoundedRelay(t, 1)
 	var qs []*putRequest
@@ -484,24 +492,25 @@
 		}
 	}
 	if r.runLoopOnce(); len(r.messages.byNumber) != 3 || r.spilled.count() != 0 {
-		t.Fatalf("%d in memory, %d spilled before any client has heard", len(r.messages.byNumber), r.spilled.count())
+		t.Fatalf("before any client got its response: %d messages in memory and %d spilled, want 3 and 0", len(r.messages.byNumber), r.spilled.count())
 	}
 	r.mailbox.Put(responseDoneEvent{request: qs[1], isSent: true})
 	r.mailbox.Put(responseDoneEvent{request: qs[2]})
 	if r.runLoopOnce(); len(r.messages.byNumber) != 1 || r.spilled.count() != 1 || r.messages.pending != 2 || r.messages.byID["m1"] != nil || r.messages.byID["m2"] != nil {
-		t.Fatalf("%d in memory, %d spilled, %d held", len(r.messages.byNumber), r.spilled.count(), r.messages.pending)
+		t.Fatalf("%d messages in memory, %d spilled, %d pending, want 1, 1 and 2", len(r.messages.byNumber), r.spilled.count(), r.messages.pending)
 	}
-	// The policy knows of that, too: once nothing is spilled it asks for nothing.
+	// The policy has counted the same: once nothing is spilled, it must request no loads.
 	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: 1})
-	waitFor(t, "the one that is left", func() bool { r.runLoopOnce(); return r.messages.byID["m1"] != nil })
+	waitFor(t, "the loading of the spilled message", func() bool { r.runLoopOnce(); return r.messages.byID["m1"] != nil })
 	r.step.add(policy.Event{Kind: policy.EventWithdraw, Message: r.messages.byID["m1"].number})
 	if r.runLoopOnce(); len(r.spilled.requested) != 0 || r.spilled.count() != 0 {
-		t.Errorf("%d spilled, asked for %v", r.spilled.count(), r.spilled.requested)
+		t.Errorf("%d messages spilled, loads requested for destinations %v, want none", r.spilled.count(), r.spilled.requested)
 	}
 }
 
-// A message that cannot be read just now is tried again, and another one is read
-// in its place meanwhile. One that damage took is given up.
+// A spilled message that could not be read from the log must be read again later, and the
+// policy's request stays open so that another message of the destination is loaded
+// meanwhile. A message whose record is damaged must be given up.
 func TestUnreadableSpilledMessageIsRetried(t *testing.T) {
 	r := newBoundedRelay(t, 1)
 	r.notices = discovery.NewNotices(discoverytest.New(t).Addr(), discardLog(), func(string) {})
@@ -509,24 +518,25 @@
 	item := backlog.Item{Entry: backlog.Entry{LoadBy: 1, Index: 9}, Dest: 7}
 	r.readmitLoaded(spilledLoadedEvent{r.wal, []backlog.Item{item, item}, []*wal.Record{{}, {ID: "m", Class: "plain", Dest: 7, Corrupted: true}}})
 	if len(r.spilled.unreadable) != 1 || r.spilled.requested[7] != 1 || r.messages.pending != 1 {
-		t.Errorf("%d to be tried again, asked for %v, %d held", len(r.spilled.unreadable), r.spilled.requested, r.messages.pending)
+		t.Errorf("%d messages to be read again, loads requested %v, %d pending", len(r.spilled.unreadable), r.spilled.requested, r.messages.pending)
 	}
 	if wait := r.spilled.untilNext(r.clock.now()); wait > time.Second || wait < 500*time.Millisecond {
-		t.Errorf("tried again in %v", wait)
+		t.Errorf("the next read is in %v, want 0.5 to 1 s", wait)
 	}
 	if r.retryUnreadableNow(); r.spilled.store.Len() != 1 {
-		t.Errorf("%d in the store", r.spilled.store.Len())
+		t.Errorf("%d messages in the store after the delay, want 1", r.spilled.store.Len())
 	}
-	// One whose outcome could not be logged may have run.
+	// A message with an attempt whose outcome is not in the log may have run.
 	r.readmit(&wal.Record{ID: "x", Class: "once", Dest: 7, Attempts: 1, InFlightSince: r.clock.logTime(r.clock.now()), InFlightZone: 1}, item)
 	if e := r.step.events[len(r.step.events)-1]; e.UnknownOutcomeAt == 0 || e.UnknownOutcomeZone != 1 || e.InFlightEndpoint != 0 || e.Attempts != 1 || !e.Spilled {
-		t.Errorf("the policy is told %+v", e)
+		t.Errorf("the policy got %+v", e)
 	}
-	waitFor(t, "an end in the log", func() bool {
+	waitFor(t, "the completion of the damaged message in the log", func() bool {
 		owed := make(chan bool)
 		r.wal.Do(func() { owed <- r.wal.IsPending("m") })
 		return !<-owed
 	})
 }
 
+// retryUnreadableNow returns unreadable messages to the store as if their delay had passed.
 func (r *Relay) retryUnreadableNow() { r.spilled.retryUnreadable(r.clock.now() + 2*loadRetryDelay) }
--- a/internal/relay/call_request_test.go
+++ b/internal/relay/call_request_test.go
@@ -24,7 +24,7 @@
 				in := bufio.NewReader(c)
 				for readCall(in) {
 					if calls.Add(1) == 2 {
-						return // the second call on a kept connection breaks
+						return // closes the connection after the second call, without a response
 					}
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
@@ -33,10 +33,10 @@
 			defer conns.CloseIdleConnections()
 			rec := &wal.Record{ID: "m", Key: "k", Body: body}
 			if o := runSingleCall(newTestCall(), conns, addr, rec, testCallTimeout); o.kind != policy.Delivered {
-				t.Fatalf("first: %+v", o)
+				t.Fatalf("first call: %+v", o)
 			}
 			if o := runSingleCall(newTestCall(), conns, addr, rec, testCallTimeout); o.kind != policy.ConnectionReset {
-				t.Errorf("second: %+v", o)
+				t.Errorf("second call: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
 				t.Errorf("the endpoint saw %d calls, want 2", n)
@@ -45,6 +45,6 @@
 	}
 	req, err := newCallRequest(context.Background(), "127.0.0.1:1", []*wal.Record{{ID: "m", Key: "k", Body: []byte("b")}}, time.Second)
 	if err != nil || req.GetBody != nil || req.Body == http.NoBody {
-		t.Errorf("request can be rewound: GetBody %v, body %v, err %v", req.GetBody != nil, req.Body, err)
+		t.Errorf("net/http could send the request again: GetBody set %v, body %v, error %v", req.GetBody != nil, req.Body, err)
 	}
 }
--- a/internal/relay/call_response_test.go
+++ b/internal/relay/call_response_test.go
@@ -14,8 +14,8 @@
 	"plovershore/policy"
 )
 
-// A batch has the form of the protocol, and each message gets the outcome that the
-// response names for it. A message that the response does not name may have run.
+// A batch must be sent in the format of the protocol, and each message gets the outcome that
+// the response states for it. A message that the response does not name may have run.
 func TestBatchResponseMapsToOutcomes(t *testing.T) {
 	const ok = `[{"id":"b","state":"fault"},{"id":"a","state":"accepted"},{"id":"c","state":"deferred"},{"id":"d","state":"expired"},{"id":"e","state":"no_more"}]`
 	body := func(head, text string) string {
@@ -27,14 +27,14 @@
 		what   []policy.Outcome
 		wait   policy.Time
 	}{
-		"told apart": {answer: body("200 OK\r\nRetry-After: 0.5", ok), wait: 500000, what: []policy.Outcome{policy.Delivered,
+		"state per message": {answer: body("200 OK\r\nRetry-After: 0.5", ok), wait: 500000, what: []policy.Outcome{policy.Delivered,
 			policy.Errored, policy.Rejected, policy.NotSent, policy.NotSent, policy.Errored}},
-		"turned away":    {answer: body("429 W\r\nRetry-After: 2", ""), wait: 2000000, what: same(policy.Rejected)},
-		"full":           {answer: body("503 F", ""), what: same(policy.Rejected)},
-		"error":          {answer: body("500 E", ""), what: same(policy.Errored)},
-		"cannot be read": {answer: body("200 OK", `[{"id":"a","state":"acc`), what: same(policy.Errored)},
-		"chunks garbled": {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", what: same(policy.Errored)},
-		"cut":            {answer: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + ok, what: same(policy.ConnectionReset)},
+		"429":               {answer: body("429 W\r\nRetry-After: 2", ""), wait: 2000000, what: same(policy.Rejected)},
+		"503":               {answer: body("503 F", ""), what: same(policy.Rejected)},
+		"500":               {answer: body("500 E", ""), what: same(policy.Errored)},
+		"invalid JSON":      {answer: body("200 OK", `[{"id":"a","state":"acc`), what: same(policy.Errored)},
+		"garbled chunks":    {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", what: same(policy.Errored)},
+		"cut":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + ok, what: same(policy.ConnectionReset)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := make(chan string, 1)
@@ -52,13 +52,13 @@
 			recs := []*wal.Record{{ID: "a", Key: "k", Body: []byte("hello")}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}, {ID: "f"}}
 			out := newTestCall().run(conns, addr, recs, testCallTimeout, nil)
 			for i, o := range out {
-				settled := x.what[i] == policy.Delivered || name == "told apart" && recs[i].ID == "d"
+				settled := x.what[i] == policy.Delivered || name == "state per message" && recs[i].ID == "d"
 				if o.kind != x.what[i] || o.isFinal != settled || o.retryAfter != x.wait {
 					t.Errorf("%s: got %+v, want %v", recs[i].ID, o, x.what[i])
 				}
 			}
 			if s := <-got; !strings.HasPrefix(s, batchPath+` [{"id":"a","key":"k","body":"aGVsbG8="},{"id":"b","body":""},`) {
-				t.Errorf("the call was %s", s)
+				t.Errorf("request %s", s)
 			}
 		})
 	}
@@ -80,6 +80,6 @@
 		}
 	}
 	if got := parseLoadReport("x0=1", nil); got != (policy.LoadReport{}) {
-		t.Errorf("a report where none is due: %+v", got)
+		t.Errorf("settings without report fields: got %+v, want no report", got)
 	}
 }
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -30,7 +30,7 @@
 	return &call{messages: []callMessage{{message: &message{}}}, ctx: ctx, cancel: stop}
 }
 
-// runSingleCall makes a call that carries one message.
+// runSingleCall makes a call with a single message and returns its outcome.
 func runSingleCall(c *call, conns *http.Transport, addr string, rec *wal.Record, limit time.Duration) outcome {
 	return c.run(conns, addr, []*wal.Record{rec}, limit, nil)[0]
 }
@@ -42,7 +42,8 @@
 
 const testCallTimeout = 20 * time.Second
 
-// startRawEndpoint serves connections by hand, for responses that no HTTP server sends.
+// startRawEndpoint starts a TCP server that passes each connection to serve, for responses
+// that no HTTP server sends. It returns the address.
 func startRawEndpoint(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +63,7 @@
 	return ln.Addr().String()
 }
 
-// readCall reads one complete call.
+// readCall reads one HTTP request and reports whether it was complete.
 func readCall(in *bufio.Reader) bool {
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -89,24 +90,24 @@
 		settled bool
 	}{
 		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: policy.Delivered, settled: true},
-		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: policy.Delivered, settled: true},
-		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected, wait: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected},
-		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, slots: true},
-		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent},
-		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, settled: true},
-		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"broken after":       {serve: say(""), what: policy.ConnectionReset},
-		"nonsense":           {serve: say("what?\r\n\r\n"), what: policy.Errored},
+		"200, body cut":      {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: policy.Delivered, settled: true},
+		"500":                {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
+		"429, wait":          {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected, wait: 750000},
+		"503":                {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected},
+		"503, slots taken":   {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, slots: true},
+		"504":                {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent},
+		"410":                {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, settled: true},
+		"unknown status":     {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
+		"redirect":           {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
+		"no response":        {serve: say(""), what: policy.ConnectionReset},
+		"not HTTP":           {serve: say("what?\r\n\r\n"), what: policy.Errored},
 		"garbled status":     {serve: say("HTTP/1.1 2x0 OK\r\n\r\n"), what: policy.Errored},
 		"200, head cut":      {serve: say("HTTP/1.1 200 OK\r\nContent-Le"), what: policy.Delivered, settled: true},
 		"200, head garbled":  {serve: say("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"), what: policy.Delivered, settled: true},
 		"500, head cut":      {serve: say("HTTP/1.1 500 E\r\nContent-Le"), what: policy.ConnectionReset},
-		"half a first line":  {serve: say("HTTP/1.1 200 O"), what: policy.ConnectionReset},
-		"half an answer":     {serve: say("HTTP/1.1 20"), what: policy.ConnectionReset},
-		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: policy.Delivered, settled: true},
+		"half a status line": {serve: say("HTTP/1.1 200 O"), what: policy.ConnectionReset},
+		"half a status code": {serve: say("HTTP/1.1 20"), what: policy.ConnectionReset},
+		"100, then 200":      {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: policy.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := newTestTransport(t, 2)
@@ -119,8 +120,8 @@
 	}
 }
 
-// Only what certainly never ran is reported so: a refused connection never ran, but
-// after silence behind the last byte the message may have run.
+// A call may be reported as not run only if that is certain. A refused connection carried
+// nothing, but if the endpoint does not answer a sent call, the message may have run.
 func TestCallWithoutResponseMapsToOutcome(t *testing.T) {
 	conns := newTestTransport(t, 2)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -138,14 +139,14 @@
 		in := bufio.NewReader(c)
 		readCall(in)
 		entered <- struct{}{}
-		in.ReadByte() // until the caller closes
+		in.ReadByte() // returns when the caller closes the connection
 		gone <- struct{}{}
 	})
 	if o := runSingleCall(newTestCall(), conns, silent, &wal.Record{ID: "m"}, 50*time.Millisecond); o.kind != policy.TimedOut {
 		t.Errorf("silent: %+v", o)
 	}
 	<-entered
-	<-gone // giving up closes the connection
+	<-gone // the timeout must close the connection
 	c := newTestCall()
 	go func() { <-entered; c.cancel(errCancelled) }()
 	if o := runSingleCall(c, conns, silent, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.Cancelled {
@@ -154,20 +155,20 @@
 	<-gone
 }
 
-// A call whose response says 200 and never ends, in its header or in its body, is
-// delivered by its status line and gives its slot back.
+// A response with status 200 whose header or body never ends counts as delivered, and the
+// call must not keep its connection and call slot.
 func TestUnfinishedOKResponseCountsAsDelivered(t *testing.T) {
 	for name, text := range map[string]string{
-		"head": "HTTP/1.1 200 OK\r\nContent-",
+		"header": "HTTP/1.1 200 OK\r\nContent-",
 		"body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab",
-		"none": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab",
+		"body without length": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab",
 	} {
 		t.Run(name, func(t *testing.T) {
 			ended := make(chan struct{})
 			addr := startRawEndpoint(t, func(conn net.Conn) {
 				if readCall(bufio.NewReader(conn)) {
 					io.WriteString(conn, text)
-					io.Copy(io.Discard, conn) // until the relay lets go of it
+					io.Copy(io.Discard, conn) // returns when the relay closes the connection
 				}
 				close(ended)
 			})
@@ -201,10 +202,10 @@
 	c.messages = []callMessage{{message: a}, {message: b}}
 	c.stage.Store(callWritten)
 	if c.dropMessage(a); c.ctx.Err() != nil {
-		t.Error("one message given up ended the call of another")
+		t.Error("dropping one message cancelled the call of the other")
 	}
 	if c.dropMessage(b); context.Cause(c.ctx) != errCancelled {
-		t.Errorf("nobody waits, and the call goes on: %v", context.Cause(c.ctx))
+		t.Errorf("all messages are dropped, but the call was not cancelled: %v", context.Cause(c.ctx))
 	}
 }
 
@@ -218,7 +219,7 @@
 	c.sendBy = time.Now().Add(50 * time.Millisecond)
 	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := net.Dial(network, addr)
-		waitFor(t, "the end of the window", func() bool { return !time.Now().Before(c.sendBy) })
+		waitFor(t, "the latest time to send", func() bool { return !time.Now().Before(c.sendBy) })
 		return &endpointConn{Conn: conn}, err
 	}
 	if o := runSingleCall(c, conns, ep.addr(), &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.NotSent {
@@ -226,7 +227,7 @@
 	}
 	conns.CloseIdleConnections()
 	if n := ep.callCount("m"); n != 0 {
-		t.Errorf("the call went out %d times", n)
+		t.Errorf("the call was sent %d times, want 0", n)
 	}
 }
 
@@ -253,7 +254,7 @@
 	<-up
 	conns.CloseIdleConnections()
 	if n := ep.callCount("m"); n != 0 {
-		t.Errorf("the call went out %d times", n)
+		t.Errorf("the call was sent %d times, want 0", n)
 	}
 	// The drain may also begin just as the connection comes up.
 	late := newTestCall()
@@ -261,13 +262,13 @@
 	tr := newTestTransport(t, 2)
 	defer tr.CloseIdleConnections()
 	if o := runSingleCall(late, tr, ep.addr(), &wal.Record{ID: "late"}, testCallTimeout); o.kind != policy.NotSent || ep.callCount("late") != 0 {
-		t.Errorf("got %+v, and %d calls", o, ep.callCount("late"))
+		t.Errorf("outcome %+v and %d calls, want not sent and no call", o, ep.callCount("late"))
 	}
 	// A call that is being sent is not stopped.
 	under := newTestCall()
 	under.stage.Store(callSending)
 	if under.cancelIfWaiting(errEndpointDraining); under.ctx.Err() != nil {
-		t.Error("a call with bytes under way was stopped")
+		t.Error("a call that is being sent was stopped")
 	}
 }
 
@@ -296,7 +297,7 @@
 	<-up
 	conns.CloseIdleConnections()
 	if n := ep.callCount("over"); n != 0 {
-		t.Errorf("it went out %d times", n)
+		t.Errorf("the completed message was sent %d times, want 0", n)
 	}
 	// It may also be completed just as the connection comes up.
 	ctx, cancel := context.WithCancel(t.Context())
@@ -306,7 +307,7 @@
 	}
 	cancel()
 	if n, err := req.Body.Read(make([]byte, 8)); n != 0 || err == nil {
-		t.Errorf("%d bytes of a stopped call are written, %v", n, err)
+		t.Errorf("%d bytes of a cancelled call were sent, error %v", n, err)
 	}
 }
 
@@ -333,7 +334,7 @@
 	r.finishCall(told, []outcome{{kind: policy.Rejected, status: http.StatusTooManyRequests, retryAfter: 600e6}})
 	for c, stopped := range calls {
 		if got := c.ctx.Err() != nil; got != stopped || got && c.classifyError(c.ctx, nil) != policy.NotSent {
-			t.Errorf("%s, stage %d: stopped %v", c.endpoint.id, c.stage.Load(), got)
+			t.Errorf("call to %s in stage %d: stopped %v", c.endpoint.id, c.stage.Load(), got)
 		}
 	}
 	// A batch that the policy sent before the Retry-After, whose client is acknowledged only now.
@@ -342,6 +343,6 @@
 	b := &batch{endpoint: twin, sends: []send{{message: late, timeoutAt: r.clock.now() + 900e6}}}
 	late.pendingBatch = b
 	if r.startBatch(b); late.call != nil || len(twin.calls) != 1 {
-		t.Error("a call begins under the wait")
+		t.Error("a call was started during the Retry-After time")
 	}
 }
--- a/internal/relay/client_connection_test.go
+++ b/internal/relay/client_connection_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// A connection is closed only between requests; one with a request in progress closes
+// A drain closes an idle connection at once and a connection with a request in progress
 // after its response.
 func TestDrainClosesConnectionsBetweenRequests(t *testing.T) {
 	got := make(chan *putRequest, 1)
@@ -23,14 +23,14 @@
 	q := <-got
 	c.drainConnections()
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("idle: %v", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
 	q.respond(responseOK)
 	if s := busyOne.readLine(); s != "+OK" {
-		t.Errorf("answer %q", s)
+		t.Errorf("response %q", s)
 	}
 	if _, err := busyOne.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after its answer: %v", err)
+		t.Errorf("after the response: %v, want EOF", err)
 	}
 }
 
@@ -47,12 +47,12 @@
 	c.finishCommandRead(cc)
 	c.finishRequest(cc)
 	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("it stays open and is counted no longer: %v", err)
+		t.Errorf("the evicted connection is not closed after its request: %v", err)
 	}
 }
 
-// A request that has arrived when the wait for it ends is answered before the
-// connection is closed.
+// A request that has arrived but was not read yet when the drain begins must be answered
+// before its connection is closed.
 func TestUnreadRequestIsAnsweredBeforeDrainCloses(t *testing.T) {
 	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,22 +68,22 @@
 	cc := &clientConn{Conn: conn}
 	c.conns[cc] = true
 	io.WriteString(cl, putCommand("m", putFields("plain", 8000, 1), nil))
-	waitFor(t, "the request", func() bool { return hasUnreadBytes(conn) })
-	c.drainConnections() // the reader has not begun
+	waitFor(t, "the arrival of the request", func() bool { return hasUnreadBytes(conn) })
+	c.drainConnections() // the connection is not served yet
 	go func() { c.serveConnection(cc); conn.Close() }()
 	if s := cl.readLine(); s != "+OK" {
-		t.Errorf("answer %q", s)
+		t.Errorf("response %q", s)
 	}
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the answer: %v", err)
+		t.Errorf("after the response: %v, want EOF", err)
 	}
 }
 
-// crossing is the server's side of a connection on which bytes arrive at the moment
-// in which it is shut down or closed.
+// crossingConn is the relay's side of a connection. Just before the relay shuts it down or
+// closes it, bytes of the client arrive.
 type crossingConn struct {
 	*net.TCPConn
-	sendBytes func() // sends them, and returns once they are there
+	sendBytes func() // sends the client's bytes and returns once they have arrived
 }
 
 func (c *crossingConn) CloseWrite() error {
@@ -96,8 +96,8 @@
 	return c.TCPConn.Close()
 }
 
-// serveCrossing serves one connection whose client sends text just as the relay
-// closes it.
+// serveCrossing serves one connection whose client sends text at the moment at which the
+// relay closes it.
 func serveCrossing(t *testing.T, put func(*putRequest), text string) (*clientServer, *testClient) {
 	t.Helper()
 	c := newClientServer(parseTestConfig(t), discardLog(), put, func(*putRequest, bool) {})
@@ -114,14 +114,14 @@
 	x := &crossingConn{TCPConn: conn.(*net.TCPConn)}
 	x.sendBytes = sync.OnceFunc(func() {
 		io.WriteString(cl, text)
-		waitFor(t, "the crossing bytes", func() bool { return hasUnreadBytes(x.TCPConn) })
+		waitFor(t, "the arrival of the client's bytes", func() bool { return hasUnreadBytes(x.TCPConn) })
 	})
 	c.startConnection(x)
 	return c, cl
 }
 
-// Requests that a client sends while the relay closes the connection are dropped and
-// do not reset it: the response to the one before arrives.
+// Requests that arrive while the relay closes the connection are dropped. They must not
+// reset the connection, so that the client still gets the response to its first request.
 func TestPipelinedRequestsDuringCloseDoNotResetResponse(t *testing.T) {
 	var taken atomic.Int32
 	got := make(chan *putRequest, 2)
@@ -132,20 +132,20 @@
 	c.drainConnections()
 	q.respond(responseOK)
 	if s := cl.readLine(); s != "+OK" {
-		t.Errorf("answer %q", s)
+		t.Errorf("response %q", s)
 	}
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the answer: %v, want an end and no reset", err)
+		t.Errorf("after the response: %v, want EOF and no reset", err)
 	}
 	cl.Close()
 	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
 	if n := taken.Load(); n != 1 {
-		t.Errorf("%d requests taken, want the first alone", n)
+		t.Errorf("%d requests were passed to the relay, want only the first", n)
 	}
 }
 
-// A request that crosses the close of an idle connection is dropped whole; its client
-// sees the end of the stream and no reset.
+// A request that arrives while the relay closes its idle connection is dropped as a whole.
+// The client must see the end of the stream and no reset.
 func TestRequestDuringIdleCloseIsDroppedWithoutReset(t *testing.T) {
 	var taken atomic.Int32
 	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); accept(q) }, putCommand("b", putFields("plain", 8000, 1), nil))
@@ -154,12 +154,12 @@
 	}
 	c.drainConnections()
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("%v, want an end and no reset", err)
+		t.Errorf("%v, want EOF and no reset", err)
 	}
 	cl.Close()
 	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
 	if n := taken.Load(); n != 1 {
-		t.Errorf("%d requests taken, want the first alone", n)
+		t.Errorf("%d requests were passed to the relay, want only the first", n)
 	}
 }
 
--- a/internal/relay/client_session_test.go
+++ b/internal/relay/client_session_test.go
@@ -9,7 +9,9 @@
 	"time"
 )
 
-// serveClients runs the client side alone; put takes the place of the loop.
+// serveClients starts a client server without a relay. Put gets each message in place of the
+// loop. The channel gets, for each message, whether the client counts as having received its
+// response.
 func serveClients(t *testing.T, put func(*putRequest)) (*clientServer, string, chan bool) {
 	t.Helper()
 	said := make(chan bool, 16)
@@ -23,7 +25,7 @@
 	return c, ln.Addr().String(), said
 }
 
-// accept answers a message as accepted.
+// accept responds to a message as if the relay had accepted it.
 func accept(q *putRequest) { q.respond(responseOK) }
 
 // A client that leaves before its response may submit the message elsewhere, so the
@@ -36,22 +38,22 @@
 	q := <-got
 	cl.Close()
 	if <-said {
-		t.Error("held to be heard")
+		t.Error("the message counts as acknowledged")
 	}
-	q.respond(responseOK) // comes too late and blocks nobody
+	q.respond(responseOK) // must not block, although nobody waits for the response
 }
 
-// A message that is accepted after its client has given up is answered with BUSY: the
-// client has submitted it elsewhere.
+// A message that is accepted after the client timeout is refused with BUSY, as the client may
+// have submitted it elsewhere by then.
 func TestMessageAcceptedAfterClientTimeoutIsRefused(t *testing.T) {
 	c, addr, said := serveClients(t, accept)
 	c.clientTimeout = 0
 	cl := dialClient(t, addr)
 	if s := cl.put("m", putFields("plain", 8000, 1), nil); s != "-BUSY" {
-		t.Errorf("answer %q", s)
+		t.Errorf("response %q", s)
 	}
 	if <-said {
-		t.Error("held to be heard")
+		t.Error("the message counts as acknowledged")
 	}
 }
 
@@ -67,11 +69,11 @@
 		t.Fatal(err)
 	}
 	if <-said {
-		t.Error("held to be heard")
+		t.Error("the message counts as acknowledged")
 	}
 	q.respond(responseOK)
 	if s := cl.readLine(); s != "-BUSY" {
-		t.Errorf("answer %q", s)
+		t.Errorf("response %q", s)
 	}
 }
 
@@ -89,19 +91,19 @@
 	io.WriteString(cl, putCommand("a", putFields("plain", 8000, 1), nil)+putCommand("b", putFields("plain", 8000, 1), nil)+"*1\r\n$4\r\nPING\r\n")
 	(<-first).respond(responseOK)
 	if s := cl.readLine() + cl.readLine() + cl.readLine(); s != "+OK-BUSY 7+PONG" {
-		t.Errorf("answers %q", s)
+		t.Errorf("responses %q", s)
 	}
 	if heardFirst, heardSecond := <-said, <-said; !heardFirst || !heardSecond {
-		t.Error("not held to be heard")
+		t.Error("the message does not count as acknowledged")
 	}
 }
 
-// A request that arrives just before the deadline of its connection is answered, also
-// where the reader's wait ends before the response.
+// During a drain, a connection has a deadline for its request. A request that arrives just
+// before the deadline must be answered, also if the deadline passes before the response.
 func TestRequestBeforeConnectionDeadlineIsAnswered(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	c, addr, said := serveClients(t, func(q *putRequest) { got <- q })
-	c.drainConnections() // as on SIGTERM: connections are still taken in for a while, each for one request
+	c.drainConnections() // as after SIGTERM: new connections are still accepted for a while, each for one request
 	c.clientTimeout = time.Minute
 	cl := dialClient(t, addr)
 	began := time.Now()
@@ -111,18 +113,18 @@
 	time.Sleep(time.Until(began.Add(clientTimeout * 3 / 2)))
 	q.respond(responseOK)
 	if s := cl.readLine(); s != "+OK" {
-		t.Errorf("answer %q", s)
+		t.Errorf("response %q", s)
 	}
 	if !<-said {
-		t.Error("not held to be heard")
+		t.Error("the message does not count as acknowledged")
 	}
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the answer: %v", err)
+		t.Errorf("after the response: %v, want EOF", err)
 	}
 }
 
-// A peer that begins a command and does not complete it loses its connection. A client
-// that waits for its response, or between two commands, keeps it.
+// A connection on which a command is begun and not completed in time is closed. A client
+// that waits for its response keeps its connection.
 func TestIncompleteCommandTimesOut(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	c := newClientServer(parseTestConfig(t), discardLog(), func(q *putRequest) { got <- q }, func(*putRequest, bool) {})
@@ -138,16 +140,16 @@
 	q := <-got
 	io.WriteString(half, "*5\r\n$7\r\nMSG")
 	if _, err := half.in.ReadByte(); err == nil {
-		t.Error("half a command is answered")
+		t.Error("got a response to half a command")
 	}
-	q.respond(responseOK) // later than the patience with the other
+	q.respond(responseOK) // the command timeout of the other connection has passed by now
 	if s := waits.readLine(); s != "+OK" {
-		t.Errorf("answer %q", s)
+		t.Errorf("response %q", s)
 	}
 }
 
-// A peer that sends nothing, nothing valid, or nothing after a PING loses its
-// connection. A client that has submitted a message may stay idle.
+// A peer that sends nothing, only an invalid command, or only a PING is disconnected after
+// the command timeout. A client that has submitted a message may stay idle.
 func TestPeerWithoutValidCommandIsDisconnected(t *testing.T) {
 	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	c.commandTimeout = 300 * time.Millisecond
@@ -160,22 +162,22 @@
 	client, silent := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
 	rude, pinged := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
 	if s := client.put("a", putFields("plain", 8000, 1), nil); s != "+OK" {
-		t.Errorf("a client: %q", s)
+		t.Errorf("client: response %q", s)
 	}
 	io.WriteString(rude, "*1\r\n$3\r\nGET\r\n")
 	if s := rude.readLine(); !strings.HasPrefix(s, "-ERR ") {
-		t.Errorf("a rude peer: %q", s)
+		t.Errorf("peer with an invalid command: response %q", s)
 	}
 	io.WriteString(pinged, "*1\r\n$4\r\nPING\r\n")
 	if s := pinged.readLine(); s != "+PONG" {
-		t.Errorf("a PING: %q", s)
+		t.Errorf("response to PING: %q", s)
 	}
-	for name, peer := range map[string]*testClient{"silent": silent, "rude": rude, "pinged": pinged} {
+	for name, peer := range map[string]*testClient{"silent": silent, "invalid command": rude, "PING only": pinged} {
 		if _, err := peer.in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, want EOF", name, err)
 		}
 	}
-	if s := client.put("b", putFields("plain", 8000, 1), nil); s != "+OK" { // idle for longer than the patience
-		t.Errorf("a client: %q", s)
+	if s := client.put("b", putFields("plain", 8000, 1), nil); s != "+OK" { // idle for longer than the command timeout
+		t.Errorf("client: response %q", s)
 	}
 }
--- a/internal/relay/clockstep_test.go
+++ b/internal/relay/clockstep_test.go
@@ -11,11 +11,11 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// noticeSlack is what an end may come after a message's time by the protocol (300 ms),
-// and 50 ms on sockets.
+// noticeSlack is how long after a message's deadline its notice may arrive: 300 ms by the
+// protocol, and 50 ms for the sockets.
 const noticeSlack = 350 * time.Millisecond
 
-// steppedRelay is a relay on a machine whose wall clock a test steps.
+// steppedRelay is a relay in a child process whose wall clock the test can step.
 type steppedRelay struct {
 	t           *testing.T
 	wallClock   *clocktest.Wall
@@ -24,9 +24,9 @@
 	client      *testClient
 	disc        *discoverytest.Server
 	notices     *noticeTimes
-	quick       *fakeEndpoint // serves 1
-	hung        *fakeEndpoint // serves 2
-	listedLater *fakeEndpoint // serves 5, once it is listed
+	quick       *fakeEndpoint // serves destination 1 and answers at once
+	hung        *fakeEndpoint // serves destination 2 and does not answer
+	listedLater *fakeEndpoint // serves destination 5 once it is listed
 	log         *lockedBuffer
 	acceptedAt  map[string]time.Time
 }
@@ -55,7 +55,7 @@
 	s.client = dialClient(s.t, s.env["ROUTER_LISTEN"])
 }
 
-// put hands a message in that has to be taken on.
+// put submits a message that must be accepted.
 func (s *steppedRelay) put(id, class string, left time.Duration, dest int) {
 	s.t.Helper()
 	s.acceptedAt[id] = time.Now()
@@ -65,18 +65,19 @@
 	}
 }
 
-// list5 lists the endpoint that serves 5.
+// listEndpoint5 adds the endpoint of destination 5 to the list of discovery.
 func (s *steppedRelay) listEndpoint5() {
 	s.disc.Set(func(d *discoverytest.Server) { d.List.Members = append(d.List.Members, s.listedLater.member("s-5", 5)) })
 }
 
-// checkNoticeTime requires the notice of a message when its time is up: not much before it,
-// and no later than is allowed. A restart until since excuses what was due by then.
+// checkNoticeTime waits for the notice of a message with the deadline left. It must not come
+// before 90 % of that time and no later than noticeSlack after it. If the relay was restarted
+// and was ready at since, a notice is also in time until 1.5 s and noticeSlack after since.
 func (s *steppedRelay) checkNoticeTime(id string, left time.Duration, since time.Time) {
 	s.t.Helper()
 	began, ok := s.acceptedAt[id]
 	if !ok {
-		return // it was not taken on, which is told already
+		return // the message was not accepted, which put has reported
 	}
 	most := began.Add(left + noticeSlack)
 	if restarted := since.Add(1500*time.Millisecond + noticeSlack); restarted.After(most) && !since.IsZero() {
@@ -88,15 +89,16 @@
 	}
 	switch {
 	case at.IsZero():
-		s.t.Errorf("%s, taken on with %v, has no end after %v", id, left, time.Since(began))
+		s.t.Errorf("%s, accepted with a deadline of %v, has no notice after %v", id, left, time.Since(began))
 	case at.After(most):
-		s.t.Errorf("%s, taken on with %v, ended after %v", id, left, at.Sub(began))
+		s.t.Errorf("%s, accepted with a deadline of %v, got its notice too late, after %v", id, left, at.Sub(began))
 	case at.Before(began.Add(left * 9 / 10)):
-		s.t.Errorf("%s, taken on with %v, ended after %v already", id, left, at.Sub(began))
+		s.t.Errorf("%s, accepted with a deadline of %v, got its notice too early, after %v", id, left, at.Sub(began))
 	}
 }
 
-// delivered requires that a message is answered 200, and has no notice.
+// checkDelivered waits until an endpoint has answered a message with 200, at most 20 s, and
+// checks that the message got no notice.
 func (s *steppedRelay) checkDelivered(e *fakeEndpoint, id string) {
 	s.t.Helper()
 	began, ok := s.acceptedAt[id]
@@ -111,9 +113,9 @@
 	}
 }
 
-// Guards the ends of messages where the wall clock is stepped while the relay runs:
-// those taken on before the step, after it, and between two steps each have the time
-// that their clients gave them, neither more nor less.
+// The wall clock is stepped while the relay runs. Messages that were accepted before the
+// step, after it and between two steps must all end when the time that their clients gave
+// them is over, neither earlier nor later.
 func TestDeadlinesHoldAcrossClockStep(t *testing.T) {
 	const left = 2 * time.Second
 	for _, by := range []time.Duration{400 * time.Second, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
@@ -137,14 +139,15 @@
 			s.checkNoticeTime("late-after", 2*left, time.Time{})
 			s.checkNoticeTime("back", left, time.Time{})
 			if s.log.occurrences("wall clock stepped") == 0 {
-				t.Error("the log does not tell of the step")
+				t.Error("the relay did not log the step")
 			}
 		})
 	}
 }
 
-// Guards the same over a kill and a restart, with the clock stepped while the first
-// process runs, while none does, or both. Only real time counts.
+// The relay is killed and restarted, and the wall clock is stepped while the first process
+// runs, while none runs, or both. For deadlines and deduplication windows only the elapsed
+// time may count.
 func TestDeadlinesAndWindowsHoldAcrossRestartAndClockStep(t *testing.T) {
 	hour := time.Hour
 	for _, x := range []struct{ running, down time.Duration }{{0, hour}, {hour, 0}, {0, -hour}, {-hour, 0}, {hour, -hour}, {-hour, hour}, {3 * time.Second, 0}, {0, -3 * time.Second}} {
@@ -161,8 +164,9 @@
 	}
 }
 
-// runRestartWithClockStep checks that what was never tried still is, that what may have run is
-// sent again within its window, and that what has little time ends when that is up.
+// runRestartWithClockStep checks that after the restart messages that were never tried are
+// sent, a message that may have run is sent again within its window, and messages with a
+// short deadline end at it.
 func runRestartWithClockStep(t *testing.T, running, down time.Duration) {
 	const short = 4 * time.Second
 	s := newSteppedRelay(t)
@@ -178,7 +182,7 @@
 	waitFor(t, "the call", func() bool { return s.hung.callCount("keyed") == 1 })
 	s.child.kill()
 	s.wallClock.Step(t, down)
-	time.Sleep(600 * time.Millisecond) // as the platform has it
+	time.Sleep(600 * time.Millisecond) // the time in which the platform restarts a process
 	s.hung.setAnswer(nil)
 	s.listEndpoint5()
 	s.start()
@@ -191,8 +195,8 @@
 	s.checkNoticeTime("new", short, time.Time{})
 }
 
-// runWindowWithClockStep checks that once the window for repeats is over by real time, what may
-// have run is not sent again.
+// runWindowWithClockStep checks that a message that may have run is not sent again after a
+// restart if the deduplication window is over by elapsed time.
 func runWindowWithClockStep(t *testing.T, by time.Duration) {
 	s := newSteppedRelay(t)
 	editConfig(t, s.env, `"dedup_window_us":20000000,"group":"all","late_worth":0.3,"name":"keyed"`,
@@ -208,18 +212,18 @@
 	s.put("mark", "plain", 20*time.Second, 1)
 	s.checkDelivered(s.quick, "mark")
 	since := time.Now()
-	waitFor(t, "the notice", func() bool { _, ended := s.disc.Notice("keyed"); return ended }) // sent on its own, not before the call
+	waitFor(t, "the notice", func() bool { _, ended := s.disc.Notice("keyed"); return ended }) // notices and calls are independent, so the notice may come after the call of "mark"
 	if waited := time.Since(since); waited > 5*time.Second {
-		t.Errorf("the notice came %v after a later message was delivered: not before its own deadline", waited)
+		t.Errorf("the notice came %v after a later message was delivered, want at most 5 s", waited)
 	}
 	if n, ended := s.disc.Notice("keyed"); !ended || n.Outcome != discovery.Failed || s.hung.callCount("keyed") != 1 {
-		t.Errorf("%d calls, ended %v by %q", s.hung.callCount("keyed"), ended, n.Outcome)
+		t.Errorf("%d calls, notice %v with outcome %q, want 1 call and a failure notice", s.hung.callCount("keyed"), ended, n.Outcome)
 	}
 }
 
-// Guards an upgrade with the clock stepped between the starts of its two processes:
-// what the old one holds is the new one's with the time that it has left, and a told
-// wait that the old one hears of late binds the new one for as long as it was told.
+// During an upgrade, the wall clock is stepped between the starts of the two processes. The
+// messages of the old process must keep their remaining time in the new one, and a
+// Retry-After that the old process receives late must hold in the new one for its whole time.
 func TestUpgradeHandsOverDeadlinesAndWaitsAcrossClockStep(t *testing.T) {
 	for _, by := range []time.Duration{2 * time.Hour, -2 * time.Hour} {
 		t.Run(by.String(), func(t *testing.T) {
@@ -230,7 +234,7 @@
 			avoided := u.new.metric(t, "app_members_unavailable")
 			u.slowRejects.Store(true)
 			close(u.release)
-			waitFor(t, "the wait", func() bool { return u.new.metric(t, "app_members_unavailable") == avoided+2 })
+			waitFor(t, "the Retry-After at the new process", func() bool { return u.new.metric(t, "app_members_unavailable") == avoided+2 })
 			u.put(u.oldClient, "next", putFields("once", 20000, 2))
 			u.put(u.oldClient, "late", putFields("once", 20000, 5))
 			u.put(u.oldClient, "mark", putFields("once", 20000, 1))
@@ -238,7 +242,7 @@
 			u.listEndpoint5()
 			u.waitDelivered(u.listedLater, "held", "late")
 			if n := u.slow.callCount("next"); n != 0 {
-				t.Errorf("%d calls against a told wait", n)
+				t.Errorf("%d calls during the Retry-After time, want 0", n)
 			}
 			u.checkSentOnce("held", "late", "out", "keyed")
 		})
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A bad value stops the start, and the error names its key.
+// A missing or invalid value must be an error that names its key.
 func TestConfigErrorNamesTheKey(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","state":"/x","seed":"1f",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":2},"settings":` + testSettings + `}`
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(good, x.old, x.new, 1)
 			if text == good {
-				t.Fatal("nothing was changed")
+				t.Fatal("the test case changes nothing in the configuration")
 			}
 			_, err := parseConfig([]byte(text), func(string) string { return "" })
 			if err == nil || !strings.Contains(err.Error(), x.key) {
@@ -55,16 +55,17 @@
 			t.Fatal(err)
 		}
 		if c.Policy.MaxResidentMessages != x.want {
-			t.Errorf("%s MB%s: %d in memory, want %d", x.memory, x.key, c.Policy.MaxResidentMessages, x.want)
+			t.Errorf("%s MB%s: limit of %d messages in memory, want %d", x.memory, x.key, c.Policy.MaxResidentMessages, x.want)
 		}
 	}
 	clients, endpoints := c.socketBudget()
 	if clients+endpoints+reservedSockets > 256 || endpoints < c.Policy.MaxCalls {
-		t.Errorf("budget %d and %d of 256", clients, endpoints)
+		t.Errorf("socket budget: %d for clients and %d for endpoints of 256", clients, endpoints)
 	}
 }
 
-// Whether answers hold reports is told by the settings: what an answer without one says depends on it.
+// The settings say whether responses carry load reports. The policy has to know, as the
+// meaning of a response without a report depends on it.
 func TestLoadReportsFollowSettings(t *testing.T) {
 	for how, want := range map[string]bool{"none": false, "probe": false, "answers": true} {
 		text := strings.Replace(testSettings, `"report":{"fields":[],"how":"none"}`, `"report":{"fields":["x0"],"how":"`+how+`"}`, 1)
@@ -74,7 +75,7 @@
 			t.Fatal(err)
 		}
 		if c.Policy.LoadReports != want {
-			t.Errorf("%s: %v", how, c.Policy.LoadReports)
+			t.Errorf("report %s: load reports %v", how, c.Policy.LoadReports)
 		}
 	}
 }
--- a/internal/relay/connectfault_test.go
+++ b/internal/relay/connectfault_test.go
@@ -13,10 +13,11 @@
 	"plovershore/internal/loopback"
 )
 
-// connectFaultEnv names a file to a child relay: while the file exists, connects to
-// endpoints fail with the error whose number it holds.
+// connectFaultEnv is the environment variable with the path of a fault file. While that file
+// exists, a child relay's connects to endpoints fail with the error number in the file.
 const connectFaultEnv = "RELAY_TEST_CONNECT_FAULT"
 
+// faultyConnect returns a hook that fails while the fault file at path exists.
 func faultyConnect(path string) ConnectHook {
 	fault := faultFromFile(path)
 	return func(string, string, syscall.RawConn) error {
@@ -27,8 +28,9 @@
 	}
 }
 
-// While this machine can open no connection, no message uses up its attempts and no
-// endpoint is blamed; all are sent soon after it can again.
+// While the machine itself cannot open connections, messages must not use up their attempts
+// and endpoints must not count as failing. All messages must be sent within 2 s after
+// connecting works again.
 func TestLocalConnectFailureUsesNoAttempts(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.ENOBUFS, syscall.ENETUNREACH} {
 		t.Run(fault.Error(), func(t *testing.T) {
@@ -48,7 +50,7 @@
 					t.Fatalf("%s: %s", ids[i], s)
 				}
 			}
-			time.Sleep(1500 * time.Millisecond) // the machine is without for that long
+			time.Sleep(1500 * time.Millisecond) // how long connecting fails
 			connects.clear()
 			cleared := time.Now()
 			for _, id := range ids {
@@ -63,8 +65,8 @@
 	}
 }
 
-// A start waits a little for listen addresses that are taken, and is ready once they
-// are free.
+// A relay that starts while its listen addresses are in use waits for them for a short time,
+// and becomes ready once they are free.
 func TestStartWaitsForListenAddresses(t *testing.T) {
 	env := writeTestConfig(t, discoverytest.New(t), 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
@@ -82,8 +84,8 @@
 		ln.Close()
 	}
 	if c.hasExited() {
-		t.Fatal("it ended")
+		t.Fatal("the relay ended while its addresses were in use")
 	}
 	c.waitReady(t)
-	waitFor(t, "a yes", func() bool { return c.readyzIs(true) })
+	waitFor(t, "readiness", func() bool { return c.readyzIs(true) })
 }
--- a/internal/relay/connection_limit_test.go
+++ b/internal/relay/connection_limit_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// At the limit the connection that was idle for longest is evicted, and the new one is
-// served.
+// At the connection limit, a new connection must be served and the connection that has been
+// idle for longest be closed.
 func TestConnectionLimitEvictsLongestIdle(t *testing.T) {
 	c, addr, _ := serveClients(t, accept)
 	c.mu.Lock()
@@ -23,16 +23,16 @@
 		all = append(all, cl)
 	}
 	if _, err := all[0].in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the oldest: %v", err)
+		t.Errorf("connection that was idle for longest: %v, want EOF", err)
 	}
 	if s := all[1].put("x", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Error(s)
 	}
 }
 
-// In a flood of peers that do not complete a command, or do not close a connection that
-// was ended, these are evicted like idle ones. A new client is served, and one that
-// waits for its response keeps its connection.
+// Many peers begin a command and do not complete it, or do not close their connection after
+// an error response. They must be evicted like idle connections, so that a new client is
+// served, and a client that waits for its response must keep its connection.
 func TestConnectionLimitHoldsInFlood(t *testing.T) {
 	got := make(chan *putRequest, 1)
 	c, addr, _ := serveClients(t, func(q *putRequest) {
@@ -52,10 +52,10 @@
 		peer := dialClient(t, addr)
 		if i%2 == 0 {
 			io.WriteString(peer, "no command\r\n")
-			peer.readLine() // its error: it is told, and does not leave
+			peer.readLine() // the error response; the peer then stays connected
 		} else {
 			io.WriteString(peer, "*5\r\n$7\r\nMSG")
-			waitFor(t, "the command's beginning", func() bool {
+			waitFor(t, "the beginning of the command", func() bool {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				for cc := range c.conns {
@@ -67,24 +67,24 @@
 			})
 		}
 		if n := c.connectionCount(); n > 4 {
-			t.Fatalf("%d connections, 4 allowed", n)
+			t.Fatalf("%d connections, want at most 4", n)
 		}
 	}
 	if s := dialClient(t, addr).put("m", putFields("plain", 8000, 1), nil); s != "+OK" {
-		t.Errorf("a client in the flood: %q", s)
+		t.Errorf("new client during the flood: response %q", s)
 	}
 	if q.respond(responseOK); waits.readLine() != "+OK" {
-		t.Error("the one that waits for its answer has none")
+		t.Error("the waiting client got no OK response")
 	}
 }
 
-// A request that crosses an eviction does not reset the connection.
+// A request that arrives while its connection is evicted must not reset the connection.
 func TestEvictionDoesNotResetCrossingRequest(t *testing.T) {
 	c, cl := serveCrossing(t, accept, putCommand("b", putFields("plain", 8000, 1), nil))
 	if s := cl.put("a", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	waitFor(t, "rest", func() bool {
+	waitFor(t, "the end of the first request", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for cc := range c.conns {
@@ -92,12 +92,12 @@
 		}
 		return false
 	})
-	waitFor(t, "room", func() bool { // one that has just had its answer rests a moment first
+	waitFor(t, "the eviction", func() bool { // a connection can be evicted only a short time after its last response
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.evictConnection() == 0
 	})
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("%v, want an end and no reset", err)
+		t.Errorf("%v, want EOF and no reset", err)
 	}
 }
--- a/internal/relay/connection_pool_test.go
+++ b/internal/relay/connection_pool_test.go
@@ -7,8 +7,9 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// Calls to each of many endpoints, within the time for which a connection stays idle,
-// open no more connections than the pool's limit, and each call is made.
+// Calls to more endpoints than the relay may have descriptors, all within the idle timeout of
+// a connection, must all be made without exceeding the limit: idle connections to other
+// endpoints are closed.
 func TestCallsToManyEndpointsStayWithinDescriptorLimit(t *testing.T) {
 	const (
 		descriptors = 256
@@ -34,13 +35,13 @@
 		waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) > 0 })
 		most = max(most, c.descriptorCount())
 	}
-	t.Logf("%d calls to as many endpoints: up to %d descriptors of %d", endpoints, most, descriptors)
+	t.Logf("%d calls to as many endpoints: up to %d of %d descriptors", endpoints, most, descriptors)
 	if n := log.occurrences("too many open files"); n > 0 || most >= descriptors {
-		t.Errorf("out of descriptors %d times", n)
+		t.Errorf("the relay reached its descriptor limit; %d times it could open no file", n)
 	}
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	if len(ep.calls) != endpoints {
-		t.Errorf("%d calls", len(ep.calls))
+		t.Errorf("%d calls were made", len(ep.calls))
 	}
 }
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -21,8 +21,8 @@
 	"plovershore/internal/wal"
 )
 
-// gate forwards connections to a server from an address of its own, and refuses them
-// while it is shut.
+// tcpProxy forwards the connections to its own address to a server, and refuses them while
+// it is closed.
 type tcpProxy struct {
 	addr, target string
 	mu           sync.Mutex
@@ -57,7 +57,7 @@
 	}()
 }
 
-// pass forwards one connection.
+// forward copies the data of one connection in both directions until it ends.
 func (g *tcpProxy) forward(from net.Conn) {
 	defer from.Close()
 	to, err := net.Dial("tcp", g.target)
@@ -75,7 +75,7 @@
 	io.Copy(from, to)
 }
 
-// shut refuses connections and ends those that are open.
+// close stops listening and closes the open connections.
 func (g *tcpProxy) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -86,17 +86,19 @@
 	clear(g.conns)
 }
 
-// crowd is a set of idle clients that connect again as soon as they are disconnected.
+// reconnectingClients is a set of idle clients that connect again as soon as they are
+// disconnected.
 type reconnectingClients struct {
 	stopping atomic.Bool
-	connects atomic.Int64 // connections made
+	connects atomic.Int64 // number of connections that were made
 	mu       sync.Mutex
 	conns    map[net.Conn]bool
 	running  sync.WaitGroup
 }
 
-// startReconnectingClients has size clients open a connection each: some send nothing, some PING, some
-// submit a message and stay idle, some begin a command.
+// startReconnectingClients starts clients that open one connection each. A fourth of them
+// send nothing, a fourth send PING, a fourth submit a message and stay idle, and a fourth
+// send the beginning of a command.
 func startReconnectingClients(addr string, size int) *reconnectingClients {
 	c := &reconnectingClients{conns: map[net.Conn]bool{}}
 	says := []string{"", "*1\r\n$4\r\nPING\r\n", "put", "*5\r\n$7\r\nMSG"}
@@ -106,7 +108,7 @@
 			defer c.running.Done()
 			for n := 0; !c.stopping.Load(); n++ {
 				text := says[i%len(says)]
-				if text == "put" && n%32 > 0 { // clients rest more than they hand in
+				if text == "put" && n%32 > 0 { // most connections stay idle without submitting a message
 					text = says[1]
 				} else if text == "put" {
 					text = putCommand(fmt.Sprintf("crowd-%d-%d", i, n), putFields("plain", 20000, 7), nil)
@@ -118,7 +120,8 @@
 	return c
 }
 
-// rest holds one connection until the relay ends it.
+// holdConnection opens a connection, sends text and waits until the relay closes the
+// connection.
 func (c *reconnectingClients) holdConnection(addr, text string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -138,6 +141,7 @@
 	c.mu.Unlock()
 }
 
+// close disconnects all clients and waits for their goroutines.
 func (c *reconnectingClients) close() {
 	c.stopping.Store(true)
 	c.mu.Lock()
@@ -148,10 +152,10 @@
 	c.running.Wait()
 }
 
-// lockedBuffer keeps what a process logs; it is safe for concurrent use.
+// lockedBuffer stores the log output of a process; it is safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
-	text bytes.Buffer // no embedding: a copy into its own ReadFrom would go past the lock
+	text bytes.Buffer // not embedded: io.Copy would call its ReadFrom without the lock
 }
 
 func (b *lockedBuffer) Write(p []byte) (int, error) {
@@ -160,7 +164,7 @@
 	return b.text.Write(p)
 }
 
-// all returns what was logged so far.
+// content returns the output so far.
 func (b *lockedBuffer) content() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -173,7 +177,7 @@
 	return strings.Count(b.text.String(), text)
 }
 
-// spawnLimited starts a relay with a limit on descriptors.
+// spawnLimited starts a relay with a limit on its number of file descriptors.
 func spawnLimited(t *testing.T, env map[string]string, w io.Writer, descriptors int) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors), os.Args[0]), env: env}
@@ -181,7 +185,7 @@
 	return c
 }
 
-// descriptors counts the open descriptors of a relay.
+// descriptorCount returns the number of open file descriptors of a relay.
 func (c *child) descriptorCount() int {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
@@ -190,7 +194,7 @@
 	return len(all)
 }
 
-// logFileNames lists the files of a relay's log.
+// logFileNames returns the names of the files of a relay's log, separated by spaces.
 func logFileNames(t *testing.T, env map[string]string) string {
 	t.Helper()
 	all, err := os.ReadDir(filepath.Join(env["ROUTER_STATE"], wal.FolderName))
@@ -204,10 +208,10 @@
 	return strings.Join(names, " ")
 }
 
-// Idle clients that take every descriptor they can while discovery is down do not stop
-// the relay: calls go on, the log grows into new files, the operator address answers,
-// notices are sent and the list is watched again once discovery is back. A new
-// connection may be closed unread.
+// Idle clients that open as many connections as the descriptor limit allows, while
+// discovery is down, must not stop the relay: it makes calls, adds files to its log and
+// answers at the operator address, and once discovery is back it sends notices and watches
+// the list again. The relay may close a new connection without reading from it.
 func TestRelayWorksWhileIdleClientsExhaustDescriptors(t *testing.T) {
 	const descriptors = 96
 	ep := newFakeEndpoint(t, nil)
@@ -220,7 +224,7 @@
 	log := &lockedBuffer{}
 	c := spawnLimited(t, env, log, descriptors)
 	c.waitReady(t)
-	waitFor(t, "the watch", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) == 1 })
+	waitFor(t, "the first watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) == 1 })
 	g.close()
 	cr := startReconnectingClients(c.env["ROUTER_LISTEN"], 3*descriptors)
 	defer cr.close()
@@ -237,11 +241,11 @@
 			}
 		}
 	}()
-	waitFor(t, "the crowd", func() bool { return cr.connects.Load() > 10*descriptors })
+	waitFor(t, "the connections of the idle clients", func() bool { return cr.connects.Load() > 10*descriptors })
 	began := logFileNames(t, env)
 	body := bytes.Repeat([]byte("b"), 32<<10)
 	taken, tries := 0, 0
-	handIn := func(id, fields string) bool { // as a client does: what is shut unread comes again
+	handIn := func(id, fields string) bool { // the caller submits again after a connection that was closed unread, as a client does
 		conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 		if err != nil {
 			return false
@@ -253,35 +257,35 @@
 		io.ReadFull(conn, reply)
 		return string(reply) == "+OK"
 	}
-	for taken < 60 { // two megabytes: the log goes on into new files
+	for taken < 60 { // 2 MB in all, so that the log needs new files
 		id := fmt.Sprintf("m%d", taken)
 		f := putFields("plain", 20000, 7)
 		if taken == 30 {
 			id, f = "failed", putFields("once", 20000, 2)
 		}
-		waitFor(t, id+" is taken on", func() bool { tries++; return handIn(id, f) })
+		waitFor(t, "the acceptance of "+id, func() bool { tries++; return handIn(id, f) })
 		taken++
 		if id != "failed" {
 			waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) >= 1 })
 		}
 	}
-	waitFor(t, "a new file of the log", func() bool { return logFileNames(t, env) != began })
-	waitFor(t, "the operators' answer", func() bool { return c.readyzIs(true) })
+	waitFor(t, "a new log file", func() bool { return logFileNames(t, env) != began })
+	waitFor(t, "readiness at the operator address", func() bool { return c.readyzIs(true) })
 	disc.Mu.Lock()
 	before := len(disc.Froms)
 	disc.Mu.Unlock()
 	_, early := disc.Notice("failed")
 	g.listen(t)
 	back := time.Now()
-	waitFor(t, "the watch", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) > before })
+	waitFor(t, "a new watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) > before })
 	heard := time.Since(back)
 	waitFor(t, "the notice", func() bool { n, ok := disc.Notice("failed"); return ok && n.Outcome == discovery.Failed })
-	t.Logf("%d connections came, %d of %d tries taken on, up to %d descriptors of %d; heard after %v, told after %v",
+	t.Logf("%d connections by idle clients; %d messages accepted in %d tries; up to %d of %d descriptors; after the return of discovery: watch after %v, notice after %v",
 		cr.connects.Load(), taken, tries, most.Load(), descriptors, heard, time.Since(back))
 	if early {
-		t.Error("the notice was taken while discovery was down: nothing is tested")
+		t.Error("discovery received the notice while it was down, so the test proves nothing")
 	}
 	if n := log.occurrences("too many open files"); n > 0 {
-		t.Errorf("out of descriptors %d times", n)
+		t.Errorf("the relay ran out of descriptors %d times", n)
 	}
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -8,8 +8,8 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// Guards the start against silent discovery: the relay answers with the list
-// that it was given.
+// A relay must start and accept messages although discovery does not respond, with the list
+// of its configuration.
 func TestStartWithSilentDiscovery(t *testing.T) {
 	d := discoverytest.New(t)
 	d.Set(func(d *discoverytest.Server) { d.Silent = true })
@@ -22,8 +22,8 @@
 	_ = c
 }
 
-// Guards the start while discovery turns calls away: the list in the
-// configuration serves, with no wait for a better one.
+// If discovery rejects calls, a starting relay must use the list of its configuration at once
+// and not wait for a newer one.
 func TestStartUsesConfiguredListWhenDiscoveryRejects(t *testing.T) {
 	r := newTestRelay(t)
 	r.cfg.KnownList = &discovery.List{Complete: true, Members: []discovery.Member{{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}}}
@@ -32,6 +32,6 @@
 	go func() { r.awaitFirstList(time.Hour); close(done) }()
 	<-done
 	if len(r.endpoints.byID) != 1 {
-		t.Errorf("%d endpoints", len(r.endpoints.byID))
+		t.Errorf("%d endpoints, want the one of the configured list", len(r.endpoints.byID))
 	}
 }
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -17,20 +17,22 @@
 	"plovershore/internal/wal"
 )
 
-// diskFaultEnv names a file to a child relay: as long as that is there, all that the
-// log writes fails with the error whose number stands in it.
+// diskFaultEnv is the environment variable with the path of a fault file. While that file
+// exists, all writes of a child relay's log fail with the error number in the file.
 const diskFaultEnv = "RELAY_TEST_DISK_FAULT"
 
-// faultyDisk is the machine's file system, with failures of what writes.
+// faultyDisk is the file system of the machine, on which writing operations fail while fault
+// returns an error.
 type faultyDisk struct {
 	wal.OS
 	fault func() error
 }
 
-// newFaultyDisk fails as a file says.
+// newFaultyDisk returns a file system that fails while the fault file at path exists.
 func newFaultyDisk(path string) faultyDisk { return faultyDisk{fault: faultFromFile(path)} }
 
-// faultFromFile gives the error whose number stands in a file, as long as that is there.
+// faultFromFile returns a function that returns the error whose number is in the fault file
+// at path, or nil if there is no file.
 func faultFromFile(path string) func() error {
 	return func() error {
 		text, err := os.ReadFile(path)
@@ -39,7 +41,7 @@
 		}
 		var number int
 		if _, err := fmt.Sscan(string(text), &number); err != nil {
-			return nil // it is just being written
+			return nil // the test is just writing the file
 		}
 		return syscall.Errno(number)
 	}
@@ -88,7 +90,7 @@
 	name string
 }
 
-// WriteAt leaves the first half behind where it fails, as a disk does that is full.
+// WriteAt writes only the first half of b when it fails, as a full disk may do.
 func (f faultyFile) WriteAt(b []byte, off int64) (int, error) {
 	if err := f.disk.fault(); err != nil {
 		n, _ := f.File.WriteAt(b[:len(b)/2], off)
@@ -111,13 +113,14 @@
 	return f.File.Sync()
 }
 
-// faultSwitch makes calls of a child fail, and work again.
+// faultSwitch writes and removes the fault file of a child relay.
 type faultSwitch struct {
 	t    *testing.T
 	path string
 }
 
-// newFaultSwitch makes one that the environment variable names to a child.
+// newFaultSwitch returns a switch whose fault file is in the environment variable name of
+// env.
 func newFaultSwitch(t *testing.T, env map[string]string, name string) *faultSwitch {
 	s := &faultSwitch{t, filepath.Join(t.TempDir(), "fault")}
 	env[name] = s.path
@@ -138,10 +141,10 @@
 
 var diskFaults = []syscall.Errno{syscall.ENOSPC, syscall.EIO}
 
-// Guards what was taken on while the disk takes nothing for a while: it is still owed. A
-// message that has not been tried waits, uses up none of its tries and is sent once the
-// disk is back; one whose call is out gets its end in time. What comes new is refused,
-// and after the disk is back taken on again. All of it holds over a kill behind that.
+// While the disk fails, accepted messages stay pending: an untried message must use up no
+// attempts and be sent once the disk works again, and a running call must end as usual. New
+// messages must be refused, and accepted again afterwards. A kill after that must cause no
+// second calls.
 func TestMessagesSurviveTemporaryDiskFailure(t *testing.T) {
 	for _, fault := range diskFaults {
 		t.Run(fault.Error(), func(t *testing.T) {
@@ -174,18 +177,18 @@
 			disk.set(fault)
 			refused := time.Now()
 			if s := cl.put("new", putFields("plain", 8000, 1), nil); s != "-BUSY" {
-				t.Errorf("new, while the disk fails: %s", s)
+				t.Errorf("new message while the disk fails: response %s", s)
 			}
 			if took := time.Since(refused); took > clientTimeout {
-				t.Errorf("refused after %v", took)
+				t.Errorf("the refusal took %v, longer than the client timeout", took)
 			}
 			disc.Send(t, discoverytest.Change(2, later.member("s-5", 5)))
 			close(release)
 			waitFor(t, "the end of the call", func() bool { return slow.answeredOK("out") })
-			time.Sleep(1500 * time.Millisecond) // the disk is away for that long
+			time.Sleep(1500 * time.Millisecond) // how long the disk fails
 			for i := range 5 {
 				if n, ended := disc.Notice(fmt.Sprint("held-", i)); ended {
-					t.Errorf("held-%d was %s while the disk failed", i, n.Outcome)
+					t.Errorf("held-%d got the notice %s while the disk failed", i, n.Outcome)
 				}
 			}
 			disk.clear()
@@ -199,8 +202,8 @@
 				}
 			}
 			take("after", putFields("once", 20000, 1))
-			waitFor(t, "after", func() bool { return quick.answeredOK("after") })
-			waitFor(t, "the log is up to date", func() bool {
+			waitFor(t, "the delivery of the message after the fault", func() bool { return quick.answeredOK("after") })
+			waitFor(t, "all completions in the log", func() bool {
 				r, err := wal.Inspect(nil, env["ROUTER_STATE"])
 				return err == nil && r.Pending == 0
 			})
@@ -208,27 +211,27 @@
 			c = spawnWithLog(t, env, io.Discard)
 			c.waitReady(t)
 			if n := slow.callCount("out") + quick.callCount("after"); n != 2 {
-				t.Errorf("%d calls for two messages that were delivered", n)
+				t.Errorf("%d calls for the two delivered messages, want 2", n)
 			}
 			if n, ended := disc.Notice("out"); ended {
-				t.Errorf("out, which was delivered, was %s", n.Outcome)
+				t.Errorf("the delivered message \"out\" got the notice %s", n.Outcome)
 			}
 		})
 	}
 }
 
-// exited reports whether the process has ended; nobody has waited for it yet.
+// hasExited reports whether the process has ended. It must be called before Wait.
 func (c *child) hasExited() bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.cmd.Process.Pid))
 	_, state, _ := strings.Cut(string(text), ") ")
 	return err != nil || strings.HasPrefix(state, "Z")
 }
 
-// Guards the start of a relay whose disk takes nothing yet: it waits and says so, and is
-// ready once it does.
+// A relay that starts while its disk fails must wait, and become ready once the disk works.
+// This holds for a new state folder and for one with pending messages.
 func TestStartWaitsForDisk(t *testing.T) {
 	for _, fault := range diskFaults {
-		t.Run("new folder/"+fault.Error(), func(t *testing.T) {
+		t.Run("new state folder/"+fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
 			env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
@@ -237,13 +240,13 @@
 			c := spawnWithLog(t, env, io.Discard)
 			for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 				if c.hasExited() {
-					t.Fatal("it ended")
+					t.Fatal("the relay ended while the disk failed")
 				}
 			}
 			disk.clear()
 			c.waitReady(t)
 		})
-		t.Run("owing/"+fault.Error(), func(t *testing.T) {
+		t.Run("pending messages/"+fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
 			env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
@@ -260,7 +263,7 @@
 			c = spawnWithLog(t, env, log)
 			for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 				if c.hasExited() {
-					t.Fatalf("it ended:\n%s", log.content())
+					t.Fatalf("the relay ended while the disk failed:\n%s", log.content())
 				}
 			}
 			disk.clear()
@@ -269,17 +272,17 @@
 			if s := cl.put("new", putFields("once", 20000, 1), nil); s != "+OK" {
 				t.Fatal(s)
 			}
-			waitFor(t, "new", func() bool { return ep.answeredOK("new") })
+			waitFor(t, "the delivery of the new message", func() bool { return ep.answeredOK("new") })
 			if r, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || r.Pending < 1 || !r.Sound() {
-				t.Errorf("%+v, %v", r, err)
+				t.Errorf("log state %+v, error %v, want a sound log with a pending message", r, err)
 			}
 		})
 	}
 }
 
-// Guards a message that is ended before its time while the disk takes nothing: if its end
-// is not in the log, the next process would send what its client was told is over. So its
-// notice waits for the log, though no longer than the message's time.
+// A message ends before its deadline while the disk fails. If its notice were sent without
+// the end being in the log, the next process would send a message of which the client was
+// told that it is over. So the notice must wait for the log, but only until the deadline.
 func TestNoticeWaitsForLogUntilDeadline(t *testing.T) {
 	var failing atomic.Bool
 	r := newTestRelayWithFS(t, faultyDisk{fault: func() error {
@@ -316,15 +319,15 @@
 		r.sendDueNotices()
 		for id := range taken {
 			if _, told := disc.Notice(id); told {
-				t.Fatalf("%s was told with no record in the log", id)
+				t.Fatalf("notice of %s was sent before its deadline with no record in the log", id)
 			}
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	waitFor(t, "the notice whose time is up", func() bool { r.sendDueNotices(); _, told := disc.Notice("timely"); return told })
+	waitFor(t, "the notice of the message whose deadline passed", func() bool { r.sendDueNotices(); _, told := disc.Notice("timely"); return told })
 	if _, told := disc.Notice("early"); told {
-		t.Error("early was told with no record in the log")
+		t.Error("the notice of \"early\" was sent before its deadline with no record in the log")
 	}
 	failing.Store(false)
-	waitFor(t, "the other", func() bool { r.sendDueNotices(); _, told := disc.Notice("early"); return told })
+	waitFor(t, "the notice of the other message", func() bool { r.sendDueNotices(); _, told := disc.Notice("early"); return told })
 }
--- a/internal/relay/endpoint_test.go
+++ b/internal/relay/endpoint_test.go
@@ -9,8 +9,9 @@
 	"plovershore/policy"
 )
 
-// After a machine was away, the idle connections to it are closed, as they may be dead
-// without notice; one slow call among others is no reason.
+// If a call fails and no later call was answered, the machine of the endpoint may have been
+// away, and the idle connections to it may be dead without any sign of it, so they must be
+// closed. One slow call while others are answered is no reason to close them.
 func TestUnansweredCallAfterSilenceSuggestsDeadConnections(t *testing.T) {
 	ep := &endpoint{}
 	for i, x := range []struct {
@@ -19,7 +20,7 @@
 		want bool
 	}{
 		{outcome{kind: policy.Delivered, status: 200, latency: 10}, 1000, false},
-		{outcome{kind: policy.TimedOut, latency: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
+		{outcome{kind: policy.TimedOut, latency: 500}, 1100, false}, // sent at 600, and another call was answered at 1000
 		{outcome{kind: policy.TimedOut, latency: 500}, 2000, true},
 		{outcome{kind: policy.ConnectionReset}, 2100, true},
 		{outcome{kind: policy.ConnectFailed}, 2200, true},
@@ -27,28 +28,27 @@
 		{outcome{kind: policy.Cancelled, latency: 50}, 2320, false},
 	} {
 		if got := ep.updateLiveness(&x.o, x.now); got != x.want {
-			t.Errorf("%d: %v", i, got)
+			t.Errorf("outcome %d: connections suspected dead: %v", i, got)
 		}
 	}
 }
 
-// A new idle timeout reaches the connections, and the transport is replaced only when
-// the timeout changes.
+// A new idle timeout must apply to the connections, for which the transport is replaced. It
+// must not be replaced if the timeout stays the same.
 func TestTransportIsReplacedWhenIdleTimeoutChanges(t *testing.T) {
 	cfg := parseTestConfig(t)
 	ep := &endpoint{}
 	ep.setIdleTimeout(cfg, 2, time.Second)
 	first := ep.transport
 	if ep.setIdleTimeout(cfg, 2, time.Second); ep.transport != first {
-		t.Error("replaced with no change")
+		t.Error("the transport was replaced although the timeout did not change")
 	}
 	if ep.setIdleTimeout(cfg, 2, 128*time.Millisecond); ep.transport == first || ep.transport.IdleConnTimeout != 128*time.Millisecond {
-		t.Errorf("idle for %v at most, want 128ms", ep.transport.IdleConnTimeout)
+		t.Errorf("idle timeout %v, want 128ms with a new transport", ep.transport.IdleConnTimeout)
 	}
 }
 
-// After a reset on an idle connection, the next call uses connections that may not be
-// idle for as long.
+// After a reset on an idle connection, the next calls must use a shorter idle timeout.
 func TestResetOnIdleConnectionShortensIdleTimeout(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	r := newTestRelay(t)
@@ -62,7 +62,7 @@
 	}
 	send1("a")
 	if got, want := at.transport.IdleConnTimeout, 9*time.Second; got != want {
-		t.Fatalf("at first idle for %v at most, want %v", got, want)
+		t.Fatalf("first idle timeout %v, want %v", got, want)
 	}
 	<-r.mailbox.Ready()
 	for _, e := range r.mailbox.TakeAll(nil) {
@@ -70,7 +70,7 @@
 	}
 	send1("b")
 	if got, want := at.transport.IdleConnTimeout, 256*time.Millisecond; got != want {
-		t.Errorf("after a reset idle for %v at most, want %v", got, want)
+		t.Errorf("idle timeout after a reset %v, want %v", got, want)
 	}
 	<-r.mailbox.Ready()
 }
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -28,7 +28,8 @@
 	"plovershore/policy"
 )
 
-// childEnv makes the test's own program a relay, so that a test can kill one.
+// childEnv is the environment variable that makes the test binary run as a relay, so that
+// a test can start a relay in a process of its own and kill it.
 const childEnv = "RELAY_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -40,7 +41,7 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := LoadConfig(os.Getenv)
 	if err != nil {
-		log.Error("child", "err", err)
+		log.Error("test relay failed", "err", err)
 		os.Exit(2)
 	}
 	if path := os.Getenv(diskFaultEnv); path != "" {
@@ -51,7 +52,7 @@
 	}
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	if err := Run(cfg, log, ctx.Done(), WatchDiscoveryAddress(hup, os.Getenv, log)); err != nil {
-		log.Error("child", "err", err)
+		log.Error("test relay failed", "err", err)
 		os.Exit(1)
 	}
 	os.Exit(0)
@@ -70,7 +71,7 @@
  "report":{"fields":[],"how":"none"},
  "tick_us":5000,"value_by":"request","weights":"nominal","zone":0}`
 
-// waitFor waits for a condition, never for a time.
+// waitFor waits until cond is true. It fails the test after 30 seconds.
 func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -78,12 +79,13 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// fakeEndpoint answers calls by a function and keeps what came.
+// fakeEndpoint is an endpoint that records the calls it receives and answers them with a
+// function. The function gets the number of the call, counted from 1.
 type fakeEndpoint struct {
 	*httptest.Server
 	mu     sync.Mutex
@@ -94,7 +96,7 @@
 type receivedCall struct {
 	id, key, timeout string
 	body             []byte
-	ok               bool // it was answered 200
+	ok               bool // the call was answered with status 200
 }
 
 func newFakeEndpoint(t *testing.T, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
@@ -128,7 +130,7 @@
 	return e
 }
 
-// statusWriter keeps the status of an answer.
+// statusWriter records the status code of a response.
 type statusWriter struct {
 	http.ResponseWriter
 	code int
@@ -139,16 +141,18 @@
 	w.ResponseWriter.WriteHeader(code)
 }
 
-// answered reports whether a call of one message was answered 200.
+// answeredOK reports whether a call with a single message, the one with this ID, was
+// answered with status 200.
 func (e *fakeEndpoint) answeredOK(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.ContainsFunc(e.calls, func(c receivedCall) bool { return c.id == id && c.ok })
 }
 
-// hang holds a call until its caller is gone.
+// hang does not answer a call until the caller has closed it.
 func hang(_ http.ResponseWriter, r *http.Request, _ int) { <-r.Context().Done() }
 
+// answerStatus answers every call with a status code.
 func answerStatus(code int) func(http.ResponseWriter, *http.Request, int) {
 	return func(w http.ResponseWriter, _ *http.Request, _ int) { w.WriteHeader(code) }
 }
@@ -161,6 +165,7 @@
 	e.answer = answer
 }
 
+// callCount returns how often a message was received, alone or in a batch.
 func (e *fakeEndpoint) callCount(id string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -183,7 +188,8 @@
 	return discovery.Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Cell: cell, Phase: discovery.Up, Size: 1000}
 }
 
-// writeTestConfig writes a configuration and returns the environment that names it.
+// writeTestConfig writes a configuration file and returns the environment variables that
+// make a relay use it.
 func writeTestConfig(t *testing.T, d *discoverytest.Server, diskMB int) map[string]string {
 	t.Helper()
 	listen := loopback.Free()
@@ -202,23 +208,24 @@
 		"ROUTER_DISCOVERY": d.Addr(), "ROUTER_NAME": "n1"}
 }
 
-// editConfig changes a configuration that writeTestConfig wrote.
+// editConfig replaces the first occurrence of a text in a configuration file that
+// writeTestConfig wrote.
 func editConfig(t *testing.T, env map[string]string, old, new string) {
 	t.Helper()
 	text, err := os.ReadFile(env["ROUTER_CONFIG"])
 	if err != nil || !strings.Contains(string(text), old) {
-		t.Fatalf("no %s in the configuration: %v", old, err)
+		t.Fatalf("configuration does not contain %s, or cannot be read: %v", old, err)
 	}
 	if err := os.WriteFile(env["ROUTER_CONFIG"], []byte(strings.Replace(string(text), old, new, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// newTestRelay is a relay with its log but with no socket and no loop: a test
-// takes the loop's place.
+// newTestRelay returns a relay that has a log but no sockets and no running loop. The test
+// calls what the loop would call.
 func newTestRelay(t *testing.T) *Relay { return newTestRelayWithFS(t, nil) }
 
-// newTestRelayWithFS is the same with a file system of its own for the log.
+// newTestRelayWithFS is like newTestRelay, with a log on the given file system.
 func newTestRelayWithFS(t *testing.T, fs wal.FS) *Relay {
 	t.Helper()
 	cfg := parseTestConfig(t)
@@ -239,9 +246,11 @@
 	return r
 }
 
-// logged reports whether the log in a state folder has such a record.
+// logContains reports whether the log in a state folder has a record of a kind for a
+// message.
 func logContains(dir string, kind wal.Kind, id string) (found bool) {
-	// A folder that changes meanwhile is read again by who waits.
+	// Dump may fail while the relay writes to the folder; callers call this function again
+	// until it returns true.
 	wal.Dump(nil, dir, func(_ string, _ int64, _ uint64, r *wal.Record) bool {
 		found = r.Kind == kind && r.ID == id
 		return !found
@@ -249,12 +258,13 @@
 	return found
 }
 
-// child is a relay in a process of its own.
+// child is a relay that runs in a child process.
 type child struct {
 	cmd *exec.Cmd
 	env map[string]string
 }
 
+// startChild starts a relay in a child process and waits until it answers PING.
 func startChild(t *testing.T, env map[string]string) *child {
 	t.Helper()
 	c := spawn(t, env)
@@ -262,13 +272,13 @@
 	return c
 }
 
-// spawn starts a relay in a process of its own and does not wait for it.
+// spawn starts a relay in a child process without waiting until it is ready.
 func spawn(t *testing.T, env map[string]string) *child {
 	t.Helper()
 	return spawnWithLog(t, env, stderrWriter{t})
 }
 
-// spawnWithLog is the same with the relay's own log going to w.
+// spawnWithLog is like spawn, with the log of the relay written to w.
 func spawnWithLog(t *testing.T, env map[string]string, w io.Writer) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command(os.Args[0]), env: env}
@@ -276,7 +286,7 @@
 	return c
 }
 
-// startProcess starts a child that the test's end ends.
+// startProcess starts the command of a child, which is killed at the end of the test.
 func startProcess(t *testing.T, c *child, w io.Writer) {
 	t.Helper()
 	c.cmd.Env = append(os.Environ(), childEnv+"=1")
@@ -290,13 +300,14 @@
 	t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
 }
 
+// stderrWriter writes the log of a child relay to the standard error of the test.
 type stderrWriter struct{ t *testing.T }
 
 func (w stderrWriter) Write(p []byte) (int, error) { os.Stderr.Write(p); return len(p), nil }
 
 func (c *child) waitReady(t *testing.T) {
 	t.Helper()
-	waitFor(t, "PONG", func() bool {
+	waitFor(t, "an answer to PING", func() bool {
 		conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 		if err != nil {
 			return false
@@ -310,7 +321,7 @@
 
 func (c *child) kill() { c.cmd.Process.Kill(); c.cmd.Wait() }
 
-// testClient hands messages in over one connection.
+// testClient submits messages over one connection.
 type testClient struct {
 	t *testing.T
 	net.Conn
@@ -328,6 +339,7 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
+// putCommand returns the bytes of a MSG.PUT command.
 func putCommand(id, fields string, body []byte) string {
 	var b strings.Builder
 	b.WriteString("*5\r\n")
@@ -337,6 +349,7 @@
 	return b.String()
 }
 
+// put submits a message and returns the first line of the response.
 func (c *testClient) put(id, fields string, body []byte) string {
 	c.t.Helper()
 	io.WriteString(c, putCommand(id, fields, body))
@@ -347,11 +360,13 @@
 	c.t.Helper()
 	s, err := c.in.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("no response: %v", err)
 	}
 	return strings.TrimSuffix(s, "\r\n")
 }
 
+// putFields returns the fields argument of a MSG.PUT command. A message of the class
+// "keyed" gets an idempotency key.
 func putFields(class string, deadlineMS int, dest int) string {
 	s := fmt.Sprintf("c=%s,t=acme,d=%d,dest=%d", class, deadlineMS, dest)
 	if class == "keyed" {
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -9,8 +9,8 @@
 	"plovershore/policy"
 )
 
-// Guards the JSON names of what one process hands to the next: the other may run an
-// older program.
+// The JSON names of the policy handoff must not change, as the two processes of an upgrade may
+// run different versions of the program.
 func TestPolicyHandoffKeepsJSONNames(t *testing.T) {
 	text, err := json.Marshal(policyHandoff{PolicyTime: 1, LogTime: 2, EndpointIDs: map[policy.Endpoint]string{3: "s-3"}})
 	if err != nil {
@@ -21,9 +21,9 @@
 		t.Fatal(err)
 	}
 	if names := slices.Sorted(maps.Keys(fields)); !slices.Equal(names, []string{"IDs", "Memory", "Now", "Wall"}) {
-		t.Errorf("names %v", names)
+		t.Errorf("JSON names %v", names)
 	}
 	if string(fields["Now"]) != "1" || string(fields["Wall"]) != "2" || string(fields["IDs"]) != `{"3":"s-3"}` {
-		t.Errorf("got %s", text)
+		t.Errorf("JSON text %s", text)
 	}
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Property over the orders of a hand-over: a second process comes beside the
-// first, and either is told to end or killed at some moment of it, while clients
-// hand messages in. What was answered +OK is delivered or ended, what was refused
-// is never sent, and what may not be repeated is sent once.
+// A property test of the handover: a second process starts beside the first while clients
+// submit messages, and both get SIGTERM or SIGKILL at random times. An accepted message must
+// be delivered or end, a refused one must never be sent, and one of the class "once" must not
+// be sent twice.
 func TestHandoverWithRandomSignalsKeepsMessages(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -51,7 +51,7 @@
 			o.running.Wait()
 			for _, c := range both {
 				if err := c.cmd.Wait(); err != nil && !killed {
-					t.Errorf("exit: %v", err)
+					t.Errorf("exit of a process without kills: %v", err)
 				}
 			}
 			startChild(t, o.env)
@@ -67,7 +67,7 @@
 					}
 				}
 			}
-			for _, s := range o.clients { // once all is over
+			for _, s := range o.clients { // only now, as all accepted messages have ended
 				for j, id := range s.ids {
 					n := o.endpoint.callCount(id)
 					refused := j < len(s.answers) && strings.HasPrefix(s.answers[j], "-BUSY")
@@ -75,13 +75,13 @@
 					case n > 1 && s.isOnce[j]:
 						t.Errorf("%s was sent %d times", id, n)
 					case n > 0 && refused:
-						t.Errorf("%s was sent, its client has heard %v", id, s.answers)
+						t.Errorf("%s was refused but sent; responses to its client: %v", id, s.answers)
 					case n > 0 && j >= len(s.answers) && !killed:
-						t.Errorf("%s was sent, its client has heard nothing", id)
+						t.Errorf("%s was sent, but its client got no response", id)
 					}
 				}
 			}
-			t.Logf("%d taken on, killed %v, the first is %v", taken, killed, both[0] == first)
+			t.Logf("%d messages accepted; a process was killed: %v; the first process got its signal first: %v", taken, killed, both[0] == first)
 		})
 	}
 }
--- a/internal/relay/health_check_test.go
+++ b/internal/relay/health_check_test.go
@@ -11,7 +11,7 @@
 	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Errored} {
 		ep := newFakeEndpoint(t, answerStatus(code))
 		if o := checkHealth(context.Background(), newTestTransport(t, 2), ep.addr()); o.kind != want {
-			t.Errorf("%d: %+v", code, o)
+			t.Errorf("status %d: %+v", code, o)
 		}
 	}
 }
--- a/internal/relay/listener_test.go
+++ b/internal/relay/listener_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Connections in the backlog of a closing listener are served in spite of transient
-// errors of accept.
+// The connections in the backlog of a closed listener must be served although accept fails
+// with transient errors in between.
 func TestClosedListenerServesBacklogDespiteAcceptErrors(t *testing.T) {
 	ln, err := listenReusePort(t.Context(), "127.0.0.1:0")
 	if err != nil {
@@ -22,7 +22,7 @@
 		return syscall.Accept4(fd, flags)
 	}
 	var waiting []*testClient
-	for range 12 { // nobody accepts yet
+	for range 12 { // the connections stay in the backlog of the listener
 		waiting = append(waiting, dialClient(t, ln.Addr().String()))
 	}
 	c.stopListening(ln)
@@ -31,7 +31,7 @@
 	}
 	for i, cl := range waiting {
 		if s := cl.put("m", putFields("plain", 8000, 1), nil); s != "+OK" {
-			t.Errorf("%d: %s", i, s)
+			t.Errorf("connection %d: response %s", i, s)
 		}
 	}
 }
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -11,7 +11,7 @@
 	"plovershore/policy"
 )
 
-// walked counts the gauges of the list the plain way.
+// countEndpoints returns the values of the endpoint gauges by going over all endpoints.
 func (r *Relay) countEndpoints(now policy.Time) (members, avoided int64) {
 	for _, ep := range r.endpoints.byID {
 		if !ep.isListed {
@@ -25,17 +25,19 @@
 	return members, avoided
 }
 
-// listSimulation changes a list, has calls come to all sorts of ends, and compares the gauges after each step.
+// listSimulation makes random changes to a member list and lets calls end with random
+// outcomes, for a relay without a loop.
 type listSimulation struct {
 	t              *testing.T
 	r              *Relay
 	rng            *rand.Rand
 	list           map[string]*discovery.Member
 	revision       int64
-	inFlight       []*message // with a call that is to end
-	maxUnavailable int64      // avoided at once
+	inFlight       []*message // messages with a call in flight, oldest first
+	maxUnavailable int64      // highest number of unavailable endpoints at any step
 }
 
+// drawMember returns a member with a random ID, address, destination and phase.
 func (d *listSimulation) drawMember() *discovery.Member {
 	id := fmt.Sprintf("s-%d", d.rng.IntN(30))
 	m := &discovery.Member{ID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", 1+d.rng.IntN(3)), Flavor: "k", Cell: d.rng.IntN(8),
@@ -44,7 +46,7 @@
 	return m
 }
 
-// news gives a change of one member, or now and then the whole list.
+// changeList applies a change of one random member, or one time in four a whole list.
 func (d *listSimulation) changeList() {
 	d.revision++
 	l := &discovery.List{Revision: d.revision, Members: []discovery.Member{*d.drawMember()}}
@@ -59,7 +61,7 @@
 	listEvent{l}.handle(d.r)
 }
 
-// end has the oldest call end in some way.
+// finishOldestCall ends the oldest call with a random outcome.
 func (d *listSimulation) finishOldestCall() {
 	if len(d.inFlight) == 0 {
 		return
@@ -78,8 +80,8 @@
 	d.r.finishCall(m.call, []outcome{o})
 }
 
-// Guards the gauges of the list, which follow its changes and those of the policy: after any of them, and as time passes,
-// they say what a walk over all endpoints would.
+// The endpoint gauges are updated with each change of the list and of the policy's view.
+// After any change, and as waiting times pass, they must equal a count over all endpoints.
 func TestEndpointGaugesMatchFullCount(t *testing.T) {
 	for seed := range uint64(6) {
 		r := newTestRelay(t)
@@ -96,24 +98,25 @@
 			case 3:
 				d.finishOldestCall()
 			case 4:
-				time.Sleep(time.Duration(d.rng.IntN(2000)) * time.Microsecond) // waits and rests pass
+				time.Sleep(time.Duration(d.rng.IntN(2000)) * time.Microsecond) // lets waiting times of endpoints pass
 			}
 			d.stepPolicy()
 			r.publishMetrics()
 			members, avoided := r.countEndpoints(r.published.publishedAt)
 			if got, was := r.metrics.members.Load(), r.metrics.unavailable.Load(); got != members || was != avoided {
-				t.Fatalf("seed %d, step %d: %d members, %d avoided; a walk says %d and %d", seed, step, got, was, members, avoided)
+				t.Fatalf("seed %d, step %d: gauges say %d members, %d unavailable; the endpoints are %d and %d", seed, step, got, was, members, avoided)
 			}
 			d.maxUnavailable = max(d.maxUnavailable, avoided)
 			d.checkDestinations(step)
 		}
 		if d.maxUnavailable < 5 {
-			t.Errorf("seed %d: at most %d avoided: it tests nothing", seed, d.maxUnavailable)
+			t.Errorf("seed %d: at most %d endpoints were unavailable, too few to test anything", seed, d.maxUnavailable)
 		}
 	}
 }
 
-// step has the policy decide; its calls stay out until end ends them.
+// stepPolicy steps the policy and carries out its actions. Calls stay in flight until
+// finishOldestCall ends them.
 func (d *listSimulation) stepPolicy() {
 	r := d.r
 	r.fireTimers()
@@ -139,7 +142,7 @@
 	}
 }
 
-// cells compares the endpoints of each destination with those of all.
+// checkDestinations compares the index of endpoints by destination with all endpoints.
 func (d *listSimulation) checkDestinations(step int) {
 	want := map[int]int{}
 	for _, ep := range d.r.endpoints.byID {
@@ -154,19 +157,21 @@
 	}
 }
 
-// Guards the cost of an idle relay: where nothing happens, and all is well, the gauges look at no endpoint.
+// If all endpoints are available, updating the gauges must not look at each endpoint, so that
+// an idle relay with a large list needs little CPU time.
 func TestHealthyListNeedsNoAvailabilityRecheck(t *testing.T) {
 	r := newTestRelay(t)
 	listEvent{largeList(3000, "127.0.0.1:1")}.handle(r)
 	r.stepPolicy()
 	r.publishMetrics()
 	if n := len(r.endpoints.maybeUnavailable); n != 0 || r.metrics.members.Load() != 3000 || r.metrics.unavailable.Load() != 0 {
-		t.Errorf("%d looked at again; %d members, %d avoided", n, r.metrics.members.Load(), r.metrics.unavailable.Load())
+		t.Errorf("%d endpoints to be checked again; %d members, %d unavailable", n, r.metrics.members.Load(), r.metrics.unavailable.Load())
 	}
 }
 
-// Guards the memory of a list whose members come and go: those that left long ago are forgotten, and not sooner. A change
-// in between walks over nothing.
+// Endpoints that were removed long ago must be forgotten, so that memory does not grow as
+// members come and go. They must not be forgotten before their retention time is over, and
+// list changes between two sweeps must not go over all endpoints.
 func TestRemovedEndpointsAreForgottenAfterRetention(t *testing.T) {
 	r := newTestRelay(t)
 	change := func(id, phase string) {
@@ -181,17 +186,17 @@
 	pass(removedEndpointRetention - removedEndpointSweepInterval)
 	change("other", discovery.Up)
 	if r.endpoints.byID["gone"] == nil {
-		t.Fatal("an endpoint was forgotten before its time")
+		t.Fatal("an endpoint was forgotten before its retention time was over")
 	}
 	swept := r.endpoints.sweptAt
 	pass(removedEndpointSweepInterval / 2)
 	change("other", discovery.Draining)
 	if r.endpoints.sweptAt != swept {
-		t.Error("a change walked over all endpoints")
+		t.Error("a change before the next sweep went over all endpoints")
 	}
 	pass(2 * removedEndpointSweepInterval)
 	change("other", discovery.Up)
 	if r.endpoints.byID["gone"] != nil || len(r.endpoints.byNumber) != 1 || len(r.endpoints.byCell[1]) != 1 {
-		t.Errorf("%d endpoints are known, %d by number, %d by destination", len(r.endpoints.byID), len(r.endpoints.byNumber), len(r.endpoints.byCell[1]))
+		t.Errorf("%d endpoints by ID, %d by number, %d by destination, want 1 each", len(r.endpoints.byID), len(r.endpoints.byNumber), len(r.endpoints.byCell[1]))
 	}
 }
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -9,8 +9,8 @@
 	"plovershore/policy"
 )
 
-// Guards the text of the figures, byte for byte: names, labels, help and order are what
-// the operators' tools were written for.
+// The text of the metrics must stay the same byte for byte, as tools of the operators depend
+// on its names, labels, help texts and order.
 func TestMetricsTextMatchesGoldenFile(t *testing.T) {
 	m := newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}})
 	n := int64(0)
@@ -47,7 +47,7 @@
 	}
 }
 
-// Guards that each figure that docs/on-call.md names is there.
+// Each metric that docs/on-call.md names must exist.
 func TestMetricsNamedInOnCallPageExist(t *testing.T) {
 	page, err := os.ReadFile("../../docs/on-call.md")
 	if err != nil {
@@ -56,11 +56,11 @@
 	text := string(newMetrics([]policy.Class{{Name: "plain"}}).prometheusText())
 	names := regexp.MustCompile(`app_[a-z_]+`).FindAllString(string(page), -1)
 	if len(names) < 15 {
-		t.Fatalf("the page names %d figures", len(names))
+		t.Fatalf("the page names only %d metrics", len(names))
 	}
 	for _, name := range names {
 		if !strings.Contains(text, "# TYPE "+name+" ") {
-			t.Errorf("no figure %s", name)
+			t.Errorf("no metric %s", name)
 		}
 	}
 }
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -17,7 +17,8 @@
 	"plovershore/policy"
 )
 
-// startTestOperator runs the operator address alone.
+// startTestOperator starts an operator server without a relay. It returns the readiness flag
+// that the server reports.
 func startTestOperator(t *testing.T) (*operatorServer, *atomic.Bool) {
 	t.Helper()
 	ready := &atomic.Bool{}
@@ -30,7 +31,7 @@
 	return o, ready
 }
 
-// callOperator makes a call as it is written, and gives its status and body.
+// callOperator makes an HTTP call to an operator address and returns the status and body.
 func callOperator(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+addr+path, nil)
@@ -63,12 +64,12 @@
 	}
 	ready.Store(true)
 	if got, _ := callOperator(t, o.addr, "GET", "/v1/readyz"); got != 200 {
-		t.Errorf("readyz of a ready relay: %d", got)
+		t.Errorf("readyz of a ready relay: status %d", got)
 	}
 }
 
-// Guards against callers that hold on: more of them than there is room for do
-// not keep a whole call from its answer.
+// More callers than the connection limit keep their connections open with no request or an
+// incomplete one. A complete call must still be answered.
 func TestOperatorAnswersDespiteSlowCallers(t *testing.T) {
 	o, _ := startTestOperator(t)
 	for i := range 2 * maxOperatorConns {
@@ -80,23 +81,24 @@
 		io.WriteString(conn, []string{"", "GET /v1/metr", "GET /v1/metrics HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nab"}[i%3])
 	}
 	if got, _ := callOperator(t, o.addr, "GET", "/v1/metrics"); got != 200 {
-		t.Errorf("metrics: %d", got)
+		t.Errorf("metrics: status %d", got)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.conns) > maxOperatorConns {
-		t.Errorf("%d connections are held", len(o.conns))
+		t.Errorf("%d connections are open, more than the limit", len(o.conns))
 	}
 }
 
-// Guards the form of the figures, and that every class is there from the start.
+// The metrics must have the Prometheus text format, with the counts of every class from the
+// start.
 func TestMetricsTextListsEveryClass(t *testing.T) {
 	f := newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}})
 	f.countDelivered(1)
 	f.countWritten(1)
 	f.countUndelivered(0, discovery.Returned)
 	f.countUndelivered(1, discovery.Failed)
-	f.countUndelivered(-1, discovery.Failed) // of a class that is no more
+	f.countUndelivered(-1, discovery.Failed) // a class that the settings no longer have
 	f.pending.Store(14)
 	text := string(f.prometheusText())
 	for _, want := range []string{`app_completed{lane="plain"} 0`, `app_completed{lane="once"} 1`, `app_rejected{lane="plain"} 1`,
@@ -109,12 +111,12 @@
 	line := regexp.MustCompile(`^(# (HELP|TYPE) app_[a-z_]+ .+|app_[a-z_]+(\{lane="[^"]+"\})? \d+)$`)
 	for s := bufio.NewScanner(strings.NewReader(text)); s.Scan(); {
 		if !line.MatchString(s.Text()) {
-			t.Errorf("line %q", s.Text())
+			t.Errorf("malformed line %q", s.Text())
 		}
 	}
 }
 
-// Guards each count: it is raised once, by the message's one end or its call.
+// Each message must be counted once at its end, and each call once when it is sent.
 func TestMetricsCountEachMessageOnce(t *testing.T) {
 	done, broken := newFakeEndpoint(t, nil), newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
 	drains := done.member("s-3", 3)
@@ -128,12 +130,12 @@
 			t.Fatal(s)
 		}
 	}
-	cl.put("late", putFields("plain", 0, 1), nil) // refused at once
+	cl.put("late", putFields("plain", 0, 1), nil) // refused directly, so it is not counted
 	want := []string{`app_completed{lane="once"} 1`, `app_completed{lane="keyed"} 1`, `app_completed{lane="plain"} 0`,
 		`app_rejected{lane="plain"} 1`, `app_failed{lane="once"} 1`, `app_failed{lane="plain"} 0`,
 		`app_upstream_requests{lane="once"} 2`, `app_upstream_requests{lane="keyed"} 1`, `app_upstream_requests{lane="plain"} 0`,
 		"app_pending 1", "app_members 3"}
-	waitFor(t, "the figures", func() bool {
+	waitFor(t, "the expected metrics", func() bool {
 		_, text := callOperator(t, env["ROUTER_OPERATOR"], "GET", "/v1/metrics")
 		for _, w := range want {
 			if !strings.Contains(text, "\n"+w+"\n") {
@@ -143,13 +145,13 @@
 		return true
 	})
 	if got, _ := callOperator(t, env["ROUTER_OPERATOR"], "GET", "/v1/readyz"); got != 200 {
-		t.Errorf("readyz: %d", got)
+		t.Errorf("readyz: status %d", got)
 	}
 }
 
-// Guards the drain: PING and readyz say no, kept and late connections are served
-// until they are let go between requests, what is held still goes out, and
-// activate takes it all back.
+// During a drain by the operator, PING and readyz must report that the relay is not ready,
+// existing and new connections must be served until they are closed between requests, and
+// pending messages must still be sent. Activate must undo the drain.
 func TestDrainKeepsServingUntilActivate(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	disc := discoverytest.New(t, ep.member("s-1", 1))
@@ -158,7 +160,7 @@
 	c := startChild(t, env)
 	ask := func(path string) {
 		t.Helper()
-		for range 2 { // twice is once
+		for range 2 { // the call is idempotent
 			if got, text := callOperator(t, env["ROUTER_OPERATOR"], "POST", path); got != 200 {
 				t.Fatalf("%s: %d %s", path, got, text)
 			}
@@ -171,36 +173,36 @@
 		}
 	}
 	ask("/v1/relay/drain")
-	waitFor(t, "a no", func() bool {
+	waitFor(t, "the drain in the answer to PING", func() bool {
 		cl := dialClient(t, env["ROUTER_LISTEN"])
 		defer cl.Close()
 		io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
 		return cl.readLine() == "-ERR draining"
 	})
 	if got, _ := callOperator(t, env["ROUTER_OPERATOR"], "GET", "/v1/readyz"); got != 503 {
-		t.Errorf("readyz of a drained relay: %d", got)
+		t.Errorf("readyz of a draining relay: status %d", got)
 	}
 	late := dialClient(t, env["ROUTER_LISTEN"])
 	if s := late.put("late", putFields("once", 20000, 1), nil); s != "+OK" {
-		t.Errorf("a late connection: %s", s)
+		t.Errorf("message on a new connection during the drain: %s", s)
 	}
 	for name, cl := range map[string]*testClient{"kept": kept, "late": late} {
 		if _, err := cl.in.ReadByte(); err != io.EOF {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("connection %q: %v, want EOF", name, err)
 		}
 	}
 	other := newFakeEndpoint(t, nil)
 	disc.Send(t, discoverytest.Change(2, other.member("s-5", 5)))
-	waitFor(t, "what is held", func() bool { return ep.callCount("late") == 1 && other.callCount("held") == 1 })
+	waitFor(t, "the pending messages", func() bool { return ep.callCount("late") == 1 && other.callCount("held") == 1 })
 	ask("/v1/relay/activate")
 	c.waitReady(t)
 	again := dialClient(t, env["ROUTER_LISTEN"])
-	for _, id := range []string{"a", "b"} { // the connection is kept again
+	for _, id := range []string{"a", "b"} { // the connection must stay open between requests again
 		if s := again.put(id, putFields("once", 20000, 1), nil); s != "+OK" {
 			t.Errorf("%s: %s", id, s)
 		}
 	}
 	if got, _ := callOperator(t, env["ROUTER_OPERATOR"], "GET", "/v1/readyz"); got != 200 {
-		t.Errorf("readyz of an active relay: %d", got)
+		t.Errorf("readyz after activate: status %d", got)
 	}
 }
--- a/internal/relay/orders_test.go
+++ b/internal/relay/orders_test.go
@@ -13,8 +13,8 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// orders is the world of a property test over orders: one destination that
-// answers when its draws say, and clients that play beside each other.
+// sequenceTest is the setup of a property test in which clients, signals and calls come in a
+// random sequence: one destination that answers after random delays, and concurrent clients.
 type sequenceTest struct {
 	t        *testing.T
 	env      map[string]string
@@ -24,8 +24,8 @@
 	running  sync.WaitGroup
 }
 
-// newSequenceTest makes one whose destination answers within most; one call in full is
-// turned away, none where that is 0.
+// newSequenceTest returns a setup whose destination answers within the given delay. On
+// average it rejects one call out of full with status 503, or none if full is 0.
 func newSequenceTest(t *testing.T, seed uint64, most time.Duration, full int) *sequenceTest {
 	var mu sync.Mutex
 	draws := rand.New(rand.NewPCG(seed, 6))
@@ -43,7 +43,8 @@
 	return &sequenceTest{t: t, env: writeTestConfig(t, disc, 3), endpoint: ep, disc: disc}
 }
 
-// play has a client send the parts of a text, after a while and with pauses.
+// startClient starts a client that connects after a delay and sends the parts of a text with
+// pauses between them.
 func (o *sequenceTest) startClient(s *sequenceClient, before time.Duration, pauses []time.Duration, parts ...string) {
 	o.clients = append(o.clients, s)
 	o.running.Add(1)
@@ -53,34 +54,34 @@
 	}()
 }
 
-// over waits until a message is delivered or ended.
+// waitEnded waits until a message was delivered or got a notice.
 func (o *sequenceTest) waitEnded(id string) {
 	o.t.Helper()
-	waitFor(o.t, "the end of "+id, func() bool {
+	waitFor(o.t, "the delivery or notice of "+id, func() bool {
 		_, ended := o.disc.Notice(id)
 		return ended || o.endpoint.answeredOK(id)
 	})
 }
 
-// sequenceClient is a client that hands messages in around a relay's end, and
-// keeps what it heard.
+// sequenceClient is a client that submits messages while a relay shuts down, and records the
+// responses.
 type sequenceClient struct {
 	ids         []string
-	isOnce      []bool   // of each id: it may not be repeated
-	isPipelined bool     // all were sent in one breath
-	answers     []string // as they came, one for each id as far as they did
-	readErr     error    // of what it reads
+	isOnce      []bool   // whether the message of each ID has the class "once" and must not be sent twice
+	isPipelined bool     // all commands were sent at once
+	answers     []string // responses in order; the first belongs to the first ID, and so on
+	readErr     error    // error of reading the responses; nil at the end of the stream
 }
 
-// taken reports whether a request of it was answered +OK.
+// isAccepted reports whether the message of ids[j] was answered with +OK.
 func (s *sequenceClient) isAccepted(j int) bool { return j < len(s.answers) && s.answers[j] == "+OK" }
 
-// play sends the parts of a text with pauses between them, while it reads.
+// run sends the parts of a text with pauses between them and reads the responses meanwhile.
 func (s *sequenceClient) run(addr string, before time.Duration, pauses []time.Duration, parts ...string) {
 	time.Sleep(before)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
-		s.ids = nil // nobody listens any more: nothing was handed in
+		s.ids = nil // the relay listens no longer, so no message was submitted
 		return
 	}
 	defer conn.Close()
@@ -100,7 +101,7 @@
 		io.WriteString(conn, part)
 		if i < len(pauses) {
 			select {
-			case <-done: // the relay has ended the connection: what it did not read is sent again elsewhere
+			case <-done: // the relay has closed the connection; a real client would submit the rest elsewhere
 				return
 			case <-time.After(pauses[i]):
 			}
--- a/internal/relay/outcome_test.go
+++ b/internal/relay/outcome_test.go
@@ -21,10 +21,11 @@
 	"plovershore/policy"
 )
 
-// Property over the ways in which a call ends: the endpoint reads up to some byte
-// of the request, says up to some byte of an answer, and then closes, resets or
-// hangs. What it read whole is never said not to have run, unless it said so;
-// delivered is only what it answered 200; and the request comes once.
+// A property test of the endings of a call: the endpoint reads a random part of the request,
+// sends a random part of a response, and then closes, resets or hangs. A request that it read
+// completely must not be reported as never run, unless the endpoint refused it with 503 or
+// 429. Only a call answered with 200 may be reported as delivered, and the request must be
+// sent only once.
 func TestRandomCallEndingsMapToSafeOutcomes(t *testing.T) {
 	const seeds = 400
 	answers := []string{
@@ -34,13 +35,15 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 500 E\r\n\r\n",
 	}
 	var plays errgroup.Group
-	plays.SetLimit(32) // most of them wait
+	plays.SetLimit(32) // the runs mostly wait, so many may run at a time
 	for seed := range uint64(seeds) {
 		plays.Go(func() error { runRandomCallEnding(t, seed, answers); return nil })
 	}
 	plays.Wait()
 }
 
+// runRandomCallEnding makes one call to an endpoint that behaves as seed says, and checks the
+// outcome.
 func runRandomCallEnding(t *testing.T, seed uint64, answers []string) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	body := make([]byte, []int{0, 10, 3000, 60000}[rng.IntN(4)])
@@ -49,8 +52,8 @@
 	if rng.IntN(3) == 0 {
 		said = said[:rng.IntN(len(said)+1)]
 	}
-	early, end := rng.IntN(4) == 0, rng.IntN(3) // of the answer; close, reset, hang
-	stopAt := rng.IntN(len(body) + 200)         // bytes of the request, where it is early
+	early, end := rng.IntN(4) == 0, rng.IntN(3) // early: respond before the request is read; end: 0 closes, 1 resets, 2 hangs
+	stopAt := rng.IntN(len(body) + 200)         // number of request bytes that are read before an early response
 	var mu sync.Mutex
 	came, whole := 0, false
 	addr := startRawEndpoint(t, func(conn net.Conn) {
@@ -81,7 +84,7 @@
 		case 1:
 			conn.(*net.TCPConn).SetLinger(0)
 		case 2:
-			io.Copy(io.Discard, conn) // until the relay lets go
+			io.Copy(io.Discard, conn) // returns when the relay closes the connection
 		}
 	})
 	conns := newTestTransport(t, 2)
@@ -92,26 +95,26 @@
 	refusal := lineWhole && (strings.Contains(first, " 503 ") || strings.Contains(first, " 429 "))
 	switch {
 	case came > 1:
-		t.Errorf("seed %d: the request came %d times", seed, came)
+		t.Errorf("seed %d: the request was received %d times", seed, came)
 	case whole && o.kind.NeverRan() && !refusal:
-		t.Errorf("seed %d: read whole, answered %q, and held never to have run: %+v", seed, said, o)
+		t.Errorf("seed %d: request read completely and answered %q, but reported as never run: %+v", seed, said, o)
 	case o.kind == policy.Delivered && !(lineWhole && strings.Contains(first, " 200 ")):
-		t.Errorf("seed %d: answered %q, and held to be delivered", seed, said)
+		t.Errorf("seed %d: answered %q, but reported as delivered", seed, said)
 	case whole && end != 1 && lineWhole && strings.Contains(first, " 200 ") && o.kind != policy.Delivered:
-		t.Errorf("seed %d: answered %q, and not delivered: %+v", seed, said, o)
+		t.Errorf("seed %d: answered %q, but not reported as delivered: %+v", seed, said, o)
 	case o.kind == policy.Delivered != o.isFinal:
-		t.Errorf("seed %d: %+v", seed, o)
+		t.Errorf("seed %d: delivered and final must go together: %+v", seed, o)
 	}
 	mu.Unlock()
 }
 
-// Guards against bytes after an answer: they belong to no call, and must not be
-// taken for the answer to the next one on that connection.
+// Bytes that follow a complete response belong to no call. They must not be taken for the
+// response to the next call on that connection.
 func TestBytesAfterResponseAnswerNoOtherCall(t *testing.T) {
 	for i := range 300 {
 		var mu sync.Mutex
 		read := map[string]bool{}
-		inTurn := i%2 == 0 // else the second waits for a connection, and gets this one at once
+		inTurn := i%2 == 0 // if false, the second call waits for a connection and gets the first one as soon as that is idle
 		release, waits := make(chan struct{}), make(chan struct{})
 		addr := startRawEndpoint(t, func(conn net.Conn) {
 			in := bufio.NewReader(conn)
@@ -149,7 +152,7 @@
 		go func() { done <- runSingleCall(newTestCall(), conns, addr, &wal.Record{ID: "a"}, testCallTimeout) }()
 		if inTurn {
 			if o := <-done; o.kind != policy.Delivered {
-				t.Fatalf("play %d: the first: %+v", i, o)
+				t.Fatalf("run %d: first call: %+v", i, o)
 			}
 		} else {
 			waitFor(t, "the first connection", func() bool { return dials.Load() == 1 })
@@ -159,7 +162,7 @@
 		conns.CloseIdleConnections()
 		mu.Lock()
 		if o.kind == policy.Delivered || read["b"] && o.kind.NeverRan() {
-			t.Errorf("play %d: the second, read %v: %+v", i, read["b"], o)
+			t.Errorf("run %d: second call, received by the endpoint: %v: %+v", i, read["b"], o)
 		}
 		mu.Unlock()
 	}
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -7,7 +7,8 @@
 	"plovershore/policy"
 )
 
-// The count agrees with a walk over all that is held, but for the width of a span.
+// The overdue count must equal a count over all pending messages, except for messages whose
+// grace time ended less than one span ago.
 func TestOverdueCountMatchesFullCount(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -34,14 +35,14 @@
 				}
 			}
 			if n := o.count(now); n < least || n > most {
-				t.Fatalf("seed %d at %d: %d are overdue, by the walk %d to %d", seed, now, n, least, most)
+				t.Fatalf("seed %d at %d: %d overdue, want %d to %d by a full count", seed, now, n, least, most)
 			}
 		}
 		for _, x := range all {
 			o.remove(x.span)
 		}
 		if len(o.pending) > 0 {
-			t.Errorf("seed %d: %d spans are left", seed, len(o.pending))
+			t.Errorf("seed %d: %d spans left after all messages were removed", seed, len(o.pending))
 		}
 	}
 }
--- a/internal/relay/race_off_test.go
+++ b/internal/relay/race_off_test.go
@@ -2,5 +2,5 @@
 
 package relay
 
-// raced reports whether the race detector is at work.
+// raceDetectorEnabled is false: the test binary was built without the race detector.
 const raceDetectorEnabled = false
--- a/internal/relay/race_on_test.go
+++ b/internal/relay/race_on_test.go
@@ -2,5 +2,6 @@
 
 package relay
 
-// raced: the race detector makes all of this many times slower, so that a bound on time says nothing.
+// raceDetectorEnabled is true: the race detector makes the program many times slower, so that
+// tests with time limits must do less.
 const raced = true
--- a/internal/relay/ready_test.go
+++ b/internal/relay/ready_test.go
@@ -18,10 +18,11 @@
 	"plovershore/internal/wal"
 )
 
-// maxReadyTime is how long a restarted process may take until it can be used, where the day does not end sooner.
+// maxReadyTime is how long a restarted process may take until it answers PING and is ready.
 const maxReadyTime = 10 * time.Second
 
-// largeList is a list of so many members, one for each destination, all at one address.
+// largeList returns a list with the given number of members, one for each destination, all
+// with the same address.
 func largeList(members int, hostPort string) *discovery.List {
 	l := &discovery.List{Revision: 1, Complete: true}
 	for i := range members {
@@ -31,7 +32,8 @@
 	return l
 }
 
-// owe writes a log in which so many messages are owed, spread over the first dests destinations.
+// writePendingLog writes a log with the given number of pending messages, spread over the
+// first dests destinations.
 func writePendingLog(t *testing.T, dir string, limit int64, messages, dests int) {
 	t.Helper()
 	w, err := wal.Open(wal.Options{Dir: dir, Limit: limit, Log: discardLog()})
@@ -61,7 +63,7 @@
 	<-w.Done()
 }
 
-// largeConfig is a configuration of a relay that knows such a list and may hold that many messages.
+// largeConfig writes a configuration with a known list and a limit on the pending messages.
 func largeConfig(t *testing.T, d *discoverytest.Server, known *discovery.List, diskMB, held int) map[string]string {
 	t.Helper()
 	env := writeTestConfig(t, d, diskMB)
@@ -75,7 +77,7 @@
 	return env
 }
 
-// pong reports whether a relay answers PING on a new connection.
+// answersPing reports whether a relay answers PING on a new connection.
 func (c *child) answersPing() bool {
 	conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 	if err != nil {
@@ -88,11 +90,12 @@
 	return s == "+PONG\r\n"
 }
 
-// Guards a restart at the target's size: a whole list of its members, a log full of what is owed, and discovery that
-// serves, is silent or refuses. The relay is used once it answers PING, and says that it is ready to its operators.
+// A restart at the full size of the fleet: a known list of 31,000 members, a log with 100,000
+// pending messages, and discovery that serves, is silent or refuses connections. The relay
+// must answer PING and be ready in time, while it gets new messages from its first PONG on.
 func TestRestartAtFullSizeIsReadyInTime(t *testing.T) {
 	owed := 100000
-	if s := os.Getenv("RELAY_READY_OWED"); s != "" { // for a measurement
+	if s := os.Getenv("RELAY_READY_OWED"); s != "" { // sets another number of pending messages for a measurement
 		owed, _ = strconv.Atoi(s)
 	}
 	members := 31000
@@ -120,7 +123,7 @@
 				if pong == 0 && c.answersPing() {
 					pong = time.Since(began)
 				}
-				if pong > 0 { // it is used from here on
+				if pong > 0 { // the relay is in use from its first PONG on
 					at := time.Now()
 					dialClient(t, env["ROUTER_LISTEN"]).put(fmt.Sprintf("new-%d", puts), putFields("plain", 20000, puts), nil)
 					longest = max(longest, time.Since(at))
@@ -132,13 +135,13 @@
 				return ready > 0
 			})
 			unread := c.metric(t, "app_log_unread")
-			t.Logf("%d members, %d owed, discovery %s: PONG after %v, readyz after %v; of %d messages handed in meanwhile the slowest was answered after %v",
+			t.Logf("%d members, %d pending, discovery %s: PONG after %v, ready after %v; %d messages submitted meanwhile, the slowest response after %v",
 				members, owed, how, pong, ready, puts, longest)
 			if pong > maxReadyTime || ready > maxReadyTime {
-				t.Errorf("PONG after %v, readyz after %v; at most %v", pong, ready, maxReadyTime)
+				t.Errorf("PONG after %v, ready after %v, want at most %v", pong, ready, maxReadyTime)
 			}
 			if unread != 0 {
-				t.Errorf("said to be ready with %d messages to be read", unread)
+				t.Errorf("relay is ready although %d messages of the log are not read yet", unread)
 			}
 			if n := c.metric(t, "app_members"); n != members {
 				t.Errorf("%d members, want %d", n, members)
--- a/internal/relay/resp_test.go
+++ b/internal/relay/resp_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Of what no client should send nothing is accepted, the error is named, and a
-// connection whose position in the stream is known goes on.
+// Invalid commands must be answered with an error and submit no message. If the relay still
+// knows where the next command begins, the connection must stay usable; otherwise it must be
+// closed.
 func TestInvalidCommandsAreRejected(t *testing.T) {
 	long := strings.Repeat("x", maxBodyBytes+1)
 	for name, x := range map[string]struct {
@@ -25,7 +26,7 @@
 		"huge argument":    {"*1\r\n$999999999\r\n", true},
 		"negative length":  {"*1\r\n$-5\r\n", true},
 		"long number":      {"*" + strings.Repeat("1", 99) + "\r\n", true},
-		"no end":           {"*1\r\n$4\r\nPINGxx", true},
+		"no line end":      {"*1\r\n$4\r\nPINGxx", true},
 		"not a bulk":       {"*1\r\n:4\r\n", true},
 		"unknown command":  {"*1\r\n$3\r\nGET\r\n", false},
 		"long body":        {putCommand("m", putFields("plain", 8000, 1), []byte(long)), false},
@@ -42,24 +43,24 @@
 		"key in two lines": {putCommand("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
 		"id in two lines":  {putCommand("a\r\nX: b", putFields("plain", 1, 1), nil), false},
 		"no id":            {putCommand("", putFields("plain", 1, 1), nil), false},
-		"field alone":      {putCommand("m", "c", nil), false},
+		"field, no value":  {putCommand("m", "c", nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addr, _ := serveClients(t, func(q *putRequest) { t.Error("taken"); accept(q) })
+			_, addr, _ := serveClients(t, func(q *putRequest) { t.Error("the command submitted a message"); accept(q) })
 			cl := dialClient(t, addr)
 			io.WriteString(cl, x.text)
 			if s := cl.readLine(); !strings.HasPrefix(s, "-ERR ") {
-				t.Fatalf("answer %q", s)
+				t.Fatalf("response %q, want an error", s)
 			}
 			if x.ends {
 				if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-					t.Errorf("still open: %v", err)
+					t.Errorf("connection after the error: %v, want EOF", err)
 				}
 				return
 			}
 			io.WriteString(cl, "*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
 			if s := cl.readLine() + cl.readLine(); s != "$2hi" {
-				t.Errorf("out of step: %q", s)
+				t.Errorf("next command on the connection: response %q", s)
 			}
 		})
 	}
@@ -76,7 +77,7 @@
 			return
 		}
 		if len(args) == 0 || len(args) > maxArguments {
-			t.Fatalf("%d arguments", len(args))
+			t.Fatalf("command with %d arguments", len(args))
 		}
 		cfg.parsePutRequest(args, time.Now())
 	})
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -25,7 +25,8 @@
 	"plovershore/policy"
 )
 
-// Id, key and body go on as they came, whatever bytes they hold.
+// The ID, key and body of a message must reach the endpoint unchanged, whatever bytes the
+// body has.
 func TestMessageIsDeliveredUnchanged(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	c := startChild(t, writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 7)), 3))
@@ -36,18 +37,18 @@
 		if s := cl.put(id, putFields("keyed", 8000, 7), body); s != "+OK" {
 			t.Fatalf("body %d: %s", i, s)
 		}
-		waitFor(t, "the call", func() bool { return ep.callCount(id) == 1 })
+		waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) == 1 })
 		ep.mu.Lock()
 		got := ep.calls[len(ep.calls)-1]
 		ep.mu.Unlock()
 		if got.key != "5c0f6e1a2b3d4c59" || string(got.body) != string(body) || got.timeout == "" {
-			t.Errorf("body %d: arrived as key %q, timeout %q, %d bytes", i, got.key, got.timeout, len(got.body))
+			t.Errorf("body %d: endpoint received key %q, timeout %q, %d bytes", i, got.key, got.timeout, len(got.body))
 		}
 	}
 }
 
-// Guards the batch: where a kind of destination takes several messages in one
-// call, what waits for it goes out as one call, no longer than a body may be.
+// If a kind of destination takes several messages in one call, waiting messages must be sent
+// as a batch whose body is within the size limit.
 func TestWaitingMessagesAreSentInOneBatch(t *testing.T) {
 	first := make(chan struct{})
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
@@ -71,13 +72,13 @@
 	}
 	waitFor(t, "the first call", func() bool { return ep.callCount("m0") == 1 })
 	close(first)
-	waitFor(t, "the rest", func() bool { return ep.callCount("long1") == 1 && ep.callCount("long2") == 1 })
+	waitFor(t, "the calls of the long messages", func() bool { return ep.callCount("long1") == 1 && ep.callCount("long2") == 1 })
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	together := false
 	for _, c := range ep.calls {
 		if len(c.body) > maxBodyBytes {
-			t.Errorf("a body of %d bytes", len(c.body))
+			t.Errorf("a call has a body of %d bytes, above the limit", len(c.body))
 		}
 		var items []batchItem
 		if json.Unmarshal(c.body, &items) != nil {
@@ -86,18 +87,18 @@
 		together = true
 		for _, x := range items {
 			if string(x.Body) != "body" && len(x.Body) != 40<<10 {
-				t.Errorf("%s arrived as %q", x.ID, x.Body)
+				t.Errorf("the endpoint received %s with the body %q", x.ID, x.Body)
 			}
 		}
 	}
 	if !together {
-		t.Errorf("%d calls for 7 messages, none with several", len(ep.calls))
+		t.Errorf("%d calls for 7 messages, none of them a batch", len(ep.calls))
 	}
 }
 
-// Guards a batch whose endpoint hangs: the call ends for all its messages when
-// the time of the first is up, and the endpoint was told so. What it answers once
-// that one has ended is an answer to nobody: the rest still get their ends.
+// The endpoint of a batch hangs. The call must end for all messages of the batch at the first
+// of their deadlines, which the endpoint gets as its timeout. A response after that counts
+// for no message, and the other messages must still end.
 func TestBatchTimesOutAtFirstDeadline(t *testing.T) {
 	first := make(chan struct{})
 	disc := discoverytest.New(t)
@@ -128,7 +129,7 @@
 	}
 	close(first)
 	for _, id := range []string{"short", "long"} {
-		waitFor(t, "the end of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.Failed })
+		waitFor(t, "the failure notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.Failed })
 	}
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
@@ -136,12 +137,12 @@
 		t.Fatalf("%d calls, want short and long in one", len(ep.calls))
 	}
 	if ms, err := strconv.Atoi(ep.calls[1].timeout); err != nil || ms >= 1500 {
-		t.Errorf("the endpoint was told to be waited for %s ms, short has 1500", ep.calls[1].timeout)
+		t.Errorf("the endpoint got a timeout of %s ms, want less than the 1500 ms of the first deadline", ep.calls[1].timeout)
 	}
 }
 
-// Guards SIGHUP: it is no end, and list and notices come from and go to the
-// address that the file then names. A file that cannot be used changes nothing.
+// On SIGHUP the relay must not end. It must use the discovery address in the changed
+// configuration file for the list and the notices, and ignore a file that is invalid.
 func TestHangupSwitchesDiscoveryAddress(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	gone := newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
@@ -165,7 +166,7 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "the watch at the new address", func() bool {
-		c.cmd.Process.Signal(syscall.SIGHUP) // signals that come close together may be one
+		c.cmd.Process.Signal(syscall.SIGHUP) // repeated, as two signals in quick succession may arrive as one
 		moved.Mu.Lock()
 		defer moved.Mu.Unlock()
 		return len(moved.Froms) > 0
@@ -178,12 +179,12 @@
 		}
 	}
 	waitFor(t, "the call", func() bool { return ep.callCount("sent") == 1 })
-	waitFor(t, "the notice", func() bool { _, ok := moved.Notice("failed"); return ok })
+	waitFor(t, "the notice at the new address", func() bool { _, ok := moved.Notice("failed"); return ok })
 }
 
-// Guards what was taken on against SIGKILL: an unsafe attempt with no outcome
-// may have run and fails by notice, a keyed one goes out again in its window,
-// one that was only turned away goes on, and what was delivered stays so.
+// The relay is killed with SIGKILL. After its restart, a message of the class "once" whose
+// attempt has no outcome may have run and must fail with a notice. A keyed one is sent again
+// within its window, a rejected one is sent again, and a delivered one is not.
 func TestAcceptedMessagesSurviveKill(t *testing.T) {
 	done := newFakeEndpoint(t, nil)
 	stuck := newFakeEndpoint(t, hang)
@@ -199,7 +200,7 @@
 			t.Fatalf("%s: %s", id, s)
 		}
 	}
-	waitFor(t, "calls", func() bool {
+	waitFor(t, "the calls", func() bool {
 		return done.callCount("done") == 1 && stuck.callCount("stuck") == 1 && full.callCount("full") >= 1 && keyed.callCount("keyed") == 1
 	})
 	waitFor(t, "the outcomes in the log", func() bool {
@@ -210,24 +211,24 @@
 		e.setAnswer(nil)
 	}
 	startChild(t, env)
-	waitFor(t, "notice of the unsafe one", func() bool { n, ok := disc.Notice("stuck"); return ok && n.Outcome == discovery.Failed })
-	waitFor(t, "the others", func() bool { return full.callCount("full") >= 2 && keyed.callCount("keyed") == 2 })
+	waitFor(t, "the failure notice of the message that may have run", func() bool { n, ok := disc.Notice("stuck"); return ok && n.Outcome == discovery.Failed })
+	waitFor(t, "the repeated calls", func() bool { return full.callCount("full") >= 2 && keyed.callCount("keyed") == 2 })
 	if n := stuck.callCount("stuck"); n != 1 {
-		t.Errorf("the unsafe message went out %d times", n)
+		t.Errorf("the message of the class once was sent %d times", n)
 	}
 	if n := done.callCount("done"); n != 1 {
-		t.Errorf("the delivered message went out %d times", n)
+		t.Errorf("the delivered message was sent %d times", n)
 	}
 	keyed.mu.Lock()
 	defer keyed.mu.Unlock()
 	if got := keyed.calls[1]; string(got.body) != "body of keyed" || got.key != "5c0f6e1a2b3d4c59" {
-		t.Errorf("the keyed message came back as %+v", got)
+		t.Errorf("the keyed message was sent again as %+v", got)
 	}
 }
 
-// Guards what was taken on and never sent against a restart into bad times: each
-// message gets its call, though the destination fails at first, when the policy
-// would refuse most new ones without.
+// Accepted messages that were never sent are read from the log by a relay whose destination
+// fails at first. Each must still get a call, although the policy would reject most new
+// messages at such a time without one.
 func TestUntriedMessagesAreTriedAfterRestart(t *testing.T) {
 	ep := newFakeEndpoint(t, hang)
 	disc := discoverytest.New(t, ep.member("s-1", 7))
@@ -257,15 +258,15 @@
 	for _, id := range ids {
 		waitFor(t, "a call of "+id, func() bool {
 			if n, ended := disc.Notice(id); ended && !tried[id] && ep.callCount(id) == 0 {
-				t.Fatalf("%s, which was never sent, is %s with no call", id, n.Outcome)
+				t.Fatalf("%s was never sent, but got the notice %s without a call", id, n.Outcome)
 			}
 			return ep.callCount(id) > 0
 		})
 	}
 }
 
-// Guards the end of what ran out of time while no process ran: its notice
-// comes straight after the start. A notice that was not taken is sent again.
+// A message whose deadline passes while no process runs must get its notice right after the
+// restart. A notice that discovery did not accept before the kill must be sent again.
 func TestExpiredMessagesGetNoticesAfterRestart(t *testing.T) {
 	disc := discoverytest.New(t)
 	env := writeTestConfig(t, disc, 3)
@@ -277,22 +278,22 @@
 			t.Fatal(s)
 		}
 	}
-	waitFor(t, "an ending in the log", func() bool {
+	waitFor(t, "the notice record in the log", func() bool {
 		return logContains(env["ROUTER_STATE"], wal.KindCompleting, "short")
 	})
 	c.kill()
 	disc.Set(func(d *discoverytest.Server) { d.Answer = http.StatusNoContent })
 	startChild(t, env)
 	for _, id := range []string{"short", "later"} {
-		waitFor(t, "notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.Returned })
+		waitFor(t, "the notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.Returned })
 	}
-	waitFor(t, "ends in the log", func() bool {
+	waitFor(t, "the completions in the log", func() bool {
 		return logContains(env["ROUTER_STATE"], wal.KindCompleted, "short") && logContains(env["ROUTER_STATE"], wal.KindCompleted, "later")
 	})
 }
 
-// Guards a planned end: calls that are out finish, new work is refused
-// harmlessly, what is held waits in the log, and the exit code is 0.
+// On SIGTERM, calls in flight must finish, new messages must be refused with BUSY, pending
+// messages must stay in the log for the next process, and the exit code must be 0.
 func TestTerminationFinishesCallsAndKeepsMessages(t *testing.T) {
 	release, entered := make(chan struct{}), atomic.Int32{}
 	slow := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
@@ -309,39 +310,39 @@
 	if s := cl.put("out", putFields("once", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	if s := cl.put("held", putFields("plain", 20000, 5), nil); s != "+OK" { // nobody serves 5 yet
+	if s := cl.put("held", putFields("plain", 20000, 5), nil); s != "+OK" { // destination 5 has no endpoint yet
 		t.Fatal(s)
 	}
 	waitFor(t, "the call", func() bool { return entered.Load() == 1 })
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	if _, err := cl.in.ReadByte(); err == nil {
-		t.Error("an idle client's connection stays open")
+		t.Error("the connection of an idle client was not closed")
 	}
-	late := dialClient(t, env["ROUTER_LISTEN"]) // connections go on coming for a while
+	late := dialClient(t, env["ROUTER_LISTEN"]) // new connections are accepted for a while
 	if s := late.put("late", putFields("plain", 8000, 1), nil); !strings.HasPrefix(s, "-BUSY ") {
-		t.Errorf("new work at the end is answered %q", s)
+		t.Errorf("new message during the shutdown: response %q, want -BUSY with a delay", s)
 	}
 	close(release)
 	if err := c.cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if n := slow.callCount("late"); n != 0 {
-		t.Error("a refused message went out")
+		t.Error("a refused message was sent")
 	}
 	other := newFakeEndpoint(t, nil)
 	disc.Set(func(d *discoverytest.Server) { d.List.Members = append(d.List.Members, other.member("s-5", 5)) })
 	startChild(t, env)
-	waitFor(t, "the held message", func() bool { return other.callCount("held") == 1 })
+	waitFor(t, "the call of the pending message", func() bool { return other.callCount("held") == 1 })
 	if n := slow.callCount("out"); n != 1 {
-		t.Errorf("the finished call went out %d times", n)
+		t.Errorf("the message of the finished call was sent %d times", n)
 	}
 	if _, ok := disc.Notice("out"); ok {
-		t.Error("a delivered message was ended by a notice")
+		t.Error("a delivered message got a notice")
 	}
 }
 
-// Guards a planned end: a request of which a part has come at SIGTERM gets its
-// answer, though nothing else keeps the process, and its connection is not reset.
+// A request of which only a part has arrived at SIGTERM must be answered, although the relay
+// has no other reason to keep running, and its connection must not be reset.
 func TestHalfReadRequestIsAnsweredAtTermination(t *testing.T) {
 	env := writeTestConfig(t, discoverytest.New(t), 3)
 	c := startChild(t, env)
@@ -356,9 +357,9 @@
 	io.WriteString(half, text[:len(text)/2])
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	if _, err := rest.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("a resting connection: %v", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	waitFor(t, "the end of the listening", func() bool {
+	waitFor(t, "the close of the listener", func() bool {
 		conn, err := net.Dial("tcp", env["ROUTER_LISTEN"])
 		if err == nil {
 			conn.Close()
@@ -367,10 +368,10 @@
 	})
 	io.WriteString(half, text[len(text)/2:])
 	if s := half.readLine(); s != "-BUSY 400" {
-		t.Errorf("answer %q", s)
+		t.Errorf("response %q, want -BUSY 400", s)
 	}
 	if _, err := half.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the answer: %v", err)
+		t.Errorf("after the response: %v, want EOF", err)
 	}
 	half.Close()
 	if err := c.cmd.Wait(); err != nil {
@@ -378,13 +379,13 @@
 	}
 }
 
-// Guards SIGTERM before a process is ready: it ends in order, also where discovery
-// never answers and SIGHUP comes between.
+// SIGTERM before the relay is ready must end it with exit code 0, also if discovery never
+// responds and SIGHUP comes between two SIGTERMs.
 func TestTerminationBeforeReadyExitsCleanly(t *testing.T) {
 	disc := discoverytest.New(t)
 	disc.Set(func(d *discoverytest.Server) { d.Silent = true })
 	c := spawn(t, writeTestConfig(t, disc, 3))
-	waitFor(t, "the start", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return disc.Unheard > 0 })
+	waitFor(t, "the first call to discovery", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return disc.Unheard > 0 })
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		c.cmd.Process.Signal(sig)
 	}
@@ -393,8 +394,8 @@
 	}
 }
 
-// Guards against an endpoint that is removed and returns in one change: what it
-// says last holds, either way.
+// One list change removes an endpoint and adds it again, or the other way round. The last
+// entry must hold.
 func TestLastPhaseInOneListChangeHolds(t *testing.T) {
 	first, then := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	m := first.member("s-1", 1)
@@ -412,7 +413,7 @@
 		}
 	}
 	put("a")
-	waitFor(t, "a", func() bool { return first.callCount("a") == 1 })
+	waitFor(t, "the call of a", func() bool { return first.callCount("a") == 1 })
 	say := func(rev int64, members ...discovery.Member) {
 		text, err := json.Marshal(discovery.List{Revision: rev, Members: members})
 		if err != nil {
@@ -422,25 +423,25 @@
 	}
 	say(2, gone, back)
 	n := 0
-	waitFor(t, "its new address", func() bool {
+	waitFor(t, "a call at the new address", func() bool {
 		n++
 		id := fmt.Sprintf("b%d", n)
 		put(id)
-		waitFor(t, id, func() bool { return first.callCount(id)+then.callCount(id) == 1 })
+		waitFor(t, "the call of "+id, func() bool { return first.callCount(id)+then.callCount(id) == 1 })
 		return then.callCount(id) == 1
 	})
 	say(3, back, gone)
-	waitFor(t, "its going", func() bool { return c.metric(t, "app_members") == 0 })
+	waitFor(t, "the removal of the endpoint", func() bool { return c.metric(t, "app_members") == 0 })
 	put("c")
 	if n := first.callCount("c") + then.callCount("c"); n != 0 {
-		t.Errorf("a message went to an endpoint that is gone %d times", n)
+		t.Errorf("a message was sent to a removed endpoint %d times", n)
 	}
 	say(4, back)
-	waitFor(t, "the return", func() bool { return then.callCount("c") == 1 })
+	waitFor(t, "a call to the endpoint after its return", func() bool { return then.callCount("c") == 1 })
 }
 
-// Guards the disk: full holdings of long bodies may not fit into it, and what
-// does not fit is refused before the folder is over its limit.
+// Messages with long bodies fill the disk limit before the limit on their number. Messages
+// that do not fit must be refused before the log exceeds the disk limit.
 func TestLogStaysWithinDiskLimit(t *testing.T) {
 	env := writeTestConfig(t, discoverytest.New(t), 1)
 	c := startChild(t, env)
@@ -467,17 +468,17 @@
 			}
 		}
 		if size > 1<<20 {
-			t.Fatalf("%d bytes on a disk of 1 MB", size)
+			t.Fatalf("the state folder has %d bytes, the limit is 1 MB", size)
 		}
 	}
 	if taken == 0 || refused == 0 {
-		t.Errorf("taken %d, refused %d: want both", taken, refused)
+		t.Errorf("%d messages accepted, %d refused, want some of both", taken, refused)
 	}
 	_ = c
 }
 
-// Guards against the list as it was: an endpoint may move to another address
-// under its id, or to another destination, and a drained one gets nothing new.
+// The relay must follow list changes: an endpoint may move to another address or another
+// destination under the same ID, and a draining endpoint must get no new messages.
 func TestMovedAndDrainingEndpointsAreFollowed(t *testing.T) {
 	before, after := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	m := before.member("s-1", 1)
@@ -492,12 +493,12 @@
 		}
 	}
 	put("old", 1)
-	waitFor(t, "old", func() bool { return before.callCount("old") == 1 })
+	waitFor(t, "the call of old", func() bool { return before.callCount("old") == 1 })
 	m.HostPort = after.addr()
 	disc.Send(t, discoverytest.Change(2, m))
-	// The change and the message come by different ways: what is sent before
-	// the change may still go to the old place, so wait for the new one.
-	waitFor(t, "the new address", func() bool {
+	// The list change and the message arrive over different connections, so messages may
+	// still go to the old address until the change is in effect.
+	waitFor(t, "a call at the new address", func() bool {
 		put(fmt.Sprintf("n%d", nextID.Add(1)), 1)
 		after.mu.Lock()
 		defer after.mu.Unlock()
@@ -506,66 +507,68 @@
 	moved := after.member("s-1", 2)
 	disc.Send(t, discoverytest.Change(3, moved))
 	put("two", 2)
-	waitFor(t, "the new destination", func() bool { return after.callCount("two") == 1 })
-	put("one", 1) // nobody serves it any more
+	waitFor(t, "the call to the new destination", func() bool { return after.callCount("two") == 1 })
+	put("one", 1) // destination 1 has no endpoint any more
 	moved.Phase = discovery.Draining
 	disc.Send(t, discoverytest.Change(4, moved))
 	fresh := before.member("s-2", 2)
 	disc.Send(t, discoverytest.Change(5, fresh))
 	put("marker", 2)
-	waitFor(t, "the marker", func() bool { return before.callCount("marker")+after.callCount("marker") == 1 })
-	waitFor(t, "the drain", func() bool {
+	waitFor(t, "the call of marker", func() bool { return before.callCount("marker")+after.callCount("marker") == 1 })
+	waitFor(t, "a call at the endpoint that does not drain", func() bool {
 		id := fmt.Sprintf("d%d", nextID.Add(1))
 		put(id, 2)
-		waitFor(t, id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
+		waitFor(t, "the call of "+id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
 		return before.callCount(id) == 1
 	})
 	for range 5 {
 		id := fmt.Sprintf("e%d", nextID.Add(1))
 		put(id, 2)
-		waitFor(t, id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
+		waitFor(t, "the call of "+id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
 		if after.callCount(id) != 0 {
-			t.Error("a drained endpoint got a message")
+			t.Error("a draining endpoint got a message")
 		}
 	}
 	if n := before.callCount("one") + after.callCount("one"); n != 0 {
-		t.Errorf("a message went to an endpoint of another destination %d times", n)
+		t.Errorf("a message was sent to an endpoint of another destination %d times", n)
 	}
 }
 
-var nextID atomic.Int32 // makes ids new
+// nextID counts up, so that each message ID is new.
+var nextID atomic.Int32
 
-// What the policy turns away in the step that takes it is answered directly:
-// nothing is logged, and there is no notice.
+// A message that the policy rejects in the same step in which it arrives must be refused
+// directly, without a record in the log and without a notice.
 func TestImmediateRejectionIsNotLogged(t *testing.T) {
 	disc := discoverytest.New(t)
 	env := writeTestConfig(t, disc, 3)
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	if s := cl.put("late", putFields("plain", 0, 9), nil); !strings.HasPrefix(s, "-BUSY") {
-		t.Fatalf("out of time: %s", s)
+		t.Fatalf("message without time left: response %s", s)
 	}
 	refused := 0
-	for i := range 150 { // more than may be held
+	for i := range 150 { // more than the limit on pending messages
 		if s := cl.put(fmt.Sprintf("m%d", i), putFields("once", 20000, 9), nil); strings.HasPrefix(s, "-BUSY") {
 			refused++
 		}
 	}
-	// What makes room among those that were taken on ends by a notice.
-	waitFor(t, "the ends of what is too much", func() bool {
+	// Accepted messages that the policy drops to make room end with a notice.
+	waitFor(t, "the refusal or notice of the messages above the limit", func() bool {
 		disc.Mu.Lock()
 		defer disc.Mu.Unlock()
 		return refused+len(disc.Notices) >= 50
 	})
 	if logContains(env["ROUTER_STATE"], wal.KindAccepted, "late") {
-		t.Error("logged")
+		t.Error("the rejected message is in the log")
 	}
 	if _, ok := disc.Notice("late"); ok {
-		t.Error("a notice for what was never taken on")
+		t.Error("a message that was never accepted got a notice")
 	}
 }
 
-// Guards against handing in twice: an id that is held is not taken on again.
+// The ID of a pending message that is submitted again must be acknowledged but not accepted
+// a second time.
 func TestPendingIDIsAcceptedOnce(t *testing.T) {
 	release := make(chan struct{})
 	ep := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
@@ -587,37 +590,37 @@
 	if s := cl.put("other", putFields("once", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	waitFor(t, "the next", func() bool { return ep.callCount("other") == 1 })
+	waitFor(t, "the call of the next message", func() bool { return ep.callCount("other") == 1 })
 	if n := ep.callCount("m"); n != 1 {
-		t.Errorf("went out %d times", n)
+		t.Errorf("the message was sent %d times, want 1", n)
 	}
 }
 
-// Guards messages that nothing else happens to: the policy takes each timer that
-// it asked for as set. One that comes due within a step, or just before a later
-// one that the policy goes by since, must not keep that one out, or nobody wakes
-// the policy for their deadlines.
+// The policy relies on each timer that it requested. A timer that is due within a step, or
+// earlier than one that the policy requested later, must not suppress the other: for messages
+// to which nothing else happens, the policy would not be woken at their deadlines.
 func TestEveryPolicyTimerFires(t *testing.T) {
 	r := newTestRelay(t)
-	due := r.clock.now() // the loop has looked a moment ago: it was not due
+	due := r.clock.now() // due since the loop last fired its timers
 	r.timers = []policy.Time{due}
 	r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "m", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
 	r.stepPolicy()
 	r.applyAction(due, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
-	r.applyAction(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // that one again is no third
-	r.applyAction(due, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // the policy goes by this one; the other comes all the same
-	for range 3 {                                                                // as the loop goes on, with no event but the timer's
+	r.applyAction(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // the same time again must not add a timer
+	r.applyAction(due, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // an earlier timer must not remove the later one
+	for range 3 {                                                                // the loop goes on with no events but those of timers
 		if r.fireTimers(); len(r.step.events) > 0 {
 			r.stepPolicy()
 		}
 	}
 	if !slices.IsSorted(r.timers) || len(r.timers) != 3 || r.timers[0] != due+5e6 || r.timers[1] != due+10e6 || r.timers[2] <= due+19e6 {
-		t.Fatalf("timers %v from %d on: a message is held until %d", r.timers, due, due+20e6)
+		t.Fatalf("timers %v at %d; the deadline of the message is at %d", r.timers, due, due+20e6)
 	}
 }
 
-// readClockAhead reads clocks of which the wall clock is ahead, on a machine that is booted
-// anew before the next process reads them, or is not.
+// readClockAhead returns a clock reader whose wall clock is ahead by the given time. With
+// bootsAfter, its boot ID differs from that of the machine, as if the machine was rebooted
+// before the next process.
 func readClockAhead(by time.Duration, bootsAfter bool) func() clock.Reading {
 	return func() clock.Reading {
 		r := clock.Read()
@@ -629,8 +632,8 @@
 	}
 }
 
-// Hard case: the clock is set back by an hour between two runs. Deadlines come
-// neither at once nor an hour late, for what was owed and for what comes new.
+// The wall clock is set back by an hour between two runs. Deadlines must pass neither at once
+// nor an hour late, for the pending messages and for new ones.
 func TestDeadlinesHoldWhenClockIsSetBackBetweenRuns(t *testing.T) {
 	for _, boots := range []bool{false, true} {
 		r := newTestRelay(t)
@@ -653,19 +656,19 @@
 		defer r.closeLog()
 		near := func(what string, left policy.Time) {
 			if left < 15e6 || left > 21e6 {
-				t.Errorf("booted %v: %s: %d µs left", boots, what, left)
+				t.Errorf("rebooted %v: %s: %d µs left, want 15 to 21 s", boots, what, left)
 			}
 		}
-		near("owed", r.step.events[len(r.step.events)-1].TimeLeft)
+		near("pending message", r.step.events[len(r.step.events)-1].TimeLeft)
 		r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "new", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
-		near("new", r.step.events[len(r.step.events)-1].TimeLeft)
-		near("new, by the log", r.clock.fromLogTime(r.messages.byID["new"].record.Deadline)-r.clock.now())
+		near("new message", r.step.events[len(r.step.events)-1].TimeLeft)
+		near("new message, by its log record", r.clock.fromLogTime(r.messages.byID["new"].record.Deadline)-r.clock.now())
 	}
 }
 
-// The same with an attempt that may have run: where the machine was booted since, how
-// long no process ran is not known, so its window for repeats counts as over. In one
-// boot it is known, wherever the clock was set.
+// As above, with an attempt that may have run. If the machine was rebooted and the clock was
+// set back, it is not known how long no process ran, so the deduplication window must count
+// as over. Without a reboot the time is known, whatever the clock was set to.
 func TestRebootWithClockSetBackEndsDedupWindow(t *testing.T) {
 	for _, x := range []struct {
 		by    time.Duration
@@ -693,7 +696,7 @@
 		e := &r.step.events[len(r.step.events)-1]
 		over := r.clock.now()-e.UnknownOutcomeAt > r.cfg.Policy.Classes[e.Class].DedupWindow
 		if e.UnknownOutcomeAt == 0 || over != (x.by > 0 && x.boots) {
-			t.Errorf("set back by %v, booted %v: may have run %d µs ago, in a window of %d", x.by, x.boots, r.clock.now()-e.UnknownOutcomeAt, r.cfg.Policy.Classes[e.Class].DedupWindow)
+			t.Errorf("set back by %v, rebooted %v: attempt counts as %d µs old, with a window of %d µs", x.by, x.boots, r.clock.now()-e.UnknownOutcomeAt, r.cfg.Policy.Classes[e.Class].DedupWindow)
 		}
 	}
 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Property over the orders of a shutdown: clients rest, send ahead, come in
-// halves, or connect anew around SIGTERM. No connection is reset. What was
-// answered +OK is delivered or ended, by this process or the next; what was refused or
-// not answered is never sent.
+// A property test of the shutdown: around SIGTERM, clients are idle, send several commands at
+// once, send a command in two parts, or connect. No connection may be reset. An accepted
+// message must be delivered or end, in this process or the next; a message that was refused
+// or not answered must never be sent.
 func TestRandomShutdownSequencesResetNoConnection(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -31,16 +31,16 @@
 				pauses := []time.Duration{time.Duration(rng.IntN(900)) * time.Millisecond, time.Duration(rng.IntN(300)) * time.Millisecond}
 				var parts []string
 				switch rng.IntN(4) {
-				case 0: // rests, and sends as the relay ends
+				case 0: // sends commands with pauses, so that it is idle in between
 					parts = []string{put(), put(), put()}
-				case 1: // sends ahead
+				case 1: // sends all commands at once
 					s.isPipelined = true
 					parts = []string{put() + put() + "*1\r\n$4\r\nPING\r\n" + put()}
-				case 2: // comes in halves
+				case 2: // sends one command in two parts
 					text := put()
 					cut := 1 + rng.IntN(len(text)-1)
 					parts = []string{text[:cut], text[cut:]}
-				case 3: // sends ahead, the second in halves
+				case 3: // sends a command together with the first part of the next
 					text := put()
 					next := put()
 					cut := rng.IntN(len(next))
@@ -65,7 +65,7 @@
 					t.Errorf("client %d: %v", i, s.readErr)
 				}
 				if s.isPipelined && len(s.answers) != len(s.ids) {
-					t.Errorf("client %d: %d requests came together, its answers are %q", i, len(s.ids), s.answers)
+					t.Errorf("client %d: sent %d messages at once, got the responses %q", i, len(s.ids), s.answers)
 				}
 				for j, id := range s.ids {
 					if s.isAccepted(j) {
@@ -75,18 +75,18 @@
 					}
 					refused++
 					if j < len(s.answers) && !strings.HasPrefix(s.answers[j], "-BUSY") {
-						t.Errorf("%s: answer %q", id, s.answers[j])
+						t.Errorf("%s: response %q, want +OK or -BUSY", id, s.answers[j])
 					}
 				}
 			}
-			for _, s := range o.clients { // once all is over
+			for _, s := range o.clients { // only now, as all accepted messages have ended
 				for j, id := range s.ids {
 					if !s.isAccepted(j) && o.endpoint.callCount(id) > 0 {
-						t.Errorf("%s was sent, its client has heard %v", id, s.answers)
+						t.Errorf("%s was sent but not accepted; responses to its client: %v", id, s.answers)
 					}
 				}
 			}
-			t.Logf("%d taken on, %d not", taken, refused)
+			t.Logf("%d messages accepted, %d not", taken, refused)
 		})
 	}
 }
--- a/internal/relay/transport_test.go
+++ b/internal/relay/transport_test.go
@@ -13,8 +13,8 @@
 	"plovershore/policy"
 )
 
-// Connections are reused: responses are read to their end, and more than two
-// connections are kept after a burst.
+// Connections must be reused. For this, responses must be read to their end, and after a
+// burst more than two idle connections per endpoint must be kept.
 func TestConnectionsAreReusedAfterBurst(t *testing.T) {
 	var conns atomic.Int32
 	const burst = 6
@@ -24,7 +24,7 @@
 		in := bufio.NewReader(c)
 		for readCall(in) {
 			together <- struct{}{}
-			for len(together) < burst { // all of a burst are out at once
+			for len(together) < burst { // answers only when all calls of a burst have arrived, so that each needs a connection
 				time.Sleep(time.Millisecond)
 			}
 			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
@@ -51,8 +51,8 @@
 	}
 }
 
-// The outcome says whether a connection was opened for a call: the policy learns from
-// it that a peer's table of connections is full.
+// The outcome must say whether a connection was opened for the call. From a 503 on a new
+// connection the policy learns that the connection table of a peer is full.
 func TestOutcomeSaysWhetherConnectionIsNew(t *testing.T) {
 	addr := startRawEndpoint(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); readCall(in); {
@@ -63,7 +63,7 @@
 	defer conns.CloseIdleConnections()
 	for i, want := range []bool{true, false} {
 		if o := runSingleCall(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testCallTimeout); o.isNewConnection != want || o.kind != policy.Rejected {
-			t.Errorf("call %d: fresh %v, %+v", i, o.isNewConnection, o)
+			t.Errorf("call %d: new connection %v, %+v", i, o.isNewConnection, o)
 		}
 	}
 }
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -24,7 +24,8 @@
 	"plovershore/policy"
 )
 
-// says reports whether a relay's own address says that it can serve.
+// readyzIs reports whether the relay answers at its operator address and is ready, or not
+// ready, as the argument says.
 func (c *child) readyzIs(yes bool) bool {
 	resp, err := http.Get("http://" + c.env["ROUTER_OPERATOR"] + "/v1/readyz")
 	if err != nil {
@@ -34,7 +35,7 @@
 	return (resp.StatusCode == http.StatusOK) == yes
 }
 
-// figure reads one of a relay's figures.
+// metric returns the value of a metric of the relay.
 func (c *child) metric(t *testing.T, name string) int {
 	t.Helper()
 	_, text := callOperator(t, c.env["ROUTER_OPERATOR"], "GET", "/v1/metrics")
@@ -47,32 +48,34 @@
 			return n
 		}
 	}
-	t.Fatalf("no figure %s", name)
+	t.Fatalf("no metric %s", name)
 	return 0
 }
 
-// upgrade is two processes of one relay, with destinations for what there is
-// to pass on.
+// upgradeTest has the two processes of an upgrade on one state folder, and endpoints for
+// calls that are in flight, rejected or not made yet when the new process takes over.
 type upgradeTest struct {
 	t           *testing.T
 	env         map[string]string
 	disc        *discoverytest.Server
 	old, new    *child
-	oldClient   *testClient // of the old one
+	oldClient   *testClient // connected to the old process
 	quick       *fakeEndpoint
-	slow        *fakeEndpoint // answers on release
-	rejecting   *fakeEndpoint // told to wait, for long
-	listedLater *fakeEndpoint // not on the list at first
+	slow        *fakeEndpoint // destinations 2 and 6; answers once release is closed
+	rejecting   *fakeEndpoint // destination 3; answers 429 with a long Retry-After
+	listedLater *fakeEndpoint // destination 5; not on the list at first
 	release     chan struct{}
 	slowCalls   atomic.Int32
-	slowRejects atomic.Bool // the slow one then tells to wait
+	slowRejects atomic.Bool // slow answers 429 with a long Retry-After
 }
 
-// startUpgradeTest runs the old process, with an unsafe and a keyed call out, a
-// message that was told to wait and one that nobody serves yet.
+// startUpgradeTest starts the old process. It gets four messages: "out" of the class "once"
+// and "keyed", both with a call in flight, "waits", which was rejected with a Retry-After, and
+// "held", whose destination has no endpoint.
 func startUpgradeTest(t *testing.T) *upgradeTest { return startUpgradeTestWithEnv(t, nil) }
 
-// startUpgradeTestWithEnv is the same with more in the environment of all processes.
+// startUpgradeTestWithEnv is like startUpgradeTest, with more environment variables for all
+// processes.
 func startUpgradeTestWithEnv(t *testing.T, more map[string]string) *upgradeTest {
 	u := &upgradeTest{t: t, release: make(chan struct{}), quick: newFakeEndpoint(t, nil), listedLater: newFakeEndpoint(t, nil)}
 	u.slow = newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
@@ -101,10 +104,11 @@
 		u.put(u.oldClient, id, f)
 	}
 	waitFor(t, "the calls", func() bool { return u.slowCalls.Load() == 2 && u.rejecting.callCount("waits") == 1 })
-	waitFor(t, "the outcome in the log", func() bool { return logContains(u.env["ROUTER_STATE"], wal.KindOutcome, "waits") })
+	waitFor(t, "the outcome of the rejected call in the log", func() bool { return logContains(u.env["ROUTER_STATE"], wal.KindOutcome, "waits") })
 	return u
 }
 
+// put submits a message that must be accepted.
 func (u *upgradeTest) put(cl *testClient, id, f string) {
 	u.t.Helper()
 	if s := cl.put(id, f, nil); s != "+OK" {
@@ -112,21 +116,23 @@
 	}
 }
 
+// startNew starts the new process beside the old one and waits until it is ready.
 func (u *upgradeTest) startNew() {
 	env := maps.Clone(u.env)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	u.new = spawn(u.t, env)
-	waitFor(u.t, "a yes of the new process", func() bool { return u.new.readyzIs(true) })
+	waitFor(u.t, "readiness of the new process", func() bool { return u.new.readyzIs(true) })
 }
 
+// waitDelivered waits until an endpoint has received each of the messages.
 func (u *upgradeTest) waitDelivered(e *fakeEndpoint, ids ...string) {
 	u.t.Helper()
 	for _, id := range ids {
-		waitFor(u.t, id, func() bool { return e.callCount(id) > 0 })
+		waitFor(u.t, "the call of "+id, func() bool { return e.callCount(id) > 0 })
 	}
 }
 
-// once checks that nothing went out twice, or was ended by a notice.
+// checkSentOnce checks that each message was sent once and got no notice.
 func (u *upgradeTest) checkSentOnce(ids ...string) {
 	u.t.Helper()
 	for _, id := range ids {
@@ -135,12 +141,12 @@
 			n += e.callCount(id)
 		}
 		if _, ended := u.disc.Notice(id); n != 1 || ended {
-			u.t.Errorf("%s went out %d times; ended by a notice: %v", id, n, ended)
+			u.t.Errorf("%s was sent %d times, want 1; has a notice: %v", id, n, ended)
 		}
 	}
 }
 
-// show5 puts an endpoint on the list that serves destination 5.
+// listEndpoint5 adds the endpoint of destination 5 to the list of discovery.
 func (u *upgradeTest) listEndpoint5() {
 	u.disc.Set(func(d *discoverytest.Server) {
 		for _, lines := range d.Lines {
@@ -153,31 +159,34 @@
 	})
 }
 
-// Two processes are one relay: what the old one holds is delivered by the new
-// one, what it has out ends there and nowhere else, a told wait binds both, its
-// clients are served until it goes, and an id is taken on once.
+// During an upgrade, the new process must deliver the pending messages of the old one, and
+// the old one must finish its calls in flight, which the new one does not repeat. A
+// Retry-After must hold in both, the clients of the old process are served until it ends, and
+// an ID is accepted only once.
 func TestUpgradeSharesMessagesBetweenProcesses(t *testing.T) {
 	u := startUpgradeTest(t)
 	u.startNew()
-	// Two are held and two are out: each is one process's, so that the sum is right.
-	waitFor(t, "the figures", func() bool {
+	// Two messages are in flight in the old process and two are pending in the new one. Each
+	// message counts in one process only, so that the sum is right.
+	waitFor(t, "the pending counts of both processes", func() bool {
 		return u.old.metric(t, "app_pending") == 2 && u.new.metric(t, "app_pending") == 2
 	})
-	u.put(u.oldClient, "late", putFields("once", 20000, 1)) // taken on by the old one, sent by the new
+	u.put(u.oldClient, "late", putFields("once", 20000, 1)) // accepted by the old process, sent by the new one
 	u.waitDelivered(u.quick, "late")
 	u.put(u.oldClient, "late5", putFields("once", 20000, 5))
 	u.put(u.oldClient, "waits2", putFields("once", 20000, 3))
-	// Any connection may be the new process's: an id that the old one took on is known there.
+	// A connection may be accepted by either process, and the new one must know the IDs that
+	// the old one accepted.
 	for range 8 {
 		u.put(dialClient(t, u.env["ROUTER_LISTEN"]), "late5", putFields("once", 20000, 5))
 	}
 	u.listEndpoint5()
 	u.waitDelivered(u.listedLater, "held", "late5")
 	close(u.release)
-	waitFor(t, "the end of the calls", func() bool { return u.old.metric(t, "app_pending") == 0 })
+	waitFor(t, "the end of the old process's calls", func() bool { return u.old.metric(t, "app_pending") == 0 })
 	u.old.cmd.Process.Signal(syscall.SIGTERM)
 	if _, err := u.oldClient.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("a connection of the old process: %v", err)
+		t.Errorf("connection to the old process: %v, want EOF", err)
 	}
 	if err := u.old.cmd.Wait(); err != nil {
 		t.Errorf("exit of the old process: %v", err)
@@ -185,79 +194,82 @@
 	cl := dialClient(t, u.env["ROUTER_LISTEN"])
 	u.put(cl, "after", putFields("once", 20000, 1))
 	u.waitDelivered(u.quick, "after")
-	waitFor(t, "the end of the side log", func() bool {
+	waitFor(t, "the removal of the handoff log", func() bool {
 		_, err := os.Stat(filepath.Join(u.env["ROUTER_STATE"], wal.HandoffName))
 		return errors.Is(err, os.ErrNotExist)
 	})
 	u.checkSentOnce("out", "keyed", "late", "held", "late5", "after")
 	if n := u.rejecting.callCount("waits") + u.rejecting.callCount("waits2"); n != 1 {
-		t.Errorf("%d calls against a told wait", n)
+		t.Errorf("%d calls during the Retry-After time", n)
 	}
-	// What it delivered itself; it counts a call later than the endpoint does.
-	waitFor(t, "4 that the new process counts as delivered", func() bool { return u.new.metric(t, `app_completed{lane="once"}`) >= 4 })
+	// The new process counts only its own deliveries, and a delivery later than the endpoint
+	// does.
+	waitFor(t, "4 deliveries in the count of the new process", func() bool { return u.new.metric(t, `app_completed{lane="once"}`) >= 4 })
 	if n := u.new.metric(t, `app_completed{lane="once"}`); n != 4 {
-		t.Errorf("the new process counts %d delivered", n)
+		t.Errorf("the new process counts %d deliveries, want 4", n)
 	}
 }
 
-// A told wait that the old process hears of after it has passed on binds the
-// new one, too.
+// A Retry-After that the old process receives after the handover must hold in the new process,
+// too.
 func TestUpgradeHandsOverLateRetryAfter(t *testing.T) {
 	u := startUpgradeTest(t)
 	u.startNew()
 	avoided := u.new.metric(t, "app_members_unavailable")
 	u.slowRejects.Store(true)
 	close(u.release)
-	waitFor(t, "the wait", func() bool { return u.new.metric(t, "app_members_unavailable") == avoided+2 })
+	waitFor(t, "the Retry-After at the new process", func() bool { return u.new.metric(t, "app_members_unavailable") == avoided+2 })
 	u.put(u.oldClient, "next", putFields("once", 20000, 2))
 	u.put(u.oldClient, "mark", putFields("once", 20000, 1))
 	u.waitDelivered(u.quick, "mark")
 	if n := u.slow.callCount("next"); n != 0 {
-		t.Errorf("%d calls against a told wait", n)
+		t.Errorf("%d calls during the Retry-After time", n)
 	}
 	u.checkSentOnce("out", "keyed")
 }
 
-// Killed with its calls out, the old process leaves them in doubt: the unsafe
-// one fails, the keyed one goes out again, and what it took on late is kept.
+// The old process is killed with calls in flight, whose outcome is therefore unknown. The new
+// process must fail the message of the class "once" and send the keyed one again, and must
+// know the message that the old process accepted after the handover.
 func TestUpgradeSurvivesKillOfOldProcess(t *testing.T) {
 	u := startUpgradeTest(t)
 	u.startNew()
 	u.put(u.oldClient, "late", putFields("once", 20000, 5))
 	u.old.kill()
 	u.slow.setAnswer(nil)
-	waitFor(t, "notice of the unsafe one", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.Failed })
-	waitFor(t, "the keyed one", func() bool { return u.slow.callCount("keyed") == 2 })
+	waitFor(t, "the failure notice of the message that may have run", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.Failed })
+	waitFor(t, "the repeated call of the keyed message", func() bool { return u.slow.callCount("keyed") == 2 })
 	u.listEndpoint5()
 	u.waitDelivered(u.listedLater, "held", "late")
 	u.checkSentOnce("held", "late")
 	if n := u.slow.callCount("out"); n != 1 {
-		t.Errorf("the unsafe message went out %d times", n)
+		t.Errorf("the message of the class once was sent %d times", n)
 	}
 }
 
-// Killed after it took over, the new process leaves a relay that goes on: the
-// old one takes all back, with what it took on itself meanwhile.
+// The new process is killed after it took over. The old one must take over all messages again,
+// with those that it accepted itself meanwhile.
 func TestUpgradeSurvivesKillOfNewProcess(t *testing.T) {
 	u := startUpgradeTest(t)
 	u.startNew()
 	u.put(u.oldClient, "late", putFields("once", 20000, 5))
 	u.new.kill()
 	u.slow.setAnswer(nil)
-	waitFor(t, "notice of the unsafe one", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.Failed })
+	waitFor(t, "the failure notice of the message that may have run", func() bool { n, ok := u.disc.Notice("out"); return ok && n.Outcome == discovery.Failed })
 	u.listEndpoint5()
 	u.waitDelivered(u.listedLater, "held", "late")
 	u.put(u.oldClient, "more", putFields("once", 20000, 1))
 	u.waitDelivered(u.quick, "more")
 	u.checkSentOnce("held", "late", "more")
-	// And it can be upgraded again.
+	// Another upgrade must work after that.
 	u.startNew()
 	u.put(u.oldClient, "last", putFields("once", 20000, 1))
 	u.waitDelivered(u.quick, "last")
 	u.checkSentOnce("last")
 }
 
-// Both killed, the next process finds everything in the two logs.
+// Both processes are killed. The next process must find all messages in the log and the
+// handoff log.
 func TestUpgradeSurvivesKillOfBothProcesses(t *testing.T) {
 	u := startUpgradeTest(t)
 	u.startNew()
@@ -268,12 +280,12 @@
 	startChild(t, u.env)
 	u.listEndpoint5()
 	u.waitDelivered(u.listedLater, "held", "late")
-	waitFor(t, "notice of the unsafe one", func() bool { _, ok := u.disc.Notice("out"); return ok })
+	waitFor(t, "the failure notice of the message that may have run", func() bool { _, ok := u.disc.Notice("out"); return ok })
 	u.checkSentOnce("held", "late")
 }
 
-// A process that waits to take over says no; its death changes nothing, and one
-// that is told to stop ends.
+// A process that waits to take over must not be ready. Killing it must not disturb the next
+// one, and on SIGTERM it must end with exit code 0.
 func TestWaitingSuccessorIsNotReady(t *testing.T) {
 	env := writeTestConfig(t, discoverytest.New(t), 3)
 	lock, err := wal.OpenLock(env["ROUTER_STATE"], wal.LockName)
@@ -300,21 +312,21 @@
 	}
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	first := spawn(t, env)
-	waitFor(t, "the wish", wished(true))
+	waitFor(t, "the successor lock to be held", wished(true))
 	if !first.readyzIs(false) {
-		t.Error("says yes without the lock")
+		t.Error("a process without the lock is ready")
 	}
 	first.kill()
-	waitFor(t, "the end of the wish", wished(false))
+	waitFor(t, "the release of the successor lock", wished(false))
 	second := spawn(t, env)
-	waitFor(t, "the wish", wished(true))
+	waitFor(t, "the successor lock to be held", wished(true))
 	second.cmd.Process.Signal(syscall.SIGTERM)
 	if err := second.cmd.Wait(); err != nil {
-		t.Errorf("told to stop: %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
 
-// Guards the clients of a listener that closes: what waits there is taken in.
+// The connections in the backlog of a listener that is closed must still be served.
 func TestClosedListenerServesBacklog(t *testing.T) {
 	ln, err := listenReusePort(t.Context(), "127.0.0.1:0")
 	if err != nil {
@@ -322,7 +334,7 @@
 	}
 	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	var waiting []*testClient
-	for range 20 { // nobody accepts yet
+	for range 20 { // the connections stay in the backlog of the listener
 		waiting = append(waiting, dialClient(t, ln.Addr().String()))
 	}
 	c.stopListening(ln)
@@ -331,35 +343,35 @@
 	}
 	for i, cl := range waiting {
 		if s := cl.put(fmt.Sprintf("m%d", i), putFields("plain", 8000, 1), nil); s != "+OK" {
-			t.Errorf("%d: %s", i, s)
+			t.Errorf("connection %d: response %s", i, s)
 		}
 	}
 	if _, err := net.DialTimeout("tcp", ln.Addr().String(), time.Second); err == nil {
-		t.Error("still listens")
+		t.Error("the listener still accepts connections")
 	}
 }
 
-// Guards what drains while a process waits to take over: it is known before
-// anything is sent, and what came besides is kept for the loop.
+// While a process waits to take over, it must apply list updates, so that it knows draining
+// endpoints before it sends anything. Other events must be kept for the loop.
 func TestWaitingSuccessorAppliesListUpdates(t *testing.T) {
 	r := newTestRelay(t)
 	m := discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up}
 	r.mailbox.Put(listEvent{&discovery.List{Complete: true, Members: []discovery.Member{m}}})
 	if !r.takeListUpdates() || r.endpoints.byID["s-1"].isStopped {
-		t.Fatal("the first list")
+		t.Fatal("the first list was not applied")
 	}
 	m.Phase = discovery.Draining
 	r.mailbox.Put(operatorEvent{policy.EventDrain})
 	r.mailbox.Put(listEvent{&discovery.List{Members: []discovery.Member{m}}})
 	r.takeListUpdates()
 	if !r.endpoints.byID["s-1"].isStopped || len(r.deferredEvents) != 1 || r.deferredEvents[0] != event(operatorEvent{policy.EventDrain}) {
-		t.Errorf("gone %v, kept %d", r.endpoints.byID["s-1"].isStopped, len(r.deferredEvents))
+		t.Errorf("endpoint stopped: %v, want true; %d events kept, want 1", r.endpoints.byID["s-1"].isStopped, len(r.deferredEvents))
 	}
 }
 
-// Hard case: the owner stands still (SIGSTOP). The next process waits and writes
-// nothing; once the owner goes on it passes on, and once one is killed the other
-// has the log. There is one writer at any time.
+// The owner of the log is stopped with SIGSTOP. The next process must wait and write nothing.
+// Once the owner continues, it must hand over, and after both are killed a third process must
+// find the message in a sound log: there is only one writer at any time.
 func TestSuccessorWaitsForStoppedOwner(t *testing.T) {
 	env := writeTestConfig(t, discoverytest.New(t), 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
@@ -376,24 +388,24 @@
 		t.Fatal(err)
 	}
 	defer wish.Close()
-	waitFor(t, "the wish", func() bool { held, err := wish.HeldByOther(); return held && err == nil })
+	waitFor(t, "the successor lock to be held", func() bool { held, err := wish.HeldByOther(); return held && err == nil })
 	before, err := wal.Inspect(nil, env["ROUTER_STATE"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !next.readyzIs(false) {
-		t.Error("the next process says yes while the owner stands still")
+		t.Error("the next process is ready while the owner is stopped")
 	}
 	if after, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || after.Seq != before.Seq || after.Process != before.Process {
-		t.Errorf("written by another: %+v, then %+v, %v", before, after, err)
+		t.Errorf("the log was written while the owner was stopped: %+v, then %+v, error %v", before, after, err)
 	}
 	owner.cmd.Process.Signal(syscall.SIGCONT)
-	waitFor(t, "the next one says yes", func() bool { return next.readyzIs(true) })
+	waitFor(t, "readiness of the next process", func() bool { return next.readyzIs(true) })
 	owner.kill()
 	next.kill()
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	startChild(t, env)
 	if r, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || r.Pending != 1 || !r.Sound() {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("log state %+v, error %v, want a sound log with 1 pending message", r, err)
 	}
 }
