--- a/internal/relay/window_test.go
+++ b/internal/relay/window_test.go
@@ -14,7 +14,7 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// callTimes keeps when the calls of each message came.
+// callTimes records when an endpoint received the calls of each message.
 type callTimes struct {
 	mu   sync.Mutex
 	byID map[string][]time.Time
@@ -32,13 +32,13 @@
 	return append([]time.Time(nil), c.byID[id]...)
 }
 
-// noticeTimes keeps when the notice of each message was first seen.
+// noticeTimes records when the notice of each message was first seen at discovery.
 type noticeTimes struct {
 	mu   sync.Mutex
 	byID map[string]time.Time
 }
 
-// follow books the notices that discovery has taken, until done is closed.
+// record records the notices that discovery has received, until done is closed.
 func (n *noticeTimes) record(disc *discoverytest.Server, done <-chan struct{}) {
 	for {
 		disc.Mu.Lock()
@@ -65,9 +65,11 @@
 	return at, seen
 }
 
-// Guards the window for repeats where it is as short as 1 s, over a kill at any moment and the 0.6 s until the next
-// process: what may have run is not sent again once its window is over, counted from its first send that may have run,
-// and from then on it is given up, in time and not handed back. What was never tried still is.
+// A relay with a deduplication window of only 1 s is killed at a random time and restarted
+// 0.6 s later. A message that may have run must not be sent again once its window is over,
+// which begins with its first attempt that may have run. From then on it must fail within
+// its deadline, and must not be returned as never run. A message that was never tried is
+// still sent.
 func TestShortDedupWindowHoldsAcrossKill(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -81,7 +83,7 @@
 	const (
 		window   = time.Second
 		deadline = 7 * time.Second
-		slack    = 100 * time.Millisecond // on the way from the relay, of either call
+		slack    = 100 * time.Millisecond // allowance for the time between sending and receiving a call
 	)
 	calls := &callTimes{byID: map[string][]time.Time{}}
 	fares := func(answer func(http.ResponseWriter, *http.Request, int)) *fakeEndpoint {
@@ -95,7 +97,7 @@
 	cut := fares(func(http.ResponseWriter, *http.Request, int) { panic(http.ErrAbortHandler) })
 	later := fares(func(http.ResponseWriter, *http.Request, int) {})
 	disc := discoverytest.New(t, failing.member("s-2", 2), cut.member("s-3", 3))
-	for i := range 40 { // one call hangs at each, and takes nothing of the others' windows
+	for i := range 40 { // one endpoint for each hanging call, so that none delays the others
 		disc.List.Members = append(disc.List.Members, hung.member(fmt.Sprintf("h-%d", i), 100+i))
 	}
 	env := writeTestConfig(t, disc, 3)
@@ -110,17 +112,17 @@
 	began := map[string]time.Time{}
 	killAt := time.Now().Add(time.Duration(rng.Int64N(int64(2 * window))))
 	for i := 0; time.Now().Before(killAt) || i < 10; i++ {
-		dest := []int{100 + i, 2, 100 + i, 3, 5}[i%5] // nobody serves 5 yet
+		dest := []int{100 + i, 2, 100 + i, 3, 5}[i%5] // destination 5 has no endpoint yet
 		id := fmt.Sprintf("m%d-%d", i, dest)
 		began[id] = time.Now()
 		if s := cl.put(id, putFields("keyed", int(deadline.Milliseconds()), dest), nil); s != "+OK" {
 			t.Fatal(s)
 		}
-		time.Sleep(time.Duration(rng.Int64N(int64(window / 5)))) // they are spread over the time before the kill
+		time.Sleep(time.Duration(rng.Int64N(int64(window / 5)))) // spreads the messages over the time before the kill
 	}
 	c.kill()
 	killed := time.Now()
-	time.Sleep(600 * time.Millisecond) // as the platform has it
+	time.Sleep(600 * time.Millisecond) // the time in which the platform restarts a process
 	for _, ep := range []*fakeEndpoint{hung, failing, cut} {
 		ep.setAnswer(func(_ http.ResponseWriter, r *http.Request, _ int) { calls.record(r.Header.Get("X-Request-ID")) })
 	}
@@ -130,7 +132,7 @@
 	ready := time.Now()
 	repeated, givenUp, longest := 0, 0, time.Duration(0)
 	for id, at := range began {
-		waitFor(t, "the end of "+id, func() bool {
+		waitFor(t, "the delivery or notice of "+id, func() bool {
 			_, told := notices.get(id)
 			return told || hung.answeredOK(id) || failing.answeredOK(id) || cut.answeredOK(id) || later.answeredOK(id)
 		})
@@ -138,19 +140,19 @@
 		told, ended := notices.get(id)
 		n, _ := disc.Notice(id)
 		if late := told.Sub(at.Add(deadline + 350*time.Millisecond)); late > 0 && told.Sub(ready) > 1550*time.Millisecond {
-			t.Errorf("%s ended %v late", id, late)
+			t.Errorf("%s: notice came %v late", id, late)
 		}
 		switch {
 		case strings.HasSuffix(id, "-5"):
 			if len(sent) != 1 || ended {
-				t.Errorf("%s, which was never tried, came %d times, notice %q", id, len(sent), n.Outcome)
+				t.Errorf("%s was not tried before the kill: got %d calls and notice %q, want 1 call and no notice", id, len(sent), n.Outcome)
 			}
 			continue
-		case len(sent) == 0: // it was held for want of a slot, or turned away by what failed
+		case len(sent) == 0: // it was never sent: no call slot was free, or the policy rejected it because its destination failed
 			continue
 		}
 		if last := sent[len(sent)-1]; last.Sub(sent[0]) > window+slack {
-			t.Errorf("%s came again %v after its first call", id, last.Sub(sent[0]))
+			t.Errorf("%s was sent again %v after its first call, outside its window", id, last.Sub(sent[0]))
 		}
 		if len(sent) > 1 && sent[len(sent)-1].After(killed) {
 			repeated++
@@ -159,11 +161,11 @@
 			continue
 		}
 		if age := told.Sub(sent[0]); n.Outcome != discovery.Failed && age > window+slack {
-			t.Errorf("%s, which may have run, was %s %v after its first call", id, n.Outcome, age)
+			t.Errorf("%s may have run, but its notice says %s, %v after its first call", id, n.Outcome, age)
 		}
 		givenUp++
 		longest = max(longest, told.Sub(sent[0]))
 	}
-	t.Logf("killed after %d hand-ins: %d came again after it, %d ended by notice, up to %v after their first call",
+	t.Logf("killed after %d messages: %d were sent again after the restart, %d ended by a notice, up to %v after their first call",
 		len(began), repeated, givenUp, longest)
 }
