--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -156,7 +156,7 @@
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	due := map[string]time.Time{}
 	for i := range 600 {
-		ms := 4000 // one half of the messages have nearly the same deadline
+		ms := 4000 // one half of the messages get the same time
 		if i%2 == 0 {
 			ms = 3500 + 3*i
 		}
@@ -257,7 +257,7 @@
 			waitFor(t, "the removal of the endpoint", func() bool { return c.metric(t, "app_members") == 1 })
 			close(answer)
 			waitFor(t, "the outcome in the log", func() bool { return logContains(env["ROUTER_STATE"], wal.KindOutcome, "keyed") })
-			for i := range 5 { // these have less time left, so the keyed message is spilled first
+			for i := range 5 { // these have less time left, so the keyed message is among the spilled ones
 				put(fmt.Sprint("m", i), "plain", 15000+i)
 			}
 			c.waitSpilled(t, 5)
@@ -266,18 +266,18 @@
 				disc.Send(t, discoverytest.Change(4, m))
 				checkEndedOnce(t, disc, []string{"keyed"}, true, ep)
 				if n, took := ep.callCount("keyed"), time.Since(first); n != 2 || took > 6*time.Second {
-					t.Errorf("%d calls, the last after %v; its window is 6 s", n, took)
+					t.Errorf("%d calls of the keyed message, delivered after %v; want 2 calls within the window of 6 s", n, took)
 				}
 				return
 			}
-			waitFor(t, "its end", func() bool { _, ok := disc.Notice("keyed"); return ok })
+			waitFor(t, "the notice of the keyed message", func() bool { _, ok := disc.Notice("keyed"); return ok })
 			if took := time.Since(first); took > 7*time.Second || took < 5*time.Second {
-				t.Errorf("ended after %v, its window is 6 s", took)
+				t.Errorf("notice %v after the first call, want 5 to 7 s for a window of 6 s", took)
 			}
 			disc.Send(t, discoverytest.Change(4, m))
-			for i := range 5 { // a drop may have ended one
+			for i := range 5 { // the policy may have dropped some of them, which then have a notice
 				id := fmt.Sprint("m", i)
-				waitFor(t, "the end of "+id, func() bool { _, ended := disc.Notice(id); return ended || ep.answeredOK(id) })
+				waitFor(t, "the delivery or notice of "+id, func() bool { _, ended := disc.Notice(id); return ended || ep.answeredOK(id) })
 			}
 			if n := ep.callCount("keyed"); n != 1 {
 				t.Errorf("the keyed message was sent again after it had failed")
@@ -344,7 +344,7 @@
 				t.Fatalf("%s, submitted again: %s", id, s)
 			}
 		}
-		for i := range 50 { // also new messages, which the old process holds in memory until it passes them on
+		for i := range 50 { // also new messages: a process that has handed over spills none, so they stay in its memory
 			id := fmt.Sprintf("late%d-%d-once", len(ids), i)
 			if s := kept.put(id, putFields("once", 25000, 7), nil); s != "+OK" {
 				t.Fatalf("%s: %s", id, s)
@@ -408,7 +408,7 @@
 }
 
 // submitMessage puts the event of a new message into the mailbox, as a client connection
-// does.
+// does, and returns its request.
 func submitMessage(t *testing.T, r *Relay, id string, dest int, left policy.Time) *putRequest {
 	q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, receivedAt: time.Now(), timeLeft: time.Duration(left) * time.Microsecond, responses: make(chan response, 1)}
 	r.mailbox.Put(submitEvent{request: q})
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -73,7 +73,7 @@
 	return err == nil
 }
 
-// Each response to a single message maps to its outcome.
+// Each response to a call with a single message must give the outcome of the protocol.
 func TestSingleCallResponseMapsToOutcome(t *testing.T) {
 	say := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
@@ -264,7 +264,7 @@
 	if o := runSingleCall(late, tr, ep.addr(), &wal.Record{ID: "late"}, testCallTimeout); o.kind != policy.NotSent || ep.callCount("late") != 0 {
 		t.Errorf("outcome %+v and %d calls, want not sent and no call", o, ep.callCount("late"))
 	}
-	// A call that is being sent is not stopped.
+	// A call that is being sent must not be stopped.
 	under := newTestCall()
 	under.stage.Store(callSending)
 	if under.cancelIfWaiting(errEndpointDraining); under.ctx.Err() != nil {
@@ -337,7 +337,8 @@
 			t.Errorf("call to %s in stage %d: stopped %v", c.endpoint.id, c.stage.Load(), got)
 		}
 	}
-	// A batch that the policy sent before the Retry-After, whose client is acknowledged only now.
+	// The policy sent this batch before the Retry-After arrived, but its call starts only now, as
+	// its message was not acknowledged before.
 	late := r.newMessage(&wal.Record{ID: "late", Class: "plain", Dest: 1})
 	late.isAcknowledged = true
 	b := &batch{endpoint: twin, sends: []send{{message: late, timeoutAt: r.clock.now() + 900e6}}}
--- a/internal/relay/client_session_test.go
+++ b/internal/relay/client_session_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// serveClients starts a client server without a relay. Put gets each message in place of the
-// loop. The channel gets, for each message, whether the client counts as having received its
-// response.
+// serveClients starts a client server without a relay; put gets each message in place of the
+// loop. It returns the server, its address and a channel. The channel gets, for each message,
+// whether it counts as acknowledged, so that its client has received the response.
 func serveClients(t *testing.T, put func(*putRequest)) (*clientServer, string, chan bool) {
 	t.Helper()
 	said := make(chan bool, 16)
--- a/internal/relay/clockstep_test.go
+++ b/internal/relay/clockstep_test.go
@@ -70,9 +70,10 @@
 	s.disc.Set(func(d *discoverytest.Server) { d.List.Members = append(d.List.Members, s.listedLater.member("s-5", 5)) })
 }
 
-// checkNoticeTime waits for the notice of a message with the deadline left. It must not come
-// before 90 % of that time and no later than noticeSlack after it. If the relay was restarted
-// and was ready at since, a notice is also in time until 1.5 s and noticeSlack after since.
+// checkNoticeTime waits for the notice of a message that was submitted with timeLeft. It must
+// not come before 90 % of that time is over, and no later than noticeSlack after its end. If
+// the relay was restarted and ready again at readyAt, a notice is also in time until 1.5 s
+// and noticeSlack after that.
 func (s *steppedRelay) checkNoticeTime(id string, left time.Duration, since time.Time) {
 	s.t.Helper()
 	began, ok := s.acceptedAt[id]
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A missing or invalid value must be an error that names its key.
+// A missing or invalid value must cause an error that names its key.
 func TestConfigErrorNamesTheKey(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","state":"/x","seed":"1f",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":2},"settings":` + testSettings + `}`
--- a/internal/relay/orders_test.go
+++ b/internal/relay/orders_test.go
@@ -24,8 +24,8 @@
 	running  sync.WaitGroup
 }
 
-// newSequenceTest returns a setup whose destination answers within the given delay. On
-// average it rejects one call out of full with status 503, or none if full is 0.
+// newSequenceTest returns a setup whose destination answers within maxDelay. On average it
+// rejects one call out of rejectOneIn with status 503, or none if that is 0.
 func newSequenceTest(t *testing.T, seed uint64, most time.Duration, full int) *sequenceTest {
 	var mu sync.Mutex
 	draws := rand.New(rand.NewPCG(seed, 6))
@@ -63,8 +63,8 @@
 	})
 }
 
-// sequenceClient is a client that submits messages while a relay shuts down, and records the
-// responses.
+// sequenceClient is a client that submits messages while relays start and end, and records
+// the responses.
 type sequenceClient struct {
 	ids         []string
 	isOnce      []bool   // whether the message of each ID has the class "once" and must not be sent twice
--- a/internal/relay/outcome_test.go
+++ b/internal/relay/outcome_test.go
@@ -52,7 +52,7 @@
 	if rng.IntN(3) == 0 {
 		said = said[:rng.IntN(len(said)+1)]
 	}
-	early, end := rng.IntN(4) == 0, rng.IntN(3) // early: respond before the request is read; end: 0 closes, 1 resets, 2 hangs
+	early, end := rng.IntN(4) == 0, rng.IntN(3) // responds before the whole request is read; 0 closes, 1 resets, 2 hangs
 	stopAt := rng.IntN(len(body) + 200)         // number of request bytes that are read before an early response
 	var mu sync.Mutex
 	came, whole := 0, false
--- a/internal/relay/race_on_test.go
+++ b/internal/relay/race_on_test.go
@@ -2,6 +2,6 @@
 
 package relay
 
-// raceDetectorEnabled is true: the race detector makes the program many times slower, so that
-// tests with time limits must do less.
+// raceDetectorEnabled is true: the test binary was built with the race detector, which makes
+// the program many times slower, so that time limits would prove nothing at full size.
 const raced = true
--- a/internal/relay/ready_test.go
+++ b/internal/relay/ready_test.go
@@ -93,6 +93,7 @@
 // A restart at the full size of the fleet: a known list of 31,000 members, a log with 100,000
 // pending messages, and discovery that serves, is silent or refuses connections. The relay
 // must answer PING and be ready in time, while it gets new messages from its first PONG on.
+// With the race detector, the sizes are a tenth of these.
 func TestRestartAtFullSizeIsReadyInTime(t *testing.T) {
 	owed := 100000
 	if s := os.Getenv("RELAY_READY_OWED"); s != "" { // sets another number of pending messages for a measurement
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -619,7 +619,7 @@
 }
 
 // readClockAhead returns a clock reader whose wall clock is ahead by the given time. With
-// bootsAfter, its boot ID differs from that of the machine, as if the machine was rebooted
+// reboots, its boot ID differs from that of the machine, as if the machine was rebooted
 // before the next process.
 func readClockAhead(by time.Duration, bootsAfter bool) func() clock.Reading {
 	return func() clock.Reading {
--- a/internal/relay/transport_test.go
+++ b/internal/relay/transport_test.go
@@ -24,7 +24,7 @@
 		in := bufio.NewReader(c)
 		for readCall(in) {
 			together <- struct{}{}
-			for len(together) < burst { // answers only when all calls of a burst have arrived, so that each needs a connection
+			for len(together) < burst { // answers only when all calls of a burst have arrived, so that each needs its own connection
 				time.Sleep(time.Millisecond)
 			}
 			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -52,8 +52,8 @@
 	return 0
 }
 
-// upgradeTest has the two processes of an upgrade on one state folder, and endpoints for
-// calls that are in flight, rejected or not made yet when the new process takes over.
+// upgradeTest holds the two processes of an upgrade on one state folder, and endpoints whose
+// calls are answered, in flight, rejected or not made yet when the new process takes over.
 type upgradeTest struct {
 	t           *testing.T
 	env         map[string]string
