--- a/internal/relay/backlog_slope_test.go
+++ b/internal/relay/backlog_slope_test.go
@@ -35,10 +35,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	part := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
-	user, _ := strconv.ParseInt(part[11], 10, 64) // the fields of /proc/PID/stat are always numbers
-	system, _ := strconv.ParseInt(part[12], 10, 64)
-	pages, _ := strconv.ParseInt(part[21], 10, 64)
+	statFields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
+	user, _ := strconv.ParseInt(statFields[11], 10, 64) // the fields of /proc/PID/stat are always numbers
+	system, _ := strconv.ParseInt(statFields[12], 10, 64)
+	pages, _ := strconv.ParseInt(statFields[21], 10, 64)
 	return time.Duration(user+system) * 10 * time.Millisecond, pages * int64(os.Getpagesize())
 }
 
@@ -55,7 +55,7 @@
 // start starts the relay and returns the time until it was ready.
 func (s *costRun) start() (ready time.Duration) {
 	s.t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	c := &child{cmd: exec.Command(s.program), env: s.relay.env}
 	c.cmd.Env = os.Environ()
 	for k, v := range c.env {
@@ -67,7 +67,7 @@
 	s.t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
 	s.relay = c
 	waitFor(s.t, "readiness", func() bool { return c.readyzIs(true) })
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
 func (s *costRun) usage() (time.Duration, int64) {
@@ -80,13 +80,13 @@
 	s.t.Helper()
 	body := make([]byte, 200)
 	var wg sync.WaitGroup
-	for k := range slopeClients {
+	for clientIndex := range slopeClients {
 		cl := dialClient(s.t, s.relay.env["ROUTER_LISTEN"])
 		cl.SetDeadline(time.Now().Add(2 * time.Minute))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for i := k; i < n; i += slopeClients {
+			for i := clientIndex; i < n; i += slopeClients {
 				if got := cl.put(fmt.Sprint("m", i), putFields("plain", 3600000, 10+i%slopeDests), body); got != "+OK" {
 					s.t.Errorf("m%d: %s", i, got)
 					return
@@ -99,7 +99,7 @@
 
 // deliver lists endpoints for the destinations and returns the CPU time of the relay and
 // the time elapsed per message, for the first deliveries.
-func (s *costRun) deliver(n int) (cpu, took time.Duration) {
+func (s *costRun) deliver(n int) (cpu, elapsed time.Duration) {
 	s.t.Helper()
 	n = min(n, slopeMaxDelivered)
 	list := discovery.List{Revision: 2}
@@ -113,19 +113,19 @@
 		s.t.Fatal(err)
 	}
 	before, _ := s.usage()
-	began := time.Now()
+	startedAt := time.Now()
 	s.disc.Send(s.t, string(text))
-	for end := began.Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
+	for deadline := startedAt.Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		s.endpoint.mu.Lock()
-		done := len(s.endpoint.calls)
+		delivered := len(s.endpoint.calls)
 		s.endpoint.mu.Unlock()
-		late := time.Now().After(end)
-		if late && done < n/2 {
-			s.t.Logf("only %d of %d messages were delivered within 20 s", done, n)
+		isLate := time.Now().After(deadline)
+		if isLate && delivered < n/2 {
+			s.t.Logf("only %d of %d messages were delivered within 20 s", delivered, n)
 		}
-		if done >= n*9/10 || late && done > 0 { // 90 % are enough, as the policy may drop some messages
+		if delivered >= n*9/10 || isLate && delivered > 0 { // 90 % are enough, as the policy may drop some messages
 			after, _ := s.usage()
-			return (after - before) / time.Duration(done), time.Since(began) / time.Duration(done)
+			return (after - before) / time.Duration(delivered), time.Since(startedAt) / time.Duration(delivered)
 		}
 	}
 }
@@ -147,24 +147,24 @@
 			t.Fatal(err)
 		}
 		for _, mode := range []string{"before", "after"} {
-			s := &costRun{t: t, program: bin, disc: newDiscoveryWithOneMember(t), endpoint: newFakeEndpoint(t, nil)}
-			env := backlogEnv(t, s.disc, 2048, 0)
+			run := &costRun{t: t, program: bin, disc: newDiscoveryWithOneMember(t), endpoint: newFakeEndpoint(t, nil)}
+			env := backlogEnv(t, run.disc, 2048, 0)
 			editConfig(t, env, `"memory_mb":192`, `"memory_mb":256`)
 			if mode == "after" {
 				editConfig(t, env, `"resident":0,`, ``)
 			}
-			s.relay = &child{env: env}
-			s.start()
-			cpu0, rss0 := s.usage()
-			s.submit(n)
-			cpu1, rss1 := s.usage()
-			waitFor(t, "the count of pending messages", func() bool { return s.relay.metric(t, "app_pending") == n })
-			s.relay.kill()
-			ready := s.start()
-			cpu, took := s.deliver(n)
-			s.relay.kill()
+			run.relay = &child{env: env}
+			run.start()
+			cpu0, rss0 := run.usage()
+			run.submit(n)
+			cpu1, rss1 := run.usage()
+			waitFor(t, "the count of pending messages", func() bool { return run.relay.metric(t, "app_pending") == n })
+			run.relay.kill()
+			ready := run.start()
+			cpu, elapsed := run.deliver(n)
+			run.relay.kill()
 			t.Logf("%-7s %8d %10.1f %14.0f %12.1f %12.1f %12.1f %10.0f", mode, n, float64(rss1)/1e6, float64(rss1-rss0)/float64(n),
-				float64((cpu1-cpu0).Microseconds())/float64(n), float64(cpu.Nanoseconds())/1e3, float64(took.Nanoseconds())/1e3, float64(ready.Microseconds())/1e3)
+				float64((cpu1-cpu0).Microseconds())/float64(n), float64(cpu.Nanoseconds())/1e3, float64(elapsed.Nanoseconds())/1e3, float64(ready.Microseconds())/1e3)
 			if t.Failed() {
 				return
 			}
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -61,12 +61,12 @@
 // must have been delivered with one call and have no notice. With kills, a message whose
 // call had no known outcome may have been sent again or have a notice as well; only messages
 // of the class "once" must never be sent twice.
-func checkEndedOnce(t *testing.T, disc *discoverytest.Server, ids []string, kills bool, eps ...*fakeEndpoint) {
+func checkEndedOnce(t *testing.T, disc *discoverytest.Server, ids []string, kills bool, endpoints ...*fakeEndpoint) {
 	t.Helper()
 	for _, id := range ids {
 		waitFor(t, "the delivery or notice of "+id, func() bool {
 			_, ended := disc.Notice(id)
-			for _, e := range eps {
+			for _, e := range endpoints {
 				ended = ended || e.answeredOK(id)
 			}
 			return ended
@@ -74,15 +74,15 @@
 	}
 	for _, id := range ids {
 		calls := 0
-		for _, e := range eps {
+		for _, e := range endpoints {
 			calls += e.callCount(id)
 		}
-		_, notice := disc.Notice(id)
+		_, hasNotice := disc.Notice(id)
 		if strings.HasSuffix(id, "-once") && calls > 1 {
 			t.Errorf("%s must run at most once, but was sent %d times", id, calls)
 		}
-		if !kills && (notice || calls != 1) {
-			t.Errorf("%s: %d calls and notice %v, want 1 call and no notice", id, calls, notice)
+		if !kills && (hasNotice || calls != 1) {
+			t.Errorf("%s: %d calls and notice %v, want 1 call and no notice", id, calls, hasNotice)
 		}
 	}
 }
@@ -133,9 +133,9 @@
 			m := ep.member("s-7", 7)
 			disc.Send(t, discoverytest.Change(2, m))
 			waitFor(t, "enough calls", func() bool { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.calls) >= 40 })
-			gone := m
-			gone.Phase = discovery.Removed
-			disc.Send(t, discoverytest.Change(3, gone))
+			removed := m
+			removed.Phase = discovery.Removed
+			disc.Send(t, discoverytest.Change(3, removed))
 			waitFor(t, "the removal of the endpoint", func() bool { return c.metric(t, "app_members") == 1 })
 			disc.Send(t, discoverytest.Change(4, m))
 			checkEndedOnce(t, disc, ids, false, ep)
@@ -154,7 +154,7 @@
 	env := backlogEnv(t, disc, 64, 2)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	due := map[string]time.Time{}
+	deadlines := map[string]time.Time{}
 	for i := range 600 {
 		ms := 4000 // one half of the messages get the same time
 		if i%2 == 0 {
@@ -165,24 +165,24 @@
 		if s := cl.put(id, putFields(class, ms, 10+i%5), nil); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
-		due[id] = before.Add(time.Duration(ms) * time.Millisecond)
+		deadlines[id] = before.Add(time.Duration(ms) * time.Millisecond)
 	}
 	if n := c.metric(t, "app_loaded"); n > 0 {
 		t.Logf("%d messages were loaded before the first deadline", n)
 	}
-	for len(due) > 0 {
+	for len(deadlines) > 0 {
 		now := time.Now()
-		for id, at := range due {
+		for id, deadline := range deadlines {
 			n, ended := disc.Notice(id)
 			switch {
 			case ended && n.Outcome != discovery.Returned:
 				t.Fatalf("%s: %+v", id, n)
-			case ended && now.Before(at.Add(-100*time.Millisecond)):
-				t.Fatalf("%s: notice came %v before its deadline", id, at.Sub(now))
+			case ended && now.Before(deadline.Add(-100*time.Millisecond)):
+				t.Fatalf("%s: notice came %v before its deadline", id, deadline.Sub(now))
 			case ended:
-				delete(due, id)
-			case now.After(at.Add(300 * time.Millisecond)):
-				t.Fatalf("%s: no notice %v after its deadline", id, now.Sub(at))
+				delete(deadlines, id)
+			case now.After(deadline.Add(300 * time.Millisecond)):
+				t.Fatalf("%s: no notice %v after its deadline", id, now.Sub(deadline))
 			}
 		}
 		time.Sleep(time.Millisecond)
@@ -204,12 +204,12 @@
 	c.waitSpilled(t, 55)
 	var wg sync.WaitGroup
 	for range 4 {
-		again := dialClient(t, env["ROUTER_LISTEN"])
+		otherClient := dialClient(t, env["ROUTER_LISTEN"])
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i, id := range ids {
-				if s := again.put(id, putFields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
+				if s := otherClient.put(id, putFields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
 					t.Errorf("%s, submitted again: %s", id, s)
 				}
 			}
@@ -228,7 +228,7 @@
 // deduplication window; if no endpoint returns in that time, it must fail before the window
 // is over, although its deadline is much later.
 func TestSpilledMessageInDoubtKeepsDedupWindow(t *testing.T) {
-	for name, back := range map[string]bool{"endpoint returns in time": true, "endpoint does not return": false} {
+	for name, returns := range map[string]bool{"endpoint returns in time": true, "endpoint does not return": false} {
 		t.Run(name, func(t *testing.T) {
 			answer := make(chan struct{})
 			ep := newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ int) {
@@ -250,10 +250,10 @@
 			}
 			put("keyed", "keyed", 29000)
 			waitFor(t, "the call of the keyed message", func() bool { return ep.callCount("keyed") == 1 })
-			first := time.Now()
-			gone := m
-			gone.Phase = discovery.Removed
-			disc.Send(t, discoverytest.Change(3, gone))
+			firstCallAt := time.Now()
+			removed := m
+			removed.Phase = discovery.Removed
+			disc.Send(t, discoverytest.Change(3, removed))
 			waitFor(t, "the removal of the endpoint", func() bool { return c.metric(t, "app_members") == 1 })
 			close(answer)
 			waitFor(t, "the outcome in the log", func() bool { return logContains(env["ROUTER_STATE"], wal.KindOutcome, "keyed") })
@@ -262,16 +262,16 @@
 			}
 			c.waitSpilled(t, 5)
 			ep.setAnswer(nil)
-			if back {
+			if returns {
 				disc.Send(t, discoverytest.Change(4, m))
 				checkEndedOnce(t, disc, []string{"keyed"}, true, ep)
-				if n, took := ep.callCount("keyed"), time.Since(first); n != 2 || took > 6*time.Second {
+				if n, took := ep.callCount("keyed"), time.Since(firstCallAt); n != 2 || took > 6*time.Second {
 					t.Errorf("%d calls of the keyed message, delivered after %v; want 2 calls within the window of 6 s", n, took)
 				}
 				return
 			}
 			waitFor(t, "the notice of the keyed message", func() bool { _, ok := disc.Notice("keyed"); return ok })
-			if took := time.Since(first); took > 7*time.Second || took < 5*time.Second {
+			if took := time.Since(firstCallAt); took > 7*time.Second || took < 5*time.Second {
 				t.Errorf("notice %v after the first call, want 5 to 7 s for a window of 6 s", took)
 			}
 			disc.Send(t, discoverytest.Change(4, m))
@@ -323,41 +323,41 @@
 	disc := newDiscoveryWithOneMember(t)
 	env := backlogEnv(t, disc, 64, 2)
 	old := startChild(t, env)
-	kept := dialClient(t, env["ROUTER_LISTEN"])
-	ids := putMessages(t, kept, "m", 200, 7, 25000)
+	oldClient := dialClient(t, env["ROUTER_LISTEN"])
+	ids := putMessages(t, oldClient, "m", 200, 7, 25000)
 	old.waitSpilled(t, 190)
-	next := func() *child {
+	startNext := func() *child {
 		env := maps.Clone(env)
 		env["ROUTER_OPERATOR"] = loopback.Free()
 		c := spawn(t, env)
 		waitFor(t, "readiness of the new process", func() bool { return c.readyzIs(true) })
 		return c
 	}
-	c := next()
+	c := startNext()
 	waitFor(t, "the transfer of all messages to the new process", func() bool {
 		return old.metric(t, "app_pending") == 0 && old.metric(t, "app_spilled") == 0 && c.metric(t, "app_pending") == len(ids)
 	})
-	again := func() {
+	resubmitAll := func() {
 		t.Helper()
 		for i, id := range ids {
-			if s := kept.put(id, putFields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
+			if s := oldClient.put(id, putFields(id[strings.LastIndex(id, "-")+1:], 25000+i, 7), nil); s != "+OK" {
 				t.Fatalf("%s, submitted again: %s", id, s)
 			}
 		}
 		for i := range 50 { // also new messages: a process that has handed over spills none, so they stay in its memory
 			id := fmt.Sprintf("late%d-%d-once", len(ids), i)
-			if s := kept.put(id, putFields("once", 25000, 7), nil); s != "+OK" {
+			if s := oldClient.put(id, putFields("once", 25000, 7), nil); s != "+OK" {
 				t.Fatalf("%s: %s", id, s)
 			}
 			ids = append(ids, id)
 		}
 	}
-	again()
+	resubmitAll()
 	waitFor(t, "all messages at the second process", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	c.kill() // the old process takes over again and reads all messages from the log
 	waitFor(t, "all messages at the old process", func() bool { return old.metric(t, "app_pending") == len(ids) })
-	c = next()
-	again()
+	c = startNext()
+	resubmitAll()
 	waitFor(t, "all messages at the third process", func() bool { return c.metric(t, "app_pending") == len(ids) })
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	if err := old.cmd.Wait(); err != nil {
@@ -409,10 +409,10 @@
 
 // submitMessage puts the event of a new message into the mailbox, as a client connection
 // does, and returns its request.
-func submitMessage(t *testing.T, r *Relay, id string, dest int, left policy.Time) *putRequest {
-	q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, receivedAt: time.Now(), timeLeft: time.Duration(left) * time.Microsecond, responses: make(chan response, 1)}
-	r.mailbox.Put(submitEvent{request: q})
-	return q
+func submitMessage(t *testing.T, r *Relay, id string, dest int, timeLeft policy.Time) *putRequest {
+	request := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: dest, Body: make([]byte, 200)}, receivedAt: time.Now(), timeLeft: time.Duration(timeLeft) * time.Microsecond, responses: make(chan response, 1)}
+	r.mailbox.Put(submitEvent{request: request})
+	return request
 }
 
 // newBoundedRelay returns a test relay with a limit on the messages in memory and no limit
@@ -438,7 +438,7 @@
 // For a spilled message a relay may keep only its entries in the index of the log and in the
 // backlog store in memory, about 75 bytes.
 func TestSpilledMessagesUseLittleMemory(t *testing.T) {
-	heap := func() int64 {
+	heapSize := func() int64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
@@ -446,13 +446,13 @@
 	}
 	const n, batch = 200_000, 500
 	r := newBoundedRelay(t, 1000)
-	before := heap()
-	for from := 0; from < n; from += batch {
-		var qs []*putRequest
+	heapBefore := heapSize()
+	for firstIndex := 0; firstIndex < n; firstIndex += batch {
+		var requests []*putRequest
 		for i := range batch {
-			qs = append(qs, submitMessage(t, r, fmt.Sprint("m", from+i), i%50, 3600e6))
+			requests = append(requests, submitMessage(t, r, fmt.Sprint("m", firstIndex+i), i%50, 3600e6))
 		}
-		for _, q := range qs {
+		for _, q := range requests {
 			waitFor(t, "a response to each message", func() bool {
 				r.runLoopOnce()
 				select {
@@ -469,10 +469,10 @@
 		}
 	}
 	waitFor(t, "the spilling of all messages above the limit", func() bool { r.runLoopOnce(); return len(r.messages.byNumber) <= 1000 })
-	per := float64(heap()-before) / n
-	t.Logf("%.0f bytes of memory per message, %d of %d messages in memory", per, len(r.messages.byNumber), n)
-	if per > 130 || r.messages.pending != n || len(r.messages.byNumber)+r.spilled.count() != n || len(r.messages.byID) > 1000 {
-		t.Errorf("%.0f bytes of memory per message; %d messages pending, %d in memory, %d spilled", per, r.messages.pending, len(r.messages.byNumber), r.spilled.count())
+	bytesPerMessage := float64(heapSize()-heapBefore) / n
+	t.Logf("%.0f bytes of memory per message, %d of %d messages in memory", bytesPerMessage, len(r.messages.byNumber), n)
+	if bytesPerMessage > 130 || r.messages.pending != n || len(r.messages.byNumber)+r.spilled.count() != n || len(r.messages.byID) > 1000 {
+		t.Errorf("%.0f bytes of memory per message; %d messages pending, %d in memory, %d spilled", bytesPerMessage, r.messages.pending, len(r.messages.byNumber), r.spilled.count())
 	}
 	runtime.KeepAlive(r)
 }
@@ -481,12 +481,12 @@
 // leaves instead, the relay and the policy must forget the message.
 func TestMessageIsSpilledOnlyAfterAcknowledgement(t *testing.T) {
 	r := newBoundedRelay(t, 1)
-	var qs []*putRequest
+	var requests []*putRequest
 	for i := range 3 {
-		qs = append(qs, submitMessage(t, r, fmt.Sprint("m", i), 7, 3600e6))
+		requests = append(requests, submitMessage(t, r, fmt.Sprint("m", i), 7, 3600e6))
 		r.runLoopOnce()
 	}
-	for _, q := range qs {
+	for _, q := range requests {
 		if s := <-q.responses; s != responseOK {
 			t.Fatal(s)
 		}
@@ -494,8 +494,8 @@
 	if r.runLoopOnce(); len(r.messages.byNumber) != 3 || r.spilled.count() != 0 {
 		t.Fatalf("before any client got its response: %d messages in memory and %d spilled, want 3 and 0", len(r.messages.byNumber), r.spilled.count())
 	}
-	r.mailbox.Put(responseDoneEvent{request: qs[1], isSent: true})
-	r.mailbox.Put(responseDoneEvent{request: qs[2]})
+	r.mailbox.Put(responseDoneEvent{request: requests[1], isSent: true})
+	r.mailbox.Put(responseDoneEvent{request: requests[2]})
 	if r.runLoopOnce(); len(r.messages.byNumber) != 1 || r.spilled.count() != 1 || r.messages.pending != 2 || r.messages.byID["m1"] != nil || r.messages.byID["m2"] != nil {
 		t.Fatalf("%d messages in memory, %d spilled, %d pending, want 1, 1 and 2", len(r.messages.byNumber), r.spilled.count(), r.messages.pending)
 	}
@@ -532,9 +532,9 @@
 		t.Errorf("the policy got %+v", e)
 	}
 	waitFor(t, "the completion of the damaged message in the log", func() bool {
-		owed := make(chan bool)
-		r.wal.Do(func() { owed <- r.wal.IsPending("m") })
-		return !<-owed
+		isPending := make(chan bool)
+		r.wal.Do(func() { isPending <- r.wal.IsPending("m") })
+		return !<-isPending
 	})
 }
 
--- a/internal/relay/call_request_test.go
+++ b/internal/relay/call_request_test.go
@@ -29,13 +29,13 @@
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			})
-			conns := newTestTransport(t, 2)
-			defer conns.CloseIdleConnections()
-			rec := &wal.Record{ID: "m", Key: "k", Body: body}
-			if o := runSingleCall(newTestCall(), conns, addr, rec, testCallTimeout); o.kind != policy.Delivered {
+			transport := newTestTransport(t, 2)
+			defer transport.CloseIdleConnections()
+			record := &wal.Record{ID: "m", Key: "k", Body: body}
+			if o := runSingleCall(newTestCall(), transport, addr, record, testCallTimeout); o.kind != policy.Delivered {
 				t.Fatalf("first call: %+v", o)
 			}
-			if o := runSingleCall(newTestCall(), conns, addr, rec, testCallTimeout); o.kind != policy.ConnectionReset {
+			if o := runSingleCall(newTestCall(), transport, addr, record, testCallTimeout); o.kind != policy.ConnectionReset {
 				t.Errorf("second call: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
--- a/internal/relay/call_response_test.go
+++ b/internal/relay/call_response_test.go
@@ -18,46 +18,46 @@
 // the response states for it. A message that the response does not name may have run.
 func TestBatchResponseMapsToOutcomes(t *testing.T) {
 	const ok = `[{"id":"b","state":"fault"},{"id":"a","state":"accepted"},{"id":"c","state":"deferred"},{"id":"d","state":"expired"},{"id":"e","state":"no_more"}]`
-	body := func(head, text string) string {
-		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(text), text)
+	body := func(statusLine, text string) string {
+		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", statusLine, len(text), text)
 	}
-	same := func(o policy.Outcome) []policy.Outcome { return slices.Repeat([]policy.Outcome{o}, 6) }
-	for name, x := range map[string]struct {
-		answer string
-		what   []policy.Outcome
-		wait   policy.Time
+	allWith := func(o policy.Outcome) []policy.Outcome { return slices.Repeat([]policy.Outcome{o}, 6) }
+	for name, test := range map[string]struct {
+		answer         string
+		wantKinds      []policy.Outcome
+		wantRetryAfter policy.Time
 	}{
-		"state per message": {answer: body("200 OK\r\nRetry-After: 0.5", ok), wait: 500000, what: []policy.Outcome{policy.Delivered,
+		"state per message": {answer: body("200 OK\r\nRetry-After: 0.5", ok), wantRetryAfter: 500000, wantKinds: []policy.Outcome{policy.Delivered,
 			policy.Errored, policy.Rejected, policy.NotSent, policy.NotSent, policy.Errored}},
-		"429":               {answer: body("429 W\r\nRetry-After: 2", ""), wait: 2000000, what: same(policy.Rejected)},
-		"503":               {answer: body("503 F", ""), what: same(policy.Rejected)},
-		"500":               {answer: body("500 E", ""), what: same(policy.Errored)},
-		"invalid JSON":      {answer: body("200 OK", `[{"id":"a","state":"acc`), what: same(policy.Errored)},
-		"garbled chunks":    {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", what: same(policy.Errored)},
-		"cut":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + ok, what: same(policy.ConnectionReset)},
+		"429":            {answer: body("429 W\r\nRetry-After: 2", ""), wantRetryAfter: 2000000, wantKinds: allWith(policy.Rejected)},
+		"503":            {answer: body("503 F", ""), wantKinds: allWith(policy.Rejected)},
+		"500":            {answer: body("500 E", ""), wantKinds: allWith(policy.Errored)},
+		"invalid JSON":   {answer: body("200 OK", `[{"id":"a","state":"acc`), wantKinds: allWith(policy.Errored)},
+		"garbled chunks": {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", wantKinds: allWith(policy.Errored)},
+		"cut":            {answer: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + ok, wantKinds: allWith(policy.ConnectionReset)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := make(chan string, 1)
+			received := make(chan string, 1)
 			addr := startRawEndpoint(t, func(c net.Conn) {
 				req, err := http.ReadRequest(bufio.NewReader(c))
 				if err != nil {
 					return
 				}
 				text, _ := io.ReadAll(req.Body)
-				got <- req.URL.Path + " " + string(text)
-				io.WriteString(c, x.answer)
+				received <- req.URL.Path + " " + string(text)
+				io.WriteString(c, test.answer)
 			})
-			conns := newTestTransport(t, 2)
-			defer conns.CloseIdleConnections()
-			recs := []*wal.Record{{ID: "a", Key: "k", Body: []byte("hello")}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}, {ID: "f"}}
-			out := newTestCall().run(conns, addr, recs, testCallTimeout, nil)
+			transport := newTestTransport(t, 2)
+			defer transport.CloseIdleConnections()
+			records := []*wal.Record{{ID: "a", Key: "k", Body: []byte("hello")}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}, {ID: "f"}}
+			out := newTestCall().run(transport, addr, records, testCallTimeout, nil)
 			for i, o := range out {
-				settled := x.what[i] == policy.Delivered || name == "state per message" && recs[i].ID == "d"
-				if o.kind != x.what[i] || o.isFinal != settled || o.retryAfter != x.wait {
-					t.Errorf("%s: got %+v, want %v", recs[i].ID, o, x.what[i])
+				wantFinal := test.wantKinds[i] == policy.Delivered || name == "state per message" && records[i].ID == "d"
+				if o.kind != test.wantKinds[i] || o.isFinal != wantFinal || o.retryAfter != test.wantRetryAfter {
+					t.Errorf("%s: got %+v, want %v", records[i].ID, o, test.wantKinds[i])
 				}
 			}
-			if s := <-got; !strings.HasPrefix(s, batchPath+` [{"id":"a","key":"k","body":"aGVsbG8="},{"id":"b","body":""},`) {
+			if s := <-received; !strings.HasPrefix(s, batchPath+` [{"id":"a","key":"k","body":"aGVsbG8="},{"id":"b","body":""},`) {
 				t.Errorf("request %s", s)
 			}
 		})
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -31,13 +31,13 @@
 }
 
 // runSingleCall makes a call with a single message and returns its outcome.
-func runSingleCall(c *call, conns *http.Transport, addr string, rec *wal.Record, limit time.Duration) outcome {
-	return c.run(conns, addr, []*wal.Record{rec}, limit, nil)[0]
+func runSingleCall(c *call, transport *http.Transport, addr string, rec *wal.Record, limit time.Duration) outcome {
+	return c.run(transport, addr, []*wal.Record{rec}, limit, nil)[0]
 }
 
-func newTestTransport(t *testing.T, idle int) *http.Transport {
+func newTestTransport(t *testing.T, maxIdle int) *http.Transport {
 	cfg := parseTestConfig(t)
-	return newTransport(cfg, idle, maxIdleTime(&cfg.Policy))
+	return newTransport(cfg, maxIdle, maxIdleTime(&cfg.Policy))
 }
 
 const testCallTimeout = 20 * time.Second
@@ -75,45 +75,45 @@
 
 // Each response to a call with a single message must give the outcome of the protocol.
 func TestSingleCallResponseMapsToOutcome(t *testing.T) {
-	say := func(text string) func(net.Conn) {
+	respondWith := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
 			if readCall(bufio.NewReader(c)) {
 				io.WriteString(c, text)
 			}
 		}
 	}
-	for name, x := range map[string]struct {
-		serve   func(net.Conn)
-		what    policy.Outcome
-		wait    policy.Time
-		slots   bool
-		settled bool
+	for name, test := range map[string]struct {
+		serve              func(net.Conn)
+		wantKind           policy.Outcome
+		wantRetryAfter     policy.Time
+		wantCallsExhausted bool
+		wantFinal          bool
 	}{
-		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: policy.Delivered, settled: true},
-		"200, body cut":      {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: policy.Delivered, settled: true},
-		"500":                {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"429, wait":          {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected, wait: 750000},
-		"503":                {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected},
-		"503, slots taken":   {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, slots: true},
-		"504":                {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent},
-		"410":                {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, settled: true},
-		"unknown status":     {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"redirect":           {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"no response":        {serve: say(""), what: policy.ConnectionReset},
-		"not HTTP":           {serve: say("what?\r\n\r\n"), what: policy.Errored},
-		"garbled status":     {serve: say("HTTP/1.1 2x0 OK\r\n\r\n"), what: policy.Errored},
-		"200, head cut":      {serve: say("HTTP/1.1 200 OK\r\nContent-Le"), what: policy.Delivered, settled: true},
-		"200, head garbled":  {serve: say("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"), what: policy.Delivered, settled: true},
-		"500, head cut":      {serve: say("HTTP/1.1 500 E\r\nContent-Le"), what: policy.ConnectionReset},
-		"half a status line": {serve: say("HTTP/1.1 200 O"), what: policy.ConnectionReset},
-		"half a status code": {serve: say("HTTP/1.1 20"), what: policy.ConnectionReset},
-		"100, then 200":      {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: policy.Delivered, settled: true},
+		"delivered":          {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), wantKind: policy.Delivered, wantFinal: true},
+		"200, body cut":      {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), wantKind: policy.Delivered, wantFinal: true},
+		"500":                {serve: respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Errored},
+		"429, wait":          {serve: respondWith("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Rejected, wantRetryAfter: 750000},
+		"503":                {serve: respondWith("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Rejected},
+		"503, slots taken":   {serve: respondWith("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.NotSent, wantCallsExhausted: true},
+		"504":                {serve: respondWith("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.NotSent},
+		"410":                {serve: respondWith("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.NotSent, wantFinal: true},
+		"unknown status":     {serve: respondWith("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Errored},
+		"redirect":           {serve: respondWith("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Errored},
+		"no response":        {serve: respondWith(""), wantKind: policy.ConnectionReset},
+		"not HTTP":           {serve: respondWith("what?\r\n\r\n"), wantKind: policy.Errored},
+		"garbled status":     {serve: respondWith("HTTP/1.1 2x0 OK\r\n\r\n"), wantKind: policy.Errored},
+		"200, head cut":      {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Le"), wantKind: policy.Delivered, wantFinal: true},
+		"200, head garbled":  {serve: respondWith("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"), wantKind: policy.Delivered, wantFinal: true},
+		"500, head cut":      {serve: respondWith("HTTP/1.1 500 E\r\nContent-Le"), wantKind: policy.ConnectionReset},
+		"half a status line": {serve: respondWith("HTTP/1.1 200 O"), wantKind: policy.ConnectionReset},
+		"half a status code": {serve: respondWith("HTTP/1.1 20"), wantKind: policy.ConnectionReset},
+		"100, then 200":      {serve: respondWith("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Delivered, wantFinal: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conns := newTestTransport(t, 2)
-			defer conns.CloseIdleConnections()
-			o := runSingleCall(newTestCall(), conns, startRawEndpoint(t, x.serve), &wal.Record{ID: "m", Key: "k", Body: []byte("b")}, testCallTimeout)
-			if o.kind != x.what || o.retryAfter != x.wait || o.callsExhausted != x.slots || o.isFinal != x.settled {
+			transport := newTestTransport(t, 2)
+			defer transport.CloseIdleConnections()
+			o := runSingleCall(newTestCall(), transport, startRawEndpoint(t, test.serve), &wal.Record{ID: "m", Key: "k", Body: []byte("b")}, testCallTimeout)
+			if o.kind != test.wantKind || o.retryAfter != test.wantRetryAfter || o.callsExhausted != test.wantCallsExhausted || o.isFinal != test.wantFinal {
 				t.Errorf("got %+v", o)
 			}
 		})
@@ -123,68 +123,68 @@
 // A call may be reported as not run only if that is certain. A refused connection carried
 // nothing, but if the endpoint does not answer a sent call, the message may have run.
 func TestCallWithoutResponseMapsToOutcome(t *testing.T) {
-	conns := newTestTransport(t, 2)
+	transport := newTestTransport(t, 2)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := ln.Addr().String()
+	refusedAddr := ln.Addr().String()
 	ln.Close()
-	if o := runSingleCall(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.ConnectFailed {
+	if o := runSingleCall(newTestCall(), transport, refusedAddr, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
-	gone := make(chan struct{}, 2)
-	entered := make(chan struct{}, 2)
-	silent := startRawEndpoint(t, func(c net.Conn) {
+	closedByCaller := make(chan struct{}, 2)
+	received := make(chan struct{}, 2)
+	silentAddr := startRawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		readCall(in)
-		entered <- struct{}{}
+		received <- struct{}{}
 		in.ReadByte() // returns when the caller closes the connection
-		gone <- struct{}{}
+		closedByCaller <- struct{}{}
 	})
-	if o := runSingleCall(newTestCall(), conns, silent, &wal.Record{ID: "m"}, 50*time.Millisecond); o.kind != policy.TimedOut {
+	if o := runSingleCall(newTestCall(), transport, silentAddr, &wal.Record{ID: "m"}, 50*time.Millisecond); o.kind != policy.TimedOut {
 		t.Errorf("silent: %+v", o)
 	}
-	<-entered
-	<-gone // the timeout must close the connection
+	<-received
+	<-closedByCaller // the timeout must close the connection
 	c := newTestCall()
-	go func() { <-entered; c.cancel(errCancelled) }()
-	if o := runSingleCall(c, conns, silent, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.Cancelled {
+	go func() { <-received; c.cancel(errCancelled) }()
+	if o := runSingleCall(c, transport, silentAddr, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.Cancelled {
 		t.Errorf("cancelled: %+v", o)
 	}
-	<-gone
+	<-closedByCaller
 }
 
 // A response with status 200 whose header or body never ends counts as delivered, and the
 // call must not keep its connection and call slot.
 func TestUnfinishedOKResponseCountsAsDelivered(t *testing.T) {
 	for name, text := range map[string]string{
-		"header": "HTTP/1.1 200 OK\r\nContent-",
-		"body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab",
+		"header":              "HTTP/1.1 200 OK\r\nContent-",
+		"body":                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab",
 		"body without length": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab",
 	} {
 		t.Run(name, func(t *testing.T) {
-			ended := make(chan struct{})
+			closed := make(chan struct{})
 			addr := startRawEndpoint(t, func(conn net.Conn) {
 				if readCall(bufio.NewReader(conn)) {
 					io.WriteString(conn, text)
 					io.Copy(io.Discard, conn) // returns when the relay closes the connection
 				}
-				close(ended)
+				close(closed)
 			})
-			conns := newTestTransport(t, 2)
-			defer conns.CloseIdleConnections()
+			transport := newTestTransport(t, 2)
+			defer transport.CloseIdleConnections()
 			c, limit := newTestCall(), time.Hour
 			defer c.cancel(nil)
 			done := make(chan outcome, 1)
-			go func() { done <- runSingleCall(c, conns, addr, &wal.Record{ID: "m"}, limit) }()
+			go func() { done <- runSingleCall(c, transport, addr, &wal.Record{ID: "m"}, limit) }()
 			waitFor(t, "the outcome", func() bool { return len(done) > 0 })
 			if o := <-done; o.kind != policy.Delivered || !o.isFinal {
 				t.Errorf("got %+v", o)
 			}
 			waitFor(t, "the end of the connection", func() bool {
 				select {
-				case <-ended:
+				case <-closed:
 					return true
 				default:
 					return false
@@ -213,19 +213,19 @@
 // call is reported as not sent.
 func TestConnectionAfterSendByTimeSendsNothing(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	conns := newTestTransport(t, 2)
-	defer conns.CloseIdleConnections()
+	transport := newTestTransport(t, 2)
+	defer transport.CloseIdleConnections()
 	c := newTestCall()
 	c.sendBy = time.Now().Add(50 * time.Millisecond)
-	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := net.Dial(network, addr)
 		waitFor(t, "the latest time to send", func() bool { return !time.Now().Before(c.sendBy) })
 		return &endpointConn{Conn: conn}, err
 	}
-	if o := runSingleCall(c, conns, ep.addr(), &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.NotSent {
+	if o := runSingleCall(c, transport, ep.addr(), &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
-	conns.CloseIdleConnections()
+	transport.CloseIdleConnections()
 	if n := ep.callCount("m"); n != 0 {
 		t.Errorf("the call was sent %d times, want 0", n)
 	}
@@ -235,39 +235,39 @@
 // sent when the connection is up.
 func TestDrainStopsOnlyCallsWaitingForConnection(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	dialing, release, up := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	conns := newTestTransport(t, 2)
-	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialing, release, connected := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	transport := newTestTransport(t, 2)
+	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
-		defer close(up)
+		defer close(connected)
 		return net.Dial(network, addr)
 	}
-	defer conns.CloseIdleConnections()
+	defer transport.CloseIdleConnections()
 	c := newTestCall()
 	go func() { <-dialing; c.cancelIfWaiting(errEndpointDraining) }()
-	o := runSingleCall(c, conns, ep.addr(), &wal.Record{ID: "m"}, testCallTimeout)
+	o := runSingleCall(c, transport, ep.addr(), &wal.Record{ID: "m"}, testCallTimeout)
 	if o.kind != policy.NotSent || o.latency > testCallTimeout.Microseconds()/2 {
 		t.Errorf("got %+v", o)
 	}
 	close(release)
-	<-up
-	conns.CloseIdleConnections()
+	<-connected
+	transport.CloseIdleConnections()
 	if n := ep.callCount("m"); n != 0 {
 		t.Errorf("the call was sent %d times, want 0", n)
 	}
 	// The drain may also begin just as the connection comes up.
-	late := newTestCall()
-	late.stage.Store(callStopped)
-	tr := newTestTransport(t, 2)
-	defer tr.CloseIdleConnections()
-	if o := runSingleCall(late, tr, ep.addr(), &wal.Record{ID: "late"}, testCallTimeout); o.kind != policy.NotSent || ep.callCount("late") != 0 {
+	stoppedCall := newTestCall()
+	stoppedCall.stage.Store(callStopped)
+	lateTransport := newTestTransport(t, 2)
+	defer lateTransport.CloseIdleConnections()
+	if o := runSingleCall(stoppedCall, lateTransport, ep.addr(), &wal.Record{ID: "late"}, testCallTimeout); o.kind != policy.NotSent || ep.callCount("late") != 0 {
 		t.Errorf("outcome %+v and %d calls, want not sent and no call", o, ep.callCount("late"))
 	}
 	// A call that is being sent must not be stopped.
-	under := newTestCall()
-	under.stage.Store(callSending)
-	if under.cancelIfWaiting(errEndpointDraining); under.ctx.Err() != nil {
+	sendingCall := newTestCall()
+	sendingCall.stage.Store(callSending)
+	if sendingCall.cancelIfWaiting(errEndpointDraining); sendingCall.ctx.Err() != nil {
 		t.Error("a call that is being sent was stopped")
 	}
 }
@@ -276,26 +276,26 @@
 // meanwhile. The others in it are reported as not sent and may be retried.
 func TestCompletedMessageIsNotSentByWaitingCall(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	dialing, release, up := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	conns := newTestTransport(t, 2)
-	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialing, release, connected := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	transport := newTestTransport(t, 2)
+	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
-		defer close(up)
+		defer close(connected)
 		return net.Dial(network, addr)
 	}
 	c := newTestCall()
-	over := &message{}
-	c.messages = []callMessage{{message: over}, {message: &message{}}}
-	go func() { <-dialing; c.dropMessage(over) }()
-	for _, o := range c.run(conns, ep.addr(), []*wal.Record{{ID: "over"}, {ID: "other"}}, testCallTimeout, nil) {
+	completed := &message{}
+	c.messages = []callMessage{{message: completed}, {message: &message{}}}
+	go func() { <-dialing; c.dropMessage(completed) }()
+	for _, o := range c.run(transport, ep.addr(), []*wal.Record{{ID: "over"}, {ID: "other"}}, testCallTimeout, nil) {
 		if o.kind != policy.ConnectFailed || o.latency > testCallTimeout.Microseconds()/2 {
 			t.Errorf("got %+v", o)
 		}
 	}
 	close(release)
-	<-up
-	conns.CloseIdleConnections()
+	<-connected
+	transport.CloseIdleConnections()
 	if n := ep.callCount("over"); n != 0 {
 		t.Errorf("the completed message was sent %d times, want 0", n)
 	}
@@ -315,12 +315,12 @@
 // connection. Calls elsewhere, and those being sent already, go on.
 func TestRetryAfterStopsWaitingCallsToDestination(t *testing.T) {
 	r := newTestRelay(t)
-	add := func(id string, cell int) *endpoint {
+	addEndpoint := func(id string, cell int) *endpoint {
 		r.updateMember(&discovery.Member{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: cell, Phase: discovery.Up})
 		return r.endpoints.byID[id]
 	}
-	one, twin, other := add("one", 1), add("twin", 1), add("other", 2)
-	begin := func(ep *endpoint, stage int32) *call {
+	rejecting, sameDest, otherDest := addEndpoint("one", 1), addEndpoint("twin", 1), addEndpoint("other", 2)
+	startCall := func(ep *endpoint, stage int32) *call {
 		m := r.newMessage(&wal.Record{ID: fmt.Sprint(len(r.messages.byNumber)), Class: "plain", Dest: ep.cell})
 		c := newTestCall()
 		c.endpoint, c.transport, c.messages = ep, ep.transport, []callMessage{{message: m}}
@@ -328,10 +328,10 @@
 		ep.calls[c] = true
 		return c
 	}
-	told := begin(one, callWritten)
-	calls := map[*call]bool{begin(one, callWaiting): true, begin(twin, callWaiting): true,
-		begin(one, callSending): false, begin(other, callWaiting): false}
-	r.finishCall(told, []outcome{{kind: policy.Rejected, status: http.StatusTooManyRequests, retryAfter: 600e6}})
+	rejectedCall := startCall(rejecting, callWritten)
+	calls := map[*call]bool{startCall(rejecting, callWaiting): true, startCall(sameDest, callWaiting): true,
+		startCall(rejecting, callSending): false, startCall(otherDest, callWaiting): false}
+	r.finishCall(rejectedCall, []outcome{{kind: policy.Rejected, status: http.StatusTooManyRequests, retryAfter: 600e6}})
 	for c, stopped := range calls {
 		if got := c.ctx.Err() != nil; got != stopped || got && c.classifyError(c.ctx, nil) != policy.NotSent {
 			t.Errorf("call to %s in stage %d: stopped %v", c.endpoint.id, c.stage.Load(), got)
@@ -339,11 +339,11 @@
 	}
 	// The policy sent this batch before the Retry-After arrived, but its call starts only now, as
 	// its message was not acknowledged before.
-	late := r.newMessage(&wal.Record{ID: "late", Class: "plain", Dest: 1})
-	late.isAcknowledged = true
-	b := &batch{endpoint: twin, sends: []send{{message: late, timeoutAt: r.clock.now() + 900e6}}}
-	late.pendingBatch = b
-	if r.startBatch(b); late.call != nil || len(twin.calls) != 1 {
+	lateMessage := r.newMessage(&wal.Record{ID: "late", Class: "plain", Dest: 1})
+	lateMessage.isAcknowledged = true
+	b := &batch{endpoint: sameDest, sends: []send{{message: lateMessage, timeoutAt: r.clock.now() + 900e6}}}
+	lateMessage.pendingBatch = b
+	if r.startBatch(b); lateMessage.call != nil || len(sameDest.calls) != 1 {
 		t.Error("a call was started during the Retry-After time")
 	}
 }
--- a/internal/relay/client_connection_test.go
+++ b/internal/relay/client_connection_test.go
@@ -14,22 +14,22 @@
 // A drain closes an idle connection at once and a connection with a request in progress
 // after its response.
 func TestDrainClosesConnectionsBetweenRequests(t *testing.T) {
-	got := make(chan *putRequest, 1)
-	c, addr, _ := serveClients(t, func(q *putRequest) { got <- q })
-	idle, busyOne := dialClient(t, addr), dialClient(t, addr)
+	requests := make(chan *putRequest, 1)
+	c, addr, _ := serveClients(t, func(request *putRequest) { requests <- request })
+	idle, busy := dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
 	idle.readLine()
-	io.WriteString(busyOne, putCommand("m", putFields("plain", 8000, 1), nil))
-	q := <-got
+	io.WriteString(busy, putCommand("m", putFields("plain", 8000, 1), nil))
+	request := <-requests
 	c.drainConnections()
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	q.respond(responseOK)
-	if s := busyOne.readLine(); s != "+OK" {
+	request.respond(responseOK)
+	if s := busy.readLine(); s != "+OK" {
 		t.Errorf("response %q", s)
 	}
-	if _, err := busyOne.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := busy.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the response: %v, want EOF", err)
 	}
 }
@@ -38,15 +38,15 @@
 // since it has no slot any more.
 func TestEvictedConnectionClosesAfterRequest(t *testing.T) {
 	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
-	near, far := net.Pipe()
-	defer far.Close()
-	cc := &clientConn{Conn: near}
+	relaySide, clientSide := net.Pipe()
+	defer clientSide.Close()
+	cc := &clientConn{Conn: relaySide}
 	c.conns[cc] = true
 	c.evictConnection()
 	c.beginRequest(cc)
 	c.finishCommandRead(cc)
 	c.finishRequest(cc)
-	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := relaySide.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the evicted connection is not closed after its request: %v", err)
 	}
 }
@@ -111,26 +111,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &crossingConn{TCPConn: conn.(*net.TCPConn)}
-	x.sendBytes = sync.OnceFunc(func() {
+	crossing := &crossingConn{TCPConn: conn.(*net.TCPConn)}
+	crossing.sendBytes = sync.OnceFunc(func() {
 		io.WriteString(cl, text)
-		waitFor(t, "the arrival of the client's bytes", func() bool { return hasUnreadBytes(x.TCPConn) })
+		waitFor(t, "the arrival of the client's bytes", func() bool { return hasUnreadBytes(crossing.TCPConn) })
 	})
-	c.startConnection(x)
+	c.startConnection(crossing)
 	return c, cl
 }
 
 // Requests that arrive while the relay closes the connection are dropped. They must not
 // reset the connection, so that the client still gets the response to its first request.
 func TestPipelinedRequestsDuringCloseDoNotResetResponse(t *testing.T) {
-	var taken atomic.Int32
-	got := make(chan *putRequest, 2)
-	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); got <- q },
+	var requestCount atomic.Int32
+	requests := make(chan *putRequest, 2)
+	c, cl := serveCrossing(t, func(request *putRequest) { requestCount.Add(1); requests <- request },
 		putCommand("b", putFields("plain", 8000, 1), nil)+putCommand("c", putFields("plain", 8000, 1), make([]byte, maxBodyBytes)))
 	io.WriteString(cl, putCommand("a", putFields("plain", 8000, 1), nil))
-	q := <-got
+	request := <-requests
 	c.drainConnections()
-	q.respond(responseOK)
+	request.respond(responseOK)
 	if s := cl.readLine(); s != "+OK" {
 		t.Errorf("response %q", s)
 	}
@@ -139,7 +139,7 @@
 	}
 	cl.Close()
 	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
-	if n := taken.Load(); n != 1 {
+	if n := requestCount.Load(); n != 1 {
 		t.Errorf("%d requests were passed to the relay, want only the first", n)
 	}
 }
@@ -147,8 +147,8 @@
 // A request that arrives while the relay closes its idle connection is dropped as a whole.
 // The client must see the end of the stream and no reset.
 func TestRequestDuringIdleCloseIsDroppedWithoutReset(t *testing.T) {
-	var taken atomic.Int32
-	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); accept(q) }, putCommand("b", putFields("plain", 8000, 1), nil))
+	var requestCount atomic.Int32
+	c, cl := serveCrossing(t, func(q *putRequest) { requestCount.Add(1); accept(q) }, putCommand("b", putFields("plain", 8000, 1), nil))
 	if s := cl.put("a", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
@@ -158,7 +158,7 @@
 	}
 	cl.Close()
 	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
-	if n := taken.Load(); n != 1 {
+	if n := requestCount.Load(); n != 1 {
 		t.Errorf("%d requests were passed to the relay, want only the first", n)
 	}
 }
--- a/internal/relay/client_session_test.go
+++ b/internal/relay/client_session_test.go
@@ -14,15 +14,15 @@
 // whether it counts as acknowledged, so that its client has received the response.
 func serveClients(t *testing.T, put func(*putRequest)) (*clientServer, string, chan bool) {
 	t.Helper()
-	said := make(chan bool, 16)
-	c := newClientServer(parseTestConfig(t), discardLog(), put, func(_ *putRequest, ok bool) { said <- ok })
+	acknowledged := make(chan bool, 16)
+	c := newClientServer(parseTestConfig(t), discardLog(), put, func(_ *putRequest, ok bool) { acknowledged <- ok })
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
 	go c.serve(ln)
-	return c, ln.Addr().String(), said
+	return c, ln.Addr().String(), acknowledged
 }
 
 // accept responds to a message as if the relay had accepted it.
@@ -31,28 +31,28 @@
 // A client that leaves before its response may submit the message elsewhere, so the
 // message does not count as acknowledged.
 func TestClientThatLeavesBeforeResponseIsNotAcknowledged(t *testing.T) {
-	got := make(chan *putRequest, 1)
-	_, addr, said := serveClients(t, func(q *putRequest) { got <- q })
+	requests := make(chan *putRequest, 1)
+	_, addr, acknowledged := serveClients(t, func(request *putRequest) { requests <- request })
 	cl := dialClient(t, addr)
 	io.WriteString(cl, putCommand("m", putFields("plain", 8000, 1), nil))
-	q := <-got
+	request := <-requests
 	cl.Close()
-	if <-said {
+	if <-acknowledged {
 		t.Error("the message counts as acknowledged")
 	}
-	q.respond(responseOK) // must not block, although nobody waits for the response
+	request.respond(responseOK) // must not block, although nobody waits for the response
 }
 
 // A message that is accepted after the client timeout is refused with BUSY, as the client may
 // have submitted it elsewhere by then.
 func TestMessageAcceptedAfterClientTimeoutIsRefused(t *testing.T) {
-	c, addr, said := serveClients(t, accept)
+	c, addr, acknowledged := serveClients(t, accept)
 	c.clientTimeout = 0
 	cl := dialClient(t, addr)
 	if s := cl.put("m", putFields("plain", 8000, 1), nil); s != "-BUSY" {
 		t.Errorf("response %q", s)
 	}
-	if <-said {
+	if <-acknowledged {
 		t.Error("the message counts as acknowledged")
 	}
 }
@@ -60,18 +60,18 @@
 // A client that closes its sending side and waits for the response gets one. As it
 // looks like one that has left, the message is not accepted.
 func TestHalfClosedClientIsRefused(t *testing.T) {
-	got := make(chan *putRequest, 1)
-	_, addr, said := serveClients(t, func(q *putRequest) { got <- q })
+	requests := make(chan *putRequest, 1)
+	_, addr, acknowledged := serveClients(t, func(request *putRequest) { requests <- request })
 	cl := dialClient(t, addr)
 	io.WriteString(cl, putCommand("m", putFields("plain", 8000, 1), nil))
-	q := <-got
+	request := <-requests
 	if err := cl.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if <-said {
+	if <-acknowledged {
 		t.Error("the message counts as acknowledged")
 	}
-	q.respond(responseOK)
+	request.respond(responseOK)
 	if s := cl.readLine(); s != "-BUSY" {
 		t.Errorf("response %q", s)
 	}
@@ -79,21 +79,21 @@
 
 // Pipelined commands are answered in order.
 func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
-	first := make(chan *putRequest, 1)
-	_, addr, said := serveClients(t, func(q *putRequest) {
+	firstRequest := make(chan *putRequest, 1)
+	_, addr, acknowledged := serveClients(t, func(q *putRequest) {
 		if q.record.ID == "a" {
-			first <- q
+			firstRequest <- q
 			return
 		}
 		q.respond(busyResponse(7))
 	})
 	cl := dialClient(t, addr)
 	io.WriteString(cl, putCommand("a", putFields("plain", 8000, 1), nil)+putCommand("b", putFields("plain", 8000, 1), nil)+"*1\r\n$4\r\nPING\r\n")
-	(<-first).respond(responseOK)
+	(<-firstRequest).respond(responseOK)
 	if s := cl.readLine() + cl.readLine() + cl.readLine(); s != "+OK-BUSY 7+PONG" {
 		t.Errorf("responses %q", s)
 	}
-	if heardFirst, heardSecond := <-said, <-said; !heardFirst || !heardSecond {
+	if firstAcknowledged, secondAcknowledged := <-acknowledged, <-acknowledged; !firstAcknowledged || !secondAcknowledged {
 		t.Error("the message does not count as acknowledged")
 	}
 }
@@ -101,21 +101,21 @@
 // During a drain, a connection has a deadline for its request. A request that arrives just
 // before the deadline must be answered, also if the deadline passes before the response.
 func TestRequestBeforeConnectionDeadlineIsAnswered(t *testing.T) {
-	got := make(chan *putRequest, 1)
-	c, addr, said := serveClients(t, func(q *putRequest) { got <- q })
+	requests := make(chan *putRequest, 1)
+	c, addr, acknowledged := serveClients(t, func(request *putRequest) { requests <- request })
 	c.drainConnections() // as after SIGTERM: new connections are still accepted for a while, each for one request
 	c.clientTimeout = time.Minute
 	cl := dialClient(t, addr)
-	began := time.Now()
+	connectedAt := time.Now()
 	time.Sleep(clientTimeout * 3 / 4)
 	io.WriteString(cl, putCommand("m", putFields("plain", 8000, 1), nil))
-	q := <-got
-	time.Sleep(time.Until(began.Add(clientTimeout * 3 / 2)))
-	q.respond(responseOK)
+	request := <-requests
+	time.Sleep(time.Until(connectedAt.Add(clientTimeout * 3 / 2)))
+	request.respond(responseOK)
 	if s := cl.readLine(); s != "+OK" {
 		t.Errorf("response %q", s)
 	}
-	if !<-said {
+	if !<-acknowledged {
 		t.Error("the message does not count as acknowledged")
 	}
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
@@ -126,8 +126,8 @@
 // A connection on which a command is begun and not completed in time is closed. A client
 // that waits for its response keeps its connection.
 func TestIncompleteCommandTimesOut(t *testing.T) {
-	got := make(chan *putRequest, 1)
-	c := newClientServer(parseTestConfig(t), discardLog(), func(q *putRequest) { got <- q }, func(*putRequest, bool) {})
+	requests := make(chan *putRequest, 1)
+	c := newClientServer(parseTestConfig(t), discardLog(), func(request *putRequest) { requests <- request }, func(*putRequest, bool) {})
 	c.commandTimeout = 300 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,15 +135,15 @@
 	}
 	defer ln.Close()
 	go c.serve(ln)
-	waits, half := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
-	io.WriteString(waits, putCommand("m", putFields("plain", 8000, 1), nil))
-	q := <-got
-	io.WriteString(half, "*5\r\n$7\r\nMSG")
-	if _, err := half.in.ReadByte(); err == nil {
+	waiting, incomplete := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
+	io.WriteString(waiting, putCommand("m", putFields("plain", 8000, 1), nil))
+	request := <-requests
+	io.WriteString(incomplete, "*5\r\n$7\r\nMSG")
+	if _, err := incomplete.in.ReadByte(); err == nil {
 		t.Error("got a response to half a command")
 	}
-	q.respond(responseOK) // the command timeout of the other connection has passed by now
-	if s := waits.readLine(); s != "+OK" {
+	request.respond(responseOK) // the command timeout of the other connection has passed by now
+	if s := waiting.readLine(); s != "+OK" {
 		t.Errorf("response %q", s)
 	}
 }
@@ -160,19 +160,19 @@
 	defer ln.Close()
 	go c.serve(ln)
 	client, silent := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
-	rude, pinged := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
+	invalid, pinged := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
 	if s := client.put("a", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Errorf("client: response %q", s)
 	}
-	io.WriteString(rude, "*1\r\n$3\r\nGET\r\n")
-	if s := rude.readLine(); !strings.HasPrefix(s, "-ERR ") {
+	io.WriteString(invalid, "*1\r\n$3\r\nGET\r\n")
+	if s := invalid.readLine(); !strings.HasPrefix(s, "-ERR ") {
 		t.Errorf("peer with an invalid command: response %q", s)
 	}
 	io.WriteString(pinged, "*1\r\n$4\r\nPING\r\n")
 	if s := pinged.readLine(); s != "+PONG" {
 		t.Errorf("response to PING: %q", s)
 	}
-	for name, peer := range map[string]*testClient{"silent": silent, "invalid command": rude, "PING only": pinged} {
+	for name, peer := range map[string]*testClient{"silent": silent, "invalid command": invalid, "PING only": pinged} {
 		if _, err := peer.in.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: %v, want EOF", name, err)
 		}
--- a/internal/relay/clockstep_test.go
+++ b/internal/relay/clockstep_test.go
@@ -56,10 +56,10 @@
 }
 
 // put submits a message that must be accepted.
-func (s *steppedRelay) put(id, class string, left time.Duration, dest int) {
+func (s *steppedRelay) put(id, class string, timeLeft time.Duration, dest int) {
 	s.t.Helper()
 	s.acceptedAt[id] = time.Now()
-	if answer := s.client.put(id, putFields(class, int(left.Milliseconds()), dest), nil); answer != "+OK" {
+	if answer := s.client.put(id, putFields(class, int(timeLeft.Milliseconds()), dest), nil); answer != "+OK" {
 		s.t.Errorf("%s: %s", id, answer)
 		delete(s.acceptedAt, id)
 	}
@@ -74,27 +74,27 @@
 // not come before 90 % of that time is over, and no later than noticeSlack after its end. If
 // the relay was restarted and ready again at readyAt, a notice is also in time until 1.5 s
 // and noticeSlack after that.
-func (s *steppedRelay) checkNoticeTime(id string, left time.Duration, since time.Time) {
+func (s *steppedRelay) checkNoticeTime(id string, timeLeft time.Duration, readyAt time.Time) {
 	s.t.Helper()
-	began, ok := s.acceptedAt[id]
-	if !ok {
+	submittedAt, isAccepted := s.acceptedAt[id]
+	if !isAccepted {
 		return // the message was not accepted, which put has reported
 	}
-	most := began.Add(left + noticeSlack)
-	if restarted := since.Add(1500*time.Millisecond + noticeSlack); restarted.After(most) && !since.IsZero() {
-		most = restarted
+	latest := submittedAt.Add(timeLeft + noticeSlack)
+	if latestAfterRestart := readyAt.Add(1500*time.Millisecond + noticeSlack); latestAfterRestart.After(latest) && !readyAt.IsZero() {
+		latest = latestAfterRestart
 	}
-	var at time.Time
-	for seen := false; !seen && time.Now().Before(most.Add(time.Second)); time.Sleep(2 * time.Millisecond) {
-		at, seen = s.notices.get(id)
+	var noticeAt time.Time
+	for seen := false; !seen && time.Now().Before(latest.Add(time.Second)); time.Sleep(2 * time.Millisecond) {
+		noticeAt, seen = s.notices.get(id)
 	}
 	switch {
-	case at.IsZero():
-		s.t.Errorf("%s, accepted with a deadline of %v, has no notice after %v", id, left, time.Since(began))
-	case at.After(most):
-		s.t.Errorf("%s, accepted with a deadline of %v, got its notice too late, after %v", id, left, at.Sub(began))
-	case at.Before(began.Add(left * 9 / 10)):
-		s.t.Errorf("%s, accepted with a deadline of %v, got its notice too early, after %v", id, left, at.Sub(began))
+	case noticeAt.IsZero():
+		s.t.Errorf("%s, accepted with a deadline of %v, has no notice after %v", id, timeLeft, time.Since(submittedAt))
+	case noticeAt.After(latest):
+		s.t.Errorf("%s, accepted with a deadline of %v, got its notice too late, after %v", id, timeLeft, noticeAt.Sub(submittedAt))
+	case noticeAt.Before(submittedAt.Add(timeLeft * 9 / 10)):
+		s.t.Errorf("%s, accepted with a deadline of %v, got its notice too early, after %v", id, timeLeft, noticeAt.Sub(submittedAt))
 	}
 }
 
@@ -102,15 +102,15 @@
 // checks that the message got no notice.
 func (s *steppedRelay) checkDelivered(e *fakeEndpoint, id string) {
 	s.t.Helper()
-	began, ok := s.acceptedAt[id]
-	if !ok {
+	submittedAt, isAccepted := s.acceptedAt[id]
+	if !isAccepted {
 		return
 	}
-	for time.Since(began) < 20*time.Second && !e.answeredOK(id) {
+	for time.Since(submittedAt) < 20*time.Second && !e.answeredOK(id) {
 		time.Sleep(2 * time.Millisecond)
 	}
 	if n, ended := s.disc.Notice(id); ended || !e.answeredOK(id) {
-		s.t.Errorf("%s: delivered %v, notice %q after %v", id, e.answeredOK(id), n.Outcome, time.Since(began))
+		s.t.Errorf("%s: delivered %v, notice %q after %v", id, e.answeredOK(id), n.Outcome, time.Since(submittedAt))
 	}
 }
 
@@ -118,27 +118,27 @@
 // step, after it and between two steps must all end when the time that their clients gave
 // them is over, neither earlier nor later.
 func TestDeadlinesHoldAcrossClockStep(t *testing.T) {
-	const left = 2 * time.Second
-	for _, by := range []time.Duration{400 * time.Second, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
-		t.Run(by.String(), func(t *testing.T) {
+	const timeLeft = 2 * time.Second
+	for _, step := range []time.Duration{400 * time.Second, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			s := newSteppedRelay(t)
 			s.start()
-			s.put("before", "plain", left, 5)
-			s.put("out-before", "once", left, 2)
-			s.wallClock.Step(t, by)
-			s.put("after", "plain", left, 5)
-			s.put("out-after", "once", left, 2)
-			s.put("sent-after", "once", left, 1)
-			s.put("late-after", "plain", 2*left, 5)
+			s.put("before", "plain", timeLeft, 5)
+			s.put("out-before", "once", timeLeft, 2)
+			s.wallClock.Step(t, step)
+			s.put("after", "plain", timeLeft, 5)
+			s.put("out-after", "once", timeLeft, 2)
+			s.put("sent-after", "once", timeLeft, 1)
+			s.put("late-after", "plain", 2*timeLeft, 5)
 			s.checkDelivered(s.quick, "sent-after")
 			for _, id := range []string{"before", "out-before", "after", "out-after"} {
-				s.checkNoticeTime(id, left, time.Time{})
+				s.checkNoticeTime(id, timeLeft, time.Time{})
 			}
-			s.wallClock.Step(t, -by)
-			s.put("back", "plain", left, 5)
-			s.checkNoticeTime("late-after", 2*left, time.Time{})
-			s.checkNoticeTime("back", left, time.Time{})
+			s.wallClock.Step(t, -step)
+			s.put("back", "plain", timeLeft, 5)
+			s.checkNoticeTime("late-after", 2*timeLeft, time.Time{})
+			s.checkNoticeTime("back", timeLeft, time.Time{})
 			if s.log.occurrences("wall clock stepped") == 0 {
 				t.Error("the relay did not log the step")
 			}
@@ -151,16 +151,16 @@
 // time may count.
 func TestDeadlinesAndWindowsHoldAcrossRestartAndClockStep(t *testing.T) {
 	hour := time.Hour
-	for _, x := range []struct{ running, down time.Duration }{{0, hour}, {hour, 0}, {0, -hour}, {-hour, 0}, {hour, -hour}, {-hour, hour}, {3 * time.Second, 0}, {0, -3 * time.Second}} {
-		t.Run(fmt.Sprint("held/", x.running, " then ", x.down), func(t *testing.T) {
+	for _, steps := range []struct{ running, down time.Duration }{{0, hour}, {hour, 0}, {0, -hour}, {-hour, 0}, {hour, -hour}, {-hour, hour}, {3 * time.Second, 0}, {0, -3 * time.Second}} {
+		t.Run(fmt.Sprint("held/", steps.running, " then ", steps.down), func(t *testing.T) {
 			t.Parallel()
-			runRestartWithClockStep(t, x.running, x.down)
+			runRestartWithClockStep(t, steps.running, steps.down)
 		})
 	}
-	for _, by := range []time.Duration{-hour, -1500 * time.Millisecond, 0, hour} {
-		t.Run(fmt.Sprint("window/", by), func(t *testing.T) {
+	for _, step := range []time.Duration{-hour, -1500 * time.Millisecond, 0, hour} {
+		t.Run(fmt.Sprint("window/", step), func(t *testing.T) {
 			t.Parallel()
-			runWindowWithClockStep(t, by)
+			runWindowWithClockStep(t, step)
 		})
 	}
 }
@@ -168,37 +168,37 @@
 // runRestartWithClockStep checks that after the restart messages that were never tried are
 // sent, a message that may have run is sent again within its window, and messages with a
 // short deadline end at it.
-func runRestartWithClockStep(t *testing.T, running, down time.Duration) {
-	const short = 4 * time.Second
+func runRestartWithClockStep(t *testing.T, stepWhileRunning, stepWhileDown time.Duration) {
+	const shortDeadline = 4 * time.Second
 	s := newSteppedRelay(t)
 	s.start()
 	s.put("held-first", "plain", 20*time.Second, 5)
-	s.wallClock.Step(t, running)
+	s.wallClock.Step(t, stepWhileRunning)
 	s.put("held", "plain", 20*time.Second, 5)
 	s.put("keyed", "keyed", 20*time.Second, 2)
-	s.put("short", "plain", short, 6)
+	s.put("short", "plain", shortDeadline, 6)
 	if t.Failed() {
 		return
 	}
 	waitFor(t, "the call", func() bool { return s.hung.callCount("keyed") == 1 })
 	s.child.kill()
-	s.wallClock.Step(t, down)
+	s.wallClock.Step(t, stepWhileDown)
 	time.Sleep(600 * time.Millisecond) // the time in which the platform restarts a process
 	s.hung.setAnswer(nil)
 	s.listEndpoint5()
 	s.start()
-	since := time.Now()
-	s.put("new", "plain", short, 6)
+	readyAt := time.Now()
+	s.put("new", "plain", shortDeadline, 6)
 	s.checkDelivered(s.listedLater, "held-first")
 	s.checkDelivered(s.listedLater, "held")
 	s.checkDelivered(s.hung, "keyed")
-	s.checkNoticeTime("short", short, since)
-	s.checkNoticeTime("new", short, time.Time{})
+	s.checkNoticeTime("short", shortDeadline, readyAt)
+	s.checkNoticeTime("new", shortDeadline, time.Time{})
 }
 
 // runWindowWithClockStep checks that a message that may have run is not sent again after a
 // restart if the deduplication window is over by elapsed time.
-func runWindowWithClockStep(t *testing.T, by time.Duration) {
+func runWindowWithClockStep(t *testing.T, step time.Duration) {
 	s := newSteppedRelay(t)
 	editConfig(t, s.env, `"dedup_window_us":20000000,"group":"all","late_worth":0.3,"name":"keyed"`,
 		`"dedup_window_us":1000000,"group":"all","late_worth":0.3,"name":"keyed"`)
@@ -206,15 +206,15 @@
 	s.put("keyed", "keyed", 20*time.Second, 2)
 	waitFor(t, "the call", func() bool { return s.hung.callCount("keyed") == 1 })
 	s.child.kill()
-	s.wallClock.Step(t, by)
+	s.wallClock.Step(t, step)
 	time.Sleep(1500 * time.Millisecond) // longer than the window
 	s.hung.setAnswer(nil)
 	s.start()
 	s.put("mark", "plain", 20*time.Second, 1)
 	s.checkDelivered(s.quick, "mark")
-	since := time.Now()
+	deliveredAt := time.Now()
 	waitFor(t, "the notice", func() bool { _, ended := s.disc.Notice("keyed"); return ended }) // notices and calls are independent, so the notice may come after the call of "mark"
-	if waited := time.Since(since); waited > 5*time.Second {
+	if waited := time.Since(deliveredAt); waited > 5*time.Second {
 		t.Errorf("the notice came %v after a later message was delivered, want at most 5 s", waited)
 	}
 	if n, ended := s.disc.Notice("keyed"); !ended || n.Outcome != discovery.Failed || s.hung.callCount("keyed") != 1 {
@@ -226,16 +226,16 @@
 // messages of the old process must keep their remaining time in the new one, and a
 // Retry-After that the old process receives late must hold in the new one for its whole time.
 func TestUpgradeHandsOverDeadlinesAndWaitsAcrossClockStep(t *testing.T) {
-	for _, by := range []time.Duration{2 * time.Hour, -2 * time.Hour} {
-		t.Run(by.String(), func(t *testing.T) {
+	for _, step := range []time.Duration{2 * time.Hour, -2 * time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
 			wall := clocktest.New(t)
 			u := startUpgradeTestWithEnv(t, wall.Env())
-			wall.Step(t, by)
+			wall.Step(t, step)
 			u.startNew()
-			avoided := u.new.metric(t, "app_members_unavailable")
+			unavailable := u.new.metric(t, "app_members_unavailable")
 			u.slowRejects.Store(true)
 			close(u.release)
-			waitFor(t, "the Retry-After at the new process", func() bool { return u.new.metric(t, "app_members_unavailable") == avoided+2 })
+			waitFor(t, "the Retry-After at the new process", func() bool { return u.new.metric(t, "app_members_unavailable") == unavailable+2 })
 			u.put(u.oldClient, "next", putFields("once", 20000, 2))
 			u.put(u.oldClient, "late", putFields("once", 20000, 5))
 			u.put(u.oldClient, "mark", putFields("once", 20000, 1))
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -7,9 +7,9 @@
 
 // A missing or invalid value must cause an error that names its key.
 func TestConfigErrorNamesTheKey(t *testing.T) {
-	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","state":"/x","seed":"1f",
+	validConfig := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","state":"/x","seed":"1f",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":2},"settings":` + testSettings + `}`
-	for name, x := range map[string]struct{ old, new, key string }{
+	for name, test := range map[string]struct{ old, new, key string }{
 		"no name":       {`"name":"n1",`, ``, "name"},
 		"no port":       {`"listen":"127.0.0.1:1"`, `"listen":"127.0.0.1"`, "listen"},
 		"discovery":     {`"discovery":"127.0.0.1:2"`, `"discovery":"x"`, "discovery"},
@@ -31,31 +31,31 @@
 		"negative time": {`"drain_grace_us":2000000`, `"drain_grace_us":-1`, "DrainGrace"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(good, x.old, x.new, 1)
-			if text == good {
+			text := strings.Replace(validConfig, test.old, test.new, 1)
+			if text == validConfig {
 				t.Fatal("the test case changes nothing in the configuration")
 			}
 			_, err := parseConfig([]byte(text), func(string) string { return "" })
-			if err == nil || !strings.Contains(err.Error(), x.key) {
-				t.Errorf("error %v, want one that names %s", err, x.key)
+			if err == nil || !strings.Contains(err.Error(), test.key) {
+				t.Errorf("error %v, want one that names %s", err, test.key)
 			}
 		})
 	}
-	c, err := parseConfig([]byte(good), func(k string) string { return map[string]string{"ROUTER_STATE": "/y"}[k] })
+	c, err := parseConfig([]byte(validConfig), func(k string) string { return map[string]string{"ROUTER_STATE": "/y"}[k] })
 	if err != nil || c.StateDir != "/y" || c.Seed != 0x1f || c.Policy.MaxCalls != 16 || c.Policy.StreamsPerConnection != 1 || c.zones["b"] != 1 || c.classes["once"] != 2 {
 		t.Errorf("got %+v, %v", c, err)
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		memory, key string
 		want        int
 	}{{"64", "", 8192}, {"4", "", minMaxResident}, {"64", `,"resident":3`, 3}, {"64", `,"resident":0`, 0}} {
-		text := strings.Replace(strings.Replace(good, `"memory_mb":64`, `"memory_mb":`+x.memory, 1), `"seed":"1f"`, `"seed":"1f"`+x.key, 1)
+		text := strings.Replace(strings.Replace(validConfig, `"memory_mb":64`, `"memory_mb":`+test.memory, 1), `"seed":"1f"`, `"seed":"1f"`+test.key, 1)
 		c, err := parseConfig([]byte(text), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c.Policy.MaxResidentMessages != x.want {
-			t.Errorf("%s MB%s: limit of %d messages in memory, want %d", x.memory, x.key, c.Policy.MaxResidentMessages, x.want)
+		if c.Policy.MaxResidentMessages != test.want {
+			t.Errorf("%s MB%s: limit of %d messages in memory, want %d", test.memory, test.key, c.Policy.MaxResidentMessages, test.want)
 		}
 	}
 	clients, endpoints := c.socketBudget()
@@ -67,15 +67,15 @@
 // The settings say whether responses carry load reports. The policy has to know, as the
 // meaning of a response without a report depends on it.
 func TestLoadReportsFollowSettings(t *testing.T) {
-	for how, want := range map[string]bool{"none": false, "probe": false, "answers": true} {
-		text := strings.Replace(testSettings, `"report":{"fields":[],"how":"none"}`, `"report":{"fields":["x0"],"how":"`+how+`"}`, 1)
+	for reportMode, want := range map[string]bool{"none": false, "probe": false, "answers": true} {
+		text := strings.Replace(testSettings, `"report":{"fields":[],"how":"none"}`, `"report":{"fields":["x0"],"how":"`+reportMode+`"}`, 1)
 		c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
 			text+`}`), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c.Policy.LoadReports != want {
-			t.Errorf("report %s: load reports %v", how, c.Policy.LoadReports)
+			t.Errorf("report %s: load reports %v", reportMode, c.Policy.LoadReports)
 		}
 	}
 }
--- a/internal/relay/connectfault_test.go
+++ b/internal/relay/connectfault_test.go
@@ -38,8 +38,8 @@
 			ep := newFakeEndpoint(t, nil)
 			disc := discoverytest.New(t, ep.member("s-1", 1))
 			env := writeTestConfig(t, disc, 3)
-			connects := newFaultSwitch(t, env, connectFaultEnv)
-			connects.set(fault)
+			connectFault := newFaultSwitch(t, env, connectFaultEnv)
+			connectFault.set(fault)
 			c := spawnWithLog(t, env, io.Discard)
 			c.waitReady(t)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -51,7 +51,7 @@
 				}
 			}
 			time.Sleep(1500 * time.Millisecond) // how long connecting fails
-			connects.clear()
+			connectFault.clear()
 			cleared := time.Now()
 			for _, id := range ids {
 				for time.Since(cleared) < 2*time.Second && !ep.answeredOK(id) {
@@ -70,16 +70,16 @@
 func TestStartWaitsForListenAddresses(t *testing.T) {
 	env := writeTestConfig(t, discoverytest.New(t), 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
-	var taken []net.Listener
+	var listeners []net.Listener
 	for _, name := range []string{"ROUTER_LISTEN", "ROUTER_OPERATOR"} {
 		ln, err := net.Listen("tcp", env[name])
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken = append(taken, ln)
+		listeners = append(listeners, ln)
 	}
 	c := spawnWithLog(t, env, io.Discard)
-	for _, ln := range taken {
+	for _, ln := range listeners {
 		time.Sleep(400 * time.Millisecond)
 		ln.Close()
 	}
--- a/internal/relay/connection_limit_test.go
+++ b/internal/relay/connection_limit_test.go
@@ -14,18 +14,18 @@
 	c.mu.Lock()
 	c.maxConns = 2
 	c.mu.Unlock()
-	var all []*testClient
+	var clients []*testClient
 	for i := range 3 {
 		cl := dialClient(t, addr)
 		if s := cl.put("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil); s != "+OK" {
 			t.Fatal(s)
 		}
-		all = append(all, cl)
+		clients = append(clients, cl)
 	}
-	if _, err := all[0].in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := clients[0].in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("connection that was idle for longest: %v, want EOF", err)
 	}
-	if s := all[1].put("x", putFields("plain", 8000, 1), nil); s != "+OK" {
+	if s := clients[1].put("x", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Error(s)
 	}
 }
@@ -34,20 +34,20 @@
 // an error response. They must be evicted like idle connections, so that a new client is
 // served, and a client that waits for its response must keep its connection.
 func TestConnectionLimitHoldsInFlood(t *testing.T) {
-	got := make(chan *putRequest, 1)
-	c, addr, _ := serveClients(t, func(q *putRequest) {
-		if q.record.ID == "waits" {
-			got <- q
+	requests := make(chan *putRequest, 1)
+	c, addr, _ := serveClients(t, func(request *putRequest) {
+		if request.record.ID == "waits" {
+			requests <- request
 			return
 		}
-		accept(q)
+		accept(request)
 	})
 	c.mu.Lock()
 	c.maxConns = 4
 	c.mu.Unlock()
-	waits := dialClient(t, addr)
-	io.WriteString(waits, putCommand("waits", putFields("plain", 8000, 1), nil))
-	q := <-got
+	waiting := dialClient(t, addr)
+	io.WriteString(waiting, putCommand("waits", putFields("plain", 8000, 1), nil))
+	request := <-requests
 	for i := range 20 {
 		peer := dialClient(t, addr)
 		if i%2 == 0 {
@@ -73,7 +73,7 @@
 	if s := dialClient(t, addr).put("m", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Errorf("new client during the flood: response %q", s)
 	}
-	if q.respond(responseOK); waits.readLine() != "+OK" {
+	if request.respond(responseOK); waiting.readLine() != "+OK" {
 		t.Error("the waiting client got no OK response")
 	}
 }
--- a/internal/relay/connection_pool_test.go
+++ b/internal/relay/connection_pool_test.go
@@ -26,17 +26,17 @@
 	c := spawnLimited(t, env, log, descriptors)
 	c.waitReady(t)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	most := 0
+	maxDescriptors := 0
 	for i := range endpoints {
 		id := fmt.Sprintf("m%d", i)
 		if s := cl.put(id, putFields("plain", 20000, i), nil); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 		waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) > 0 })
-		most = max(most, c.descriptorCount())
+		maxDescriptors = max(maxDescriptors, c.descriptorCount())
 	}
-	t.Logf("%d calls to as many endpoints: up to %d of %d descriptors", endpoints, most, descriptors)
-	if n := log.occurrences("too many open files"); n > 0 || most >= descriptors {
+	t.Logf("%d calls to as many endpoints: up to %d of %d descriptors", endpoints, maxDescriptors, descriptors)
+	if n := log.occurrences("too many open files"); n > 0 || maxDescriptors >= descriptors {
 		t.Errorf("the relay reached its descriptor limit; %d times it could open no file", n)
 	}
 	ep.mu.Lock()
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -99,19 +99,19 @@
 // startReconnectingClients starts clients that open one connection each. A fourth of them
 // send nothing, a fourth send PING, a fourth submit a message and stay idle, and a fourth
 // send the beginning of a command.
-func startReconnectingClients(addr string, size int) *reconnectingClients {
+func startReconnectingClients(addr string, count int) *reconnectingClients {
 	c := &reconnectingClients{conns: map[net.Conn]bool{}}
-	says := []string{"", "*1\r\n$4\r\nPING\r\n", "put", "*5\r\n$7\r\nMSG"}
-	for i := range size {
+	texts := []string{"", "*1\r\n$4\r\nPING\r\n", "put", "*5\r\n$7\r\nMSG"}
+	for i := range count {
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
-			for n := 0; !c.stopping.Load(); n++ {
-				text := says[i%len(says)]
-				if text == "put" && n%32 > 0 { // most connections stay idle without submitting a message
-					text = says[1]
+			for round := 0; !c.stopping.Load(); round++ {
+				text := texts[i%len(texts)]
+				if text == "put" && round%32 > 0 { // most connections stay idle without submitting a message
+					text = texts[1]
 				} else if text == "put" {
-					text = putCommand(fmt.Sprintf("crowd-%d-%d", i, n), putFields("plain", 20000, 7), nil)
+					text = putCommand(fmt.Sprintf("crowd-%d-%d", i, round), putFields("plain", 20000, 7), nil)
 				}
 				c.holdConnection(addr, text)
 			}
@@ -187,22 +187,22 @@
 
 // descriptorCount returns the number of open file descriptors of a relay.
 func (c *child) descriptorCount() int {
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	return len(all)
+	return len(entries)
 }
 
 // logFileNames returns the names of the files of a relay's log, separated by spaces.
 func logFileNames(t *testing.T, env map[string]string) string {
 	t.Helper()
-	all, err := os.ReadDir(filepath.Join(env["ROUTER_STATE"], wal.FolderName))
+	entries, err := os.ReadDir(filepath.Join(env["ROUTER_STATE"], wal.FolderName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var names []string
-	for _, f := range all {
+	for _, f := range entries {
 		names = append(names, f.Name())
 	}
 	return strings.Join(names, " ")
@@ -213,22 +213,22 @@
 // answers at the operator address, and once discovery is back it sends notices and watches
 // the list again. The relay may close a new connection without reading from it.
 func TestRelayWorksWhileIdleClientsExhaustDescriptors(t *testing.T) {
-	const descriptors = 96
+	const descriptorLimit = 96
 	ep := newFakeEndpoint(t, nil)
 	failing := newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
 	disc := discoverytest.New(t, ep.member("s-1", 7), failing.member("s-2", 2))
-	g := newTCPProxy(t, disc.Addr())
+	discoveryProxy := newTCPProxy(t, disc.Addr())
 	env := writeTestConfig(t, disc, 3)
-	env["ROUTER_DISCOVERY"], env["ROUTER_OPERATOR"] = g.addr, loopback.Free()
-	editConfig(t, env, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors))
+	env["ROUTER_DISCOVERY"], env["ROUTER_OPERATOR"] = discoveryProxy.addr, loopback.Free()
+	editConfig(t, env, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptorLimit))
 	log := &lockedBuffer{}
-	c := spawnLimited(t, env, log, descriptors)
+	c := spawnLimited(t, env, log, descriptorLimit)
 	c.waitReady(t)
 	waitFor(t, "the first watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) == 1 })
-	g.close()
-	cr := startReconnectingClients(c.env["ROUTER_LISTEN"], 3*descriptors)
-	defer cr.close()
-	most := atomic.Int64{}
+	discoveryProxy.close()
+	idleClients := startReconnectingClients(c.env["ROUTER_LISTEN"], 3*descriptorLimit)
+	defer idleClients.close()
+	maxDescriptors := atomic.Int64{}
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -237,15 +237,15 @@
 			case <-done:
 				return
 			case <-time.After(time.Millisecond):
-				most.Store(max(most.Load(), int64(c.descriptorCount())))
+				maxDescriptors.Store(max(maxDescriptors.Load(), int64(c.descriptorCount())))
 			}
 		}
 	}()
-	waitFor(t, "the connections of the idle clients", func() bool { return cr.connects.Load() > 10*descriptors })
-	began := logFileNames(t, env)
+	waitFor(t, "the connections of the idle clients", func() bool { return idleClients.connects.Load() > 10*descriptorLimit })
+	filesBefore := logFileNames(t, env)
 	body := bytes.Repeat([]byte("b"), 32<<10)
-	taken, tries := 0, 0
-	handIn := func(id, fields string) bool { // the caller submits again after a connection that was closed unread, as a client does
+	accepted, attempts := 0, 0
+	submit := func(id, fields string) bool { // the caller submits again after a connection that was closed unread, as a client does
 		conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 		if err != nil {
 			return false
@@ -257,32 +257,32 @@
 		io.ReadFull(conn, reply)
 		return string(reply) == "+OK"
 	}
-	for taken < 60 { // 2 MB in all, so that the log needs new files
-		id := fmt.Sprintf("m%d", taken)
+	for accepted < 60 { // 2 MB in all, so that the log needs new files
+		id := fmt.Sprintf("m%d", accepted)
 		f := putFields("plain", 20000, 7)
-		if taken == 30 {
+		if accepted == 30 {
 			id, f = "failed", putFields("once", 20000, 2)
 		}
-		waitFor(t, "the acceptance of "+id, func() bool { tries++; return handIn(id, f) })
-		taken++
+		waitFor(t, "the acceptance of "+id, func() bool { attempts++; return submit(id, f) })
+		accepted++
 		if id != "failed" {
 			waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) >= 1 })
 		}
 	}
-	waitFor(t, "a new log file", func() bool { return logFileNames(t, env) != began })
+	waitFor(t, "a new log file", func() bool { return logFileNames(t, env) != filesBefore })
 	waitFor(t, "readiness at the operator address", func() bool { return c.readyzIs(true) })
 	disc.Mu.Lock()
-	before := len(disc.Froms)
+	watchesBefore := len(disc.Froms)
 	disc.Mu.Unlock()
-	_, early := disc.Notice("failed")
-	g.listen(t)
-	back := time.Now()
-	waitFor(t, "a new watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) > before })
-	heard := time.Since(back)
+	_, isNoticedEarly := disc.Notice("failed")
+	discoveryProxy.listen(t)
+	reopenedAt := time.Now()
+	waitFor(t, "a new watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) > watchesBefore })
+	watchDelay := time.Since(reopenedAt)
 	waitFor(t, "the notice", func() bool { n, ok := disc.Notice("failed"); return ok && n.Outcome == discovery.Failed })
 	t.Logf("%d connections by idle clients; %d messages accepted in %d tries; up to %d of %d descriptors; after the return of discovery: watch after %v, notice after %v",
-		cr.connects.Load(), taken, tries, most.Load(), descriptors, heard, time.Since(back))
-	if early {
+		idleClients.connects.Load(), accepted, attempts, maxDescriptors.Load(), descriptorLimit, watchDelay, time.Since(reopenedAt))
+	if isNoticedEarly {
 		t.Error("discovery received the notice while it was down, so the test proves nothing")
 	}
 	if n := log.occurrences("too many open files"); n > 0 {
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -11,9 +11,9 @@
 // A relay must start and accept messages although discovery does not respond, with the list
 // of its configuration.
 func TestStartWithSilentDiscovery(t *testing.T) {
-	d := discoverytest.New(t)
-	d.Set(func(d *discoverytest.Server) { d.Silent = true })
-	env := writeTestConfig(t, d, 3)
+	disc := discoverytest.New(t)
+	disc.Set(func(disc *discoverytest.Server) { disc.Silent = true })
+	env := writeTestConfig(t, disc, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	if s := cl.put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -47,13 +47,13 @@
 	}
 }
 
-func (d faultyDisk) Open(name string, how wal.Mode) (wal.File, error) {
-	if how == wal.ModeCreate {
+func (d faultyDisk) Open(name string, mode wal.Mode) (wal.File, error) {
+	if mode == wal.ModeCreate {
 		if err := d.fault(); err != nil {
 			return nil, &os.PathError{Op: "open", Path: name, Err: err}
 		}
 	}
-	f, err := d.OS.Open(name, how)
+	f, err := d.OS.Open(name, mode)
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 
 func (d faultyDisk) MakeDir(name string) error {
 	if err := d.fault(); err != nil {
-		if _, dir, there := d.Stat(name); there == nil && dir {
+		if _, isDir, statErr := d.Stat(name); statErr == nil && isDir {
 			return nil
 		}
 		return &os.PathError{Op: "mkdir", Path: name, Err: err}
@@ -156,33 +156,33 @@
 				case <-r.Context().Done():
 				}
 			})
-			quick, later := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
+			quick, listedLater := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 			disc := discoverytest.New(t, quick.member("s-1", 1), slow.member("s-2", 2))
 			env := writeTestConfig(t, disc, 3)
-			disk := newFaultSwitch(t, env, diskFaultEnv)
+			diskFault := newFaultSwitch(t, env, diskFaultEnv)
 			c := spawnWithLog(t, env, io.Discard)
 			c.waitReady(t)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
-			take := func(id, f string) {
+			submit := func(id, f string) {
 				t.Helper()
 				if s := cl.put(id, f, nil); s != "+OK" {
 					t.Fatalf("%s: %s", id, s)
 				}
 			}
 			for i := range 5 {
-				take(fmt.Sprint("held-", i), putFields([]string{"plain", "once", "keyed"}[i%3], 20000, 5))
+				submit(fmt.Sprint("held-", i), putFields([]string{"plain", "once", "keyed"}[i%3], 20000, 5))
 			}
-			take("out", putFields("once", 20000, 2))
+			submit("out", putFields("once", 20000, 2))
 			waitFor(t, "the call", func() bool { return slow.callCount("out") == 1 })
-			disk.set(fault)
-			refused := time.Now()
+			diskFault.set(fault)
+			submittedAt := time.Now()
 			if s := cl.put("new", putFields("plain", 8000, 1), nil); s != "-BUSY" {
 				t.Errorf("new message while the disk fails: response %s", s)
 			}
-			if took := time.Since(refused); took > clientTimeout {
+			if took := time.Since(submittedAt); took > clientTimeout {
 				t.Errorf("the refusal took %v, longer than the client timeout", took)
 			}
-			disc.Send(t, discoverytest.Change(2, later.member("s-5", 5)))
+			disc.Send(t, discoverytest.Change(2, listedLater.member("s-5", 5)))
 			close(release)
 			waitFor(t, "the end of the call", func() bool { return slow.answeredOK("out") })
 			time.Sleep(1500 * time.Millisecond) // how long the disk fails
@@ -191,17 +191,17 @@
 					t.Errorf("held-%d got the notice %s while the disk failed", i, n.Outcome)
 				}
 			}
-			disk.clear()
+			diskFault.clear()
 			for i := range 5 {
 				id := fmt.Sprint("held-", i)
-				for end := time.Now().Add(5 * time.Second); !later.answeredOK(id) && time.Now().Before(end); {
+				for end := time.Now().Add(5 * time.Second); !listedLater.answeredOK(id) && time.Now().Before(end); {
 					time.Sleep(2 * time.Millisecond)
 				}
-				if n, ended := disc.Notice(id); later.callCount(id) != 1 || ended {
-					t.Errorf("%s: %d calls, notice %q", id, later.callCount(id), n.Outcome)
+				if n, ended := disc.Notice(id); listedLater.callCount(id) != 1 || ended {
+					t.Errorf("%s: %d calls, notice %q", id, listedLater.callCount(id), n.Outcome)
 				}
 			}
-			take("after", putFields("once", 20000, 1))
+			submit("after", putFields("once", 20000, 1))
 			waitFor(t, "the delivery of the message after the fault", func() bool { return quick.answeredOK("after") })
 			waitFor(t, "all completions in the log", func() bool {
 				r, err := wal.Inspect(nil, env["ROUTER_STATE"])
@@ -235,22 +235,22 @@
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
 			env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
-			disk := newFaultSwitch(t, env, diskFaultEnv)
-			disk.set(fault)
+			diskFault := newFaultSwitch(t, env, diskFaultEnv)
+			diskFault.set(fault)
 			c := spawnWithLog(t, env, io.Discard)
-			for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+			for until := time.Now().Add(time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 				if c.hasExited() {
 					t.Fatal("the relay ended while the disk failed")
 				}
 			}
-			disk.clear()
+			diskFault.clear()
 			c.waitReady(t)
 		})
 		t.Run("pending messages/"+fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
 			env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
-			disk := newFaultSwitch(t, env, diskFaultEnv)
+			diskFault := newFaultSwitch(t, env, diskFaultEnv)
 			c := spawnWithLog(t, env, io.Discard)
 			c.waitReady(t)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -258,15 +258,15 @@
 				t.Fatal(s)
 			}
 			c.kill()
-			disk.set(fault)
+			diskFault.set(fault)
 			log := &lockedBuffer{}
 			c = spawnWithLog(t, env, log)
-			for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+			for until := time.Now().Add(1500 * time.Millisecond); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 				if c.hasExited() {
 					t.Fatalf("the relay ended while the disk failed:\n%s", log.content())
 				}
 			}
-			disk.clear()
+			diskFault.clear()
 			c.waitReady(t)
 			cl = dialClient(t, env["ROUTER_LISTEN"])
 			if s := cl.put("new", putFields("once", 20000, 1), nil); s != "+OK" {
@@ -294,40 +294,40 @@
 	disc := discoverytest.New(t)
 	r.notices = discovery.NewNotices(disc.Addr(), discardLog(), func(string) {})
 	go r.notices.Run(t.Context())
-	taken := map[string]*message{}
+	messages := map[string]*message{}
 	for _, id := range []string{"early", "timely"} {
-		left := 20 * time.Second
+		timeLeft := 20 * time.Second
 		if id == "timely" {
-			left = time.Second
+			timeLeft = time.Second
 		}
-		q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: left, responses: make(chan response, 1)}
-		r.admit(q)
-		taken[id] = r.messages.byID[id]
+		request := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: timeLeft, responses: make(chan response, 1)}
+		r.admit(request)
+		messages[id] = r.messages.byID[id]
 		r.stepPolicy()
-		if s := <-q.responses; s != responseOK {
+		if s := <-request.responses; s != responseOK {
 			t.Fatal(s)
 		}
-		r.handleResponseDone(q, true)
+		r.handleResponseDone(request, true)
 	}
 	failing.Store(true)
-	due := taken["timely"].record.Deadline
-	for _, m := range taken {
+	deadline := messages["timely"].record.Deadline
+	for _, m := range messages {
 		m.isCompleted = true
 		r.logCompletion(m, discovery.Returned, 5)
 	}
-	for r.clock.logTime(r.clock.now()) < due-50e3 {
+	for r.clock.logTime(r.clock.now()) < deadline-50e3 {
 		r.sendDueNotices()
-		for id := range taken {
-			if _, told := disc.Notice(id); told {
+		for id := range messages {
+			if _, hasNotice := disc.Notice(id); hasNotice {
 				t.Fatalf("notice of %s was sent before its deadline with no record in the log", id)
 			}
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	waitFor(t, "the notice of the message whose deadline passed", func() bool { r.sendDueNotices(); _, told := disc.Notice("timely"); return told })
-	if _, told := disc.Notice("early"); told {
+	waitFor(t, "the notice of the message whose deadline passed", func() bool { r.sendDueNotices(); _, hasNotice := disc.Notice("timely"); return hasNotice })
+	if _, hasNotice := disc.Notice("early"); hasNotice {
 		t.Error("the notice of \"early\" was sent before its deadline with no record in the log")
 	}
 	failing.Store(false)
-	waitFor(t, "the notice of the other message", func() bool { r.sendDueNotices(); _, told := disc.Notice("early"); return told })
+	waitFor(t, "the notice of the other message", func() bool { r.sendDueNotices(); _, hasNotice := disc.Notice("early"); return hasNotice })
 }
--- a/internal/relay/endpoint_test.go
+++ b/internal/relay/endpoint_test.go
@@ -12,9 +12,9 @@
 // If a call fails and no later call was answered, the machine of the endpoint may have been
 // away, and the idle connections to it may be dead without any sign of it, so they must be
 // closed. One slow call while others are answered is no reason to close them.
-func TestUnansweredCallAfterSilenceSuggestsDeadConnections(t *testing.T) {
+func TestFailedCallAfterSilenceClosesIdleConnections(t *testing.T) {
 	ep := &endpoint{}
-	for i, x := range []struct {
+	for i, test := range []struct {
 		o    outcome
 		now  policy.Time
 		want bool
@@ -27,7 +27,7 @@
 		{outcome{kind: policy.Rejected, status: 503}, 2300, false},
 		{outcome{kind: policy.Cancelled, latency: 50}, 2320, false},
 	} {
-		if got := ep.updateLiveness(&x.o, x.now); got != x.want {
+		if got := ep.updateLiveness(&test.o, test.now); got != test.want {
 			t.Errorf("outcome %d: connections suspected dead: %v", i, got)
 		}
 	}
@@ -53,23 +53,23 @@
 	ep := newFakeEndpoint(t, nil)
 	r := newTestRelay(t)
 	r.updateList(&discovery.List{Complete: true, Members: []discovery.Member{ep.member("s-1", 7)}}, policy.ListFull)
-	at := r.endpoints.byID["s-1"]
-	send1 := func(id string) {
+	listed := r.endpoints.byID["s-1"]
+	sendMessage := func(id string) {
 		m := r.newMessage(&wal.Record{Kind: wal.KindAccepted, ID: id, Dest: 7, Class: "plain"})
 		m.isAcknowledged, m.isLogged, m.attempts = true, true, 1
 		r.wal.Submit(m.record, nil)
-		r.startBatch(&batch{endpoint: at, sends: []send{{message: m, timeoutAt: r.clock.now() + 20e6}}})
+		r.startBatch(&batch{endpoint: listed, sends: []send{{message: m, timeoutAt: r.clock.now() + 20e6}}})
 	}
-	send1("a")
-	if got, want := at.transport.IdleConnTimeout, 9*time.Second; got != want {
+	sendMessage("a")
+	if got, want := listed.transport.IdleConnTimeout, 9*time.Second; got != want {
 		t.Fatalf("first idle timeout %v, want %v", got, want)
 	}
 	<-r.mailbox.Ready()
 	for _, e := range r.mailbox.TakeAll(nil) {
 		r.finishCall(e.(callDoneEvent).call, []outcome{{kind: policy.ConnectionReset, idleTime: 300 * time.Millisecond}})
 	}
-	send1("b")
-	if got, want := at.transport.IdleConnTimeout, 256*time.Millisecond; got != want {
+	sendMessage("b")
+	if got, want := listed.transport.IdleConnTimeout, 256*time.Millisecond; got != want {
 		t.Errorf("idle timeout after a reset %v, want %v", got, want)
 	}
 	<-r.mailbox.Ready()
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -74,7 +74,7 @@
 // waitFor waits until cond is true. It fails the test after 30 seconds.
 func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if cond() {
 			return
 		}
@@ -110,12 +110,12 @@
 		e.calls = append(e.calls, receivedCall{r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key"), r.Header.Get("X-Timeout-Ms"), body, false})
 		n, answer := len(e.calls), e.answer
 		e.mu.Unlock()
-		said := &statusWriter{ResponseWriter: w, code: http.StatusOK}
+		recorder := &statusWriter{ResponseWriter: w, code: http.StatusOK}
 		if answer != nil {
-			answer(said, r, n)
+			answer(recorder, r, n)
 		}
 		e.mu.Lock()
-		e.calls[n-1].ok = said.code == http.StatusOK
+		e.calls[n-1].ok = recorder.code == http.StatusOK
 		e.mu.Unlock()
 		var items []batchItem
 		if r.URL.Path == batchPath && json.Unmarshal(body, &items) == nil {
@@ -190,7 +190,7 @@
 
 // writeTestConfig writes a configuration file and returns the environment variables that
 // make a relay use it.
-func writeTestConfig(t *testing.T, d *discoverytest.Server, diskMB int) map[string]string {
+func writeTestConfig(t *testing.T, disc *discoverytest.Server, diskMB int) map[string]string {
 	t.Helper()
 	listen := loopback.Free()
 	dir := t.TempDir()
@@ -200,12 +200,12 @@
 	}
 	path := filepath.Join(dir, "config.json")
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","surplus":1,
-		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":%d},"settings":%s}`, listen, d.Addr(), diskMB, testSettings)
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":%d},"settings":%s}`, listen, disc.Addr(), diskMB, testSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return map[string]string{"ROUTER_CONFIG": path, "ROUTER_STATE": state, "ROUTER_LISTEN": listen,
-		"ROUTER_DISCOVERY": d.Addr(), "ROUTER_NAME": "n1"}
+		"ROUTER_DISCOVERY": disc.Addr(), "ROUTER_NAME": "n1"}
 }
 
 // editConfig replaces the first occurrence of a text in a configuration file that
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -18,70 +18,70 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 8))
-			o := newSequenceTest(t, seed, 150*time.Millisecond, 0)
-			first := startChild(t, o.env)
+			test := newSequenceTest(t, seed, 150*time.Millisecond, 0)
+			first := startChild(t, test.env)
 			for i := range 40 {
-				s := &sequenceClient{}
-				var parts []string
+				client := &sequenceClient{}
+				var commands []string
 				var pauses []time.Duration
 				for range 3 {
-					id := fmt.Sprintf("m%d-%d", i, len(s.ids))
-					s.ids = append(s.ids, id)
+					id := fmt.Sprintf("m%d-%d", i, len(client.ids))
+					client.ids = append(client.ids, id)
 					class := []string{"plain", "once"}[rng.IntN(2)]
-					s.isOnce = append(s.isOnce, class == "once")
-					parts = append(parts, putCommand(id, putFields(class, 20000, 7), []byte("body")))
+					client.isOnce = append(client.isOnce, class == "once")
+					commands = append(commands, putCommand(id, putFields(class, 20000, 7), []byte("body")))
 					pauses = append(pauses, time.Duration(rng.IntN(300))*time.Millisecond)
 				}
-				before := time.Duration(rng.IntN(1500)) * time.Millisecond
-				o.startClient(s, before, pauses, parts...)
+				delay := time.Duration(rng.IntN(1500)) * time.Millisecond
+				test.startClient(client, delay, pauses, commands...)
 			}
-			wait := func(most int) { time.Sleep(time.Duration(rng.IntN(most)) * time.Millisecond) }
-			wait(300)
-			second := spawn(t, o.env)
+			pause := func(maxMilliseconds int) { time.Sleep(time.Duration(rng.IntN(maxMilliseconds)) * time.Millisecond) }
+			pause(300)
+			second := spawn(t, test.env)
 			signals := []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGKILL}
 			killed := false
-			both := []*child{first, second}
-			rng.Shuffle(2, func(i, j int) { both[i], both[j] = both[j], both[i] })
-			for _, c := range both {
-				wait(700)
+			processes := []*child{first, second}
+			rng.Shuffle(2, func(i, j int) { processes[i], processes[j] = processes[j], processes[i] })
+			for _, c := range processes {
+				pause(700)
 				sig := signals[rng.IntN(len(signals))]
 				killed = killed || sig == syscall.SIGKILL
 				c.cmd.Process.Signal(sig)
 			}
-			o.running.Wait()
-			for _, c := range both {
+			test.running.Wait()
+			for _, c := range processes {
 				if err := c.cmd.Wait(); err != nil && !killed {
 					t.Errorf("exit of a process without kills: %v", err)
 				}
 			}
-			startChild(t, o.env)
-			taken := 0
-			for i, s := range o.clients {
-				if s.readErr != nil && !killed {
-					t.Errorf("client %d: %v", i, s.readErr)
+			startChild(t, test.env)
+			accepted := 0
+			for i, client := range test.clients {
+				if client.readErr != nil && !killed {
+					t.Errorf("client %d: %v", i, client.readErr)
 				}
-				for j, id := range s.ids {
-					if s.isAccepted(j) {
-						taken++
-						o.waitEnded(id)
+				for j, id := range client.ids {
+					if client.isAccepted(j) {
+						accepted++
+						test.waitEnded(id)
 					}
 				}
 			}
-			for _, s := range o.clients { // only now, as all accepted messages have ended
-				for j, id := range s.ids {
-					n := o.endpoint.callCount(id)
-					refused := j < len(s.answers) && strings.HasPrefix(s.answers[j], "-BUSY")
+			for _, client := range test.clients { // only now, as all accepted messages have ended
+				for j, id := range client.ids {
+					calls := test.endpoint.callCount(id)
+					refused := j < len(client.answers) && strings.HasPrefix(client.answers[j], "-BUSY")
 					switch {
-					case n > 1 && s.isOnce[j]:
-						t.Errorf("%s was sent %d times", id, n)
-					case n > 0 && refused:
-						t.Errorf("%s was refused but sent; responses to its client: %v", id, s.answers)
-					case n > 0 && j >= len(s.answers) && !killed:
+					case calls > 1 && client.isOnce[j]:
+						t.Errorf("%s was sent %d times", id, calls)
+					case calls > 0 && refused:
+						t.Errorf("%s was refused but sent; responses to its client: %v", id, client.answers)
+					case calls > 0 && j >= len(client.answers) && !killed:
 						t.Errorf("%s was sent, but its client got no response", id)
 					}
 				}
 			}
-			t.Logf("%d messages accepted; a process was killed: %v; the first process got its signal first: %v", taken, killed, both[0] == first)
+			t.Logf("%d messages accepted; a process was killed: %v; the first process got its signal first: %v", accepted, killed, processes[0] == first)
 		})
 	}
 }
--- a/internal/relay/idle_resets_test.go
+++ b/internal/relay/idle_resets_test.go
@@ -11,27 +11,27 @@
 // be used, those idle for a shorter time still are, and after a minute longer idle times are
 // tried again.
 func TestIdleLimitFollowsResets(t *testing.T) {
-	const keep, second = 9 * time.Second, policy.Time(1e6)
-	w := &idleResetTracker{}
+	const configuredLimit, second = 9 * time.Second, policy.Time(1e6)
+	tracker := &idleResetTracker{}
 	now := 100 * second
 	for range 20 {
-		w.record(10*time.Millisecond, true, now) // idle only for a moment, so the idle time is not the cause of the reset
-		w.record(100*time.Millisecond, false, now)
-		w.record(400*time.Millisecond, false, now)
+		tracker.record(10*time.Millisecond, true, now) // idle only for a moment, so the idle time is not the cause of the reset
+		tracker.record(100*time.Millisecond, false, now)
+		tracker.record(400*time.Millisecond, false, now)
 	}
-	if got := w.maxIdle(keep, now); got != keep {
+	if got := tracker.maxIdle(configuredLimit, now); got != configuredLimit {
 		t.Errorf("limit without a reset on an idle connection: %v", got)
 	}
-	w.record(300*time.Millisecond, true, now)
-	w.record(5*time.Second, true, now)
-	if got := w.maxIdle(keep, now); got != 256*time.Millisecond {
+	tracker.record(300*time.Millisecond, true, now)
+	tracker.record(5*time.Second, true, now)
+	if got := tracker.maxIdle(configuredLimit, now); got != 256*time.Millisecond {
 		t.Errorf("limit after resets on connections idle for 300 ms and 5 s: %v", got)
 	}
-	if got := w.maxIdle(200*time.Millisecond, now); got != 200*time.Millisecond {
+	if got := tracker.maxIdle(200*time.Millisecond, now); got != 200*time.Millisecond {
 		t.Errorf("limit above the one of the settings: %v", got)
 	}
-	if got := w.maxIdle(keep, now+60*second); got != keep {
+	if got := tracker.maxIdle(configuredLimit, now+60*second); got != configuredLimit {
 		t.Errorf("limit a minute later: %v", got)
 	}
-	w.record(100*time.Hour, true, now) // longer than the last idle-time step of the tracker; must not panic
+	tracker.record(100*time.Hour, true, now) // longer than the last idle-time step of the tracker; must not panic
 }
--- a/internal/relay/listener_test.go
+++ b/internal/relay/listener_test.go
@@ -12,10 +12,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
+	server := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	faults := []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EINTR, syscall.ENETUNREACH, syscall.EMFILE, syscall.EHOSTUNREACH, syscall.ENOMEM}
 	calls := 0
-	c.accept4 = func(fd, flags int) (int, syscall.Sockaddr, error) {
+	server.accept4 = func(fd, flags int) (int, syscall.Sockaddr, error) {
 		if calls++; calls%2 == 1 && calls/2 < len(faults) {
 			return -1, nil, faults[calls/2]
 		}
@@ -25,8 +25,8 @@
 	for range 12 { // the connections stay in the backlog of the listener
 		waiting = append(waiting, dialClient(t, ln.Addr().String()))
 	}
-	c.stopListening(ln)
-	if err := c.serve(ln); err != nil {
+	server.stopListening(ln)
+	if err := server.serve(ln); err != nil {
 		t.Fatal(err)
 	}
 	for i, cl := range waiting {
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -12,17 +12,17 @@
 )
 
 // countEndpoints returns the values of the endpoint gauges by going over all endpoints.
-func (r *Relay) countEndpoints(now policy.Time) (members, avoided int64) {
+func (r *Relay) countEndpoints(now policy.Time) (members, unavailable int64) {
 	for _, ep := range r.endpoints.byID {
 		if !ep.isListed {
 			continue
 		}
 		members++
 		if ep.isStopped || r.policy.Unavailable(ep.number, now) {
-			avoided++
+			unavailable++
 		}
 	}
-	return members, avoided
+	return members, unavailable
 }
 
 // listSimulation makes random changes to a member list and lets calls end with random
@@ -49,16 +49,16 @@
 // changeList applies a change of one random member, or one time in four a whole list.
 func (d *listSimulation) changeList() {
 	d.revision++
-	l := &discovery.List{Revision: d.revision, Members: []discovery.Member{*d.drawMember()}}
+	list := &discovery.List{Revision: d.revision, Members: []discovery.Member{*d.drawMember()}}
 	if d.rng.IntN(4) == 0 {
-		l.Complete, l.Members = true, nil
+		list.Complete, list.Members = true, nil
 		for _, m := range d.list {
 			if m.Phase != discovery.Removed && d.rng.IntN(6) > 0 {
-				l.Members = append(l.Members, *m)
+				list.Members = append(list.Members, *m)
 			}
 		}
 	}
-	listEvent{l}.handle(d.r)
+	listEvent{list}.handle(d.r)
 }
 
 // finishOldestCall ends the oldest call with a random outcome.
@@ -71,13 +71,13 @@
 	if m.call == nil {
 		return
 	}
-	o := outcome{kind: []policy.Outcome{policy.Delivered, policy.Errored, policy.Errored, policy.TimedOut, policy.ConnectFailed,
+	result := outcome{kind: []policy.Outcome{policy.Delivered, policy.Errored, policy.Errored, policy.TimedOut, policy.ConnectFailed,
 		policy.Rejected, policy.ConnectionReset}[d.rng.IntN(7)], latency: 1000}
-	o.isFinal = o.kind == policy.Delivered
+	result.isFinal = result.kind == policy.Delivered
 	if d.rng.IntN(4) == 0 {
-		o.status, o.retryAfter = 200, 1000*policy.Time(d.rng.IntN(20))
+		result.status, result.retryAfter = 200, 1000*policy.Time(d.rng.IntN(20))
 	}
-	d.r.finishCall(m.call, []outcome{o})
+	d.r.finishCall(m.call, []outcome{result})
 }
 
 // The endpoint gauges are updated with each change of the list and of the policy's view.
@@ -85,32 +85,32 @@
 func TestEndpointGaugesMatchFullCount(t *testing.T) {
 	for seed := range uint64(6) {
 		r := newTestRelay(t)
-		d := &listSimulation{t: t, r: r, rng: rand.New(rand.NewPCG(seed, 3)), list: map[string]*discovery.Member{}}
+		simulation := &listSimulation{t: t, r: r, rng: rand.New(rand.NewPCG(seed, 3)), list: map[string]*discovery.Member{}}
 		for step := range 600 {
-			switch d.rng.IntN(5) {
+			switch simulation.rng.IntN(5) {
 			case 0:
-				d.changeList()
+				simulation.changeList()
 			case 1, 2:
-				m := r.newMessage(&wal.Record{ID: fmt.Sprintf("%d-%d", seed, step), Class: "plain", Dest: d.rng.IntN(8),
+				m := r.newMessage(&wal.Record{ID: fmt.Sprintf("%d-%d", seed, step), Class: "plain", Dest: simulation.rng.IntN(8),
 					Deadline: r.clock.logTime(r.clock.now() + 20e6)})
 				m.isAcknowledged = true
 				r.step.add(policy.Event{Kind: policy.EventMessage, Message: m.number, Dest: m.record.Dest, Tenant: -1, TimeLeft: 20e6})
 			case 3:
-				d.finishOldestCall()
+				simulation.finishOldestCall()
 			case 4:
-				time.Sleep(time.Duration(d.rng.IntN(2000)) * time.Microsecond) // lets waiting times of endpoints pass
+				time.Sleep(time.Duration(simulation.rng.IntN(2000)) * time.Microsecond) // lets waiting times of endpoints pass
 			}
-			d.stepPolicy()
+			simulation.stepPolicy()
 			r.publishMetrics()
-			members, avoided := r.countEndpoints(r.published.publishedAt)
-			if got, was := r.metrics.members.Load(), r.metrics.unavailable.Load(); got != members || was != avoided {
-				t.Fatalf("seed %d, step %d: gauges say %d members, %d unavailable; the endpoints are %d and %d", seed, step, got, was, members, avoided)
+			members, unavailable := r.countEndpoints(r.published.publishedAt)
+			if gotMembers, gotUnavailable := r.metrics.members.Load(), r.metrics.unavailable.Load(); gotMembers != members || gotUnavailable != unavailable {
+				t.Fatalf("seed %d, step %d: gauges say %d members, %d unavailable; the endpoints are %d and %d", seed, step, gotMembers, gotUnavailable, members, unavailable)
 			}
-			d.maxUnavailable = max(d.maxUnavailable, avoided)
-			d.checkDestinations(step)
+			simulation.maxUnavailable = max(simulation.maxUnavailable, unavailable)
+			simulation.checkDestinations(step)
 		}
-		if d.maxUnavailable < 5 {
-			t.Errorf("seed %d: at most %d endpoints were unavailable, too few to test anything", seed, d.maxUnavailable)
+		if simulation.maxUnavailable < 5 {
+			t.Errorf("seed %d: at most %d endpoints were unavailable, too few to test anything", seed, simulation.maxUnavailable)
 		}
 	}
 }
@@ -174,28 +174,28 @@
 // list changes between two sweeps must not go over all endpoints.
 func TestRemovedEndpointsAreForgottenAfterRetention(t *testing.T) {
 	r := newTestRelay(t)
-	change := func(id, phase string) {
+	changeMember := func(id, phase string) {
 		listEvent{&discovery.List{Members: []discovery.Member{
 			{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: 1, Phase: phase, Size: 1}}}}.handle(r)
 	}
-	pass := func(span policy.Time) {
+	advanceClock := func(span policy.Time) {
 		r.clock.startedAt = r.clock.startedAt.Add(-time.Duration(span) * time.Microsecond)
 	}
-	change("gone", discovery.Up)
-	change("gone", discovery.Removed)
-	pass(removedEndpointRetention - removedEndpointSweepInterval)
-	change("other", discovery.Up)
+	changeMember("gone", discovery.Up)
+	changeMember("gone", discovery.Removed)
+	advanceClock(removedEndpointRetention - removedEndpointSweepInterval)
+	changeMember("other", discovery.Up)
 	if r.endpoints.byID["gone"] == nil {
 		t.Fatal("an endpoint was forgotten before its retention time was over")
 	}
-	swept := r.endpoints.sweptAt
-	pass(removedEndpointSweepInterval / 2)
-	change("other", discovery.Draining)
-	if r.endpoints.sweptAt != swept {
+	sweptAt := r.endpoints.sweptAt
+	advanceClock(removedEndpointSweepInterval / 2)
+	changeMember("other", discovery.Draining)
+	if r.endpoints.sweptAt != sweptAt {
 		t.Error("a change before the next sweep went over all endpoints")
 	}
-	pass(2 * removedEndpointSweepInterval)
-	change("other", discovery.Up)
+	advanceClock(2 * removedEndpointSweepInterval)
+	changeMember("other", discovery.Up)
 	if r.endpoints.byID["gone"] != nil || len(r.endpoints.byNumber) != 1 || len(r.endpoints.byCell[1]) != 1 {
 		t.Errorf("%d endpoints by ID, %d by number, %d by destination, want 1 each", len(r.endpoints.byID), len(r.endpoints.byNumber), len(r.endpoints.byCell[1]))
 	}
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -16,14 +16,14 @@
 	n := int64(0)
 	next := func() int64 { n++; return n }
 	for i := range m.classes {
-		lane := &m.classes[i]
-		lane.completed.Store(next())
-		lane.rejected.Store(next())
-		lane.failed.Store(next())
-		lane.written.Store(next())
+		classMetrics := &m.classes[i]
+		classMetrics.completed.Store(next())
+		classMetrics.rejected.Store(next())
+		classMetrics.failed.Store(next())
+		classMetrics.written.Store(next())
 	}
-	for _, why := range rejections {
-		m.rejections[why].Store(next())
+	for _, reason := range rejections {
+		m.rejections[reason].Store(next())
 	}
 	m.clockSteps.Store(next())
 	m.localFailures.Store(next())
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -22,13 +22,13 @@
 func startTestOperator(t *testing.T) (*operatorServer, *atomic.Bool) {
 	t.Helper()
 	ready := &atomic.Bool{}
-	o, err := startOperator(&Config{Operator: "127.0.0.1:0", Limits: Limits{Sockets: 1024}}, discardLog(),
+	server, err := startOperator(&Config{Operator: "127.0.0.1:0", Limits: Limits{Sockets: 1024}}, discardLog(),
 		newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}}), ready, func(policy.EventKind) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(o.close)
-	return o, ready
+	t.Cleanup(server.close)
+	return server, ready
 }
 
 // callOperator makes an HTTP call to an operator address and returns the status and body.
@@ -51,19 +51,19 @@
 }
 
 func TestOperatorStatusCodes(t *testing.T) {
-	o, ready := startTestOperator(t)
-	for _, x := range []struct {
+	server, ready := startTestOperator(t)
+	for _, test := range []struct {
 		method, path string
 		want         int
 	}{
 		{"GET", "/v1/readyz", 503}, {"GET", "/v1/metrics", 200}, {"POST", "/v1/metrics", 405}, {"GET", "/", 404}, {"GET", "/v1/other", 404},
 	} {
-		if got, text := callOperator(t, o.addr, x.method, x.path); got != x.want {
-			t.Errorf("%s %s: %d %s, want %d", x.method, x.path, got, text, x.want)
+		if got, text := callOperator(t, server.addr, test.method, test.path); got != test.want {
+			t.Errorf("%s %s: %d %s, want %d", test.method, test.path, got, text, test.want)
 		}
 	}
 	ready.Store(true)
-	if got, _ := callOperator(t, o.addr, "GET", "/v1/readyz"); got != 200 {
+	if got, _ := callOperator(t, server.addr, "GET", "/v1/readyz"); got != 200 {
 		t.Errorf("readyz of a ready relay: status %d", got)
 	}
 }
@@ -71,36 +71,36 @@
 // More callers than the connection limit keep their connections open with no request or an
 // incomplete one. A complete call must still be answered.
 func TestOperatorAnswersDespiteSlowCallers(t *testing.T) {
-	o, _ := startTestOperator(t)
+	server, _ := startTestOperator(t)
 	for i := range 2 * maxOperatorConns {
-		conn, err := net.Dial("tcp", o.addr)
+		conn, err := net.Dial("tcp", server.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		io.WriteString(conn, []string{"", "GET /v1/metr", "GET /v1/metrics HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nab"}[i%3])
 	}
-	if got, _ := callOperator(t, o.addr, "GET", "/v1/metrics"); got != 200 {
+	if got, _ := callOperator(t, server.addr, "GET", "/v1/metrics"); got != 200 {
 		t.Errorf("metrics: status %d", got)
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.conns) > maxOperatorConns {
-		t.Errorf("%d connections are open, more than the limit", len(o.conns))
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if len(server.conns) > maxOperatorConns {
+		t.Errorf("%d connections are open, more than the limit", len(server.conns))
 	}
 }
 
 // The metrics must have the Prometheus text format, with the counts of every class from the
 // start.
 func TestMetricsTextListsEveryClass(t *testing.T) {
-	f := newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}})
-	f.countDelivered(1)
-	f.countWritten(1)
-	f.countUndelivered(0, discovery.Returned)
-	f.countUndelivered(1, discovery.Failed)
-	f.countUndelivered(-1, discovery.Failed) // a class that the settings no longer have
-	f.pending.Store(14)
-	text := string(f.prometheusText())
+	metrics := newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}})
+	metrics.countDelivered(1)
+	metrics.countWritten(1)
+	metrics.countUndelivered(0, discovery.Returned)
+	metrics.countUndelivered(1, discovery.Failed)
+	metrics.countUndelivered(-1, discovery.Failed) // a class that the settings no longer have
+	metrics.pending.Store(14)
+	text := string(metrics.prometheusText())
 	for _, want := range []string{`app_completed{lane="plain"} 0`, `app_completed{lane="once"} 1`, `app_rejected{lane="plain"} 1`,
 		`app_failed{lane="once"} 1`, `app_failed{lane="plain"} 0`, `app_upstream_requests{lane="once"} 1`, "app_pending 14",
 		"app_members 0", "app_members_unavailable 0"} {
@@ -118,10 +118,10 @@
 
 // Each message must be counted once at its end, and each call once when it is sent.
 func TestMetricsCountEachMessageOnce(t *testing.T) {
-	done, broken := newFakeEndpoint(t, nil), newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
-	drains := done.member("s-3", 3)
-	drains.Phase = discovery.Draining
-	env := writeTestConfig(t, discoverytest.New(t, done.member("s-1", 1), broken.member("s-2", 2), drains), 3)
+	working, failing := newFakeEndpoint(t, nil), newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
+	draining := working.member("s-3", 3)
+	draining.Phase = discovery.Draining
+	env := writeTestConfig(t, discoverytest.New(t, working.member("s-1", 1), failing.member("s-2", 2), draining), 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -158,7 +158,7 @@
 	env := writeTestConfig(t, disc, 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	c := startChild(t, env)
-	ask := func(path string) {
+	post := func(path string) {
 		t.Helper()
 		for range 2 { // the call is idempotent
 			if got, text := callOperator(t, env["ROUTER_OPERATOR"], "POST", path); got != 200 {
@@ -166,13 +166,13 @@
 			}
 		}
 	}
-	kept, held := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
-	for id, cl := range map[string]*testClient{"kept": kept, "held": held} {
+	existing, held := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
+	for id, cl := range map[string]*testClient{"kept": existing, "held": held} {
 		if s := cl.put(id, putFields("once", 20000, map[string]int{"kept": 1, "held": 5}[id]), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
-	ask("/v1/relay/drain")
+	post("/v1/relay/drain")
 	waitFor(t, "the drain in the answer to PING", func() bool {
 		cl := dialClient(t, env["ROUTER_LISTEN"])
 		defer cl.Close()
@@ -186,7 +186,7 @@
 	if s := late.put("late", putFields("once", 20000, 1), nil); s != "+OK" {
 		t.Errorf("message on a new connection during the drain: %s", s)
 	}
-	for name, cl := range map[string]*testClient{"kept": kept, "late": late} {
+	for name, cl := range map[string]*testClient{"kept": existing, "late": late} {
 		if _, err := cl.in.ReadByte(); err != io.EOF {
 			t.Errorf("connection %q: %v, want EOF", name, err)
 		}
@@ -194,11 +194,11 @@
 	other := newFakeEndpoint(t, nil)
 	disc.Send(t, discoverytest.Change(2, other.member("s-5", 5)))
 	waitFor(t, "the pending messages", func() bool { return ep.callCount("late") == 1 && other.callCount("held") == 1 })
-	ask("/v1/relay/activate")
+	post("/v1/relay/activate")
 	c.waitReady(t)
-	again := dialClient(t, env["ROUTER_LISTEN"])
+	newClient := dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range []string{"a", "b"} { // the connection must stay open between requests again
-		if s := again.put(id, putFields("once", 20000, 1), nil); s != "+OK" {
+		if s := newClient.put(id, putFields("once", 20000, 1), nil); s != "+OK" {
 			t.Errorf("%s: %s", id, s)
 		}
 	}
--- a/internal/relay/orders_test.go
+++ b/internal/relay/orders_test.go
@@ -26,16 +26,16 @@
 
 // newSequenceTest returns a setup whose destination answers within maxDelay. On average it
 // rejects one call out of rejectOneIn with status 503, or none if that is 0.
-func newSequenceTest(t *testing.T, seed uint64, most time.Duration, full int) *sequenceTest {
+func newSequenceTest(t *testing.T, seed uint64, maxDelay time.Duration, rejectOneIn int) *sequenceTest {
 	var mu sync.Mutex
-	draws := rand.New(rand.NewPCG(seed, 6))
+	rng := rand.New(rand.NewPCG(seed, 6))
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		mu.Lock()
-		pause := time.Duration(draws.Int64N(int64(most)))
-		away := full > 0 && draws.IntN(full) == 0
+		delay := time.Duration(rng.Int64N(int64(maxDelay)))
+		isRejected := rejectOneIn > 0 && rng.IntN(rejectOneIn) == 0
 		mu.Unlock()
-		time.Sleep(pause)
-		if away {
+		time.Sleep(delay)
+		if isRejected {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -45,12 +45,12 @@
 
 // startClient starts a client that connects after a delay and sends the parts of a text with
 // pauses between them.
-func (o *sequenceTest) startClient(s *sequenceClient, before time.Duration, pauses []time.Duration, parts ...string) {
-	o.clients = append(o.clients, s)
+func (o *sequenceTest) startClient(client *sequenceClient, delay time.Duration, pauses []time.Duration, parts ...string) {
+	o.clients = append(o.clients, client)
 	o.running.Add(1)
 	go func() {
 		defer o.running.Done()
-		s.run(o.env["ROUTER_LISTEN"], before, pauses, parts...)
+		client.run(o.env["ROUTER_LISTEN"], delay, pauses, parts...)
 	}()
 }
 
@@ -77,8 +77,8 @@
 func (s *sequenceClient) isAccepted(j int) bool { return j < len(s.answers) && s.answers[j] == "+OK" }
 
 // run sends the parts of a text with pauses between them and reads the responses meanwhile.
-func (s *sequenceClient) run(addr string, before time.Duration, pauses []time.Duration, parts ...string) {
-	time.Sleep(before)
+func (s *sequenceClient) run(addr string, delay time.Duration, pauses []time.Duration, parts ...string) {
+	time.Sleep(delay)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		s.ids = nil // the relay listens no longer, so no message was submitted
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -14,31 +14,31 @@
 		rng := rand.New(rand.NewPCG(seed, 7))
 		var o overdueCounter
 		type held struct{ end, span policy.Time }
-		var all []held
+		var pending []held
 		for now := policy.Time(1e9); now < 1030e6; now += 1 + rng.Int64N(60e3) {
-			if n := len(all); n > 0 && rng.IntN(2) == 0 {
+			if n := len(pending); n > 0 && rng.IntN(2) == 0 {
 				i := rng.IntN(n)
-				o.remove(all[i].span)
-				all[i] = all[n-1]
-				all = all[:n-1]
+				o.remove(pending[i].span)
+				pending[i] = pending[n-1]
+				pending = pending[:n-1]
 			} else {
 				end := now + rng.Int64N(4e6)
-				all = append(all, held{end, o.add(end)})
+				pending = append(pending, held{end, o.add(end)})
 			}
-			least, most := 0, 0
-			for _, x := range all {
+			wantMin, wantMax := 0, 0
+			for _, x := range pending {
 				if x.end+overdueGrace+overdueSpan <= now {
-					least++
+					wantMin++
 				}
 				if x.end+overdueGrace <= now {
-					most++
+					wantMax++
 				}
 			}
-			if n := o.count(now); n < least || n > most {
-				t.Fatalf("seed %d at %d: %d overdue, want %d to %d by a full count", seed, now, n, least, most)
+			if n := o.count(now); n < wantMin || n > wantMax {
+				t.Fatalf("seed %d at %d: %d overdue, want %d to %d by a full count", seed, now, n, wantMin, wantMax)
 			}
 		}
-		for _, x := range all {
+		for _, x := range pending {
 			o.remove(x.span)
 		}
 		if len(o.pending) > 0 {
--- a/internal/relay/ready_test.go
+++ b/internal/relay/ready_test.go
@@ -40,23 +40,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, booked := make(chan struct{}), make(chan error, 1)
+	stop, logged := make(chan struct{}), make(chan error, 1)
 	go w.Run(stop)
 	body := []byte(strings.Repeat("b", 100))
-	late := w.Time() + time.Hour.Microseconds()
+	deadline := w.Time() + time.Hour.Microseconds()
 	for i := range messages {
-		then := func(err error) {
+		onLogged := func(err error) {
 			if err != nil || i == messages-1 {
 				select {
-				case booked <- err:
+				case logged <- err:
 				default:
 				}
 			}
 		}
 		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: fmt.Sprintf("%016x", i), Class: "plain", Tenant: "acme", Dest: i % dests,
-			Deadline: late, Body: body}, then)
+			Deadline: deadline, Body: body}, onLogged)
 	}
-	if err := <-booked; err != nil {
+	if err := <-logged; err != nil {
 		t.Fatal(err)
 	}
 	close(stop)
@@ -64,15 +64,15 @@
 }
 
 // largeConfig writes a configuration with a known list and a limit on the pending messages.
-func largeConfig(t *testing.T, d *discoverytest.Server, known *discovery.List, diskMB, held int) map[string]string {
+func largeConfig(t *testing.T, disc *discoverytest.Server, known *discovery.List, diskMB, maxPending int) map[string]string {
 	t.Helper()
-	env := writeTestConfig(t, d, diskMB)
+	env := writeTestConfig(t, disc, diskMB)
 	text, err := json.Marshal(known)
 	if err != nil {
 		t.Fatal(err)
 	}
 	editConfig(t, env, `"surplus":1,`, `"known":`+string(text)+`,`)
-	editConfig(t, env, `"most_held":100`, `"most_held":`+strconv.Itoa(held))
+	editConfig(t, env, `"most_held":100`, `"most_held":`+strconv.Itoa(maxPending))
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	return env
 }
@@ -95,51 +95,51 @@
 // must answer PING and be ready in time, while it gets new messages from its first PONG on.
 // With the race detector, the sizes are a tenth of these.
 func TestRestartAtFullSizeIsReadyInTime(t *testing.T) {
-	owed := 100000
+	pending := 100000
 	if s := os.Getenv("RELAY_READY_OWED"); s != "" { // sets another number of pending messages for a measurement
-		owed, _ = strconv.Atoi(s)
+		pending, _ = strconv.Atoi(s)
 	}
 	members := 31000
 	if raceDetectorEnabled {
-		members, owed = members/10, owed/10
+		members, pending = members/10, pending/10
 	}
-	gone := loopback.Free()
-	diskMB := 64 + owed/1000
-	for _, how := range []string{"serves", "silent", "refuses"} {
-		t.Run(how, func(t *testing.T) {
-			list := largeList(members, gone)
+	unusedAddr := loopback.Free()
+	diskMB := 64 + pending/1000
+	for _, discoveryMode := range []string{"serves", "silent", "refuses"} {
+		t.Run(discoveryMode, func(t *testing.T) {
+			list := largeList(members, unusedAddr)
 			disc := discoverytest.New(t)
-			disc.Set(func(d *discoverytest.Server) { d.List, d.Silent = *list, how == "silent" })
-			env := largeConfig(t, disc, list, diskMB, 2*owed)
-			if how == "refuses" {
+			disc.Set(func(d *discoverytest.Server) { d.List, d.Silent = *list, discoveryMode == "silent" })
+			env := largeConfig(t, disc, list, diskMB, 2*pending)
+			if discoveryMode == "refuses" {
 				disc.Listener.Close()
 			}
-			writePendingLog(t, env["ROUTER_STATE"], int64(diskMB)<<20, owed, members)
+			writePendingLog(t, env["ROUTER_STATE"], int64(diskMB)<<20, pending, members)
 			env["GOMAXPROCS"] = "1"
-			began := time.Now()
+			startedAt := time.Now()
 			c := spawnWithLog(t, env, io.Discard)
-			var pong, ready, longest time.Duration
-			puts := 0
+			var pongAfter, readyAfter, slowest time.Duration
+			submitted := 0
 			waitFor(t, "readiness", func() bool {
-				if pong == 0 && c.answersPing() {
-					pong = time.Since(began)
+				if pongAfter == 0 && c.answersPing() {
+					pongAfter = time.Since(startedAt)
 				}
-				if pong > 0 { // the relay is in use from its first PONG on
-					at := time.Now()
-					dialClient(t, env["ROUTER_LISTEN"]).put(fmt.Sprintf("new-%d", puts), putFields("plain", 20000, puts), nil)
-					longest = max(longest, time.Since(at))
-					puts++
+				if pongAfter > 0 { // the relay is in use from its first PONG on
+					sentAt := time.Now()
+					dialClient(t, env["ROUTER_LISTEN"]).put(fmt.Sprintf("new-%d", submitted), putFields("plain", 20000, submitted), nil)
+					slowest = max(slowest, time.Since(sentAt))
+					submitted++
 				}
-				if ready == 0 && pong > 0 && c.readyzIs(true) {
-					ready = time.Since(began)
+				if readyAfter == 0 && pongAfter > 0 && c.readyzIs(true) {
+					readyAfter = time.Since(startedAt)
 				}
-				return ready > 0
+				return readyAfter > 0
 			})
 			unread := c.metric(t, "app_log_unread")
 			t.Logf("%d members, %d pending, discovery %s: PONG after %v, ready after %v; %d messages submitted meanwhile, the slowest response after %v",
-				members, owed, how, pong, ready, puts, longest)
-			if pong > maxReadyTime || ready > maxReadyTime {
-				t.Errorf("PONG after %v, ready after %v, want at most %v", pong, ready, maxReadyTime)
+				members, pending, discoveryMode, pongAfter, readyAfter, submitted, slowest)
+			if pongAfter > maxReadyTime || readyAfter > maxReadyTime {
+				t.Errorf("PONG after %v, ready after %v, want at most %v", pongAfter, readyAfter, maxReadyTime)
 			}
 			if unread != 0 {
 				t.Errorf("relay is ready although %d messages of the log are not read yet", unread)
--- a/internal/relay/resp_test.go
+++ b/internal/relay/resp_test.go
@@ -13,10 +13,10 @@
 // knows where the next command begins, the connection must stay usable; otherwise it must be
 // closed.
 func TestInvalidCommandsAreRejected(t *testing.T) {
-	long := strings.Repeat("x", maxBodyBytes+1)
-	for name, x := range map[string]struct {
-		text string
-		ends bool
+	longBody := strings.Repeat("x", maxBodyBytes+1)
+	for name, test := range map[string]struct {
+		text   string
+		closes bool
 	}{
 		"inline":           {"PING\r\n", true},
 		"no number":        {"*x\r\n", true},
@@ -29,7 +29,7 @@
 		"no line end":      {"*1\r\n$4\r\nPINGxx", true},
 		"not a bulk":       {"*1\r\n:4\r\n", true},
 		"unknown command":  {"*1\r\n$3\r\nGET\r\n", false},
-		"long body":        {putCommand("m", putFields("plain", 8000, 1), []byte(long)), false},
+		"long body":        {putCommand("m", putFields("plain", 8000, 1), []byte(longBody)), false},
 		"few arguments":    {"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n", false},
 		"unknown class":    {putCommand("m", "c=other,t=acme,d=1,dest=1", nil), false},
 		"no class":         {putCommand("m", "t=acme,d=1,dest=1", nil), false},
@@ -48,11 +48,11 @@
 		t.Run(name, func(t *testing.T) {
 			_, addr, _ := serveClients(t, func(q *putRequest) { t.Error("the command submitted a message"); accept(q) })
 			cl := dialClient(t, addr)
-			io.WriteString(cl, x.text)
+			io.WriteString(cl, test.text)
 			if s := cl.readLine(); !strings.HasPrefix(s, "-ERR ") {
 				t.Fatalf("response %q, want an error", s)
 			}
-			if x.ends {
+			if test.closes {
 				if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
 					t.Errorf("connection after the error: %v, want EOF", err)
 				}
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -50,10 +50,10 @@
 // If a kind of destination takes several messages in one call, waiting messages must be sent
 // as a batch whose body is within the size limit.
 func TestWaitingMessagesAreSentInOneBatch(t *testing.T) {
-	first := make(chan struct{})
+	releaseFirst := make(chan struct{})
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
-			<-first
+			<-releaseFirst
 		}
 	})
 	env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 7)), 3)
@@ -71,11 +71,11 @@
 		}
 	}
 	waitFor(t, "the first call", func() bool { return ep.callCount("m0") == 1 })
-	close(first)
+	close(releaseFirst)
 	waitFor(t, "the calls of the long messages", func() bool { return ep.callCount("long1") == 1 && ep.callCount("long2") == 1 })
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
-	together := false
+	hasBatch := false
 	for _, c := range ep.calls {
 		if len(c.body) > maxBodyBytes {
 			t.Errorf("a call has a body of %d bytes, above the limit", len(c.body))
@@ -84,14 +84,14 @@
 		if json.Unmarshal(c.body, &items) != nil {
 			continue
 		}
-		together = true
-		for _, x := range items {
-			if string(x.Body) != "body" && len(x.Body) != 40<<10 {
-				t.Errorf("the endpoint received %s with the body %q", x.ID, x.Body)
+		hasBatch = true
+		for _, item := range items {
+			if string(item.Body) != "body" && len(item.Body) != 40<<10 {
+				t.Errorf("the endpoint received %s with the body %q", item.ID, item.Body)
 			}
 		}
 	}
-	if !together {
+	if !hasBatch {
 		t.Errorf("%d calls for 7 messages, none of them a batch", len(ep.calls))
 	}
 }
@@ -100,15 +100,15 @@
 // of their deadlines, which the endpoint gets as its timeout. A response after that counts
 // for no message, and the other messages must still end.
 func TestBatchTimesOutAtFirstDeadline(t *testing.T) {
-	first := make(chan struct{})
+	releaseFirst := make(chan struct{})
 	disc := discoverytest.New(t)
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
-			<-first
+			<-releaseFirst
 			return
 		}
-		for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			if _, over := disc.Notice("short"); over {
+		for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+			if _, hasNotice := disc.Notice("short"); hasNotice {
 				return
 			}
 		}
@@ -127,7 +127,7 @@
 			t.Fatal(s)
 		}
 	}
-	close(first)
+	close(releaseFirst)
 	for _, id := range []string{"short", "long"} {
 		waitFor(t, "the failure notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.Failed })
 	}
@@ -145,33 +145,37 @@
 // configuration file for the list and the notices, and ignore a file that is invalid.
 func TestHangupSwitchesDiscoveryAddress(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	gone := newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
-	old, moved := discoverytest.New(t, gone.member("s-1", 1)), discoverytest.New(t, gone.member("s-1", 1), ep.member("s-2", 2))
-	env := writeTestConfig(t, old, 3)
+	failing := newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
+	oldDiscovery, newDiscovery := discoverytest.New(t, failing.member("s-1", 1)), discoverytest.New(t, failing.member("s-1", 1), ep.member("s-2", 2))
+	env := writeTestConfig(t, oldDiscovery, 3)
 	c := startChild(t, env)
-	waitFor(t, "the first watch", func() bool { old.Mu.Lock(); defer old.Mu.Unlock(); return len(old.Froms) == 1 })
-	good, err := os.ReadFile(env["ROUTER_CONFIG"])
+	waitFor(t, "the first watch", func() bool {
+		oldDiscovery.Mu.Lock()
+		defer oldDiscovery.Mu.Unlock()
+		return len(oldDiscovery.Froms) == 1
+	})
+	validConfig, err := os.ReadFile(env["ROUTER_CONFIG"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []string{`{"disc`, `{"discovery":"nowhere"}`} {
-		if err := os.WriteFile(env["ROUTER_CONFIG"], []byte(bad), 0o600); err != nil {
+	for _, invalidConfig := range []string{`{"disc`, `{"discovery":"nowhere"}`} {
+		if err := os.WriteFile(env["ROUTER_CONFIG"], []byte(invalidConfig), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		c.cmd.Process.Signal(syscall.SIGHUP)
 		c.waitReady(t)
 	}
-	text := strings.Replace(string(good), old.Addr(), moved.Addr(), 1)
+	text := strings.Replace(string(validConfig), oldDiscovery.Addr(), newDiscovery.Addr(), 1)
 	if err := os.WriteFile(env["ROUTER_CONFIG"], []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the watch at the new address", func() bool {
 		c.cmd.Process.Signal(syscall.SIGHUP) // repeated, as two signals in quick succession may arrive as one
-		moved.Mu.Lock()
-		defer moved.Mu.Unlock()
-		return len(moved.Froms) > 0
+		newDiscovery.Mu.Lock()
+		defer newDiscovery.Mu.Unlock()
+		return len(newDiscovery.Froms) > 0
 	})
-	moved.Send(t, discoverytest.Change(2, ep.member("s-2", 2)))
+	newDiscovery.Send(t, discoverytest.Change(2, ep.member("s-2", 2)))
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for id, f := range map[string]string{"sent": putFields("once", 20000, 2), "failed": putFields("once", 20000, 1)} {
 		if s := cl.put(id, f, nil); s != "+OK" {
@@ -179,18 +183,18 @@
 		}
 	}
 	waitFor(t, "the call", func() bool { return ep.callCount("sent") == 1 })
-	waitFor(t, "the notice at the new address", func() bool { _, ok := moved.Notice("failed"); return ok })
+	waitFor(t, "the notice at the new address", func() bool { _, ok := newDiscovery.Notice("failed"); return ok })
 }
 
 // The relay is killed with SIGKILL. After its restart, a message of the class "once" whose
 // attempt has no outcome may have run and must fail with a notice. A keyed one is sent again
 // within its window, a rejected one is sent again, and a delivered one is not.
 func TestAcceptedMessagesSurviveKill(t *testing.T) {
-	done := newFakeEndpoint(t, nil)
-	stuck := newFakeEndpoint(t, hang)
-	full := newFakeEndpoint(t, answerStatus(http.StatusServiceUnavailable))
-	keyed := newFakeEndpoint(t, hang)
-	disc := discoverytest.New(t, done.member("s-1", 1), stuck.member("s-2", 2), full.member("s-3", 3), keyed.member("s-4", 4))
+	delivering := newFakeEndpoint(t, nil)
+	hanging := newFakeEndpoint(t, hang)
+	rejecting := newFakeEndpoint(t, answerStatus(http.StatusServiceUnavailable))
+	keyedEndpoint := newFakeEndpoint(t, hang)
+	disc := discoverytest.New(t, delivering.member("s-1", 1), hanging.member("s-2", 2), rejecting.member("s-3", 3), keyedEndpoint.member("s-4", 4))
 	env := writeTestConfig(t, disc, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -201,27 +205,27 @@
 		}
 	}
 	waitFor(t, "the calls", func() bool {
-		return done.callCount("done") == 1 && stuck.callCount("stuck") == 1 && full.callCount("full") >= 1 && keyed.callCount("keyed") == 1
+		return delivering.callCount("done") == 1 && hanging.callCount("stuck") == 1 && rejecting.callCount("full") >= 1 && keyedEndpoint.callCount("keyed") == 1
 	})
 	waitFor(t, "the outcomes in the log", func() bool {
 		return logContains(env["ROUTER_STATE"], wal.KindCompleted, "done") && logContains(env["ROUTER_STATE"], wal.KindOutcome, "full")
 	})
 	c.kill()
-	for _, e := range []*fakeEndpoint{stuck, full, keyed} {
+	for _, e := range []*fakeEndpoint{hanging, rejecting, keyedEndpoint} {
 		e.setAnswer(nil)
 	}
 	startChild(t, env)
 	waitFor(t, "the failure notice of the message that may have run", func() bool { n, ok := disc.Notice("stuck"); return ok && n.Outcome == discovery.Failed })
-	waitFor(t, "the repeated calls", func() bool { return full.callCount("full") >= 2 && keyed.callCount("keyed") == 2 })
-	if n := stuck.callCount("stuck"); n != 1 {
+	waitFor(t, "the repeated calls", func() bool { return rejecting.callCount("full") >= 2 && keyedEndpoint.callCount("keyed") == 2 })
+	if n := hanging.callCount("stuck"); n != 1 {
 		t.Errorf("the message of the class once was sent %d times", n)
 	}
-	if n := done.callCount("done"); n != 1 {
+	if n := delivering.callCount("done"); n != 1 {
 		t.Errorf("the delivered message was sent %d times", n)
 	}
-	keyed.mu.Lock()
-	defer keyed.mu.Unlock()
-	if got := keyed.calls[1]; string(got.body) != "body of keyed" || got.key != "5c0f6e1a2b3d4c59" {
+	keyedEndpoint.mu.Lock()
+	defer keyedEndpoint.mu.Unlock()
+	if got := keyedEndpoint.calls[1]; string(got.body) != "body of keyed" || got.key != "5c0f6e1a2b3d4c59" {
 		t.Errorf("the keyed message was sent again as %+v", got)
 	}
 }
@@ -295,9 +299,9 @@
 // On SIGTERM, calls in flight must finish, new messages must be refused with BUSY, pending
 // messages must stay in the log for the next process, and the exit code must be 0.
 func TestTerminationFinishesCallsAndKeepsMessages(t *testing.T) {
-	release, entered := make(chan struct{}), atomic.Int32{}
+	release, slowCalls := make(chan struct{}), atomic.Int32{}
 	slow := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
-		entered.Add(1)
+		slowCalls.Add(1)
 		select {
 		case <-release:
 		case <-r.Context().Done():
@@ -313,13 +317,13 @@
 	if s := cl.put("held", putFields("plain", 20000, 5), nil); s != "+OK" { // destination 5 has no endpoint yet
 		t.Fatal(s)
 	}
-	waitFor(t, "the call", func() bool { return entered.Load() == 1 })
+	waitFor(t, "the call", func() bool { return slowCalls.Load() == 1 })
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	if _, err := cl.in.ReadByte(); err == nil {
 		t.Error("the connection of an idle client was not closed")
 	}
-	late := dialClient(t, env["ROUTER_LISTEN"]) // new connections are accepted for a while
-	if s := late.put("late", putFields("plain", 8000, 1), nil); !strings.HasPrefix(s, "-BUSY ") {
+	lateClient := dialClient(t, env["ROUTER_LISTEN"]) // new connections are accepted for a while
+	if s := lateClient.put("late", putFields("plain", 8000, 1), nil); !strings.HasPrefix(s, "-BUSY ") {
 		t.Errorf("new message during the shutdown: response %q, want -BUSY with a delay", s)
 	}
 	close(release)
@@ -346,8 +350,8 @@
 func TestHalfReadRequestIsAnsweredAtTermination(t *testing.T) {
 	env := writeTestConfig(t, discoverytest.New(t), 3)
 	c := startChild(t, env)
-	half, rest := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
-	for _, cl := range []*testClient{half, rest} {
+	half, idle := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
+	for _, cl := range []*testClient{half, idle} {
 		io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
 		if s := cl.readLine(); s != "+PONG" {
 			t.Fatal(s)
@@ -356,7 +360,7 @@
 	text := putCommand("m", putFields("plain", 8000, 7), []byte("body"))
 	io.WriteString(half, text[:len(text)/2])
 	c.cmd.Process.Signal(syscall.SIGTERM)
-	if _, err := rest.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("idle connection: %v, want EOF", err)
 	}
 	waitFor(t, "the close of the listener", func() bool {
@@ -397,10 +401,10 @@
 // One list change removes an endpoint and adds it again, or the other way round. The last
 // entry must hold.
 func TestLastPhaseInOneListChangeHolds(t *testing.T) {
-	first, then := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
-	m := first.member("s-1", 1)
-	gone, back := m, then.member("s-1", 1)
-	gone.Phase = discovery.Removed
+	oldEndpoint, newEndpoint := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
+	m := oldEndpoint.member("s-1", 1)
+	removed, returned := m, newEndpoint.member("s-1", 1)
+	removed.Phase = discovery.Removed
 	disc := discoverytest.New(t, m)
 	env := writeTestConfig(t, disc, 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
@@ -413,31 +417,31 @@
 		}
 	}
 	put("a")
-	waitFor(t, "the call of a", func() bool { return first.callCount("a") == 1 })
-	say := func(rev int64, members ...discovery.Member) {
+	waitFor(t, "the call of a", func() bool { return oldEndpoint.callCount("a") == 1 })
+	sendChange := func(rev int64, members ...discovery.Member) {
 		text, err := json.Marshal(discovery.List{Revision: rev, Members: members})
 		if err != nil {
 			t.Fatal(err)
 		}
 		disc.Send(t, string(text))
 	}
-	say(2, gone, back)
+	sendChange(2, removed, returned)
 	n := 0
 	waitFor(t, "a call at the new address", func() bool {
 		n++
 		id := fmt.Sprintf("b%d", n)
 		put(id)
-		waitFor(t, "the call of "+id, func() bool { return first.callCount(id)+then.callCount(id) == 1 })
-		return then.callCount(id) == 1
+		waitFor(t, "the call of "+id, func() bool { return oldEndpoint.callCount(id)+newEndpoint.callCount(id) == 1 })
+		return newEndpoint.callCount(id) == 1
 	})
-	say(3, back, gone)
+	sendChange(3, returned, removed)
 	waitFor(t, "the removal of the endpoint", func() bool { return c.metric(t, "app_members") == 0 })
 	put("c")
-	if n := first.callCount("c") + then.callCount("c"); n != 0 {
+	if n := oldEndpoint.callCount("c") + newEndpoint.callCount("c"); n != 0 {
 		t.Errorf("a message was sent to a removed endpoint %d times", n)
 	}
-	say(4, back)
-	waitFor(t, "a call to the endpoint after its return", func() bool { return then.callCount("c") == 1 })
+	sendChange(4, returned)
+	waitFor(t, "a call to the endpoint after its return", func() bool { return newEndpoint.callCount("c") == 1 })
 }
 
 // Messages with long bodies fill the disk limit before the limit on their number. Messages
@@ -447,11 +451,11 @@
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	body := []byte(strings.Repeat("b", maxBodyBytes))
-	taken, refused := 0, 0
+	accepted, refused := 0, 0
 	for i := range 40 {
 		switch s := cl.put(fmt.Sprintf("m%d", i), putFields("plain", 20000, 9), body); {
 		case s == "+OK":
-			taken++
+			accepted++
 		case strings.HasPrefix(s, "-BUSY"):
 			refused++
 		default:
@@ -471,8 +475,8 @@
 			t.Fatalf("the state folder has %d bytes, the limit is 1 MB", size)
 		}
 	}
-	if taken == 0 || refused == 0 {
-		t.Errorf("%d messages accepted, %d refused, want some of both", taken, refused)
+	if accepted == 0 || refused == 0 {
+		t.Errorf("%d messages accepted, %d refused, want some of both", accepted, refused)
 	}
 	_ = c
 }
@@ -601,31 +605,31 @@
 // to which nothing else happens, the policy would not be woken at their deadlines.
 func TestEveryPolicyTimerFires(t *testing.T) {
 	r := newTestRelay(t)
-	due := r.clock.now() // due since the loop last fired its timers
-	r.timers = []policy.Time{due}
+	firstDue := r.clock.now() // due since the loop last fired its timers
+	r.timers = []policy.Time{firstDue}
 	r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "m", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
 	r.stepPolicy()
-	r.applyAction(due, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
-	r.applyAction(due+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // the same time again must not add a timer
-	r.applyAction(due, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // an earlier timer must not remove the later one
-	for range 3 {                                                                // the loop goes on with no events but those of timers
+	r.applyAction(firstDue, &policy.Action{Kind: policy.ActionTimer, Delay: 10e6})
+	r.applyAction(firstDue+5e6, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6}) // the same time again must not add a timer
+	r.applyAction(firstDue, &policy.Action{Kind: policy.ActionTimer, Delay: 5e6})     // an earlier timer must not remove the later one
+	for range 3 {                                                                     // the loop goes on with no events but those of timers
 		if r.fireTimers(); len(r.step.events) > 0 {
 			r.stepPolicy()
 		}
 	}
-	if !slices.IsSorted(r.timers) || len(r.timers) != 3 || r.timers[0] != due+5e6 || r.timers[1] != due+10e6 || r.timers[2] <= due+19e6 {
-		t.Fatalf("timers %v at %d; the deadline of the message is at %d", r.timers, due, due+20e6)
+	if !slices.IsSorted(r.timers) || len(r.timers) != 3 || r.timers[0] != firstDue+5e6 || r.timers[1] != firstDue+10e6 || r.timers[2] <= firstDue+19e6 {
+		t.Fatalf("timers %v at %d; the deadline of the message is at %d", r.timers, firstDue, firstDue+20e6)
 	}
 }
 
 // readClockAhead returns a clock reader whose wall clock is ahead by the given time. With
 // reboots, its boot ID differs from that of the machine, as if the machine was rebooted
 // before the next process.
-func readClockAhead(by time.Duration, bootsAfter bool) func() clock.Reading {
+func readClockAhead(ahead time.Duration, reboots bool) func() clock.Reading {
 	return func() clock.Reading {
 		r := clock.Read()
-		r.Wall += by.Microseconds()
-		if bootsAfter {
+		r.Wall += ahead.Microseconds()
+		if reboots {
 			r.Boot = clock.Boot{1}
 		}
 		return r
@@ -635,17 +639,17 @@
 // The wall clock is set back by an hour between two runs. Deadlines must pass neither at once
 // nor an hour late, for the pending messages and for new ones.
 func TestDeadlinesHoldWhenClockIsSetBackBetweenRuns(t *testing.T) {
-	for _, boots := range []bool{false, true} {
+	for _, reboots := range []bool{false, true} {
 		r := newTestRelay(t)
 		r.cfg.StateDir = t.TempDir()
-		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: readClockAhead(time.Hour, boots)})
+		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: readClockAhead(time.Hour, reboots)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		stop, booked := make(chan struct{}), make(chan error)
+		stop, logged := make(chan struct{}), make(chan error)
 		go w.Run(stop)
-		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: "m", Class: "plain", Dest: 7, Deadline: w.Time() + 20e6}, func(err error) { booked <- err })
-		if err := <-booked; err != nil {
+		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: "m", Class: "plain", Dest: 7, Deadline: w.Time() + 20e6}, func(err error) { logged <- err })
+		if err := <-logged; err != nil {
 			t.Fatal(err)
 		}
 		close(stop)
@@ -654,15 +658,15 @@
 			t.Fatal(err)
 		}
 		defer r.closeLog()
-		near := func(what string, left policy.Time) {
-			if left < 15e6 || left > 21e6 {
-				t.Errorf("rebooted %v: %s: %d µs left, want 15 to 21 s", boots, what, left)
+		checkTimeLeft := func(what string, timeLeft policy.Time) {
+			if timeLeft < 15e6 || timeLeft > 21e6 {
+				t.Errorf("rebooted %v: %s: %d µs left, want 15 to 21 s", reboots, what, timeLeft)
 			}
 		}
-		near("pending message", r.step.events[len(r.step.events)-1].TimeLeft)
+		checkTimeLeft("pending message", r.step.events[len(r.step.events)-1].TimeLeft)
 		r.admit(&putRequest{class: 0, tenant: 0, record: &wal.Record{ID: "new", Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: 20 * time.Second, responses: make(chan response, 1)})
-		near("new message", r.step.events[len(r.step.events)-1].TimeLeft)
-		near("new message, by its log record", r.clock.fromLogTime(r.messages.byID["new"].record.Deadline)-r.clock.now())
+		checkTimeLeft("new message", r.step.events[len(r.step.events)-1].TimeLeft)
+		checkTimeLeft("new message, by its log record", r.clock.fromLogTime(r.messages.byID["new"].record.Deadline)-r.clock.now())
 	}
 }
 
@@ -670,21 +674,21 @@
 // set back, it is not known how long no process ran, so the deduplication window must count
 // as over. Without a reboot the time is known, whatever the clock was set to.
 func TestRebootWithClockSetBackEndsDedupWindow(t *testing.T) {
-	for _, x := range []struct {
-		by    time.Duration
-		boots bool
+	for _, test := range []struct {
+		ahead   time.Duration
+		reboots bool
 	}{{0, false}, {0, true}, {time.Hour, false}, {time.Hour, true}} {
 		r := newTestRelay(t)
 		r.cfg.StateDir = t.TempDir()
-		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: readClockAhead(x.by, x.boots)})
+		w, err := wal.Open(wal.Options{Dir: r.cfg.StateDir, Limit: 3 << 20, Clock: readClockAhead(test.ahead, test.reboots)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		stop, booked := make(chan struct{}), make(chan error)
+		stop, logged := make(chan struct{}), make(chan error)
 		go w.Run(stop)
 		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: "m", Class: "keyed", Key: "k", Dest: 7, Deadline: w.Time() + 20e6}, nil)
-		w.Submit(&wal.Record{Kind: wal.KindAttempt, ID: "m", At: w.Time(), Endpoint: "s-1", Process: w.Process}, func(err error) { booked <- err })
-		if err := <-booked; err != nil {
+		w.Submit(&wal.Record{Kind: wal.KindAttempt, ID: "m", At: w.Time(), Endpoint: "s-1", Process: w.Process}, func(err error) { logged <- err })
+		if err := <-logged; err != nil {
 			t.Fatal(err)
 		}
 		close(stop)
@@ -694,9 +698,9 @@
 		}
 		defer r.closeLog()
 		e := &r.step.events[len(r.step.events)-1]
-		over := r.clock.now()-e.UnknownOutcomeAt > r.cfg.Policy.Classes[e.Class].DedupWindow
-		if e.UnknownOutcomeAt == 0 || over != (x.by > 0 && x.boots) {
-			t.Errorf("set back by %v, rebooted %v: attempt counts as %d µs old, with a window of %d µs", x.by, x.boots, r.clock.now()-e.UnknownOutcomeAt, r.cfg.Policy.Classes[e.Class].DedupWindow)
+		isWindowOver := r.clock.now()-e.UnknownOutcomeAt > r.cfg.Policy.Classes[e.Class].DedupWindow
+		if e.UnknownOutcomeAt == 0 || isWindowOver != (test.ahead > 0 && test.reboots) {
+			t.Errorf("set back by %v, rebooted %v: attempt counts as %d µs old, with a window of %d µs", test.ahead, test.reboots, r.clock.now()-e.UnknownOutcomeAt, r.cfg.Policy.Classes[e.Class].DedupWindow)
 		}
 	}
 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -18,35 +18,35 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 5))
-			o := newSequenceTest(t, seed, 40*time.Millisecond, 6)
-			c := startChild(t, o.env)
+			test := newSequenceTest(t, seed, 40*time.Millisecond, 6)
+			c := startChild(t, test.env)
 			for i := range 24 {
-				s := &sequenceClient{}
-				put := func() string {
-					id := fmt.Sprintf("m%d-%d", i, len(s.ids))
-					s.ids = append(s.ids, id)
+				client := &sequenceClient{}
+				newCommand := func() string {
+					id := fmt.Sprintf("m%d-%d", i, len(client.ids))
+					client.ids = append(client.ids, id)
 					return putCommand(id, putFields([]string{"plain", "once", "keyed"}[rng.IntN(3)], 20000, 7), make([]byte, rng.IntN(3000)))
 				}
-				before := time.Duration(rng.IntN(900)) * time.Millisecond
+				delay := time.Duration(rng.IntN(900)) * time.Millisecond
 				pauses := []time.Duration{time.Duration(rng.IntN(900)) * time.Millisecond, time.Duration(rng.IntN(300)) * time.Millisecond}
 				var parts []string
 				switch rng.IntN(4) {
 				case 0: // sends commands with pauses, so that it is idle in between
-					parts = []string{put(), put(), put()}
+					parts = []string{newCommand(), newCommand(), newCommand()}
 				case 1: // sends all commands at once
-					s.isPipelined = true
-					parts = []string{put() + put() + "*1\r\n$4\r\nPING\r\n" + put()}
+					client.isPipelined = true
+					parts = []string{newCommand() + newCommand() + "*1\r\n$4\r\nPING\r\n" + newCommand()}
 				case 2: // sends one command in two parts
-					text := put()
+					text := newCommand()
 					cut := 1 + rng.IntN(len(text)-1)
 					parts = []string{text[:cut], text[cut:]}
 				case 3: // sends a command together with the first part of the next
-					text := put()
-					next := put()
-					cut := rng.IntN(len(next))
-					parts = []string{text + next[:cut], next[cut:]}
+					text := newCommand()
+					second := newCommand()
+					cut := rng.IntN(len(second))
+					parts = []string{text + second[:cut], second[cut:]}
 				}
-				o.startClient(s, before, pauses, parts...)
+				test.startClient(client, delay, pauses, parts...)
 			}
 			time.Sleep(200*time.Millisecond + time.Duration(rng.IntN(500))*time.Millisecond)
 			c.cmd.Process.Signal(syscall.SIGTERM)
@@ -54,39 +54,39 @@
 				c.cmd.Process.Signal(syscall.SIGHUP)
 				c.cmd.Process.Signal(syscall.SIGTERM)
 			}
-			o.running.Wait()
+			test.running.Wait()
 			if err := c.cmd.Wait(); err != nil {
 				t.Errorf("exit: %v", err)
 			}
-			startChild(t, o.env)
-			taken, refused := 0, 0
-			for i, s := range o.clients {
-				if s.readErr != nil {
-					t.Errorf("client %d: %v", i, s.readErr)
+			startChild(t, test.env)
+			accepted, refused := 0, 0
+			for i, client := range test.clients {
+				if client.readErr != nil {
+					t.Errorf("client %d: %v", i, client.readErr)
 				}
-				if s.isPipelined && len(s.answers) != len(s.ids) {
-					t.Errorf("client %d: sent %d messages at once, got the responses %q", i, len(s.ids), s.answers)
+				if client.isPipelined && len(client.answers) != len(client.ids) {
+					t.Errorf("client %d: sent %d messages at once, got the responses %q", i, len(client.ids), client.answers)
 				}
-				for j, id := range s.ids {
-					if s.isAccepted(j) {
-						taken++
-						o.waitEnded(id)
+				for j, id := range client.ids {
+					if client.isAccepted(j) {
+						accepted++
+						test.waitEnded(id)
 						continue
 					}
 					refused++
-					if j < len(s.answers) && !strings.HasPrefix(s.answers[j], "-BUSY") {
-						t.Errorf("%s: response %q, want +OK or -BUSY", id, s.answers[j])
+					if j < len(client.answers) && !strings.HasPrefix(client.answers[j], "-BUSY") {
+						t.Errorf("%s: response %q, want +OK or -BUSY", id, client.answers[j])
 					}
 				}
 			}
-			for _, s := range o.clients { // only now, as all accepted messages have ended
-				for j, id := range s.ids {
-					if !s.isAccepted(j) && o.endpoint.callCount(id) > 0 {
-						t.Errorf("%s was sent but not accepted; responses to its client: %v", id, s.answers)
+			for _, client := range test.clients { // only now, as all accepted messages have ended
+				for j, id := range client.ids {
+					if !client.isAccepted(j) && test.endpoint.callCount(id) > 0 {
+						t.Errorf("%s was sent but not accepted; responses to its client: %v", id, client.answers)
 					}
 				}
 			}
-			t.Logf("%d messages accepted, %d not", taken, refused)
+			t.Logf("%d messages accepted, %d not", accepted, refused)
 		})
 	}
 }
--- a/internal/relay/transport_test.go
+++ b/internal/relay/transport_test.go
@@ -16,37 +16,37 @@
 // Connections must be reused. For this, responses must be read to their end, and after a
 // burst more than two idle connections per endpoint must be kept.
 func TestConnectionsAreReusedAfterBurst(t *testing.T) {
-	var conns atomic.Int32
+	var connections atomic.Int32
 	const burst = 6
-	together := make(chan struct{}, burst)
+	arrived := make(chan struct{}, burst)
 	addr := startRawEndpoint(t, func(c net.Conn) {
-		conns.Add(1)
+		connections.Add(1)
 		in := bufio.NewReader(c)
 		for readCall(in) {
-			together <- struct{}{}
-			for len(together) < burst { // answers only when all calls of a burst have arrived, so that each needs its own connection
+			arrived <- struct{}{}
+			for len(arrived) < burst { // answers only when all calls of a burst have arrived, so that each needs its own connection
 				time.Sleep(time.Millisecond)
 			}
 			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
 		}
 	})
-	tr := newTestTransport(t, burst)
-	defer tr.CloseIdleConnections()
+	transport := newTestTransport(t, burst)
+	defer transport.CloseIdleConnections()
 	for round := range 2 {
 		done := make(chan outcome, burst)
 		for range burst {
-			go func() { done <- runSingleCall(newTestCall(), tr, addr, &wal.Record{ID: "m"}, testCallTimeout) }()
+			go func() { done <- runSingleCall(newTestCall(), transport, addr, &wal.Record{ID: "m"}, testCallTimeout) }()
 		}
 		for range burst {
 			if o := <-done; o.kind != policy.Delivered {
 				t.Fatalf("round %d: %+v", round, o)
 			}
 		}
-		for len(together) > 0 {
-			<-together
+		for len(arrived) > 0 {
+			<-arrived
 		}
 	}
-	if n := conns.Load(); n != burst {
+	if n := connections.Load(); n != burst {
 		t.Errorf("%d connections for two bursts of %d", n, burst)
 	}
 }
@@ -59,10 +59,10 @@
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	conns := newTestTransport(t, 4)
-	defer conns.CloseIdleConnections()
+	transport := newTestTransport(t, 4)
+	defer transport.CloseIdleConnections()
 	for i, want := range []bool{true, false} {
-		if o := runSingleCall(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testCallTimeout); o.isNewConnection != want || o.kind != policy.Rejected {
+		if o := runSingleCall(newTestCall(), transport, addr, &wal.Record{ID: "m"}, testCallTimeout); o.isNewConnection != want || o.kind != policy.Rejected {
 			t.Errorf("call %d: new connection %v, %+v", i, o.isNewConnection, o)
 		}
 	}
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -26,13 +26,13 @@
 
 // readyzIs reports whether the relay answers at its operator address and is ready, or not
 // ready, as the argument says.
-func (c *child) readyzIs(yes bool) bool {
+func (c *child) readyzIs(ready bool) bool {
 	resp, err := http.Get("http://" + c.env["ROUTER_OPERATOR"] + "/v1/readyz")
 	if err != nil {
 		return false
 	}
 	resp.Body.Close()
-	return (resp.StatusCode == http.StatusOK) == yes
+	return (resp.StatusCode == http.StatusOK) == ready
 }
 
 // metric returns the value of a metric of the relay.
@@ -76,7 +76,7 @@
 
 // startUpgradeTestWithEnv is like startUpgradeTest, with more environment variables for all
 // processes.
-func startUpgradeTestWithEnv(t *testing.T, more map[string]string) *upgradeTest {
+func startUpgradeTestWithEnv(t *testing.T, extraEnv map[string]string) *upgradeTest {
 	u := &upgradeTest{t: t, release: make(chan struct{}), quick: newFakeEndpoint(t, nil), listedLater: newFakeEndpoint(t, nil)}
 	u.slow = newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		u.slowCalls.Add(1)
@@ -96,7 +96,7 @@
 	u.disc = discoverytest.New(t, u.quick.member("s-1", 1), u.slow.member("s-2", 2), u.rejecting.member("s-3", 3), u.slow.member("s-6", 6))
 	u.env = writeTestConfig(t, u.disc, 3)
 	u.env["ROUTER_OPERATOR"] = loopback.Free()
-	maps.Copy(u.env, more)
+	maps.Copy(u.env, extraEnv)
 	u.old = startChild(t, u.env)
 	u.oldClient = dialClient(t, u.env["ROUTER_LISTEN"])
 	for id, f := range map[string]string{"out": putFields("once", 20000, 2), "keyed": putFields("keyed", 20000, 6),
@@ -109,9 +109,9 @@
 }
 
 // put submits a message that must be accepted.
-func (u *upgradeTest) put(cl *testClient, id, f string) {
+func (u *upgradeTest) put(cl *testClient, id, fields string) {
 	u.t.Helper()
-	if s := cl.put(id, f, nil); s != "+OK" {
+	if s := cl.put(id, fields, nil); s != "+OK" {
 		u.t.Fatalf("%s: %s", id, s)
 	}
 }
@@ -136,12 +136,12 @@
 func (u *upgradeTest) checkSentOnce(ids ...string) {
 	u.t.Helper()
 	for _, id := range ids {
-		n := 0
+		calls := 0
 		for _, e := range []*fakeEndpoint{u.quick, u.slow, u.rejecting, u.listedLater} {
-			n += e.callCount(id)
+			calls += e.callCount(id)
 		}
-		if _, ended := u.disc.Notice(id); n != 1 || ended {
-			u.t.Errorf("%s was sent %d times, want 1; has a notice: %v", id, n, ended)
+		if _, hasNotice := u.disc.Notice(id); calls != 1 || hasNotice {
+			u.t.Errorf("%s was sent %d times, want 1; has a notice: %v", id, calls, hasNotice)
 		}
 	}
 }
@@ -215,10 +215,10 @@
 func TestUpgradeHandsOverLateRetryAfter(t *testing.T) {
 	u := startUpgradeTest(t)
 	u.startNew()
-	avoided := u.new.metric(t, "app_members_unavailable")
+	unavailable := u.new.metric(t, "app_members_unavailable")
 	u.slowRejects.Store(true)
 	close(u.release)
-	waitFor(t, "the Retry-After at the new process", func() bool { return u.new.metric(t, "app_members_unavailable") == avoided+2 })
+	waitFor(t, "the Retry-After at the new process", func() bool { return u.new.metric(t, "app_members_unavailable") == unavailable+2 })
 	u.put(u.oldClient, "next", putFields("once", 20000, 2))
 	u.put(u.oldClient, "mark", putFields("once", 20000, 1))
 	u.waitDelivered(u.quick, "mark")
@@ -293,33 +293,33 @@
 		t.Fatal(err)
 	}
 	defer lock.Close()
-	if got, err := lock.TryLock(); !got {
+	if isLocked, err := lock.TryLock(); !isLocked {
 		t.Fatal(err)
 	}
-	next, err := wal.OpenLock(env["ROUTER_STATE"], wal.SuccessorLockName)
+	successorLock, err := wal.OpenLock(env["ROUTER_STATE"], wal.SuccessorLockName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.Close()
-	wished := func(want bool) func() bool {
+	defer successorLock.Close()
+	lockIsHeld := func(want bool) func() bool {
 		return func() bool {
-			got, err := next.HeldByOther()
+			isLocked, err := successorLock.HeldByOther()
 			if err != nil {
 				t.Fatal(err)
 			}
-			return got == want
+			return isLocked == want
 		}
 	}
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	first := spawn(t, env)
-	waitFor(t, "the successor lock to be held", wished(true))
+	waitFor(t, "the successor lock to be held", lockIsHeld(true))
 	if !first.readyzIs(false) {
 		t.Error("a process without the lock is ready")
 	}
 	first.kill()
-	waitFor(t, "the release of the successor lock", wished(false))
+	waitFor(t, "the release of the successor lock", lockIsHeld(false))
 	second := spawn(t, env)
-	waitFor(t, "the successor lock to be held", wished(true))
+	waitFor(t, "the successor lock to be held", lockIsHeld(true))
 	second.cmd.Process.Signal(syscall.SIGTERM)
 	if err := second.cmd.Wait(); err != nil {
 		t.Errorf("exit after SIGTERM: %v", err)
@@ -382,27 +382,27 @@
 	}
 	owner.cmd.Process.Signal(syscall.SIGSTOP)
 	env["ROUTER_OPERATOR"] = loopback.Free()
-	next := spawn(t, env)
-	wish, err := wal.OpenLock(env["ROUTER_STATE"], wal.SuccessorLockName)
+	successor := spawn(t, env)
+	successorLock, err := wal.OpenLock(env["ROUTER_STATE"], wal.SuccessorLockName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer wish.Close()
-	waitFor(t, "the successor lock to be held", func() bool { held, err := wish.HeldByOther(); return held && err == nil })
+	defer successorLock.Close()
+	waitFor(t, "the successor lock to be held", func() bool { held, err := successorLock.HeldByOther(); return held && err == nil })
 	before, err := wal.Inspect(nil, env["ROUTER_STATE"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !next.readyzIs(false) {
+	if !successor.readyzIs(false) {
 		t.Error("the next process is ready while the owner is stopped")
 	}
 	if after, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || after.Seq != before.Seq || after.Process != before.Process {
 		t.Errorf("the log was written while the owner was stopped: %+v, then %+v, error %v", before, after, err)
 	}
 	owner.cmd.Process.Signal(syscall.SIGCONT)
-	waitFor(t, "readiness of the next process", func() bool { return next.readyzIs(true) })
+	waitFor(t, "readiness of the next process", func() bool { return successor.readyzIs(true) })
 	owner.kill()
-	next.kill()
+	successor.kill()
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	startChild(t, env)
 	if r, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || r.Pending != 1 || !r.Sound() {
--- a/internal/relay/window_test.go
+++ b/internal/relay/window_test.go
@@ -86,17 +86,17 @@
 		slack    = 100 * time.Millisecond // allowance for the time between sending and receiving a call
 	)
 	calls := &callTimes{byID: map[string][]time.Time{}}
-	fares := func(answer func(http.ResponseWriter, *http.Request, int)) *fakeEndpoint {
+	newRecordingEndpoint := func(answer func(http.ResponseWriter, *http.Request, int)) *fakeEndpoint {
 		return newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 			calls.record(r.Header.Get("X-Request-ID"))
 			answer(w, r, n)
 		})
 	}
-	hung := fares(hang)
-	failing := fares(answerStatus(http.StatusInternalServerError))
-	cut := fares(func(http.ResponseWriter, *http.Request, int) { panic(http.ErrAbortHandler) })
-	later := fares(func(http.ResponseWriter, *http.Request, int) {})
-	disc := discoverytest.New(t, failing.member("s-2", 2), cut.member("s-3", 3))
+	hung := newRecordingEndpoint(hang)
+	failing := newRecordingEndpoint(answerStatus(http.StatusInternalServerError))
+	aborting := newRecordingEndpoint(func(http.ResponseWriter, *http.Request, int) { panic(http.ErrAbortHandler) })
+	listedLater := newRecordingEndpoint(func(http.ResponseWriter, *http.Request, int) {})
+	disc := discoverytest.New(t, failing.member("s-2", 2), aborting.member("s-3", 3))
 	for i := range 40 { // one endpoint for each hanging call, so that none delays the others
 		disc.List.Members = append(disc.List.Members, hung.member(fmt.Sprintf("h-%d", i), 100+i))
 	}
@@ -109,63 +109,63 @@
 	c := spawnWithLog(t, env, io.Discard)
 	c.waitReady(t)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	began := map[string]time.Time{}
+	submittedAt := map[string]time.Time{}
 	killAt := time.Now().Add(time.Duration(rng.Int64N(int64(2 * window))))
 	for i := 0; time.Now().Before(killAt) || i < 10; i++ {
 		dest := []int{100 + i, 2, 100 + i, 3, 5}[i%5] // destination 5 has no endpoint yet
 		id := fmt.Sprintf("m%d-%d", i, dest)
-		began[id] = time.Now()
+		submittedAt[id] = time.Now()
 		if s := cl.put(id, putFields("keyed", int(deadline.Milliseconds()), dest), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 		time.Sleep(time.Duration(rng.Int64N(int64(window / 5)))) // spreads the messages over the time before the kill
 	}
 	c.kill()
-	killed := time.Now()
+	killedAt := time.Now()
 	time.Sleep(600 * time.Millisecond) // the time in which the platform restarts a process
-	for _, ep := range []*fakeEndpoint{hung, failing, cut} {
+	for _, ep := range []*fakeEndpoint{hung, failing, aborting} {
 		ep.setAnswer(func(_ http.ResponseWriter, r *http.Request, _ int) { calls.record(r.Header.Get("X-Request-ID")) })
 	}
-	disc.Set(func(d *discoverytest.Server) { d.List.Members = append(d.List.Members, later.member("s-5", 5)) })
+	disc.Set(func(d *discoverytest.Server) { d.List.Members = append(d.List.Members, listedLater.member("s-5", 5)) })
 	c = spawnWithLog(t, env, io.Discard)
 	c.waitReady(t)
-	ready := time.Now()
-	repeated, givenUp, longest := 0, 0, time.Duration(0)
-	for id, at := range began {
+	readyAt := time.Now()
+	repeated, endedByNotice, longestTime := 0, 0, time.Duration(0)
+	for id, submitted := range submittedAt {
 		waitFor(t, "the delivery or notice of "+id, func() bool {
-			_, told := notices.get(id)
-			return told || hung.answeredOK(id) || failing.answeredOK(id) || cut.answeredOK(id) || later.answeredOK(id)
+			_, noticeAt := notices.get(id)
+			return noticeAt || hung.answeredOK(id) || failing.answeredOK(id) || aborting.answeredOK(id) || listedLater.answeredOK(id)
 		})
-		sent := calls.get(id)
-		told, ended := notices.get(id)
+		calledAt := calls.get(id)
+		noticeAt, hasNotice := notices.get(id)
 		n, _ := disc.Notice(id)
-		if late := told.Sub(at.Add(deadline + 350*time.Millisecond)); late > 0 && told.Sub(ready) > 1550*time.Millisecond {
-			t.Errorf("%s: notice came %v late", id, late)
+		if delay := noticeAt.Sub(submitted.Add(deadline + 350*time.Millisecond)); delay > 0 && noticeAt.Sub(readyAt) > 1550*time.Millisecond {
+			t.Errorf("%s: notice came %v late", id, delay)
 		}
 		switch {
 		case strings.HasSuffix(id, "-5"):
-			if len(sent) != 1 || ended {
-				t.Errorf("%s was not tried before the kill: got %d calls and notice %q, want 1 call and no notice", id, len(sent), n.Outcome)
+			if len(calledAt) != 1 || hasNotice {
+				t.Errorf("%s was not tried before the kill: got %d calls and notice %q, want 1 call and no notice", id, len(calledAt), n.Outcome)
 			}
 			continue
-		case len(sent) == 0: // it was never sent: no call slot was free, or the policy rejected it because its destination failed
+		case len(calledAt) == 0: // it was never sent: no call slot was free, or the policy rejected it because its destination failed
 			continue
 		}
-		if last := sent[len(sent)-1]; last.Sub(sent[0]) > window+slack {
-			t.Errorf("%s was sent again %v after its first call, outside its window", id, last.Sub(sent[0]))
+		if lastCall := calledAt[len(calledAt)-1]; lastCall.Sub(calledAt[0]) > window+slack {
+			t.Errorf("%s was sent again %v after its first call, outside its window", id, lastCall.Sub(calledAt[0]))
 		}
-		if len(sent) > 1 && sent[len(sent)-1].After(killed) {
+		if len(calledAt) > 1 && calledAt[len(calledAt)-1].After(killedAt) {
 			repeated++
 		}
-		if !ended {
+		if !hasNotice {
 			continue
 		}
-		if age := told.Sub(sent[0]); n.Outcome != discovery.Failed && age > window+slack {
+		if age := noticeAt.Sub(calledAt[0]); n.Outcome != discovery.Failed && age > window+slack {
 			t.Errorf("%s may have run, but its notice says %s, %v after its first call", id, n.Outcome, age)
 		}
-		givenUp++
-		longest = max(longest, told.Sub(sent[0]))
+		endedByNotice++
+		longestTime = max(longestTime, noticeAt.Sub(calledAt[0]))
 	}
 	t.Logf("killed after %d messages: %d were sent again after the restart, %d ended by a notice, up to %v after their first call",
-		len(began), repeated, givenUp, longest)
+		len(submittedAt), repeated, endedByNotice, longestTime)
 }
