--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -263,7 +263,7 @@
 		if accepted == 30 {
 			id, f = "failed", putFields("once", 20000, 2)
 		}
-		waitFor(t, "the acceptance of "+id, func() bool { attempts++; return submit(id, f) })
+		waitFor(t, id+" to be accepted", func() bool { attempts++; return submit(id, f) })
 		accepted++
 		if id != "failed" {
 			waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) >= 1 })
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -37,7 +37,7 @@
 		if s := cl.put(id, putFields("keyed", 8000, 7), body); s != "+OK" {
 			t.Fatalf("body %d: %s", i, s)
 		}
-		waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) == 1 })
+		waitFor(t, "the call", func() bool { return ep.callCount(id) == 1 })
 		ep.mu.Lock()
 		got := ep.calls[len(ep.calls)-1]
 		ep.mu.Unlock()
@@ -431,7 +431,7 @@
 		n++
 		id := fmt.Sprintf("b%d", n)
 		put(id)
-		waitFor(t, "the call of "+id, func() bool { return oldEndpoint.callCount(id)+newEndpoint.callCount(id) == 1 })
+		waitFor(t, id, func() bool { return oldEndpoint.callCount(id)+newEndpoint.callCount(id) == 1 })
 		return newEndpoint.callCount(id) == 1
 	})
 	sendChange(3, returned, removed)
@@ -522,13 +522,13 @@
 	waitFor(t, "a call at the endpoint that does not drain", func() bool {
 		id := fmt.Sprintf("d%d", nextID.Add(1))
 		put(id, 2)
-		waitFor(t, "the call of "+id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
+		waitFor(t, id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
 		return before.callCount(id) == 1
 	})
 	for range 5 {
 		id := fmt.Sprintf("e%d", nextID.Add(1))
 		put(id, 2)
-		waitFor(t, "the call of "+id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
+		waitFor(t, id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
 		if after.callCount(id) != 0 {
 			t.Error("a draining endpoint got a message")
 		}
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -128,7 +128,7 @@
 func (u *upgradeTest) waitDelivered(e *fakeEndpoint, ids ...string) {
 	u.t.Helper()
 	for _, id := range ids {
-		waitFor(u.t, "the call of "+id, func() bool { return e.callCount(id) > 0 })
+		waitFor(u.t, id, func() bool { return e.callCount(id) > 0 })
 	}
 }
 
