--- a/internal/relay/backlog_slope_test.go
+++ b/internal/relay/backlog_slope_test.go
@@ -53,42 +53,42 @@
 }
 
 // start starts the relay and returns the time until it was ready.
-func (s *costRun) start() (ready time.Duration) {
-	s.t.Helper()
+func (r *costRun) start() (ready time.Duration) {
+	r.t.Helper()
 	startedAt := time.Now()
-	c := &child{cmd: exec.Command(s.program), env: s.relay.env}
+	c := &child{cmd: exec.Command(r.program), env: r.relay.env}
 	c.cmd.Env = os.Environ()
 	for k, v := range c.env {
 		c.cmd.Env = append(c.cmd.Env, k+"="+v)
 	}
 	if err := c.cmd.Start(); err != nil {
-		s.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
-	s.relay = c
-	waitFor(s.t, "readiness", func() bool { return c.readyzIs(true) })
+	r.t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
+	r.relay = c
+	waitFor(r.t, "readiness", func() bool { return c.readyzIs(true) })
 	return time.Since(startedAt)
 }
 
-func (s *costRun) usage() (time.Duration, int64) {
-	s.t.Helper()
-	return processUsage(s.t, s.relay.cmd.Process.Pid)
+func (r *costRun) usage() (time.Duration, int64) {
+	r.t.Helper()
+	return processUsage(r.t, r.relay.cmd.Process.Pid)
 }
 
 // submit submits n messages for destinations without endpoints.
-func (s *costRun) submit(n int) {
-	s.t.Helper()
+func (r *costRun) submit(n int) {
+	r.t.Helper()
 	body := make([]byte, 200)
 	var wg sync.WaitGroup
 	for clientIndex := range slopeClients {
-		cl := dialClient(s.t, s.relay.env["ROUTER_LISTEN"])
+		cl := dialClient(r.t, r.relay.env["ROUTER_LISTEN"])
 		cl.SetDeadline(time.Now().Add(2 * time.Minute))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := clientIndex; i < n; i += slopeClients {
 				if got := cl.put(fmt.Sprint("m", i), putFields("plain", 3600000, 10+i%slopeDests), body); got != "+OK" {
-					s.t.Errorf("m%d: %s", i, got)
+					r.t.Errorf("m%d: %s", i, got)
 					return
 				}
 			}
@@ -99,32 +99,32 @@
 
 // deliver lists endpoints for the destinations and returns the CPU time of the relay and
 // the time elapsed per message, for the first deliveries.
-func (s *costRun) deliver(n int) (cpu, elapsed time.Duration) {
-	s.t.Helper()
+func (r *costRun) deliver(n int) (cpu, elapsed time.Duration) {
+	r.t.Helper()
 	n = min(n, slopeMaxDelivered)
 	list := discovery.List{Revision: 2}
 	for i := range slopeDests {
-		m := s.endpoint.member(fmt.Sprint("s-", 10+i), 10+i)
+		m := r.endpoint.member(fmt.Sprint("s-", 10+i), 10+i)
 		m.Size = 100_000
 		list.Members = append(list.Members, m)
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
-		s.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	before, _ := s.usage()
+	before, _ := r.usage()
 	startedAt := time.Now()
-	s.disc.Send(s.t, string(text))
+	r.disc.Send(r.t, string(text))
 	for deadline := startedAt.Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		s.endpoint.mu.Lock()
-		delivered := len(s.endpoint.calls)
-		s.endpoint.mu.Unlock()
+		r.endpoint.mu.Lock()
+		delivered := len(r.endpoint.calls)
+		r.endpoint.mu.Unlock()
 		isLate := time.Now().After(deadline)
 		if isLate && delivered < n/2 {
-			s.t.Logf("only %d of %d messages were delivered within 20 s", delivered, n)
+			r.t.Logf("only %d of %d messages were delivered within 20 s", delivered, n)
 		}
 		if delivered >= n*9/10 || isLate && delivered > 0 { // 90 % are enough, as the policy may drop some messages
-			after, _ := s.usage()
+			after, _ := r.usage()
 			return (after - before) / time.Duration(delivered), time.Since(startedAt) / time.Duration(delivered)
 		}
 	}
--- a/internal/relay/clockstep_test.go
+++ b/internal/relay/clockstep_test.go
@@ -152,7 +152,7 @@
 func TestDeadlinesAndWindowsHoldAcrossRestartAndClockStep(t *testing.T) {
 	hour := time.Hour
 	for _, steps := range []struct{ running, down time.Duration }{{0, hour}, {hour, 0}, {0, -hour}, {-hour, 0}, {hour, -hour}, {-hour, hour}, {3 * time.Second, 0}, {0, -3 * time.Second}} {
-		t.Run(fmt.Sprint("held/", steps.running, " then ", steps.down), func(t *testing.T) {
+		t.Run(fmt.Sprint("deadlines/", steps.running, " then ", steps.down), func(t *testing.T) {
 			t.Parallel()
 			runRestartWithClockStep(t, steps.running, steps.down)
 		})
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -37,37 +37,37 @@
 	return g
 }
 
-func (g *tcpProxy) listen(t *testing.T) {
+func (p *tcpProxy) listen(t *testing.T) {
 	t.Helper()
-	listener, err := net.Listen("tcp", g.addr)
+	listener, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.mu.Lock()
-	g.listener = listener
-	g.mu.Unlock()
+	p.mu.Lock()
+	p.listener = listener
+	p.mu.Unlock()
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go g.forward(conn)
+			go p.forward(conn)
 		}
 	}()
 }
 
 // forward copies the data of one connection in both directions until it ends.
-func (g *tcpProxy) forward(from net.Conn) {
+func (p *tcpProxy) forward(from net.Conn) {
 	defer from.Close()
-	to, err := net.Dial("tcp", g.target)
+	to, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
 	defer to.Close()
-	g.mu.Lock()
-	g.conns[from], g.conns[to] = true, true
-	g.mu.Unlock()
+	p.mu.Lock()
+	p.conns[from], p.conns[to] = true, true
+	p.mu.Unlock()
 	go func() {
 		io.Copy(to, from)
 		to.Close()
@@ -76,14 +76,14 @@
 }
 
 // close stops listening and closes the open connections.
-func (g *tcpProxy) close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.listener.Close()
-	for conn := range g.conns {
+func (p *tcpProxy) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.listener.Close()
+	for conn := range p.conns {
 		conn.Close()
 	}
-	clear(g.conns)
+	clear(p.conns)
 }
 
 // reconnectingClients is a set of idle clients that connect again as soon as they are
@@ -96,7 +96,7 @@
 	running  sync.WaitGroup
 }
 
-// startReconnectingClients starts clients that open one connection each. A fourth of them
+// startReconnectingClients starts count clients that open one connection each. A fourth of them
 // send nothing, a fourth send PING, a fourth submit a message and stay idle, and a fourth
 // send the beginning of a command.
 func startReconnectingClients(addr string, count int) *reconnectingClients {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -58,7 +58,7 @@
 			accepted := 0
 			for i, client := range test.clients {
 				if client.readErr != nil && !killed {
-					t.Errorf("client %d: %v", i, client.readErr)
+					t.Errorf("client %d: connection ended with %v", i, client.readErr)
 				}
 				for j, id := range client.ids {
 					if client.isAccepted(j) {
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -38,46 +38,46 @@
 }
 
 // drawMember returns a member with a random ID, address, destination and phase.
-func (d *listSimulation) drawMember() *discovery.Member {
-	id := fmt.Sprintf("s-%d", d.rng.IntN(30))
-	m := &discovery.Member{ID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", 1+d.rng.IntN(3)), Flavor: "k", Cell: d.rng.IntN(8),
-		Phase: []string{discovery.Up, discovery.Up, discovery.Up, discovery.Draining, discovery.Removed}[d.rng.IntN(5)], Size: 1000}
-	d.list[id] = m
+func (s *listSimulation) drawMember() *discovery.Member {
+	id := fmt.Sprintf("s-%d", s.rng.IntN(30))
+	m := &discovery.Member{ID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", 1+s.rng.IntN(3)), Flavor: "k", Cell: s.rng.IntN(8),
+		Phase: []string{discovery.Up, discovery.Up, discovery.Up, discovery.Draining, discovery.Removed}[s.rng.IntN(5)], Size: 1000}
+	s.list[id] = m
 	return m
 }
 
 // changeList applies a change of one random member, or one time in four a whole list.
-func (d *listSimulation) changeList() {
-	d.revision++
-	list := &discovery.List{Revision: d.revision, Members: []discovery.Member{*d.drawMember()}}
-	if d.rng.IntN(4) == 0 {
+func (s *listSimulation) changeList() {
+	s.revision++
+	list := &discovery.List{Revision: s.revision, Members: []discovery.Member{*s.drawMember()}}
+	if s.rng.IntN(4) == 0 {
 		list.Complete, list.Members = true, nil
-		for _, m := range d.list {
-			if m.Phase != discovery.Removed && d.rng.IntN(6) > 0 {
+		for _, m := range s.list {
+			if m.Phase != discovery.Removed && s.rng.IntN(6) > 0 {
 				list.Members = append(list.Members, *m)
 			}
 		}
 	}
-	listEvent{list}.handle(d.r)
+	listEvent{list}.handle(s.r)
 }
 
 // finishOldestCall ends the oldest call with a random outcome.
-func (d *listSimulation) finishOldestCall() {
-	if len(d.inFlight) == 0 {
+func (s *listSimulation) finishOldestCall() {
+	if len(s.inFlight) == 0 {
 		return
 	}
-	m := d.inFlight[0]
-	d.inFlight = d.inFlight[1:]
+	m := s.inFlight[0]
+	s.inFlight = s.inFlight[1:]
 	if m.call == nil {
 		return
 	}
 	result := outcome{kind: []policy.Outcome{policy.Delivered, policy.Errored, policy.Errored, policy.TimedOut, policy.ConnectFailed,
-		policy.Rejected, policy.ConnectionReset}[d.rng.IntN(7)], latency: 1000}
+		policy.Rejected, policy.ConnectionReset}[s.rng.IntN(7)], latency: 1000}
 	result.isFinal = result.kind == policy.Delivered
-	if d.rng.IntN(4) == 0 {
-		result.status, result.retryAfter = 200, 1000*policy.Time(d.rng.IntN(20))
+	if s.rng.IntN(4) == 0 {
+		result.status, result.retryAfter = 200, 1000*policy.Time(s.rng.IntN(20))
 	}
-	d.r.finishCall(m.call, []outcome{result})
+	s.r.finishCall(m.call, []outcome{result})
 }
 
 // The endpoint gauges are updated with each change of the list and of the policy's view.
@@ -117,8 +117,8 @@
 
 // stepPolicy steps the policy and carries out its actions. Calls stay in flight until
 // finishOldestCall ends them.
-func (d *listSimulation) stepPolicy() {
-	r := d.r
+func (s *listSimulation) stepPolicy() {
+	r := s.r
 	r.fireTimers()
 	events := r.step.events
 	r.step.events = nil
@@ -132,7 +132,7 @@
 			c.endpoint, c.transport, c.messages = ep, ep.transport, []callMessage{{message: m, attempt: m.attempts - 1}}
 			m.call, ep.calls[c] = c, true
 			r.callsInFlight++
-			d.inFlight = append(d.inFlight, m)
+			s.inFlight = append(s.inFlight, m)
 		case (a.Kind == policy.ActionReject || a.Kind == policy.ActionFail) && m != nil:
 			m.isCompleted = true
 			r.forgetMessage(m)
@@ -143,16 +143,16 @@
 }
 
 // checkDestinations compares the index of endpoints by destination with all endpoints.
-func (d *listSimulation) checkDestinations(step int) {
+func (s *listSimulation) checkDestinations(step int) {
 	want := map[int]int{}
-	for _, ep := range d.r.endpoints.byID {
+	for _, ep := range s.r.endpoints.byID {
 		if ep.hostPort != "" {
 			want[ep.cell]++
 		}
 	}
 	for cell := range 8 {
-		if got := len(d.r.endpoints.byCell[cell]); got != want[cell] {
-			d.t.Fatalf("step %d: %d endpoints of destination %d, want %d", step, got, cell, want[cell])
+		if got := len(s.r.endpoints.byCell[cell]); got != want[cell] {
+			s.t.Fatalf("step %d: %d endpoints of destination %d, want %d", step, got, cell, want[cell])
 		}
 	}
 }
--- a/internal/relay/orders_test.go
+++ b/internal/relay/orders_test.go
@@ -45,21 +45,21 @@
 
 // startClient starts a client that connects after a delay and sends the parts of a text with
 // pauses between them.
-func (o *sequenceTest) startClient(client *sequenceClient, delay time.Duration, pauses []time.Duration, parts ...string) {
-	o.clients = append(o.clients, client)
-	o.running.Add(1)
+func (s *sequenceTest) startClient(client *sequenceClient, delay time.Duration, pauses []time.Duration, parts ...string) {
+	s.clients = append(s.clients, client)
+	s.running.Add(1)
 	go func() {
-		defer o.running.Done()
-		client.run(o.env["ROUTER_LISTEN"], delay, pauses, parts...)
+		defer s.running.Done()
+		client.run(s.env["ROUTER_LISTEN"], delay, pauses, parts...)
 	}()
 }
 
 // waitEnded waits until a message was delivered or got a notice.
-func (o *sequenceTest) waitEnded(id string) {
-	o.t.Helper()
-	waitFor(o.t, "the delivery or notice of "+id, func() bool {
-		_, ended := o.disc.Notice(id)
-		return ended || o.endpoint.answeredOK(id)
+func (s *sequenceTest) waitEnded(id string) {
+	s.t.Helper()
+	waitFor(s.t, "the delivery or notice of "+id, func() bool {
+		_, ended := s.disc.Notice(id)
+		return ended || s.endpoint.answeredOK(id)
 	})
 }
 
@@ -74,7 +74,7 @@
 }
 
 // isAccepted reports whether the message of ids[j] was answered with +OK.
-func (s *sequenceClient) isAccepted(j int) bool { return j < len(s.answers) && s.answers[j] == "+OK" }
+func (c *sequenceClient) isAccepted(j int) bool { return j < len(c.answers) && c.answers[j] == "+OK" }
 
 // run sends the parts of a text with pauses between them and reads the responses meanwhile.
 func (s *sequenceClient) run(addr string, delay time.Duration, pauses []time.Duration, parts ...string) {
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -62,7 +62,7 @@
 			accepted, refused := 0, 0
 			for i, client := range test.clients {
 				if client.readErr != nil {
-					t.Errorf("client %d: %v", i, client.readErr)
+					t.Errorf("client %d: connection ended with %v", i, client.readErr)
 				}
 				if client.isPipelined && len(client.answers) != len(client.ids) {
 					t.Errorf("client %d: sent %d messages at once, got the responses %q", i, len(client.ids), client.answers)
--- a/internal/relay/window_test.go
+++ b/internal/relay/window_test.go
@@ -79,6 +79,8 @@
 	}
 }
 
+// runShortWindow kills and restarts a relay once, at a time drawn from rng, and checks the
+// calls and the end of each message.
 func runShortWindow(t *testing.T, rng *rand.Rand) {
 	const (
 		window   = time.Second
@@ -133,8 +135,8 @@
 	repeated, endedByNotice, longestTime := 0, 0, time.Duration(0)
 	for id, submitted := range submittedAt {
 		waitFor(t, "the delivery or notice of "+id, func() bool {
-			_, noticeAt := notices.get(id)
-			return noticeAt || hung.answeredOK(id) || failing.answeredOK(id) || aborting.answeredOK(id) || listedLater.answeredOK(id)
+			_, hasNotice := notices.get(id)
+			return hasNotice || hung.answeredOK(id) || failing.answeredOK(id) || aborting.answeredOK(id) || listedLater.answeredOK(id)
 		})
 		calledAt := calls.get(id)
 		noticeAt, hasNotice := notices.get(id)
