--- a/internal/relay/call_response_test.go
+++ b/internal/relay/call_response_test.go
@@ -58,7 +58,7 @@
 				}
 			}
 			if s := <-received; !strings.HasPrefix(s, batchPath+` [{"id":"a","key":"k","body":"aGVsbG8="},{"id":"b","body":""},`) {
-				t.Errorf("request %s", s)
+				t.Errorf("unexpected request %s", s)
 			}
 		})
 	}
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -15,6 +15,7 @@
 	"plovershore/policy"
 )
 
+// parseTestConfig returns a parsed configuration with testSettings.
 func parseTestConfig(t *testing.T) *Config {
 	t.Helper()
 	c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
@@ -25,6 +26,7 @@
 	return c
 }
 
+// newTestCall returns a call with one message that has no record, no endpoint and no transport.
 func newTestCall() *call {
 	ctx, stop := context.WithCancelCause(context.Background())
 	return &call{messages: []callMessage{{message: &message{}}}, ctx: ctx, cancel: stop}
@@ -35,6 +37,8 @@
 	return c.run(transport, addr, []*wal.Record{rec}, limit, nil)[0]
 }
 
+// newTestTransport returns a transport with the test settings that keeps at most maxIdle idle
+// connections.
 func newTestTransport(t *testing.T, maxIdle int) *http.Transport {
 	cfg := parseTestConfig(t)
 	return newTransport(cfg, maxIdle, maxIdleTime(&cfg.Policy))
@@ -131,7 +135,7 @@
 	refusedAddr := ln.Addr().String()
 	ln.Close()
 	if o := runSingleCall(newTestCall(), transport, refusedAddr, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.ConnectFailed {
-		t.Errorf("refused: %+v", o)
+		t.Errorf("refused connection: outcome %+v", o)
 	}
 	closedByCaller := make(chan struct{}, 2)
 	received := make(chan struct{}, 2)
@@ -143,14 +147,14 @@
 		closedByCaller <- struct{}{}
 	})
 	if o := runSingleCall(newTestCall(), transport, silentAddr, &wal.Record{ID: "m"}, 50*time.Millisecond); o.kind != policy.TimedOut {
-		t.Errorf("silent: %+v", o)
+		t.Errorf("endpoint that does not answer: outcome %+v", o)
 	}
 	<-received
 	<-closedByCaller // the timeout must close the connection
 	c := newTestCall()
 	go func() { <-received; c.cancel(errCancelled) }()
 	if o := runSingleCall(c, transport, silentAddr, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.Cancelled {
-		t.Errorf("cancelled: %+v", o)
+		t.Errorf("cancelled call: outcome %+v", o)
 	}
 	<-closedByCaller
 }
@@ -194,8 +198,8 @@
 	}
 }
 
-// A batch goes on when one of its messages is dropped, since the others share its
-// connection; it ends when the last one is dropped.
+// The call of a batch must go on when one of its messages is dropped, since the others share
+// it, and must be cancelled when the last one is dropped.
 func TestBatchIsCancelledOnlyWhenAllMessagesAreDropped(t *testing.T) {
 	a, b := &message{}, &message{}
 	c := newTestCall()
@@ -209,8 +213,8 @@
 	}
 }
 
-// A connection that comes up after the latest time to send carries nothing, and the
-// call is reported as not sent.
+// If the connection of a call is established only after the latest time to send, nothing may
+// be sent, and the call must be reported as not sent.
 func TestConnectionAfterSendByTimeSendsNothing(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	transport := newTestTransport(t, 2)
@@ -231,8 +235,8 @@
 	}
 }
 
-// A call that waits for its connection when its endpoint begins to drain must not be
-// sent when the connection is up.
+// A call that still waits for its connection when its endpoint begins to drain must not be
+// sent once the connection is established.
 func TestDrainStopsOnlyCallsWaitingForConnection(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	dialing, release, connected := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -256,7 +260,7 @@
 	if n := ep.callCount("m"); n != 0 {
 		t.Errorf("the call was sent %d times, want 0", n)
 	}
-	// The drain may also begin just as the connection comes up.
+	// The drain may also begin just when the connection is established.
 	stoppedCall := newTestCall()
 	stoppedCall.stage.Store(callStopped)
 	lateTransport := newTestTransport(t, 2)
@@ -299,7 +303,7 @@
 	if n := ep.callCount("over"); n != 0 {
 		t.Errorf("the completed message was sent %d times, want 0", n)
 	}
-	// It may also be completed just as the connection comes up.
+	// It may also be completed just when the connection is established.
 	ctx, cancel := context.WithCancel(t.Context())
 	req, err := newCallRequest(ctx, ep.addr(), []*wal.Record{{ID: "over", Body: []byte("text")}}, time.Second)
 	if err != nil {
@@ -311,8 +315,8 @@
 	}
 }
 
-// A Retry-After stops calls to the same destination that still wait for their
-// connection. Calls elsewhere, and those being sent already, go on.
+// A Retry-After must stop the calls to the same destination that still wait for their
+// connection. Calls to other destinations, and calls that are being sent, must go on.
 func TestRetryAfterStopsWaitingCallsToDestination(t *testing.T) {
 	r := newTestRelay(t)
 	addEndpoint := func(id string, cell int) *endpoint {
--- a/internal/relay/client_connection_test.go
+++ b/internal/relay/client_connection_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// A connection that is evicted just as a request begins answers it and then closes,
-// since it has no slot any more.
+// A connection that is evicted just when a request begins must answer it and then be closed,
+// since it no longer counts towards the connection limit.
 func TestEvictedConnectionClosesAfterRequest(t *testing.T) {
 	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	relaySide, clientSide := net.Pipe()
@@ -163,9 +163,9 @@
 	}
 }
 
-// Closing the server closes connections in every state and waits for their
-// goroutines: an idle one, one that waits for a response, and one that was evicted
-// within a command. A connection that is accepted later is closed unread.
+// Closing the server must close connections in every state and wait for their goroutines: an
+// idle one, one that waits for a response, and one that was evicted within a command. A
+// connection that is accepted later must be closed without reading from it.
 func TestServerCloseClosesConnectionsInEveryState(t *testing.T) {
 	submitted := make(chan *putRequest, 1)
 	c, addr, _ := serveClients(t, func(q *putRequest) { submitted <- q })
--- a/internal/relay/client_session_test.go
+++ b/internal/relay/client_session_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// A client that closes its sending side and waits for the response gets one. As it
-// looks like one that has left, the message is not accepted.
+// A client that closes its sending side and waits for the response must get one. As it cannot
+// be told from a client that has left, its message must be refused.
 func TestHalfClosedClientIsRefused(t *testing.T) {
 	requests := make(chan *putRequest, 1)
 	_, addr, acknowledged := serveClients(t, func(request *putRequest) { requests <- request })
@@ -77,7 +77,7 @@
 	}
 }
 
-// Pipelined commands are answered in order.
+// Commands that a client sends without waiting for the responses must be answered in order.
 func TestPipelinedCommandsAreAnsweredInOrder(t *testing.T) {
 	firstRequest := make(chan *putRequest, 1)
 	_, addr, acknowledged := serveClients(t, func(q *putRequest) {
--- a/internal/relay/connection_limit_test.go
+++ b/internal/relay/connection_limit_test.go
@@ -92,7 +92,7 @@
 		}
 		return false
 	})
-	waitFor(t, "the eviction", func() bool { // a connection can be evicted only a short time after its last response
+	waitFor(t, "the eviction", func() bool { // a connection cannot be evicted right after its last response
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.evictConnection() == 0
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -93,6 +93,7 @@
 	answer func(w http.ResponseWriter, r *http.Request, n int)
 }
 
+// receivedCall is a call that a fakeEndpoint has received; id is empty for a batch.
 type receivedCall struct {
 	id, key, timeout string
 	body             []byte
@@ -159,6 +160,7 @@
 
 func (e *fakeEndpoint) addr() string { return e.Listener.Addr().String() }
 
+// setAnswer replaces the function that answers the next calls.
 func (e *fakeEndpoint) setAnswer(answer func(http.ResponseWriter, *http.Request, int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -184,6 +186,7 @@
 	return n
 }
 
+// member returns a list entry of the endpoint for the destination cell.
 func (e *fakeEndpoint) member(id string, cell int) discovery.Member {
 	return discovery.Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Cell: cell, Phase: discovery.Up, Size: 1000}
 }
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -105,7 +105,7 @@
 		`app_failed{lane="once"} 1`, `app_failed{lane="plain"} 0`, `app_upstream_requests{lane="once"} 1`, "app_pending 14",
 		"app_members 0", "app_members_unavailable 0"} {
 		if !strings.Contains(text, "\n"+want+"\n") {
-			t.Errorf("no line %s", want)
+			t.Errorf("the metrics have no line %s", want)
 		}
 	}
 	line := regexp.MustCompile(`^(# (HELP|TYPE) app_[a-z_]+ .+|app_[a-z_]+(\{lane="[^"]+"\})? \d+)$`)
--- a/internal/relay/transport_test.go
+++ b/internal/relay/transport_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if n := connections.Load(); n != burst {
-		t.Errorf("%d connections for two bursts of %d", n, burst)
+		t.Errorf("%d connections were opened for two bursts of %d calls", n, burst)
 	}
 }
 
