--- a/internal/relay/orders_test.go
+++ b/internal/relay/orders_test.go
@@ -77,11 +77,11 @@
 func (c *sequenceClient) isAccepted(j int) bool { return j < len(c.answers) && c.answers[j] == "+OK" }
 
 // run sends the parts of a text with pauses between them and reads the responses meanwhile.
-func (s *sequenceClient) run(addr string, delay time.Duration, pauses []time.Duration, parts ...string) {
+func (c *sequenceClient) run(addr string, delay time.Duration, pauses []time.Duration, parts ...string) {
 	time.Sleep(delay)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
-		s.ids = nil // the relay listens no longer, so no message was submitted
+		c.ids = nil // the relay listens no longer, so no message was submitted
 		return
 	}
 	defer conn.Close()
@@ -90,10 +90,10 @@
 	go func() {
 		defer close(done)
 		text, err := io.ReadAll(conn)
-		s.readErr = err
+		c.readErr = err
 		for line := range strings.Lines(string(text)) {
 			if strings.HasSuffix(line, "\r\n") && line != "+PONG\r\n" {
-				s.answers = append(s.answers, strings.TrimSpace(line))
+				c.answers = append(c.answers, strings.TrimSpace(line))
 			}
 		}
 	}()
