--- a/internal/relay/backlog_slope_test.go
+++ b/internal/relay/backlog_slope_test.go
@@ -17,75 +17,78 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// slopeSizes are the messages held at which TestBacklogSlope measures: few where
-// it is a test among others.
-var slopeSizes = flag.String("slope", "1000,3000", "messages held at which TestBacklogSlope measures, before and after")
+// slopeSizes are the numbers of pending messages at which TestBacklogSlope measures. The
+// default is small, so that the test is quick when it runs with all others.
+var slopeSizes = flag.String("slope", "1000,3000", "numbers of pending messages at which TestBacklogSlope measures, comma-separated")
 
 const (
-	slopeDests   = 50
-	slopeClients = 16
-	slopeWorked  = 4000 // messages worked off that are counted at most
+	slopeDests        = 50
+	slopeClients      = 16
+	slopeMaxDelivered = 4000 // maximum number of deliveries over which the cost is measured
 )
 
-// processUse reads what a process has used: CPU time and resident memory.
-func processUse(t *testing.T, pid int) (cpu time.Duration, rss int64) {
+// processUsage returns the CPU time that a process has used and its resident memory in
+// bytes.
+func processUsage(t *testing.T, pid int) (cpu time.Duration, rss int64) {
 	t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	part := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
-	user, _ := strconv.ParseInt(part[11], 10, 64) // the kernel's own form
-	system, _ := strconv.ParseInt(part[12], 10, 64)
-	pages, _ := strconv.ParseInt(part[21], 10, 64)
+	statFields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
+	user, _ := strconv.ParseInt(statFields[11], 10, 64) // the fields of /proc/PID/stat are always numbers
+	system, _ := strconv.ParseInt(statFields[12], 10, 64)
+	pages, _ := strconv.ParseInt(statFields[21], 10, 64)
 	return time.Duration(user+system) * 10 * time.Millisecond, pages * int64(os.Getpagesize())
 }
 
-// slope is a relay of the program itself whose destinations are down.
-type slope struct {
-	t    *testing.T
-	bin  string
-	disc *discoverytest.Server
-	ep   *fakeEndpoint
-	c    *child
+// costRun measures a relay that runs the program of cmd/relay. Its destinations have no
+// endpoints until deliver lists them.
+type costRun struct {
+	t        *testing.T
+	program  string
+	disc     *discoverytest.Server
+	endpoint *fakeEndpoint
+	relay    *child
 }
 
-func (s *slope) start() (ready time.Duration) {
-	s.t.Helper()
-	began := time.Now()
-	c := &child{cmd: exec.Command(s.bin), env: s.c.env}
+// start starts the relay and returns the time until it was ready.
+func (r *costRun) start() (ready time.Duration) {
+	r.t.Helper()
+	startedAt := time.Now()
+	c := &child{cmd: exec.Command(r.program), env: r.relay.env}
 	c.cmd.Env = os.Environ()
 	for k, v := range c.env {
 		c.cmd.Env = append(c.cmd.Env, k+"="+v)
 	}
 	if err := c.cmd.Start(); err != nil {
-		s.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
-	s.c = c
-	waitFor(s.t, "a yes", func() bool { return c.says(true) })
-	return time.Since(began)
+	r.t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
+	r.relay = c
+	waitFor(r.t, "readiness", func() bool { return c.readyzIs(true) })
+	return time.Since(startedAt)
 }
 
-func (s *slope) use() (time.Duration, int64) {
-	s.t.Helper()
-	return processUse(s.t, s.c.cmd.Process.Pid)
+func (r *costRun) usage() (time.Duration, int64) {
+	r.t.Helper()
+	return processUsage(r.t, r.relay.cmd.Process.Pid)
 }
 
-// hold hands n messages in for destinations that are down.
-func (s *slope) hold(n int) {
-	s.t.Helper()
+// submit submits n messages for destinations without endpoints.
+func (r *costRun) submit(n int) {
+	r.t.Helper()
 	body := make([]byte, 200)
 	var wg sync.WaitGroup
-	for k := range slopeClients {
-		cl := dialClient(s.t, s.c.env["ROUTER_LISTEN"])
+	for clientIndex := range slopeClients {
+		cl := dialClient(r.t, r.relay.env["ROUTER_LISTEN"])
 		cl.SetDeadline(time.Now().Add(2 * time.Minute))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for i := k; i < n; i += slopeClients {
-				if got := cl.put(fmt.Sprint("m", i), fields("plain", 3600000, 10+i%slopeDests), body); got != "+OK" {
-					s.t.Errorf("m%d: %s", i, got)
+			for i := clientIndex; i < n; i += slopeClients {
+				if got := cl.put(fmt.Sprint("m", i), putFields("plain", 3600000, 10+i%slopeDests), body); got != "+OK" {
+					r.t.Errorf("m%d: %s", i, got)
 					return
 				}
 			}
@@ -94,42 +97,42 @@
 	wg.Wait()
 }
 
-// workOff has the destinations return, and gives the relay's CPU time for each of
-// the first messages that go out, and how long they took.
-func (s *slope) workOff(n int) (cpu, took time.Duration) {
-	s.t.Helper()
-	n = min(n, slopeWorked)
+// deliver lists endpoints for the destinations and returns the CPU time of the relay and
+// the time elapsed per message, for the first deliveries.
+func (r *costRun) deliver(n int) (cpu, elapsed time.Duration) {
+	r.t.Helper()
+	n = min(n, slopeMaxDelivered)
 	list := discovery.List{Revision: 2}
 	for i := range slopeDests {
-		m := s.ep.member(fmt.Sprint("s-", 10+i), 10+i)
+		m := r.endpoint.member(fmt.Sprint("s-", 10+i), 10+i)
 		m.Size = 100_000
 		list.Members = append(list.Members, m)
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
-		s.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	before, _ := s.use()
-	began := time.Now()
-	s.disc.Send(s.t, string(text))
-	for end := began.Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		s.ep.mu.Lock()
-		done := len(s.ep.calls)
-		s.ep.mu.Unlock()
-		late := time.Now().After(end)
-		if late && done < n/2 {
-			s.t.Logf("only %d of %d messages are worked off in 20 s", done, n)
+	before, _ := r.usage()
+	startedAt := time.Now()
+	r.disc.Send(r.t, string(text))
+	for deadline := startedAt.Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
+		r.endpoint.mu.Lock()
+		delivered := len(r.endpoint.calls)
+		r.endpoint.mu.Unlock()
+		isLate := time.Now().After(deadline)
+		if isLate && delivered < n/2 {
+			r.t.Logf("only %d of %d messages were delivered within 20 s", delivered, n)
 		}
-		if done >= n*9/10 || late && done > 0 { // a drop may end some
-			after, _ := s.use()
-			return (after - before) / time.Duration(done), time.Since(began) / time.Duration(done)
+		if delivered >= n*9/10 || isLate && delivered > 0 { // 90 % are enough, as the policy may drop some messages
+			after, _ := r.usage()
+			return (after - before) / time.Duration(delivered), time.Since(startedAt) / time.Duration(delivered)
 		}
 	}
 }
 
-// The cost of a held message with all in memory ("before") and with the bound
-// that is the default ("after"), in one run; 256 MB, bodies of 200 bytes, 50
-// destinations that are down. At full size:
+// Measures what a pending message costs with all messages in memory ("before") and with the
+// default limit on the messages in memory ("after"), at 256 MB of memory, with bodies of
+// 200 bytes and 50 destinations without endpoints. At full size:
 //
 //	go test ./internal/relay -run TestBacklogSlope -v -args -slope 1000,10000,100000,300000
 func TestBacklogSlope(t *testing.T) {
@@ -137,31 +140,31 @@
 	if out, err := exec.Command("go", "build", "-o", bin, "plovershore/cmd/relay").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	t.Logf("%-7s %8s %10s %14s %12s %12s %12s %10s", "", "held", "RSS MB", "RSS B/message", "µs admitted", "µs worked", "µs took", "ready ms")
+	t.Logf("%-7s %8s %10s %14s %12s %12s %12s %10s", "", "pending", "RSS MB", "RSS B/message", "µs CPU put", "µs CPU sent", "µs sent", "ready ms")
 	for size := range strings.SplitSeq(*slopeSizes, ",") {
 		n, err := strconv.Atoi(size)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, mode := range []string{"before", "after"} {
-			s := &slope{t: t, bin: bin, disc: oneElsewhere(t), ep: newFakeEndpoint(t, nil)}
-			env := backlogEnv(t, s.disc, 2048, 0)
+			run := &costRun{t: t, program: bin, disc: newDiscoveryWithOneMember(t), endpoint: newFakeEndpoint(t, nil)}
+			env := backlogEnv(t, run.disc, 2048, 0)
 			editConfig(t, env, `"memory_mb":192`, `"memory_mb":256`)
 			if mode == "after" {
 				editConfig(t, env, `"resident":0,`, ``)
 			}
-			s.c = &child{env: env}
-			s.start()
-			cpu0, rss0 := s.use()
-			s.hold(n)
-			cpu1, rss1 := s.use()
-			waitFor(t, "the figure", func() bool { return s.c.figure(t, "app_pending") == n })
-			s.c.kill()
-			ready := s.start()
-			cpu, took := s.workOff(n)
-			s.c.kill()
+			run.relay = &child{env: env}
+			run.start()
+			cpu0, rss0 := run.usage()
+			run.submit(n)
+			cpu1, rss1 := run.usage()
+			waitFor(t, "the count of pending messages", func() bool { return run.relay.metric(t, "app_pending") == n })
+			run.relay.kill()
+			ready := run.start()
+			cpu, elapsed := run.deliver(n)
+			run.relay.kill()
 			t.Logf("%-7s %8d %10.1f %14.0f %12.1f %12.1f %12.1f %10.0f", mode, n, float64(rss1)/1e6, float64(rss1-rss0)/float64(n),
-				float64((cpu1-cpu0).Microseconds())/float64(n), float64(cpu.Nanoseconds())/1e3, float64(took.Nanoseconds())/1e3, float64(ready.Microseconds())/1e3)
+				float64((cpu1-cpu0).Microseconds())/float64(n), float64(cpu.Nanoseconds())/1e3, float64(elapsed.Nanoseconds())/1e3, float64(ready.Microseconds())/1e3)
 			if t.Failed() {
 				return
 			}
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -15,7 +15,8 @@
 	"plovershore/policy"
 )
 
-func testSet(t *testing.T) *Config {
+// parseTestConfig returns a parsed configuration with testSettings.
+func parseTestConfig(t *testing.T) *Config {
 	t.Helper()
 	c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
 		testSettings+`}`), func(string) string { return "" })
@@ -25,25 +26,29 @@
 	return c
 }
 
+// newTestCall returns a call with one message that has no record, no endpoint and no transport.
 func newTestCall() *call {
 	ctx, stop := context.WithCancelCause(context.Background())
 	return &call{messages: []callMessage{{message: &message{}}}, ctx: ctx, cancel: stop}
 }
 
-// runOne makes a call that carries one message.
-func runOne(c *call, conns *http.Transport, addr string, rec *wal.Record, limit time.Duration) outcome {
-	return c.run(conns, addr, []*wal.Record{rec}, limit, nil)[0]
+// runSingleCall makes a call with a single message and returns its outcome.
+func runSingleCall(c *call, transport *http.Transport, addr string, rec *wal.Record, limit time.Duration) outcome {
+	return c.run(transport, addr, []*wal.Record{rec}, limit, nil)[0]
 }
 
-func testConns(t *testing.T, idle int) *http.Transport {
-	cfg := testSet(t)
-	return newTransport(cfg, idle, maxIdleTime(&cfg.Policy))
+// newTestTransport returns a transport with the test settings that keeps at most maxIdle idle
+// connections.
+func newTestTransport(t *testing.T, maxIdle int) *http.Transport {
+	cfg := parseTestConfig(t)
+	return newTransport(cfg, maxIdle, maxIdleTime(&cfg.Policy))
 }
 
-const testLimit = 20 * time.Second
+const testCallTimeout = 20 * time.Second
 
-// rawEndpoint serves connections by hand, for responses that no HTTP server sends.
-func rawEndpoint(t *testing.T, serve func(net.Conn)) string {
+// startRawEndpoint starts a TCP server that passes each connection to serve, for responses
+// that no HTTP server sends. It returns the address.
+func startRawEndpoint(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +67,7 @@
 	return ln.Addr().String()
 }
 
-// readCall reads one complete call.
+// readCall reads one HTTP request and reports whether it was complete.
 func readCall(in *bufio.Reader) bool {
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -72,118 +77,118 @@
 	return err == nil
 }
 
-// Each response to a single message maps to its outcome.
-func TestOutcomes(t *testing.T) {
-	say := func(text string) func(net.Conn) {
+// Each response to a call with a single message must give the outcome of the protocol.
+func TestSingleCallResponseMapsToOutcome(t *testing.T) {
+	respondWith := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
 			if readCall(bufio.NewReader(c)) {
 				io.WriteString(c, text)
 			}
 		}
 	}
-	for name, x := range map[string]struct {
-		serve   func(net.Conn)
-		what    policy.Outcome
-		wait    policy.Time
-		slots   bool
-		settled bool
+	for name, test := range map[string]struct {
+		serve              func(net.Conn)
+		wantKind           policy.Outcome
+		wantRetryAfter     policy.Time
+		wantCallsExhausted bool
+		wantFinal          bool
 	}{
-		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: policy.Delivered, settled: true},
-		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: policy.Delivered, settled: true},
-		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected, wait: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected},
-		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, slots: true},
-		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent},
-		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, settled: true},
-		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: policy.Errored},
-		"broken after":       {serve: say(""), what: policy.ConnectionReset},
-		"nonsense":           {serve: say("what?\r\n\r\n"), what: policy.Errored},
-		"garbled status":     {serve: say("HTTP/1.1 2x0 OK\r\n\r\n"), what: policy.Errored},
-		"200, head cut":      {serve: say("HTTP/1.1 200 OK\r\nContent-Le"), what: policy.Delivered, settled: true},
-		"200, head garbled":  {serve: say("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"), what: policy.Delivered, settled: true},
-		"500, head cut":      {serve: say("HTTP/1.1 500 E\r\nContent-Le"), what: policy.ConnectionReset},
-		"half a first line":  {serve: say("HTTP/1.1 200 O"), what: policy.ConnectionReset},
-		"half an answer":     {serve: say("HTTP/1.1 20"), what: policy.ConnectionReset},
-		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: policy.Delivered, settled: true},
+		"delivered":          {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), wantKind: policy.Delivered, wantFinal: true},
+		"200, body cut":      {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), wantKind: policy.Delivered, wantFinal: true},
+		"500":                {serve: respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Errored},
+		"429, wait":          {serve: respondWith("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Rejected, wantRetryAfter: 750000},
+		"503":                {serve: respondWith("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Rejected},
+		"503, slots taken":   {serve: respondWith("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.NotSent, wantCallsExhausted: true},
+		"504":                {serve: respondWith("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.NotSent},
+		"410":                {serve: respondWith("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.NotSent, wantFinal: true},
+		"unknown status":     {serve: respondWith("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Errored},
+		"redirect":           {serve: respondWith("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Errored},
+		"no response":        {serve: respondWith(""), wantKind: policy.ConnectionReset},
+		"not HTTP":           {serve: respondWith("what?\r\n\r\n"), wantKind: policy.Errored},
+		"garbled status":     {serve: respondWith("HTTP/1.1 2x0 OK\r\n\r\n"), wantKind: policy.Errored},
+		"200, head cut":      {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Le"), wantKind: policy.Delivered, wantFinal: true},
+		"200, head garbled":  {serve: respondWith("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"), wantKind: policy.Delivered, wantFinal: true},
+		"500, head cut":      {serve: respondWith("HTTP/1.1 500 E\r\nContent-Le"), wantKind: policy.ConnectionReset},
+		"half a status line": {serve: respondWith("HTTP/1.1 200 O"), wantKind: policy.ConnectionReset},
+		"half a status code": {serve: respondWith("HTTP/1.1 20"), wantKind: policy.ConnectionReset},
+		"100, then 200":      {serve: respondWith("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), wantKind: policy.Delivered, wantFinal: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conns := testConns(t, 2)
-			defer conns.CloseIdleConnections()
-			o := runOne(newTestCall(), conns, rawEndpoint(t, x.serve), &wal.Record{ID: "m", Key: "k", Body: []byte("b")}, testLimit)
-			if o.kind != x.what || o.retryAfter != x.wait || o.callsExhausted != x.slots || o.isFinal != x.settled {
+			transport := newTestTransport(t, 2)
+			defer transport.CloseIdleConnections()
+			o := runSingleCall(newTestCall(), transport, startRawEndpoint(t, test.serve), &wal.Record{ID: "m", Key: "k", Body: []byte("b")}, testCallTimeout)
+			if o.kind != test.wantKind || o.retryAfter != test.wantRetryAfter || o.callsExhausted != test.wantCallsExhausted || o.isFinal != test.wantFinal {
 				t.Errorf("got %+v", o)
 			}
 		})
 	}
 }
 
-// Only what certainly never ran is reported so: a refused connection never ran, but
-// after silence behind the last byte the message may have run.
-func TestOutcomesWithoutAnswer(t *testing.T) {
-	conns := testConns(t, 2)
+// A call may be reported as not run only if that is certain. A refused connection carried
+// nothing, but if the endpoint does not answer a sent call, the message may have run.
+func TestCallWithoutResponseMapsToOutcome(t *testing.T) {
+	transport := newTestTransport(t, 2)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := ln.Addr().String()
+	refusedAddr := ln.Addr().String()
 	ln.Close()
-	if o := runOne(newTestCall(), conns, refused, &wal.Record{ID: "m"}, testLimit); o.kind != policy.ConnectFailed {
-		t.Errorf("refused: %+v", o)
+	if o := runSingleCall(newTestCall(), transport, refusedAddr, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.ConnectFailed {
+		t.Errorf("refused connection: outcome %+v", o)
 	}
-	gone := make(chan struct{}, 2)
-	entered := make(chan struct{}, 2)
-	silent := rawEndpoint(t, func(c net.Conn) {
+	closedByCaller := make(chan struct{}, 2)
+	received := make(chan struct{}, 2)
+	silentAddr := startRawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		readCall(in)
-		entered <- struct{}{}
-		in.ReadByte() // until the caller closes
-		gone <- struct{}{}
+		received <- struct{}{}
+		in.ReadByte() // returns when the caller closes the connection
+		closedByCaller <- struct{}{}
 	})
-	if o := runOne(newTestCall(), conns, silent, &wal.Record{ID: "m"}, 50*time.Millisecond); o.kind != policy.TimedOut {
-		t.Errorf("silent: %+v", o)
+	if o := runSingleCall(newTestCall(), transport, silentAddr, &wal.Record{ID: "m"}, 50*time.Millisecond); o.kind != policy.TimedOut {
+		t.Errorf("endpoint that does not answer: outcome %+v", o)
 	}
-	<-entered
-	<-gone // giving up closes the connection
+	<-received
+	<-closedByCaller // the timeout must close the connection
 	c := newTestCall()
-	go func() { <-entered; c.cancel(errCancelled) }()
-	if o := runOne(c, conns, silent, &wal.Record{ID: "m"}, testLimit); o.kind != policy.Cancelled {
-		t.Errorf("cancelled: %+v", o)
+	go func() { <-received; c.cancel(errCancelled) }()
+	if o := runSingleCall(c, transport, silentAddr, &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.Cancelled {
+		t.Errorf("cancelled call: outcome %+v", o)
 	}
-	<-gone
+	<-closedByCaller
 }
 
-// A call whose response says 200 and never ends, in its header or in its body, is
-// delivered by its status line and gives its slot back.
-func TestAnswerThatNeverEnds(t *testing.T) {
+// A response with status 200 whose header or body never ends counts as delivered, and the
+// call must not keep its connection and call slot.
+func TestUnfinishedOKResponseCountsAsDelivered(t *testing.T) {
 	for name, text := range map[string]string{
-		"head": "HTTP/1.1 200 OK\r\nContent-",
-		"body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab",
-		"none": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab",
+		"header":              "HTTP/1.1 200 OK\r\nContent-",
+		"body":                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab",
+		"body without length": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab",
 	} {
 		t.Run(name, func(t *testing.T) {
-			ended := make(chan struct{})
-			addr := rawEndpoint(t, func(conn net.Conn) {
+			closed := make(chan struct{})
+			addr := startRawEndpoint(t, func(conn net.Conn) {
 				if readCall(bufio.NewReader(conn)) {
 					io.WriteString(conn, text)
-					io.Copy(io.Discard, conn) // until the relay lets go of it
+					io.Copy(io.Discard, conn) // returns when the relay closes the connection
 				}
-				close(ended)
+				close(closed)
 			})
-			conns := testConns(t, 2)
-			defer conns.CloseIdleConnections()
+			transport := newTestTransport(t, 2)
+			defer transport.CloseIdleConnections()
 			c, limit := newTestCall(), time.Hour
 			defer c.cancel(nil)
 			done := make(chan outcome, 1)
-			go func() { done <- runOne(c, conns, addr, &wal.Record{ID: "m"}, limit) }()
+			go func() { done <- runSingleCall(c, transport, addr, &wal.Record{ID: "m"}, limit) }()
 			waitFor(t, "the outcome", func() bool { return len(done) > 0 })
 			if o := <-done; o.kind != policy.Delivered || !o.isFinal {
 				t.Errorf("got %+v", o)
 			}
 			waitFor(t, "the end of the connection", func() bool {
 				select {
-				case <-ended:
+				case <-closed:
 					return true
 				default:
 					return false
@@ -193,112 +198,112 @@
 	}
 }
 
-// A batch goes on when one of its messages is dropped, since the others share its
-// connection; it ends when the last one is dropped.
-func TestDropFromBatch(t *testing.T) {
+// The call of a batch must go on when one of its messages is dropped, since the others share
+// it, and must be cancelled when the last one is dropped.
+func TestBatchIsCancelledOnlyWhenAllMessagesAreDropped(t *testing.T) {
 	a, b := &message{}, &message{}
 	c := newTestCall()
 	c.messages = []callMessage{{message: a}, {message: b}}
 	c.stage.Store(callWritten)
 	if c.dropMessage(a); c.ctx.Err() != nil {
-		t.Error("one message given up ended the call of another")
+		t.Error("dropping one message cancelled the call of the other")
 	}
 	if c.dropMessage(b); context.Cause(c.ctx) != errCancelled {
-		t.Errorf("nobody waits, and the call goes on: %v", context.Cause(c.ctx))
+		t.Errorf("all messages are dropped, but the call was not cancelled: %v", context.Cause(c.ctx))
 	}
 }
 
-// A connection that comes up after the latest time to send carries nothing, and the
-// call is reported as not sent.
-func TestLateConnectionCarriesNoRepeat(t *testing.T) {
+// If the connection of a call is established only after the latest time to send, nothing may
+// be sent, and the call must be reported as not sent.
+func TestConnectionAfterSendByTimeSendsNothing(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	conns := testConns(t, 2)
-	defer conns.CloseIdleConnections()
+	transport := newTestTransport(t, 2)
+	defer transport.CloseIdleConnections()
 	c := newTestCall()
 	c.sendBy = time.Now().Add(50 * time.Millisecond)
-	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := net.Dial(network, addr)
-		waitFor(t, "the end of the window", func() bool { return !time.Now().Before(c.sendBy) })
+		waitFor(t, "the latest time to send", func() bool { return !time.Now().Before(c.sendBy) })
 		return &endpointConn{Conn: conn}, err
 	}
-	if o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit); o.kind != policy.NotSent {
+	if o := runSingleCall(c, transport, ep.addr(), &wal.Record{ID: "m"}, testCallTimeout); o.kind != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
-	conns.CloseIdleConnections()
-	if n := ep.count("m"); n != 0 {
-		t.Errorf("the call went out %d times", n)
+	transport.CloseIdleConnections()
+	if n := ep.callCount("m"); n != 0 {
+		t.Errorf("the call was sent %d times, want 0", n)
 	}
 }
 
-// A call that waits for its connection when its endpoint begins to drain must not be
-// sent when the connection is up.
-func TestDrainStopsWaitingCall(t *testing.T) {
+// A call that still waits for its connection when its endpoint begins to drain must not be
+// sent once the connection is established.
+func TestDrainStopsOnlyCallsWaitingForConnection(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	dialing, release, up := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	conns := testConns(t, 2)
-	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialing, release, connected := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	transport := newTestTransport(t, 2)
+	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
-		defer close(up)
+		defer close(connected)
 		return net.Dial(network, addr)
 	}
-	defer conns.CloseIdleConnections()
+	defer transport.CloseIdleConnections()
 	c := newTestCall()
 	go func() { <-dialing; c.cancelIfWaiting(errEndpointDraining) }()
-	o := runOne(c, conns, ep.addr(), &wal.Record{ID: "m"}, testLimit)
-	if o.kind != policy.NotSent || o.latency > testLimit.Microseconds()/2 {
+	o := runSingleCall(c, transport, ep.addr(), &wal.Record{ID: "m"}, testCallTimeout)
+	if o.kind != policy.NotSent || o.latency > testCallTimeout.Microseconds()/2 {
 		t.Errorf("got %+v", o)
 	}
 	close(release)
-	<-up
-	conns.CloseIdleConnections()
-	if n := ep.count("m"); n != 0 {
-		t.Errorf("the call went out %d times", n)
+	<-connected
+	transport.CloseIdleConnections()
+	if n := ep.callCount("m"); n != 0 {
+		t.Errorf("the call was sent %d times, want 0", n)
 	}
-	// The drain may also begin just as the connection comes up.
-	late := newTestCall()
-	late.stage.Store(callStopped)
-	tr := testConns(t, 2)
-	defer tr.CloseIdleConnections()
-	if o := runOne(late, tr, ep.addr(), &wal.Record{ID: "late"}, testLimit); o.kind != policy.NotSent || ep.count("late") != 0 {
-		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
+	// The drain may also begin just when the connection is established.
+	stoppedCall := newTestCall()
+	stoppedCall.stage.Store(callStopped)
+	lateTransport := newTestTransport(t, 2)
+	defer lateTransport.CloseIdleConnections()
+	if o := runSingleCall(stoppedCall, lateTransport, ep.addr(), &wal.Record{ID: "late"}, testCallTimeout); o.kind != policy.NotSent || ep.callCount("late") != 0 {
+		t.Errorf("outcome %+v and %d calls, want not sent and no call", o, ep.callCount("late"))
 	}
-	// A call that is being sent is not stopped.
-	under := newTestCall()
-	under.stage.Store(callSending)
-	if under.cancelIfWaiting(errEndpointDraining); under.ctx.Err() != nil {
-		t.Error("a call with bytes under way was stopped")
+	// A call that is being sent must not be stopped.
+	sendingCall := newTestCall()
+	sendingCall.stage.Store(callSending)
+	if sendingCall.cancelIfWaiting(errEndpointDraining); sendingCall.ctx.Err() != nil {
+		t.Error("a call that is being sent was stopped")
 	}
 }
 
 // A call that waits for its connection must not carry a message that was completed
 // meanwhile. The others in it are reported as not sent and may be retried.
-func TestEndedMessageIsNotSent(t *testing.T) {
+func TestCompletedMessageIsNotSentByWaitingCall(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	dialing, release, up := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	conns := testConns(t, 2)
-	conns.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialing, release, connected := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	transport := newTestTransport(t, 2)
+	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
-		defer close(up)
+		defer close(connected)
 		return net.Dial(network, addr)
 	}
 	c := newTestCall()
-	over := &message{}
-	c.messages = []callMessage{{message: over}, {message: &message{}}}
-	go func() { <-dialing; c.dropMessage(over) }()
-	for _, o := range c.run(conns, ep.addr(), []*wal.Record{{ID: "over"}, {ID: "other"}}, testLimit, nil) {
-		if o.kind != policy.ConnectFailed || o.latency > testLimit.Microseconds()/2 {
+	completed := &message{}
+	c.messages = []callMessage{{message: completed}, {message: &message{}}}
+	go func() { <-dialing; c.dropMessage(completed) }()
+	for _, o := range c.run(transport, ep.addr(), []*wal.Record{{ID: "over"}, {ID: "other"}}, testCallTimeout, nil) {
+		if o.kind != policy.ConnectFailed || o.latency > testCallTimeout.Microseconds()/2 {
 			t.Errorf("got %+v", o)
 		}
 	}
 	close(release)
-	<-up
-	conns.CloseIdleConnections()
-	if n := ep.count("over"); n != 0 {
-		t.Errorf("it went out %d times", n)
+	<-connected
+	transport.CloseIdleConnections()
+	if n := ep.callCount("over"); n != 0 {
+		t.Errorf("the completed message was sent %d times, want 0", n)
 	}
-	// It may also be completed just as the connection comes up.
+	// It may also be completed just when the connection is established.
 	ctx, cancel := context.WithCancel(t.Context())
 	req, err := newCallRequest(ctx, ep.addr(), []*wal.Record{{ID: "over", Body: []byte("text")}}, time.Second)
 	if err != nil {
@@ -306,20 +311,20 @@
 	}
 	cancel()
 	if n, err := req.Body.Read(make([]byte, 8)); n != 0 || err == nil {
-		t.Errorf("%d bytes of a stopped call are written, %v", n, err)
+		t.Errorf("%d bytes of a cancelled call were sent, error %v", n, err)
 	}
 }
 
-// A Retry-After stops calls to the same destination that still wait for their
-// connection. Calls elsewhere, and those being sent already, go on.
-func TestToldWaitStopsWaitingCalls(t *testing.T) {
+// A Retry-After must stop the calls to the same destination that still wait for their
+// connection. Calls to other destinations, and calls that are being sent, must go on.
+func TestRetryAfterStopsWaitingCallsToDestination(t *testing.T) {
 	r := newTestRelay(t)
-	add := func(id string, cell int) *endpoint {
+	addEndpoint := func(id string, cell int) *endpoint {
 		r.updateMember(&discovery.Member{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: cell, Phase: discovery.Up})
 		return r.endpoints.byID[id]
 	}
-	one, twin, other := add("one", 1), add("twin", 1), add("other", 2)
-	begin := func(ep *endpoint, stage int32) *call {
+	rejecting, sameDest, otherDest := addEndpoint("one", 1), addEndpoint("twin", 1), addEndpoint("other", 2)
+	startCall := func(ep *endpoint, stage int32) *call {
 		m := r.newMessage(&wal.Record{ID: fmt.Sprint(len(r.messages.byNumber)), Class: "plain", Dest: ep.cell})
 		c := newTestCall()
 		c.endpoint, c.transport, c.messages = ep, ep.transport, []callMessage{{message: m}}
@@ -327,21 +332,22 @@
 		ep.calls[c] = true
 		return c
 	}
-	told := begin(one, callWritten)
-	calls := map[*call]bool{begin(one, callWaiting): true, begin(twin, callWaiting): true,
-		begin(one, callSending): false, begin(other, callWaiting): false}
-	r.finishCall(told, []outcome{{kind: policy.Rejected, status: http.StatusTooManyRequests, retryAfter: 600e6}})
+	rejectedCall := startCall(rejecting, callWritten)
+	calls := map[*call]bool{startCall(rejecting, callWaiting): true, startCall(sameDest, callWaiting): true,
+		startCall(rejecting, callSending): false, startCall(otherDest, callWaiting): false}
+	r.finishCall(rejectedCall, []outcome{{kind: policy.Rejected, status: http.StatusTooManyRequests, retryAfter: 600e6}})
 	for c, stopped := range calls {
 		if got := c.ctx.Err() != nil; got != stopped || got && c.classifyError(c.ctx, nil) != policy.NotSent {
-			t.Errorf("%s, stage %d: stopped %v", c.endpoint.id, c.stage.Load(), got)
+			t.Errorf("call to %s in stage %d: stopped %v", c.endpoint.id, c.stage.Load(), got)
 		}
 	}
-	// A batch that the policy sent before the Retry-After, whose client is acknowledged only now.
-	late := r.newMessage(&wal.Record{ID: "late", Class: "plain", Dest: 1})
-	late.isAcknowledged = true
-	b := &batch{endpoint: twin, sends: []send{{message: late, timeoutAt: r.clock.now() + 900e6}}}
-	late.pendingBatch = b
-	if r.startBatch(b); late.call != nil || len(twin.calls) != 1 {
-		t.Error("a call begins under the wait")
+	// The policy sent this batch before the Retry-After arrived, but its call starts only now, as
+	// its message was not acknowledged before.
+	lateMessage := r.newMessage(&wal.Record{ID: "late", Class: "plain", Dest: 1})
+	lateMessage.isAcknowledged = true
+	b := &batch{endpoint: sameDest, sends: []send{{message: lateMessage, timeoutAt: r.clock.now() + 900e6}}}
+	lateMessage.pendingBatch = b
+	if r.startBatch(b); lateMessage.call != nil || len(sameDest.calls) != 1 {
+		t.Error("a call was started during the Retry-After time")
 	}
 }
--- a/internal/relay/client_connection_test.go
+++ b/internal/relay/client_connection_test.go
@@ -11,50 +11,50 @@
 	"time"
 )
 
-// A connection is closed only between requests; one with a request in progress closes
+// A drain closes an idle connection at once and a connection with a request in progress
 // after its response.
-func TestCloseBetweenRequests(t *testing.T) {
-	got := make(chan *putRequest, 1)
-	c, addr, _ := serveClients(t, func(q *putRequest) { got <- q })
-	idle, busyOne := dialClient(t, addr), dialClient(t, addr)
+func TestDrainClosesConnectionsBetweenRequests(t *testing.T) {
+	requests := make(chan *putRequest, 1)
+	c, addr, _ := serveClients(t, func(request *putRequest) { requests <- request })
+	idle, busy := dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
-	idle.line()
-	io.WriteString(busyOne, putText("m", fields("plain", 8000, 1), nil))
-	q := <-got
+	idle.readLine()
+	io.WriteString(busy, putCommand("m", putFields("plain", 8000, 1), nil))
+	request := <-requests
 	c.drainConnections()
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("idle: %v", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	q.respond(responseOK)
-	if s := busyOne.line(); s != "+OK" {
-		t.Errorf("answer %q", s)
+	request.respond(responseOK)
+	if s := busy.readLine(); s != "+OK" {
+		t.Errorf("response %q", s)
 	}
-	if _, err := busyOne.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after its answer: %v", err)
+	if _, err := busy.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after the response: %v, want EOF", err)
 	}
 }
 
-// A connection that is evicted just as a request begins answers it and then closes,
-// since it has no slot any more.
-func TestReleaseAsRequestBegins(t *testing.T) {
-	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
-	near, far := net.Pipe()
-	defer far.Close()
-	cc := &clientConn{Conn: near}
+// A connection that is evicted just when a request begins must answer it and then be closed,
+// since it no longer counts towards the connection limit.
+func TestEvictedConnectionClosesAfterRequest(t *testing.T) {
+	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
+	relaySide, clientSide := net.Pipe()
+	defer clientSide.Close()
+	cc := &clientConn{Conn: relaySide}
 	c.conns[cc] = true
 	c.evictConnection()
 	c.beginRequest(cc)
 	c.finishCommandRead(cc)
 	c.finishRequest(cc)
-	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("it stays open and is counted no longer: %v", err)
+	if _, err := relaySide.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the evicted connection is not closed after its request: %v", err)
 	}
 }
 
-// A request that has arrived when the wait for it ends is answered before the
-// connection is closed.
-func TestReleasedUnheard(t *testing.T) {
-	c := newClientServer(testSet(t), quietLog(), accept, func(*putRequest, bool) {})
+// A request that has arrived but was not read yet when the drain begins must be answered
+// before its connection is closed.
+func TestUnreadRequestIsAnsweredBeforeDrainCloses(t *testing.T) {
+	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -67,40 +67,40 @@
 	}
 	cc := &clientConn{Conn: conn}
 	c.conns[cc] = true
-	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
-	waitFor(t, "the request", func() bool { return hasUnreadBytes(conn) })
-	c.drainConnections() // the reader has not begun
+	io.WriteString(cl, putCommand("m", putFields("plain", 8000, 1), nil))
+	waitFor(t, "the arrival of the request", func() bool { return hasUnreadBytes(conn) })
+	c.drainConnections() // the connection is not served yet
 	go func() { c.serveConnection(cc); conn.Close() }()
-	if s := cl.line(); s != "+OK" {
-		t.Errorf("answer %q", s)
+	if s := cl.readLine(); s != "+OK" {
+		t.Errorf("response %q", s)
 	}
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the answer: %v", err)
+		t.Errorf("after the response: %v, want EOF", err)
 	}
 }
 
-// crossing is the server's side of a connection on which bytes arrive at the moment
-// in which it is shut down or closed.
-type crossing struct {
+// crossingConn is the relay's side of a connection. Just before the relay shuts it down or
+// closes it, bytes of the client arrive.
+type crossingConn struct {
 	*net.TCPConn
-	cross func() // sends them, and returns once they are there
+	sendBytes func() // sends the client's bytes and returns once they have arrived
 }
 
-func (c *crossing) CloseWrite() error {
-	c.cross()
+func (c *crossingConn) CloseWrite() error {
+	c.sendBytes()
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *crossing) Close() error {
-	c.cross()
+func (c *crossingConn) Close() error {
+	c.sendBytes()
 	return c.TCPConn.Close()
 }
 
-// serveCrossing serves one connection whose client sends text just as the relay
-// closes it.
+// serveCrossing serves one connection whose client sends text at the moment at which the
+// relay closes it.
 func serveCrossing(t *testing.T, put func(*putRequest), text string) (*clientServer, *testClient) {
 	t.Helper()
-	c := newClientServer(testSet(t), quietLog(), put, func(*putRequest, bool) {})
+	c := newClientServer(parseTestConfig(t), discardLog(), put, func(*putRequest, bool) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -111,68 +111,68 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &crossing{TCPConn: conn.(*net.TCPConn)}
-	x.cross = sync.OnceFunc(func() {
+	crossing := &crossingConn{TCPConn: conn.(*net.TCPConn)}
+	crossing.sendBytes = sync.OnceFunc(func() {
 		io.WriteString(cl, text)
-		waitFor(t, "the crossing bytes", func() bool { return hasUnreadBytes(x.TCPConn) })
+		waitFor(t, "the arrival of the client's bytes", func() bool { return hasUnreadBytes(crossing.TCPConn) })
 	})
-	c.startConnection(x)
+	c.startConnection(crossing)
 	return c, cl
 }
 
-// Requests that a client sends while the relay closes the connection are dropped and
-// do not reset it: the response to the one before arrives.
-func TestAnswerOutlivesClose(t *testing.T) {
-	var taken atomic.Int32
-	got := make(chan *putRequest, 2)
-	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); got <- q },
-		putText("b", fields("plain", 8000, 1), nil)+putText("c", fields("plain", 8000, 1), make([]byte, maxBodyBytes)))
-	io.WriteString(cl, putText("a", fields("plain", 8000, 1), nil))
-	q := <-got
+// Requests that arrive while the relay closes the connection are dropped. They must not
+// reset the connection, so that the client still gets the response to its first request.
+func TestPipelinedRequestsDuringCloseDoNotResetResponse(t *testing.T) {
+	var requestCount atomic.Int32
+	requests := make(chan *putRequest, 2)
+	c, cl := serveCrossing(t, func(request *putRequest) { requestCount.Add(1); requests <- request },
+		putCommand("b", putFields("plain", 8000, 1), nil)+putCommand("c", putFields("plain", 8000, 1), make([]byte, maxBodyBytes)))
+	io.WriteString(cl, putCommand("a", putFields("plain", 8000, 1), nil))
+	request := <-requests
 	c.drainConnections()
-	q.respond(responseOK)
-	if s := cl.line(); s != "+OK" {
-		t.Errorf("answer %q", s)
+	request.respond(responseOK)
+	if s := cl.readLine(); s != "+OK" {
+		t.Errorf("response %q", s)
 	}
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the answer: %v, want an end and no reset", err)
+		t.Errorf("after the response: %v, want EOF and no reset", err)
 	}
 	cl.Close()
 	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
-	if n := taken.Load(); n != 1 {
-		t.Errorf("%d requests taken, want the first alone", n)
+	if n := requestCount.Load(); n != 1 {
+		t.Errorf("%d requests were passed to the relay, want only the first", n)
 	}
 }
 
-// A request that crosses the close of an idle connection is dropped whole; its client
-// sees the end of the stream and no reset.
-func TestRequestCrossesClose(t *testing.T) {
-	var taken atomic.Int32
-	c, cl := serveCrossing(t, func(q *putRequest) { taken.Add(1); accept(q) }, putText("b", fields("plain", 8000, 1), nil))
-	if s := cl.put("a", fields("plain", 8000, 1), nil); s != "+OK" {
+// A request that arrives while the relay closes its idle connection is dropped as a whole.
+// The client must see the end of the stream and no reset.
+func TestRequestDuringIdleCloseIsDroppedWithoutReset(t *testing.T) {
+	var requestCount atomic.Int32
+	c, cl := serveCrossing(t, func(q *putRequest) { requestCount.Add(1); accept(q) }, putCommand("b", putFields("plain", 8000, 1), nil))
+	if s := cl.put("a", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	c.drainConnections()
 	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("%v, want an end and no reset", err)
+		t.Errorf("%v, want EOF and no reset", err)
 	}
 	cl.Close()
 	waitFor(t, "the end of the connection", func() bool { return c.connectionCount() == 0 })
-	if n := taken.Load(); n != 1 {
-		t.Errorf("%d requests taken, want the first alone", n)
+	if n := requestCount.Load(); n != 1 {
+		t.Errorf("%d requests were passed to the relay, want only the first", n)
 	}
 }
 
-// Closing the server closes connections in every state and waits for their
-// goroutines: an idle one, one that waits for a response, and one that was evicted
-// within a command. A connection that is accepted later is closed unread.
-func TestServerClose(t *testing.T) {
+// Closing the server must close connections in every state and wait for their goroutines: an
+// idle one, one that waits for a response, and one that was evicted within a command. A
+// connection that is accepted later must be closed without reading from it.
+func TestServerCloseClosesConnectionsInEveryState(t *testing.T) {
 	submitted := make(chan *putRequest, 1)
 	c, addr, _ := serveClients(t, func(q *putRequest) { submitted <- q })
 	idle, waiting, evicted := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
-	idle.line()
-	io.WriteString(waiting, putText("m", fields("plain", 8000, 1), nil))
+	idle.readLine()
+	io.WriteString(waiting, putCommand("m", putFields("plain", 8000, 1), nil))
 	<-submitted
 	io.WriteString(evicted, "*5\r\n$7\r\nMSG")
 	waitFor(t, "the beginning of the command", func() bool {
--- a/internal/relay/connectfault_test.go
+++ b/internal/relay/connectfault_test.go
@@ -13,12 +13,13 @@
 	"plovershore/internal/loopback"
 )
 
-// connectFaultEnv names a file to a child relay: while the file exists, connects to
-// endpoints fail with the error whose number it holds.
+// connectFaultEnv is the environment variable with the path of a fault file. While that file
+// exists, a child relay's connects to endpoints fail with the error number in the file.
 const connectFaultEnv = "RELAY_TEST_CONNECT_FAULT"
 
+// faultyConnect returns a hook that fails while the fault file at path exists.
 func faultyConnect(path string) ConnectHook {
-	fault := faultIn(path)
+	fault := faultFromFile(path)
 	return func(string, string, syscall.RawConn) error {
 		if err := fault(); err != nil {
 			return os.NewSyscallError("connect", err)
@@ -27,63 +28,64 @@
 	}
 }
 
-// While this machine can open no connection, no message uses up its attempts and no
-// endpoint is blamed; all are sent soon after it can again.
-func TestConnectFailsForAWhile(t *testing.T) {
+// While the machine itself cannot open connections, messages must not use up their attempts
+// and endpoints must not count as failing. All messages must be sent within 2 s after
+// connecting works again.
+func TestLocalConnectFailureUsesNoAttempts(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.ENOBUFS, syscall.ENETUNREACH} {
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
 			disc := discoverytest.New(t, ep.member("s-1", 1))
-			env := testConfig(t, disc, 3)
-			connects := newFaultSwitch(t, env, connectFaultEnv)
-			connects.set(fault)
-			c := spawnTo(t, env, io.Discard)
-			c.ready(t)
+			env := writeTestConfig(t, disc, 3)
+			connectFault := newFaultSwitch(t, env, connectFaultEnv)
+			connectFault.set(fault)
+			c := spawnWithLog(t, env, io.Discard)
+			c.waitReady(t)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
 			var ids []string
 			for i := range 6 {
 				ids = append(ids, fmt.Sprint("m", i))
-				if s := cl.put(ids[i], fields([]string{"plain", "once", "keyed"}[i%3], 20000, 1), nil); s != "+OK" {
+				if s := cl.put(ids[i], putFields([]string{"plain", "once", "keyed"}[i%3], 20000, 1), nil); s != "+OK" {
 					t.Fatalf("%s: %s", ids[i], s)
 				}
 			}
-			time.Sleep(1500 * time.Millisecond) // the machine is without for that long
-			connects.clear()
+			time.Sleep(1500 * time.Millisecond) // how long connecting fails
+			connectFault.clear()
 			cleared := time.Now()
 			for _, id := range ids {
-				for time.Since(cleared) < 2*time.Second && !ep.answered(id) {
+				for time.Since(cleared) < 2*time.Second && !ep.answeredOK(id) {
 					time.Sleep(2 * time.Millisecond)
 				}
-				if n, ended := disc.Notice(id); ep.count(id) != 1 || ended {
-					t.Errorf("%s: %d calls, notice %q", id, ep.count(id), n.Outcome)
+				if n, ended := disc.Notice(id); ep.callCount(id) != 1 || ended {
+					t.Errorf("%s: %d calls, notice %q", id, ep.callCount(id), n.Outcome)
 				}
 			}
 		})
 	}
 }
 
-// A start waits a little for listen addresses that are taken, and is ready once they
-// are free.
-func TestStartWhileAddressesAreTaken(t *testing.T) {
-	env := testConfig(t, discoverytest.New(t), 3)
+// A relay that starts while its listen addresses are in use waits for them for a short time,
+// and becomes ready once they are free.
+func TestStartWaitsForListenAddresses(t *testing.T) {
+	env := writeTestConfig(t, discoverytest.New(t), 3)
 	env["ROUTER_OPERATOR"] = loopback.Free()
-	var taken []net.Listener
+	var listeners []net.Listener
 	for _, name := range []string{"ROUTER_LISTEN", "ROUTER_OPERATOR"} {
 		ln, err := net.Listen("tcp", env[name])
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken = append(taken, ln)
+		listeners = append(listeners, ln)
 	}
-	c := spawnTo(t, env, io.Discard)
-	for _, ln := range taken {
+	c := spawnWithLog(t, env, io.Discard)
+	for _, ln := range listeners {
 		time.Sleep(400 * time.Millisecond)
 		ln.Close()
 	}
-	if c.exited() {
-		t.Fatal("it ended")
+	if c.hasExited() {
+		t.Fatal("the relay ended while its addresses were in use")
 	}
-	c.ready(t)
-	waitFor(t, "a yes", func() bool { return c.says(true) })
+	c.waitReady(t)
+	waitFor(t, "readiness", func() bool { return c.readyzIs(true) })
 }
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -21,53 +21,53 @@
 	"plovershore/internal/wal"
 )
 
-// gate forwards connections to a server from an address of its own, and refuses them
-// while it is shut.
-type gate struct {
-	addr, to string
-	mu       sync.Mutex
-	listener net.Listener
-	conns    map[net.Conn]bool
+// tcpProxy forwards the connections to its own address to a server, and refuses them while
+// it is closed.
+type tcpProxy struct {
+	addr, target string
+	mu           sync.Mutex
+	listener     net.Listener
+	conns        map[net.Conn]bool
 }
 
-func newGate(t *testing.T, to string) *gate {
-	g := &gate{addr: loopback.Free(), to: to, conns: map[net.Conn]bool{}}
-	g.open(t)
-	t.Cleanup(g.shut)
+func newTCPProxy(t *testing.T, to string) *tcpProxy {
+	g := &tcpProxy{addr: loopback.Free(), target: to, conns: map[net.Conn]bool{}}
+	g.listen(t)
+	t.Cleanup(g.close)
 	return g
 }
 
-func (g *gate) open(t *testing.T) {
+func (p *tcpProxy) listen(t *testing.T) {
 	t.Helper()
-	listener, err := net.Listen("tcp", g.addr)
+	listener, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.mu.Lock()
-	g.listener = listener
-	g.mu.Unlock()
+	p.mu.Lock()
+	p.listener = listener
+	p.mu.Unlock()
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go g.pass(conn)
+			go p.forward(conn)
 		}
 	}()
 }
 
-// pass forwards one connection.
-func (g *gate) pass(from net.Conn) {
+// forward copies the data of one connection in both directions until it ends.
+func (p *tcpProxy) forward(from net.Conn) {
 	defer from.Close()
-	to, err := net.Dial("tcp", g.to)
+	to, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
 	defer to.Close()
-	g.mu.Lock()
-	g.conns[from], g.conns[to] = true, true
-	g.mu.Unlock()
+	p.mu.Lock()
+	p.conns[from], p.conns[to] = true, true
+	p.mu.Unlock()
 	go func() {
 		io.Copy(to, from)
 		to.Close()
@@ -75,60 +75,63 @@
 	io.Copy(from, to)
 }
 
-// shut refuses connections and ends those that are open.
-func (g *gate) shut() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.listener.Close()
-	for conn := range g.conns {
+// close stops listening and closes the open connections.
+func (p *tcpProxy) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.listener.Close()
+	for conn := range p.conns {
 		conn.Close()
 	}
-	clear(g.conns)
+	clear(p.conns)
 }
 
-// crowd is a set of idle clients that connect again as soon as they are disconnected.
-type crowd struct {
-	stop  atomic.Bool
-	came  atomic.Int64 // connections made
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	wait  sync.WaitGroup
+// reconnectingClients is a set of idle clients that connect again as soon as they are
+// disconnected.
+type reconnectingClients struct {
+	stopping atomic.Bool
+	connects atomic.Int64 // number of connections that were made
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	running  sync.WaitGroup
 }
 
-// newCrowd has size clients open a connection each: some send nothing, some PING, some
-// submit a message and stay idle, some begin a command.
-func newCrowd(addr string, size int) *crowd {
-	c := &crowd{conns: map[net.Conn]bool{}}
-	says := []string{"", "*1\r\n$4\r\nPING\r\n", "put", "*5\r\n$7\r\nMSG"}
-	for i := range size {
-		c.wait.Add(1)
+// startReconnectingClients starts count clients that open one connection each. A fourth of them
+// send nothing, a fourth send PING, a fourth submit a message and stay idle, and a fourth
+// send the beginning of a command.
+func startReconnectingClients(addr string, count int) *reconnectingClients {
+	c := &reconnectingClients{conns: map[net.Conn]bool{}}
+	texts := []string{"", "*1\r\n$4\r\nPING\r\n", "put", "*5\r\n$7\r\nMSG"}
+	for i := range count {
+		c.running.Add(1)
 		go func() {
-			defer c.wait.Done()
-			for n := 0; !c.stop.Load(); n++ {
-				text := says[i%len(says)]
-				if text == "put" && n%32 > 0 { // clients rest more than they hand in
-					text = says[1]
+			defer c.running.Done()
+			for round := 0; !c.stopping.Load(); round++ {
+				text := texts[i%len(texts)]
+				if text == "put" && round%32 > 0 { // most connections stay idle without submitting a message
+					text = texts[1]
 				} else if text == "put" {
-					text = putText(fmt.Sprintf("crowd-%d-%d", i, n), fields("plain", 20000, 7), nil)
+					text = putCommand(fmt.Sprintf("crowd-%d-%d", i, round), putFields("plain", 20000, 7), nil)
 				}
-				c.rest(addr, text)
+				c.holdConnection(addr, text)
 			}
 		}()
 	}
 	return c
 }
 
-// rest holds one connection until the relay ends it.
-func (c *crowd) rest(addr, text string) {
+// holdConnection opens a connection, sends text and waits until the relay closes the
+// connection.
+func (c *reconnectingClients) holdConnection(addr, text string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
 	}
-	c.came.Add(1)
+	c.connects.Add(1)
 	c.mu.Lock()
 	c.conns[conn] = true
 	c.mu.Unlock()
-	if !c.stop.Load() {
+	if !c.stopping.Load() {
 		io.WriteString(conn, text)
 		io.Copy(io.Discard, conn)
 	}
@@ -138,20 +141,21 @@
 	c.mu.Unlock()
 }
 
-func (c *crowd) end() {
-	c.stop.Store(true)
+// close disconnects all clients and waits for their goroutines.
+func (c *reconnectingClients) close() {
+	c.stopping.Store(true)
 	c.mu.Lock()
 	for conn := range c.conns {
 		conn.Close()
 	}
 	c.mu.Unlock()
-	c.wait.Wait()
+	c.running.Wait()
 }
 
-// lockedBuffer keeps what a process logs; it is safe for concurrent use.
+// lockedBuffer stores the log output of a process; it is safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
-	text bytes.Buffer // no embedding: a copy into its own ReadFrom would go past the lock
+	text bytes.Buffer // not embedded: io.Copy would call its ReadFrom without the lock
 }
 
 func (b *lockedBuffer) Write(p []byte) (int, error) {
@@ -160,20 +164,20 @@
 	return b.text.Write(p)
 }
 
-// all returns what was logged so far.
-func (b *lockedBuffer) all() string {
+// content returns the output so far.
+func (b *lockedBuffer) content() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-func (b *lockedBuffer) count(text string) int {
+func (b *lockedBuffer) occurrences(text string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Count(b.text.String(), text)
 }
 
-// spawnLimited starts a relay with a limit on descriptors.
+// spawnLimited starts a relay with a limit on its number of file descriptors.
 func spawnLimited(t *testing.T, env map[string]string, w io.Writer, descriptors int) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors), os.Args[0]), env: env}
@@ -181,50 +185,50 @@
 	return c
 }
 
-// descriptors counts the open descriptors of a relay.
-func (c *child) descriptors() int {
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
+// descriptorCount returns the number of open file descriptors of a relay.
+func (c *child) descriptorCount() int {
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	return len(all)
+	return len(entries)
 }
 
-// logFiles lists the files of a relay's log.
-func logFiles(t *testing.T, env map[string]string) string {
+// logFileNames returns the names of the files of a relay's log, separated by spaces.
+func logFileNames(t *testing.T, env map[string]string) string {
 	t.Helper()
-	all, err := os.ReadDir(filepath.Join(env["ROUTER_STATE"], wal.FolderName))
+	entries, err := os.ReadDir(filepath.Join(env["ROUTER_STATE"], wal.FolderName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var names []string
-	for _, f := range all {
+	for _, f := range entries {
 		names = append(names, f.Name())
 	}
 	return strings.Join(names, " ")
 }
 
-// Idle clients that take every descriptor they can while discovery is down do not stop
-// the relay: calls go on, the log grows into new files, the operator address answers,
-// notices are sent and the list is watched again once discovery is back. A new
-// connection may be closed unread.
-func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
-	const descriptors = 96
+// Idle clients that open as many connections as the descriptor limit allows, while
+// discovery is down, must not stop the relay: it makes calls, adds files to its log and
+// answers at the operator address, and once discovery is back it sends notices and watches
+// the list again. The relay may close a new connection without reading from it.
+func TestRelayWorksWhileIdleClientsExhaustDescriptors(t *testing.T) {
+	const descriptorLimit = 96
 	ep := newFakeEndpoint(t, nil)
-	failing := newFakeEndpoint(t, status(http.StatusInternalServerError))
+	failing := newFakeEndpoint(t, answerStatus(http.StatusInternalServerError))
 	disc := discoverytest.New(t, ep.member("s-1", 7), failing.member("s-2", 2))
-	g := newGate(t, disc.Addr())
-	env := testConfig(t, disc, 3)
-	env["ROUTER_DISCOVERY"], env["ROUTER_OPERATOR"] = g.addr, loopback.Free()
-	editConfig(t, env, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors))
+	discoveryProxy := newTCPProxy(t, disc.Addr())
+	env := writeTestConfig(t, disc, 3)
+	env["ROUTER_DISCOVERY"], env["ROUTER_OPERATOR"] = discoveryProxy.addr, loopback.Free()
+	editConfig(t, env, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptorLimit))
 	log := &lockedBuffer{}
-	c := spawnLimited(t, env, log, descriptors)
-	c.ready(t)
-	waitFor(t, "the watch", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) == 1 })
-	g.shut()
-	cr := newCrowd(c.env["ROUTER_LISTEN"], 3*descriptors)
-	defer cr.end()
-	most := atomic.Int64{}
+	c := spawnLimited(t, env, log, descriptorLimit)
+	c.waitReady(t)
+	waitFor(t, "the first watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) == 1 })
+	discoveryProxy.close()
+	idleClients := startReconnectingClients(c.env["ROUTER_LISTEN"], 3*descriptorLimit)
+	defer idleClients.close()
+	maxDescriptors := atomic.Int64{}
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -233,55 +237,55 @@
 			case <-done:
 				return
 			case <-time.After(time.Millisecond):
-				most.Store(max(most.Load(), int64(c.descriptors())))
+				maxDescriptors.Store(max(maxDescriptors.Load(), int64(c.descriptorCount())))
 			}
 		}
 	}()
-	waitFor(t, "the crowd", func() bool { return cr.came.Load() > 10*descriptors })
-	began := logFiles(t, env)
+	waitFor(t, "the connections of the idle clients", func() bool { return idleClients.connects.Load() > 10*descriptorLimit })
+	filesBefore := logFileNames(t, env)
 	body := bytes.Repeat([]byte("b"), 32<<10)
-	taken, tries := 0, 0
-	handIn := func(id, fields string) bool { // as a client does: what is shut unread comes again
+	accepted, attempts := 0, 0
+	submit := func(id, fields string) bool { // the caller submits again after a connection that was closed unread, as a client does
 		conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 		if err != nil {
 			return false
 		}
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(time.Second))
-		io.WriteString(conn, putText(id, fields, body))
+		io.WriteString(conn, putCommand(id, fields, body))
 		reply := make([]byte, 3)
 		io.ReadFull(conn, reply)
 		return string(reply) == "+OK"
 	}
-	for taken < 60 { // two megabytes: the log goes on into new files
-		id := fmt.Sprintf("m%d", taken)
-		f := fields("plain", 20000, 7)
-		if taken == 30 {
-			id, f = "failed", fields("once", 20000, 2)
+	for accepted < 60 { // 2 MB in all, so that the log needs new files
+		id := fmt.Sprintf("m%d", accepted)
+		f := putFields("plain", 20000, 7)
+		if accepted == 30 {
+			id, f = "failed", putFields("once", 20000, 2)
 		}
-		waitFor(t, id+" is taken on", func() bool { tries++; return handIn(id, f) })
-		taken++
+		waitFor(t, id+" to be accepted", func() bool { attempts++; return submit(id, f) })
+		accepted++
 		if id != "failed" {
-			waitFor(t, "the call of "+id, func() bool { return ep.count(id) >= 1 })
+			waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) >= 1 })
 		}
 	}
-	waitFor(t, "a new file of the log", func() bool { return logFiles(t, env) != began })
-	waitFor(t, "the operators' answer", func() bool { return c.says(true) })
+	waitFor(t, "a new log file", func() bool { return logFileNames(t, env) != filesBefore })
+	waitFor(t, "readiness at the operator address", func() bool { return c.readyzIs(true) })
 	disc.Mu.Lock()
-	before := len(disc.Froms)
+	watchesBefore := len(disc.Froms)
 	disc.Mu.Unlock()
-	_, early := disc.Notice("failed")
-	g.open(t)
-	back := time.Now()
-	waitFor(t, "the watch", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) > before })
-	heard := time.Since(back)
+	_, isNoticedEarly := disc.Notice("failed")
+	discoveryProxy.listen(t)
+	reopenedAt := time.Now()
+	waitFor(t, "a new watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) > watchesBefore })
+	watchDelay := time.Since(reopenedAt)
 	waitFor(t, "the notice", func() bool { n, ok := disc.Notice("failed"); return ok && n.Outcome == discovery.Failed })
-	t.Logf("%d connections came, %d of %d tries taken on, up to %d descriptors of %d; heard after %v, told after %v",
-		cr.came.Load(), taken, tries, most.Load(), descriptors, heard, time.Since(back))
-	if early {
-		t.Error("the notice was taken while discovery was down: nothing is tested")
+	t.Logf("%d connections by idle clients; %d messages accepted in %d tries; up to %d of %d descriptors; after the return of discovery: watch after %v, notice after %v",
+		idleClients.connects.Load(), accepted, attempts, maxDescriptors.Load(), descriptorLimit, watchDelay, time.Since(reopenedAt))
+	if isNoticedEarly {
+		t.Error("discovery received the notice while it was down, so the test proves nothing")
 	}
-	if n := log.count("too many open files"); n > 0 {
-		t.Errorf("out of descriptors %d times", n)
+	if n := log.occurrences("too many open files"); n > 0 {
+		t.Errorf("the relay ran out of descriptors %d times", n)
 	}
 }
--- a/internal/relay/diskfault_test.go
+++ b/internal/relay/diskfault_test.go
@@ -17,21 +17,23 @@
 	"plovershore/internal/wal"
 )
 
-// diskFaultEnv names a file to a child relay: as long as that is there, all that the
-// log writes fails with the error whose number stands in it.
+// diskFaultEnv is the environment variable with the path of a fault file. While that file
+// exists, all writes of a child relay's log fail with the error number in the file.
 const diskFaultEnv = "RELAY_TEST_DISK_FAULT"
 
-// faultyDisk is the machine's file system, with failures of what writes.
+// faultyDisk is the file system of the machine, on which writing operations fail while fault
+// returns an error.
 type faultyDisk struct {
 	wal.OS
 	fault func() error
 }
 
-// newFaultyDisk fails as a file says.
-func newFaultyDisk(path string) faultyDisk { return faultyDisk{fault: faultIn(path)} }
+// newFaultyDisk returns a file system that fails while the fault file at path exists.
+func newFaultyDisk(path string) faultyDisk { return faultyDisk{fault: faultFromFile(path)} }
 
-// faultIn gives the error whose number stands in a file, as long as that is there.
-func faultIn(path string) func() error {
+// faultFromFile returns a function that returns the error whose number is in the fault file
+// at path, or nil if there is no file.
+func faultFromFile(path string) func() error {
 	return func() error {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -39,19 +41,19 @@
 		}
 		var number int
 		if _, err := fmt.Sscan(string(text), &number); err != nil {
-			return nil // it is just being written
+			return nil // the test is just writing the file
 		}
 		return syscall.Errno(number)
 	}
 }
 
-func (d faultyDisk) Open(name string, how wal.Mode) (wal.File, error) {
-	if how == wal.ModeCreate {
+func (d faultyDisk) Open(name string, mode wal.Mode) (wal.File, error) {
+	if mode == wal.ModeCreate {
 		if err := d.fault(); err != nil {
 			return nil, &os.PathError{Op: "open", Path: name, Err: err}
 		}
 	}
-	f, err := d.OS.Open(name, how)
+	f, err := d.OS.Open(name, mode)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +69,7 @@
 
 func (d faultyDisk) MakeDir(name string) error {
 	if err := d.fault(); err != nil {
-		if _, dir, there := d.Stat(name); there == nil && dir {
+		if _, isDir, statErr := d.Stat(name); statErr == nil && isDir {
 			return nil
 		}
 		return &os.PathError{Op: "mkdir", Path: name, Err: err}
@@ -88,7 +90,7 @@
 	name string
 }
 
-// WriteAt leaves the first half behind where it fails, as a disk does that is full.
+// WriteAt writes only the first half of b when it fails, as a full disk may do.
 func (f faultyFile) WriteAt(b []byte, off int64) (int, error) {
 	if err := f.disk.fault(); err != nil {
 		n, _ := f.File.WriteAt(b[:len(b)/2], off)
@@ -111,13 +113,14 @@
 	return f.File.Sync()
 }
 
-// faultSwitch makes calls of a child fail, and work again.
+// faultSwitch writes and removes the fault file of a child relay.
 type faultSwitch struct {
 	t    *testing.T
 	path string
 }
 
-// newFaultSwitch makes one that the environment variable names to a child.
+// newFaultSwitch returns a switch whose fault file is in the environment variable name of
+// env.
 func newFaultSwitch(t *testing.T, env map[string]string, name string) *faultSwitch {
 	s := &faultSwitch{t, filepath.Join(t.TempDir(), "fault")}
 	env[name] = s.path
@@ -138,11 +141,11 @@
 
 var diskFaults = []syscall.Errno{syscall.ENOSPC, syscall.EIO}
 
-// Guards what was taken on while the disk takes nothing for a while: it is still owed. A
-// message that has not been tried waits, uses up none of its tries and is sent once the
-// disk is back; one whose call is out gets its end in time. What comes new is refused,
-// and after the disk is back taken on again. All of it holds over a kill behind that.
-func TestDiskFailsForAWhile(t *testing.T) {
+// While the disk fails, accepted messages stay pending: an untried message must use up no
+// attempts and be sent once the disk works again, and a running call must end as usual. New
+// messages must be refused, and accepted again afterwards. A kill after that must cause no
+// second calls.
+func TestMessagesSurviveTemporaryDiskFailure(t *testing.T) {
 	for _, fault := range diskFaults {
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -153,178 +156,178 @@
 				case <-r.Context().Done():
 				}
 			})
-			quick, later := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
+			quick, listedLater := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 			disc := discoverytest.New(t, quick.member("s-1", 1), slow.member("s-2", 2))
-			env := testConfig(t, disc, 3)
-			disk := newFaultSwitch(t, env, diskFaultEnv)
-			c := spawnTo(t, env, io.Discard)
-			c.ready(t)
+			env := writeTestConfig(t, disc, 3)
+			diskFault := newFaultSwitch(t, env, diskFaultEnv)
+			c := spawnWithLog(t, env, io.Discard)
+			c.waitReady(t)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
-			take := func(id, f string) {
+			submit := func(id, f string) {
 				t.Helper()
 				if s := cl.put(id, f, nil); s != "+OK" {
 					t.Fatalf("%s: %s", id, s)
 				}
 			}
 			for i := range 5 {
-				take(fmt.Sprint("held-", i), fields([]string{"plain", "once", "keyed"}[i%3], 20000, 5))
+				submit(fmt.Sprint("held-", i), putFields([]string{"plain", "once", "keyed"}[i%3], 20000, 5))
 			}
-			take("out", fields("once", 20000, 2))
-			waitFor(t, "the call", func() bool { return slow.count("out") == 1 })
-			disk.set(fault)
-			refused := time.Now()
-			if s := cl.put("new", fields("plain", 8000, 1), nil); s != "-BUSY" {
-				t.Errorf("new, while the disk fails: %s", s)
+			submit("out", putFields("once", 20000, 2))
+			waitFor(t, "the call", func() bool { return slow.callCount("out") == 1 })
+			diskFault.set(fault)
+			submittedAt := time.Now()
+			if s := cl.put("new", putFields("plain", 8000, 1), nil); s != "-BUSY" {
+				t.Errorf("new message while the disk fails: response %s", s)
 			}
-			if took := time.Since(refused); took > clientTimeout {
-				t.Errorf("refused after %v", took)
+			if took := time.Since(submittedAt); took > clientTimeout {
+				t.Errorf("the refusal took %v, longer than the client timeout", took)
 			}
-			disc.Send(t, discoverytest.Change(2, later.member("s-5", 5)))
+			disc.Send(t, discoverytest.Change(2, listedLater.member("s-5", 5)))
 			close(release)
-			waitFor(t, "the end of the call", func() bool { return slow.answered("out") })
-			time.Sleep(1500 * time.Millisecond) // the disk is away for that long
+			waitFor(t, "the end of the call", func() bool { return slow.answeredOK("out") })
+			time.Sleep(1500 * time.Millisecond) // how long the disk fails
 			for i := range 5 {
 				if n, ended := disc.Notice(fmt.Sprint("held-", i)); ended {
-					t.Errorf("held-%d was %s while the disk failed", i, n.Outcome)
+					t.Errorf("held-%d got the notice %s while the disk failed", i, n.Outcome)
 				}
 			}
-			disk.clear()
+			diskFault.clear()
 			for i := range 5 {
 				id := fmt.Sprint("held-", i)
-				for end := time.Now().Add(5 * time.Second); !later.answered(id) && time.Now().Before(end); {
+				for end := time.Now().Add(5 * time.Second); !listedLater.answeredOK(id) && time.Now().Before(end); {
 					time.Sleep(2 * time.Millisecond)
 				}
-				if n, ended := disc.Notice(id); later.count(id) != 1 || ended {
-					t.Errorf("%s: %d calls, notice %q", id, later.count(id), n.Outcome)
+				if n, ended := disc.Notice(id); listedLater.callCount(id) != 1 || ended {
+					t.Errorf("%s: %d calls, notice %q", id, listedLater.callCount(id), n.Outcome)
 				}
 			}
-			take("after", fields("once", 20000, 1))
-			waitFor(t, "after", func() bool { return quick.answered("after") })
-			waitFor(t, "the log is up to date", func() bool {
+			submit("after", putFields("once", 20000, 1))
+			waitFor(t, "the delivery of the message after the fault", func() bool { return quick.answeredOK("after") })
+			waitFor(t, "all completions in the log", func() bool {
 				r, err := wal.Inspect(nil, env["ROUTER_STATE"])
 				return err == nil && r.Pending == 0
 			})
 			c.kill()
-			c = spawnTo(t, env, io.Discard)
-			c.ready(t)
-			if n := slow.count("out") + quick.count("after"); n != 2 {
-				t.Errorf("%d calls for two messages that were delivered", n)
+			c = spawnWithLog(t, env, io.Discard)
+			c.waitReady(t)
+			if n := slow.callCount("out") + quick.callCount("after"); n != 2 {
+				t.Errorf("%d calls for the two delivered messages, want 2", n)
 			}
 			if n, ended := disc.Notice("out"); ended {
-				t.Errorf("out, which was delivered, was %s", n.Outcome)
+				t.Errorf("the delivered message \"out\" got the notice %s", n.Outcome)
 			}
 		})
 	}
 }
 
-// exited reports whether the process has ended; nobody has waited for it yet.
-func (c *child) exited() bool {
+// hasExited reports whether the process has ended. It must be called before Wait.
+func (c *child) hasExited() bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.cmd.Process.Pid))
 	_, state, _ := strings.Cut(string(text), ") ")
 	return err != nil || strings.HasPrefix(state, "Z")
 }
 
-// Guards the start of a relay whose disk takes nothing yet: it waits and says so, and is
-// ready once it does.
-func TestStartWhileDiskFails(t *testing.T) {
+// A relay that starts while its disk fails must wait, and become ready once the disk works.
+// This holds for a new state folder and for one with pending messages.
+func TestStartWaitsForDisk(t *testing.T) {
 	for _, fault := range diskFaults {
-		t.Run("new folder/"+fault.Error(), func(t *testing.T) {
+		t.Run("new state folder/"+fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
-			env := testConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
-			disk := newFaultSwitch(t, env, diskFaultEnv)
-			disk.set(fault)
-			c := spawnTo(t, env, io.Discard)
-			for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-				if c.exited() {
-					t.Fatal("it ended")
+			env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
+			diskFault := newFaultSwitch(t, env, diskFaultEnv)
+			diskFault.set(fault)
+			c := spawnWithLog(t, env, io.Discard)
+			for until := time.Now().Add(time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+				if c.hasExited() {
+					t.Fatal("the relay ended while the disk failed")
 				}
 			}
-			disk.clear()
-			c.ready(t)
+			diskFault.clear()
+			c.waitReady(t)
 		})
-		t.Run("owing/"+fault.Error(), func(t *testing.T) {
+		t.Run("pending messages/"+fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			ep := newFakeEndpoint(t, nil)
-			env := testConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
-			disk := newFaultSwitch(t, env, diskFaultEnv)
-			c := spawnTo(t, env, io.Discard)
-			c.ready(t)
+			env := writeTestConfig(t, discoverytest.New(t, ep.member("s-1", 1)), 3)
+			diskFault := newFaultSwitch(t, env, diskFaultEnv)
+			c := spawnWithLog(t, env, io.Discard)
+			c.waitReady(t)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
-			if s := cl.put("held", fields("once", 20000, 5), nil); s != "+OK" {
+			if s := cl.put("held", putFields("once", 20000, 5), nil); s != "+OK" {
 				t.Fatal(s)
 			}
 			c.kill()
-			disk.set(fault)
+			diskFault.set(fault)
 			log := &lockedBuffer{}
-			c = spawnTo(t, env, log)
-			for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-				if c.exited() {
-					t.Fatalf("it ended:\n%s", log.all())
+			c = spawnWithLog(t, env, log)
+			for until := time.Now().Add(1500 * time.Millisecond); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+				if c.hasExited() {
+					t.Fatalf("the relay ended while the disk failed:\n%s", log.content())
 				}
 			}
-			disk.clear()
-			c.ready(t)
+			diskFault.clear()
+			c.waitReady(t)
 			cl = dialClient(t, env["ROUTER_LISTEN"])
-			if s := cl.put("new", fields("once", 20000, 1), nil); s != "+OK" {
+			if s := cl.put("new", putFields("once", 20000, 1), nil); s != "+OK" {
 				t.Fatal(s)
 			}
-			waitFor(t, "new", func() bool { return ep.answered("new") })
+			waitFor(t, "the delivery of the new message", func() bool { return ep.answeredOK("new") })
 			if r, err := wal.Inspect(nil, env["ROUTER_STATE"]); err != nil || r.Pending < 1 || !r.Sound() {
-				t.Errorf("%+v, %v", r, err)
+				t.Errorf("log state %+v, error %v, want a sound log with a pending message", r, err)
 			}
 		})
 	}
 }
 
-// Guards a message that is ended before its time while the disk takes nothing: if its end
-// is not in the log, the next process would send what its client was told is over. So its
-// notice waits for the log, though no longer than the message's time.
-func TestNoticeWaitsForTheLog(t *testing.T) {
+// A message ends before its deadline while the disk fails. If its notice were sent without
+// the end being in the log, the next process would send a message of which the client was
+// told that it is over. So the notice must wait for the log, but only until the deadline.
+func TestNoticeWaitsForLogUntilDeadline(t *testing.T) {
 	var failing atomic.Bool
-	r := newTestRelayOn(t, faultyDisk{fault: func() error {
+	r := newTestRelayWithFS(t, faultyDisk{fault: func() error {
 		if failing.Load() {
 			return syscall.EIO
 		}
 		return nil
 	}})
 	disc := discoverytest.New(t)
-	r.notices = discovery.NewNotices(disc.Addr(), quietLog(), func(string) {})
+	r.notices = discovery.NewNotices(disc.Addr(), discardLog(), func(string) {})
 	go r.notices.Run(t.Context())
-	taken := map[string]*message{}
+	messages := map[string]*message{}
 	for _, id := range []string{"early", "timely"} {
-		left := 20 * time.Second
+		timeLeft := 20 * time.Second
 		if id == "timely" {
-			left = time.Second
+			timeLeft = time.Second
 		}
-		q := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: left, responses: make(chan response, 1)}
-		r.admit(q)
-		taken[id] = r.messages.byID[id]
+		request := &putRequest{class: 0, tenant: 0, record: &wal.Record{Kind: wal.KindAccepted, ID: id, Class: "plain", Dest: 7}, receivedAt: time.Now(), timeLeft: timeLeft, responses: make(chan response, 1)}
+		r.admit(request)
+		messages[id] = r.messages.byID[id]
 		r.stepPolicy()
-		if s := <-q.responses; s != responseOK {
+		if s := <-request.responses; s != responseOK {
 			t.Fatal(s)
 		}
-		r.handleResponseDone(q, true)
+		r.handleResponseDone(request, true)
 	}
 	failing.Store(true)
-	due := taken["timely"].record.Deadline
-	for _, m := range taken {
+	deadline := messages["timely"].record.Deadline
+	for _, m := range messages {
 		m.isCompleted = true
 		r.logCompletion(m, discovery.Returned, 5)
 	}
-	for r.clock.logTime(r.clock.now()) < due-50e3 {
+	for r.clock.logTime(r.clock.now()) < deadline-50e3 {
 		r.sendDueNotices()
-		for id := range taken {
-			if _, told := disc.Notice(id); told {
-				t.Fatalf("%s was told with no record in the log", id)
+		for id := range messages {
+			if _, hasNotice := disc.Notice(id); hasNotice {
+				t.Fatalf("notice of %s was sent before its deadline with no record in the log", id)
 			}
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	waitFor(t, "the notice whose time is up", func() bool { r.sendDueNotices(); _, told := disc.Notice("timely"); return told })
-	if _, told := disc.Notice("early"); told {
-		t.Error("early was told with no record in the log")
+	waitFor(t, "the notice of the message whose deadline passed", func() bool { r.sendDueNotices(); _, hasNotice := disc.Notice("timely"); return hasNotice })
+	if _, hasNotice := disc.Notice("early"); hasNotice {
+		t.Error("the notice of \"early\" was sent before its deadline with no record in the log")
 	}
 	failing.Store(false)
-	waitFor(t, "the other", func() bool { r.sendDueNotices(); _, told := disc.Notice("early"); return told })
+	waitFor(t, "the notice of the other message", func() bool { r.sendDueNotices(); _, hasNotice := disc.Notice("early"); return hasNotice })
 }
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -28,7 +28,8 @@
 	"plovershore/policy"
 )
 
-// childEnv makes the test's own program a relay, so that a test can kill one.
+// childEnv is the environment variable that makes the test binary run as a relay, so that
+// a test can start a relay in a process of its own and kill it.
 const childEnv = "RELAY_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -40,7 +41,7 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := LoadConfig(os.Getenv)
 	if err != nil {
-		log.Error("child", "err", err)
+		log.Error("test relay failed", "err", err)
 		os.Exit(2)
 	}
 	if path := os.Getenv(diskFaultEnv); path != "" {
@@ -51,7 +52,7 @@
 	}
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	if err := Run(cfg, log, ctx.Done(), WatchDiscoveryAddress(hup, os.Getenv, log)); err != nil {
-		log.Error("child", "err", err)
+		log.Error("test relay failed", "err", err)
 		os.Exit(1)
 	}
 	os.Exit(0)
@@ -70,31 +71,33 @@
  "report":{"fields":[],"how":"none"},
  "tick_us":5000,"value_by":"request","weights":"nominal","zone":0}`
 
-// waitFor waits for a condition, never for a time.
+// waitFor waits until cond is true. It fails the test after 30 seconds.
 func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if cond() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// fakeEndpoint answers calls by a function and keeps what came.
+// fakeEndpoint is an endpoint that records the calls it receives and answers them with a
+// function. The function gets the number of the call, counted from 1.
 type fakeEndpoint struct {
 	*httptest.Server
 	mu     sync.Mutex
-	calls  []gotCall
+	calls  []receivedCall
 	answer func(w http.ResponseWriter, r *http.Request, n int)
 }
 
-type gotCall struct {
+// receivedCall is a call that a fakeEndpoint has received; id is empty for a batch.
+type receivedCall struct {
 	id, key, timeout string
 	body             []byte
-	ok               bool // it was answered 200
+	ok               bool // the call was answered with status 200
 }
 
 func newFakeEndpoint(t *testing.T, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
@@ -105,15 +108,15 @@
 			return
 		}
 		e.mu.Lock()
-		e.calls = append(e.calls, gotCall{r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key"), r.Header.Get("X-Timeout-Ms"), body, false})
+		e.calls = append(e.calls, receivedCall{r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key"), r.Header.Get("X-Timeout-Ms"), body, false})
 		n, answer := len(e.calls), e.answer
 		e.mu.Unlock()
-		said := &statusWriter{ResponseWriter: w, code: http.StatusOK}
+		recorder := &statusWriter{ResponseWriter: w, code: http.StatusOK}
 		if answer != nil {
-			answer(said, r, n)
+			answer(recorder, r, n)
 		}
 		e.mu.Lock()
-		e.calls[n-1].ok = said.code == http.StatusOK
+		e.calls[n-1].ok = recorder.code == http.StatusOK
 		e.mu.Unlock()
 		var items []batchItem
 		if r.URL.Path == batchPath && json.Unmarshal(body, &items) == nil {
@@ -128,7 +131,7 @@
 	return e
 }
 
-// statusWriter keeps the status of an answer.
+// statusWriter records the status code of a response.
 type statusWriter struct {
 	http.ResponseWriter
 	code int
@@ -139,29 +142,33 @@
 	w.ResponseWriter.WriteHeader(code)
 }
 
-// answered reports whether a call of one message was answered 200.
-func (e *fakeEndpoint) answered(id string) bool {
+// answeredOK reports whether a call with a single message, the one with this ID, was
+// answered with status 200.
+func (e *fakeEndpoint) answeredOK(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.ContainsFunc(e.calls, func(c gotCall) bool { return c.id == id && c.ok })
+	return slices.ContainsFunc(e.calls, func(c receivedCall) bool { return c.id == id && c.ok })
 }
 
-// hang holds a call until its caller is gone.
+// hang does not answer a call until the caller has closed it.
 func hang(_ http.ResponseWriter, r *http.Request, _ int) { <-r.Context().Done() }
 
-func status(code int) func(http.ResponseWriter, *http.Request, int) {
+// answerStatus answers every call with a status code.
+func answerStatus(code int) func(http.ResponseWriter, *http.Request, int) {
 	return func(w http.ResponseWriter, _ *http.Request, _ int) { w.WriteHeader(code) }
 }
 
 func (e *fakeEndpoint) addr() string { return e.Listener.Addr().String() }
 
-func (e *fakeEndpoint) then(answer func(http.ResponseWriter, *http.Request, int)) {
+// setAnswer replaces the function that answers the next calls.
+func (e *fakeEndpoint) setAnswer(answer func(http.ResponseWriter, *http.Request, int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.answer = answer
 }
 
-func (e *fakeEndpoint) count(id string) (n int) {
+// callCount returns how often a message was received, alone or in a batch.
+func (e *fakeEndpoint) callCount(id string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.calls {
@@ -179,12 +186,14 @@
 	return n
 }
 
+// member returns a list entry of the endpoint for the destination cell.
 func (e *fakeEndpoint) member(id string, cell int) discovery.Member {
 	return discovery.Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Cell: cell, Phase: discovery.Up, Size: 1000}
 }
 
-// testConfig writes a configuration and returns the environment that names it.
-func testConfig(t *testing.T, d *discoverytest.Server, diskMB int) map[string]string {
+// writeTestConfig writes a configuration file and returns the environment variables that
+// make a relay use it.
+func writeTestConfig(t *testing.T, disc *discoverytest.Server, diskMB int) map[string]string {
 	t.Helper()
 	listen := loopback.Free()
 	dir := t.TempDir()
@@ -194,54 +203,57 @@
 	}
 	path := filepath.Join(dir, "config.json")
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","surplus":1,
-		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":%d},"settings":%s}`, listen, d.Addr(), diskMB, testSettings)
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":%d},"settings":%s}`, listen, disc.Addr(), diskMB, testSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return map[string]string{"ROUTER_CONFIG": path, "ROUTER_STATE": state, "ROUTER_LISTEN": listen,
-		"ROUTER_DISCOVERY": d.Addr(), "ROUTER_NAME": "n1"}
+		"ROUTER_DISCOVERY": disc.Addr(), "ROUTER_NAME": "n1"}
 }
 
-// editConfig changes a configuration that testConfig wrote.
+// editConfig replaces the first occurrence of a text in a configuration file that
+// writeTestConfig wrote.
 func editConfig(t *testing.T, env map[string]string, old, new string) {
 	t.Helper()
 	text, err := os.ReadFile(env["ROUTER_CONFIG"])
 	if err != nil || !strings.Contains(string(text), old) {
-		t.Fatalf("no %s in the configuration: %v", old, err)
+		t.Fatalf("configuration does not contain %s, or cannot be read: %v", old, err)
 	}
 	if err := os.WriteFile(env["ROUTER_CONFIG"], []byte(strings.Replace(string(text), old, new, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// newTestRelay is a relay with its log but with no socket and no loop: a test
-// takes the loop's place.
-func newTestRelay(t *testing.T) *Relay { return newTestRelayOn(t, nil) }
+// newTestRelay returns a relay that has a log but no sockets and no running loop. The test
+// calls what the loop would call.
+func newTestRelay(t *testing.T) *Relay { return newTestRelayWithFS(t, nil) }
 
-// newTestRelayOn is the same with a file system of its own for the log.
-func newTestRelayOn(t *testing.T, fs wal.FS) *Relay {
+// newTestRelayWithFS is like newTestRelay, with a log on the given file system.
+func newTestRelayWithFS(t *testing.T, fs wal.FS) *Relay {
 	t.Helper()
-	cfg := testSet(t)
+	cfg := parseTestConfig(t)
 	decider, err := policy.New(cfg.Policy, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := wal.Open(wal.Options{Dir: t.TempDir(), Limit: 3 << 20, FS: fs, Log: quietLog()})
+	w, err := wal.Open(wal.Options{Dir: t.TempDir(), Limit: 3 << 20, FS: fs, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop := make(chan struct{})
 	go w.Run(stop)
-	r := newRelay(t.Context(), cfg, quietLog(), decider)
+	r := newRelay(t.Context(), cfg, discardLog(), decider)
 	r.wal, r.idleConns = w, 2
 	r.clock.alignToLog(r.wal)
 	t.Cleanup(func() { close(stop); <-w.Done() })
 	return r
 }
 
-// logged reports whether the log in a state folder has such a record.
-func logged(dir string, kind wal.Kind, id string) (found bool) {
-	// A folder that changes meanwhile is read again by who waits.
+// logContains reports whether the log in a state folder has a record of a kind for a
+// message.
+func logContains(dir string, kind wal.Kind, id string) (found bool) {
+	// Dump may fail while the relay writes to the folder; callers call this function again
+	// until it returns true.
 	wal.Dump(nil, dir, func(_ string, _ int64, _ uint64, r *wal.Record) bool {
 		found = r.Kind == kind && r.ID == id
 		return !found
@@ -249,34 +261,35 @@
 	return found
 }
 
-// child is a relay in a process of its own.
+// child is a relay that runs in a child process.
 type child struct {
 	cmd *exec.Cmd
 	env map[string]string
 }
 
+// startChild starts a relay in a child process and waits until it answers PING.
 func startChild(t *testing.T, env map[string]string) *child {
 	t.Helper()
 	c := spawn(t, env)
-	c.ready(t)
+	c.waitReady(t)
 	return c
 }
 
-// spawn starts a relay in a process of its own and does not wait for it.
+// spawn starts a relay in a child process without waiting until it is ready.
 func spawn(t *testing.T, env map[string]string) *child {
 	t.Helper()
-	return spawnTo(t, env, testWriter{t})
+	return spawnWithLog(t, env, stderrWriter{t})
 }
 
-// spawnTo is the same with the relay's own log going to w.
-func spawnTo(t *testing.T, env map[string]string, w io.Writer) *child {
+// spawnWithLog is like spawn, with the log of the relay written to w.
+func spawnWithLog(t *testing.T, env map[string]string, w io.Writer) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command(os.Args[0]), env: env}
 	startProcess(t, c, w)
 	return c
 }
 
-// startProcess starts a child that the test's end ends.
+// startProcess starts the command of a child, which is killed at the end of the test.
 func startProcess(t *testing.T, c *child, w io.Writer) {
 	t.Helper()
 	c.cmd.Env = append(os.Environ(), childEnv+"=1")
@@ -290,13 +303,14 @@
 	t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
 }
 
-type testWriter struct{ t *testing.T }
+// stderrWriter writes the log of a child relay to the standard error of the test.
+type stderrWriter struct{ t *testing.T }
 
-func (w testWriter) Write(p []byte) (int, error) { os.Stderr.Write(p); return len(p), nil }
+func (w stderrWriter) Write(p []byte) (int, error) { os.Stderr.Write(p); return len(p), nil }
 
-func (c *child) ready(t *testing.T) {
+func (c *child) waitReady(t *testing.T) {
 	t.Helper()
-	waitFor(t, "PONG", func() bool {
+	waitFor(t, "an answer to PING", func() bool {
 		conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 		if err != nil {
 			return false
@@ -310,7 +324,7 @@
 
 func (c *child) kill() { c.cmd.Process.Kill(); c.cmd.Wait() }
 
-// testClient hands messages in over one connection.
+// testClient submits messages over one connection.
 type testClient struct {
 	t *testing.T
 	net.Conn
@@ -328,7 +342,8 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-func putText(id, fields string, body []byte) string {
+// putCommand returns the bytes of a MSG.PUT command.
+func putCommand(id, fields string, body []byte) string {
 	var b strings.Builder
 	b.WriteString("*5\r\n")
 	for _, s := range []string{"MSG.PUT", "0000000000000000", id, fields, string(body)} {
@@ -337,22 +352,25 @@
 	return b.String()
 }
 
+// put submits a message and returns the first line of the response.
 func (c *testClient) put(id, fields string, body []byte) string {
 	c.t.Helper()
-	io.WriteString(c, putText(id, fields, body))
-	return c.line()
+	io.WriteString(c, putCommand(id, fields, body))
+	return c.readLine()
 }
 
-func (c *testClient) line() string {
+func (c *testClient) readLine() string {
 	c.t.Helper()
 	s, err := c.in.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("no response: %v", err)
 	}
 	return strings.TrimSuffix(s, "\r\n")
 }
 
-func fields(class string, deadlineMS int, dest int) string {
+// putFields returns the fields argument of a MSG.PUT command. A message of the class
+// "keyed" gets an idempotency key.
+func putFields(class string, deadlineMS int, dest int) string {
 	s := fmt.Sprintf("c=%s,t=acme,d=%d,dest=%d", class, deadlineMS, dest)
 	if class == "keyed" {
 		s += ",k=5c0f6e1a2b3d4c59"
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -9,79 +9,79 @@
 	"time"
 )
 
-// Property over the orders of a hand-over: a second process comes beside the
-// first, and either is told to end or killed at some moment of it, while clients
-// hand messages in. What was answered +OK is delivered or ended, what was refused
-// is never sent, and what may not be repeated is sent once.
-func TestHandOverOrders(t *testing.T) {
+// A property test of the handover: a second process starts beside the first while clients
+// submit messages, and both get SIGTERM or SIGKILL at random times. An accepted message must
+// be delivered or end, a refused one must never be sent, and one of the class "once" must not
+// be sent twice.
+func TestHandoverWithRandomSignalsKeepsMessages(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 8))
-			o := newOrders(t, seed, 150*time.Millisecond, 0)
-			first := startChild(t, o.env)
+			test := newSequenceTest(t, seed, 150*time.Millisecond, 0)
+			first := startChild(t, test.env)
 			for i := range 40 {
-				s := &orderClient{}
-				var parts []string
+				client := &sequenceClient{}
+				var commands []string
 				var pauses []time.Duration
 				for range 3 {
-					id := fmt.Sprintf("m%d-%d", i, len(s.ids))
-					s.ids = append(s.ids, id)
+					id := fmt.Sprintf("m%d-%d", i, len(client.ids))
+					client.ids = append(client.ids, id)
 					class := []string{"plain", "once"}[rng.IntN(2)]
-					s.once = append(s.once, class == "once")
-					parts = append(parts, putText(id, fields(class, 20000, 7), []byte("body")))
+					client.isOnce = append(client.isOnce, class == "once")
+					commands = append(commands, putCommand(id, putFields(class, 20000, 7), []byte("body")))
 					pauses = append(pauses, time.Duration(rng.IntN(300))*time.Millisecond)
 				}
-				before := time.Duration(rng.IntN(1500)) * time.Millisecond
-				o.play(s, before, pauses, parts...)
+				delay := time.Duration(rng.IntN(1500)) * time.Millisecond
+				test.startClient(client, delay, pauses, commands...)
 			}
-			wait := func(most int) { time.Sleep(time.Duration(rng.IntN(most)) * time.Millisecond) }
-			wait(300)
-			second := spawn(t, o.env)
+			pause := func(maxMilliseconds int) { time.Sleep(time.Duration(rng.IntN(maxMilliseconds)) * time.Millisecond) }
+			pause(300)
+			second := spawn(t, test.env)
 			signals := []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGKILL}
 			killed := false
-			both := []*child{first, second}
-			rng.Shuffle(2, func(i, j int) { both[i], both[j] = both[j], both[i] })
-			for _, c := range both {
-				wait(700)
+			processes := []*child{first, second}
+			rng.Shuffle(2, func(i, j int) { processes[i], processes[j] = processes[j], processes[i] })
+			for _, c := range processes {
+				pause(700)
 				sig := signals[rng.IntN(len(signals))]
 				killed = killed || sig == syscall.SIGKILL
 				c.cmd.Process.Signal(sig)
 			}
-			o.playing.Wait()
-			for _, c := range both {
+			test.running.Wait()
+			for _, c := range processes {
 				if err := c.cmd.Wait(); err != nil && !killed {
-					t.Errorf("exit: %v", err)
+					t.Errorf("exit of a process without kills: %v", err)
 				}
 			}
-			startChild(t, o.env)
-			taken := 0
-			for i, s := range o.clients {
-				if s.end != nil && !killed {
-					t.Errorf("client %d: %v", i, s.end)
+			startChild(t, test.env)
+			accepted := 0
+			for i, client := range test.clients {
+				if client.readErr != nil && !killed {
+					t.Errorf("client %d: connection ended with %v", i, client.readErr)
 				}
-				for j, id := range s.ids {
-					if s.taken(j) {
-						taken++
-						o.over(id)
+				for j, id := range client.ids {
+					if client.isAccepted(j) {
+						accepted++
+						test.waitEnded(id)
 					}
 				}
 			}
-			for _, s := range o.clients { // once all is over
-				for j, id := range s.ids {
-					n := o.ep.count(id)
-					refused := j < len(s.answers) && strings.HasPrefix(s.answers[j], "-BUSY")
+			for _, client := range test.clients { // only now, as all accepted messages have ended
+				for j, id := range client.ids {
+					calls := test.endpoint.callCount(id)
+					refused := j < len(client.answers) && strings.HasPrefix(client.answers[j], "-BUSY")
 					switch {
-					case n > 1 && s.once[j]:
-						t.Errorf("%s was sent %d times", id, n)
-					case n > 0 && refused:
-						t.Errorf("%s was sent, its client has heard %v", id, s.answers)
-					case n > 0 && j >= len(s.answers) && !killed:
-						t.Errorf("%s was sent, its client has heard nothing", id)
+					case calls > 1 && client.isOnce[j]:
+						t.Errorf("%s was sent %d times", id, calls)
+					case calls > 0 && refused:
+						t.Errorf("%s was refused but sent; responses to its client: %v", id, client.answers)
+					case calls > 0 && j >= len(client.answers) && !killed:
+						t.Errorf("%s was sent, but its client got no response", id)
 					}
 				}
 			}
-			t.Logf("%d taken on, killed %v, the first is %v", taken, killed, both[0] == first)
+			t.Logf("%d messages accepted; a process was killed: %v; the first process got its signal first: %v", accepted, killed, processes[0] == first)
 		})
 	}
 }
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -9,21 +9,21 @@
 	"plovershore/policy"
 )
 
-// Guards the text of the figures, byte for byte: names, labels, help and order are what
-// the operators' tools were written for.
-func TestMetricsGolden(t *testing.T) {
+// The text of the metrics must stay the same byte for byte, as tools of the operators depend
+// on its names, labels, help texts and order.
+func TestMetricsTextMatchesGoldenFile(t *testing.T) {
 	m := newMetrics([]policy.Class{{Name: "plain"}, {Name: "once"}})
 	n := int64(0)
 	next := func() int64 { n++; return n }
 	for i := range m.classes {
-		lane := &m.classes[i]
-		lane.completed.Store(next())
-		lane.rejected.Store(next())
-		lane.failed.Store(next())
-		lane.written.Store(next())
+		classMetrics := &m.classes[i]
+		classMetrics.completed.Store(next())
+		classMetrics.rejected.Store(next())
+		classMetrics.failed.Store(next())
+		classMetrics.written.Store(next())
 	}
-	for _, why := range rejections {
-		m.rejections[why].Store(next())
+	for _, reason := range rejections {
+		m.rejections[reason].Store(next())
 	}
 	m.clockSteps.Store(next())
 	m.localFailures.Store(next())
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards that each figure that docs/on-call.md names is there.
-func TestMetricsNamedOnCall(t *testing.T) {
+// Each metric that docs/on-call.md names must exist.
+func TestMetricsNamedInOnCallPageExist(t *testing.T) {
 	page, err := os.ReadFile("../../docs/on-call.md")
 	if err != nil {
 		t.Fatal(err)
@@ -56,11 +56,11 @@
 	text := string(newMetrics([]policy.Class{{Name: "plain"}}).prometheusText())
 	names := regexp.MustCompile(`app_[a-z_]+`).FindAllString(string(page), -1)
 	if len(names) < 15 {
-		t.Fatalf("the page names %d figures", len(names))
+		t.Fatalf("the page names only %d metrics", len(names))
 	}
 	for _, name := range names {
 		if !strings.Contains(text, "# TYPE "+name+" ") {
-			t.Errorf("no figure %s", name)
+			t.Errorf("no metric %s", name)
 		}
 	}
 }
--- a/internal/relay/orders_test.go
+++ b/internal/relay/orders_test.go
@@ -13,74 +13,75 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// orders is the world of a property test over orders: one destination that
-// answers when its draws say, and clients that play beside each other.
-type orders struct {
-	t       *testing.T
-	env     map[string]string
-	ep      *fakeEndpoint
-	disc    *discoverytest.Server
-	clients []*orderClient
-	playing sync.WaitGroup
+// sequenceTest is the setup of a property test in which clients, signals and calls come in a
+// random sequence: one destination that answers after random delays, and concurrent clients.
+type sequenceTest struct {
+	t        *testing.T
+	env      map[string]string
+	endpoint *fakeEndpoint
+	disc     *discoverytest.Server
+	clients  []*sequenceClient
+	running  sync.WaitGroup
 }
 
-// newOrders makes one whose destination answers within most; one call in full is
-// turned away, none where that is 0.
-func newOrders(t *testing.T, seed uint64, most time.Duration, full int) *orders {
+// newSequenceTest returns a setup whose destination answers within maxDelay. On average it
+// rejects one call out of rejectOneIn with status 503, or none if that is 0.
+func newSequenceTest(t *testing.T, seed uint64, maxDelay time.Duration, rejectOneIn int) *sequenceTest {
 	var mu sync.Mutex
-	draws := rand.New(rand.NewPCG(seed, 6))
+	rng := rand.New(rand.NewPCG(seed, 6))
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		mu.Lock()
-		pause := time.Duration(draws.Int64N(int64(most)))
-		away := full > 0 && draws.IntN(full) == 0
+		delay := time.Duration(rng.Int64N(int64(maxDelay)))
+		isRejected := rejectOneIn > 0 && rng.IntN(rejectOneIn) == 0
 		mu.Unlock()
-		time.Sleep(pause)
-		if away {
+		time.Sleep(delay)
+		if isRejected {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
 	disc := discoverytest.New(t, ep.member("s-1", 7))
-	return &orders{t: t, env: testConfig(t, disc, 3), ep: ep, disc: disc}
+	return &sequenceTest{t: t, env: writeTestConfig(t, disc, 3), endpoint: ep, disc: disc}
 }
 
-// play has a client send the parts of a text, after a while and with pauses.
-func (o *orders) play(s *orderClient, before time.Duration, pauses []time.Duration, parts ...string) {
-	o.clients = append(o.clients, s)
-	o.playing.Add(1)
+// startClient starts a client that connects after a delay and sends the parts of a text with
+// pauses between them.
+func (s *sequenceTest) startClient(client *sequenceClient, delay time.Duration, pauses []time.Duration, parts ...string) {
+	s.clients = append(s.clients, client)
+	s.running.Add(1)
 	go func() {
-		defer o.playing.Done()
-		s.play(o.env["ROUTER_LISTEN"], before, pauses, parts...)
+		defer s.running.Done()
+		client.run(s.env["ROUTER_LISTEN"], delay, pauses, parts...)
 	}()
 }
 
-// over waits until a message is delivered or ended.
-func (o *orders) over(id string) {
-	o.t.Helper()
-	waitFor(o.t, "the end of "+id, func() bool {
-		_, ended := o.disc.Notice(id)
-		return ended || o.ep.answered(id)
+// waitEnded waits until a message was delivered or got a notice.
+func (s *sequenceTest) waitEnded(id string) {
+	s.t.Helper()
+	waitFor(s.t, "the delivery or notice of "+id, func() bool {
+		_, ended := s.disc.Notice(id)
+		return ended || s.endpoint.answeredOK(id)
 	})
 }
 
-// orderClient is a client that hands messages in around a relay's end, and
-// keeps what it heard.
-type orderClient struct {
-	ids     []string
-	once    []bool   // of each id: it may not be repeated
-	ahead   bool     // all were sent in one breath
-	answers []string // as they came, one for each id as far as they did
-	end     error    // of what it reads
+// sequenceClient is a client that submits messages while relays start and end, and records
+// the responses.
+type sequenceClient struct {
+	ids         []string
+	isOnce      []bool   // whether the message of each ID has the class "once" and must not be sent twice
+	isPipelined bool     // all commands were sent at once
+	answers     []string // responses in order; the first belongs to the first ID, and so on
+	readErr     error    // error of reading the responses; nil at the end of the stream
 }
 
-// taken reports whether a request of it was answered +OK.
-func (s *orderClient) taken(j int) bool { return j < len(s.answers) && s.answers[j] == "+OK" }
+// isAccepted reports whether the message of ids[j] was answered with +OK.
+func (c *sequenceClient) isAccepted(j int) bool { return j < len(c.answers) && c.answers[j] == "+OK" }
 
-// play sends the parts of a text with pauses between them, while it reads.
-func (s *orderClient) play(addr string, before time.Duration, pauses []time.Duration, parts ...string) {
-	time.Sleep(before)
+// run sends the parts of a text with pauses between them and reads the responses meanwhile.
+func (c *sequenceClient) run(addr string, delay time.Duration, pauses []time.Duration, parts ...string) {
+	time.Sleep(delay)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
-		s.ids = nil // nobody listens any more: nothing was handed in
+		c.ids = nil // the relay listens no longer, so no message was submitted
 		return
 	}
 	defer conn.Close()
@@ -89,10 +90,10 @@
 	go func() {
 		defer close(done)
 		text, err := io.ReadAll(conn)
-		s.end = err
+		c.readErr = err
 		for line := range strings.Lines(string(text)) {
 			if strings.HasSuffix(line, "\r\n") && line != "+PONG\r\n" {
-				s.answers = append(s.answers, strings.TrimSpace(line))
+				c.answers = append(c.answers, strings.TrimSpace(line))
 			}
 		}
 	}()
@@ -100,7 +101,7 @@
 		io.WriteString(conn, part)
 		if i < len(pauses) {
 			select {
-			case <-done: // the relay has ended the connection: what it did not read is sent again elsewhere
+			case <-done: // the relay has closed the connection; a real client would submit the rest elsewhere
 				return
 			case <-time.After(pauses[i]):
 			}
--- a/internal/relay/race_on_test.go
+++ b/internal/relay/race_on_test.go
@@ -2,5 +2,6 @@
 
 package relay
 
-// raced: the race detector makes all of this many times slower, so that a bound on time says nothing.
-const raced = true
+// raceDetectorEnabled is true: the test binary was built with the race detector, which makes
+// the program many times slower, so that time limits would prove nothing at full size.
+const raceDetectorEnabled = true
--- a/internal/relay/ready_test.go
+++ b/internal/relay/ready_test.go
@@ -18,10 +18,11 @@
 	"plovershore/internal/wal"
 )
 
-// readyIn is how long a restarted process may take until it can be used, where the day does not end sooner.
-const readyIn = 10 * time.Second
+// maxReadyTime is how long a restarted process may take until it answers PING and is ready.
+const maxReadyTime = 10 * time.Second
 
-// largeList is a list of so many members, one for each destination, all at one address.
+// largeList returns a list with the given number of members, one for each destination, all
+// with the same address.
 func largeList(members int, hostPort string) *discovery.List {
 	l := &discovery.List{Revision: 1, Complete: true}
 	for i := range members {
@@ -31,52 +32,53 @@
 	return l
 }
 
-// owe writes a log in which so many messages are owed, spread over the first dests destinations.
-func owe(t *testing.T, dir string, limit int64, messages, dests int) {
+// writePendingLog writes a log with the given number of pending messages, spread over the
+// first dests destinations.
+func writePendingLog(t *testing.T, dir string, limit int64, messages, dests int) {
 	t.Helper()
-	w, err := wal.Open(wal.Options{Dir: dir, Limit: limit, Log: quietLog()})
+	w, err := wal.Open(wal.Options{Dir: dir, Limit: limit, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, booked := make(chan struct{}), make(chan error, 1)
+	stop, logged := make(chan struct{}), make(chan error, 1)
 	go w.Run(stop)
 	body := []byte(strings.Repeat("b", 100))
-	late := w.Time() + time.Hour.Microseconds()
+	deadline := w.Time() + time.Hour.Microseconds()
 	for i := range messages {
-		then := func(err error) {
+		onLogged := func(err error) {
 			if err != nil || i == messages-1 {
 				select {
-				case booked <- err:
+				case logged <- err:
 				default:
 				}
 			}
 		}
 		w.Submit(&wal.Record{Kind: wal.KindAccepted, ID: fmt.Sprintf("%016x", i), Class: "plain", Tenant: "acme", Dest: i % dests,
-			Deadline: late, Body: body}, then)
+			Deadline: deadline, Body: body}, onLogged)
 	}
-	if err := <-booked; err != nil {
+	if err := <-logged; err != nil {
 		t.Fatal(err)
 	}
 	close(stop)
 	<-w.Done()
 }
 
-// largeConfig is a configuration of a relay that knows such a list and may hold that many messages.
-func largeConfig(t *testing.T, d *discoverytest.Server, known *discovery.List, diskMB, held int) map[string]string {
+// largeConfig writes a configuration with a known list and a limit on the pending messages.
+func largeConfig(t *testing.T, disc *discoverytest.Server, known *discovery.List, diskMB, maxPending int) map[string]string {
 	t.Helper()
-	env := testConfig(t, d, diskMB)
+	env := writeTestConfig(t, disc, diskMB)
 	text, err := json.Marshal(known)
 	if err != nil {
 		t.Fatal(err)
 	}
 	editConfig(t, env, `"surplus":1,`, `"known":`+string(text)+`,`)
-	editConfig(t, env, `"most_held":100`, `"most_held":`+strconv.Itoa(held))
+	editConfig(t, env, `"most_held":100`, `"most_held":`+strconv.Itoa(maxPending))
 	env["ROUTER_OPERATOR"] = loopback.Free()
 	return env
 }
 
-// pong reports whether a relay answers PING on a new connection.
-func (c *child) pong() bool {
+// answersPing reports whether a relay answers PING on a new connection.
+func (c *child) answersPing() bool {
 	conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 	if err != nil {
 		return false
@@ -88,59 +90,61 @@
 	return s == "+PONG\r\n"
 }
 
-// Guards a restart at the target's size: a whole list of its members, a log full of what is owed, and discovery that
-// serves, is silent or refuses. The relay is used once it answers PING, and says that it is ready to its operators.
-func TestReadyInTime(t *testing.T) {
-	owed := 100000
-	if s := os.Getenv("RELAY_READY_OWED"); s != "" { // for a measurement
-		owed, _ = strconv.Atoi(s)
+// A restart at the full size of the fleet: a known list of 31,000 members, a log with 100,000
+// pending messages, and discovery that serves, is silent or refuses connections. The relay
+// must answer PING and be ready in time, while it gets new messages from its first PONG on.
+// With the race detector, the sizes are a tenth of these.
+func TestRestartAtFullSizeIsReadyInTime(t *testing.T) {
+	pending := 100000
+	if s := os.Getenv("RELAY_READY_OWED"); s != "" { // sets another number of pending messages for a measurement
+		pending, _ = strconv.Atoi(s)
 	}
 	members := 31000
-	if raced {
-		members, owed = members/10, owed/10
+	if raceDetectorEnabled {
+		members, pending = members/10, pending/10
 	}
-	gone := loopback.Free()
-	diskMB := 64 + owed/1000
-	for _, how := range []string{"serves", "silent", "refuses"} {
-		t.Run(how, func(t *testing.T) {
-			list := largeList(members, gone)
+	unusedAddr := loopback.Free()
+	diskMB := 64 + pending/1000
+	for _, discoveryMode := range []string{"serves", "silent", "refuses"} {
+		t.Run(discoveryMode, func(t *testing.T) {
+			list := largeList(members, unusedAddr)
 			disc := discoverytest.New(t)
-			disc.Set(func(d *discoverytest.Server) { d.List, d.Silent = *list, how == "silent" })
-			env := largeConfig(t, disc, list, diskMB, 2*owed)
-			if how == "refuses" {
+			disc.Set(func(d *discoverytest.Server) { d.List, d.Silent = *list, discoveryMode == "silent" })
+			env := largeConfig(t, disc, list, diskMB, 2*pending)
+			if discoveryMode == "refuses" {
 				disc.Listener.Close()
 			}
-			owe(t, env["ROUTER_STATE"], int64(diskMB)<<20, owed, members)
+			writePendingLog(t, env["ROUTER_STATE"], int64(diskMB)<<20, pending, members)
 			env["GOMAXPROCS"] = "1"
-			began := time.Now()
-			c := spawnTo(t, env, io.Discard)
-			var pong, ready, longest time.Duration
-			puts := 0
+			startedAt := time.Now()
+			c := spawnWithLog(t, env, io.Discard)
+			var pongAfter, readyAfter, slowest time.Duration
+			submitted := 0
 			waitFor(t, "readiness", func() bool {
-				if pong == 0 && c.pong() {
-					pong = time.Since(began)
+				if pongAfter == 0 && c.answersPing() {
+					pongAfter = time.Since(startedAt)
 				}
-				if pong > 0 { // it is used from here on
-					at := time.Now()
-					dialClient(t, env["ROUTER_LISTEN"]).put(fmt.Sprintf("new-%d", puts), fields("plain", 20000, puts), nil)
-					longest = max(longest, time.Since(at))
-					puts++
+				if pongAfter > 0 { // the relay is in use from its first PONG on
+					sentAt := time.Now()
+					dialClient(t, env["ROUTER_LISTEN"]).put(fmt.Sprintf("new-%d", submitted), putFields("plain", 20000, submitted), nil)
+					slowest = max(slowest, time.Since(sentAt))
+					submitted++
 				}
-				if ready == 0 && pong > 0 && c.says(true) {
-					ready = time.Since(began)
+				if readyAfter == 0 && pongAfter > 0 && c.readyzIs(true) {
+					readyAfter = time.Since(startedAt)
 				}
-				return ready > 0
+				return readyAfter > 0
 			})
-			unread := c.figure(t, "app_log_unread")
-			t.Logf("%d members, %d owed, discovery %s: PONG after %v, readyz after %v; of %d messages handed in meanwhile the slowest was answered after %v",
-				members, owed, how, pong, ready, puts, longest)
-			if pong > readyIn || ready > readyIn {
-				t.Errorf("PONG after %v, readyz after %v; at most %v", pong, ready, readyIn)
+			unread := c.metric(t, "app_log_unread")
+			t.Logf("%d members, %d pending, discovery %s: PONG after %v, ready after %v; %d messages submitted meanwhile, the slowest response after %v",
+				members, pending, discoveryMode, pongAfter, readyAfter, submitted, slowest)
+			if pongAfter > maxReadyTime || readyAfter > maxReadyTime {
+				t.Errorf("PONG after %v, ready after %v, want at most %v", pongAfter, readyAfter, maxReadyTime)
 			}
 			if unread != 0 {
-				t.Errorf("said to be ready with %d messages to be read", unread)
+				t.Errorf("relay is ready although %d messages of the log are not read yet", unread)
 			}
-			if n := c.figure(t, "app_members"); n != members {
+			if n := c.metric(t, "app_members"); n != members {
 				t.Errorf("%d members, want %d", n, members)
 			}
 		})
--- a/internal/relay/resp_test.go
+++ b/internal/relay/resp_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Of what no client should send nothing is accepted, the error is named, and a
-// connection whose position in the stream is known goes on.
-func TestInvalidCommands(t *testing.T) {
-	long := strings.Repeat("x", maxBodyBytes+1)
-	for name, x := range map[string]struct {
-		text string
-		ends bool
+// Invalid commands must be answered with an error and submit no message. If the relay still
+// knows where the next command begins, the connection must stay usable; otherwise it must be
+// closed.
+func TestInvalidCommandsAreRejected(t *testing.T) {
+	longBody := strings.Repeat("x", maxBodyBytes+1)
+	for name, test := range map[string]struct {
+		text   string
+		closes bool
 	}{
 		"inline":           {"PING\r\n", true},
 		"no number":        {"*x\r\n", true},
@@ -25,48 +26,48 @@
 		"huge argument":    {"*1\r\n$999999999\r\n", true},
 		"negative length":  {"*1\r\n$-5\r\n", true},
 		"long number":      {"*" + strings.Repeat("1", 99) + "\r\n", true},
-		"no end":           {"*1\r\n$4\r\nPINGxx", true},
+		"no line end":      {"*1\r\n$4\r\nPINGxx", true},
 		"not a bulk":       {"*1\r\n:4\r\n", true},
 		"unknown command":  {"*1\r\n$3\r\nGET\r\n", false},
-		"long body":        {putText("m", fields("plain", 8000, 1), []byte(long)), false},
+		"long body":        {putCommand("m", putFields("plain", 8000, 1), []byte(longBody)), false},
 		"few arguments":    {"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n", false},
-		"unknown class":    {putText("m", "c=other,t=acme,d=1,dest=1", nil), false},
-		"no class":         {putText("m", "t=acme,d=1,dest=1", nil), false},
-		"unknown tenant":   {putText("m", "c=plain,t=other,d=1,dest=1", nil), false},
-		"no time":          {putText("m", "c=plain,t=acme,dest=1", nil), false},
-		"bad time":         {putText("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
-		"negative time":    {putText("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
-		"no destination":   {putText("m", "c=plain,t=acme,d=1", nil), false},
-		"bad destination":  {putText("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
-		"no key":           {putText("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
-		"key in two lines": {putText("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
-		"id in two lines":  {putText("a\r\nX: b", fields("plain", 1, 1), nil), false},
-		"no id":            {putText("", fields("plain", 1, 1), nil), false},
-		"field alone":      {putText("m", "c", nil), false},
+		"unknown class":    {putCommand("m", "c=other,t=acme,d=1,dest=1", nil), false},
+		"no class":         {putCommand("m", "t=acme,d=1,dest=1", nil), false},
+		"unknown tenant":   {putCommand("m", "c=plain,t=other,d=1,dest=1", nil), false},
+		"no time":          {putCommand("m", "c=plain,t=acme,dest=1", nil), false},
+		"bad time":         {putCommand("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
+		"negative time":    {putCommand("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
+		"no destination":   {putCommand("m", "c=plain,t=acme,d=1", nil), false},
+		"bad destination":  {putCommand("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
+		"no key":           {putCommand("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
+		"key in two lines": {putCommand("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
+		"id in two lines":  {putCommand("a\r\nX: b", putFields("plain", 1, 1), nil), false},
+		"no id":            {putCommand("", putFields("plain", 1, 1), nil), false},
+		"field, no value":  {putCommand("m", "c", nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addr, _ := serveClients(t, func(q *putRequest) { t.Error("taken"); accept(q) })
+			_, addr, _ := serveClients(t, func(q *putRequest) { t.Error("the command submitted a message"); accept(q) })
 			cl := dialClient(t, addr)
-			io.WriteString(cl, x.text)
-			if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
-				t.Fatalf("answer %q", s)
+			io.WriteString(cl, test.text)
+			if s := cl.readLine(); !strings.HasPrefix(s, "-ERR ") {
+				t.Fatalf("response %q, want an error", s)
 			}
-			if x.ends {
+			if test.closes {
 				if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-					t.Errorf("still open: %v", err)
+					t.Errorf("connection after the error: %v, want EOF", err)
 				}
 				return
 			}
 			io.WriteString(cl, "*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
-			if s := cl.line() + cl.line(); s != "$2hi" {
-				t.Errorf("out of step: %q", s)
+			if s := cl.readLine() + cl.readLine(); s != "$2hi" {
+				t.Errorf("next command on the connection: response %q", s)
 			}
 		})
 	}
 }
 
 func FuzzReadCommand(f *testing.F) {
-	f.Add([]byte(putText("m", "c=plain", []byte("b"))))
+	f.Add([]byte(putCommand("m", "c=plain", []byte("b"))))
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n"))
 	f.Add([]byte("*2\r\n$-1\r\n$"))
 	cfg := &Config{classes: map[string]int{}, tenants: map[string]int{}}
@@ -76,7 +77,7 @@
 			return
 		}
 		if len(args) == 0 || len(args) > maxArguments {
-			t.Fatalf("%d arguments", len(args))
+			t.Fatalf("command with %d arguments", len(args))
 		}
 		cfg.parsePutRequest(args, time.Now())
 	})
--- a/internal/relay/transport_test.go
+++ b/internal/relay/transport_test.go
@@ -13,57 +13,57 @@
 	"plovershore/policy"
 )
 
-// Connections are reused: responses are read to their end, and more than two
-// connections are kept after a burst.
-func TestConnectionsAreKept(t *testing.T) {
-	var conns atomic.Int32
+// Connections must be reused. For this, responses must be read to their end, and after a
+// burst more than two idle connections per endpoint must be kept.
+func TestConnectionsAreReusedAfterBurst(t *testing.T) {
+	var connections atomic.Int32
 	const burst = 6
-	together := make(chan struct{}, burst)
-	addr := rawEndpoint(t, func(c net.Conn) {
-		conns.Add(1)
+	arrived := make(chan struct{}, burst)
+	addr := startRawEndpoint(t, func(c net.Conn) {
+		connections.Add(1)
 		in := bufio.NewReader(c)
 		for readCall(in) {
-			together <- struct{}{}
-			for len(together) < burst { // all of a burst are out at once
+			arrived <- struct{}{}
+			for len(arrived) < burst { // answers only when all calls of a burst have arrived, so that each needs its own connection
 				time.Sleep(time.Millisecond)
 			}
 			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
 		}
 	})
-	tr := testConns(t, burst)
-	defer tr.CloseIdleConnections()
+	transport := newTestTransport(t, burst)
+	defer transport.CloseIdleConnections()
 	for round := range 2 {
 		done := make(chan outcome, burst)
 		for range burst {
-			go func() { done <- runOne(newTestCall(), tr, addr, &wal.Record{ID: "m"}, testLimit) }()
+			go func() { done <- runSingleCall(newTestCall(), transport, addr, &wal.Record{ID: "m"}, testCallTimeout) }()
 		}
 		for range burst {
 			if o := <-done; o.kind != policy.Delivered {
 				t.Fatalf("round %d: %+v", round, o)
 			}
 		}
-		for len(together) > 0 {
-			<-together
+		for len(arrived) > 0 {
+			<-arrived
 		}
 	}
-	if n := conns.Load(); n != burst {
-		t.Errorf("%d connections for two bursts of %d", n, burst)
+	if n := connections.Load(); n != burst {
+		t.Errorf("%d connections were opened for two bursts of %d calls", n, burst)
 	}
 }
 
-// The outcome says whether a connection was opened for a call: the policy learns from
-// it that a peer's table of connections is full.
-func TestFreshConnection(t *testing.T) {
-	addr := rawEndpoint(t, func(c net.Conn) {
+// The outcome must say whether a connection was opened for the call. From a 503 on a new
+// connection the policy learns that the connection table of a peer is full.
+func TestOutcomeSaysWhetherConnectionIsNew(t *testing.T) {
+	addr := startRawEndpoint(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); readCall(in); {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	conns := testConns(t, 4)
-	defer conns.CloseIdleConnections()
+	transport := newTestTransport(t, 4)
+	defer transport.CloseIdleConnections()
 	for i, want := range []bool{true, false} {
-		if o := runOne(newTestCall(), conns, addr, &wal.Record{ID: "m"}, testLimit); o.isNewConnection != want || o.kind != policy.Rejected {
-			t.Errorf("call %d: fresh %v, %+v", i, o.isNewConnection, o)
+		if o := runSingleCall(newTestCall(), transport, addr, &wal.Record{ID: "m"}, testCallTimeout); o.isNewConnection != want || o.kind != policy.Rejected {
+			t.Errorf("call %d: new connection %v, %+v", i, o.isNewConnection, o)
 		}
 	}
 }
