--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -84,14 +84,14 @@
 	return jump, nil
 }
 
-// Mono returns the monotonic time. Only its difference from, and its order with,
+// Monotonic returns the monotonic time. Only its difference from, and its order with,
 // other monotonic times of the same clock have a meaning. Jumps of the date do
 // not affect it.
-func (c *Clock) Mono() time.Time {
+func (c *Clock) Monotonic() time.Time {
 	if c == nil {
 		return time.Now()
 	}
-	return c.start.Add(c.Span(time.Since(c.start)))
+	return c.start.Add(c.FromMachine(time.Since(c.start)))
 }
 
 // Date returns the date and time of day that this clock shows.
@@ -99,7 +99,7 @@
 	if c == nil {
 		return time.Now()
 	}
-	now := c.Mono().Round(0)
+	now := c.Monotonic().Round(0)
 	for _, jump := range c.dateJumps {
 		if time.Since(c.start) >= jump.after {
 			now = now.Add(jump.amount)
@@ -108,18 +108,18 @@
 	return now
 }
 
-// Span converts a duration measured by the machine's clock to the duration that
+// FromMachine converts a duration measured by the machine's clock to the duration that
 // this clock shows for it.
-func (c *Clock) Span(d time.Duration) time.Duration {
+func (c *Clock) FromMachine(d time.Duration) time.Duration {
 	if c == nil {
 		return d
 	}
 	return time.Duration(float64(d) * c.rate)
 }
 
-// Real converts a duration by this clock to one by the machine's clock, which is
+// ToMachine converts a duration by this clock to one by the machine's clock, which is
 // what a timer needs.
-func (c *Clock) Real(d time.Duration) time.Duration {
+func (c *Clock) ToMachine(d time.Duration) time.Duration {
 	if c == nil {
 		return d
 	}
--- a/internal/leader/campaign.go
+++ b/internal/leader/campaign.go
@@ -37,7 +37,7 @@
 }
 
 func (c *candidate) waitForChange(ctx context.Context, wait time.Duration) {
-	timer := time.NewTimer(c.opts.Clock.Real(wait))
+	timer := time.NewTimer(c.opts.Clock.ToMachine(wait))
 	defer timer.Stop()
 	select {
 	case <-c.wake:
@@ -59,7 +59,7 @@
 	roles := rolesByName(c.roleList.Roles)
 	controllers := controllerNames(c.roleList.Sessions)
 	quota := roleQuota(len(c.opts.Roles), len(controllers))
-	now := c.opts.Clock.Mono()
+	now := c.opts.Clock.Monotonic()
 	for name := range c.opts.Roles {
 		role, listed := roles[name]
 		if c.hasUnansweredGrant(role) {
@@ -148,7 +148,7 @@
 	defer c.mu.Unlock()
 	if err != nil {
 		// If only the response was lost, the grant is valid, and the role list shows it.
-		c.notBefore[name] = c.opts.Clock.Mono().Add(retryDelayMin + randomDuration(retryDelaySpread))
+		c.notBefore[name] = c.opts.Clock.Monotonic().Add(retryDelayMin + randomDuration(retryDelaySpread))
 		return
 	}
 	if session != c.session || !c.hasLease() {
--- a/internal/leader/candidate.go
+++ b/internal/leader/candidate.go
@@ -49,7 +49,7 @@
 	}
 	return &candidate{
 		opts:            opts,
-		started:         opts.Clock.Mono(),
+		started:         opts.Clock.Monotonic(),
 		grants:          map[string]*Grant{},
 		unstopped:       map[string]bool{},
 		lastTokens:      map[string]int64{},
@@ -91,7 +91,7 @@
 }
 
 // elapsed returns the time since the candidate's start, by its own clock.
-func (c *candidate) elapsed() time.Duration { return c.opts.Clock.Mono().Sub(c.started) }
+func (c *candidate) elapsed() time.Duration { return c.opts.Clock.Monotonic().Sub(c.started) }
 
 // hasLease reports whether the lease is valid. The caller holds c.mu.
 func (c *candidate) hasLease() bool { return c.lease.Remaining(c.elapsed()) > 0 }
--- a/internal/leader/session.go
+++ b/internal/leader/session.go
@@ -31,7 +31,7 @@
 // sendHeartbeats renews the session until ctx ends. It opens a new session if the list
 // service no longer knows the present one.
 func (c *candidate) sendHeartbeats(ctx context.Context) {
-	interval := c.opts.Clock.Real(c.opts.TTL / heartbeatsPerTTL)
+	interval := c.opts.Clock.ToMachine(c.opts.TTL / heartbeatsPerTTL)
 	for Sleep(ctx, interval) {
 		id := c.sessionID()
 		sentAt := c.elapsed()
@@ -112,7 +112,7 @@
 	if c.watchdog != nil {
 		c.watchdog.Stop()
 	}
-	c.watchdog = time.AfterFunc(c.opts.Clock.Real(c.lease.Remaining(c.elapsed())), c.cancelExpiredGrants)
+	c.watchdog = time.AfterFunc(c.opts.Clock.ToMachine(c.lease.Remaining(c.elapsed())), c.cancelExpiredGrants)
 }
 
 func (c *candidate) cancelExpiredGrants() {
--- a/internal/leader/watch.go
+++ b/internal/leader/watch.go
@@ -48,7 +48,7 @@
 		return // the list is from a node that lags behind
 	}
 	c.roleList = list
-	now := c.opts.Clock.Mono()
+	now := c.opts.Clock.Monotonic()
 	for _, role := range list.Roles {
 		c.cancelIfReplaced(role)
 		if role.Holder != "" {
--- a/internal/leader/work.go
+++ b/internal/leader/work.go
@@ -113,5 +113,5 @@
 func (c *candidate) postponeRequest(role string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.notBefore[role] = c.opts.Clock.Mono().Add(c.opts.TTL)
+	c.notBefore[role] = c.opts.Clock.Monotonic().Add(c.opts.TTL)
 }
--- a/internal/registry/api_members.go
+++ b/internal/registry/api_members.go
@@ -145,7 +145,7 @@
 		writeError(w, http.StatusBadRequest, "%s: NAME=TOKEN is wanted", FenceHeader)
 		return
 	}
-	expired, result, err := n.heartbeats.expireMembers(n.cfg.Clock.Mono(), fence)
+	expired, result, err := n.heartbeats.expireMembers(n.cfg.Clock.Monotonic(), fence)
 	switch {
 	case err != nil:
 		writeError(w, http.StatusServiceUnavailable, "%v", err)
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -58,7 +58,7 @@
 func (h *heartbeatMonitor) recordMember(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lastHeartbeat[id] = h.node.cfg.Clock.Mono()
+	h.lastHeartbeat[id] = h.node.cfg.Clock.Monotonic()
 }
 
 // recordSession records a heartbeat of a session. It returns false if a command that
--- a/internal/registry/leader_tasks.go
+++ b/internal/registry/leader_tasks.go
@@ -27,7 +27,7 @@
 				continue
 			}
 			n.heartbeats.expireSessions()
-			if now := n.cfg.Clock.Mono(); now.Sub(lastMemberCheck) >= memberCheckInterval {
+			if now := n.cfg.Clock.Monotonic(); now.Sub(lastMemberCheck) >= memberCheckInterval {
 				lastMemberCheck = now
 				n.expireMembers(now)
 			}
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -82,7 +82,7 @@
 // Start opens a node's data folder, joins its group and serves. The error wraps
 // ErrCorrupt if the contents of the folder can't be used.
 func Start(cfg *Config, log *slog.Logger) (_ *Node, err error) {
-	n := &Node{cfg: cfg, log: log, startedAt: cfg.Clock.Mono(), store: newStore()}
+	n := &Node{cfg: cfg, log: log, startedAt: cfg.Clock.Monotonic(), store: newStore()}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.heartbeats = newHeartbeatMonitor(n)
 	n.metrics = newMetrics(n)
@@ -210,7 +210,7 @@
 }
 
 // uptime returns the time since the node started, by its clock.
-func (n *Node) uptime() time.Duration { return n.cfg.Clock.Mono().Sub(n.startedAt) }
+func (n *Node) uptime() time.Duration { return n.cfg.Clock.Monotonic().Sub(n.startedAt) }
 
 // apply has the group apply a command. An error wraps ErrNoLeader: the command may or
 // may not have been applied.
