--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -57,9 +57,9 @@
 		t.Fatalf("the change is %+v", l)
 	}
 	agent.Set(func(agent *discoverytest.Server) { close(agent.Lines[0]) }) // the connection ends
-	discoverytest.WaitFor(t, "a second watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.WatchedFrom) == 2 })
+	discoverytest.WaitFor(t, "a second watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) == 2 })
 	agent.Mu.Lock()
-	from, fetches := agent.WatchedFrom[1], agent.Fetches
+	from, fetches := agent.Froms[1], agent.Fetches
 	agent.Mu.Unlock()
 	if from != "2" || fetches != 1 {
 		t.Errorf("the watch resumes from revision %s after %d fetches, want 2 after 1", from, fetches)
@@ -70,7 +70,7 @@
 		if l := nextUpdate(t, updates); !l.Complete {
 			t.Fatalf("after malformed line %d the list is not complete: %+v", i, l)
 		}
-		discoverytest.WaitFor(t, "a further watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.WatchedFrom) == 3+i })
+		discoverytest.WaitFor(t, "a further watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) == 3+i })
 	}
 }
 
@@ -98,8 +98,8 @@
 	}
 	agent.Mu.Lock()
 	defer agent.Mu.Unlock()
-	if agent.Fetches != 1 || len(agent.WatchedFrom) != 1 {
-		t.Errorf("%d fetches, %d watches, want one of each", agent.Fetches, len(agent.WatchedFrom))
+	if agent.Fetches != 1 || len(agent.Froms) != 1 {
+		t.Errorf("%d fetches, %d watches, want one of each", agent.Fetches, len(agent.Froms))
 	}
 }
 
@@ -126,14 +126,14 @@
 	agent := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
 	updates := startWatch(t, agent, 100*time.Millisecond)
 	nextUpdate(t, updates)
-	discoverytest.WaitFor(t, "a second watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.WatchedFrom) >= 2 })
+	discoverytest.WaitFor(t, "a second watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) >= 2 })
 }
 
 // Notices are sent until they are acknowledged. One that the agent rejects as
 // malformed is not sent again, and does not hold up the others.
 func TestNoticesAreSentUntilAcknowledged(t *testing.T) {
 	agent := discoverytest.New(t)
-	agent.Set(func(agent *discoverytest.Server) { agent.NoticeStatus = http.StatusInternalServerError })
+	agent.Set(func(agent *discoverytest.Server) { agent.Answer = http.StatusInternalServerError })
 	acknowledged := make(chan string, 16)
 	notices := discovery.NewNotices(agent.Addr(), slog.New(slog.DiscardHandler), func(id string) { acknowledged <- id })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -147,14 +147,14 @@
 		t.Fatalf("notice %s counts as acknowledged after status 500", id)
 	case <-time.After(50 * time.Millisecond):
 	}
-	agent.Set(func(agent *discoverytest.Server) { agent.NoticeStatus = http.StatusNoContent })
+	agent.Set(func(agent *discoverytest.Server) { agent.Answer = http.StatusNoContent })
 	for range 2 {
 		<-acknowledged
 	}
 	if noticeB, _ := agent.Notice("b"); noticeB != (discovery.Notice{Message: "b", Outcome: discovery.Returned, RetryMS: 500}) {
 		t.Errorf("the agent has received %+v as notice b", noticeB)
 	}
-	agent.Set(func(agent *discoverytest.Server) { agent.NoticeStatus = http.StatusBadRequest })
+	agent.Set(func(agent *discoverytest.Server) { agent.Answer = http.StatusBadRequest })
 	notices.Put(discovery.Notice{Message: "c", Outcome: discovery.Failed, RetryMS: 0})
 	if id := <-acknowledged; id != "c" {
 		t.Errorf("notice %s is reported in place of c", id)
@@ -213,7 +213,7 @@
 	defer func() { cancel(); <-done }()
 	<-rejected
 	watch.SetAddress(newAgent.Addr())
-	discoverytest.WaitFor(t, "a watch at the new address", func() bool { newAgent.Mu.Lock(); defer newAgent.Mu.Unlock(); return len(newAgent.WatchedFrom) == 1 })
+	discoverytest.WaitFor(t, "a watch at the new address", func() bool { newAgent.Mu.Lock(); defer newAgent.Mu.Unlock(); return len(newAgent.Froms) == 1 })
 }
 
 // A relay whose known list is valid starts with a watch from that list's revision,
@@ -232,11 +232,11 @@
 		watch.OnRejected = func() { delayed <- true }
 		go func() { defer close(done); watch.Run(ctx) }()
 		<-delayed
-		discoverytest.WaitFor(t, "a watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.WatchedFrom) == 1 })
+		discoverytest.WaitFor(t, "a watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) == 1 })
 		cancel()
 		<-done
-		if valid := known.Valid(); valid && (agent.Fetches != 0 || agent.WatchedFrom[0] != "7") || !valid && agent.Fetches != 1 {
-			t.Errorf("known list %+v: %d fetches, then a watch from revision %s", known, agent.Fetches, agent.WatchedFrom[0])
+		if valid := known.Valid(); valid && (agent.Fetches != 0 || agent.Froms[0] != "7") || !valid && agent.Fetches != 1 {
+			t.Errorf("known list %+v: %d fetches, then a watch from revision %s", known, agent.Fetches, agent.Froms[0])
 		}
 	}
 }
@@ -247,11 +247,11 @@
 	agent := discoverytest.New(t, discovery.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: discovery.Up})
 	agent.Set(func(agent *discoverytest.Server) { agent.RejectCalls = 2 })
 	nextUpdate(t, startWatch(t, agent, time.Minute))
-	discoverytest.WaitFor(t, "a watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.WatchedFrom) == 1 })
+	discoverytest.WaitFor(t, "a watch", func() bool { agent.Mu.Lock(); defer agent.Mu.Unlock(); return len(agent.Froms) == 1 })
 	agent.Mu.Lock()
 	defer agent.Mu.Unlock()
-	if agent.Fetches != 1 || agent.WatchedFrom[0] != "1" || agent.RejectCalls != 0 {
-		t.Errorf("%d fetches, then watches from %v, want 1 fetch, then from 1; %d calls were not rejected yet", agent.Fetches, agent.WatchedFrom, agent.RejectCalls)
+	if agent.Fetches != 1 || agent.Froms[0] != "1" || agent.RejectCalls != 0 {
+		t.Errorf("%d fetches, then watches from %v, want 1 fetch, then from 1; %d calls were not rejected yet", agent.Fetches, agent.Froms, agent.RejectCalls)
 	}
 }
 
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -31,16 +31,16 @@
 type Server struct {
 	*httptest.Server
 
-	Mu           sync.Mutex                  // guards the fields below
-	List         discovery.List              // the complete list that a fetch returns
-	Lines        []chan string               // a channel of updates for each accepted watch; closing one ends its connection
-	WatchedFrom  []string                    // the revision from which each accepted watch was opened
-	Fetches      int                         // number of fetches of the complete list
-	Notices      map[string]discovery.Notice // the acknowledged notices, by message id
-	NoticeStatus int                         // HTTP status of the response to notices
-	Silent       bool                        // if true, no fetch or watch gets a response, and open watches send no keepalive
-	RejectCalls  int                         // number of watches that are still to be rejected, with status 503
-	Unanswered   int                         // number of fetches and watches that were requested while Silent was set
+	Mu          sync.Mutex                  // guards the fields below
+	List        discovery.List              // the complete list that a fetch returns
+	Lines       []chan string               // a channel of updates for each accepted watch; closing one ends its connection
+	Froms       []string                    // the revision from which each accepted watch was opened
+	Fetches     int                         // number of fetches of the complete list
+	Notices     map[string]discovery.Notice // the acknowledged notices, by message id
+	Answer      int                         // HTTP status of the response to notices
+	Silent      bool                        // if true, no fetch or watch gets a response, and open watches send no keepalive
+	RejectCalls int                         // number of watches that are still to be rejected, with status 503
+	Unheard     int                         // number of fetches and watches that were requested while Silent was set
 
 	released chan struct{} // closed when the test ends
 }
@@ -48,7 +48,7 @@
 // New starts an agent whose complete list has revision 1 and the given members.
 func New(t *testing.T, members ...discovery.Member) *Server {
 	d := &Server{List: discovery.List{Revision: 1, Complete: true, Members: members}, Notices: map[string]discovery.Notice{},
-		NoticeStatus: http.StatusNoContent, released: make(chan struct{})}
+		Answer: http.StatusNoContent, released: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+discovery.ListPath, d.serveList)
 	mux.HandleFunc("POST "+discovery.NoticePath, d.serveNotices)
@@ -80,13 +80,13 @@
 	d.serveWatch(w, r, lines)
 }
 
-// countUnanswered counts a request in Unanswered if the agent is silent, and reports
+// countUnanswered counts a request in Unheard if the agent is silent, and reports
 // whether it is silent.
 func (d *Server) countUnanswered() bool {
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
 	if d.Silent {
-		d.Unanswered++
+		d.Unheard++
 	}
 	return d.Silent
 }
@@ -109,7 +109,7 @@
 	}
 	lines := make(chan string, 16)
 	d.Lines = append(d.Lines, lines)
-	d.WatchedFrom = append(d.WatchedFrom, from)
+	d.Froms = append(d.Froms, from)
 	return lines
 }
 
@@ -143,7 +143,7 @@
 func (d *Server) serveNotices(w http.ResponseWriter, r *http.Request) {
 	d.Mu.Lock()
 	defer d.Mu.Unlock()
-	if d.NoticeStatus == http.StatusNoContent {
+	if d.Answer == http.StatusNoContent {
 		for dec := json.NewDecoder(r.Body); dec.More(); {
 			var n discovery.Notice
 			if dec.Decode(&n) != nil {
@@ -152,7 +152,7 @@
 			d.Notices[n.Message] = n
 		}
 	}
-	w.WriteHeader(d.NoticeStatus)
+	w.WriteHeader(d.Answer)
 }
 
 // Addr returns the host and port of the agent.
--- a/internal/discovery/listsize_test.go
+++ b/internal/discovery/listsize_test.go
@@ -59,8 +59,8 @@
 	}
 	agent.Mu.Lock()
 	defer agent.Mu.Unlock()
-	if agent.Fetches != 1 || len(agent.WatchedFrom) != 1 {
-		t.Errorf("%d fetches, %d watches, want one of each", agent.Fetches, len(agent.WatchedFrom))
+	if agent.Fetches != 1 || len(agent.Froms) != 1 {
+		t.Errorf("%d fetches, %d watches, want one of each", agent.Fetches, len(agent.Froms))
 	}
 }
 
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -224,7 +224,7 @@
 	log := &lockedBuffer{}
 	c := spawnLimited(t, env, log, descriptorLimit)
 	c.waitReady(t)
-	waitFor(t, "the first watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.WatchedFrom) == 1 })
+	waitFor(t, "the first watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) == 1 })
 	discoveryProxy.close()
 	idleClients := startReconnectingClients(c.env["ROUTER_LISTEN"], 3*descriptorLimit)
 	defer idleClients.close()
@@ -272,12 +272,12 @@
 	waitFor(t, "a new log file", func() bool { return logFileNames(t, env) != filesBefore })
 	waitFor(t, "readiness at the operator address", func() bool { return c.readyzIs(true) })
 	disc.Mu.Lock()
-	watchesBefore := len(disc.WatchedFrom)
+	watchesBefore := len(disc.Froms)
 	disc.Mu.Unlock()
 	_, isNoticedEarly := disc.Notice("failed")
 	discoveryProxy.listen(t)
 	reopenedAt := time.Now()
-	waitFor(t, "a new watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.WatchedFrom) > watchesBefore })
+	waitFor(t, "a new watch of the list", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return len(disc.Froms) > watchesBefore })
 	watchDelay := time.Since(reopenedAt)
 	waitFor(t, "the notice", func() bool { n, ok := disc.Notice("failed"); return ok && n.Outcome == discovery.Failed })
 	t.Logf("%d connections by idle clients; %d messages accepted in %d tries; up to %d of %d descriptors; after the return of discovery: watch after %v, notice after %v",
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -152,7 +152,7 @@
 	waitFor(t, "the first watch", func() bool {
 		oldDiscovery.Mu.Lock()
 		defer oldDiscovery.Mu.Unlock()
-		return len(oldDiscovery.WatchedFrom) == 1
+		return len(oldDiscovery.Froms) == 1
 	})
 	validConfig, err := os.ReadFile(env["ROUTER_CONFIG"])
 	if err != nil {
@@ -173,7 +173,7 @@
 		c.cmd.Process.Signal(syscall.SIGHUP) // repeated, as two signals in quick succession may arrive as one
 		newDiscovery.Mu.Lock()
 		defer newDiscovery.Mu.Unlock()
-		return len(newDiscovery.WatchedFrom) > 0
+		return len(newDiscovery.Froms) > 0
 	})
 	newDiscovery.Send(t, discoverytest.Change(2, ep.member("s-2", 2)))
 	cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -274,7 +274,7 @@
 func TestExpiredMessagesGetNoticesAfterRestart(t *testing.T) {
 	disc := discoverytest.New(t)
 	env := writeTestConfig(t, disc, 3)
-	disc.Set(func(d *discoverytest.Server) { d.NoticeStatus = http.StatusInternalServerError })
+	disc.Set(func(d *discoverytest.Server) { d.Answer = http.StatusInternalServerError })
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range []string{"short", "later"} {
@@ -286,7 +286,7 @@
 		return logContains(env["ROUTER_STATE"], wal.KindCompleting, "short")
 	})
 	c.kill()
-	disc.Set(func(d *discoverytest.Server) { d.NoticeStatus = http.StatusNoContent })
+	disc.Set(func(d *discoverytest.Server) { d.Answer = http.StatusNoContent })
 	startChild(t, env)
 	for _, id := range []string{"short", "later"} {
 		waitFor(t, "the notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == discovery.Returned })
@@ -389,7 +389,7 @@
 	disc := discoverytest.New(t)
 	disc.Set(func(d *discoverytest.Server) { d.Silent = true })
 	c := spawn(t, writeTestConfig(t, disc, 3))
-	waitFor(t, "the first call to discovery", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return disc.Unanswered > 0 })
+	waitFor(t, "the first call to discovery", func() bool { disc.Mu.Lock(); defer disc.Mu.Unlock(); return disc.Unheard > 0 })
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		c.cmd.Process.Signal(sig)
 	}
