--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// Where relays are many for the number of messages, an endpoint that fails twice is backed off, and
-// for longer the longer it has failed. Where few relays send it many messages each, there is hardly
-// any backoff.
+// If there are many relays and each of them sends few messages, an endpoint that fails twice is
+// backed off, and the longer it has failed, the longer. If a few relays send it many messages each,
+// there is hardly any backoff.
 func TestFailureBackoffIsLongerInLargeFleet(t *testing.T) {
 	for _, relays := range []int{2, 400} {
 		s := baseSettings()
@@ -97,7 +97,7 @@
 
 // An endpoint is unavailable while it drains, has asked this relay to wait, or is ejected, and
 // available again once that is over.
-func TestUnavailableWhileDrainingWaitingOrFailing(t *testing.T) {
+func TestEndpointIsUnavailableWhileDrainingInRetryAfterOrEjected(t *testing.T) {
 	s := baseSettings()
 	r := newRig(t, s, readyEntry(1, 1000), Entry{Endpoint: 2, Dest: 1, State: Draining})
 	if r.p.Unavailable(1, r.now) || !r.p.Unavailable(2, r.now) || !r.p.Unavailable(3, r.now) {
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -4,15 +4,15 @@
 
 // The first backoff after a rejection without Retry-After is about the time in which every relay
 // can make one call within the limit, but no longer than the latency objective.
-func TestBackoffAfterRejectionIsAboutOneTurnAtTheLimit(t *testing.T) {
+func TestBackoffAfterRejectionIsAboutTimeOfOneCallPerRelay(t *testing.T) {
 	for _, relays := range []int{2, 7, 400} {
 		s := baseSettings()
 		s.Relays = relays
 		r := newRig(t, s, readyEntry(1, 4))
 		route := r.p.endpoints[1].route
 		r.p.observeCall(&callState{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*messageState{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EventAttemptDone, Outcome: Rejected})
-		turn := min(Time(relays)*second/4, 2*second)
-		if backoff := route.backoffUntil - r.now; backoff < turn/2 || backoff > turn*3/2 {
+		wantBackoff := min(Time(relays)*second/4, 2*second)
+		if backoff := route.backoffUntil - r.now; backoff < wantBackoff/2 || backoff > wantBackoff*3/2 {
 			t.Errorf("%d relays: backoff of %d ms at a limit of 4 calls a second", relays, backoff/1000)
 		}
 	}
