--- a/internal/registry/api_sessions.go
+++ b/internal/registry/api_sessions.go
@@ -7,7 +7,7 @@
 
 // Limits of a session's time to live.
 const (
-	minSessionTTL = 300 * time.Millisecond // a shorter one would expire in every election of a leader
+	minSessionTTL = 300 * time.Millisecond // with a shorter one, a controller would lose its lease in every election of a leader
 	maxSessionTTL = 5 * time.Minute
 )
 
--- a/internal/registry/client/request.go
+++ b/internal/registry/client/request.go
@@ -52,7 +52,7 @@
 			lastErr = err
 		}
 		c.rotate(node)
-		if n < len(c.nodes) && ctx.Err() == nil { // try each node once before the first backoff
+		if n < len(c.nodes) && ctx.Err() == nil { // the first backoff comes after an attempt at each node and another at the first one
 			continue
 		}
 		if ctxErr := c.backoff(ctx, max(0, n-len(c.nodes))); ctxErr != nil {
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -51,9 +51,9 @@
 	EndedSessions  []string         `json:"ended,omitempty"`  // ids of the sessions to end
 	LeaseDurations map[string]int64 `json:"lasted,omitempty"` // ms for which an expired session held each role; nil from an older leader
 
-	// Role is the role that a grant, note, release or hold is about. On any other
-	// command, Role and Token are a fence: the command is rejected unless Token is the
-	// role's current token.
+	// Role is the role that the command is about, or on whose behalf it is sent. If it
+	// is set, the command is rejected unless Token is the role's current fencing token.
+	// Commands that open or end a session, grant a role or disable one need no token.
 	Role      string `json:"duty,omitempty"`
 	Token     int64  `json:"token,omitempty"`
 	Note      string `json:"note,omitempty"`
@@ -61,7 +61,7 @@
 	Healthy   bool   `json:"good,omitempty"`   // note: the work succeeds, and Note is not set
 	Failed    bool   `json:"failed,omitempty"` // release, session-end: counts as a failure of the work
 	LeaseLost bool   `json:"lost,omitempty"`   // release: the lease was lost while the work ran
-	Disabled  bool   `json:"off,omitempty"`    // hold: true disables the role, false enables it again
+	Disabled  bool   `json:"off,omitempty"`    // OpDisable: true disables the role, false enables it again
 
 	Operation Operation `json:"order,omitzero"`
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,14 +9,14 @@
 	"plovershore/policy"
 )
 
-// Values in the settings text. Each comment names the key of the value.
+// Values in the settings text. Each comment names the settings key that has the value.
 const (
-	lateHalving     = "halving"    // specifics.late
-	valueByWork     = "work"       // value_by
-	weightsNone     = "none"       // weights
-	reportInAnswers = "answers"    // report.how
-	listOnRequest   = "on_request" // discovery
-	groupAll        = "all"        // classes[].group
+	lateHalving     = "halving"    // settings key specifics.late
+	valueByWork     = "work"       // settings key value_by
+	weightsNone     = "none"       // settings key weights
+	reportInAnswers = "answers"    // settings key report.how
+	listOnRequest   = "on_request" // settings key discovery
+	groupAll        = "all"        // settings key classes[].group
 )
 
 // idempotencies maps the values of classes[].repeat to those of package policy.
--- a/internal/wal/osfs.go
+++ b/internal/wal/osfs.go
@@ -21,7 +21,7 @@
 	dirMode  = 0o700
 )
 
-// Open opens a file with os.OpenFile.
+// Open opens a file with os.OpenFile. A file that it creates is accessible only to its owner.
 func (OS) Open(name string, mode Mode) (File, error) {
 	flag := os.O_RDONLY
 	switch mode {
@@ -37,10 +37,10 @@
 	return osFile{f}, nil
 }
 
-// Rename calls os.Rename.
+// Rename atomically renames a file or a folder, with os.Rename.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove calls os.RemoveAll.
+// Remove removes a file, or a folder with its contents. A missing name is not an error.
 func (OS) Remove(name string) error { return os.RemoveAll(name) }
 
 // MakeDir calls os.Mkdir. A folder that already exists is not an error.
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Stat calls os.Stat.
+// Stat returns the size of a file in bytes, and whether the name is that of a folder.
 func (OS) Stat(name string) (size int64, dir bool, err error) {
 	info, err := os.Stat(name)
 	if err != nil {
--- a/internal/wal/report.go
+++ b/internal/wal/report.go
@@ -35,7 +35,8 @@
 	First   uint64 `json:"first"` // sequence number of the first record
 }
 
-// Sound reports whether no corruption was found.
+// Sound reports whether neither corruption nor lost messages were found. An incomplete write is
+// neither.
 func (r *RecoveryReport) Sound() bool { return len(r.Corruptions) == 0 && len(r.LostIDs) == 0 }
 
 func (r *RecoveryReport) addCorruption(c Corruption) { r.Corruptions = append(r.Corruptions, c) }
--- a/internal/wal/store.go
+++ b/internal/wal/store.go
@@ -92,7 +92,8 @@
 	return handoff, nil
 }
 
-// recoverState reads the log's folder, or the log file of a legacy program.
+// recoverState reads the log's folder, or the log file of a legacy program, and logs what was
+// found. It creates the state folder and, unless a legacy log has to be converted, the log's folder.
 func (s *store) recoverState() (err error) {
 	if s.state, err = readState(s.fs, s.options.Dir); err != nil {
 		return err
@@ -125,7 +126,7 @@
 	return s.fs.SyncDir(s.options.Dir)
 }
 
-// logRecovery logs the corruption that was found.
+// logRecovery logs the corruption, the incomplete writes and the lost messages that were found.
 func (s *store) logRecovery() {
 	for _, c := range s.recovery.Corruptions {
 		s.logCorruption(c)
--- a/policy/action.go
+++ b/policy/action.go
@@ -28,7 +28,8 @@
 	ActionFetchList
 	// ActionLog writes a line to the log: Text.
 	ActionLog
-	// ActionStopAccepting has the relay tell clients that ask that it takes no new connections.
+	// ActionStopAccepting has the relay tell those who ask for its readiness that it is draining, so
+	// that clients open no new connections to it. The relay refuses none.
 	ActionStopAccepting
 	// ActionReleaseClients closes the clients' connections, each between two requests.
 	ActionReleaseClients
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -167,14 +167,16 @@
 	return message.class.Ordered || message.class.Idempotency == NonIdempotent
 }
 
-// nextEligibility is when a rule that may keep a message of this class from being sent expires;
-// math.MaxInt64 if there is none.
+// nextEligibility is the earliest time at which a rule that may keep the message from being sent
+// expires: the cooldown of its key, or the rule that a non-idempotent message is no trial call.
+// It is math.MaxInt64 if no such rule applies.
 func (p *Policy) nextEligibility(message *messageState) Time {
 	next := Time(math.MaxInt64)
 	if queue := p.orderedQueueOf(message); queue != nil && queue.cooldownUntil > p.now {
 		next = queue.cooldownUntil
 	}
-	// Once a non-idempotent message is late, it may go to an ejected endpoint.
+	// After its latency objective a non-idempotent message may be sent as a trial call to an ejected
+	// endpoint.
 	if message.class.Idempotency == NonIdempotent && message.objectiveAt >= p.now {
 		next = min(next, message.objectiveAt+1)
 	}
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// At a drain the relay stops accepting connections at once and releases its clients later, once
-// each even if the drain is requested twice. If the drain ends before the release, the release does
-// not happen. Messages are sent all the time.
+// When a drain starts, the policy emits ActionStopAccepting at once, and ActionReleaseClients after
+// clientReleaseDelay. It emits each of them once, even if the drain is requested twice. If the drain
+// ends before the delay is over, the clients are not released. A message that arrives between the
+// two actions is sent as usual.
 func TestDrainReleasesClientsOnceUnlessEnded(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEntry(1, 1000))
 	if a := r.step(Event{Kind: EventDrain}, Event{Kind: EventDrain}); countActions(a, ActionStopAccepting) != 1 || countActions(a, ActionReleaseClients) != 0 {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -214,8 +214,8 @@
 	}
 }
 
-// fleetWindow holds the calls that reached the destination in one overload window, and how many
-// may.
+// fleetWindow holds the number of calls that reached the destination in one overload window, and
+// the bound on that number.
 type fleetWindow struct {
 	from, to             Time
 	calls, informedCalls int
@@ -269,10 +269,10 @@
 	return float64(window.calls) > window.bound && 3*window.informedCalls > 2*window.calls
 }
 
-// Whatever the size of the fleet and of the destination and the kind of the outage, all relays
-// together never send a cold destination more than it can stand in an overload window. Where there
-// are so many relays that most have not noticed the outage yet, it may be overloaded, but not by
-// those that have.
+// When a destination comes back cold from an outage of any kind, all relays together must not send
+// it more calls in an overload window than it can stand, whatever its capacity. In a fleet of 300
+// relays, most of which may not have noticed the outage, more calls are a failure only if over two
+// thirds of them came from relays that had noticed it.
 func TestFleetDoesNotOverloadRecoveringDestination(t *testing.T) {
 	for _, relays := range []int{20, 30, 300} {
 		for _, capacity := range []float64{3, 8, 25, 120} {
--- a/policy/ordered_queue.go
+++ b/policy/ordered_queue.go
@@ -84,7 +84,8 @@
 }
 
 // followsSpilled reports whether a message that was just added directly follows spilled messages of
-// its own destination. The host can load such messages in order with it.
+// its own destination. Such a message may be spilled too and keeps its place: the host loads the
+// ordered messages of a destination in the order in which they were spilled.
 func (queue *orderedQueue) followsSpilled(message *messageState) bool {
 	return queue.spilledCount > 0 && queue.spilledTo == message.dest &&
 		queue.spilledIndex == len(queue.messages)-1 && queue.messages[queue.spilledIndex] == message
