--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -96,9 +96,10 @@
 	running  sync.WaitGroup
 }
 
-// startReconnectingClients starts count clients that open one connection each. A fourth of them
-// send nothing, a fourth send PING, a fourth submit a message and stay idle, and a fourth
-// send the beginning of a command.
+// startReconnectingClients starts count clients. Each holds one connection at a time and opens
+// another as soon as the relay closes it. On each connection, a fourth of the clients send
+// nothing, a fourth send PING and a fourth send the beginning of a command. The others submit
+// a message on the first of every 32 connections, and send PING on the rest.
 func startReconnectingClients(addr string, count int) *reconnectingClients {
 	c := &reconnectingClients{conns: map[net.Conn]bool{}}
 	texts := []string{"", "*1\r\n$4\r\nPING\r\n", "put", "*5\r\n$7\r\nMSG"}
@@ -108,7 +109,7 @@
 			defer c.running.Done()
 			for round := 0; !c.stopping.Load(); round++ {
 				text := texts[i%len(texts)]
-				if text == "put" && round%32 > 0 { // most connections stay idle without submitting a message
+				if text == "put" && round%32 > 0 { // PING in place of the message, on 31 of 32 connections
 					text = texts[1]
 				} else if text == "put" {
 					text = putCommand(fmt.Sprintf("crowd-%d-%d", i, round), putFields("plain", 20000, 7), nil)
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -130,7 +130,7 @@
 			t.Fatal(s)
 		}
 	}
-	cl.put("late", putFields("plain", 0, 1), nil) // refused directly, so it is not counted
+	cl.put("late", putFields("plain", 0, 1), nil) // refused directly, as it has no time left; counts as rejected
 	want := []string{`app_completed{lane="once"} 1`, `app_completed{lane="keyed"} 1`, `app_completed{lane="plain"} 0`,
 		`app_rejected{lane="plain"} 1`, `app_failed{lane="once"} 1`, `app_failed{lane="plain"} 0`,
 		`app_upstream_requests{lane="once"} 2`, `app_upstream_requests{lane="keyed"} 1`, `app_upstream_requests{lane="plain"} 0`,
--- a/internal/relay/ready_test.go
+++ b/internal/relay/ready_test.go
@@ -124,7 +124,7 @@
 				if pongAfter == 0 && c.answersPing() {
 					pongAfter = time.Since(startedAt)
 				}
-				if pongAfter > 0 { // the relay is in use from its first PONG on
+				if pongAfter > 0 { // clients use a relay that answers PING, so new messages are submitted from now on
 					sentAt := time.Now()
 					dialClient(t, env["ROUTER_LISTEN"]).put(fmt.Sprintf("new-%d", submitted), putFields("plain", 20000, submitted), nil)
 					slowest = max(slowest, time.Since(sentAt))
