--- a/internal/relay/call_response_test.go
+++ b/internal/relay/call_response_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestParseRetryAfter(t *testing.T) {
+func TestParseRetryAfterIgnoresInvalidAndLimitsLongTimes(t *testing.T) {
 	for s, want := range map[string]policy.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e99": 600e6} {
 		if got := parseRetryAfter(s); got != want {
 			t.Errorf("%q: %d, want %d", s, got, want)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestParseLoadReport(t *testing.T) {
+func TestParseLoadReportIgnoresInvalidFields(t *testing.T) {
 	fields := []string{"x0", "x1"}
 	for s, want := range map[string]policy.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25, Present: true}, "x1=3": {Limit: 3, Present: true}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}} {
 		if got := parseLoadReport(s, fields); got != want {
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -10,7 +10,7 @@
 
 // A relay must start and accept messages although discovery does not respond, with the list
 // of its configuration.
-func TestStartWithSilentDiscovery(t *testing.T) {
+func TestStartAcceptsMessagesWithSilentDiscovery(t *testing.T) {
 	disc := discoverytest.New(t)
 	disc.Set(func(disc *discoverytest.Server) { disc.Silent = true })
 	env := writeTestConfig(t, disc, 3)
--- a/internal/relay/operator_test.go
+++ b/internal/relay/operator_test.go
@@ -50,7 +50,7 @@
 	return resp.StatusCode, string(text)
 }
 
-func TestOperatorStatusCodes(t *testing.T) {
+func TestOperatorStatusCodeFollowsMethodPathAndReadiness(t *testing.T) {
 	server, ready := startTestOperator(t)
 	for _, test := range []struct {
 		method, path string
--- a/internal/relay/put_request_test.go
+++ b/internal/relay/put_request_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestParsePutRequest(t *testing.T) {
+func TestParsePutRequestReadsKnownAndIgnoresUnknownFields(t *testing.T) {
 	now := time.UnixMicro(1e15)
 	q, err := parseTestConfig(t).parsePutRequest([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 		[]byte("c=keyed,t=acme,d=1500.5,k=k1,dest=12,r=1,again=1,new=x"), []byte("b")}, now)
