--- a/internal/faultlab/simrelay/relays/process.go
+++ b/internal/faultlab/simrelay/relays/process.go
@@ -1,7 +1,9 @@
 // Package relays runs simulated relays. Each uses a real relay's watch, endpoint list,
 // notices, policy and message log, and replaces its clients and endpoints by synthetic
-// messages and outcomes. Package simrelay defines what they report. They run in a process
-// of their own, so that the lab does not link the relay's code.
+// messages and outcomes. Package simrelay defines what they report. They run in processes
+// of their own, which package faultlab starts by its SimRelayCommand: it imports simrelay
+// but not this package, and so does not depend on the relay's policy, settings and wire
+// protocol.
 package relays
 
 import (
