--- a/internal/faultlab/bench_registry.go
+++ b/internal/faultlab/bench_registry.go
@@ -26,9 +26,9 @@
 type RegistryBenchOptions struct {
 	Registry        string        // the list service's program
 	Out             string        // folder of the data and logs
-	Watchers        []int         // numbers of watchers
-	Members         []int         // numbers of members of the list
-	Kills           int           // kills of the leader
+	Watchers        []int         // numbers of watchers; each is measured on its own
+	Members         []int         // lengths of the list, in members; each is measured on its own
+	Kills           int           // kills of the leader with a list of fewMembers; lists of other lengths get fewer
 	Writes          int           // writes that are timed until the last watcher has them
 	LoadTime        time.Duration // length of each measurement of writes
 	ReturningAgents int           // agents that reconnect after an outage, with the largest number of watchers
@@ -157,7 +157,8 @@
 	return nil
 }
 
-// runWriters has all writers write for LoadTime and returns how long each write took.
+// runWriters has all writers write for LoadTime and returns how long each accepted
+// write took.
 func (b *registryBench) runWriters(ctx context.Context) (durations []float64) {
 	ctx, cancel := context.WithTimeout(ctx, b.options.LoadTime+groupTimeout) // the last writes get time to finish
 	defer cancel()
@@ -179,7 +180,7 @@
 }
 
 // writeUntil writes one member repeatedly until the deadline, and returns how long each
-// write took.
+// accepted write took, in milliseconds.
 func (b *registryBench) writeUntil(ctx context.Context, writer int, deadline time.Time) (durations []float64) {
 	c, err := b.client()
 	if err != nil {
--- a/internal/faultlab/build.go
+++ b/internal/faultlab/build.go
@@ -181,7 +181,9 @@
 	return err
 }
 
-// linkEndpoint makes the link from a relay to one endpoint.
+// linkEndpoint makes the link from a relay to one endpoint. Its delay depends on whether
+// both are in the same zone. A number that is unique among the relay's links selects the
+// seed of its random faults.
 func (r *run) linkEndpoint(relay *relay, number int, endpoint *model.Endpoint) (*link.Link, error) {
 	const seedsPerRelay = 1000
 	seed := r.seed + uint64(relay.number*seedsPerRelay+number)
--- a/internal/faultlab/fault_rollout.go
+++ b/internal/faultlab/fault_rollout.go
@@ -94,7 +94,8 @@
 	return o.await(ctx, isDone)
 }
 
-// startRunner serves the runner of one relay; the caller closes it.
+// startRunner starts the HTTP server of a relay's runner, which restarts the relay when
+// the rollout calls it; the caller closes the server.
 func (r *run) startRunner(addr string, program rolloutProgram) *http.Server {
 	runner := &rollout.Runner{Folder: filepath.Dir(program.relay.stateDir()), Program: program, Log: slog.New(slog.DiscardHandler)}
 	server := &http.Server{Addr: addr, ReadHeaderTimeout: runnerTimeout, Handler: runner.Handler()}
--- a/internal/faultlab/run.go
+++ b/internal/faultlab/run.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// settle waits until no message is pending, and then for noticeGrace, after which a
-// missing notice is overdue.
+// settle waits until no message is pending, but for settleTimeout at most, and then for
+// noticeGrace, after which a missing notice is overdue.
 func (r *run) settle() {
 	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
 		if r.ctx.Err() != nil || r.world.Ledger.PendingCount(time.Now()) == 0 {
