--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -3,7 +3,7 @@
 package clocktest
 
 import (
-	_ "runtime/cgo" // links the test binary dynamically, so that it loads the library when a test runs it as a child process
+	_ "runtime/cgo" // links the test binary dynamically, so that a child process that runs it loads the library that package wallclock preloads
 	"testing"
 	"time"
 
--- a/internal/clock/reading_test.go
+++ b/internal/clock/reading_test.go
@@ -25,7 +25,7 @@
 
 // The time between two readings is measured by the monotonic clock within one
 // boot, and by the wall clock otherwise.
-func TestTimeBetweenReadingsIsMonotonicOnlyWithinOneBoot(t *testing.T) {
+func TestTimeBetweenReadingsUsesMonotonicClockOnlyWithinOneBoot(t *testing.T) {
 	boot, otherBoot := Boot{1}, Boot{2}
 	for _, test := range []struct {
 		name           string
--- a/internal/discovery/internal_test.go
+++ b/internal/discovery/internal_test.go
@@ -101,10 +101,11 @@
 	}
 }
 
-// Guards against missing drains, which count as received after 6 s, whether the relay
-// knows of them or not. In a fleet of any size, a relay that starts calls its agent
-// within the grace period of 2 s, and both the response timeout and the first backoff
-// end early enough.
+// Guards against missed drains. A drain counts as received 6 s after its announcement at
+// the latest, even if the relay does not know of it, and a grace period of 2 s is all
+// that the relay then has to stop calling the endpoint. So, in a fleet of any size, a
+// relay that starts makes its first call to the agent within 2 s, and both the response
+// timeout and the delay before the first retry leave enough of the 6 s.
 func TestStartDelayTimeoutAndBackoffLeaveTimeForDrains(t *testing.T) {
 	const receivedWithin, grace = 6 * time.Second, 2 * time.Second
 	for _, relays := range []int{2, 80, 300, 3000} {
