--- a/internal/clock/reading.go
+++ b/internal/clock/reading.go
@@ -88,9 +88,10 @@
 }
 
 // Since returns the microseconds from an earlier reading to this one. The result
-// is exact between two readings of the same known boot, for which it comes from the
-// monotonic clock. Otherwise it is the difference of the wall clocks, which is
-// negative if the wall clock was set back by more than the time that has passed.
+// is exact between two readings of the same known boot whose monotonic times do not
+// go back, for which it comes from the monotonic clock. Otherwise it is the difference
+// of the wall clocks, which is negative if the wall clock was set back by more than the
+// time that has passed.
 func (r Reading) Since(earlier Reading) (micros int64, exact bool) {
 	if r.Boot != (Boot{}) && r.Boot == earlier.Boot && r.Mono >= earlier.Mono {
 		return r.Mono - earlier.Mono, true
