--- a/internal/relayctl/relayctl_test.go
+++ b/internal/relayctl/relayctl_test.go
@@ -172,7 +172,7 @@
 
 // Members can be added, drained, undrained and removed. Zones can be put into regions and
 // evacuated: a dry run only prints capacities, and invalid or repeated requests are rejected.
-func TestMembersAndZonesCommands(t *testing.T) {
+func TestMembersAndZonesCommandsChangeListAndRejectInvalidRequests(t *testing.T) {
 	f := startFixture(t)
 	for _, member := range [][3]string{{"m-1", "127.0.0.1:9001", "a"}, {"m-2", "127.0.0.1:9002", "b"}} {
 		f.mustRun("members", "add", "--id", member[0], "--address", member[1], "--zone", member[2], "--flavor", "agent", "--cell", "3")
@@ -212,7 +212,7 @@
 
 // A restored snapshot brings back a removed member. status lists nodes that do not answer,
 // and fails if no node answers.
-func TestSnapshotRestoreAndStatusOfUnreachableNodes(t *testing.T) {
+func TestSnapshotRestoreBringsBackMemberAndStatusNamesUnreachableNodes(t *testing.T) {
 	f := startFixture(t)
 	f.mustRun("members", "add", "--id", "m-1", "--address", "127.0.0.1:9001", "--zone", "a", "--flavor", "agent")
 	path := filepath.Join(t.TempDir(), "state")
