--- a/internal/failover/export.go
+++ b/internal/failover/export.go
@@ -40,8 +40,9 @@
 	return report.Pending, nil
 }
 
-// finishExport completes an export that may have been interrupted. It does nothing if the
-// folder cannot be locked: then the relay has restarted and begun an empty log there.
+// finishExport completes an export that may have been interrupted. It does nothing if
+// LockFolder fails, since it then assumes that the relay has restarted and begun an empty
+// log there.
 func finishExport(folder, path string) error {
 	unlock, err := wal.LockFolder(folder)
 	if err != nil {
--- a/internal/faultlab/model/client_conn.go
+++ b/internal/faultlab/model/client_conn.go
@@ -23,7 +23,7 @@
 	answerErr  = "-"     // begins an error line
 
 	extraPeekTimeout = 50 * time.Microsecond // long enough to see bytes that have arrived already
-	extraReadTimeout = 10 * time.Millisecond // time for the rest of their line to arrive
+	extraReadTimeout = 10 * time.Millisecond // time in which the rest of an extra line must arrive after its first byte was seen
 )
 
 // isAccepted reports whether an answer accepts the message.
--- a/internal/faultlab/model/endpoint.go
+++ b/internal/faultlab/model/endpoint.go
@@ -28,7 +28,7 @@
 	Zone        string
 	Upstream    *Upstream
 	Servers     int           // number of calls that it serves at once
-	QueueSize   int           // number of calls that wait until one of those is done
+	QueueSize   int           // number of further calls that wait until one of those being served is done
 	MaxConns    int           // number of connections whose calls it serves, idle ones included
 	MaxBatch    int           // largest number of messages in one call
 	IdleTimeout time.Duration // after which an idle connection is closed
--- a/internal/faultlab/model/rules.go
+++ b/internal/faultlab/model/rules.go
@@ -18,7 +18,7 @@
 	RecoveryTime       time.Duration // how long after an outage a destination has its full capacity again
 	OverloadFactor     float64       // multiple of its present capacity above which calls overload a recovering destination
 	OverloadWindow     time.Duration // over which the calls for OverloadFactor are counted
-	BlameFraction      float64       // fraction of those calls that must come from relays that saw the outage for the rule to be violated
+	BlameFraction      float64       // fraction of the calls in OverloadWindow that must come from relays that saw the outage for the rule to be violated
 }
 
 // StandardRules returns the limits of the protocol and terms pages.
--- a/internal/faultlab/model/upstream.go
+++ b/internal/faultlab/model/upstream.go
@@ -13,7 +13,7 @@
 	burstSeconds       = 0.5                   // a limit without a window accepts at once as many calls as it allows in this time
 	minRetryAfter      = 10 * time.Millisecond // shortest Retry-After of a closed upstream
 	overloadTolerance  = 1.1                   // factor on the overload budget, so that random variation overloads nothing
-	overloadExtraCalls = 3                     // further calls above the budget, for the same reason where the budget is small
+	overloadExtraCalls = 3                     // further calls allowed above the budget, since random variation is large beside a small budget
 )
 
 // Limit describes how many calls a destination accepts from all relays together.
@@ -45,7 +45,7 @@
 	limitFactor      float64   // factor on Limit.Rate
 	opensAt          time.Time // when the Retry-After of a closed upstream ends
 	endpoints        int       // number of endpoints
-	endpointsDown    int       // number of those that are down
+	endpointsDown    int       // number of endpoints that are down
 	inOutage         bool      // the whole destination is down
 	connectionsFail  bool      // endpoints refuse connections during the outage
 	recoveringSince  time.Time // end of the last outage; zero if the upstream has its full capacity
@@ -109,7 +109,7 @@
 	u.updateOutage(false)
 }
 
-// RemoveFault removes a fault that was added.
+// RemoveFault removes a fault that AddFault added; of several equal ones it removes one.
 func (u *Upstream) RemoveFault(fault Fault) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/faultlab/scenario/scenario.go
+++ b/internal/faultlab/scenario/scenario.go
@@ -31,7 +31,7 @@
 	DiskMB      int      `toml:"disk_mb"`
 	MaxCalls    int      `toml:"slots"`    // limit on the calls in flight of one relay
 	MaxMessages int      `toml:"held"`     // limit on the messages that one relay holds
-	Resident    int      `toml:"resident"` // limit on those of them that it holds in memory; 0 for the relay's default
+	Resident    int      `toml:"resident"` // limit on the messages that one relay holds in memory; 0 for the relay's default
 	MaxBatch    int      `toml:"batch"`    // largest number of messages in one call to a telco
 	Durability  string   `toml:"promise"`  // what an accepted message survives: DurableProcess or DurablePower; empty for the default
 }
@@ -52,7 +52,7 @@
 	CountsRejected bool    `toml:"refused_calls_spend"` // whether rejected calls count against the limits as well
 	DelayMS        float64 `toml:"delay_ms"`            // one-way delay to an endpoint in the same zone
 	CrossMS        float64 `toml:"cross_ms"`            // one-way delay to an endpoint in another zone
-	JitterMS       float64 `toml:"jitter_ms"`           // largest random addition to either delay
+	JitterMS       float64 `toml:"jitter_ms"`           // largest random addition to DelayMS and to CrossMS
 	ConnsFactor    float64 `toml:"conns"`               // connections that an endpoint serves, as a multiple of the calls that it serves at once
 }
 
--- a/internal/leader/explore_test.go
+++ b/internal/leader/explore_test.go
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	for k, message := range m.messages { // a message that is never delivered is lost
+	for k, message := range m.messages { // a loss needs no transition: the explored schedules include those that never deliver a message
 		add("%v is delivered", func(c *model) { c.messages = slices.Delete(c.messages, k, k+1); c.deliver(message, fenced) }, message)
 	}
 	return all
--- a/internal/relay/client_server.go
+++ b/internal/relay/client_server.go
@@ -58,7 +58,7 @@
 	slotFreed      chan struct{}        // capacity 1: signals that a descriptor was freed
 	isClosed       bool
 	closed         chan struct{}  // closed by the method close
-	connGoroutines sync.WaitGroup // the connections' goroutines
+	connGoroutines sync.WaitGroup // counts the goroutines that serve connections; the method close waits for them
 }
 
 func newClientServer(cfg *Config, log *slog.Logger, submit func(*putRequest), onResponded func(*putRequest, bool)) *clientServer {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -47,7 +47,7 @@
 	endpoint   *endpoint
 	callNumber uint32 // the policy's number of the call
 	sends      []send
-	bodyBytes  int // upper bound of the body's size
+	bodyBytes  int // sum of batchItemSize of the added messages; an upper bound of the size of the call's body
 }
 
 // send is one message of a batch, with the time limits of its attempt.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -63,7 +63,11 @@
 	progress    Progress
 }
 
-// advance advances the plan by one wave.
+// advance carries out one pass of the plan: it opens the present wave if it is not open,
+// restarts its relays, and moves on to the next wave once it has settled. It returns early
+// if one of these can't be completed now; the next pass then goes on from the stored
+// progress. It ends the operation if the spec or the progress is invalid, if the plan is
+// aborted, or if no wave is left.
 func (e *execution) advance(ctx context.Context) error {
 	e.progress.Done = map[string]bool{}
 	err := operations.Decode(e.op, &e.plan, &e.progress)
