--- a/internal/relay/client_connection_test.go
+++ b/internal/relay/client_connection_test.go
@@ -122,7 +122,7 @@
 
 // Requests that arrive while the relay closes the connection are dropped. They must not
 // reset the connection, so that the client still gets the response to its first request.
-func TestPipelinedRequestsDuringCloseDoNotResetResponse(t *testing.T) {
+func TestPipelinedRequestsDuringCloseDoNotResetConnection(t *testing.T) {
 	var requestCount atomic.Int32
 	requests := make(chan *putRequest, 2)
 	c, cl := serveCrossing(t, func(request *putRequest) { requestCount.Add(1); requests <- request },
--- a/internal/relay/client_session_test.go
+++ b/internal/relay/client_session_test.go
@@ -150,7 +150,7 @@
 
 // A peer that sends nothing, only an invalid command, or only a PING is disconnected after
 // the command timeout. A client that has submitted a message may stay idle.
-func TestPeerWithoutValidCommandIsDisconnected(t *testing.T) {
+func TestPeerWithoutMessageIsDisconnected(t *testing.T) {
 	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
 	c.commandTimeout = 300 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/relay/connection_limit_test.go
+++ b/internal/relay/connection_limit_test.go
@@ -79,7 +79,7 @@
 }
 
 // A request that arrives while its connection is evicted must not reset the connection.
-func TestEvictionDoesNotResetCrossingRequest(t *testing.T) {
+func TestRequestDuringEvictionDoesNotResetConnection(t *testing.T) {
 	c, cl := serveCrossing(t, accept, putCommand("b", putFields("plain", 8000, 1), nil))
 	if s := cl.put("a", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Fatal(s)
--- a/internal/relay/endpoint_test.go
+++ b/internal/relay/endpoint_test.go
@@ -12,7 +12,7 @@
 // If a call fails and no later call was answered, the machine of the endpoint may have been
 // away, and the idle connections to it may be dead without any sign of it, so they must be
 // closed. One slow call while others are answered is no reason to close them.
-func TestFailedCallAfterSilenceClosesIdleConnections(t *testing.T) {
+func TestUpdateLivenessSuspectsConnectionsAfterResetOrSilence(t *testing.T) {
 	ep := &endpoint{}
 	for i, test := range []struct {
 		o    outcome
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -49,7 +49,7 @@
 
 // If a kind of destination takes several messages in one call, waiting messages must be sent
 // as a batch whose body is within the size limit.
-func TestWaitingMessagesAreSentInOneBatch(t *testing.T) {
+func TestWaitingMessagesAreSentAsBatchWithinSizeLimit(t *testing.T) {
 	releaseFirst := make(chan struct{})
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
