--- a/internal/relay/clockstep_test.go
+++ b/internal/relay/clockstep_test.go
@@ -215,7 +215,7 @@
 	deliveredAt := time.Now()
 	waitFor(t, "the notice", func() bool { _, ended := s.disc.Notice("keyed"); return ended }) // notices and calls are independent, so the notice may come after the call of "mark"
 	if waited := time.Since(deliveredAt); waited > 5*time.Second {
-		t.Errorf("the notice came %v after a later message was delivered, want at most 5 s", waited)
+		t.Errorf("the notice came %v after a later message was delivered, want at most 5 s: it must not wait for the deadline", waited)
 	}
 	if n, ended := s.disc.Notice("keyed"); !ended || n.Outcome != discovery.Failed || s.hung.callCount("keyed") != 1 {
 		t.Errorf("%d calls, notice %v with outcome %q, want 1 call and a failure notice", s.hung.callCount("keyed"), ended, n.Outcome)
