--- a/internal/relay/backlog_slope_test.go
+++ b/internal/relay/backlog_slope_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// Measures what a pending message costs with all messages in memory ("before") and with the
+// The test measures what a pending message costs with all messages in memory ("before") and with the
 // default limit on the messages in memory ("after"), at 256 MB of memory, with bodies of
 // 200 bytes and 50 destinations without endpoints. At full size:
 //
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -148,7 +148,8 @@
 }
 
 // Deadlines pass while messages are spilled. Each message must be returned no later than
-// 300 ms after its deadline, also if many deadlines pass at the same time.
+// 300 ms after its deadline, also if many deadlines pass at the same time, and no more than
+// 100 ms before it.
 func TestSpilledMessagesEndAtDeadline(t *testing.T) {
 	disc := newDiscoveryWithOneMember(t)
 	env := backlogEnv(t, disc, 64, 2)
@@ -225,8 +226,8 @@
 }
 
 // A keyed message that may have run is spilled. It may be sent again only within its
-// deduplication window; if no endpoint returns in that time, it must fail before the window
-// is over, although its deadline is much later.
+// deduplication window of 6 s. If no endpoint returns in that time, it must get its notice
+// when the window ends, 5 to 7 s after its call, although its deadline is much later.
 func TestSpilledMessageInDoubtKeepsDedupWindow(t *testing.T) {
 	for name, returns := range map[string]bool{"endpoint returns in time": true, "endpoint does not return": false} {
 		t.Run(name, func(t *testing.T) {
@@ -368,8 +369,9 @@
 }
 
 // A log written without a limit on the messages in memory, as by older versions of the
-// program, is read by a relay with a limit, and the other way round. In between, the relay
-// ends on SIGTERM while most messages are spilled.
+// program, is read by a relay with a limit of 3. That relay ends on SIGTERM while most
+// messages are spilled, and its log is read by a relay with the default limit, under which
+// all of the messages stay in memory.
 func TestBacklogOtherBound(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	disc := newDiscoveryWithOneMember(t)
@@ -436,7 +438,8 @@
 }
 
 // For a spilled message a relay may keep only its entries in the index of the log and in the
-// backlog store in memory, about 75 bytes.
+// backlog store in memory, about 75 bytes. The test allows 130 bytes per message, averaged
+// over all messages with the 1000 that stay in memory.
 func TestSpilledMessagesUseLittleMemory(t *testing.T) {
 	heapSize := func() int64 {
 		runtime.GC()
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -26,7 +26,8 @@
 	return c
 }
 
-// newTestCall returns a call with one message that has no record, no endpoint and no transport.
+// newTestCall returns a call without endpoint and transport, with one message that has no
+// record.
 func newTestCall() *call {
 	ctx, stop := context.WithCancelCause(context.Background())
 	return &call{messages: []callMessage{{message: &message{}}}, ctx: ctx, cancel: stop}
@@ -277,7 +278,8 @@
 }
 
 // A call that waits for its connection must not carry a message that was completed
-// meanwhile. The others in it are reported as not sent and may be retried.
+// meanwhile. The call is stopped before anything is sent, and all its messages are reported
+// with ConnectFailed, so that the others may be retried.
 func TestCompletedMessageIsNotSentByWaitingCall(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	dialing, release, connected := make(chan struct{}), make(chan struct{}), make(chan struct{})
--- a/internal/relay/client_connection_test.go
+++ b/internal/relay/client_connection_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// A connection that is evicted just when a request begins must answer it and then be closed,
+// A connection that is evicted just when a request begins must be closed after that request,
 // since it no longer counts towards the connection limit.
 func TestEvictedConnectionClosesAfterRequest(t *testing.T) {
 	c := newClientServer(parseTestConfig(t), discardLog(), accept, func(*putRequest, bool) {})
--- a/internal/relay/client_session_test.go
+++ b/internal/relay/client_session_test.go
@@ -11,7 +11,7 @@
 
 // serveClients starts a client server without a relay; put gets each message in place of the
 // loop. It returns the server, its address and a channel. The channel gets, for each message,
-// whether it counts as acknowledged, so that its client has received the response.
+// whether it counts as acknowledged: its response was written while the client waited for it.
 func serveClients(t *testing.T, put func(*putRequest)) (*clientServer, string, chan bool) {
 	t.Helper()
 	acknowledged := make(chan bool, 16)
@@ -98,8 +98,8 @@
 	}
 }
 
-// During a drain, a connection has a deadline for its request. A request that arrives just
-// before the deadline must be answered, also if the deadline passes before the response.
+// During a drain, a new connection has until clientTimeout for its request. A request that
+// arrives just before that must be answered, also if the time is over before the response.
 func TestRequestBeforeConnectionDeadlineIsAnswered(t *testing.T) {
 	requests := make(chan *putRequest, 1)
 	c, addr, acknowledged := serveClients(t, func(request *putRequest) { requests <- request })
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -8,8 +8,8 @@
 	"plovershore/internal/discovery/discoverytest"
 )
 
-// A relay must start and accept messages although discovery does not respond, with the list
-// of its configuration.
+// A relay must start and accept messages although discovery does not respond and its
+// configuration has no list.
 func TestStartAcceptsMessagesWithSilentDiscovery(t *testing.T) {
 	disc := discoverytest.New(t)
 	disc.Set(func(disc *discoverytest.Server) { disc.Silent = true })
--- a/internal/relay/endpoint_test.go
+++ b/internal/relay/endpoint_test.go
@@ -9,9 +9,10 @@
 	"plovershore/policy"
 )
 
-// If a call fails and no later call was answered, the machine of the endpoint may have been
-// away, and the idle connections to it may be dead without any sign of it, so they must be
-// closed. One slow call while others are answered is no reason to close them.
+// After a reset, a failed connect, or a timeout or cancellation with no response to any call
+// since that call began, the machine of the endpoint may have been away. The idle connections
+// to it may then be dead without any sign of it, so they must be closed. One slow call while
+// others are answered is no reason to close them.
 func TestUpdateLivenessSuspectsConnectionsAfterResetOrSilence(t *testing.T) {
 	ep := &endpoint{}
 	for i, test := range []struct {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -12,7 +12,8 @@
 // A property test of the handover: a second process starts beside the first while clients
 // submit messages, and both get SIGTERM or SIGKILL at random times. An accepted message must
 // be delivered or end, a refused one must never be sent, and one of the class "once" must not
-// be sent twice.
+// be sent twice. If no process is killed, no connection may be reset, and a message without a
+// response must not be sent either.
 func TestHandoverWithRandomSignalsKeepsMessages(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/relay/idle_resets_test.go
+++ b/internal/relay/idle_resets_test.go
@@ -33,5 +33,5 @@
 	if got := tracker.maxIdle(configuredLimit, now+60*second); got != configuredLimit {
 		t.Errorf("limit a minute later: %v", got)
 	}
-	tracker.record(100*time.Hour, true, now) // longer than the last idle-time step of the tracker; must not panic
+	tracker.record(100*time.Hour, true, now) // far longer than the idle time at which the last bucket starts; must not panic
 }
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -7,8 +7,8 @@
 	"plovershore/policy"
 )
 
-// The overdue count must equal a count over all pending messages, except for messages whose
-// grace time ended less than one span ago.
+// The overdue count must equal a count over all pending messages, except that messages whose
+// grace time ended less than one span ago may or may not be counted.
 func TestOverdueCountMatchesFullCount(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -269,8 +269,9 @@
 	}
 }
 
-// A message whose deadline passes while no process runs must get its notice right after the
-// restart. A notice that discovery did not accept before the kill must be sent again.
+// The relay is killed after the deadline of one message, whose notice discovery did not accept,
+// and before the deadline of another. After the restart, that notice must be sent again, and
+// the other message must get its notice, too.
 func TestExpiredMessagesGetNoticesAfterRestart(t *testing.T) {
 	disc := discoverytest.New(t)
 	env := writeTestConfig(t, disc, 3)
@@ -445,7 +446,8 @@
 }
 
 // Messages with long bodies fill the disk limit before the limit on their number. Messages
-// that do not fit must be refused before the log exceeds the disk limit.
+// that do not fit must be refused before the log exceeds the disk limit. The size check does
+// not look into the folder of the log.
 func TestLogStaysWithinDiskLimit(t *testing.T) {
 	env := writeTestConfig(t, discoverytest.New(t), 1)
 	c := startChild(t, env)
@@ -600,9 +602,9 @@
 	}
 }
 
-// The policy relies on each timer that it requested. A timer that is due within a step, or
-// earlier than one that the policy requested later, must not suppress the other: for messages
-// to which nothing else happens, the policy would not be woken at their deadlines.
+// The policy relies on each timer that it requested. Neither a timer that falls due within a
+// step nor one that is due earlier may suppress another: the policy would not be woken at the
+// deadlines of messages to which nothing else happens.
 func TestEveryPolicyTimerFires(t *testing.T) {
 	r := newTestRelay(t)
 	firstDue := r.clock.now() // due since the loop last fired its timers
@@ -670,9 +672,10 @@
 	}
 }
 
-// As above, with an attempt that may have run. If the machine was rebooted and the clock was
-// set back, it is not known how long no process ran, so the deduplication window must count
-// as over. Without a reboot the time is known, whatever the clock was set to.
+// The wall clock may be set back between two runs, and a message has an attempt that may have
+// run. If the machine was rebooted and the clock was set back, it is not known how long no
+// process ran, so the deduplication window must count as over. Without a reboot the time is
+// known, whatever the clock was set to.
 func TestRebootWithClockSetBackEndsDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		ahead   time.Duration
--- a/internal/relay/transport_test.go
+++ b/internal/relay/transport_test.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// The outcome must say whether a connection was opened for the call. From a 503 on a new
-// connection the policy learns that the connection table of a peer is full.
+// The outcome must say whether a connection was opened for the call. From a rejection on a new
+// connection, with no Retry-After and no load report where others have one, the policy learns
+// that the endpoint can hold no more connections.
 func TestOutcomeSaysWhetherConnectionIsNew(t *testing.T) {
 	addr := startRawEndpoint(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); readCall(in); {
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -248,7 +248,8 @@
 }
 
 // The new process is killed after it took over. The old one must take over all messages again,
-// with those that it accepted itself meanwhile.
+// with those that it accepted itself meanwhile. It abandons its calls in flight, so the message
+// of the class "once" among them must fail.
 func TestUpgradeSurvivesKillOfNewProcess(t *testing.T) {
 	u := startUpgradeTest(t)
 	u.startNew()
