--- a/policy/action.go
+++ b/policy/action.go
@@ -22,7 +22,8 @@
 	ActionHealthCheck
 	// ActionCloseIdle closes the idle connections to an endpoint: Endpoint.
 	ActionCloseIdle
-	// ActionWatchList subscribes to changes of the endpoint list.
+	// ActionWatchList subscribes to changes of the endpoint list. With Settings.PollList the policy
+	// emits it for each request of the list.
 	ActionWatchList
 	// ActionFetchList requests the whole endpoint list once.
 	ActionFetchList
--- a/policy/call.go
+++ b/policy/call.go
@@ -6,7 +6,7 @@
 )
 
 // unansweredThreshold is the fraction of unanswered calls from which on non-idempotent messages,
-// for which a call waits longer, share no call with others.
+// for which a call waits longer, share calls only with each other.
 const unansweredThreshold = 0.04
 
 // startCall starts a call with the destination's selected message and others that may share it,
@@ -68,10 +68,10 @@
 }
 
 // mayJoinCall reports whether a message may join a call. A call ends at the earliest time-out of
-// its messages, which must leave each message the time that it would wait for an answer in a call
-// of its own. Where many calls go unanswered, non-idempotent messages share no call with others,
-// since their calls are waited for far longer; the price is more calls for the same number of
-// messages.
+// its messages, which must leave each message its minimumWait: the time in which an answer nearly
+// always comes, or all the time that the message has. Where many calls go unanswered,
+// non-idempotent messages share calls only with each other, since their calls are waited for far
+// longer; the price is more calls for the same number of messages.
 func (p *Policy) mayJoinCall(message *messageState, call *callState) bool {
 	timeoutBy := min(call.timeoutBy, p.latestTimeout(message))
 	if timeoutBy < max(call.minimumWaitUntil, p.minimumWait(message, call.endpoint)) {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -3,7 +3,7 @@
 import "cmp"
 
 // estimateCapacity is the number of calls a second that a route accepts from all relays: the
-// reported limit, else the listed rate, else an estimate from the accepts of this relay.
+// reported limit, else the nominal rate, else an estimate from the accepts of this relay.
 func (p *Policy) estimateCapacity(route *routeState) float64 {
 	observed := max(route.history.acceptRate(p.now)*float64(p.settings.Relays), 1)
 	return cmp.Or(route.reportedLimit, route.nominalRate, observed)
--- a/policy/connection_reuse.go
+++ b/policy/connection_reuse.go
@@ -53,8 +53,8 @@
 	return timeout
 }
 
-// isConnectionRejected reports whether an endpoint rejected a call because it can hold no more
-// connections. It answers so before it checks the rate limit, so the answer has no load report
+// isConnectionRejected reports whether an endpoint rejected a call on a new connection because it
+// can hold no more. It answers so before it checks the rate limit, so the answer has no load report
 // where others have one.
 func (p *Policy) isConnectionRejected(event *Event) bool {
 	return event.Outcome == Rejected && event.NewConnection && event.RetryAfter == 0 &&
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -1,7 +1,7 @@
 package policy
 
-// The bound on the time to an answer is the mean latency and its mean deviation, each times its
-// factor.
+// The bound on the time to an answer is the sum of the mean latency and its mean deviation, each
+// times its factor.
 const (
 	latencyBoundMeans      = 4
 	latencyBoundDeviations = 4
@@ -41,9 +41,9 @@
 	return message.deadline - 2*p.deadlineMargin()
 }
 
-// attemptTimeout is when an attempt times out, which is at the end of its call at the latest. If
-// messages of a call had different time-outs, an answer after one of these would say nothing about
-// the other messages.
+// attemptTimeout is when an attempt times out. The attempts of one call may have different
+// time-outs, and an answer after one of these says nothing about the other messages, so all time
+// out at the end of the call at the latest.
 func (p *Policy) attemptTimeout(message *messageState, call *callState) Time {
 	if message.class.Idempotency == NonIdempotent {
 		return call.timeoutBy // a non-idempotent message has no retry to leave time for
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -1,7 +1,7 @@
 package policy
 
-// clientReleaseDelay is the time from when the relay stops accepting connections until it closes
-// those of its clients: it takes a while until all clients know of the drain.
+// clientReleaseDelay is the time from when the relay begins to report that it is draining until it
+// closes its clients' connections: it takes a while until all clients know of the drain.
 const clientReleaseDelay = 6 * second / 10
 
 // startDrain begins to send the relay's clients away. Messages that it holds or still receives are
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -72,7 +72,8 @@
 		return false
 	}
 	if message.class.Idempotency == NonIdempotent && endpoint.awaitsRecovery() {
-		return p.now > message.objectiveAt // its only attempt is not spent on a trial before it is late
+		// The one attempt that may run is not spent on a trial call before the message is late.
+		return p.now > message.objectiveAt
 	}
 	return true
 }
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -8,7 +8,7 @@
 )
 
 // maxBackoffDoublings limits how often a backoff is doubled by a shift, so that it can't overflow.
-// Every backoff reaches its own bound before that.
+// The backoff after local failures reaches its bound before that.
 const maxBackoffDoublings = 8
 
 // observeLocalFailure undoes, for one message, the counting of a call that this machine could not
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -19,7 +19,7 @@
 // on.
 func (p *Policy) updateEndpoints(event *Event) {
 	if event.ListUpdate == ListFailed {
-		return // a timer requests the list again
+		return // with PollList, a later poll requests the list again
 	}
 	listed := map[Endpoint]bool{}
 	for i := range event.Entries {
--- a/policy/ordered_queue.go
+++ b/policy/ordered_queue.go
@@ -21,7 +21,7 @@
 }
 
 // joinOrderedQueue adds an ordered message to the queue of its key. A message that directly follows
-// spilled ones is spilled too.
+// spilled ones is spilled too, if it may be and its deadline is not near.
 func (p *Policy) joinOrderedQueue(message *messageState, wasSpilled bool) {
 	if !message.isOrdered() {
 		return
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// observeFailure counts a failure, which backs the endpoint off and may eject it.
+// observeFailure counts a failure, which backs the endpoint off or ejects it.
 func (p *Policy) observeFailure(endpoint *endpointState, sentAt Time, isUnresponsive bool) {
 	if endpoint.recoveredAt > 0 && sentAt < endpoint.recoverySentAt {
 		return // a call sent before the recovery says nothing about it
@@ -79,7 +79,7 @@
 }
 
 // Unavailable reports whether an endpoint gets at most trial calls now: it is not on the list, is
-// draining, fails, is in backoff after a failure, or has asked this relay to wait.
+// draining, awaits recovery, is in backoff after a failure, or has asked this relay to wait.
 func (p *Policy) Unavailable(id Endpoint, now Time) bool {
 	endpoint := p.endpoints[id]
 	if endpoint == nil || endpoint.route.retryAfterUntil > now || endpoint.state != Ready {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -4,9 +4,9 @@
 // gets back. The same settings, seed and events always give the same actions.
 //
 // The interface is in settings.go, event.go and action.go. The state is in state.go; each other
-// file holds one rule with its constants. Calls to a destination are normally limited by adaptive
-// throttling (throttle.go) and by a window on concurrent calls; a rule that departs from this says
-// under which condition.
+// file holds one rule with its constants, or a type that the rules use. Calls to a destination are
+// normally limited by adaptive throttling (throttle.go) and by a window on concurrent calls; a rule
+// that departs from this says under which condition.
 package policy
 
 import (
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// backOffRoute stops calls to a route for a random time around this relay's turn, which is the time
-// in which every relay can make one call within the limit.
+// backOffRoute stops calls to a route for a random time. At first that is around this relay's turn at
+// least: the time in which every relay can make one call within the limit, or the latency objective
+// if that is shorter. It grows with the age of the run of rejections.
 func (p *Policy) backOffRoute(call *callState, retryAfter Time) {
 	route := call.endpoint.route
 	recoveryRate, _ := p.recoveryRate(call.endpoint)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -22,7 +22,7 @@
 	LatencyObjective Time // a message that is delivered within this time earns its full weight
 	Deadline         Time // after this time a message earns nothing and must have had its final response
 	Weight           float64
-	LateWeight       float64 // fraction of the weight left at the deadline
+	LateWeight       float64 // fraction of the weight left at the deadline; a lower bound with HalvingWeight
 	Idempotency      Idempotency
 	DedupWindow      Time // IdempotentByKey only: begins when the first attempt that may have run is sent
 	DedupPerZone     bool // IdempotentByKey only: only endpoints of the same zone recognize a repeat
@@ -41,18 +41,19 @@
 	MaxBatch       int  // number of messages that one call may carry; 0 means 1
 }
 
-// Settings is the configuration of a policy. It is read by New and not changed.
+// Settings is the configuration of a policy. It is read by New and not changed. The policy itself
+// doesn't use HealthChecks, ConnectTimeout, ResponseSlack and DrainGrace.
 type Settings struct {
 	Relays               int // number of relays that share the destinations, this one included
 	Zone                 int
 	Classes              []Class
 	Tenants              []Tenant
 	Kinds                []DestinationKind
-	MaxCalls             int // maximum number of calls in flight
-	MaxMessages          int // maximum number of messages held, in memory or spilled; 0 for no limit
-	MaxResidentMessages  int // maximum number of messages in memory, the rest being spilled; 0 for no limit
-	MaxAttempts          int // maximum number of attempts of one message; 0 for no limit
-	HalvingWeight        bool
+	MaxCalls             int     // maximum number of calls in flight
+	MaxMessages          int     // maximum number of messages held, in memory or spilled; 0 for no limit
+	MaxResidentMessages  int     // maximum number of messages in memory, the rest is spilled; 0 for no limit
+	MaxAttempts          int     // maximum number of attempts of one message; 0 for no limit
+	HalvingWeight        bool    // once late, a weight halves each LatencyObjective, down to LateWeight
 	OverQuotaWeight      float64 // fraction of its weight that a message keeps if its tenant is over quota
 	WeightByCost         bool
 	LoadReports          bool    // answers have load reports
@@ -66,14 +67,14 @@
 	ConnectTimeout       Time    // 0 when unknown
 	KeepAlive            Time    // idle connections are closed after this time; 0 when unknown
 	StreamsPerConnection int     // number of calls that one connection carries at once; 0 means 1
-	Tick                 Time    // the host calls Step at most once in this time; 0 when unknown
+	Tick                 Time    // resolution of the host's timers and unit of the margins; 0 when unknown
 	ResponseSlack        Time    // time after a deadline in which a final response still counts
-	DrainGrace           Time    // time after a drain is reported by which sends to it must end
+	DrainGrace           Time    // how long an endpoint may still be called after it is listed as draining
 	SlowStartCapacity    float64 // least fraction of its capacity that a destination has after an outage
 	SlowStartTime        Time    // time after an outage by which a destination has its full capacity again
 	OverloadFactor       float64 // a cold destination fails again above this many times its capacity
 	OverloadWindow       Time    // time over which the calls to a cold destination count for OverloadFactor
-	KeyCooldown          Time    // how long an unknown outcome holds back the next message of a key
+	KeyCooldown          Time    // how long an attempt that may still run holds back its key's next message
 }
 
 // Validate checks the settings for impossible values. The error names the first setting that has
--- a/policy/spill.go
+++ b/policy/spill.go
@@ -25,7 +25,7 @@
 type spillState struct {
 	messages                 int            // number of messages that are spilled now
 	loadsRequested           int            // number of spilled messages that the host was asked to load
-	awaitingRefill           []*destination // destinations with spilled messages and room in memory for more
+	awaitingRefill           []*destination // destinations with spilled messages and now fewer in memory
 	hasSpilled               bool           // whether any message was ever spilled
 	completedSinceCompaction int            // number of completed messages whose timers may remain
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -24,7 +24,7 @@
 
 	nextMessage  *messageState // message to be sent next; nil for none
 	nextEndpoint *endpointState
-	nextUrgency  float64 // weight that nextMessage loses with each microsecond of waiting
+	nextUrgency  float64 // weight at stake for nextMessage, per microsecond of a typical call's latency
 }
 
 // routeState is the state of a set of endpoints that share one rate limit, one Retry-After and one
@@ -74,7 +74,7 @@
 	isUnresponsive    bool    // no answer came at the latest failure, not even an error
 	firstFailureAt    Time    // start of the current run of failures
 	lastFailureAt     Time
-	recoveredAt       Time // first success since the latest failure; 0 for none
+	recoveredAt       Time // start of its slow start, at the first success after an ejection; 0 for none
 	recoverySentAt    Time // when the call that succeeded at recoveredAt was sent
 	lastSuccessAt     Time
 	lastSuccessSentAt Time        // send time of the newest call that succeeded
