--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -12,9 +12,9 @@
 	}
 }
 
-// A message that an earlier process admitted and never sent must not be dropped by adaptive
-// throttling nor shed because the relay is full: it is sent, or waits until its deadline. New
-// messages may be rejected meanwhile.
+// A message that an earlier process admitted and that has certainly not run must not be dropped by
+// adaptive throttling nor shed because the relay is full: it is sent, or waits until its deadline.
+// New messages may be rejected meanwhile.
 func TestRecoveredMessagesAreSentOrHeldUntilDeadline(t *testing.T) {
 	s := baseSettings()
 	s.MaxMessages = 30
--- a/policy/connection_reuse_test.go
+++ b/policy/connection_reuse_test.go
@@ -24,7 +24,7 @@
 	return r
 }
 
-// In a connection shortage, idle connections close early: the more relays there are, the earlier.
+// In a connection shortage, the idle connections of a relay of a large fleet close early.
 func TestIdleConnectionsCloseEarlyInShortage(t *testing.T) {
 	for _, shortage := range []float64{0, 1} {
 		s := baseSettings()
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -75,8 +75,8 @@
 }
 
 // If there are many relays and each of them sends few messages, an endpoint that fails twice is
-// backed off, and the longer it has failed, the longer. If a few relays send it many messages each,
-// there is hardly any backoff.
+// backed off for longer than it has failed. If a few relays send it many messages each, there is
+// hardly any backoff.
 func TestFailureBackoffIsLongerInLargeFleet(t *testing.T) {
 	for _, relays := range []int{2, 400} {
 		s := baseSettings()
@@ -95,8 +95,8 @@
 	}
 }
 
-// An endpoint is unavailable while it drains, has asked this relay to wait, or is ejected, and
-// available again once that is over.
+// An endpoint is unavailable while it drains, has asked this relay to wait, or is ejected. It is
+// available again once the time that it asked for is over.
 func TestEndpointIsUnavailableWhileDrainingInRetryAfterOrEjected(t *testing.T) {
 	s := baseSettings()
 	r := newRig(t, s, readyEntry(1, 1000), Entry{Endpoint: 2, Dest: 1, State: Draining})
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // runOutage sends a message each 100 ms for 40 s. From the first second to the twelfth each attempt
-// ends with outcome o.
+// ends with the given outcome.
 func runOutage(t *testing.T, s Settings, rate float64, outcome Outcome) *rig {
 	r := newRig(t, s, readyEntry(1, rate/2), readyEntry(2, rate/2))
 	start := r.now
--- a/policy/spill_test.go
+++ b/policy/spill_test.go
@@ -18,9 +18,9 @@
 
 func (l *hostLog) spill(a Action) { l.entries = append(l.entries, a) }
 
-// takeLoads removes and returns the messages to load: first those that are due, each after all
-// ordered messages of its destination that were spilled before it, then those that were requested,
-// the earliest deadline first and ordered ones in the order in which they were spilled.
+// takeLoads removes and returns the messages to load: first those that are due, an ordered one after
+// all ordered messages of its destination that were spilled before it, then those that were
+// requested, the earliest deadline first and ordered ones in the order in which they were spilled.
 func (l *hostLog) takeLoads(now Time) (loads []Action) {
 	take := func(i int) {
 		if a := l.entries[i]; l.requested[a.Dest] > 0 {
@@ -111,7 +111,7 @@
 }
 
 // Every rule, a single final response for each message and the order of keys hold over random
-// events in which most of the waiting messages are spilled.
+// events while a limit on the messages in memory has waiting ones spilled.
 func TestRulesHoldWithSpilledMessages(t *testing.T) {
 	for _, resident := range []int{1, 2, 7, 30} {
 		var sends, rejected, failed, loads int
--- a/policy/stuck_calls_test.go
+++ b/policy/stuck_calls_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// A call that a non-idempotent message shares is waited for as long as a call of its own, whichever
-// message comes first: once cancelled, the non-idempotent message can't be sent again.
+// A call that a non-idempotent message shares is waited for longer, even if an idempotent message
+// comes first in it: once cancelled, the non-idempotent message can't be sent again.
 func TestBatchWithNonIdempotentMessageIsCancelledLater(t *testing.T) {
 	s := baseSettings()
 	s.MaxCalls = 1
@@ -105,8 +105,8 @@
 	}
 }
 
-// The answer to a call that was sent much later is noticed within one expected latency bound, even
-// if no slot was needed when the stuck call was last checked.
+// The answer to a call that was sent much later leads to the cancellation within two expected
+// latency bounds, even if no slot was needed when the stuck call was last checked.
 func TestStuckCallIsRecheckedAfterLaterSuccess(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].Idempotency = NonIdempotent
