--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestAppendReplyEncodesEachActionCode(t *testing.T) {
+func TestAppendReplyEncodesActionsWithoutText(t *testing.T) {
 	for _, c := range []struct {
 		action Action
 		want   string
--- a/policy/call_test.go
+++ b/policy/call_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Messages that wait for one endpoint in the same step share one call, which takes one slot and
-// counts once.
+// Messages that wait for one endpoint in the same step share one call, which takes one slot until
+// its last outcome.
 func TestMessagesOfOneStepShareOneCallAndSlot(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 3
@@ -97,7 +97,7 @@
 
 // Where many calls go unanswered, a non-idempotent message, whose call is waited for far longer,
 // must not hold up other messages in its call. Where few do, it shares calls as usual.
-func TestNonIdempotentMessagesShareNoCallWhenManyGoUnanswered(t *testing.T) {
+func TestIdempotentAndNonIdempotentMessagesShareNoCallWhenManyGoUnanswered(t *testing.T) {
 	s := baseSettings()
 	s.Kinds[0].MaxBatch = 4
 	nonIdempotent := s.Classes[0]
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -63,7 +63,7 @@
 
 // A message whose call another process has in flight keeps its call slot and is not sent again
 // until that call ends. Then the outcome decides what happens to it, as for a call of this process.
-func TestRecoveredMessageInFlightIsNotSentAgain(t *testing.T) {
+func TestRecoveredMessageInFlightIsNotSentBeforeItsOutcome(t *testing.T) {
 	settings := baseSettings()
 	settings.MaxCalls = 3
 	settings.Classes = append(settings.Classes, Class{Name: "non-idempotent", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, Idempotency: NonIdempotent})
