--- a/cmd/sim-adapter/host_test.go
+++ b/cmd/sim-adapter/host_test.go
@@ -135,7 +135,8 @@
 	}
 }
 
-// The same input gives the same replies, byte for byte, and other relays in the process change nothing.
+// The same input gives the same replies, byte for byte, and another relay in the process does not change how
+// many sends a relay makes.
 func TestSameInputGivesSameReplyBytes(t *testing.T) {
 	stream := func(relays int) []byte {
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -203,7 +204,7 @@
 	}
 }
 
-// An event for a relay that doesn't run any more is no error and causes no action.
+// An event for a relay that doesn't run is no error and causes no action.
 func TestEventForUnknownRelayIsIgnored(t *testing.T) {
 	out, err := serveInput(t, newBatch(1e6, nil, messageRecord(9, 1)))
 	if err != nil || !bytes.Equal(out, make([]byte, 8)) {
