--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -4,7 +4,7 @@
 //
 // The last valid list is served while the group can't be reached and after a restart.
 // The agent's own revision never decreases. A notice that was answered with 204 stays on
-// disk until the group has accepted it.
+// disk until the group has accepted or rejected it.
 package agent
 
 import (
--- a/internal/registry/agent/spool.go
+++ b/internal/registry/agent/spool.go
@@ -27,9 +27,10 @@
 // accepted those that it has.
 var ErrSpoolFull = errors.New("full")
 
-// spool keeps notices in a file, one JSON object per line, until the group has accepted
-// them. The file is truncated only once the group has accepted all of them: notices may be
-// sent twice, so single ones needn't be removed from it. It is safe for concurrent use.
+// spool keeps notices in a file, one JSON object per line, until the group has accepted or
+// rejected them. The file is truncated only once it has done so with all of them: notices
+// may be sent twice, so single ones needn't be removed from it. It is safe for concurrent
+// use.
 type spool struct {
 	log  *slog.Logger
 	path string
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -77,7 +77,7 @@
 	Status   int    `json:"status"` // an HTTP status code
 	Error    string `json:"error,omitempty"`
 	Changed  int64  `json:"changed,omitempty"` // revision of the member's last change
-	Token    int64  `json:"token,omitempty"`   // the token of a grant; after a rejected token, the role's current one
+	Token    int64  `json:"token,omitempty"`   // the role's current token, after a grant, a note or a release, and after a rejected grant or token
 	Note     string `json:"note,omitempty"`    // result of a grant: the note that the previous holder left
 	Term     int64  `json:"term,omitempty"`    // result of a grant: number of the role's grants so far
 }
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -16,7 +16,8 @@
 	sessionCheckInterval = 50 * time.Millisecond
 
 	// silentFraction is the part of its time to live after which a registration without
-	// a heartbeat counts as silent: two of its usual three heartbeats are missing.
+	// a heartbeat counts as silent. Usually three heartbeats are sent in a time to live,
+	// so one is missing then and the next is almost due.
 	silentFraction = 0.6
 )
 
--- a/internal/registry/leader_tasks.go
+++ b/internal/registry/leader_tasks.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// initializeGroup gives a new group its zones, its epoch and its static members.
+// initializeGroup gives a new group its zones and its epoch, and any group the static
+// members that it lacks.
 func (n *Node) initializeGroup() {
 	// This node can't know which of them exist until it has applied the earlier log.
 	if err := n.awaitFuture(n.raft.Barrier(applyTimeout)); err != nil {
@@ -81,8 +82,8 @@
 	return true
 }
 
-// addStaticMembers adds the configured members that the list doesn't have. It leaves
-// those that the list has unchanged, since operators may have drained them.
+// addStaticMembers adds the configured members that the list doesn't have as static
+// members. It leaves those that it has unchanged, since operators may have drained them.
 func (n *Node) addStaticMembers(listed []Member) {
 	isStatic := map[string]bool{}
 	for _, m := range listed {
--- a/internal/registry/response.go
+++ b/internal/registry/response.go
@@ -14,7 +14,7 @@
 type errorResponse struct {
 	Error   string `json:"error"`
 	Changed int64  `json:"changed,omitempty"` // 409: the revision of the member's last change
-	Token   int64  `json:"token,omitempty"`   // 412: the role's current token
+	Token   int64  `json:"token,omitempty"`   // rejected grant, or 412: the role's current token
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
@@ -52,7 +52,7 @@
 		writeError(w, http.StatusBadRequest, "%s: over %d bytes", RequestHeader, maxIDBytes)
 		return false
 	}
-	if c.Role == "" { // a grant, note, release or hold has the role's token in the body
+	if c.Role == "" { // a grant, note, release or hold names its role in the path, and a token in the body
 		fence, err := readFence(r)
 		if err != nil {
 			writeError(w, http.StatusBadRequest, "%v", err)
