--- a/internal/wal/corruption_test.go
+++ b/internal/wal/corruption_test.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// Each file of a log is truncated at every byte, with and without zeros after the cut.
+// Each file of a log but the stamp is truncated at every byte. Every other cut is followed
+// by zeros.
 func TestTruncatedFileNeverHidesSentMessage(t *testing.T) {
 	for _, checkpointBefore := range []int{-1, 8} {
 		_, files := buildFolder(t, checkpointBefore)
@@ -292,7 +293,8 @@
 	}
 }
 
-// Opening a folder of a newer format version fails and leaves the folder unchanged.
+// Opening a folder with a segment of a newer format version fails and leaves the segment
+// unchanged.
 func TestOpenRefusesNewerFormat(t *testing.T) {
 	_, files := buildFolder(t, -1)
 	h, _ := decodeHeader(files[segmentName(1)])
--- a/internal/wal/handoff_test.go
+++ b/internal/wal/handoff_test.go
@@ -41,10 +41,10 @@
 	return to
 }
 
-// A kill during a handoff, which truncates the log or the handoff log at any byte, loses
-// no message that was accepted before, duplicates none, and leaves a state that another
-// start does not change.
-func TestTruncationDuringHandoffLosesNoMessage(t *testing.T) {
+// A kill during a handoff truncates the log or the handoff log at any byte. Two starts after
+// it recover the same messages. A cut of the handoff log loses no message that was accepted
+// before the handoff and none of its attempts.
+func TestTruncationDuringHandoffIsRecoveredAlikeTwice(t *testing.T) {
 	original := t.TempDir()
 	l, _ := openTestLog(t, original, 1<<20)
 	mustAppend(t, l, newAcceptedRecord("a", "A"), newAcceptedRecord("b", "B"), &Record{Kind: KindAttempt, ID: "b", At: 5, Endpoint: "s-1", Process: l.Process})
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -377,8 +377,9 @@
 	}
 }
 
-// Any file system call may fail, completely or in part. What was recorded stays recorded,
-// and the log works again once calls succeed.
+// Any call that changes the file system may fail, and a failing write may store half of its
+// data. What was recorded stays recorded, and the log works again once calls succeed.
+// Stores of the stamp do not fail here.
 func TestFailingFileSystemCallsLoseNoRecord(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS} {
 		for _, short := range []bool{false, true} {
