--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -26,7 +26,8 @@
 }
 
 // mustSync reports whether a record has to be synced before its write is reported as done. If
-// a record that need not be is lost with the power, its message only gets an unknown outcome.
+// an outcome is lost with the power, its message only gets an unknown outcome. Whether an
+// attempt may be lost is up to the relay, which sets Record.Sync.
 func mustSync(r *Record) bool {
 	switch r.Kind {
 	case KindAttempt:
--- a/internal/wal/baseline/baseline.go
+++ b/internal/wal/baseline/baseline.go
@@ -21,7 +21,7 @@
 const (
 	roundingReserve    = 16 << 10 // part of the limit that stays unused
 	completionReserve  = 64 << 10 // part of the limit that is reserved for messages that are already accepted
-	minCompactionBytes = 1 << 20  // a shorter file is not rewritten
+	minCompactionBytes = 1 << 20  // a shorter file is only rewritten to make space
 	stateReserveBytes  = 256      // by how much a message's record may grow
 	recordOverhead     = 160      // size of a record's JSON without the message's own texts
 )
--- a/internal/wal/capacity.go
+++ b/internal/wal/capacity.go
@@ -8,12 +8,12 @@
 
 // Limits on segments and checkpoints, in bytes.
 const (
-	minCompactionBytes   = 1 << 20 // a shorter log gets no checkpoint
+	minCompactionBytes   = 1 << 20 // a log longer than this may get a checkpoint
 	maxSegmentBytes      = 16 << 20
 	minSegmentBytes      = 64 << 10
-	segmentsPerLimit     = 6         // a segment takes up at most the limit divided by this, which bounds the number of open files
-	compactionsPerLimit  = 3         // a log longer than the limit divided by this may get a checkpoint
-	maxBatchBytes        = 256 << 10 // maximum size of a batch
+	segmentsPerLimit     = 6         // a segment ends at the limit divided by this, within the two bounds above; this bounds the number of open files
+	compactionsPerLimit  = 3         // so may a log longer than the limit divided by this, if that is less
+	maxBatchBytes        = 256 << 10 // a batch of this size gets no further record
 	checkpointSliceBytes = 128 << 10 // size of the part of a checkpoint that is written between two batches
 )
 
--- a/internal/wal/conversion.go
+++ b/internal/wal/conversion.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// convertLegacy converts a legacy log to the current format. Other processes see one atomic
-// step: the log's folder replaces the legacy file. A legacy program fails to open a folder.
+// convertLegacy converts a legacy log to the current format. Other processes see the legacy
+// file, then for a moment nothing, and then the log's complete folder. A legacy program that
+// starts in that moment creates a new file; it fails to open a folder.
 func (s *store) convertLegacy() error {
 	folder := s.dir
 	s.dir = folder + temporarySuffix
--- a/internal/wal/cutfs/file.go
+++ b/internal/wal/cutfs/file.go
@@ -85,8 +85,8 @@
 	return int64(len(x.inode.data)), nil
 }
 
-// Sync implements wal.File. After a failure it behaves as several kernels do: the changes
-// count as written but may never become durable.
+// Sync implements wal.File. After a failure the changes stay pending, so that a power cut
+// may lose them. Unlike on several kernels, a later Sync still makes them durable.
 func (x *file) Sync() error {
 	if err := x.fs.before(OpSync, x.name); err != nil {
 		return err
--- a/internal/wal/encode.go
+++ b/internal/wal/encode.go
@@ -16,7 +16,7 @@
 	recordHeadSize     = 28
 	maxRecordHeadBytes = recordHeadSize + maxIDBytes
 	maxIDBytes         = 256
-	maxRecordBytes     = 160 << 10 // maximum size of id and payload together; no valid record reaches it
+	maxRecordBytes     = 160 << 10 // maximum size of id and payload together; the records that the relay writes are shorter
 )
 
 // Byte offsets of the fields in the head of a record.
--- a/internal/wal/handoff.go
+++ b/internal/wal/handoff.go
@@ -228,7 +228,7 @@
 	if _, _, err := s.fs.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
-	s.spaceReserved = true // the handoff log already takes up the space
+	s.spaceReserved = true // the capacity of the handoff log was set aside, and its file is removed below
 	defer func() { s.spaceReserved = false }()
 	for _, r := range unmerged {
 		if r.Kind == KindOwner || r.Kind == KindHandoff {
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -37,7 +37,7 @@
 	for _, name := range append(names, HandoffName) {
 		f, err := openLogFile(fs, dir, name)
 		if errors.Is(err, os.ErrNotExist) {
-			continue // a checkpoint has replaced the file meanwhile
+			continue // there is no handoff log, or a checkpoint has replaced the file meanwhile
 		}
 		if err != nil {
 			return err
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -14,7 +14,8 @@
 // Only the goroutine of Run accesses the files. Methods documented as "on the log's
 // goroutine" may be called before Run starts, from a function passed to Do, or from the
 // done function of a record. Those functions run in the order in which their records were
-// submitted and must not block. All other methods may be called from any goroutine.
+// submitted, except for the done functions of records that are kept and retried (see
+// Submit). They must not block. All other methods may be called from any goroutine.
 //
 // After a KindHandoff record, the log belongs to the next process.
 type Log struct {
@@ -35,7 +36,7 @@
 	store    *store
 	requests *mailbox.Mailbox[request]
 	done     chan struct{}
-	// Entries that were pending at the start and have not been read yet, oldest first.
+	// Entries that were pending at the start and that Next has not reached yet, oldest first.
 	unread        []uint32
 	startReader   messageReader
 	refReader     messageReader
@@ -104,8 +105,9 @@
 // written since earlier writes failed. Any goroutine may call it.
 func (l *Log) UnwrittenRecords() int64 { return l.deferredCount.Load() }
 
-// PendingUnread returns how many of the messages that were pending at the start have not
-// been read yet. It is called on the log's goroutine.
+// PendingUnread returns how many of the messages that were pending at the start Next has
+// still to look at. This includes those that Fetch has read or that were completed
+// meanwhile, which Next skips. It is called on the log's goroutine.
 func (l *Log) PendingUnread() int { return len(l.unread) }
 
 // Next reads up to limit messages that were pending at the start, oldest first. It returns
@@ -175,7 +177,8 @@
 
 // Read reads pending messages with their current state. The result is nil for a message
 // that is no longer pending, and a record without an id for one that cannot be read now.
-// It is called on the log's goroutine.
+// If only the id can be read, the result has it and is marked as Corrupted. Read is
+// called on the log's goroutine.
 func (l *Log) Read(refs []Ref) []*Record {
 	records := make([]*Record, len(refs))
 	for _, n := range l.inFileOrder(refs) {
@@ -219,10 +222,12 @@
 //
 // A record of a past event (an outcome, a final notice, a completion or an owner) that
 // cannot be written is kept and retried before all later records. done is called once it
-// is written or the log gives up on it. Until then all other records fail.
+// is written or the log gives up on it. Until then later records of past events are kept
+// behind it, and all other records fail.
 func (l *Log) Submit(r *Record, done func(error)) { l.requests.Put(request{record: r, done: done}) }
 
-// Do runs f on the log's goroutine after everything that was submitted before. It returns at once.
+// Do runs f on the log's goroutine after everything that was submitted before has been
+// written, refused or kept for a retry. It returns at once.
 func (l *Log) Do(f func()) { l.requests.Put(request{run: f}) }
 
 // FinishHandoff closes and removes the handoff log of a process that has exited, once this
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -78,5 +78,6 @@
 // completed or the log is closed. 0 refers to no message.
 //
 // The low 32 bits are the message's position in the index plus 1. The next 16 bits come from the
-// sequence number of its record, so that a later message at the same position has another Ref.
+// sequence number of its record, so that a later message at the same position has another Ref, unless the two sequence
+// numbers differ by a multiple of 65536.
 type Ref uint64
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -125,8 +125,9 @@
 	}
 }
 
-// electOwner returns the owner that most files name. If two are named equally often, it
-// returns the one whose log the stamp belongs to.
+// electOwner returns the owner that most files name. A file of the log that the stamp
+// belongs to counts one and a half times. Of two owners with the same count it returns
+// the one with the smaller id.
 func electOwner(files []*logFile, stampSeed uint32) (owner ownerID, known bool) {
 	votes := map[ownerID]int{}
 	for _, f := range files {
@@ -169,8 +170,9 @@
 	slices.SortStableFunc(f.checkpoints, func(a, b *logFile) int { return cmp.Compare(b.number, a.number) })
 }
 
-// replay returns the state after the newest complete checkpoint and the segments that follow
-// it. If no checkpoint is complete, it chooses the one that leads to the fewest corruptions.
+// replay replays the log from the newest checkpoint and then from older ones, until one is
+// complete. Of the states that result, it returns the one with the fewest corruptions, and
+// of several such states the one from the newest checkpoint.
 func (f *folderFiles) replay(owner ownerID, stampedSeq uint64, foreign []Corruption) (best *state) {
 	for _, base := range f.bases() {
 		r, complete := f.replayFrom(base, owner, stampedSeq)
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -55,7 +55,7 @@
 		seq:      seq,
 		summary:  FileReport{Name: f.name, Kind: f.kind.String(), Bytes: f.size, First: f.firstSeq},
 	}
-	if f.size < headerSize { // the file was created but nothing was written to it
+	if f.size < headerSize { // the file was created, but its header was not written completely
 		return p.summary, fileTail{bytes: f.size, status: recordUnreadable, zeros: true}
 	}
 	tail := p.applyRecords(p.checkHeader())
--- a/internal/wal/scanner.go
+++ b/internal/wal/scanner.go
@@ -53,7 +53,7 @@
 
 const (
 	recordValid      recordStatus = iota
-	payloadCorrupted              // head and id are valid, the payload is not
+	payloadCorrupted              // head and id are valid, but the payload is not, or this program does not know the kind
 	recordTorn                    // head and id are valid, but the file ends before the record does
 	recordUnreadable              // nothing is valid
 )
@@ -139,7 +139,7 @@
 	return true
 }
 
-// idPattern matches byte strings that may be message ids.
+// idPattern matches byte strings that contain a possible message id.
 var idPattern = regexp.MustCompile(`[!-~]{6,256}`)
 
 // readableIDs returns strings from a corrupted range that look like ids. They may be
--- a/internal/wal/stamp.go
+++ b/internal/wal/stamp.go
@@ -17,7 +17,8 @@
 
 // StampFile stores a stamp that survives the end of the process. Whoever opened it closes it.
 type StampFile interface {
-	// Store replaces the stamp. It is called after each batch, so it must be cheap.
+	// Store replaces the stamp. It is called after each batch, or with SurvivesPowerLoss
+	// after each one that was synced, so it must be cheap.
 	Store(Stamp)
 	// Close closes the file, which keeps the stamp.
 	Close() error
--- a/internal/wal/state.go
+++ b/internal/wal/state.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// state is the content of a log: its pending messages and the position of each one's record. It
-// changes only by apply, in the same way when a record is written as when it is read at a start.
+// state is the content of a log: its pending messages and the position of each one's record.
+// Records change it by apply, in the same way when they are written as when they are read at
+// a start.
 type state struct {
 	index           *index
 	files           map[uint32]*logFile // by logFile.ref
 	lastFileRef     uint32
 	segments        []*logFile // the segments after the checkpoint, in order
 	checkpointFile  *logFile   // nil if there is none
-	obsolete        []string   // files that the checkpoint replaced
+	obsolete        []string   // files that are not needed: replaced by the checkpoint, or left incomplete
 	nextSegment     uint32
 	owner           ownerID
 	checksumSeed    uint32
@@ -21,7 +22,7 @@
 	syncedSeq       uint64 // sequence number up to which the log was synced, according to its batch start records
 	sealedNext      uint32 // number of the next segment if the last record is a seal; 0 otherwise
 	process         int    // number of the last process that owned the log
-	lastTime        int64  // log time of the last record that has a known time
+	lastTime        int64  // latest log time that is known, from the attempts and the stamp
 	clockAnchor     clockAnchor
 	handoffOffset   int64  // up to this byte the log includes the handoff log
 	policySnapshot  []byte // policy state of the process that handed the log off
--- a/internal/wal/store.go
+++ b/internal/wal/store.go
@@ -26,7 +26,7 @@
 
 	batch         batch
 	results       []error // result slice of appendRecords, for reuse
-	spaceReserved bool    // records being written now use space that already counts as used
+	spaceReserved bool    // records are written without a check of the space: see mergeHandoff
 
 	pendingCheckpoint    *checkpointWriter // nil if none is being written
 	checkpointRetryBytes int64             // minimum log size for the next checkpoint after one that failed
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -7,7 +7,8 @@
 //
 // What the package guarantees:
 //   - A record whose write was reported as done is found again after the process dies
-//     or, with SurvivesPowerLoss, after the machine loses power.
+//     or, with SurvivesPowerLoss, after the machine loses power. A loss of power may
+//     still take outcomes, and attempts without Record.Sync, that were written last.
 //   - A message is treated as sent if a corrupted part of a file may have held a record
 //     of it. So a non-idempotent message is never sent twice.
 //   - The folder stays within Options.Limit.
@@ -55,7 +56,7 @@
 // Levels of durability.
 const (
 	SurvivesCrash     Durability = iota // records survive the end of the process for any reason
-	SurvivesPowerLoss                   // records also survive a loss of power, since they are synced
+	SurvivesPowerLoss                   // records also survive a loss of power, since they are synced; see mustSync for the exceptions
 )
 
 // Options configures a log.
@@ -66,5 +67,5 @@
 	FS         FS                   // nil for the operating system's file system
 	Log        *slog.Logger         // nil to log nothing
 	Clock      func() clock.Reading // nil for the machine's clocks
-	OnFailure  func(error)          // called once, on the log's goroutine, when nothing more can be written; may be nil
+	OnFailure  func(error)          // called once, by Open or on the log's goroutine, when a sync has failed; may be nil
 }
