--- a/internal/wal/export.go
+++ b/internal/wal/export.go
@@ -93,9 +93,10 @@
 	return json.Marshal(Fence{Token: hex.EncodeToString(token[:]), To: to, At: time.Now().UTC()})
 }
 
-// FinishExport removes the log of a folder that was exported to the file named to. That file
-// is complete, since it gets its name only after the fence names it. It returns false and
-// does nothing if the fence does not name the file. The caller holds the folder's lock.
+// FinishExport removes the log of a folder that was exported to the file named to. The caller
+// has checked that the file exists, and holds the folder's lock. The file is then complete,
+// since it gets its name only after it is synced and the fence names it. FinishExport
+// returns false and does nothing if the fence does not name the file.
 func FinishExport(dir, to string) (bool, error) {
 	fence, err := ReadFence(dir)
 	if err != nil || fence == nil || fence.To != to {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -67,5 +67,5 @@
 	FS         FS                   // nil for the operating system's file system
 	Log        *slog.Logger         // nil to log nothing
 	Clock      func() clock.Reading // nil for the machine's clocks
-	OnFailure  func(error)          // called once, by Open or on the log's goroutine, when a sync has failed; may be nil
+	OnFailure  func(error)          // called once, by Open or on the log's goroutine, when a sync has failed and nothing more is written; may be nil
 }
