--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -129,13 +129,14 @@
 }
 
 // classifyError returns the outcome of a call without a complete response. The
-// outcome says that the call never ran only where that is certain: the call had no
-// connection, or its connection broke before the last byte was written.
+// outcome says that the call never ran only where that is certain: the call was
+// stopped before its first byte, had no connection, or its connection broke before
+// the last byte was written.
 func (c *call) classifyError(ctx context.Context, conn *endpointConn) policy.Outcome {
 	switch stage := c.stage.Load(); {
 	case stage == callStopped && !isCancelled(ctx):
 		return policy.NotSent
-	case stage == callStopped || stage == callWaiting: // there was no connection
+	case stage == callStopped || stage == callWaiting: // there was no connection, or the attempt was cancelled while the call waited for one
 		return policy.ConnectFailed
 	case stage == callSending && c.isBroken.Load() && ctx.Err() == nil:
 		return policy.ConnectFailed
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -73,7 +73,7 @@
 // address of the discovery service in it, regardless of ROUTER_DISCOVERY: the environment
 // of a process cannot change after its start. An invalid file is logged and otherwise
 // ignored. The caller passes the returned channel to Run. The goroutine that sends to it
-// ends when signals is closed.
+// ends when signals is closed and no address waits to be received.
 func WatchDiscoveryAddress(signals <-chan os.Signal, getenv func(string) string, log *slog.Logger) <-chan string {
 	addresses := make(chan string)
 	go func() {
@@ -325,7 +325,7 @@
 
 // socketBudget splits the file descriptors between connections of clients and connections
 // to endpoints. Each call in flight needs one, so the endpoints get enough for the maximum
-// number of calls, but at most half.
+// number of calls, but at least a quarter of what is available and at most half.
 func (c *Config) socketBudget() (clients, endpoints int) {
 	available := c.Limits.Sockets - reservedSockets - c.maxOperatorConns()
 	endpoints = min(max(available/4, c.Policy.MaxCalls+8), available/2)
--- a/internal/relay/endpoint_table.go
+++ b/internal/relay/endpoint_table.go
@@ -6,9 +6,9 @@
 	"plovershore/policy"
 )
 
-// Endpoints that are no longer in discovery's list are kept for a while.
+// Endpoints that discovery's list no longer has, or has as draining, are kept for a while.
 const (
-	removedEndpointRetention     = policy.Time(600e6) // minimum time that a removed endpoint is kept
+	removedEndpointRetention     = policy.Time(600e6) // minimum time that an endpoint is kept after calls to it were stopped
 	removedEndpointSweepInterval = policy.Time(60e6)  // not at each update of the list, since a sweep visits all endpoints
 )
 
@@ -25,7 +25,7 @@
 	// to it or to another endpoint of its destination. It may stop avoiding one without
 	// an event, as time passes.
 	maybeUnavailable map[*endpoint]bool
-	sweptAt          policy.Time // time of the last sweep for removed endpoints
+	sweptAt          policy.Time // time of the last sweep of forgetRemovedEndpoints
 }
 
 func newEndpointTable() endpointTable {
@@ -93,8 +93,9 @@
 	}
 }
 
-// forgetRemovedEndpoints drops endpoints that were removed longer ago than
-// removedEndpointRetention, so that a list with changing members does not fill the memory.
+// forgetRemovedEndpoints drops endpoints without calls in flight that have been removed or
+// draining for longer than removedEndpointRetention, so that a list with changing members
+// does not fill the memory.
 func (r *Relay) forgetRemovedEndpoints() {
 	now := r.clock.now()
 	if now-r.endpoints.sweptAt < removedEndpointSweepInterval {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -63,8 +63,8 @@
 // logFailedEvent reports that the log failed and accepts no more records.
 type logFailedEvent struct{ err error }
 
-// handoffRejectedEvent reports that the log has no space for a message that the previous
-// process accepted.
+// handoffRejectedEvent reports that a message that the previous process accepted could not
+// be written to the log, for example because the log has no space for it.
 type handoffRejectedEvent struct{ message *message }
 
 // handoffDoneEvent reports whether handing the log to the next process succeeded.
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -46,7 +46,7 @@
 // runOnce runs one round of the loop.
 func (r *Relay) runOnce(events []event) error {
 	r.checkWallClock()
-	if r.ownership.handoff != nil { // read after the mailbox was emptied, so that this process knows what the previous one accepted before
+	if r.ownership.handoff != nil { // read after the mailbox was emptied, so that this process knows each message that the previous one accepted before these events were sent
 		r.readHandoffLog()
 	}
 	for _, e := range events {
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -76,8 +76,8 @@
 	return m
 }
 
-// countUndelivered counts the completion of a message that was not delivered. A class that
-// is no longer in the settings has index -1 and no counters.
+// countUndelivered counts a message that was rejected, or that was completed without being
+// delivered. A class that is no longer in the settings has index -1 and no counters.
 func (m *metrics) countUndelivered(class int, outcome string) {
 	if class < 0 {
 		return
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// count returns the number of messages whose deadlines passed more than overdueGrace ago.
+// count returns the number of messages whose spans ended at least overdueGrace ago. A
+// message is therefore counted up to overdueSpan later than overdueGrace after its deadline.
 func (o *overdueCounter) count(now policy.Time) (total int) {
 	for span, n := range o.pending {
 		if (span+1)*overdueSpan+overdueGrace <= now {
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -7,9 +7,9 @@
 	"plovershore/internal/wal"
 )
 
-// During an upgrade two processes of a relay run with the same state folder. At any time
-// one of them owns the relay: it holds the lock, its policy decides, and only it begins
-// calls. This file acquires and monitors the ownership. handoff.go hands it to the next
+// During an upgrade two processes of a relay run with the same state folder. At most one
+// of them owns the relay at a time: it holds the lock, its policy decides, and only it
+// begins calls. This file acquires and monitors the ownership. handoff.go hands it to the next
 // process and reclaims it if that process exits. predecessor.go handles the results of the
 // previous process while that finishes its calls.
 
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -84,7 +84,7 @@
 }
 
 // returnUnlogged returns a message to the platform that the previous process accepted but
-// that the log has no space for. No attempt of it could be logged either, so it was never
+// that could not be written to the log, for example for lack of space. No attempt of it could be logged either, so it was never
 // sent.
 func (r *Relay) returnUnlogged(m *message) {
 	if m.isCompleted {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -108,7 +108,7 @@
 	byID        map[string]*message
 	unanswered  map[*putRequest]*message // messages whose clients have no response yet
 	remoteCalls map[string]*message      // messages whose calls the previous process has in flight, by id
-	pending     int                      // number of messages not completed, including spilled ones
+	pending     int                      // number of messages neither completed nor transferred, including spilled ones
 	lastNumber  uint32
 }
 
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -12,7 +12,8 @@
 	reopenTimeout      = time.Second     // short, since the loop is blocked during the retries
 )
 
-// transientRetry repeats an operation of the start while it fails with a transient error.
+// transientRetry repeats an operation of a start or of reclaim while it fails with a
+// transient error.
 // If the process ended instead, it would only be started again, and the pending messages
 // would wait longer.
 type transientRetry struct {
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -16,8 +16,8 @@
 	stopUnsafeCallsAfter = 1200 * time.Millisecond
 	// stopCallsAfter is when no new calls begin any more.
 	stopCallsAfter = 2200 * time.Millisecond
-	// abandonCallsAfter is when the process ends. Calls that are still in flight have no
-	// outcome in the log.
+	// abandonCallsAfter is when the process ends at the latest. Calls that are still in
+	// flight then have no outcome in the log.
 	abandonCallsAfter = 3300 * time.Millisecond
 
 	// shutdownRetryMS is the time in ms after which rejected clients should submit their
