--- a/internal/leader/campaign.go
+++ b/internal/leader/campaign.go
@@ -91,7 +91,8 @@
 
 // isRequestable reports whether this candidate may request a role: nobody holds it, it
 // is enabled, its work does not still run in this process, and it is not reserved for
-// another controller as its successor. The caller holds c.mu.
+// its successor, which is so if that is another controller with a session. The caller
+// holds c.mu.
 func (c *candidate) isRequestable(name string, role registry.Role, controllers map[string]bool) bool {
 	switch {
 	case role.Holder != "", role.Disabled:
@@ -104,8 +105,9 @@
 }
 
 // requestTime returns when a vacant role may be requested: immediately by a candidate
-// that is below its quota, and later by one that has its quota or if the role's work
-// has failed. The caller holds c.mu.
+// that is below its quota or is the role's successor, and later by one that has its
+// quota, if the role's work has failed more than once in a row, or until the time in
+// c.notBefore. The caller holds c.mu.
 func (c *candidate) requestTime(name string, role registry.Role, listed, aboveQuota bool, now time.Time) time.Time {
 	requestAt := now
 	if vacantSince := c.vacantSince[name]; listed && !vacantSince.IsZero() {
--- a/internal/leader/candidate.go
+++ b/internal/leader/candidate.go
@@ -69,7 +69,7 @@
 	if err := c.openSession(ctx); err != nil {
 		return IgnoreCancellation(ctx, err)
 	}
-	// Heartbeats continue until the work has stopped and its roles are released.
+	// Heartbeats continue until the work has stopped and the session is closed.
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	c.spawn(func() { c.sendHeartbeats(background) })
--- a/internal/leader/fence.go
+++ b/internal/leader/fence.go
@@ -16,9 +16,9 @@
 var ErrFenced = errors.New("leader: fenced by a newer token")
 
 // Fence allows the holder of a role's fencing token to change a folder. It records the
-// token there, and thereby rejects the holders of older tokens from then on. The caller
-// must hold the folder's lock from before the call until its changes are complete, so
-// that no other holder changes the folder in between. Fence returns ErrFenced if a newer
+// token there, and thereby rejects the holders of older tokens from then on. From before
+// the call until its changes are complete, the caller must keep other holders from
+// changing the folder, for example by the folder's lock. Fence returns ErrFenced if a newer
 // token is recorded already, and otherwise errors of the file system.
 func Fence(dir, role string, token int64) error {
 	tokens, err := readTokens(dir)
--- a/internal/leader/grant.go
+++ b/internal/leader/grant.go
@@ -17,7 +17,7 @@
 )
 
 // Grant represents a role that this process holds. It ends when the work of the role
-// returns. Its methods are safe for concurrent use; its exported fields may be read
+// returns, or stopTimeout after its context has ended if the work has not returned by then. Its methods are safe for concurrent use; its exported fields may be read
 // only by the goroutine that runs the work.
 type Grant struct {
 	Role       string
--- a/internal/leader/operations/operations.go
+++ b/internal/leader/operations/operations.go
@@ -26,7 +26,8 @@
 	MessageDone     = "done"
 )
 
-// Pass advances each of the pending operations of a role by one step, if possible.
+// Pass carries out the pending operations of a role as far as it can now. Which of them it
+// advances, and by how many steps, is up to the role.
 type Pass func(ctx context.Context, pending []registry.Operation) error
 
 // Run reads the pending operations of a kind and calls pass for them, at an interval,
--- a/internal/leader/release.go
+++ b/internal/leader/release.go
@@ -73,7 +73,9 @@
 	return err
 }
 
-// resign stops all work, waits until its roles are released and closes the session.
+// resign stops all work, waits for up to stopTimeout plus the lease duration until all
+// grants have ended, and closes the session. The releases of the roles may still be in
+// progress then; Run waits for them.
 func (c *candidate) resign() {
 	c.mu.Lock()
 	for _, grant := range c.grants {
