--- a/internal/failover/export.go
+++ b/internal/failover/export.go
@@ -8,7 +8,8 @@
 	"plovershore/internal/wal"
 )
 
-// minDiskMB is the smallest size, in MB, that a relay's log may be limited to.
+// minDiskMB is the smallest limit of the log's size, in MiB, that an export assumes, even if
+// Spec.DiskMB is smaller or missing.
 const minDiskMB = 3
 
 // exportLog moves the log out of its folder into the export file and returns the number
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,7 +1,7 @@
 // Package failover completes the messages of a lost relay: one that will not come back,
 // but whose state folder still exists. Operators decide which relay is lost. Each message
-// in the folder gets one final notice, which is the same however often the leader changes
-// meanwhile. No message is forwarded: a message that never ran, or that may safely run
+// in the folder gets a final notice. The notice may be sent again after a failure or a
+// change of the leader, but always has the same outcome. No message is forwarded: a message that never ran, or that may safely run
 // again, is returned to the platform, and a message that may have run and is not
 // idempotent fails. A relay that comes back after all finds its folder fenced and starts
 // with an empty log.
@@ -102,8 +102,10 @@
 	progress Progress
 }
 
-// advance carries out an operation. If something prevents that, it stores the reason as
-// the operation's message, and the next pass retries the operation.
+// advance carries out an operation. An operation with an invalid spec is done at once. If
+// the log cannot be exported or its export cannot be read, advance stores the reason as the
+// operation's message, and the next pass retries the operation. It returns other errors,
+// such as that the platform does not accept notices.
 func advance(ctx context.Context, g *leader.Grant, platform *client.Client, op registry.Operation) error {
 	m := &migration{grant: g, platform: platform, op: op}
 	err := operations.Decode(op, &m.spec, &m.progress)
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -199,10 +199,10 @@
 	}
 }
 
-// Every pending message gets the same final notice, even though two responses to notices
-// are lost and the leader changes before all are sent. A relay that starts in the folder
+// All notices of a pending message have the same outcome, even though two responses to
+// notices are lost and the leader changes before all are sent. A relay that starts in the folder
 // afterwards finds it fenced and has no pending messages.
-func TestEveryMessageGetsOneFinalNoticeAcrossLeaderChange(t *testing.T) {
+func TestEveryMessageGetsOneFinalOutcomeAcrossLeaderChange(t *testing.T) {
 	s := startListService(t)
 	folder, want := createLostRelayFolder(t, 500)
 	s.lostResponses = 2
