--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,7 +1,8 @@
 // Package rollout restarts the relays of a fleet in waves, according to a plan. Each relay
-// of the plan is restarted once, only one wave is in progress at a time, and the next wave
-// begins only after the plan's limits have been met, however often the leader of the role
-// changes meanwhile. A runner on the machine of each relay starts and stops its processes.
+// of the plan is restarted once, only one of its waves is in progress at a time, and the
+// next one begins only after the plan's limits have been met, however often the leader of
+// the role changes meanwhile. A runner on the machine of each relay starts and stops its
+// processes.
 package rollout
 
 import (
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -62,7 +62,7 @@
 	return restarts, nil
 }
 
-// programFunc is a Program that restarts nothing but calls the function.
+// programFunc is a Program whose Restart only calls the function.
 type programFunc func() (int, error)
 
 func (programFunc) Operator() string { return "" }
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -47,7 +47,8 @@
 	Operator() string
 }
 
-// Runner restarts one relay, and carries out each step once. Its exported fields must be
+// Runner restarts one relay. It does not repeat a completed step while that is the last one
+// it has begun. Its exported fields must be
 // set before the first use; it is safe for concurrent use. Its folder keeps the last step
 // and the highest fencing token, and must persist when the runner itself is restarted.
 type Runner struct {
