--- a/internal/leader/explore_test.go
+++ b/internal/leader/explore_test.go
@@ -89,8 +89,8 @@
 	role := m.state.Roles["d"]
 	b := make([]byte, 0, 128)
 	appendInts := func(values ...int64) {
-		for _, message := range values {
-			b = binary.AppendVarint(b, message)
+		for _, value := range values {
+			b = binary.AppendVarint(b, value)
 		}
 	}
 	appendInts(int64(m.now), int64(m.leaderChanges), m.newestAccepted, role.Token, int64(len(role.Holder)))
@@ -177,7 +177,7 @@
 	id, h := fmt.Sprint(message.holder), &m.holders[message.holder]
 	switch message.kind {
 	case "renew":
-		if _, accepted := m.state.Sessions[id]; !accepted {
+		if _, open := m.state.Sessions[id]; !open {
 			m.messages = append(m.messages, modelMessage{"unknown", message.holder, 0, message.sentAt})
 			return
 		}
--- a/internal/relayctl/relayctl_test.go
+++ b/internal/relayctl/relayctl_test.go
@@ -105,18 +105,18 @@
 				t.Errorf("show of an unknown role: exit code %d, %q", code, errOut)
 			}
 			for _, test := range []struct {
-				group              string
+				verb               string
 				disabled, assigned bool
 			}{{"hold", true, false}, {"unhold", false, false}, {"release", false, false}} {
-				if out := f.mustRun(group, test.group, "count"); out != "done\n" {
-					t.Errorf("unexpected output of %s: %q", test.group, out)
+				if out := f.mustRun(group, test.verb, "count"); out != "done\n" {
+					t.Errorf("unexpected output of %s: %q", test.verb, out)
 				}
 				var roles registry.RoleList
 				if err := json.Unmarshal([]byte(f.mustRun(group, "list", "--json")), &roles); err != nil {
 					t.Fatal(err)
 				}
 				if role := roles.Roles[0]; role.Disabled != test.disabled || (role.Holder != "") != test.assigned {
-					t.Errorf("unexpected role after %s: %+v", test.group, role)
+					t.Errorf("unexpected role after %s: %+v", test.verb, role)
 				}
 			}
 		})
