--- a/internal/faultlab/bench_comeback.go
+++ b/internal/faultlab/bench_comeback.go
@@ -49,8 +49,9 @@
 	return nil
 }
 
-// measureRecovery measures how soon a whole fleet reconnects after an outage that was
-// so long that every agent and watcher retries at its longest interval.
+// measureRecovery measures how soon a whole fleet reconnects after an outage. The outage
+// of the options should be so long that every agent and watcher retries at its longest
+// interval when the group starts again.
 func (b *registryBench) measureRecovery(ctx context.Context, watchers int) error {
 	c, err := b.startReady(ctx, benchNodes, recoveryMembers)
 	if err != nil {
@@ -97,7 +98,7 @@
 }
 
 // timeRecovery stops the group for the outage, starts it again and times the recovery.
-// It goes on counting elections for as long as the recovery took.
+// It goes on counting elections for as long again as the recovery took.
 func (b *registryBench) timeRecovery(ctx context.Context, fleet *recoveringFleet) (result recoveryResult, err error) {
 	b.stop()
 	opened := fleet.watchers.opened.Load()
--- a/internal/faultlab/bench_fanout.go
+++ b/internal/faultlab/bench_fanout.go
@@ -23,7 +23,8 @@
 
 // measureFanOut measures how long a write takes to reach the last of many watchers, how
 // much memory a watcher costs the nodes, and how soon all watchers have reconnected
-// after the group was stopped.
+// after a stopped group starts again. Memory is not measured for polling clients, and
+// reconnects are measured only for watchers of a list of fewMembers.
 func (b *registryBench) measureFanOut(ctx context.Context, watchers, members int, poll bool) error {
 	c, err := b.startReady(ctx, benchNodes, members)
 	if err != nil {
@@ -90,8 +91,8 @@
 	return durations, nil
 }
 
-// timeReconnects measures how soon all watchers have reconnected after the group was
-// stopped.
+// timeReconnects stops the group repeatedly, and measures the time from its next start
+// until all watchers have reconnected.
 func (b *registryBench) timeReconnects(ctx context.Context, set *watcherSet) (durations []float64, err error) {
 	for range benchRepeats {
 		b.stop()
--- a/internal/faultlab/bench_group.go
+++ b/internal/faultlab/bench_group.go
@@ -25,7 +25,7 @@
 	ip        string
 	dir       string
 	program   string
-	port      int // last port that a node was given
+	port      int // HTTP port of the last node, or the port of a link that was made later
 	processes []*process.Process
 	configs   []string // paths of the configuration files, by node
 	http      []string // HTTP addresses, by node
--- a/internal/faultlab/bench_watchers.go
+++ b/internal/faultlab/bench_watchers.go
@@ -24,7 +24,8 @@
 	benchPollInterval = time.Second
 	openPoll          = 2 * time.Millisecond
 
-	// Backoff of a watcher, the same as that of the list service's client.
+	// Backoff of a watcher. As in the list service's client, its limit doubles with each
+	// attempt, but it has a lower maximum and does not grow with the number of clients.
 	backoffBase   = 50 * time.Millisecond
 	backoffMax    = 2 * time.Second
 	backoffSpread = 500 * time.Millisecond
@@ -37,7 +38,7 @@
 )
 
 // benchWatcher is one watcher of a node, or a client that polls it every second. It
-// reads no more of a line than its revision.
+// parses no more of a line than its revision, and discards the rest.
 type benchWatcher struct {
 	addr       string
 	polls      bool
