--- a/internal/faultlab/build.go
+++ b/internal/faultlab/build.go
@@ -182,8 +182,8 @@
 }
 
 // linkEndpoint makes the link from a relay to one endpoint. Its delay depends on whether
-// both are in the same zone. A number that is unique among the relay's links selects the
-// seed of its random faults.
+// both are in the same zone. The numbers of the relay and of the endpoint select the seed
+// of its random faults.
 func (r *run) linkEndpoint(relay *relay, number int, endpoint *model.Endpoint) (*link.Link, error) {
 	const seedsPerRelay = 1000
 	seed := r.seed + uint64(relay.number*seedsPerRelay+number)
--- a/internal/faultlab/command/play.go
+++ b/internal/faultlab/command/play.go
@@ -18,7 +18,7 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// runFlags are the flags of all commands that run something.
+// runFlags are the flags of all commands that run a scenario.
 type runFlags struct {
 	seed        uint64
 	out         string
--- a/internal/faultlab/corrupt.go
+++ b/internal/faultlab/corrupt.go
@@ -19,9 +19,9 @@
 )
 
 // corruptFile corrupts a file as a fault of the given kind does, and describes the
-// change; the text is empty if there is nothing to corrupt. If path is the directory of
-// a message log, a file in it is drawn; a fault that affects a file's end takes the
-// newest segment.
+// change; the text is empty if there is nothing to corrupt. It is an error to delete a
+// file that does not exist. If path is the directory of a message log, a file in it is
+// drawn; a fault that affects a file's end takes the newest segment.
 func corruptFile(path, kind string, random *rand.Rand) (change string, err error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		if path, err = pickFile(path, kind, random); err != nil || path == "" {
--- a/internal/faultlab/fault_link.go
+++ b/internal/faultlab/fault_link.go
@@ -7,7 +7,8 @@
 	"plovershore/internal/faultlab/scenario"
 )
 
-// injectLinkFault cuts, delays, throttles or resets links between relays and endpoints.
+// injectLinkFault cuts, delays, throttles or resets links between relays and endpoints,
+// or leaves their connections half open.
 func (r *run) injectLinkFault(ctx context.Context, step Step) {
 	links := r.targetLinks(step)
 	switch step.Fault.Kind {
--- a/internal/faultlab/fault_upstream.go
+++ b/internal/faultlab/fault_upstream.go
@@ -94,8 +94,9 @@
 }
 
 // upstreamFault returns the model's fault for a kind of fault. For a slow upstream,
-// factor is the factor of its service time; for all others it is the fraction of calls
-// that are affected.
+// factor is the factor of its service time. An upstream that rejects calls rejects all of
+// them, whatever factor is. For all other kinds, factor is the fraction of calls that are
+// affected.
 func upstreamFault(kind string, factor float64) model.Fault {
 	fraction := min(factor, 1)
 	switch kind {
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -15,8 +15,8 @@
 // are limited: a rate of 0 would lift the limit.
 const minDiscoveryRate = 0.1
 
-// injectFaults carries out the plan: it starts each step when the step is due. Each
-// step undoes its own fault, at its end or when ctx ends.
+// injectFaults carries out the plan: it starts each step when the step is due. A step
+// undoes its own fault, if that is to be undone, at its end or when ctx ends.
 func (r *run) injectFaults(ctx context.Context, plan []Step) {
 	for _, step := range plan {
 		due := r.loadStart.Add(step.At)
@@ -42,7 +42,8 @@
 	}
 }
 
-// injectStep carries out one step and returns when its fault is undone.
+// injectStep carries out one step. It returns when the fault is undone or, if it is not
+// to be undone, when it has been injected.
 func (r *run) injectStep(ctx context.Context, step Step) error {
 	switch scenario.Targets[step.Fault.Kind] {
 	case scenario.TargetRelay:
--- a/internal/faultlab/group.go
+++ b/internal/faultlab/group.go
@@ -30,7 +30,7 @@
 	nodes       []*node
 	controllers []*controller
 	client      *client.Client
-	lastValue   atomic.Int64 // last value that was written to the register
+	lastValue   atomic.Int64 // number of writes to the register so far; modulo registerValues it is the last value
 
 	notices *noticeSink // nil without controllers
 
--- a/internal/faultlab/group_clients.go
+++ b/internal/faultlab/group_clients.go
@@ -25,7 +25,7 @@
 	registerInterval = 40 * time.Millisecond // pause between two operations of one client
 	registerTimeout  = 20 * time.Second      // for one operation, retries included
 	registerClients  = 3
-	registerValues   = 60000 // number of values: the cell of a member has to be smaller
+	registerValues   = 60000 // number of values, from 0: the cell of a member is 65535 at most
 
 	heartbeatsInTTL = 3
 	consistentQuery = "?consistent=1" // URL query that asks for a linearizable read
--- a/internal/faultlab/lab.go
+++ b/internal/faultlab/lab.go
@@ -76,8 +76,9 @@
 }
 
 // Run runs a scenario and checks its history. ctx ends the load early; the run is then
-// finished and checked as far as it went. An error means that the scenario could not be
-// run, or that the lab was late (ErrLate, with the result).
+// finished and checked as far as it went, but a run of a scale scenario ends with an error
+// and no result. Otherwise an error means that the scenario could not be run, or that the
+// lab was late (ErrLate, with the result).
 func Run(ctx context.Context, o Options) (*Result, error) {
 	startedAt := time.Now()
 	if o.MaxLateness == 0 {
--- a/internal/faultlab/logparse.go
+++ b/internal/faultlab/logparse.go
@@ -12,11 +12,11 @@
 	"plovershore/internal/leader"
 )
 
-// This file holds every text of another program that the lab interprets: the
-// controller's log lines, the progress messages of its operations and one line of
-// the relay's metrics. A change of such a text has to be made here as well. A
-// scenario may run an older program (faultlab run --first), so the texts of earlier
-// releases are understood as well as the present ones.
+// This file holds the messages and the metric of other programs that the lab
+// interprets: the controller's log lines, the progress messages of its operations and
+// one line of the relay's metrics. A change of such a text has to be made here as well.
+// A scenario may be run with programs of an older release (faultlab run --controller),
+// so the log messages of earlier releases are understood as well as the present ones.
 
 // Messages of the controller's log about one step of the counter role, as releases
 // before package leader had its event names wrote them.
--- a/internal/faultlab/node.go
+++ b/internal/faultlab/node.go
@@ -135,7 +135,8 @@
 	r.signal(name, p, s)
 }
 
-// setCut cuts the node off from all others, or reconnects it.
+// setCut cuts the node off from all other nodes, agents and clients, or reconnects it.
+// The controllers' own links to it are not affected.
 func (n *node) setCut(cut bool) {
 	faults := link.Faults{Cut: cut}
 	n.proxy.SetBoth(faults)
