--- a/internal/faultlab/scale.go
+++ b/internal/faultlab/scale.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	scaleStartTimeout  = 150 * time.Second       // for all relays to receive their list
-	scaleResultTimeout = 20 * time.Second        // for a process of simulated relays to write its result
+	scaleStartTimeout  = 150 * time.Second       // from the start of the service until all relays have their list
+	scaleResultTimeout = 20 * time.Second        // for all processes of simulated relays to write their results
 	firstScalePort     = firstPort + 100         // lower ports are for the list service's nodes
 	connectTimeout     = 1500 * time.Millisecond // of a simulated relay, to an endpoint
 	// Names of roles in stored reports.
@@ -135,8 +135,8 @@
 	return r.checkResults()
 }
 
-// checkLists checks that every relay has the complete list, and reports whether no rule
-// is violated.
+// checkLists checks that every simulated relay, and every real one that has an operator
+// address, has a list of all members. It reports whether no rule is violated.
 func (r *scaleRun) checkLists() bool {
 	c := &r.scenario.Scale
 	r.check.countCheck(checker.RuleStart)
@@ -157,7 +157,7 @@
 	return r.check.verdict.OK()
 }
 
-// fetchList reads the complete list from the service.
+// fetchList reads the complete list from the service, and records its size.
 func (r *scaleRun) fetchList(ctx context.Context) (*discovery.List, error) {
 	c, err := client.New(r.group.http, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/faultlab/scale_check.go
+++ b/internal/faultlab/scale_check.go
@@ -9,11 +9,13 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// scaleCheck checks the results of simulated relays by these rules:
+// scaleCheck checks the results of simulated relays, and the lengths of the lists of real
+// ones, by these rules:
 //
-//	checker.RuleStart       every relay receives a list
+//	checker.RuleStart       every relay receives a list of all members
 //	checker.RuleList        each relay ends with the service's list
-//	checker.RuleChange      each change is applied once, in the order in which it was made
+//	checker.RuleChange      each change is applied once, in the order in which it was made;
+//	                        one that is missing is excused if a later complete list may hold it
 //	checker.RuleCompletion  each accepted message is completed once, and the log has none pending
 type scaleCheck struct {
 	dir       string
--- a/internal/faultlab/scale_members.go
+++ b/internal/faultlab/scale_members.go
@@ -210,8 +210,9 @@
 	return nil
 }
 
-// makeChanges makes changes at the rate of the scenario until ctx ends, three kinds in
-// turn: a member drains, another gets another size, and one that drained comes back up.
+// makeChanges makes changes at the rate of the scenario, three kinds in turn: a member
+// drains, another gets another size, and one that drained comes back up. It returns when
+// ctx ends, or when no member is left that has not changed yet.
 func (m *scaleMembers) makeChanges(ctx context.Context, random *rand.Rand, currentPhase func() string) error {
 	if m.scenario.Scale.ChangesDay == 0 {
 		return nil
--- a/internal/faultlab/scale_results.go
+++ b/internal/faultlab/scale_results.go
@@ -14,8 +14,11 @@
 	"plovershore/internal/faultlab/simrelay"
 )
 
-// settle waits until every relay has the service's list and no message is pending, or
-// the scenario's time for that is over. It then checks the lists of the real relays.
+// settle waits until every relay has the service's list, and the simulated relays have no
+// message in flight and no notice of a returned or failed message that discovery has not
+// accepted. It waits no longer than the scenario allows. Of the real relays, only those
+// with an operator address are asked, and only for the length of their list; settle
+// checks that length at the end.
 func (r *scaleRun) settle() {
 	if r.ctx.Err() != nil {
 		return
--- a/internal/faultlab/scale_start.go
+++ b/internal/faultlab/scale_start.go
@@ -171,7 +171,8 @@
 	add(&role{name: "lab", units: 1, processes: []*process.Process{{Name: "lab", PID: os.Getpid()}}})
 }
 
-// awaitLists waits until every relay has the complete list, or ctx ends.
+// awaitLists waits until every relay has a list of all members, or ctx ends. A real relay
+// also has to serve clients; one without an operator address is not asked for its list.
 func (r *scaleRun) awaitLists(ctx context.Context) {
 	c := &r.scenario.Scale
 	for {
