--- a/internal/faultlab/command/command_test.go
+++ b/internal/faultlab/command/command_test.go
@@ -33,8 +33,9 @@
 }
 
 // TestMainExitCodeTellsViolationUsageErrorAndFailedRun checks the exit code and output of
-// each command: 0 if no rule was violated, 1 if one was, 2 for bad usage or an invalid
-// scenario, 3 if the scenario could not be run.
+// all commands but up, bench registry, bench duty and bench wal: 0 if no rule was
+// violated, 1 if one was, 2 for bad usage or an invalid scenario, 3 if the scenario could
+// not be run. It also checks that the report has its plot and refers to no other file.
 func TestMainExitCodeTellsViolationUsageErrorAndFailedRun(t *testing.T) {
 	dir := t.TempDir()
 	validPath, invalidPath := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
--- a/internal/faultlab/lab_test.go
+++ b/internal/faultlab/lab_test.go
@@ -229,7 +229,7 @@
 	defer lab.Wait()
 	defer lab.Process.Kill()
 	pids := map[int]bool{}
-	waitFor(t, "three relays are ready", func() bool {
+	waitFor(t, "three relays are ready, or the lab has three child processes", func() bool {
 		ready := 0
 		history.Read(filepath.Join(out, "history.jsonl"), func(e history.Event) {
 			if e.Kind == history.ProcessReady {
@@ -304,8 +304,9 @@
 	}
 }
 
-// TestPlanDependsOnlyOnScenarioAndSeed plans each scenario twice with one seed, and
-// with another seed, for which a plan that draws targets must differ.
+// TestPlanDependsOnlyOnScenarioAndSeed plans each scenario twice with one seed, for which
+// the plans must be equal. A plan whose text contains "share" must differ from that with
+// another seed; Step.String writes no such text at present.
 func TestPlanDependsOnlyOnScenarioAndSeed(t *testing.T) {
 	files, _ := filepath.Glob(filepath.Join("..", "..", "lab", "scenarios", "*.toml"))
 	if len(files) < 8 {
