--- a/internal/faultlab/checker/checker_test.go
+++ b/internal/faultlab/checker/checker_test.go
@@ -22,8 +22,8 @@
 }
 
 // historyBuilder builds a history event by event; each event is a millisecond after
-// the one before. The only relay is n1, and the only endpoint that receives calls
-// is e, of destination 1.
+// the one before, unless setTime comes between them. The methods record only the relay
+// n1, and calls only to the endpoint e of destination 1.
 type historyBuilder struct {
 	events    []history.Event
 	now       int64
--- a/internal/faultlab/checker/destination.go
+++ b/internal/faultlab/checker/destination.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// endpointChanged handles a change of an endpoint's phase that discovery announced
-// to all relays.
+// endpointChanged handles a change of an endpoint's phase that discovery has accepted,
+// which counts as announced to all relays from then on.
 func (c *Check) endpointChanged(e history.Event) {
 	if e.Phase == model.Up {
 		delete(c.announcedChanges, e.Endpoint)
--- a/internal/faultlab/checker/process.go
+++ b/internal/faultlab/checker/process.go
@@ -10,7 +10,8 @@
 	"plovershore/internal/faultlab/model"
 )
 
-// startTimeout is how long a relay may take from its start until it is ready.
+// startTimeout is how long before the end of the run a relay that never became ready must
+// have started to violate RuleStart.
 const startTimeout = 30 * time.Second
 
 // interval is a span of time in a run, in microseconds. The end of an absence that
@@ -97,7 +98,8 @@
 
 // excusedUntil returns the time at which something is due from a relay, given when it
 // would be due without absences. A due time during an absence, or during the grace
-// after it, moves to the end of that grace.
+// after it, moves to the end of that grace, and past the end of the run if the absence has
+// not ended.
 func (c *Check) excusedUntil(r *relay, due int64) int64 {
 	rules := &c.config.Rules
 	for _, absence := range r.absences {
@@ -241,7 +243,8 @@
 }
 
 // checkStart applies RuleStart to the last process of a relay: it violates the rule if
-// it neither became ready within startTimeout nor was told to end.
+// it never became ready, was not told to end, and started more than startTimeout before
+// the end of the run. A process that became ready late does not violate it.
 func (c *Check) checkStart(r *relay) {
 	isRelay := r.started.Kind != "" && r.started.Text != history.NodeProcess
 	if isRelay && r.ready.Kind == "" && r.signaled.Kind == "" && c.lastTime-r.started.Time > micros(startTimeout) {
--- a/internal/faultlab/checker/verdict.go
+++ b/internal/faultlab/checker/verdict.go
@@ -34,7 +34,7 @@
 	RuleLimits      Rule = "limits" // a relay stays within its limits for memory, descriptors and disk
 	RuleShutdown    Rule = "term"   // SIGTERM ends the process in time
 	RuleCrash       Rule = "crash"  // a process ends only when it is told to
-	RuleStart       Rule = "start"  // a process becomes ready in time
+	RuleStart       Rule = "start"  // a process becomes ready, unless it is told to end or the run ends soon after its start
 )
 
 // The rules for the list service and its controllers.
