--- a/internal/faultlab/history/event.go
+++ b/internal/faultlab/history/event.go
@@ -13,7 +13,8 @@
 	// MessageSubmitted records that a client has sent a message to a relay [Relay Message
 	// FirstMessage Class Destination DueAt ValidFor].
 	MessageSubmitted Kind = "put"
-	// MessageAccepted records that the client has received +OK [Relay Message].
+	// MessageAccepted records that the client has received +OK or a bulk string [Relay
+	// Message].
 	MessageAccepted Kind = "taken"
 	// MessageRejected records that the client has received -BUSY [Relay Message
 	// RetryAfter].
@@ -38,8 +39,8 @@
 	// CallReceived records that an endpoint has read the last byte of a call [Call Relay
 	// Endpoint Destination Messages SentAt].
 	CallReceived Kind = "call"
-	// CallLost records a complete call that a link never passed on. It is recorded when
-	// the connection ends [Relay Endpoint Destination Messages SentAt].
+	// CallLost records a call that a relay wrote completely and that a link did not pass
+	// on, or only in part. It is recorded when the connection ends [Relay Endpoint Destination Messages SentAt].
 	CallLost Kind = "lost"
 	// MessageExecuted records that a message took effect at an endpoint [Call Endpoint
 	// Message].
@@ -50,10 +51,12 @@
 	// ResponseReceived records that the last byte of the response was written to the relay
 	// [Call].
 	ResponseReceived Kind = "heard"
-	// CallAborted records that the relay closed the connection before the response [Call].
+	// CallAborted records that the relay, or the link by a reset, closed the connection on
+	// which the call was the last. The call was aborted only if no ResponseReceived came
+	// before [Call].
 	CallAborted Kind = "left"
-	// CallBroken records that the endpoint saw the connection end before the response
-	// [Call].
+	// CallBroken records that a call ended at its endpoint without a response, because the
+	// connection was closed by the relay, the endpoint or the link [Call Endpoint].
 	CallBroken Kind = "ended"
 	// InvalidCall records a call that no relay should have sent [Relay Endpoint Message
 	// Text].
@@ -61,8 +64,8 @@
 
 	// The endpoint list.
 
-	// EndpointChanged records that discovery has made a change of an endpoint available to
-	// all relays [Endpoint Phase].
+	// EndpointChanged records that discovery has accepted a change of an endpoint. A relay
+	// receives the change later, or shortly before this is recorded [Endpoint Phase].
 	EndpointChanged Kind = "listed"
 	// ChangeDelivered records that the change was written to one relay [Relay Endpoint
 	// Phase].
--- a/internal/faultlab/link/conn.go
+++ b/internal/faultlab/link/conn.go
@@ -22,9 +22,9 @@
 	written          []byte    // bytes that the client has written since the last response, up to maxRecorded
 	forwarded        int       // how many of the written bytes have reached the server
 	bytesToClient    int64
-	clientClosed     bool // the client has closed its sending side
+	clientClosed     bool // the client has closed its sending side, or the link has closed the client's connection
 	pendingResponses []pendingResponse
-	onClientClosed   func() // called once when the client closes its sending side
+	onClientClosed   func() // called once when clientClosed becomes true
 }
 
 // pendingResponse is a response whose last byte has not been written to the client.
@@ -54,8 +54,8 @@
 }
 
 // OnClientClosed registers callback to be called once, when the client closes the
-// connection or its sending side, even if the link is cut. It replaces an earlier
-// callback.
+// connection or its sending side, even if the link is cut, or when the link closes the
+// client's connection. It replaces an earlier callback.
 func (c *Conn) OnClientClosed(callback func()) {
 	c.mu.Lock()
 	closed := c.clientClosed
@@ -109,8 +109,8 @@
 	context.AfterFunc(c.ctx, func() { timer.Stop() })
 }
 
-// recordSent records bytes that the client has written. A non-nil err means that it has
-// closed its sending side.
+// recordSent records bytes that the client has written. A non-nil err means that nothing
+// more follows: the client has closed its sending side, or the link the connection.
 func (c *Conn) recordSent(b []byte, now time.Time, err error) {
 	if callback := c.addSent(b, now, err); callback != nil {
 		callback()
