--- a/internal/faultlab/model/call.go
+++ b/internal/faultlab/model/call.go
@@ -55,8 +55,8 @@
 	return ids
 }
 
-// handle serves a call and returns its response, or the zero response if the
-// connection shall end without one.
+// handle serves a call and returns its response, or one without text if the connection
+// shall end without a response.
 func (e *Endpoint) handle(ctx context.Context, c *call) response {
 	now := time.Now()
 	invalidStatus := e.parse(c)
--- a/internal/faultlab/model/discovery.go
+++ b/internal/faultlab/model/discovery.go
@@ -37,8 +37,9 @@
 	revision int64
 	agents   []*Agent
 
-	// A token bucket that limits the calls to all agents together.
-	rateLimit  float64 // calls a second; 0 for no limit
+	// A token bucket that limits the requests for the list, watches included, to all
+	// agents together.
+	rateLimit  float64 // requests a second; 0 for no limit
 	tokens     float64
 	lastRefill time.Time
 }
@@ -49,15 +50,16 @@
 	return &Discovery{world: w, random: rand.New(rand.NewPCG(seed, discoverySeed)), revision: 1, lastRefill: time.Now()}
 }
 
-// LimitRate limits the calls that all agents together serve in a second; 0 lifts the
-// limit.
+// LimitRate limits the requests for the list, watches included, that all agents together
+// serve in a second; 0 lifts the limit. Notices are not limited.
 func (d *Discovery) LimitRate(perSecond float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rateLimit, d.tokens, d.lastRefill = perSecond, 1, time.Now()
 }
 
-// admits reports whether the rate limit allows one more call, and counts it.
+// admits reports whether the rate limit allows one more request for the list, and counts
+// the request if so.
 func (d *Discovery) admits() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/faultlab/model/fault.go
+++ b/internal/faultlab/model/fault.go
@@ -3,7 +3,7 @@
 // Fault is a fault of an upstream or of one endpoint. The zero value is no fault.
 // Fractions are from 0 to 1.
 type Fault struct {
-	Slow            float64 // factor by which calls take longer; 0 counts as 1
+	Slow            float64 // factor by which calls take longer; less than 1 counts as 1
 	Fail            float64 // fraction of calls that end in 500, half of them after they took effect
 	Closed          bool    // the upstream rejects every call; a Retry-After lasts until the upstream opens again
 	Silent          bool    // calls are accepted and never answered
--- a/internal/faultlab/model/ledger.go
+++ b/internal/faultlab/model/ledger.go
@@ -17,7 +17,7 @@
 	Due         time.Time // when the client's first request was due
 	Body        []byte
 	Attempt     int  // number of the client's request, from 0
-	Accepted    bool // the client has read +OK
+	Accepted    bool // the client has read +OK or a bulk string, which accept the message
 	Completed   bool // nothing more is due for it: it is delivered, has expired, had a notice or was not accepted
 	Delivered   bool // a relay has received a response by which it counts as delivered
 
@@ -41,7 +41,7 @@
 	l.messages[m.ID] = m
 }
 
-// Accept records that the client has read +OK for a message.
+// Accept records that the client has read an answer that accepts a message.
 func (l *Ledger) Accept(id string) { l.update(id, func(m *Message) { m.Accepted = true }) }
 
 // Complete records that a message needs nothing more, and reports whether it was not
--- a/internal/faultlab/model/settings.go
+++ b/internal/faultlab/model/settings.go
@@ -12,7 +12,7 @@
 type Fleet struct {
 	Relays      int      // number of relays in the fleet
 	MaxCalls    int      // limit on the calls of this relay that are in flight
-	MaxMessages int      // limit on the messages of this relay that are in flight
+	MaxMessages int      // limit on the messages that this relay holds
 	Zones       []string // all zones of the fleet
 	Zone        int      // zone of this relay, an index into Zones
 	Rank        int      // number of this relay in the fleet
