--- a/internal/faultlab/scenario/fault.go
+++ b/internal/faultlab/scenario/fault.go
@@ -16,7 +16,7 @@
 	Folder       string   `toml:"folder"` // kill, term: the state that the next process finds
 	File         string   `toml:"file"`   // flip, tear, zero, gone: the file in the state directory that is corrupted
 	MS           float64  `toml:"ms"`     // delay: added delay; clock: size of the step; both in milliseconds
-	Factor       float64  `toml:"factor"` // slow: factor on the service time; limits: factor on the limit; fail, lose, spoil, break: fraction of calls; evacuate: fraction of endpoints that each destination retains, 0.5 by default
+	Factor       float64  `toml:"factor"` // slow: factor on the service time; limits: factor on the limit; fail, lose, spoil, break: fraction of calls; each of these is 1 by default; evacuate: smallest fraction of its endpoints that each destination retains, 0.5 by default
 	Rate         float64  `toml:"rate"`   // turnaway: calls a second; throttle: bytes a second; evacuate: endpoints a second, 2 by default
 	Kinds        []string `toml:"kinds"`  // kinds of upstream that it may strike; empty for all
 	Node         string   `toml:"node"`   // node-*, warden-*: whom it strikes, by state, such as NodeLeader; in place of a draw
--- a/internal/faultlab/scenario/parse.go
+++ b/internal/faultlab/scenario/parse.go
@@ -33,7 +33,8 @@
 }
 
 // LoadFile reads and validates a scenario file. Keys that are not in the file have
-// their values of Default. Errors are of type *Error.
+// their values of Default, except that name is then the file's name without .toml and
+// about is empty. Errors are of type *Error.
 func LoadFile(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/faultlab/scenario/scenario_test.go
+++ b/internal/faultlab/scenario/scenario_test.go
@@ -39,14 +39,14 @@
 	}
 }
 
-func TestParseWithSetsAnyKey(t *testing.T) {
+func TestParseWithSetsKeyAndRejectsUnknownKey(t *testing.T) {
 	doc := []byte("[load]\nrate = 60\n[[fault]]\nkind = \"kill\"\nat = 1\n")
 	s, err := ParseWith("x.toml", doc, "fault.0.share", "0.5")
 	if err != nil || s.Faults[0].Fraction != 0.5 || s.Load.Rate != 60 {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("fault.0.share set to 0.5: scenario %+v, error %v; want that share and the file's rate of 60", s, err)
 	}
 	if s, err = ParseWith("x.toml", doc, "fault.0.folder", "lost"); err != nil || s.Faults[0].Folder != "lost" {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("fault.0.folder set to lost: scenario %+v, error %v; want that folder", s, err)
 	}
 	for _, key := range []string{"load.rates", "fault.1.share", "load.rate.x"} {
 		if _, err := ParseWith("x.toml", doc, key, "1"); err == nil {
