--- a/internal/faultlab/capacity/policy_jobs.go
+++ b/internal/faultlab/capacity/policy_jobs.go
@@ -323,8 +323,8 @@
 	return meanMicros(took, max(n, 1)), nil
 }
 
-// measureShedding times submissions to a policy that holds its maximum of messages and so
-// must reject or give up one for each.
+// measureShedding times submissions to a policy that holds as many messages as it may, its
+// maximum less the places that it keeps free, and so must reject or give up one for each.
 func measureShedding(maxMessages, destinations int) ([]float64, error) {
 	d, err := newPolicyDriver(destinations, maxMessages)
 	if err != nil {
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -19,8 +19,8 @@
 type Options struct {
 	Only  []string // names of the jobs to run; empty for all
 	Sizes []int    // sizes for all jobs; empty for each job's own sizes
-	Plays int
-	Smoke bool // runs small sizes once and briefly, to test that the jobs work; the figures mean nothing
+	Plays int      // repetitions at each size, at least 1
+	Smoke bool     // runs small sizes once and briefly, to test that the jobs work; the figures mean nothing
 	// Relay, Registry and Controller are the paths of the programs that jobs start.
 	Relay      string
 	Registry   string
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -111,7 +111,8 @@
 	return p.stopped
 }
 
-// Kill kills the process and its group, and waits until the process has ended.
+// Kill kills the process and its group, and waits until the process has ended. It does
+// nothing if the process has ended already.
 func (p *Process) Kill() {
 	select {
 	case <-p.done:
--- a/internal/faultlab/simrelay/hash.go
+++ b/internal/faultlab/simrelay/hash.go
@@ -9,8 +9,8 @@
 	"plovershore/internal/discovery"
 )
 
-// MemberHash is a hash of all fields of a member that the list carries. The hash of a list
-// is the sum of its members' hashes, so that a change of one member can update it.
+// MemberHash is a hash of all fields of a member except UpSince. The hash of a list is the
+// sum of its members' hashes, so that a change of one member can update it.
 func MemberHash(m *discovery.Member) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{m.ID, m.HostPort, m.Locality, m.Flavor, m.Phase} {
--- a/internal/faultlab/stub/call.go
+++ b/internal/faultlab/stub/call.go
@@ -13,7 +13,7 @@
 
 // callResult is the result of one call of an endpoint.
 type callResult struct {
-	notSent    bool // the request was not sent, because the destination had asked to wait
+	notSent    bool // the request was not sent, because the destination had asked to wait or may have (see errMustWait)
 	completed  bool // the message was delivered or has expired, and must not be sent again
 	mayHaveRun bool
 }
