--- a/internal/faultlab/checker/checker_test.go
+++ b/internal/faultlab/checker/checker_test.go
@@ -135,10 +135,10 @@
 	}
 }
 
-// TestMissingFinalResponseIsExcusedOnlyByRestartOrLostFolder: a restart near the
+// TestLateOrMissingFinalResponseIsExcusedByRestartNearDeadlineOrLostFolder: a restart near the
 // deadline makes the final response due later, and a lost folder makes it
 // unnecessary. A restart long before the deadline excuses nothing.
-func TestMissingFinalResponseIsExcusedOnlyByRestartOrLostFolder(t *testing.T) {
+func TestLateOrMissingFinalResponseIsExcusedByRestartNearDeadlineOrLostFolder(t *testing.T) {
 	for name, test := range map[string]struct {
 		addEvents     func(h *historyBuilder)
 		wantViolation bool
--- a/internal/faultlab/link/link_test.go
+++ b/internal/faultlab/link/link_test.go
@@ -127,7 +127,7 @@
 	checkEcho(t, dialLink(t, l), "a new one is fine")
 }
 
-func TestDelayedBytesArriveLateAndInOrder(t *testing.T) {
+func TestDelayedBytesArriveIntactAndNotBeforeDelay(t *testing.T) {
 	l := startTestLink(t, nil)
 	const delay = 60 * time.Millisecond
 	l.SetFaults(ToServer, Faults{Delay: delay, Jitter: delay})
