--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,15 +11,15 @@
 const (
 	serveTimePerRelay = 100 * time.Millisecond // all relays of the fleet may call at the same time, and are served one by one
 	maxQueueTimeout   = 2 * time.Second        // bounds what the fleet's size adds to the response timeout
-	maxStartDelay     = time.Second            // bounds the delay of the first call, since a relay must stop calling a draining endpoint 2 s after the agent has the drain
+	maxStartDelay     = time.Second            // bounds the delay of the first call; must be well below the 2 s in which a relay must stop calling a draining endpoint
 )
 
 // Watch follows the endpoint list of one relay's agent. Use NewWatch to make one;
 // Known and OnRejected may be set before Run, which is called once. SetAddress
 // is safe for concurrent use.
 type Watch struct {
-	// Known is a complete list that the relay already has, or nil. The first watch
-	// asks only for the changes after it, so that no complete list is fetched.
+	// Known is a complete list that the relay already has, or nil. If it is valid, the
+	// first watch asks only for the changes after it, and no complete list is fetched.
 	Known *List
 	// OnRejected is called when discovery rejects a call, and when the first call
 	// is delayed by more than reconnectDelay. It may be nil.
@@ -61,8 +61,8 @@
 	}
 }
 
-// Run watches until ctx ends. It delivers updates without delay, since the grace
-// period of a drain begins when discovery writes it.
+// Run watches until ctx ends. It delivers each update as soon as it was read, since
+// the grace period of a drain may be running already.
 func (w *Watch) Run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	var state listState
@@ -124,8 +124,8 @@
 }
 
 // startDelay returns the random delay of the first call. The delay spreads the
-// calls of a fleet that starts as a whole. It is bounded because changes that the
-// agent already has count as received by this relay, whose known list may be old.
+// calls of a fleet that starts as a whole. It is bounded because the known list may
+// be old: the grace period of a drain that it lacks may be running already.
 func (w *Watch) startDelay() time.Duration {
 	return time.Duration(float64(min(w.fleetServeTime/2, maxStartDelay)) * w.random())
 }
