--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -32,8 +32,9 @@
 
 // isSelfLimiting reports whether a call ended by a timeout, or could not connect
 // for another reason than a rejection. Such calls cannot overload discovery when
-// they are retried soon: a timeout has taken a second at least, and a call without
-// a connection does not reach discovery.
+// they are retried soon: a timeout has taken a second at least, unless it ended a
+// watch within an unfinished list, and a call without a connection does not reach
+// discovery.
 func isSelfLimiting(err error) bool {
 	var opError *net.OpError
 	var timeout net.Error
@@ -75,16 +76,17 @@
 	return longest/2 + time.Duration(float64(longest/2)*draw)
 }
 
-// failureCounts holds the failures since a watch last delivered something.
+// failureCounts holds the failures since a watch last received an update or a
+// keepalive.
 type failureCounts struct {
 	rejected    int  // calls that were rejected, or that failed otherwise once reconnected was set
-	reconnected bool // a call failed by neither rejection nor timeout, and was retried after reconnectDelay
+	reconnected bool // a call that had connected failed by neither rejection nor timeout, and was retried after reconnectDelay
 	tooLarge    int  // lists that were too large
 }
 
 // retryDelay counts a failure and returns the delay before the retry. A watch
 // that ended is reopened soon, since the relay must learn of drains in time. If
-// the new watch also ends before it delivers anything, discovery is failing, and
+// the new watch also ends before it receives anything, discovery is failing, and
 // the retries are spread like those of rejected calls.
 func (w *Watch) retryDelay(err error) time.Duration {
 	draw, failures := w.random(), &w.failures
@@ -104,7 +106,7 @@
 }
 
 // resetFailures makes the next failure count as the first. It is called when a
-// watch delivered something, and when the address was replaced.
+// watch received an update or a keepalive, and when the address was replaced.
 func (w *Watch) resetFailures() { w.failures = failureCounts{} }
 
 // sleepContext sleeps for d, or until ctx ends.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -2,7 +2,8 @@
 // relay, the registry and the fault lab: the endpoint list with its JSON form,
 // the watch by which a relay follows the list, and the notices by which it
 // reports messages that were not delivered. Updates are delivered in order and
-// without a gap, and a notice is sent until it is acknowledged.
+// without a gap, and a notice is sent until it is acknowledged, or rejected as
+// malformed.
 package discovery
 
 import (
--- a/internal/discovery/listreader.go
+++ b/internal/discovery/listreader.go
@@ -146,7 +146,8 @@
 }
 
 // parseBuffered parses the buffer at the end of a line. It returns the list if it is
-// complete, and nil if it goes on in the next line. An unfinished list is not parsed
+// complete, and nil if it goes on in the next line or the buffer has only white space,
+// which is dropped. An unfinished list is not parsed
 // at each of its lines, but often enough that malformed text is rejected early.
 func (r *listReader) parseBuffered() (*List, error) {
 	if len(bytes.TrimSpace(r.buffer)) == 0 {
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -38,8 +38,8 @@
 	maxNoticeAnswerBytes = 64 << 10 // a response is read up to this size, so that its connection can be reused
 )
 
-// Notices sends notices to the discovery agent, each until it is acknowledged. A
-// notice that the agent receives twice has no further effect. Use NewNotices to make
+// Notices sends notices to the discovery agent, each until it is acknowledged or
+// rejected as malformed. A notice that the agent receives twice has no further effect. Use NewNotices to make
 // one. The methods are safe for concurrent use, except Run, which is called once.
 type Notices struct {
 	agentAddress
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -53,8 +53,9 @@
 }
 
 // followChanges opens a watch on the changes after the state from, and delivers
-// them until the watch ends. It returns the state that was reached. After a
-// malformed update the list is no longer known.
+// them until the watch ends. It returns the state that was reached. The list is no
+// longer known after an update that cannot be applied, or after a status that is no
+// rejection.
 func (w *Watch) followChanges(ctx context.Context, addr string, from listState) (listState, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
