--- a/internal/discovery/breaks_test.go
+++ b/internal/discovery/breaks_test.go
@@ -12,8 +12,8 @@
 )
 
 // Guards discovery against many calls a second from watches whose connections break as soon as
-// they are open, whatever the error: the first watch that breaks is reopened soon, and the next
-// are spread like rejected calls.
+// they are open, whatever the error: at most the first watch that breaks is reopened soon, and
+// the next are spread like rejected calls.
 func TestRepeatedlyBreakingWatchesBackOff(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.ENETUNREACH} {
 		w := NewWatch("127.0.0.1:1", 300, slog.New(slog.DiscardHandler), func(*List) {})
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -130,7 +130,8 @@
 }
 
 // Notices are sent until they are acknowledged. One that the agent rejects as
-// malformed is not sent again, and does not hold up the others.
+// malformed is reported like an acknowledged one, so that it does not hold up the
+// others.
 func TestNoticesAreSentUntilAcknowledged(t *testing.T) {
 	agent := discoverytest.New(t)
 	agent.Set(func(agent *discoverytest.Server) { agent.Answer = http.StatusInternalServerError })
--- a/internal/discovery/internal_test.go
+++ b/internal/discovery/internal_test.go
@@ -13,8 +13,8 @@
 
 // Guards against late updates after an outage, and against a fleet whose calls all
 // arrive together. However many calls were rejected in a row, the retry comes within
-// retryBackoffMax. The retries of a large fleet are spread over about a second, so
-// that each relay makes less than one call a second.
+// retryBackoffMax. The retries of a large fleet are spread over 0.9 s at least, and
+// each relay makes at most one call a second on average.
 func TestRejectedCallsAreRetriedSpreadAndWithinBound(t *testing.T) {
 	for _, rejection := range []error{&StatusError{"list", http.StatusServiceUnavailable}, &StatusError{"watch", http.StatusTooManyRequests},
 		fmt.Errorf("discovery: %w", syscall.ECONNREFUSED), fmt.Errorf("discovery: %w", syscall.ECONNRESET)} {
--- a/internal/discovery/listreader_test.go
+++ b/internal/discovery/listreader_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// Text that cannot become a valid list is rejected as malformed, long before it
-// reaches the size limit, though its first brace is never closed.
+// Text that cannot become a valid list is rejected as malformed before it reaches the
+// size limit, though its first brace is never closed.
 func TestListReaderRejectsMalformedTextBeforeLimit(t *testing.T) {
 	r := newListReader(io.MultiReader(strings.NewReader("{\"revision\":1,\n"), &endlessMalformed{}), maxListBytes)
 	_, err := r.nextList()
