--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -23,7 +23,7 @@
 }
 
 // dateJump sets the date forward by an amount, or back if the amount is negative,
-// once a time has passed since the process began.
+// once a time by the machine's clock has passed since Parse made the clock.
 type dateJump struct{ amount, after time.Duration }
 
 // A simulated clock's rate must lie within these bounds.
@@ -34,7 +34,7 @@
 
 // Parse returns the simulated clock that spec describes. "rate=1.1,date=-1h@8s"
 // is a clock that runs 10% fast, and whose date is set back by an hour 8 s after
-// the process began. For an empty spec Parse returns the machine's clock, nil.
+// Parse. For an empty spec Parse returns the machine's clock, nil.
 func Parse(spec string) (*Clock, error) {
 	if spec == "" {
 		return nil, nil
@@ -70,7 +70,7 @@
 	return rate, nil
 }
 
-// parseDateJump parses a jump such as -1h@8s: back by an hour, 8 s after the start.
+// parseDateJump parses a jump such as -1h@8s: back by an hour, 8 s after Parse.
 func parseDateJump(text string) (dateJump, error) {
 	amountText, afterText, _ := strings.Cut(text, "@")
 	var jump dateJump
