--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -21,8 +21,8 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // the relay failed while it was running
-	exitConfig = 2 // the configuration is invalid
+	exitFailed = 1 // the relay failed to start, or while it was running
+	exitConfig = 2 // the configuration cannot be read or is invalid
 )
 
 // logLevelEnv is the environment variable that sets the level of the log: debug,
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -20,8 +20,8 @@
 // written. Only their links are checked.
 var historicalPages = regexp.MustCompile(`^docs/(findings/|incidents/|ROADMAP\.md$|open-points\.md$)`)
 
-// readPages returns the text of each page of the repository, by the page's path relative
-// to the root.
+// readPages returns the text of each page in the root, in docs, in the folders of docs and
+// in those of deploy, by the page's path relative to the root.
 func readPages(t *testing.T) map[string]string {
 	t.Helper()
 	texts := make(map[string]string)
--- a/internal/acceptretry/acceptretry.go
+++ b/internal/acceptretry/acceptretry.go
@@ -26,7 +26,7 @@
 // and tries again. Closing the result closes ln.
 func NewListener(ln net.Listener) net.Listener { return retryListener{ln} }
 
-// Accept returns the next connection. Its error is net.ErrClosed or
+// Accept returns the next connection. Its error wraps net.ErrClosed or
 // os.ErrDeadlineExceeded.
 func (l retryListener) Accept() (net.Conn, error) {
 	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
--- a/internal/acceptretry/acceptretry_test.go
+++ b/internal/acceptretry/acceptretry_test.go
@@ -32,8 +32,8 @@
 	return f.Listener.Accept()
 }
 
-// A server goes on serving after each error of accept that Linux documents, and ends
-// when it is closed.
+// A server goes on serving after each of ten errors of accept that Linux documents
+// (accept(2)), and ends when it is closed.
 func TestServerGoesOnAfterAcceptErrors(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE, syscall.EPROTO,
 		syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EPERM} {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -11,7 +11,8 @@
 	"sync/atomic"
 )
 
-// Ports are taken from this range, which lies below the kernel's ephemeral ports.
+// Ports are taken from firstPort up to, but not including, lastPort. They lie below the
+// kernel's ephemeral ports.
 const (
 	firstPort = 10000
 	lastPort  = 30000
