--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -1,7 +1,8 @@
 // Command relay runs one message relay. Its configuration is the file that ROUTER_CONFIG
 // names; ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY, ROUTER_STATE and ROUTER_OPERATOR
 // take precedence over it. On SIGTERM or SIGINT the relay shuts down gracefully; on SIGHUP
-// it reads the address of discovery again.
+// it reads the address of discovery again, from the file and regardless of
+// ROUTER_DISCOVERY.
 package main
 
 import (
--- a/cmd/relayctl/main.go
+++ b/cmd/relayctl/main.go
@@ -1,4 +1,5 @@
-// Command relayctl shows and changes a fleet's endpoint list and the logs of relays.
+// Command relayctl shows and changes what the list service holds of a fleet (endpoints,
+// zones, roles and operations), and the logs of relays.
 package main
 
 import (
