--- a/internal/acceptretry/acceptretry.go
+++ b/internal/acceptretry/acceptretry.go
@@ -18,7 +18,8 @@
 	maxBackoff = 100 * time.Millisecond
 )
 
-// retryListener retries Accept after transient errors.
+// retryListener retries Accept after every error except net.ErrClosed and
+// os.ErrDeadlineExceeded. It does not check whether the error is transient.
 type retryListener struct{ net.Listener }
 
 // NewListener wraps ln in a listener whose Accept fails only once ln is closed
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// waitToStart delays the first call, and ends early if the address is replaced.
+// waitToStart delays the first call, and ends early if the address is replaced or ctx
+// ends. If the delay is longer than reconnectDelay, it first calls OnRejected, if set.
 func (w *Watch) waitToStart(ctx context.Context) {
 	ctx, cancel, _ := w.beginCall(ctx)
 	defer cancel()
--- a/internal/leader/operations/operations_test.go
+++ b/internal/leader/operations/operations_test.go
@@ -47,9 +47,10 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// Run passes the pending operations of its kind, including paused ones and names with
-// characters that URLs escape. An operation that was sent as done is not pending any more.
-func TestRunPassesPendingOperationsUntilDone(t *testing.T) {
+// Run passes the pending operations of its kind to its callback, including paused ones and
+// names with characters that URLs escape. Once an update with Done was sent for an
+// operation, the operation is not pending any more and is not passed again.
+func TestRunPassesPendingOperationsToCallbackUntilDone(t *testing.T) {
 	group := registrytest.Start(t, 1, nil)
 	c := group.Client()
 	storeOperation(t, c, testKind, "plain", registry.DesiredRun)
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -318,8 +318,9 @@
 }
 
 // A Retry-After must stop the calls to the same destination that still wait for their
-// connection. Calls to other destinations, and calls that are being sent, must go on.
-func TestRetryAfterStopsWaitingCallsToDestination(t *testing.T) {
+// connection. Calls to other destinations, and calls that are being sent, must go on. A call
+// of a batch that the policy sent before the Retry-After must not start.
+func TestRetryAfterStopsCallsThatWaitForConnection(t *testing.T) {
 	r := newTestRelay(t)
 	addEndpoint := func(id string, cell int) *endpoint {
 		r.updateMember(&discovery.Member{ID: id, HostPort: "127.0.0.1:1", Flavor: "k", Cell: cell, Phase: discovery.Up})
--- a/internal/relay/client_server.go
+++ b/internal/relay/client_server.go
@@ -39,9 +39,9 @@
 	onResponded func(q *putRequest, delivered bool)
 	// commandTimeout bounds the time for a whole command. A connection with an
 	// incomplete command may be exempt from eviction, so without the bound its peer
-	// could hold the slot for ever. A peer that sends nothing or only PING could do
-	// so too: before the first message of a connection, the time counts from the
-	// connect or from the last PING.
+	// could hold the slot for ever. Before the first message of a connection, the
+	// time counts from the connect or from the last PING, so that a peer that sends
+	// nothing is disconnected too. A peer that sends PING in time may stay connected.
 	commandTimeout time.Duration
 	// clientTimeout is the age of a request after which its client submits the
 	// message to another relay, so that it must not be accepted here any more.
@@ -135,8 +135,11 @@
 	return len(c.conns)
 }
 
-// drainConnections closes idle connections now. All others, and those that are
-// accepted later, are closed after their next response.
+// drainConnections closes connections now that are idle after a request. Those with
+// requests in progress are closed once these are answered. A connection on which no
+// request has begun yet, or that is accepted later, has clientTimeout for its first
+// request; it is closed after the response, or at the end of that time if no request
+// has begun.
 func (c *clientServer) drainConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -64,9 +64,10 @@
 	}
 }
 
-// The settings say whether responses carry load reports. The policy has to know, as the
-// meaning of a response without a report depends on it.
-func TestLoadReportsFollowSettings(t *testing.T) {
+// The policy's LoadReports must be true if report.how in the settings is "answers", so that
+// responses carry load reports, and false if it is "none" or "probe". The policy has to know,
+// as the meaning of a response without a report depends on it.
+func TestPolicyLoadReportsFollowReportHow(t *testing.T) {
 	for reportMode, want := range map[string]bool{"none": false, "probe": false, "answers": true} {
 		text := strings.Replace(testSettings, `"report":{"fields":[],"how":"none"}`, `"report":{"fields":["x0"],"how":"`+reportMode+`"}`, 1)
 		c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
--- a/internal/relay/endpoint.go
+++ b/internal/relay/endpoint.go
@@ -30,7 +30,7 @@
 	// State of the connection pool, see connectionPool.
 	countedTransport *http.Transport // the transport whose connections the pool counts
 	isPooled         bool            // the endpoint is in connectionPool.endpoints
-	callsStarted     int             // number of calls started so far
+	callsStarted     int             // number of calls started so far; differs from callsAtEnqueue if the endpoint was used since
 	callsAtEnqueue   int             // callsStarted when the endpoint was last appended to connectionPool.endpoints
 }
 
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -27,7 +27,8 @@
 	shutdownCheckInterval = 20 * time.Millisecond
 )
 
-// shutdownState is the progress of a graceful shutdown.
+// shutdownState tells whether a graceful shutdown runs, since when and why. The phase that
+// it has reached is not stored, but follows from the time since startedAt.
 type shutdownState struct {
 	startedAt time.Time        // zero while the relay runs
 	listener  *net.TCPListener // nil once it is closing
--- a/internal/relay/wallclock.go
+++ b/internal/relay/wallclock.go
@@ -19,7 +19,9 @@
 
 func newClockWatch() clockWatch { return clockWatch{startedAt: time.Now()} }
 
-// detectStep returns the wall clock's step since the last call; 0 for none.
+// detectStep returns the wall clock's step since the last step that it returned, or 0 if
+// that is less than minClockStep. A smaller change is carried over: it is included in
+// what the next calls measure.
 func (w *clockWatch) detectStep(now time.Time) time.Duration {
 	wallElapsed := now.Round(0).Sub(w.startedAt.Round(0)) // Round strips the monotonic reading
 	step := wallElapsed - now.Sub(w.startedAt) - w.totalStep
--- a/internal/rollout/settle.go
+++ b/internal/rollout/settle.go
@@ -17,8 +17,10 @@
 // timeout, but has not met them for the settle time.
 var errNotLongEnough = errors.New("it has not held for long enough")
 
-// awaitSettled waits until the wave has met the plan's limits for the settle time. If it
-// has not by the end of the settle timeout, the error says which limit it does not meet.
+// awaitSettled waits until the wave has met the plan's limits for the settle time. If the
+// settle timeout or ctx ends before that, it returns the error of the last check, which
+// says which limit is not met or which relay's status could not be read, or
+// errNotLongEnough if the last check found all limits met.
 func (e *execution) awaitSettled(ctx context.Context, wave []Relay) error {
 	deadline := time.Now().Add(seconds(e.plan.SettleTimeout))
 	metSince := time.Now()
--- a/internal/wal/handoff_test.go
+++ b/internal/wal/handoff_test.go
@@ -103,7 +103,7 @@
 	}
 	mustAppend(t, next, next.Handoff.Read()[1:]...) // skips the owner record
 	mustAppend(t, next, &Record{Kind: KindAttempt, ID: "a", At: 9, Endpoint: "s-1", Process: next.Process}, &Record{Kind: KindCompleted, ID: "b"})
-	next.store.close() // both processes are killed
+	next.store.close() // this and the next close stand for a kill of both processes
 	old.store.close()
 	next.Handoff.Close()
 	if _, pending := openTestLog(t, dir, 1<<20); len(pending) != 1 || pending[0].ID != "a" || pending[0].Attempts != 2 || pending[0].UnknownOutcomeAt != 9 {
--- a/internal/wal/import.go
+++ b/internal/wal/import.go
@@ -45,7 +45,8 @@
 	return &r.recovery, nil
 }
 
-// checkImportFolder returns an error if a folder is fenced or contains messages.
+// checkImportFolder returns an error if a folder is fenced, or if its log has pending
+// messages, is corrupted or has lost messages. An incomplete write is accepted.
 func checkImportFolder(dir string) error {
 	fence, err := ReadFence(dir)
 	if fence != nil || err != nil {
--- a/internal/wal/recorded_test.go
+++ b/internal/wal/recorded_test.go
@@ -143,8 +143,8 @@
 }
 
 // While the process that handed the log off is alive, its attempts stay in flight and its
-// handoff log is read.
-func TestOpenFollowsHandoffLogOfEarlierVersion(t *testing.T) {
+// handoff log is read. The test holds the lock of the handoff log in place of that process.
+func TestOpenReadsHandoffLogOfLiveProcessOfEarlierVersion(t *testing.T) {
 	dir, want := copyRecordedFolder(t, "handed-on"), readRecordedState(t, "handed-on-living.json")
 	handoffFile, err := wal.OS{}.Open(filepath.Join(dir, wal.HandoffName), wal.ModeWrite)
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,7 +24,9 @@
 	return append(b, make([]byte, eventSize-len(b))...)
 }
 
-// newFrame returns a batch frame with records and a tail.
+// newFrame encodes a batch as ReadBatch expects it: a header with the clock, the size in bytes of
+// what follows and the number of records, then the records, then the tail. Each record must have
+// eventSize bytes.
 func newFrame(clock uint64, tail []byte, records ...[]byte) []byte {
 	b := make([]byte, batchHeader)
 	byteOrder.PutUint64(b, clock)
--- a/internal/zones/evacuate.go
+++ b/internal/zones/evacuate.go
@@ -35,8 +35,9 @@
 	return e.drainNext(ctx)
 }
 
-// start rejects the evacuation if too little capacity would remain. Otherwise it records
-// the capacities before the evacuation, and the evacuation has started.
+// start finishes the evacuation at once if no endpoint of the zone is up. It rejects the
+// evacuation if too little capacity would remain, unless spec.Force is set. Otherwise it
+// records the capacities before the evacuation, and the evacuation has started.
 func (e *evacuation) start(ctx context.Context) error {
 	members, err := e.members(ctx)
 	if err != nil {
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -1,7 +1,8 @@
 package policy
 
-// mayReject reports whether a client may be told that its message has not run: the message has
-// certainly not run, or may run again without harm.
+// mayReject reports whether a client may be told that its message has not run. It may if no call is in
+// flight, and the message has certainly not run or may run again without harm. With a call in flight the
+// answer is false, also for an idempotent message.
 func (p *Policy) mayReject(message *messageState) bool {
 	if message.call != nil {
 		return false
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -63,7 +63,8 @@
 	return max(1, math.Sqrt(p.estimateCapacity(route)/float64(p.settings.Relays)))
 }
 
-// hasPaceToken reports whether the pace and the backoff of a route allow a call now.
+// hasPaceToken reports whether the pace and the backoff of a route allow a call now. If it is the pace
+// that does not, it also sets isPaceLimited.
 func (p *Policy) hasPaceToken(route *routeState) bool {
 	if route.backoffUntil > p.now {
 		return false
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -47,8 +47,9 @@
 }
 
 // recoveryCapacity is the capacity from which recovery budgets are computed. Where it is neither
-// reported nor listed, the estimate is raised to the lowest limit of the kind, but not above one call
-// a second for each relay, since a low estimate divided among all relays would leave next to nothing.
+// reported nor listed, the estimate is raised to the lowest limit that destinations of the same kind have
+// reported, since a low estimate divided among all relays would leave next to nothing. It is not raised
+// above one call a second for each relay.
 func (p *Policy) recoveryCapacity(route *routeState) float64 {
 	capacity := p.estimateCapacity(route)
 	if route.reportedLimit == 0 && route.nominalRate == 0 {
