--- a/internal/faultlab/checker/call.go
+++ b/internal/faultlab/checker/call.go
@@ -105,7 +105,7 @@
 	c.checkRetryAfter(r, e)
 	c.checkDrain(r, e)
 	for _, id := range e.Messages {
-		if m := c.touchMessage(id, e.Time); m != nil { // a message that no client submitted is recorded as an InvalidCall
+		if m := c.touchMessage(id, e.Time); m != nil { // nil if no client submitted it; the endpoint that receives it records an InvalidCall
 			c.checkAttempt(m, id, e)
 			c.checkEarlierCalls(m, id, e, wasAborted)
 			m.calls = append(m.calls, received)
--- a/internal/faultlab/group_clients.go
+++ b/internal/faultlab/group_clients.go
@@ -147,7 +147,8 @@
 	}, func(bool) {})
 }
 
-// hashMembers returns a hash of the members of an update.
+// hashMembers returns a hash of the ID, HostPort, Phase and Cell of each member of an
+// update. Their order counts: the same members in another order have another hash.
 func hashMembers(members []discovery.Member) string {
 	hash := fnv.New64a()
 	for _, m := range members {
--- a/internal/faultlab/model/clients.go
+++ b/internal/faultlab/model/clients.go
@@ -161,7 +161,9 @@
 }
 
 // backoff draws how long a client waits before a retry. retryAfterMS is the wait that
-// the relay asked for, or 0 if it asked for none.
+// the relay asked for, or 0 if it asked for none. The client follows it with the
+// probability Load.HonorRetryAfter, and otherwise waits as long as drawn from
+// Load.Backoff.
 func (c *Clients) backoff(retryAfterMS int64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faultlab/model/upstream.go
+++ b/internal/faultlab/model/upstream.go
@@ -44,7 +44,7 @@
 	faults           []Fault
 	limitFactor      float64   // factor on Limit.Rate
 	opensAt          time.Time // when the Retry-After of a closed upstream ends
-	endpoints        int       // number of endpoints
+	endpoints        int
 	endpointsDown    int       // number of endpoints that are down
 	inOutage         bool      // the whole destination is down
 	connectionsFail  bool      // endpoints refuse connections during the outage
--- a/internal/faultlab/stub/stub.go
+++ b/internal/faultlab/stub/stub.go
@@ -39,7 +39,7 @@
 	leaked    leakedResources
 
 	deliveries sync.WaitGroup // deliveries of single messages that have not ended
-	background sync.WaitGroup // all other goroutines
+	background sync.WaitGroup // goroutines that serve clients or run until the stub ends
 }
 
 // Main runs a stub relay until SIGTERM and returns its exit code. It takes its
--- a/internal/registry/client/request.go
+++ b/internal/registry/client/request.go
@@ -17,7 +17,7 @@
 type RejectedError struct {
 	Status  int    // the HTTP status code
 	Text    string // status and the group's error text, for operators
-	Changed int64  // 409: the revision of the member's last change
+	Changed int64  // 409 about a member: the revision of its last change; 0 if the member is unknown, and for any other response
 }
 
 // Error implements error.
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// Release implements raft.FSMSnapshot.
+// Release implements raft.FSMSnapshot. It does nothing, since a snapshot is a copy of the
+// state as text and holds no lock or file.
 func (snapshot) Release() {}
 
 // Restore implements raft.FSM.
